--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -1,4 +1,4 @@
-// Command wayhold is one request-routing node on real sockets. ROUTER_CONFIG names its configuration.
+// Command sloerail-node is one request-routing node on real sockets. ROUTER_CONFIG names its configuration.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	slog.SetLogLoggerLevel(slog.LevelDebug) // net/http would log a line for each server's stray byte
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err := run(); err != nil {
-		fmt.Fprintln(os.Stderr, "wayhold:", err)
+		fmt.Fprintln(os.Stderr, "sloerail-node:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/sloerail-simadapter/main.go
+++ b/cmd/sloerail-simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts instances of the decision module on the simulator's wire: it reads batches
+// Command sloerail-simadapter hosts instances of the decision module on the simulator's wire: it reads batches
 // on standard input, routes events to instances, and writes their actions on standard output.
 package main
 
@@ -12,7 +12,7 @@
 	"runtime/debug"
 	"strings"
 
-	"sloerail/internal/wire"
+	"sloerail/internal/simwire"
 	"sloerail/policy"
 )
 
@@ -25,14 +25,14 @@
 func main() {
 	debug.SetGCPercent(gcPercent)
 	if err := serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "sloerail-simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // host holds the instances of one process.
 type host struct {
-	dec   wire.Decoder
+	dec   simwire.Decoder
 	nodes map[int]*policy.Balancer
 	now   policy.Time
 	open  bool // inside a batch
@@ -93,24 +93,24 @@
 	if err != nil {
 		return false, err
 	}
-	if (l.Kind == wire.Mark) == h.open {
+	if (l.Kind == simwire.Mark) == h.open {
 		return false, fmt.Errorf("message outside of a batch, or a batch inside another")
 	}
 	switch l.Kind {
-	case wire.Mark:
+	case simwire.Mark:
 		h.now, h.open = l.Now, true
-	case wire.EndBatch:
-		h.open, h.out = false, wire.AppendYield(h.out)
+	case simwire.EndBatch:
+		h.open, h.out = false, simwire.AppendYield(h.out)
 		return true, nil
-	case wire.Configure:
+	case simwire.Configure:
 		b, err := policy.New(l.Settings, h.now, l.Seed)
 		if err != nil {
 			return false, fmt.Errorf("configure: conf: %w", err)
 		}
 		h.nodes[l.Node] = b
-	case wire.Shutdown:
+	case simwire.Shutdown:
 		delete(h.nodes, l.Node)
-	case wire.Event:
+	case simwire.Event:
 		// Nothing arrives for a node that was shut down; if it does, nobody is there to hear it.
 		if b := h.nodes[l.Node]; b != nil {
 			h.deliver(l.Node, b, l.Event)
@@ -125,11 +125,11 @@
 		if p := recover(); p != nil {
 			text := strings.ReplaceAll(fmt.Sprint(p), "\n", " ")
 			fmt.Fprintf(os.Stderr, "instance %d: %s\n%s", node, text, debug.Stack())
-			h.out = wire.AppendBroken(h.out, node, text)
+			h.out = simwire.AppendBroken(h.out, node, text)
 			delete(h.nodes, node)
 		}
 	}()
 	for _, a := range b.Handle(h.now, ev) {
-		h.out = wire.AppendAction(h.out, node, a)
+		h.out = simwire.AppendAction(h.out, node, a)
 	}
 }
--- a/cmd/sloerail/demo.go
+++ b/cmd/sloerail/demo.go
@@ -6,11 +6,11 @@
 
 	"github.com/spf13/cobra"
 
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 )
 
 func newDemo() *cobra.Command {
-	d := rig.DemoSpec{For: 20 * time.Second, Nodes: 3, Seed: 1}
+	d := testcluster.DemoSpec{For: 20 * time.Second, Nodes: 3, Seed: 1}
 	cmd := &cobra.Command{
 		Use:   "demo",
 		Short: "Play a fleet through the death of a node on this machine, with nothing else needed",
@@ -22,7 +22,7 @@
 			if err := d.Check(); err != nil {
 				return fmt.Errorf("%w: %w", errUse, err)
 			}
-			return rig.Demo(cmd.Context(), cmd.OutOrStdout(), d)
+			return testcluster.Demo(cmd.Context(), cmd.OutOrStdout(), d)
 		},
 	}
 	f := cmd.Flags()
--- a/cmd/sloerail/experiment.go
+++ b/cmd/sloerail/experiment.go
@@ -10,8 +10,8 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 	"github.com/spf13/cobra"
 
-	"sloerail/internal/lab"
 	"sloerail/internal/output"
+	"sloerail/internal/simulation"
 )
 
 var errNotReached = errors.New("not all measures are reached")
@@ -46,9 +46,9 @@
 			}
 			scenarios := names[1:]
 			if len(scenarios) == 0 {
-				scenarios = lab.Shipped()
+				scenarios = simulation.Shipped()
 			}
-			pairs, err := lab.Pairs(cmd.Context(), own, names[0], scenarios, all)
+			pairs, err := simulation.Pairs(cmd.Context(), own, names[0], scenarios, all)
 			if err != nil {
 				return err
 			}
@@ -75,7 +75,7 @@
 	return all, nil
 }
 
-func reportPairs(out io.Writer, pairs []lab.Pair, asJSON bool) error {
+func reportPairs(out io.Writer, pairs []simulation.Pair, asJSON bool) error {
 	if err := output.Show(out, pairs, asJSON, func(p *output.Printer) { printPairs(p, pairs) }); err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func printPairs(out io.Writer, pairs []lab.Pair) {
+func printPairs(out io.Writer, pairs []simulation.Pair) {
 	t := newTable(out, "scenario", "G", "G of the other", "difference (95%)", "p", "rules broken", "by the other")
 	for _, p := range pairs {
 		t.AppendRow(table.Row{p.Scenario, fmt.Sprintf("%.3f", p.OurG), fmt.Sprintf("%.3f", p.TheirG),
@@ -110,7 +110,7 @@
 			if err != nil {
 				return err
 			}
-			rows, err := lab.Zones(lab.ZoneMeasures(), all, true)
+			rows, err := simulation.Zones(simulation.ZoneMeasures(), all, true)
 			if err != nil {
 				return err
 			}
@@ -122,7 +122,7 @@
 	return cmd
 }
 
-func reportRows(out io.Writer, rows []lab.Row, asJSON bool) error {
+func reportRows(out io.Writer, rows []simulation.Row, asJSON bool) error {
 	if err := output.Show(out, jsonRows(rows), asJSON, func(p *output.Printer) { printRows(p, rows) }); err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 	Reached bool      `json:"reached"`
 }
 
-func jsonRows(rows []lab.Row) (all []jsonRow) {
+func jsonRows(rows []simulation.Row) (all []jsonRow) {
 	finite := func(in []float64) (out []float64) {
 		for _, v := range in {
 			if math.IsInf(v, 0) || math.IsNaN(v) {
@@ -159,7 +159,7 @@
 	return all
 }
 
-func printRows(out io.Writer, rows []lab.Row) {
+func printRows(out io.Writer, rows []simulation.Row) {
 	t := newTable(out, "measure", "to reach", "places: mean (least to most)", "servers alone", "rules broken", "reached")
 	for _, r := range rows {
 		want := ""
@@ -175,6 +175,6 @@
 }
 
 func meanAndRange(all []float64) string {
-	mean, least, most := lab.Spread(all)
+	mean, least, most := simulation.Spread(all)
 	return fmt.Sprintf("%.3f (%.3f to %.3f)", mean, least, most)
 }
--- a/cmd/sloerail/main_test.go
+++ b/cmd/sloerail/main_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"sloerail/internal/member"
+	"sloerail/internal/membership"
 	"sloerail/internal/node"
 )
 
@@ -30,7 +30,7 @@
 func view(self string, names ...string) (v node.FleetView) {
 	v.Node, v.Heard, v.Agreed = self, len(names), len(names)
 	for _, n := range names {
-		v.Members = append(v.Members, node.FleetMember{Name: n, Zone: "a", State: member.Alive, SinceMs: 61_000})
+		v.Members = append(v.Members, node.FleetMember{Name: n, Zone: "a", State: membership.Alive, SinceMs: 61_000})
 	}
 	return v
 }
--- a/cmd/sloerail/scale.go
+++ b/cmd/sloerail/scale.go
@@ -17,12 +17,12 @@
 	"github.com/spf13/cobra"
 
 	"sloerail/internal/output"
-	"sloerail/internal/scale"
+	"sloerail/internal/scaletest"
 )
 
 // scaleFlags are those of the command, beside the run's own bounds.
 type scaleFlags struct {
-	scale.Options
+	scaletest.Options
 	seed   uint64
 	asJSON bool
 	plot   string
@@ -57,21 +57,21 @@
 
 func listScales(out io.Writer) error {
 	printer := output.NewPrinter(out)
-	for _, name := range scale.Shipped() {
-		s, err := scale.Read(name)
+	for _, name := range scaletest.Shipped() {
+		s, err := scaletest.Read(name)
 		if err != nil {
 			return err
 		}
 		printer.Printf("%-10s %s\n", name, s.What)
 	}
-	for _, d := range scale.NotMeasured {
+	for _, d := range scaletest.NotMeasured {
 		printer.Printf("%-10s not measured yet\n", d)
 	}
 	return printer.Err()
 }
 
 func runScale(cmd *cobra.Command, name string, flags scaleFlags) error {
-	s, err := scale.Read(name)
+	s, err := scaletest.Read(name)
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUse, err)
 	}
@@ -84,8 +84,8 @@
 	slog.SetLogLoggerLevel(slog.LevelError) // many nodes in one process would each tell what befalls them
 	options := flags.Options
 	options.Progress = scaleProgress(cmd.ErrOrStderr(), s.Dimension)
-	report, err := scale.Run(cmd.Context(), s, options)
-	if errors.Is(err, scale.ErrBeyondMachine) && report == nil {
+	report, err := scaletest.Run(cmd.Context(), s, options)
+	if errors.Is(err, scaletest.ErrBeyondMachine) && report == nil {
 		return fmt.Errorf("%w: %w", errUse, err)
 	}
 	if report == nil {
@@ -95,18 +95,18 @@
 }
 
 // scaleProgress shows how far a run has come: a bar on a terminal, else a line for each point.
-func scaleProgress(errs io.Writer, dimension scale.Dimension) func(scale.Progress) {
+func scaleProgress(errs io.Writer, dimension scaletest.Dimension) func(scaletest.Progress) {
 	file, ok := errs.(*os.File)
 	if !ok || !isatty.IsTerminal(file.Fd()) {
 		printer := output.NewPrinter(errs)
-		return func(p scale.Progress) {
+		return func(p scaletest.Progress) {
 			if p.Run > 0 {
 				printer.Printf("%d of %d: %s %d, run %d\n", p.Done+1, p.Points, dimension, p.Size, p.Run)
 			}
 		}
 	}
 	var bar *progressbar.ProgressBar
-	return func(p scale.Progress) {
+	return func(p scaletest.Progress) {
 		if bar == nil {
 			bar = progressbar.NewOptions(p.Points, progressbar.OptionSetWriter(errs), progressbar.OptionClearOnFinish())
 		}
@@ -116,7 +116,7 @@
 }
 
 // tellScale prints a report. The error says that it is not whole.
-func tellScale(out io.Writer, r *scale.Report, flags scaleFlags) error {
+func tellScale(out io.Writer, r *scaletest.Report, flags scaleFlags) error {
 	if flags.plot != "" && len(r.Measurements) > 0 {
 		if err := writePlot(r, flags.plot); err != nil {
 			return err
@@ -140,7 +140,7 @@
 	return nil
 }
 
-func writePlot(r *scale.Report, path string) error {
+func writePlot(r *scaletest.Report, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
 		return fmt.Errorf("%w: plot: %w", errUse, err)
@@ -148,7 +148,7 @@
 	return errors.Join(r.WriteSVG(file), file.Close())
 }
 
-func printScale(out *output.Printer, r *scale.Report) {
+func printScale(out *output.Printer, r *scaletest.Report) {
 	s := r.Scenario
 	out.Printf("%s: %s\nseed %d, %d runs, begun %s, %d cores, %.1f GB, %s\n", s.Name, s.What, s.Seed, s.Runs,
 		r.Began.Format("2006-01-02 15:04:05 UTC"), r.Machine.Cores, float64(r.Machine.Memory)/1e9, r.Machine.Go)
@@ -164,16 +164,16 @@
 }
 
 // heldOf names the sizes that don't grow.
-func heldOf(s scale.Scenario) string {
+func heldOf(s scaletest.Scenario) string {
 	h := s.Held
 	var all []string
 	for _, v := range []struct {
-		of    scale.Dimension
+		of    scaletest.Dimension
 		value float64
 		what  string
 	}{
-		{scale.Servers, float64(h.Servers), "servers"}, {scale.Tenants, float64(h.Tenants), "tenants"},
-		{scale.Nodes, float64(h.Nodes), "nodes"}, {scale.Changes, h.Changes, "changes a minute"},
+		{scaletest.Servers, float64(h.Servers), "servers"}, {scaletest.Tenants, float64(h.Tenants), "tenants"},
+		{scaletest.Nodes, float64(h.Nodes), "nodes"}, {scaletest.Changes, h.Changes, "changes a minute"},
 		{"requests", h.Requests, "requests a second"},
 	} {
 		if v.of != s.Dimension && v.value > 0 {
@@ -184,7 +184,7 @@
 }
 
 // printValues is the table of what was measured: the mean of the runs, and the least and the most.
-func printValues(out io.Writer, r *scale.Report) {
+func printValues(out io.Writer, r *scaletest.Report) {
 	header := []any{"measure", "unit", "of"}
 	for _, size := range r.Sizes() {
 		header = append(header, strconv.Itoa(size))
@@ -236,7 +236,7 @@
 }
 
 // printRatios is the table of what was measured of processes beside hollow nodes; none where there is nothing.
-func printRatios(out io.Writer, r *scale.Report) {
+func printRatios(out io.Writer, r *scaletest.Report) {
 	if len(r.Ratios) == 0 {
 		return
 	}
@@ -248,7 +248,7 @@
 }
 
 // printLaws is the table of laws and what they say of the target.
-func printLaws(out io.Writer, r *scale.Report) {
+func printLaws(out io.Writer, r *scaletest.Report) {
 	t := newTable(out, "measure", "unit", "of", "law", "formula", "residual rms, worst", "over sizes",
 		"exponent at the end", fmt.Sprintf("at %s (95%%)", short(r.Scenario.Target)), "beyond measured", "budget", "reached at")
 	for _, l := range r.Laws {
--- a/cmd/sloerail/scale_test.go
+++ b/cmd/sloerail/scale_test.go
@@ -9,7 +9,7 @@
 	"strings"
 	"testing"
 
-	"sloerail/internal/scale"
+	"sloerail/internal/scaletest"
 )
 
 const tinyScenario = `
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	status, out, errs := call(ctx, "scale", path, "--json")
-	var r scale.Report
+	var r scaletest.Report
 	if err := json.Unmarshal([]byte(out), &r); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/sloerail/simulate.go
+++ b/cmd/sloerail/simulate.go
@@ -6,8 +6,8 @@
 
 	"github.com/spf13/cobra"
 
-	"sloerail/internal/lab"
 	"sloerail/internal/output"
+	"sloerail/internal/simulation"
 )
 
 func newSimulate() *cobra.Command {
@@ -26,12 +26,12 @@
 			if len(names) == 0 {
 				return listScenarios(cmd.OutOrStdout())
 			}
-			s, err := lab.Read(names[0])
+			s, err := simulation.Read(names[0])
 			if err != nil {
 				return fmt.Errorf("%w: %w", errUse, err)
 			}
 			s.Places = s.Places && !noPlaces
-			w, err := lab.New(s, seed)
+			w, err := simulation.New(s, seed)
 			if err != nil {
 				return fmt.Errorf("%w: %w", errUse, err)
 			}
@@ -47,8 +47,8 @@
 
 func listScenarios(out io.Writer) error {
 	p := output.NewPrinter(out)
-	for _, name := range lab.Shipped() {
-		s, err := lab.Read(name)
+	for _, name := range simulation.Shipped() {
+		s, err := simulation.Read(name)
 		if err != nil {
 			return err
 		}
@@ -58,7 +58,7 @@
 }
 
 // reportOutcome prints what came of a run. The error says that rules were broken.
-func reportOutcome(out io.Writer, o *lab.Outcome, every int, asJSON bool) error {
+func reportOutcome(out io.Writer, o *simulation.Outcome, every int, asJSON bool) error {
 	if err := output.Show(out, o, asJSON, func(p *output.Printer) { printOutcome(p, o, every) }); err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 	return nil
 }
 
-func printOutcome(p *output.Printer, o *lab.Outcome, every int) {
+func printOutcome(p *output.Printer, o *simulation.Outcome, every int) {
 	for _, line := range o.Table(max(1, every)) {
 		p.Println(line)
 	}
--- a/internal/cpuload/main.go
+++ b/internal/cpuload/main.go
@@ -1,6 +1,6 @@
-// Command spin keeps all cores busy for a while, to see whether tests depend on how fast the machine is.
+// Command cpuload keeps all cores busy for a while, to see whether tests depend on how fast the machine is.
 //
-//	go run ./internal/spin -for 30s
+//	go run ./internal/cpuload -for 30s
 package main
 
 import (
@@ -16,11 +16,11 @@
 const longest = time.Hour
 
 func main() {
-	span := flag.Duration("for", 30*time.Second, "how long to spin; an hour at most")
+	span := flag.Duration("for", 30*time.Second, "how long to keep them busy; an hour at most")
 	share := flag.Int("times", 2, "spinning goroutines a core")
 	flag.Parse()
 	if *span <= 0 || *span > longest || *share < 1 || *share > 16 {
-		fmt.Fprintf(os.Stderr, "spin: want -for above 0 and up to %v, got %v, and -times 1 to 16, got %d\n", longest, *span, *share)
+		fmt.Fprintf(os.Stderr, "cpuload: want -for above 0 and up to %v, got %v, and -times 1 to 16, got %d\n", longest, *span, *share)
 		os.Exit(2)
 	}
 	// One goroutine holds one processor, so there are more of them than cores.
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -1,7 +1,7 @@
-// Package member knows which nodes of a fleet are present, which have gone, and how. It gossips by memberlist
+// Package membership knows which nodes of a fleet are present, which have gone, and how. It gossips by memberlist
 // (SWIM with Lifeguard's suspicion), which nobody outside of this package sees; what a view is worth to a
 // request is decided in policy.
-package member
+package membership
 
 import (
 	"cmp"
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -15,8 +15,8 @@
 	"strings"
 	"time"
 
-	gossip "sloerail/internal/member"
-	"sloerail/internal/wire"
+	gossip "sloerail/internal/membership"
+	"sloerail/internal/simwire"
 	"sloerail/policy"
 )
 
@@ -163,7 +163,7 @@
 	if c.Known, err = parseList(f.Known); err != nil {
 		return Config{}, fmt.Errorf("known: %w", err)
 	}
-	if c.Settings, err = wire.ParseSettings(f.Settings); err != nil {
+	if c.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
 		return Config{}, fmt.Errorf("settings.%w", err)
 	}
 	c.Settings.EaseLists = f.Ease
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -10,7 +10,7 @@
 	"runtime/debug"
 	"time"
 
-	gossip "sloerail/internal/member"
+	gossip "sloerail/internal/membership"
 )
 
 const fleetPath = "/fleet"
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"encoding/json"
@@ -10,7 +10,7 @@
 	"sloerail/internal/emulator"
 	"sloerail/internal/node"
 	"sloerail/internal/registry"
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 )
 
 // The platform that is coming: its regions, its zones, and what else of it stays as it is in all scenarios.
@@ -79,7 +79,7 @@
 		"seed":   fmt.Sprintf("%x", f.rng.Uint64()),
 		"limits": map[string]any{"cores": 1, "memory_mb": nodeMemoryMB, "sockets": nodeSockets},
 		"known":  map[string]any{"revision": 0, "complete": true, "members": []any{}},
-		"settings": rig.Settings(position, f.held.Nodes, zoneName(position%(regions*zonesEach)), emulator.Classes(), tenants,
+		"settings": testcluster.Settings(position, f.held.Nodes, zoneName(position%(regions*zonesEach)), emulator.Classes(), tenants,
 			quota),
 		"places": map[string]any{"regions": zonesOf},
 	}
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -1,7 +1,7 @@
-// Package scale measures how a node's costs grow. Hollow nodes run the code that ships, many in one process and
+// Package scaletest measures how a node's costs grow. Hollow nodes run the code that ships, many in one process and
 // without the sockets of requests; a scenario names one dimension and the sizes at which it is measured, and a law is
 // fitted to each measure. Nothing here is linked into a node.
-package scale
+package scaletest
 
 import "slices"
 
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bufio"
@@ -15,7 +15,7 @@
 
 	"github.com/prometheus/procfs"
 
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 )
 
 // Measures of real processes beside those that a hollow node has too.
@@ -116,7 +116,7 @@
 	Least    int
 	Most     int
 	replicas int // of the list service; 0 for one
-	measure  func(ctx context.Context, r *rig.Rig, spec ProcessSpec, size int, rec *Recorder) error
+	measure  func(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error
 }
 
 // ProcessDimensions are all there are.
@@ -167,14 +167,14 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	r, err := rig.New(dir, spec.Seed)
+	r, err := testcluster.New(dir, spec.Seed)
 	if err != nil {
 		return nil, err
 	}
 	defer r.Close()
 	rec := NewRecorder(string(d.Name), size, run, Process)
-	for _, program := range []string{"cmd/wayhold", "cmd/sloerail"} { // else a start would be timed with its build
-		if _, err := rig.Build(program); err != nil {
+	for _, program := range []string{"cmd/sloerail-node", "cmd/sloerail"} { // else a start would be timed with its build
+		if _, err := testcluster.Build(program); err != nil {
 			return nil, err
 		}
 	}
--- a/internal/scaletest/process_list.go
+++ b/internal/scaletest/process_list.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"time"
 
 	"sloerail/internal/emulator"
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 )
 
 const (
@@ -38,7 +38,7 @@
 func (c *listCounter) close()                { _ = c.server.Close() }
 
 // serve has a handler answer at an address of the rig's.
-func (c *listCounter) serve(r *rig.Rig, h http.Handler) error {
+func (c *listCounter) serve(r *testcluster.Rig, h http.Handler) error {
 	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", r.Host(), listServicePort))
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 func routeService(i int) string { return fmt.Sprintf("service-%04d", i) }
 
 // startList serves a list of n servers; address says where each of them is.
-func startList(r *rig.Rig, n int, address func(i int) string) (*listService, error) {
+func startList(r *testcluster.Rig, n int, address func(i int) string) (*listService, error) {
 	s := &listService{list: emulator.NewList(), changed: make(chan struct{})}
 	for i := range n {
 		s.list.Set(emulator.Entry{ID: serverName(i), HostPort: address(i), Locality: zoneOf(i), Flavor: serviceOf(i),
--- a/internal/scaletest/process_registry.go
+++ b/internal/scaletest/process_registry.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -12,7 +12,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"sloerail/internal/registry"
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 )
 
 const (
@@ -28,11 +28,11 @@
 
 // registryRun is a list service of real replicas under measurement.
 type registryRun struct {
-	*rig.Registry
+	*testcluster.Registry
 	leader string
 }
 
-func startRegistry(ctx context.Context, r *rig.Rig, replicas int) (*registryRun, error) {
+func startRegistry(ctx context.Context, r *testcluster.Rig, replicas int) (*registryRun, error) {
 	g, err := r.NewRegistry(replicas)
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 }
 
 // measureRealInstances measures the list service with so many instances and a few watchers.
-func measureRealInstances(ctx context.Context, r *rig.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealInstances(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
 	g, err := startRegistry(ctx, r, spec.Replicas)
 	if err != nil {
 		return err
@@ -155,7 +155,7 @@
 }
 
 // measureRealWatchers measures the list service with a common number of instances and so many watchers.
-func measureRealWatchers(ctx context.Context, r *rig.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealWatchers(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
 	g, err := startRegistry(ctx, r, spec.Replicas)
 	if err != nil {
 		return err
@@ -218,7 +218,7 @@
 	count := func(of *int, want int) func() bool {
 		return func() bool { w.mu.Lock(); defer w.mu.Unlock(); return *of >= want }
 	}
-	if err := rig.Await(ctx, "all watchers", count(&w.ready, n)); err != nil {
+	if err := testcluster.Await(ctx, "all watchers", count(&w.ready, n)); err != nil {
 		return err
 	}
 	c := registry.NewClient([]string{g.Listen(g.leader)})
@@ -231,7 +231,7 @@
 		if err := put(ctx, c, "/registry/instances/"+serverName(0), instance(0, change+100)); err != nil {
 			return err
 		}
-		if err := rig.Await(ctx, "all to be told", count(&w.told, n)); err != nil {
+		if err := testcluster.Await(ctx, "all to be told", count(&w.told, n)); err != nil {
 			return err
 		}
 	}
--- a/internal/scaletest/process_requests.go
+++ b/internal/scaletest/process_requests.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 )
 
 const (
@@ -26,7 +26,7 @@
 )
 
 // startServers starts the servers that requests end at; they answer at once.
-func startServers(r *rig.Rig) (addresses []string, end func(), err error) {
+func startServers(r *testcluster.Rig) (addresses []string, end func(), err error) {
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		_, _ = io.Copy(io.Discard, req.Body)
 		w.Header().Set("X-Load", "latency_ms=1.0,util=0.02,qps=30")
@@ -112,7 +112,7 @@
 // measureRealRequests measures what a node that knows so many servers adds to a request: the same clients ask the same
 // servers straight and through the node, one request after the other in turns, so that whatever else the machine
 // does is in both.
-func measureRealRequests(ctx context.Context, r *rig.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealRequests(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
 	addresses, end, err := startServers(r)
 	if err != nil {
 		return err
--- a/internal/scaletest/process_scoped.go
+++ b/internal/scaletest/process_scoped.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -13,7 +13,7 @@
 	"time"
 
 	"sloerail/internal/registry"
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 )
 
 const (
@@ -28,7 +28,7 @@
 	client *registry.Client
 }
 
-func startRegistryList(ctx context.Context, r *rig.Rig, replicas, n int) (*registryList, error) {
+func startRegistryList(ctx context.Context, r *testcluster.Rig, replicas, n int) (*registryList, error) {
 	run, err := startRegistry(ctx, r, replicas)
 	if err != nil {
 		return nil, err
@@ -75,12 +75,12 @@
 // scopedNode is a node that is told a subset of each service that its routes need, by a list service of so many
 // servers.
 type scopedNode struct {
-	*rig.Node
+	*testcluster.Node
 	list *registryList
 }
 
 // startScopedNode starts the list service, then the node, which has to list what its scope has.
-func startScopedNode(ctx context.Context, r *rig.Rig, spec ProcessSpec, size int, rec *Recorder) (*scopedNode, error) {
+func startScopedNode(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) (*scopedNode, error) {
 	list, err := startRegistryList(ctx, r, spec.Replicas, size)
 	if err != nil {
 		return nil, err
@@ -97,7 +97,7 @@
 		return nil, err
 	}
 	want := len(scoped.Members)
-	n, listed, err := startAndRecord(ctx, r, rig.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB,
+	n, listed, err := startAndRecord(ctx, r, testcluster.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB,
 		Sockets: nodeDescripts, Settings: settings, Scope: map[string]any{"services": services, "subset": defaultSubset}}, want, rec)
 	if err == nil && listed != want {
 		err = fmt.Errorf("the node lists %d servers, its scope has %d", listed, want)
@@ -110,7 +110,7 @@
 }
 
 // measureRealScoped measures a node with a scope, by the servers that there are in all.
-func measureRealScoped(ctx context.Context, r *rig.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealScoped(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
 	n, err := startScopedNode(ctx, r, spec, size, rec)
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 
 // measureRealDay measures a node with a scope while servers anywhere drain and come back at the rate of the target's
 // day.
-func measureRealDay(ctx context.Context, r *rig.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealDay(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
 	n, err := startScopedNode(ctx, r, spec, size, rec)
 	if err != nil {
 		return err
--- a/internal/scaletest/process_servers.go
+++ b/internal/scaletest/process_servers.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"time"
 
 	"sloerail/internal/emulator"
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 )
 
 const (
@@ -44,7 +44,7 @@
 	for i := range tenants {
 		all = append(all, emulator.Tenant{Name: tenantName(i), Share: 1 / float64(tenants)})
 	}
-	settings := rig.Settings(0, nodesBefore(spec), zoneOf(0), classes, all, quotaOfAll)
+	settings := testcluster.Settings(0, nodesBefore(spec), zoneOf(0), classes, all, quotaOfAll)
 	for i, route := range settings["services"].([]map[string]any) {
 		route["servedOn"] = []string{routeService(i % services)}
 	}
@@ -57,8 +57,8 @@
 
 // startNode starts a node that takes its list from a service. Where that list is beyond what it takes, the list
 // stands in its file.
-func startNode(ctx context.Context, r *rig.Rig, list *listService, settings map[string]any, rec *Recorder) (*rig.Node, error) {
-	spec := rig.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB, Sockets: nodeDescripts,
+func startNode(ctx context.Context, r *testcluster.Rig, list *listService, settings map[string]any, rec *Recorder) (*testcluster.Node, error) {
+	spec := testcluster.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB, Sockets: nodeDescripts,
 		Settings: settings}
 	want := len(list.whole().Members)
 	n, listed, err := startAndRecord(ctx, r, spec, want, rec)
@@ -77,7 +77,7 @@
 }
 
 // startAndRecord starts a node, and notes what that took.
-func startAndRecord(ctx context.Context, r *rig.Rig, spec rig.NodeSpec, want int, rec *Recorder) (*rig.Node, int, error) {
+func startAndRecord(ctx context.Context, r *testcluster.Rig, spec testcluster.NodeSpec, want int, rec *Recorder) (*testcluster.Node, int, error) {
 	n, err := r.Node(spec)
 	if err != nil {
 		return nil, 0, err
@@ -97,7 +97,7 @@
 }
 
 // startAndList starts a node, and waits until it takes clients and has its list.
-func startAndList(ctx context.Context, n *rig.Node, want int) (took time.Duration, listed int, err error) {
+func startAndList(ctx context.Context, n *testcluster.Node, want int) (took time.Duration, listed int, err error) {
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	began := time.Now()
@@ -119,7 +119,7 @@
 }
 
 // measureRealServers measures a node at rest, and at changes of its list, with so many servers known.
-func measureRealServers(ctx context.Context, r *rig.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealServers(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
 	list, err := startList(r, size, func(i int) string { return fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255) })
 	if err != nil {
 		return err
@@ -142,7 +142,7 @@
 }
 
 // watchAllChanges watches changes of servers that the node's routes need, and of others where there are any.
-func watchAllChanges(ctx context.Context, spec ProcessSpec, n *rig.Node, list nodeList, size int, rec *Recorder) error {
+func watchAllChanges(ctx context.Context, spec ProcessSpec, n *testcluster.Node, list nodeList, size int, rec *Recorder) error {
 	own := changesOf{cpu: ListChangeCPU, bytes: ChangeBytes, first: 0, count: min(spec.Routes, serviceCount(size))}
 	if err := watchChanges(ctx, spec, n, list, own, rec); err != nil {
 		return err
@@ -155,7 +155,7 @@
 }
 
 // watchRest watches a node that has nothing to do.
-func watchRest(ctx context.Context, spec ProcessSpec, n *rig.Node, list *listCounter, rec *Recorder) error {
+func watchRest(ctx context.Context, spec ProcessSpec, n *testcluster.Node, list *listCounter, rec *Recorder) error {
 	pid := n.Process().PID()
 	began, bytes, answers := time.Now(), list.bytes.Load(), list.answers.Load()
 	before, err := usageOf(pid)
@@ -185,7 +185,7 @@
 }
 
 // watchChanges has servers drain and come back one by one, at a rate that the node keeps up with.
-func watchChanges(ctx context.Context, spec ProcessSpec, n *rig.Node, list nodeList, of changesOf, rec *Recorder) error {
+func watchChanges(ctx context.Context, spec ProcessSpec, n *testcluster.Node, list nodeList, of changesOf, rec *Recorder) error {
 	pid := n.Process().PID()
 	counted := list.counted()
 	bytes := counted.bytes.Load()
@@ -216,7 +216,7 @@
 }
 
 // measureRealTenants measures a node at rest whose settings name so many tenants, and its taking of them anew.
-func measureRealTenants(ctx context.Context, r *rig.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealTenants(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
 	list, err := startList(r, spec.Routes, func(int) string { return "10.0.0.1:9000" })
 	if err != nil {
 		return err
@@ -250,7 +250,7 @@
 	n.Process().Signal(syscall.SIGHUP)
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
-	err = rig.Await(ctx, "the settings to be taken", func() bool {
+	err = testcluster.Await(ctx, "the settings to be taken", func() bool {
 		now, err := figure(ctx, n.Control(), takenFigure)
 		return err == nil && now > taken
 	})
--- a/internal/scaletest/process_test.go
+++ b/internal/scaletest/process_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -14,7 +14,7 @@
 	"time"
 
 	"sloerail/internal/emulator"
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 )
 
 var (
@@ -44,7 +44,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	rig.Clean()
+	testcluster.Clean()
 	os.Exit(code)
 }
 
@@ -113,7 +113,7 @@
 
 // The stand-in for the list service tells a watch of one change alone, and counts what it sent.
 func TestListServiceTellsAWatchTheChange(t *testing.T) {
-	r, err := rig.New(t.TempDir(), 1)
+	r, err := testcluster.New(t.TempDir(), 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 	"os"
 	"time"
 
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 )
 
 // ErrBeyondMachine is a size that would take too much of the machine's memory.
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // it is a temporary one
-	defer rig.Clean()
+	defer testcluster.Clean()
 	limit := s.For.Duration
 	if o.For > 0 {
 		limit = o.For
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"bytes"
@@ -13,16 +13,16 @@
 	"testing"
 	"time"
 
-	"sloerail/internal/lab"
 	"sloerail/internal/node"
 	"sloerail/internal/registry"
+	"sloerail/internal/simulation"
 	"sloerail/policy"
 )
 
 // small is a scenario that takes little.
 func small(d Dimension, sizes ...int) Scenario {
-	return Scenario{Name: "small", Dimension: d, Sizes: sizes, Runs: 1, Seed: 1, For: lab.Duration{Duration: time.Minute},
-		Span: lab.Duration{Duration: 500 * time.Millisecond}, Target: 1000,
+	return Scenario{Name: "small", Dimension: d, Sizes: sizes, Runs: 1, Seed: 1, For: simulation.Duration{Duration: time.Minute},
+		Span: simulation.Duration{Duration: 500 * time.Millisecond}, Target: 1000,
 		Held:    Held{Servers: 20, Tenants: 10, Nodes: 3, Requests: 200, Changes: 240},
 		Budgets: []Budget{{Heap.Name, 1 << 20}, {InForceP99.Name, 5000}}}
 }
--- a/internal/scaletest/scenario.go
+++ b/internal/scaletest/scenario.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"embed"
@@ -9,8 +9,8 @@
 	"strings"
 	"time"
 
-	"sloerail/internal/lab"
 	"sloerail/internal/scenario"
+	"sloerail/internal/simulation"
 )
 
 // Dimension is what grows in a scenario while all else is held.
@@ -45,20 +45,20 @@
 
 // Scenario says what is measured and at which sizes.
 type Scenario struct {
-	Name      string       `toml:"name" json:"name"`
-	What      string       `toml:"what" json:"what"`
-	Dimension Dimension    `toml:"dimension" json:"dimension"`
-	Sizes     []int        `toml:"sizes" json:"sizes"`
-	Runs      int          `toml:"runs" json:"runs"`
-	Seed      uint64       `toml:"seed" json:"seed"`
-	For       lab.Duration `toml:"for" json:"for"`   // the whole scenario takes no longer
-	Span      lab.Duration `toml:"span" json:"span"` // of one point, where time has to pass
-	Held      Held         `toml:"held" json:"held"`
-	Replicas  int          `toml:"replicas" json:"replicas"` // of the list service; 0 for 1
-	Fault     Fault        `toml:"fault" json:"fault"`       // of the list service; empty for none
-	Away      lab.Duration `toml:"away" json:"away"`         // how long replicas are away
-	Target    float64      `toml:"target" json:"target"`     // the size that the laws are reckoned for
-	Budgets   []Budget     `toml:"budgets" json:"budgets"`
+	Name      string              `toml:"name" json:"name"`
+	What      string              `toml:"what" json:"what"`
+	Dimension Dimension           `toml:"dimension" json:"dimension"`
+	Sizes     []int               `toml:"sizes" json:"sizes"`
+	Runs      int                 `toml:"runs" json:"runs"`
+	Seed      uint64              `toml:"seed" json:"seed"`
+	For       simulation.Duration `toml:"for" json:"for"`   // the whole scenario takes no longer
+	Span      simulation.Duration `toml:"span" json:"span"` // of one point, where time has to pass
+	Held      Held                `toml:"held" json:"held"`
+	Replicas  int                 `toml:"replicas" json:"replicas"` // of the list service; 0 for 1
+	Fault     Fault               `toml:"fault" json:"fault"`       // of the list service; empty for none
+	Away      simulation.Duration `toml:"away" json:"away"`         // how long replicas are away
+	Target    float64             `toml:"target" json:"target"`     // the size that the laws are reckoned for
+	Budgets   []Budget            `toml:"budgets" json:"budgets"`
 }
 
 // Held are the sizes that don't grow. The one that does is ignored.
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"context"
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 	"sloerail/policy"
 )
 
@@ -79,7 +79,7 @@
 
 // awaitLists waits until all nodes have the whole list.
 func (c *changeTracker) awaitLists(ctx context.Context) error {
-	return rig.Await(ctx, "all nodes to have the list", func() bool {
+	return testcluster.Await(ctx, "all nodes to have the list", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.listed) == c.nodes || c.err != nil
--- a/internal/scaletest/watchers.go
+++ b/internal/scaletest/watchers.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"cmp"
@@ -13,7 +13,7 @@
 
 	"sloerail/internal/node"
 	"sloerail/internal/registry"
-	"sloerail/internal/rig"
+	"sloerail/internal/testcluster"
 	"sloerail/policy"
 )
 
@@ -68,8 +68,8 @@
 // watched is a list service under change.
 type watched struct {
 	*point
-	rig     *rig.Rig
-	service *rig.Registry
+	rig     *testcluster.Rig
+	service *testcluster.Registry
 	clients []*registry.Client // of the writers
 	entries []registry.Entry
 	changes int          // made so far,
@@ -78,7 +78,7 @@
 
 // newWatched starts a replica and registers the servers.
 func (p *point) newWatched(ctx context.Context) (*watched, error) {
-	r, err := rig.New(p.dir, p.scenario.Seed)
+	r, err := testcluster.New(p.dir, p.scenario.Seed)
 	if err != nil {
 		return nil, err
 	}
@@ -321,7 +321,7 @@
 	late, cancel := context.WithTimeout(ctx, latestChange)
 	defer cancel()
 	// Its error says that some are not in force, and those are counted below.
-	_ = rig.Await(late, "the changes", func() bool { return tracker.missed(int(w.refused.Load())) == 0 })
+	_ = testcluster.Await(late, "the changes", func() bool { return tracker.missed(int(w.refused.Load())) == 0 })
 	if err := ctx.Err(); err != nil {
 		return err
 	}
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,7 +1,7 @@
-// Package lab asks questions of the decision module: a world of nodes, servers and clients in virtual time,
+// Package simulation asks questions of the decision module: a world of nodes, servers and clients in virtual time,
 // scenarios for it, and paired comparisons with their statistics. The servers, clients and the checker are those of
 // internal/emulator; the module is called as it ships. Nothing here is linked into a node.
-package lab
+package simulation
 
 import (
 	"embed"
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,6 +1,6 @@
-// Package wire translates between the simulator's line protocol and the types of package policy.
+// Package simwire translates between the simulator's line protocol and the types of package policy.
 // It decides nothing.
-package wire
+package simwire
 
 import (
 	"errors"
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"sloerail/internal/emulator"
-	"sloerail/internal/member"
+	"sloerail/internal/membership"
 	"sloerail/internal/node"
 )
 
@@ -118,7 +118,7 @@
 				last = v.Present()
 			}
 			return err == nil && slices.Equal(last, want) &&
-				!slices.ContainsFunc(v.Members, func(m node.FleetMember) bool { return m.State == member.Suspect })
+				!slices.ContainsFunc(v.Members, func(m node.FleetMember) bool { return m.State == membership.Suspect })
 		})
 		if err != nil {
 			return 0, fmt.Errorf("%w: it hears %v, want %v", err, last, want)
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -19,7 +19,7 @@
 	controlPort  = 9100 // and those after it: each process of a node has a second address of its own
 	gossipPort   = 7946
 	callTime     = time.Second // for a call at the second address
-	nodeProgram  = "cmd/wayhold"
+	nodeProgram  = "cmd/sloerail-node"
 	defaultLimit = 256 // descriptors
 )
 
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -1,11 +1,11 @@
-// Package rig runs several processes of the program on loopback, with faults between them, for tests and
+// Package testcluster runs several processes of the program on loopback, with faults between them, for tests and
 // commands. It is no part of a node.
 //
 // A Rig owns a block of loopback addresses and every process that it starts. Processes die with it, however
 // it ends: each leads a process group of its own, which Close kills, and the kernel kills the process itself
 // should the rig's own process die first. Paths between processes go through links (see Link), whose faults
 // are set under way, by hand or by a Schedule.
-package rig
+package testcluster
 
 import (
 	"context"
--- a/internal/testcluster/scenario.go
+++ b/internal/testcluster/scenario.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"time"
 
 	"sloerail/internal/emulator"
-	"sloerail/internal/lab"
+	"sloerail/internal/simulation"
 )
 
 // drainTime is how long a server that drains stays in the list.
@@ -17,7 +17,7 @@
 
 // scenarioRun is a scenario under way, with real nodes.
 type scenarioRun struct {
-	lab.Scenario
+	simulation.Scenario
 	world   *World
 	fleet   *Fleet
 	servers []emulator.ServerSpec
@@ -28,7 +28,7 @@
 
 // PlayScenario plays a scenario of the lab with real nodes in real time, and returns what came of it. Its zones have
 // to hold equally many nodes.
-func (r *Rig) PlayScenario(ctx context.Context, s lab.Scenario, seed uint64) (*lab.Outcome, error) {
+func (r *Rig) PlayScenario(ctx context.Context, s simulation.Scenario, seed uint64) (*simulation.Outcome, error) {
 	p := &scenarioRun{Scenario: s, servers: s.ServerSpecs(seed), loads: make(map[string][]*LoadGenerator), near: make(map[string][]*Node)}
 	p.world = r.NewWorld(seed, p.servers...)
 	if err := p.start(ctx); err != nil {
@@ -36,7 +36,7 @@
 	}
 	p.world.Look(func() {
 		p.from = p.world.now()
-		p.world.outcome = lab.NewOutcome(s, p.servers, emulator.Classes(), p.from)
+		p.world.outcome = simulation.NewOutcome(s, p.servers, emulator.Classes(), p.from)
 	})
 	began := time.Now()
 	for _, z := range s.Zones {
@@ -99,7 +99,7 @@
 func (p *scenarioRun) play(ctx context.Context, began time.Time) error {
 	type turn struct {
 		at time.Duration
-		f  lab.Fault
+		f  simulation.Fault
 		on bool
 	}
 	var todo []turn
@@ -133,30 +133,30 @@
 }
 
 // applyFault begins a fault, or ends it.
-func (p *scenarioRun) applyFault(ctx context.Context, f lab.Fault, on bool) error {
+func (p *scenarioRun) applyFault(ctx context.Context, f simulation.Fault, on bool) error {
 	affected := f.Affected(p.servers)
 	p.recordFault(f, affected, on)
 	hit := func(_ string, b emulator.ServerSpec) bool { return slices.Contains(affected, b) }
 	switch f.Kind {
-	case lab.Lost, lab.Cold:
+	case simulation.Lost, simulation.Cold:
 		p.setLinks(hit, Faults{Reset: on}, Faults{Reset: on})
-		if f.Kind == lab.Cold && !on {
+		if f.Kind == simulation.Cold && !on {
 			p.restart(affected)
 		}
-	case lab.Silent:
+	case simulation.Silent:
 		p.setLinks(hit, Faults{Cut: on}, Faults{Cut: on})
-	case lab.Mute:
+	case simulation.Mute:
 		p.setLinks(hit, Faults{}, Faults{Cut: on})
-	case lab.Partition:
+	case simulation.Partition:
 		parted := func(zone string, b emulator.ServerSpec) bool { return f.Separates(zone, b.Zone) }
 		p.setLinks(parted, Faults{Cut: on}, Faults{Cut: on})
-	case lab.Vanish:
+	case simulation.Vanish:
 		p.world.updateList(affected, map[bool]string{true: emulator.Removed, false: emulator.Up}[on])
-	case lab.Drain:
+	case simulation.Drain:
 		return p.drain(ctx, affected, on)
-	case lab.Nodes:
+	case simulation.Nodes:
 		return p.setNodesDown(ctx, f.Zone, on)
-	case lab.Load:
+	case simulation.Load:
 		if on {
 			p.addLoad(f)
 		}
@@ -165,7 +165,7 @@
 }
 
 // recordFault books that a fault begins or ends, and makes the servers that it strikes fail or slow.
-func (p *scenarioRun) recordFault(f lab.Fault, affected []emulator.ServerSpec, on bool) {
+func (p *scenarioRun) recordFault(f simulation.Fault, affected []emulator.ServerSpec, on bool) {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
 	p.world.outcome.Mark(p.world.now(), "", f.Describe(on))
@@ -179,7 +179,7 @@
 }
 
 // addLoad has clients come beside those that ask anyway.
-func (p *scenarioRun) addLoad(f lab.Fault) {
+func (p *scenarioRun) addLoad(f simulation.Fault) {
 	for _, z := range p.Zones {
 		if f.Zone == "" || f.Zone == z.Name {
 			p.addClients(z.Name, f.Factor-1, f.For.Duration)
@@ -243,7 +243,7 @@
 var placeLogLine = regexp.MustCompile(`^time=(\S+) .*msg="(place [^"]*)"`)
 
 // result reads what the nodes said of places, and what rules were broken.
-func (p *scenarioRun) result(began time.Time) *lab.Outcome {
+func (p *scenarioRun) result(began time.Time) *simulation.Outcome {
 	p.world.mu.Lock()
 	defer p.world.mu.Unlock()
 	o := p.world.outcome
--- a/internal/testcluster/world.go
+++ b/internal/testcluster/world.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 	"time"
 
 	"sloerail/internal/emulator"
-	"sloerail/internal/lab"
+	"sloerail/internal/simulation"
 )
 
 const (
@@ -33,10 +33,10 @@
 	boxes     map[string]*server
 	changed   chan struct{} // closed when the list changes
 	open      int
-	skipped   int               // tries not sent for want of the driver's own room
-	sent      map[[2]string]int // attempts, by node and zone
-	listCalls []time.Time       // for the list; the last ones of many
-	outcome   *lab.Outcome      // of the scenario that is played; nil for none
+	skipped   int                 // tries not sent for want of the driver's own room
+	sent      map[[2]string]int   // attempts, by node and zone
+	listCalls []time.Time         // for the list; the last ones of many
+	outcome   *simulation.Outcome // of the scenario that is played; nil for none
 	trying    sync.WaitGroup
 	ctx       context.Context
 	end       context.CancelFunc
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"flag"
@@ -9,8 +9,8 @@
 	"time"
 
 	"sloerail/internal/emulator"
-	"sloerail/internal/lab"
 	"sloerail/internal/node"
+	"sloerail/internal/simulation"
 )
 
 // zones is a fleet of two nodes in each of three zones of two regions, with clients near their nodes.
@@ -137,18 +137,18 @@
 	if *scenarios == "" {
 		t.Skip("-scenarios")
 	}
-	runs := make(map[string]lab.Run)
-	for _, m := range lab.ZoneMeasures() {
+	runs := make(map[string]simulation.Run)
+	for _, m := range simulation.ZoneMeasures() {
 		if strings.HasPrefix(m.Scenario, "large") || *scenarios != "all" && !slices.Contains(strings.Split(*scenarios, ","), m.Scenario) {
 			continue
 		}
-		for _, name := range []string{m.Scenario, lab.BaselineOf(m.Scenario)} {
+		for _, name := range []string{m.Scenario, simulation.BaselineOf(m.Scenario)} {
 			if _, played := runs[name]; !played && name != "" {
 				runs[name] = playReal(t, name)
 			}
 		}
 		run := runs[m.Scenario]
-		run.Baseline = runs[lab.BaselineOf(m.Scenario)].Outcome
+		run.Baseline = runs[simulation.BaselineOf(m.Scenario)].Outcome
 		v := m.Of(run)
 		t.Logf("| %s | %.3f | %d rules broken %q", m.Name, v, run.Broken, run.BrokenRules)
 		if v < m.Min || v > m.Max || run.Broken > 0 {
@@ -163,8 +163,8 @@
 	}
 }
 
-func playReal(t *testing.T, name string) lab.Run {
-	s, err := lab.Read(name)
+func playReal(t *testing.T, name string) simulation.Run {
+	s, err := simulation.Read(name)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -174,5 +174,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return lab.Run{Scenario: s, Outcome: o}
+	return simulation.Run{Scenario: s, Outcome: o}
 }
