--- /dev/null
+++ b/internal/member/wire_test.go
@@ -0,0 +1,175 @@
+package member
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+var updateGolden = flag.Bool("update-golden", false, "write the golden files in testdata instead of comparing with them")
+
+// wireMetadata are the forms that a node's metadata can take. Other versions of the program read and write them.
+var wireMetadata = []struct {
+	name     string
+	metadata metadata
+}{
+	{"empty", metadata{}},
+	{"incarnation", metadata{Incarnation: 1}},
+	{"alive", metadata{Zone: "a", Version: "1.2.3", Incarnation: 1767225600000}},
+	{"leaving", metadata{Zone: "a", Version: "1.2.3", Incarnation: 1767225600000, Leaving: true}},
+	{"no-zone", metadata{Version: "1.2.3", Incarnation: 1<<64 - 1, Leaving: true}},
+}
+
+// wireMessages are the user messages between members.
+var wireMessages = []struct {
+	name    string
+	message directMessage
+}{
+	{"superseded", directMessage{kindSuperseded, 1767225600000, "node-1"}},
+	{"superseded-no-name", directMessage{kindSuperseded, 1, ""}},
+	{"leaving", directMessage{kindLeaving, 1<<64 - 1, "node-1"}},
+}
+
+// compareGolden compares lines of "name value" with a file in testdata.
+func compareGolden(t *testing.T, file string, lines []string) {
+	t.Helper()
+	path := filepath.Join("testdata", file)
+	got := strings.Join(lines, "\n") + "\n"
+	if *updateGolden {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s:\ngot\n%swant\n%s", path, got, want)
+	}
+}
+
+// readGolden returns the values of a file in testdata by name.
+func readGolden(t *testing.T, file string) map[string][]byte {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	values := make(map[string][]byte)
+	for line := range strings.Lines(string(raw)) {
+		name, value, _ := strings.Cut(strings.TrimSpace(line), " ")
+		if values[name], err = hex.DecodeString(value); err != nil {
+			t.Fatalf("%s: %s: %v", file, name, err)
+		}
+	}
+	return values
+}
+
+func TestMetadataMatchesGoldenFile(t *testing.T) {
+	var lines []string
+	for _, c := range wireMetadata {
+		lines = append(lines, fmt.Sprintf("%s %x", c.name, c.metadata.encode()))
+	}
+	compareGolden(t, "metadata.hex", lines)
+	golden := readGolden(t, "metadata.hex")
+	for _, c := range wireMetadata {
+		if got, err := decodeMetadata(golden[c.name]); err != nil || got != c.metadata {
+			t.Errorf("%s: decoded %+v, %v, want %+v", c.name, got, err, c.metadata)
+		}
+	}
+}
+
+func TestUserMessagesMatchGoldenFile(t *testing.T) {
+	var lines []string
+	for _, c := range wireMessages {
+		lines = append(lines, fmt.Sprintf("%s %x", c.name, c.message.encode()))
+	}
+	compareGolden(t, "messages.hex", lines)
+}
+
+// A node whose zone and version don't fit into the limit leaves both out. Nodes add nothing to push/pull states,
+// acknowledgements or gossip.
+func TestDelegatePayloadsMatchGoldenFile(t *testing.T) {
+	f, err := New(Config{Name: "node-1", Zone: strings.Repeat("z", 300), Version: strings.Repeat("v", 300), Bind: "10.0.0.1:7946"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.incarnation, f.leaving = 1767225600000, true
+	d := delegate{f}
+	var lines []string
+	for _, c := range []struct {
+		name    string
+		payload []byte
+	}{
+		{"metadata", d.NodeMeta(1 << 20)},
+		{"metadata-over-limit", d.NodeMeta(memberlist.MetaMaxSize)},
+		{"push-pull-state", d.LocalState(false)},
+		{"push-pull-state-join", d.LocalState(true)},
+		{"ack", d.AckPayload()},
+	} {
+		lines = append(lines, strings.TrimSpace(fmt.Sprintf("%s %x", c.name, c.payload)))
+	}
+	if b := d.GetBroadcasts(2, 1400); b != nil {
+		t.Errorf("broadcasts %x, want none", b)
+	}
+	compareGolden(t, "payloads.hex", lines)
+}
+
+// A received user message from the golden file has its effect.
+func TestGoldenUserMessagesAreUnderstood(t *testing.T) {
+	golden := readGolden(t, "messages.hex")
+	f, err := New(Config{Name: "self", Bind: "10.0.0.1:7946"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.incarnation = 5
+	f.list = new(memberlist.Memberlist)
+	f.members["node-1"] = &Member{Name: "node-1", State: Dead, Incarnation: 1<<64 - 1, Since: time.Now()}
+	d := delegate{f}
+	d.NotifyMsg(golden["superseded-no-name"])
+	if f.View().Superseded {
+		t.Error("superseded by an earlier incarnation")
+	}
+	d.NotifyMsg(golden["leaving"])
+	if got := f.View().Members[0].State; got != Left {
+		t.Errorf("state after the leaving message is %q, want %q", got, Left)
+	}
+	d.NotifyMsg(golden["superseded"])
+	if !f.View().Superseded {
+		t.Error("not superseded by a later incarnation")
+	}
+}
+
+// The states' names stand in the admin address's JSON, and the fields' names in the errors that an operator reads
+// for a deploy file.
+func TestNamesMatchGoldenFile(t *testing.T) {
+	raw, err := json.Marshal([]State{Alive, Suspect, Left, Dead})
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := []string{"states " + string(raw)}
+	for _, c := range []Config{
+		{Name: ""},
+		{Name: "n", Bind: "10.0.0.1"},
+		{Name: "n", Bind: "10.0.0.1:7946", Advertise: "x"},
+		{Name: "n", Bind: "0.0.0.0:7946"},
+		{Name: "n", Bind: "10.0.0.1:7946", Join: []string{"seed:7946"}},
+		{Name: "n", Bind: "10.0.0.1:7946", Label: "a b"},
+		{Name: "n", Bind: "10.0.0.1:7946", Allow: []string{"10.0.0.0"}},
+		{Name: "n", Bind: "10.0.0.1:7946", Probe: 1},
+		{Name: "n", Bind: "10.0.0.1:7946", KeyFile: filepath.Join("testdata", "bad-keys")},
+	} {
+		field, _, _ := strings.Cut(fmt.Sprint(c.Check()), ":")
+		lines = append(lines, "field "+field)
+	}
+	compareGolden(t, "names.txt", lines)
+}
