--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -23,27 +23,61 @@
 
 const (
 	handoverVersion = 1
-	handoverTimeout = time.Second           // for each step of a hand-over
-	handoverWait    = 10 * time.Second      // for the new process to serve; after that it counts as gone
-	handoverTell    = 50 * time.Millisecond // between looks at what the old process still holds: half an answer's time
-	maxInheritance  = 16 << 20              // bytes
-	serving         = 'S'                   // what a new process writes once it takes clients
-	spareConns      = 8                     // that the old process may open on either side meanwhile, at most,
-	sparePart       = 12                    // and as a part of those that the node may have
-	spareServers    = 32                    // connections to servers that it may want for clients it has
-	heapPart        = 0.75                  // of the memory limit: stacks and sockets take the rest
+	// handoverSocketPrefix begins the name of the hand-over's socket, in $TMPDIR. The other version's process
+	// looks there: it stays as it is.
+	handoverSocketPrefix = "wayhold-"
+	handoverSocketSuffix = ".sock"
+	handoverTimeout      = time.Second           // for each step of a hand-over
+	handoverWait         = 10 * time.Second      // for the new process to serve; after that it counts as gone
+	handoverTell         = 50 * time.Millisecond // between looks at what the old process still holds: half an answer's time
+	maxInheritance       = 16 << 20              // bytes
+	serving              = 'S'                   // what a new process writes once it takes clients
+	spareConns           = 8                     // that the old process may open on either side meanwhile, at most,
+	sparePart            = 12                    // and as a part of those that the node may have
+	spareServers         = 32                    // connections to servers that it may want for clients it has
+	heapPart             = 0.75                  // of the memory limit: stacks and sockets take the rest
 )
 
 // inheritance is what a process leaves to the one that takes over. Descriptors of the clients' listener
-// come with its first byte.
+// come with its first byte. The process at the other end may be of another version: the keys are fixed.
 type inheritance struct {
-	Version   int
-	Name      string
-	Listen    string
-	Members   []member
-	Knowledge policy.Knowledge
-	Sockets   int            // that the new process may hold for now; told again as the old one ends its connections
-	Out       map[string]int // the old process's attempts at each server; told again too
+	Version   int              `json:"Version"`
+	Name      string           `json:"Name"`
+	Listen    string           `json:"Listen"`
+	Members   []member         `json:"Members"`
+	Knowledge policy.Knowledge `json:"Knowledge"`
+	Sockets   int              `json:"Sockets"` // that the new process may hold for now; told again as the old one ends its connections
+	Out       map[string]int   `json:"Out"`     // the old process's attempts at each server; told again too
+}
+
+// memberForm is how a member stands in an inheritance. The keys are fixed.
+type memberForm struct {
+	Server       string              `json:"Server"`
+	Zone         string              `json:"Zone"`
+	Kind         string              `json:"Kind"`
+	Cell         int64               `json:"Cell"`
+	Weight       float64             `json:"Weight"`
+	OnlineSince  policy.Time         `json:"OnlineSince"`
+	Availability policy.Availability `json:"Availability"`
+	Addr         string              `json:"Addr"`
+	UpSince      int64               `json:"UpSince"`
+}
+
+// MarshalJSON writes m as it stands in an inheritance.
+func (m member) MarshalJSON() ([]byte, error) {
+	return json.Marshal(memberForm{Server: m.Server, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Weight: m.Weight,
+		OnlineSince: m.OnlineSince, Availability: m.Availability, Addr: m.Addr, UpSince: m.UpSince})
+}
+
+// UnmarshalJSON reads m as it stands in an inheritance.
+func (m *member) UnmarshalJSON(raw []byte) error {
+	var f memberForm
+	if err := json.Unmarshal(raw, &f); err != nil {
+		return err
+	}
+	*m = member{Addr: f.Addr, UpSince: f.UpSince, Member: policy.Member{Server: f.Server, Zone: f.Zone, Kind: f.Kind,
+		Cell: f.Cell, Weight: f.Weight, OnlineSince: f.OnlineSince, Availability: f.Availability}}
+	return nil
 }
 
 // Listeners are where a node is reached, and what it was left by the process before it.
@@ -108,12 +142,12 @@
 }
 
 // handoverPath is where the process that serves at the clients' address takes its successor's call;
-// empty where there is no such place.
+// empty where there is no such place. The other version's process looks there.
 func handoverPath(c Config) string {
 	if _, port, err := net.SplitHostPort(c.Listen); err != nil || port == "0" || c.Scratch == "" {
 		return ""
 	}
-	return filepath.Join(c.Scratch, "wayhold-"+strings.ReplaceAll(c.Listen, ":", "-")+".sock")
+	return filepath.Join(c.Scratch, handoverSocketPrefix+strings.ReplaceAll(c.Listen, ":", "-")+handoverSocketSuffix)
 }
 
 // unixAddr is the address of a Unix socket. One whose path is too long is named by way of its folder,
