--- /dev/null
+++ b/policy/recorded_events_test.go
@@ -0,0 +1,514 @@
+package policy
+
+import (
+	"bufio"
+	"bytes"
+	"cmp"
+	"compress/gzip"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"hash/fnv"
+	"io"
+	"maps"
+	"os"
+	"path/filepath"
+	"runtime"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+)
+
+// Recorded events and the actions that they led to. The files keep what a change of names or of structure must not
+// alter: each event is replayed as it was recorded, whatever the actions are, and the actions are compared with those
+// of the recording. `go test ./policy -run TestRecorded -record` writes the files anew; that is only right together
+// with an intended change of what the package decides.
+
+const (
+	recordedEventsFile  = "testdata/recorded_events.jsonl.gz"
+	recordedActionsFile = "testdata/recorded_actions.txt.gz"
+)
+
+// recording is the events of one or several processes of a node, from one seed.
+type recording struct {
+	Name   string          `json:"name"`
+	Seed   uint64          `json:"seed"`
+	Count  int             `json:"events"`
+	Events []recordedEvent `json:"-"`
+}
+
+// recordedEvent is one call of a Balancer: the field that is set says which. Its keys are those of the files.
+type recordedEvent struct {
+	At        int64             `json:"t"`
+	Process   int               `json:"p,omitempty"`
+	New       *recordedNew      `json:"new,omitempty"`
+	Settings  *recordedSettings `json:"settings,omitempty"`
+	List      *recordedList     `json:"list,omitempty"`
+	Request   *recordedRequest  `json:"request,omitempty"`
+	Complete  string            `json:"complete,omitempty"`
+	FirstByte *recordedOutcome  `json:"first_byte,omitempty"`
+	Outcome   *recordedOutcome  `json:"outcome,omitempty"`
+	Cancelled string            `json:"client_gone,omitempty"`
+	HandOver  *recordedHandOver `json:"hand_over,omitempty"`
+	Fleet     *recordedFleet    `json:"fleet,omitempty"`
+	Timer     *uint64           `json:"timer,omitempty"`
+	Probe     *recordedOutcome  `json:"probe,omitempty"`
+	Peer      *string           `json:"peer,omitempty"`
+	Restore   *recordedRestore  `json:"restore,omitempty"`
+	Other     *recordedOther    `json:"other,omitempty"`
+	Observe   bool              `json:"observe,omitempty"` // what can be asked of the state
+}
+
+type recordedNew struct {
+	Seed     uint64           `json:"seed"`
+	Settings recordedSettings `json:"settings"`
+}
+
+// recordedRestore names the process whose state is taken over, and the time by that one's clock.
+type recordedRestore struct {
+	From int   `json:"from"`
+	At   int64 `json:"at"`
+}
+
+// recordedOther is how many attempts the node's other process has out at each server.
+type recordedOther struct {
+	InFlight map[string]int `json:"in_flight"`
+}
+
+type recordedRequest struct {
+	ID        string `json:"id"`
+	Class     string `json:"class"`
+	Tenant    string `json:"tenant"`
+	Key       string `json:"key,omitempty"`
+	ExpiresIn int64  `json:"expires_in"`
+	Hint      int64  `json:"hint,omitempty"`
+	Retry     bool   `json:"retry,omitempty"`
+	Write     bool   `json:"write,omitempty"`
+	Former    bool   `json:"former,omitempty"`
+	Partial   bool   `json:"partial,omitempty"`
+}
+
+// recordedOutcome is also that of a probe, and a first byte.
+type recordedOutcome struct {
+	ID      string    `json:"id,omitempty"`
+	Server  string    `json:"server"`
+	Attempt int       `json:"attempt,omitempty"`
+	Code    uint8     `json:"code,omitempty"`
+	Latency int64     `json:"latency,omitempty"`
+	Ended   bool      `json:"ended,omitempty"`
+	Spent   bool      `json:"spent,omitempty"`
+	Report  []float64 `json:"report,omitempty"`
+}
+
+type recordedHandOver struct {
+	On     bool `json:"on,omitempty"`
+	Served bool `json:"served,omitempty"`
+}
+
+type recordedFleet struct {
+	Heard int `json:"heard"`
+	Near  int `json:"near,omitempty"`
+}
+
+type recordedList struct {
+	Kind    uint8            `json:"kind"`
+	Members []recordedMember `json:"members,omitempty"`
+}
+
+type recordedMember struct {
+	Server       string  `json:"server"`
+	Zone         string  `json:"zone,omitempty"`
+	Kind         string  `json:"kind,omitempty"`
+	Cell         int64   `json:"cell,omitempty"`
+	Weight       float64 `json:"weight,omitempty"`
+	OnlineSince  int64   `json:"online_since,omitempty"`
+	Availability uint8   `json:"availability,omitempty"`
+}
+
+type recordedSettings struct {
+	Node         int              `json:"node"`
+	Nodes        int              `json:"nodes"`
+	Zone         string           `json:"zone"`
+	Classes      []recordedClass  `json:"classes"`
+	Tenants      []recordedTenant `json:"tenants,omitempty"`
+	Places       *recordedPlaces  `json:"places,omitempty"`
+	Limits       recordedLimits   `json:"limits"`
+	Cancel       bool             `json:"cancel,omitempty"`
+	Probe        bool             `json:"probe,omitempty"`
+	Peers        bool             `json:"peers,omitempty"`
+	RetryAfter   bool             `json:"retry_after,omitempty"`
+	MaxAttempts  int              `json:"max_attempts,omitempty"`
+	MaxWait      int64            `json:"max_retry_after,omitempty"`
+	ConnIdle     int64            `json:"conn_idle,omitempty"`
+	AnswerGrace  int64            `json:"answer_grace,omitempty"`
+	DrainGrace   int64            `json:"drain_grace,omitempty"`
+	ColdShare    float64          `json:"cold_share,omitempty"`
+	ColdFor      int64            `json:"cold_for,omitempty"`
+	FallMultiple float64          `json:"fall_multiple,omitempty"`
+	FallFor      int64            `json:"fall_for,omitempty"`
+	AskWithin    int64            `json:"ask_within,omitempty"`
+	Budget       *recordedBudget  `json:"budget,omitempty"`
+	Subscribe    bool             `json:"subscribe,omitempty"`
+	EaseLists    bool             `json:"ease_lists,omitempty"`
+	WorthByWork  bool             `json:"worth_by_work,omitempty"`
+	Report       []string         `json:"report,omitempty"`
+}
+
+type recordedClass struct {
+	Name       string   `json:"name"`
+	Aim        int64    `json:"aim,omitempty"`
+	AimStretch float64  `json:"aim_stretch,omitempty"`
+	Deadline   int64    `json:"deadline,omitempty"`
+	Repeat     uint8    `json:"repeat,omitempty"`
+	Group      uint8    `json:"group,omitempty"`
+	Window     int64    `json:"window,omitempty"`
+	LateWorth  float64  `json:"late_worth,omitempty"`
+	Worth      float64  `json:"worth,omitempty"`
+	Stream     bool     `json:"stream,omitempty"`
+	Kinds      []string `json:"kinds,omitempty"`
+	Zones      []string `json:"zones,omitempty"`
+	Regions    []string `json:"regions,omitempty"`
+}
+
+type recordedTenant struct {
+	Name  string  `json:"name"`
+	Quota float64 `json:"quota,omitempty"`
+	Share float64 `json:"share,omitempty"`
+}
+
+type recordedLimit struct {
+	PerWindow float64 `json:"per_window"`
+	Window    int64   `json:"window"`
+	Burst     int64   `json:"burst"`
+}
+
+type recordedLimits struct {
+	Default  *recordedLimit           `json:"default,omitempty"`
+	PerClass map[string]recordedLimit `json:"per_class,omitempty"`
+	Max      float64                  `json:"max,omitempty"`
+}
+
+type recordedBudget struct {
+	Least float64 `json:"least"`
+	Share float64 `json:"share"`
+	Span  int64   `json:"span"`
+}
+
+type recordedPlaces struct {
+	Region      map[string]string             `json:"region,omitempty"`
+	SameRegion  float64                       `json:"same_region,omitempty"`
+	OtherRegion float64                       `json:"other_region,omitempty"`
+	Costs       map[string]map[string]float64 `json:"costs,omitempty"`
+}
+
+func (l recordedLimit) limit() Limit {
+	return Limit{PerWindow: l.PerWindow, Window: time.Duration(l.Window), Burst: l.Burst}
+}
+
+func (s *recordedSettings) settings() Settings {
+	set := Settings{
+		Node: s.Node, Nodes: s.Nodes, Zone: s.Zone,
+		Allowed: Allowed{Cancel: s.Cancel, Probe: s.Probe, Peers: s.Peers, RetryAfter: s.RetryAfter,
+			MaxAttempts: s.MaxAttempts, MaxRetryAfter: time.Duration(s.MaxWait), ConnIdle: time.Duration(s.ConnIdle)},
+		Rules: Rules{AnswerGrace: time.Duration(s.AnswerGrace), DrainGrace: time.Duration(s.DrainGrace),
+			ColdShare: s.ColdShare, ColdFor: time.Duration(s.ColdFor), FallMultiple: s.FallMultiple,
+			FallFor: time.Duration(s.FallFor), AskWithin: time.Duration(s.AskWithin)},
+		Subscribe: s.Subscribe, EaseLists: s.EaseLists, WorthByWork: s.WorthByWork, Report: s.Report,
+	}
+	for _, c := range s.Classes {
+		set.Classes = append(set.Classes, Class{Name: c.Name, Aim: time.Duration(c.Aim), AimStretch: c.AimStretch,
+			Deadline: time.Duration(c.Deadline), Repeat: Repeat(c.Repeat), Group: Group(c.Group),
+			Window: time.Duration(c.Window), LateWorth: c.LateWorth, Worth: c.Worth, Stream: c.Stream,
+			Kinds: c.Kinds, Zones: c.Zones, Regions: c.Regions})
+	}
+	for _, t := range s.Tenants {
+		var tenant Tenant // no conversion: the fields' names needn't stay alike
+		tenant.Name, tenant.Quota, tenant.Share = t.Name, t.Quota, t.Share
+		set.Tenants = append(set.Tenants, tenant)
+	}
+	if p := s.Places; p != nil {
+		set.Places = &Places{Region: p.Region, SameRegion: p.SameRegion, OtherRegion: p.OtherRegion, Costs: p.Costs}
+	}
+	if b := s.Budget; b != nil {
+		set.Rules.Attempts = &Budget{Least: b.Least, Share: b.Share, Span: time.Duration(b.Span)}
+	}
+	set.Limits.Max = s.Limits.Max
+	if l := s.Limits.Default; l != nil {
+		limit := l.limit()
+		set.Limits.Default = &limit
+	}
+	for class, l := range s.Limits.PerClass {
+		if set.Limits.PerClass == nil {
+			set.Limits.PerClass = make(map[string]Limit)
+		}
+		set.Limits.PerClass[class] = l.limit()
+	}
+	return set
+}
+
+func (l *recordedList) list() MemberList {
+	list := MemberList{Kind: ListKind(l.Kind)}
+	for _, m := range l.Members {
+		list.Members = append(list.Members, Member{Server: m.Server, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
+			Weight: m.Weight, OnlineSince: Time(m.OnlineSince), Availability: Availability(m.Availability)})
+	}
+	return list
+}
+
+// event is the Event to hand to a Balancer; nil for calls of its other methods.
+func (e *recordedEvent) event() Event {
+	switch {
+	case e.Settings != nil:
+		return e.Settings.settings()
+	case e.List != nil:
+		return e.List.list()
+	case e.Request != nil:
+		r := e.Request
+		return Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, ExpiresIn: time.Duration(r.ExpiresIn),
+			Hint: time.Duration(r.Hint), Retry: r.Retry, Write: r.Write, Former: r.Former, Partial: r.Partial}
+	case e.Complete != "":
+		return Complete{ID: e.Complete}
+	case e.FirstByte != nil:
+		f := e.FirstByte
+		return FirstByte{ID: f.ID, Server: f.Server, Attempt: f.Attempt, Latency: time.Duration(f.Latency)}
+	case e.Outcome != nil:
+		o := e.Outcome
+		return Outcome{ID: o.ID, Server: o.Server, Attempt: o.Attempt, Code: Code(o.Code),
+			Latency: time.Duration(o.Latency), Ended: o.Ended, Spent: o.Spent, Report: o.Report}
+	case e.Cancelled != "":
+		return Lapsed{ID: e.Cancelled}
+	case e.HandOver != nil:
+		return Ceded{On: e.HandOver.On, Served: e.HandOver.Served}
+	case e.Fleet != nil:
+		return Fleet{Heard: e.Fleet.Heard, Near: e.Fleet.Near}
+	case e.Timer != nil:
+		return Timer{Token: *e.Timer}
+	case e.Probe != nil:
+		p := e.Probe
+		return ProbeResult{Server: p.Server, Code: Code(p.Code), Latency: time.Duration(p.Latency), Report: p.Report}
+	case e.Peer != nil:
+		return PeerMessage{Body: *e.Peer}
+	}
+	return nil
+}
+
+// replayer hands recorded events to the processes of a node.
+type replayer struct{ processes []*Balancer }
+
+// apply makes one recorded call. It returns the actions, and in short what else the call returned.
+func (p *replayer) apply(e *recordedEvent) (actions []Action, result string, err error) {
+	now := Time(e.At)
+	if e.New != nil {
+		b, err := New(e.New.Settings.settings(), now, e.New.Seed)
+		p.processes = append(p.processes, b)
+		return nil, fmt.Sprint("made ", err == nil), nil
+	}
+	if e.Process >= len(p.processes) || p.processes[e.Process] == nil {
+		return nil, "", fmt.Errorf("process %d has not been made", e.Process)
+	}
+	b := p.processes[e.Process]
+	switch {
+	case e.Restore != nil:
+		result, err := restore(b, now, p.processes[e.Restore.From], Time(e.Restore.At))
+		return nil, result, err
+	case e.Other != nil:
+		b.Beside(e.Other.InFlight)
+		return nil, "", nil
+	case e.Observe:
+		return nil, observed(b, now), nil
+	}
+	event := e.event()
+	if event == nil {
+		return nil, "", errors.New("an event of no known kind")
+	}
+	return b.Handle(now, event), "", nil
+}
+
+// restore hands the state of one process to another as JSON, which is what it is handed over as. Each of them has a
+// clock of its own.
+func restore(to *Balancer, now Time, from *Balancer, fromNow Time) (string, error) {
+	state := from.Knowledge(fromNow)
+	slices.SortFunc(state.Buckets, func(k, l KnownBucket) int { // they come in the order of a map
+		return cmp.Or(strings.Compare(k.Tenant, l.Tenant), strings.Compare(k.Class, l.Class))
+	})
+	text, err := json.Marshal(state)
+	if err != nil {
+		return "", err
+	}
+	var read Knowledge
+	if err := json.Unmarshal(text, &read); err != nil {
+		return "", err
+	}
+	to.Learn(now, read)
+	return string(text), nil
+}
+
+// observed is what a Balancer tells of itself, without texts.
+func observed(b *Balancer, now Time) string {
+	var text strings.Builder
+	listed, unavailable := b.Servers()
+	agreed, heard, cutOff := b.Fleet()
+	fmt.Fprint(&text, listed, unavailable, int64(b.Tail()), agreed, heard, cutOff)
+	out := b.Out()
+	for _, id := range slices.Sorted(maps.Keys(out)) {
+		fmt.Fprint(&text, " ", id, out[id])
+	}
+	zones := b.Places(now)
+	fmt.Fprint(&text, " ", zones == nil)
+	for _, z := range zones {
+		fmt.Fprint(&text, " ", z.Zone, z.Region, z.State, exact(z.Cost), exact(z.Share), z.Servers, z.Times,
+			exact(z.Ill), exact(z.Heard), int64(z.TriedIn), z.Why != "")
+	}
+	return text.String()
+}
+
+func exact(v float64) string { return " " + strconv.FormatFloat(v, 'g', -1, 64) }
+
+// digest is one line of the file of actions: a hash of all that counts in the actions, and their kinds. Of a line
+// for the log only that there is one counts.
+func digest(actions []Action, result string) string {
+	text, kinds := fmt.Appendf(nil, "%q\n", result), ""
+	for i := range actions {
+		a := &actions[i]
+		body := a.Text
+		if a.Kind == Log {
+			body = ""
+		}
+		text = fmt.Appendf(text, "%d %q %q %d %d %d %d %d %q %t\n", a.Kind, a.ID, a.Server, int64(a.Until), int64(a.Wait),
+			a.Token, a.Attempt, a.Peer, body, a.On)
+		kinds += fmt.Sprint(" ", uint8(a.Kind))
+	}
+	hash := fnv.New32a()
+	hash.Write(text)
+	return fmt.Sprintf("%08x%s", hash.Sum32(), kinds)
+}
+
+func readGzip(t *testing.T, name string) *bufio.Scanner {
+	t.Helper()
+	packed, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	unpacked, err := gzip.NewReader(bytes.NewReader(packed))
+	if err != nil {
+		t.Fatal(err)
+	}
+	text, err := io.ReadAll(unpacked)
+	if err != nil {
+		t.Fatal(err)
+	}
+	lines := bufio.NewScanner(bytes.NewReader(text))
+	lines.Buffer(nil, 1<<20)
+	return lines
+}
+
+func writeGzip(t *testing.T, name string, text []byte) {
+	t.Helper()
+	var packed bytes.Buffer
+	w, err := gzip.NewWriterLevel(&packed, gzip.BestCompression)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := w.Write(text); err != nil {
+		t.Fatal(err)
+	}
+	if err := w.Close(); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.MkdirAll(filepath.Dir(name), 0o755); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(name, packed.Bytes(), 0o644); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// readRecordings reads all recordings, and the lines of their actions in the same order.
+func readRecordings(t *testing.T) (all []recording, actions [][]string) {
+	t.Helper()
+	events, lines := readGzip(t, recordedEventsFile), readGzip(t, recordedActionsFile)
+	for events.Scan() {
+		var r recording
+		if err := json.Unmarshal(events.Bytes(), &r); err != nil {
+			t.Fatal(err)
+		}
+		r.Events = make([]recordedEvent, r.Count)
+		want := make([]string, r.Count)
+		for i := range r.Events {
+			if !events.Scan() || !lines.Scan() {
+				t.Fatalf("%s: the recording ends after %d of %d events", r.Name, i, r.Count)
+			}
+			if err := json.Unmarshal(events.Bytes(), &r.Events[i]); err != nil {
+				t.Fatal(err)
+			}
+			want[i] = lines.Text()
+		}
+		all, actions = append(all, r), append(actions, want)
+	}
+	return all, actions
+}
+
+// writeRecordings replaces the files by what the package decides now.
+func writeRecordings(t *testing.T, all []recording) {
+	t.Helper()
+	var events, actions bytes.Buffer
+	encoder := json.NewEncoder(&events)
+	for _, r := range all {
+		r.Count = len(r.Events)
+		if err := encoder.Encode(r); err != nil {
+			t.Fatal(err)
+		}
+		var p replayer
+		for i := range r.Events {
+			if err := encoder.Encode(r.Events[i]); err != nil {
+				t.Fatal(err)
+			}
+			acts, result, err := p.apply(&r.Events[i])
+			if err != nil {
+				t.Fatalf("%s: event %d: %v", r.Name, i, err)
+			}
+			fmt.Fprintln(&actions, digest(acts, result))
+		}
+	}
+	writeGzip(t, recordedEventsFile, events.Bytes())
+	writeGzip(t, recordedActionsFile, actions.Bytes())
+}
+
+// TestRecordedEventsLeadToTheRecordedActions holds on amd64, where the files were recorded: other processors may
+// round a product and a sum once instead of twice.
+func TestRecordedEventsLeadToTheRecordedActions(t *testing.T) {
+	if runtime.GOARCH != "amd64" {
+		t.Skip("the actions were recorded on amd64, and rest on how floating-point figures are rounded")
+	}
+	if *record {
+		writeRecordings(t, recordAll(t))
+	}
+	all, actions := readRecordings(t)
+	total := 0
+	for i, r := range all {
+		total += len(r.Events)
+		t.Run(r.Name, func(t *testing.T) { replay(t, r, actions[i]) })
+	}
+	t.Logf("%d events in %d recordings", total, len(all))
+	if total < 5000 {
+		t.Errorf("%d events are recorded, want several thousand", total)
+	}
+}
+
+func replay(t *testing.T, r recording, want []string) {
+	t.Helper()
+	var p replayer
+	for i := range r.Events {
+		acts, result, err := p.apply(&r.Events[i])
+		if err != nil {
+			t.Fatalf("seed %d, event %d: %v", r.Seed, i, err)
+		}
+		if got := digest(acts, result); got != want[i] {
+			event, _ := json.Marshal(r.Events[i])
+			t.Fatalf("seed %d, event %d of %d: actions have the digest %q, recorded is %q\nevent: %s\nactions: %+v %s",
+				r.Seed, i, len(r.Events), got, want[i], event, acts, result)
+		}
+	}
+}
--- /dev/null
+++ b/policy/recorded_scenarios_test.go
@@ -0,0 +1,888 @@
+package policy
+
+import (
+	"container/heap"
+	"flag"
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+var record = flag.Bool("record", false, "write the recorded events and actions anew")
+
+// recorder plays servers and clients to the processes of one node, and writes down what it hands to them.
+type recorder struct {
+	t        *testing.T
+	scenario scenario
+	rng      *rand.Rand
+	now      Time
+	queue    recorderQueue
+	order    int
+	replayer replayer
+	offsets  []Time // of the processes' clocks
+	serving  int    // the process that clients reach
+	settings recordedSettings
+	servers  []*recordedServer
+	requests map[string]*recordedPlay
+	asked    int
+	events   []recordedEvent
+}
+
+// recordedServer is a server as the recorder plays it.
+type recordedServer struct {
+	recordedMember
+	base  time.Duration // of an answer without load
+	cores int
+	busy  int
+	extra int           // attempts of other nodes
+	fault recorderFault // how it fails
+	part  float64       // and in what part of the attempts
+	slow  float64       // times its usual latency; 0 for 1
+}
+
+type recorderFault uint8
+
+const (
+	noFault recorderFault = iota
+	failing
+	full
+	resetting
+	unreachable
+	hanging
+	failingLate
+	mixed
+)
+
+type recordedPlay struct {
+	recordedRequest
+	process  int
+	attempts []bool // whether they are over
+	whole    Time   // when its last byte comes
+	answered bool
+}
+
+type recorderTask struct {
+	at    Time
+	order int
+	do    func()
+}
+
+type recorderQueue []recorderTask
+
+func (q recorderQueue) Len() int { return len(q) }
+func (q recorderQueue) Less(i, j int) bool {
+	if q[i].at != q[j].at {
+		return q[i].at < q[j].at
+	}
+	return q[i].order < q[j].order
+}
+func (q recorderQueue) Swap(i, j int)  { q[i], q[j] = q[j], q[i] }
+func (q *recorderQueue) Push(task any) { *q = append(*q, task.(recorderTask)) }
+func (q *recorderQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
+	return last
+}
+
+func (r *recorder) after(wait time.Duration, do func()) {
+	r.order++
+	heap.Push(&r.queue, recorderTask{r.now + wait.Truncate(recorderStep), r.order, do})
+}
+
+// call makes one call of a process and acts on what it answers.
+func (r *recorder) call(process int, e recordedEvent) {
+	e.Process, e.At = process, int64(r.now+r.offset(process))
+	r.events = append(r.events, e)
+	actions, _, err := r.replayer.apply(&e)
+	if err != nil {
+		r.t.Fatalf("%s: %v", r.scenario.name, err)
+	}
+	for _, a := range slices.Clone(actions) {
+		r.act(process, a)
+	}
+}
+
+func (r *recorder) offset(process int) Time {
+	if process < len(r.offsets) {
+		return r.offsets[process]
+	}
+	return 0
+}
+
+func (r *recorder) act(process int, a Action) {
+	switch a.Kind {
+	case Send:
+		r.send(process, a)
+	case SetTimer:
+		token := a.Token
+		r.after(max(a.Wait, ms), func() { r.call(process, recordedEvent{Timer: &token}) })
+	case Refuse:
+		r.refused(a)
+	case Fail:
+		r.requests[a.ID].answered = true
+	case Cancel:
+		r.after(ms, func() { r.outcome(process, a.ID, recordedOutcome{Attempt: a.Attempt, Code: uint8(Cancelled)}) })
+	case WatchList:
+		r.after(3*ms, func() {
+			if r.rng.IntN(2) == 0 {
+				r.list(process, ListUnavailable)
+			} else {
+				r.list(process, ListReplace)
+			}
+		})
+	}
+}
+
+// refused has some clients come again.
+func (r *recorder) refused(a Action) {
+	p := r.requests[a.ID]
+	p.answered = true
+	if r.rng.IntN(3) > 0 || p.Retry {
+		return
+	}
+	r.after(max(a.Wait, 30*ms), func() {
+		again := p.recordedRequest
+		again.ID += "b"
+		again.Retry, again.Partial = true, false
+		again.ExpiresIn = max(int64(50*ms), again.ExpiresIn-int64(a.Wait)-int64(100*ms))
+		r.request(again)
+	})
+}
+
+func (r *recorder) server(id string) *recordedServer {
+	for _, s := range r.servers {
+		if s.Server == id {
+			return s
+		}
+	}
+	r.t.Fatalf("%s: sent to an unknown server %q", r.scenario.name, id)
+	return nil
+}
+
+func (r *recorder) send(process int, a Action) {
+	p, s := r.requests[a.ID], r.server(a.Server)
+	n := len(p.attempts)
+	p.attempts = append(p.attempts, false)
+	s.busy++
+	code, took := r.answer(s)
+	if p.whole > r.now {
+		took += p.whole - r.now
+	}
+	until := a.Until - r.offset(process)
+	if r.now+took > until && p.whole <= r.now {
+		code, took = TimedOut, max(0, until-r.now)
+	}
+	took = took.Truncate(recorderStep)
+	o := recordedOutcome{Server: a.Server, Attempt: n, Code: uint8(code), Latency: int64(took), Ended: code == OK,
+		Spent: code != OK && r.rng.IntN(30) == 0}
+	if code == OK && r.settings.streams(p.Class) {
+		r.after(took/2, func() {
+			if !p.attempts[n] {
+				r.call(process, recordedEvent{FirstByte: &recordedOutcome{ID: a.ID, Server: a.Server, Attempt: n, Latency: int64(took / 2)}})
+			}
+		})
+	}
+	r.after(took, func() {
+		if code == OK {
+			o.Report = r.report(s, took)
+		}
+		s.busy--
+		r.outcome(process, a.ID, o)
+	})
+}
+
+func (s *recordedSettings) streams(class string) bool {
+	return slices.ContainsFunc(s.Classes, func(c recordedClass) bool { return c.Name == class && c.Stream })
+}
+
+func (r *recorder) outcome(process int, id string, o recordedOutcome) {
+	p := r.requests[id]
+	if p.attempts[o.Attempt] && r.rng.IntN(20) > 0 { // a second outcome is to be ignored
+		return
+	}
+	p.attempts[o.Attempt] = true
+	p.answered = p.answered || o.Ended
+	o.ID = id
+	r.call(process, recordedEvent{Outcome: &o})
+}
+
+// answer is how and when a server ends an attempt.
+func (r *recorder) answer(s *recordedServer) (Code, time.Duration) {
+	load := float64(s.busy+s.extra) / float64(s.cores)
+	latency := float64(s.base) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) * max(1, s.slow) / r.warmth(s)
+	if r.rng.IntN(200) == 0 {
+		return Moot, ms
+	}
+	fault := s.fault
+	if fault == mixed {
+		fault = []recorderFault{failing, full, resetting, unreachable, hanging, failingLate}[r.rng.IntN(6)]
+	}
+	if fault != noFault && r.rng.Float64() < s.part {
+		switch fault {
+		case failing:
+			return ServerError, 5 * ms
+		case failingLate:
+			return ServerError, 350 * ms
+		case full:
+			return Full, ms
+		case resetting:
+			return Reset, 2 * ms
+		case unreachable:
+			return ConnectFailed, ms
+		case hanging:
+			return TimedOut, time.Hour
+		}
+	}
+	if load > 4 && r.rng.IntN(3) == 0 {
+		return Full, ms
+	}
+	return OK, max(ms, time.Duration(latency))
+}
+
+func (r *recorder) warmth(s *recordedServer) float64 {
+	age := r.now - Time(s.OnlineSince) + r.offsets[0]
+	if s.OnlineSince == 0 || age >= Time(r.settings.ColdFor) {
+		return 1
+	}
+	return max(0.1, r.settings.ColdShare+(1-r.settings.ColdShare)*age.Seconds()/Time(r.settings.ColdFor).Seconds())
+}
+
+// report is what a server says of its load, in the order of the settings.
+func (r *recorder) report(s *recordedServer, took time.Duration) []float64 {
+	if len(r.settings.Report) == 0 || r.rng.IntN(10) == 0 {
+		return nil
+	}
+	if r.rng.IntN(50) == 0 {
+		return []float64{1}
+	}
+	if r.rng.IntN(60) == 0 { // idle, as it says
+		return make([]float64, len(r.settings.Report))
+	}
+	util := min(1.4, float64(s.busy+s.extra)/float64(s.cores))
+	rate := util * float64(s.cores) / (s.base.Seconds() * max(1, s.slow)) * r.warmth(s)
+	row := []float64{float64(took.Microseconds()) / 1000, float64(int(util*1000)) / 1000, float64(int(rate*10)) / 10}
+	return append(row, make([]float64, len(r.settings.Report)-3)...)
+}
+
+// list tells a process of all servers, or of changed ones.
+func (r *recorder) list(process int, kind ListKind, changed ...*recordedServer) {
+	list := &recordedList{Kind: uint8(kind)}
+	if kind == ListReplace || kind == ListRestored {
+		changed = r.servers
+	}
+	for _, s := range changed {
+		if s.Availability == uint8(Removed) && kind != ListUpdate {
+			continue
+		}
+		m := s.recordedMember
+		if m.OnlineSince > 0 {
+			m.OnlineSince += int64(r.offset(process) - r.offset(0))
+		}
+		list.Members = append(list.Members, m)
+	}
+	r.call(process, recordedEvent{List: list})
+}
+
+// change alters servers and tells of it.
+func (r *recorder) change(do func(s *recordedServer), ids ...string) {
+	var changed []*recordedServer
+	for _, id := range ids {
+		s := r.server(id)
+		do(s)
+		changed = append(changed, s)
+	}
+	r.list(r.serving, ListUpdate, changed...)
+}
+
+func drains(s *recordedServer)  { s.Availability = uint8(Draining) }
+func removes(s *recordedServer) { s.Availability = uint8(Removed) }
+func returns(s *recordedServer) { s.Availability = uint8(Running) }
+
+// restarts has servers come up anew, cold.
+func (r *recorder) restarts(ids ...string) {
+	r.change(func(s *recordedServer) {
+		s.Availability, s.OnlineSince = uint8(Running), int64(r.now+r.offset(0))
+	}, ids...)
+}
+
+// harm has the servers for which the predicate holds fail in a part of their answers.
+func (r *recorder) harm(fault recorderFault, part float64, which func(s *recordedServer) bool) {
+	for _, s := range r.servers {
+		if which(s) {
+			s.fault, s.part = fault, part
+		}
+	}
+}
+
+func (r *recorder) slow(times float64, which func(s *recordedServer) bool) {
+	for _, s := range r.servers {
+		if which(s) {
+			s.slow = times
+		}
+	}
+}
+
+func every(*recordedServer) bool { return true }
+
+func inZone(zone string) func(s *recordedServer) bool {
+	return func(s *recordedServer) bool { return s.Zone == zone }
+}
+
+func named(ids ...string) func(s *recordedServer) bool {
+	return func(s *recordedServer) bool { return slices.Contains(ids, s.Server) }
+}
+
+// start makes a process of the node.
+func (r *recorder) start(offset Time) int {
+	process := len(r.replayer.processes)
+	r.offsets = append(r.offsets, offset)
+	r.call(process, recordedEvent{New: &recordedNew{Seed: r.scenario.seed + uint64(process), Settings: r.settings}})
+	return process
+}
+
+// configure tells the serving process of other settings.
+func (r *recorder) configure(change func(s *recordedSettings)) {
+	r.settings.Classes = slices.Clone(r.settings.Classes)
+	change(&r.settings)
+	settings := r.settings
+	r.call(r.serving, recordedEvent{Settings: &settings})
+}
+
+// replaceProcess has a second process take over from the serving one.
+func (r *recorder) replaceProcess() {
+	old := r.serving
+	r.call(old, recordedEvent{HandOver: &recordedHandOver{On: true}})
+	r.serving = r.start(r.offset(old) + time.Hour)
+	r.list(r.serving, ListRestored)
+	r.call(r.serving, recordedEvent{Restore: &recordedRestore{From: old, At: int64(r.now + r.offset(old))}})
+	r.share()
+}
+
+// share tells each process of the attempts of the other one.
+func (r *recorder) share() {
+	for process := range r.replayer.processes {
+		other := make(map[string]int)
+		for i, b := range r.replayer.processes {
+			for id, n := range b.Out() {
+				if i != process {
+					other[id] += n
+				}
+			}
+		}
+		r.call(process, recordedEvent{Other: &recordedOther{InFlight: other}})
+	}
+}
+
+// request has a client ask.
+func (r *recorder) request(q recordedRequest) {
+	p := &recordedPlay{recordedRequest: q, process: r.serving}
+	r.requests[q.ID] = p
+	process := r.serving
+	if q.Partial {
+		wait := time.Duration(5+r.rng.IntN(60)) * ms
+		p.whole = r.now + wait
+		r.after(wait, func() { r.call(process, recordedEvent{Complete: q.ID}) })
+	}
+	r.call(process, recordedEvent{Request: &q})
+	if r.rng.IntN(100) == 0 {
+		r.call(process, recordedEvent{Request: &q}) // twice
+	}
+	leaves := time.Duration(q.ExpiresIn)
+	if r.rng.IntN(20) == 0 {
+		leaves = time.Duration(r.rng.IntN(30)) * ms
+	}
+	r.after(leaves, func() {
+		if !p.answered {
+			p.answered = true
+			r.call(process, recordedEvent{Cancelled: q.ID})
+		}
+	})
+}
+
+// arrive draws a request of the settings' classes and tenants.
+func (r *recorder) arrive() {
+	r.asked++
+	class := r.settings.Classes[r.rng.IntN(len(r.settings.Classes))]
+	q := recordedRequest{ID: fmt.Sprint("r", r.asked), Class: class.Name, Tenant: "unknown", ExpiresIn: class.Deadline / 2}
+	if n := len(r.settings.Tenants); n > 0 && r.rng.IntN(8) > 0 {
+		q.Tenant = r.settings.Tenants[r.rng.IntN(n)].Name
+	}
+	switch r.rng.IntN(25) {
+	case 0:
+		q.Class = "stranger"
+	case 1:
+		q.ExpiresIn = int64(time.Duration(20+r.rng.IntN(100)) * ms)
+	case 2:
+		q.Former = true
+	case 3:
+		q.Retry = true
+	case 4:
+		q.Key, q.Write = fmt.Sprint("k", r.rng.IntN(9)), true
+	}
+	q.Partial = r.scenario.partial > 0 && r.rng.IntN(r.scenario.partial) == 0
+	if class.AimStretch > 0 {
+		q.Hint = int64(r.rng.IntN(200)) * int64(ms)
+	}
+	r.request(q)
+}
+
+// play runs the scenario from its start to its end.
+func (r *recorder) play() recording {
+	s := r.scenario
+	r.serving = r.start(0)
+	if s.begin != nil {
+		s.begin(r)
+	} else {
+		r.list(0, ListRestored)
+	}
+	end := r.now + s.lasts
+	for _, step := range s.steps {
+		r.after(step.at, func() { step.do(r) })
+	}
+	var next func()
+	next = func() {
+		if r.now >= end {
+			return
+		}
+		r.arrive()
+		wait := float64(s.between)
+		if s.busyFrom > 0 && r.now-recorderStart >= s.busyFrom && r.now-recorderStart < s.busyTo {
+			wait /= s.busyTimes
+		}
+		r.after(max(recorderStep, time.Duration(r.rng.ExpFloat64()*wait)), next)
+	}
+	r.after(s.between, next)
+	for process := range 2 { // what can be asked of each process, now and then
+		for at := time.Second; at < s.lasts; at += 1300 * ms {
+			r.after(at, func() {
+				if process < len(r.replayer.processes) {
+					r.call(process, recordedEvent{Observe: true})
+				}
+			})
+		}
+	}
+	for len(r.queue) > 0 && r.queue[0].at <= end+3*time.Second {
+		task := heap.Pop(&r.queue).(recorderTask)
+		r.now = task.at
+		task.do()
+	}
+	return recording{Name: s.name, Seed: s.seed, Events: r.events}
+}
+
+const (
+	recorderStart = 10 * time.Minute
+	recorderStep  = 100 * time.Microsecond // moments are whole multiples of it, which keeps the files small
+)
+
+func recordAll(t *testing.T) (all []recording) {
+	t.Helper()
+	for _, s := range recordedScenarios() {
+		r := &recorder{t: t, scenario: s, rng: rand.New(rand.NewPCG(s.seed, 3)), now: recorderStart,
+			settings: s.settings, servers: s.servers, requests: make(map[string]*recordedPlay)}
+		all = append(all, r.play())
+		t.Logf("%s: %d events", s.name, len(r.events))
+	}
+	return append(all, recordSenselessSettings())
+}
+
+// scenario is a deployment, and what happens to it.
+type scenario struct {
+	name             string
+	seed             uint64
+	settings         recordedSettings
+	servers          []*recordedServer
+	lasts            time.Duration
+	between          time.Duration // between requests, on average
+	busyFrom, busyTo time.Duration // when they come busyTimes as often
+	busyTimes        float64
+	partial          int               // one request in so many isn't whole at first; 0 for none
+	begin            func(r *recorder) // instead of a restored list
+	steps            []scenarioStep
+}
+
+type scenarioStep struct {
+	at time.Duration
+	do func(r *recorder)
+}
+
+func scenarioSettings(nodes int) recordedSettings {
+	return recordedSettings{
+		Nodes: nodes, Node: nodes / 3, Zone: "a",
+		Classes: []recordedClass{
+			{Name: "free", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(Free), Worth: 3},
+			{Name: "once", Aim: int64(250 * ms), Deadline: int64(1200 * ms), LateWorth: 0.2, Worth: 1},
+			{Name: "all", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(Guarded), Group: uint8(GroupAll), Window: int64(300 * ms), Worth: 2},
+			{Name: "zone", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(Guarded), Group: uint8(GroupZone), Window: int64(300 * ms), Worth: 0.5},
+			{Name: "cell", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(Guarded), Group: uint8(GroupCell), Window: int64(300 * ms), Worth: 1},
+			{Name: "stream", Aim: int64(300 * ms), Deadline: int64(1500 * ms), Repeat: uint8(Free), Stream: true, Worth: 1},
+			{Name: "bulk", AimStretch: 2, Deadline: int64(2 * time.Second), LateWorth: 0.5, Worth: 0.2},
+		},
+		Tenants: []recordedTenant{{Name: "t", Quota: 1e5, Share: 0.7}, {Name: "u", Quota: 5e4, Share: 0.3}},
+		Cancel:  true, Probe: true, Peers: true, RetryAfter: true, MaxAttempts: 4, MaxWait: int64(10 * time.Second),
+		AnswerGrace: int64(100 * ms), DrainGrace: int64(2 * time.Second), ColdShare: 0.2, ColdFor: int64(8 * time.Second),
+		FallMultiple: 3, FallFor: int64(2 * time.Second), AskWithin: int64(4 * time.Second),
+	}
+}
+
+func scenarioServers(n, cores int, base time.Duration, zones ...string) (all []*recordedServer) {
+	for i := range n {
+		zone := zones[i%len(zones)]
+		all = append(all, &recordedServer{cores: cores, base: base, recordedMember: recordedMember{
+			Server: fmt.Sprintf("%s%02d", zone, i/len(zones)), Zone: zone, Kind: fmt.Sprint("k", i/2%2), Cell: int64(i % 3), Weight: 1}})
+	}
+	return all
+}
+
+func scenarioPlaces() *recordedPlaces {
+	return &recordedPlaces{Region: map[string]string{"a": "north", "b": "north", "c": "south"}, SameRegion: 1, OtherRegion: 3,
+		Costs: map[string]map[string]float64{"a": {"d": 2}}}
+}
+
+var reportNames = []string{"latency_ms", "util", "qps", "inflight"}
+
+func at(when time.Duration, do func(r *recorder)) scenarioStep { return scenarioStep{when, do} }
+
+func recordedScenarios() []scenario {
+	const second = time.Second
+	var all []scenario
+	add := func(s scenario, change func(s *recordedSettings)) {
+		s.seed = uint64(len(all) + 1)
+		if change != nil {
+			change(&s.settings)
+		}
+		all = append(all, s)
+	}
+
+	add(scenario{name: "buckets and class limits", settings: scenarioSettings(2), servers: scenarioServers(4, 8, 20*ms, "a"),
+		lasts: 8 * second, between: 8 * ms, busyFrom: 3 * second, busyTo: 4 * second, busyTimes: 4, partial: 10,
+		steps: []scenarioStep{
+			at(5*second, func(r *recorder) {
+				r.configure(func(s *recordedSettings) {
+					s.Classes = s.Classes[1:]
+					s.Classes[1].Deadline = int64(900 * ms)
+					s.Limits.PerClass["all"] = recordedLimit{PerWindow: 3, Window: int64(second), Burst: 2}
+				})
+			}),
+			at(6500*ms, func(r *recorder) {
+				r.configure(func(s *recordedSettings) {
+					s.Limits = recordedLimits{}
+					s.Tenants = nil
+				})
+			}),
+		}}, func(s *recordedSettings) {
+		s.Tenants = []recordedTenant{{Name: "t", Quota: 60, Share: 0.5}, {Name: "u", Quota: 20, Share: 0.3}, {Name: "nothing", Quota: 0}}
+		s.Limits = recordedLimits{PerClass: map[string]recordedLimit{"once": {PerWindow: 30, Window: int64(10 * second), Burst: 5},
+			"stream": {PerWindow: 10, Window: 0, Burst: 3}}, Max: 40}
+		s.Budget = &recordedBudget{Least: 2, Share: 0.05, Span: int64(5 * second)}
+	})
+
+	add(scenario{name: "default limit", settings: scenarioSettings(1), servers: scenarioServers(2, 4, 20*ms, "a"),
+		lasts: 3 * second, between: 10 * ms}, func(s *recordedSettings) {
+		s.Limits.Default = &recordedLimit{PerWindow: 25, Window: int64(second), Burst: 5}
+		s.Tenants = s.Tenants[:1]
+		s.Tenants[0].Quota = 40
+		s.Classes[2].Regions = []string{"north"}
+	})
+
+	add(scenario{name: "many tenants", settings: scenarioSettings(1), lasts: 72 * second, between: 500 * ms,
+		begin: func(r *recorder) {
+			r.list(0, ListRestored)
+			tenant := func(i int) {
+				r.asked++
+				r.request(recordedRequest{ID: fmt.Sprint("r", r.asked), Class: "free", Tenant: fmt.Sprint("n", i), ExpiresIn: int64(30 * ms)})
+			}
+			for i := range 4300 {
+				r.after(time.Duration(i)*ms/2, func() { tenant(i) })
+			}
+			for i := range 2200 {
+				r.after(60*second+time.Duration(i)*ms, func() { tenant(i % 20) })
+			}
+		}}, func(s *recordedSettings) {
+		s.Limits.Default = &recordedLimit{PerWindow: 1, Window: int64(5 * second), Burst: 2}
+		s.Tenants = s.Tenants[:1]
+	})
+
+	add(scenario{name: "few nodes without room", settings: scenarioSettings(3), servers: scenarioServers(4, 2, 60*ms, "a", "b"),
+		lasts: 7 * second, between: 12 * ms, busyFrom: 2 * second, busyTo: 4 * second, busyTimes: 3, partial: 30,
+		steps: []scenarioStep{
+			at(3*second, func(r *recorder) { r.slow(4, every) }),
+			at(5*second, func(r *recorder) { r.slow(1, every) }),
+		}}, nil)
+
+	add(scenario{name: "many nodes without reports", settings: scenarioSettings(60), servers: scenarioServers(12, 2, 50*ms, "a", "b"),
+		lasts: 12 * second, between: 15 * ms, busyFrom: 4 * second, busyTo: 7 * second, busyTimes: 3,
+		steps: []scenarioStep{
+			at(5*second, func(r *recorder) { r.harm(full, 0.6, every) }),
+			at(8*second, func(r *recorder) { r.harm(mixed, 0.1, every) }),
+		}}, nil)
+
+	add(scenario{name: "many nodes with reports", settings: scenarioSettings(60), servers: scenarioServers(12, 4, 40*ms, "a", "b"),
+		lasts: 14 * second, between: 14 * ms, busyFrom: 5 * second, busyTo: 8 * second, busyTimes: 3, partial: 40,
+		steps: []scenarioStep{
+			at(2*second, func(r *recorder) {
+				for _, s := range r.servers {
+					s.extra = 1 + r.rng.IntN(4)
+				}
+			}),
+			at(4*second, func(r *recorder) {
+				r.slow(6, named("a00", "b01"))
+				r.server("a00").extra, r.server("b01").extra = 4, 4
+			}),
+			at(6*second, func(r *recorder) { r.restarts("a02", "b03", "a04") }),
+			at(7*second, func(r *recorder) { r.harm(mixed, 0.5, named("a03", "b02")) }),
+			at(9*second, func(r *recorder) { r.slow(1, every) }),
+			at(10*second, func(r *recorder) { r.harm(noFault, 0, every) }),
+		}}, func(s *recordedSettings) { s.Report = reportNames })
+
+	add(scenario{name: "reports without worth", settings: scenarioSettings(9), servers: scenarioServers(5, 2, 50*ms, "a"),
+		lasts: 5 * second, between: 12 * ms}, func(s *recordedSettings) {
+		s.Report = reportNames
+		for i := range s.Classes {
+			s.Classes[i].Worth = 0
+		}
+	})
+
+	add(scenario{name: "packing and placement", settings: scenarioSettings(4), servers: scenarioServers(12, 3, 30*ms, "a", "b", "c"),
+		lasts: 6 * second, between: 10 * ms, partial: 15,
+		steps: []scenarioStep{
+			at(2*second, func(r *recorder) { r.change(drains, "a00", "b01") }),
+			at(2500*ms, func(r *recorder) { r.change(returns, "a00", "b01") }),
+			at(3*second, func(r *recorder) {
+				r.configure(func(s *recordedSettings) {
+					s.Classes[0].Zones = nil
+					s.Classes[1].Kinds = []string{"k1"}
+					s.Zone = "b"
+				})
+			}),
+			at(4*second, func(r *recorder) { r.restarts("a00") }),
+		}}, func(s *recordedSettings) {
+		s.Classes[0].Zones = []string{"b", "c"}
+		s.Classes[1].Kinds = []string{"k0"}
+		s.Classes[2].Regions = []string{"north"}
+		s.Classes[3].Regions = []string{"north"}
+		s.Places = scenarioPlaces()
+		s.MaxAttempts = 2
+	})
+
+	add(scenario{name: "queued requests", settings: scenarioSettings(1), lasts: 4 * second, between: 15 * ms, partial: 10,
+		servers: scenarioServers(3, 2, 60*ms, "a"),
+		begin:   func(r *recorder) { r.call(0, recordedEvent{List: &recordedList{Kind: uint8(ListRestored)}}) },
+		steps: []scenarioStep{
+			at(second, func(r *recorder) { r.list(0, ListReplace) }),
+			at(2*second, func(r *recorder) { r.change(removes, "a00", "a01", "a02") }),
+			at(2500*ms, func(r *recorder) { r.change(returns, "a01") }),
+		}}, func(s *recordedSettings) { s.Cancel, s.MaxAttempts = false, 0 })
+
+	add(scenario{name: "retries within a budget", settings: scenarioSettings(2), servers: scenarioServers(8, 4, 25*ms, "a", "b"),
+		lasts: 9 * second, between: 10 * ms, partial: 20,
+		steps: []scenarioStep{
+			at(second, func(r *recorder) { r.harm(mixed, 0.3, every) }),
+			at(5*second, func(r *recorder) { r.harm(resetting, 0.5, every) }),
+			at(7*second, func(r *recorder) { r.harm(noFault, 0, every) }),
+		}}, func(s *recordedSettings) {
+		s.Budget = &recordedBudget{Least: 3, Share: 0.1, Span: int64(4 * second)}
+		for i := range s.Classes {
+			s.Classes[i].Window, s.Classes[i].LateWorth = int64(120*ms), 0.1
+		}
+	})
+
+	add(scenario{name: "ejection and probation", settings: scenarioSettings(2), servers: scenarioServers(8, 4, 25*ms, "a"),
+		lasts: 16 * second, between: 14 * ms,
+		steps: []scenarioStep{
+			at(second, func(r *recorder) { r.harm(failing, 1, named("a00")) }),
+			at(1500*ms, func(r *recorder) { r.harm(hanging, 1, named("a03")) }),
+			at(2*second, func(r *recorder) { r.harm(full, 0.8, named("a05")) }),
+			at(5*second, func(r *recorder) { r.change(drains, "a03") }),
+			at(6*second, func(r *recorder) { r.harm(failing, 0.5, named("a00")) }),
+			at(7*second, func(r *recorder) { r.change(returns, "a03") }),
+			at(8*second, func(r *recorder) { r.harm(noFault, 0, named("a00", "a03")) }),
+			at(9*second, func(r *recorder) { r.change(removes, "a05") }),
+			at(10*second, func(r *recorder) { r.harm(unreachable, 1, named("a01", "a02", "a04", "a06")) }),
+			at(12*second, func(r *recorder) { r.harm(noFault, 0, every) }),
+		}}, func(s *recordedSettings) { s.Classes[1].Kinds = []string{"k0"} })
+
+	add(scenario{name: "warming servers", settings: scenarioSettings(2), servers: scenarioServers(9, 4, 30*ms, "a"),
+		lasts: 12 * second, between: 9 * ms, busyFrom: 5 * second, busyTo: 7 * second, busyTimes: 3,
+		steps: []scenarioStep{
+			at(2*second, func(r *recorder) { r.restarts("a01", "a04", "a07") }),
+			at(4*second, func(r *recorder) { r.change(removes, "a00", "a02") }),
+			at(6*second, func(r *recorder) { r.restarts("a00") }),
+		}}, nil)
+
+	for i, fault := range []recorderFault{unreachable, hanging, failing} {
+		add(scenario{name: fmt.Sprint("a zone fails and recovers ", i), settings: scenarioSettings([]int{3, 12, 1}[i]),
+			servers: scenarioServers(15, 6, 25*ms, "a", "b", "c"), lasts: 30 * second, between: 26 * ms,
+			steps: []scenarioStep{
+				at(2*second, func(r *recorder) { r.harm(fault, 0.8, inZone("a")) }),
+				at(9*second, func(r *recorder) { r.harm(noFault, 0, every) }),
+				at(20*second, func(r *recorder) { r.slow(8, inZone("b")) }),
+				at(22*second, func(r *recorder) { r.harm(fault, 1, inZone("a")) }),
+				at(25*second, func(r *recorder) { r.harm(noFault, 0, every) }),
+			}}, func(s *recordedSettings) {
+			s.Places = scenarioPlaces()
+			if i == 1 {
+				s.Report = reportNames
+			}
+		})
+	}
+
+	add(scenario{name: "a zone returns and fails again", settings: scenarioSettings(1), servers: scenarioServers(8, 6, 20*ms, "a", "d"),
+		lasts: 40 * second, between: 32 * ms,
+		steps: []scenarioStep{
+			at(second, func(r *recorder) { r.harm(unreachable, 1, inZone("a")) }),
+			at(5*second, func(r *recorder) { r.harm(noFault, 0, every) }),
+			at(9*second, func(r *recorder) { r.harm(unreachable, 0.3, inZone("a")) }),
+			at(11*second, func(r *recorder) { r.harm(unreachable, 1, inZone("a")) }),
+			at(14*second, func(r *recorder) { r.harm(noFault, 0, every) }),
+		}}, func(s *recordedSettings) { s.Places = scenarioPlaces() })
+
+	add(scenario{name: "endpoint lists", settings: scenarioSettings(5), servers: scenarioServers(12, 4, 25*ms, "a", "b"),
+		lasts: 14 * second, between: 14 * ms,
+		steps: []scenarioStep{
+			at(second, func(r *recorder) { r.list(0, ListUnavailable) }),
+			at(1100*ms, func(r *recorder) { r.list(0, ListUnavailable) }),
+			at(2*second, func(r *recorder) { r.list(0, ListReplace) }),
+			at(3*second, func(r *recorder) { r.change(removes, "a00", "a01", "a02", "a03", "a04") }),
+			at(3500*ms, func(r *recorder) { r.change(returns, "a01", "a02") }),
+			at(6*second, func(r *recorder) { r.change(returns, "a00", "a03", "a04") }),
+			at(8*second, func(r *recorder) {
+				r.change(drains, "b00")
+				r.change(removes, "b00")
+				r.change(func(s *recordedServer) { s.Zone, s.Kind = "b", "k2" }, "a05")
+			}),
+			at(9*second, func(r *recorder) {
+				for _, s := range r.servers[4:] {
+					s.Availability = uint8(Removed)
+				}
+				r.list(0, ListReplace)
+			}),
+			at(12*second, func(r *recorder) {
+				for _, s := range r.servers[4:] {
+					s.Availability = uint8(Running)
+				}
+				r.list(0, ListRestored)
+			}),
+		}}, func(s *recordedSettings) { s.EaseLists, s.Subscribe, s.Places = true, true, scenarioPlaces() })
+
+	add(scenario{name: "settings under way", settings: scenarioSettings(2), servers: scenarioServers(8, 3, 40*ms, "a", "b"),
+		lasts: 8 * second, between: 9 * ms, partial: 10,
+		steps: []scenarioStep{
+			at(2*second, func(r *recorder) {
+				r.configure(func(s *recordedSettings) {
+					s.Subscribe, s.MaxAttempts, s.Places = true, 2, scenarioPlaces()
+					s.Classes[0].Deadline, s.Classes[0].Aim = int64(800*ms), int64(100*ms)
+					s.Classes = append(s.Classes[1:], recordedClass{Name: "new", Deadline: int64(second), Worth: 9, Zones: []string{"a"}})
+				})
+			}),
+			at(2500*ms, func(r *recorder) { r.list(0, ListRestored) }),
+			at(4*second, func(r *recorder) {
+				r.configure(func(s *recordedSettings) {
+					s.Nodes, s.Report, s.Places = 8, reportNames, nil
+					s.DrainGrace = 0
+					s.Budget = &recordedBudget{Least: 1, Share: 0.5, Span: int64(second)}
+				})
+			}),
+			at(6*second, func(r *recorder) {
+				r.configure(func(s *recordedSettings) { s.Nodes, s.Node, s.Report, s.Budget = 1, 0, nil, nil })
+			}),
+			at(7*second, func(r *recorder) {
+				empty := ""
+				r.call(0, recordedEvent{Peer: &empty})
+				r.call(0, recordedEvent{Probe: &recordedOutcome{Server: "a00"}})
+				r.call(0, recordedEvent{Outcome: &recordedOutcome{ID: "nobody", Server: "nowhere"}})
+				r.call(0, recordedEvent{FirstByte: &recordedOutcome{ID: "nobody", Server: "nowhere"}})
+				r.call(0, recordedEvent{Complete: "nobody"})
+				r.call(0, recordedEvent{Cancelled: "nobody"})
+				token := uint64(7)
+				r.call(0, recordedEvent{Timer: &token})
+			}),
+		}}, nil)
+
+	fleet := func(when time.Duration, heard, near int) scenarioStep {
+		return at(when, func(r *recorder) { r.call(0, recordedEvent{Fleet: &recordedFleet{Heard: heard, Near: near}}) })
+	}
+	add(scenario{name: "fleet sizes", settings: scenarioSettings(7), servers: scenarioServers(6, 4, 30*ms, "a", "b"),
+		lasts: 260 * second, between: 300 * ms,
+		steps: []scenarioStep{fleet(second, 1, 1), fleet(2*second, 7, 3), fleet(5*second, 9, 4), fleet(20*second, 7, 3),
+			fleet(40*second, 6, 2), fleet(50*second, 8, 3), fleet(100*second, 3, 3), fleet(120*second, 6, 0), fleet(130*second, 8, 3),
+			fleet(140*second, 7, 2), fleet(150*second, 5, 2), fleet(230*second, 5, 1)}},
+		func(s *recordedSettings) {
+			s.Tenants = []recordedTenant{{Name: "t", Quota: 14}, {Name: "u", Quota: 4}}
+			s.Places = scenarioPlaces()
+		})
+
+	for i, reports := range [][]string{nil, reportNames} {
+		handOver := func(on, served bool) func(r *recorder) {
+			return func(r *recorder) {
+				r.call(r.serving, recordedEvent{HandOver: &recordedHandOver{On: on, Served: served}})
+			}
+		}
+		add(scenario{name: fmt.Sprint("replacement ", i), settings: scenarioSettings([]int{2, 20}[i]),
+			servers: scenarioServers(9, 3, 40*ms, "a", "b"), lasts: 12 * second, between: 11 * ms, partial: 25,
+			steps: []scenarioStep{
+				at(second, func(r *recorder) { r.harm(mixed, 0.25, named("a01", "b01")) }),
+				at(2*second, func(r *recorder) { r.restarts("a02", "b02") }),
+				at(3*second, handOver(true, false)), at(3500*ms, handOver(false, false)),
+				at(4*second, handOver(true, false)), at(4500*ms, handOver(false, true)),
+				at(6*second, (*recorder).replaceProcess),
+				at(6200*ms, (*recorder).share),
+				at(6600*ms, (*recorder).share),
+				at(8*second, (*recorder).share),
+				at(6300*ms, func(r *recorder) { // the former process still gets a few
+					for i := range 9 {
+						q := recordedRequest{ID: fmt.Sprint("former", i), Class: "once", Tenant: "former", ExpiresIn: int64(600 * ms)}
+						r.requests[q.ID] = &recordedPlay{recordedRequest: q}
+						r.call(0, recordedEvent{Request: &q})
+					}
+				}),
+				at(9*second, func(r *recorder) {
+					r.arrive()
+					r.server("b00").OnlineSince = int64(r.now)
+					r.replaceProcess()
+				}),
+				at(9300*ms, (*recorder).share),
+			}}, func(s *recordedSettings) {
+			s.Report = reports
+			s.Tenants = []recordedTenant{{Name: "t", Quota: 120}, {Name: "u", Quota: 20}}
+			s.Limits.PerClass = map[string]recordedLimit{"once": {PerWindow: 30, Window: int64(10 * second), Burst: 5},
+				"cell": {PerWindow: 3, Window: int64(10 * second), Burst: 4}}
+			if i > 0 {
+				s.Tenants[0].Quota, s.Tenants[1].Quota = 1200, 300
+			}
+		})
+	}
+	return all
+}
+
+// recordSenselessSettings has settings that New turns down.
+func recordSenselessSettings() recording {
+	r := recording{Name: "senseless settings"}
+	for _, change := range []func(s *recordedSettings){
+		func(s *recordedSettings) { s.Classes = nil },
+		func(s *recordedSettings) { s.Node = s.Nodes },
+		func(s *recordedSettings) { s.Nodes = 0 },
+		func(s *recordedSettings) { s.Classes[0].Deadline = 0 },
+		func(s *recordedSettings) { s.Classes[0].Aim = -1 },
+		func(s *recordedSettings) { s.Classes[1].Name = s.Classes[0].Name },
+		func(s *recordedSettings) { s.Tenants[0].Quota = -1 },
+		func(s *recordedSettings) { s.Tenants[0].Share = -1 },
+		func(s *recordedSettings) { s.DrainGrace = -1 },
+		func(s *recordedSettings) { s.ColdShare = 2 },
+		func(s *recordedSettings) { s.Budget = &recordedBudget{} },
+		func(s *recordedSettings) { s.Budget = &recordedBudget{Least: -1, Span: 1} },
+		func(s *recordedSettings) { s.Places = &recordedPlaces{SameRegion: -1} },
+		func(s *recordedSettings) {
+			s.Places = &recordedPlaces{Costs: map[string]map[string]float64{"a": {"b": -1}}}
+		},
+		func(s *recordedSettings) { s.MaxAttempts = -1 },
+		func(s *recordedSettings) { s.ConnIdle = -1 },
+		func(*recordedSettings) {},
+	} {
+		settings := scenarioSettings(2)
+		change(&settings)
+		r.Events = append(r.Events, recordedEvent{New: &recordedNew{Settings: settings}})
+	}
+	return r
+}
