--- a/policy/state.go
+++ b/policy/state.go
@@ -598,36 +598,61 @@
 // Knowledge is what a process of a node leaves to the one that takes over. Its times are counted from
 // the moment it was taken, for each process has a clock of its own; 0 stands for never.
 type Knowledge struct {
-	Buckets                      []KnownBucket
-	Classes                      map[string]KnownClass
-	Servers                      map[string]KnownServer
-	Kinds                        map[string]KnownLoad
-	Usual                        KnownLoad
-	Took, Extra                  []Time
-	Pace, Trust, Busy, Bad, Done float64
-	HeardAt, DoneAt              Time
+	Buckets []KnownBucket          `json:"Buckets"`
+	Classes map[string]KnownClass  `json:"Classes"`
+	Servers map[string]KnownServer `json:"Servers"`
+	Kinds   map[string]KnownLoad   `json:"Kinds"`
+	Usual   KnownLoad              `json:"Usual"`
+	Took    []Time                 `json:"Took"`
+	Extra   []Time                 `json:"Extra"`
+	Pace    float64                `json:"Pace"`
+	Trust   float64                `json:"Trust"`
+	Busy    float64                `json:"Busy"`
+	Bad     float64                `json:"Bad"`
+	Done    float64                `json:"Done"`
+	HeardAt Time                   `json:"HeardAt"`
+	DoneAt  Time                   `json:"DoneAt"`
 }
 
 // KnownBucket is one bucket.
 type KnownBucket struct {
-	Tenant, Class string
-	Tokens        int64
-	Last          Time
+	Tenant string `json:"Tenant"`
+	Class  string `json:"Class"`
+	Tokens int64  `json:"Tokens"`
+	Last   Time   `json:"Last"`
 }
 
 // KnownClass is what was learned of a class.
-type KnownClass struct{ Tail, FirstTry time.Duration }
+type KnownClass struct {
+	Tail     time.Duration `json:"Tail"`
+	FirstTry time.Duration `json:"FirstTry"`
+}
 
 // KnownLoad is what reports said of a kind of server.
-type KnownLoad struct{ N, Rate, Latency float64 }
+type KnownLoad struct {
+	N       float64 `json:"N"`
+	Rate    float64 `json:"Rate"`
+	Latency float64 `json:"Latency"`
+}
 
 // KnownServer is what was learned of a server, and what of its cold budget is left.
 type KnownServer struct {
-	OnlineSince                                           Time
-	Threshold, Latency, Reported, Rate, Score, ColdTokens float64
-	Felt, Out                                             bool
-	Times                                                 int
-	BusyTo, HeardAt, LastSend, LastDone, OutUntil, ColdAt Time
+	OnlineSince Time    `json:"OnlineSince"`
+	Threshold   float64 `json:"Threshold"`
+	Latency     float64 `json:"Latency"`
+	Reported    float64 `json:"Reported"`
+	Rate        float64 `json:"Rate"`
+	Score       float64 `json:"Score"`
+	ColdTokens  float64 `json:"ColdTokens"`
+	Felt        bool    `json:"Felt"`
+	Out         bool    `json:"Out"`
+	Times       int     `json:"Times"`
+	BusyTo      Time    `json:"BusyTo"`
+	HeardAt     Time    `json:"HeardAt"`
+	LastSend    Time    `json:"LastSend"`
+	LastDone    Time    `json:"LastDone"`
+	OutUntil    Time    `json:"OutUntil"`
+	ColdAt      Time    `json:"ColdAt"`
 }
 
 // since and at turn times of this process's clock into those of Knowledge, and back.
