--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -16,7 +16,7 @@
 
 	"golang.org/x/sys/unix"
 
-	gossip "sloerail/internal/member"
+	gossip "sloerail/internal/membership"
 	"sloerail/policy"
 )
 
