--- a/internal/node/calltimes.go
+++ b/internal/node/calltimes.go
@@ -32,7 +32,7 @@
 // work. So the wait is short, and queueTime and more is left beyond it wherever that fits.
 func newCallTimes(s policy.Settings) callTimes {
 	within := toldWithin
-	if ask := s.Rules.AskWithin; ask > 0 {
+	if ask := s.Rules.PollInterval; ask > 0 {
 		within = min(within, ask)
 	}
 	patience := max(leastPatience, within/2)
@@ -41,5 +41,5 @@
 
 // newTarget takes what a configuration says of the list service.
 func newTarget(c Config) target {
-	return target{addr: c.Discovery, subscribe: c.Settings.Subscribe, times: newCallTimes(c.Settings), scope: c.Scope}
+	return target{addr: c.Discovery, subscribe: c.Settings.SubscribeList, times: newCallTimes(c.Settings), scope: c.Scope}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -166,7 +166,7 @@
 	if c.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
 		return Config{}, fmt.Errorf("settings.%w", err)
 	}
-	c.Settings.EaseLists = f.Ease
+	c.Settings.RetainMissing = f.Ease
 	if len(f.Places) > 0 {
 		if err := parsePlaces(f.Places, &c.Settings); err != nil {
 			return Config{}, err
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -32,7 +32,7 @@
 
 // member is one entry; UpSince is in Unix milliseconds, and 0 means long ago.
 type member struct {
-	policy.Member
+	policy.Endpoint
 	Addr    string
 	UpSince int64
 }
@@ -63,7 +63,7 @@
 
 // form is m as discovery writes it.
 func (m member) form() entryForm {
-	f := entryForm{ID: m.Server, HostPort: m.Addr, Locality: m.Zone, Flavor: m.Kind, Cell: m.Cell, Size: &m.Weight,
+	f := entryForm{ID: m.ID, HostPort: m.Addr, Locality: m.Zone, Flavor: m.Kind, Cell: m.Cell, Size: &m.Weight,
 		UpSince: float64(m.UpSince)}
 	for word, phase := range phases {
 		if phase == m.Availability {
@@ -99,7 +99,7 @@
 				return list{}, fmt.Errorf("members[%d].host_port: %w", i, err)
 			}
 		}
-		m := member{Addr: e.HostPort, UpSince: int64(e.UpSince), Member: policy.Member{Server: e.ID,
+		m := member{Addr: e.HostPort, UpSince: int64(e.UpSince), Endpoint: policy.Endpoint{ID: e.ID,
 			Zone: e.Locality, Kind: e.Flavor, Cell: e.Cell, Weight: 1, Availability: phase}}
 		if e.Size != nil {
 			m.Weight = *e.Size
@@ -158,7 +158,7 @@
 func newDiscovery(c Config, tell func(any)) *discovery {
 	urls, scope := registryURLs(c.Discovery), scopeState{query: c.Scope}
 	return &discovery{
-		urls: urls, at: int(c.Seed % uint64(len(urls))), kept: newKeeper(c), subscribe: c.Settings.Subscribe,
+		urls: urls, at: int(c.Seed % uint64(len(urls))), kept: newKeeper(c), subscribe: c.Settings.SubscribeList,
 		times: newCallTimes(c.Settings), scope: scope, revision: scope.firstRevision(c.Known.Revision),
 		rng: rand.New(rand.NewPCG(c.Seed, 0xd1)), asks: make(chan bool, 1),
 		moves: make(chan target, 1), tell: tell,
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -42,7 +42,7 @@
 		}
 	})
 	c := testConfig(t, knownList("127.0.0.1:9"))
-	c.Discovery, c.Settings.Subscribe = addr, subscribe
+	c.Discovery, c.Settings.SubscribeList = addr, subscribe
 	d = newDiscovery(c, func(ev any) { told <- ev.(news) })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -71,7 +71,7 @@
 		}{{policy.ListUpdate, "s1", policy.Running}, {policy.ListUpdate, "s1", policy.Draining},
 			{policy.ListReplace, "s2", policy.Running}} {
 			n := receive(t, "news", told)
-			if n.kind != want.kind || len(n.members) != 1 || n.members[0].Server != want.server ||
+			if n.kind != want.kind || len(n.members) != 1 || n.members[0].ID != want.server ||
 				n.members[0].Availability != want.phase {
 				t.Errorf("news %d: %+v", i, n)
 			}
@@ -85,7 +85,7 @@
 	bubble(t, func(t *testing.T) {
 		_, told, queries := watched(t, false, "down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
 			delta(8, entry("s1", "up")))
-		if n := receive(t, "news", told); n.kind != policy.ListUpdate || n.members[0].Server != "s1" {
+		if n := receive(t, "news", told); n.kind != policy.ListUpdate || n.members[0].ID != "s1" {
 			t.Errorf("news %+v", n)
 		}
 		indexes(t, queries, "7", "7", "7", "7", "7", "8")
@@ -165,7 +165,7 @@
 				}
 				<-r.Context().Done()
 			}), subscribe, times, ""})
-			if n := receive(t, "the list", told); n.kind != policy.ListReplace || n.members[0].Server != "s9" {
+			if n := receive(t, "the list", told); n.kind != policy.ListReplace || n.members[0].ID != "s9" {
 				t.Errorf("subscribe %v: news %+v", subscribe, n)
 			}
 			for _, want := range []string{"", fmt.Sprint("index=3&wait=", times.wait.Milliseconds())} {
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -108,7 +108,7 @@
 	l.first = httpServer(t, l.leaving.ServeHTTP)
 	l.Config = testConfig(t, knownList(l.first, httpServer(t, l.staying.ServeHTTP)))
 	l.Discovery, l.calls = listService(t)
-	l.Settings.Subscribe = subscribe
+	l.Settings.SubscribeList = subscribe
 	for _, f := range adjust {
 		f(&l.Config)
 	}
@@ -407,17 +407,17 @@
 			return nil
 		}
 		return m.send(e.ID)
-	case policy.Fleet:
+	case policy.FleetSize:
 		m.signed = true
 		ids := m.held
 		m.held = nil
 		return m.send(ids...)
 	case policy.Outcome:
 		m.out.Add(-1)
-		if !e.Ended && e.Code != policy.OK {
+		if !e.RequestEnded && e.Code != policy.OK {
 			return m.send(e.ID)
 		}
-	case policy.Lapsed:
+	case policy.ClientCancelled:
 		m.held = slices.DeleteFunc(m.held, func(id string) bool { return id == e.ID })
 		if m.cancels {
 			return []policy.Action{{Kind: policy.Cancel, ID: e.ID}}
@@ -612,12 +612,12 @@
 				switch e := ev.(type) {
 				case policy.Request:
 					return []policy.Action{{Kind: policy.Send, ID: e.ID, Server: to}}
-				case policy.MemberList:
+				case policy.EndpointList:
 					if e.Kind == policy.ListUpdate {
 						to = "s1"
 					}
 				case policy.Outcome:
-					if !e.Ended && e.Code != policy.OK {
+					if !e.RequestEnded && e.Code != policy.OK {
 						return []policy.Action{{Kind: policy.Send, ID: e.ID, Server: to}}
 					}
 				}
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -299,8 +299,8 @@
 	if err := c.Fleet.Check(); err != nil {
 		t.Fatal(err)
 	}
-	c.Settings.Places = &policy.Places{Region: map[string]string{"a": "east", "b": "west"},
-		SameRegion: sameRegionCost, OtherRegion: otherRegionCost}
+	c.Settings.Topology = &policy.Topology{RegionOfZone: map[string]string{"a": "east", "b": "west"},
+		SameRegionCost: sameRegionCost, OtherRegionCost: otherRegionCost}
 	at := Listeners{Clients: listen(t), Control: listen(t)}
 	ctl := at.Control.Addr().String()
 	startNodeAt(t, c, at, nil)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -41,13 +41,13 @@
 // inheritance is what a process leaves to the one that takes over. Descriptors of the clients' listener
 // come with its first byte. The process at the other end may be of another version: the keys are fixed.
 type inheritance struct {
-	Version   int              `json:"Version"`
-	Name      string           `json:"Name"`
-	Listen    string           `json:"Listen"`
-	Members   []member         `json:"Members"`
-	Knowledge policy.Knowledge `json:"Knowledge"`
-	Sockets   int              `json:"Sockets"` // that the new process may hold for now; told again as the old one ends its connections
-	Out       map[string]int   `json:"Out"`     // the old process's attempts at each server; told again too
+	Version   int             `json:"Version"`
+	Name      string          `json:"Name"`
+	Listen    string          `json:"Listen"`
+	Members   []member        `json:"Members"`
+	Knowledge policy.Snapshot `json:"Knowledge"`
+	Sockets   int             `json:"Sockets"` // that the new process may hold for now; told again as the old one ends its connections
+	Out       map[string]int  `json:"Out"`     // the old process's attempts at each server; told again too
 }
 
 // memberForm is how a member stands in an inheritance. The keys are fixed.
@@ -65,8 +65,8 @@
 
 // MarshalJSON writes m as it stands in an inheritance.
 func (m member) MarshalJSON() ([]byte, error) {
-	return json.Marshal(memberForm{Server: m.Server, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Weight: m.Weight,
-		OnlineSince: m.OnlineSince, Availability: m.Availability, Addr: m.Addr, UpSince: m.UpSince})
+	return json.Marshal(memberForm{Server: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Weight: m.Weight,
+		OnlineSince: m.StartedAt, Availability: m.Availability, Addr: m.Addr, UpSince: m.UpSince})
 }
 
 // UnmarshalJSON reads m as it stands in an inheritance.
@@ -75,8 +75,8 @@
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return err
 	}
-	*m = member{Addr: f.Addr, UpSince: f.UpSince, Member: policy.Member{Server: f.Server, Zone: f.Zone, Kind: f.Kind,
-		Cell: f.Cell, Weight: f.Weight, OnlineSince: f.OnlineSince, Availability: f.Availability}}
+	*m = member{Addr: f.Addr, UpSince: f.UpSince, Endpoint: policy.Endpoint{ID: f.Server, Zone: f.Zone, Kind: f.Kind,
+		Cell: f.Cell, Weight: f.Weight, StartedAt: f.OnlineSince, Availability: f.Availability}}
 	return nil
 }
 
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -42,7 +42,7 @@
 
 // NewHollow makes a hollow node of a configuration as LoadConfig reads it. Each list that the module has taken is told
 // to seen, unless that is nil, by the goroutine that took it.
-func NewHollow(c Config, seen func(policy.MemberList)) (*Hollow, error) {
+func NewHollow(c Config, seen func(policy.EndpointList)) (*Hollow, error) {
 	h := &Hollow{config: c, traffic: new(traffic)}
 	dial := c.dialer(queueTime)
 	c.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -67,13 +67,13 @@
 // listObserver tells of each list that the module has taken.
 type listObserver struct {
 	module
-	seen func(policy.MemberList)
+	seen func(policy.EndpointList)
 }
 
 // Handle hands the event on.
 func (o listObserver) Handle(now policy.Time, ev policy.Event) []policy.Action {
 	actions := o.module.Handle(now, ev)
-	if list, ok := ev.(policy.MemberList); ok {
+	if list, ok := ev.(policy.EndpointList); ok {
 		o.seen(list)
 	}
 	return actions
@@ -97,7 +97,7 @@
 }
 
 // Restore takes the list of the configuration, as a node does at its start.
-func (h *Hollow) Restore() { h.loop.handle(news{policy.ListRestored, h.config.Known.Members}) }
+func (h *Hollow) Restore() { h.loop.handle(news{policy.ListCached, h.config.Known.Members}) }
 
 // TakeList reads an answer of the list service and takes it.
 func (h *Hollow) TakeList(answer []byte) error {
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -46,7 +46,7 @@
 	}
 	h.Restore()
 	ask := func(id string) (string, bool) {
-		return h.Decide(policy.Request{ID: id, Class: "x", Tenant: "t", ExpiresIn: time.Second})
+		return h.Decide(policy.Request{ID: id, Class: "x", Tenant: "t", Timeout: time.Second})
 	}
 	if server, sent := ask("1"); sent {
 		t.Errorf("with no list, a request went to %q", server)
@@ -96,8 +96,8 @@
 		}
 	}))
 	t.Cleanup(service.Close)
-	seen := make(chan policy.MemberList, 8)
-	h, err := NewHollow(hollowConfig(t, strings.TrimPrefix(service.URL, "http://"), 10), func(l policy.MemberList) { seen <- l })
+	seen := make(chan policy.EndpointList, 8)
+	h, err := NewHollow(hollowConfig(t, strings.TrimPrefix(service.URL, "http://"), 10), func(l policy.EndpointList) { seen <- l })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,11 +106,11 @@
 	go func() { ended <- h.Run(ctx) }()
 	expect := func(kind policy.ListKind, members int) {
 		t.Helper()
-		if l := <-seen; l.Kind != kind || len(l.Members) != members {
-			t.Errorf("got a list of kind %d with %d servers, want %d and %d", l.Kind, len(l.Members), kind, members)
+		if l := <-seen; l.Kind != kind || len(l.Endpoints) != members {
+			t.Errorf("got a list of kind %d with %d servers, want %d and %d", l.Kind, len(l.Endpoints), kind, members)
 		}
 	}
-	expect(policy.ListRestored, 0)
+	expect(policy.ListCached, 0)
 	whole, delta := fmt.Sprintf(hollowList, 1, true, "a"), fmt.Sprintf(hollowList, 2, false, "b")
 	answers <- whole
 	expect(policy.ListReplace, 1)
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -56,8 +56,8 @@
 		clear(k.members)
 	}
 	for _, m := range l.Members {
-		if k.members[m.Server] = m; m.Availability == policy.Removed {
-			delete(k.members, m.Server)
+		if k.members[m.ID] = m; m.Availability == policy.Removed {
+			delete(k.members, m.ID)
 		}
 	}
 	k.revision, k.dirty = l.Revision, true
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -58,7 +58,7 @@
 			if err == nil {
 				t.Errorf("took %+v", l)
 			}
-		} else if err != nil || l.Members[0].Server != want {
+		} else if err != nil || l.Members[0].ID != want {
 			t.Errorf("got %+v, %v; want %s", l, err, want)
 		} else {
 			d.learn(l)
@@ -97,7 +97,7 @@
 		t.Fatalf("kept %+v", got)
 	}
 	for _, m := range got.Members {
-		if m.Server == "b" && m.Availability != policy.Draining || m.Server == "a" {
+		if m.ID == "b" && m.Availability != policy.Draining || m.ID == "a" {
 			t.Errorf("kept %+v", m)
 		}
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -51,13 +51,13 @@
 type module interface {
 	Handle(now policy.Time, ev policy.Event) []policy.Action
 	Servers() (listed, avoided int)
-	Tail() time.Duration
-	Knowledge(now policy.Time) policy.Knowledge
-	Learn(now policy.Time, k policy.Knowledge)
-	Out() map[string]int
-	Beside(out map[string]int)
-	Fleet() (agreed, heard int, cutOff bool)
-	Places(now policy.Time) []policy.PlaceState
+	TailLatency() time.Duration
+	Snapshot(now policy.Time) policy.Snapshot
+	Restore(now policy.Time, k policy.Snapshot)
+	InFlight() map[string]int
+	SetSiblingInFlight(out map[string]int)
+	FleetSize() (agreed, heard int, cutOff bool)
+	Zones(now policy.Time) []policy.ZoneState
 }
 
 // loop owns the module, the open requests and the timers, in one goroutine. All else sends it events;
@@ -174,10 +174,10 @@
 	defer l.attempts.Wait()
 	defer l.callOff()
 	defer close(l.done)
-	l.handle(news{policy.ListRestored, known})
+	l.handle(news{policy.ListCached, known})
 	if left != nil {
-		l.module.Learn(l.clock.now(), left.Knowledge)
-		l.module.Beside(left.Out)
+		l.module.Restore(l.clock.now(), left.Knowledge)
+		l.module.SetSiblingInFlight(left.Out)
 	}
 	close(l.ready)
 	sweep := time.NewTicker(sweepEvery)
@@ -256,24 +256,24 @@
 		l.retune(e.Config)
 	case ceded:
 		e.reply <- inheritance{Members: slices.Collect(maps.Values(l.members)),
-			Knowledge: l.module.Knowledge(l.clock.now()), Out: l.module.Out()}
-		l.tell(policy.Ceded{On: true})
+			Knowledge: l.module.Snapshot(l.clock.now()), Out: l.module.InFlight()}
+		l.tell(policy.HandedOver{Active: true})
 	case outAsked:
-		e.reply <- l.module.Out()
+		e.reply <- l.module.InFlight()
 	case outBeside:
-		l.module.Beside(e.out)
+		l.module.SetSiblingInFlight(e.out)
 	case fleetSeen:
-		l.tell(policy.Fleet{Heard: e.heard, Near: e.near})
+		l.tell(policy.FleetSize{ReachableNodes: e.heard, ReachableInZone: e.near})
 	case fleetAsked:
 		var f fleetState
-		f.agreed, f.heard, f.cutOff = l.module.Fleet()
+		f.agreed, f.heard, f.cutOff = l.module.FleetSize()
 		e.reply <- f
 	case placesAsked:
-		e.reply <- l.module.Places(l.clock.now())
+		e.reply <- l.module.Zones(l.clock.now())
 	case tailAsked:
-		e.reply <- l.module.Tail()
+		e.reply <- l.module.TailLatency()
 	case takenBack:
-		l.tell(policy.Ceded{Served: e.served})
+		l.tell(policy.HandedOver{SuccessorServed: e.served})
 	case finish:
 		l.finished = true
 		for _, r := range l.requests {
@@ -301,13 +301,13 @@
 	l.owed++
 	r.backstop = &timer{backstop: r}
 	req := x.req
-	req.Former = req.Former || x.terms != l.terms.Load() // changed while it came in
-	if req.Partial {
+	req.FormerClass = req.FormerClass || x.terms != l.terms.Load() // changed while it came in
+	if req.Incomplete {
 		r.timeFrom(l.clock.now() + longestUpload)
-		req.ExpiresIn = x.clientWaits - r.margin()
+		req.Timeout = x.clientWaits - r.margin()
 	} else {
 		r.timeFrom(x.came)
-		req.ExpiresIn = max(0, r.deadline-l.clock.now())
+		req.Timeout = max(0, r.deadline-l.clock.now())
 	}
 	heap.Push(&l.timers, r.backstop)
 	l.tell(req)
@@ -332,7 +332,7 @@
 	r.timeFrom(now)
 	heap.Fix(&l.timers, r.backstop.at)
 	r.attempts[len(r.attempts)-1].sent = now
-	l.tell(policy.Complete{ID: r.req.ID})
+	l.tell(policy.RequestComplete{ID: r.req.ID})
 }
 
 // leave ends a request whose client has gone.
@@ -342,7 +342,7 @@
 		return
 	}
 	l.settle(r)
-	l.tell(policy.Lapsed{ID: r.req.ID})
+	l.tell(policy.ClientCancelled{ID: r.req.ID})
 	l.drop(r)
 }
 
@@ -387,7 +387,7 @@
 		l.answer(e.r, e.result.answer)
 	}
 	l.tell(policy.Outcome{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Code: e.code,
-		Latency: over - a.sent, Ended: e.r.ended, Spent: e.r.spent(), Report: e.report})
+		Latency: over - a.sent, RequestEnded: e.r.ended, BodyConsumed: e.r.spent(), LoadReport: e.report})
 	l.drop(e.r)
 }
 
@@ -395,20 +395,20 @@
 	if n.kind != policy.ListUnavailable {
 		l.up.update(n)
 	}
-	if n.kind == policy.ListReplace || n.kind == policy.ListRestored {
+	if n.kind == policy.ListReplace || n.kind == policy.ListCached {
 		clear(l.members)
 	}
 	for _, m := range n.members {
-		if l.members[m.Server] = m; m.Availability == policy.Removed {
-			delete(l.members, m.Server)
+		if l.members[m.ID] = m; m.Availability == policy.Removed {
+			delete(l.members, m.ID)
 		}
 	}
-	members := make([]policy.Member, len(n.members))
+	members := make([]policy.Endpoint, len(n.members))
 	for i, m := range n.members {
-		members[i] = m.Member
-		members[i].OnlineSince = l.clock.unix(m.UpSince)
+		members[i] = m.Endpoint
+		members[i].StartedAt = l.clock.unix(m.UpSince)
 	}
-	l.tell(policy.MemberList{Kind: n.kind, Members: members})
+	l.tell(policy.EndpointList{Kind: n.kind, Endpoints: members})
 }
 
 // spent tells whether a request can't be written again.
@@ -427,7 +427,7 @@
 		l.skipped = l.skipped[1:]
 		if r := l.requests[o.ID]; r != nil {
 			r.pending--
-			o.Ended = r.ended
+			o.RequestEnded = r.ended
 			defer l.drop(r)
 		}
 		ev = o
@@ -441,7 +441,7 @@
 	switch a.Kind {
 	case policy.Send:
 		l.attempt(a)
-	case policy.Refuse:
+	case policy.Reject:
 		if r := l.requests[a.ID]; r != nil {
 			l.refuse(r, a.Wait)
 		}
@@ -454,14 +454,14 @@
 		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 			r.attempts[a.Attempt].flight.stop(context.Canceled)
 		}
-	case policy.Bound:
+	case policy.SetAttemptDeadline:
 		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].flight.bound(l.clock.at(min(a.Until, r.deadline)))
+			r.attempts[a.Attempt].flight.bound(l.clock.at(min(a.AttemptDeadline, r.deadline)))
 		}
 	case policy.SetTimer:
 		heap.Push(&l.timers, &timer{due: l.clock.now() + a.Wait, token: a.Token})
 	case policy.WatchList:
-		l.disc.ask(a.On)
+		l.disc.ask(a.Enabled)
 	case policy.Log:
 		slog.Info(a.Text)
 	default: // probes and peer messages are not allowed here, and the module asks for none
@@ -480,18 +480,18 @@
 	r.pending++
 	if r.ended || now >= r.deadline || n >= max(1, l.allowed.MaxAttempts) || r.spent() {
 		r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: new(flight)})
-		l.skipped = append(l.skipped, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.Moot})
+		l.skipped = append(l.skipped, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotAttempted})
 		return
 	}
 	until := r.deadline
-	if a.Until > 0 {
-		until = min(until, a.Until)
+	if a.AttemptDeadline > 0 {
+		until = min(until, a.AttemptDeadline)
 	}
 	f := &flight{due: l.clock.at(until)}
 	r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: f})
 	to := outgoing{exchange: r.exchange, waits: until - now, flight: f,
 		begin: func(a answer) { l.send(begun{r, n, a}) }, left: func() { l.send(uploaded{r.exchange, errClient}) }}
-	if r.req.Partial {
+	if r.req.Incomplete {
 		to.waits = r.clientWaits - r.margin()
 	}
 	l.attempts.Go(func() { l.send(ending{r, n, l.up.attempt(a.Server, to)}) })
@@ -517,7 +517,7 @@
 // fail gives the client its one answer where the module has none in time, and tells it so.
 func (l *loop) fail(r *request, status int) {
 	l.answer(r, answer{status: status})
-	l.tell(policy.Lapsed{ID: r.req.ID})
+	l.tell(policy.ClientCancelled{ID: r.req.ID})
 	l.drop(r)
 }
 
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -28,14 +28,14 @@
 	return s.answer(now, ev)
 }
 
-func (s *script) Servers() (listed, avoided int)             { return 0, 0 }
-func (s *script) Tail() time.Duration                        { return 0 }
-func (s *script) Knowledge(policy.Time) (k policy.Knowledge) { return k }
-func (s *script) Learn(now policy.Time, _ policy.Knowledge)  {}
-func (s *script) Out() map[string]int                        { return nil }
-func (s *script) Beside(map[string]int)                      {}
-func (s *script) Fleet() (agreed, heard int, cutOff bool)    { return 0, 0, false }
-func (s *script) Places(policy.Time) []policy.PlaceState     { return nil }
+func (s *script) Servers() (listed, avoided int)              { return 0, 0 }
+func (s *script) TailLatency() time.Duration                  { return 0 }
+func (s *script) Snapshot(policy.Time) (k policy.Snapshot)    { return k }
+func (s *script) Restore(now policy.Time, _ policy.Snapshot)  {}
+func (s *script) InFlight() map[string]int                    { return nil }
+func (s *script) SetSiblingInFlight(map[string]int)           {}
+func (s *script) FleetSize() (agreed, heard int, cutOff bool) { return 0, 0, false }
+func (s *script) Zones(policy.Time) []policy.ZoneState        { return nil }
 
 // events lists what the module was told, in short words.
 func (s *script) events() []string {
@@ -44,13 +44,13 @@
 	var all []string
 	for _, ev := range s.told {
 		switch e := ev.(type) {
-		case policy.MemberList:
+		case policy.EndpointList:
 			all = append(all, fmt.Sprintf("list %d", e.Kind))
 		case policy.Request:
 			all = append(all, "request "+e.ID)
 		case policy.Outcome:
-			all = append(all, fmt.Sprintf("outcome %s %d code %d ended %v", e.ID, e.Attempt, e.Code, e.Ended))
-		case policy.Lapsed:
+			all = append(all, fmt.Sprintf("outcome %s %d code %d ended %v", e.ID, e.Attempt, e.Code, e.RequestEnded))
+		case policy.ClientCancelled:
 			all = append(all, "lapsed "+e.ID)
 		case policy.Timer:
 			all = append(all, fmt.Sprintf("timer %d", e.Token))
@@ -149,14 +149,14 @@
 			case policy.Request:
 				return sends(e.ID, 4)
 			case policy.Outcome:
-				if e.Code == policy.Moot {
+				if e.Code == policy.NotAttempted {
 					moot <- e
 				}
 			}
 			return nil
 		})
 		l.arriveNow("r1", long)
-		if o := receive(t, "the skipped attempt", moot); o.Attempt != 3 || o.Ended {
+		if o := receive(t, "the skipped attempt", moot); o.Attempt != 3 || o.RequestEnded {
 			t.Errorf("got %+v", o)
 		}
 		await(t, "the other outcomes", func() bool { return len(s.events()) == 6 })
@@ -177,7 +177,7 @@
 				return append(sends(e.ID, 1), policy.Action{Kind: policy.SetTimer, Token: 1, Wait: time.Nanosecond})
 			case policy.Timer:
 				<-arrived // the attempt is out for certain
-				return []policy.Action{{Kind: policy.Fail, ID: "r1"}, {Kind: policy.Refuse, ID: "r1"},
+				return []policy.Action{{Kind: policy.Fail, ID: "r1"}, {Kind: policy.Reject, ID: "r1"},
 					{Kind: policy.Send, ID: "r1", Server: "s0"}, {Kind: policy.Cancel, ID: "r1", Attempt: 0}}
 			}
 			return nil
@@ -186,7 +186,7 @@
 		if a := receive(t, "the answer", x.reply); a.status != http.StatusBadGateway {
 			t.Errorf("status %d, want the first answer", a.status)
 		}
-		s.has(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.Moot),
+		s.has(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotAttempted),
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 		if len(arrived) != 0 || len(x.reply) != 0 {
 			t.Errorf("%d more attempts, %d more answers", len(arrived), len(x.reply))
@@ -219,7 +219,7 @@
 		l, _ := startLoop(t, addr, func(now policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
 			case policy.Request:
-				return []policy.Action{{Kind: policy.Send, ID: e.ID, Server: "s0", Until: now + time.Hour}}
+				return []policy.Action{{Kind: policy.Send, ID: e.ID, Server: "s0", AttemptDeadline: now + time.Hour}}
 			case policy.Outcome:
 				return []policy.Action{{Kind: policy.Fail, ID: e.ID}}
 			}
@@ -277,7 +277,7 @@
 		members: make(map[string]member), fig: newFigures(nil)}
 	l.module = &script{answer: func(_ policy.Time, ev policy.Event) []policy.Action {
 		if e, ok := ev.(policy.Request); ok {
-			return []policy.Action{{Kind: policy.Refuse, ID: e.ID}}
+			return []policy.Action{{Kind: policy.Reject, ID: e.ID}}
 		}
 		return nil
 	}}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -140,8 +140,8 @@
 func longestAnswer(classes []policy.Class) time.Duration {
 	var longest time.Duration
 	for _, class := range classes {
-		if class.Aim > 0 && class.LateWorth <= 0 {
-			longest = max(longest, class.Aim)
+		if class.LatencyObjective > 0 && class.LateWeight <= 0 {
+			longest = max(longest, class.LatencyObjective)
 		} else {
 			longest = max(longest, class.Deadline)
 		}
--- a/internal/node/places.go
+++ b/internal/node/places.go
@@ -33,14 +33,14 @@
 	if err := strictly("places", raw, &s); err != nil {
 		return err
 	}
-	p := &policy.Places{Region: make(map[string]string), Costs: s.Costs, SameRegion: orUsual(s.SameRegion, sameRegionCost),
-		OtherRegion: orUsual(s.OtherRegion, otherRegionCost)}
+	p := &policy.Topology{RegionOfZone: make(map[string]string), ZoneCosts: s.Costs, SameRegionCost: orUsual(s.SameRegion, sameRegionCost),
+		OtherRegionCost: orUsual(s.OtherRegion, otherRegionCost)}
 	for region, zones := range s.Regions {
 		for _, zone := range zones {
-			if was, ok := p.Region[zone]; ok {
+			if was, ok := p.RegionOfZone[zone]; ok {
 				return fmt.Errorf("places.regions: zone %q is in %s and %s", zone, min(was, region), max(was, region))
 			}
-			p.Region[zone] = region
+			p.RegionOfZone[zone] = region
 		}
 	}
 	for class, regions := range s.Only {
@@ -48,7 +48,7 @@
 			return err
 		}
 	}
-	set.Places = p
+	set.Topology = p
 	return nil
 }
 
@@ -79,7 +79,7 @@
 }
 
 // placesAsked asks what the module makes of the places.
-type placesAsked struct{ reply chan<- []policy.PlaceState }
+type placesAsked struct{ reply chan<- []policy.ZoneState }
 
 // PlaceView is one place in the answer at /places.
 type PlaceView struct {
@@ -98,15 +98,15 @@
 
 // servePlaces answers with what the node makes of each place; 404 where its configuration names none.
 func (l *loop) servePlaces(w http.ResponseWriter, r *http.Request) {
-	states, _ := ask(l, func(reply chan<- []policy.PlaceState) any { return placesAsked{reply} })
+	states, _ := ask(l, func(reply chan<- []policy.ZoneState) any { return placesAsked{reply} })
 	if states == nil {
 		http.NotFound(w, r)
 		return
 	}
 	all := []PlaceView{}
 	for _, s := range states {
-		all = append(all, PlaceView{s.Zone, s.Region, s.State, s.Cost, s.Share, s.Servers, s.Times, s.Ill, s.Heard,
-			s.TriedIn.Milliseconds(), s.Why})
+		all = append(all, PlaceView{s.Zone, s.Region, s.State, s.Cost, s.TrafficShare, s.Servers, s.Evacuations, s.Failures, s.Responses,
+			s.RetryIn.Milliseconds(), s.EvacuationReason})
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(all); err != nil {
@@ -116,14 +116,14 @@
 
 // showPlaces brings the figures of places up to date; there are none where the configuration names none.
 func (l *loop) showPlaces(now policy.Time) {
-	for _, s := range l.module.Places(now) {
+	for _, s := range l.module.Zones(now) {
 		zone := "{zone=" + strconv.Quote(s.Zone) + "}"
-		l.fig.set.GetOrCreateGauge("app_place_share"+zone, nil).Set(s.Share)
+		l.fig.set.GetOrCreateGauge("app_place_share"+zone, nil).Set(s.TrafficShare)
 		l.fig.set.GetOrCreateGauge("app_place_servers"+zone, nil).Set(float64(s.Servers))
-		l.fig.set.GetOrCreateGauge("app_place_left_lately"+zone, nil).Set(float64(s.Times))
+		l.fig.set.GetOrCreateGauge("app_place_left_lately"+zone, nil).Set(float64(s.Evacuations))
 		away := time.Duration(0)
 		if s.State == "left" {
-			away = s.TriedIn + time.Millisecond // 0 is for a place that isn't left
+			away = s.RetryIn + time.Millisecond // 0 is for a place that isn't left
 		}
 		l.fig.set.GetOrCreateGauge("app_place_away_seconds"+zone, nil).Set(away.Seconds())
 	}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -162,7 +162,7 @@
 
 // Just after a change a request in its class's former form is taken by the former rules.
 func TestFormerFormsAreTakenForAMoment(t *testing.T) {
-	free, once := policy.Class{Name: "c", Repeat: policy.Free}, policy.Class{Name: "c"}
+	free, once := policy.Class{Name: "c", RetrySafety: policy.Idempotent}, policy.Class{Name: "c"}
 	gone := policy.Class{Name: "gone"}
 	now := time.Now()
 	for _, c := range []struct {
@@ -170,17 +170,17 @@
 		method      string
 		class       string
 		former, ok  bool
-		wantsRepeat policy.Repeat
+		wantsRepeat policy.RetrySafety
 	}{
-		{now, "GET", "c", true, true, policy.Free},
-		{now, "POST", "c", false, true, policy.Never},
-		{now, "POST", "gone", true, true, policy.Never},
-		{now.Add(-2 * formerFor), "GET", "c", false, true, policy.Never},
-		{now.Add(-2 * formerFor), "POST", "gone", false, false, policy.Never},
+		{now, "GET", "c", true, true, policy.Idempotent},
+		{now, "POST", "c", false, true, policy.NonIdempotent},
+		{now, "POST", "gone", true, true, policy.NonIdempotent},
+		{now.Add(-2 * formerFor), "GET", "c", false, true, policy.NonIdempotent},
+		{now.Add(-2 * formerFor), "POST", "gone", false, false, policy.NonIdempotent},
 	} {
 		got, former, ok := newTerms([]policy.Class{free, gone}).after([]policy.Class{once}, c.changed).class(c.class, c.method, false)
-		if former != c.former || ok != c.ok || got.Repeat != c.wantsRepeat {
-			t.Errorf("%s %s, changed %v ago: former %v, ok %v, repeat %v", c.method, c.class, now.Sub(c.changed), former, ok, got.Repeat)
+		if former != c.former || ok != c.ok || got.RetrySafety != c.wantsRepeat {
+			t.Errorf("%s %s, changed %v ago: former %v, ok %v, repeat %v", c.method, c.class, now.Sub(c.changed), former, ok, got.RetrySafety)
 		}
 	}
 }
--- a/internal/node/scope.go
+++ b/internal/node/scope.go
@@ -63,8 +63,8 @@
 			return "", fmt.Errorf("scope.subset: want 1 to %d, got %d", mostSubset, *s.Subset)
 		}
 		values.Set("subset", strconv.Itoa(*s.Subset))
-		values.Set("position", strconv.Itoa(settings.Node))
-		values.Set("nodes", strconv.Itoa(settings.Nodes))
+		values.Set("position", strconv.Itoa(settings.NodeIndex))
+		values.Set("nodes", strconv.Itoa(settings.NodeCount))
 		values.Set("zone", settings.Zone)
 	}
 	query = values.Encode()
--- a/internal/node/scope_test.go
+++ b/internal/node/scope_test.go
@@ -69,7 +69,7 @@
 	n := receive(t, "the news", told)
 	var got []string
 	for _, m := range n.members {
-		got = append(got, m.Server)
+		got = append(got, m.ID)
 	}
 	if diff := cmp.Diff(ids, got); diff != "" || n.kind != kind {
 		t.Errorf("told kind %v: %s", n.kind, diff)
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -141,7 +141,7 @@
 		return nil, &fault{status: http.StatusMethodNotAllowed, text: "this class takes " + method, allow: method}
 	}
 	// Servers drop the repeats of a key: without one, a second attempt could take effect twice.
-	if class.Repeat == policy.Guarded && r.key == "" {
+	if class.RetrySafety == policy.IdempotencyKeyed && r.key == "" {
 		return nil, &fault{status: http.StatusBadRequest, text: "Idempotency-Key: missing"}
 	}
 	body, rest, err := s.takeBody(c, r)
@@ -155,8 +155,8 @@
 	hint, _ := strconv.ParseUint(r.hint, 10, 32) // a guess; none is as good as a bad one
 	x = &exchange{
 		req: policy.Request{ID: id, Class: class.Name, Tenant: r.tenant, Key: r.warmKey,
-			Hint: time.Duration(hint) * time.Microsecond, Retry: r.retry == "1",
-			Partial: rest != nil, Former: former},
+			EstimatedWork: time.Duration(hint) * time.Microsecond, ClientRetry: r.retry == "1",
+			Incomplete: rest != nil, FormerClass: former},
 		method: method, path: r.path, host: r.host, key: r.key, contentType: r.contentType,
 		body: body, rest: rest, length: r.length, came: s.loop.clock.now(),
 		clientWaits: time.Duration(waits) * time.Millisecond, terms: terms,
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -134,7 +134,7 @@
 			switch e := ev.(type) {
 			case policy.Request:
 				return sends(e.ID, 1)
-			case policy.Lapsed:
+			case policy.ClientCancelled:
 				return []policy.Action{{Kind: policy.Cancel, ID: e.ID}}
 			}
 			return nil
@@ -310,7 +310,7 @@
 func brief(t *testing.T) Config {
 	c := testConfig(t, knownList(httpServer(t, func(http.ResponseWriter, *http.Request) {})))
 	for i := range c.Settings.Classes {
-		c.Settings.Classes[i].Aim, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 1500*time.Millisecond
+		c.Settings.Classes[i].LatencyObjective, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 1500*time.Millisecond
 	}
 	return c
 }
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -49,7 +49,7 @@
 	refused := make(chan time.Time, 1000)
 	down := make(chan struct{}) // closed once the service takes connections
 	l := newLeavingTest(t, subscribe, func(c *Config) {
-		c.Settings.Rules.AskWithin = o.within
+		c.Settings.Rules.PollInterval = o.within
 		c.dial = refuseUntil(c, down, refused)
 		if o.fails != nil {
 			close(down)
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -112,13 +112,13 @@
 func (u *upstream) retune(c Config) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	idle := c.Settings.Allowed.ConnIdle
+	idle := c.Settings.Allowed.IdleTimeout
 	if idle == 0 {
 		idle = defaultConnIdle
 	}
 	u.dialer = c.dialer(c.ConnectTimeout)
 	u.idleFor = idle / 2 // what is written just as the server closes would end as a reset
-	u.report, u.eases = c.Settings.Report, c.Settings.EaseLists
+	u.report, u.eases = c.Settings.ReportFields, c.Settings.RetainMissing
 }
 
 // reportNames are the figures of a load report.
@@ -149,18 +149,18 @@
 	defer u.mu.Unlock()
 	listed := make(map[string]bool, len(n.members))
 	for _, m := range n.members {
-		p := u.pools[m.Server]
-		listed[m.Server] = true
+		p := u.pools[m.ID]
+		listed[m.ID] = true
 		switch {
 		case m.Availability == policy.Removed:
-			u.miss(m.Server)
+			u.miss(m.ID)
 		case p == nil || p.addr != m.Addr || p.upSince != m.UpSince:
-			u.forget(m.Server)
-			u.pools[m.Server] = &pool{addr: m.Addr, upSince: m.UpSince}
+			u.forget(m.ID)
+			u.pools[m.ID] = &pool{addr: m.Addr, upSince: m.UpSince}
 		default:
 			p.gone = time.Time{}
 		}
-		if p := u.pools[m.Server]; p != nil {
+		if p := u.pools[m.ID]; p != nil {
 			p.leaving = m.Availability == policy.Draining
 		}
 	}
@@ -452,7 +452,7 @@
 		res.code, res.answer = policy.OK, a.answer
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if r.head.head.get("X-Not-Run") == "1" { // without it, it may have run
-			res.code = policy.Full
+			res.code = policy.Overloaded
 		}
 	}
 	return res, reusable
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	c := testConfig(t, knownList(addrs...))
 	u := newUpstream(c, testSockets(200), newFigures(c.Settings.Classes))
-	u.update(news{policy.ListRestored, c.Known.Members})
+	u.update(news{policy.ListCached, c.Known.Members})
 	t.Cleanup(u.close)
 	return u
 }
@@ -59,8 +59,8 @@
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", policy.OK},
 		{"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", policy.OK},
 		{"HTTP/1.1 500 E\r\nContent-Length: 0\r\n\r\n", policy.ServerError},
-		{"HTTP/1.1 503 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", policy.Full},
-		{"HTTP/1.1 504 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", policy.Full},
+		{"HTTP/1.1 503 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded},
+		{"HTTP/1.1 504 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", policy.Overloaded},
 		{"HTTP/1.1 503 E\r\nContent-Length: 0\r\n\r\n", policy.ServerError},
 		{"HTTP/1.1 500 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", policy.ServerError},
 		{"HTTP/1.1 302 F\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", policy.ServerError},
--- a/internal/scaletest/requests.go
+++ b/internal/scaletest/requests.go
@@ -60,14 +60,14 @@
 	class := r.classes[r.rng.IntN(len(r.classes))]
 	r.asked++
 	id := strconv.Itoa(r.asked)
-	server, sent := r.node.Decide(policy.Request{ID: id, Class: class.Name, Tenant: tenant, ExpiresIn: class.Deadline})
+	server, sent := r.node.Decide(policy.Request{ID: id, Class: class.Name, Tenant: tenant, Timeout: class.Deadline})
 	if !sent {
 		r.refused++
 		return
 	}
 	took := answerTime/2 + time.Duration(r.rng.Int64N(int64(answerTime)))
 	r.inFlight = append(r.inFlight, policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: took,
-		Report: []float64{float64(took.Milliseconds()), reportUtil, reportRate}})
+		LoadReport: []float64{float64(took.Milliseconds()), reportUtil, reportRate}})
 	if len(r.inFlight) > r.depth {
 		r.node.End(r.inFlight[0])
 		r.inFlight = r.inFlight[1:]
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -156,9 +156,9 @@
 	c.made(time.Now())
 	c.made(time.Now())
 	take := func(node int, kind policy.ListKind, changes ...int) {
-		l := policy.MemberList{Kind: kind}
+		l := policy.EndpointList{Kind: kind}
 		for _, change := range changes {
-			l.Members = append(l.Members, policy.Member{Cell: changeCell(change)})
+			l.Endpoints = append(l.Endpoints, policy.Endpoint{Cell: changeCell(change)})
 		}
 		c.take(node, l)
 	}
@@ -179,7 +179,7 @@
 	for range 7 { // of servers 0, 1, 2, 0, 1, 2, 0
 		c.made(time.Now())
 	}
-	c.take(0, policy.MemberList{Kind: policy.ListUpdate, Members: []policy.Member{{Cell: changeCell(6)}, {Cell: changeCell(1)}}})
+	c.take(0, policy.EndpointList{Kind: policy.ListUpdate, Endpoints: []policy.Endpoint{{Cell: changeCell(6)}, {Cell: changeCell(1)}}})
 	if missed := c.missed(0); missed != 3 { // 2, 4 and 5
 		t.Errorf("%d missed, want 3", missed)
 	}
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -52,14 +52,14 @@
 }
 
 // take notes that a node has taken a list.
-func (c *changeTracker) take(node int, l policy.MemberList) {
+func (c *changeTracker) take(node int, l policy.EndpointList) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l.Kind == policy.ListReplace {
 		c.listed[node] = true
 	}
-	for _, m := range l.Members {
+	for _, m := range l.Endpoints {
 		change := int(m.Cell-firstChangeCell) - c.first
 		if change < len(c.began) {
 			c.note(node, change, now)
--- a/internal/scaletest/watchers.go
+++ b/internal/scaletest/watchers.go
@@ -232,7 +232,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		hollow, err := node.NewHollow(config, func(l policy.MemberList) { tracker.take(i, l) })
+		hollow, err := node.NewHollow(config, func(l policy.EndpointList) { tracker.take(i, l) })
 		if err != nil {
 			return nil, nil, err
 		}
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -42,8 +42,8 @@
 	o.attempt = f
 	w.outcome.Sent(w.now, o.try.Class.Name, n.zone, b.Spec.Zone)
 	way := latencyBetween(n.zone, b.Spec.Zone)
-	until := max(w.now, min(a.Until, o.try.At+o.try.Expires))
-	if a.Until == 0 {
+	until := max(w.now, min(a.AttemptDeadline, o.try.At+o.try.Expires))
+	if a.AttemptDeadline == 0 {
 		until = o.try.At + o.try.Expires
 	}
 	w.at(until, func() { w.finish(f, policy.TimedOut, nil) })
@@ -69,7 +69,7 @@
 	switch b.Offer(w.now, emulator.Job{ID: f.job, Key: t.Key, Work: t.Work}) {
 	case emulator.Rejected:
 		w.Checker.Over(t.ID, b.Spec.ID, true)
-		w.reply(n, f, way, policy.Full)
+		w.reply(n, f, way, policy.Overloaded)
 	case emulator.Failed:
 		w.Checker.Over(t.ID, b.Spec.ID, false)
 		w.reply(n, f, way, policy.ServerError)
@@ -107,6 +107,6 @@
 		return
 	}
 	w.deliver(o.node, policy.Outcome{ID: o.try.ID, Server: f.server.Spec.ID, Attempt: f.number, Code: code, Latency: w.now - f.sent,
-		Ended: ended || code == policy.OK, Report: row})
+		RequestEnded: ended || code == policy.OK, LoadReport: row})
 	w.forget(o)
 }
--- a/internal/simulation/lab_test.go
+++ b/internal/simulation/lab_test.go
@@ -114,7 +114,7 @@
 			for i := 0; b.Loop(); i++ {
 				now += 10 * time.Millisecond
 				id := "r" + string(rune(i%1000+0x1000))
-				acts := m.Handle(now, policy.Request{ID: id, Class: "meter-read", Tenant: "east", ExpiresIn: time.Second})
+				acts := m.Handle(now, policy.Request{ID: id, Class: "meter-read", Tenant: "east", Timeout: time.Second})
 				server := ""
 				for _, a := range acts {
 					if a.Kind == policy.Send {
@@ -123,7 +123,7 @@
 				}
 				if server != "" {
 					m.Handle(now+5*time.Millisecond, policy.Outcome{ID: id, Server: server, Code: policy.OK,
-						Latency: 5 * time.Millisecond, Ended: true, Report: []float64{200, 0.5, 20}})
+						Latency: 5 * time.Millisecond, RequestEnded: true, LoadReport: []float64{200, 0.5, 20}})
 				}
 			}
 		})
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -43,7 +43,7 @@
 			}
 			d := &node{name: fmt.Sprintf("n%03d", i), zone: z.Name, balancer: m, requests: make(map[string]*request)}
 			w.nodes = append(w.nodes, d)
-			w.deliver(d, policy.MemberList{Kind: policy.ListRestored, Members: w.members()})
+			w.deliver(d, policy.EndpointList{Kind: policy.ListCached, Endpoints: w.members()})
 		}
 	}
 	return nil
@@ -51,19 +51,19 @@
 
 // settings are those of a node, as the platform and the places section would give them.
 func (w *World) settings(z Zone, i, n int) policy.Settings {
-	s := policy.Settings{Node: i, Nodes: n, Zone: z.Name, WorthByWork: true,
-		Allowed: policy.Allowed{MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: 3 * time.Second, ConnIdle: time.Minute},
-		Rules: policy.Rules{DrainGrace: 1500 * time.Millisecond, ColdShare: 0.13, ColdFor: 24 * time.Second,
-			FallMultiple: 2.5, FallFor: 3 * time.Second}}
+	s := policy.Settings{NodeIndex: i, NodeCount: n, Zone: z.Name, WeightByWork: true,
+		Allowed: policy.Allowed{MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: 3 * time.Second, IdleTimeout: time.Minute},
+		Rules: policy.Rules{DrainGrace: 1500 * time.Millisecond, SlowStartMinCapacity: 0.13, SlowStartDuration: 24 * time.Second,
+			OverloadMultiple: 2.5, OverloadDuration: 3 * time.Second}}
 	if w.Reports == nil || *w.Reports {
-		s.Report = []string{"latency_ms", "util", "qps"}
+		s.ReportFields = []string{"latency_ms", "util", "qps"}
 	}
 	for _, t := range w.Tenants() {
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Quota: t.Share * w.QuotaFor(n), Share: t.Share})
 	}
-	repeats := map[emulator.Repeat]policy.Repeat{emulator.Free: policy.Free, emulator.Guarded: policy.Guarded}
+	repeats := map[emulator.Repeat]policy.RetrySafety{emulator.Free: policy.Idempotent, emulator.Guarded: policy.IdempotencyKeyed}
 	for _, c := range w.classes {
-		k := policy.Class{Name: c.Name, Aim: c.Aim, Deadline: c.Deadline, Repeat: repeats[c.Repeat], Window: c.Window, Worth: c.Worth}
+		k := policy.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline, RetrySafety: repeats[c.Repeat], DedupWindow: c.Window, PriorityWeight: c.Worth}
 		for _, b := range w.Bound {
 			if b.Class == c.Name {
 				k.Regions, k.Zones = b.Regions, b.Zones
@@ -72,9 +72,9 @@
 		s.Classes = append(s.Classes, k)
 	}
 	if w.Places {
-		s.Places = &policy.Places{Region: make(map[string]string), SameRegion: 1, OtherRegion: 3}
+		s.Topology = &policy.Topology{RegionOfZone: make(map[string]string), SameRegionCost: 1, OtherRegionCost: 3}
 		for _, z := range w.Zones {
-			s.Places.Region[z.Name] = z.Region
+			s.Topology.RegionOfZone[z.Name] = z.Region
 		}
 	}
 	return s
@@ -95,7 +95,7 @@
 	switch a.Kind {
 	case policy.Send:
 		w.send(n, a)
-	case policy.Refuse:
+	case policy.Reject:
 		status := 503
 		if a.Wait > 0 {
 			status = 429
@@ -134,14 +134,14 @@
 	w.in(t.Expires, func() {
 		if !o.answered {
 			o.answered = true
-			w.deliver(n, policy.Lapsed{ID: t.ID})
+			w.deliver(n, policy.ClientCancelled{ID: t.ID})
 			w.Checker.Silent(w.now, t.ID)
 			w.endTry(g, t, 0, 0)
 			w.forget(o)
 		}
 	})
-	w.deliver(n, policy.Request{ID: t.ID, Class: t.Class.Name, Tenant: t.Tenant, Key: t.Key, ExpiresIn: t.Expires - 10*time.Millisecond,
-		Retry: t.Number > 0, Write: t.Class.Repeat != emulator.Free})
+	w.deliver(n, policy.Request{ID: t.ID, Class: t.Class.Name, Tenant: t.Tenant, Key: t.Key, Timeout: t.Expires - 10*time.Millisecond,
+		ClientRetry: t.Number > 0, Write: t.Class.Repeat != emulator.Free})
 }
 
 // answer gives a try its final answer.
@@ -180,7 +180,7 @@
 				panic(err)
 			}
 			n.balancer, n.down, n.knownDown = m, false, false
-			w.deliver(n, policy.MemberList{Kind: policy.ListRestored, Members: w.members()})
+			w.deliver(n, policy.EndpointList{Kind: policy.ListCached, Endpoints: w.members()})
 			continue
 		}
 		n.down = true
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -76,7 +76,7 @@
 }
 
 // members is what the list service says now.
-func (w *World) members() (all []policy.Member) {
+func (w *World) members() (all []policy.Endpoint) {
 	for _, b := range w.servers {
 		if m := b.member(); m.Availability != policy.Removed {
 			all = append(all, m)
@@ -85,23 +85,23 @@
 	return all
 }
 
-func (b *server) member() policy.Member {
+func (b *server) member() policy.Endpoint {
 	phases := map[string]policy.Availability{emulator.Up: policy.Running, emulator.Draining: policy.Draining,
 		emulator.Removed: policy.Removed}
-	return policy.Member{Server: b.Spec.ID, Zone: b.Spec.Zone, Kind: b.Spec.Kind, Cell: b.Spec.Cell, Weight: 1,
-		OnlineSince: b.Started(), Availability: phases[b.phase]}
+	return policy.Endpoint{ID: b.Spec.ID, Zone: b.Spec.Zone, Kind: b.Spec.Kind, Cell: b.Spec.Cell, Weight: 1,
+		StartedAt: b.Started(), Availability: phases[b.phase]}
 }
 
 // announce tells all nodes of these servers after a time.
 func (w *World) announce(after time.Duration, servers []*server) {
 	for _, n := range w.nodes {
 		w.in(after+time.Duration(w.rng.Int64N(int64(maxListDelay))), func() {
-			var news []policy.Member
+			var news []policy.Endpoint
 			for _, b := range servers {
 				news = append(news, b.member())
 				w.Checker.Told(w.now, n.name, b.Spec.ID, b.phase)
 			}
-			w.deliver(n, policy.MemberList{Kind: policy.ListUpdate, Members: news})
+			w.deliver(n, policy.EndpointList{Kind: policy.ListUpdate, Endpoints: news})
 		})
 	}
 }
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -48,7 +48,7 @@
 // The zero value is ready to use.
 type Decoder struct {
 	parser fastjson.Parser
-	lists  [lists][]policy.Member
+	lists  [lists][]policy.Endpoint
 	known  [lists]bool
 	names  map[string]string
 }
@@ -111,13 +111,13 @@
 	case "reminder":
 		return policy.Timer{Token: f.uint(1, "token")}, nil
 	case "lapsed":
-		return policy.Lapsed{ID: f.str(1, "ticket")}, nil
+		return policy.ClientCancelled{ID: f.str(1, "ticket")}, nil
 	case "headers":
 		return policy.FirstByte{ID: f.str(1, "ticket"), Attempt: f.int(2, "roundNo"),
 			Latency: f.ms(3, "waitTime"), Server: f.name(4, "server")}, nil
 	case "healthResult":
 		return policy.ProbeResult{Latency: f.ms(1, "waitTime"), Code: f.code(2),
-			Server: f.name(3, "server"), Report: f.report(4)}, nil
+			Server: f.name(3, "server"), LoadReport: f.report(4)}, nil
 	case "neighbourSays":
 		return policy.PeerMessage{From: f.int(1, "from"), Body: f.str(2, "body")}, nil
 	case "peersKnown":
@@ -141,22 +141,22 @@
 func (f *fields) request() policy.Request {
 	return policy.Request{
 		ID: f.str(1, "ticket"), Class: f.name(2, "cls"), Tenant: f.optName(3, "team"),
-		Key: f.optStr(4, "object"), ExpiresIn: f.ms(5, "expiresIn"), Hint: f.optMs(6, "effort"),
-		Retry: f.optBool(7, "isRetry"), Write: f.optBool(8, "update"),
+		Key: f.optStr(4, "object"), Timeout: f.ms(5, "expiresIn"), EstimatedWork: f.optMs(6, "effort"),
+		ClientRetry: f.optBool(7, "isRetry"), Write: f.optBool(8, "update"),
 	}
 }
 
 func (f *fields) outcome() policy.Outcome {
 	return policy.Outcome{
 		ID: f.str(1, "ticket"), Attempt: f.int(2, "roundNo"), Server: f.name(3, "server"),
-		Code: f.code(4), Latency: f.ms(5, "waitTime"), Ended: f.optBool(6, "doneFlag"), Report: f.report(7),
+		Code: f.code(4), Latency: f.ms(5, "waitTime"), RequestEnded: f.optBool(6, "doneFlag"), LoadReport: f.report(7),
 	}
 }
 
 var codes = map[string]policy.Code{
-	"done": policy.OK, "err": policy.ServerError, "busy": policy.Full, "etimedout": policy.TimedOut,
+	"done": policy.OK, "err": policy.ServerError, "busy": policy.Overloaded, "etimedout": policy.TimedOut,
 	"econnrefused": policy.ConnectFailed, "econnreset": policy.Reset,
-	"ecanceled": policy.Cancelled, "skipped": policy.Moot,
+	"ecanceled": policy.Cancelled, "skipped": policy.NotAttempted,
 }
 
 func (f *fields) code(i int) policy.Code {
@@ -184,7 +184,7 @@
 		return f.err
 	}
 	// A new slice each time: instances keep reading the old one.
-	entries := make([]policy.Member, 0, len(recs.GetArray()))
+	entries := make([]policy.Endpoint, 0, len(recs.GetArray()))
 	for i, r := range recs.GetArray() {
 		m, err := d.member(r)
 		if err != nil {
@@ -196,13 +196,13 @@
 	return nil
 }
 
-func (d *Decoder) member(v *fastjson.Value) (policy.Member, error) {
+func (d *Decoder) member(v *fastjson.Value) (policy.Endpoint, error) {
 	if v.Type() != fastjson.TypeArray {
-		return policy.Member{}, fmt.Errorf("entry: want an array, got %s", v.Type())
+		return policy.Endpoint{}, fmt.Errorf("entry: want an array, got %s", v.Type())
 	}
 	f := fields{vals: v.GetArray(), d: d}
-	m := policy.Member{OnlineSince: f.optMs(0, "onlineSince"), Weight: 1, Kind: f.optName(3, "classOfHost"),
-		Zone: f.optName(4, "campus"), Server: f.name(6, "server")}
+	m := policy.Endpoint{StartedAt: f.optMs(0, "onlineSince"), Weight: 1, Kind: f.optName(3, "classOfHost"),
+		Zone: f.optName(4, "campus"), ID: f.name(6, "server")}
 	switch s := f.name(1, "availability"); s {
 	case "Running":
 	case "Stopping":
@@ -223,23 +223,23 @@
 
 var listKinds = map[string]policy.ListKind{
 	"replace": policy.ListReplace, "update": policy.ListUpdate,
-	"restored": policy.ListRestored, "unavailable": policy.ListUnavailable,
+	"restored": policy.ListCached, "unavailable": policy.ListUnavailable,
 }
 
-func (d *Decoder) members(f *fields) (policy.MemberList, error) {
+func (d *Decoder) members(f *fields) (policy.EndpointList, error) {
 	how := f.name(1, "how")
 	kind, ok := listKinds[how]
 	if f.err == nil && !ok {
 		f.fail("how", "unknown kind %q", how)
 	}
 	if f.err != nil || kind == policy.ListUnavailable {
-		return policy.MemberList{Kind: kind}, f.err
+		return policy.EndpointList{Kind: kind}, f.err
 	}
 	n := d.listNumber(f, 3)
 	if f.err == nil && !d.known[n] {
 		f.fail("buffer", "list %d was never sent", n)
 	}
-	return policy.MemberList{Kind: kind, Members: d.lists[n]}, f.err
+	return policy.EndpointList{Kind: kind, Endpoints: d.lists[n]}, f.err
 }
 
 // fields reads the values of a message by place, keeping the first error.
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -10,8 +10,8 @@
 
 // names of the actions on the wire, by kind.
 var actionNames = [...]string{
-	policy.Send: "handOff", policy.Refuse: "notNow", policy.Fail: "abort", policy.Cancel: "stopAttempt",
-	policy.SetTimer: "wakeMe", policy.Probe: "poll", policy.Tell: "announce", policy.CloseIdle: "freeLinks",
+	policy.Send: "handOff", policy.Reject: "notNow", policy.Fail: "abort", policy.Cancel: "stopAttempt",
+	policy.SetTimer: "wakeMe", policy.Probe: "poll", policy.SendPeerMessage: "announce", policy.CloseIdle: "freeLinks",
 	policy.Log: "sayLog", policy.WatchList: "listen", policy.FetchList: "readList",
 }
 
@@ -24,10 +24,10 @@
 	switch a.Kind {
 	case policy.Send:
 		b = appendString(appendString(b, a.ID), a.Server)
-		if a.Until > 0 {
-			b = appendMs(b, a.Until)
+		if a.AttemptDeadline > 0 {
+			b = appendMs(b, a.AttemptDeadline)
 		}
-	case policy.Refuse:
+	case policy.Reject:
 		b = appendString(b, a.ID)
 		if a.Wait > 0 {
 			b = appendMs(b, a.Wait)
@@ -40,12 +40,12 @@
 		b = strconv.AppendUint(append(appendMs(b, a.Wait), ','), a.Token, 10)
 	case policy.Probe, policy.CloseIdle:
 		b = appendString(b, a.Server)
-	case policy.Tell:
+	case policy.SendPeerMessage:
 		b = appendString(strconv.AppendInt(append(b, ','), int64(a.Peer), 10), a.Text)
 	case policy.Log:
 		b = appendString(b, a.Text)
 	case policy.WatchList:
-		b = strconv.AppendBool(append(b, ','), a.On)
+		b = strconv.AppendBool(append(b, ','), a.Enabled)
 	}
 	return append(b, "]\n"...)
 }
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -116,10 +116,10 @@
 }
 
 var (
-	repeats = map[string]policy.Repeat{"": policy.Never, "single_shot": policy.Never,
-		"guarded": policy.Guarded, "free": policy.Free}
-	groups = map[string]policy.Group{"": policy.GroupCell, "cell": policy.GroupCell,
-		"zone": policy.GroupZone, "all": policy.GroupAll}
+	repeats = map[string]policy.RetrySafety{"": policy.NonIdempotent, "single_shot": policy.NonIdempotent,
+		"guarded": policy.IdempotencyKeyed, "free": policy.Idempotent}
+	groups = map[string]policy.DedupScope{"": policy.DedupPerCell, "cell": policy.DedupPerCell,
+		"zone": policy.DedupPerZone, "all": policy.DedupEverywhere}
 	modes  = map[string]bool{"": false, "automatic": false, "subscribe": true}
 	worths = map[string]bool{"": false, "request": false, "work": true}
 )
@@ -141,15 +141,15 @@
 	var err error
 	o := object{v: conf, err: &err}
 	s := policy.Settings{
-		Node: o.whole("position"), Nodes: o.whole("groupSize"), Zone: o.str("zone"),
-		Subscribe:   word(o, "registryMode", modes),
-		WorthByWork: word(o, "worthBy", worths),
+		NodeIndex: o.whole("position"), NodeCount: o.whole("groupSize"), Zone: o.str("zone"),
+		SubscribeList: word(o, "registryMode", modes),
+		WeightByWork:  word(o, "worthBy", worths),
 	}
 	o.each("services", func(c object) {
 		s.Classes = append(s.Classes, policy.Class{
-			Name: c.str("name"), Aim: c.ms("aim"), AimStretch: c.num("aimStretch"), Deadline: c.ms("deadline"),
-			Repeat: word(c, "repeat", repeats), Group: word(c, "group", groups), Window: c.ms("window"),
-			LateWorth: c.num("lateWorth"), Worth: c.num("value"), Stream: c.flag("stream"),
+			Name: c.str("name"), LatencyObjective: c.ms("aim"), ObjectivePerWork: c.num("aimStretch"), Deadline: c.ms("deadline"),
+			RetrySafety: word(c, "repeat", repeats), DedupScope: word(c, "group", groups), DedupWindow: c.ms("window"),
+			LateWeight: c.num("lateWorth"), PriorityWeight: c.num("value"), Streaming: c.flag("stream"),
 			Kinds: c.strs("servedOn"), Zones: c.strs("localitiesOnly"),
 		})
 	})
@@ -162,23 +162,23 @@
 		Cancel: lim.flag("cancelling"), Probe: lim.flag("probes"),
 		Peers: lim.flag("peerMessages"), RetryAfter: lim.flag("retryAfter"),
 		MaxAttempts: lim.whole("maxAttempts"), MaxRetryAfter: lim.ms("maxRetryAfter"),
-		ConnIdle: lim.ms("connIdle"),
+		IdleTimeout: lim.ms("connIdle"),
 	}
 	g := o.sub("guarantees")
 	s.Rules = policy.Rules{
-		AnswerGrace: g.ms("graceToAnswer"), DrainGrace: g.ms("drainGrace"), ColdShare: g.num("coldShare"),
-		ColdFor: g.ms("cold"), FallMultiple: g.num("fallMultiple"), FallFor: g.ms("overloadFor"),
-		AskWithin: g.ms("mustAskIn"), Attempts: budget(g),
+		AnswerGrace: g.ms("graceToAnswer"), DrainGrace: g.ms("drainGrace"), SlowStartMinCapacity: g.num("coldShare"),
+		SlowStartDuration: g.ms("cold"), OverloadMultiple: g.num("fallMultiple"), OverloadDuration: g.ms("overloadFor"),
+		PollInterval: g.ms("mustAskIn"), RetryBudget: budget(g),
 	}
-	s.Report = o.sub("report").strs("fields")
+	s.ReportFields = o.sub("report").strs("fields")
 	return s, err
 }
 
 // budget reads the rule on further attempts, which holds where any of its figures is present.
-func budget(g object) *policy.Budget {
+func budget(g object) *policy.RetryBudget {
 	number := fastjson.TypeNumber
 	if g.get("minExtra", number) == nil && g.get("budgetShare", number) == nil && g.get("ratioSpan", number) == nil {
 		return nil
 	}
-	return &policy.Budget{Least: g.num("minExtra"), Share: g.num("budgetShare"), Span: g.ms("ratioSpan")}
+	return &policy.RetryBudget{MinRetries: g.num("minExtra"), RetryRatio: g.num("budgetShare"), Window: g.ms("ratioSpan")}
 }
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -24,11 +24,11 @@
 	var d Decoder
 	decode(t, &d, `["list",3,[[null,"Running",1,"k","a",0,"s1"],[6100.5,"Stopping",1.5,"k","b",7,"s2"],`+
 		`[0,"Deleted",1,"k","b",7,"s3",null,"more"]]]`)
-	list := []policy.Member{
-		{Server: "s1", Zone: "a", Kind: "k", Weight: 1},
-		{Server: "s2", Zone: "b", Kind: "k", Cell: 7, Weight: 1.5, OnlineSince: 6100*ms + 500*time.Microsecond,
+	list := []policy.Endpoint{
+		{ID: "s1", Zone: "a", Kind: "k", Weight: 1},
+		{ID: "s2", Zone: "b", Kind: "k", Cell: 7, Weight: 1.5, StartedAt: 6100*ms + 500*time.Microsecond,
 			Availability: policy.Draining},
-		{Server: "s3", Zone: "b", Kind: "k", Cell: 7, Weight: 1, Availability: policy.Removed},
+		{ID: "s3", Zone: "b", Kind: "k", Cell: 7, Weight: 1, Availability: policy.Removed},
 	}
 	for _, c := range []struct {
 		line string
@@ -38,15 +38,15 @@
 		{`["eob"]`, Line{Kind: EndBatch}},
 		{`["shutdown",3]`, Line{Kind: Shutdown, Node: 3}},
 		{`["reminder",3,9223372036854775808]`, Line{Kind: Event, Node: 3, Event: policy.Timer{Token: 1 << 63}}},
-		{`["lapsed",5,"id"]`, Line{Kind: Event, Node: 5, Event: policy.Lapsed{ID: "id"}}},
+		{`["lapsed",5,"id"]`, Line{Kind: Event, Node: 5, Event: policy.ClientCancelled{ID: "id"}}},
 		{`["ingress",3,"id","c","t","k",240.0,12.0,true,true,"later"]`, Line{Kind: Event, Node: 3,
-			Event: policy.Request{ID: "id", Class: "c", Tenant: "t", Key: "k", ExpiresIn: 240 * ms,
-				Hint: 12 * ms, Retry: true, Write: true}}},
+			Event: policy.Request{ID: "id", Class: "c", Tenant: "t", Key: "k", Timeout: 240 * ms,
+				EstimatedWork: 12 * ms, ClientRetry: true, Write: true}}},
 		{`["ingress",3,"id","c",null,null,240]`, Line{Kind: Event, Node: 3,
-			Event: policy.Request{ID: "id", Class: "c", ExpiresIn: 240 * ms}}},
+			Event: policy.Request{ID: "id", Class: "c", Timeout: 240 * ms}}},
 		{`["completed",3,"id",1,"s1","busy",18.5,false,[0.5,14.5]]`, Line{Kind: Event, Node: 3,
-			Event: policy.Outcome{ID: "id", Attempt: 1, Server: "s1", Code: policy.Full,
-				Latency: 18*ms + 500*time.Microsecond, Report: []float64{0.5, 14.5}}}},
+			Event: policy.Outcome{ID: "id", Attempt: 1, Server: "s1", Code: policy.Overloaded,
+				Latency: 18*ms + 500*time.Microsecond, LoadReport: []float64{0.5, 14.5}}}},
 		{`["headers",3,"id",0,9,"s1"]`, Line{Kind: Event, Node: 3,
 			Event: policy.FirstByte{ID: "id", Latency: 9 * ms, Server: "s1"}}},
 		{`["healthResult",3,1,"done","s1",null]`, Line{Kind: Event, Node: 3,
@@ -54,9 +54,9 @@
 		{`["neighbourSays",3,2,"hi \"7\""]`, Line{Kind: Event, Node: 3,
 			Event: policy.PeerMessage{From: 2, Body: `hi "7"`}}},
 		{`["peersKnown",3,"restored",41,3]`, Line{Kind: Event, Node: 3,
-			Event: policy.MemberList{Kind: policy.ListRestored, Members: list}}},
+			Event: policy.EndpointList{Kind: policy.ListCached, Endpoints: list}}},
 		{`["peersKnown",3,"unavailable",41,null]`, Line{Kind: Event, Node: 3,
-			Event: policy.MemberList{Kind: policy.ListUnavailable}}},
+			Event: policy.EndpointList{Kind: policy.ListUnavailable}}},
 	} {
 		if got := decode(t, &d, c.line); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s\n got %+v\nwant %+v", c.line, got, c.want)
@@ -69,7 +69,7 @@
 	var d Decoder
 	for word := range codes {
 		l := decode(t, &d, `["completed",1,"id",0,"s","`+word+`",1,false]`)
-		if got := l.Event.(policy.Outcome).Code.NotRun(); got != notRun[word] {
+		if got := l.Event.(policy.Outcome).Code.ProvesNotRun(); got != notRun[word] {
 			t.Errorf("%s: NotRun %v", word, got)
 		}
 	}
@@ -82,15 +82,15 @@
 		`"servedOn":["k1","k2"],"localitiesOnly":["a"]},{"name":"y","servedOn":null}],"worthBy":"work",`+
 		`"tenants":[{"name":"t","quotaRps":42,"fraction":0.4}],"limits":{"maxAttempts":4,"cancelling":true,"connIdle":5000},`+
 		`"guarantees":{"coldShare":0.17,"cold":23000,"minExtra":5,"budgetShare":0.15,"ratioSpan":5000},"report":{"fields":["util"]}}]`)
-	want := policy.Settings{Node: 1, Nodes: 4, Zone: "a", Subscribe: true,
-		Classes: []policy.Class{{Name: "x", Aim: 250 * ms, Deadline: 600 * ms, Repeat: policy.Guarded,
-			Group: policy.GroupZone, Window: 5 * time.Second, Kinds: []string{"k1", "k2"}, Zones: []string{"a"}},
+	want := policy.Settings{NodeIndex: 1, NodeCount: 4, Zone: "a", SubscribeList: true,
+		Classes: []policy.Class{{Name: "x", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: policy.IdempotencyKeyed,
+			DedupScope: policy.DedupPerZone, DedupWindow: 5 * time.Second, Kinds: []string{"k1", "k2"}, Zones: []string{"a"}},
 			{Name: "y"}},
-		WorthByWork: true,
-		Tenants:     []policy.Tenant{{Name: "t", Quota: 42, Share: 0.4}},
-		Allowed:     policy.Allowed{MaxAttempts: 4, Cancel: true, ConnIdle: 5 * time.Second},
-		Rules: policy.Rules{ColdShare: 0.17, ColdFor: 23 * time.Second,
-			Attempts: &policy.Budget{Least: 5, Share: 0.15, Span: 5 * time.Second}}, Report: []string{"util"}}
+		WeightByWork: true,
+		Tenants:      []policy.Tenant{{Name: "t", Quota: 42, Share: 0.4}},
+		Allowed:      policy.Allowed{MaxAttempts: 4, Cancel: true, IdleTimeout: 5 * time.Second},
+		Rules: policy.Rules{SlowStartMinCapacity: 0.17, SlowStartDuration: 23 * time.Second,
+			RetryBudget: &policy.RetryBudget{MinRetries: 5, RetryRatio: 0.15, Window: 5 * time.Second}}, ReportFields: []string{"util"}}
 	if l.Seed != 7 || !reflect.DeepEqual(l.Settings, want) {
 		t.Errorf("got seed %d, %+v\nwant %+v", l.Seed, l.Settings, want)
 	}
@@ -151,9 +151,9 @@
 func TestListsAreNotOverwritten(t *testing.T) {
 	var d Decoder
 	decode(t, &d, `["list",0,[[null,"Running",1,"k","a",0,"s1"]]]`)
-	first := decode(t, &d, `["peersKnown",3,"replace",1,0]`).Event.(policy.MemberList)
+	first := decode(t, &d, `["peersKnown",3,"replace",1,0]`).Event.(policy.EndpointList)
 	decode(t, &d, `["list",0,[[null,"Running",1,"k","a",0,"s2"]]]`)
-	if first.Members[0].Server != "s1" {
+	if first.Endpoints[0].ID != "s1" {
 		t.Error("the older list changed")
 	}
 }
@@ -163,19 +163,19 @@
 		act  policy.Action
 		want string
 	}{
-		{policy.Action{Kind: policy.Send, ID: "id", Server: "s", Until: 8492*ms + 250*time.Microsecond},
+		{policy.Action{Kind: policy.Send, ID: "id", Server: "s", AttemptDeadline: 8492*ms + 250*time.Microsecond},
 			`["handOff",3,"id","s",8492.25]`},
 		{policy.Action{Kind: policy.Send, ID: "id", Server: "s"}, `["handOff",3,"id","s"]`},
-		{policy.Action{Kind: policy.Refuse, ID: "id", Wait: 250 * ms}, `["notNow",3,"id",250]`},
-		{policy.Action{Kind: policy.Refuse, ID: "id"}, `["notNow",3,"id"]`},
+		{policy.Action{Kind: policy.Reject, ID: "id", Wait: 250 * ms}, `["notNow",3,"id",250]`},
+		{policy.Action{Kind: policy.Reject, ID: "id"}, `["notNow",3,"id"]`},
 		{policy.Action{Kind: policy.Fail, ID: "id"}, `["abort",3,"id"]`},
 		{policy.Action{Kind: policy.Cancel, ID: "id", Attempt: 2}, `["stopAttempt",3,"id",2]`},
 		{policy.Action{Kind: policy.SetTimer, Wait: 500 * ms, Token: 77}, `["wakeMe",3,500,77]`},
 		{policy.Action{Kind: policy.Probe, Server: "s"}, `["poll",3,"s"]`},
 		{policy.Action{Kind: policy.CloseIdle, Server: "s"}, `["freeLinks",3,"s"]`},
-		{policy.Action{Kind: policy.Tell, Peer: -1, Text: "a\nb"}, `["announce",3,-1,"a\nb"]`},
+		{policy.Action{Kind: policy.SendPeerMessage, Peer: -1, Text: "a\nb"}, `["announce",3,-1,"a\nb"]`},
 		{policy.Action{Kind: policy.Log, Text: "two"}, `["sayLog",3,"two"]`},
-		{policy.Action{Kind: policy.WatchList, On: true}, `["listen",3,true]`},
+		{policy.Action{Kind: policy.WatchList, Enabled: true}, `["listen",3,true]`},
 		{policy.Action{Kind: policy.FetchList}, `["readList",3]`},
 	} {
 		if got := string(AppendAction(nil, 3, c.act)); got != c.want+"\n" {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -28,10 +28,10 @@
 	set := site(s.nodes)
 	set.Tenants = []Tenant{{Name: "t", Quota: 1e9}}
 	if s.told {
-		set.Report = []string{reportLatency, reportUtil, reportRate}
+		set.ReportFields = []string{reportLatency, reportUtil, reportRate}
 	}
 	if s.zones {
-		set.Places = &Places{Region: map[string]string{"a": "north", "b": "north"}, SameRegion: 1, OtherRegion: 3}
+		set.Topology = &Topology{RegionOfZone: map[string]string{"a": "north", "b": "north"}, SameRegionCost: 1, OtherRegionCost: 3}
 		set.Classes[1].Kinds = []string{"k1", "k2"}
 		set.Classes[2].Zones = []string{"b"}
 	}
@@ -39,13 +39,13 @@
 }
 
 // benchMembers are n servers of which one in a hundred is cold for the time of the benchmark.
-func benchMembers(n int, now Time) []Member {
-	list := make([]Member, 0, n)
+func benchMembers(n int, now Time) []Endpoint {
+	list := make([]Endpoint, 0, n)
 	for i := range n {
-		m := Member{Server: fmt.Sprintf("s%06d", i), Zone: []string{"a", "b"}[i%2], Kind: fmt.Sprint("k", i%3),
+		m := Endpoint{ID: fmt.Sprintf("s%06d", i), Zone: []string{"a", "b"}[i%2], Kind: fmt.Sprint("k", i%3),
 			Cell: int64(i % 4), Weight: 1}
 		if i%100 == 99 {
-			m.OnlineSince = now
+			m.StartedAt = now
 		}
 		list = append(list, m)
 	}
@@ -60,17 +60,17 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	b.Handle(benchStart, MemberList{Kind: ListRestored, Members: benchMembers(servers, benchStart)})
+	b.Handle(benchStart, EndpointList{Kind: ListCached, Endpoints: benchMembers(servers, benchStart)})
 	return b
 }
 
 // decide has one request decided on and answered, and returns how many attempts it took.
 func decide(b *Balancer, now Time, id, class string, load []float64) (sent int) {
-	r := Request{ID: id, Class: class, Tenant: "t", ExpiresIn: 600 * ms}
+	r := Request{ID: id, Class: class, Tenant: "t", Timeout: 600 * ms}
 	for _, a := range b.Handle(now, r) {
 		if a.Kind == Send {
 			sent++
-			b.Handle(now+ms/2, Outcome{ID: id, Server: a.Server, Code: OK, Latency: 20 * ms, Ended: true, Report: load})
+			b.Handle(now+ms/2, Outcome{ID: id, Server: a.Server, Code: OK, Latency: 20 * ms, RequestEnded: true, LoadReport: load})
 		}
 	}
 	return sent
@@ -112,7 +112,7 @@
 			now += ms
 			m := &list[i/2*7919%servers] // steps of a prime, so that changes lie anywhere in the order
 			m.Availability = []Availability{Draining, Running}[i%2]
-			balancer.Handle(now, MemberList{Kind: ListUpdate, Members: []Member{*m}})
+			balancer.Handle(now, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{*m}})
 			i++
 		}
 	})
--- a/policy/buckets_test.go
+++ b/policy/buckets_test.go
@@ -13,14 +13,14 @@
 type neverDrops map[bucketKey]*bucket
 
 func (n neverDrops) admits(b *Balancer, tenant, class string) bool {
-	l, key, ok := b.limitFor(tenant, class)
+	l, key, ok := b.resolveLimit(tenant, class)
 	if !ok {
 		return true
 	}
-	l.PerWindow *= b.pace
+	l.PerWindow *= b.rateMultiplier
 	k := n[key]
 	if k == nil {
-		k = &bucket{tokens: l.Burst, last: b.now}
+		k = &bucket{tokens: l.Burst, refilledAt: b.now}
 		n[key] = k
 	}
 	k.refill(b.now, l.perSecond(), l.Burst)
@@ -52,7 +52,7 @@
 		model := make(neverDrops)
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			b.now += time.Duration(rapid.SampledFrom([]int{0, 1, 30, 999, 5000, 60000}).Draw(t, "wait")) * ms
-			b.pace = rapid.SampledFrom([]float64{paceLeast, 0.5, 1, paceMost}).Draw(t, "pace")
+			b.rateMultiplier = rapid.SampledFrom([]float64{minRateMultiplier, 0.5, 1, maxRateMultiplier}).Draw(t, "pace")
 			tenant := fmt.Sprint("t", rapid.IntRange(0, 12).Draw(t, "tenant")) // the last isn't named
 			class := rapid.SampledFrom([]string{"free", "once"}).Draw(t, "class")
 			want := model.admits(b, tenant, class)
@@ -60,8 +60,8 @@
 				t.Fatalf("%s, %s at %v: admitted %v, by a node that keeps all its buckets %v", tenant, class, b.now, got, want)
 			}
 		}
-		if len(b.buckets) != len(b.ring.buckets) {
-			t.Fatalf("%d buckets, %d in the ring", len(b.buckets), len(b.ring.buckets))
+		if len(b.buckets) != len(b.bucketScan.buckets) {
+			t.Fatalf("%d buckets, %d in the ring", len(b.buckets), len(b.bucketScan.buckets))
 		}
 		dropped += len(model) - len(b.buckets)
 	})
@@ -74,7 +74,7 @@
 // that ceded spends half at most.
 func TestDroppedBucketIsCededByHalf(t *testing.T) {
 	b := start(t, site(1), members(2))
-	l := b.tenants["u"]
+	l := b.tenantLimits["u"]
 	for now := Time(0); now < time.Minute; now += time.Second {
 		tenant := "t"
 		if now == 0 {
@@ -86,7 +86,7 @@
 	if b.buckets[bucketKey{tenant: "u"}] != nil {
 		t.Fatal("a full bucket was kept for a minute")
 	}
-	b.Handle(time.Minute, Ceded{On: true})
+	b.Handle(time.Minute, HandedOver{Active: true})
 	admitted := int64(0)
 	for range 2 * l.Burst {
 		if ok, _ := b.admit("u", "free"); ok {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -27,7 +27,7 @@
 
 // coldServer works on as many requests at once as it has cores, and slower while it is cold.
 type coldServer struct {
-	Member
+	Endpoint
 	capacity float64 // requests a second when warm
 	free     []Time  // when each of its cores is
 	sent     []Time  // requests that were sent to it while it was cold
@@ -62,11 +62,11 @@
 }
 
 // newColdFleet starts nodes that hear of each other where heard says so. The settings may tell another number.
-func newColdFleet(seed uint64, set Settings, nodes, heard int, servers []Member, capacity float64) *coldFleet {
+func newColdFleet(seed uint64, set Settings, nodes, heard int, servers []Endpoint, capacity float64) *coldFleet {
 	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Hour, heard: heard,
 		nodes: make([]*Balancer, nodes), life: make([]int, nodes), servers: make(map[string]*coldServer)}
 	for _, m := range servers {
-		f.servers[m.Server] = &coldServer{Member: m, capacity: capacity, free: make([]Time, 2)}
+		f.servers[m.ID] = &coldServer{Endpoint: m, capacity: capacity, free: make([]Time, 2)}
 	}
 	for n := range nodes {
 		f.startNode(n)
@@ -74,21 +74,21 @@
 	return f
 }
 
-func (f *coldFleet) list() (all []Member) {
+func (f *coldFleet) list() (all []Endpoint) {
 	for i := range len(f.servers) {
-		all = append(all, f.servers[fmt.Sprintf("s%02d", i)].Member)
+		all = append(all, f.servers[fmt.Sprintf("s%02d", i)].Endpoint)
 	}
 	return all
 }
 
 func (f *coldFleet) startNode(n int) {
 	set := f.set
-	set.Node = n % set.Nodes
+	set.NodeIndex = n % set.NodeCount
 	f.nodes[n], _ = New(set, f.now, f.rng.Uint64())
 	f.life[n]++
-	f.event(n, MemberList{Kind: ListRestored, Members: f.list()})
+	f.event(n, EndpointList{Kind: ListCached, Endpoints: f.list()})
 	if f.heard > 0 {
-		f.event(n, Fleet{Heard: f.heard})
+		f.event(n, FleetSize{ReachableNodes: f.heard})
 	}
 }
 
@@ -115,11 +115,11 @@
 
 // part is what a server can do now of what it can when warm.
 func (f *coldFleet) part(s *coldServer, at Time) float64 {
-	age := at - s.OnlineSince
-	if s.OnlineSince == 0 || age >= f.set.Rules.ColdFor {
+	age := at - s.StartedAt
+	if s.StartedAt == 0 || age >= f.set.Rules.SlowStartDuration {
 		return 1
 	}
-	return f.set.Rules.ColdShare + (1-f.set.Rules.ColdShare)*age.Seconds()/f.set.Rules.ColdFor.Seconds()
+	return f.set.Rules.SlowStartMinCapacity + (1-f.set.Rules.SlowStartMinCapacity)*age.Seconds()/f.set.Rules.SlowStartDuration.Seconds()
 }
 
 func (f *coldFleet) send(n int, a Action) {
@@ -137,14 +137,14 @@
 	work := f.rng.ExpFloat64() * float64(len(s.free)) / (s.capacity * part)
 	s.free[core] = max(s.free[core], f.now) + seconds(work)
 	took, code := s.free[core]-f.now, OK
-	if until := a.Until - f.now; took > until {
+	if until := a.AttemptDeadline - f.now; took > until {
 		took, code = until, TimedOut
 	} else {
 		f.served++
 	}
 	row := report(took.Seconds()*1000, 0.9, s.capacity*part*0.9)
-	f.toNode(n, took, Outcome{ID: a.ID, Attempt: len(f.nodes[n].reqs[a.ID].attempts) - 1, Server: a.Server, Code: code,
-		Latency: took, Ended: code == OK, Report: row})
+	f.toNode(n, took, Outcome{ID: a.ID, Attempt: len(f.nodes[n].requests[a.ID].attempts) - 1, Server: a.Server, Code: code,
+		Latency: took, RequestEnded: code == OK, LoadReport: row})
 }
 
 // ask has requests come at all nodes together at a rate for a time.
@@ -157,7 +157,7 @@
 		}
 		f.asked++
 		f.event(f.rng.IntN(len(f.nodes)), Request{ID: fmt.Sprint("r", f.asked), Class: "free", Tenant: "t",
-			ExpiresIn: 2 * time.Second})
+			Timeout: 2 * time.Second})
 		f.after(seconds(f.rng.ExpFloat64()/rate), next)
 	}
 	f.after(0, next)
@@ -176,20 +176,20 @@
 
 // restartServers has all nodes hear that servers have started anew.
 func (f *coldFleet) restartServers(ids ...string) {
-	var changed []Member
+	var changed []Endpoint
 	for _, id := range ids {
-		f.servers[id].OnlineSince = f.now
-		changed = append(changed, f.servers[id].Member)
+		f.servers[id].StartedAt = f.now
+		changed = append(changed, f.servers[id].Endpoint)
 	}
 	for n := range f.nodes {
-		f.toNode(n, time.Duration(f.rng.IntN(300))*ms, MemberList{Kind: ListUpdate, Members: changed})
+		f.toNode(n, time.Duration(f.rng.IntN(300))*ms, EndpointList{Kind: ListUpdate, Endpoints: changed})
 	}
 }
 
 // worstPart is the most that came to a cold server within the time in which it falls, in parts of what it bears then:
 // the budget of N calls, and what is put down to chance.
 func (f *coldFleet) worstPart() (worst float64, sent int) {
-	span := f.set.Rules.FallFor
+	span := f.set.Rules.OverloadDuration
 	for _, s := range f.servers {
 		sent += len(s.sent)
 		first := 0
@@ -197,7 +197,7 @@
 			for s.sent[first] < at-span {
 				first++
 			}
-			n := f.set.Rules.FallMultiple * s.capacity * f.part(s, s.sent[first]) * span.Seconds()
+			n := f.set.Rules.OverloadMultiple * s.capacity * f.part(s, s.sent[first]) * span.Seconds()
 			worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 		}
 	}
@@ -229,11 +229,11 @@
 
 func (c coldCase) play(seed uint64, reports bool) *coldFleet {
 	set := site(c.told)
-	set.Classes = []Class{{Name: "free", Aim: time.Second, Deadline: 2 * time.Second, Repeat: Free, Worth: 1}}
+	set.Classes = []Class{{Name: "free", LatencyObjective: time.Second, Deadline: 2 * time.Second, RetrySafety: Idempotent, PriorityWeight: 1}}
 	set.Tenants = []Tenant{{Name: "t", Quota: 1e6}}
-	set.Rules.ColdFor, set.Rules.FallMultiple = 20*time.Second, 2
+	set.Rules.SlowStartDuration, set.Rules.OverloadMultiple = 20*time.Second, 2
 	if reports {
-		set.Report = []string{reportLatency, reportUtil, reportRate}
+		set.ReportFields = []string{reportLatency, reportUtil, reportRate}
 	}
 	f := newColdFleet(seed, set, coldNodes, c.heard, members(12), c.capacity)
 	f.ask(0.7*warmLeft*c.capacity, 5*time.Second)
@@ -276,42 +276,42 @@
 // it would be least when the cold ones are needed most.
 func TestColdBudgetOutlivesTheLossOfWarmServers(t *testing.T) {
 	set := site(1)
-	set.Rules.ColdShare, set.Rules.ColdFor = 0.5, time.Hour
+	set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = 0.5, time.Hour
 	list := members(12)
 	const cold = 4
 	for i := range cold {
-		list[i].OnlineSince = 1
+		list[i].StartedAt = 1
 	}
 	b := start(t, set, list)
 	const perSecond = 80
 	for i := range 10 * perSecond {
 		b.now += time.Second / perSecond
-		r := &request{class: b.ranked[0]}
-		b.observe(r, &attempt{server: b.servers[fmt.Sprintf("s%02d", cold+i%8)]}, Outcome{Code: OK, Latency: 20 * ms})
+		r := &request{class: b.classOrder[0]}
+		b.observeOutcome(r, &attempt{server: b.servers[fmt.Sprintf("s%02d", cold+i%8)]}, Outcome{Code: OK, Latency: 20 * ms})
 	}
-	if got := b.carried(); math.Abs(got-perSecond/8) > 1 {
+	if got := b.peakRate(); math.Abs(got-perSecond/8) > 1 {
 		t.Fatalf("a warm server is held to carry %v, want about %v", got, perSecond/8)
 	}
-	before := b.carried()
+	before := b.peakRate()
 	rate := func() float64 { // of a server half warm, by all nodes: this is the only one
 		s := b.servers["s00"]
-		s.OnlineSince, s.cold = b.now, coldBudget{last: b.now - 10*ms}
-		b.coldRoom(s)
-		return s.cold.tokens / 0.01
+		s.StartedAt, s.warmupBudget = b.now, warmupBudget{refilledAt: b.now - 10*ms}
+		b.hasWarmupBudget(s)
+		return s.warmupBudget.tokens / 0.01
 	}
 	allowed := rate()
 	for i := cold; i < 9; i++ {
-		b.Handle(b.now, MemberList{Kind: ListUpdate, Members: []Member{{Server: fmt.Sprintf("s%02d", i), Availability: Removed}}})
+		b.Handle(b.now, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{{ID: fmt.Sprintf("s%02d", i), Availability: Removed}}})
 	}
 	b.now += 10 * time.Second
-	if got := b.carried(); got < 0.8*before {
+	if got := b.peakRate(); got < 0.8*before {
 		t.Errorf("10 s after most warm servers are gone and nothing is answered, a warm one is held to carry %v of %v", got, before)
 	}
 	if got := rate(); got < 0.8*allowed {
 		t.Errorf("a cold server may get %v requests a second then, %v before", got, allowed)
 	}
-	b.now += 10 * carriedSpan
-	if got := b.carried(); got > 0.01*before {
+	b.now += 10 * peakRateDecayTime
+	if got := b.peakRate(); got > 0.01*before {
 		t.Errorf("what a warm server carried long ago still counts %v of %v", got, before)
 	}
 }
@@ -320,13 +320,13 @@
 // first tries of what is worth less than the dearest, and by those too once they are short of room.
 func TestColdServersGetTheirPartBeforeTheWalk(t *testing.T) {
 	set := site(1)
-	set.Classes[0].Worth, set.Classes[1].Worth = 1, 5
-	list := append(members(6), Member{Server: "z-cold", Zone: "a", OnlineSince: 1, Weight: 1},
-		Member{Server: "z-far", Zone: "b", OnlineSince: 1, Weight: 1})
+	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
+	list := append(members(6), Endpoint{ID: "z-cold", Zone: "a", StartedAt: 1, Weight: 1},
+		Endpoint{ID: "z-far", Zone: "b", StartedAt: 1, Weight: 1})
 	fresh := func() *Balancer {
 		b := start(t, set, list)
 		for _, id := range []string{"z-cold", "z-far"} {
-			b.servers[id].cold.tokens = 1
+			b.servers[id].warmupBudget.tokens = 1
 		}
 		return b
 	}
@@ -337,17 +337,17 @@
 		t.Errorf("a dear request goes to %s, want a warm server", got)
 	}
 	b := fresh()
-	b.starved = 2 * starvedLittle
+	b.highPriorityShortage = 2 * maxShortageForSlowStart
 	if got := sentTo(t, b.Handle(ms, ask("dear", "once"))); got != "z-cold" {
 		t.Errorf("a dear request goes to %s while room is short, want the cold server", got)
 	}
 	b = fresh()
-	if b.servers["z-cold"].cold.tokens = 0; sentTo(t, b.Handle(ms, ask("cheap", "free"))) != "s00" {
+	if b.servers["z-cold"].warmupBudget.tokens = 0; sentTo(t, b.Handle(ms, ask("cheap", "free"))) != "s00" {
 		t.Error("a cold server is sent more than its part")
 	}
 	first := sentTo(t, b.Handle(ms, ask("again", "free")))
-	b.servers["z-cold"].cold.tokens = 1
-	if got := sentTo(t, b.Handle(2*ms, outcome("again", 0, first, Full, ms))); got == "z-cold" {
+	b.servers["z-cold"].warmupBudget.tokens = 1
+	if got := sentTo(t, b.Handle(2*ms, outcome("again", 0, first, Overloaded, ms))); got == "z-cold" {
 		t.Errorf("a further attempt goes to %s, want a warm server", got)
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -12,10 +12,10 @@
 func Example() {
 	const ms = time.Millisecond
 	b, err := policy.New(policy.Settings{
-		Nodes:   1,
-		Classes: []policy.Class{{Name: "read", Aim: 200 * ms, Deadline: time.Second, Repeat: policy.Free}},
-		Tenants: []policy.Tenant{{Name: "acme", Quota: 50}},
-		Allowed: policy.Allowed{MaxAttempts: 2},
+		NodeCount: 1,
+		Classes:   []policy.Class{{Name: "read", LatencyObjective: 200 * ms, Deadline: time.Second, RetrySafety: policy.Idempotent}},
+		Tenants:   []policy.Tenant{{Name: "acme", Quota: 50}},
+		Allowed:   policy.Allowed{MaxAttempts: 2},
 	}, 0, 1)
 	if err != nil {
 		fmt.Println(err)
@@ -26,24 +26,24 @@
 		for _, a := range acts {
 			switch a.Kind {
 			case policy.Send:
-				fmt.Println("send", a.ID, "to", a.Server, "until", a.Until)
-			case policy.Refuse:
+				fmt.Println("send", a.ID, "to", a.Server, "until", a.AttemptDeadline)
+			case policy.Reject:
 				fmt.Println("refuse", a.ID, "for", a.Wait)
 			case policy.SetTimer: // hand policy.Timer{Token: a.Token} back after a.Wait
 			}
 		}
 	}
-	carryOut(b.Handle(0, policy.MemberList{Members: []policy.Member{{Server: "one"}, {Server: "two"}}}))
+	carryOut(b.Handle(0, policy.EndpointList{Endpoints: []policy.Endpoint{{ID: "one"}, {ID: "two"}}}))
 	now := time.Second
-	carryOut(b.Handle(now, policy.Request{ID: "r1", Class: "read", Tenant: "acme", ExpiresIn: time.Second}))
+	carryOut(b.Handle(now, policy.Request{ID: "r1", Class: "read", Tenant: "acme", Timeout: time.Second}))
 	now += 100 * ms
 	carryOut(b.Handle(now, policy.Outcome{ID: "r1", Server: "one", Code: policy.ConnectFailed, Latency: 100 * ms}))
 	now += 20 * ms
-	carryOut(b.Handle(now, policy.Outcome{ID: "r1", Attempt: 1, Server: "two", Code: policy.OK, Latency: 20 * ms, Ended: true}))
+	carryOut(b.Handle(now, policy.Outcome{ID: "r1", Attempt: 1, Server: "two", Code: policy.OK, Latency: 20 * ms, RequestEnded: true}))
 
 	// Without a server in service a request is held, and refused while its client still waits.
-	carryOut(b.Handle(now, policy.MemberList{Kind: policy.ListReplace}))
-	carryOut(b.Handle(now, policy.Request{ID: "r2", Class: "read", Tenant: "acme", ExpiresIn: time.Second}))
+	carryOut(b.Handle(now, policy.EndpointList{Kind: policy.ListReplace}))
+	carryOut(b.Handle(now, policy.Request{ID: "r2", Class: "read", Tenant: "acme", Timeout: time.Second}))
 	for range 6 {
 		now += 20 * ms
 		carryOut(b.Handle(now, policy.Timer{Token: 1}))
--- a/policy/fleet.go
+++ b/policy/fleet.go
@@ -7,60 +7,60 @@
 // than half take the silent ones' parts, and a side with half or less keeps what it had: under one and a half
 // quotas for a split however long, and under half a quota more whenever the larger side splits again.
 
-const fleetHold = time.Minute // longer than nearly every restart, and than the splits that heal by themselves
+const fleetShrinkDelay = time.Minute // longer than nearly every restart, and than the splits that heal by themselves
 
-// configured takes over the number of nodes that the settings tell, and returns the one to go by: what the
+// configure takes over the number of nodes that the settings tell, and returns the one to go by: what the
 // nodes found out themselves, unless the settings have changed since.
-func (f *presence) configured(nodes int) int {
-	if f.told != nodes {
-		f.told, f.agreed, f.below = nodes, nodes, 0
+func (f *fleetSize) configure(nodes int) int {
+	if f.configuredNodes != nodes {
+		f.configuredNodes, f.quotaNodes, f.shrunkSince = nodes, nodes, 0
 	}
-	return f.agreed
+	return f.quotaNodes
 }
 
-// onFleet follows the number of nodes that are heard. A part shrinks at once, and grows late.
-func (b *Balancer) onFleet(e Fleet) {
-	f := &b.fleet
-	f.known, f.heard, f.near = true, max(1, e.Heard), e.Near
-	b.countNear()
-	b.pace = min(b.pace, b.paceTop())
+// onFleetSize follows the number of nodes that are heard. A part shrinks at once, and grows late.
+func (b *Balancer) onFleetSize(e FleetSize) {
+	f := &b.fleetSize
+	f.hasMembership, f.reachable, f.reachableInZone = true, max(1, e.ReachableNodes), e.ReachableInZone
+	b.countNearbyNodes()
+	b.rateMultiplier = min(b.rateMultiplier, b.rateMultiplierCap())
 	switch {
-	case f.heard >= f.agreed || 2*f.heard <= f.agreed: // or cut off: those not heard may serve on
-		f.below = 0
-		b.agree(max(f.agreed, f.heard))
-	case f.below == 0:
-		f.below, f.most = b.now, f.heard
-		b.emit(Action{Kind: SetTimer, Wait: fleetHold, Token: fleetToken})
+	case f.reachable >= f.quotaNodes || 2*f.reachable <= f.quotaNodes: // or cut off: those not heard may serve on
+		f.shrunkSince = 0
+		b.setQuotaNodes(max(f.quotaNodes, f.reachable))
+	case f.shrunkSince == 0:
+		f.shrunkSince, f.maxReachable = b.now, f.reachable
+		b.emit(Action{Kind: SetTimer, Wait: fleetShrinkDelay, Token: fleetSizeTimerToken})
 	default:
-		f.most = max(f.most, f.heard)
+		f.maxReachable = max(f.maxReachable, f.reachable)
 	}
 }
 
-// settleFleet counts those as gone who were silent throughout the hold.
-func (b *Balancer) settleFleet() {
-	f := &b.fleet
-	if f.below == 0 || b.now-f.below < fleetHold {
+// settleFleetSize counts those as gone who were silent throughout the hold.
+func (b *Balancer) settleFleetSize() {
+	f := &b.fleetSize
+	if f.shrunkSince == 0 || b.now-f.shrunkSince < fleetShrinkDelay {
 		return
 	}
-	f.below = 0
-	b.agree(f.most)
-	b.onFleet(Fleet{Heard: f.heard, Near: f.near}) // fewer may be left by now
+	f.shrunkSince = 0
+	b.setQuotaNodes(f.maxReachable)
+	b.onFleetSize(FleetSize{ReachableNodes: f.reachable, ReachableInZone: f.reachableInZone}) // fewer may be left by now
 }
 
-// agree divides the quotas by another number of nodes.
-func (b *Balancer) agree(nodes int) {
-	if nodes == b.fleet.agreed {
+// setQuotaNodes divides the quotas by another number of nodes.
+func (b *Balancer) setQuotaNodes(nodes int) {
+	if nodes == b.fleetSize.quotaNodes {
 		return
 	}
-	b.fleet.agreed, b.set.Nodes, b.stale = nodes, nodes, true
-	b.divide()
-	b.reorder()
+	b.fleetSize.quotaNodes, b.settings.NodeCount, b.orderStale = nodes, nodes, true
+	b.divideQuotas()
+	b.refreshOrder()
 }
 
-// paceTop is how far the buckets' pace may go: a quota that the nodes divide among themselves is one.
-func (b *Balancer) paceTop() float64 {
-	if b.fleet.known {
+// rateMultiplierCap is how far the buckets' pace may go: a quota that the nodes divide among themselves is one.
+func (b *Balancer) rateMultiplierCap() float64 {
+	if b.fleetSize.hasMembership {
 		return 1
 	}
-	return paceMost
+	return maxRateMultiplier
 }
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -11,11 +11,11 @@
 func counts(b *Balancer, timers *[]Time, now Time, heard int) {
 	for _, at := range *timers {
 		if at <= now {
-			b.Handle(at, Timer{Token: fleetToken})
+			b.Handle(at, Timer{Token: fleetSizeTimerToken})
 		}
 	}
-	for _, a := range b.Handle(now, Fleet{Heard: heard}) {
-		if a.Kind == SetTimer && a.Token == fleetToken {
+	for _, a := range b.Handle(now, FleetSize{ReachableNodes: heard}) {
+		if a.Kind == SetTimer && a.Token == fleetSizeTimerToken {
 			*timers = append(*timers, now+a.Wait)
 		}
 	}
@@ -24,7 +24,7 @@
 // Parts shrink at once, grow late, and stay on a side that hears half or less.
 func TestFleetDividesQuotas(t *testing.T) {
 	set := site(1)
-	set.Nodes = 7
+	set.NodeCount = 7
 	for _, step := range []struct {
 		name  string
 		hears []int // one every 10 s
@@ -51,7 +51,7 @@
 			for i, n := range step.hears {
 				counts(b, &timers, time.Duration(i)*10*time.Second, n)
 			}
-			if got, _, cut := b.Fleet(); got != step.want || cut != step.cut {
+			if got, _, cut := b.FleetSize(); got != step.want || cut != step.cut {
 				t.Errorf("quotas by %d nodes, cut off: %v; want %d, %v", got, cut, step.want, step.cut)
 			}
 		})
@@ -78,7 +78,7 @@
 			for i, b := range nodes {
 				counts(b, &timers[i], now, sizes[side[i]])
 			}
-			if sum := parts(nodes); now-whole < fleetHold && sum > 1+1e-9 {
+			if sum := parts(nodes); now-whole < fleetShrinkDelay && sum > 1+1e-9 {
 				t.Fatalf("the parts sum to %.3f of the quota at %v, whole at %v, sides %v", sum, now, whole, side)
 			}
 		}
@@ -90,7 +90,7 @@
 	for n := 2; n <= 9; n++ {
 		for k := 1; k < n; k++ {
 			nodes, timers := fleetOf(n)
-			for now := time.Second; now < 3*fleetHold; now += 10 * time.Second {
+			for now := time.Second; now < 3*fleetShrinkDelay; now += 10 * time.Second {
 				for i, b := range nodes {
 					heard := k
 					if i >= k {
@@ -111,7 +111,7 @@
 	nodes, timers = make([]*Balancer, n), make([][]Time, n)
 	for i := range nodes {
 		set := site(n)
-		set.Node = i
+		set.NodeIndex = i
 		nodes[i], _ = New(set, 0, uint64(i))
 		counts(nodes[i], &timers[i], 0, n)
 	}
@@ -121,7 +121,7 @@
 // parts sums the parts of a quota.
 func parts(nodes []*Balancer) (sum float64) {
 	for _, b := range nodes {
-		by, _, _ := b.Fleet()
+		by, _, _ := b.FleetSize()
 		sum += 1 / float64(by)
 	}
 	return sum
@@ -133,12 +133,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.pace = paceMost
-	b.Handle(1, Fleet{Heard: 1})
-	b.refused = true
-	b.follow(true)
-	if b.pace != 1 {
-		t.Errorf("pace %v", b.pace)
+	b.rateMultiplier = maxRateMultiplier
+	b.Handle(1, FleetSize{ReachableNodes: 1})
+	b.bucketRejected = true
+	b.adjustRateMultiplier(true)
+	if b.rateMultiplier != 1 {
+		t.Errorf("pace %v", b.rateMultiplier)
 	}
 }
 
@@ -149,14 +149,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Handle(1, Fleet{Heard: 3})
+	b.Handle(1, FleetSize{ReachableNodes: 3})
 	b.Handle(2, set)
-	if got, _, _ := b.Fleet(); got != 3 {
+	if got, _, _ := b.FleetSize(); got != 3 {
 		t.Errorf("%d nodes after the same settings", got)
 	}
-	set.Nodes = 2
+	set.NodeCount = 2
 	b.Handle(3, set)
-	if got, _, _ := b.Fleet(); got != 2 {
+	if got, _, _ := b.FleetSize(); got != 2 {
 		t.Errorf("%d nodes after settings for 2", got)
 	}
 }
--- a/policy/knowledge_json_test.go
+++ b/policy/knowledge_json_test.go
@@ -13,22 +13,22 @@
 const knowledgeFile = "testdata/knowledge.json"
 
 // wholeKnowledge has another value in each field, so that no two keys can be mixed up unnoticed.
-func wholeKnowledge() Knowledge {
-	return Knowledge{
-		Buckets: []KnownBucket{{Tenant: "tenant", Class: "class", Tokens: 1, Last: -2}},
-		Classes: map[string]KnownClass{"class": {Tail: 3 * time.Millisecond, FirstTry: 4 * time.Millisecond}},
-		Servers: map[string]KnownServer{"server": {OnlineSince: -5, Threshold: 6.5, Latency: 7.5, Reported: 8.5, Rate: 9.5,
-			Score: 0.1, ColdTokens: 0.11, Felt: true, Times: 12, BusyTo: -13, HeardAt: -14, LastSend: -15, LastDone: -16,
-			OutUntil: 17, ColdAt: -18}, "ejected": {Out: true}},
-		Kinds: map[string]KnownLoad{"kind": {N: 19, Rate: 20.5, Latency: 0.21}},
-		Usual: KnownLoad{N: 22, Rate: 23.5, Latency: 0.24},
-		Took:  []Time{-25, -26}, Extra: []Time{-27},
-		Pace: 0.28, Trust: 0.29, Busy: 0.3, Bad: 0.31, Done: 32.5,
-		HeardAt: -33, DoneAt: -34,
+func wholeKnowledge() Snapshot {
+	return Snapshot{
+		Buckets: []BucketSnapshot{{Tenant: "tenant", Class: "class", Tokens: 1, RefilledAt: -2}},
+		Classes: map[string]ClassSnapshot{"class": {TailLatency: 3 * time.Millisecond, FirstTryTimeout: 4 * time.Millisecond}},
+		Servers: map[string]ServerSnapshot{"server": {StartedAt: -5, ConcurrencyLimit: 6.5, MeanLatency: 7.5, ReportedLatency: 8.5, ReportedRate: 9.5,
+			FailureScore: 0.1, WarmupTokens: 0.11, LimitReached: true, Ejections: 12, BusyUntil: -13, ReportedAt: -14, LastSentAt: -15, LastResponseAt: -16,
+			EjectedUntil: 17, WarmupRefilledAt: -18}, "ejected": {Ejected: true}},
+		LoadByKind:  map[string]LoadSnapshot{"kind": {Samples: 19, Rate: 20.5, Latency: 0.21}},
+		TypicalLoad: LoadSnapshot{Samples: 22, Rate: 23.5, Latency: 0.24},
+		AcceptedAt:  []Time{-25, -26}, RetriesAt: []Time{-27},
+		RateMultiplier: 0.28, WindowScale: 0.29, Utilization: 0.3, BadRatio: 0.31, CompletionRate: 32.5,
+		ReportedAt: -33, CompletionRateAt: -34,
 	}
 }
 
-func writtenKnowledge(t *testing.T, k Knowledge) []byte {
+func writtenKnowledge(t *testing.T, k Snapshot) []byte {
 	t.Helper()
 	text, err := json.MarshalIndent(k, "", "\t")
 	if err != nil {
@@ -51,7 +51,7 @@
 	if got := writtenKnowledge(t, wholeKnowledge()); !bytes.Equal(got, want) {
 		t.Errorf("written as\n%s\nwant\n%s", got, want)
 	}
-	var read Knowledge
+	var read Snapshot
 	if err := json.Unmarshal(want, &read); err != nil {
 		t.Fatal(err)
 	}
@@ -84,5 +84,5 @@
 			}
 		}
 	}
-	check(reflect.TypeFor[Knowledge]())
+	check(reflect.TypeFor[Snapshot]())
 }
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -8,10 +8,10 @@
 )
 
 // fleet is a node among many, at a site whose servers report their load.
-func fleet(t *testing.T, nodes int, list []Member) *Balancer {
+func fleet(t *testing.T, nodes int, list []Endpoint) *Balancer {
 	t.Helper()
 	set := site(nodes)
-	set.Report = []string{"latency_ms", "util", "qps"}
+	set.ReportFields = []string{"latency_ms", "util", "qps"}
 	return start(t, set, list)
 }
 
@@ -21,7 +21,7 @@
 func hears(b *Balancer, s *server, n int, row []float64) {
 	for range n {
 		b.now += 100 * ms
-		b.hear(s, row)
+		b.onLoadReport(s, row)
 	}
 }
 
@@ -35,15 +35,15 @@
 	}
 	b := fleet(t, 40, list)
 	big, small := b.servers["s00"], b.servers["s01"]
-	if b.limit(big) != b.limit(small) {
-		t.Fatalf("before any report the limits are %v and %v, want them equal", b.limit(big), b.limit(small))
+	if b.effectiveLimit(big) != b.effectiveLimit(small) {
+		t.Fatalf("before any report the limits are %v and %v, want them equal", b.effectiveLimit(big), b.effectiveLimit(small))
 	}
 	hears(b, big, 30, report(100, 0.5, 30))
 	hears(b, small, 30, report(400, 0.5, 10))
-	if got := b.limit(big) / b.limit(small); math.Abs(got-3) > 0.1 {
+	if got := b.effectiveLimit(big) / b.effectiveLimit(small); math.Abs(got-3) > 0.1 {
 		t.Errorf("a server of three times the rate has %v times the limit", got)
 	}
-	if got := b.limit(b.servers["s02"]) / b.limit(b.servers["s03"]); math.Abs(got-3) > 0.1 {
+	if got := b.effectiveLimit(b.servers["s02"]) / b.effectiveLimit(b.servers["s03"]); math.Abs(got-3) > 0.1 {
 		t.Errorf("servers not heard of yet differ by %v, want them to count as their kinds", got)
 	}
 }
@@ -52,22 +52,22 @@
 // they aren't and the node had no room; room that nobody wanted moves nothing.
 func TestWindowFollowsTheBusyPart(t *testing.T) {
 	b := fleet(t, 40, members(40))
-	s, first := b.order()[0], b.window()
+	s, first := b.order()[0], b.concurrencyWindow()
 	hears(b, s, 30, report(100, 0.3, 10))
-	if b.window() != first {
-		t.Errorf("the window went from %v to %v though it was never full", first, b.window())
+	if b.concurrencyWindow() != first {
+		t.Errorf("the window went from %v to %v though it was never full", first, b.concurrencyWindow())
 	}
 	hears(b, s, 30, report(100, 1, 30))
-	full := b.window()
+	full := b.concurrencyWindow()
 	if full >= first {
 		t.Errorf("the window is %v while servers are full, want less than %v", full, first)
 	}
 	for range 60 {
-		b.wanted = true
+		b.capacityWanted = true
 		hears(b, s, 1, report(100, 0.3, 10))
 	}
-	if b.window() <= full {
-		t.Errorf("the window stays at %v though it was full and servers are idle", b.window())
+	if b.concurrencyWindow() <= full {
+		t.Errorf("the window stays at %v though it was full and servers are idle", b.concurrencyWindow())
 	}
 }
 
@@ -75,8 +75,8 @@
 // finds some room beyond that.
 func TestWindowHolds(t *testing.T) {
 	set := site(40)
-	set.Report = []string{"latency_ms", "util", "qps"}
-	set.Classes[0].Worth, set.Classes[1].Worth = 1, 5
+	set.ReportFields = []string{"latency_ms", "util", "qps"}
+	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
 	set.Tenants[0].Quota = 1e6
 	b := start(t, set, members(40))
 	send := func(class string) (n int) {
@@ -85,14 +85,14 @@
 		}
 		return n
 	}
-	if n := send("free"); float64(n) >= b.window()+1 || n < 2 {
-		t.Errorf("%d attempts are out, the window is %v", n, b.window())
+	if n := send("free"); float64(n) >= b.concurrencyWindow()+1 || n < 2 {
+		t.Errorf("%d attempts are out, the window is %v", n, b.concurrencyWindow())
 	}
 	if n := send("once"); n == 0 {
 		t.Error("the dearest class found no room beyond the window")
 	}
-	if most := toldLimit*b.window() + 1; float64(b.inflight) > most {
-		t.Errorf("%d attempts are out, want at most %v", b.inflight, most)
+	if most := maxOvercommitReported*b.concurrencyWindow() + 1; float64(b.inFlight) > most {
+		t.Errorf("%d attempts are out, want at most %v", b.inFlight, most)
 	}
 }
 
@@ -106,15 +106,15 @@
 	first, last := b.order()[0], b.order()[11]
 	hears(b, first, 1, report(900, 1, 3))
 	hears(b, last, 1, report(900, 1, 3))
-	if !first.health.out || !last.health.out {
+	if !first.outlier.ejected || !last.outlier.ejected {
 		t.Fatal("choked servers are not rested")
 	}
-	b.now += ejectMost
-	if s := b.trial(&request{class: b.ranked[0], worthTo: b.now + time.Second}); s != first {
+	b.now += maxEjectionTime
+	if s := b.pickProbation(&request{class: b.classOrder[0], usefulUntil: b.now + time.Second}); s != first {
 		t.Errorf("tried out %+v, want the first of the walk", s)
 	}
-	if s := b.trial(&request{class: b.ranked[0], worthTo: b.now + time.Second}); s != nil {
-		t.Errorf("%s is tried out, though servers before it have room", s.Server)
+	if s := b.pickProbation(&request{class: b.classOrder[0], usefulUntil: b.now + time.Second}); s != nil {
+		t.Errorf("%s is tried out, though servers before it have room", s.ID)
 	}
 }
 
@@ -123,14 +123,14 @@
 	b := fleet(t, 40, members(12))
 	s := b.order()[0]
 	hears(b, s, 3, report(100, 0.5, 10))
-	limit, window := b.limit(s), b.window()
+	limit, window := b.effectiveLimit(s), b.concurrencyWindow()
 	nan, inf := math.NaN(), math.Inf(1)
 	for _, row := range [][]float64{nil, {1}, report(nan, 1, 1), report(100, nan, 10), report(100, 0.5, nan),
 		report(100, 0.5, inf), report(100, inf, 10), report(-1, 0.5, 10), report(100, 0, 0), report(100, 40, 10)} {
-		b.wanted = true
+		b.capacityWanted = true
 		hears(b, s, 1, row)
-		if b.limit(s) != limit || b.window() != window {
-			t.Errorf("%v moved the limit from %v to %v, the window from %v to %v", row, limit, b.limit(s), window, b.window())
+		if b.effectiveLimit(s) != limit || b.concurrencyWindow() != window {
+			t.Errorf("%v moved the limit from %v to %v, the window from %v to %v", row, limit, b.effectiveLimit(s), window, b.concurrencyWindow())
 		}
 	}
 }
@@ -140,17 +140,17 @@
 func TestRatesStayAtTheSharesWhereLoadIsReported(t *testing.T) {
 	b := fleet(t, 40, members(12))
 	for range 500 {
-		b.follow(false)
+		b.adjustRateMultiplier(false)
 	}
-	if b.pace != 1 {
-		t.Errorf("the pace is %v, want 1", b.pace)
+	if b.rateMultiplier != 1 {
+		t.Errorf("the pace is %v, want 1", b.rateMultiplier)
 	}
 	b = start(t, site(40), members(12))
 	for range 500 {
-		b.follow(false)
+		b.adjustRateMultiplier(false)
 	}
-	if b.pace != paceLeast {
-		t.Errorf("without reports the pace is %v, want %v", b.pace, paceLeast)
+	if b.rateMultiplier != minRateMultiplier {
+		t.Errorf("without reports the pace is %v, want %v", b.rateMultiplier, minRateMultiplier)
 	}
 }
 
@@ -161,7 +161,7 @@
 	for i := range list {
 		list[i].Kind = "k"
 		if i > 0 {
-			list[i].OnlineSince = 1
+			list[i].StartedAt = 1
 		}
 	}
 	const nodes, rate, span = 40, 40.0, 60
@@ -171,13 +171,13 @@
 	sends := 0
 	for range span * 10 {
 		b.now += 5 * ms
-		if b.coldRoom(cold) {
-			cold.cold.tokens--
+		if b.hasWarmupBudget(cold) {
+			cold.warmupBudget.tokens--
 			sends++
 		}
 	}
-	got, present := float64(sends)*nodes/(span*0.05), rate*b.ramp(cold)
-	if got < 0.5*present || got > b.set.Rules.FallMultiple*present {
+	got, present := float64(sends)*nodes/(span*0.05), rate*b.warmFraction(cold)
+	if got < 0.5*present || got > b.settings.Rules.OverloadMultiple*present {
 		t.Errorf("all nodes send %v a second to a server that takes %v", got, present)
 	}
 }
@@ -187,19 +187,19 @@
 func TestServerThatLetAnAttemptTimeOutIsLeftAlone(t *testing.T) {
 	b := fleet(t, 40, members(12))
 	first := b.order()[0]
-	b.now += 5 * seconds(first.latency)
-	if s := sentTo(t, b.Handle(b.now, ask("a", "free"))); s != first.Server {
-		t.Fatalf("sent to %s, want %s", s, first.Server)
+	b.now += 5 * seconds(first.meanLatency)
+	if s := sentTo(t, b.Handle(b.now, ask("a", "free"))); s != first.ID {
+		t.Fatalf("sent to %s, want %s", s, first.ID)
 	}
-	b.Handle(b.now+250*ms, outcome("a", 0, first.Server, TimedOut, 250*ms))
+	b.Handle(b.now+250*ms, outcome("a", 0, first.ID, TimedOut, 250*ms))
 	for i := range 20 {
-		if b.hasRoom(first) {
+		if b.hasCapacity(first) {
 			t.Fatalf("%d ms after the time-out it is sent to again", i*10)
 		}
 		b.now += 10 * ms
 	}
-	b.now += 20 * seconds(first.latency)
-	if !b.hasRoom(first) {
+	b.now += 20 * seconds(first.meanLatency)
+	if !b.hasCapacity(first) {
 		t.Error("it is never sent to again")
 	}
 }
@@ -210,22 +210,22 @@
 	b := fleet(t, 40, members(12))
 	s := b.order()[0]
 	hears(b, s, 5, report(50, 0.5, 10))
-	short := &request{class: b.ranked[0], worthTo: b.now + 200*ms}
-	long := &request{class: b.ranked[0], worthTo: b.now + 2000*ms}
-	if !b.inTime(short, s) {
+	short := &request{class: b.classOrder[0], usefulUntil: b.now + 200*ms}
+	long := &request{class: b.classOrder[0], usefulUntil: b.now + 2000*ms}
+	if !b.answersInTime(short, s) {
 		t.Fatal("a fast server is not used")
 	}
 	hears(b, s, 1, report(400, 0.9, 10))
-	if b.inTime(short, s) || !b.inTime(long, s) {
-		t.Errorf("a slow server: %v for what is worth 200 ms, %v for 2 s", b.inTime(short, s), b.inTime(long, s))
+	if b.answersInTime(short, s) || !b.answersInTime(long, s) {
+		t.Errorf("a slow server: %v for what is worth 200 ms, %v for 2 s", b.answersInTime(short, s), b.answersInTime(long, s))
 	}
-	b.now += 10 * slowSpan
-	short.worthTo = b.now + 200*ms
-	if !b.inTime(short, s) {
+	b.now += 10 * reportDecayTime
+	short.usefulUntil = b.now + 200*ms
+	if !b.answersInTime(short, s) {
 		t.Error("a server is not used for ever after one slow report")
 	}
-	s.OnlineSince = b.now
-	if b.inTime(short, s) {
+	s.StartedAt = b.now
+	if b.answersInTime(short, s) {
 		t.Error("a server that has just started is taken for a fast one")
 	}
 }
@@ -236,11 +236,11 @@
 	for _, s := range b.order() {
 		hears(b, s, 3, report(100, 0.5, 10))
 	}
-	was := b.window()
-	b.order()[1].OnlineSince = b.now
+	was := b.concurrencyWindow()
+	b.order()[1].StartedAt = b.now
 	hears(b, b.order()[0], 20, report(900, 1, 3))
 	hears(b, b.order()[1], 20, report(100, 1, 3))
-	if trust := b.window() / b.warmWeight() * 12 / was; trust < 0.99 {
+	if trust := b.concurrencyWindow() / b.warmWeight() * 12 / was; trust < 0.99 {
 		t.Errorf("the window fell to %v of what it was", trust)
 	}
 }
@@ -253,16 +253,16 @@
 	b := start(t, set, members(4))
 	try := func(id string, retry bool, open int) []Action {
 		r := ask(id, "free")
-		r.Retry, r.ExpiresIn = retry, time.Duration(open)*ms
+		r.ClientRetry, r.Timeout = retry, time.Duration(open)*ms
 		return b.Handle(b.now+ms, r)
 	}
 	first := of(try("first", false, 600), Send)
 	again := of(try("again", true, 600), Send)
-	if len(first) != 1 || len(again) != 1 || again[0].Until-first[0].Until >= ms {
+	if len(first) != 1 || len(again) != 1 || again[0].AttemptDeadline-first[0].AttemptDeadline >= ms {
 		t.Errorf("a first try is sent as %+v, a retry as %+v, want it worth less time", first, again)
 	}
 	// The deadline ends it 450 ms from now, so the first try began 550 ms ago.
-	if acts := try("late", true, 450); len(of(acts, Refuse)) != 1 {
+	if acts := try("late", true, 450); len(of(acts, Reject)) != 1 {
 		t.Errorf("a retry after the aim brings %+v, want a refusal", acts)
 	}
 }
@@ -272,13 +272,13 @@
 func TestWindowFollowsTheMeanOfReports(t *testing.T) {
 	b := fleet(t, 40, members(12))
 	hears(b, b.order()[0], 5, report(100, 0.5, 10))
-	was := b.window()
+	was := b.concurrencyWindow()
 	for i := range 60 {
-		b.wanted = true
+		b.capacityWanted = true
 		hears(b, b.order()[0], 1, report(100, []float64{0.4, 1}[i%2], 10))
 	}
-	if b.window() < was {
-		t.Errorf("the window fell from %v to %v at servers that are 0.7 busy", was, b.window())
+	if b.concurrencyWindow() < was {
+		t.Errorf("the window fell from %v to %v at servers that are 0.7 busy", was, b.concurrencyWindow())
 	}
 }
 
@@ -286,11 +286,11 @@
 // that go on failing become fewer, but not so few that a drain is missed for long.
 func TestCallsForTheListSpreadAndBackOff(t *testing.T) {
 	set := site(40)
-	set.Subscribe = true
+	set.SubscribeList = true
 	wait := func(acts []Action) time.Duration {
 		t.Helper()
 		timers := of(acts, SetTimer)
-		if len(of(acts, WatchList)) != 0 || len(timers) != 1 || timers[0].Token != listToken {
+		if len(of(acts, WatchList)) != 0 || len(timers) != 1 || timers[0].Token != listTimerToken {
 			t.Fatalf("want a timer for the list alone, got %+v", acts)
 		}
 		return timers[0].Wait
@@ -302,21 +302,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := wait(b.Handle(0, MemberList{Kind: ListRestored, Members: members(4)}))
+		w := wait(b.Handle(0, EndpointList{Kind: ListCached, Endpoints: members(4)}))
 		first, seen[w] = max(first, w), true
-		failed += wait(b.Handle(0, MemberList{Kind: ListUnavailable})) / 200
+		failed += wait(b.Handle(0, EndpointList{Kind: ListUnavailable})) / 200
 		for range 10 {
-			later = max(later, wait(b.Handle(0, MemberList{Kind: ListUnavailable})))
+			later = max(later, wait(b.Handle(0, EndpointList{Kind: ListUnavailable})))
 		}
-		b.Handle(0, MemberList{Kind: ListUpdate})
-		if w := wait(b.Handle(0, MemberList{Kind: ListUnavailable})); w > askAgain*3/2 {
+		b.Handle(0, EndpointList{Kind: ListUpdate})
+		if w := wait(b.Handle(0, EndpointList{Kind: ListUnavailable})); w > listBackoffBase*3/2 {
 			t.Fatalf("after a good answer the next failure waits %v", w)
 		}
 	}
 	if first > set.Rules.DrainGrace || len(seen) < 100 {
 		t.Errorf("the first calls take up to %v and %d of 200 times differ", first, len(seen))
 	}
-	if later < 2*failed || later > askMost*3/2 {
+	if later < 2*failed || later > listBackoffMax*3/2 {
 		t.Errorf("the first failure waits %v, later ones up to %v", failed, later)
 	}
 }
@@ -326,9 +326,9 @@
 func TestChoiceTakesAsLongAsThereAreServers(t *testing.T) {
 	takes := func(servers int) time.Duration {
 		b := fleet(t, 300, members(servers))
-		b.inflight = 1e6 // so that none has room, and each is looked at
-		r := &request{Request: ask("r", "free"), class: b.classes["free"], most: 1}
-		r.deadline, r.worthTo = b.now+time.Hour, b.now+time.Hour
+		b.inFlight = 1e6 // so that none has room, and each is looked at
+		r := &request{Request: ask("r", "free"), class: b.classes["free"], maxAttempts: 1}
+		r.deadline, r.usefulUntil = b.now+time.Hour, b.now+time.Hour
 		best := time.Hour
 		for range 200 {
 			began := time.Now()
@@ -366,7 +366,7 @@
 				for _, a := range of(b.Handle(now, ask(id, "free")), Send) {
 					part += 1.0 / asked
 					end := outcome(id, 0, a.Server, code, 40*ms)
-					end.Ended = true
+					end.RequestEnded = true
 					b.Handle(now+ms, end)
 				}
 			}
--- a/policy/places_test.go
+++ b/policy/places_test.go
@@ -9,15 +9,15 @@
 // near is a site of two regions: zones a and b in the north, c in the south.
 func near(nodes int) Settings {
 	set := site(nodes)
-	set.Places = &Places{Region: map[string]string{"a": "north", "b": "north", "c": "south"}, SameRegion: 1, OtherRegion: 3}
+	set.Topology = &Topology{RegionOfZone: map[string]string{"a": "north", "b": "north", "c": "south"}, SameRegionCost: 1, OtherRegionCost: 3}
 	return set
 }
 
 // zoned is n servers in each of the zones.
-func zoned(n int, zones ...string) (list []Member) {
+func zoned(n int, zones ...string) (list []Endpoint) {
 	for _, z := range zones {
 		for i := range n {
-			list = append(list, Member{Server: fmt.Sprint(z, i), Zone: z, Kind: "k", Weight: 1})
+			list = append(list, Endpoint{ID: fmt.Sprint(z, i), Zone: z, Kind: "k", Weight: 1})
 		}
 	}
 	return list
@@ -27,16 +27,16 @@
 // again they are as before, and one that was let go brings its place back by a small share.
 func TestListsAreEasedIn(t *testing.T) {
 	all := zoned(4, "a", "b")
-	gone := func(kind ListKind, n int, as Availability) MemberList {
-		e := MemberList{Kind: kind}
+	gone := func(kind ListKind, n int, as Availability) EndpointList {
+		e := EndpointList{Kind: kind}
 		for i, m := range all {
 			if m.Availability = as; (i < n) == (kind == ListUpdate) {
-				e.Members = append(e.Members, m)
+				e.Endpoints = append(e.Endpoints, m)
 			}
 		}
 		if kind == ListReplace {
-			for i := range e.Members {
-				e.Members[i].Availability = Running
+			for i := range e.Endpoints {
+				e.Endpoints[i].Availability = Running
 			}
 		}
 		return e
@@ -44,7 +44,7 @@
 	grace := site(1).Rules.DrainGrace
 	for name, c := range map[string]struct {
 		eases bool
-		news  MemberList
+		news  EndpointList
 		kept  int
 		back  bool
 	}{
@@ -54,9 +54,9 @@
 		"not asked for":            {false, gone(ListUpdate, 4, Removed), 0, false},
 	} {
 		set := near(1)
-		set.EaseLists = c.eases
+		set.RetainMissing = c.eases
 		b := start(t, set, all)
-		b.servers["a0"].threshold = 7
+		b.servers["a0"].concurrencyLimit = 7
 		b.Handle(ms, c.news)
 		left := 0
 		for id := range b.servers {
@@ -67,26 +67,26 @@
 		if left != c.kept {
 			t.Errorf("%s: %d servers of the zone are kept, want %d", name, left, c.kept)
 		}
-		b.Handle(ms+grace/2, Timer{Token: easeToken})
-		b.Handle(time.Second+grace, MemberList{Kind: ListReplace, Members: all})
-		if got := b.placeOf("a").returning; got != c.back {
+		b.Handle(ms+grace/2, Timer{Token: retainTimerToken})
+		b.Handle(time.Second+grace, EndpointList{Kind: ListReplace, Endpoints: all})
+		if got := b.zoneOf("a").recovering; got != c.back {
 			t.Errorf("%s: the place returns by shares: %v, want %v", name, got, c.back)
 		}
 	}
 	set := near(1)
-	set.EaseLists = true
+	set.RetainMissing = true
 	b := start(t, set, all)
-	b.servers["a0"].threshold = 7
+	b.servers["a0"].concurrencyLimit = 7
 	b.Handle(ms, gone(ListUpdate, 4, Removed))
-	b.Handle(2*ms, MemberList{Kind: ListReplace, Members: all})
-	b.Handle(ms+grace, Timer{Token: easeToken})
-	if s := b.servers["a0"]; s == nil || s.threshold != 7 || b.placeOf("a").returning {
+	b.Handle(2*ms, EndpointList{Kind: ListReplace, Endpoints: all})
+	b.Handle(ms+grace, Timer{Token: retainTimerToken})
+	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zoneOf("a").recovering {
 		t.Error("named again in time, a server is not as before")
 	}
 	b.Handle(3*time.Second, gone(ListUpdate, 4, Draining))
 	for _, s := range b.order() {
 		if s.Zone == "a" {
-			t.Errorf("%s drains and is still in use", s.Server)
+			t.Errorf("%s drains and is still in use", s.ID)
 		}
 	}
 	if b.Handle(4*time.Second, gone(ListUpdate, 4, Removed)); len(b.servers) != 4 {
@@ -100,7 +100,7 @@
 		"abc": nil, "acb": {"a": {"c": 0.5}}, "a(bc)": {"a": {"c": 1}},
 	} {
 		set := near(1)
-		set.Places.Costs = costs
+		set.Topology.ZoneCosts = costs
 		b := start(t, set, zoned(1, "c", "b", "a"))
 		got := ""
 		for _, s := range b.order() {
@@ -140,15 +140,15 @@
 					if zone == "a" && c.ill(i) {
 						ill = 1
 					}
-					b.witness(&attempt{server: s, sent: b.now}, ill)
+					b.recordEvidence(&attempt{server: s, sentAt: b.now}, ill)
 				}
 			}
 		}
-		if got := b.placeOf("a").left(); got != c.left {
+		if got := b.zoneOf("a").evacuated(); got != c.left {
 			t.Errorf("%s: left %v, want %v", name, got, c.left)
 		}
-		if b.placeOf("b").share != 1 {
-			t.Errorf("%s: the other place has a share of %v", name, b.placeOf("b").share)
+		if b.zoneOf("b").trafficShare != 1 {
+			t.Errorf("%s: the other place has a share of %v", name, b.zoneOf("b").trafficShare)
 		}
 	}
 }
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -18,7 +18,7 @@
 	set   Settings
 	b     *Balancer
 	now   Time
-	list  map[string]Member
+	list  map[string]Endpoint
 	told  map[string]Time // when a server was said to drain or be gone
 	open  map[string]*play
 	ids   int
@@ -40,7 +40,7 @@
 }
 
 type try struct {
-	server Member
+	server Endpoint
 	sent   Time
 	over   bool
 	notRun bool
@@ -54,23 +54,23 @@
 func newWorld(t *testing.T, seed uint64) *world {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := site([]int{1, 3, 12, 60}[seed%4])
-	set.Node = rng.IntN(set.Nodes)
-	set.Subscribe = seed%5 == 0
-	set.Allowed.Probe, set.Report = seed%2 == 0, []string{"inflight"}
+	set.NodeIndex = rng.IntN(set.NodeCount)
+	set.SubscribeList = seed%5 == 0
+	set.Allowed.Probe, set.ReportFields = seed%2 == 0, []string{"inflight"}
 	set.Allowed.Cancel = seed%7 != 0
 	if seed%8 == 0 {
 		set.Tenants = nil
 	}
 	if seed%2 == 1 {
-		set.Rules.Attempts = &Budget{Least: float64(rng.IntN(3)), Share: 0.05, Span: 5 * time.Second}
+		set.Rules.RetryBudget = &RetryBudget{MinRetries: float64(rng.IntN(3)), RetryRatio: 0.05, Window: 5 * time.Second}
 	}
 	for i := range set.Classes { // windows shorter than the time a request is worth another attempt
-		set.Classes[i].Window = time.Duration(20+rng.IntN(150)) * ms
+		set.Classes[i].DedupWindow = time.Duration(20+rng.IntN(150)) * ms
 	}
-	set.EaseLists = seed%4 == 1
+	set.RetainMissing = seed%4 == 1
 	if seed%2 == 0 {
-		set.Places = &Places{Region: map[string]string{"a": "north", "b": []string{"north", "south"}[seed/2%2]},
-			SameRegion: float64(seed / 4 % 2), OtherRegion: 3}
+		set.Topology = &Topology{RegionOfZone: map[string]string{"a": "north", "b": []string{"north", "south"}[seed/2%2]},
+			SameRegionCost: float64(seed / 4 % 2), OtherRegionCost: 3}
 		set.Classes[seed/2%5].Regions = []string{"north"}
 	}
 	switch seed % 3 {
@@ -84,20 +84,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, rng: rng, set: set, b: b, list: map[string]Member{}, told: map[string]Time{}, open: map[string]*play{},
+	w := &world{t: t, rng: rng, set: set, b: b, list: map[string]Endpoint{}, told: map[string]Time{}, open: map[string]*play{},
 		faulty: []int{8, 20, 60}[seed/3%3], slowest: []int{300, 50}[seed/2%2], every: []int{1, 8}[seed/4%2]}
 	for _, m := range members(1 + rng.IntN(9)) {
 		if rng.IntN(4) == 0 {
-			m.OnlineSince = 1
+			m.StartedAt = 1
 		}
-		w.list[m.Server] = m
+		w.list[m.ID] = m
 	}
-	w.event(MemberList{Kind: ListRestored, Members: w.members()})
+	w.event(EndpointList{Kind: ListCached, Endpoints: w.members()})
 	return w
 }
 
-func (w *world) members() []Member {
-	var out []Member
+func (w *world) members() []Endpoint {
+	var out []Endpoint
 	for i := range 10 {
 		if m, ok := w.list[fmt.Sprintf("s%02d", i)]; ok {
 			out = append(out, m)
@@ -120,7 +120,7 @@
 	switch a.Kind {
 	case Send:
 		w.send(p, a)
-	case Refuse, Fail:
+	case Reject, Fail:
 		w.answer(p, a)
 	case Cancel:
 		if !w.set.Allowed.Cancel || a.Attempt >= len(p.tries) {
@@ -135,12 +135,12 @@
 		}
 		if w.rng.IntN(3) > 0 {
 			w.later(ms*time.Duration(w.rng.IntN(30)), func() {
-				w.event(ProbeResult{Server: a.Server, Code: code, Report: []float64{load}})
+				w.event(ProbeResult{Server: a.Server, Code: code, LoadReport: []float64{load}})
 			})
 		}
 	case WatchList:
 		if w.rng.IntN(2) == 0 {
-			w.later(ms, func() { w.event(MemberList{Kind: ListUnavailable}) })
+			w.later(ms, func() { w.event(EndpointList{Kind: ListUnavailable}) })
 		}
 	}
 }
@@ -164,13 +164,13 @@
 		if x.notRun {
 			continue
 		}
-		switch p.class.Repeat {
-		case Never:
+		switch p.class.RetrySafety {
+		case NonIdempotent:
 			w.t.Errorf("%s sent again though it may have run", p.class.Name)
-		case Guarded:
-			g := p.class.Group
-			if w.now > x.sent+p.class.Window || g == GroupZone && m.Zone != x.server.Zone ||
-				g == GroupCell && m.Cell != x.server.Cell {
+		case IdempotencyKeyed:
+			g := p.class.DedupScope
+			if w.now > x.sent+p.class.DedupWindow || g == DedupPerZone && m.Zone != x.server.Zone ||
+				g == DedupPerCell && m.Cell != x.server.Cell {
 				w.t.Errorf("%s sent again outside its group or window", p.class.Name)
 			}
 		}
@@ -182,7 +182,7 @@
 		len(c.Zones) > 0 && !slices.Contains(c.Zones, m.Zone) {
 		w.t.Errorf("%s sent to %s of kind %s in zone %s", c.Name, a.Server, m.Kind, m.Zone)
 	}
-	if c := p.class; len(c.Regions) > 0 && w.set.Places.Region[m.Zone] != c.Regions[0] {
+	if c := p.class; len(c.Regions) > 0 && w.set.Topology.RegionOfZone[m.Zone] != c.Regions[0] {
 		w.t.Errorf("%s sent to %s in zone %s, out of its region", c.Name, a.Server, m.Zone)
 	}
 	if len(p.tries) > 0 {
@@ -191,22 +191,22 @@
 	n := len(p.tries)
 	p.tries = append(p.tries, try{server: m, sent: w.now})
 	until := p.deadline
-	if a.Until > 0 {
-		until = min(until, a.Until)
+	if a.AttemptDeadline > 0 {
+		until = min(until, a.AttemptDeadline)
 	}
 	code, took := OK, time.Duration(w.rng.IntN(w.slowest))*ms
 	if w.rng.IntN(w.faulty) < 5 {
-		code = []Code{ServerError, Full, ConnectFailed, Reset, TimedOut}[w.rng.IntN(5)]
+		code = []Code{ServerError, Overloaded, ConnectFailed, Reset, TimedOut}[w.rng.IntN(5)]
 	}
 	if code == TimedOut || w.now+took > until {
 		code, took = TimedOut, until-w.now
 	}
 	w.later(took, func() {
-		p.tries[n].over, p.tries[n].notRun = true, code.NotRun()
+		p.tries[n].over, p.tries[n].notRun = true, code.ProvesNotRun()
 		if code == OK {
 			p.ended = true
 		}
-		ev := Outcome{ID: p.ID, Attempt: n, Server: a.Server, Code: code, Latency: took, Ended: p.ended}
+		ev := Outcome{ID: p.ID, Attempt: n, Server: a.Server, Code: code, Latency: took, RequestEnded: p.ended}
 		w.event(ev)
 		if w.rng.IntN(20) == 0 {
 			w.event(ev) // twice
@@ -217,20 +217,20 @@
 // ration checks the budget of attempts by its own count.
 func (w *world) ration() {
 	w.extra = append(w.extra, w.now)
-	q := w.set.Rules.Attempts
+	q := w.set.Rules.RetryBudget
 	if q == nil {
 		return
 	}
 	within := func(all []Time) (n int) {
 		for _, at := range all {
-			if at > w.now-q.Span {
+			if at > w.now-q.Window {
 				n++
 			}
 		}
 		return n
 	}
-	if n, most := within(w.extra), q.Least+q.Share*float64(within(w.took)); float64(n) > most {
-		w.t.Errorf("%d attempts beyond the first in %v, at most %v allowed", n, q.Span, most)
+	if n, most := within(w.extra), q.MinRetries+q.RetryRatio*float64(within(w.took)); float64(n) > most {
+		w.t.Errorf("%d attempts beyond the first in %v, at most %v allowed", n, q.Window, most)
 	}
 }
 
@@ -240,8 +240,8 @@
 	}
 	p.ended = true
 	for _, x := range p.tries {
-		safe := p.class.Repeat == Free || p.class.Repeat == Guarded && p.class.Group == GroupAll
-		if a.Kind == Refuse && !x.notRun && !safe {
+		safe := p.class.RetrySafety == Idempotent || p.class.RetrySafety == IdempotencyKeyed && p.class.DedupScope == DedupEverywhere
+		if a.Kind == Reject && !x.notRun && !safe {
 			w.t.Errorf("%s refused though it may have run", p.class.Name)
 		}
 	}
@@ -276,7 +276,7 @@
 		w.change()
 	case 1:
 		w.event(Timer{Token: w.rng.Uint64()})
-		w.event(Lapsed{ID: "nobody"})
+		w.event(ClientCancelled{ID: "nobody"})
 		w.event(Outcome{ID: "nobody", Server: "nowhere"})
 		w.event(ProbeResult{Server: "nowhere"})
 		w.event(PeerMessage{From: 99, Body: "\x00"})
@@ -295,8 +295,8 @@
 		c = w.set.Classes[w.rng.IntN(len(w.set.Classes))]
 	}
 	r := Request{ID: fmt.Sprint("r", w.ids), Class: c.Name, Tenant: []string{"t", "t", "u", "?", ""}[w.rng.IntN(5)],
-		ExpiresIn: time.Duration(1+w.rng.IntN(600)) * ms, Key: fmt.Sprint(w.rng.IntN(30))}
-	p := &play{Request: r, class: c, deadline: w.now + r.ExpiresIn}
+		Timeout: time.Duration(1+w.rng.IntN(600)) * ms, Key: fmt.Sprint(w.rng.IntN(30))}
+	p := &play{Request: r, class: c, deadline: w.now + r.Timeout}
 	w.open[r.ID] = p
 	w.took = append(w.took, w.now)
 	w.event(r)
@@ -304,7 +304,7 @@
 		w.later(ms, func() {
 			if !p.ended {
 				p.ended = true
-				w.event(Lapsed{ID: r.ID})
+				w.event(ClientCancelled{ID: r.ID})
 			}
 		})
 	}
@@ -317,11 +317,11 @@
 	switch {
 	case !listed:
 		m = members(10)[w.rng.IntN(10)]
-		m.OnlineSince = w.now
-		w.list[m.Server] = m
-		delete(w.told, m.Server)
+		m.StartedAt = w.now
+		w.list[m.ID] = m
+		delete(w.told, m.ID)
 	case w.rng.IntN(3) == 0:
-		m.OnlineSince, m.Availability = w.now, Running
+		m.StartedAt, m.Availability = w.now, Running
 		w.list[id] = m
 		delete(w.told, id)
 	case m.Availability == Running:
@@ -333,10 +333,10 @@
 		delete(w.list, id)
 	}
 	if w.rng.IntN(2) == 0 {
-		w.event(MemberList{Kind: ListUpdate, Members: []Member{m}})
+		w.event(EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{m}})
 		return
 	}
-	w.event(MemberList{Kind: ListReplace, Members: w.members()})
+	w.event(EndpointList{Kind: ListReplace, Endpoints: w.members()})
 }
 
 func TestRandomStreamsKeepTheRules(t *testing.T) {
@@ -370,7 +370,7 @@
 	for range 3000 {
 		w.step()
 	}
-	if n := len(w.b.reqs); n > 600 {
+	if n := len(w.b.requests); n > 600 {
 		t.Errorf("%d requests kept", n)
 	}
 }
@@ -385,7 +385,7 @@
 		s := sentTo(t, b.Handle(now, ask(id, "free")))
 		b.Handle(now+ms, outcome(id, 0, s, OK, ms))
 	}
-	if most := int(defaultBudget.Span.Seconds())*perSecond + 1; len(b.took) > most {
-		t.Errorf("%d requests are kept for the budget, at most %d came within its span", len(b.took), most)
+	if most := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.acceptedAt) > most {
+		t.Errorf("%d requests are kept for the budget, at most %d came within its span", len(b.acceptedAt), most)
 	}
 }
--- a/policy/recorded_events_test.go
+++ b/policy/recorded_events_test.go
@@ -209,18 +209,18 @@
 
 func (s *recordedSettings) settings() Settings {
 	set := Settings{
-		Node: s.Node, Nodes: s.Nodes, Zone: s.Zone,
+		NodeIndex: s.Node, NodeCount: s.Nodes, Zone: s.Zone,
 		Allowed: Allowed{Cancel: s.Cancel, Probe: s.Probe, Peers: s.Peers, RetryAfter: s.RetryAfter,
-			MaxAttempts: s.MaxAttempts, MaxRetryAfter: time.Duration(s.MaxWait), ConnIdle: time.Duration(s.ConnIdle)},
+			MaxAttempts: s.MaxAttempts, MaxRetryAfter: time.Duration(s.MaxWait), IdleTimeout: time.Duration(s.ConnIdle)},
 		Rules: Rules{AnswerGrace: time.Duration(s.AnswerGrace), DrainGrace: time.Duration(s.DrainGrace),
-			ColdShare: s.ColdShare, ColdFor: time.Duration(s.ColdFor), FallMultiple: s.FallMultiple,
-			FallFor: time.Duration(s.FallFor), AskWithin: time.Duration(s.AskWithin)},
-		Subscribe: s.Subscribe, EaseLists: s.EaseLists, WorthByWork: s.WorthByWork, Report: s.Report,
+			SlowStartMinCapacity: s.ColdShare, SlowStartDuration: time.Duration(s.ColdFor), OverloadMultiple: s.FallMultiple,
+			OverloadDuration: time.Duration(s.FallFor), PollInterval: time.Duration(s.AskWithin)},
+		SubscribeList: s.Subscribe, RetainMissing: s.EaseLists, WeightByWork: s.WorthByWork, ReportFields: s.Report,
 	}
 	for _, c := range s.Classes {
-		set.Classes = append(set.Classes, Class{Name: c.Name, Aim: time.Duration(c.Aim), AimStretch: c.AimStretch,
-			Deadline: time.Duration(c.Deadline), Repeat: Repeat(c.Repeat), Group: Group(c.Group),
-			Window: time.Duration(c.Window), LateWorth: c.LateWorth, Worth: c.Worth, Stream: c.Stream,
+		set.Classes = append(set.Classes, Class{Name: c.Name, LatencyObjective: time.Duration(c.Aim), ObjectivePerWork: c.AimStretch,
+			Deadline: time.Duration(c.Deadline), RetrySafety: RetrySafety(c.Repeat), DedupScope: DedupScope(c.Group),
+			DedupWindow: time.Duration(c.Window), LateWeight: c.LateWorth, PriorityWeight: c.Worth, Streaming: c.Stream,
 			Kinds: c.Kinds, Zones: c.Zones, Regions: c.Regions})
 	}
 	for _, t := range s.Tenants {
@@ -229,10 +229,10 @@
 		set.Tenants = append(set.Tenants, tenant)
 	}
 	if p := s.Places; p != nil {
-		set.Places = &Places{Region: p.Region, SameRegion: p.SameRegion, OtherRegion: p.OtherRegion, Costs: p.Costs}
+		set.Topology = &Topology{RegionOfZone: p.Region, SameRegionCost: p.SameRegion, OtherRegionCost: p.OtherRegion, ZoneCosts: p.Costs}
 	}
 	if b := s.Budget; b != nil {
-		set.Rules.Attempts = &Budget{Least: b.Least, Share: b.Share, Span: time.Duration(b.Span)}
+		set.Rules.RetryBudget = &RetryBudget{MinRetries: b.Least, RetryRatio: b.Share, Window: time.Duration(b.Span)}
 	}
 	set.Limits.Max = s.Limits.Max
 	if l := s.Limits.Default; l != nil {
@@ -248,11 +248,11 @@
 	return set
 }
 
-func (l *recordedList) list() MemberList {
-	list := MemberList{Kind: ListKind(l.Kind)}
+func (l *recordedList) list() EndpointList {
+	list := EndpointList{Kind: ListKind(l.Kind)}
 	for _, m := range l.Members {
-		list.Members = append(list.Members, Member{Server: m.Server, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
-			Weight: m.Weight, OnlineSince: Time(m.OnlineSince), Availability: Availability(m.Availability)})
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: m.Server, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
+			Weight: m.Weight, StartedAt: Time(m.OnlineSince), Availability: Availability(m.Availability)})
 	}
 	return list
 }
@@ -266,28 +266,28 @@
 		return e.List.list()
 	case e.Request != nil:
 		r := e.Request
-		return Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, ExpiresIn: time.Duration(r.ExpiresIn),
-			Hint: time.Duration(r.Hint), Retry: r.Retry, Write: r.Write, Former: r.Former, Partial: r.Partial}
+		return Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Timeout: time.Duration(r.ExpiresIn),
+			EstimatedWork: time.Duration(r.Hint), ClientRetry: r.Retry, Write: r.Write, FormerClass: r.Former, Incomplete: r.Partial}
 	case e.Complete != "":
-		return Complete{ID: e.Complete}
+		return RequestComplete{ID: e.Complete}
 	case e.FirstByte != nil:
 		f := e.FirstByte
 		return FirstByte{ID: f.ID, Server: f.Server, Attempt: f.Attempt, Latency: time.Duration(f.Latency)}
 	case e.Outcome != nil:
 		o := e.Outcome
 		return Outcome{ID: o.ID, Server: o.Server, Attempt: o.Attempt, Code: Code(o.Code),
-			Latency: time.Duration(o.Latency), Ended: o.Ended, Spent: o.Spent, Report: o.Report}
+			Latency: time.Duration(o.Latency), RequestEnded: o.Ended, BodyConsumed: o.Spent, LoadReport: o.Report}
 	case e.Cancelled != "":
-		return Lapsed{ID: e.Cancelled}
+		return ClientCancelled{ID: e.Cancelled}
 	case e.HandOver != nil:
-		return Ceded{On: e.HandOver.On, Served: e.HandOver.Served}
+		return HandedOver{Active: e.HandOver.On, SuccessorServed: e.HandOver.Served}
 	case e.Fleet != nil:
-		return Fleet{Heard: e.Fleet.Heard, Near: e.Fleet.Near}
+		return FleetSize{ReachableNodes: e.Fleet.Heard, ReachableInZone: e.Fleet.Near}
 	case e.Timer != nil:
 		return Timer{Token: *e.Timer}
 	case e.Probe != nil:
 		p := e.Probe
-		return ProbeResult{Server: p.Server, Code: Code(p.Code), Latency: time.Duration(p.Latency), Report: p.Report}
+		return ProbeResult{Server: p.Server, Code: Code(p.Code), Latency: time.Duration(p.Latency), LoadReport: p.Report}
 	case e.Peer != nil:
 		return PeerMessage{Body: *e.Peer}
 	}
@@ -314,7 +314,7 @@
 		result, err := restore(b, now, p.processes[e.Restore.From], Time(e.Restore.At))
 		return nil, result, err
 	case e.Other != nil:
-		b.Beside(e.Other.InFlight)
+		b.SetSiblingInFlight(e.Other.InFlight)
 		return nil, "", nil
 	case e.Observe:
 		return nil, observed(b, now), nil
@@ -329,19 +329,19 @@
 // restore hands the state of one process to another as JSON, which is what it is handed over as. Each of them has a
 // clock of its own.
 func restore(to *Balancer, now Time, from *Balancer, fromNow Time) (string, error) {
-	state := from.Knowledge(fromNow)
-	slices.SortFunc(state.Buckets, func(k, l KnownBucket) int { // they come in the order of a map
+	state := from.Snapshot(fromNow)
+	slices.SortFunc(state.Buckets, func(k, l BucketSnapshot) int { // they come in the order of a map
 		return cmp.Or(strings.Compare(k.Tenant, l.Tenant), strings.Compare(k.Class, l.Class))
 	})
 	text, err := json.Marshal(state)
 	if err != nil {
 		return "", err
 	}
-	var read Knowledge
+	var read Snapshot
 	if err := json.Unmarshal(text, &read); err != nil {
 		return "", err
 	}
-	to.Learn(now, read)
+	to.Restore(now, read)
 	return string(text), nil
 }
 
@@ -349,17 +349,17 @@
 func observed(b *Balancer, now Time) string {
 	var text strings.Builder
 	listed, unavailable := b.Servers()
-	agreed, heard, cutOff := b.Fleet()
-	fmt.Fprint(&text, listed, unavailable, int64(b.Tail()), agreed, heard, cutOff)
-	out := b.Out()
+	agreed, heard, cutOff := b.FleetSize()
+	fmt.Fprint(&text, listed, unavailable, int64(b.TailLatency()), agreed, heard, cutOff)
+	out := b.InFlight()
 	for _, id := range slices.Sorted(maps.Keys(out)) {
 		fmt.Fprint(&text, " ", id, out[id])
 	}
-	zones := b.Places(now)
+	zones := b.Zones(now)
 	fmt.Fprint(&text, " ", zones == nil)
 	for _, z := range zones {
-		fmt.Fprint(&text, " ", z.Zone, z.Region, z.State, exact(z.Cost), exact(z.Share), z.Servers, z.Times,
-			exact(z.Ill), exact(z.Heard), int64(z.TriedIn), z.Why != "")
+		fmt.Fprint(&text, " ", z.Zone, z.Region, z.State, exact(z.Cost), exact(z.TrafficShare), z.Servers, z.Evacuations,
+			exact(z.Failures), exact(z.Responses), int64(z.RetryIn), z.EvacuationReason != "")
 	}
 	return text.String()
 }
@@ -376,8 +376,8 @@
 		if a.Kind == Log {
 			body = ""
 		}
-		text = fmt.Appendf(text, "%d %q %q %d %d %d %d %d %q %t\n", a.Kind, a.ID, a.Server, int64(a.Until), int64(a.Wait),
-			a.Token, a.Attempt, a.Peer, body, a.On)
+		text = fmt.Appendf(text, "%d %q %q %d %d %d %d %d %q %t\n", a.Kind, a.ID, a.Server, int64(a.AttemptDeadline), int64(a.Wait),
+			a.Token, a.Attempt, a.Peer, body, a.Enabled)
 		kinds += fmt.Sprint(" ", uint8(a.Kind))
 	}
 	hash := fnv.New32a()
--- a/policy/recorded_scenarios_test.go
+++ b/policy/recorded_scenarios_test.go
@@ -118,7 +118,7 @@
 	case SetTimer:
 		token := a.Token
 		r.after(max(a.Wait, ms), func() { r.call(process, recordedEvent{Timer: &token}) })
-	case Refuse:
+	case Reject:
 		r.refused(a)
 	case Fail:
 		r.requests[a.ID].answered = true
@@ -170,7 +170,7 @@
 	if p.whole > r.now {
 		took += p.whole - r.now
 	}
-	until := a.Until - r.offset(process)
+	until := a.AttemptDeadline - r.offset(process)
 	if r.now+took > until && p.whole <= r.now {
 		code, took = TimedOut, max(0, until-r.now)
 	}
@@ -213,7 +213,7 @@
 	load := float64(s.busy+s.extra) / float64(s.cores)
 	latency := float64(s.base) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) * max(1, s.slow) / r.warmth(s)
 	if r.rng.IntN(200) == 0 {
-		return Moot, ms
+		return NotAttempted, ms
 	}
 	fault := s.fault
 	if fault == mixed {
@@ -226,7 +226,7 @@
 		case failingLate:
 			return ServerError, 350 * ms
 		case full:
-			return Full, ms
+			return Overloaded, ms
 		case resetting:
 			return Reset, 2 * ms
 		case unreachable:
@@ -236,7 +236,7 @@
 		}
 	}
 	if load > 4 && r.rng.IntN(3) == 0 {
-		return Full, ms
+		return Overloaded, ms
 	}
 	return OK, max(ms, time.Duration(latency))
 }
@@ -269,7 +269,7 @@
 // list tells a process of all servers, or of changed ones.
 func (r *recorder) list(process int, kind ListKind, changed ...*recordedServer) {
 	list := &recordedList{Kind: uint8(kind)}
-	if kind == ListReplace || kind == ListRestored {
+	if kind == ListReplace || kind == ListCached {
 		changed = r.servers
 	}
 	for _, s := range changed {
@@ -355,7 +355,7 @@
 	old := r.serving
 	r.call(old, recordedEvent{HandOver: &recordedHandOver{On: true}})
 	r.serving = r.start(r.offset(old) + time.Hour)
-	r.list(r.serving, ListRestored)
+	r.list(r.serving, ListCached)
 	r.call(r.serving, recordedEvent{Restore: &recordedRestore{From: old, At: int64(r.now + r.offset(old))}})
 	r.share()
 }
@@ -365,7 +365,7 @@
 	for process := range r.replayer.processes {
 		other := make(map[string]int)
 		for i, b := range r.replayer.processes {
-			for id, n := range b.Out() {
+			for id, n := range b.InFlight() {
 				if i != process {
 					other[id] += n
 				}
@@ -435,7 +435,7 @@
 	if s.begin != nil {
 		s.begin(r)
 	} else {
-		r.list(0, ListRestored)
+		r.list(0, ListCached)
 	}
 	end := r.now + s.lasts
 	for _, step := range s.steps {
@@ -511,12 +511,12 @@
 	return recordedSettings{
 		Nodes: nodes, Node: nodes / 3, Zone: "a",
 		Classes: []recordedClass{
-			{Name: "free", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(Free), Worth: 3},
+			{Name: "free", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(Idempotent), Worth: 3},
 			{Name: "once", Aim: int64(250 * ms), Deadline: int64(1200 * ms), LateWorth: 0.2, Worth: 1},
-			{Name: "all", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(Guarded), Group: uint8(GroupAll), Window: int64(300 * ms), Worth: 2},
-			{Name: "zone", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(Guarded), Group: uint8(GroupZone), Window: int64(300 * ms), Worth: 0.5},
-			{Name: "cell", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(Guarded), Group: uint8(GroupCell), Window: int64(300 * ms), Worth: 1},
-			{Name: "stream", Aim: int64(300 * ms), Deadline: int64(1500 * ms), Repeat: uint8(Free), Stream: true, Worth: 1},
+			{Name: "all", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(IdempotencyKeyed), Group: uint8(DedupEverywhere), Window: int64(300 * ms), Worth: 2},
+			{Name: "zone", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(IdempotencyKeyed), Group: uint8(DedupPerZone), Window: int64(300 * ms), Worth: 0.5},
+			{Name: "cell", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(IdempotencyKeyed), Group: uint8(DedupPerCell), Window: int64(300 * ms), Worth: 1},
+			{Name: "stream", Aim: int64(300 * ms), Deadline: int64(1500 * ms), Repeat: uint8(Idempotent), Stream: true, Worth: 1},
 			{Name: "bulk", AimStretch: 2, Deadline: int64(2 * time.Second), LateWorth: 0.5, Worth: 0.2},
 		},
 		Tenants: []recordedTenant{{Name: "t", Quota: 1e5, Share: 0.7}, {Name: "u", Quota: 5e4, Share: 0.3}},
@@ -588,7 +588,7 @@
 
 	add(scenario{name: "many tenants", settings: scenarioSettings(1), lasts: 72 * second, between: 500 * ms,
 		begin: func(r *recorder) {
-			r.list(0, ListRestored)
+			r.list(0, ListCached)
 			tenant := func(i int) {
 				r.asked++
 				r.request(recordedRequest{ID: fmt.Sprint("r", r.asked), Class: "free", Tenant: fmt.Sprint("n", i), ExpiresIn: int64(30 * ms)})
@@ -668,7 +668,7 @@
 
 	add(scenario{name: "queued requests", settings: scenarioSettings(1), lasts: 4 * second, between: 15 * ms, partial: 10,
 		servers: scenarioServers(3, 2, 60*ms, "a"),
-		begin:   func(r *recorder) { r.call(0, recordedEvent{List: &recordedList{Kind: uint8(ListRestored)}}) },
+		begin:   func(r *recorder) { r.call(0, recordedEvent{List: &recordedList{Kind: uint8(ListCached)}}) },
 		steps: []scenarioStep{
 			at(second, func(r *recorder) { r.list(0, ListReplace) }),
 			at(2*second, func(r *recorder) { r.change(removes, "a00", "a01", "a02") }),
@@ -762,7 +762,7 @@
 				for _, s := range r.servers[4:] {
 					s.Availability = uint8(Running)
 				}
-				r.list(0, ListRestored)
+				r.list(0, ListCached)
 			}),
 		}}, func(s *recordedSettings) { s.EaseLists, s.Subscribe, s.Places = true, true, scenarioPlaces() })
 
@@ -776,7 +776,7 @@
 					s.Classes = append(s.Classes[1:], recordedClass{Name: "new", Deadline: int64(second), Worth: 9, Zones: []string{"a"}})
 				})
 			}),
-			at(2500*ms, func(r *recorder) { r.list(0, ListRestored) }),
+			at(2500*ms, func(r *recorder) { r.list(0, ListCached) }),
 			at(4*second, func(r *recorder) {
 				r.configure(func(s *recordedSettings) {
 					s.Nodes, s.Report, s.Places = 8, reportNames, nil
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -15,37 +15,37 @@
 // site is a small deployment with one class of each kind.
 func site(nodes int) Settings {
 	return Settings{
-		Nodes: nodes, Zone: "a",
+		NodeCount: nodes, Zone: "a",
 		Classes: []Class{
-			{Name: "free", Aim: 250 * ms, Deadline: 600 * ms, Repeat: Free},
-			{Name: "once", Aim: 250 * ms, Deadline: 600 * ms, LateWorth: 0.2},
-			{Name: "all", Aim: 250 * ms, Deadline: 600 * ms, Repeat: Guarded, Group: GroupAll, Window: 300 * ms},
-			{Name: "zone", Aim: 250 * ms, Deadline: 600 * ms, Repeat: Guarded, Group: GroupZone, Window: 300 * ms},
-			{Name: "cell", Aim: 250 * ms, Deadline: 600 * ms, Repeat: Guarded, Group: GroupCell, Window: 300 * ms},
+			{Name: "free", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: Idempotent},
+			{Name: "once", LatencyObjective: 250 * ms, Deadline: 600 * ms, LateWeight: 0.2},
+			{Name: "all", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: IdempotencyKeyed, DedupScope: DedupEverywhere, DedupWindow: 300 * ms},
+			{Name: "zone", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: IdempotencyKeyed, DedupScope: DedupPerZone, DedupWindow: 300 * ms},
+			{Name: "cell", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: IdempotencyKeyed, DedupScope: DedupPerCell, DedupWindow: 300 * ms},
 		},
 		Tenants: []Tenant{{Name: "t", Quota: 1000}, {Name: "u", Quota: 10}},
 		Allowed: Allowed{Cancel: true, MaxAttempts: 4},
-		Rules: Rules{DrainGrace: time.Second, ColdShare: 0.2, ColdFor: 10 * time.Second,
-			FallMultiple: 3, FallFor: 2 * time.Second},
+		Rules: Rules{DrainGrace: time.Second, SlowStartMinCapacity: 0.2, SlowStartDuration: 10 * time.Second,
+			OverloadMultiple: 3, OverloadDuration: 2 * time.Second},
 	}
 }
 
-func members(n int) []Member {
-	var list []Member
+func members(n int) []Endpoint {
+	var list []Endpoint
 	for i := range n {
-		list = append(list, Member{Server: fmt.Sprintf("s%02d", i), Zone: []string{"a", "b"}[i%2],
+		list = append(list, Endpoint{ID: fmt.Sprintf("s%02d", i), Zone: []string{"a", "b"}[i%2],
 			Kind: fmt.Sprint("k", i%3), Cell: int64(i % 4), Weight: 1})
 	}
 	return list
 }
 
-func start(t *testing.T, set Settings, list []Member) *Balancer {
+func start(t *testing.T, set Settings, list []Endpoint) *Balancer {
 	t.Helper()
 	b, err := New(set, 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Handle(0, MemberList{Kind: ListRestored, Members: list})
+	b.Handle(0, EndpointList{Kind: ListCached, Endpoints: list})
 	return b
 }
 
@@ -61,7 +61,7 @@
 }
 
 func ask(id, class string) Request {
-	return Request{ID: id, Class: class, Tenant: "t", ExpiresIn: 600 * ms}
+	return Request{ID: id, Class: class, Tenant: "t", Timeout: 600 * ms}
 }
 
 func sentTo(t *testing.T, acts []Action) string {
@@ -82,28 +82,28 @@
 		{"classes", func(s *Settings) { s.Classes = nil }},
 		{"deadline", func(s *Settings) { s.Classes[0].Deadline = -1 }},
 		{"deadline", func(s *Settings) { s.Classes[0].Deadline = 0 }},
-		{`class "once": aim`, func(s *Settings) { s.Classes[1].Aim = -1 }},
-		{"aim stretch", func(s *Settings) { s.Classes[0].AimStretch = nan }},
-		{"window", func(s *Settings) { s.Classes[2].Window = -1 }},
-		{"late worth", func(s *Settings) { s.Classes[0].LateWorth = -0.1 }},
-		{"worth", func(s *Settings) { s.Classes[0].Worth = math.Inf(1) }},
+		{`class "once": aim`, func(s *Settings) { s.Classes[1].LatencyObjective = -1 }},
+		{"aim stretch", func(s *Settings) { s.Classes[0].ObjectivePerWork = nan }},
+		{"window", func(s *Settings) { s.Classes[2].DedupWindow = -1 }},
+		{"late worth", func(s *Settings) { s.Classes[0].LateWeight = -0.1 }},
+		{"worth", func(s *Settings) { s.Classes[0].PriorityWeight = math.Inf(1) }},
 		{"twice", func(s *Settings) { s.Classes[1].Name = "free" }},
-		{"node 2", func(s *Settings) { s.Node = 2 }},
-		{"group of 0", func(s *Settings) { s.Nodes = 0 }},
+		{"node 2", func(s *Settings) { s.NodeIndex = 2 }},
+		{"group of 0", func(s *Settings) { s.NodeCount = 0 }},
 		{`tenant "t": quota`, func(s *Settings) { s.Tenants[0].Quota = -1 }},
 		{`tenant "t": quota`, func(s *Settings) { s.Tenants[0].Quota = nan }},
 		{"share", func(s *Settings) { s.Tenants[0].Share = -1 }},
 		{"answer grace", func(s *Settings) { s.Rules.AnswerGrace = -1 }},
 		{"drain grace", func(s *Settings) { s.Rules.DrainGrace = -1 }},
-		{"cold share", func(s *Settings) { s.Rules.ColdShare = 1.1 }},
-		{"cold share", func(s *Settings) { s.Rules.ColdShare = nan }},
-		{"fall multiple", func(s *Settings) { s.Rules.FallMultiple = -1 }},
-		{"attempt budget: span", func(s *Settings) { s.Rules.Attempts = &Budget{Share: 0.1} }},
-		{"attempt budget: share", func(s *Settings) { s.Rules.Attempts = &Budget{Share: nan, Span: 1} }},
-		{"attempt budget: least", func(s *Settings) { s.Rules.Attempts = &Budget{Least: -1, Span: 1} }},
+		{"cold share", func(s *Settings) { s.Rules.SlowStartMinCapacity = 1.1 }},
+		{"cold share", func(s *Settings) { s.Rules.SlowStartMinCapacity = nan }},
+		{"fall multiple", func(s *Settings) { s.Rules.OverloadMultiple = -1 }},
+		{"attempt budget: span", func(s *Settings) { s.Rules.RetryBudget = &RetryBudget{RetryRatio: 0.1} }},
+		{"attempt budget: share", func(s *Settings) { s.Rules.RetryBudget = &RetryBudget{RetryRatio: nan, Window: 1} }},
+		{"attempt budget: least", func(s *Settings) { s.Rules.RetryBudget = &RetryBudget{MinRetries: -1, Window: 1} }},
 		{"max attempts", func(s *Settings) { s.Allowed.MaxAttempts = -1 }},
 		{"max retry-after", func(s *Settings) { s.Allowed.MaxRetryAfter = -1 }},
-		{"idle", func(s *Settings) { s.Allowed.ConnIdle = -1 }},
+		{"idle", func(s *Settings) { s.Allowed.IdleTimeout = -1 }},
 	} {
 		set := site(2)
 		c.spoil(&set)
@@ -120,7 +120,7 @@
 	set.Classes[0].Kinds = []string{"k1"} // s01, s04, s07 of nine
 	b := start(t, set, members(9))
 	open := map[string]bool{"s01": true, "s04": true, "s07": true}
-	for i, code := range []Code{ServerError, Full, ConnectFailed} {
+	for i, code := range []Code{ServerError, Overloaded, ConnectFailed} {
 		id := fmt.Sprint(i)
 		s := sentTo(t, b.Handle(ms, ask(id, "free")))
 		if !open[s] {
@@ -132,20 +132,20 @@
 		b.Handle(3*ms, outcome(id, 1, s, OK, ms))
 	}
 	for _, id := range []string{"s01", "s04", "s07"} {
-		b.servers[id].health.score = 0.6
-		b.strike(b.servers[id], failWeight)
+		b.servers[id].outlier.failureScore = 0.6
+		b.recordFailure(b.servers[id], attemptFailureWeight)
 	}
-	if b.ranked[0].open.ejected != 1 {
-		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.ranked[0].open.ejected)
+	if b.classOrder[0].eligible.ejected != 1 {
+		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.classOrder[0].eligible.ejected)
 	}
 	for id := range open {
-		b.Handle(4*ms, MemberList{Kind: ListUpdate, Members: []Member{{Server: id, Zone: "a", Kind: "k1", Availability: Draining}}})
+		b.Handle(4*ms, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{{ID: id, Zone: "a", Kind: "k1", Availability: Draining}}})
 	}
 	acts := slices.Clone(b.Handle(5*ms, ask("x", "free")))
-	for now := 6 * ms; now < 600*ms; now += holdPoll {
-		acts = append(acts, b.Handle(now, Timer{Token: holdToken})...)
+	for now := 6 * ms; now < 600*ms; now += queuePollInterval {
+		acts = append(acts, b.Handle(now, Timer{Token: queueTimerToken})...)
 	}
-	if len(of(acts, Send)) != 0 || len(of(acts, Refuse)) != 1 {
+	if len(of(acts, Send)) != 0 || len(of(acts, Reject)) != 1 {
 		t.Errorf("with its servers gone: got %+v, want one refusal and no send", acts)
 	}
 }
@@ -153,7 +153,7 @@
 // The budget counts every request taken, those refused too, and each further attempt itself.
 func TestBudgetOfAttemptsIsExact(t *testing.T) {
 	set := site(1)
-	set.Rules.Attempts = &Budget{Least: 2, Share: 0.5, Span: time.Second}
+	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0.5, Window: time.Second}
 	b := start(t, set, members(9))
 	extras := func(now Time, from, n int) (sent int) {
 		for i := range n {
@@ -167,23 +167,23 @@
 	if got := extras(ms, 0, 4); got > 4 { // two, and half of four
 		t.Errorf("%d further attempts for 4 requests, at most 4 allowed", got)
 	}
-	b.extra, b.took = nil, []Time{0, 1, 2, 3}
+	b.retriesAt, b.acceptedAt = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
-		if may := b.mayRepeat(); may != (n < 3) { // on the safe side of the exact 4
+		if may := b.mayRetry(); may != (n < 3) { // on the safe side of the exact 4
 			t.Fatalf("after %d further attempts: may repeat %v", n, may)
 		}
-		if !b.mayRepeat() {
+		if !b.mayRetry() {
 			break
 		}
-		b.extra = append(b.extra, b.now)
+		b.retriesAt = append(b.retriesAt, b.now)
 	}
 	b.now = time.Second + 4 // the requests have left the window, the attempts have not
-	if b.mayRepeat() {
+	if b.mayRetry() {
 		t.Error("more than the least is allowed for requests that have left the window")
 	}
 	b.now = 2 * time.Second
-	if !b.mayRepeat() || len(b.extra)+len(b.took) != 0 {
+	if !b.mayRetry() || len(b.retriesAt)+len(b.acceptedAt) != 0 {
 		t.Error("the window was not emptied")
 	}
 }
@@ -191,7 +191,7 @@
 func TestPacksOwnZoneInIDOrderThenSpills(t *testing.T) {
 	b := start(t, site(1), members(4))
 	for _, s := range b.order() {
-		s.threshold = 1
+		s.concurrencyLimit = 1
 	}
 	var got []string
 	for i := range 4 {
@@ -204,11 +204,11 @@
 
 func TestFullBucketRefusesWithRetryAfter(t *testing.T) {
 	b := start(t, site(1), members(4))
-	b.set.Allowed.RetryAfter = true
+	b.settings.Allowed.RetryAfter = true
 	for i := 0; ; i++ {
 		r := ask(fmt.Sprint(i), "free")
 		r.Tenant = "u"
-		if ref := of(b.Handle(ms, r), Refuse); len(ref) == 1 {
+		if ref := of(b.Handle(ms, r), Reject); len(ref) == 1 {
 			if i != 8 { // 10 a second / ln 2, half a second of burst
 				t.Errorf("refused after %d, want 8", i)
 			}
@@ -226,18 +226,18 @@
 	b := start(t, set, members(8))
 	refused := 0
 	for i := range 5 {
-		refused += len(of(b.Handle(ms, ask(fmt.Sprint("f", i), "free")), Refuse))
+		refused += len(of(b.Handle(ms, ask(fmt.Sprint("f", i), "free")), Reject))
 	}
 	if refused != 3 {
 		t.Errorf("refused %d of 5, want 3: the maximum cuts the burst to 2", refused)
 	}
-	if len(of(b.Handle(ms, ask("x", "once")), Refuse)) != 0 {
+	if len(of(b.Handle(ms, ask("x", "once")), Reject)) != 0 {
 		t.Error("another class was refused by the override's bucket")
 	}
 }
 
 func outcome(id string, attempt int, server string, code Code, latency time.Duration) Outcome {
-	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency, Ended: code == OK}
+	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency, RequestEnded: code == OK}
 }
 
 func TestRepeatsKeepToTheirClass(t *testing.T) {
@@ -255,12 +255,12 @@
 		{class: "once", code: ServerError, wantAction: Fail},
 		{class: "once", code: Reset, wantAction: Fail},
 		{class: "once", code: TimedOut, wantAction: Fail},
-		{class: "once", code: Full, resent: true},
+		{class: "once", code: Overloaded, resent: true},
 		{class: "once", code: ConnectFailed, resent: true},
 		{class: "all", code: ServerError, resent: true},
 		{class: "zone", code: ServerError, resent: true, sameZone: true},
 		{class: "cell", code: ServerError, resent: true, sameCell: true},
-		{class: "all", code: ServerError, after: 301 * ms, wantAction: Refuse},
+		{class: "all", code: ServerError, after: 301 * ms, wantAction: Reject},
 		{class: "zone", code: ServerError, after: 301 * ms, wantAction: Fail},
 		{class: "cell", code: ServerError, after: 301 * ms, wantAction: Fail},
 	} {
@@ -277,7 +277,7 @@
 		second := sentTo(t, acts)
 		zone, cell := map[string]string{}, map[string]int64{}
 		for _, m := range list {
-			zone[m.Server], cell[m.Server] = m.Zone, m.Cell
+			zone[m.ID], cell[m.ID] = m.Zone, m.Cell
 		}
 		if c.sameZone && zone[first] != zone[second] || c.sameCell && cell[first] != cell[second] {
 			t.Errorf("%s: first %s, then %s outside its group", c.class, first, second)
@@ -290,15 +290,15 @@
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
 	b.eject(s)
-	now := s.health.until
+	now := s.outlier.ejectedUntil
 	if got := sentTo(t, b.Handle(now, ask("x", "free"))); got != "s00" {
 		t.Fatalf("trial went to %s", got)
 	}
 	b.Handle(now+100*ms, outcome("x", 0, "s00", Cancelled, 100*ms))
-	if s.health.trialOut {
+	if s.outlier.probationInFlight {
 		t.Error("the trial still counts as out")
 	}
-	now = s.health.until
+	now = s.outlier.ejectedUntil
 	if got := sentTo(t, b.Handle(now, ask("y", "free"))); got != "s00" {
 		t.Errorf("next trial went to %s, want s00", got)
 	}
@@ -309,9 +309,9 @@
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
 	b.eject(s)
-	now := s.health.until
+	now := s.outlier.ejectedUntil
 	b.Handle(now, ask("x", "free"))
-	b.Handle(now+ms, outcome("x", 0, "s00", Full, ms))
+	b.Handle(now+ms, outcome("x", 0, "s00", Overloaded, ms))
 	if got := sentTo(t, b.Handle(now+2*ms, ask("y", "free"))); got == "s00" {
 		t.Error("tried again at once")
 	}
@@ -322,29 +322,29 @@
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
 	b.Handle(ms, ask("x", "once"))
-	s.lastDone = 100 * ms
+	s.lastResponseAt = 100 * ms
 	b.Handle(600*ms, outcome("x", 0, "s00", TimedOut, 600*ms))
-	if s.health.score != 0 {
-		t.Errorf("score %v, want 0", s.health.score)
+	if s.outlier.failureScore != 0 {
+		t.Errorf("score %v, want 0", s.outlier.failureScore)
 	}
 }
 
 func TestRatesFollowRoom(t *testing.T) {
 	b := start(t, site(1), members(2))
 	for range 100 {
-		b.follow(false)
+		b.adjustRateMultiplier(false)
 	}
-	if b.pace >= 0.5 || b.pace < paceLeast {
-		t.Errorf("after 100 choices without room the scale is %v", b.pace)
+	if b.rateMultiplier >= 0.5 || b.rateMultiplier < minRateMultiplier {
+		t.Errorf("after 100 choices without room the scale is %v", b.rateMultiplier)
 	}
-	was := b.pace
-	b.follow(true)
-	if b.pace != was {
+	was := b.rateMultiplier
+	b.adjustRateMultiplier(true)
+	if b.rateMultiplier != was {
 		t.Error("the scale rose though no bucket refused")
 	}
-	b.refused = true
-	b.follow(true)
-	if b.pace <= was {
+	b.bucketRejected = true
+	b.adjustRateMultiplier(true)
+	if b.rateMultiplier <= was {
 		t.Error("the scale did not rise though a bucket refused and there was room")
 	}
 }
@@ -353,14 +353,14 @@
 func TestHeldRequestMovesTheRatesOnce(t *testing.T) {
 	b := start(t, site(1), members(1))
 	s := b.order()[0]
-	s.threshold, s.felt, s.inflight = 1, true, 3
+	s.concurrencyLimit, s.limitReached, s.inFlight = 1, true, 3
 	b.Handle(ms, ask("x", "free"))
-	was := b.pace
-	for now := 2 * ms; now < 80*ms; now += holdPoll {
-		b.Handle(now, Timer{Token: holdToken})
+	was := b.rateMultiplier
+	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
+		b.Handle(now, Timer{Token: queueTimerToken})
 	}
-	if len(b.held) != 1 || was >= 1 || b.pace != was {
-		t.Errorf("%d held, the scale went from %v to %v", len(b.held), was, b.pace)
+	if len(b.queued) != 1 || was >= 1 || b.rateMultiplier != was {
+		t.Errorf("%d held, the scale went from %v to %v", len(b.queued), was, b.rateMultiplier)
 	}
 }
 
@@ -369,9 +369,9 @@
 	firsts := map[string]bool{}
 	for n := range 6 {
 		set := site(6)
-		set.Node = n
+		set.NodeIndex = n
 		b := start(t, set, members(24))
-		firsts[b.order()[0].Server] = true
+		firsts[b.order()[0].ID] = true
 	}
 	if len(firsts) < 5 {
 		t.Errorf("6 nodes begin at only %d servers", len(firsts))
@@ -381,12 +381,12 @@
 // A cold server gets a small part of what a warm one gets, over all nodes.
 func TestColdServerIsNotPushedOver(t *testing.T) {
 	list := members(8)
-	list[0].OnlineSince = 1000 * ms
+	list[0].StartedAt = 1000 * ms
 	const nodes = 8
 	sends, rate := 0, 0
 	for n := range nodes {
 		set := site(nodes)
-		set.Node = n
+		set.NodeIndex = n
 		b := start(t, set, list)
 		for i := range 3000 {
 			now := 1000*ms + time.Duration(i)*ms
@@ -410,20 +410,20 @@
 	b := start(t, site(1), members(2))
 	grow := func() {
 		for range 200 {
-			b.refused = true
-			b.follow(true)
+			b.bucketRejected = true
+			b.adjustRateMultiplier(true)
 		}
 	}
 	grow()
-	if b.pace != paceMost {
-		t.Errorf("with good answers the scale is %v, want %v", b.pace, paceMost)
+	if b.rateMultiplier != maxRateMultiplier {
+		t.Errorf("with good answers the scale is %v, want %v", b.rateMultiplier, maxRateMultiplier)
 	}
 	for range 20 {
-		b.learn(b.order()[0], b.ranked[0], TimedOut, ms, 1)
+		b.updateConcurrencyLimit(b.order()[0], b.classOrder[0], TimedOut, ms, 1)
 	}
 	grow()
-	if b.pace > paceShare*(1+paceGrow) {
-		t.Errorf("with bad answers the scale is %v, want about %v", b.pace, paceShare)
+	if b.rateMultiplier > cautiousRateMultiplier*(1+rateIncreaseStep) {
+		t.Errorf("with bad answers the scale is %v, want about %v", b.rateMultiplier, cautiousRateMultiplier)
 	}
 }
 
@@ -431,14 +431,14 @@
 func TestColdRateLeavesOneMultipleToChance(t *testing.T) {
 	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		set := site(1)
-		set.Rules.FallMultiple, set.Rules.ColdShare, set.Rules.ColdFor = multiple, 0.5, time.Hour
+		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
 		b := start(t, set, members(1))
-		b.done, b.doneAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		b.completionRate, b.completionRateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
 		s := b.order()[0]
-		s.OnlineSince = b.now
-		s.cold = coldBudget{last: b.now - 10*ms}
-		b.coldRoom(s)
-		if got, rate := s.cold.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
+		s.StartedAt = b.now
+		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
+		b.hasWarmupBudget(s)
+		if got, rate := s.warmupBudget.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
 			t.Errorf("multiple %v: %v requests in 10 ms, want %v", multiple, got, rate)
 		}
 	}
@@ -447,10 +447,10 @@
 // What all nodes together first trust a server with stays the same where nodes are few: four of each of
 // three nodes jam the first server in the order.
 func TestStartIsSharedByFewNodes(t *testing.T) {
-	for nodes := 1; nodes <= manyNodes; nodes++ {
+	for nodes := 1; nodes <= maxSmallFleet; nodes++ {
 		b := start(t, site(nodes), members(4))
-		if all := b.order()[0].threshold * float64(nodes); math.Abs(all-startFew) > 1e-9 {
-			t.Errorf("%d nodes: %v attempts in all, want %v", nodes, all, startFew)
+		if all := b.order()[0].concurrencyLimit * float64(nodes); math.Abs(all-initialFleetLimit) > 1e-9 {
+			t.Errorf("%d nodes: %v attempts in all, want %v", nodes, all, initialFleetLimit)
 		}
 	}
 }
@@ -461,17 +461,17 @@
 	waits := map[time.Duration]bool{}
 	for n := range 8 {
 		set := site(8)
-		set.Node, set.Subscribe = n, true
+		set.NodeIndex, set.SubscribeList = n, true
 		b, err := New(set, 0, 7)
 		if err != nil {
 			t.Fatal(err)
 		}
-		first := of(b.Handle(0, MemberList{Kind: ListRestored}), SetTimer) // not all nodes at once
+		first := of(b.Handle(0, EndpointList{Kind: ListCached}), SetTimer) // not all nodes at once
 		if len(first) != 1 || len(of(b.Handle(first[0].Wait, Timer{Token: first[0].Token}), WatchList)) != 1 {
 			t.Fatal("no subscription at the start")
 		}
-		timers := of(b.Handle(2*time.Second, MemberList{Kind: ListUnavailable}), SetTimer)
-		if len(timers) != 1 || timers[0].Wait < askAgain/2 || timers[0].Wait > askAgain*3/2 {
+		timers := of(b.Handle(2*time.Second, EndpointList{Kind: ListUnavailable}), SetTimer)
+		if len(timers) != 1 || timers[0].Wait < listBackoffBase/2 || timers[0].Wait > listBackoffBase*3/2 {
 			t.Fatalf("after a failed call: %+v", timers)
 		}
 		waits[timers[0].Wait] = true
@@ -488,15 +488,15 @@
 // for about as long as it was served, and a threshold that still grew would do so until servers choke.
 func TestWaitsAsLongAsTheWorkLowerTheThreshold(t *testing.T) {
 	b := start(t, site(1), members(2))
-	s, c := b.order()[0], b.ranked[0]
+	s, c := b.order()[0], b.classOrder[0]
 	for _, v := range []struct {
 		part float64 // of the aim
 		grow bool
 	}{{0.3, true}, {0.5, false}, {0.9, false}} {
-		s.threshold, s.inflight = 10, 10
-		b.learn(s, c, OK, seconds(v.part*c.Aim.Seconds()), 1)
-		if grew := s.threshold > 10; grew != v.grow || s.threshold == 10 {
-			t.Errorf("an answer after %v of its aim moves the threshold from 10 to %v", v.part, s.threshold)
+		s.concurrencyLimit, s.inFlight = 10, 10
+		b.updateConcurrencyLimit(s, c, OK, seconds(v.part*c.LatencyObjective.Seconds()), 1)
+		if grew := s.concurrencyLimit > 10; grew != v.grow || s.concurrencyLimit == 10 {
+			t.Errorf("an answer after %v of its aim moves the threshold from 10 to %v", v.part, s.concurrencyLimit)
 		}
 	}
 }
@@ -505,10 +505,10 @@
 // is worth least waits for room.
 func TestDearestClassIsGivenUpLast(t *testing.T) {
 	set := site(1)
-	set.Classes[0].Worth, set.Classes[1].Worth = 1, 5
+	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
 	b := start(t, set, members(2))
 	for _, s := range b.order() {
-		s.threshold, s.felt, s.inflight = 10, true, 12
+		s.concurrencyLimit, s.limitReached, s.inFlight = 10, true, 12
 	}
 	if sent := of(b.Handle(ms, ask("cheap", "free")), Send); len(sent) != 0 {
 		t.Errorf("the cheapest class is sent over the threshold: %+v", sent)
@@ -517,7 +517,7 @@
 		t.Errorf("the dearest class is not sent, though servers are little over the threshold")
 	}
 	for _, s := range b.order() {
-		s.inflight = int(crowdLimit * 10)
+		s.inFlight = int(maxOvercommitLearned * 10)
 	}
 	if sent := of(b.Handle(ms, ask("late", "once")), Send); len(sent) != 0 {
 		t.Errorf("the dearest class is sent to servers that are far over the threshold")
@@ -528,24 +528,24 @@
 // ceded spends nothing more of it until it takes the node back.
 func TestCededProcessSpendsNothingOfTheNodes(t *testing.T) {
 	set := site(1)
-	set.Rules.Attempts = &Budget{Least: 2, Share: 0, Span: time.Second}
-	cold := append(members(2), Member{Server: "young", Zone: "a", OnlineSince: 9 * time.Second, Weight: 1})
+	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: time.Second}
+	cold := append(members(2), Endpoint{ID: "young", Zone: "a", StartedAt: 9 * time.Second, Weight: 1})
 	old := start(t, set, cold)
 	now := 10 * time.Second
 	retried := func(b *Balancer, id string) bool {
 		t.Helper()
 		first := sentTo(t, b.Handle(now, ask(id, "free")))
-		acts := b.Handle(now, Outcome{ID: id, Server: first, Code: Full})
+		acts := b.Handle(now, Outcome{ID: id, Server: first, Code: Overloaded})
 		return len(of(acts, Send)) > 0
 	}
 	if !retried(old, "a") {
 		t.Fatal("no further attempt before")
 	}
-	know := old.Knowledge(now)
-	old.Handle(now, Ceded{On: true})
+	know := old.Snapshot(now)
+	old.Handle(now, HandedOver{Active: true})
 	tokens := old.buckets[bucketKey{tenant: "t"}].tokens
-	if sum := tokens + know.Buckets[0].Tokens; sum > old.tenants["t"].Burst {
-		t.Errorf("%d tokens in both, one node may have %d", sum, old.tenants["t"].Burst)
+	if sum := tokens + know.Buckets[0].Tokens; sum > old.tenantLimits["t"].Burst {
+		t.Errorf("%d tokens in both, one node may have %d", sum, old.tenantLimits["t"].Burst)
 	}
 	now += 2 * time.Second // beyond the span
 	if retried(old, "b") {
@@ -555,10 +555,10 @@
 	if got := old.buckets[bucketKey{tenant: "t"}].tokens; got != tokens-2 {
 		t.Errorf("%d tokens after two requests, want %d: no refill", got, tokens-2)
 	}
-	if old.coldRoom(old.servers["young"]) {
+	if old.hasWarmupBudget(old.servers["young"]) {
 		t.Error("a ceded process may send to a cold server")
 	}
-	old.Handle(now, Ceded{})
+	old.Handle(now, HandedOver{})
 	if !retried(old, "d") {
 		t.Error("taken back, it makes no further attempt")
 	}
@@ -567,49 +567,49 @@
 // What one process knows another learns, by a clock of its own.
 func TestKnowledgePassesToAnotherClock(t *testing.T) {
 	set := site(1)
-	set.Rules.Attempts = &Budget{Least: 2, Share: 0, Span: 10 * time.Second}
-	list := append(members(3), Member{Server: "young", Zone: "a", OnlineSince: 8 * time.Second, Weight: 1})
+	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: 10 * time.Second}
+	list := append(members(3), Endpoint{ID: "young", Zone: "a", StartedAt: 8 * time.Second, Weight: 1})
 	old := start(t, set, list)
 	now := 10 * time.Second
 	first := sentTo(t, old.Handle(now, ask("a", "free")))
-	old.Handle(now, Outcome{ID: "a", Server: first, Code: Full})
-	old.servers["s01"].threshold, old.servers["young"].cold.tokens = 7, 0.25
-	old.servers["s02"].health = health{score: 0.4, out: true, until: 12 * time.Second, times: 2}
-	know := old.Knowledge(now)
+	old.Handle(now, Outcome{ID: "a", Server: first, Code: Overloaded})
+	old.servers["s01"].concurrencyLimit, old.servers["young"].warmupBudget.tokens = 7, 0.25
+	old.servers["s02"].outlier = outlierState{failureScore: 0.4, ejected: true, ejectedUntil: 12 * time.Second, ejections: 2}
+	know := old.Snapshot(now)
 
 	const ahead = 40 * time.Second
 	for i := range list {
-		if list[i].OnlineSince > 0 {
-			list[i].OnlineSince += ahead + ms
+		if list[i].StartedAt > 0 {
+			list[i].StartedAt += ahead + ms
 		}
 	}
 	heir, err := New(set, now+ahead, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	heir.Handle(now+ahead, MemberList{Kind: ListRestored, Members: list})
-	heir.Learn(now+ahead, know)
-	if got := heir.servers["s01"].threshold; got != 7 {
+	heir.Handle(now+ahead, EndpointList{Kind: ListCached, Endpoints: list})
+	heir.Restore(now+ahead, know)
+	if got := heir.servers["s01"].concurrencyLimit; got != 7 {
 		t.Errorf("threshold %v", got)
 	}
-	if got := heir.servers["young"].cold; got.tokens != 0.25 {
+	if got := heir.servers["young"].warmupBudget; got.tokens != 0.25 {
 		t.Errorf("cold budget %+v", got)
 	}
-	if got := heir.servers["s02"].health; !got.out || got.until != 12*time.Second+ahead || got.times != 2 {
+	if got := heir.servers["s02"].outlier; !got.ejected || got.ejectedUntil != 12*time.Second+ahead || got.ejections != 2 {
 		t.Errorf("health %+v", got)
 	}
 	if listed, avoided := heir.Servers(); listed != 4 || avoided != 1 {
 		t.Errorf("%d servers, %d avoided", listed, avoided)
 	}
-	if heir.mayRepeat() {
+	if heir.mayRetry() {
 		t.Error("the budget of attempts was spent before")
 	}
 	for i := range list { // a server that started again is another
-		list[i].OnlineSince = now + ahead
+		list[i].StartedAt = now + ahead
 	}
 	fresh := start(t, set, list)
-	fresh.Learn(now+ahead, know)
-	if got := fresh.servers["s01"].threshold; got == 7 {
+	fresh.Restore(now+ahead, know)
+	if got := fresh.servers["s01"].concurrencyLimit; got == 7 {
 		t.Error("a new process of a server inherits the threshold of its former one")
 	}
 }
@@ -620,23 +620,23 @@
 	set := site(1)
 	b := start(t, set, members(4))
 	first := sentTo(t, b.Handle(0, ask("open", "free")))
-	b.servers["s00"].threshold = 9
+	b.servers["s00"].concurrencyLimit = 9
 	b.buckets[bucketKey{tenant: "t"}].tokens = 5
-	b.classes["free"].tail = 77 * ms
+	b.classes["free"].tailLatency = 77 * ms
 
 	next := site(1)
-	next.Classes[0].Repeat = Never
+	next.Classes[0].RetrySafety = NonIdempotent
 	next.Classes = slices.Delete(next.Classes, 1, 2) // "once" is dropped
-	next.Classes = append(next.Classes, Class{Name: "new", Aim: 250 * ms, Deadline: 600 * ms, Repeat: Free})
+	next.Classes = append(next.Classes, Class{Name: "new", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: Idempotent})
 	next.Allowed.MaxAttempts = 2
 	b.Handle(ms, next)
-	if s := b.servers["s00"]; s.threshold != 9 || s.inflight+b.servers["s01"].inflight+b.servers["s02"].inflight != 1 {
-		t.Errorf("threshold %v", s.threshold)
+	if s := b.servers["s00"]; s.concurrencyLimit != 9 || s.inFlight+b.servers["s01"].inFlight+b.servers["s02"].inFlight != 1 {
+		t.Errorf("threshold %v", s.concurrencyLimit)
 	}
 	if got := b.buckets[bucketKey{tenant: "t"}].tokens; got != 5 {
 		t.Errorf("%d tokens", got)
 	}
-	if got := b.classes["free"].tail; got != 77*ms {
+	if got := b.classes["free"].tailLatency; got != 77*ms {
 		t.Errorf("tail %v", got)
 	}
 	again := func(id, server string) bool {
@@ -652,7 +652,7 @@
 		t.Error("a class that must not run twice by now is repeated")
 	}
 	was := ask("was", "free")
-	was.Former = true
+	was.FormerClass = true
 	if !again("was", sentTo(t, b.Handle(2*ms, was))) {
 		t.Error("a request in its class's former form is not repeated")
 	}
@@ -662,7 +662,7 @@
 	if !again("new", sentTo(t, b.Handle(2*ms, ask("new", "new")))) {
 		t.Error("the new class is not repeated")
 	}
-	if acts := b.Handle(time.Second, Timer{Token: watchToken + 5}); len(of(acts, Send)) > 0 {
+	if acts := b.Handle(time.Second, Timer{Token: firstClassTimerToken + 5}); len(of(acts, Send)) > 0 {
 		t.Error("the new class's timer sent a copy of what is over")
 	}
 }
@@ -673,7 +673,7 @@
 	drive := func(part func(s *server) float64) *Balancer {
 		b := start(t, site(1), members(10))
 		for _, s := range b.order() {
-			s.threshold = 10
+			s.concurrencyLimit = 10
 		}
 		for i := range 2000 {
 			s := b.order()[i%len(b.order())]
@@ -682,40 +682,40 @@
 			if b.rng.Float64() < part(s) {
 				code = Reset
 			}
-			s.inflight = 9 // its threshold is felt
-			blame := b.blame(s, code)
-			b.learn(s, b.ranked[0], code, ms, blame)
-			b.judge(&attempt{server: s, sent: b.now}, code, blame)
+			s.inFlight = 9 // its threshold is felt
+			blame := b.failureWeight(s, code)
+			b.updateConcurrencyLimit(s, b.classOrder[0], code, ms, blame)
+			b.updateOutlierState(&attempt{server: s, sentAt: b.now}, code, blame)
 		}
 		return b
 	}
 	for name, part := range map[string]float64{"few": 0.05, "many": 0.15} {
 		b := drive(func(*server) float64 { return part })
-		if b.pool.ejected > 1 {
-			t.Errorf("%s resets everywhere: %d of 10 servers are ejected", name, b.pool.ejected)
+		if b.serverPool.ejected > 1 {
+			t.Errorf("%s resets everywhere: %d of 10 servers are ejected", name, b.serverPool.ejected)
 		}
 		for _, s := range b.order() {
-			if s.threshold < 8 {
-				t.Errorf("%s resets everywhere: threshold %.1f of 10", name, s.threshold)
+			if s.concurrencyLimit < 8 {
+				t.Errorf("%s resets everywhere: threshold %.1f of 10", name, s.concurrencyLimit)
 			}
 		}
 	}
 	b := drive(func(s *server) float64 {
-		if s.Server == "s03" {
+		if s.ID == "s03" {
 			return 0.9
 		}
 		return 0.05
 	})
-	if !b.servers["s03"].health.out {
+	if !b.servers["s03"].outlier.ejected {
 		t.Error("a server that alone resets nearly all is not ejected")
 	}
 	for _, code := range []Code{Reset, ConnectFailed, ServerError} {
 		b := start(t, site(1), members(10))
-		if got := b.blame(b.order()[0], code); got != 1 {
+		if got := b.failureWeight(b.order()[0], code); got != 1 {
 			t.Errorf("a lone fault (%v) counts %v", code, got)
 		}
 	}
-	if b := start(t, site(1), members(1)); b.blame(b.order()[0], Reset) != 1 {
+	if b := start(t, site(1), members(1)); b.failureWeight(b.order()[0], Reset) != 1 {
 		t.Error("the only server is not blamed")
 	}
 }
@@ -723,20 +723,20 @@
 // While one process replaces another, a server's threshold holds for what both have out there.
 func TestThresholdsHoldOverBothProcesses(t *testing.T) {
 	old, heir := start(t, site(1), members(2)), start(t, site(1), members(2))
-	full := int(old.servers["s00"].threshold)
+	full := int(old.servers["s00"].concurrencyLimit)
 	for i := range full {
 		sentTo(t, old.Handle(ms, ask(fmt.Sprint("o", i), "free")))
 	}
-	out := old.Out()
+	out := old.InFlight()
 	if out["s00"] != full || len(out) != 1 {
 		t.Fatalf("%v are out, want %d at the first server", out, full)
 	}
 	out["gone"] = 5 // and a server that this process has not heard of
-	heir.Beside(out)
+	heir.SetSiblingInFlight(out)
 	if first := sentTo(t, heir.Handle(ms, ask("a", "free"))); first == "s00" {
 		t.Error("the first server is filled again")
 	}
-	heir.Beside(nil)
+	heir.SetSiblingInFlight(nil)
 	if next := sentTo(t, heir.Handle(ms, ask("b", "free"))); next != "s00" {
 		t.Errorf("sent to %s, though the other process has nothing out any more", next)
 	}
@@ -746,12 +746,12 @@
 // worth; the dearest never does, and neither does any where reports tell of room.
 func TestCheapClassesGiveWayToTheDearest(t *testing.T) {
 	set := site(1)
-	set.Classes[0].Worth, set.Classes[1].Worth, set.Classes[2].Worth = 1, 5, 3
+	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 5, 3
 	b := start(t, set, members(4))
 	refused := func(class string) (part float64) {
 		const asked = 2000
 		for range asked {
-			if b.shed(b.classes[class]) {
+			if b.shouldShed(b.classes[class]) {
 				part += 1.0 / asked
 			}
 		}
@@ -760,22 +760,22 @@
 	if got := refused("free"); got != 0 {
 		t.Errorf("%v of the cheapest are given up while the dearest find room", got)
 	}
-	b.starved = 0.15
+	b.highPriorityShortage = 0.15
 	cheapest, middle, dearest := refused("free"), refused("all"), refused("once")
 	if math.Abs(cheapest-0.48) > 0.05 || math.Abs(middle-0.24) > 0.05 || dearest != 0 {
 		t.Errorf("%v of the cheapest, %v of the middle and %v of the dearest class are given up, want 0.48, 0.24 and 0",
 			cheapest, middle, dearest)
 	}
-	b.starved = 1
-	if got := refused("free"); math.Abs(got-shedMost) > 0.05 {
-		t.Errorf("%v of the cheapest are given up while no dear one finds room, want %v", got, shedMost)
+	b.highPriorityShortage = 1
+	if got := refused("free"); math.Abs(got-maxShedProbability) > 0.05 {
+		t.Errorf("%v of the cheapest are given up while no dear one finds room, want %v", got, maxShedProbability)
 	}
 	if acts := b.Handle(ms, ask("x", "once")); len(of(acts, Send)) != 1 {
 		t.Errorf("the dearest class gives way: %+v", acts)
 	}
 	told := fleet(t, 40, members(4))
-	told.starved, told.dearest = 1, 5
-	if told.shed(told.classes["free"]) {
+	told.highPriorityShortage, told.maxPriorityWeight = 1, 5
+	if told.shouldShed(told.classes["free"]) {
 		t.Error("a class gives way though reports tell of room")
 	}
 }
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -11,8 +11,8 @@
 	if len(set.Classes) == 0 {
 		return errors.New("classes: there are none")
 	}
-	if set.Nodes < 1 || set.Node < 0 || set.Node >= set.Nodes {
-		return fmt.Errorf("node %d: outside the group of %d", set.Node, set.Nodes)
+	if set.NodeCount < 1 || set.NodeIndex < 0 || set.NodeIndex >= set.NodeCount {
+		return fmt.Errorf("node %d: outside the group of %d", set.NodeIndex, set.NodeCount)
 	}
 	seen := make(map[string]bool)
 	for _, c := range set.Classes {
@@ -32,13 +32,13 @@
 	if err := validateRules(set.Rules); err != nil {
 		return fmt.Errorf("rules: %w", err)
 	}
-	if err := validatePlaces(set.Places); err != nil {
+	if err := validatePlaces(set.Topology); err != nil {
 		return fmt.Errorf("places: %w", err)
 	}
 	a := set.Allowed
 	err := firstError(notBelowZero("max attempts", float64(a.MaxAttempts)),
 		notBelowZero("max retry-after", a.MaxRetryAfter.Seconds()),
-		notBelowZero("connection idle time", a.ConnIdle.Seconds()))
+		notBelowZero("connection idle time", a.IdleTimeout.Seconds()))
 	if err != nil {
 		return fmt.Errorf("allowed: %w", err)
 	}
@@ -49,30 +49,30 @@
 	if c.Deadline <= 0 {
 		return errors.New("deadline: missing or negative")
 	}
-	return firstError(notBelowZero("aim", c.Aim.Seconds()), notBelowZero("aim stretch", c.AimStretch),
-		notBelowZero("window", c.Window.Seconds()), notBelowZero("late worth", c.LateWorth),
-		notBelowZero("worth", c.Worth))
+	return firstError(notBelowZero("aim", c.LatencyObjective.Seconds()), notBelowZero("aim stretch", c.ObjectivePerWork),
+		notBelowZero("window", c.DedupWindow.Seconds()), notBelowZero("late worth", c.LateWeight),
+		notBelowZero("worth", c.PriorityWeight))
 }
 
 func validateRules(r Rules) error {
 	err := firstError(notBelowZero("answer grace", r.AnswerGrace.Seconds()),
-		notBelowZero("drain grace", r.DrainGrace.Seconds()), notBelowZero("cold share", r.ColdShare),
-		notBelowZero("cold for", r.ColdFor.Seconds()), notBelowZero("fall multiple", r.FallMultiple),
-		notBelowZero("fall for", r.FallFor.Seconds()), notBelowZero("ask within", r.AskWithin.Seconds()))
+		notBelowZero("drain grace", r.DrainGrace.Seconds()), notBelowZero("cold share", r.SlowStartMinCapacity),
+		notBelowZero("cold for", r.SlowStartDuration.Seconds()), notBelowZero("fall multiple", r.OverloadMultiple),
+		notBelowZero("fall for", r.OverloadDuration.Seconds()), notBelowZero("ask within", r.PollInterval.Seconds()))
 	if err != nil {
 		return err
 	}
-	if r.ColdShare > 1 {
-		return fmt.Errorf("cold share: want at most 1, got %v", r.ColdShare)
+	if r.SlowStartMinCapacity > 1 {
+		return fmt.Errorf("cold share: want at most 1, got %v", r.SlowStartMinCapacity)
 	}
-	if r.Attempts == nil {
+	if r.RetryBudget == nil {
 		return nil
 	}
-	if r.Attempts.Span <= 0 {
+	if r.RetryBudget.Window <= 0 {
 		return errors.New("attempt budget: span: missing or negative")
 	}
-	return firstError(notBelowZero("attempt budget: least", r.Attempts.Least),
-		notBelowZero("attempt budget: share", r.Attempts.Share))
+	return firstError(notBelowZero("attempt budget: least", r.RetryBudget.MinRetries),
+		notBelowZero("attempt budget: share", r.RetryBudget.RetryRatio))
 }
 
 // notBelowZero names a field whose figure is negative, infinite or no number.
@@ -93,31 +93,31 @@
 }
 
 // cost is that of crossing from one zone to another.
-func (p *Places) cost(from, to string) float64 {
-	if c, ok := p.Costs[from][to]; ok || from == to {
+func (p *Topology) cost(from, to string) float64 {
+	if c, ok := p.ZoneCosts[from][to]; ok || from == to {
 		return c
 	}
 	if p.region(from) == p.region(to) {
-		return p.SameRegion
+		return p.SameRegionCost
 	}
-	return p.OtherRegion
+	return p.OtherRegionCost
 }
 
 // region is where a zone lies; one that nobody named lies alone.
-func (p *Places) region(zone string) string {
-	if p != nil && p.Region[zone] != "" {
-		return p.Region[zone]
+func (p *Topology) region(zone string) string {
+	if p != nil && p.RegionOfZone[zone] != "" {
+		return p.RegionOfZone[zone]
 	}
 	return zone
 }
 
 // validatePlaces says what makes no sense. A negative cost would send requests away from where they are best.
-func validatePlaces(p *Places) error {
+func validatePlaces(p *Topology) error {
 	if p == nil {
 		return nil
 	}
-	err := firstError(notBelowZero("cost within a region", p.SameRegion), notBelowZero("cost between regions", p.OtherRegion))
-	for from, to := range p.Costs {
+	err := firstError(notBelowZero("cost within a region", p.SameRegionCost), notBelowZero("cost between regions", p.OtherRegionCost))
+	for from, to := range p.ZoneCosts {
 		for zone, cost := range to {
 			err = firstError(err, notBelowZero(fmt.Sprintf("cost from %s to %s", from, zone), cost))
 		}
--- a/policy/sums.go
+++ b/policy/sums.go
@@ -8,261 +8,261 @@
 // Sums over all servers, kept up by difference so that no decision walks the list to know them. What time alone
 // changes stands in queues by the moment at which it does. No decisions here.
 
-// fixed is a figure in units of 2^-40. Sums of such are exact: what is added and taken off again leaves nothing.
-type fixed int64
+// fixedPoint is a figure in units of 2^-40. Sums of such are exact: what is added and taken off again leaves nothing.
+type fixedPoint int64
 
 const fixedUnit = 1 << 40
 
-func toFixed(v float64) fixed  { return fixed(math.Round(v * fixedUnit)) }
-func (f fixed) float() float64 { return float64(f) / fixedUnit }
+func toFixedPoint(v float64) fixedPoint { return fixedPoint(math.Round(v * fixedUnit)) }
+func (f fixedPoint) float() float64     { return float64(f) / fixedUnit }
 
-// timeline is a heap of servers by a moment each.
-type timeline []timelineEntry
+// serverQueue is a heap of servers by a moment each.
+type serverQueue []serverQueueEntry
 
-type timelineEntry struct {
+type serverQueueEntry struct {
 	at     Time
 	server *server
 }
 
-func (t timeline) Len() int           { return len(t) }
-func (t timeline) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t timeline) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t serverQueue) Len() int           { return len(t) }
+func (t serverQueue) Less(i, j int) bool { return t[i].at < t[j].at }
+func (t serverQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
 
 // Push is for the heap alone.
-func (t *timeline) Push(entry any) { *t = append(*t, entry.(timelineEntry)) }
+func (t *serverQueue) Push(entry any) { *t = append(*t, entry.(serverQueueEntry)) }
 
 // Pop is for the heap alone.
-func (t *timeline) Pop() any {
+func (t *serverQueue) Pop() any {
 	old := *t
 	last := old[len(old)-1]
-	old[len(old)-1] = timelineEntry{}
+	old[len(old)-1] = serverQueueEntry{}
 	*t = old[:len(old)-1]
 	return last
 }
 
-func (t *timeline) add(at Time, s *server) { heap.Push(t, timelineEntry{at, s}) }
+func (t *serverQueue) add(at Time, s *server) { heap.Push(t, serverQueueEntry{at, s}) }
 
-func (t *timeline) next() *server { return heap.Pop(t).(timelineEntry).server }
+func (t *serverQueue) next() *server { return heap.Pop(t).(serverQueueEntry).server }
 
-// counted is what a server adds to the sums.
-type counted struct {
-	place    *place // under which it counts,
-	kind     string // and kind
-	warm     bool
-	warming  bool // it is queued until it is warm
-	ejected  bool
-	slot     int  // its index among the ejected
-	avoided  bool // it drains or is ejected
-	faults   fixed
-	doubt    fixed
-	doubted  bool // its evidence is recent enough to count
-	expiring bool // it is queued until that is too old
+// contribution is what a server adds to the sums.
+type contribution struct {
+	zone             *zoneHealth // under which it counts,
+	kind             string      // and kind
+	warm             bool
+	queuedForWarm    bool // it is queued until it is warm
+	ejected          bool
+	ejectedIndex     int  // its index among the ejected
+	unavailable      bool // it drains or is ejected
+	connectionFaults fixedPoint
+	evidence         fixedPoint
+	hasEvidence      bool // its evidence is recent enough to count
+	queuedForExpiry  bool // it is queued until that is too old
 }
 
-// evidence sums what servers say of their place.
-type evidence struct {
-	sum     fixed
+// evidenceSum sums what servers say of their place.
+type evidenceSum struct {
+	sum     fixedPoint
 	servers int
 }
 
-// count adds a server that has come into the order.
-func (b *Balancer) count(s *server) {
-	s.counted.place, s.counted.kind = s.place, s.Kind
-	s.counted.faults = toFixed(s.faults)
-	b.faults += s.counted.faults
+// addToSums adds a server that has come into the order.
+func (b *Balancer) addToSums(s *server) {
+	s.contribution.zone, s.contribution.kind = s.zone, s.Kind
+	s.contribution.connectionFaults = toFixedPoint(s.connectionFaultRatio)
+	b.connectionFaults += s.contribution.connectionFaults
 	b.countWarm(s)
-	b.countDoubt(s)
+	b.countEvidence(s)
 	b.countEjected(s)
 }
 
-// uncount takes off a server that has left the order.
-func (b *Balancer) uncount(s *server) {
-	b.faults -= s.counted.faults
-	if s.counted.warm {
-		s.counted.warm = false
-		*b.warmOf(s.counted.place)--
+// removeFromSums takes off a server that has left the order.
+func (b *Balancer) removeFromSums(s *server) {
+	b.connectionFaults -= s.contribution.connectionFaults
+	if s.contribution.warm {
+		s.contribution.warm = false
+		*b.warmCounter(s.contribution.zone)--
 	}
-	b.uncountDoubt(s)
+	b.uncountEvidence(s)
 	b.countEjected(s)
 }
 
-// resetCounts empties all sums, and what servers add to them.
-func (b *Balancer) resetCounts(changed []*server) {
+// resetSums empties all sums, and what servers add to them.
+func (b *Balancer) resetSums(changed []*server) {
 	for s := range b.all {
-		s.segment, s.counted = nil, counted{}
+		s.segment, s.contribution = nil, contribution{}
 	}
 	for _, s := range changed {
-		s.segment, s.counted = nil, counted{}
+		s.segment, s.contribution = nil, contribution{}
 	}
 	for _, s := range b.servers {
-		s.counted = counted{}
+		s.contribution = contribution{}
 	}
-	for _, p := range b.places {
-		p.warm, p.doubts, p.doubtsByKind = 0, 0, nil
+	for _, p := range b.zones {
+		p.warmServers, p.evidence, p.evidenceByKind = 0, 0, nil
 	}
-	b.faults, b.avoided, b.ejectedServers = 0, 0, nil
-	b.warmUnjudged, b.warming, b.expiring = [2]int{}, nil, nil
+	b.connectionFaults, b.unavailable, b.ejectedServers = 0, 0, nil
+	b.warmUnmonitored, b.warmupQueue, b.evidenceQueue = [2]int{}, nil, nil
 }
 
-// warmOf is the count of warm servers that those of a place belong to: its own, or one of all that aren't judged.
-func (b *Balancer) warmOf(p *place) *int {
+// warmCounter is the count of warm servers that those of a place belong to: its own, or one of all that aren't judged.
+func (b *Balancer) warmCounter(p *zoneHealth) *int {
 	switch {
 	case p == nil:
-		return &b.warmUnjudged[0]
-	case p.judged:
-		return &p.warm
-	case p.cost == 0:
-		return &b.warmUnjudged[1]
+		return &b.warmUnmonitored[0]
+	case p.monitored:
+		return &p.warmServers
+	case p.crossingCost == 0:
+		return &b.warmUnmonitored[1]
 	}
-	return &b.warmUnjudged[0]
+	return &b.warmUnmonitored[0]
 }
 
 // countWarm counts a server of the order once it is warm.
 func (b *Balancer) countWarm(s *server) {
 	switch {
-	case s.segment == nil || s.counted.warm:
-	case b.ramp(s) >= 1:
-		s.counted.warm = true
-		*b.warmOf(s.counted.place)++
-	case !s.counted.warming:
-		s.counted.warming = true
-		b.warming.add(s.OnlineSince+b.set.Rules.ColdFor, s)
+	case s.segment == nil || s.contribution.warm:
+	case b.warmFraction(s) >= 1:
+		s.contribution.warm = true
+		*b.warmCounter(s.contribution.zone)++
+	case !s.contribution.queuedForWarm:
+		s.contribution.queuedForWarm = true
+		b.warmupQueue.add(s.StartedAt+b.settings.Rules.SlowStartDuration, s)
 	}
 }
 
-// settleWarm counts those that have become warm by now.
-func (b *Balancer) settleWarm() {
-	for len(b.warming) > 0 && b.warming[0].at <= b.now {
-		s := b.warming.next()
-		s.counted.warming = false
+// promoteWarm counts those that have become warm by now.
+func (b *Balancer) promoteWarm() {
+	for len(b.warmupQueue) > 0 && b.warmupQueue[0].at <= b.now {
+		s := b.warmupQueue.next()
+		s.contribution.queuedForWarm = false
 		b.countWarm(s)
 	}
 }
 
 // warmServers counts the warm servers of the order.
 func (b *Balancer) warmServers() int {
-	b.settleWarm()
-	n := b.warmUnjudged[0] + b.warmUnjudged[1]
-	for _, p := range b.places {
-		n += p.warm
+	b.promoteWarm()
+	n := b.warmUnmonitored[0] + b.warmUnmonitored[1]
+	for _, p := range b.zones {
+		n += p.warmServers
 	}
 	return n
 }
 
 // warmWeight counts the warm servers of places that aren't left, by how many even parts of each this node has.
 func (b *Balancer) warmWeight() float64 {
-	b.settleWarm()
-	far, near := b.warmUnjudged[0], b.warmUnjudged[1]
-	for _, p := range b.places {
+	b.promoteWarm()
+	far, near := b.warmUnmonitored[0], b.warmUnmonitored[1]
+	for _, p := range b.zones {
 		switch {
-		case p.left():
-		case p.cost == 0:
-			near += p.warm
+		case p.evacuated():
+		case p.crossingCost == 0:
+			near += p.warmServers
 		default:
-			far += p.warm
+			far += p.warmServers
 		}
 	}
 	if near == 0 {
 		return float64(far)
 	}
-	return float64(near)*b.partsNear() + float64(far)
+	return float64(near)*b.nearbyParts() + float64(far)
 }
 
-// trackFaults follows the broken connections of s, and returns the sum of those parts over the other servers.
-func (b *Balancer) trackFaults(s *server, fault bool) (others float64) {
-	track(&s.faults, faultGain, fault)
-	now := toFixed(s.faults)
+// trackConnectionFaults follows the broken connections of s, and returns the sum of those parts over the other servers.
+func (b *Balancer) trackConnectionFaults(s *server, fault bool) (others float64) {
+	updateRatio(&s.connectionFaultRatio, connectionFaultGain, fault)
+	now := toFixedPoint(s.connectionFaultRatio)
 	if s.segment != nil {
-		b.faults += now - s.counted.faults
-		s.counted.faults = now
+		b.connectionFaults += now - s.contribution.connectionFaults
+		s.contribution.connectionFaults = now
 	}
-	return (b.faults - now).float()
+	return (b.connectionFaults - now).float()
 }
 
-// recordDoubt takes over what s says of its place now.
-func (b *Balancer) recordDoubt(s *server, doubt float64) {
-	s.doubt, s.judged = doubt, b.now
-	b.countDoubt(s)
+// setEvidence takes over what s says of its place now.
+func (b *Balancer) setEvidence(s *server, doubt float64) {
+	s.zoneEvidence, s.zoneEvidenceAt = doubt, b.now
+	b.countEvidence(s)
 }
 
-// clearDoubts drops what the servers of p say against it.
-func (b *Balancer) clearDoubts(p *place) {
+// clearEvidence drops what the servers of p say against it.
+func (b *Balancer) clearEvidence(p *zoneHealth) {
 	for s := range b.all {
-		if s.place != p {
+		if s.zone != p {
 			continue
 		}
-		s.doubt = min(s.doubt, 0)
-		if s.counted.doubted {
-			b.countDoubt(s)
+		s.zoneEvidence = min(s.zoneEvidence, 0)
+		if s.contribution.hasEvidence {
+			b.countEvidence(s)
 		}
 	}
 }
 
-// countDoubt counts what a server says of its place while that is recent.
-func (b *Balancer) countDoubt(s *server) {
-	b.uncountDoubt(s)
-	p := s.counted.place
-	if s.segment == nil || p == nil || b.now-s.judged > doubtSpan {
+// countEvidence counts what a server says of its place while that is recent.
+func (b *Balancer) countEvidence(s *server) {
+	b.uncountEvidence(s)
+	p := s.contribution.zone
+	if s.segment == nil || p == nil || b.now-s.zoneEvidenceAt > evidenceTTL {
 		return
 	}
-	s.counted.doubted, s.counted.doubt = true, toFixed(s.doubt)
-	p.doubts += s.counted.doubt
-	if p.doubtsByKind == nil {
-		p.doubtsByKind = make(map[string]*evidence)
+	s.contribution.hasEvidence, s.contribution.evidence = true, toFixedPoint(s.zoneEvidence)
+	p.evidence += s.contribution.evidence
+	if p.evidenceByKind == nil {
+		p.evidenceByKind = make(map[string]*evidenceSum)
 	}
-	of := p.doubtsByKind[s.counted.kind]
+	of := p.evidenceByKind[s.contribution.kind]
 	if of == nil {
-		of = new(evidence)
-		p.doubtsByKind[s.counted.kind] = of
+		of = new(evidenceSum)
+		p.evidenceByKind[s.contribution.kind] = of
 	}
-	of.sum += s.counted.doubt
+	of.sum += s.contribution.evidence
 	of.servers++
-	if !s.counted.expiring {
-		s.counted.expiring = true
-		b.expiring.add(s.judged, s)
+	if !s.contribution.queuedForExpiry {
+		s.contribution.queuedForExpiry = true
+		b.evidenceQueue.add(s.zoneEvidenceAt, s)
 	}
 }
 
-func (b *Balancer) uncountDoubt(s *server) {
-	if !s.counted.doubted {
+func (b *Balancer) uncountEvidence(s *server) {
+	if !s.contribution.hasEvidence {
 		return
 	}
-	s.counted.doubted = false
-	p := s.counted.place
-	p.doubts -= s.counted.doubt
-	of := p.doubtsByKind[s.counted.kind]
-	of.sum -= s.counted.doubt
+	s.contribution.hasEvidence = false
+	p := s.contribution.zone
+	p.evidence -= s.contribution.evidence
+	of := p.evidenceByKind[s.contribution.kind]
+	of.sum -= s.contribution.evidence
 	if of.servers--; of.servers == 0 {
-		delete(p.doubtsByKind, s.counted.kind)
+		delete(p.evidenceByKind, s.contribution.kind)
 	}
 }
 
-// expireDoubts takes off what was said too long ago.
-func (b *Balancer) expireDoubts() {
-	for len(b.expiring) > 0 && b.now-b.expiring[0].at > doubtSpan {
-		s := b.expiring.next()
-		s.counted.expiring = false
-		if s.counted.doubted {
-			b.countDoubt(s)
+// expireEvidence takes off what was said too long ago.
+func (b *Balancer) expireEvidence() {
+	for len(b.evidenceQueue) > 0 && b.now-b.evidenceQueue[0].at > evidenceTTL {
+		s := b.evidenceQueue.next()
+		s.contribution.queuedForExpiry = false
+		if s.contribution.hasEvidence {
+			b.countEvidence(s)
 		}
 	}
 }
 
 // countEjected follows whether a server is ejected.
 func (b *Balancer) countEjected(s *server) {
-	switch ejected := s.segment != nil && s.health.out; {
-	case ejected && !s.counted.ejected:
-		s.counted.ejected, s.counted.slot = true, len(b.ejectedServers)
+	switch ejected := s.segment != nil && s.outlier.ejected; {
+	case ejected && !s.contribution.ejected:
+		s.contribution.ejected, s.contribution.ejectedIndex = true, len(b.ejectedServers)
 		b.ejectedServers = append(b.ejectedServers, s)
 		b.countInPools(s, 1)
-	case !ejected && s.counted.ejected:
-		s.counted.ejected = false
+	case !ejected && s.contribution.ejected:
+		s.contribution.ejected = false
 		last := b.ejectedServers[len(b.ejectedServers)-1]
-		b.ejectedServers[s.counted.slot], last.counted.slot = last, s.counted.slot
+		b.ejectedServers[s.contribution.ejectedIndex], last.contribution.ejectedIndex = last, s.contribution.ejectedIndex
 		b.ejectedServers = b.ejectedServers[:len(b.ejectedServers)-1]
 		b.countInPools(s, -1)
 	}
-	b.countAvoided(s)
+	b.countUnavailable(s)
 }
 
 // countInPools moves the count of the ejected servers in the pools that s is in.
@@ -271,21 +271,21 @@
 		return
 	}
 	b.ejected += by
-	for _, c := range b.ranked {
-		if c.bound() && c.permits(s) {
-			c.open.ejected += by
+	for _, c := range b.classOrder {
+		if c.isRestricted() && c.permits(s) {
+			c.eligible.ejected += by
 		}
 	}
 }
 
-// countAvoided follows whether a listed server gets no work.
-func (b *Balancer) countAvoided(s *server) {
-	avoided := b.servers[s.Server] == s && (s.health.out || s.Availability != Running)
+// countUnavailable follows whether a listed server gets no work.
+func (b *Balancer) countUnavailable(s *server) {
+	avoided := b.servers[s.ID] == s && (s.outlier.ejected || s.Availability != Running)
 	switch {
-	case avoided && !s.counted.avoided:
-		b.avoided++
-	case !avoided && s.counted.avoided:
-		b.avoided--
+	case avoided && !s.contribution.unavailable:
+		b.unavailable++
+	case !avoided && s.contribution.unavailable:
+		b.unavailable--
 	}
-	s.counted.avoided = avoided
+	s.contribution.unavailable = avoided
 }
