--- a/policy/sums_test.go
+++ b/policy/sums_test.go
@@ -17,7 +17,7 @@
 	b    *Balancer
 	set  Settings
 	now  Time
-	list map[string]Member
+	list map[string]Endpoint
 	sent int
 	open []Outcome // of attempts that are answered later
 	good bool      // all answers are good, so that trials succeed
@@ -25,20 +25,20 @@
 
 func newSumsWorld(t *rapid.T) *sumsWorld {
 	set := site(rapid.SampledFrom([]int{1, 3, 7, 300}).Draw(t, "nodes"))
-	set.Node = rapid.IntRange(0, set.Nodes-1).Draw(t, "node")
-	set.EaseLists = rapid.Bool().Draw(t, "eases")
+	set.NodeIndex = rapid.IntRange(0, set.NodeCount-1).Draw(t, "node")
+	set.RetainMissing = rapid.Bool().Draw(t, "eases")
 	set.Classes[1].Kinds = []string{"k1"}
 	set.Classes[2].Zones = []string{"b", "c"}
 	if rapid.Bool().Draw(t, "reports") {
-		set.Report = []string{reportLatency, reportUtil, reportRate}
+		set.ReportFields = []string{reportLatency, reportUtil, reportRate}
 	}
 	if rapid.Bool().Draw(t, "places") {
-		set.Places = near(1).Places
+		set.Topology = near(1).Topology
 		set.Classes[3].Regions = []string{"north"}
 	}
-	w := &sumsWorld{set: set, list: make(map[string]Member)}
+	w := &sumsWorld{set: set, list: make(map[string]Endpoint)}
 	w.b, _ = New(set, 0, 1)
-	w.event(MemberList{Kind: ListRestored})
+	w.event(EndpointList{Kind: ListCached})
 	return w
 }
 
@@ -49,12 +49,12 @@
 			continue
 		}
 		w.sent++
-		answer := Outcome{ID: a.ID, Server: a.Server, Attempt: len(w.b.reqs[a.ID].attempts) - 1, Latency: 20 * ms,
-			Report: report(20, 0.5, 10)}
+		answer := Outcome{ID: a.ID, Server: a.Server, Attempt: len(w.b.requests[a.ID].attempts) - 1, Latency: 20 * ms,
+			LoadReport: report(20, 0.5, 10)}
 		if !w.good {
 			answer.Code = Code(w.sent % int(Cancelled))
 		}
-		if answer.Ended = answer.Code == OK; w.sent%5 == 0 {
+		if answer.RequestEnded = answer.Code == OK; w.sent%5 == 0 {
 			w.open = append(w.open, answer)
 			continue
 		}
@@ -63,21 +63,21 @@
 }
 
 // change draws a new state of a few servers.
-func (w *sumsWorld) change(t *rapid.T) (changed []Member) {
+func (w *sumsWorld) change(t *rapid.T) (changed []Endpoint) {
 	for range rapid.IntRange(1, 4).Draw(t, "changed") {
-		m := Member{Server: fmt.Sprintf("s%02d", rapid.IntRange(0, 39).Draw(t, "server")),
+		m := Endpoint{ID: fmt.Sprintf("s%02d", rapid.IntRange(0, 39).Draw(t, "server")),
 			Zone:         rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
 			Kind:         rapid.SampledFrom([]string{"k0", "k1"}).Draw(t, "kind"),
 			Availability: rapid.SampledFrom([]Availability{Running, Running, Running, Draining, Removed}).Draw(t, "state"),
 		}
-		if was, known := w.list[m.Server]; known {
-			m.Zone, m.Kind, m.OnlineSince = was.Zone, was.Kind, was.OnlineSince
+		if was, known := w.list[m.ID]; known {
+			m.Zone, m.Kind, m.StartedAt = was.Zone, was.Kind, was.StartedAt
 		}
 		if rapid.IntRange(0, 2).Draw(t, "restarted") == 0 {
-			m.OnlineSince = w.now
+			m.StartedAt = w.now
 		}
-		if w.list[m.Server] = m; m.Availability == Removed {
-			delete(w.list, m.Server)
+		if w.list[m.ID] = m; m.Availability == Removed {
+			delete(w.list, m.ID)
 		}
 		changed = append(changed, m)
 	}
@@ -88,30 +88,30 @@
 // released and ended after that, whose class need not be reckoned with any more.
 func (w *sumsWorld) step(t *rapid.T) (aligned bool) {
 	w.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * ms
-	event, inHand := rapid.IntRange(0, 11).Draw(t, "event"), len(w.b.reqs)
+	event, inHand := rapid.IntRange(0, 11).Draw(t, "event"), len(w.b.requests)
 	switch event {
 	case 0, 1, 2:
-		w.event(MemberList{Kind: ListUpdate, Members: w.change(t)})
+		w.event(EndpointList{Kind: ListUpdate, Endpoints: w.change(t)})
 	case 3:
 		w.change(t)
-		var all []Member
+		var all []Endpoint
 		for _, id := range slices.Sorted(maps.Keys(w.list)) {
 			all = append(all, w.list[id])
 		}
-		w.event(MemberList{Kind: ListReplace, Members: all})
+		w.event(EndpointList{Kind: ListReplace, Endpoints: all})
 	case 4:
-		w.event(Fleet{Heard: rapid.IntRange(1, 9).Draw(t, "heard"), Near: rapid.IntRange(0, 1).Draw(t, "near")})
-		w.event(Timer{Token: fleetToken})
+		w.event(FleetSize{ReachableNodes: rapid.IntRange(1, 9).Draw(t, "heard"), ReachableInZone: rapid.IntRange(0, 1).Draw(t, "near")})
+		w.event(Timer{Token: fleetSizeTimerToken})
 	case 5:
-		w.set.Rules.ColdFor = time.Duration(rapid.IntRange(0, 12).Draw(t, "cold for")) * time.Second
+		w.set.Rules.SlowStartDuration = time.Duration(rapid.IntRange(0, 12).Draw(t, "cold for")) * time.Second
 		w.set.Classes = slices.Clone(w.set.Classes)
 		w.set.Classes[1].Kinds = []string{rapid.SampledFrom([]string{"k0", "k1"}).Draw(t, "bound to")}
-		w.set.Classes[0].Repeat = rapid.SampledFrom([]Repeat{Never, Free}).Draw(t, "repeat")
+		w.set.Classes[0].RetrySafety = rapid.SampledFrom([]RetrySafety{NonIdempotent, Idempotent}).Draw(t, "repeat")
 		w.event(w.set)
 	case 6:
-		w.event(Timer{Token: easeToken})
+		w.event(Timer{Token: retainTimerToken})
 	case 7:
-		w.b.Learn(w.now, w.b.Knowledge(w.now))
+		w.b.Restore(w.now, w.b.Snapshot(w.now))
 	case 8:
 		for _, answer := range w.open {
 			w.event(answer)
@@ -127,7 +127,7 @@
 			w.event(ask(fmt.Sprint("r", w.now, i), w.set.Classes[i%len(w.set.Classes)].Name))
 		}
 	}
-	return (event <= 3 || event == 5) && len(w.b.reqs) == inHand
+	return (event <= 3 || event == 5) && len(w.b.requests) == inHand
 }
 
 // orderAnew is the packing order as the list alone makes it.
@@ -135,14 +135,14 @@
 	byCost := make(map[float64][]*server)
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
 		if s := b.servers[id]; s.Availability == Running {
-			byCost[b.crossing(s)] = append(byCost[b.crossing(s)], s)
+			byCost[b.crossingCost(s)] = append(byCost[b.crossingCost(s)], s)
 		}
 	}
 	for _, cost := range slices.Sorted(maps.Keys(byCost)) {
 		part := byCost[cost]
 		k := 0
-		if b.set.Nodes > manyNodes {
-			_, at := math.Modf(float64(b.set.Node) / math.Phi)
+		if b.settings.NodeCount > maxSmallFleet {
+			_, at := math.Modf(float64(b.settings.NodeIndex) / math.Phi)
 			k = int(at * float64(len(part)))
 		}
 		order = append(append(order, part[k:]...), part[:k]...)
@@ -158,11 +158,11 @@
 	zones := make(map[string]int)
 	for i, s := range order {
 		zones[s.Zone]++
-		if i > 0 && (!order[i-1].before(s) || s.before(order[i-1])) {
-			t.Fatalf("%s isn't held to stand before %s", order[i-1].Server, s.Server)
+		if i > 0 && (!order[i-1].isBefore(s) || s.isBefore(order[i-1])) {
+			t.Fatalf("%s isn't held to stand before %s", order[i-1].ID, s.ID)
 		}
 	}
-	for zone, n := range b.zones {
+	for zone, n := range b.serversByZone {
 		if n != zones[zone] {
 			t.Fatalf("%d servers in zone %s, anew %d", n, zone, zones[zone])
 		}
@@ -171,17 +171,17 @@
 
 // checkPools holds the pools of all classes against the servers of the order that each may be sent to.
 func checkPools(t *rapid.T, b *Balancer, order []*server) {
-	for c := range b.inUse() {
+	for c := range b.classesInUse() {
 		open := slices.Clone(order)
 		open = slices.DeleteFunc(open, func(s *server) bool { return !c.permits(s) })
-		if !slices.Equal(c.open.order(), open) || c.open.length != len(open) {
-			t.Fatalf("%s is open to %d servers, made anew to %d", c.Name, c.open.length, len(open))
+		if !slices.Equal(c.eligible.order(), open) || c.eligible.length != len(open) {
+			t.Fatalf("%s is open to %d servers, made anew to %d", c.Name, c.eligible.length, len(open))
 		}
 		if b.classes[c.Name] != c { // of former settings: the ejected aren't counted
 			continue
 		}
-		if ejected := countOf(open, func(s *server) bool { return s.health.out }); c.open.ejected != ejected {
-			t.Fatalf("%s counts %d ejected servers, made anew %d", c.Name, c.open.ejected, ejected)
+		if ejected := countOf(open, func(s *server) bool { return s.outlier.ejected }); c.eligible.ejected != ejected {
+			t.Fatalf("%s counts %d ejected servers, made anew %d", c.Name, c.eligible.ejected, ejected)
 		}
 	}
 }
@@ -189,14 +189,14 @@
 // checkFresh holds what a change of the list sets at each server of the order against the same made anew.
 func checkFresh(t *rapid.T, b *Balancer, order []*server) {
 	for _, s := range order {
-		safest := Never
-		for c := range b.inUse() {
+		safest := NonIdempotent
+		for c := range b.classesInUse() {
 			if c.permits(s) {
-				safest = max(safest, c.Repeat)
+				safest = max(safest, c.RetrySafety)
 			}
 		}
-		if s.safest != safest || s.threshold == 0 {
-			t.Fatalf("%s: safest class %v, anew %v; threshold %v", s.Server, s.safest, safest, s.threshold)
+		if s.retrySafety != safest || s.concurrencyLimit == 0 {
+			t.Fatalf("%s: safest class %v, anew %v; threshold %v", s.ID, s.retrySafety, safest, s.concurrencyLimit)
 		}
 	}
 }
@@ -212,54 +212,54 @@
 
 // checkSums holds the sums over the order against ones made anew.
 func checkSums(t *rapid.T, b *Balancer, order []*server) {
-	weight, faults := 0.0, fixed(0)
+	weight, faults := 0.0, fixedPoint(0)
 	for _, s := range order {
-		if b.ramp(s) >= 1 && !s.place.left() {
-			weight += b.parts(s)
+		if b.warmFraction(s) >= 1 && !s.zone.evacuated() {
+			weight += b.fairParts(s)
 		}
-		faults += toFixed(s.faults)
+		faults += toFixedPoint(s.connectionFaultRatio)
 	}
 	if got := b.warmWeight(); math.Abs(got-weight) > 1e-9*weight {
 		t.Fatalf("the warm servers weigh %v, anew %v", got, weight)
 	}
-	if n := countOf(order, func(s *server) bool { return b.ramp(s) >= 1 }); b.warmServers() != n {
+	if n := countOf(order, func(s *server) bool { return b.warmFraction(s) >= 1 }); b.warmServers() != n {
 		t.Fatalf("%d servers are warm, anew %d", b.warmServers(), n)
 	}
-	if b.faults != faults {
-		t.Fatalf("the faults sum up to %v, anew %v", b.faults, faults)
+	if b.connectionFaults != faults {
+		t.Fatalf("the faults sum up to %v, anew %v", b.connectionFaults, faults)
 	}
-	if n := countOf(order, func(s *server) bool { return s.health.out }); len(b.ejectedServers) != n {
+	if n := countOf(order, func(s *server) bool { return s.outlier.ejected }); len(b.ejectedServers) != n {
 		t.Fatalf("%d servers are ejected, anew %d", len(b.ejectedServers), n)
 	}
 	listed := slices.Collect(maps.Values(b.servers))
-	avoided := countOf(listed, func(s *server) bool { return s.health.out || s.Availability != Running })
-	if b.avoided != avoided {
-		t.Fatalf("%d servers are avoided, anew %d", b.avoided, avoided)
+	avoided := countOf(listed, func(s *server) bool { return s.outlier.ejected || s.Availability != Running })
+	if b.unavailable != avoided {
+		t.Fatalf("%d servers are avoided, anew %d", b.unavailable, avoided)
 	}
 }
 
 // checkEvidence holds the evidence against places, in all and by kinds of servers, against the same made anew.
 func checkEvidence(t *rapid.T, b *Balancer, order []*server) {
 	type kindOf struct {
-		place *place
+		place *zoneHealth
 		kind  string
 	}
-	anew, kept := make(map[kindOf]evidence), make(map[kindOf]evidence)
+	anew, kept := make(map[kindOf]evidenceSum), make(map[kindOf]evidenceSum)
 	for _, s := range order {
-		if s.place != nil && b.now-s.judged <= doubtSpan {
-			of := anew[kindOf{s.place, s.Kind}]
-			anew[kindOf{s.place, s.Kind}] = evidence{of.sum + toFixed(s.doubt), of.servers + 1}
+		if s.zone != nil && b.now-s.zoneEvidenceAt <= evidenceTTL {
+			of := anew[kindOf{s.zone, s.Kind}]
+			anew[kindOf{s.zone, s.Kind}] = evidenceSum{of.sum + toFixedPoint(s.zoneEvidence), of.servers + 1}
 		}
 	}
-	b.expireDoubts()
-	for _, p := range b.places {
-		sum := fixed(0)
-		for kind, of := range p.doubtsByKind {
+	b.expireEvidence()
+	for _, p := range b.zones {
+		sum := fixedPoint(0)
+		for kind, of := range p.evidenceByKind {
 			kept[kindOf{p, kind}] = *of
 			sum += of.sum
 		}
-		if sum != p.doubts {
-			t.Fatalf("evidence against %s: %v, by kinds %v", p.zone, p.doubts, sum)
+		if sum != p.evidence {
+			t.Fatalf("evidence against %s: %v, by kinds %v", p.name, p.evidence, sum)
 		}
 	}
 	if !maps.Equal(kept, anew) {
@@ -292,23 +292,23 @@
 	b := start(t, set, members(4))
 	first := sentTo(t, b.Handle(ms, ask("open", "free")))
 	strict := site(1)
-	strict.Classes[0].Repeat = Never
+	strict.Classes[0].RetrySafety = NonIdempotent
 	b.Handle(2*ms, strict)
 	b.Handle(3*ms, strict) // the former settings are strict by now, and the open request is older
 	list := members(4)
 	change := func(i int) *server {
 		list[i].Weight++
-		b.Handle(b.now+ms, MemberList{Kind: ListUpdate, Members: list[i : i+1]})
-		return b.servers[list[i].Server]
+		b.Handle(b.now+ms, EndpointList{Kind: ListUpdate, Endpoints: list[i : i+1]})
+		return b.servers[list[i].ID]
 	}
-	if s := change(2); s.safest != Free {
-		t.Errorf("while a free request is open, its servers' trials are for class %v", s.safest)
+	if s := change(2); s.retrySafety != Idempotent {
+		t.Errorf("while a free request is open, its servers' trials are for class %v", s.retrySafety)
 	}
 	b.Handle(b.now+ms, outcome("open", 0, first, OK, ms))
 	change(2)
 	for _, s := range b.order() {
-		if s.safest != Guarded {
-			t.Errorf("once it is over, the trials of %s are for class %v, want %v", s.Server, s.safest, Guarded)
+		if s.retrySafety != IdempotencyKeyed {
+			t.Errorf("once it is over, the trials of %s are for class %v, want %v", s.ID, s.retrySafety, IdempotencyKeyed)
 		}
 	}
 }
