--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -45,7 +45,7 @@
 	if err != nil {
 		return err
 	}
-	slog.Info("listening", "name", c.Name, "address", at.Clients.Addr(), "servers", len(c.Known.Members),
+	slog.Info("listening", "name", c.Name, "address", at.Clients.Addr(), "servers", len(c.Known.Endpoints),
 		"cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets, "max_open", c.MaxOpen)
 	changes := make(chan node.Change)
 	go follow(ctx, c, changed, changes)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -32,7 +32,7 @@
 	Cores     float64
 	MemoryMB  int64
 	Sockets   int
-	Known     list // the servers as this node last had them, perhaps stale
+	Known     List // the servers as this node last had them, perhaps stale
 	Settings  policy.Settings
 	Scope     string         // what the section "scope" adds to calls for the list; empty for the whole list
 	Fleet     *gossip.Config // this node's part in a fleet; nil for none
@@ -160,7 +160,7 @@
 			return Config{}, fmt.Errorf("%s: missing", name)
 		}
 	}
-	if c.Known, err = parseList(f.Known); err != nil {
+	if c.Known, err = ParseList(f.Known); err != nil {
 		return Config{}, fmt.Errorf("known: %w", err)
 	}
 	if c.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
@@ -179,7 +179,7 @@
 		return Config{}, err
 	}
 	if len(f.Scope) > 0 {
-		if c.Scope, err = parseScope(f.Scope, c.Settings); err != nil {
+		if c.Scope, err = ParseScope(f.Scope, c.Settings); err != nil {
 			return Config{}, err
 		}
 	}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -30,7 +30,7 @@
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:8500" || c.Seed != 0x8c1f30d27a5be964 ||
 		c.MemoryMB != 192 || c.Sockets != 1024 || c.MaxOpen != 100 || c.ConnectTimeout != 2*time.Second ||
-		len(c.Known.Members) != 1 || c.Known.Revision != 7 || c.Settings.Zone != "a" {
+		len(c.Known.Endpoints) != 1 || c.Known.Revision != 7 || c.Settings.Zone != "a" {
 		t.Errorf("got %+v", c)
 	}
 }
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -22,9 +22,9 @@
 
 // watched plays answers to the calls in turn, then holds the rest, and returns what discovery told
 // and the queries that it made. An answer that is no JSON object is sent with status 503.
-func watched(t *testing.T, subscribe bool, answers ...string) (d *discovery, told chan news, queries chan string) {
+func watched(t *testing.T, subscribe bool, answers ...string) (d *Client, told chan Update, queries chan string) {
 	t.Helper()
-	queries, told = make(chan string, 100), make(chan news, 100)
+	queries, told = make(chan string, 100), make(chan Update, 100)
 	calls := make(chan string, len(answers))
 	for _, a := range answers {
 		calls <- a
@@ -43,10 +43,10 @@
 	})
 	c := testConfig(t, knownList("127.0.0.1:9"))
 	c.Discovery, c.Settings.SubscribeList = addr, subscribe
-	d = newDiscovery(c, func(ev any) { told <- ev.(news) })
+	d = newClient(c, func(ev any) { told <- ev.(Update) })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { d.run(ctx); close(ended) }()
+	go func() { d.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); receive(t, "the end of discovery", ended) })
 	return d, told, queries
 }
@@ -71,8 +71,8 @@
 		}{{policy.ListUpdate, "s1", policy.Running}, {policy.ListUpdate, "s1", policy.Draining},
 			{policy.ListReplace, "s2", policy.Running}} {
 			n := receive(t, "news", told)
-			if n.kind != want.kind || len(n.members) != 1 || n.members[0].ID != want.server ||
-				n.members[0].Availability != want.phase {
+			if n.Kind != want.kind || len(n.Endpoints) != 1 || n.Endpoints[0].ID != want.server ||
+				n.Endpoints[0].Availability != want.phase {
 				t.Errorf("news %d: %+v", i, n)
 			}
 		}
@@ -85,7 +85,7 @@
 	bubble(t, func(t *testing.T) {
 		_, told, queries := watched(t, false, "down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
 			delta(8, entry("s1", "up")))
-		if n := receive(t, "news", told); n.kind != policy.ListUpdate || n.members[0].ID != "s1" {
+		if n := receive(t, "news", told); n.Kind != policy.ListUpdate || n.Endpoints[0].ID != "s1" {
 			t.Errorf("news %+v", n)
 		}
 		indexes(t, queries, "7", "7", "7", "7", "7", "8")
@@ -99,16 +99,16 @@
 func TestAskedListsTellFailures(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		d, told, queries := watched(t, true, "down", delta(8, entry("s1", "up")), delta(8))
-		d.ask(true)
-		if n := receive(t, "the failure", told); n.kind != policy.ListUnavailable {
+		d.SetWatching(true)
+		if n := receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
 			t.Errorf("news %+v", n)
 		}
 		indexes(t, queries, "7")
 		if len(queries) != 0 {
 			t.Error("called again before the module asked")
 		}
-		d.ask(true)
-		if n := receive(t, "the change", told); n.kind != policy.ListUpdate || len(n.members) != 1 {
+		d.SetWatching(true)
+		if n := receive(t, "the change", told); n.Kind != policy.ListUpdate || len(n.Endpoints) != 1 {
 			t.Errorf("news %+v", n)
 		}
 		indexes(t, queries, "7", "8", "8")
@@ -139,7 +139,7 @@
 		delta(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":-1}`):   "members[0].up_since_ms",
 		delta(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":1e99}`): "members[0].up_since_ms",
 	} {
-		if _, err := parseList([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseList([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want it to name %q", raw, err, want)
 		}
 	}
@@ -149,15 +149,15 @@
 // whose revisions may be others, and watches there.
 func TestDiscoveryMoves(t *testing.T) {
 	bubble(t, func(t *testing.T) {
-		times := newCallTimes(policy.Settings{})
+		times := NewTimeouts(policy.Settings{})
 		for _, subscribe := range []bool{false, true} {
 			d, told, queries := watched(t, subscribe)
 			if subscribe {
-				d.ask(true)
+				d.SetWatching(true)
 			}
 			indexes(t, queries, "7")
 			moved := make(chan string, 100)
-			d.move(target{httpServer(t, func(w http.ResponseWriter, r *http.Request) {
+			d.Retarget(Target{httpServer(t, func(w http.ResponseWriter, r *http.Request) {
 				moved <- r.URL.RawQuery
 				if r.URL.RawQuery == "" {
 					_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+entry("s9", "draining")+`]}`)
@@ -165,10 +165,10 @@
 				}
 				<-r.Context().Done()
 			}), subscribe, times, ""})
-			if n := receive(t, "the list", told); n.kind != policy.ListReplace || n.members[0].ID != "s9" {
+			if n := receive(t, "the list", told); n.Kind != policy.ListReplace || n.Endpoints[0].ID != "s9" {
 				t.Errorf("subscribe %v: news %+v", subscribe, n)
 			}
-			for _, want := range []string{"", fmt.Sprint("index=3&wait=", times.wait.Milliseconds())} {
+			for _, want := range []string{"", fmt.Sprint("index=3&wait=", times.Wait.Milliseconds())} {
 				if got := receive(t, "a call to the new address", moved); got != want {
 					t.Errorf("subscribe %v: asked for %q, want %q", subscribe, got, want)
 				}
@@ -184,17 +184,17 @@
 func TestDiscoveryMovesAfterAFailure(t *testing.T) {
 	bubble(t, func(t *testing.T) {
 		d, told, _ := watched(t, true, "down")
-		d.ask(true)
-		if n := receive(t, "the failure", told); n.kind != policy.ListUnavailable {
+		d.SetWatching(true)
+		if n := receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
 			t.Fatalf("news %+v", n)
 		}
-		d.move(target{httpServer(t, func(w http.ResponseWriter, r *http.Request) {
+		d.Retarget(Target{httpServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.RawQuery != "" {
 				<-r.Context().Done()
 			}
 			_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+entry("s9", "up")+`]}`)
-		}), true, newCallTimes(policy.Settings{}), ""})
-		if n := receive(t, "the list", told); n.kind != policy.ListReplace {
+		}), true, NewTimeouts(policy.Settings{}), ""})
+		if n := receive(t, "the list", told); n.Kind != policy.ListReplace {
 			t.Errorf("news %+v", n)
 		}
 	})
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -240,7 +240,7 @@
 						t.Errorf("asked the new address for what is newer than %v of the old one", c.query["index"])
 					}
 					return fmt.Sprintf(`{"revision":3,"complete":true,"members":[%s,%s]}`, listed("s0", l.first, "draining"),
-						listed("s1", l.Known.Members[1].Addr, "up"))
+						listed("s1", l.Known.Endpoints[1].Address, "up"))
 				})
 			})
 		}
@@ -634,11 +634,11 @@
 			c := newTestClient(t, serveAt(t, newServer(l)))
 			c.send("POST", "pay", "r1", "sum")
 			receive(t, "the dialling", dials)
-			list, err := parseList([]byte(delta(8, fmt.Sprintf(`{"id":"s0","host_port":%q,%s}`, first, change), listed("s1", second, "up"))))
+			list, err := ParseList([]byte(delta(8, fmt.Sprintf(`{"id":"s0","host_port":%q,%s}`, first, change), listed("s1", second, "up"))))
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.send(news{policy.ListUpdate, list.Members})
+			l.send(Update{policy.ListUpdate, list.Endpoints})
 			if _, ok := ask(l, func(reply chan<- time.Duration) any { return tailAsked{reply} }); !ok { // the list is in
 				t.Fatal("the loop has ended")
 			}
@@ -671,7 +671,7 @@
 	}
 	leaving := members(t, addr)
 	leaving[0].Availability = policy.Draining
-	u.update(news{policy.ListUpdate, leaving})
+	u.update(Update{policy.ListUpdate, leaving})
 	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.code != policy.ConnectFailed {
 		t.Errorf("code %v, want %v: it never ran", r.code, policy.ConnectFailed)
 	}
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -279,15 +279,15 @@
 	saved := time.UnixMilli(1800000000456)
 	c := testConfig(t, knownList("127.0.0.1:9"))
 	c.ListFile = filepath.Join("testdata", "list_file.txt")
-	l, err := readKept(c.ListFile, saved.Add(time.Minute))
+	l, err := readCachedList(c.ListFile, saved.Add(time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(l.Members) != 3 || l.Members[0].Availability != policy.Running || l.Members[1].Availability != policy.Draining {
+	if len(l.Endpoints) != 3 || l.Endpoints[0].Availability != policy.Running || l.Endpoints[1].Availability != policy.Draining {
 		t.Errorf("read %+v", l)
 	}
-	k := newKeeper(c)
-	k.take(l)
+	k := newListCache(c)
+	k.apply(l)
 	sameBytes(t, "the file", k.encode(saved), golden(t, "list_file.txt"))
 }
 
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -44,7 +44,7 @@
 	Version   int             `json:"Version"`
 	Name      string          `json:"Name"`
 	Listen    string          `json:"Listen"`
-	Members   []member        `json:"Members"`
+	Members   []Endpoint      `json:"Members"`
 	Knowledge policy.Snapshot `json:"Knowledge"`
 	Sockets   int             `json:"Sockets"` // that the new process may hold for now; told again as the old one ends its connections
 	Out       map[string]int  `json:"Out"`     // the old process's attempts at each server; told again too
@@ -64,18 +64,18 @@
 }
 
 // MarshalJSON writes m as it stands in an inheritance.
-func (m member) MarshalJSON() ([]byte, error) {
+func (m Endpoint) MarshalJSON() ([]byte, error) {
 	return json.Marshal(memberForm{Server: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Weight: m.Weight,
-		OnlineSince: m.StartedAt, Availability: m.Availability, Addr: m.Addr, UpSince: m.UpSince})
+		OnlineSince: m.StartedAt, Availability: m.Availability, Addr: m.Address, UpSince: m.StartedAtMillis})
 }
 
 // UnmarshalJSON reads m as it stands in an inheritance.
-func (m *member) UnmarshalJSON(raw []byte) error {
+func (m *Endpoint) UnmarshalJSON(raw []byte) error {
 	var f memberForm
 	if err := json.Unmarshal(raw, &f); err != nil {
 		return err
 	}
-	*m = member{Addr: f.Addr, UpSince: f.UpSince, Endpoint: policy.Endpoint{ID: f.Server, Zone: f.Zone, Kind: f.Kind,
+	*m = Endpoint{Address: f.Addr, StartedAtMillis: f.UpSince, Endpoint: policy.Endpoint{ID: f.Server, Zone: f.Zone, Kind: f.Kind,
 		Cell: f.Cell, Weight: f.Weight, StartedAt: f.OnlineSince, Availability: f.Availability}}
 	return nil
 }
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -44,7 +44,7 @@
 // to seen, unless that is nil, by the goroutine that took it.
 func NewHollow(c Config, seen func(policy.EndpointList)) (*Hollow, error) {
 	h := &Hollow{config: c, traffic: new(traffic)}
-	dial := c.dialer(queueTime)
+	dial := c.dialer(MaxQueueTime)
 	c.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
@@ -87,25 +87,25 @@
 	}
 	var parts sync.WaitGroup
 	defer parts.Wait()
-	parts.Go(func() { h.loop.disc.run(ctx) })
+	parts.Go(func() { h.loop.disc.Run(ctx) })
 	if fleet != nil {
 		parts.Go(func() { h.loop.follow(ctx, fleet.Subscribe()) })
 		parts.Go(func() { fleet.Run(ctx) })
 	}
-	h.loop.run(ctx, h.config.Known.Members, nil)
+	h.loop.run(ctx, h.config.Known.Endpoints, nil)
 	return nil
 }
 
 // Restore takes the list of the configuration, as a node does at its start.
-func (h *Hollow) Restore() { h.loop.handle(news{policy.ListCached, h.config.Known.Members}) }
+func (h *Hollow) Restore() { h.loop.handle(Update{policy.ListCached, h.config.Known.Endpoints}) }
 
 // TakeList reads an answer of the list service and takes it.
 func (h *Hollow) TakeList(answer []byte) error {
-	l, err := parseList(answer)
+	l, err := ParseList(answer)
 	if err != nil {
 		return err
 	}
-	h.loop.disc.learn(l)
+	h.loop.disc.Apply(l)
 	h.loop.handleMore()
 	return nil
 }
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -15,13 +15,13 @@
 )
 
 // runDiscovery runs discovery by a configuration until the test ends, or stop is called.
-func runDiscovery(t *testing.T, c Config) (told chan news, stop func()) {
+func runDiscovery(t *testing.T, c Config) (told chan Update, stop func()) {
 	t.Helper()
-	told = make(chan news, 100)
-	d := newDiscovery(c, func(ev any) { told <- ev.(news) })
+	told = make(chan Update, 100)
+	d := newClient(c, func(ev any) { told <- ev.(Update) })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { d.run(ctx); close(ended) }()
+	go func() { d.Run(ctx); close(ended) }()
 	stop = func() { cancel(); receive(t, "the end of discovery", ended) }
 	t.Cleanup(stop)
 	return told, stop
@@ -49,7 +49,7 @@
 	c := testConfig(t, knownList("127.0.0.1:9"))
 	c.Seed = 0
 	c.Discovery = "127.0.0.1:9," + good + "," + lags + "," + best // nobody is at the first
-	d := newDiscovery(c, func(any) {})
+	d := newClient(c, func(any) {})
 	for _, want := range []string{"", "a", "", "b"} {
 		ctx, cancel := context.WithTimeout(context.Background(), long)
 		l, err := d.watch(ctx)
@@ -58,12 +58,12 @@
 			if err == nil {
 				t.Errorf("took %+v", l)
 			}
-		} else if err != nil || l.Members[0].ID != want {
+		} else if err != nil || l.Endpoints[0].ID != want {
 			t.Errorf("got %+v, %v; want %s", l, err, want)
 		} else {
-			d.learn(l)
+			d.Apply(l)
 		}
-		d.at = (d.at + 1) % len(d.urls)
+		d.replica = (d.replica + 1) % len(d.urls)
 	}
 }
 
@@ -87,22 +87,22 @@
 	receive(t, "the second", told)
 	// Both came within a second, and the watch goes on: the second is kept all the same, with no end of the node.
 	await(t, "the second change in the file", func() bool {
-		l, err := readKept(c.ListFile, time.Now())
+		l, err := readCachedList(c.ListFile, time.Now())
 		return err == nil && l.Revision == 42
 	})
 	stop()
 	c.Known.Revision = 40
-	got := knownBest(c)
-	if got.Revision != 42 || !got.Complete || len(got.Members) != 2 {
+	got := RestoreList(c)
+	if got.Revision != 42 || !got.Complete || len(got.Endpoints) != 2 {
 		t.Fatalf("kept %+v", got)
 	}
-	for _, m := range got.Members {
+	for _, m := range got.Endpoints {
 		if m.ID == "b" && m.Availability != policy.Draining || m.ID == "a" {
 			t.Errorf("kept %+v", m)
 		}
 	}
 	c.Known.Revision = 43
-	if got := knownBest(c); got.Revision != 43 {
+	if got := RestoreList(c); got.Revision != 43 {
 		t.Errorf("an older list was used: %+v", got)
 	}
 }
@@ -112,35 +112,35 @@
 	c := testConfig(t, knownList("127.0.0.1:9"))
 	c.ListFile = filepath.Join(t.TempDir(), "list")
 	now := time.Now()
-	good := newKeeper(c).encode(now)
+	good := newListCache(c).encode(now)
 	write := func(raw []byte) {
 		if err := os.WriteFile(c.ListFile, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
 	write(good)
-	if _, err := readKept(c.ListFile, now); err != nil {
+	if _, err := readCachedList(c.ListFile, now); err != nil {
 		t.Fatal(err)
 	}
-	for _, then := range []time.Time{now.Add(-time.Minute), now.Add(keptMost + time.Minute)} {
-		if _, err := readKept(c.ListFile, then); err == nil {
+	for _, then := range []time.Time{now.Add(-time.Minute), now.Add(maxCacheAge + time.Minute)} {
+		if _, err := readCachedList(c.ListFile, then); err == nil {
 			t.Errorf("a list of %v was read at %v", now, then)
 		}
 	}
 	for i := range good {
 		write(good[:i])
-		if _, err := readKept(c.ListFile, now); err == nil {
+		if _, err := readCachedList(c.ListFile, now); err == nil {
 			t.Fatalf("cut at byte %d, and read", i)
 		}
 		flipped := bytes.Clone(good)
 		flipped[i] ^= 1
 		write(flipped)
-		if _, err := readKept(c.ListFile, now); err == nil {
+		if _, err := readCachedList(c.ListFile, now); err == nil {
 			t.Fatalf("byte %d flipped, and read", i)
 		}
 	}
-	write([]byte(fmt.Sprintf("%s0\n{}", keptMark)))
-	if got := knownBest(c); got.Revision != c.Known.Revision {
+	write([]byte(fmt.Sprintf("%s0\n{}", cacheHeader)))
+	if got := RestoreList(c); got.Revision != c.Known.Revision {
 		t.Errorf("started with %+v", got)
 	}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -66,12 +66,12 @@
 	clock   clock
 	module  module
 	allowed policy.Allowed
-	target  target // discovery as last configured
+	target  Target // discovery as last configured
 	terms   atomic.Pointer[terms]
 	maxOpen int
 	up      *upstream
 	fig     *figures
-	disc    *discovery
+	disc    *Client
 
 	events   chan any
 	done     chan struct{} // closed when the loop has ended
@@ -80,8 +80,8 @@
 	owed     int  // requests without their answer
 	finished bool // there is no time left for any
 	timers   timers
-	members  map[string]member // the list as last told
-	skipped  []policy.Outcome  // of attempts that were not made; told once all actions are done
+	members  map[string]Endpoint // the list as last told
+	skipped  []policy.Outcome    // of attempts that were not made; told once all actions are done
 	attempts sync.WaitGroup
 }
 
@@ -135,10 +135,10 @@
 	}
 	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, fig: fig,
 		events: make(chan any, eventBuffer), done: make(chan struct{}), ready: make(chan struct{}),
-		requests: make(map[string]*request), members: make(map[string]member)}
-	l.target = newTarget(c)
+		requests: make(map[string]*request), members: make(map[string]Endpoint)}
+	l.target = NewTarget(c)
 	l.terms.Store(newTerms(c.Settings.Classes))
-	l.disc = newDiscovery(c, l.send)
+	l.disc = newClient(c, l.send)
 	return l, nil
 }
 
@@ -170,11 +170,11 @@
 
 // run handles events until ctx ends; then it calls off what is out and waits for it. The list as last
 // held comes before all else, as the module expects, and then what another process left.
-func (l *loop) run(ctx context.Context, known []member, left *inheritance) {
+func (l *loop) run(ctx context.Context, known []Endpoint, left *inheritance) {
 	defer l.attempts.Wait()
 	defer l.callOff()
 	defer close(l.done)
-	l.handle(news{policy.ListCached, known})
+	l.handle(Update{policy.ListCached, known})
 	if left != nil {
 		l.module.Restore(l.clock.now(), left.Knowledge)
 		l.module.SetSiblingInFlight(left.Out)
@@ -250,7 +250,7 @@
 		}
 	case ending:
 		l.end(e)
-	case news:
+	case Update:
 		l.listed(e)
 	case retuned:
 		l.retune(e.Config)
@@ -391,24 +391,24 @@
 	l.drop(e.r)
 }
 
-func (l *loop) listed(n news) {
-	if n.kind != policy.ListUnavailable {
+func (l *loop) listed(n Update) {
+	if n.Kind != policy.ListUnavailable {
 		l.up.update(n)
 	}
-	if n.kind == policy.ListReplace || n.kind == policy.ListCached {
+	if n.Kind == policy.ListReplace || n.Kind == policy.ListCached {
 		clear(l.members)
 	}
-	for _, m := range n.members {
+	for _, m := range n.Endpoints {
 		if l.members[m.ID] = m; m.Availability == policy.Removed {
 			delete(l.members, m.ID)
 		}
 	}
-	members := make([]policy.Endpoint, len(n.members))
-	for i, m := range n.members {
+	members := make([]policy.Endpoint, len(n.Endpoints))
+	for i, m := range n.Endpoints {
 		members[i] = m.Endpoint
-		members[i].StartedAt = l.clock.unix(m.UpSince)
+		members[i].StartedAt = l.clock.unix(m.StartedAtMillis)
 	}
-	l.tell(policy.EndpointList{Kind: n.kind, Endpoints: members})
+	l.tell(policy.EndpointList{Kind: n.Kind, Endpoints: members})
 }
 
 // spent tells whether a request can't be written again.
@@ -461,7 +461,7 @@
 	case policy.SetTimer:
 		heap.Push(&l.timers, &timer{due: l.clock.now() + a.Wait, token: a.Token})
 	case policy.WatchList:
-		l.disc.ask(a.Enabled)
+		l.disc.SetWatching(a.Enabled)
 	case policy.Log:
 		slog.Info(a.Text)
 	default: // probes and peer messages are not allowed here, and the module asks for none
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -81,7 +81,7 @@
 	l.module = s
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { l.run(ctx, c.Known.Members, nil); close(ended) }()
+	go func() { l.run(ctx, c.Known.Endpoints, nil); close(ended) }()
 	t.Cleanup(func() {
 		cancel()
 		receive(t, "the loop's end", ended)
@@ -274,7 +274,7 @@
 // A request that is over leaves nothing behind, however far off its deadline was.
 func TestEndedRequestsAreForgotten(t *testing.T) {
 	l := &loop{clock: clock{start: time.Now()}, requests: make(map[string]*request),
-		members: make(map[string]member), fig: newFigures(nil)}
+		members: make(map[string]Endpoint), fig: newFigures(nil)}
 	l.module = &script{answer: func(_ policy.Time, ev policy.Event) []policy.Action {
 		if e, ok := ev.(policy.Request); ok {
 			return []policy.Action{{Kind: policy.Reject, ID: e.ID}}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,9 +26,9 @@
 	ck := clock{start: time.Now()}
 	shared, held := new(sockets), c.Sockets
 	if at.heir != nil {
-		held, c.Known = at.heir.Sockets, list{Revision: wholeList, Members: at.heir.Members}
+		held, c.Known = at.heir.Sockets, List{Revision: fullListRevision, Endpoints: at.heir.Members}
 	} else {
-		c.Known = knownBest(c)
+		c.Known = RestoreList(c)
 	}
 	limitMemory(c, 1)
 	fig := newFigures(c.Settings.Classes)
@@ -55,8 +55,8 @@
 		left = &at.heir.inheritance
 		limitMemory(c, 0.5)
 	}
-	parts.Go(func() { l.run(running, c.Known.Members, left) })
-	parts.Go(func() { l.disc.run(running) })
+	parts.Go(func() { l.run(running, c.Known.Endpoints, left) })
+	parts.Go(func() { l.disc.Run(running) })
 
 	failed := make(chan error, 1)
 	clients := newGate(at.Clients, held)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -100,9 +100,9 @@
 		names = append(names, class.Name)
 	}
 	l.terms.Store(l.terms.Load().after(c.Settings.Classes, time.Now()))
-	if to := newTarget(c); to != l.target {
+	if to := NewTarget(c); to != l.target {
 		l.target = to
-		l.disc.move(to)
+		l.disc.Retarget(to)
 	}
 	l.tell(c.Settings)
 	l.fig.accepted.Inc()
--- a/internal/node/scope.go
+++ b/internal/node/scope.go
@@ -20,11 +20,11 @@
 // nothing: with a list service that ignores the scope it takes the list as it comes, and says so.
 
 const (
-	mostScopeServices = 256     // that the list service takes in one call
-	mostServiceName   = 256     // bytes
-	mostScopeQuery    = 8 << 10 // bytes of them all, in a call
-	mostSubset        = 150_000
-	mostReason        = 256 // bytes of it in the log
+	maxScopeServices    = 256     // that the list service takes in one call
+	maxServiceNameBytes = 256     // bytes
+	maxScopeQueryBytes  = 8 << 10 // bytes of them all, in a call
+	maxSubset           = 150_000
+	maxReasonBytes      = 256 // bytes of it in the log
 
 	scopedHeader  = "X-Registry-Scoped"           // in answers that are of the scope that the call named
 	unknownHeader = "X-Registry-Unknown-Services" // those of the scope of which the list service knows nothing
@@ -37,8 +37,8 @@
 	Subset   *int     `json:"subset"` // servers of each service; all of them if it is missing
 }
 
-// parseScope reads the section strictly, and returns what it adds to calls for the list. The settings were checked.
-func parseScope(raw json.RawMessage, settings policy.Settings) (query string, err error) {
+// ParseScope reads the section strictly, and returns what it adds to calls for the list. The settings were checked.
+func ParseScope(raw json.RawMessage, settings policy.Settings) (query string, err error) {
 	var s scopeSection
 	if err := strictly("scope", raw, &s); err != nil {
 		return "", err
@@ -46,8 +46,8 @@
 	if len(s.Services) == 0 {
 		return "", errors.New("scope.services: names no service, and the node would have no server")
 	}
-	if len(s.Services) > mostScopeServices {
-		return "", fmt.Errorf("scope.services: want %d at most, got %d", mostScopeServices, len(s.Services))
+	if len(s.Services) > maxScopeServices {
+		return "", fmt.Errorf("scope.services: want %d at most, got %d", maxScopeServices, len(s.Services))
 	}
 	for i, name := range s.Services {
 		if err := checkServiceName(name); err != nil {
@@ -59,8 +59,8 @@
 	}
 	values := url.Values{"service": slices.Sorted(slices.Values(s.Services))}
 	if s.Subset != nil {
-		if *s.Subset < 1 || *s.Subset > mostSubset {
-			return "", fmt.Errorf("scope.subset: want 1 to %d, got %d", mostSubset, *s.Subset)
+		if *s.Subset < 1 || *s.Subset > maxSubset {
+			return "", fmt.Errorf("scope.subset: want 1 to %d, got %d", maxSubset, *s.Subset)
 		}
 		values.Set("subset", strconv.Itoa(*s.Subset))
 		values.Set("position", strconv.Itoa(settings.NodeIndex))
@@ -68,16 +68,16 @@
 		values.Set("zone", settings.Zone)
 	}
 	query = values.Encode()
-	if len(query) > mostScopeQuery {
-		return "", fmt.Errorf("scope.services: want %d bytes at most in a call, got %d", mostScopeQuery, len(query))
+	if len(query) > maxScopeQueryBytes {
+		return "", fmt.Errorf("scope.services: want %d bytes at most in a call, got %d", maxScopeQueryBytes, len(query))
 	}
 	return query, nil
 }
 
 // checkServiceName says why a name can't be that of a service in the list.
 func checkServiceName(name string) error {
-	if name == "" || len(name) > mostServiceName {
-		return fmt.Errorf("want 1 to %d bytes, got %d", mostServiceName, len(name))
+	if name == "" || len(name) > maxServiceNameBytes {
+		return fmt.Errorf("want 1 to %d bytes, got %d", maxServiceNameBytes, len(name))
 	}
 	for _, c := range []byte(name) {
 		if c <= ' ' || c > '~' || c == ',' {
@@ -87,20 +87,20 @@
 	return nil
 }
 
-// scopeState is what discovery knows of its scope. The zero value is for none.
-type scopeState struct {
-	query   string // added to each call; empty for none
-	scoped  bool   // the list held is of the scope, and not the whole
-	ignored bool   // the last list was not: it is told once
-	unknown string // services that the list service knew nothing of lately
+// scope is what discovery knows of its scope. The zero value is for none.
+type scope struct {
+	query           string // added to each call; empty for none
+	scoped          bool   // the list held is of the scope, and not the whole
+	unsupported     bool   // the last list was not: it is told once
+	unknownServices string // services that the list service knew nothing of lately
 }
 
-// errOtherScope is an answer that doesn't follow on the list held: one of the two is scoped, and the other isn't. The
+// ErrScopeMismatch is an answer that doesn't follow on the list held: one of the two is scoped, and the other isn't. The
 // whole list is called for at once, from the same replica.
-var errOtherScope = fmt.Errorf("%w: the answer is of another scope than the list held", errMoved)
+var ErrScopeMismatch = fmt.Errorf("%w: the answer is of another scope than the list held", ErrRetargeted)
 
-// addTo adds the scope to the URL of a call.
-func (s *scopeState) addTo(url string) string {
+// appendTo adds the scope to the URL of a call.
+func (s *scope) appendTo(url string) string {
 	switch {
 	case s.query == "":
 		return url
@@ -112,19 +112,19 @@
 
 // firstRevision is the revision to begin at. Where the list that a node starts with is from, and of which scope, isn't
 // known.
-func (s *scopeState) firstRevision(known int64) int64 {
+func (s *scope) firstRevision(known int64) int64 {
 	if s.query == "" {
 		return known
 	}
-	return wholeList
+	return fullListRevision
 }
 
-// refusal is a call that was not answered with a list. Where a scope was named, the reason is in the answer's line.
-func (s *scopeState) refusal(resp *http.Response) error {
+// statusError is a call that was not answered with a list. Where a scope was named, the reason is in the answer's line.
+func (s *scope) statusError(resp *http.Response) error {
 	if s.query == "" {
 		return fmt.Errorf("answered %s", resp.Status)
 	}
-	text, err := io.ReadAll(io.LimitReader(resp.Body, mostReason))
+	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes))
 	if err != nil {
 		return fmt.Errorf("answered %s: %w", resp.Status, err)
 	}
@@ -134,20 +134,20 @@
 
 // check takes note of what an answer says of the scope. Changes of a scope, added to a whole list, would leave servers
 // outside of the scope there for good, drained or not.
-func (s *scopeState) check(header http.Header, complete bool) error {
+func (s *scope) check(header http.Header, complete bool) error {
 	if s.query == "" {
 		return nil
 	}
 	scoped := header.Get(scopedHeader) != ""
 	switch {
 	case !complete && scoped != s.scoped:
-		return errOtherScope
-	case complete && !scoped && !s.ignored:
+		return ErrScopeMismatch
+	case complete && !scoped && !s.unsupported:
 		slog.Warn("discovery: the list service ignores the scope: all servers that it lists are taken")
 	}
-	s.scoped, s.ignored = scoped, !scoped
-	if unknown := header.Get(unknownHeader); unknown != s.unknown {
-		s.unknown = unknown
+	s.scoped, s.unsupported = scoped, !scoped
+	if unknown := header.Get(unknownHeader); unknown != s.unknownServices {
+		s.unknownServices = unknown
 		if unknown != "" {
 			slog.Warn("discovery: the list service knows nothing of some services of the scope", "services", unknown)
 		}
--- a/internal/node/scope_test.go
+++ b/internal/node/scope_test.go
@@ -26,9 +26,9 @@
 }
 
 // scopedWatch watches a list service that plays answers in turn, and then holds the calls.
-func scopedWatch(t *testing.T, scope string, answers ...scopedAnswer) (d *discovery, told chan news, calls chan *http.Request) {
+func scopedWatch(t *testing.T, scope string, answers ...scopedAnswer) (d *Client, told chan Update, calls chan *http.Request) {
 	t.Helper()
-	told, calls = make(chan news, 100), make(chan *http.Request, 100)
+	told, calls = make(chan Update, 100), make(chan *http.Request, 100)
 	next := make(chan scopedAnswer, len(answers))
 	for _, a := range answers {
 		next <- a
@@ -47,10 +47,10 @@
 			<-r.Context().Done()
 		}
 	})
-	d = newDiscovery(c, func(ev any) { told <- ev.(news) })
+	d = newClient(c, func(ev any) { told <- ev.(Update) })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { d.run(ctx); close(ended) }()
+	go func() { d.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); receive(t, "the end of discovery", ended) })
 	return d, told, calls
 }
@@ -64,15 +64,15 @@
 	}
 }
 
-func wantNews(t *testing.T, told chan news, kind policy.ListKind, ids ...string) {
+func wantNews(t *testing.T, told chan Update, kind policy.ListKind, ids ...string) {
 	t.Helper()
 	n := receive(t, "the news", told)
 	var got []string
-	for _, m := range n.members {
+	for _, m := range n.Endpoints {
 		got = append(got, m.ID)
 	}
-	if diff := cmp.Diff(ids, got); diff != "" || n.kind != kind {
-		t.Errorf("told kind %v: %s", n.kind, diff)
+	if diff := cmp.Diff(ids, got); diff != "" || n.Kind != kind {
+		t.Errorf("told kind %v: %s", n.Kind, diff)
 	}
 }
 
@@ -80,7 +80,7 @@
 
 // watchOf is the URI of a watch from a revision on.
 func watchOf(revision int, scope string) string {
-	return fmt.Sprintf("%s?index=%d&wait=%d%s", listURI, revision, newCallTimes(policy.Settings{}).wait.Milliseconds(), scope)
+	return fmt.Sprintf("%s?index=%d&wait=%d%s", listURI, revision, NewTimeouts(policy.Settings{}).Wait.Milliseconds(), scope)
 }
 
 // Without the section, calls for the list are what they were before there was one, byte for byte, whatever the
@@ -109,11 +109,11 @@
 		if len(told) != 0 {
 			t.Errorf("told of an answer with nothing new: %+v", <-told)
 		}
-		times := newCallTimes(policy.Settings{})
+		times := NewTimeouts(policy.Settings{})
 		addrs := strings.TrimSuffix(strings.TrimPrefix(d.urls[0], "http://"), listURI)
-		d.move(target{addr: addrs, scope: "service=c", times: times})
+		d.Retarget(Target{Addresses: addrs, Scope: "service=c", Timeouts: times})
 		wantCalls(t, calls, listURI+"?service=c")
-		d.move(target{addr: addrs, times: times})
+		d.Retarget(Target{Addresses: addrs, Timeouts: times})
 		wantCalls(t, calls, listURI)
 	})
 }
@@ -146,8 +146,8 @@
 		c.Discovery = httpServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "service: unknown: a, b", http.StatusNotFound)
 		})
-		d := newDiscovery(c, func(any) {})
-		defer d.client.CloseIdleConnections()
+		d := newClient(c, func(any) {})
+		defer d.http.CloseIdleConnections()
 		_, err := d.watch(context.Background())
 		if want := "answered 404 Not Found: service: unknown: a, b"; err == nil || err.Error() != want {
 			t.Errorf("got %v, want %s", err, want)
@@ -173,7 +173,7 @@
 
 func TestBadScopeNamesTheField(t *testing.T) {
 	var many, long []string
-	for i := range mostScopeServices + 1 {
+	for i := range maxScopeServices + 1 {
 		many = append(many, fmt.Sprintf("%q", fmt.Sprint("s", i)))
 	}
 	for i := range 100 {
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -94,13 +94,13 @@
 	return fmt.Sprintf(`{"revision":7,"complete":true,"members":[%s]}`, strings.Join(entries, ","))
 }
 
-func members(t *testing.T, addrs ...string) []member {
+func members(t *testing.T, addrs ...string) []Endpoint {
 	t.Helper()
-	l, err := parseList([]byte(knownList(addrs...)))
+	l, err := ParseList([]byte(knownList(addrs...)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l.Members
+	return l.Endpoints
 }
 
 // rawServer runs a server of one's own at the level of the connection.
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -73,7 +73,7 @@
 	for range o.busy {
 		receive(t, "a call that is turned away", l.calls).serve <- turnAway
 	}
-	told := toldWithin
+	told := maxNotificationDelay
 	if o.within > 0 {
 		told = min(told, o.within)
 	}
@@ -112,7 +112,7 @@
 		"reset":              {fails: resetCall, calls: 5, busy: 2},
 		"turned away":        {fails: turnAway, calls: 5, busy: 2},
 		"silent":             {fails: staySilent, calls: 2, busy: 2},
-		"silent, then busy":  {fails: staySilent, calls: 2, busy: 1, queued: queueTime},
+		"silent, then busy":  {fails: staySilent, calls: 2, busy: 1, queued: MaxQueueTime},
 		"half answered":      {fails: answerHalf, calls: 2, busy: 2},
 		"silent, bound 2 s":  {fails: staySilent, calls: 2, busy: 1, within: 2 * time.Second},
 		"refused, bound 2 s": {calls: 5, busy: 1, within: 2 * time.Second},
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -144,19 +144,19 @@
 
 // update follows the list. A server that moved or started anew gets a new pool: what was open to its
 // former process is of no use.
-func (u *upstream) update(n news) {
+func (u *upstream) update(n Update) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	listed := make(map[string]bool, len(n.members))
-	for _, m := range n.members {
+	listed := make(map[string]bool, len(n.Endpoints))
+	for _, m := range n.Endpoints {
 		p := u.pools[m.ID]
 		listed[m.ID] = true
 		switch {
 		case m.Availability == policy.Removed:
 			u.miss(m.ID)
-		case p == nil || p.addr != m.Addr || p.upSince != m.UpSince:
+		case p == nil || p.addr != m.Address || p.upSince != m.StartedAtMillis:
 			u.forget(m.ID)
-			u.pools[m.ID] = &pool{addr: m.Addr, upSince: m.UpSince}
+			u.pools[m.ID] = &pool{addr: m.Address, upSince: m.StartedAtMillis}
 		default:
 			p.gone = time.Time{}
 		}
@@ -164,7 +164,7 @@
 			p.leaving = m.Availability == policy.Draining
 		}
 	}
-	if n.kind == policy.ListUpdate {
+	if n.Kind == policy.ListUpdate {
 		return
 	}
 	for id := range u.pools {
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	c := testConfig(t, knownList(addrs...))
 	u := newUpstream(c, testSockets(200), newFigures(c.Settings.Classes))
-	u.update(news{policy.ListCached, c.Known.Members})
+	u.update(Update{policy.ListCached, c.Known.Endpoints})
 	t.Cleanup(u.close)
 	return u
 }
@@ -300,17 +300,17 @@
 	addr := httpServer(t, func(http.ResponseWriter, *http.Request) {})
 	base := members(t, addr)[0]
 	restarted, removed := base, base
-	restarted.UpSince = 5
+	restarted.StartedAtMillis = 5
 	removed.Availability = policy.Removed
 	for name, c := range map[string]struct {
-		n    news
+		n    Update
 		want int
 	}{
-		"same":      {news{policy.ListUpdate, []member{base}}, 1},
-		"restarted": {news{policy.ListUpdate, []member{restarted}}, 0},
-		"removed":   {news{policy.ListUpdate, []member{removed}}, 0},
-		"no news":   {news{policy.ListUpdate, nil}, 1},
-		"missing":   {news{policy.ListReplace, nil}, 0},
+		"same":      {Update{policy.ListUpdate, []Endpoint{base}}, 1},
+		"restarted": {Update{policy.ListUpdate, []Endpoint{restarted}}, 0},
+		"removed":   {Update{policy.ListUpdate, []Endpoint{removed}}, 0},
+		"no news":   {Update{policy.ListUpdate, nil}, 1},
+		"missing":   {Update{policy.ListReplace, nil}, 0},
 	} {
 		u := testUpstream(t, addr)
 		ended(t, u, testExchange(http.MethodGet, "r1", ""))
