--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -3,7 +3,6 @@
 package node
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -12,10 +11,10 @@
 	"net"
 	"os"
 	"strconv"
-	"strings"
 	"time"
 
 	gossip "sloerail/internal/membership"
+	"sloerail/internal/node/decode"
 	"sloerail/internal/simwire"
 	"sloerail/policy"
 )
@@ -79,14 +78,14 @@
 	if c.Fleet != nil {
 		c.Fleet.Name = c.Name
 	}
-	if err := checkAddress(c.Listen); err != nil {
+	if err := decode.CheckAddress(c.Listen); err != nil {
 		return Config{}, fmt.Errorf("configuration: listen: %w", err)
 	}
-	if err := checkAddresses(c.Discovery); err != nil {
+	if err := decode.CheckAddresses(c.Discovery); err != nil {
 		return Config{}, fmt.Errorf("configuration: discovery: %w", err)
 	}
 	if c.Control != "" {
-		if err := checkAddress(c.Control); err != nil {
+		if err := decode.CheckAddress(c.Control); err != nil {
 			return Config{}, fmt.Errorf("configuration: control: %w", err)
 		}
 	}
@@ -138,7 +137,7 @@
 		Scope    json.RawMessage `json:"scope"`
 		Ease     bool            `json:"ease_lists"`
 	}
-	if err := unmarshal(raw, &f); err != nil {
+	if err := decode.JSON(raw, &f); err != nil {
 		return Config{}, err
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
@@ -197,7 +196,7 @@
 			ConnectTimeout float64 `json:"connectTimeout"`
 		} `json:"limits"`
 	}
-	if err := unmarshal(settings, &s); err != nil {
+	if err := decode.JSON(settings, &s); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
 	switch l := s.Limits; {
@@ -213,25 +212,6 @@
 	return nil
 }
 
-// unmarshal names the field that can't be read as the configuration and the protocol name it.
-func unmarshal(raw []byte, to any) error {
-	err := json.Unmarshal(raw, to)
-	if bad := (*json.UnmarshalTypeError)(nil); errors.As(err, &bad) && bad.Field != "" {
-		return fmt.Errorf("%s: want %s, got %s", bad.Field, bad.Type, bad.Value)
-	}
-	return err
-}
-
-// strictly reads a section of the configuration that holds no keys but its own.
-func strictly(section string, raw json.RawMessage, to any) error {
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(to); err != nil {
-		return fmt.Errorf("%s: %w", section, err)
-	}
-	return nil
-}
-
 // ownSockets is how many descriptors belong to neither side.
 func (c Config) ownSockets() int {
 	n := ownSockets
@@ -257,25 +237,4 @@
 	return n
 }
 
-func checkAddress(addr string) error {
-	host, port, err := net.SplitHostPort(addr)
-	if err != nil {
-		return fmt.Errorf("want host:port, got %q", addr)
-	}
-	if _, err := strconv.ParseUint(port, 10, 16); err != nil || host == "" {
-		return fmt.Errorf("want host:port, got %q", addr)
-	}
-	return nil
-}
-
-// checkAddresses checks addresses that commas part.
-func checkAddresses(addrs string) error {
-	for addr := range strings.SplitSeq(addrs, ",") {
-		if err := checkAddress(addr); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- /dev/null
+++ b/internal/node/decode/decode_test.go
@@ -0,0 +1,47 @@
+package decode
+
+import (
+	"errors"
+	"testing"
+)
+
+func TestJSONNamesTheField(t *testing.T) {
+	var to struct {
+		Limits struct {
+			Sockets int `json:"sockets"`
+		} `json:"limits"`
+	}
+	err := JSON([]byte(`{"limits":{"sockets":"many"}}`), &to)
+	var bad *FieldError
+	if !errors.As(err, &bad) || bad.Field != "limits.sockets" || bad.Error() != "limits.sockets: want int, got string" {
+		t.Errorf("got %v", err)
+	}
+	if err := JSON([]byte(`{"limits"`), &to); err == nil || errors.As(err, &bad) {
+		t.Errorf("a text that is cut off: %v", err)
+	}
+}
+
+func TestSectionRejectsUnknownKeys(t *testing.T) {
+	var to struct {
+		Known int `json:"known"`
+	}
+	if err := Section("part", []byte(`{"known":1}`), &to); err != nil || to.Known != 1 {
+		t.Errorf("read %+v, %v", to, err)
+	}
+	err := Section("part", []byte(`{"knwon":1}`), &to)
+	if want := `part: json: unknown field "knwon"`; err == nil || err.Error() != want {
+		t.Errorf("got %v, want %s", err, want)
+	}
+}
+
+func TestCheckAddresses(t *testing.T) {
+	for addrs, ok := range map[string]bool{
+		"127.0.0.1:80": true, "server.svc:0": true, "[::1]:65535": true, "127.0.0.1:80,127.0.0.1:81": true,
+		"": false, "nowhere": false, ":80": false, "127.0.0.1:http": false, "127.0.0.1:65536": false,
+		"127.0.0.1:80,": false, "127.0.0.1:80,nowhere": false,
+	} {
+		if err := CheckAddresses(addrs); (err == nil) != ok {
+			t.Errorf("%q: %v", addrs, err)
+		}
+	}
+}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -12,6 +12,7 @@
 	"strings"
 	"time"
 
+	"sloerail/internal/node/decode"
 	"sloerail/policy"
 )
 
@@ -77,7 +78,7 @@
 // otherwise leave out might be a drain.
 func ParseList(raw []byte) (List, error) {
 	var f listForm
-	if err := unmarshal(raw, &f); err != nil {
+	if err := decode.JSON(raw, &f); err != nil {
 		return List{}, err
 	}
 	if f.Revision == nil {
@@ -95,7 +96,7 @@
 			return List{}, fmt.Errorf("members[%d].up_since_ms: out of range", i)
 		}
 		if phase != policy.Removed {
-			if err := checkAddress(e.HostPort); err != nil {
+			if err := decode.CheckAddress(e.HostPort); err != nil {
 				return List{}, fmt.Errorf("members[%d].host_port: %w", i, err)
 			}
 		}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -11,6 +11,7 @@
 	"time"
 
 	gossip "sloerail/internal/membership"
+	"sloerail/internal/node/decode"
 )
 
 const fleetPath = "/fleet"
@@ -29,7 +30,7 @@
 // parseFleet reads the section strictly: a key that is misspelt would leave the fleet open, say.
 func parseFleet(raw json.RawMessage, c Config) (*gossip.Config, error) {
 	var s fleetSection
-	if err := strictly("fleet", raw, &s); err != nil {
+	if err := decode.Section("fleet", raw, &s); err != nil {
 		return nil, err
 	}
 	m := &gossip.Config{Name: c.Name, Zone: c.Settings.Zone, Version: Version(), Bind: s.Bind, Advertise: s.Advertise,
--- a/internal/node/places.go
+++ b/internal/node/places.go
@@ -9,6 +9,7 @@
 	"strconv"
 	"time"
 
+	"sloerail/internal/node/decode"
 	"sloerail/policy"
 )
 
@@ -30,7 +31,7 @@
 // parsePlaces reads the section strictly, into the settings: a class whose binding is misspelt would leave its region.
 func parsePlaces(raw json.RawMessage, set *policy.Settings) error {
 	var s placesSection
-	if err := strictly("places", raw, &s); err != nil {
+	if err := decode.Section("places", raw, &s); err != nil {
 		return err
 	}
 	p := &policy.Topology{RegionOfZone: make(map[string]string), ZoneCosts: s.Costs, SameRegionCost: orUsual(s.SameRegion, sameRegionCost),
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -10,6 +10,7 @@
 	"strconv"
 	"time"
 
+	"sloerail/internal/node/decode"
 	"sloerail/policy"
 )
 
@@ -116,7 +117,7 @@
 	if err != nil {
 		return Config{}, err
 	}
-	if err := checkAddresses(c.Discovery); err != nil {
+	if err := decode.CheckAddresses(c.Discovery); err != nil {
 		return Config{}, fmt.Errorf("configuration: discovery: %w", err)
 	}
 	if n := c.Settings.Allowed.MaxAttempts; n <= 0 && has(c.shape, "settings", "limits", "maxAttempts") {
--- a/internal/node/scope.go
+++ b/internal/node/scope.go
@@ -12,6 +12,7 @@
 	"strconv"
 	"strings"
 
+	"sloerail/internal/node/decode"
 	"sloerail/policy"
 )
 
@@ -40,7 +41,7 @@
 // ParseScope reads the section strictly, and returns what it adds to calls for the list. The settings were checked.
 func ParseScope(raw json.RawMessage, settings policy.Settings) (query string, err error) {
 	var s scopeSection
-	if err := strictly("scope", raw, &s); err != nil {
+	if err := decode.Section("scope", raw, &s); err != nil {
 		return "", err
 	}
 	if len(s.Services) == 0 {
