--- a/internal/node/calltimes.go
+++ b/internal/node/calltimes.go
@@ -39,7 +39,8 @@
 	return Timeouts{Wait: patience / 4, Watch: patience, FullList: min(fullListTimeout, patience)}
 }
 
-// NewTarget takes what a configuration says of the list service.
-func NewTarget(c Config) Target {
-	return Target{Addresses: c.Discovery, Subscribe: c.Settings.SubscribeList, Timeouts: NewTimeouts(c.Settings), Scope: c.Scope}
+// NewTarget is for the list service at the addresses, which commas separate; scope is the query that ParseScope made,
+// or empty.
+func NewTarget(addresses, scope string, settings policy.Settings) Target {
+	return Target{Addresses: addresses, Subscribe: settings.SubscribeList, Timeouts: NewTimeouts(settings), Scope: scope}
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -54,6 +54,15 @@
 	return (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext
 }
 
+// discoveryTarget is what the configuration says of the list service.
+func (c Config) discoveryTarget() Target { return NewTarget(c.Discovery, c.Scope, c.Settings) }
+
+// discoveryConfig is that of the client of the list service.
+func (c Config) discoveryConfig() ClientConfig {
+	return ClientConfig{Target: c.discoveryTarget(), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
+		Dial: c.dialer(MaxQueueTime)}
+}
+
 // leastSockets is what a node can work with at all: a few for itself, and some for each side.
 const leastSockets = 64
 
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -7,6 +7,7 @@
 	"io"
 	"log/slog"
 	"math/rand/v2"
+	"net"
 	"net/http"
 	"slices"
 	"strings"
@@ -129,7 +130,16 @@
 	watchRequests chan bool   // the module's newest wish to be kept told
 	retargets     chan Target // the newest, where the configuration names another
 	rng           *rand.Rand  // spreads calls after failures among nodes
-	notify        func(any)
+	notify        func(Update)
+}
+
+// ClientConfig is what a Client starts with.
+type ClientConfig struct {
+	Target
+	CacheFile string // where the list is cached on disk; empty for nowhere
+	Known     List   // the list as last known, whose revision the first watch starts from
+	Seed      uint64 // spreads nodes over the replicas, and their calls after failures
+	Dial      func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
 // Target is what the configuration says of discovery.
@@ -156,17 +166,17 @@
 	return all
 }
 
-func newClient(c Config, tell func(any)) *Client {
-	urls, scope := listURLs(c.Discovery), scope{query: c.Scope}
+func newClient(c ClientConfig, notify func(Update)) *Client {
+	urls, scope := listURLs(c.Addresses), scope{query: c.Scope}
 	return &Client{
-		urls: urls, replica: int(c.Seed % uint64(len(urls))), cache: newListCache(c), subscribe: c.Settings.SubscribeList,
-		timeouts: NewTimeouts(c.Settings), scope: scope, revision: scope.firstRevision(c.Known.Revision),
+		urls: urls, replica: int(c.Seed % uint64(len(urls))), cache: newListCache(c.CacheFile, c.Known),
+		subscribe: c.Subscribe, timeouts: c.Timeouts, scope: scope, revision: scope.firstRevision(c.Known.Revision),
 		rng: rand.New(rand.NewPCG(c.Seed, 0xd1)), watchRequests: make(chan bool, 1),
-		retargets: make(chan Target, 1), notify: tell,
+		retargets: make(chan Target, 1), notify: notify,
 		http: &http.Client{
 			// A Transport of its own, so neither a proxy nor the requests share its connection.
 			Transport: &http.Transport{DisableCompression: true, MaxConnsPerHost: 1,
-				DialContext: c.dialer(MaxQueueTime)},
+				DialContext: c.Dial},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
 	}
@@ -367,9 +377,9 @@
 	}
 	switch {
 	case l.Complete:
-		d.notify(Update{policy.ListReplace, l.Endpoints})
+		d.notify(Update{Kind: policy.ListReplace, Endpoints: l.Endpoints})
 	case len(l.Endpoints) > 0 || d.subscribe:
-		d.notify(Update{policy.ListUpdate, l.Endpoints})
+		d.notify(Update{Kind: policy.ListUpdate, Endpoints: l.Endpoints})
 	}
 }
 
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -43,7 +43,7 @@
 	})
 	c := testConfig(t, knownList("127.0.0.1:9"))
 	c.Discovery, c.Settings.SubscribeList = addr, subscribe
-	d = newClient(c, func(ev any) { told <- ev.(Update) })
+	d = newClient(c.discoveryConfig(), func(u Update) { told <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -638,7 +638,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.send(Update{policy.ListUpdate, list.Endpoints})
+			l.send(Update{Kind: policy.ListUpdate, Endpoints: list.Endpoints})
 			if _, ok := ask(l, func(reply chan<- time.Duration) any { return tailAsked{reply} }); !ok { // the list is in
 				t.Fatal("the loop has ended")
 			}
@@ -671,7 +671,7 @@
 	}
 	leaving := members(t, addr)
 	leaving[0].Availability = policy.Draining
-	u.update(Update{policy.ListUpdate, leaving})
+	u.update(Update{Kind: policy.ListUpdate, Endpoints: leaving})
 	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.code != policy.ConnectFailed {
 		t.Errorf("code %v, want %v: it never ran", r.code, policy.ConnectFailed)
 	}
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -286,7 +286,7 @@
 	if len(l.Endpoints) != 3 || l.Endpoints[0].Availability != policy.Running || l.Endpoints[1].Availability != policy.Draining {
 		t.Errorf("read %+v", l)
 	}
-	k := newListCache(c)
+	k := newListCache(c.ListFile, c.Known)
 	k.apply(l)
 	sameBytes(t, "the file", k.encode(saved), golden(t, "list_file.txt"))
 }
--- a/internal/node/kept.go
+++ b/internal/node/kept.go
@@ -40,12 +40,13 @@
 	failing   bool
 }
 
-func newListCache(c Config) *listCache {
-	if c.ListFile == "" {
+// newListCache is for the file at path; nil for none.
+func newListCache(path string, known List) *listCache {
+	if path == "" {
 		return nil
 	}
-	k := &listCache{path: c.ListFile, endpoints: make(map[string]Endpoint)}
-	k.apply(c.Known)
+	k := &listCache{path: path, endpoints: make(map[string]Endpoint)}
+	k.apply(known)
 	k.dirty = false
 	return k
 }
@@ -117,19 +118,19 @@
 	return ParseList(body)
 }
 
-// RestoreList is the list to start with: the kept one, where there is one that is newer than the configuration's.
-func RestoreList(c Config) List {
-	if c.ListFile == "" {
-		return c.Known
+// RestoreList is the list to start with: the cached one, where there is one that is as new as the known one or newer.
+func RestoreList(path string, known List) List {
+	if path == "" {
+		return known
 	}
-	kept, err := readCachedList(c.ListFile, time.Now())
+	cached, err := readCachedList(path, time.Now())
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
-		slog.Warn("discovery: the kept list is not used", "file", c.ListFile, "err", err)
-	case kept.Revision >= c.Known.Revision:
-		slog.Info("discovery: starting with the kept list", "file", c.ListFile, "revision", kept.Revision, "servers", len(kept.Endpoints))
-		return kept
+		slog.Warn("discovery: the kept list is not used", "file", path, "err", err)
+	case cached.Revision >= known.Revision:
+		slog.Info("discovery: starting with the kept list", "file", path, "revision", cached.Revision, "servers", len(cached.Endpoints))
+		return cached
 	}
-	return c.Known
+	return known
 }
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -18,7 +18,7 @@
 func runDiscovery(t *testing.T, c Config) (told chan Update, stop func()) {
 	t.Helper()
 	told = make(chan Update, 100)
-	d := newClient(c, func(ev any) { told <- ev.(Update) })
+	d := newClient(c.discoveryConfig(), func(u Update) { told <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
@@ -49,7 +49,7 @@
 	c := testConfig(t, knownList("127.0.0.1:9"))
 	c.Seed = 0
 	c.Discovery = "127.0.0.1:9," + good + "," + lags + "," + best // nobody is at the first
-	d := newClient(c, func(any) {})
+	d := newClient(c.discoveryConfig(), func(Update) {})
 	for _, want := range []string{"", "a", "", "b"} {
 		ctx, cancel := context.WithTimeout(context.Background(), long)
 		l, err := d.watch(ctx)
@@ -92,7 +92,7 @@
 	})
 	stop()
 	c.Known.Revision = 40
-	got := RestoreList(c)
+	got := RestoreList(c.ListFile, c.Known)
 	if got.Revision != 42 || !got.Complete || len(got.Endpoints) != 2 {
 		t.Fatalf("kept %+v", got)
 	}
@@ -102,7 +102,7 @@
 		}
 	}
 	c.Known.Revision = 43
-	if got := RestoreList(c); got.Revision != 43 {
+	if got := RestoreList(c.ListFile, c.Known); got.Revision != 43 {
 		t.Errorf("an older list was used: %+v", got)
 	}
 }
@@ -112,7 +112,7 @@
 	c := testConfig(t, knownList("127.0.0.1:9"))
 	c.ListFile = filepath.Join(t.TempDir(), "list")
 	now := time.Now()
-	good := newListCache(c).encode(now)
+	good := newListCache(c.ListFile, c.Known).encode(now)
 	write := func(raw []byte) {
 		if err := os.WriteFile(c.ListFile, raw, 0o600); err != nil {
 			t.Fatal(err)
@@ -140,7 +140,7 @@
 		}
 	}
 	write([]byte(fmt.Sprintf("%s0\n{}", cacheHeader)))
-	if got := RestoreList(c); got.Revision != c.Known.Revision {
+	if got := RestoreList(c.ListFile, c.Known); got.Revision != c.Known.Revision {
 		t.Errorf("started with %+v", got)
 	}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -136,9 +136,9 @@
 	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, fig: fig,
 		events: make(chan any, eventBuffer), done: make(chan struct{}), ready: make(chan struct{}),
 		requests: make(map[string]*request), members: make(map[string]Endpoint)}
-	l.target = NewTarget(c)
+	l.target = c.discoveryTarget()
 	l.terms.Store(newTerms(c.Settings.Classes))
-	l.disc = newClient(c, l.send)
+	l.disc = newClient(c.discoveryConfig(), func(u Update) { l.send(u) })
 	return l, nil
 }
 
@@ -174,7 +174,7 @@
 	defer l.attempts.Wait()
 	defer l.callOff()
 	defer close(l.done)
-	l.handle(Update{policy.ListCached, known})
+	l.handle(Update{Kind: policy.ListCached, Endpoints: known})
 	if left != nil {
 		l.module.Restore(l.clock.now(), left.Knowledge)
 		l.module.SetSiblingInFlight(left.Out)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -28,7 +28,7 @@
 	if at.heir != nil {
 		held, c.Known = at.heir.Sockets, List{Revision: fullListRevision, Endpoints: at.heir.Members}
 	} else {
-		c.Known = RestoreList(c)
+		c.Known = RestoreList(c.ListFile, c.Known)
 	}
 	limitMemory(c, 1)
 	fig := newFigures(c.Settings.Classes)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -101,7 +101,7 @@
 		names = append(names, class.Name)
 	}
 	l.terms.Store(l.terms.Load().after(c.Settings.Classes, time.Now()))
-	if to := NewTarget(c); to != l.target {
+	if to := c.discoveryTarget(); to != l.target {
 		l.target = to
 		l.disc.Retarget(to)
 	}
--- a/internal/node/scope_test.go
+++ b/internal/node/scope_test.go
@@ -47,7 +47,7 @@
 			<-r.Context().Done()
 		}
 	})
-	d = newClient(c, func(ev any) { told <- ev.(Update) })
+	d = newClient(c.discoveryConfig(), func(u Update) { told <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
@@ -146,7 +146,7 @@
 		c.Discovery = httpServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "service: unknown: a, b", http.StatusNotFound)
 		})
-		d := newClient(c, func(any) {})
+		d := newClient(c.discoveryConfig(), func(Update) {})
 		defer d.http.CloseIdleConnections()
 		_, err := d.watch(context.Background())
 		if want := "answered 404 Not Found: service: unknown: a, b"; err == nil || err.Error() != want {
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -20,7 +20,7 @@
 	t.Helper()
 	c := testConfig(t, knownList(addrs...))
 	u := newUpstream(c, testSockets(200), newFigures(c.Settings.Classes))
-	u.update(Update{policy.ListCached, c.Known.Endpoints})
+	u.update(Update{Kind: policy.ListCached, Endpoints: c.Known.Endpoints})
 	t.Cleanup(u.close)
 	return u
 }
@@ -306,11 +306,11 @@
 		n    Update
 		want int
 	}{
-		"same":      {Update{policy.ListUpdate, []Endpoint{base}}, 1},
-		"restarted": {Update{policy.ListUpdate, []Endpoint{restarted}}, 0},
-		"removed":   {Update{policy.ListUpdate, []Endpoint{removed}}, 0},
-		"no news":   {Update{policy.ListUpdate, nil}, 1},
-		"missing":   {Update{policy.ListReplace, nil}, 0},
+		"same":      {Update{Kind: policy.ListUpdate, Endpoints: []Endpoint{base}}, 1},
+		"restarted": {Update{Kind: policy.ListUpdate, Endpoints: []Endpoint{restarted}}, 0},
+		"removed":   {Update{Kind: policy.ListUpdate, Endpoints: []Endpoint{removed}}, 0},
+		"no news":   {Update{Kind: policy.ListUpdate}, 1},
+		"missing":   {Update{Kind: policy.ListReplace}, 0},
 	} {
 		u := testUpstream(t, addr)
 		ended(t, u, testExchange(http.MethodGet, "r1", ""))
