--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -73,18 +73,6 @@
 		}
 		sameBytes(t, name, got, want)
 	}
-	// Members have a form of their own, whose keys the strict reading above can't see.
-	var state struct{ Members []json.RawMessage }
-	if err := json.Unmarshal(golden(t, "handover_state.json"), &state); err != nil {
-		t.Fatal(err)
-	}
-	for _, raw := range state.Members {
-		strict := json.NewDecoder(bytes.NewReader(raw))
-		strict.DisallowUnknownFields()
-		if err := strict.Decode(new(memberForm)); err != nil {
-			t.Errorf("member %s: %v", raw, err)
-		}
-	}
 }
 
 // The socket at which a successor calls is where other versions look for it.
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -6,6 +6,7 @@
 	"errors"
 	"fmt"
 	"io"
+	"iter"
 	"log/slog"
 	"net"
 	"os"
@@ -44,14 +45,14 @@
 	Version   int             `json:"Version"`
 	Name      string          `json:"Name"`
 	Listen    string          `json:"Listen"`
-	Members   []Endpoint      `json:"Members"`
+	Members   []endpointState `json:"Members"`
 	Knowledge policy.Snapshot `json:"Knowledge"`
 	Sockets   int             `json:"Sockets"` // that the new process may hold for now; told again as the old one ends its connections
 	Out       map[string]int  `json:"Out"`     // the old process's attempts at each server; told again too
 }
 
-// memberForm is how a member stands in an inheritance. The keys are fixed.
-type memberForm struct {
+// endpointState is how an endpoint stands in a handover state. The keys are fixed.
+type endpointState struct {
 	Server       string              `json:"Server"`
 	Zone         string              `json:"Zone"`
 	Kind         string              `json:"Kind"`
@@ -63,21 +64,29 @@
 	UpSince      int64               `json:"UpSince"`
 }
 
-// MarshalJSON writes m as it stands in an inheritance.
-func (m Endpoint) MarshalJSON() ([]byte, error) {
-	return json.Marshal(memberForm{Server: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Weight: m.Weight,
-		OnlineSince: m.StartedAt, Availability: m.Availability, Addr: m.Address, UpSince: m.StartedAtMillis})
+func newEndpointState(e Endpoint) endpointState {
+	return endpointState{Server: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight,
+		OnlineSince: e.StartedAt, Availability: e.Availability, Addr: e.Address, UpSince: e.StartedAtMillis}
 }
 
-// UnmarshalJSON reads m as it stands in an inheritance.
-func (m *Endpoint) UnmarshalJSON(raw []byte) error {
-	var f memberForm
-	if err := json.Unmarshal(raw, &f); err != nil {
-		return err
+func (s endpointState) endpoint() Endpoint {
+	return Endpoint{Address: s.Addr, StartedAtMillis: s.UpSince, Endpoint: policy.Endpoint{ID: s.Server, Zone: s.Zone,
+		Kind: s.Kind, Cell: s.Cell, Weight: s.Weight, StartedAt: s.OnlineSince, Availability: s.Availability}}
+}
+
+// setEndpoints puts the endpoint list into the state.
+func (in *inheritance) setEndpoints(endpoints iter.Seq[Endpoint]) {
+	for e := range endpoints {
+		in.Members = append(in.Members, newEndpointState(e))
+	}
+}
+
+// endpoints is the endpoint list of the state.
+func (in *inheritance) endpoints() (all []Endpoint) {
+	for _, s := range in.Members {
+		all = append(all, s.endpoint())
 	}
-	*m = Endpoint{Address: f.Addr, StartedAtMillis: f.UpSince, Endpoint: policy.Endpoint{ID: f.Server, Zone: f.Zone, Kind: f.Kind,
-		Cell: f.Cell, Weight: f.Weight, StartedAt: f.OnlineSince, Availability: f.Availability}}
-	return nil
+	return all
 }
 
 // Listeners are where a node is reached, and what it was left by the process before it.
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -97,7 +97,9 @@
 }
 
 // Restore takes the list of the configuration, as a node does at its start.
-func (h *Hollow) Restore() { h.loop.handle(Update{Kind: policy.ListCached, Endpoints: h.config.Known.Endpoints}) }
+func (h *Hollow) Restore() {
+	h.loop.handle(Update{Kind: policy.ListCached, Endpoints: h.config.Known.Endpoints})
+}
 
 // TakeList reads an answer of the list service and takes it.
 func (h *Hollow) TakeList(answer []byte) error {
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"maps"
 	"net/http"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -255,8 +254,9 @@
 	case retuned:
 		l.retune(e.Config)
 	case ceded:
-		e.reply <- inheritance{Members: slices.Collect(maps.Values(l.members)),
-			Knowledge: l.module.Snapshot(l.clock.now()), Out: l.module.InFlight()}
+		left := inheritance{Knowledge: l.module.Snapshot(l.clock.now()), Out: l.module.InFlight()}
+		left.setEndpoints(maps.Values(l.members))
+		e.reply <- left
 		l.tell(policy.HandedOver{Active: true})
 	case outAsked:
 		e.reply <- l.module.InFlight()
