--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -38,7 +38,7 @@
 	}
 	before, _ := os.Stat(handoverPath(c))
 	_, stop = startNodeAt(t, c, at, nil)
-	await(t, "its place for a successor", func() bool {
+	Await(t, "its place for a successor", func() bool {
 		now, err := os.Stat(handoverPath(c))
 		return err == nil && !os.SameFile(before, now)
 	})
@@ -50,7 +50,7 @@
 func TestReplacementTurnsNobodyBack(t *testing.T) {
 	t.Parallel()
 	var runs sync.Map
-	server := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	server := HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		if _, again := runs.LoadOrStore(r.Header.Get("X-Request-Id"), true); again {
 			t.Errorf("%s ran twice", r.Header.Get("X-Request-Id"))
 		}
@@ -87,7 +87,7 @@
 	more := func() {
 		t.Helper()
 		from := served.Load()
-		await(t, "further answers", func() bool { return served.Load() > from+20 })
+		Await(t, "further answers", func() bool { return served.Load() > from+20 })
 	}
 	more()
 	second, stopSecond := startProcess(t, c)
@@ -111,7 +111,7 @@
 // What a tenant has used up at the old process it can't have again at the new one.
 func TestReplacementKeepsBuckets(t *testing.T) {
 	t.Parallel()
-	server := httpServer(t, func(http.ResponseWriter, *http.Request) {})
+	server := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := replaceable(t, knownList(server))
 	startProcess(t, c)
 	ask := func(id string) int {
@@ -132,7 +132,7 @@
 // A successor that goes away leaves the node to the process before it, at whatever point it does.
 func TestPredecessorServesOn(t *testing.T) {
 	t.Parallel()
-	server := httpServer(t, func(http.ResponseWriter, *http.Request) {})
+	server := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := replaceable(t, knownList(server))
 	startProcess(t, c)
 	for _, served := range []bool{false, true} {
@@ -201,7 +201,7 @@
 		"not a place": func(t *testing.T, c Config) { os.Remove(c.Scratch) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := httpServer(t, func(http.ResponseWriter, *http.Request) {})
+			server := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 			c := replaceable(t, knownList(server))
 			prepare(t, c)
 			at, err := Listen(c)
--- a/internal/node/memnet_test.go
+++ b/internal/node/memnet_test.go
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// bubble runs a test in virtual time, over a network in memory: waits cost nothing, and how busy the machine
+// Bubble runs a test in virtual time, over a network in memory: waits cost nothing, and how busy the machine
 // is makes no difference.
-func bubble(t *testing.T, test func(t *testing.T)) {
+func Bubble(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		n := &memNet{listeners: make(map[string]*memListener), port: 10_000}
@@ -27,18 +27,18 @@
 
 var memNets sync.Map // *memNet by the test in its bubble
 
-// dialer is that of the test's network.
-func dialer(t testing.TB) dialFunc {
+// Dialer is that of the test's network.
+func Dialer(t testing.TB) dialFunc {
 	if n, ok := memNets.Load(t); ok {
 		return n.(*memNet).dial
 	}
 	return nil
 }
 
-// dial connects to addr on the test's network.
-func dial(t testing.TB, addr string) memOrTCP {
+// Dial connects to addr on the test's network.
+func Dial(t testing.TB, addr string) Conn {
 	t.Helper()
-	connect := dialer(t)
+	connect := Dialer(t)
 	if connect == nil {
 		connect = (&net.Dialer{}).DialContext
 	}
@@ -46,10 +46,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c.(memOrTCP)
+	return c.(Conn)
 }
 
-type memOrTCP interface {
+type Conn interface {
 	net.Conn
 	CloseWrite() error
 }
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -17,8 +17,8 @@
 	"sloerail/policy"
 )
 
-// long is more than any step of a test takes; nothing waits for it unless the test fails.
-const long = 30 * time.Second
+// Timeout is more than any step of a test takes; nothing waits for it unless the test fails.
+const Timeout = 30 * time.Second
 
 func TestMain(m *testing.M) {
 	if os.Getenv(benchPeer) != "" {
@@ -80,7 +80,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.dial = dialer(t)
+	c.dial = Dialer(t)
 	return c
 }
 
@@ -106,7 +106,7 @@
 // rawServer runs a server of one's own at the level of the connection.
 func rawServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
-	ln := listen(t)
+	ln := Listener(t)
 	go acceptRaw(ln, serve)
 	return ln.Addr().String()
 }
@@ -135,9 +135,9 @@
 	return err == nil
 }
 
-func httpServer(t *testing.T, h http.HandlerFunc) string {
+func HTTPServer(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
-	ln := listen(t)
+	ln := Listener(t)
 	s := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
 	go func() { _ = s.Serve(ln) }()
 	t.Cleanup(func() { s.Close() })
@@ -147,7 +147,7 @@
 func testExchange(method, id string, body string) *exchange {
 	x := &exchange{req: policy.Request{ID: id, Class: "read", Tenant: "t"}, method: method,
 		path: "/api?q=a%20b", host: "origin.svc", body: []byte(body),
-		came: timeOrigin, clientWaits: long, reply: make(chan answer, 1)}
+		came: timeOrigin, clientWaits: Timeout, reply: make(chan answer, 1)}
 	if method == http.MethodPost {
 		x.key = "k-" + id
 	}
@@ -158,7 +158,7 @@
 // and returns what Run did.
 func startNode(t testing.TB, c Config) (addr string, stop func() error) {
 	t.Helper()
-	return startNodeAt(t, c, Listeners{Clients: listen(t)}, nil)
+	return startNodeAt(t, c, Listeners{Clients: Listener(t)}, nil)
 }
 
 // testSockets are as many descriptors for connections.
@@ -168,7 +168,7 @@
 	return s
 }
 
-func listen(t testing.TB) net.Listener {
+func Listener(t testing.TB) net.Listener {
 	t.Helper()
 	if n, ok := memNets.Load(t); ok {
 		ln := n.(*memNet).listen()
@@ -186,7 +186,7 @@
 // serveAt has s take clients.
 func serveAt(t *testing.T, s *server) (addr string) {
 	t.Helper()
-	return serveOn(t, s, listen(t))
+	return serveOn(t, s, Listener(t))
 }
 
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
@@ -196,7 +196,7 @@
 	go func() { ended <- s.accept(ln) }()
 	t.Cleanup(func() {
 		ln.Close()
-		if err := receive(t, "the end of accepting", ended); err != nil {
+		if err := Receive(t, "the end of accepting", ended); err != nil {
 			t.Error(err)
 		}
 		s.shutdown(time.Now())
@@ -219,7 +219,7 @@
 		select {
 		case err := <-ended:
 			return err
-		case <-time.After(long):
+		case <-time.After(Timeout):
 			return fmt.Errorf("the node did not end")
 		}
 	}
@@ -229,7 +229,7 @@
 		}
 	})
 	addr = at.Clients.Addr().String()
-	await(t, "readiness", func() bool {
+	Await(t, "readiness", func() bool {
 		resp, err := onceClient(t).Get("http://" + addr + readyPath)
 		if err != nil {
 			return false
@@ -240,21 +240,21 @@
 	return addr, stop
 }
 
-func await(t testing.TB, what string, ok func() bool) {
+func Await(t testing.TB, what string, ok func() bool) {
 	t.Helper()
-	for end := time.Now().Add(long); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(Timeout); !ok(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("waited in vain for %s", what)
 		}
 	}
 }
 
-func receive[T any](t *testing.T, what string, from <-chan T) T {
+func Receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(long):
+	case <-time.After(Timeout):
 		t.Fatalf("waited in vain for %s", what)
 		panic("unreachable")
 	}
@@ -284,12 +284,12 @@
 
 // onceClient makes a connection for each request.
 func onceClient(t testing.TB) *http.Client {
-	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialer(t)}}
+	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: Dialer(t)}}
 }
 
 // keptClient keeps the one connection that it has to a host.
 func keptClient(t testing.TB) *http.Client {
-	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DialContext: dialer(t)}}
+	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DialContext: Dialer(t)}}
 	t.Cleanup(c.CloseIdleConnections)
 	return c
 }
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -58,20 +58,20 @@
 	var back time.Time
 	for range o.calls {
 		if o.fails == nil {
-			back = receive(t, "a refused connection", refused)
+			back = Receive(t, "a refused connection", refused)
 			continue
 		}
-		c := receive(t, "a call that fails", l.calls)
+		c := Receive(t, "a call that fails", l.calls)
 		back = c.at
 		failed := make(chan struct{})
 		c.serve <- func(w http.ResponseWriter, r *http.Request) { close(failed); o.fails(w, r) }
-		receive(t, "the failure", failed)
+		Receive(t, "the failure", failed)
 	}
 	if o.fails == nil {
 		close(down)
 	}
 	for range o.busy {
-		receive(t, "a call that is turned away", l.calls).serve <- turnAway
+		Receive(t, "a call that is turned away", l.calls).serve <- turnAway
 	}
 	told := maxNotificationDelay
 	if o.within > 0 {
@@ -79,7 +79,7 @@
 	}
 	further := l.calls
 	if o.queued > 0 {
-		turn, c := make(chan listCall, 1), receive(t, "a call that waits for its turn", l.calls)
+		turn, c := make(chan listCall, 1), Receive(t, "a call that waits for its turn", l.calls)
 		time.AfterFunc(o.queued, func() { turn <- c })
 		further = turn
 	}
@@ -134,7 +134,7 @@
 	} {
 		for _, subscribe := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/asked %v", name, subscribe), func(t *testing.T) {
-				bubble(t, func(t *testing.T) { o.keepsDrains(t, subscribe) })
+				Bubble(t, func(t *testing.T) { o.keepsDrains(t, subscribe) })
 			})
 		}
 	}
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -27,7 +27,7 @@
 
 func ended(t *testing.T, u *upstream, x *exchange) result {
 	t.Helper()
-	return u.attempt("s0", outgoing{exchange: x, waits: long, flight: &flight{due: time.Now().Add(long)}})
+	return u.attempt("s0", outgoing{exchange: x, waits: Timeout, flight: &flight{due: time.Now().Add(Timeout)}})
 }
 
 func (u *upstream) counts(id string) (open, idle int) {
@@ -181,17 +181,17 @@
 			close(closed)
 		})
 		u := testUpstream(t, addr)
-		f := &flight{due: time.Now().Add(long)}
+		f := &flight{due: time.Now().Add(Timeout)}
 		done := make(chan result, 1)
 		go func() {
-			done <- u.attempt("s0", outgoing{exchange: testExchange(http.MethodGet, "r1", ""), waits: long, flight: f})
+			done <- u.attempt("s0", outgoing{exchange: testExchange(http.MethodGet, "r1", ""), waits: Timeout, flight: f})
 		}()
-		receive(t, "the request", got)
+		Receive(t, "the request", got)
 		end(f)
-		if r := receive(t, "the outcome", done); r.code != want {
+		if r := Receive(t, "the outcome", done); r.code != want {
 			t.Errorf("code %v, want %v", r.code, want)
 		}
-		receive(t, "the close", closed)
+		Receive(t, "the close", closed)
 		if open, idle := u.counts("s0"); open != 0 || idle != 0 {
 			t.Errorf("%d open, %d idle", open, idle)
 		}
@@ -203,7 +203,7 @@
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:9")
 	got := make(chan *http.Request, 1)
 	var body atomic.Value
-	addr := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		body.Store(string(b))
 		got <- r
@@ -260,7 +260,7 @@
 	})
 	u := testUpstream(t, addr)
 	ended(t, u, testExchange(http.MethodGet, "r1", ""))
-	await(t, "the close to be noticed", func() bool {
+	Await(t, "the close to be noticed", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		idle := u.pools["s0"].idle
@@ -273,8 +273,8 @@
 
 func TestDescriptorsBindConnections(t *testing.T) {
 	hold := make(chan struct{})
-	slow := httpServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
-	fast := httpServer(t, func(http.ResponseWriter, *http.Request) {})
+	slow := HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
+	fast := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	u := testUpstream(t, fast, slow)
 	u.most = 1
 	if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.code != policy.OK {
@@ -283,21 +283,21 @@
 	// The idle connection to the first server makes room for one to the second.
 	done := make(chan result, 1)
 	go func() {
-		done <- u.attempt("s1", outgoing{exchange: testExchange(http.MethodGet, "r2", ""), waits: long, flight: new(flight)})
+		done <- u.attempt("s1", outgoing{exchange: testExchange(http.MethodGet, "r2", ""), waits: Timeout, flight: new(flight)})
 	}()
-	await(t, "the eviction", func() bool { open, idle := u.counts("s0"); return open == 1 && idle == 0 })
+	Await(t, "the eviction", func() bool { open, idle := u.counts("s0"); return open == 1 && idle == 0 })
 	if r := ended(t, u, testExchange(http.MethodGet, "r3", "")); r.code != policy.ConnectFailed {
 		t.Errorf("code %v beyond the limit, want could not connect", r.code)
 	}
 	close(hold)
-	if r := receive(t, "the slow answer", done); r.code != policy.OK {
+	if r := Receive(t, "the slow answer", done); r.code != policy.OK {
 		t.Errorf("code %v", r.code)
 	}
 }
 
 // What was open to a server's former process, or address, is given up.
 func TestListChangesDropIdleConnections(t *testing.T) {
-	addr := httpServer(t, func(http.ResponseWriter, *http.Request) {})
+	addr := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	base := members(t, addr)[0]
 	restarted, removed := base, base
 	restarted.StartedAtMillis = 5
