--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -17,6 +17,8 @@
 	"testing"
 	"testing/iotest"
 	"time"
+
+	"sloerail/internal/node/nodetest"
 )
 
 // noise is n bytes that no two places share.
@@ -32,7 +34,7 @@
 // Bodies and answers of any size pass byte for byte, by length and by chunks, in whatever pieces.
 func TestLargeBodiesPassWhole(t *testing.T) {
 	t.Parallel()
-	server := HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Error(err)
@@ -67,7 +69,7 @@
 
 // A small body or answer in single bytes is as good as one in a piece.
 func TestSingleBytesPass(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		server := rawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if !swallow(r) {
 				return
@@ -88,9 +90,9 @@
 // The first bytes of a long answer reach the client while the server still has others to give, and no
 // deadline ends it from then on.
 func TestLongAnswerPassesAsItComes(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		next := make(chan struct{})
-		server := HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
+		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", fmt.Sprint(answerStart+maxBody))
 			_, _ = io.WriteString(w, strings.Repeat("a", answerStart))
 			w.(http.Flusher).Flush()
@@ -118,13 +120,13 @@
 
 // An answer that says it is long and breaks off at once was never begun: another server is tried.
 func TestSpoiltLengthIsNotPassedOn(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		spoilt := rawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if swallow(r) {
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*maxBody)
 			}
 		})
-		good := HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "good") })
+		good := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "good") })
 		node, _ := startNode(t, testConfig(t, knownList(spoilt, good)))
 		if resp, body := do(t, clientRequest(t, node, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK || body != "good" {
 			t.Errorf("status %d, %d bytes", resp.StatusCode, len(body))
@@ -145,7 +147,7 @@
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s", head)
 			}
 		})
-		at := Listeners{Clients: Listener(t), Control: Listener(t)}
+		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		node, _ := startNodeAt(t, testConfig(t, knownList(server)), at, nil)
 		for _, proto := range []string{"1.0", "1.1"} {
 			conn, err := net.Dial("tcp", node)
@@ -170,7 +172,7 @@
 
 // An attempt that took part of what can't be written again is the last one; one that took nothing isn't.
 func TestSpentBodyIsNotSentAgain(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		for _, c := range []struct {
 			name      string
 			first     func(net.Conn, *bufio.Reader) // what the first connection does
@@ -201,7 +203,7 @@
 			t.Fatal(err)
 		}
 		dead.Close()
-		alive := HTTPServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
+		alive := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 		node, _ := startNode(t, testConfig(t, knownList(dead.Addr().String(), alive)))
 		resp, _ := do(t, clientRequest(t, node, "POST", "undo", "again", string(noise(1<<20))))
 		if resp.StatusCode != http.StatusOK {
@@ -214,7 +216,7 @@
 func TestTooLargeBodyIsRefused(t *testing.T) {
 	t.Parallel()
 	var whole atomic.Int32
-	server := HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	server := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
 			whole.Add(1)
 		}
@@ -247,12 +249,12 @@
 // A body at 64 kB a second is served, though it takes longer than its client's deadline; one that stops
 // ends, and its server hears of it.
 func TestSlowBodyIsServedAndASilentOneEnds(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		server := HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	nodetest.Bubble(t, func(t *testing.T) {
+		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
 			fmt.Fprint(w, n)
 		})
-		at := Listeners{Clients: Listener(t), Control: Listener(t)}
+		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		node, _ := startNodeAt(t, testConfig(t, knownList(server)), at, nil)
 		const size, step = 192_000, 6_400
 		var both sync.WaitGroup
@@ -276,7 +278,7 @@
 			}
 		})
 		both.Go(func() {
-			conn := Dial(t, node)
+			conn := nodetest.Dial(t, node)
 			defer conn.Close()
 			began := time.Now()
 			fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: silent\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
@@ -297,7 +299,7 @@
 	const answers = 40
 	long := noise(4 << 20)
 	var given atomic.Int64
-	server := HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Request-Id") == "small" {
 			return
 		}
@@ -346,7 +348,7 @@
 
 // An answer that ends with its connection is whole, short or long.
 func TestAnswerByClosePasses(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		for _, size := range []int{5, 3 * maxBody} {
 			want := noise(size)
 			server := rawServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -368,8 +370,8 @@
 
 // A client that waits to be told to send its body is told so only if the body is wanted.
 func TestExpectedContinueComesOnlyWhereWanted(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		server := HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	nodetest.Bubble(t, func(t *testing.T) {
+		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
 			fmt.Fprint(w, n)
 		})
@@ -377,7 +379,7 @@
 		for _, c := range []struct{ class, length, first string }{
 			{"pay", "3", " 100 "}, {"pay", fmt.Sprint(maxTransfer + 1), " 413 "}, {"unknown", "3", " 400 "},
 		} {
-			conn := Dial(t, node)
+			conn := nodetest.Dial(t, node)
 			defer conn.Close()
 			fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: e%s%s\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"+
 				"Expect: 100-continue\r\nContent-Length: %s\r\n\r\n", c.class, c.length, c.class, c.length)
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -11,6 +11,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"sloerail/internal/node/nodetest"
 )
 
 // call makes one call at a control address.
@@ -46,7 +48,7 @@
 func awaitStats(t *testing.T, ctl string, want map[string]float64) {
 	t.Helper()
 	var got map[string]float64
-	for end := time.Now().Add(Timeout / 3); ; time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(nodetest.Timeout / 3); ; time.Sleep(5 * time.Millisecond) {
 		got = stats(t, ctl)
 		wrong := false
 		for name, v := range want {
@@ -65,9 +67,9 @@
 
 // The figures say what clients got and what servers were sent, each from 0.
 func TestFiguresAgreeWithBothSides(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		hold, held := make(chan struct{}), make(chan struct{}, 1)
-		server := HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			switch r.Header.Get("X-Request-Id") {
 			case "full":
 				w.Header().Set("X-Not-Run", "1")
@@ -79,7 +81,7 @@
 				<-hold
 			}
 		})
-		at := Listeners{Clients: Listener(t), Control: Listener(t)}
+		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
 		node, _ := startNodeAt(t, testConfig(t, knownList(server)), at, nil)
 		want := map[string]float64{"app_relayed_total": 0, "app_open_requests": 0, "app_registry_entries": 1,
@@ -118,11 +120,11 @@
 			_, err := onceClient(t).Do(clientRequest(t, node, "GET", "read", "held", "").WithContext(ctx))
 			left <- err
 		}()
-		Receive(t, "the held request", held)
+		nodetest.Receive(t, "the held request", held)
 		want["app_relayed_total"], want["app_open_requests"] = 6, 1
 		awaitStats(t, ctl, want)
 		leave()
-		if err := Receive(t, "the client's leave", left); !errors.Is(err, context.Canceled) {
+		if err := nodetest.Receive(t, "the client's leave", left); !errors.Is(err, context.Canceled) {
 			t.Error(err)
 		}
 		want["app_open_requests"] = 0
@@ -133,8 +135,8 @@
 
 // A server that is ejected, or drains, is listed and out of rotation.
 func TestFiguresFollowTheList(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		at := Listeners{Clients: Listener(t), Control: Listener(t)}
+	nodetest.Bubble(t, func(t *testing.T) {
+		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		known := strings.Replace(knownList("127.0.0.1:9", "127.0.0.1:9"), `"up"`, `"draining"`, 1)
 		startNodeAt(t, testConfig(t, known), at, nil)
 		awaitStats(t, at.Control.Addr().String(), map[string]float64{"app_registry_entries": 2, "app_out_of_rotation": 1})
@@ -143,8 +145,8 @@
 
 // The second address has its own paths, takes one call a connection, and answers rubbish with an error.
 func TestControlAnswersItsCallsAlone(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		at := Listeners{Clients: Listener(t), Control: Listener(t)}
+	nodetest.Bubble(t, func(t *testing.T) {
+		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
 		node, _ := startNodeAt(t, testConfig(t, knownList("127.0.0.1:9")), at, nil)
 		for _, c := range []struct {
@@ -159,13 +161,13 @@
 				t.Errorf("%s %s: %d, want %d", c.method, c.url, got, c.want)
 			}
 		}
-		conn := Dial(t, ctl)
+		conn := nodetest.Dial(t, ctl)
 		defer conn.Close()
 		fmt.Fprint(conn, "rubbish\r\n\r\n")
 		if line, _ := bufio.NewReader(conn).ReadString('\n'); !strings.Contains(line, " 400 ") {
 			t.Errorf("rubbish got %q", line)
 		}
-		conn = Dial(t, ctl)
+		conn = nodetest.Dial(t, ctl)
 		defer conn.Close()
 		fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", healthPath)
 		if all, err := io.ReadAll(conn); err != nil || !strings.Contains(string(all), "200 OK") {
@@ -176,12 +178,12 @@
 
 // Callers that say nothing, or half a call, don't keep others from their figures.
 func TestSilentCallersDelayNobody(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		at := Listeners{Clients: Listener(t), Control: Listener(t)}
+	nodetest.Bubble(t, func(t *testing.T) {
+		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
 		startNodeAt(t, testConfig(t, knownList("127.0.0.1:9")), at, nil)
 		for i := range controlSockets - 4 {
-			conn := Dial(t, ctl)
+			conn := nodetest.Dial(t, ctl)
 			defer conn.Close()
 			if i%2 == 0 {
 				fmt.Fprint(conn, "GET /stats HTTP/1.1\r\nHo")
@@ -199,14 +201,14 @@
 
 // A node that stops is no longer healthy, though it still answers operators.
 func TestControlSaysNoOnceTheNodeStops(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		at := Listeners{Clients: Listener(t), Control: Listener(t)}
+	nodetest.Bubble(t, func(t *testing.T) {
+		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
 		_, stop := startNodeAt(t, testConfig(t, knownList("127.0.0.1:9")), at, nil)
 		stopped := make(chan error, 1)
 		go func() { stopped <- stop() }()
 		saidNo := false
-		Await(t, "a no", func() bool {
+		nodetest.Await(t, "a no", func() bool {
 			resp, err := onceClient(t).Get("http://" + ctl + healthPath)
 			if err != nil {
 				return true // it has ended
@@ -218,7 +220,7 @@
 		if !saidNo {
 			t.Error("the node ended without a no")
 		}
-		if err := Receive(t, "the node's end", stopped); err != nil {
+		if err := nodetest.Receive(t, "the node's end", stopped); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -9,6 +9,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
@@ -29,7 +30,7 @@
 	for _, a := range answers {
 		calls <- a
 	}
-	addr := HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		queries <- r.URL.Query().Get("index")
 		select {
 		case a := <-calls:
@@ -47,21 +48,21 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
-	t.Cleanup(func() { cancel(); Receive(t, "the end of discovery", ended) })
+	t.Cleanup(func() { cancel(); nodetest.Receive(t, "the end of discovery", ended) })
 	return d, told, queries
 }
 
 func indexes(t *testing.T, queries chan string, want ...string) {
 	t.Helper()
 	for i, w := range want {
-		if got := Receive(t, "a call", queries); got != w {
+		if got := nodetest.Receive(t, "a call", queries); got != w {
 			t.Errorf("call %d asked for what is newer than %s, want %s", i, got, w)
 		}
 	}
 }
 
 func TestDeltasComeInOrder(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		_, told, queries := watched(t, false, delta(8, entry("s1", "up")), delta(9), delta(10, entry("s1", "draining")),
 			`{"revision":11,"complete":true,"members":[`+entry("s2", "up")+`]}`)
 		for i, want := range []struct {
@@ -70,7 +71,7 @@
 			phase  policy.Availability
 		}{{policy.ListUpdate, "s1", policy.Running}, {policy.ListUpdate, "s1", policy.Draining},
 			{policy.ListReplace, "s2", policy.Running}} {
-			n := Receive(t, "news", told)
+			n := nodetest.Receive(t, "news", told)
 			if n.Kind != want.kind || len(n.Endpoints) != 1 || n.Endpoints[0].ID != want.server ||
 				n.Endpoints[0].Availability != want.phase {
 				t.Errorf("news %d: %+v", i, n)
@@ -82,10 +83,10 @@
 
 // A pushed list that can't be had, or read, leaves the last one in force, and says nothing.
 func TestFailuresKeepTheLastList(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		_, told, queries := watched(t, false, "down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
 			delta(8, entry("s1", "up")))
-		if n := Receive(t, "news", told); n.Kind != policy.ListUpdate || n.Endpoints[0].ID != "s1" {
+		if n := nodetest.Receive(t, "news", told); n.Kind != policy.ListUpdate || n.Endpoints[0].ID != "s1" {
 			t.Errorf("news %+v", n)
 		}
 		indexes(t, queries, "7", "7", "7", "7", "7", "8")
@@ -97,10 +98,10 @@
 
 // Where lists are asked for, the module says when, and hears of each failure once.
 func TestAskedListsTellFailures(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		d, told, queries := watched(t, true, "down", delta(8, entry("s1", "up")), delta(8))
 		d.SetWatching(true)
-		if n := Receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
+		if n := nodetest.Receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
 			t.Errorf("news %+v", n)
 		}
 		indexes(t, queries, "7")
@@ -108,7 +109,7 @@
 			t.Error("called again before the module asked")
 		}
 		d.SetWatching(true)
-		if n := Receive(t, "the change", told); n.Kind != policy.ListUpdate || len(n.Endpoints) != 1 {
+		if n := nodetest.Receive(t, "the change", told); n.Kind != policy.ListUpdate || len(n.Endpoints) != 1 {
 			t.Errorf("news %+v", n)
 		}
 		indexes(t, queries, "7", "8", "8")
@@ -148,7 +149,7 @@
 // When discovery moves, the node hangs up on the old address, takes the whole list from the new one,
 // whose revisions may be others, and watches there.
 func TestDiscoveryMoves(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		times := NewTimeouts(policy.Settings{})
 		for _, subscribe := range []bool{false, true} {
 			d, told, queries := watched(t, subscribe)
@@ -157,7 +158,7 @@
 			}
 			indexes(t, queries, "7")
 			moved := make(chan string, 100)
-			d.Retarget(Target{HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+			d.Retarget(Target{nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 				moved <- r.URL.RawQuery
 				if r.URL.RawQuery == "" {
 					_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+entry("s9", "draining")+`]}`)
@@ -165,11 +166,11 @@
 				}
 				<-r.Context().Done()
 			}), subscribe, times, ""})
-			if n := Receive(t, "the list", told); n.Kind != policy.ListReplace || n.Endpoints[0].ID != "s9" {
+			if n := nodetest.Receive(t, "the list", told); n.Kind != policy.ListReplace || n.Endpoints[0].ID != "s9" {
 				t.Errorf("subscribe %v: news %+v", subscribe, n)
 			}
 			for _, want := range []string{"", fmt.Sprint("index=3&wait=", times.Wait.Milliseconds())} {
-				if got := Receive(t, "a call to the new address", moved); got != want {
+				if got := nodetest.Receive(t, "a call to the new address", moved); got != want {
 					t.Errorf("subscribe %v: asked for %q, want %q", subscribe, got, want)
 				}
 			}
@@ -182,19 +183,19 @@
 
 // A move is followed at once also while the module waits before it asks a failed discovery again.
 func TestDiscoveryMovesAfterAFailure(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		d, told, _ := watched(t, true, "down")
 		d.SetWatching(true)
-		if n := Receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
+		if n := nodetest.Receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
 			t.Fatalf("news %+v", n)
 		}
-		d.Retarget(Target{HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+		d.Retarget(Target{nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.RawQuery != "" {
 				<-r.Context().Done()
 			}
 			_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+entry("s9", "up")+`]}`)
 		}), true, NewTimeouts(policy.Settings{}), ""})
-		if n := Receive(t, "the list", told); n.Kind != policy.ListReplace {
+		if n := nodetest.Receive(t, "the list", told); n.Kind != policy.ListReplace {
 			t.Errorf("news %+v", n)
 		}
 	})
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -12,6 +12,7 @@
 	"net"
 	"net/http"
 	"os"
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 	"strconv"
 	"sync"
@@ -73,7 +74,7 @@
 func listService(t *testing.T) (addr string, calls <-chan listCall) {
 	t.Helper()
 	all := make(chan listCall, 1000)
-	return HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	return nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		serve := make(chan http.HandlerFunc, 1)
 		all <- listCall{time.Now(), r.URL.Query(), serve}
 		select {
@@ -105,14 +106,14 @@
 func newLeavingTest(t *testing.T, subscribe bool, adjust ...func(*Config)) *leavingTest {
 	t.Helper()
 	l := &leavingTest{T: t, changes: make(chan Change, 1)}
-	l.first = HTTPServer(t, l.leaving.ServeHTTP)
-	l.Config = testConfig(t, knownList(l.first, HTTPServer(t, l.staying.ServeHTTP)))
+	l.first = nodetest.HTTPServer(t, l.leaving.ServeHTTP)
+	l.Config = testConfig(t, knownList(l.first, nodetest.HTTPServer(t, l.staying.ServeHTTP)))
 	l.Discovery, l.calls = listService(t)
 	l.Settings.SubscribeList = subscribe
 	for _, f := range adjust {
 		f(&l.Config)
 	}
-	l.node, _ = startNodeAt(t, l.Config, Listeners{Clients: Listener(t)}, l.changes)
+	l.node, _ = startNodeAt(t, l.Config, Listeners{Clients: nodetest.Listener(t)}, l.changes)
 	return l
 }
 
@@ -142,7 +143,7 @@
 			}
 		default:
 		}
-		if time.Since(began) > Timeout {
+		if time.Since(began) > nodetest.Timeout {
 			l.Fatal("the list is never asked for anew")
 		}
 		time.Sleep(10 * time.Millisecond) // between requests
@@ -167,7 +168,7 @@
 			t.Run(fmt.Sprintf("asked %v/half an answer %v", subscribe, half), func(t *testing.T) {
 				t.Parallel()
 				l := newLeavingTest(t, subscribe)
-				silent := Receive(t, "the watch that falls silent", l.calls)
+				silent := nodetest.Receive(t, "the watch that falls silent", l.calls)
 				if half {
 					silent.serve <- answerHalf
 				}
@@ -201,12 +202,12 @@
 				l := newLeavingTest(t, subscribe)
 				over := make(chan struct{}, 2)
 				for range 2 {
-					Receive(t, "a watch", l.calls).serve <- func(w http.ResponseWriter, r *http.Request) {
+					nodetest.Receive(t, "a watch", l.calls).serve <- func(w http.ResponseWriter, r *http.Request) {
 						broken(w, r)
 						over <- struct{}{}
 					}
 					l.ask()
-					Receive(t, "the end of the watch", over)
+					nodetest.Receive(t, "the end of the watch", over)
 				}
 				told := time.Now()
 				if subscribe {
@@ -226,14 +227,14 @@
 			t.Run(fmt.Sprintf("asked %v/silent %v", subscribe, silent), func(t *testing.T) {
 				t.Parallel()
 				l := newLeavingTest(t, subscribe)
-				Receive(t, "a watch at the old address", l.calls)
+				nodetest.Receive(t, "a watch at the old address", l.calls)
 				next := l.Config
 				addr, calls := listService(t)
 				next.Discovery = addr
 				l.changes <- Change{Config: next}
 				signal := time.Now()
 				if silent {
-					Receive(t, "the call that falls silent", calls)
+					nodetest.Receive(t, "the call that falls silent", calls)
 				}
 				l.drains(signal.Add(4*time.Second), calls, func(c listCall) string {
 					if c.query["index"] != nil {
@@ -252,7 +253,7 @@
 	t.Helper()
 	all, released := make(chan string, 100), make(chan struct{})
 	letGo = sync.OnceFunc(func() { close(released) })
-	addr = HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr = nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		all <- r.Header.Get("X-Request-Id")
 		select {
@@ -266,7 +267,7 @@
 
 // testClient is one connection to a node, as a client has it.
 type testClient struct {
-	Conn
+	nodetest.Conn
 	t    *testing.T
 	node string
 	r    *bufio.Reader
@@ -274,9 +275,9 @@
 
 func newTestClient(t *testing.T, node string) *testClient {
 	t.Helper()
-	c := Dial(t, node)
+	c := nodetest.Dial(t, node)
 	t.Cleanup(func() { c.Close() })
-	_ = c.SetDeadline(time.Now().Add(Timeout))
+	_ = c.SetDeadline(time.Now().Add(nodetest.Timeout))
 	return &testClient{c, t, node, bufio.NewReader(c)}
 }
 
@@ -321,7 +322,7 @@
 	clients := []*testClient{newTestClient(t, node), newTestClient(t, node)}
 	for i, c := range clients {
 		c.send("POST", "pay", fmt.Sprint("r", i), "sum")
-		Receive(t, "the attempt", got)
+		nodetest.Receive(t, "the attempt", got)
 	}
 	drain()
 	letGo()
@@ -330,7 +331,7 @@
 			t.Errorf("request %d: status %d, ends its connection: %v", i, resp.StatusCode, resp.Close)
 		}
 	}
-	Await(t, "rest", l.atRest)
+	nodetest.Await(t, "rest", l.atRest)
 }
 
 // What is failed at a node's end ends its connection too, and a request that comes after that gets a refusal: there
@@ -341,7 +342,7 @@
 	node, l, drain := stopping(t, server)
 	failed, late := newTestClient(t, node), newTestClient(t, node)
 	failed.send("POST", "pay", "failed", "sum")
-	Receive(t, "the attempt", got)
+	nodetest.Receive(t, "the attempt", got)
 	drain()
 	l.send(finish{})
 	if resp := failed.answered(); resp.StatusCode != http.StatusBadGateway || !resp.Close {
@@ -357,14 +358,14 @@
 	default:
 	}
 	letGo()
-	Await(t, "rest", l.atRest)
+	nodetest.Await(t, "rest", l.atRest)
 }
 
 // A connection whose answer crosses the node's end is not forgotten: it ends as well.
 func TestConnectionIdleJustAfterTheEndIsWoken(t *testing.T) {
 	t.Parallel()
-	ln := Listener(t)
-	client := Dial(t, ln.Addr().String())
+	ln := nodetest.Listener(t)
+	client := nodetest.Dial(t, ln.Addr().String())
 	defer client.Close()
 	conn, err := ln.Accept()
 	if err != nil {
@@ -376,10 +377,10 @@
 	p := all.enter(conn)
 	all.become(p, http.StateActive)
 	all.end()
-	_ = conn.SetReadDeadline(time.Now().Add(Timeout))
+	_ = conn.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 	all.become(p, http.StateIdle) // its answer is written
 	began := time.Now()
-	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(began) > Timeout/2 {
+	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(began) > nodetest.Timeout/2 {
 		t.Errorf("read for %v: %v", time.Since(began), err)
 	}
 }
@@ -471,7 +472,7 @@
 
 func leaves(t *testing.T, m *leaver, method string, behind int, reset bool) {
 	tries, fails := make(chan string, 100), make(chan struct{})
-	server := HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		tries <- r.Header.Get("X-Request-Id")
 		if m.at == "a further attempt" && r.Header.Get("X-Request-Id") == "r1" {
@@ -493,7 +494,7 @@
 	node := serveAt(t, newServer(l))
 	if m.at == "the loop" {
 		newTestClient(t, node).send("GET", "read", "busy", "")
-		Receive(t, "a busy loop", m.busy)
+		nodetest.Receive(t, "a busy loop", m.busy)
 	}
 
 	c := newTestClient(t, node)
@@ -509,13 +510,13 @@
 	}
 	switch m.at { // until it waits there
 	case "a further attempt":
-		Receive(t, "the first attempt", tries)
+		nodetest.Receive(t, "the first attempt", tries)
 	case "a connection":
-		Receive(t, "the dialling", dials)
+		nodetest.Receive(t, "the dialling", dials)
 	case "the loop":
-		Await(t, "its arrival", func() bool { return l.fig.open.Load() == 2 })
+		nodetest.Await(t, "its arrival", func() bool { return l.fig.open.Load() == 2 })
 	default:
-		Await(t, "the request", func() bool { return slices.Contains(module.events(), "request r1") })
+		nodetest.Await(t, "the request", func() bool { return slices.Contains(module.events(), "request r1") })
 	}
 	if _, err := io.WriteString(c, strings.Repeat("G", behind)); err != nil {
 		t.Fatal(err)
@@ -536,7 +537,7 @@
 	if resp := stays.answered(); resp.StatusCode != http.StatusOK {
 		t.Errorf("a client that stays: status %d", resp.StatusCode)
 	}
-	Await(t, "all to end", func() bool { return m.out.Load() == 0 && l.atRest() })
+	nodetest.Await(t, "all to end", func() bool { return m.out.Load() == 0 && l.atRest() })
 	for len(tries) > 0 {
 		if <-tries == "r1" {
 			t.Errorf("sent on for a client that left %v before", leftTerm)
@@ -555,10 +556,10 @@
 		t.Run(fmt.Sprintf("reset %v", reset), func(t *testing.T) {
 			t.Parallel()
 			var got arrivals
-			l, module := startLoop(t, HTTPServer(t, got.ServeHTTP), sendsOnce)
+			l, module := startLoop(t, nodetest.HTTPServer(t, got.ServeHTTP), sendsOnce)
 			gone, over := make(chan struct{}), make(chan struct{})
 			var warm atomic.Bool
-			node := serveOn(t, newServer(l), hookedReads{Listener(t), func(read string) {
+			node := serveOn(t, newServer(l), hookedReads{nodetest.Listener(t), func(read string) {
 				switch {
 				case !warm.Load():
 				case strings.Contains(read, "X-Request-Id: r1"):
@@ -570,7 +571,7 @@
 			first := newTestClient(t, node) // leaves a connection to the server, over which nothing needs time
 			first.send("GET", "read", "r0", "")
 			first.answered()
-			Await(t, "rest", l.atRest)
+			nodetest.Await(t, "rest", l.atRest)
 			l.up.sinceUsed(time.Second)
 			warm.Store(true)
 			c := newTestClient(t, node)
@@ -584,10 +585,10 @@
 			time.Sleep(leftTerm)
 			close(gone)
 			if !reset { // else nothing of the request is left to read
-				Await(t, "the attempt's end", func() bool { return len(module.events()) >= 5 })
+				nodetest.Await(t, "the attempt's end", func() bool { return len(module.events()) >= 5 })
 			}
 			close(over)
-			Await(t, "rest", l.atRest)
+			nodetest.Await(t, "rest", l.atRest)
 			if n := got.after(time.Time{}); n > 1 {
 				t.Errorf("sent on for a client that left %v before", leftTerm)
 			}
@@ -606,7 +607,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var leaving, staying arrivals
-			first, second := HTTPServer(t, leaving.ServeHTTP), HTTPServer(t, staying.ServeHTTP)
+			first, second := nodetest.HTTPServer(t, leaving.ServeHTTP), nodetest.HTTPServer(t, staying.ServeHTTP)
 			to := "s0"
 			l, module := startLoop(t, first, func(_ policy.Time, ev policy.Event) []policy.Action {
 				switch e := ev.(type) {
@@ -633,7 +634,7 @@
 			l.up.mu.Unlock()
 			c := newTestClient(t, serveAt(t, newServer(l)))
 			c.send("POST", "pay", "r1", "sum")
-			Receive(t, "the dialling", dials)
+			nodetest.Receive(t, "the dialling", dials)
 			list, err := ParseList([]byte(delta(8, fmt.Sprintf(`{"id":"s0","host_port":%q,%s}`, first, change), listed("s1", second, "up"))))
 			if err != nil {
 				t.Fatal(err)
@@ -651,7 +652,7 @@
 			}
 			module.has(t, "list 2", "request r1", "list 1", fmt.Sprintf("outcome r1 0 code %d ended false", policy.ConnectFailed),
 				"outcome r1 1 code 0 ended true")
-			Await(t, "rest", l.atRest)
+			nodetest.Await(t, "rest", l.atRest)
 		})
 	}
 }
@@ -661,7 +662,7 @@
 func TestAttemptBehindTheListIsNotSentToALeavingServer(t *testing.T) {
 	t.Parallel()
 	var got arrivals
-	addr := HTTPServer(t, got.ServeHTTP)
+	addr := nodetest.HTTPServer(t, got.ServeHTTP)
 	u := testUpstream(t, addr)
 	if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.code != policy.OK {
 		t.Fatalf("first code %v", r.code)
@@ -715,7 +716,7 @@
 // A request of which the node has read a part when it ends its idle connections is no idle connection: it is answered.
 func TestHalfReadRequestOutlivesTheEndOfIdleConnections(t *testing.T) {
 	t.Parallel()
-	l, _ := startLoop(t, HTTPServer(t, func(http.ResponseWriter, *http.Request) {}), sendsOnce)
+	l, _ := startLoop(t, nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}), sendsOnce)
 	s := newServer(l)
 	head := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r2\r\nX-Class: read\r\n"
 	ended := make(chan struct{})
@@ -725,7 +726,7 @@
 		s.peers.end()
 		close(ended)
 	})
-	c := newTestClient(t, serveOn(t, s, hookedReads{Listener(t), func(got string) {
+	c := newTestClient(t, serveOn(t, s, hookedReads{nodetest.Listener(t), func(got string) {
 		if strings.HasSuffix(got, head) { // and the node waits for the rest
 			endThere()
 		}
@@ -737,14 +738,14 @@
 	if _, err := io.WriteString(c, head); err != nil {
 		t.Fatal(err)
 	}
-	Receive(t, "the end of idle connections", ended)
+	nodetest.Receive(t, "the end of idle connections", ended)
 	if _, err := io.WriteString(c, "X-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	if resp := c.answered(); resp.StatusCode != http.StatusOK || !resp.Close {
 		t.Errorf("status %d, to end: %v", resp.StatusCode, resp.Close)
 	}
-	Await(t, "rest", l.atRest)
+	nodetest.Await(t, "rest", l.atRest)
 }
 
 // A request that reaches a connection in the moment in which the node gives that up as idle is the client's to send
@@ -761,11 +762,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var got arrivals
-			l, _ := startLoop(t, HTTPServer(t, got.ServeHTTP), sendsOnce)
+			l, _ := startLoop(t, nodetest.HTTPServer(t, got.ServeHTTP), sendsOnce)
 			s := newServer(l)
 			var c *testClient
 			crossed := make(chan struct{})
-			c = newTestClient(t, serveOn(t, s, hookedReads{Listener(t), func(string) {}, func(err error) {
+			c = newTestClient(t, serveOn(t, s, hookedReads{nodetest.Listener(t), func(string) {}, func(err error) {
 				if errors.Is(err, os.ErrDeadlineExceeded) { // it is given up, and not yet closed
 					c.send("POST", "pay", "r2", "sum")
 					close(crossed)
@@ -773,7 +774,7 @@
 			}}))
 			c.send("POST", "pay", "r1", "sum")
 			c.answered()
-			Await(t, "an idle connection", func() bool {
+			nodetest.Await(t, "an idle connection", func() bool {
 				s.peers.mu.Lock()
 				defer s.peers.mu.Unlock()
 				for _, p := range s.peers.open {
@@ -782,11 +783,11 @@
 				return false
 			})
 			giveUp(s)
-			Receive(t, "the request that crosses", crossed)
+			nodetest.Receive(t, "the request that crosses", crossed)
 			if b, err := c.r.ReadByte(); err == nil {
 				t.Errorf("an answer begins with %q", b)
 			}
-			Await(t, "rest", func() bool { return l.atRest() && s.peers.count() == 0 })
+			nodetest.Await(t, "rest", func() bool { return l.atRest() && s.peers.count() == 0 })
 			if n := got.after(time.Time{}); n != 1 {
 				t.Errorf("the server got %d requests, want 1", n)
 			}
@@ -816,7 +817,7 @@
 				}
 				go func() { _, _ = io.WriteString(c, all[first:]) }()
 				if class == "read" {
-					Receive(t, "the attempt", got)
+					nodetest.Receive(t, "the attempt", got)
 					letGo()
 				}
 				if resp := c.answered(); !resp.Close {
@@ -859,9 +860,9 @@
 			if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.code != policy.OK || string(r.answer.body) != "one" {
 				t.Fatalf("first: code %v, %q", r.code, r.answer.body)
 			}
-			if u.sinceUsed(-Timeout); !late { // just used, however long this test waits
+			if u.sinceUsed(-nodetest.Timeout); !late { // just used, however long this test waits
 				close(second)
-				Await(t, "the second answer", func() bool {
+				nodetest.Await(t, "the second answer", func() bool {
 					u.mu.Lock()
 					defer u.mu.Unlock()
 					return !u.pools["s0"].idle[0].open()
@@ -927,7 +928,7 @@
 			if took := time.Since(began); took > 3*time.Second { // a busy machine's, not the node's
 				t.Errorf("answered after %v", took)
 			}
-			Await(t, "the end of the attempt", func() bool { return conns.n.Load() == 0 })
+			nodetest.Await(t, "the end of the attempt", func() bool { return conns.n.Load() == 0 })
 			c.send("POST", "pay", "r2", "sum", "X-Deadline-Ms", "300")
 			if resp := c.answered(); resp.StatusCode == http.StatusOK {
 				t.Errorf("the next request: status %d", resp.StatusCode)
@@ -958,5 +959,5 @@
 		t.Fatal(err)
 	}
 	c.Close()
-	Await(t, "the end of the flood", func() bool { return conns.n.Load() == 0 && l.atRest() })
+	nodetest.Await(t, "the end of the flood", func() bool { return conns.n.Load() == 0 && l.atRest() })
 }
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -10,17 +10,19 @@
 	"sync"
 	"testing"
 	"time"
+
+	"sloerail/internal/node/nodetest"
 )
 
 // talk writes text to the node piece by piece and returns all that comes back until the node closes.
 func talk(t *testing.T, node string, pieces ...string) string {
 	t.Helper()
-	c := Dial(t, node)
+	c := nodetest.Dial(t, node)
 	defer c.Close()
 	for _, p := range pieces {
 		_, _ = io.WriteString(c, p) // the node may close before all is written
 	}
-	_ = c.SetReadDeadline(time.Now().Add(Timeout))
+	_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 	got, err := io.ReadAll(c)
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
 		t.Errorf("%.60q: the connection stays open", pieces)
@@ -51,9 +53,9 @@
 
 // What stands inside one request's body is never another request, however its length is stated.
 func TestBodyIsNeverARequest(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		servers := &recorder{}
-		node, _ := startNode(t, testConfig(t, knownList(HTTPServer(t, servers.ServeHTTP))))
+		node, _ := startNode(t, testConfig(t, knownList(nodetest.HTTPServer(t, servers.ServeHTTP))))
 		const head = " HTTP/1.%d\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
 		inner := fmt.Sprintf("GET /api"+head+"\r\n", 1, "inner", "read")
 		chunked := "0\r\n\r\n" + inner
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -17,6 +17,7 @@
 	"golang.org/x/sys/unix"
 
 	gossip "sloerail/internal/membership"
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
@@ -138,7 +139,7 @@
 
 // A successor of any version meets the same sequence of messages, each of the same form.
 func TestHandoverTranscriptOfThePredecessor(t *testing.T) {
-	server := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := replaceable(t, knownList(server))
 	startProcess(t, c)
 	if resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
@@ -149,7 +150,7 @@
 		t.Fatal(err)
 	}
 	defer conn.Close()
-	if err := conn.SetDeadline(time.Now().Add(Timeout)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(nodetest.Timeout)); err != nil {
 		t.Fatal(err)
 	}
 	var log strings.Builder
@@ -221,7 +222,7 @@
 		t.Fatalf("no hand-over: %v", err)
 	}
 	defer at.close()
-	if err := Receive(t, "the predecessor's messages", wrote); err != nil {
+	if err := nodetest.Receive(t, "the predecessor's messages", wrote); err != nil {
 		t.Fatal(err)
 	}
 	got, err := json.Marshal(at.heir.inheritance)
@@ -233,7 +234,7 @@
 		t.Errorf("the listening socket is at %v", at.Clients.Addr())
 	}
 
-	conn := Receive(t, "the connection", predecessor)
+	conn := nodetest.Receive(t, "the connection", predecessor)
 	defer conn.Close()
 	shares := make(chan inheritance, 8)
 	go at.heir.serve(func() {}, func(left inheritance, whole bool) {
@@ -252,7 +253,7 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := json.NewEncoder(&out).Encode(Receive(t, "the progress", shares)); err != nil {
+	if err := json.NewEncoder(&out).Encode(nodetest.Receive(t, "the progress", shares)); err != nil {
 		t.Fatal(err)
 	}
 	sameBytes(t, "what the successor heard", out.Bytes(), progress)
@@ -289,11 +290,11 @@
 	}
 	c.Settings.Topology = &policy.Topology{RegionOfZone: map[string]string{"a": "east", "b": "west"},
 		SameRegionCost: sameRegionCost, OtherRegionCost: otherRegionCost}
-	at := Listeners{Clients: Listener(t), Control: Listener(t)}
+	at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 	ctl := at.Control.Addr().String()
 	startNodeAt(t, c, at, nil)
 	c.Fleet.Probed(time.Millisecond)
-	Await(t, "the figures of places", func() bool {
+	nodetest.Await(t, "the figures of places", func() bool {
 		_, there := stats(t, ctl)[`app_place_servers{zone="a"}`]
 		return there
 	})
@@ -323,7 +324,7 @@
 
 	l, _ := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 	refusing := newControl(l, func() bool { return false }, nil)
-	ln := Listener(t)
+	ln := nodetest.Listener(t)
 	go func() { _ = refusing.http.Serve(ln) }()
 	t.Cleanup(func() { refusing.http.Close() })
 	ctl = ln.Addr().String()
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -13,6 +13,8 @@
 	"time"
 
 	"golang.org/x/sys/unix"
+
+	"sloerail/internal/node/nodetest"
 )
 
 // replaceable is the configuration of a node that can be replaced: it has an address and a folder.
@@ -38,7 +40,7 @@
 	}
 	before, _ := os.Stat(handoverPath(c))
 	_, stop = startNodeAt(t, c, at, nil)
-	Await(t, "its place for a successor", func() bool {
+	nodetest.Await(t, "its place for a successor", func() bool {
 		now, err := os.Stat(handoverPath(c))
 		return err == nil && !os.SameFile(before, now)
 	})
@@ -50,7 +52,7 @@
 func TestReplacementTurnsNobodyBack(t *testing.T) {
 	t.Parallel()
 	var runs sync.Map
-	server := HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	server := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		if _, again := runs.LoadOrStore(r.Header.Get("X-Request-Id"), true); again {
 			t.Errorf("%s ran twice", r.Header.Get("X-Request-Id"))
 		}
@@ -87,7 +89,7 @@
 	more := func() {
 		t.Helper()
 		from := served.Load()
-		Await(t, "further answers", func() bool { return served.Load() > from+20 })
+		nodetest.Await(t, "further answers", func() bool { return served.Load() > from+20 })
 	}
 	more()
 	second, stopSecond := startProcess(t, c)
@@ -111,7 +113,7 @@
 // What a tenant has used up at the old process it can't have again at the new one.
 func TestReplacementKeepsBuckets(t *testing.T) {
 	t.Parallel()
-	server := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := replaceable(t, knownList(server))
 	startProcess(t, c)
 	ask := func(id string) int {
@@ -132,7 +134,7 @@
 // A successor that goes away leaves the node to the process before it, at whatever point it does.
 func TestPredecessorServesOn(t *testing.T) {
 	t.Parallel()
-	server := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := replaceable(t, knownList(server))
 	startProcess(t, c)
 	for _, served := range []bool{false, true} {
@@ -201,7 +203,7 @@
 		"not a place": func(t *testing.T, c Config) { os.Remove(c.Scratch) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+			server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 			c := replaceable(t, knownList(server))
 			prepare(t, c)
 			at, err := Listen(c)
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
@@ -22,7 +23,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
-	stop = func() { cancel(); Receive(t, "the end of discovery", ended) }
+	stop = func() { cancel(); nodetest.Receive(t, "the end of discovery", ended) }
 	t.Cleanup(stop)
 	return told, stop
 }
@@ -31,7 +32,7 @@
 func TestDiscoveryGoesOnAtAnotherReplica(t *testing.T) {
 	replica := func(revision int, ids ...string) string {
 		first := true
-		return HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+		return nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if !first {
 				<-r.Context().Done()
 				return
@@ -51,7 +52,7 @@
 	c.Discovery = "127.0.0.1:9," + good + "," + lags + "," + best // nobody is at the first
 	d := newClient(c.discoveryConfig(), func(Update) {})
 	for _, want := range []string{"", "a", "", "b"} {
-		ctx, cancel := context.WithTimeout(context.Background(), Timeout)
+		ctx, cancel := context.WithTimeout(context.Background(), nodetest.Timeout)
 		l, err := d.watch(ctx)
 		cancel()
 		if want == "" {
@@ -73,7 +74,7 @@
 	calls <- delta(41, entry("a", "up"), entry("b", "draining"))
 	calls <- delta(42, entry("a", "removed"))
 	c := testConfig(t, knownList("127.0.0.1:9"))
-	c.Discovery = HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	c.Discovery = nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case a := <-calls:
 			_, _ = io.WriteString(w, a)
@@ -83,10 +84,10 @@
 	})
 	c.ListFile = filepath.Join(t.TempDir(), "list")
 	told, stop := runDiscovery(t, c)
-	Receive(t, "the first change", told)
-	Receive(t, "the second", told)
+	nodetest.Receive(t, "the first change", told)
+	nodetest.Receive(t, "the second", told)
 	// Both came within a second, and the watch goes on: the second is kept all the same, with no end of the node.
-	Await(t, "the second change in the file", func() bool {
+	nodetest.Await(t, "the second change in the file", func() bool {
 		l, err := readCachedList(c.ListFile, time.Now())
 		return err == nil && l.Revision == 42
 	})
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
@@ -61,7 +62,7 @@
 
 func (s *script) has(t *testing.T, want ...string) {
 	t.Helper()
-	Await(t, strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
+	nodetest.Await(t, strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
 	if got := s.events(); !reflect.DeepEqual(got, want) {
 		t.Errorf("the module was told\n%q, want\n%q", got, want)
 	}
@@ -84,7 +85,7 @@
 	go func() { l.run(ctx, c.Known.Endpoints, nil); close(ended) }()
 	t.Cleanup(func() {
 		cancel()
-		Receive(t, "the loop's end", ended)
+		nodetest.Receive(t, "the loop's end", ended)
 		up.close()
 	})
 	return l, s
@@ -114,8 +115,8 @@
 
 // The restored list comes first, and the one outcome of a served request says that it has ended.
 func TestOrderOfEvents(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		addr := HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "yes") })
+	nodetest.Bubble(t, func(t *testing.T) {
+		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "yes") })
 		l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
 			case policy.Request:
@@ -125,8 +126,8 @@
 			}
 			return nil
 		})
-		x := l.arriveNow("r1", Timeout)
-		if a := Receive(t, "the answer", x.reply); a.status != 200 || string(a.body) != "yes" {
+		x := l.arriveNow("r1", nodetest.Timeout)
+		if a := nodetest.Receive(t, "the answer", x.reply); a.status != 200 || string(a.body) != "yes" {
 			t.Errorf("answer %d %q", a.status, a.body)
 		}
 		s.has(t, "list 2", "request r1", "outcome r1 0 code 0 ended true", "timer 77")
@@ -135,10 +136,10 @@
 
 // Attempts beyond the limit are not made, keep their numbers, and are told as skipped.
 func TestAttemptsBeyondTheLimitAreSkipped(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		var served sync.WaitGroup
 		served.Add(3)
-		addr := HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
+		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			served.Done()
 			served.Wait() // all that are allowed reach the server before one is answered
 			w.WriteHeader(http.StatusInternalServerError)
@@ -155,19 +156,19 @@
 			}
 			return nil
 		})
-		l.arriveNow("r1", Timeout)
-		if o := Receive(t, "the skipped attempt", moot); o.Attempt != 3 || o.RequestEnded {
+		l.arriveNow("r1", nodetest.Timeout)
+		if o := nodetest.Receive(t, "the skipped attempt", moot); o.Attempt != 3 || o.RequestEnded {
 			t.Errorf("got %+v", o)
 		}
-		Await(t, "the other outcomes", func() bool { return len(s.events()) == 6 })
+		nodetest.Await(t, "the other outcomes", func() bool { return len(s.events()) == 6 })
 	})
 }
 
 // After the final answer nothing goes out, and what was out still gets its outcome.
 func TestNothingGoesOutAfterTheAnswer(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		arrived := make(chan string, 4)
-		addr := HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			arrived <- r.Header.Get("X-Request-Id")
 			<-r.Context().Done()
 		})
@@ -182,8 +183,8 @@
 			}
 			return nil
 		})
-		x := l.arriveNow("r1", Timeout)
-		if a := Receive(t, "the answer", x.reply); a.status != http.StatusBadGateway {
+		x := l.arriveNow("r1", nodetest.Timeout)
+		if a := nodetest.Receive(t, "the answer", x.reply); a.status != http.StatusBadGateway {
 			t.Errorf("status %d, want the first answer", a.status)
 		}
 		s.has(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotAttempted),
@@ -195,13 +196,13 @@
 }
 
 func TestBackstopAnswersForASilentModule(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 		x := l.arriveNow("r1", 200*time.Millisecond)
-		if a := Receive(t, "the answer", x.reply); a.status != http.StatusGatewayTimeout {
+		if a := nodetest.Receive(t, "the answer", x.reply); a.status != http.StatusGatewayTimeout {
 			t.Errorf("status %d", a.status)
 		}
-		if end := x.came + x.clientWaits; l.clock.now() > end+Timeout/2 {
+		if end := x.came + x.clientWaits; l.clock.now() > end+nodetest.Timeout/2 {
 			t.Errorf("answered %v after the client's time", l.clock.now()-end)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
@@ -210,9 +211,9 @@
 
 // An attempt ends within the client's time, whatever the module asked for; the server is told so.
 func TestTimeOutIsClippedToTheDeadline(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		told := make(chan string, 1)
-		addr := HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			told <- r.Header.Get("X-Deadline-Ms")
 			<-r.Context().Done()
 		})
@@ -226,26 +227,26 @@
 			return nil
 		})
 		x := l.arriveNow("r1", 2*time.Second)
-		if ms, err := strconv.Atoi(Receive(t, "the attempt", told)); err != nil || ms > 2000 {
+		if ms, err := strconv.Atoi(nodetest.Receive(t, "the attempt", told)); err != nil || ms > 2000 {
 			t.Errorf("the server is told of %d ms (%v), though the client waits for 2000", ms, err)
 		}
-		if a := Receive(t, "the answer", x.reply); a.status < 500 {
+		if a := nodetest.Receive(t, "the answer", x.reply); a.status < 500 {
 			t.Errorf("status %d", a.status)
 		}
 	})
 }
 
 func TestDuplicateAndSurplusRequestsAreAnsweredByTheNode(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-		l.arriveNow("r1", Timeout)
-		if a := Receive(t, "the answer", l.arriveNow("r1", Timeout).reply); a.status != http.StatusConflict {
+		l.arriveNow("r1", nodetest.Timeout)
+		if a := nodetest.Receive(t, "the answer", l.arriveNow("r1", nodetest.Timeout).reply); a.status != http.StatusConflict {
 			t.Errorf("duplicate: status %d", a.status)
 		}
 		for i := 2; i <= l.maxOpen; i++ {
-			l.arriveNow(fmt.Sprint("r", i), Timeout)
+			l.arriveNow(fmt.Sprint("r", i), nodetest.Timeout)
 		}
-		if a := Receive(t, "the answer", l.arriveNow("more", Timeout).reply); a.status != http.StatusServiceUnavailable {
+		if a := nodetest.Receive(t, "the answer", l.arriveNow("more", nodetest.Timeout).reply); a.status != http.StatusServiceUnavailable {
 			t.Errorf("surplus: status %d", a.status)
 		}
 		if n := len(s.events()); n != 1+l.maxOpen {
@@ -255,16 +256,16 @@
 }
 
 func TestFinishFailsWhatIsOpen(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-		x := l.arriveNow("r1", Timeout)
+		x := l.arriveNow("r1", nodetest.Timeout)
 		l.send(finish{})
-		if a := Receive(t, "the answer", x.reply); a.status != http.StatusBadGateway {
+		if a := nodetest.Receive(t, "the answer", x.reply); a.status != http.StatusBadGateway {
 			t.Errorf("status %d", a.status)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
 		// The id is free again, so this is no duplicate; but no time is left for it.
-		if a := Receive(t, "the answer", l.arriveNow("r1", Timeout).reply); a.status != http.StatusServiceUnavailable {
+		if a := nodetest.Receive(t, "the answer", l.arriveNow("r1", nodetest.Timeout).reply); a.status != http.StatusServiceUnavailable {
 			t.Errorf("after the end: status %d", a.status)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
--- a/internal/node/memnet_test.go
+++ b/internal/node/nodetest/memnet.go
@@ -1,4 +1,4 @@
-package node
+package nodetest
 
 import (
 	"context"
@@ -28,7 +28,7 @@
 var memNets sync.Map // *memNet by the test in its bubble
 
 // Dialer is that of the test's network.
-func Dialer(t testing.TB) dialFunc {
+func Dialer(t testing.TB) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	if n, ok := memNets.Load(t); ok {
 		return n.(*memNet).dial
 	}
@@ -49,6 +49,7 @@
 	return c.(Conn)
 }
 
+// Conn is a connection of the test's network.
 type Conn interface {
 	net.Conn
 	CloseWrite() error
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -10,12 +10,14 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"sloerail/internal/node/nodetest"
 )
 
 // Who connects and sends no whole request is rid of, with or without an answer, in 3 s.
 func TestSlowPeersEndInTime(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		node, _ := startNode(t, testConfig(t, knownList(HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
+	nodetest.Bubble(t, func(t *testing.T) {
+		node, _ := startNode(t, testConfig(t, knownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
 		var all sync.WaitGroup
 		for _, sent := range []string{"", "P", head, head + "Content-Length: 9\r\n\r\n", head + "Content-Length: 9\r\n\r\nbo",
@@ -35,9 +37,9 @@
 
 // A malformed request ends its connection, whatever else was sent along.
 func TestRubbishEndsItsConnection(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		servers := &recorder{}
-		node, _ := startNode(t, testConfig(t, knownList(HTTPServer(t, servers.ServeHTTP))))
+		node, _ := startNode(t, testConfig(t, knownList(nodetest.HTTPServer(t, servers.ServeHTTP))))
 		head := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
 		talk(t, node, fmt.Sprintf(head, 1, "reads")+fmt.Sprintf(head, 2, "read"))
 		if got := servers.take(); got != "" {
@@ -48,8 +50,8 @@
 
 // Peers that use up the clients' part of the descriptors don't cost a client its open connection.
 func TestSilentPeersLeaveClientsAlone(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		c := testConfig(t, knownList(HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
+	nodetest.Bubble(t, func(t *testing.T) {
+		c := testConfig(t, knownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 		c.Sockets = leastSockets
 		node, _ := startNode(t, c)
 		client := keptClient(t)
@@ -65,7 +67,7 @@
 		ask("first")
 		var held []net.Conn
 		for range (leastSockets-ownSockets)*2/3 + 5 {
-			peer := Dial(t, node)
+			peer := nodetest.Dial(t, node)
 			defer peer.Close()
 			held = append(held, peer)
 		}
@@ -75,7 +77,7 @@
 			t.Fatal(err)
 		}
 		got := make([]byte, len("HTTP/1.1 503"))
-		_ = last.SetReadDeadline(time.Now().Add(Timeout))
+		_ = last.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 		if _, err := io.ReadFull(last, got); err != nil || string(got) != "HTTP/1.1 503" {
 			t.Fatalf("the last of too many peers: %q, %v", got, err)
 		}
@@ -130,9 +132,9 @@
 
 // An idle connection ends in time, also after a body that came in pieces and set deadlines of its own.
 func TestIdleConnectionsEnd(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		node, _ := startNode(t, testConfig(t, knownList(HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
-		c := Dial(t, node)
+	nodetest.Bubble(t, func(t *testing.T) {
+		node, _ := startNode(t, testConfig(t, knownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
+		c := nodetest.Dial(t, node)
 		defer c.Close()
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
 		for _, piece := range []string{head + "Content-Length: 3\r\n\r\n", "su", "m"} {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
@@ -28,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.dial = Dialer(t)
+	c.dial = nodetest.Dialer(t)
 	return c, func(text string) (Config, error) {
 		write(text)
 		return Reload(getenv, c)
@@ -95,9 +96,9 @@
 // New settings bind as a whole: a class comes, one goes, another's effect and the attempts change. What a
 // tenant has used up stays so, and a bad file in between changes nothing.
 func TestNewSettingsBindAtOnce(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		var full atomic.Int32
-		server := HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasPrefix(r.Header.Get("X-Request-Id"), "full") {
 				full.Add(1)
 				w.Header().Set("X-Not-Run", "1")
@@ -107,7 +108,7 @@
 		known := knownList(server, server, server)
 		c, reload := loadFile(t, fileText(known, testSettings))
 		changes := make(chan Change)
-		at := Listeners{Clients: Listener(t), Control: Listener(t)}
+		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
 		node, _ := startNodeAt(t, c, at, changes)
 		change := func(text string) {
@@ -144,7 +145,7 @@
 			`app_fulfilled_total{priority="order"}`: 0, `app_fulfilled_total{priority="read"}`: 3})
 		wants(200, ask("GET", "order", "o3"), "the new class")
 		wants(200, ask("POST", "read", "r1"), "the class with a new effect")
-		Await(t, "the dropped class's end", func() bool { return ask("POST", "pay", fmt.Sprint("p", time.Now().UnixNano())) == 400 })
+		nodetest.Await(t, "the dropped class's end", func() bool { return ask("POST", "pay", fmt.Sprint("p", time.Now().UnixNano())) == 400 })
 		if took := time.Since(began); took > formerFor+time.Second/2 {
 			t.Errorf("the dropped class was served for %v", took)
 		}
@@ -187,12 +188,12 @@
 
 // Signals in a row, good files and bad, and one while the node stops, do no harm.
 func TestManyChangesInARow(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		server := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	nodetest.Bubble(t, func(t *testing.T) {
+		server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		known := knownList(server)
 		c, reload := loadFile(t, fileText(known, testSettings))
 		changes := make(chan Change)
-		node, stop := startNodeAt(t, c, Listeners{Clients: Listener(t)}, changes)
+		node, stop := startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, changes)
 		for i := range 50 {
 			text := fileText(known, []string{testSettings, laterSettings, ""}[i%3])
 			next, err := reload(text)
--- a/internal/node/scope_test.go
+++ b/internal/node/scope_test.go
@@ -10,6 +10,7 @@
 
 	"github.com/google/go-cmp/cmp"
 
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
@@ -35,7 +36,7 @@
 	}
 	c := testConfig(t, knownList("127.0.0.1:9"))
 	c.Scope = scope
-	c.Discovery = HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	c.Discovery = nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		calls <- r
 		select {
 		case a := <-next:
@@ -51,14 +52,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
-	t.Cleanup(func() { cancel(); Receive(t, "the end of discovery", ended) })
+	t.Cleanup(func() { cancel(); nodetest.Receive(t, "the end of discovery", ended) })
 	return d, told, calls
 }
 
 func wantCalls(t *testing.T, calls chan *http.Request, want ...string) {
 	t.Helper()
 	for i, uri := range want {
-		if got := Receive(t, "a call", calls).URL.RequestURI(); got != uri {
+		if got := nodetest.Receive(t, "a call", calls).URL.RequestURI(); got != uri {
 			t.Errorf("call %d is for %s, want %s", i, got, uri)
 		}
 	}
@@ -66,7 +67,7 @@
 
 func wantNews(t *testing.T, told chan Update, kind policy.ListKind, ids ...string) {
 	t.Helper()
-	n := Receive(t, "the news", told)
+	n := nodetest.Receive(t, "the news", told)
 	var got []string
 	for _, m := range n.Endpoints {
 		got = append(got, m.ID)
@@ -86,9 +87,9 @@
 // Without the section, calls for the list are what they were before there was one, byte for byte, whatever the
 // answers' headers say.
 func TestCallsWithoutAScope(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		_, told, calls := scopedWatch(t, "", scopedAnswer{true, delta(8, entry("s9", "up"))})
-		first := Receive(t, "a call", calls)
+		first := nodetest.Receive(t, "a call", calls)
 		diff := cmp.Diff(http.Header{"User-Agent": {"Go-http-client/1.1"}}, first.Header)
 		if uri := first.URL.RequestURI(); uri != watchOf(7, "") || diff != "" {
 			t.Errorf("called %s with other headers: %s", uri, diff)
@@ -100,7 +101,7 @@
 
 // With a scope the node begins with a whole list of it, and watches in it. A scope that changes is fetched whole.
 func TestCallsWithAScope(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		d, told, calls := scopedWatch(t, testScope, scopedAnswer{true, whole(30, entry("s1", "up"))},
 			scopedAnswer{true, delta(31, entry("s1", "draining"))}, scopedAnswer{true, delta(40)})
 		wantNews(t, told, policy.ListReplace, "s1")
@@ -121,7 +122,7 @@
 // A list service that ignores the scope is followed as ever. Where one that heeds it takes its place, changes of the
 // scope are not added to the whole list: the list of the scope is called for, and the other way round.
 func TestScopeHeededAndIgnored(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		_, told, calls := scopedWatch(t, testScope, scopedAnswer{false, whole(30, entry("s1", "up"), entry("s2", "up"))},
 			scopedAnswer{false, delta(31, entry("s3", "up"))},
 			scopedAnswer{true, delta(32, entry("s4", "up"))},
@@ -140,10 +141,10 @@
 
 // A refusal of the scope is told with its reason.
 func TestScopeRefused(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		c := testConfig(t, knownList("127.0.0.1:9"))
 		c.Scope = testScope
-		c.Discovery = HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
+		c.Discovery = nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "service: unknown: a, b", http.StatusNotFound)
 		})
 		d := newClient(c.discoveryConfig(), func(Update) {})
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -12,13 +12,14 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
 // A request goes through the whole node and back, in each class's form.
 func TestServesEachClass(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		addr := HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+	nodetest.Bubble(t, func(t *testing.T) {
+		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
 			w.Header().Set("Content-Type", "application/x-test")
 			fmt.Fprintf(w, "%s %s %s key=%s %s", r.Method, r.RequestURI, r.Header.Get("X-Request-Id"),
@@ -40,9 +41,9 @@
 
 // What is wrong with a request is the client's fault, promises nothing, and reaches no server.
 func TestBadRequestsReachNoServer(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
-		addr := HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
+		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 		node, _ := startNode(t, testConfig(t, knownList(addr)))
 		big := strings.Repeat("x", maxID+1)
 		for name, c := range map[string]struct {
@@ -82,8 +83,8 @@
 
 // A tenant past its share is told at once when to come back.
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		addr := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	nodetest.Bubble(t, func(t *testing.T) {
+		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		node, _ := startNode(t, testConfig(t, knownList(addr)))
 		for i := range 20 {
 			resp, _ := do(t, clientRequest(t, node, "GET", "read", fmt.Sprint("r", i), "", "X-Tenant", "tiny"))
@@ -102,7 +103,7 @@
 
 // An unsafe request that may have run is neither sent again nor refused.
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
 		addr := rawServer(t, func(_ net.Conn, r *bufio.Reader) {
 			if swallow(r) {
@@ -122,9 +123,9 @@
 
 // The module hears that a client has left, and can call its attempts off.
 func TestDepartureIsTold(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		got, closed := make(chan struct{}), make(chan struct{})
-		addr := HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
 			close(got)
 			<-r.Context().Done()
@@ -140,14 +141,14 @@
 			return nil
 		})
 		node := serveAt(t, newServer(l))
-		c := Dial(t, node)
+		c := nodetest.Dial(t, node)
 		// The deadline is far off, so that nothing else ends the attempt.
 		if err := clientRequest(t, node, "POST", "pay", "r1", "sum", "X-Deadline-Ms", "3600000").Write(c); err != nil {
 			t.Fatal(err)
 		}
-		Receive(t, "the attempt", got)
+		nodetest.Receive(t, "the attempt", got)
 		c.Close()
-		Receive(t, "its end", closed)
+		nodetest.Receive(t, "its end", closed)
 		module.has(t, "list 2", "request r1", "lapsed r1",
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 	})
@@ -155,20 +156,20 @@
 
 // A client that closes has gone away: it is not told that it was served, also where it still reads.
 func TestDepartedClientIsNotServed(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		hold := make(chan struct{})
 		defer close(hold)
-		addr := HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
+		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 		node, _ := startNode(t, testConfig(t, knownList(addr)))
-		c := Dial(t, node)
+		c := nodetest.Dial(t, node)
 		defer c.Close()
 		if err := clientRequest(t, node, "GET", "read", "r1", "").Write(c); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.(Conn).CloseWrite(); err != nil {
+		if err := c.(nodetest.Conn).CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
-		_ = c.SetReadDeadline(time.Now().Add(Timeout))
+		_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 		if got, err := io.ReadAll(c); err != nil || len(got) > 0 {
 			t.Errorf("got %q, %v", got, err)
 		}
@@ -177,9 +178,9 @@
 
 // Over its part of the descriptors a node refuses, and gives the connection up.
 func TestClientsOverTheLimitAreRefused(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
-		addr := HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
+		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 		c := testConfig(t, knownList(addr))
 		c.Sockets = leastSockets
 		node, _ := startNode(t, c)
@@ -191,13 +192,13 @@
 			}
 		}()
 		hold := func() {
-			c := Dial(t, node)
+			c := nodetest.Dial(t, node)
 			held = append(held, c)
 		}
 		for range side {
 			hold()
 		}
-		Await(t, "a refusal", func() bool {
+		nodetest.Await(t, "a refusal", func() bool {
 			resp, _ := do(t, clientRequest(t, node, "GET", "read", fmt.Sprint(time.Now().UnixNano()), ""))
 			if resp.StatusCode == http.StatusServiceUnavailable && resp.Close {
 				return true
@@ -209,7 +210,7 @@
 			c.Close()
 		}
 		before := reached.Load()
-		Await(t, "service again", func() bool {
+		nodetest.Await(t, "service again", func() bool {
 			resp, _ := do(t, clientRequest(t, node, "GET", "read", fmt.Sprint(time.Now().UnixNano()), ""))
 			return resp.StatusCode == 200
 		})
@@ -221,12 +222,12 @@
 
 // While a node stops, its answers end their connections, and the front is told that it isn't ready.
 func TestStoppingNodeEndsConnections(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		addr := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	nodetest.Bubble(t, func(t *testing.T) {
+		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		l, _ := startLoop(t, addr, sendsOnce)
 		s := newServer(l)
 		node := serveAt(t, s)
-		Receive(t, "readiness", l.ready)
+		nodetest.Receive(t, "readiness", l.ready)
 		close(s.first)
 		client := keptClient(t)
 		for _, state := range []struct{ draining, superseded, ready bool }{
@@ -259,9 +260,9 @@
 
 // A node that is told to stop takes in what comes for a while, answers what it holds, and ends.
 func TestStopsInOrder(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		hold, held := make(chan struct{}), make(chan struct{}, 2)
-		addr := HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("X-Request-Id") == "slow" {
 				held <- struct{}{}
 				<-hold
@@ -278,11 +279,11 @@
 			resp.Body.Close()
 			slow <- resp.StatusCode
 		}()
-		Receive(t, "the slow request", held)
+		nodetest.Receive(t, "the slow request", held)
 		ended, began := make(chan error, 1), time.Now()
 		go func() { ended <- stop() }()
-		Await(t, "the end of accepting", func() bool {
-			c, err := Dialer(t)(t.Context(), "tcp", node)
+		nodetest.Await(t, "the end of accepting", func() bool {
+			c, err := nodetest.Dialer(t)(t.Context(), "tcp", node)
 			if err == nil {
 				c.Close()
 			}
@@ -297,10 +298,10 @@
 		default:
 		}
 		close(hold)
-		if status := Receive(t, "the slow answer", slow); status != 200 {
+		if status := nodetest.Receive(t, "the slow answer", slow); status != 200 {
 			t.Errorf("status %d", status)
 		}
-		if err := Receive(t, "the end", ended); err != nil {
+		if err := nodetest.Receive(t, "the end", ended); err != nil {
 			t.Error(err)
 		}
 	})
@@ -308,7 +309,7 @@
 
 // brief configures a node whose clients wait 1.5 s at most.
 func brief(t *testing.T) Config {
-	c := testConfig(t, knownList(HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
+	c := testConfig(t, knownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].LatencyObjective, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 1500*time.Millisecond
 	}
@@ -318,7 +319,7 @@
 // A node that is told to stop serves its clients on the connections they have until what comes could
 // no longer be answered in time; meanwhile the front is told that it isn't ready.
 func TestStoppingNodeServesOn(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		node, stop := startNode(t, brief(t))
 		client := keptClient(t)
 		get := func(req *http.Request) (*http.Response, error) {
@@ -335,7 +336,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		Await(t, "a front that is told", func() bool {
+		nodetest.Await(t, "a front that is told", func() bool {
 			resp, err := get(probe)
 			return err != nil || resp.StatusCode == http.StatusServiceUnavailable
 		})
@@ -346,7 +347,7 @@
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if err := Receive(t, "the end", ended); err != nil {
+		if err := nodetest.Receive(t, "the end", ended); err != nil {
 			t.Error(err)
 		}
 		if took := time.Since(began); took > 2200*time.Millisecond {
@@ -357,18 +358,18 @@
 
 // No input panics the node: after noise of each kind it still serves.
 func TestNoiseFromClients(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
-		addr := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	nodetest.Bubble(t, func(t *testing.T) {
+		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		node, _ := startNode(t, testConfig(t, knownList(addr)))
 		for _, noise := range []string{"", "\r\n\r\n", "\x00\x01\x02\r\n\r\n", "GET", "GET / HTTP/9.9\r\n\r\n",
 			"GET / HTTP/1.1\r\n\r\n", "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n",
 			"OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n", "CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n",
 			"POST /a HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Deadline-Ms: 9\r\nContent-Length: 5\r\n\r\nab",
 			"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 1<<20)} {
-			c := Dial(t, node)
+			c := nodetest.Dial(t, node)
 			_, _ = io.WriteString(c, noise) // the node may close before all is written
-			_ = c.(Conn).CloseWrite()
-			_ = c.SetReadDeadline(time.Now().Add(Timeout))
+			_ = c.(nodetest.Conn).CloseWrite()
+			_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 			got, err := io.ReadAll(c)
 			c.Close()
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
@@ -386,15 +387,15 @@
 
 // A connection that came just before a stopping node takes no more of them is still heard.
 func TestConnectionOfTheLastMomentIsServed(t *testing.T) {
-	Bubble(t, func(t *testing.T) {
+	nodetest.Bubble(t, func(t *testing.T) {
 		node, stop := startNode(t, brief(t))
 		ended := make(chan error, 1)
 		go func() { ended <- stop() }()
 		end := acceptFor + 1500*time.Millisecond
 		time.Sleep(end - 150*time.Millisecond)
-		conn := Dial(t, node)
+		conn := nodetest.Dial(t, node)
 		time.Sleep(100 * time.Millisecond) // no further connection is taken by now
-		if _, err := Dialer(t)(t.Context(), "tcp", node); err == nil {
+		if _, err := nodetest.Dialer(t)(t.Context(), "tcp", node); err == nil {
 			t.Error("a connection is taken at the end")
 		}
 		if err := clientRequest(t, node, "GET", "read", "last", "").Write(conn); err != nil {
@@ -403,7 +404,7 @@
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
 			t.Errorf("the last request: %+v, %v", resp, err)
 		}
-		if err := Receive(t, "the end", ended); err != nil {
+		if err := nodetest.Receive(t, "the end", ended); err != nil {
 			t.Error(err)
 		}
 	})
@@ -421,9 +422,9 @@
 	for i := range 2 {
 		newTestClient(t, node).send("GET", "read", fmt.Sprint("r", i), "")
 	}
-	Receive(t, "a request", got)
+	nodetest.Receive(t, "a request", got)
 	late := newTestClient(t, node)
-	Await(t, "the connection over the limit", func() bool { return s.peers.count() == 3 })
+	nodetest.Await(t, "the connection over the limit", func() bool { return s.peers.count() == 3 })
 	total.Store(leastSockets)
 	late.send("GET", "read", "late", "")
 	letGo()
--- a/internal/node/socketqueue_test.go
+++ b/internal/node/socketqueue_test.go
@@ -4,6 +4,7 @@
 	"net/http"
 	"testing"
 
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
@@ -12,24 +13,24 @@
 func TestAttemptWaitsForADescriptor(t *testing.T) {
 	server, got, letGo := holdingServer(t)
 	u := testUpstream(t, server)
-	u.waits = Timeout
+	u.waits = nodetest.Timeout
 	u.sockets.total.Store(leastPart) // of which one is the servers'
 	u.sockets.clients.Store(10 * leastPart)
 	codes := make(chan policy.Code, 3)
 	attempt := func(id string) { codes <- ended(t, u, testExchange(http.MethodGet, id, "")).code }
 	go attempt("r1")
-	Receive(t, "the first attempt", got)
+	nodetest.Receive(t, "the first attempt", got)
 	for _, id := range []string{"r2", "r3"} {
 		go attempt(id)
 	}
-	Await(t, "both others to wait or to fail", func() bool {
+	nodetest.Await(t, "both others to wait or to fail", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		return len(u.waiting.turns) == 2 || len(codes) == 2
 	})
 	letGo()
 	for range 3 {
-		if code := Receive(t, "an outcome", codes); code != policy.OK {
+		if code := nodetest.Receive(t, "an outcome", codes); code != policy.OK {
 			t.Errorf("code %v", code)
 		}
 	}
@@ -45,12 +46,12 @@
 	u.sockets.total.Store(leastPart)
 	u.sockets.clients.Store(leastPart)
 	go ended(t, u, testExchange(http.MethodGet, "r1", ""))
-	Receive(t, "the first attempt", got)
+	nodetest.Receive(t, "the first attempt", got)
 	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.code != policy.ConnectFailed {
 		t.Errorf("code %v, want %v", r.code, policy.ConnectFailed)
 	}
 	letGo()
-	Await(t, "rest", func() bool { open, idle := u.counts("s0"); return open == idle })
+	nodetest.Await(t, "rest", func() bool { open, idle := u.counts("s0"); return open == idle })
 	if len(u.waiting.turns) > 0 {
 		t.Errorf("%d attempts wait", len(u.waiting.turns))
 	}
@@ -65,7 +66,7 @@
 		t.Errorf("%d for servers beside 40 clients, want %d", got, s.least())
 	}
 	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
-	h := &handover{c: testConfig(t, knownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: newGate(Listener(t), 1), share: 60}
+	h := &handover{c: testConfig(t, knownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: newGate(nodetest.Listener(t), 1), share: 60}
 	for _, sharing := range []bool{true, false} {
 		h.s.sharing.Store(sharing)
 		h.resize()
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -14,12 +14,10 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
-// Timeout is more than any step of a test takes; nothing waits for it unless the test fails.
-const Timeout = 30 * time.Second
-
 func TestMain(m *testing.M) {
 	if os.Getenv(benchPeer) != "" {
 		if err := playPeers(os.Stdin, os.Stdout); err != nil {
@@ -80,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.dial = Dialer(t)
+	c.dial = nodetest.Dialer(t)
 	return c
 }
 
@@ -106,7 +104,7 @@
 // rawServer runs a server of one's own at the level of the connection.
 func rawServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
-	ln := Listener(t)
+	ln := nodetest.Listener(t)
 	go acceptRaw(ln, serve)
 	return ln.Addr().String()
 }
@@ -135,19 +133,10 @@
 	return err == nil
 }
 
-func HTTPServer(t *testing.T, h http.HandlerFunc) string {
-	t.Helper()
-	ln := Listener(t)
-	s := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
-	go func() { _ = s.Serve(ln) }()
-	t.Cleanup(func() { s.Close() })
-	return ln.Addr().String()
-}
-
 func testExchange(method, id string, body string) *exchange {
 	x := &exchange{req: policy.Request{ID: id, Class: "read", Tenant: "t"}, method: method,
 		path: "/api?q=a%20b", host: "origin.svc", body: []byte(body),
-		came: timeOrigin, clientWaits: Timeout, reply: make(chan answer, 1)}
+		came: timeOrigin, clientWaits: nodetest.Timeout, reply: make(chan answer, 1)}
 	if method == http.MethodPost {
 		x.key = "k-" + id
 	}
@@ -158,7 +147,7 @@
 // and returns what Run did.
 func startNode(t testing.TB, c Config) (addr string, stop func() error) {
 	t.Helper()
-	return startNodeAt(t, c, Listeners{Clients: Listener(t)}, nil)
+	return startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, nil)
 }
 
 // testSockets are as many descriptors for connections.
@@ -168,25 +157,10 @@
 	return s
 }
 
-func Listener(t testing.TB) net.Listener {
-	t.Helper()
-	if n, ok := memNets.Load(t); ok {
-		ln := n.(*memNet).listen()
-		t.Cleanup(func() { ln.Close() })
-		return ln
-	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	return ln
-}
-
 // serveAt has s take clients.
 func serveAt(t *testing.T, s *server) (addr string) {
 	t.Helper()
-	return serveOn(t, s, Listener(t))
+	return serveOn(t, s, nodetest.Listener(t))
 }
 
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
@@ -196,7 +170,7 @@
 	go func() { ended <- s.accept(ln) }()
 	t.Cleanup(func() {
 		ln.Close()
-		if err := Receive(t, "the end of accepting", ended); err != nil {
+		if err := nodetest.Receive(t, "the end of accepting", ended); err != nil {
 			t.Error(err)
 		}
 		s.shutdown(time.Now())
@@ -219,7 +193,7 @@
 		select {
 		case err := <-ended:
 			return err
-		case <-time.After(Timeout):
+		case <-time.After(nodetest.Timeout):
 			return fmt.Errorf("the node did not end")
 		}
 	}
@@ -229,7 +203,7 @@
 		}
 	})
 	addr = at.Clients.Addr().String()
-	Await(t, "readiness", func() bool {
+	nodetest.Await(t, "readiness", func() bool {
 		resp, err := onceClient(t).Get("http://" + addr + readyPath)
 		if err != nil {
 			return false
@@ -240,26 +214,6 @@
 	return addr, stop
 }
 
-func Await(t testing.TB, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(Timeout); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
-		}
-	}
-}
-
-func Receive[T any](t *testing.T, what string, from <-chan T) T {
-	t.Helper()
-	select {
-	case v := <-from:
-		return v
-	case <-time.After(Timeout):
-		t.Fatalf("waited in vain for %s", what)
-		panic("unreachable")
-	}
-}
-
 // clientRequest is one as clients send it; headers are pairs, and an empty value takes one out.
 func clientRequest(t *testing.T, addr, method, class, id, body string, headers ...string) *http.Request {
 	t.Helper()
@@ -284,12 +238,12 @@
 
 // onceClient makes a connection for each request.
 func onceClient(t testing.TB) *http.Client {
-	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: Dialer(t)}}
+	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: nodetest.Dialer(t)}}
 }
 
 // keptClient keeps the one connection that it has to a host.
 func keptClient(t testing.TB) *http.Client {
-	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DialContext: Dialer(t)}}
+	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DialContext: nodetest.Dialer(t)}}
 	t.Cleanup(c.CloseIdleConnections)
 	return c
 }
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -8,6 +8,8 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"sloerail/internal/node/nodetest"
 )
 
 // The ways in which a call to the list service ends without a list.
@@ -58,20 +60,20 @@
 	var back time.Time
 	for range o.calls {
 		if o.fails == nil {
-			back = Receive(t, "a refused connection", refused)
+			back = nodetest.Receive(t, "a refused connection", refused)
 			continue
 		}
-		c := Receive(t, "a call that fails", l.calls)
+		c := nodetest.Receive(t, "a call that fails", l.calls)
 		back = c.at
 		failed := make(chan struct{})
 		c.serve <- func(w http.ResponseWriter, r *http.Request) { close(failed); o.fails(w, r) }
-		Receive(t, "the failure", failed)
+		nodetest.Receive(t, "the failure", failed)
 	}
 	if o.fails == nil {
 		close(down)
 	}
 	for range o.busy {
-		Receive(t, "a call that is turned away", l.calls).serve <- turnAway
+		nodetest.Receive(t, "a call that is turned away", l.calls).serve <- turnAway
 	}
 	told := maxNotificationDelay
 	if o.within > 0 {
@@ -79,7 +81,7 @@
 	}
 	further := l.calls
 	if o.queued > 0 {
-		turn, c := make(chan listCall, 1), Receive(t, "a call that waits for its turn", l.calls)
+		turn, c := make(chan listCall, 1), nodetest.Receive(t, "a call that waits for its turn", l.calls)
 		time.AfterFunc(o.queued, func() { turn <- c })
 		further = turn
 	}
@@ -134,7 +136,7 @@
 	} {
 		for _, subscribe := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/asked %v", name, subscribe), func(t *testing.T) {
-				Bubble(t, func(t *testing.T) { o.keepsDrains(t, subscribe) })
+				nodetest.Bubble(t, func(t *testing.T) { o.keepsDrains(t, subscribe) })
 			})
 		}
 	}
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
@@ -27,7 +28,7 @@
 
 func ended(t *testing.T, u *upstream, x *exchange) result {
 	t.Helper()
-	return u.attempt("s0", outgoing{exchange: x, waits: Timeout, flight: &flight{due: time.Now().Add(Timeout)}})
+	return u.attempt("s0", outgoing{exchange: x, waits: nodetest.Timeout, flight: &flight{due: time.Now().Add(nodetest.Timeout)}})
 }
 
 func (u *upstream) counts(id string) (open, idle int) {
@@ -181,17 +182,17 @@
 			close(closed)
 		})
 		u := testUpstream(t, addr)
-		f := &flight{due: time.Now().Add(Timeout)}
+		f := &flight{due: time.Now().Add(nodetest.Timeout)}
 		done := make(chan result, 1)
 		go func() {
-			done <- u.attempt("s0", outgoing{exchange: testExchange(http.MethodGet, "r1", ""), waits: Timeout, flight: f})
+			done <- u.attempt("s0", outgoing{exchange: testExchange(http.MethodGet, "r1", ""), waits: nodetest.Timeout, flight: f})
 		}()
-		Receive(t, "the request", got)
+		nodetest.Receive(t, "the request", got)
 		end(f)
-		if r := Receive(t, "the outcome", done); r.code != want {
+		if r := nodetest.Receive(t, "the outcome", done); r.code != want {
 			t.Errorf("code %v, want %v", r.code, want)
 		}
-		Receive(t, "the close", closed)
+		nodetest.Receive(t, "the close", closed)
 		if open, idle := u.counts("s0"); open != 0 || idle != 0 {
 			t.Errorf("%d open, %d idle", open, idle)
 		}
@@ -203,7 +204,7 @@
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:9")
 	got := make(chan *http.Request, 1)
 	var body atomic.Value
-	addr := HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		body.Store(string(b))
 		got <- r
@@ -260,7 +261,7 @@
 	})
 	u := testUpstream(t, addr)
 	ended(t, u, testExchange(http.MethodGet, "r1", ""))
-	Await(t, "the close to be noticed", func() bool {
+	nodetest.Await(t, "the close to be noticed", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		idle := u.pools["s0"].idle
@@ -273,8 +274,8 @@
 
 func TestDescriptorsBindConnections(t *testing.T) {
 	hold := make(chan struct{})
-	slow := HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
-	fast := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	slow := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
+	fast := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	u := testUpstream(t, fast, slow)
 	u.most = 1
 	if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.code != policy.OK {
@@ -283,21 +284,21 @@
 	// The idle connection to the first server makes room for one to the second.
 	done := make(chan result, 1)
 	go func() {
-		done <- u.attempt("s1", outgoing{exchange: testExchange(http.MethodGet, "r2", ""), waits: Timeout, flight: new(flight)})
+		done <- u.attempt("s1", outgoing{exchange: testExchange(http.MethodGet, "r2", ""), waits: nodetest.Timeout, flight: new(flight)})
 	}()
-	Await(t, "the eviction", func() bool { open, idle := u.counts("s0"); return open == 1 && idle == 0 })
+	nodetest.Await(t, "the eviction", func() bool { open, idle := u.counts("s0"); return open == 1 && idle == 0 })
 	if r := ended(t, u, testExchange(http.MethodGet, "r3", "")); r.code != policy.ConnectFailed {
 		t.Errorf("code %v beyond the limit, want could not connect", r.code)
 	}
 	close(hold)
-	if r := Receive(t, "the slow answer", done); r.code != policy.OK {
+	if r := nodetest.Receive(t, "the slow answer", done); r.code != policy.OK {
 		t.Errorf("code %v", r.code)
 	}
 }
 
 // What was open to a server's former process, or address, is given up.
 func TestListChangesDropIdleConnections(t *testing.T) {
-	addr := HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	base := members(t, addr)[0]
 	restarted, removed := base, base
 	restarted.StartedAtMillis = 5
