--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -14,6 +14,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"sloerail/internal/node/nodetest"
 )
 
 // The path of one request through a whole node: accept, framing, parse, event, decision, attempt, answer.
@@ -61,7 +63,7 @@
 	}()
 	said := bufio.NewScanner(out)
 	said.Scan()
-	c := testConfig(b, knownList(strings.Fields(said.Text())...))
+	c := testConfig(b, nodetest.KnownList(strings.Fields(said.Text())...))
 	for i := range c.Settings.Tenants {
 		c.Settings.Tenants[i].Quota = 1e6
 	}
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -44,7 +44,7 @@
 		}
 		_, _ = w.Write(body)
 	})
-	node, _ := startNode(t, testConfig(t, knownList(server)))
+	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 	for _, size := range []int{0, 1, maxBody - 1, maxBody, maxBody + 1, 3 << 20} {
 		want := noise(size)
 		for form, body := range map[string]io.Reader{
@@ -78,7 +78,7 @@
 				_, _ = c.Write([]byte{b})
 			}
 		})
-		node, _ := startNode(t, testConfig(t, knownList(server)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 		req := clientRequest(t, node, "POST", "pay", "r", "")
 		req.Body, req.ContentLength = io.NopCloser(iotest.OneByteReader(strings.NewReader("sum"))), -1
 		if resp, body := do(t, req); resp.StatusCode != http.StatusOK || body != "yes" {
@@ -99,7 +99,7 @@
 			<-next
 			_, _ = io.WriteString(w, strings.Repeat("b", maxBody))
 		})
-		node, _ := startNode(t, testConfig(t, knownList(server)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 		const wait = 300 * time.Millisecond
 		resp, err := onceClient(t).Do(clientRequest(t, node, "GET", "read", "r", "", "X-Deadline-Ms", fmt.Sprint(wait.Milliseconds())))
 		if err != nil {
@@ -127,7 +127,7 @@
 			}
 		})
 		good := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "good") })
-		node, _ := startNode(t, testConfig(t, knownList(spoilt, good)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(spoilt, good)))
 		if resp, body := do(t, clientRequest(t, node, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK || body != "good" {
 			t.Errorf("status %d, %d bytes", resp.StatusCode, len(body))
 		}
@@ -148,7 +148,7 @@
 			}
 		})
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-		node, _ := startNodeAt(t, testConfig(t, knownList(server)), at, nil)
+		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList(server)), at, nil)
 		for _, proto := range []string{"1.0", "1.1"} {
 			conn, err := net.Dial("tcp", node)
 			if err != nil {
@@ -192,7 +192,7 @@
 				conns.Add(1)
 				c.first(conn, r)
 			})
-			node, _ := startNode(t, testConfig(t, knownList(server, server)))
+			node, _ := startNode(t, testConfig(t, nodetest.KnownList(server, server)))
 			resp, _ := do(t, clientRequest(t, node, "POST", "undo", "r", string(noise(1<<20))))
 			if resp.StatusCode != c.want || int(conns.Load()) != c.all {
 				t.Errorf("%s: status %d after %d attempts, want %d after %d", c.name, resp.StatusCode, conns.Load(), c.want, c.all)
@@ -204,7 +204,7 @@
 		}
 		dead.Close()
 		alive := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
-		node, _ := startNode(t, testConfig(t, knownList(dead.Addr().String(), alive)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(dead.Addr().String(), alive)))
 		resp, _ := do(t, clientRequest(t, node, "POST", "undo", "again", string(noise(1<<20))))
 		if resp.StatusCode != http.StatusOK {
 			t.Errorf("nothing had left the node, and no other server was tried: status %d", resp.StatusCode)
@@ -221,7 +221,7 @@
 			whole.Add(1)
 		}
 	})
-	node, _ := startNode(t, testConfig(t, knownList(server)))
+	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 	for _, length := range []int64{maxTransfer + 1, -1} {
 		req := clientRequest(t, node, "POST", "pay", fmt.Sprint("r", length), "")
 		req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeros{}, maxTransfer+1)), length
@@ -255,7 +255,7 @@
 			fmt.Fprint(w, n)
 		})
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-		node, _ := startNodeAt(t, testConfig(t, knownList(server)), at, nil)
+		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList(server)), at, nil)
 		const size, step = 192_000, 6_400
 		var both sync.WaitGroup
 		both.Go(func() {
@@ -311,7 +311,7 @@
 			given.Add(blockSize)
 		}
 	})
-	node, _ := startNode(t, testConfig(t, knownList(server)))
+	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 	for i := range answers {
 		conn, err := net.Dial("tcp", node)
 		if err != nil {
@@ -357,7 +357,7 @@
 					_, _ = c.Write(want)
 				}
 			})
-			node, _ := startNode(t, testConfig(t, knownList(server)))
+			node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 			for i := range 2 { // the connection is of no further use
 				resp, got := do(t, clientRequest(t, node, "GET", "read", fmt.Sprint("r", i), ""))
 				if resp.StatusCode != http.StatusOK || got != string(want) {
@@ -375,7 +375,7 @@
 			n, _ := io.Copy(io.Discard, r.Body)
 			fmt.Fprint(w, n)
 		})
-		node, _ := startNode(t, testConfig(t, knownList(server)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 		for _, c := range []struct{ class, length, first string }{
 			{"pay", "3", " 100 "}, {"pay", fmt.Sprint(maxTransfer + 1), " 413 "}, {"unknown", "3", " 400 "},
 		} {
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"sloerail/internal/node/nodetest"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -14,7 +16,7 @@
 func configFile(t *testing.T, text string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	text = strings.NewReplacer("KNOWN", knownList("127.0.0.1:9"), "SETTINGS", testSettings).Replace(text)
+	text = strings.NewReplacer("KNOWN", nodetest.KnownList("127.0.0.1:9"), "SETTINGS", testSettings).Replace(text)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -83,7 +83,7 @@
 		})
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
-		node, _ := startNodeAt(t, testConfig(t, knownList(server)), at, nil)
+		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList(server)), at, nil)
 		want := map[string]float64{"app_relayed_total": 0, "app_open_requests": 0, "app_registry_entries": 1,
 			"app_out_of_rotation": 0, "app_cfg_accepted_total": 0, "app_cfg_invalid_total": 0}
 		for _, class := range []string{"read", "pay", "undo"} {
@@ -137,7 +137,7 @@
 func TestFiguresFollowTheList(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-		known := strings.Replace(knownList("127.0.0.1:9", "127.0.0.1:9"), `"up"`, `"draining"`, 1)
+		known := strings.Replace(nodetest.KnownList("127.0.0.1:9", "127.0.0.1:9"), `"up"`, `"draining"`, 1)
 		startNodeAt(t, testConfig(t, known), at, nil)
 		awaitStats(t, at.Control.Addr().String(), map[string]float64{"app_registry_entries": 2, "app_out_of_rotation": 1})
 	})
@@ -148,7 +148,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
-		node, _ := startNodeAt(t, testConfig(t, knownList("127.0.0.1:9")), at, nil)
+		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), at, nil)
 		for _, c := range []struct {
 			method, url string
 			want        int
@@ -181,7 +181,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
-		startNodeAt(t, testConfig(t, knownList("127.0.0.1:9")), at, nil)
+		startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), at, nil)
 		for i := range controlSockets - 4 {
 			conn := nodetest.Dial(t, ctl)
 			defer conn.Close()
@@ -204,7 +204,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
-		_, stop := startNodeAt(t, testConfig(t, knownList("127.0.0.1:9")), at, nil)
+		_, stop := startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), at, nil)
 		stopped := make(chan error, 1)
 		go func() { stopped <- stop() }()
 		saidNo := false
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -13,14 +13,6 @@
 	"sloerail/policy"
 )
 
-func entry(id, phase string) string {
-	return fmt.Sprintf(`{"id":%q,"host_port":"127.0.0.1:9","phase":%q,"up_since_ms":0}`, id, phase)
-}
-
-func delta(revision int, entries ...string) string {
-	return fmt.Sprintf(`{"revision":%d,"complete":false,"members":[%s]}`, revision, strings.Join(entries, ","))
-}
-
 // watched plays answers to the calls in turn, then holds the rest, and returns what discovery told
 // and the queries that it made. An answer that is no JSON object is sent with status 503.
 func watched(t *testing.T, subscribe bool, answers ...string) (d *Client, told chan Update, queries chan string) {
@@ -42,7 +34,7 @@
 			<-r.Context().Done()
 		}
 	})
-	c := testConfig(t, knownList("127.0.0.1:9"))
+	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	c.Discovery, c.Settings.SubscribeList = addr, subscribe
 	d = newClient(c.discoveryConfig(), func(u Update) { told <- u })
 	ctx, cancel := context.WithCancel(context.Background())
@@ -63,8 +55,8 @@
 
 func TestDeltasComeInOrder(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, told, queries := watched(t, false, delta(8, entry("s1", "up")), delta(9), delta(10, entry("s1", "draining")),
-			`{"revision":11,"complete":true,"members":[`+entry("s2", "up")+`]}`)
+		_, told, queries := watched(t, false, nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(9), nodetest.ListChange(10, nodetest.ListEntry("s1", "draining")),
+			`{"revision":11,"complete":true,"members":[`+nodetest.ListEntry("s2", "up")+`]}`)
 		for i, want := range []struct {
 			kind   policy.ListKind
 			server string
@@ -84,8 +76,8 @@
 // A pushed list that can't be had, or read, leaves the last one in force, and says nothing.
 func TestFailuresKeepTheLastList(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, told, queries := watched(t, false, "down", `{"revision":`, delta(9, entry("s1", "odd")), `{"members":[]}`,
-			delta(8, entry("s1", "up")))
+		_, told, queries := watched(t, false, "down", `{"revision":`, nodetest.ListChange(9, nodetest.ListEntry("s1", "odd")), `{"members":[]}`,
+			nodetest.ListChange(8, nodetest.ListEntry("s1", "up")))
 		if n := nodetest.Receive(t, "news", told); n.Kind != policy.ListUpdate || n.Endpoints[0].ID != "s1" {
 			t.Errorf("news %+v", n)
 		}
@@ -99,7 +91,7 @@
 // Where lists are asked for, the module says when, and hears of each failure once.
 func TestAskedListsTellFailures(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		d, told, queries := watched(t, true, "down", delta(8, entry("s1", "up")), delta(8))
+		d, told, queries := watched(t, true, "down", nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(8))
 		d.SetWatching(true)
 		if n := nodetest.Receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
 			t.Errorf("news %+v", n)
@@ -131,14 +123,14 @@
 
 func TestMalformedListsNameTheField(t *testing.T) {
 	for raw, want := range map[string]string{
-		`[]`:                      "array",
-		`{"members":[]}`:          "revision: missing",
-		`{"revision":"x"}`:        "revision",
-		delta(1, entry("", "up")): "members[0].id",
-		delta(1, entry("a", "x")): "members[0].phase",
-		delta(1, `{"id":"a","phase":"up","host_port":"nowhere"}`):                        "members[0].host_port",
-		delta(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":-1}`):   "members[0].up_since_ms",
-		delta(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":1e99}`): "members[0].up_since_ms",
+		`[]`:               "array",
+		`{"members":[]}`:   "revision: missing",
+		`{"revision":"x"}`: "revision",
+		nodetest.ListChange(1, nodetest.ListEntry("", "up")):                                           "members[0].id",
+		nodetest.ListChange(1, nodetest.ListEntry("a", "x")):                                           "members[0].phase",
+		nodetest.ListChange(1, `{"id":"a","phase":"up","host_port":"nowhere"}`):                        "members[0].host_port",
+		nodetest.ListChange(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":-1}`):   "members[0].up_since_ms",
+		nodetest.ListChange(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":1e99}`): "members[0].up_since_ms",
 	} {
 		if _, err := ParseList([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: got %v, want it to name %q", raw, err, want)
@@ -161,7 +153,7 @@
 			d.Retarget(Target{nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 				moved <- r.URL.RawQuery
 				if r.URL.RawQuery == "" {
-					_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+entry("s9", "draining")+`]}`)
+					_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+nodetest.ListEntry("s9", "draining")+`]}`)
 					return
 				}
 				<-r.Context().Done()
@@ -193,7 +185,7 @@
 			if r.URL.RawQuery != "" {
 				<-r.Context().Done()
 			}
-			_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+entry("s9", "up")+`]}`)
+			_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+nodetest.ListEntry("s9", "up")+`]}`)
 		}), true, NewTimeouts(policy.Settings{}), ""})
 		if n := nodetest.Receive(t, "the list", told); n.Kind != policy.ListReplace {
 			t.Errorf("news %+v", n)
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -107,7 +107,7 @@
 	t.Helper()
 	l := &leavingTest{T: t, changes: make(chan Change, 1)}
 	l.first = nodetest.HTTPServer(t, l.leaving.ServeHTTP)
-	l.Config = testConfig(t, knownList(l.first, nodetest.HTTPServer(t, l.staying.ServeHTTP)))
+	l.Config = testConfig(t, nodetest.KnownList(l.first, nodetest.HTTPServer(t, l.staying.ServeHTTP)))
 	l.Discovery, l.calls = listService(t)
 	l.Settings.SubscribeList = subscribe
 	for _, f := range adjust {
@@ -158,7 +158,9 @@
 }
 
 // change is the answer that a watch gets once the first server drains.
-func (l *leavingTest) change(listCall) string { return delta(8, listed("s0", l.first, "draining")) }
+func (l *leavingTest) change(listCall) string {
+	return nodetest.ListChange(8, listed("s0", l.first, "draining"))
+}
 
 // A watch that falls silent is opened anew in time for what it missed: that counts as told 6 s after the silence
 // began, or 2 s after the wait was over. So is one whose answer breaks off in the middle and stays open.
@@ -635,7 +637,7 @@
 			c := newTestClient(t, serveAt(t, newServer(l)))
 			c.send("POST", "pay", "r1", "sum")
 			nodetest.Receive(t, "the dialling", dials)
-			list, err := ParseList([]byte(delta(8, fmt.Sprintf(`{"id":"s0","host_port":%q,%s}`, first, change), listed("s1", second, "up"))))
+			list, err := ParseList([]byte(nodetest.ListChange(8, fmt.Sprintf(`{"id":"s0","host_port":%q,%s}`, first, change), listed("s1", second, "up"))))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -803,7 +805,7 @@
 			t.Run(fmt.Sprint(class, " ", behind), func(t *testing.T) {
 				t.Parallel()
 				server, got, letGo := holdingServer(t)
-				node, _ := startNode(t, testConfig(t, knownList(server)))
+				node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 				c := newTestClient(t, node)
 				var text strings.Builder
 				if err := clientRequest(t, node, "GET", class, "r1", "", "Connection", "close").Write(&text); err != nil {
@@ -918,7 +920,7 @@
 					time.Sleep(time.Millisecond)
 				}
 			}))
-			node, _ := startNode(t, testConfig(t, knownList(addr)))
+			node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 			c := newTestClient(t, node)
 			began := time.Now()
 			c.send("POST", "pay", "r1", "sum", "X-Deadline-Ms", "300")
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -55,7 +55,7 @@
 func TestBodyIsNeverARequest(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		servers := &recorder{}
-		node, _ := startNode(t, testConfig(t, knownList(nodetest.HTTPServer(t, servers.ServeHTTP))))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, servers.ServeHTTP))))
 		const head = " HTTP/1.%d\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
 		inner := fmt.Sprintf("GET /api"+head+"\r\n", 1, "inner", "read")
 		chunked := "0\r\n\r\n" + inner
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -24,33 +24,11 @@
 // The tests in this file pin forms that another version of the program reads, or an operator's tools. The
 // golden files were written by the code of commit 4650eee; they are never written anew.
 
-func golden(t *testing.T, name string) []byte {
-	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("testdata", name))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return raw
-}
-
-// sameBytes fails where got is not want, and says from where on.
-func sameBytes(t *testing.T, what string, got, want []byte) {
-	t.Helper()
-	if bytes.Equal(got, want) {
-		return
-	}
-	n := 0
-	for n < len(got) && n < len(want) && got[n] == want[n] {
-		n++
-	}
-	t.Errorf("%s differs from byte %d on:\n got %s\nwant %s", what, n, got[n:min(n+80, len(got))], want[n:min(n+80, len(want))])
-}
-
 // What a process leaves to its successor, and what it says of its attempts and sockets later on, is
 // read whole and written back byte for byte.
 func TestHandoverMessagesKeepTheirForm(t *testing.T) {
 	for _, name := range []string{"handover_state.json", "handover_progress.json"} {
-		want := golden(t, name)
+		want := nodetest.Golden(t, name)
 		strict := json.NewDecoder(bytes.NewReader(want))
 		strict.DisallowUnknownFields()
 		var in inheritance
@@ -72,7 +50,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		sameBytes(t, name, got, want)
+		nodetest.SameBytes(t, name, got, want)
 	}
 }
 
@@ -140,7 +118,7 @@
 // A successor of any version meets the same sequence of messages, each of the same form.
 func TestHandoverTranscriptOfThePredecessor(t *testing.T) {
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-	c := replaceable(t, knownList(server))
+	c := replaceable(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	if resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
@@ -183,13 +161,13 @@
 	if left, err := io.ReadAll(messages.Buffered()); err != nil || string(left) != "\n" {
 		t.Errorf("behind the message: %q, %v", left, err)
 	}
-	sameBytes(t, "the transcript", []byte(log.String()), golden(t, "handover_transcript.txt"))
+	nodetest.SameBytes(t, "the transcript", []byte(log.String()), nodetest.Golden(t, "handover_transcript.txt"))
 }
 
 // A predecessor of any version meets a successor that takes its messages and answers with one byte.
 func TestHandoverTranscriptOfTheSuccessor(t *testing.T) {
-	c := replaceable(t, knownList("127.0.0.1:9"))
-	state := bytes.Replace(golden(t, "handover_state.json"), []byte(`"Listen":"127.0.0.1:8080"`), []byte(`"Listen":"`+c.Listen+`"`), 1)
+	c := replaceable(t, nodetest.KnownList("127.0.0.1:9"))
+	state := bytes.Replace(nodetest.Golden(t, "handover_state.json"), []byte(`"Listen":"127.0.0.1:8080"`), []byte(`"Listen":"`+c.Listen+`"`), 1)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: handoverPath(c), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
@@ -229,7 +207,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameBytes(t, "what the successor took", got, state)
+	nodetest.SameBytes(t, "what the successor took", got, state)
 	if at.Clients.Addr().String() != c.Listen {
 		t.Errorf("the listening socket is at %v", at.Clients.Addr())
 	}
@@ -248,7 +226,7 @@
 	if n, err := conn.Read(word); err != nil || string(word[:n]) != "S" {
 		t.Fatalf("the successor said %q, %v", word[:n], err)
 	}
-	progress := golden(t, "handover_progress.json")
+	progress := nodetest.Golden(t, "handover_progress.json")
 	if _, err := conn.Write(progress); err != nil {
 		t.Fatal(err)
 	}
@@ -256,7 +234,7 @@
 	if err := json.NewEncoder(&out).Encode(nodetest.Receive(t, "the progress", shares)); err != nil {
 		t.Fatal(err)
 	}
-	sameBytes(t, "what the successor heard", out.Bytes(), progress)
+	nodetest.SameBytes(t, "what the successor heard", out.Bytes(), progress)
 	conn.Close()
 	if left, more := <-shares; more {
 		t.Errorf("after the predecessor's end: %+v", left)
@@ -266,7 +244,7 @@
 // The list kept on disk is read and written back byte for byte.
 func TestListFileKeepsItsForm(t *testing.T) {
 	saved := time.UnixMilli(1800000000456)
-	c := testConfig(t, knownList("127.0.0.1:9"))
+	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	c.ListFile = filepath.Join("testdata", "list_file.txt")
 	l, err := readCachedList(c.ListFile, saved.Add(time.Minute))
 	if err != nil {
@@ -277,14 +255,14 @@
 	}
 	k := newListCache(c.ListFile, c.Known)
 	k.apply(l)
-	sameBytes(t, "the file", k.encode(saved), golden(t, "list_file.txt"))
+	nodetest.SameBytes(t, "the file", k.encode(saved), nodetest.Golden(t, "list_file.txt"))
 }
 
 // The names and labels of the figures at /stats, and the answers at /healthcheck, are what operators' tools
 // know. Values are left out.
 func TestOperatorsFormsStay(t *testing.T) {
-	c := testConfig(t, knownList("127.0.0.1:9"))
-	c.Fleet = &gossip.Config{Name: "n0", Zone: "a", Version: "1", Bind: replaceable(t, knownList("127.0.0.1:9")).Listen, Label: "l"}
+	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
+	c.Fleet = &gossip.Config{Name: "n0", Zone: "a", Version: "1", Bind: replaceable(t, nodetest.KnownList("127.0.0.1:9")).Listen, Label: "l"}
 	if err := c.Fleet.Check(); err != nil {
 		t.Fatal(err)
 	}
@@ -330,5 +308,5 @@
 	ctl = ln.Addr().String()
 	resp, body = get(healthPath)
 	describe(resp, body)
-	sameBytes(t, "the operators' forms", []byte(got.String()), golden(t, "operators.txt"))
+	nodetest.SameBytes(t, "the operators' forms", []byte(got.String()), nodetest.Golden(t, "operators.txt"))
 }
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("%s ran twice", r.Header.Get("X-Request-Id"))
 		}
 	})
-	c := replaceable(t, knownList(server))
+	c := replaceable(t, nodetest.KnownList(server))
 	_, stopFirst := startProcess(t, c)
 
 	var served atomic.Int64
@@ -114,7 +114,7 @@
 func TestReplacementKeepsBuckets(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-	c := replaceable(t, knownList(server))
+	c := replaceable(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	ask := func(id string) int {
 		resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", id, "", "X-Tenant", "tiny"))
@@ -135,7 +135,7 @@
 func TestPredecessorServesOn(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-	c := replaceable(t, knownList(server))
+	c := replaceable(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	for _, served := range []bool{false, true} {
 		at, err := Listen(c)
@@ -161,7 +161,7 @@
 // The two processes together hold no more descriptors than one may.
 func TestReplacementSharesDescriptors(t *testing.T) {
 	t.Parallel()
-	c := replaceable(t, knownList("127.0.0.1:9"))
+	c := replaceable(t, nodetest.KnownList("127.0.0.1:9"))
 	startProcess(t, c)
 	at, err := Listen(c)
 	if err != nil || at.heir == nil {
@@ -204,7 +204,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-			c := replaceable(t, knownList(server))
+			c := replaceable(t, nodetest.KnownList(server))
 			prepare(t, c)
 			at, err := Listen(c)
 			if err != nil || at.heir != nil {
@@ -237,7 +237,7 @@
 // The folder's path may be longer than a Unix socket's address.
 func TestHandoverInADeepFolder(t *testing.T) {
 	t.Parallel()
-	c := replaceable(t, knownList("127.0.0.1:9"))
+	c := replaceable(t, nodetest.KnownList("127.0.0.1:9"))
 	c.Scratch = filepath.Join(c.Scratch, strings.Repeat("d", 120))
 	if err := os.Mkdir(c.Scratch, 0o700); err != nil {
 		t.Fatal(err)
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -40,14 +40,14 @@
 			first = false
 			var all []string
 			for _, id := range ids {
-				all = append(all, entry(id, "up"))
+				all = append(all, nodetest.ListEntry(id, "up"))
 			}
 			w.Header().Set(epochHeader, "1")
-			_, _ = io.WriteString(w, delta(revision, all...))
+			_, _ = io.WriteString(w, nodetest.ListChange(revision, all...))
 		})
 	}
 	good, lags, best := replica(40, "a"), replica(30, "old"), replica(50, "b")
-	c := testConfig(t, knownList("127.0.0.1:9"))
+	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	c.Seed = 0
 	c.Discovery = "127.0.0.1:9," + good + "," + lags + "," + best // nobody is at the first
 	d := newClient(c.discoveryConfig(), func(Update) {})
@@ -71,9 +71,9 @@
 // The list is kept over the node's end, and used by the next start if it is newer than what that was told.
 func TestListIsKept(t *testing.T) {
 	calls := make(chan string, 2)
-	calls <- delta(41, entry("a", "up"), entry("b", "draining"))
-	calls <- delta(42, entry("a", "removed"))
-	c := testConfig(t, knownList("127.0.0.1:9"))
+	calls <- nodetest.ListChange(41, nodetest.ListEntry("a", "up"), nodetest.ListEntry("b", "draining"))
+	calls <- nodetest.ListChange(42, nodetest.ListEntry("a", "removed"))
+	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	c.Discovery = nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case a := <-calls:
@@ -110,7 +110,7 @@
 
 // A kept list that is cut, flipped, of another version, too old or from the future is none.
 func TestSpoiltKeptLists(t *testing.T) {
-	c := testConfig(t, knownList("127.0.0.1:9"))
+	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	c.ListFile = filepath.Join(t.TempDir(), "list")
 	now := time.Now()
 	good := newListCache(c.ListFile, c.Known).encode(now)
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -71,7 +71,7 @@
 // startLoop runs a loop around a scripted module.
 func startLoop(t *testing.T, addr string, answer func(policy.Time, policy.Event) []policy.Action) (*loop, *script) {
 	t.Helper()
-	c := testConfig(t, knownList(addr))
+	c := testConfig(t, nodetest.KnownList(addr))
 	fig := newFigures(c.Settings.Classes)
 	up := newUpstream(c, testSockets(200), fig)
 	l, err := newLoop(c, clock{start: time.Now()}, up, fig)
--- /dev/null
+++ b/internal/node/nodetest/golden.go
@@ -0,0 +1,31 @@
+package nodetest
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"testing"
+)
+
+// Golden reads a golden file from testdata.
+func Golden(t *testing.T, name string) []byte {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return raw
+}
+
+// SameBytes fails where got is not want, and says from where on.
+func SameBytes(t *testing.T, what string, got, want []byte) {
+	t.Helper()
+	if bytes.Equal(got, want) {
+		return
+	}
+	n := 0
+	for n < len(got) && n < len(want) && got[n] == want[n] {
+		n++
+	}
+	t.Errorf("%s differs from byte %d on:\n got %s\nwant %s", what, n, got[n:min(n+80, len(got))], want[n:min(n+80, len(want))])
+}
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -17,7 +17,7 @@
 // Who connects and sends no whole request is rid of, with or without an answer, in 3 s.
 func TestSlowPeersEndInTime(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		node, _ := startNode(t, testConfig(t, knownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
 		var all sync.WaitGroup
 		for _, sent := range []string{"", "P", head, head + "Content-Length: 9\r\n\r\n", head + "Content-Length: 9\r\n\r\nbo",
@@ -39,7 +39,7 @@
 func TestRubbishEndsItsConnection(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		servers := &recorder{}
-		node, _ := startNode(t, testConfig(t, knownList(nodetest.HTTPServer(t, servers.ServeHTTP))))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, servers.ServeHTTP))))
 		head := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
 		talk(t, node, fmt.Sprintf(head, 1, "reads")+fmt.Sprintf(head, 2, "read"))
 		if got := servers.take(); got != "" {
@@ -51,7 +51,7 @@
 // Peers that use up the clients' part of the descriptors don't cost a client its open connection.
 func TestSilentPeersLeaveClientsAlone(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		c := testConfig(t, knownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
+		c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 		c.Sockets = leastSockets
 		node, _ := startNode(t, c)
 		client := keptClient(t)
@@ -133,7 +133,7 @@
 // An idle connection ends in time, also after a body that came in pieces and set deadlines of its own.
 func TestIdleConnectionsEnd(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		node, _ := startNode(t, testConfig(t, knownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		c := nodetest.Dial(t, node)
 		defer c.Close()
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -42,7 +42,7 @@
 
 // A broken file is turned down, by the name of the field where there is one.
 func TestReloadTurnsDownBrokenFiles(t *testing.T) {
-	good := fileText(knownList("127.0.0.1:9"), testSettings)
+	good := fileText(nodetest.KnownList("127.0.0.1:9"), testSettings)
 	_, reload := loadFile(t, good)
 	if _, err := reload(good); err != nil {
 		t.Fatalf("the same file again: %v", err)
@@ -105,7 +105,7 @@
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
 		})
-		known := knownList(server, server, server)
+		known := nodetest.KnownList(server, server, server)
 		c, reload := loadFile(t, fileText(known, testSettings))
 		changes := make(chan Change)
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
@@ -190,7 +190,7 @@
 func TestManyChangesInARow(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-		known := knownList(server)
+		known := nodetest.KnownList(server)
 		c, reload := loadFile(t, fileText(known, testSettings))
 		changes := make(chan Change)
 		node, stop := startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, changes)
--- a/internal/node/scope_test.go
+++ b/internal/node/scope_test.go
@@ -22,10 +22,6 @@
 	body   string
 }
 
-func whole(revision int, entries ...string) string {
-	return strings.Replace(delta(revision, entries...), `"complete":false`, `"complete":true`, 1)
-}
-
 // scopedWatch watches a list service that plays answers in turn, and then holds the calls.
 func scopedWatch(t *testing.T, scope string, answers ...scopedAnswer) (d *Client, told chan Update, calls chan *http.Request) {
 	t.Helper()
@@ -34,7 +30,7 @@
 	for _, a := range answers {
 		next <- a
 	}
-	c := testConfig(t, knownList("127.0.0.1:9"))
+	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	c.Scope = scope
 	c.Discovery = nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		calls <- r
@@ -88,7 +84,7 @@
 // answers' headers say.
 func TestCallsWithoutAScope(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, told, calls := scopedWatch(t, "", scopedAnswer{true, delta(8, entry("s9", "up"))})
+		_, told, calls := scopedWatch(t, "", scopedAnswer{true, nodetest.ListChange(8, nodetest.ListEntry("s9", "up"))})
 		first := nodetest.Receive(t, "a call", calls)
 		diff := cmp.Diff(http.Header{"User-Agent": {"Go-http-client/1.1"}}, first.Header)
 		if uri := first.URL.RequestURI(); uri != watchOf(7, "") || diff != "" {
@@ -102,8 +98,8 @@
 // With a scope the node begins with a whole list of it, and watches in it. A scope that changes is fetched whole.
 func TestCallsWithAScope(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		d, told, calls := scopedWatch(t, testScope, scopedAnswer{true, whole(30, entry("s1", "up"))},
-			scopedAnswer{true, delta(31, entry("s1", "draining"))}, scopedAnswer{true, delta(40)})
+		d, told, calls := scopedWatch(t, testScope, scopedAnswer{true, nodetest.FullList(30, nodetest.ListEntry("s1", "up"))},
+			scopedAnswer{true, nodetest.ListChange(31, nodetest.ListEntry("s1", "draining"))}, scopedAnswer{true, nodetest.ListChange(40)})
 		wantNews(t, told, policy.ListReplace, "s1")
 		wantNews(t, told, policy.ListUpdate, "s1")
 		wantCalls(t, calls, listURI+"?"+testScope, watchOf(30, "&"+testScope), watchOf(31, "&"+testScope), watchOf(40, "&"+testScope))
@@ -123,11 +119,11 @@
 // scope are not added to the whole list: the list of the scope is called for, and the other way round.
 func TestScopeHeededAndIgnored(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, told, calls := scopedWatch(t, testScope, scopedAnswer{false, whole(30, entry("s1", "up"), entry("s2", "up"))},
-			scopedAnswer{false, delta(31, entry("s3", "up"))},
-			scopedAnswer{true, delta(32, entry("s4", "up"))},
-			scopedAnswer{true, whole(32, entry("s1", "up"), entry("s4", "up"))},
-			scopedAnswer{false, delta(33, entry("s5", "up"))})
+		_, told, calls := scopedWatch(t, testScope, scopedAnswer{false, nodetest.FullList(30, nodetest.ListEntry("s1", "up"), nodetest.ListEntry("s2", "up"))},
+			scopedAnswer{false, nodetest.ListChange(31, nodetest.ListEntry("s3", "up"))},
+			scopedAnswer{true, nodetest.ListChange(32, nodetest.ListEntry("s4", "up"))},
+			scopedAnswer{true, nodetest.FullList(32, nodetest.ListEntry("s1", "up"), nodetest.ListEntry("s4", "up"))},
+			scopedAnswer{false, nodetest.ListChange(33, nodetest.ListEntry("s5", "up"))})
 		wantNews(t, told, policy.ListReplace, "s1", "s2")
 		wantNews(t, told, policy.ListUpdate, "s3")
 		wantNews(t, told, policy.ListReplace, "s1", "s4")
@@ -142,7 +138,7 @@
 // A refusal of the scope is told with its reason.
 func TestScopeRefused(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		c := testConfig(t, knownList("127.0.0.1:9"))
+		c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
 		c.Scope = testScope
 		c.Discovery = nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			http.Error(w, "service: unknown: a, b", http.StatusNotFound)
@@ -206,7 +202,7 @@
 
 // The section may come, change and go with a SIGHUP.
 func TestScopeIsReloaded(t *testing.T) {
-	plain := fileText(knownList("127.0.0.1:9"), testSettings)
+	plain := fileText(nodetest.KnownList("127.0.0.1:9"), testSettings)
 	with := strings.Replace(plain, `"seed"`, `"scope":{"services":["a"]},"seed"`, 1)
 	c, reload := loadFile(t, with)
 	if c.Scope != "service=a" {
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -25,7 +25,7 @@
 			fmt.Fprintf(w, "%s %s %s key=%s %s", r.Method, r.RequestURI, r.Header.Get("X-Request-Id"),
 				r.Header.Get("Idempotency-Key"), body)
 		})
-		node, _ := startNode(t, testConfig(t, knownList(addr)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		for _, c := range []struct{ method, class, body, want string }{
 			{"GET", "read", "", "GET /api/x?q=a%20b r-read key= "},
 			{"POST", "pay", "sum", "POST /api/x?q=a%20b r-pay key= sum"},
@@ -44,7 +44,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
-		node, _ := startNode(t, testConfig(t, knownList(addr)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		big := strings.Repeat("x", maxID+1)
 		for name, c := range map[string]struct {
 			method, class, body string
@@ -85,7 +85,7 @@
 func TestRefusalSaysWhenToComeBack(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-		node, _ := startNode(t, testConfig(t, knownList(addr)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		for i := range 20 {
 			resp, _ := do(t, clientRequest(t, node, "GET", "read", fmt.Sprint("r", i), "", "X-Tenant", "tiny"))
 			if resp.StatusCode == http.StatusOK {
@@ -110,7 +110,7 @@
 				reached.Add(1)
 			}
 		})
-		node, _ := startNode(t, testConfig(t, knownList(addr, addr)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr, addr)))
 		resp, _ := do(t, clientRequest(t, node, "POST", "pay", "r1", "sum"))
 		if s := resp.StatusCode; s < 400 || s == http.StatusTooManyRequests || s == http.StatusServiceUnavailable {
 			t.Errorf("status %d, want a failure that promises nothing", s)
@@ -160,7 +160,7 @@
 		hold := make(chan struct{})
 		defer close(hold)
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
-		node, _ := startNode(t, testConfig(t, knownList(addr)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		c := nodetest.Dial(t, node)
 		defer c.Close()
 		if err := clientRequest(t, node, "GET", "read", "r1", "").Write(c); err != nil {
@@ -181,7 +181,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
-		c := testConfig(t, knownList(addr))
+		c := testConfig(t, nodetest.KnownList(addr))
 		c.Sockets = leastSockets
 		node, _ := startNode(t, c)
 		side := (leastSockets - ownSockets) / 2
@@ -268,7 +268,7 @@
 				<-hold
 			}
 		})
-		node, stop := startNode(t, testConfig(t, knownList(addr)))
+		node, stop := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		slow := make(chan int, 1)
 		go func() {
 			resp, err := onceClient(t).Do(clientRequest(t, node, "GET", "read", "slow", ""))
@@ -309,7 +309,7 @@
 
 // brief configures a node whose clients wait 1.5 s at most.
 func brief(t *testing.T) Config {
-	c := testConfig(t, knownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
+	c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].LatencyObjective, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 1500*time.Millisecond
 	}
@@ -360,7 +360,7 @@
 func TestNoiseFromClients(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-		node, _ := startNode(t, testConfig(t, knownList(addr)))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		for _, noise := range []string{"", "\r\n\r\n", "\x00\x01\x02\r\n\r\n", "GET", "GET / HTTP/9.9\r\n\r\n",
 			"GET / HTTP/1.1\r\n\r\n", "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n",
 			"OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n", "CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n",
--- a/internal/node/socketqueue_test.go
+++ b/internal/node/socketqueue_test.go
@@ -66,7 +66,7 @@
 		t.Errorf("%d for servers beside 40 clients, want %d", got, s.least())
 	}
 	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
-	h := &handover{c: testConfig(t, knownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: newGate(nodetest.Listener(t), 1), share: 60}
+	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: newGate(nodetest.Listener(t), 1), share: 60}
 	for _, sharing := range []bool{true, false} {
 		h.s.sharing.Store(sharing)
 		h.resize()
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -82,19 +82,9 @@
 	return c
 }
 
-// knownList is a complete list of the servers at the addresses, named s0, s1 and so on.
-func knownList(addrs ...string) string {
-	var entries []string
-	for i, a := range addrs {
-		entries = append(entries, fmt.Sprintf(
-			`{"id":"s%d","host_port":%q,"locality":"a","flavor":"k","cell":1,"phase":"up","size":1,"up_since_ms":0}`, i, a))
-	}
-	return fmt.Sprintf(`{"revision":7,"complete":true,"members":[%s]}`, strings.Join(entries, ","))
-}
-
 func members(t *testing.T, addrs ...string) []Endpoint {
 	t.Helper()
-	l, err := ParseList([]byte(knownList(addrs...)))
+	l, err := ParseList([]byte(nodetest.KnownList(addrs...)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -19,7 +19,7 @@
 
 func testUpstream(t *testing.T, addrs ...string) *upstream {
 	t.Helper()
-	c := testConfig(t, knownList(addrs...))
+	c := testConfig(t, nodetest.KnownList(addrs...))
 	u := newUpstream(c, testSockets(200), newFigures(c.Settings.Classes))
 	u.update(Update{Kind: policy.ListCached, Endpoints: c.Known.Endpoints})
 	t.Cleanup(u.close)
