--- a/internal/node/calltimes.go
+++ b/internal/node/calltimes.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// maxNotificationDelay is how long after the list service had a change, and could be reached, that change counts as
+	// MaxNotificationDelay is how long after the list service had a change, and could be reached, that change counts as
 	// told, whatever became of the calls meanwhile. The settings may name less.
-	maxNotificationDelay = 6 * time.Second
+	MaxNotificationDelay = 6 * time.Second
 	// MaxQueueTime is the longest that the service keeps a call waiting for its turn; it turns away what would
 	// wait for longer.
 	MaxQueueTime = 2 * time.Second
@@ -31,7 +31,7 @@
 // away asks again. A watch that is answered within its wait costs the service next to nothing; a new one is
 // work. So the wait is short, and queueTime and more is left beyond it wherever that fits.
 func NewTimeouts(s policy.Settings) Timeouts {
-	within := maxNotificationDelay
+	within := MaxNotificationDelay
 	if ask := s.Rules.PollInterval; ask > 0 {
 		within = min(within, ask)
 	}
--- a/internal/node/discovery.go
+++ b/internal/node/discovery.go
@@ -155,8 +155,8 @@
 	ErrSilent     = errors.New("the call fell silent")
 )
 
-// fullListRevision stands for a revision of no list: the answer is then the list as a whole, at once.
-const fullListRevision = -1
+// FullListRevision stands for a revision of no list: the answer is then the list as a whole, at once.
+const FullListRevision = -1
 
 // listURLs are where the list is at each of the addresses, which commas part.
 func listURLs(addrs string) (all []string) {
@@ -166,7 +166,7 @@
 	return all
 }
 
-func newClient(c ClientConfig, notify func(Update)) *Client {
+func NewClient(c ClientConfig, notify func(Update)) *Client {
 	urls, scope := listURLs(c.Addresses), scope{query: c.Scope}
 	return &Client{
 		urls: urls, replica: int(c.Seed % uint64(len(urls))), cache: newListCache(c.CacheFile, c.Known),
@@ -206,7 +206,7 @@
 func (d *Client) applyTarget(to Target) {
 	if urls := listURLs(to.Addresses); !slices.Equal(urls, d.urls) || to.Scope != d.scope.query {
 		slog.Info("discovery: moved", "address", to.Addresses)
-		d.urls, d.replica, d.revision = urls, d.replica%len(urls), fullListRevision
+		d.urls, d.replica, d.revision = urls, d.replica%len(urls), FullListRevision
 		d.scope = scope{query: to.Scope}
 	}
 	d.subscribe, d.timeouts = to.Subscribe, to.Timeouts
@@ -320,7 +320,7 @@
 
 // callTimeout is how long the next call may take.
 func (d *Client) callTimeout() time.Duration {
-	if d.revision == fullListRevision {
+	if d.revision == FullListRevision {
 		return d.timeouts.FullList
 	}
 	return d.timeouts.Watch
@@ -329,7 +329,7 @@
 // fetch reads one answer.
 func (d *Client) fetch(ctx context.Context) (List, error) {
 	url := d.urls[d.replica]
-	if d.revision != fullListRevision {
+	if d.revision != FullListRevision {
 		url += fmt.Sprintf("?index=%d&wait=%d", d.revision, d.timeouts.Wait.Milliseconds())
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, d.scope.appendTo(url), nil)
@@ -360,7 +360,7 @@
 		return List{}, fmt.Errorf("revision %d after %d: a replica that lags", l.Revision, d.revision)
 	}
 	if err := d.scope.check(resp.Header, l.Complete); err != nil {
-		d.revision = fullListRevision
+		d.revision = FullListRevision
 		return List{}, err
 	}
 	return l, nil
--- a/internal/node/discovery_test.go
+++ b/internal/node/discovery_test.go
@@ -51,7 +51,7 @@
 	})
 	c := testClientConfig(t, addr)
 	c.Subscribe = subscribe
-	d = newClient(c, func(u Update) { told <- u })
+	d = NewClient(c, func(u Update) { told <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -19,7 +19,7 @@
 func runDiscovery(t *testing.T, c ClientConfig) (told chan Update, stop func()) {
 	t.Helper()
 	told = make(chan Update, 100)
-	d := newClient(c, func(u Update) { told <- u })
+	d := NewClient(c, func(u Update) { told <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
@@ -49,7 +49,7 @@
 	good, lags, best := replica(40, "a"), replica(30, "old"), replica(50, "b")
 	c := testClientConfig(t, "127.0.0.1:9,"+good+","+lags+","+best) // nobody is at the first
 	c.Seed = 0
-	d := newClient(c, func(Update) {})
+	d := NewClient(c, func(Update) {})
 	for _, want := range []string{"", "a", "", "b"} {
 		ctx, cancel := context.WithTimeout(context.Background(), nodetest.Timeout)
 		l, err := d.watch(ctx)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -137,7 +137,7 @@
 		requests: make(map[string]*request), members: make(map[string]Endpoint)}
 	l.target = c.discoveryTarget()
 	l.terms.Store(newTerms(c.Settings.Classes))
-	l.disc = newClient(c.discoveryConfig(), func(u Update) { l.send(u) })
+	l.disc = NewClient(c.discoveryConfig(), func(u Update) { l.send(u) })
 	return l, nil
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -26,7 +26,7 @@
 	ck := clock{start: time.Now()}
 	shared, held := new(sockets), c.Sockets
 	if at.heir != nil {
-		held, c.Known = at.heir.Sockets, List{Revision: fullListRevision, Endpoints: at.heir.endpoints()}
+		held, c.Known = at.heir.Sockets, List{Revision: FullListRevision, Endpoints: at.heir.endpoints()}
 	} else {
 		c.Known = RestoreList(c.ListFile, c.Known)
 	}
--- a/internal/node/scope_test.go
+++ b/internal/node/scope_test.go
@@ -43,7 +43,7 @@
 		}
 	}))
 	c.Scope = scope
-	d = newClient(c, func(u Update) { told <- u })
+	d = NewClient(c, func(u Update) { told <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
@@ -141,7 +141,7 @@
 			http.Error(w, "service: unknown: a, b", http.StatusNotFound)
 		}))
 		c.Scope = testScope
-		d := newClient(c, func(Update) {})
+		d := NewClient(c, func(Update) {})
 		defer d.http.CloseIdleConnections()
 		_, err := d.watch(context.Background())
 		if want := "answered 404 Not Found: service: unknown: a, b"; err == nil || err.Error() != want {
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -75,7 +75,7 @@
 	for range o.busy {
 		nodetest.Receive(t, "a call that is turned away", l.calls).serve <- turnAway
 	}
-	told := maxNotificationDelay
+	told := MaxNotificationDelay
 	if o.within > 0 {
 		told = min(told, o.within)
 	}
