--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -15,6 +15,7 @@
 
 	gossip "sloerail/internal/membership"
 	"sloerail/internal/node/decode"
+	"sloerail/internal/node/discovery"
 	"sloerail/internal/simwire"
 	"sloerail/policy"
 )
@@ -31,7 +32,7 @@
 	Cores     float64
 	MemoryMB  int64
 	Sockets   int
-	Known     List // the servers as this node last had them, perhaps stale
+	Known     discovery.List // the servers as this node last had them, perhaps stale
 	Settings  policy.Settings
 	Scope     string         // what the section "scope" adds to calls for the list; empty for the whole list
 	Fleet     *gossip.Config // this node's part in a fleet; nil for none
@@ -55,12 +56,14 @@
 }
 
 // discoveryTarget is what the configuration says of the list service.
-func (c Config) discoveryTarget() Target { return NewTarget(c.Discovery, c.Scope, c.Settings) }
+func (c Config) discoveryTarget() discovery.Target {
+	return discovery.NewTarget(c.Discovery, c.Scope, c.Settings)
+}
 
 // discoveryConfig is that of the client of the list service.
-func (c Config) discoveryConfig() ClientConfig {
-	return ClientConfig{Target: c.discoveryTarget(), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
-		Dial: c.dialer(MaxQueueTime)}
+func (c Config) discoveryConfig() discovery.ClientConfig {
+	return discovery.ClientConfig{Target: c.discoveryTarget(), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
+		Dial: c.dialer(discovery.MaxQueueTime)}
 }
 
 // leastSockets is what a node can work with at all: a few for itself, and some for each side.
@@ -168,7 +171,7 @@
 			return Config{}, fmt.Errorf("%s: missing", name)
 		}
 	}
-	if c.Known, err = ParseList(f.Known); err != nil {
+	if c.Known, err = discovery.ParseList(f.Known); err != nil {
 		return Config{}, fmt.Errorf("known: %w", err)
 	}
 	if c.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
@@ -187,7 +190,7 @@
 		return Config{}, err
 	}
 	if len(f.Scope) > 0 {
-		if c.Scope, err = ParseScope(f.Scope, c.Settings); err != nil {
+		if c.Scope, err = discovery.ParseScope(f.Scope, c.Settings); err != nil {
 			return Config{}, err
 		}
 	}
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -12,6 +12,7 @@
 	"net"
 	"net/http"
 	"os"
+	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 	"strconv"
@@ -637,11 +638,11 @@
 			c := newTestClient(t, serveAt(t, newServer(l)))
 			c.send("POST", "pay", "r1", "sum")
 			nodetest.Receive(t, "the dialling", dials)
-			list, err := ParseList([]byte(nodetest.ListChange(8, fmt.Sprintf(`{"id":"s0","host_port":%q,%s}`, first, change), listed("s1", second, "up"))))
+			list, err := discovery.ParseList([]byte(nodetest.ListChange(8, fmt.Sprintf(`{"id":"s0","host_port":%q,%s}`, first, change), listed("s1", second, "up"))))
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.send(Update{Kind: policy.ListUpdate, Endpoints: list.Endpoints})
+			l.send(discovery.Update{Kind: policy.ListUpdate, Endpoints: list.Endpoints})
 			if _, ok := ask(l, func(reply chan<- time.Duration) any { return tailAsked{reply} }); !ok { // the list is in
 				t.Fatal("the loop has ended")
 			}
@@ -674,7 +675,7 @@
 	}
 	leaving := members(t, addr)
 	leaving[0].Availability = policy.Draining
-	u.update(Update{Kind: policy.ListUpdate, Endpoints: leaving})
+	u.update(discovery.Update{Kind: policy.ListUpdate, Endpoints: leaving})
 	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.code != policy.ConnectFailed {
 		t.Errorf("code %v, want %v: it never ran", r.code, policy.ConnectFailed)
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -19,6 +19,7 @@
 
 	"golang.org/x/sys/unix"
 
+	"sloerail/internal/node/discovery"
 	"sloerail/policy"
 )
 
@@ -64,25 +65,25 @@
 	UpSince      int64               `json:"UpSince"`
 }
 
-func newEndpointState(e Endpoint) endpointState {
+func newEndpointState(e discovery.Endpoint) endpointState {
 	return endpointState{Server: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight,
 		OnlineSince: e.StartedAt, Availability: e.Availability, Addr: e.Address, UpSince: e.StartedAtMillis}
 }
 
-func (s endpointState) endpoint() Endpoint {
-	return Endpoint{Address: s.Addr, StartedAtMillis: s.UpSince, Endpoint: policy.Endpoint{ID: s.Server, Zone: s.Zone,
+func (s endpointState) endpoint() discovery.Endpoint {
+	return discovery.Endpoint{Address: s.Addr, StartedAtMillis: s.UpSince, Endpoint: policy.Endpoint{ID: s.Server, Zone: s.Zone,
 		Kind: s.Kind, Cell: s.Cell, Weight: s.Weight, StartedAt: s.OnlineSince, Availability: s.Availability}}
 }
 
 // setEndpoints puts the endpoint list into the state.
-func (in *inheritance) setEndpoints(endpoints iter.Seq[Endpoint]) {
+func (in *inheritance) setEndpoints(endpoints iter.Seq[discovery.Endpoint]) {
 	for e := range endpoints {
 		in.Members = append(in.Members, newEndpointState(e))
 	}
 }
 
 // endpoints is the endpoint list of the state.
-func (in *inheritance) endpoints() (all []Endpoint) {
+func (in *inheritance) endpoints() (all []discovery.Endpoint) {
 	for _, s := range in.Members {
 		all = append(all, s.endpoint())
 	}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -7,6 +7,7 @@
 	"sync/atomic"
 	"time"
 
+	"sloerail/internal/node/discovery"
 	"sloerail/policy"
 )
 
@@ -44,7 +45,7 @@
 // to seen, unless that is nil, by the goroutine that took it.
 func NewHollow(c Config, seen func(policy.EndpointList)) (*Hollow, error) {
 	h := &Hollow{config: c, traffic: new(traffic)}
-	dial := c.dialer(MaxQueueTime)
+	dial := c.dialer(discovery.MaxQueueTime)
 	c.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
@@ -98,12 +99,12 @@
 
 // Restore takes the list of the configuration, as a node does at its start.
 func (h *Hollow) Restore() {
-	h.loop.handle(Update{Kind: policy.ListCached, Endpoints: h.config.Known.Endpoints})
+	h.loop.handle(discovery.Update{Kind: policy.ListCached, Endpoints: h.config.Known.Endpoints})
 }
 
 // TakeList reads an answer of the list service and takes it.
 func (h *Hollow) TakeList(answer []byte) error {
-	l, err := ParseList(answer)
+	l, err := discovery.ParseList(answer)
 	if err != nil {
 		return err
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"sloerail/internal/node/discovery"
 	"sloerail/policy"
 )
 
@@ -65,12 +66,12 @@
 	clock   clock
 	module  module
 	allowed policy.Allowed
-	target  Target // discovery as last configured
+	target  discovery.Target // discovery as last configured
 	terms   atomic.Pointer[terms]
 	maxOpen int
 	up      *upstream
 	fig     *figures
-	disc    *Client
+	disc    *discovery.Client
 
 	events   chan any
 	done     chan struct{} // closed when the loop has ended
@@ -79,8 +80,8 @@
 	owed     int  // requests without their answer
 	finished bool // there is no time left for any
 	timers   timers
-	members  map[string]Endpoint // the list as last told
-	skipped  []policy.Outcome    // of attempts that were not made; told once all actions are done
+	members  map[string]discovery.Endpoint // the list as last told
+	skipped  []policy.Outcome              // of attempts that were not made; told once all actions are done
 	attempts sync.WaitGroup
 }
 
@@ -134,10 +135,10 @@
 	}
 	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, fig: fig,
 		events: make(chan any, eventBuffer), done: make(chan struct{}), ready: make(chan struct{}),
-		requests: make(map[string]*request), members: make(map[string]Endpoint)}
+		requests: make(map[string]*request), members: make(map[string]discovery.Endpoint)}
 	l.target = c.discoveryTarget()
 	l.terms.Store(newTerms(c.Settings.Classes))
-	l.disc = NewClient(c.discoveryConfig(), func(u Update) { l.send(u) })
+	l.disc = discovery.NewClient(c.discoveryConfig(), func(u discovery.Update) { l.send(u) })
 	return l, nil
 }
 
@@ -169,11 +170,11 @@
 
 // run handles events until ctx ends; then it calls off what is out and waits for it. The list as last
 // held comes before all else, as the module expects, and then what another process left.
-func (l *loop) run(ctx context.Context, known []Endpoint, left *inheritance) {
+func (l *loop) run(ctx context.Context, known []discovery.Endpoint, left *inheritance) {
 	defer l.attempts.Wait()
 	defer l.callOff()
 	defer close(l.done)
-	l.handle(Update{Kind: policy.ListCached, Endpoints: known})
+	l.handle(discovery.Update{Kind: policy.ListCached, Endpoints: known})
 	if left != nil {
 		l.module.Restore(l.clock.now(), left.Knowledge)
 		l.module.SetSiblingInFlight(left.Out)
@@ -249,7 +250,7 @@
 		}
 	case ending:
 		l.end(e)
-	case Update:
+	case discovery.Update:
 		l.listed(e)
 	case retuned:
 		l.retune(e.Config)
@@ -391,7 +392,7 @@
 	l.drop(e.r)
 }
 
-func (l *loop) listed(n Update) {
+func (l *loop) listed(n discovery.Update) {
 	if n.Kind != policy.ListUnavailable {
 		l.up.update(n)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -8,6 +8,7 @@
 	"sync"
 	"time"
 
+	"sloerail/internal/node/discovery"
 	"sloerail/policy"
 )
 
@@ -26,9 +27,9 @@
 	ck := clock{start: time.Now()}
 	shared, held := new(sockets), c.Sockets
 	if at.heir != nil {
-		held, c.Known = at.heir.Sockets, List{Revision: FullListRevision, Endpoints: at.heir.endpoints()}
+		held, c.Known = at.heir.Sockets, discovery.List{Revision: discovery.FullListRevision, Endpoints: at.heir.endpoints()}
 	} else {
-		c.Known = RestoreList(c.ListFile, c.Known)
+		c.Known = discovery.RestoreList(c.ListFile, c.Known)
 	}
 	limitMemory(c, 1)
 	fig := newFigures(c.Settings.Classes)
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
@@ -82,9 +83,9 @@
 	return c
 }
 
-func members(t *testing.T, addrs ...string) []Endpoint {
+func members(t *testing.T, addrs ...string) []discovery.Endpoint {
 	t.Helper()
-	l, err := ParseList([]byte(nodetest.KnownList(addrs...)))
+	l, err := discovery.ParseList([]byte(nodetest.KnownList(addrs...)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"sloerail/internal/node/nodetest"
+
+	"sloerail/internal/node/discovery"
 )
 
 // The ways in which a call to the list service ends without a list.
@@ -75,7 +77,7 @@
 	for range o.busy {
 		nodetest.Receive(t, "a call that is turned away", l.calls).serve <- turnAway
 	}
-	told := MaxNotificationDelay
+	told := discovery.MaxNotificationDelay
 	if o.within > 0 {
 		told = min(told, o.within)
 	}
@@ -114,7 +116,7 @@
 		"reset":              {fails: resetCall, calls: 5, busy: 2},
 		"turned away":        {fails: turnAway, calls: 5, busy: 2},
 		"silent":             {fails: staySilent, calls: 2, busy: 2},
-		"silent, then busy":  {fails: staySilent, calls: 2, busy: 1, queued: MaxQueueTime},
+		"silent, then busy":  {fails: staySilent, calls: 2, busy: 1, queued: discovery.MaxQueueTime},
 		"half answered":      {fails: answerHalf, calls: 2, busy: 2},
 		"silent, bound 2 s":  {fails: staySilent, calls: 2, busy: 1, within: 2 * time.Second},
 		"refused, bound 2 s": {calls: 5, busy: 1, within: 2 * time.Second},
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -20,6 +20,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"golang.org/x/sys/unix"
 
+	"sloerail/internal/node/discovery"
 	"sloerail/policy"
 )
 
@@ -144,7 +145,7 @@
 
 // update follows the list. A server that moved or started anew gets a new pool: what was open to its
 // former process is of no use.
-func (u *upstream) update(n Update) {
+func (u *upstream) update(n discovery.Update) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := make(map[string]bool, len(n.Endpoints))
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
@@ -21,7 +22,7 @@
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList(addrs...))
 	u := newUpstream(c, testSockets(200), newFigures(c.Settings.Classes))
-	u.update(Update{Kind: policy.ListCached, Endpoints: c.Known.Endpoints})
+	u.update(discovery.Update{Kind: policy.ListCached, Endpoints: c.Known.Endpoints})
 	t.Cleanup(u.close)
 	return u
 }
@@ -304,14 +305,14 @@
 	restarted.StartedAtMillis = 5
 	removed.Availability = policy.Removed
 	for name, c := range map[string]struct {
-		n    Update
+		n    discovery.Update
 		want int
 	}{
-		"same":      {Update{Kind: policy.ListUpdate, Endpoints: []Endpoint{base}}, 1},
-		"restarted": {Update{Kind: policy.ListUpdate, Endpoints: []Endpoint{restarted}}, 0},
-		"removed":   {Update{Kind: policy.ListUpdate, Endpoints: []Endpoint{removed}}, 0},
-		"no news":   {Update{Kind: policy.ListUpdate}, 1},
-		"missing":   {Update{Kind: policy.ListReplace}, 0},
+		"same":      {discovery.Update{Kind: policy.ListUpdate, Endpoints: []discovery.Endpoint{base}}, 1},
+		"restarted": {discovery.Update{Kind: policy.ListUpdate, Endpoints: []discovery.Endpoint{restarted}}, 0},
+		"removed":   {discovery.Update{Kind: policy.ListUpdate, Endpoints: []discovery.Endpoint{removed}}, 0},
+		"no news":   {discovery.Update{Kind: policy.ListUpdate}, 1},
+		"missing":   {discovery.Update{Kind: policy.ListReplace}, 0},
 	} {
 		u := testUpstream(t, addr)
 		ended(t, u, testExchange(http.MethodGet, "r1", ""))
