--- a/internal/node/discovery/cache.go
+++ b/internal/node/discovery/cache.go
@@ -32,12 +32,12 @@
 
 // listCache writes the list to its file. Only discovery's goroutine uses it.
 type listCache struct {
-	path      string
-	endpoints map[string]Endpoint
-	revision  int64
-	savedAt   time.Time
-	dirty     bool
-	failing   bool
+	path        string
+	endpoints   map[string]Endpoint
+	revision    int64
+	savedAt     time.Time
+	dirty       bool
+	writeFailed bool
 }
 
 // newListCache is for the file at path; nil for none.
@@ -73,17 +73,17 @@
 	}
 	k.savedAt = now
 	err := renameio.WriteFile(k.path, k.encode(now), 0o600)
-	if k.dirty = err != nil; err != nil && !k.failing {
+	if k.dirty = err != nil; err != nil && !k.writeFailed {
 		slog.Warn("discovery: the list can't be kept", "file", k.path, "err", err)
 	}
-	k.failing = err != nil
+	k.writeFailed = err != nil
 }
 
 // encode writes the file.
 func (k *listCache) encode(now time.Time) []byte {
-	form := listForm{Revision: &k.revision, Complete: true, SavedMs: now.UnixMilli(), Members: []entryForm{}}
+	form := listForm{Revision: &k.revision, Complete: true, SavedAtMillis: now.UnixMilli(), Endpoints: []entryForm{}}
 	for _, id := range slices.Sorted(maps.Keys(k.endpoints)) {
-		form.Members = append(form.Members, k.endpoints[id].form())
+		form.Endpoints = append(form.Endpoints, k.endpoints[id].wire())
 	}
 	raw, err := json.Marshal(form)
 	if err != nil { // plain fields always can be written
--- a/internal/node/discovery/cache_test.go
+++ b/internal/node/discovery/cache_test.go
@@ -15,8 +15,8 @@
 	"sloerail/policy"
 )
 
-// runDiscovery runs discovery by a configuration until the test ends, or stop is called.
-func runDiscovery(t *testing.T, c ClientConfig) (told chan Update, stop func()) {
+// runClient runs discovery by a configuration until the test ends, or stop is called.
+func runClient(t *testing.T, c ClientConfig) (told chan Update, stop func()) {
 	t.Helper()
 	told = make(chan Update, 100)
 	d := NewClient(c, func(u Update) { told <- u })
@@ -63,7 +63,7 @@
 		} else {
 			d.Apply(l)
 		}
-		d.replica = (d.replica + 1) % len(d.urls)
+		d.replica = (d.replica + 1) % len(d.addresses)
 	}
 }
 
@@ -81,7 +81,7 @@
 		}
 	}))
 	c.CacheFile = filepath.Join(t.TempDir(), "list")
-	told, stop := runDiscovery(t, c)
+	told, stop := runClient(t, c)
 	nodetest.Receive(t, "the first change", told)
 	nodetest.Receive(t, "the second", told)
 	// Both came within a second, and the watch goes on: the second is kept all the same, with no end of the node.
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -46,30 +46,30 @@
 // listForm and entryForm are discovery's form.
 type (
 	listForm struct {
-		Revision *int64      `json:"revision"`
-		Complete bool        `json:"complete"`
-		SavedMs  int64       `json:"saved_ms,omitempty"` // of a kept list
-		Members  []entryForm `json:"members"`
+		Revision      *int64      `json:"revision"`
+		Complete      bool        `json:"complete"`
+		SavedAtMillis int64       `json:"saved_ms,omitempty"` // of a kept list
+		Endpoints     []entryForm `json:"members"`
 	}
 	entryForm struct {
-		ID       string   `json:"id"`
-		HostPort string   `json:"host_port"`
-		Locality string   `json:"locality"`
-		Flavor   string   `json:"flavor"`
-		Cell     int64    `json:"cell"`
-		Phase    string   `json:"phase"`
-		Size     *float64 `json:"size"`
-		UpSince  float64  `json:"up_since_ms"`
+		ID              string   `json:"id"`
+		Address         string   `json:"host_port"`
+		Zone            string   `json:"locality"`
+		Kind            string   `json:"flavor"`
+		Cell            int64    `json:"cell"`
+		State           string   `json:"phase"`
+		Weight          *float64 `json:"size"`
+		StartedAtMillis float64  `json:"up_since_ms"`
 	}
 )
 
-// form is m as discovery writes it.
-func (m Endpoint) form() entryForm {
-	f := entryForm{ID: m.ID, HostPort: m.Address, Locality: m.Zone, Flavor: m.Kind, Cell: m.Cell, Size: &m.Weight,
-		UpSince: float64(m.StartedAtMillis)}
+// wire is m as discovery writes it.
+func (m Endpoint) wire() entryForm {
+	f := entryForm{ID: m.ID, Address: m.Address, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell, Weight: &m.Weight,
+		StartedAtMillis: float64(m.StartedAtMillis)}
 	for word, phase := range phaseAvailability {
 		if phase == m.Availability {
-			f.Phase = word
+			f.State = word
 		}
 	}
 	return f
@@ -86,25 +86,25 @@
 		return List{}, errors.New("revision: missing")
 	}
 	l := List{Revision: *f.Revision, Complete: f.Complete}
-	for i, e := range f.Members {
-		phase, ok := phaseAvailability[e.Phase]
+	for i, e := range f.Endpoints {
+		phase, ok := phaseAvailability[e.State]
 		switch {
 		case e.ID == "":
 			return List{}, fmt.Errorf("members[%d].id: missing", i)
 		case !ok:
-			return List{}, fmt.Errorf("members[%d].phase: unknown word %q", i, e.Phase)
-		case !(e.UpSince >= 0 && e.UpSince < 1<<53):
+			return List{}, fmt.Errorf("members[%d].phase: unknown word %q", i, e.State)
+		case !(e.StartedAtMillis >= 0 && e.StartedAtMillis < 1<<53):
 			return List{}, fmt.Errorf("members[%d].up_since_ms: out of range", i)
 		}
 		if phase != policy.Removed {
-			if err := decode.CheckAddress(e.HostPort); err != nil {
+			if err := decode.CheckAddress(e.Address); err != nil {
 				return List{}, fmt.Errorf("members[%d].host_port: %w", i, err)
 			}
 		}
-		m := Endpoint{Address: e.HostPort, StartedAtMillis: int64(e.UpSince), Endpoint: policy.Endpoint{ID: e.ID,
-			Zone: e.Locality, Kind: e.Flavor, Cell: e.Cell, Weight: 1, Availability: phase}}
-		if e.Size != nil {
-			m.Weight = *e.Size
+		m := Endpoint{Address: e.Address, StartedAtMillis: int64(e.StartedAtMillis), Endpoint: policy.Endpoint{ID: e.ID,
+			Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: 1, Availability: phase}}
+		if e.Weight != nil {
+			m.Weight = *e.Weight
 		}
 		l.Endpoints = append(l.Endpoints, m)
 	}
@@ -119,7 +119,7 @@
 
 // Client watches the list of servers from a connection of its own.
 type Client struct {
-	urls          []string // of the service's replicas; one is called at a time
+	addresses     []string // of the service's replicas; one is called at a time
 	replica       int
 	http          *http.Client
 	cache         *listCache // nil for none
@@ -129,7 +129,7 @@
 	revision      int64
 	watchRequests chan bool   // the module's newest wish to be kept told
 	retargets     chan Target // the newest, where the configuration names another
-	rng           *rand.Rand  // spreads calls after failures among nodes
+	jitter        *rand.Rand  // spreads calls after failures among nodes
 	notify        func(Update)
 }
 
@@ -155,8 +155,8 @@
 	ErrSilent     = errors.New("the call fell silent")
 )
 
-// FullListRevision stands for a revision of no list: the answer is then the list as a whole, at once.
-const FullListRevision = -1
+// UnknownRevision stands for a revision of no list: the answer is then the list as a whole, at once.
+const UnknownRevision = -1
 
 // listURLs are where the list is at each of the addresses, which commas part.
 func listURLs(addrs string) (all []string) {
@@ -169,9 +169,9 @@
 func NewClient(c ClientConfig, notify func(Update)) *Client {
 	urls, scope := listURLs(c.Addresses), scope{query: c.Scope}
 	return &Client{
-		urls: urls, replica: int(c.Seed % uint64(len(urls))), cache: newListCache(c.CacheFile, c.Known),
+		addresses: urls, replica: int(c.Seed % uint64(len(urls))), cache: newListCache(c.CacheFile, c.Known),
 		subscribe: c.Subscribe, timeouts: c.Timeouts, scope: scope, revision: scope.firstRevision(c.Known.Revision),
-		rng: rand.New(rand.NewPCG(c.Seed, 0xd1)), watchRequests: make(chan bool, 1),
+		jitter: rand.New(rand.NewPCG(c.Seed, 0xd1)), watchRequests: make(chan bool, 1),
 		retargets: make(chan Target, 1), notify: notify,
 		http: &http.Client{
 			// A Transport of its own, so neither a proxy nor the requests share its connection.
@@ -194,22 +194,22 @@
 
 // Retarget names another address for discovery, which takes the place of one not yet heard. One goroutine
 // calls it, and it never blocks.
-func (d *Client) Retarget(to Target) {
+func (d *Client) Retarget(target Target) {
 	select {
 	case <-d.retargets:
 	default:
 	}
-	d.retargets <- to
+	d.retargets <- target
 }
 
 // applyTarget leaves the old address. Its revisions need not be the new one's, so the whole list is fetched.
-func (d *Client) applyTarget(to Target) {
-	if urls := listURLs(to.Addresses); !slices.Equal(urls, d.urls) || to.Scope != d.scope.query {
-		slog.Info("discovery: moved", "address", to.Addresses)
-		d.urls, d.replica, d.revision = urls, d.replica%len(urls), FullListRevision
-		d.scope = scope{query: to.Scope}
+func (d *Client) applyTarget(target Target) {
+	if urls := listURLs(target.Addresses); !slices.Equal(urls, d.addresses) || target.Scope != d.scope.query {
+		slog.Info("discovery: moved", "address", target.Addresses)
+		d.addresses, d.replica, d.revision = urls, d.replica%len(urls), UnknownRevision
+		d.scope = scope{query: target.Scope}
 	}
-	d.subscribe, d.timeouts = to.Subscribe, to.Timeouts
+	d.subscribe, d.timeouts = target.Subscribe, target.Timeouts
 	d.http.CloseIdleConnections()
 }
 
@@ -222,14 +222,14 @@
 	watching, backoff := !d.subscribe, time.Duration(0)
 	for ctx.Err() == nil {
 		if d.subscribe {
-			watching = d.awaitWatchRequest(ctx, watching)
+			watching = d.nextWatchState(ctx, watching)
 		}
 		if !watching {
 			continue
 		}
-		l, err := d.watchUntilRetargeted(ctx)
+		list, err := d.watchOrRetarget(ctx)
 		if err != nil && !errors.Is(err, ErrRetargeted) { // the next replica may be there
-			d.replica = (d.replica + 1) % len(d.urls)
+			d.replica = (d.replica + 1) % len(d.addresses)
 		}
 		switch {
 		case ctx.Err() != nil:
@@ -238,7 +238,7 @@
 			backoff = 0
 		case err == nil:
 			backoff = 0
-			d.Apply(l)
+			d.Apply(list)
 		case errors.Is(err, ErrSilent): // the clock of what it missed runs: it is opened anew at once
 			slog.Warn("discovery: a call fell silent", "for", d.callTimeout())
 		case d.subscribe: // the module says when to try again
@@ -250,13 +250,13 @@
 				slog.Warn("discovery: out of reach, keeping the last list", "err", err)
 			}
 			backoff = nextBackoff(backoff)
-			sleep(ctx, time.Duration((0.5+0.5*d.rng.Float64())*float64(backoff)))
+			sleep(ctx, time.Duration((0.5+0.5*d.jitter.Float64())*float64(backoff)))
 		}
 	}
 }
 
-// awaitWatchRequest takes the module's newest wish; it waits for one only while there is nothing to watch.
-func (d *Client) awaitWatchRequest(ctx context.Context, watching bool) bool {
+// nextWatchState takes the module's newest wish; it waits for one only while there is nothing to watch.
+func (d *Client) nextWatchState(ctx context.Context, watching bool) bool {
 	if watching {
 		select {
 		case on := <-d.watchRequests:
@@ -276,8 +276,8 @@
 	}
 }
 
-// watchUntilRetargeted watches once, and hangs up when discovery moves meanwhile.
-func (d *Client) watchUntilRetargeted(ctx context.Context) (List, error) {
+// watchOrRetarget watches once, and hangs up when discovery moves meanwhile.
+func (d *Client) watchOrRetarget(ctx context.Context) (List, error) {
 	ctx, hangUp := context.WithCancel(ctx)
 	defer hangUp()
 	var l List
@@ -320,7 +320,7 @@
 
 // callTimeout is how long the next call may take.
 func (d *Client) callTimeout() time.Duration {
-	if d.revision == FullListRevision {
+	if d.revision == UnknownRevision {
 		return d.timeouts.FullList
 	}
 	return d.timeouts.Watch
@@ -328,8 +328,8 @@
 
 // fetch reads one answer.
 func (d *Client) fetch(ctx context.Context) (List, error) {
-	url := d.urls[d.replica]
-	if d.revision != FullListRevision {
+	url := d.addresses[d.replica]
+	if d.revision != UnknownRevision {
 		url += fmt.Sprintf("?index=%d&wait=%d", d.revision, d.timeouts.Wait.Milliseconds())
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, d.scope.appendTo(url), nil)
@@ -360,7 +360,7 @@
 		return List{}, fmt.Errorf("revision %d after %d: a replica that lags", l.Revision, d.revision)
 	}
 	if err := d.scope.check(resp.Header, l.Complete); err != nil {
-		d.revision = FullListRevision
+		d.revision = UnknownRevision
 		return List{}, err
 	}
 	return l, nil
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -28,9 +28,9 @@
 	return ClientConfig{Target: NewTarget(addresses, "", policy.Settings{}), Known: known, Seed: 0x1f, Dial: dial}
 }
 
-// watched plays answers to the calls in turn, then holds the rest, and returns what discovery told
+// startWatch plays answers to the calls in turn, then holds the rest, and returns what discovery told
 // and the queries that it made. An answer that is no JSON object is sent with status 503.
-func watched(t *testing.T, subscribe bool, answers ...string) (d *Client, told chan Update, queries chan string) {
+func startWatch(t *testing.T, subscribe bool, answers ...string) (d *Client, told chan Update, queries chan string) {
 	t.Helper()
 	queries, told = make(chan string, 100), make(chan Update, 100)
 	calls := make(chan string, len(answers))
@@ -59,7 +59,7 @@
 	return d, told, queries
 }
 
-func indexes(t *testing.T, queries chan string, want ...string) {
+func wantRevisions(t *testing.T, queries chan string, want ...string) {
 	t.Helper()
 	for i, w := range want {
 		if got := nodetest.Receive(t, "a call", queries); got != w {
@@ -70,7 +70,7 @@
 
 func TestDeltasComeInOrder(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, told, queries := watched(t, false, nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(9), nodetest.ListChange(10, nodetest.ListEntry("s1", "draining")),
+		_, told, queries := startWatch(t, false, nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(9), nodetest.ListChange(10, nodetest.ListEntry("s1", "draining")),
 			`{"revision":11,"complete":true,"members":[`+nodetest.ListEntry("s2", "up")+`]}`)
 		for i, want := range []struct {
 			kind   policy.ListKind
@@ -84,19 +84,19 @@
 				t.Errorf("news %d: %+v", i, n)
 			}
 		}
-		indexes(t, queries, "7", "8", "9", "10", "11")
+		wantRevisions(t, queries, "7", "8", "9", "10", "11")
 	})
 }
 
 // A pushed list that can't be had, or read, leaves the last one in force, and says nothing.
 func TestFailuresKeepTheLastList(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, told, queries := watched(t, false, "down", `{"revision":`, nodetest.ListChange(9, nodetest.ListEntry("s1", "odd")), `{"members":[]}`,
+		_, told, queries := startWatch(t, false, "down", `{"revision":`, nodetest.ListChange(9, nodetest.ListEntry("s1", "odd")), `{"members":[]}`,
 			nodetest.ListChange(8, nodetest.ListEntry("s1", "up")))
 		if n := nodetest.Receive(t, "news", told); n.Kind != policy.ListUpdate || n.Endpoints[0].ID != "s1" {
 			t.Errorf("news %+v", n)
 		}
-		indexes(t, queries, "7", "7", "7", "7", "7", "8")
+		wantRevisions(t, queries, "7", "7", "7", "7", "7", "8")
 		if len(told) != 0 {
 			t.Errorf("told also %+v", <-told)
 		}
@@ -106,12 +106,12 @@
 // Where lists are asked for, the module says when, and hears of each failure once.
 func TestAskedListsTellFailures(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		d, told, queries := watched(t, true, "down", nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(8))
+		d, told, queries := startWatch(t, true, "down", nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(8))
 		d.SetWatching(true)
 		if n := nodetest.Receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
 			t.Errorf("news %+v", n)
 		}
-		indexes(t, queries, "7")
+		wantRevisions(t, queries, "7")
 		if len(queries) != 0 {
 			t.Error("called again before the module asked")
 		}
@@ -119,7 +119,7 @@
 		if n := nodetest.Receive(t, "the change", told); n.Kind != policy.ListUpdate || len(n.Endpoints) != 1 {
 			t.Errorf("news %+v", n)
 		}
-		indexes(t, queries, "7", "8", "8")
+		wantRevisions(t, queries, "7", "8", "8")
 	})
 }
 
@@ -157,13 +157,13 @@
 // whose revisions may be others, and watches there.
 func TestDiscoveryMoves(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		times := NewTimeouts(policy.Settings{})
+		times := newTimeouts(policy.Settings{})
 		for _, subscribe := range []bool{false, true} {
-			d, told, queries := watched(t, subscribe)
+			d, told, queries := startWatch(t, subscribe)
 			if subscribe {
 				d.SetWatching(true)
 			}
-			indexes(t, queries, "7")
+			wantRevisions(t, queries, "7")
 			moved := make(chan string, 100)
 			d.Retarget(Target{nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 				moved <- r.URL.RawQuery
@@ -191,7 +191,7 @@
 // A move is followed at once also while the module waits before it asks a failed discovery again.
 func TestDiscoveryMovesAfterAFailure(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		d, told, _ := watched(t, true, "down")
+		d, told, _ := startWatch(t, true, "down")
 		d.SetWatching(true)
 		if n := nodetest.Receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
 			t.Fatalf("news %+v", n)
@@ -201,7 +201,7 @@
 				<-r.Context().Done()
 			}
 			_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+nodetest.ListEntry("s9", "up")+`]}`)
-		}), true, NewTimeouts(policy.Settings{}), ""})
+		}), true, newTimeouts(policy.Settings{}), ""})
 		if n := nodetest.Receive(t, "the list", told); n.Kind != policy.ListReplace {
 			t.Errorf("news %+v", n)
 		}
--- a/internal/node/discovery/scope.go
+++ b/internal/node/discovery/scope.go
@@ -117,7 +117,7 @@
 	if s.query == "" {
 		return known
 	}
-	return FullListRevision
+	return UnknownRevision
 }
 
 // statusError is a call that was not answered with a list. Where a scope was named, the reason is in the answer's line.
--- a/internal/node/discovery/scope_test.go
+++ b/internal/node/discovery/scope_test.go
@@ -22,8 +22,8 @@
 	body   string
 }
 
-// scopedWatch watches a list service that plays answers in turn, and then holds the calls.
-func scopedWatch(t *testing.T, scope string, answers ...scopedAnswer) (d *Client, told chan Update, calls chan *http.Request) {
+// startScopedWatch watches a list service that plays answers in turn, and then holds the calls.
+func startScopedWatch(t *testing.T, scope string, answers ...scopedAnswer) (d *Client, told chan Update, calls chan *http.Request) {
 	t.Helper()
 	told, calls = make(chan Update, 100), make(chan *http.Request, 100)
 	next := make(chan scopedAnswer, len(answers))
@@ -60,7 +60,7 @@
 	}
 }
 
-func wantNews(t *testing.T, told chan Update, kind policy.ListKind, ids ...string) {
+func wantUpdate(t *testing.T, told chan Update, kind policy.ListKind, ids ...string) {
 	t.Helper()
 	n := nodetest.Receive(t, "the news", told)
 	var got []string
@@ -76,20 +76,20 @@
 
 // watchOf is the URI of a watch from a revision on.
 func watchOf(revision int, scope string) string {
-	return fmt.Sprintf("%s?index=%d&wait=%d%s", listURI, revision, NewTimeouts(policy.Settings{}).Wait.Milliseconds(), scope)
+	return fmt.Sprintf("%s?index=%d&wait=%d%s", listURI, revision, newTimeouts(policy.Settings{}).Wait.Milliseconds(), scope)
 }
 
 // Without the section, calls for the list are what they were before there was one, byte for byte, whatever the
 // answers' headers say.
 func TestCallsWithoutAScope(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, told, calls := scopedWatch(t, "", scopedAnswer{true, nodetest.ListChange(8, nodetest.ListEntry("s9", "up"))})
+		_, told, calls := startScopedWatch(t, "", scopedAnswer{true, nodetest.ListChange(8, nodetest.ListEntry("s9", "up"))})
 		first := nodetest.Receive(t, "a call", calls)
 		diff := cmp.Diff(http.Header{"User-Agent": {"Go-http-client/1.1"}}, first.Header)
 		if uri := first.URL.RequestURI(); uri != watchOf(7, "") || diff != "" {
 			t.Errorf("called %s with other headers: %s", uri, diff)
 		}
-		wantNews(t, told, policy.ListUpdate, "s9")
+		wantUpdate(t, told, policy.ListUpdate, "s9")
 		wantCalls(t, calls, watchOf(8, ""))
 	})
 }
@@ -97,16 +97,16 @@
 // With a scope the node begins with a whole list of it, and watches in it. A scope that changes is fetched whole.
 func TestCallsWithAScope(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		d, told, calls := scopedWatch(t, testScope, scopedAnswer{true, nodetest.FullList(30, nodetest.ListEntry("s1", "up"))},
+		d, told, calls := startScopedWatch(t, testScope, scopedAnswer{true, nodetest.FullList(30, nodetest.ListEntry("s1", "up"))},
 			scopedAnswer{true, nodetest.ListChange(31, nodetest.ListEntry("s1", "draining"))}, scopedAnswer{true, nodetest.ListChange(40)})
-		wantNews(t, told, policy.ListReplace, "s1")
-		wantNews(t, told, policy.ListUpdate, "s1")
+		wantUpdate(t, told, policy.ListReplace, "s1")
+		wantUpdate(t, told, policy.ListUpdate, "s1")
 		wantCalls(t, calls, listURI+"?"+testScope, watchOf(30, "&"+testScope), watchOf(31, "&"+testScope), watchOf(40, "&"+testScope))
 		if len(told) != 0 {
 			t.Errorf("told of an answer with nothing new: %+v", <-told)
 		}
-		times := NewTimeouts(policy.Settings{})
-		addrs := strings.TrimSuffix(strings.TrimPrefix(d.urls[0], "http://"), listURI)
+		times := newTimeouts(policy.Settings{})
+		addrs := strings.TrimSuffix(strings.TrimPrefix(d.addresses[0], "http://"), listURI)
 		d.Retarget(Target{Addresses: addrs, Scope: "service=c", Timeouts: times})
 		wantCalls(t, calls, listURI+"?service=c")
 		d.Retarget(Target{Addresses: addrs, Timeouts: times})
@@ -118,14 +118,14 @@
 // scope are not added to the whole list: the list of the scope is called for, and the other way round.
 func TestScopeHeededAndIgnored(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, told, calls := scopedWatch(t, testScope, scopedAnswer{false, nodetest.FullList(30, nodetest.ListEntry("s1", "up"), nodetest.ListEntry("s2", "up"))},
+		_, told, calls := startScopedWatch(t, testScope, scopedAnswer{false, nodetest.FullList(30, nodetest.ListEntry("s1", "up"), nodetest.ListEntry("s2", "up"))},
 			scopedAnswer{false, nodetest.ListChange(31, nodetest.ListEntry("s3", "up"))},
 			scopedAnswer{true, nodetest.ListChange(32, nodetest.ListEntry("s4", "up"))},
 			scopedAnswer{true, nodetest.FullList(32, nodetest.ListEntry("s1", "up"), nodetest.ListEntry("s4", "up"))},
 			scopedAnswer{false, nodetest.ListChange(33, nodetest.ListEntry("s5", "up"))})
-		wantNews(t, told, policy.ListReplace, "s1", "s2")
-		wantNews(t, told, policy.ListUpdate, "s3")
-		wantNews(t, told, policy.ListReplace, "s1", "s4")
+		wantUpdate(t, told, policy.ListReplace, "s1", "s2")
+		wantUpdate(t, told, policy.ListUpdate, "s3")
+		wantUpdate(t, told, policy.ListReplace, "s1", "s4")
 		all, scope := listURI+"?"+testScope, "&"+testScope
 		wantCalls(t, calls, all, watchOf(30, scope), watchOf(31, scope), all, watchOf(32, scope), all)
 		if len(told) != 0 {
--- a/internal/node/discovery/timeouts.go
+++ b/internal/node/discovery/timeouts.go
@@ -26,11 +26,11 @@
 	FullList time.Duration // the same for a call that asks for no wait
 }
 
-// NewTimeouts leaves half of the time in which a change counts as told to a call that falls silent, and the other
+// newTimeouts leaves half of the time in which a change counts as told to a call that falls silent, and the other
 // half to the one in its place: many nodes whose watches fall silent together wait for their turns, and who is turned
 // away asks again. A watch that is answered within its wait costs the service next to nothing; a new one is
 // work. So the wait is short, and queueTime and more is left beyond it wherever that fits.
-func NewTimeouts(s policy.Settings) Timeouts {
+func newTimeouts(s policy.Settings) Timeouts {
 	within := MaxNotificationDelay
 	if ask := s.Rules.PollInterval; ask > 0 {
 		within = min(within, ask)
@@ -42,5 +42,5 @@
 // NewTarget is for the list service at the addresses, which commas separate; scope is the query that ParseScope made,
 // or empty.
 func NewTarget(addresses, scope string, settings policy.Settings) Target {
-	return Target{Addresses: addresses, Subscribe: settings.SubscribeList, Timeouts: NewTimeouts(settings), Scope: scope}
+	return Target{Addresses: addresses, Subscribe: settings.SubscribeList, Timeouts: newTimeouts(settings), Scope: scope}
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -27,7 +27,7 @@
 	ck := clock{start: time.Now()}
 	shared, held := new(sockets), c.Sockets
 	if at.heir != nil {
-		held, c.Known = at.heir.Sockets, discovery.List{Revision: discovery.FullListRevision, Endpoints: at.heir.endpoints()}
+		held, c.Known = at.heir.Sockets, discovery.List{Revision: discovery.UnknownRevision, Endpoints: at.heir.endpoints()}
 	} else {
 		c.Known = discovery.RestoreList(c.ListFile, c.Known)
 	}
