--- a/cmd/sloerail-node/process_test.go
+++ b/cmd/sloerail-node/process_test.go
@@ -216,7 +216,7 @@
 	go p.keepAsking(asking, served)
 	await(t, "a request to reach a server", served)
 	crowd(t, p.addr, 3*sockets)
-	for began := time.Now(); strings.Count(p.log.String(), "a watch failed") < 3; time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); strings.Count(p.log.String(), "watch failed") < 3; time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > long {
 			t.Fatalf("no call for the list fails: %s", &p.log)
 		}
--- a/internal/node/discovery/cache.go
+++ b/internal/node/discovery/cache.go
@@ -19,106 +19,106 @@
 	"sloerail/policy"
 )
 
-// The list as a node last had it is kept in a file, where the configuration names one, for a start with no
-// list service. The file is one line (a mark, the version, a hash of the rest) and the list in discovery's
-// form. It is written aside and renamed; one that doesn't fit its hash, or is too old, is no list. Not taken:
-// a log of changes (the list is small, and one write a second is enough).
+// The file of the cached list is one line (cacheHeader and a checksum of the rest) and the list in the JSON of the list
+// service. Other versions of the program read it. It is written to another name and renamed, so that a crash leaves a
+// whole file.
 
 const (
 	cacheHeader      = "sloerail list 1 "
-	maxCacheAge      = 24 * time.Hour // older than that, it tells nothing
+	maxCacheAge      = 24 * time.Hour // the servers of an older list have likely been replaced
 	minCacheInterval = time.Second    // between writes
+	checksumBase     = 16
 )
 
-// listCache writes the list to its file. Only discovery's goroutine uses it.
+// listCache keeps the list as last received, and writes it to its file. One goroutine uses it.
 type listCache struct {
 	path        string
 	endpoints   map[string]Endpoint
 	revision    int64
 	savedAt     time.Time
-	dirty       bool
-	writeFailed bool
+	dirty       bool // something has changed since the last write
+	writeFailed bool // the last write failed, which was logged
 }
 
-// newListCache is for the file at path; nil for none.
+// newListCache is for the file at path; nil if that is empty.
 func newListCache(path string, known List) *listCache {
 	if path == "" {
 		return nil
 	}
-	k := &listCache{path: path, endpoints: make(map[string]Endpoint)}
-	k.apply(known)
-	k.dirty = false
-	return k
+	c := &listCache{path: path, endpoints: make(map[string]Endpoint)}
+	c.apply(known)
+	c.dirty = false
+	return c
 }
 
-// apply follows the list.
-func (k *listCache) apply(l List) {
-	if l.Complete {
-		clear(k.endpoints)
+// apply takes a list or what changed in it.
+func (c *listCache) apply(list List) {
+	if list.Complete {
+		clear(c.endpoints)
 	}
-	for _, m := range l.Endpoints {
-		if k.endpoints[m.ID] = m; m.Availability == policy.Removed {
-			delete(k.endpoints, m.ID)
+	for _, e := range list.Endpoints {
+		if e.Availability == policy.Removed {
+			delete(c.endpoints, e.ID)
+		} else {
+			c.endpoints[e.ID] = e
 		}
 	}
-	k.revision, k.dirty = l.Revision, true
+	c.revision, c.dirty = list.Revision, true
 }
 
-// save writes the list if it has changed and was not written just now, or at last. A file that can't be written
-// is told once.
-func (k *listCache) save(last bool) {
+// save writes what has changed, unless the last write is less than minCacheInterval ago and this one is not forced.
+func (c *listCache) save(force bool) {
 	now := time.Now()
-	if !k.dirty || !last && now.Sub(k.savedAt) < minCacheInterval {
+	if !c.dirty || !force && now.Sub(c.savedAt) < minCacheInterval {
 		return
 	}
-	k.savedAt = now
-	err := renameio.WriteFile(k.path, k.encode(now), 0o600)
-	if k.dirty = err != nil; err != nil && !k.writeFailed {
-		slog.Warn("discovery: the list can't be kept", "file", k.path, "err", err)
+	c.savedAt = now
+	err := renameio.WriteFile(c.path, c.encode(now), 0o600)
+	if err != nil && !c.writeFailed {
+		slog.Warn("discovery: writing the cached list failed", "file", c.path, "error", err)
 	}
-	k.writeFailed = err != nil
+	c.dirty, c.writeFailed = err != nil, err != nil
 }
 
-// encode writes the file.
-func (k *listCache) encode(now time.Time) []byte {
-	form := listForm{Revision: &k.revision, Complete: true, SavedAtMillis: now.UnixMilli(), Endpoints: []entryForm{}}
-	for _, id := range slices.Sorted(maps.Keys(k.endpoints)) {
-		form.Endpoints = append(form.Endpoints, k.endpoints[id].wire())
+// encode is the content of the file.
+func (c *listCache) encode(now time.Time) []byte {
+	list := wireList{Revision: &c.revision, Complete: true, SavedAtMillis: now.UnixMilli(), Endpoints: []wireEndpoint{}}
+	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) {
+		list.Endpoints = append(list.Endpoints, c.endpoints[id].wire())
 	}
-	raw, err := json.Marshal(form)
-	if err != nil { // plain fields always can be written
-		panic(err)
-	}
-	return append([]byte(cacheHeader+strconv.FormatUint(xxhash.Sum64(raw), 16)+"\n"), raw...)
+	raw := list.encode()
+	return append([]byte(cacheHeader+checksum(raw)+"\n"), raw...)
 }
 
-// readCachedList reads a kept list.
+func checksum(raw []byte) string { return strconv.FormatUint(xxhash.Sum64(raw), checksumBase) }
+
+// readCachedList reads the file at path.
 func readCachedList(path string, now time.Time) (List, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return List{}, err
 	}
 	head, body, ok := bytes.Cut(raw, []byte("\n"))
-	sum, marked := bytes.CutPrefix(head, []byte(cacheHeader))
+	sum, versioned := bytes.CutPrefix(head, []byte(cacheHeader))
 	switch {
-	case !ok || !marked:
-		return List{}, errors.New("no list of this version")
-	case string(sum) != strconv.FormatUint(xxhash.Sum64(body), 16):
-		return List{}, errors.New("the hash doesn't fit")
+	case !ok || !versioned:
+		return List{}, ErrCacheVersion
+	case string(sum) != checksum(body):
+		return List{}, ErrCacheChecksum
 	}
 	var saved struct {
-		SavedMs int64 `json:"saved_ms"`
+		AtMillis int64 `json:"saved_ms"`
 	}
 	if err := json.Unmarshal(body, &saved); err != nil {
 		return List{}, err
 	}
-	if age := now.Sub(time.UnixMilli(saved.SavedMs)); age < 0 || age > maxCacheAge {
-		return List{}, fmt.Errorf("it is %v old", age.Round(time.Second))
+	if age := now.Sub(time.UnixMilli(saved.AtMillis)); age < 0 || age > maxCacheAge {
+		return List{}, fmt.Errorf("%w: it is %v old", ErrCacheAge, age.Round(time.Second))
 	}
 	return ParseList(body)
 }
 
-// RestoreList is the list to start with: the cached one, where there is one that is as new as the known one or newer.
+// RestoreList is the list to start with: the cached one, if there is one that is not older than the known one.
 func RestoreList(path string, known List) List {
 	if path == "" {
 		return known
@@ -127,9 +127,10 @@
 	switch {
 	case errors.Is(err, fs.ErrNotExist):
 	case err != nil:
-		slog.Warn("discovery: the kept list is not used", "file", path, "err", err)
+		slog.Warn("discovery: cached list rejected", "file", path, "error", err)
 	case cached.Revision >= known.Revision:
-		slog.Info("discovery: starting with the kept list", "file", path, "revision", cached.Revision, "servers", len(cached.Endpoints))
+		slog.Info("discovery: starting with the cached list", "file", path, "revision", cached.Revision,
+			"servers", len(cached.Endpoints))
 		return cached
 	}
 	return known
--- a/internal/node/discovery/cache_test.go
+++ b/internal/node/discovery/cache_test.go
@@ -16,20 +16,20 @@
 )
 
 // runClient runs discovery by a configuration until the test ends, or stop is called.
-func runClient(t *testing.T, c ClientConfig) (told chan Update, stop func()) {
+func runClient(t *testing.T, c ClientConfig) (updates chan Update, stop func()) {
 	t.Helper()
-	told = make(chan Update, 100)
-	d := NewClient(c, func(u Update) { told <- u })
+	updates = make(chan Update, 100)
+	d := NewClient(c, func(u Update) { updates <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
 	stop = func() { cancel(); nodetest.Receive(t, "the end of discovery", ended) }
 	t.Cleanup(stop)
-	return told, stop
+	return updates, stop
 }
 
-// A replica that fails, and one that lags behind what was heard, give way to the next one.
-func TestDiscoveryGoesOnAtAnotherReplica(t *testing.T) {
+// A replica that fails, and one that lags behind the list held, give way to the next one.
+func TestFailedReplicaGivesWayToTheNext(t *testing.T) {
 	replica := func(revision int, ids ...string) string {
 		first := true
 		return nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -46,8 +46,8 @@
 			_, _ = io.WriteString(w, nodetest.ListChange(revision, all...))
 		})
 	}
-	good, lags, best := replica(40, "a"), replica(30, "old"), replica(50, "b")
-	c := testClientConfig(t, "127.0.0.1:9,"+good+","+lags+","+best) // nobody is at the first
+	good, stale, best := replica(40, "a"), replica(30, "old"), replica(50, "b")
+	c := testClientConfig(t, "127.0.0.1:9,"+good+","+stale+","+best) // nobody is at the first
 	c.Seed = 0
 	d := NewClient(c, func(Update) {})
 	for _, want := range []string{"", "a", "", "b"} {
@@ -67,8 +67,8 @@
 	}
 }
 
-// The list is kept over the node's end, and used by the next start if it is newer than what that was told.
-func TestListIsKept(t *testing.T) {
+// The list is cached over the node's end, and used by the next start if it is newer than that of the configuration.
+func TestCachedListSurvivesARestart(t *testing.T) {
 	calls := make(chan string, 2)
 	calls <- nodetest.ListChange(41, nodetest.ListEntry("a", "up"), nodetest.ListEntry("b", "draining"))
 	calls <- nodetest.ListChange(42, nodetest.ListEntry("a", "removed"))
@@ -81,10 +81,10 @@
 		}
 	}))
 	c.CacheFile = filepath.Join(t.TempDir(), "list")
-	told, stop := runClient(t, c)
-	nodetest.Receive(t, "the first change", told)
-	nodetest.Receive(t, "the second", told)
-	// Both came within a second, and the watch goes on: the second is kept all the same, with no end of the node.
+	updates, stop := runClient(t, c)
+	nodetest.Receive(t, "the first change", updates)
+	nodetest.Receive(t, "the second", updates)
+	// Both came within a second, and the watch goes on: the second is cached all the same, with no end of the node.
 	nodetest.Await(t, "the second change in the file", func() bool {
 		l, err := readCachedList(c.CacheFile, time.Now())
 		return err == nil && l.Revision == 42
@@ -93,11 +93,11 @@
 	c.Known.Revision = 40
 	got := RestoreList(c.CacheFile, c.Known)
 	if got.Revision != 42 || !got.Complete || len(got.Endpoints) != 2 {
-		t.Fatalf("kept %+v", got)
+		t.Fatalf("cached %+v", got)
 	}
 	for _, m := range got.Endpoints {
 		if m.ID == "b" && m.Availability != policy.Draining || m.ID == "a" {
-			t.Errorf("kept %+v", m)
+			t.Errorf("cached %+v", m)
 		}
 	}
 	c.Known.Revision = 43
@@ -106,8 +106,8 @@
 	}
 }
 
-// A kept list that is cut, flipped, of another version, too old or from the future is none.
-func TestSpoiltKeptLists(t *testing.T) {
+// A cached list that is cut, flipped, of another version, too old or from the future is rejected.
+func TestDamagedCachedListsAreRejected(t *testing.T) {
 	c := testClientConfig(t, "127.0.0.1:9")
 	c.CacheFile = filepath.Join(t.TempDir(), "list")
 	now := time.Now()
@@ -144,8 +144,8 @@
 	}
 }
 
-// The list cached on disk, whose golden file was written by the code of commit 4650eee, is read and written back byte for byte.
-func TestListFileKeepsItsForm(t *testing.T) {
+// The cached list is read and written back byte for byte. Commit 4650eee wrote the golden file.
+func TestCachedListKeepsItsForm(t *testing.T) {
 	saved := time.UnixMilli(1800000000456)
 	c := testClientConfig(t, "127.0.0.1:9")
 	c.CacheFile = filepath.Join("testdata", "list_file.txt")
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -28,11 +28,11 @@
 	return ClientConfig{Target: NewTarget(addresses, "", policy.Settings{}), Known: known, Seed: 0x1f, Dial: dial}
 }
 
-// startWatch plays answers to the calls in turn, then holds the rest, and returns what discovery told
+// startWatch plays answers to the calls in turn, then holds the rest, and returns what the client notified of
 // and the queries that it made. An answer that is no JSON object is sent with status 503.
-func startWatch(t *testing.T, subscribe bool, answers ...string) (d *Client, told chan Update, queries chan string) {
+func startWatch(t *testing.T, subscribe bool, answers ...string) (d *Client, updates chan Update, queries chan string) {
 	t.Helper()
-	queries, told = make(chan string, 100), make(chan Update, 100)
+	queries, updates = make(chan string, 100), make(chan Update, 100)
 	calls := make(chan string, len(answers))
 	for _, a := range answers {
 		calls <- a
@@ -51,12 +51,12 @@
 	})
 	c := testClientConfig(t, addr)
 	c.Subscribe = subscribe
-	d = NewClient(c, func(u Update) { told <- u })
+	d = NewClient(c, func(u Update) { updates <- u })
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx); close(ended) }()
 	t.Cleanup(func() { cancel(); nodetest.Receive(t, "the end of discovery", ended) })
-	return d, told, queries
+	return d, updates, queries
 }
 
 func wantRevisions(t *testing.T, queries chan string, want ...string) {
@@ -68,9 +68,9 @@
 	}
 }
 
-func TestDeltasComeInOrder(t *testing.T) {
+func TestChangesArriveInOrder(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, told, queries := startWatch(t, false, nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(9), nodetest.ListChange(10, nodetest.ListEntry("s1", "draining")),
+		_, updates, queries := startWatch(t, false, nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(9), nodetest.ListChange(10, nodetest.ListEntry("s1", "draining")),
 			`{"revision":11,"complete":true,"members":[`+nodetest.ListEntry("s2", "up")+`]}`)
 		for i, want := range []struct {
 			kind   policy.ListKind
@@ -78,10 +78,10 @@
 			phase  policy.Availability
 		}{{policy.ListUpdate, "s1", policy.Running}, {policy.ListUpdate, "s1", policy.Draining},
 			{policy.ListReplace, "s2", policy.Running}} {
-			n := nodetest.Receive(t, "news", told)
+			n := nodetest.Receive(t, "an update", updates)
 			if n.Kind != want.kind || len(n.Endpoints) != 1 || n.Endpoints[0].ID != want.server ||
 				n.Endpoints[0].Availability != want.phase {
-				t.Errorf("news %d: %+v", i, n)
+				t.Errorf("update %d: %+v", i, n)
 			}
 		}
 		wantRevisions(t, queries, "7", "8", "9", "10", "11")
@@ -91,33 +91,33 @@
 // A pushed list that can't be had, or read, leaves the last one in force, and says nothing.
 func TestFailuresKeepTheLastList(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, told, queries := startWatch(t, false, "down", `{"revision":`, nodetest.ListChange(9, nodetest.ListEntry("s1", "odd")), `{"members":[]}`,
+		_, updates, queries := startWatch(t, false, "down", `{"revision":`, nodetest.ListChange(9, nodetest.ListEntry("s1", "odd")), `{"members":[]}`,
 			nodetest.ListChange(8, nodetest.ListEntry("s1", "up")))
-		if n := nodetest.Receive(t, "news", told); n.Kind != policy.ListUpdate || n.Endpoints[0].ID != "s1" {
-			t.Errorf("news %+v", n)
+		if n := nodetest.Receive(t, "an update", updates); n.Kind != policy.ListUpdate || n.Endpoints[0].ID != "s1" {
+			t.Errorf("update %+v", n)
 		}
 		wantRevisions(t, queries, "7", "7", "7", "7", "7", "8")
-		if len(told) != 0 {
-			t.Errorf("told also %+v", <-told)
+		if len(updates) != 0 {
+			t.Errorf("notified also of %+v", <-updates)
 		}
 	})
 }
 
-// Where lists are asked for, the module says when, and hears of each failure once.
-func TestAskedListsTellFailures(t *testing.T) {
+// With Subscribe the node says when to watch, and is notified of each failure once.
+func TestSubscribedClientNotifiesOfFailures(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		d, told, queries := startWatch(t, true, "down", nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(8))
+		d, updates, queries := startWatch(t, true, "down", nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(8))
 		d.SetWatching(true)
-		if n := nodetest.Receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
-			t.Errorf("news %+v", n)
+		if n := nodetest.Receive(t, "the failure", updates); n.Kind != policy.ListUnavailable {
+			t.Errorf("update %+v", n)
 		}
 		wantRevisions(t, queries, "7")
 		if len(queries) != 0 {
 			t.Error("called again before the module asked")
 		}
 		d.SetWatching(true)
-		if n := nodetest.Receive(t, "the change", told); n.Kind != policy.ListUpdate || len(n.Endpoints) != 1 {
-			t.Errorf("news %+v", n)
+		if n := nodetest.Receive(t, "the change", updates); n.Kind != policy.ListUpdate || len(n.Endpoints) != 1 {
+			t.Errorf("update %+v", n)
 		}
 		wantRevisions(t, queries, "7", "8", "8")
 	})
@@ -125,7 +125,7 @@
 
 // The agent of a pushed list may hold a drain as soon as it is back; a node that pauses past the
 // rule's grace would go on sending to that server.
-func TestPausesStayWithinTheGraceOfDrains(t *testing.T) {
+func TestBackoffStaysWithinTheGraceOfDrains(t *testing.T) {
 	last := time.Duration(0)
 	for i := range 20 {
 		next := nextBackoff(last)
@@ -153,13 +153,13 @@
 	}
 }
 
-// When discovery moves, the node hangs up on the old address, takes the whole list from the new one,
-// whose revisions may be others, and watches there.
-func TestDiscoveryMoves(t *testing.T) {
+// When the list service's address changes, the client hangs up on the old one, takes the whole list from the new
+// one, whose revisions may be others, and watches there.
+func TestRetarget(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		times := newTimeouts(policy.Settings{})
 		for _, subscribe := range []bool{false, true} {
-			d, told, queries := startWatch(t, subscribe)
+			d, updates, queries := startWatch(t, subscribe)
 			if subscribe {
 				d.SetWatching(true)
 			}
@@ -173,28 +173,28 @@
 				}
 				<-r.Context().Done()
 			}), subscribe, times, ""})
-			if n := nodetest.Receive(t, "the list", told); n.Kind != policy.ListReplace || n.Endpoints[0].ID != "s9" {
-				t.Errorf("subscribe %v: news %+v", subscribe, n)
+			if n := nodetest.Receive(t, "the list", updates); n.Kind != policy.ListReplace || n.Endpoints[0].ID != "s9" {
+				t.Errorf("subscribe %v: update %+v", subscribe, n)
 			}
 			for _, want := range []string{"", fmt.Sprint("index=3&wait=", times.Wait.Milliseconds())} {
 				if got := nodetest.Receive(t, "a call to the new address", moved); got != want {
 					t.Errorf("subscribe %v: asked for %q, want %q", subscribe, got, want)
 				}
 			}
-			if len(queries) != 0 || len(told) != 0 {
-				t.Errorf("subscribe %v: the old address was asked again, or a failure told", subscribe)
+			if len(queries) != 0 || len(updates) != 0 {
+				t.Errorf("subscribe %v: the old address was called again, or a failure notified", subscribe)
 			}
 		}
 	})
 }
 
-// A move is followed at once also while the module waits before it asks a failed discovery again.
-func TestDiscoveryMovesAfterAFailure(t *testing.T) {
+// A change of the address is followed at once also while the node waits before it watches again after a failure.
+func TestRetargetAfterAFailure(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		d, told, _ := startWatch(t, true, "down")
+		d, updates, _ := startWatch(t, true, "down")
 		d.SetWatching(true)
-		if n := nodetest.Receive(t, "the failure", told); n.Kind != policy.ListUnavailable {
-			t.Fatalf("news %+v", n)
+		if n := nodetest.Receive(t, "the failure", updates); n.Kind != policy.ListUnavailable {
+			t.Fatalf("update %+v", n)
 		}
 		d.Retarget(Target{nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.RawQuery != "" {
@@ -202,8 +202,8 @@
 			}
 			_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+nodetest.ListEntry("s9", "up")+`]}`)
 		}), true, newTimeouts(policy.Settings{}), ""})
-		if n := nodetest.Receive(t, "the list", told); n.Kind != policy.ListReplace {
-			t.Errorf("news %+v", n)
+		if n := nodetest.Receive(t, "the list", updates); n.Kind != policy.ListReplace {
+			t.Errorf("update %+v", n)
 		}
 	})
 }
--- a/internal/node/discovery/scope.go
+++ b/internal/node/discovery/scope.go
@@ -2,7 +2,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -16,66 +15,71 @@
 	"sloerail/policy"
 )
 
-// The section "scope" bounds what a node is told of a large fleet: the servers of the services that its routes need
-// and, of each of these, a subset that the list service chooses by the node's position. The node itself filters
-// nothing: with a list service that ignores the scope it takes the list as it comes, and says so.
-
 const (
-	maxScopeServices    = 256     // that the list service takes in one call
-	maxServiceNameBytes = 256     // bytes
-	maxScopeQueryBytes  = 8 << 10 // bytes of them all, in a call
+	maxScopeServices    = 256 // that the list service takes in one call
+	maxServiceNameBytes = 256
+	maxScopeQueryBytes  = 8 << 10 // in one call
 	maxSubset           = 150_000
-	maxReasonBytes      = 256 // bytes of it in the log
+	maxReasonBytes      = 256 // of a rejection, in the log
 
 	scopedHeader  = "X-Registry-Scoped"           // in answers that are of the scope that the call named
-	unknownHeader = "X-Registry-Unknown-Services" // those of the scope of which the list service knows nothing
+	unknownHeader = "X-Registry-Unknown-Services" // services of the scope that the list service doesn't know
 )
 
-// scopeSection is the part of the configuration that bounds what the list service tells. Without it there is no
-// bound.
+// scopeSection is the section "scope" of the configuration. It bounds which servers of a large fleet the list service
+// names: those of the services that the node's routes need and, of each of these, a subset that the list service chooses
+// by the node's position. The node filters nothing itself.
 type scopeSection struct {
 	Services []string `json:"services"`
 	Subset   *int     `json:"subset"` // servers of each service; all of them if it is missing
 }
 
-// ParseScope reads the section strictly, and returns what it adds to calls for the list. The settings were checked.
+// ParseScope reads the section "scope", and returns the query that it adds to calls. The settings have been checked.
 func ParseScope(raw json.RawMessage, settings policy.Settings) (query string, err error) {
-	var s scopeSection
-	if err := decode.Section("scope", raw, &s); err != nil {
+	var section scopeSection
+	if err := decode.Section("scope", raw, &section); err != nil {
 		return "", err
 	}
-	if len(s.Services) == 0 {
-		return "", errors.New("scope.services: names no service, and the node would have no server")
-	}
-	if len(s.Services) > maxScopeServices {
-		return "", fmt.Errorf("scope.services: want %d at most, got %d", maxScopeServices, len(s.Services))
-	}
-	for i, name := range s.Services {
-		if err := checkServiceName(name); err != nil {
-			return "", fmt.Errorf("scope.services[%d]: %w", i, err)
-		}
-		if first := slices.Index(s.Services, name); first < i {
-			return "", fmt.Errorf("scope.services[%d]: %q is there twice", i, name)
-		}
+	if err := section.checkServices(); err != nil {
+		return "", err
 	}
-	values := url.Values{"service": slices.Sorted(slices.Values(s.Services))}
-	if s.Subset != nil {
-		if *s.Subset < 1 || *s.Subset > maxSubset {
-			return "", fmt.Errorf("scope.subset: want 1 to %d, got %d", maxSubset, *s.Subset)
+	values := url.Values{"service": slices.Sorted(slices.Values(section.Services))}
+	if subset := section.Subset; subset != nil {
+		if *subset < 1 || *subset > maxSubset {
+			return "", decode.Errorf("scope.subset", "want 1 to %d, got %d", maxSubset, *subset)
 		}
-		values.Set("subset", strconv.Itoa(*s.Subset))
+		values.Set("subset", strconv.Itoa(*subset))
 		values.Set("position", strconv.Itoa(settings.NodeIndex))
 		values.Set("nodes", strconv.Itoa(settings.NodeCount))
 		values.Set("zone", settings.Zone)
 	}
 	query = values.Encode()
 	if len(query) > maxScopeQueryBytes {
-		return "", fmt.Errorf("scope.services: want %d bytes at most in a call, got %d", maxScopeQueryBytes, len(query))
+		return "", decode.Errorf("scope.services", "want %d bytes at most in a call, got %d", maxScopeQueryBytes, len(query))
 	}
 	return query, nil
 }
 
-// checkServiceName says why a name can't be that of a service in the list.
+func (s scopeSection) checkServices() error {
+	if len(s.Services) == 0 {
+		return decode.Errorf("scope.services", "names no service, and the node would have no server")
+	}
+	if len(s.Services) > maxScopeServices {
+		return decode.Errorf("scope.services", "want %d at most, got %d", maxScopeServices, len(s.Services))
+	}
+	for i, name := range s.Services {
+		field := fmt.Sprintf("scope.services[%d]", i)
+		if err := checkServiceName(name); err != nil {
+			return decode.Errorf(field, "%v", err)
+		}
+		if slices.Index(s.Services, name) < i {
+			return decode.Errorf(field, "%q is there twice", name)
+		}
+	}
+	return nil
+}
+
+// checkServiceName reports why a name can't be that of a service in the list.
 func checkServiceName(name string) error {
 	if name == "" || len(name) > maxServiceNameBytes {
 		return fmt.Errorf("want 1 to %d bytes, got %d", maxServiceNameBytes, len(name))
@@ -88,18 +92,14 @@
 	return nil
 }
 
-// scope is what discovery knows of its scope. The zero value is for none.
+// scope is a client's scope, and what the last answers said of it. The zero value is for none.
 type scope struct {
 	query           string // added to each call; empty for none
 	scoped          bool   // the list held is of the scope, and not the whole
-	unsupported     bool   // the last list was not: it is told once
-	unknownServices string // services that the list service knew nothing of lately
+	unsupported     bool   // the last whole list was not of the scope, which was logged
+	unknownServices string // as the last answer named them
 }
 
-// ErrScopeMismatch is an answer that doesn't follow on the list held: one of the two is scoped, and the other isn't. The
-// whole list is called for at once, from the same replica.
-var ErrScopeMismatch = fmt.Errorf("%w: the answer is of another scope than the list held", ErrRetargeted)
-
 // appendTo adds the scope to the URL of a call.
 func (s *scope) appendTo(url string) string {
 	switch {
@@ -111,8 +111,7 @@
 	return url + "?" + s.query
 }
 
-// firstRevision is the revision to begin at. Where the list that a node starts with is from, and of which scope, isn't
-// known.
+// firstRevision is the revision to start with. A known list need not be of the scope, so a scoped one is fetched whole.
 func (s *scope) firstRevision(known int64) int64 {
 	if s.query == "" {
 		return known
@@ -120,21 +119,21 @@
 	return UnknownRevision
 }
 
-// statusError is a call that was not answered with a list. Where a scope was named, the reason is in the answer's line.
+// statusError is for an answer with another status than 200. For calls with a scope the body says why.
 func (s *scope) statusError(resp *http.Response) error {
 	if s.query == "" {
-		return fmt.Errorf("answered %s", resp.Status)
+		return &StatusError{Status: resp.Status}
 	}
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes))
 	if err != nil {
-		return fmt.Errorf("answered %s: %w", resp.Status, err)
+		return fmt.Errorf("%w: %w", &StatusError{Status: resp.Status}, err)
 	}
 	line, _, _ := strings.Cut(string(text), "\n")
-	return fmt.Errorf("answered %s: %s", resp.Status, line)
+	return &StatusError{Status: resp.Status, Reason: line}
 }
 
-// check takes note of what an answer says of the scope. Changes of a scope, added to a whole list, would leave servers
-// outside of the scope there for good, drained or not.
+// check notes what an answer says of the scope. Changes of a scope that are added to a whole list would leave servers
+// outside of the scope there for good, drained or not: ErrScopeMismatch has the whole list fetched.
 func (s *scope) check(header http.Header, complete bool) error {
 	if s.query == "" {
 		return nil
@@ -144,13 +143,13 @@
 	case !complete && scoped != s.scoped:
 		return ErrScopeMismatch
 	case complete && !scoped && !s.unsupported:
-		slog.Warn("discovery: the list service ignores the scope: all servers that it lists are taken")
+		slog.Warn("discovery: the list service doesn't support the scope, using all servers that it lists")
 	}
 	s.scoped, s.unsupported = scoped, !scoped
 	if unknown := header.Get(unknownHeader); unknown != s.unknownServices {
 		s.unknownServices = unknown
 		if unknown != "" {
-			slog.Warn("discovery: the list service knows nothing of some services of the scope", "services", unknown)
+			slog.Warn("discovery: the list service doesn't know some services of the scope", "services", unknown)
 		}
 	}
 	return nil
--- /dev/null
+++ b/internal/node/discovery/watch.go
@@ -0,0 +1,97 @@
+package discovery
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"net/url"
+	"time"
+)
+
+const (
+	listPath = "/registry/instances"
+	// epochHeader is in the answers of our own list service, whose revisions only grow.
+	epochHeader = "X-Registry-Epoch"
+	// maxListBytes bounds an answer of the list service.
+	maxListBytes = 8 << 20
+)
+
+// watch makes one call, which waits for something newer than the revision held. Its error is a *WatchError.
+func (c *Client) watch(ctx context.Context) (List, error) {
+	ctx, cancel := context.WithTimeoutCause(ctx, c.callTimeout(), ErrTimeout)
+	defer cancel()
+	list, err := c.fetch(ctx)
+	if err == nil {
+		return list, nil
+	}
+	if errors.Is(context.Cause(ctx), ErrTimeout) {
+		err = ErrTimeout
+	}
+	return List{}, &WatchError{Address: c.addresses[c.replica], Err: err}
+}
+
+// callTimeout is how long the next call may take.
+func (c *Client) callTimeout() time.Duration {
+	if c.revision == UnknownRevision {
+		return c.timeouts.FullList
+	}
+	return c.timeouts.Watch
+}
+
+// callURL is that of the next call.
+func (c *Client) callURL() string {
+	u := "http://" + c.addresses[c.replica] + listPath
+	if c.revision != UnknownRevision {
+		u += fmt.Sprintf("?index=%d&wait=%d", c.revision, c.timeouts.Wait.Milliseconds())
+	}
+	return c.scope.appendTo(u)
+}
+
+// fetch reads one answer.
+func (c *Client) fetch(ctx context.Context) (List, error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.callURL(), nil)
+	if err != nil {
+		return List{}, err
+	}
+	resp, err := c.http.Do(req)
+	if err != nil {
+		if call := (*url.Error)(nil); errors.As(err, &call) { // WatchError names the address
+			err = call.Err
+		}
+		return List{}, err
+	}
+	defer func() { _ = resp.Body.Close() }() // what matters of it was read
+	if resp.StatusCode != http.StatusOK {
+		return List{}, c.scope.statusError(resp)
+	}
+	list, err := readList(resp.Body)
+	if err != nil {
+		return List{}, err
+	}
+	if resp.Header.Get(epochHeader) != "" && list.Revision < c.revision {
+		return List{}, fmt.Errorf("%w: revision %d after %d", ErrStaleReplica, list.Revision, c.revision)
+	}
+	if err := c.scope.check(resp.Header, list.Complete); err != nil {
+		c.revision = UnknownRevision
+		return List{}, err
+	}
+	return list, nil
+}
+
+// readList reads the body of an answer.
+func readList(body io.Reader) (List, error) {
+	raw, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
+	if err != nil {
+		return List{}, err
+	}
+	if len(raw) > maxListBytes {
+		return List{}, ErrListTooLong
+	}
+	list, err := ParseList(raw)
+	if err != nil {
+		return List{}, fmt.Errorf("%w: %w", ErrMalformedList, err)
+	}
+	return list, nil
+}
--- a/internal/node/nodetest/golden.go
+++ b/internal/node/nodetest/golden.go
@@ -29,3 +29,13 @@
 	}
 	t.Errorf("%s differs from byte %d on:\n got %s\nwant %s", what, n, got[n:min(n+80, len(got))], want[n:min(n+80, len(want))])
 }
+
+// WriteFile writes a file that the test's end removes, and returns its path.
+func WriteFile(t *testing.T, text string) string {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "file")
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return path
+}
--- a/internal/node/nodetest/memnet.go
+++ b/internal/node/nodetest/memnet.go
@@ -114,17 +114,17 @@
 	}
 }
 
-func (l *memListener) Close() error {
+func (l *memListener) Close() (err error) {
 	l.once.Do(func() {
 		l.net.mu.Lock()
 		delete(l.net.listeners, l.addr.String())
 		l.net.mu.Unlock()
 		close(l.closed)
 		for len(l.queue) > 0 {
-			(<-l.queue).Close()
+			err = errors.Join(err, (<-l.queue).Close())
 		}
 	})
-	return nil
+	return err
 }
 
 // streamSize is what a stream holds that is written and not yet read.
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -2,6 +2,8 @@
 package nodetest
 
 import (
+	"errors"
+	"io"
 	"log/slog"
 	"net"
 	"net/http"
@@ -18,7 +20,7 @@
 	ln := Listener(t)
 	s := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
 	go func() { _ = s.Serve(ln) }()
-	t.Cleanup(func() { s.Close() })
+	t.Cleanup(func() { closeOnce(t, s) })
 	return ln.Addr().String()
 }
 
@@ -27,17 +29,25 @@
 	t.Helper()
 	if n, ok := memNets.Load(t); ok {
 		ln := n.(*memNet).listen()
-		t.Cleanup(func() { ln.Close() })
+		t.Cleanup(func() { closeOnce(t, ln) })
 		return ln
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { ln.Close() })
+	t.Cleanup(func() { closeOnce(t, ln) })
 	return ln
 }
 
+// closeOnce closes c, which the test may have closed before.
+func closeOnce(t testing.TB, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		t.Error(err)
+	}
+}
+
 // Await polls until ok holds, and fails the test if it doesn't within Timeout.
 func Await(t testing.TB, what string, ok func() bool) {
 	t.Helper()
