--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -67,7 +67,7 @@
 	for i := range c.Settings.Tenants {
 		c.Settings.Tenants[i].Quota = 1e6
 	}
-	ln, err := listenShared(c.Listen)
+	ln, err := ListenShared(c.Listen)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -66,8 +66,8 @@
 		Dial: c.dialer(discovery.MaxQueueTime)}
 }
 
-// leastSockets is what a node can work with at all: a few for itself, and some for each side.
-const leastSockets = 64
+// minSockets is what a node can work with at all: a few for itself, and some for each side.
+const minSockets = 64
 
 // defaultConnectTimeout stands in where the settings name none.
 const defaultConnectTimeout = 250 * time.Millisecond
@@ -161,8 +161,8 @@
 		return Config{}, fmt.Errorf("limits.cores: want more than 0, got %v", l.Cores)
 	case !(l.MemoryMB >= 1) || l.MemoryMB > math.MaxInt32:
 		return Config{}, fmt.Errorf("limits.memory_mb: want 1 or more, got %v", l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", leastSockets, l.Sockets)
+	case l.Sockets < minSockets:
+		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", minSockets, l.Sockets)
 	}
 	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, ListFile: f.ListFile, Control: f.Control, Seed: seed,
 		Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), Sockets: f.Limits.Sockets}
@@ -236,10 +236,10 @@
 	return n
 }
 
-// ownBeside is the same for each of two processes that share the node's descriptors for a while. What is set
+// ownSocketsShared is the same for each of two processes that share the node's descriptors for a while. What is set
 // aside for moments when counts are off, and for many callers at the second address, is set aside once.
-func (c Config) ownBeside() int {
-	n := leanSockets
+func (c Config) ownSocketsShared() int {
+	n := ownSocketsWhileShared
 	if c.Control != "" {
 		n += controlSockets / 2
 	}
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -643,7 +643,7 @@
 				t.Fatal(err)
 			}
 			l.send(discovery.Update{Kind: policy.ListUpdate, Endpoints: list.Endpoints})
-			if _, ok := ask(l, func(reply chan<- time.Duration) any { return tailAsked{reply} }); !ok { // the list is in
+			if _, ok := ask(l, func(reply chan<- time.Duration) any { return tailRequest{reply} }); !ok { // the list is in
 				t.Fatal("the loop has ended")
 			}
 			close(up)
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -30,7 +30,7 @@
 		want := nodetest.Golden(t, name)
 		strict := json.NewDecoder(bytes.NewReader(want))
 		strict.DisallowUnknownFields()
-		var in inheritance
+		var in State
 		if err := strict.Decode(&in); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
@@ -38,7 +38,7 @@
 		var err error
 		if name == "handover_state.json" {
 			got, err = json.Marshal(in)
-			if a := in.Members; len(a) != 2 || a[0].Availability != policy.Draining || a[1].Availability != policy.Removed {
+			if a := in.Endpoints; len(a) != 2 || a[0].Availability != policy.Draining || a[1].Availability != policy.Removed {
 				t.Errorf("%s: members %+v", name, a)
 			}
 		} else {
@@ -117,7 +117,7 @@
 // A successor of any version meets the same sequence of messages, each of the same form.
 func TestHandoverTranscriptOfThePredecessor(t *testing.T) {
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-	c := replaceable(t, nodetest.KnownList(server))
+	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	if resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
@@ -165,7 +165,7 @@
 
 // A predecessor of any version meets a successor that takes its messages and answers with one byte.
 func TestHandoverTranscriptOfTheSuccessor(t *testing.T) {
-	c := replaceable(t, nodetest.KnownList("127.0.0.1:9"))
+	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	state := bytes.Replace(nodetest.Golden(t, "handover_state.json"), []byte(`"Listen":"127.0.0.1:8080"`), []byte(`"Listen":"`+c.Listen+`"`), 1)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: handoverPath(c), Net: "unix"})
 	if err != nil {
@@ -195,14 +195,14 @@
 		wrote <- err
 	}()
 	at, err := Listen(c)
-	if err != nil || at.heir == nil {
+	if err != nil || at.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
 	defer at.close()
 	if err := nodetest.Receive(t, "the predecessor's messages", wrote); err != nil {
 		t.Fatal(err)
 	}
-	got, err := json.Marshal(at.heir.inheritance)
+	got, err := json.Marshal(at.predecessor.State)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -213,8 +213,8 @@
 
 	conn := nodetest.Receive(t, "the connection", predecessor)
 	defer conn.Close()
-	shares := make(chan inheritance, 8)
-	go at.heir.serve(func() {}, func(left inheritance, whole bool) {
+	shares := make(chan State, 8)
+	go at.predecessor.Follow(func() {}, func(left State, whole bool) {
 		if whole {
 			close(shares)
 			return
@@ -244,7 +244,7 @@
 // know. Values are left out.
 func TestOperatorsFormsStay(t *testing.T) {
 	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
-	c.Fleet = &gossip.Config{Name: "n0", Zone: "a", Version: "1", Bind: replaceable(t, nodetest.KnownList("127.0.0.1:9")).Listen, Label: "l"}
+	c.Fleet = &gossip.Config{Name: "n0", Zone: "a", Version: "1", Bind: restartableConfig(t, nodetest.KnownList("127.0.0.1:9")).Listen, Label: "l"}
 	if err := c.Fleet.Check(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -24,67 +24,67 @@
 )
 
 const (
-	handoverVersion = 1
-	// handoverSocketPrefix begins the name of the hand-over's socket, in $TMPDIR. The other version's process
+	protocolVersion = 1
+	// socketPrefix begins the name of the hand-over's socket, in $TMPDIR. The other version's process
 	// looks there: it stays as it is.
-	handoverSocketPrefix = "wayhold-"
-	handoverSocketSuffix = ".sock"
-	handoverTimeout      = time.Second           // for each step of a hand-over
-	handoverWait         = 10 * time.Second      // for the new process to serve; after that it counts as gone
-	handoverTell         = 50 * time.Millisecond // between looks at what the old process still holds: half an answer's time
-	maxInheritance       = 16 << 20              // bytes
-	serving              = 'S'                   // what a new process writes once it takes clients
-	spareConns           = 8                     // that the old process may open on either side meanwhile, at most,
-	sparePart            = 12                    // and as a part of those that the node may have
-	spareServers         = 32                    // connections to servers that it may want for clients it has
-	heapPart             = 0.75                  // of the memory limit: stacks and sockets take the rest
+	socketPrefix        = "wayhold-"
+	socketSuffix        = ".sock"
+	stepTimeout         = time.Second           // for each step of a hand-over
+	startTimeout        = 10 * time.Second      // for the new process to serve; after that it counts as gone
+	ProgressInterval    = 50 * time.Millisecond // between looks at what the old process still holds: half an answer's time
+	maxStateBytes       = 16 << 20              // bytes
+	readyByte           = 'S'                   // what a new process writes once it takes clients
+	maxSpareConns       = 8                     // that the old process may open on either side meanwhile, at most,
+	spareFraction       = 12                    // and as a part of those that the node may have
+	maxSpareServerConns = 32                    // connections to servers that it may want for clients it has
+	heapFraction        = 0.75                  // of the memory limit: stacks and sockets take the rest
 )
 
-// inheritance is what a process leaves to the one that takes over. Descriptors of the clients' listener
+// State is what a process leaves to the one that takes over. Descriptors of the clients' listener
 // come with its first byte. The process at the other end may be of another version: the keys are fixed.
-type inheritance struct {
+type State struct {
 	Version   int             `json:"Version"`
 	Name      string          `json:"Name"`
-	Listen    string          `json:"Listen"`
-	Members   []endpointState `json:"Members"`
-	Knowledge policy.Snapshot `json:"Knowledge"`
+	Address   string          `json:"Listen"`
+	Endpoints []endpointState `json:"Members"`
+	Policy    policy.Snapshot `json:"Knowledge"`
 	Sockets   int             `json:"Sockets"` // that the new process may hold for now; told again as the old one ends its connections
-	Out       map[string]int  `json:"Out"`     // the old process's attempts at each server; told again too
+	InFlight  map[string]int  `json:"Out"`     // the old process's attempts at each server; told again too
 }
 
 // endpointState is how an endpoint stands in a handover state. The keys are fixed.
 type endpointState struct {
-	Server       string              `json:"Server"`
-	Zone         string              `json:"Zone"`
-	Kind         string              `json:"Kind"`
-	Cell         int64               `json:"Cell"`
-	Weight       float64             `json:"Weight"`
-	OnlineSince  policy.Time         `json:"OnlineSince"`
-	Availability policy.Availability `json:"Availability"`
-	Addr         string              `json:"Addr"`
-	UpSince      int64               `json:"UpSince"`
+	ID              string              `json:"Server"`
+	Zone            string              `json:"Zone"`
+	Kind            string              `json:"Kind"`
+	Cell            int64               `json:"Cell"`
+	Weight          float64             `json:"Weight"`
+	StartedAt       policy.Time         `json:"OnlineSince"`
+	Availability    policy.Availability `json:"Availability"`
+	Address         string              `json:"Addr"`
+	StartedAtMillis int64               `json:"UpSince"`
 }
 
 func newEndpointState(e discovery.Endpoint) endpointState {
-	return endpointState{Server: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight,
-		OnlineSince: e.StartedAt, Availability: e.Availability, Addr: e.Address, UpSince: e.StartedAtMillis}
+	return endpointState{ID: e.ID, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Weight: e.Weight,
+		StartedAt: e.StartedAt, Availability: e.Availability, Address: e.Address, StartedAtMillis: e.StartedAtMillis}
 }
 
 func (s endpointState) endpoint() discovery.Endpoint {
-	return discovery.Endpoint{Address: s.Addr, StartedAtMillis: s.UpSince, Endpoint: policy.Endpoint{ID: s.Server, Zone: s.Zone,
-		Kind: s.Kind, Cell: s.Cell, Weight: s.Weight, StartedAt: s.OnlineSince, Availability: s.Availability}}
+	return discovery.Endpoint{Address: s.Address, StartedAtMillis: s.StartedAtMillis, Endpoint: policy.Endpoint{ID: s.ID, Zone: s.Zone,
+		Kind: s.Kind, Cell: s.Cell, Weight: s.Weight, StartedAt: s.StartedAt, Availability: s.Availability}}
 }
 
-// setEndpoints puts the endpoint list into the state.
-func (in *inheritance) setEndpoints(endpoints iter.Seq[discovery.Endpoint]) {
+// SetEndpointList puts the endpoint list into the state.
+func (in *State) SetEndpointList(endpoints iter.Seq[discovery.Endpoint]) {
 	for e := range endpoints {
-		in.Members = append(in.Members, newEndpointState(e))
+		in.Endpoints = append(in.Endpoints, newEndpointState(e))
 	}
 }
 
-// endpoints is the endpoint list of the state.
-func (in *inheritance) endpoints() (all []discovery.Endpoint) {
-	for _, s := range in.Members {
+// EndpointList is the endpoint list of the state.
+func (in *State) EndpointList() (all []discovery.Endpoint) {
+	for _, s := range in.Endpoints {
 		all = append(all, s.endpoint())
 	}
 	return all
@@ -92,16 +92,16 @@
 
 // Listeners are where a node is reached, and what it was left by the process before it.
 type Listeners struct {
-	Clients net.Listener
-	Control net.Listener // the operators'; nil for none
-	heir    *heir        // nil where there was no such process
+	Clients     net.Listener
+	Control     net.Listener // the operators'; nil for none
+	predecessor *Predecessor // nil where there was no such process
 }
 
-// heir is the new process's end of a hand-over.
-type heir struct {
-	inheritance
-	conn  *net.UnixConn
-	tells *json.Decoder
+// Predecessor is the new process's end of a hand-over.
+type Predecessor struct {
+	State
+	conn     *net.UnixConn
+	messages *json.Decoder
 }
 
 // Listen makes the node's listeners. The clients' comes from the process that serves there now, where
@@ -110,7 +110,7 @@
 	var at Listeners
 	var err error
 	if path := handoverPath(c); path != "" {
-		at.Clients, at.heir, err = takeOver(c, path)
+		at.Clients, at.predecessor, err = TakeOver(c, path)
 		if err != nil && !errors.Is(err, os.ErrNotExist) {
 			slog.Warn("no hand-over: starting as an ordinary process", "err", err)
 		}
@@ -118,7 +118,7 @@
 		slog.Info("TMPDIR is not set: this process can't be replaced without loss")
 	}
 	if at.Clients == nil {
-		if at.Clients, err = listenShared(c.Listen); err != nil {
+		if at.Clients, err = ListenShared(c.Listen); err != nil {
 			return at, fmt.Errorf("listen: %w", err)
 		}
 	}
@@ -133,13 +133,13 @@
 
 func (at Listeners) close() {
 	at.Clients.Close()
-	if at.heir != nil {
-		at.heir.conn.Close()
+	if at.predecessor != nil {
+		at.predecessor.conn.Close()
 	}
 }
 
-// listenShared listens where another process of this node may listen too.
-func listenShared(addr string) (net.Listener, error) {
+// ListenShared listens where another process of this node may listen too.
+func ListenShared(addr string) (net.Listener, error) {
 	lc := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
 			err := unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
@@ -157,7 +157,7 @@
 	if _, port, err := net.SplitHostPort(c.Listen); err != nil || port == "0" || c.Scratch == "" {
 		return ""
 	}
-	return filepath.Join(c.Scratch, handoverSocketPrefix+strings.ReplaceAll(c.Listen, ":", "-")+handoverSocketSuffix)
+	return filepath.Join(c.Scratch, socketPrefix+strings.ReplaceAll(c.Listen, ":", "-")+socketSuffix)
 }
 
 // unixAddr is the address of a Unix socket. One whose path is too long is named by way of its folder,
@@ -174,8 +174,8 @@
 	return &net.UnixAddr{Name: name, Net: "unix"}, func() { dir.Close() }, nil
 }
 
-// takeOver asks the process that serves now for what it has.
-func takeOver(c Config, path string) (net.Listener, *heir, error) {
+// TakeOver asks the process that serves now for what it has.
+func TakeOver(c Config, path string) (net.Listener, *Predecessor, error) {
 	addr, done, err := unixAddr(path)
 	if err != nil {
 		return nil, nil, err
@@ -185,18 +185,18 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	h := &heir{conn: conn}
+	h := &Predecessor{conn: conn}
 	l, err := h.receive(c)
 	if err != nil {
 		conn.Close()
 		return nil, nil, err
 	}
-	slog.Info("taking over from another process", "servers", len(h.Members), "sockets", h.Sockets)
+	slog.Info("taking over from another process", "servers", len(h.Endpoints), "sockets", h.Sockets)
 	return l, h, nil
 }
 
-func (h *heir) receive(c Config) (net.Listener, error) {
-	if err := h.conn.SetDeadline(time.Now().Add(handoverTimeout)); err != nil {
+func (h *Predecessor) receive(c Config) (net.Listener, error) {
+	if err := h.conn.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return nil, err
 	}
 	first, rights := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
@@ -208,10 +208,10 @@
 	if err != nil {
 		return nil, err
 	}
-	h.tells = json.NewDecoder(io.LimitReader(h.conn, maxInheritance))
-	err = h.tells.Decode(&h.inheritance)
-	if err == nil && (h.Version != handoverVersion || h.Name != c.Name || h.Listen != c.Listen) {
-		err = fmt.Errorf("the process is %q at %s, hand-over version %d", h.Name, h.Listen, h.Version)
+	h.messages = json.NewDecoder(io.LimitReader(h.conn, maxStateBytes))
+	err = h.messages.Decode(&h.State)
+	if err == nil && (h.Version != protocolVersion || h.Name != c.Name || h.Address != c.Listen) {
+		err = fmt.Errorf("the process is %q at %s, hand-over version %d", h.Name, h.Address, h.Version)
 	}
 	if err == nil {
 		err = h.conn.SetDeadline(time.Time{})
@@ -247,25 +247,25 @@
 	return net.FileListener(f)
 }
 
-// serve tells the old process that this one takes clients, and follows what the old one still holds. heard
+// Follow tells the old process that this one takes clients, and follows what the old one still holds. heard
 // is called once the old one leaves new clients to this one, or takes too long to say so. Once it is gone,
 // all is this one's.
-func (h *heir) serve(heard func(), share func(left inheritance, whole bool)) {
+func (h *Predecessor) Follow(heard func(), share func(left State, whole bool)) {
 	defer h.conn.Close()
 	defer heard()
-	if _, err := h.conn.Write([]byte{serving}); err != nil {
+	if _, err := h.conn.Write([]byte{readyByte}); err != nil {
 		slog.Warn("the old process left early", "err", err)
 	}
-	late := time.AfterFunc(handoverTimeout, func() {
-		slog.Warn("the old process doesn't say that it leaves clients to this one", "for", handoverTimeout)
+	late := time.AfterFunc(stepTimeout, func() {
+		slog.Warn("the old process doesn't say that it leaves clients to this one", "for", stepTimeout)
 		heard()
 	})
 	defer late.Stop()
 	for {
-		var tell inheritance
-		if err := h.tells.Decode(&tell); err != nil {
+		var tell State
+		if err := h.messages.Decode(&tell); err != nil {
 			slog.Info("the old process has ended")
-			share(inheritance{}, true)
+			share(State{}, true)
 			return
 		}
 		if late.Stop() {
@@ -277,15 +277,15 @@
 
 // handover is a serving process's end: it waits for a successor.
 type handover struct {
-	c     Config
-	path  string
-	s     *server
-	up    *upstream
-	gate  *gate
-	fleet *membership // nil for a node of no fleet
-
-	mu    sync.Mutex
-	share int // descriptors that this process may hold
+	c       Config
+	path    string
+	s       *server
+	up      *upstream
+	clients *connLimiter
+	fleet   *membership // nil for a node of no fleet
+
+	mu      sync.Mutex
+	sockets int // descriptors that this process may hold
 }
 
 // listen makes the place where a successor calls. It takes the former one's place only once it is there.
@@ -317,7 +317,7 @@
 
 // start serves as the heir of the process before this one, if there was one, and waits for its own. It
 // is called from once the list is in.
-func (h *handover) start(ctx context.Context, from *heir) {
+func (h *handover) start(ctx context.Context, from *Predecessor) {
 	select {
 	case <-h.s.loop.ready:
 	case <-ctx.Done():
@@ -329,9 +329,9 @@
 		defer stop()
 		// Its first yes ends the old process: were that told to stop before it knows of this one, it would
 		// turn the front away in the node's name.
-		old.Go(func() { from.serve(sync.OnceFunc(func() { close(h.s.first) }), h.grant) })
+		old.Go(func() { from.Follow(sync.OnceFunc(func() { close(h.s.soleListener) }), h.grant) })
 	} else {
-		close(h.s.first)
+		close(h.s.soleListener)
 	}
 	if h.path != "" {
 		h.run(ctx)
@@ -373,7 +373,7 @@
 	slog.Warn("the successor is gone: this process serves on", "err", err, "it had served", served)
 	h.s.superseded.Store(false)
 	h.s.draining.Store(h.s.stopping.Load())
-	if err := h.gate.setShut(false); err != nil {
+	if err := h.clients.setPaused(false); err != nil {
 		slog.Error("the clients' listener", "err", err)
 	}
 	h.resize()
@@ -381,23 +381,23 @@
 	if h.fleet != nil {
 		h.fleet.Resume()
 	}
-	h.s.loop.send(takenBack{served})
+	h.s.loop.send(successorGone{served})
 }
 
 // leave writes what the successor needs.
 func (h *handover) leave(conn *net.UnixConn) error {
-	if err := conn.SetWriteDeadline(time.Now().Add(handoverTimeout)); err != nil {
+	if err := conn.SetWriteDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return err
 	}
-	raw, err := h.gate.Listener.(syscall.Conn).SyscallConn()
+	raw, err := h.clients.Listener.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return err
 	}
-	left, ok := ask(h.s.loop, func(reply chan<- inheritance) any { return ceded{reply} })
+	left, ok := ask(h.s.loop, func(reply chan<- State) any { return snapshotRequest{reply} })
 	if !ok {
 		return errors.New("the node has ended")
 	}
-	left.Version, left.Name, left.Listen = handoverVersion, h.c.Name, h.c.Listen
+	left.Version, left.Name, left.Address = protocolVersion, h.c.Name, h.c.Listen
 	limitMemory(h.c, 0.5)
 	left.Sockets = h.release()
 	text, err := json.Marshal(left)
@@ -420,7 +420,7 @@
 // follow waits until the successor serves, and then tells it what this process still holds. It returns
 // once the successor is gone.
 func (h *handover) follow(conn *net.UnixConn) (served bool, err error) {
-	if err := conn.SetReadDeadline(time.Now().Add(handoverWait)); err != nil {
+	if err := conn.SetReadDeadline(time.Now().Add(startTimeout)); err != nil {
 		return false, err
 	}
 	word := make([]byte, 1)
@@ -433,7 +433,7 @@
 		h.fleet.Yield()
 	}
 	h.s.draining.Store(true) // clients come again, to the successor
-	if err := h.gate.setShut(true); err != nil {
+	if err := h.clients.setPaused(true); err != nil {
 		return true, err
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
@@ -444,7 +444,7 @@
 		_, err := conn.Read(word)
 		gone <- err
 	}()
-	tick := time.NewTicker(handoverTell)
+	tick := time.NewTicker(ProgressInterval)
 	defer tick.Stop()
 	tells := json.NewEncoder(conn)
 	for {
@@ -452,7 +452,7 @@
 		case err := <-gone:
 			return true, err
 		case <-tick.C:
-			if err := tells.Encode(inheritance{Sockets: h.release(), Out: h.s.loop.out()}); err != nil {
+			if err := tells.Encode(State{Sockets: h.release(), InFlight: h.s.loop.inFlight()}); err != nil {
 				return true, err
 			}
 		}
@@ -463,16 +463,16 @@
 func (h *handover) total() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.share
+	return h.sockets
 }
 
 // release cuts this process down to what it holds, and returns what is left for its successor.
 func (h *handover) release() int {
 	clients := h.s.peers.count()
-	spare := max(1, min(spareConns, (h.c.Sockets-h.c.ownSockets())/sparePart))
-	servers := h.up.shrink(min(clients, spareServers), spare)
-	h.gate.resize(clients + spare)
-	held := h.c.ownBeside() + clients + spare + servers
+	spare := max(1, min(maxSpareConns, (h.c.Sockets-h.c.ownSockets())/spareFraction))
+	servers := h.up.shrink(min(clients, maxSpareServerConns), spare)
+	h.clients.setLimit(clients + spare)
+	held := h.c.ownSocketsShared() + clients + spare + servers
 	total := h.total()
 	return max(total/4, total-held)
 }
@@ -483,27 +483,27 @@
 	// who connect and say nothing leave the servers' side its descriptors. While two processes share them, none
 	// is set aside for clients over the limit: they wait at the gate for what the other process lets go of.
 	h.mu.Lock()
-	sockets, own, over := h.share, h.c.ownSockets(), ownSockets/2
-	if h.s.sharing.Load() {
-		own, over = h.c.ownBeside(), 0
+	sockets, own, over := h.sockets, h.c.ownSockets(), ownSockets/2
+	if h.s.sharingSockets.Load() {
+		own, over = h.c.ownSocketsShared(), 0
 	}
 	h.mu.Unlock()
 	h.up.sockets.total.Store(int64(max(leastPart, sockets-own)))
 	h.up.unbound()
-	h.gate.resize(h.up.sockets.mostClients() + over)
+	h.clients.setLimit(h.up.sockets.mostClients() + over)
 }
 
 // grant takes what the process before this one has let go of.
-func (h *handover) grant(left inheritance, whole bool) {
-	h.s.loop.send(outBeside{left.Out})
+func (h *handover) grant(left State, whole bool) {
+	h.s.loop.send(predecessorInFlight{left.InFlight})
 	sockets := left.Sockets
 	if whole {
 		sockets = h.c.Sockets
 		limitMemory(h.c, 1)
 	}
 	h.mu.Lock()
-	h.share = sockets
-	h.s.sharing.Store(!whole)
+	h.sockets = sockets
+	h.s.sharingSockets.Store(!whole)
 	h.mu.Unlock()
 	if !h.s.superseded.Load() {
 		h.resize()
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -17,8 +17,8 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// replaceable is the configuration of a node that can be replaced: it has an address and a folder.
-func replaceable(t *testing.T, known string) Config {
+// restartableConfig is the configuration of a node that can be replaced: it has an address and a folder.
+func restartableConfig(t *testing.T, known string) Config {
 	t.Helper()
 	c := testConfig(t, known)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,7 +57,7 @@
 			t.Errorf("%s ran twice", r.Header.Get("X-Request-Id"))
 		}
 	})
-	c := replaceable(t, nodetest.KnownList(server))
+	c := restartableConfig(t, nodetest.KnownList(server))
 	_, stopFirst := startProcess(t, c)
 
 	var served atomic.Int64
@@ -93,11 +93,11 @@
 	}
 	more()
 	second, stopSecond := startProcess(t, c)
-	if second.heir == nil {
+	if second.predecessor == nil {
 		t.Fatal("the second process is an ordinary one")
 	}
 	third, _ := startProcess(t, c)
-	if third.heir == nil {
+	if third.predecessor == nil {
 		t.Fatal("the third process is an ordinary one")
 	}
 	for _, stop := range []func() error{stopFirst, stopSecond} {
@@ -114,7 +114,7 @@
 func TestReplacementKeepsBuckets(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-	c := replaceable(t, nodetest.KnownList(server))
+	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	ask := func(id string) int {
 		resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", id, "", "X-Tenant", "tiny"))
@@ -135,18 +135,18 @@
 func TestPredecessorServesOn(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-	c := replaceable(t, nodetest.KnownList(server))
+	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	for _, served := range []bool{false, true} {
 		at, err := Listen(c)
-		if err != nil || at.heir == nil {
+		if err != nil || at.predecessor == nil {
 			t.Fatalf("no hand-over: %v", err)
 		}
 		if served {
-			if _, err := at.heir.conn.Write([]byte{serving}); err != nil {
+			if _, err := at.predecessor.conn.Write([]byte{readyByte}); err != nil {
 				t.Fatal(err)
 			}
-			if err := at.heir.tells.Decode(&at.heir.inheritance); err != nil { // so the word was heard
+			if err := at.predecessor.messages.Decode(&at.predecessor.State); err != nil { // so the word was heard
 				t.Fatal(err)
 			}
 		}
@@ -161,14 +161,14 @@
 // The two processes together hold no more descriptors than one may.
 func TestReplacementSharesDescriptors(t *testing.T) {
 	t.Parallel()
-	c := replaceable(t, nodetest.KnownList("127.0.0.1:9"))
+	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	startProcess(t, c)
 	at, err := Listen(c)
-	if err != nil || at.heir == nil {
+	if err != nil || at.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
 	defer at.close()
-	if got := at.heir.Sockets; got < c.Sockets/4 || got > c.Sockets-c.ownBeside() {
+	if got := at.predecessor.Sockets; got < c.Sockets/4 || got > c.Sockets-c.ownSocketsShared() {
 		t.Errorf("%d descriptors of %d for the successor", got, c.Sockets)
 	}
 }
@@ -204,17 +204,17 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-			c := replaceable(t, nodetest.KnownList(server))
+			c := restartableConfig(t, nodetest.KnownList(server))
 			prepare(t, c)
 			at, err := Listen(c)
-			if err != nil || at.heir != nil {
-				t.Fatalf("heir %v, %v", at.heir, err)
+			if err != nil || at.predecessor != nil {
+				t.Fatalf("heir %v, %v", at.predecessor, err)
 			}
 			addr, _ := startNodeAt(t, c, at, nil)
 			if resp, _ := do(t, clientRequest(t, addr, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d", resp.StatusCode)
 			}
-			beside, err := listenShared(c.Listen)
+			beside, err := ListenShared(c.Listen)
 			if err != nil {
 				t.Fatalf("a second process can't listen: %v", err)
 			}
@@ -237,14 +237,14 @@
 // The folder's path may be longer than a Unix socket's address.
 func TestHandoverInADeepFolder(t *testing.T) {
 	t.Parallel()
-	c := replaceable(t, nodetest.KnownList("127.0.0.1:9"))
+	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	c.Scratch = filepath.Join(c.Scratch, strings.Repeat("d", 120))
 	if err := os.Mkdir(c.Scratch, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	startProcess(t, c)
 	at, err := Listen(c)
-	if err != nil || at.heir == nil {
+	if err != nil || at.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
 	at.close()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -73,16 +73,16 @@
 	fig     *figures
 	disc    *discovery.Client
 
-	events   chan any
-	done     chan struct{} // closed when the loop has ended
-	ready    chan struct{} // closed when the known list is in
-	requests map[string]*request
-	owed     int  // requests without their answer
-	finished bool // there is no time left for any
-	timers   timers
-	members  map[string]discovery.Endpoint // the list as last told
-	skipped  []policy.Outcome              // of attempts that were not made; told once all actions are done
-	attempts sync.WaitGroup
+	events    chan any
+	done      chan struct{} // closed when the loop has ended
+	ready     chan struct{} // closed when the known list is in
+	requests  map[string]*request
+	owed      int  // requests without their answer
+	finished  bool // there is no time left for any
+	timers    timers
+	endpoints map[string]discovery.Endpoint // the list as last told
+	skipped   []policy.Outcome              // of attempts that were not made; told once all actions are done
+	attempts  sync.WaitGroup
 }
 
 // request is kept until it is answered and all its attempts are over.
@@ -111,12 +111,12 @@
 		n int
 		result
 	}
-	ceded     struct{ reply chan<- inheritance } // another process takes over
-	takenBack struct{ served bool }              // and is gone again
-	tailAsked struct{ reply chan<- time.Duration }
-	outAsked  struct{ reply chan<- map[string]int } // this process's attempts, by server
-	outBeside struct{ out map[string]int }          // and the other's
-	begun     struct {                              // an answer that is passed on as it comes
+	snapshotRequest     struct{ reply chan<- State } // another process takes over
+	successorGone       struct{ served bool }        // and is gone again
+	tailRequest         struct{ reply chan<- time.Duration }
+	inFlightRequest     struct{ reply chan<- map[string]int } // this process's attempts, by server
+	predecessorInFlight struct{ inFlight map[string]int }     // and the other's
+	begun               struct {                              // an answer that is passed on as it comes
 		r *request
 		n int
 		answer
@@ -135,7 +135,7 @@
 	}
 	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, fig: fig,
 		events: make(chan any, eventBuffer), done: make(chan struct{}), ready: make(chan struct{}),
-		requests: make(map[string]*request), members: make(map[string]discovery.Endpoint)}
+		requests: make(map[string]*request), endpoints: make(map[string]discovery.Endpoint)}
 	l.target = c.discoveryTarget()
 	l.terms.Store(newTerms(c.Settings.Classes))
 	l.disc = discovery.NewClient(c.discoveryConfig(), func(u discovery.Update) { l.send(u) })
@@ -154,9 +154,9 @@
 	}
 }
 
-// out is this process's attempts, by server; nil once the loop has ended.
-func (l *loop) out() map[string]int {
-	out, _ := ask(l, func(reply chan<- map[string]int) any { return outAsked{reply} })
+// inFlight is this process's attempts, by server; nil once the loop has ended.
+func (l *loop) inFlight() map[string]int {
+	out, _ := ask(l, func(reply chan<- map[string]int) any { return inFlightRequest{reply} })
 	return out
 }
 
@@ -170,14 +170,14 @@
 
 // run handles events until ctx ends; then it calls off what is out and waits for it. The list as last
 // held comes before all else, as the module expects, and then what another process left.
-func (l *loop) run(ctx context.Context, known []discovery.Endpoint, left *inheritance) {
+func (l *loop) run(ctx context.Context, known []discovery.Endpoint, left *State) {
 	defer l.attempts.Wait()
 	defer l.callOff()
 	defer close(l.done)
 	l.handle(discovery.Update{Kind: policy.ListCached, Endpoints: known})
 	if left != nil {
-		l.module.Restore(l.clock.now(), left.Knowledge)
-		l.module.SetSiblingInFlight(left.Out)
+		l.module.Restore(l.clock.now(), left.Policy)
+		l.module.SetSiblingInFlight(left.InFlight)
 	}
 	close(l.ready)
 	sweep := time.NewTicker(sweepEvery)
@@ -251,18 +251,18 @@
 	case ending:
 		l.end(e)
 	case discovery.Update:
-		l.listed(e)
+		l.applyUpdate(e)
 	case retuned:
 		l.retune(e.Config)
-	case ceded:
-		left := inheritance{Knowledge: l.module.Snapshot(l.clock.now()), Out: l.module.InFlight()}
-		left.setEndpoints(maps.Values(l.members))
+	case snapshotRequest:
+		left := State{Policy: l.module.Snapshot(l.clock.now()), InFlight: l.module.InFlight()}
+		left.SetEndpointList(maps.Values(l.endpoints))
 		e.reply <- left
 		l.tell(policy.HandedOver{Active: true})
-	case outAsked:
+	case inFlightRequest:
 		e.reply <- l.module.InFlight()
-	case outBeside:
-		l.module.SetSiblingInFlight(e.out)
+	case predecessorInFlight:
+		l.module.SetSiblingInFlight(e.inFlight)
 	case fleetSeen:
 		l.tell(policy.FleetSize{ReachableNodes: e.heard, ReachableInZone: e.near})
 	case fleetAsked:
@@ -271,9 +271,9 @@
 		e.reply <- f
 	case placesAsked:
 		e.reply <- l.module.Zones(l.clock.now())
-	case tailAsked:
+	case tailRequest:
 		e.reply <- l.module.TailLatency()
-	case takenBack:
+	case successorGone:
 		l.tell(policy.HandedOver{SuccessorServed: e.served})
 	case finish:
 		l.finished = true
@@ -392,16 +392,16 @@
 	l.drop(e.r)
 }
 
-func (l *loop) listed(n discovery.Update) {
+func (l *loop) applyUpdate(n discovery.Update) {
 	if n.Kind != policy.ListUnavailable {
 		l.up.update(n)
 	}
 	if n.Kind == policy.ListReplace || n.Kind == policy.ListCached {
-		clear(l.members)
+		clear(l.endpoints)
 	}
 	for _, m := range n.Endpoints {
-		if l.members[m.ID] = m; m.Availability == policy.Removed {
-			delete(l.members, m.ID)
+		if l.endpoints[m.ID] = m; m.Availability == policy.Removed {
+			delete(l.endpoints, m.ID)
 		}
 	}
 	members := make([]policy.Endpoint, len(n.Endpoints))
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -276,7 +276,7 @@
 // A request that is over leaves nothing behind, however far off its deadline was.
 func TestEndedRequestsAreForgotten(t *testing.T) {
 	l := &loop{clock: clock{start: time.Now()}, requests: make(map[string]*request),
-		members: make(map[string]discovery.Endpoint), fig: newFigures(nil)}
+		endpoints: make(map[string]discovery.Endpoint), fig: newFigures(nil)}
 	l.module = &script{answer: func(_ policy.Time, ev policy.Event) []policy.Action {
 		if e, ok := ev.(policy.Request); ok {
 			return []policy.Action{{Kind: policy.Reject, ID: e.ID}}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,12 +13,12 @@
 )
 
 const (
-	ownSockets   = 32                     // descriptors for the log, discovery, the runtime and the like
-	leanSockets  = 18                     // the same while two processes share the node's: 14 are in use
-	acceptFor    = 500 * time.Millisecond // after the signal to stop, while clients still come
-	longestDrain = 3 * time.Second        // no client waits longer once a node is told to stop
-	stopPoll     = 20 * time.Millisecond  // between looks at whether a replaced process has clients left
-	lastAnswers  = 100 * time.Millisecond // for what is failed then to reach its clients
+	ownSockets            = 32                     // descriptors for the log, discovery, the runtime and the like
+	ownSocketsWhileShared = 18                     // the same while two processes share the node's: 14 are in use
+	acceptFor             = 500 * time.Millisecond // after the signal to stop, while clients still come
+	longestDrain          = 3 * time.Second        // no client waits longer once a node is told to stop
+	stopPoll              = 20 * time.Millisecond  // between looks at whether a replaced process has clients left
+	lastAnswers           = 100 * time.Millisecond // for what is failed then to reach its clients
 )
 
 // Run serves clients until ctx ends. Then it goes on accepting for a moment, answers what it has taken,
@@ -26,8 +26,8 @@
 func Run(ctx context.Context, c Config, at Listeners, changes <-chan Change) error {
 	ck := clock{start: time.Now()}
 	shared, held := new(sockets), c.Sockets
-	if at.heir != nil {
-		held, c.Known = at.heir.Sockets, discovery.List{Revision: discovery.UnknownRevision, Endpoints: at.heir.endpoints()}
+	if at.predecessor != nil {
+		held, c.Known = at.predecessor.Sockets, discovery.List{Revision: discovery.UnknownRevision, Endpoints: at.predecessor.EndpointList()}
 	} else {
 		c.Known = discovery.RestoreList(c.ListFile, c.Known)
 	}
@@ -40,8 +40,8 @@
 		return err
 	}
 	s := newServer(l)
-	s.heir = at.heir != nil
-	s.sharing.Store(s.heir)
+	s.isSuccessor = at.predecessor != nil
+	s.sharingSockets.Store(s.isSuccessor)
 	fleet, err := l.join(c)
 	if err != nil {
 		return err
@@ -51,25 +51,25 @@
 	var parts sync.WaitGroup
 	defer parts.Wait()
 	defer stop()
-	var left *inheritance
-	if at.heir != nil {
-		left = &at.heir.inheritance
+	var left *State
+	if at.predecessor != nil {
+		left = &at.predecessor.State
 		limitMemory(c, 0.5)
 	}
 	parts.Go(func() { l.run(running, c.Known.Endpoints, left) })
 	parts.Go(func() { l.disc.Run(running) })
 
 	failed := make(chan error, 1)
-	clients := newGate(at.Clients, held)
-	h := &handover{c: c, path: handoverPath(c), s: s, up: up, gate: clients, fleet: fleet, share: held}
+	clients := newConnLimiter(at.Clients, held)
+	h := &handover{c: c, path: handoverPath(c), s: s, up: up, clients: clients, fleet: fleet, sockets: held}
 	h.resize()
 	parts.Go(func() { failed <- s.accept(clients) })
-	parts.Go(func() { h.start(running, at.heir) })
+	parts.Go(func() { h.start(running, at.predecessor) })
 	if fleet != nil {
 		parts.Go(func() { l.follow(running, fleet.Subscribe()) })
 		parts.Go(func() {
 			select {
-			case <-s.first: // until then another process is the member
+			case <-s.soleListener: // until then another process is the member
 				fleet.Run(ctx)
 			case <-running.Done():
 			}
@@ -107,7 +107,7 @@
 	s.draining.Store(true)
 	late := time.AfterFunc(time.Until(end), func() { s.loop.send(finish{}) })
 	defer late.Stop()
-	err := h.gate.Close()
+	err := h.clients.Close()
 	s.shutdown(end.Add(lastAnswers))
 	return err
 }
@@ -117,7 +117,7 @@
 // or finds none.
 func (s *server) lastAnswer(terms *terms) time.Duration {
 	longest := terms.longestOf(longestAnswer)
-	if tail, ok := ask(s.loop, func(reply chan<- time.Duration) any { return tailAsked{reply} }); ok {
+	if tail, ok := ask(s.loop, func(reply chan<- time.Duration) any { return tailRequest{reply} }); ok {
 		return min(longest, tail)
 	}
 	return longest
@@ -125,7 +125,7 @@
 
 // limitMemory sets the part of the memory limit that this process may use.
 func limitMemory(c Config, part float64) {
-	debug.SetMemoryLimit(int64(part * heapPart * float64(c.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(part * heapFraction * float64(c.MemoryMB) * (1 << 20)))
 }
 
 // longestWait is how long a client of a stopping node may wait.
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -63,26 +63,26 @@
 
 // server takes requests from clients, hands them to the loop, and writes the loop's answers.
 type server struct {
-	loop       *loop
-	first      chan struct{} // closed once new clients come to this process alone
-	stopping   atomic.Bool   // the front is told that the node isn't ready
-	draining   atomic.Bool   // and answers end their connections
-	closing    atomic.Bool   // and connections end as soon as they have no request
-	superseded atomic.Bool   // another process of this node serves
-	heir       bool          // another one served before this
-	sharing    atomic.Bool   // another one still holds descriptors that come to this one bit by bit
-	peers      *peers
-	open       sync.WaitGroup // connections
+	loop           *loop
+	soleListener   chan struct{} // closed once new clients come to this process alone
+	stopping       atomic.Bool   // the front is told that the node isn't ready
+	draining       atomic.Bool   // and answers end their connections
+	closing        atomic.Bool   // and connections end as soon as they have no request
+	superseded     atomic.Bool   // another process of this node serves
+	isSuccessor    bool          // another one served before this
+	sharingSockets atomic.Bool   // another one still holds descriptors that come to this one bit by bit
+	peers          *peers
+	open           sync.WaitGroup // connections
 }
 
 func newServer(l *loop) *server {
-	return &server{loop: l, first: make(chan struct{}), peers: newPeers(l.up.sockets.forClients, &l.up.sockets.clients, l.up.yield)}
+	return &server{loop: l, soleListener: make(chan struct{}), peers: newPeers(l.up.sockets.forClients, &l.up.sockets.clients, l.up.yield)}
 }
 
 // taking tells whether this process takes clients.
 func (s *server) taking() bool {
 	select {
-	case <-s.first: // and so the list is in
+	case <-s.soleListener: // and so the list is in
 		return !s.stopping.Load()
 	default:
 		return false
@@ -98,15 +98,15 @@
 	case <-s.loop.ready:
 		return true
 	default:
-		return s.heir
+		return s.isSuccessor
 	}
 }
 
 // place tells whether a client has a place. One that came over the limit while descriptors come from the process
 // before this one waits for the next few of them.
 func (s *server) place(p *peer) bool {
-	for end := time.Now().Add(2 * handoverTell); p.over && !s.peers.fits(p); time.Sleep(placePoll) {
-		if !s.sharing.Load() || !time.Now().Before(end) {
+	for end := time.Now().Add(2 * ProgressInterval); p.over && !s.peers.fits(p); time.Sleep(placePoll) {
+		if !s.sharingSockets.Load() || !time.Now().Before(end) {
 			return false
 		}
 	}
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -182,9 +182,9 @@
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 		c := testConfig(t, nodetest.KnownList(addr))
-		c.Sockets = leastSockets
+		c.Sockets = minSockets
 		node, _ := startNode(t, c)
-		side := (leastSockets - ownSockets) / 2
+		side := (minSockets - ownSockets) / 2
 		var held []net.Conn
 		defer func() {
 			for _, c := range held {
@@ -228,7 +228,7 @@
 		s := newServer(l)
 		node := serveAt(t, s)
 		nodetest.Receive(t, "readiness", l.ready)
-		close(s.first)
+		close(s.soleListener)
 		client := keptClient(t)
 		for _, state := range []struct{ draining, superseded, ready bool }{
 			{ready: true}, {draining: true}, {draining: true, superseded: true, ready: true}, // the node serves on
@@ -425,7 +425,7 @@
 	nodetest.Receive(t, "a request", got)
 	late := newTestClient(t, node)
 	nodetest.Await(t, "the connection over the limit", func() bool { return s.peers.count() == 3 })
-	total.Store(leastSockets)
+	total.Store(minSockets)
 	late.send("GET", "read", "late", "")
 	letGo()
 	if resp := late.answered(); resp.StatusCode != http.StatusOK {
--- a/internal/node/socketqueue_test.go
+++ b/internal/node/socketqueue_test.go
@@ -66,12 +66,12 @@
 		t.Errorf("%d for servers beside 40 clients, want %d", got, s.least())
 	}
 	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
-	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: newGate(nodetest.Listener(t), 1), share: 60}
+	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, clients: newConnLimiter(nodetest.Listener(t), 1), sockets: 60}
 	for _, sharing := range []bool{true, false} {
-		h.s.sharing.Store(sharing)
+		h.s.sharingSockets.Store(sharing)
 		h.resize()
-		if most := l.up.sockets.mostClients(); (h.gate.most > most) == sharing {
-			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.gate.most, most)
+		if most := l.up.sockets.mostClients(); (h.clients.limit > most) == sharing {
+			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.clients.limit, most)
 		}
 	}
 }
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -156,7 +156,7 @@
 
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
-	s.loop.up.sockets.total.Store(leastSockets)
+	s.loop.up.sockets.total.Store(minSockets)
 	ended := make(chan error, 1)
 	go func() { ended <- s.accept(ln) }()
 	t.Cleanup(func() {
