--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -41,7 +41,7 @@
 	defer endProfile()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	at, err := node.Listen(c)
+	at, err := node.Listen(ctx, c)
 	if err != nil {
 		return err
 	}
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -67,7 +67,7 @@
 	for i := range c.Settings.Tenants {
 		c.Settings.Tenants[i].Quota = 1e6
 	}
-	ln, err := ListenShared(c.Listen)
+	ln, err := listenShared(b.Context(), c.Listen)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -64,7 +64,7 @@
 		{"127.0.0.1", "/tmp", ""},
 		{"127.0.0.1:8080", "", ""},
 	} {
-		if got := handoverPath(Config{Listen: c.listen, Scratch: c.scratch}); got != c.want {
+		if got := (Identity{Address: c.listen, Dir: c.scratch}).SocketPath(); got != c.want {
 			t.Errorf("listen %q, folder %q: %q, want %q", c.listen, c.scratch, got, c.want)
 		}
 	}
@@ -122,7 +122,7 @@
 	if resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: handoverPath(c), Net: "unix"})
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: c.identity().SocketPath(), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -167,7 +167,7 @@
 func TestHandoverTranscriptOfTheSuccessor(t *testing.T) {
 	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	state := bytes.Replace(nodetest.Golden(t, "handover_state.json"), []byte(`"Listen":"127.0.0.1:8080"`), []byte(`"Listen":"`+c.Listen+`"`), 1)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: handoverPath(c), Net: "unix"})
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: c.identity().SocketPath(), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -194,7 +194,7 @@
 		}
 		wrote <- err
 	}()
-	at, err := Listen(c)
+	at, err := Listen(t.Context(), c)
 	if err != nil || at.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
@@ -213,9 +213,9 @@
 
 	conn := nodetest.Receive(t, "the connection", predecessor)
 	defer conn.Close()
-	shares := make(chan State, 8)
-	go at.predecessor.Follow(func() {}, func(left State, whole bool) {
-		if whole {
+	shares := make(chan Progress, 8)
+	go at.predecessor.Follow(func() {}, func(left Progress, ended bool) {
+		if ended {
 			close(shares)
 			return
 		}
@@ -230,7 +230,8 @@
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	if err := json.NewEncoder(&out).Encode(nodetest.Receive(t, "the progress", shares)); err != nil {
+	took := nodetest.Receive(t, "the progress", shares)
+	if err := json.NewEncoder(&out).Encode(State{Sockets: took.Sockets, InFlight: took.InFlight}); err != nil {
 		t.Fatal(err)
 	}
 	nodetest.SameBytes(t, "what the successor heard", out.Bytes(), progress)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -25,34 +25,44 @@
 
 const (
 	protocolVersion = 1
-	// socketPrefix begins the name of the hand-over's socket, in $TMPDIR. The other version's process
-	// looks there: it stays as it is.
-	socketPrefix        = "wayhold-"
-	socketSuffix        = ".sock"
-	stepTimeout         = time.Second           // for each step of a hand-over
-	startTimeout        = 10 * time.Second      // for the new process to serve; after that it counts as gone
-	ProgressInterval    = 50 * time.Millisecond // between looks at what the old process still holds: half an answer's time
-	maxStateBytes       = 16 << 20              // bytes
-	readyByte           = 'S'                   // what a new process writes once it takes clients
-	maxSpareConns       = 8                     // that the old process may open on either side meanwhile, at most,
-	spareFraction       = 12                    // and as a part of those that the node may have
-	maxSpareServerConns = 32                    // connections to servers that it may want for clients it has
-	heapFraction        = 0.75                  // of the memory limit: stacks and sockets take the rest
+	// socketPrefix begins the name of the socket, in $TMPDIR, at which a successor calls. The process at the other end
+	// may be of another version, which looks there: the name stays as it is.
+	socketPrefix = "wayhold-"
+	socketSuffix = ".sock"
+	socketMode   = 0o600
+
+	stepTimeout  = time.Second      // for each step of a hand-over
+	startTimeout = 10 * time.Second // for the successor to serve; after that it counts as gone
+
+	// ProgressInterval is the time between the messages in which a predecessor says what it still holds.
+	ProgressInterval = 50 * time.Millisecond
+
+	maxStateBytes = 16 << 20
+	readyByte     = 'S' // a successor writes it once it serves
+	stateByte     = '\n'
 )
 
-// State is what a process leaves to the one that takes over. Descriptors of the clients' listener
-// come with its first byte. The process at the other end may be of another version: the keys are fixed.
+// Errors of a hand-over that callers tell apart by errors.Is.
+var (
+	// ErrOtherNode is a process that serves another node, or speaks another version of the protocol.
+	ErrOtherNode = errors.New("the process can't hand over to this one")
+	// ErrListeningSocket is a message that does not bring exactly the clients' listening socket.
+	ErrListeningSocket = errors.New("the listening socket")
+)
+
+// State is what a process hands over to its successor. The clients' listening socket comes with the byte before it. The
+// process at the other end may be of another version: the keys are fixed.
 type State struct {
 	Version   int             `json:"Version"`
 	Name      string          `json:"Name"`
 	Address   string          `json:"Listen"`
 	Endpoints []endpointState `json:"Members"`
 	Policy    policy.Snapshot `json:"Knowledge"`
-	Sockets   int             `json:"Sockets"` // that the new process may hold for now; told again as the old one ends its connections
-	InFlight  map[string]int  `json:"Out"`     // the old process's attempts at each server; told again too
+	Sockets   int             `json:"Sockets"` // descriptors that the successor may hold for now
+	InFlight  map[string]int  `json:"Out"`     // the predecessor's attempts at each server
 }
 
-// endpointState is how an endpoint stands in a handover state. The keys are fixed.
+// endpointState is an endpoint in a State. The keys are fixed.
 type endpointState struct {
 	ID              string              `json:"Server"`
 	Zone            string              `json:"Zone"`
@@ -71,355 +81,302 @@
 }
 
 func (s endpointState) endpoint() discovery.Endpoint {
-	return discovery.Endpoint{Address: s.Address, StartedAtMillis: s.StartedAtMillis, Endpoint: policy.Endpoint{ID: s.ID, Zone: s.Zone,
-		Kind: s.Kind, Cell: s.Cell, Weight: s.Weight, StartedAt: s.StartedAt, Availability: s.Availability}}
+	return discovery.Endpoint{Address: s.Address, StartedAtMillis: s.StartedAtMillis, Endpoint: policy.Endpoint{ID: s.ID,
+		Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Weight: s.Weight, StartedAt: s.StartedAt, Availability: s.Availability}}
 }
 
 // SetEndpointList puts the endpoint list into the state.
-func (in *State) SetEndpointList(endpoints iter.Seq[discovery.Endpoint]) {
+func (s *State) SetEndpointList(endpoints iter.Seq[discovery.Endpoint]) {
 	for e := range endpoints {
-		in.Endpoints = append(in.Endpoints, newEndpointState(e))
+		s.Endpoints = append(s.Endpoints, newEndpointState(e))
 	}
 }
 
 // EndpointList is the endpoint list of the state.
-func (in *State) EndpointList() (all []discovery.Endpoint) {
-	for _, s := range in.Endpoints {
-		all = append(all, s.endpoint())
+func (s *State) EndpointList() (all []discovery.Endpoint) {
+	for _, e := range s.Endpoints {
+		all = append(all, e.endpoint())
 	}
 	return all
 }
 
-// Listeners are where a node is reached, and what it was left by the process before it.
-type Listeners struct {
-	Clients     net.Listener
-	Control     net.Listener // the operators'; nil for none
-	predecessor *Predecessor // nil where there was no such process
-}
-
-// Predecessor is the new process's end of a hand-over.
-type Predecessor struct {
-	State
-	conn     *net.UnixConn
-	messages *json.Decoder
-}
-
-// Listen makes the node's listeners. The clients' comes from the process that serves there now, where
-// one does and hands over; else it is an ordinary one.
-func Listen(c Config) (Listeners, error) {
-	var at Listeners
-	var err error
-	if path := handoverPath(c); path != "" {
-		at.Clients, at.predecessor, err = TakeOver(c, path)
-		if err != nil && !errors.Is(err, os.ErrNotExist) {
-			slog.Warn("no hand-over: starting as an ordinary process", "err", err)
-		}
-	} else if c.Scratch == "" {
-		slog.Info("TMPDIR is not set: this process can't be replaced without loss")
-	}
-	if at.Clients == nil {
-		if at.Clients, err = ListenShared(c.Listen); err != nil {
-			return at, fmt.Errorf("listen: %w", err)
-		}
-	}
-	if c.Control != "" {
-		if at.Control, err = net.Listen("tcp", c.Control); err != nil {
-			at.close()
-			return at, fmt.Errorf("control: %w", err)
-		}
-	}
-	return at, nil
+// Progress is what a predecessor still holds while its successor serves.
+type Progress struct {
+	Sockets  int            // descriptors that the successor may hold now
+	InFlight map[string]int // the predecessor's attempts at each server
 }
 
-func (at Listeners) close() {
-	at.Clients.Close()
-	if at.predecessor != nil {
-		at.predecessor.conn.Close()
-	}
-}
-
-// ListenShared listens where another process of this node may listen too.
-func ListenShared(addr string) (net.Listener, error) {
-	lc := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
-		return raw.Control(func(fd uintptr) {
-			err := unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
-			if err != nil {
-				slog.Warn("the clients' address can't be shared", "err", err)
-			}
-		})
-	}}
-	return lc.Listen(context.Background(), "tcp", addr)
+// Identity says which node a process is one of.
+type Identity struct {
+	Name    string
+	Address string // host:port of the clients' listener
+	Dir     string // a folder that all processes of the node share; empty for none
 }
 
-// handoverPath is where the process that serves at the clients' address takes its successor's call;
-// empty where there is no such place. The other version's process looks there.
-func handoverPath(c Config) string {
-	if _, port, err := net.SplitHostPort(c.Listen); err != nil || port == "0" || c.Scratch == "" {
+// SocketPath is where the process that serves at the clients' address awaits its successor, of any version. It is empty
+// if there is no such place, and the node can't be handed over.
+func (id Identity) SocketPath() string {
+	if _, port, err := net.SplitHostPort(id.Address); err != nil || port == "0" || id.Dir == "" {
 		return ""
 	}
-	return filepath.Join(c.Scratch, socketPrefix+strings.ReplaceAll(c.Listen, ":", "-")+socketSuffix)
+	return filepath.Join(id.Dir, socketPrefix+strings.ReplaceAll(id.Address, ":", "-")+socketSuffix)
 }
 
 // unixAddr is the address of a Unix socket. One whose path is too long is named by way of its folder,
 // which stays open until done is called.
-func unixAddr(path string) (addr *net.UnixAddr, done func(), err error) {
+func unixAddr(path string) (addr *net.UnixAddr, done func() error, err error) {
 	if len(path) < len(syscall.RawSockaddrUnix{}.Path) {
-		return &net.UnixAddr{Name: path, Net: "unix"}, func() {}, nil
+		return &net.UnixAddr{Name: path, Net: "unix"}, func() error { return nil }, nil
 	}
 	dir, err := os.Open(filepath.Dir(path))
 	if err != nil {
 		return nil, nil, err
 	}
 	name := filepath.Join("/proc/self/fd", strconv.Itoa(int(dir.Fd())), filepath.Base(path))
-	return &net.UnixAddr{Name: name, Net: "unix"}, func() { dir.Close() }, nil
+	return &net.UnixAddr{Name: name, Net: "unix"}, dir.Close, nil
 }
 
-// TakeOver asks the process that serves now for what it has.
-func TakeOver(c Config, path string) (net.Listener, *Predecessor, error) {
+// Predecessor is the process that served before this one, as its successor sees it.
+type Predecessor struct {
+	State    State        // as of the hand-over
+	Clients  net.Listener // the clients'
+	conn     *net.UnixConn
+	messages *json.Decoder
+}
+
+// TakeOver asks the process that serves now for its state. The error is an os.ErrNotExist if there is none.
+func TakeOver(id Identity) (*Predecessor, error) {
+	path := id.SocketPath()
+	p, err := dialPredecessor(path)
+	if err != nil {
+		return nil, fmt.Errorf("hot restart: connect to %s: %w", path, err)
+	}
+	if err := p.receive(id); err != nil {
+		return nil, fmt.Errorf("hot restart: take over: %w", errors.Join(err, p.conn.Close()))
+	}
+	return p, nil
+}
+
+func dialPredecessor(path string) (*Predecessor, error) {
 	addr, done, err := unixAddr(path)
 	if err != nil {
-		return nil, nil, err
+		return nil, err
 	}
-	defer done()
 	conn, err := net.DialUnix("unix", nil, addr)
-	if err != nil {
-		return nil, nil, err
+	if closed := done(); err == nil && closed != nil {
+		return nil, errors.Join(closed, conn.Close())
 	}
-	h := &Predecessor{conn: conn}
-	l, err := h.receive(c)
 	if err != nil {
-		conn.Close()
-		return nil, nil, err
+		return nil, err
 	}
-	slog.Info("taking over from another process", "servers", len(h.Endpoints), "sockets", h.Sockets)
-	return l, h, nil
+	return &Predecessor{conn: conn}, nil
 }
 
-func (h *Predecessor) receive(c Config) (net.Listener, error) {
-	if err := h.conn.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
-		return nil, err
+// receive reads the listening socket and the state.
+func (p *Predecessor) receive(id Identity) error {
+	if err := p.conn.SetDeadline(time.Now().Add(stepTimeout)); err != nil {
+		return err
 	}
 	first, rights := make([]byte, 1), make([]byte, unix.CmsgSpace(4))
-	_, n, _, _, err := h.conn.ReadMsgUnix(first, rights)
+	_, n, _, _, err := p.conn.ReadMsgUnix(first, rights)
 	if err != nil {
-		return nil, err
+		return err
 	}
-	l, err := listenerFrom(rights[:n])
+	listener, err := listenerFrom(rights[:n])
 	if err != nil {
-		return nil, err
+		return err
 	}
-	h.messages = json.NewDecoder(io.LimitReader(h.conn, maxStateBytes))
-	err = h.messages.Decode(&h.State)
-	if err == nil && (h.Version != protocolVersion || h.Name != c.Name || h.Address != c.Listen) {
-		err = fmt.Errorf("the process is %q at %s, hand-over version %d", h.Name, h.Address, h.Version)
+	p.messages = json.NewDecoder(io.LimitReader(p.conn, maxStateBytes))
+	err = p.messages.Decode(&p.State)
+	if s := p.State; err == nil && (s.Version != protocolVersion || s.Name != id.Name || s.Address != id.Address) {
+		err = fmt.Errorf("%w: it is %q at %s, version %d", ErrOtherNode, s.Name, s.Address, s.Version)
 	}
 	if err == nil {
-		err = h.conn.SetDeadline(time.Time{})
+		err = p.conn.SetDeadline(time.Time{})
 	}
 	if err != nil {
-		l.Close()
-		return nil, err
+		return errors.Join(err, listener.Close())
 	}
-	return l, nil
+	p.Clients = listener
+	return nil
 }
 
+// listenerFrom is the listening socket in a control message. Any other descriptor that came is closed.
 func listenerFrom(rights []byte) (net.Listener, error) {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
-		return nil, fmt.Errorf("the listening socket: %w", err)
+		return nil, fmt.Errorf("%w: %w", ErrListeningSocket, err)
 	}
 	if len(messages) != 1 {
-		return nil, fmt.Errorf("the listening socket: want 1 control message, got %d", len(messages))
+		return nil, fmt.Errorf("%w: want 1 control message, got %d", ErrListeningSocket, len(messages))
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil {
-		return nil, fmt.Errorf("the listening socket: %w", err)
+		return nil, fmt.Errorf("%w: %w", ErrListeningSocket, err)
 	}
 	if len(fds) != 1 {
+		err := fmt.Errorf("%w: want 1 descriptor, got %d", ErrListeningSocket, len(fds))
 		for _, fd := range fds {
-			unix.Close(fd)
+			err = errors.Join(err, unix.Close(fd))
 		}
-		return nil, fmt.Errorf("the listening socket: want 1 descriptor, got %d", len(fds))
+		return nil, err
 	}
 	unix.CloseOnExec(fds[0])
 	f := os.NewFile(uintptr(fds[0]), "clients")
-	defer f.Close()
-	return net.FileListener(f)
+	listener, err := net.FileListener(f) // which duplicates the descriptor
+	if closed := f.Close(); err == nil && closed != nil {
+		return nil, errors.Join(closed, listener.Close())
+	}
+	return listener, err
 }
 
-// Follow tells the old process that this one takes clients, and follows what the old one still holds. heard
-// is called once the old one leaves new clients to this one, or takes too long to say so. Once it is gone,
-// all is this one's.
-func (h *Predecessor) Follow(heard func(), share func(left State, whole bool)) {
-	defer h.conn.Close()
-	defer heard()
-	if _, err := h.conn.Write([]byte{readyByte}); err != nil {
-		slog.Warn("the old process left early", "err", err)
+// Close gives the predecessor up, which then serves on.
+func (p *Predecessor) Close() error { return p.conn.Close() }
+
+// Follow notifies the predecessor that this process serves, and follows what it still holds until it has ended or Close
+// is called. It calls yielded once: when the predecessor leaves new clients to this process, or takes too long to say
+// so. It calls progress with each message, and with ended when the predecessor holds nothing any more.
+func (p *Predecessor) Follow(yielded func(), progress func(of Progress, ended bool)) {
+	defer func() { _ = p.conn.Close() }() // by then it has ended, or Close was called
+	yielded = sync.OnceFunc(yielded)
+	defer yielded()
+	if _, err := p.conn.Write([]byte{readyByte}); err != nil {
+		slog.Warn("hot restart: the predecessor ended early", "error", err)
 	}
 	late := time.AfterFunc(stepTimeout, func() {
-		slog.Warn("the old process doesn't say that it leaves clients to this one", "for", stepTimeout)
-		heard()
+		slog.Warn("hot restart: the predecessor doesn't confirm that it stopped accepting", "after", stepTimeout)
+		yielded()
 	})
 	defer late.Stop()
 	for {
-		var tell State
-		if err := h.messages.Decode(&tell); err != nil {
-			slog.Info("the old process has ended")
-			share(State{}, true)
+		var message State
+		if err := p.messages.Decode(&message); err != nil {
+			slog.Info("hot restart: the predecessor has ended")
+			progress(Progress{}, true)
 			return
 		}
 		if late.Stop() {
-			heard()
+			yielded()
 		}
-		share(tell, false)
+		progress(Progress{Sockets: message.Sockets, InFlight: message.InFlight}, false)
 	}
 }
 
-// handover is a serving process's end: it waits for a successor.
-type handover struct {
-	c       Config
-	path    string
-	s       *server
-	up      *upstream
-	clients *connLimiter
-	fleet   *membership // nil for a node of no fleet
+// Process is a serving process that a successor may take over from. Serve calls the methods one at a time.
+type Process interface {
+	// ClientsSocket is the clients' listening socket.
+	ClientsSocket() (syscall.RawConn, error)
+	// Snapshot is the state to hand over, and makes room for the successor. Serve fills in the identity.
+	Snapshot() (State, error)
+	// StopAccepting leaves new clients to the successor, which serves.
+	StopAccepting() error
+	// Progress is what the process still holds, and releases what it doesn't need.
+	Progress() Progress
+	// Resume goes on as the only process: the successor is gone, after it has served or before.
+	Resume(successorServed bool)
+}
 
-	mu      sync.Mutex
-	sockets int // descriptors that this process may hold
+// Serve hands over to successors until ctx ends, one at a time. A successor that is gone before ctx ends leaves the
+// process the only one again.
+func Serve(ctx context.Context, id Identity, process Process) error {
+	listener, err := listenForSuccessor(id.SocketPath())
+	if err != nil {
+		return fmt.Errorf("hot restart: listen for a successor: %w", err)
+	}
+	stop := context.AfterFunc(ctx, func() { _ = listener.Close() }) // which ends AcceptUnix
+	defer stop()
+	for {
+		conn, err := listener.AcceptUnix()
+		if err != nil {
+			if ctx.Err() != nil {
+				return nil
+			}
+			return fmt.Errorf("hot restart: await a successor: %w", err)
+		}
+		serveSuccessor(ctx, id, process, conn)
+	}
 }
 
-// listen makes the place where a successor calls. It takes the former one's place only once it is there.
-func (h *handover) listen() (*net.UnixListener, error) {
-	fresh := h.path + "." + strconv.Itoa(os.Getpid())
+// listenForSuccessor makes the socket at which a successor calls. It takes the former one's place only once it is
+// there.
+func listenForSuccessor(path string) (*net.UnixListener, error) {
+	fresh := path + "." + strconv.Itoa(os.Getpid())
 	addr, done, err := unixAddr(fresh)
 	if err != nil {
 		return nil, err
 	}
-	defer done()
 	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
-		return nil, err
+		return nil, errors.Join(err, done())
 	}
-	l, err := net.ListenUnix("unix", addr)
+	listener, err := net.ListenUnix("unix", addr)
 	if err != nil {
-		return nil, err
+		return nil, errors.Join(err, done())
 	}
-	l.SetUnlinkOnClose(false) // by then the path may be a successor's
-	err = os.Chmod(fresh, 0o600)
+	listener.SetUnlinkOnClose(false) // by then the path may be a successor's
+	err = done()
 	if err == nil {
-		err = os.Rename(fresh, h.path)
+		err = os.Chmod(fresh, socketMode)
 	}
-	if err != nil {
-		l.Close()
-		return nil, err
-	}
-	return l, nil
-}
-
-// start serves as the heir of the process before this one, if there was one, and waits for its own. It
-// is called from once the list is in.
-func (h *handover) start(ctx context.Context, from *Predecessor) {
-	select {
-	case <-h.s.loop.ready:
-	case <-ctx.Done():
-	}
-	var old sync.WaitGroup
-	defer old.Wait()
-	if from != nil {
-		stop := context.AfterFunc(ctx, func() { from.conn.Close() })
-		defer stop()
-		// Its first yes ends the old process: were that told to stop before it knows of this one, it would
-		// turn the front away in the node's name.
-		old.Go(func() { from.Follow(sync.OnceFunc(func() { close(h.s.soleListener) }), h.grant) })
-	} else {
-		close(h.s.soleListener)
-	}
-	if h.path != "" {
-		h.run(ctx)
+	if err == nil {
+		err = os.Rename(fresh, path)
 	}
-}
-
-// run hands over to successors until ctx ends, one at a time. A successor that is gone before this
-// process was told to stop leaves it the only one again.
-func (h *handover) run(ctx context.Context) {
-	l, err := h.listen()
 	if err != nil {
-		slog.Warn("this process can't be replaced without loss", "err", err)
-		return
-	}
-	stop := context.AfterFunc(ctx, func() { l.Close() })
-	defer stop()
-	for {
-		conn, err := l.AcceptUnix()
-		if err != nil {
-			return
-		}
-		h.hand(ctx, conn)
+		return nil, errors.Join(err, listener.Close())
 	}
+	return listener, nil
 }
 
-// hand leaves the node to the process at the other end, for as long as that lives.
-func (h *handover) hand(ctx context.Context, conn *net.UnixConn) {
-	defer conn.Close()
-	stop := context.AfterFunc(ctx, func() { conn.Close() })
+// serveSuccessor hands over to the process at the other end of conn, for as long as that lives.
+func serveSuccessor(ctx context.Context, id Identity, process Process, conn *net.UnixConn) {
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // which ends reads and writes
 	defer stop()
-	err := h.leave(conn)
+	err := sendState(id, process, conn)
 	served := false
 	if err == nil {
-		served, err = h.follow(conn)
+		served, err = followSuccessor(process, conn)
 	}
+	err = errors.Join(err, conn.Close())
 	if ctx.Err() != nil {
 		return
 	}
-	slog.Warn("the successor is gone: this process serves on", "err", err, "it had served", served)
-	h.s.superseded.Store(false)
-	h.s.draining.Store(h.s.stopping.Load())
-	if err := h.clients.setPaused(false); err != nil {
-		slog.Error("the clients' listener", "err", err)
-	}
-	h.resize()
-	limitMemory(h.c, 1)
-	if h.fleet != nil {
-		h.fleet.Resume()
-	}
-	h.s.loop.send(successorGone{served})
+	slog.Warn("hot restart: the successor is gone, serving on", "error", err, "it had served", served)
+	process.Resume(served)
 }
 
-// leave writes what the successor needs.
-func (h *handover) leave(conn *net.UnixConn) error {
+// sendState writes what a successor needs: the listening socket and the state.
+func sendState(id Identity, process Process, conn *net.UnixConn) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return err
 	}
-	raw, err := h.clients.Listener.(syscall.Conn).SyscallConn()
+	clients, err := process.ClientsSocket()
 	if err != nil {
 		return err
 	}
-	left, ok := ask(h.s.loop, func(reply chan<- State) any { return snapshotRequest{reply} })
-	if !ok {
-		return errors.New("the node has ended")
+	state, err := process.Snapshot()
+	if err != nil {
+		return err
 	}
-	left.Version, left.Name, left.Address = protocolVersion, h.c.Name, h.c.Listen
-	limitMemory(h.c, 0.5)
-	left.Sockets = h.release()
-	text, err := json.Marshal(left)
+	state.Version, state.Name, state.Address = protocolVersion, id.Name, id.Address
+	text, err := json.Marshal(state)
 	if err != nil {
 		return err
 	}
-	var wrote error
-	if err := raw.Control(func(fd uintptr) {
-		_, _, wrote = conn.WriteMsgUnix([]byte{'\n'}, unix.UnixRights(int(fd)), nil)
+	var writeErr error
+	if err := clients.Control(func(fd uintptr) {
+		_, _, writeErr = conn.WriteMsgUnix([]byte{stateByte}, unix.UnixRights(int(fd)), nil)
 	}); err != nil {
 		return err
 	}
-	if wrote != nil {
-		return wrote
+	if writeErr != nil {
+		return writeErr
 	}
 	_, err = conn.Write(text)
 	return err
 }
 
-// follow waits until the successor serves, and then tells it what this process still holds. It returns
-// once the successor is gone.
-func (h *handover) follow(conn *net.UnixConn) (served bool, err error) {
+// followSuccessor waits until the successor serves, and then sends it what this process still holds. It returns once
+// the successor is gone.
+func followSuccessor(process Process, conn *net.UnixConn) (served bool, err error) {
 	if err := conn.SetReadDeadline(time.Now().Add(startTimeout)); err != nil {
 		return false, err
 	}
@@ -427,85 +384,30 @@
 	if _, err := io.ReadFull(conn, word); err != nil {
 		return false, err
 	}
-	slog.Info("a successor serves: its clients come to it from now on")
-	h.s.superseded.Store(true)
-	if h.fleet != nil {
-		h.fleet.Yield()
-	}
-	h.s.draining.Store(true) // clients come again, to the successor
-	if err := h.clients.setPaused(true); err != nil {
+	slog.Info("hot restart: a successor serves, accepting no new clients")
+	if err := process.StopAccepting(); err != nil {
 		return true, err
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return true, err
 	}
 	gone := make(chan error, 1)
-	go func() {
+	go func() { // ends with the connection
 		_, err := conn.Read(word)
 		gone <- err
 	}()
-	tick := time.NewTicker(ProgressInterval)
-	defer tick.Stop()
-	tells := json.NewEncoder(conn)
+	ticker := time.NewTicker(ProgressInterval)
+	defer ticker.Stop()
+	messages := json.NewEncoder(conn)
 	for {
 		select {
 		case err := <-gone:
 			return true, err
-		case <-tick.C:
-			if err := tells.Encode(State{Sockets: h.release(), InFlight: h.s.loop.inFlight()}); err != nil {
+		case <-ticker.C:
+			progress := process.Progress()
+			if err := messages.Encode(State{Sockets: progress.Sockets, InFlight: progress.InFlight}); err != nil {
 				return true, err
 			}
 		}
 	}
 }
-
-// total is how many descriptors this process may hold where it has no successor.
-func (h *handover) total() int {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.sockets
-}
-
-// release cuts this process down to what it holds, and returns what is left for its successor.
-func (h *handover) release() int {
-	clients := h.s.peers.count()
-	spare := max(1, min(maxSpareConns, (h.c.Sockets-h.c.ownSockets())/spareFraction))
-	servers := h.up.shrink(min(clients, maxSpareServerConns), spare)
-	h.clients.setLimit(clients + spare)
-	held := h.c.ownSocketsShared() + clients + spare + servers
-	total := h.total()
-	return max(total/4, total-held)
-}
-
-// resize shares the descriptors that this process may hold out between the clients' and the servers' side.
-func (h *handover) resize() {
-	// The server refuses requests on connections over its side; the gate makes sure that even clients
-	// who connect and say nothing leave the servers' side its descriptors. While two processes share them, none
-	// is set aside for clients over the limit: they wait at the gate for what the other process lets go of.
-	h.mu.Lock()
-	sockets, own, over := h.sockets, h.c.ownSockets(), ownSockets/2
-	if h.s.sharingSockets.Load() {
-		own, over = h.c.ownSocketsShared(), 0
-	}
-	h.mu.Unlock()
-	h.up.sockets.total.Store(int64(max(leastPart, sockets-own)))
-	h.up.unbound()
-	h.clients.setLimit(h.up.sockets.mostClients() + over)
-}
-
-// grant takes what the process before this one has let go of.
-func (h *handover) grant(left State, whole bool) {
-	h.s.loop.send(predecessorInFlight{left.InFlight})
-	sockets := left.Sockets
-	if whole {
-		sockets = h.c.Sockets
-		limitMemory(h.c, 1)
-	}
-	h.mu.Lock()
-	h.sockets = sockets
-	h.s.sharingSockets.Store(!whole)
-	h.mu.Unlock()
-	if !h.s.superseded.Load() {
-		h.resize()
-	}
-}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -34,14 +34,14 @@
 // startProcess starts what would be a process of the node, and waits until it can be replaced.
 func startProcess(t *testing.T, c Config) (at Listeners, stop func() error) {
 	t.Helper()
-	at, err := Listen(c)
+	at, err := Listen(t.Context(), c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, _ := os.Stat(handoverPath(c))
+	before, _ := os.Stat(c.identity().SocketPath())
 	_, stop = startNodeAt(t, c, at, nil)
 	nodetest.Await(t, "its place for a successor", func() bool {
-		now, err := os.Stat(handoverPath(c))
+		now, err := os.Stat(c.identity().SocketPath())
 		return err == nil && !os.SameFile(before, now)
 	})
 	return at, stop
@@ -138,19 +138,23 @@
 	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	for _, served := range []bool{false, true} {
-		at, err := Listen(c)
+		at, err := Listen(t.Context(), c)
 		if err != nil || at.predecessor == nil {
 			t.Fatalf("no hand-over: %v", err)
 		}
 		if served {
-			if _, err := at.predecessor.conn.Write([]byte{readyByte}); err != nil {
-				t.Fatal(err)
-			}
-			if err := at.predecessor.messages.Decode(&at.predecessor.State); err != nil { // so the word was heard
-				t.Fatal(err)
-			}
+			following := make(chan struct{})
+			first := sync.OnceFunc(func() { close(following) })
+			go at.predecessor.Follow(func() {}, func(_ Progress, ended bool) {
+				if !ended {
+					first()
+				}
+			})
+			nodetest.Receive(t, "the predecessor's progress", following)
+		}
+		if err := at.close(); err != nil {
+			t.Error(err)
 		}
-		at.close()
 		resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", fmt.Sprint("r", served), ""))
 		if resp.StatusCode != http.StatusOK {
 			t.Errorf("served %v: status %d", served, resp.StatusCode)
@@ -163,12 +167,12 @@
 	t.Parallel()
 	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	startProcess(t, c)
-	at, err := Listen(c)
+	at, err := Listen(t.Context(), c)
 	if err != nil || at.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
 	defer at.close()
-	if got := at.predecessor.Sockets; got < c.Sockets/4 || got > c.Sockets-c.ownSocketsShared() {
+	if got := at.predecessor.State.Sockets; got < c.Sockets/4 || got > c.Sockets-c.ownSocketsShared() {
 		t.Errorf("%d descriptors of %d for the successor", got, c.Sockets)
 	}
 }
@@ -178,7 +182,7 @@
 	t.Parallel()
 	speak := func(say string) func(t *testing.T, c Config) {
 		return func(t *testing.T, c Config) {
-			l, err := net.Listen("unix", handoverPath(c))
+			l, err := net.Listen("unix", c.identity().SocketPath())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -197,7 +201,7 @@
 	}
 	for name, prepare := range map[string]func(t *testing.T, c Config){
 		"nobody":      func(*testing.T, Config) {},
-		"stale":       func(t *testing.T, c Config) { stale(t, handoverPath(c)) },
+		"stale":       func(t *testing.T, c Config) { stale(t, c.identity().SocketPath()) },
 		"silent end":  speak(""),
 		"rubbish":     speak("\n{\"Version\":99"),
 		"not a place": func(t *testing.T, c Config) { os.Remove(c.Scratch) },
@@ -206,7 +210,7 @@
 			server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 			c := restartableConfig(t, nodetest.KnownList(server))
 			prepare(t, c)
-			at, err := Listen(c)
+			at, err := Listen(t.Context(), c)
 			if err != nil || at.predecessor != nil {
 				t.Fatalf("heir %v, %v", at.predecessor, err)
 			}
@@ -214,7 +218,7 @@
 			if resp, _ := do(t, clientRequest(t, addr, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d", resp.StatusCode)
 			}
-			beside, err := ListenShared(c.Listen)
+			beside, err := listenShared(t.Context(), c.Listen)
 			if err != nil {
 				t.Fatalf("a second process can't listen: %v", err)
 			}
@@ -243,7 +247,7 @@
 		t.Fatal(err)
 	}
 	startProcess(t, c)
-	at, err := Listen(c)
+	at, err := Listen(t.Context(), c)
 	if err != nil || at.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
--- /dev/null
+++ b/internal/node/hot_restart.go
@@ -0,0 +1,159 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"sync"
+	"syscall"
+)
+
+const (
+	// maxSpareConns bounds the connections that a process may open on either side beyond those that it has, while its
+	// successor serves; spareFraction bounds them by the descriptors of the node.
+	maxSpareConns = 8
+	spareFraction = 12
+	// maxSpareServerConns bounds the connections to servers that it keeps for its clients.
+	maxSpareServerConns = 32
+	// minSuccessorFraction of its descriptors is a successor's, whatever the process before it holds.
+	minSuccessorFraction = 4
+	// sharedMemoryFraction of the memory limit is each process's, while there are two.
+	sharedMemoryFraction = 0.5
+)
+
+// hotRestart is this process's part in hand-overs: it shares the node's descriptors and memory with the process before
+// it, and with the one that takes over from it.
+type hotRestart struct {
+	config   Config
+	server   *server
+	upstream *upstream
+	clients  *connLimiter
+	fleet    *membership // nil for a node of no fleet
+
+	mu      sync.Mutex
+	sockets int // descriptors that this process may hold
+}
+
+// run takes over from a predecessor, if there is one, and awaits successors, until ctx ends. It waits for the list
+// first.
+func (h *hotRestart) run(ctx context.Context, predecessor *Predecessor) {
+	select {
+	case <-h.server.loop.ready:
+	case <-ctx.Done():
+	}
+	var following sync.WaitGroup
+	defer following.Wait()
+	if predecessor != nil {
+		stop := context.AfterFunc(ctx, func() { _ = predecessor.Close() }) // which ends Follow
+		defer stop()
+		// Readiness at the operators' address waits for the predecessor to yield: if that were stopped before, it would
+		// reject the front's health checks in the node's name.
+		following.Go(func() { predecessor.Follow(func() { close(h.server.soleListener) }, h.takeSockets) })
+	} else {
+		close(h.server.soleListener)
+	}
+	id := h.config.identity()
+	if id.SocketPath() == "" {
+		return
+	}
+	if err := Serve(ctx, id, h); err != nil {
+		slog.Warn("hot restart: this process can't hand over", "error", err)
+	}
+}
+
+// ClientsSocket implements hotrestart.Process.
+func (h *hotRestart) ClientsSocket() (syscall.RawConn, error) {
+	return h.clients.Listener.(syscall.Conn).SyscallConn()
+}
+
+// Snapshot implements hotrestart.Process.
+func (h *hotRestart) Snapshot() (State, error) {
+	state, ok := ask(h.server.loop, func(reply chan<- State) any { return snapshotRequest{reply} })
+	if !ok {
+		return State{}, errors.New("the node has ended")
+	}
+	limitMemory(h.config, sharedMemoryFraction)
+	state.Sockets = h.releaseSockets()
+	return state, nil
+}
+
+// StopAccepting implements hotrestart.Process.
+func (h *hotRestart) StopAccepting() error {
+	h.server.superseded.Store(true)
+	if h.fleet != nil {
+		h.fleet.Yield()
+	}
+	h.server.draining.Store(true) // clients come again, to the successor
+	return h.clients.setPaused(true)
+}
+
+// Progress implements hotrestart.Process.
+func (h *hotRestart) Progress() Progress {
+	return Progress{Sockets: h.releaseSockets(), InFlight: h.server.loop.inFlight()}
+}
+
+// Resume implements hotrestart.Process.
+func (h *hotRestart) Resume(successorServed bool) {
+	h.server.superseded.Store(false)
+	h.server.draining.Store(h.server.stopping.Load())
+	if err := h.clients.setPaused(false); err != nil {
+		slog.Error("hot restart: the clients' listener", "error", err)
+	}
+	h.shareSockets()
+	limitMemory(h.config, 1)
+	if h.fleet != nil {
+		h.fleet.Resume()
+	}
+	h.server.loop.send(successorGone{successorServed})
+}
+
+// totalSockets is how many descriptors this process may hold where it has no successor.
+func (h *hotRestart) totalSockets() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.sockets
+}
+
+// releaseSockets cuts this process down to what it holds, and returns what is left for its successor.
+func (h *hotRestart) releaseSockets() int {
+	clients := h.server.peers.count()
+	spare := max(1, min(maxSpareConns, (h.config.Sockets-h.config.ownSockets())/spareFraction))
+	servers := h.upstream.shrink(min(clients, maxSpareServerConns), spare)
+	h.clients.setLimit(clients + spare)
+	held := h.config.ownSocketsShared() + clients + spare + servers
+	total := h.totalSockets()
+	return max(total/minSuccessorFraction, total-held)
+}
+
+// shareSockets shares the descriptors that this process may hold out between the clients' and the servers' side.
+func (h *hotRestart) shareSockets() {
+	// The server rejects requests on connections over its side; the limiter makes sure that even clients who connect
+	// and say nothing leave the servers' side its descriptors. While two processes share them, none is set aside for
+	// clients over the limit: they wait to be accepted for what the other process releases.
+	h.mu.Lock()
+	sockets, own, over := h.sockets, h.config.ownSockets(), ownSockets/2
+	if h.server.sharingSockets.Load() {
+		own, over = h.config.ownSocketsShared(), 0
+	}
+	h.mu.Unlock()
+	h.upstream.sockets.total.Store(int64(max(leastPart, sockets-own)))
+	h.upstream.unbound()
+	h.clients.setLimit(h.upstream.sockets.mostClients() + over)
+}
+
+// takeSockets takes what the process before this one has released.
+func (h *hotRestart) takeSockets(progress Progress, ended bool) {
+	h.server.loop.send(predecessorInFlight{progress.InFlight})
+	sockets := progress.Sockets
+	if ended {
+		sockets = h.config.Sockets
+		limitMemory(h.config, 1)
+	}
+	h.mu.Lock()
+	h.sockets = sockets
+	h.server.sharingSockets.Store(!ended)
+	h.mu.Unlock()
+	if !h.server.superseded.Load() {
+		h.shareSockets()
+	}
+}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,6 +19,8 @@
 	longestDrain          = 3 * time.Second        // no client waits longer once a node is told to stop
 	stopPoll              = 20 * time.Millisecond  // between looks at whether a replaced process has clients left
 	lastAnswers           = 100 * time.Millisecond // for what is failed then to reach its clients
+	// heapFraction of the memory limit is the heap's: stacks and sockets take the rest.
+	heapFraction = 0.75
 )
 
 // Run serves clients until ctx ends. Then it goes on accepting for a moment, answers what it has taken,
@@ -27,7 +29,7 @@
 	ck := clock{start: time.Now()}
 	shared, held := new(sockets), c.Sockets
 	if at.predecessor != nil {
-		held, c.Known = at.predecessor.Sockets, discovery.List{Revision: discovery.UnknownRevision, Endpoints: at.predecessor.EndpointList()}
+		held, c.Known = at.predecessor.State.Sockets, discovery.List{Revision: discovery.UnknownRevision, Endpoints: at.predecessor.State.EndpointList()}
 	} else {
 		c.Known = discovery.RestoreList(c.ListFile, c.Known)
 	}
@@ -54,17 +56,17 @@
 	var left *State
 	if at.predecessor != nil {
 		left = &at.predecessor.State
-		limitMemory(c, 0.5)
+		limitMemory(c, sharedMemoryFraction)
 	}
 	parts.Go(func() { l.run(running, c.Known.Endpoints, left) })
 	parts.Go(func() { l.disc.Run(running) })
 
 	failed := make(chan error, 1)
 	clients := newConnLimiter(at.Clients, held)
-	h := &handover{c: c, path: handoverPath(c), s: s, up: up, clients: clients, fleet: fleet, sockets: held}
-	h.resize()
+	h := &hotRestart{config: c, server: s, upstream: up, clients: clients, fleet: fleet, sockets: held}
+	h.shareSockets()
 	parts.Go(func() { failed <- s.accept(clients) })
-	parts.Go(func() { h.start(running, at.predecessor) })
+	parts.Go(func() { h.run(running, at.predecessor) })
 	if fleet != nil {
 		parts.Go(func() { l.follow(running, fleet.Subscribe()) })
 		parts.Go(func() {
@@ -95,7 +97,7 @@
 // them unread counts as taken, so the listener stays open until then. Clients go on using those they
 // have: ending them early would only move their load to the other nodes while this one is gone, so they
 // are served for as long as what comes can be answered before the node is killed.
-func (s *server) drain(h *handover) error {
+func (s *server) drain(h *hotRestart) error {
 	s.stopping.Store(true)
 	terms := s.loop.terms.Load()
 	end := time.Now().Add(acceptFor + terms.longestOf(longestWait))
--- a/internal/node/socketqueue_test.go
+++ b/internal/node/socketqueue_test.go
@@ -66,10 +66,10 @@
 		t.Errorf("%d for servers beside 40 clients, want %d", got, s.least())
 	}
 	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
-	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, clients: newConnLimiter(nodetest.Listener(t), 1), sockets: 60}
+	h := &hotRestart{config: testConfig(t, nodetest.KnownList("127.0.0.1:9")), server: newServer(l), upstream: l.up, clients: newConnLimiter(nodetest.Listener(t), 1), sockets: 60}
 	for _, sharing := range []bool{true, false} {
-		h.s.sharingSockets.Store(sharing)
-		h.resize()
+		h.server.sharingSockets.Store(sharing)
+		h.shareSockets()
 		if most := l.up.sockets.mostClients(); (h.clients.limit > most) == sharing {
 			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.clients.limit, most)
 		}
