--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -23,53 +23,6 @@
 // The tests in this file pin forms that another version of the program reads, or an operator's tools. The
 // golden files were written by the code of commit 4650eee; they are never written anew.
 
-// What a process leaves to its successor, and what it says of its attempts and sockets later on, is
-// read whole and written back byte for byte.
-func TestHandoverMessagesKeepTheirForm(t *testing.T) {
-	for _, name := range []string{"handover_state.json", "handover_progress.json"} {
-		want := nodetest.Golden(t, name)
-		strict := json.NewDecoder(bytes.NewReader(want))
-		strict.DisallowUnknownFields()
-		var in State
-		if err := strict.Decode(&in); err != nil {
-			t.Fatalf("%s: %v", name, err)
-		}
-		var got []byte
-		var err error
-		if name == "handover_state.json" {
-			got, err = json.Marshal(in)
-			if a := in.Endpoints; len(a) != 2 || a[0].Availability != policy.Draining || a[1].Availability != policy.Removed {
-				t.Errorf("%s: members %+v", name, a)
-			}
-		} else {
-			var out bytes.Buffer
-			err = json.NewEncoder(&out).Encode(in)
-			got = out.Bytes()
-		}
-		if err != nil {
-			t.Fatal(err)
-		}
-		nodetest.SameBytes(t, name, got, want)
-	}
-}
-
-// The socket at which a successor calls is where other versions look for it.
-func TestHandoverSocketPath(t *testing.T) {
-	for _, c := range []struct{ listen, scratch, want string }{
-		{"127.0.0.1:8080", "/tmp/n0", "/tmp/n0/wayhold-127.0.0.1-8080.sock"},
-		{":8080", "/tmp", "/tmp/wayhold--8080.sock"},
-		{"[::1]:8080", "/tmp/", "/tmp/wayhold-[--1]-8080.sock"},
-		{"server.svc:80", "relative", "relative/wayhold-server.svc-80.sock"},
-		{"127.0.0.1:0", "/tmp", ""},
-		{"127.0.0.1", "/tmp", ""},
-		{"127.0.0.1:8080", "", ""},
-	} {
-		if got := (Identity{Address: c.listen, Dir: c.scratch}).SocketPath(); got != c.want {
-			t.Errorf("listen %q, folder %q: %q, want %q", c.listen, c.scratch, got, c.want)
-		}
-	}
-}
-
 // jsonShape is a JSON text's with its figures and words taken out: keys and their order stay, and of a list the
 // first entry.
 func jsonShape(t *testing.T, raw []byte) string {
@@ -136,17 +89,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, err := listenerFrom(rights[:rightsLen])
+	messages, err := unix.ParseSocketControlMessage(rights[:rightsLen])
+	if err != nil || len(messages) != 1 {
+		t.Fatalf("%d control messages, %v", len(messages), err)
+	}
+	fds, err := unix.ParseUnixRights(&messages[0])
+	if err != nil || len(fds) != 1 {
+		t.Fatalf("%d descriptors, %v", len(fds), err)
+	}
+	f := os.NewFile(uintptr(fds[0]), "clients")
+	defer nodetest.Close(t, f)
+	l, err := net.FileListener(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer nodetest.Close(t, l)
 	fmt.Fprintf(&log, "predecessor: %q with the listening socket\n", first[:n])
-	messages := json.NewDecoder(conn)
+	texts := json.NewDecoder(conn)
 	next := func() {
 		t.Helper()
 		var raw json.RawMessage
-		if err := messages.Decode(&raw); err != nil {
+		if err := texts.Decode(&raw); err != nil {
 			t.Fatal(err)
 		}
 		fmt.Fprintf(&log, "predecessor: %s\n", jsonShape(t, raw))
@@ -157,90 +120,12 @@
 	}
 	log.WriteString("successor: \"S\"\n")
 	next()
-	if left, err := io.ReadAll(messages.Buffered()); err != nil || string(left) != "\n" {
+	if left, err := io.ReadAll(texts.Buffered()); err != nil || string(left) != "\n" {
 		t.Errorf("behind the message: %q, %v", left, err)
 	}
 	nodetest.SameBytes(t, "the transcript", []byte(log.String()), nodetest.Golden(t, "handover_transcript.txt"))
 }
 
-// A predecessor of any version meets a successor that takes its messages and answers with one byte.
-func TestHandoverTranscriptOfTheSuccessor(t *testing.T) {
-	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
-	state := bytes.Replace(nodetest.Golden(t, "handover_state.json"), []byte(`"Listen":"127.0.0.1:8080"`), []byte(`"Listen":"`+c.Listen+`"`), 1)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: c.identity().SocketPath(), Net: "unix"})
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer l.Close()
-	clients, err := net.Listen("tcp", c.Listen)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer clients.Close()
-	wrote := make(chan error, 1)
-	predecessor := make(chan *net.UnixConn, 1)
-	go func() {
-		conn, err := l.AcceptUnix()
-		if err == nil {
-			predecessor <- conn
-			var f *os.File
-			if f, err = clients.(*net.TCPListener).File(); err == nil {
-				_, _, err = conn.WriteMsgUnix([]byte("\n"), unix.UnixRights(int(f.Fd())), nil)
-				f.Close()
-			}
-		}
-		if err == nil {
-			_, err = conn.Write(state)
-		}
-		wrote <- err
-	}()
-	at, err := Listen(t.Context(), c)
-	if err != nil || at.predecessor == nil {
-		t.Fatalf("no hand-over: %v", err)
-	}
-	defer at.close()
-	if err := nodetest.Receive(t, "the predecessor's messages", wrote); err != nil {
-		t.Fatal(err)
-	}
-	got, err := json.Marshal(at.predecessor.State)
-	if err != nil {
-		t.Fatal(err)
-	}
-	nodetest.SameBytes(t, "what the successor took", got, state)
-	if at.Clients.Addr().String() != c.Listen {
-		t.Errorf("the listening socket is at %v", at.Clients.Addr())
-	}
-
-	conn := nodetest.Receive(t, "the connection", predecessor)
-	defer conn.Close()
-	shares := make(chan Progress, 8)
-	go at.predecessor.Follow(func() {}, func(left Progress, ended bool) {
-		if ended {
-			close(shares)
-			return
-		}
-		shares <- left
-	})
-	word := make([]byte, 16)
-	if n, err := conn.Read(word); err != nil || string(word[:n]) != "S" {
-		t.Fatalf("the successor said %q, %v", word[:n], err)
-	}
-	progress := nodetest.Golden(t, "handover_progress.json")
-	if _, err := conn.Write(progress); err != nil {
-		t.Fatal(err)
-	}
-	var out bytes.Buffer
-	took := nodetest.Receive(t, "the progress", shares)
-	if err := json.NewEncoder(&out).Encode(State{Sockets: took.Sockets, InFlight: took.InFlight}); err != nil {
-		t.Fatal(err)
-	}
-	nodetest.SameBytes(t, "what the successor heard", out.Bytes(), progress)
-	conn.Close()
-	if left, more := <-shares; more {
-		t.Errorf("after the predecessor's end: %+v", left)
-	}
-}
-
 // The names and labels of the figures at /stats, and the answers at /healthcheck, are what operators' tools
 // know. Values are left out.
 func TestOperatorsFormsStay(t *testing.T) {
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -12,9 +12,9 @@
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
-
 	"sloerail/internal/node/nodetest"
+
+	"sloerail/internal/node/hotrestart"
 )
 
 // restartableConfig is the configuration of a node that can be replaced: it has an address and a folder.
@@ -145,7 +145,7 @@
 		if served {
 			following := make(chan struct{})
 			first := sync.OnceFunc(func() { close(following) })
-			go at.predecessor.Follow(func() {}, func(_ Progress, ended bool) {
+			go at.predecessor.Follow(func() {}, func(_ hotrestart.Progress, ended bool) {
 				if !ended {
 					first()
 				}
@@ -253,33 +253,3 @@
 	}
 	at.close()
 }
-
-// What comes in place of the listening socket is named, and no descriptor of it stays open.
-func TestWrongRightsAreNamed(t *testing.T) {
-	t.Parallel()
-	var pipe [2]int
-	if err := unix.Pipe2(pipe[:], unix.O_NONBLOCK|unix.O_CLOEXEC); err != nil {
-		t.Fatal(err)
-	}
-	defer unix.Close(pipe[0])
-	again, err := unix.Dup(pipe[1])
-	if err != nil {
-		t.Fatal(err)
-	}
-	two := unix.UnixRights(pipe[1], again)
-	for name, c := range map[string]struct {
-		rights []byte
-		want   string
-	}{
-		"nothing": {nil, "got 0"}, "cut short": {two[:4], "listening socket: "}, "two sockets": {two, "got 2"},
-	} {
-		l, err := listenerFrom(c.rights)
-		if l != nil || err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "%!") {
-			t.Errorf("%s: listener %v, error %v", name, l, err)
-		}
-	}
-	// Only where both of its other ends are closed does a pipe end.
-	if n, err := unix.Read(pipe[0], make([]byte, 1)); n != 0 || err != nil {
-		t.Errorf("a descriptor that came unasked is still open: %d, %v", n, err)
-	}
-}
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -6,6 +6,8 @@
 	"log/slog"
 	"sync"
 	"syscall"
+
+	"sloerail/internal/node/hotrestart"
 )
 
 const (
@@ -36,7 +38,7 @@
 
 // run takes over from a predecessor, if there is one, and awaits successors, until ctx ends. It waits for the list
 // first.
-func (h *hotRestart) run(ctx context.Context, predecessor *Predecessor) {
+func (h *hotRestart) run(ctx context.Context, predecessor *hotrestart.Predecessor) {
 	select {
 	case <-h.server.loop.ready:
 	case <-ctx.Done():
@@ -56,7 +58,7 @@
 	if id.SocketPath() == "" {
 		return
 	}
-	if err := Serve(ctx, id, h); err != nil {
+	if err := hotrestart.Serve(ctx, id, h); err != nil {
 		slog.Warn("hot restart: this process can't hand over", "error", err)
 	}
 }
@@ -67,10 +69,10 @@
 }
 
 // Snapshot implements hotrestart.Process.
-func (h *hotRestart) Snapshot() (State, error) {
-	state, ok := ask(h.server.loop, func(reply chan<- State) any { return snapshotRequest{reply} })
+func (h *hotRestart) Snapshot() (hotrestart.State, error) {
+	state, ok := ask(h.server.loop, func(reply chan<- hotrestart.State) any { return snapshotRequest{reply} })
 	if !ok {
-		return State{}, errors.New("the node has ended")
+		return hotrestart.State{}, errors.New("the node has ended")
 	}
 	limitMemory(h.config, sharedMemoryFraction)
 	state.Sockets = h.releaseSockets()
@@ -88,8 +90,8 @@
 }
 
 // Progress implements hotrestart.Process.
-func (h *hotRestart) Progress() Progress {
-	return Progress{Sockets: h.releaseSockets(), InFlight: h.server.loop.inFlight()}
+func (h *hotRestart) Progress() hotrestart.Progress {
+	return hotrestart.Progress{Sockets: h.releaseSockets(), InFlight: h.server.loop.inFlight()}
 }
 
 // Resume implements hotrestart.Process.
@@ -142,7 +144,7 @@
 }
 
 // takeSockets takes what the process before this one has released.
-func (h *hotRestart) takeSockets(progress Progress, ended bool) {
+func (h *hotRestart) takeSockets(progress hotrestart.Progress, ended bool) {
 	h.server.loop.send(predecessorInFlight{progress.InFlight})
 	sockets := progress.Sockets
 	if ended {
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -10,13 +10,15 @@
 	"syscall"
 
 	"golang.org/x/sys/unix"
+
+	"sloerail/internal/node/hotrestart"
 )
 
 // Listeners are where a node is reached, and the process that it takes over from.
 type Listeners struct {
 	Clients     net.Listener
-	Control     net.Listener // the operators'; nil for none
-	predecessor *Predecessor // nil where there was no such process
+	Control     net.Listener            // the operators'; nil for none
+	predecessor *hotrestart.Predecessor // nil where there was no such process
 }
 
 // Listen makes the node's listeners. The clients' comes from the process that serves there now, where one does and
@@ -25,7 +27,7 @@
 	var at Listeners
 	var err error
 	if c.identity().SocketPath() != "" {
-		at.predecessor, err = TakeOver(c.identity())
+		at.predecessor, err = hotrestart.TakeOver(c.identity())
 		switch {
 		case err == nil:
 			at.Clients = at.predecessor.Clients
@@ -71,4 +73,6 @@
 }
 
 // identity says which node this process is one of.
-func (c Config) identity() Identity { return Identity{Name: c.Name, Address: c.Listen, Dir: c.Scratch} }
+func (c Config) identity() hotrestart.Identity {
+	return hotrestart.Identity{Name: c.Name, Address: c.Listen, Dir: c.Scratch}
+}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/hotrestart"
 	"sloerail/policy"
 )
 
@@ -111,8 +112,8 @@
 		n int
 		result
 	}
-	snapshotRequest     struct{ reply chan<- State } // another process takes over
-	successorGone       struct{ served bool }        // and is gone again
+	snapshotRequest     struct{ reply chan<- hotrestart.State } // another process takes over
+	successorGone       struct{ served bool }                   // and is gone again
 	tailRequest         struct{ reply chan<- time.Duration }
 	inFlightRequest     struct{ reply chan<- map[string]int } // this process's attempts, by server
 	predecessorInFlight struct{ inFlight map[string]int }     // and the other's
@@ -170,7 +171,7 @@
 
 // run handles events until ctx ends; then it calls off what is out and waits for it. The list as last
 // held comes before all else, as the module expects, and then what another process left.
-func (l *loop) run(ctx context.Context, known []discovery.Endpoint, left *State) {
+func (l *loop) run(ctx context.Context, known []discovery.Endpoint, left *hotrestart.State) {
 	defer l.attempts.Wait()
 	defer l.callOff()
 	defer close(l.done)
@@ -255,7 +256,7 @@
 	case retuned:
 		l.retune(e.Config)
 	case snapshotRequest:
-		left := State{Policy: l.module.Snapshot(l.clock.now()), InFlight: l.module.InFlight()}
+		left := hotrestart.State{Policy: l.module.Snapshot(l.clock.now()), InFlight: l.module.InFlight()}
 		left.SetEndpointList(maps.Values(l.endpoints))
 		e.reply <- left
 		l.tell(policy.HandedOver{Active: true})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/hotrestart"
 	"sloerail/policy"
 )
 
@@ -53,7 +54,7 @@
 	var parts sync.WaitGroup
 	defer parts.Wait()
 	defer stop()
-	var left *State
+	var left *hotrestart.State
 	if at.predecessor != nil {
 		left = &at.predecessor.State
 		limitMemory(c, sharedMemoryFraction)
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -69,3 +69,11 @@
 		panic("unreachable")
 	}
 }
+
+// Close closes c, which has to be open.
+func Close(t testing.TB, c io.Closer) {
+	t.Helper()
+	if err := c.Close(); err != nil {
+		t.Error(err)
+	}
+}
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -7,6 +7,7 @@
 	"sync/atomic"
 	"time"
 
+	"sloerail/internal/node/hotrestart"
 	"sloerail/policy"
 )
 
@@ -105,7 +106,7 @@
 // place tells whether a client has a place. One that came over the limit while descriptors come from the process
 // before this one waits for the next few of them.
 func (s *server) place(p *peer) bool {
-	for end := time.Now().Add(2 * ProgressInterval); p.over && !s.peers.fits(p); time.Sleep(placePoll) {
+	for end := time.Now().Add(2 * hotrestart.ProgressInterval); p.over && !s.peers.fits(p); time.Sleep(placePoll) {
 		if !s.sharingSockets.Load() || !time.Now().Before(end) {
 			return false
 		}
--- a/internal/node/socketqueue.go
+++ b/internal/node/socketqueue.go
@@ -3,11 +3,13 @@
 import (
 	"slices"
 	"time"
+
+	"sloerail/internal/node/hotrestart"
 )
 
 // socketWait is how long an attempt waits for a descriptor. One that failed at once would have the module try other
 // servers in vain, all within a moment, and then turn the request back.
-const socketWait = 2 * ProgressInterval
+const socketWait = 2 * hotrestart.ProgressInterval
 
 // socketQueue holds the attempts that wait for a descriptor, the one that came first at the front.
 type socketQueue struct{ turns []chan struct{} }
