--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,123 +6,177 @@
 )
 
 const (
-	rateWindow   = time.Second // of limits made from quotas; also the retry-after of a quota of zero
-	burstSeconds = 0.5         // seconds of a quota's rate in its bucket: the bursts within a share
-	minBurst     = 3           // tokens, so that a sliver of a quota still passes a few at once
-	maxBuckets   = 4096        // where clients name tenants freely; further ones without a quota share one
-	// refillCompensation makes up for the fractions lost in whole-token refill, which let Poisson arrivals pass
-	// only up to ln 2 of the rate. Far above it 1/(1/r + 1/a) still passes, of refill r and arrivals a.
+	// quotaWindow is the window of the limits that are made from quotas. It is also the Retry-After of a quota
+	// of zero.
+	quotaWindow = time.Second
+	// quotaBurst is how much of a quota's rate its bucket holds: the longest burst within the quota.
+	quotaBurst = 500 * time.Millisecond
+	// minBurst is the least burst of a quota, in tokens, so that a very small quota still admits a few
+	// requests at once.
+	minBurst = 3
+	// refillCompensation makes up for the fractions of tokens that a refill in whole tokens loses: with a
+	// refill rate r, Poisson arrivals at a rate a are admitted at 1/(1/r + 1/a) where a is far above r, and
+	// at ln 2 of r where both are equal.
 	refillCompensation = 1 / math.Ln2
 )
 
-type bucketKey struct{ tenant, class string }
-
-// bucket holds whole tokens and the time they were last added.
-type bucket struct {
-	key        bucketKey
-	tokens     int64
-	refilledAt Time
+// rateLimiter admits requests by token buckets: each tenant has one, and each class with a limit of its own
+// has another for each tenant. It owns the limits in force and the buckets.
+type rateLimiter struct {
+	limits       RateLimits       // layers that apply to every tenant
+	tenantLimits map[string]Limit // this node's part of each tenant's quota
+	defaultLimit *Limit           // of tenants without a quota; nil: no limit
+	buckets      bucketTable
+	handedOver   bool // another process of this node refills the buckets
 }
 
-// refill adds the whole tokens of the time gone by, which resets the refill time, up to the burst.
-func (k *bucket) refill(now Time, perSecond float64, burst int64) {
-	add := math.Floor((now - k.refilledAt).Seconds() * perSecond)
-	if add >= 1 {
-		k.tokens, k.refilledAt = min(burst, k.tokens+int64(min(add, float64(burst)))), now
+// configure takes over the limits, and this node's part of each quota: one of nodeCount equal parts. Without
+// a default limit, a tenant that has no quota gets the smallest one.
+func (l *rateLimiter) configure(limits RateLimits, tenants []Tenant, nodeCount int) {
+	l.limits, l.tenantLimits, l.defaultLimit = limits, make(map[string]Limit), limits.Default
+	for _, tenant := range tenants {
+		limit := quotaLimit(tenant.Quota, nodeCount)
+		l.tenantLimits[tenant.Name] = limit
+		if limits.Default == nil && (l.defaultLimit == nil || limit.PerWindow < l.defaultLimit.PerWindow) {
+			l.defaultLimit = &limit
+		}
 	}
 }
 
-// retryAfter is the wait, in whole seconds, that a refused client is told.
-func (l Limit) retryAfter() time.Duration {
-	rate := l.perSecond()
-	if rate <= 0 {
-		return l.Window
-	}
-	return max(1, time.Duration(math.Ceil(min(1/rate, math.MaxInt32)))) * time.Second
+// quotaLimit is one node's part of a quota, in requests per second, that holds over all nodes.
+func quotaLimit(quota float64, nodeCount int) Limit {
+	rate := quota / float64(nodeCount) * refillCompensation
+	return Limit{PerWindow: rate * quotaWindow.Seconds(), Window: quotaWindow,
+		Burst: max(minBurst, int64(math.Ceil(rate*quotaBurst.Seconds())))}
 }
 
-// nodeLimit is this node's part of a quota that holds over all nodes.
-func (b *Balancer) nodeLimit(quota float64) Limit {
-	rate := quota / float64(b.settings.NodeCount) * refillCompensation
-	return Limit{PerWindow: rate * rateWindow.Seconds(), Window: rateWindow,
-		Burst: max(minBurst, int64(math.Ceil(rate*burstSeconds)))}
+// admit takes a token for a request of the tenant and the class, or says how long its client should wait.
+// The multiplier scales the refill rate.
+func (l *rateLimiter) admit(now Time, tenant, class string, multiplier float64) (bool, time.Duration) {
+	limit, key, limited := l.resolve(tenant, class)
+	if !limited {
+		return true, 0
+	}
+	limit.PerWindow *= multiplier
+	if !l.handedOver {
+		l.dropRefilled(now)
+	}
+	if _, hasQuota := l.tenantLimits[tenant]; !hasQuota {
+		key = l.buckets.shareWhenFull(key)
+	}
+	bucket := l.bucket(now, key, limit.Burst)
+	if !l.handedOver {
+		bucket.refill(now, limit.perSecond(), limit.Burst)
+	}
+	if bucket.tokens <= 0 {
+		return false, limit.retryAfter()
+	}
+	bucket.tokens--
+	return true, 0
 }
 
-// divideQuotas works out this node's part of each quota.
-func (b *Balancer) divideQuotas() {
-	set := b.settings
-	b.tenantLimits, b.defaultLimit = make(map[string]Limit), set.Limits.Default
-	for _, t := range set.Tenants { // a tenant that nobody agreed a share with counts as the smallest
-		l := b.nodeLimit(t.Quota)
-		b.tenantLimits[t.Name] = l
-		if set.Limits.Default == nil && (b.defaultLimit == nil || l.PerWindow < b.defaultLimit.PerWindow) {
-			b.defaultLimit = &l
-		}
+// resolve returns the limit of a tenant's requests of a class, and the key of the bucket: the class's own
+// limit, else the tenant's part of its quota, else the default; all of them bounded by the platform's
+// maximum.
+func (l *rateLimiter) resolve(tenant, class string) (limit Limit, key bucketKey, limited bool) {
+	key.tenant = tenant
+	if classLimit, found := l.limits.PerClass[class]; found {
+		key.class, limit, limited = class, classLimit, true
+	} else if limit, limited = l.tenantLimits[tenant]; !limited && l.defaultLimit != nil {
+		limit, limited = *l.defaultLimit, true
+	}
+	if maximum := l.limits.Max; maximum > 0 {
+		limit.PerWindow, limit.Burst = min(limit.PerWindow, maximum), min(limit.Burst, int64(maximum))
 	}
+	return limit, key, limited
 }
 
-// resolveLimit resolves the layers: tenant's share or default, override for the class, platform maximum.
-func (b *Balancer) resolveLimit(tenant, class string) (l Limit, key bucketKey, ok bool) {
-	key.tenant = tenant
-	if o, found := b.settings.Limits.PerClass[class]; found {
-		key.class, l, ok = class, o, true
-	} else if l, ok = b.tenantLimits[tenant]; !ok && b.defaultLimit != nil {
-		l, ok = *b.defaultLimit, true
+// bucket returns the bucket of a key, or makes it. One that is made after the hand-over holds what is left
+// of a full one: the successor has the other half.
+func (l *rateLimiter) bucket(now Time, key bucketKey, burst int64) *bucket {
+	if known := l.buckets.byKey[key]; known != nil {
+		return known
 	}
-	if most := b.settings.Limits.Max; most > 0 {
-		l.PerWindow, l.Burst = min(l.PerWindow, most), min(l.Burst, int64(most))
+	tokens := burst
+	if l.handedOver {
+		tokens -= burst / 2
 	}
-	return l, key, ok
+	return l.buckets.add(&bucket{key: key, tokens: tokens, refilledAt: now})
 }
 
-// admit takes a token, or says how long the client should wait.
-func (b *Balancer) admit(tenant, class string) (bool, time.Duration) {
-	l, key, ok := b.resolveLimit(tenant, class)
-	if !ok {
-		return true, 0
+// dropRefilled drops buckets that time alone has filled.
+func (l *rateLimiter) dropRefilled(now Time) {
+	l.buckets.sweep(func(b *bucket) bool { return l.isRefilled(now, b) })
+}
+
+// isRefilled reports whether the time since a bucket's last refill fills it from empty, even at the lowest
+// rate multiplier. Whatever it held, its next refill then leaves it as a new one is: full, as of that
+// moment. So a dropped bucket changes no decision.
+func (l *rateLimiter) isRefilled(now Time, b *bucket) bool {
+	if b.key == sharedBucketKey { // it serves tenants of several limits
+		return false
 	}
-	l.PerWindow *= b.rateMultiplier
-	b.dropFullBuckets()
-	_, told := b.tenantLimits[tenant]
-	if !told && b.buckets[key] == nil && len(b.buckets) >= maxBuckets {
-		key = bucketKey{}
+	limit, _, limited := l.resolve(b.key.tenant, b.key.class)
+	limit.PerWindow *= minRateMultiplier
+	return !limited ||
+		math.Floor((now-b.refilledAt).Seconds()*limit.perSecond()) >= max(1, float64(limit.Burst))
+}
+
+// handOver leaves refills and half of the tokens of each bucket to another process of this node, or takes
+// the refills back.
+func (l *rateLimiter) handOver(active bool) {
+	l.handedOver = active
+	if !active {
+		return
 	}
-	k := b.bucketOf(key, l.Burst)
-	if !b.handedOver {
-		k.refill(b.now, l.perSecond(), l.Burst)
+	for _, bucket := range l.buckets.byKey {
+		bucket.tokens -= bucket.tokens / 2
 	}
-	if k.tokens <= 0 {
-		b.bucketRejected = true
-		return false, l.retryAfter()
+}
+
+// perSecond is the refill rate of a limit, in tokens per second.
+func (l Limit) perSecond() float64 {
+	if l.Window <= 0 {
+		return 0
 	}
-	k.tokens--
-	return true, 0
+	return l.PerWindow / l.Window.Seconds()
+}
+
+// retryAfter is the Retry-After of a rejected request, in whole seconds: the time that one token takes.
+func (l Limit) retryAfter() time.Duration {
+	rate := l.perSecond()
+	if rate <= 0 {
+		return l.Window
+	}
+	return max(1, time.Duration(math.Ceil(min(1/rate, math.MaxInt32)))) * time.Second
 }
 
+// onRequest admits a request and sends its first attempt, or rejects it.
 func (b *Balancer) onRequest(e Request) {
 	if b.requests[e.ID] != nil {
-		return // a duplicate of a request in hand
-	}
-	c := b.classes[e.Class]
-	if was := b.formerClasses[e.Class]; e.FormerClass && was != nil {
-		c = was
-	}
-	if c == nil { // not in the settings: one safe try, never repeated
-		c = &class{Class: Class{LatencyObjective: e.Timeout, LateWeight: 1}, eligible: &b.serverPool,
-			classStats: &classStats{timerIndex: -1}}
+		return // a duplicate of an open request
 	}
-	r := &request{Request: e, class: c, maxAttempts: max(1, b.settings.Allowed.MaxAttempts)}
+	r := &request{Request: e, class: b.classOfRequest(e), maxAttempts: max(1, b.settings.Allowed.MaxAttempts)}
 	b.setDeadlines(r)
 	b.requests[r.ID] = r
 	b.acceptedAt = append(b.acceptedAt, b.now)
 	b.trimRetryBudget()
-	if b.shouldShed(c) {
+	if b.shouldShed(r.class) {
 		b.reject(r, 0)
 		return
 	}
-	if ok, wait := b.admit(e.Tenant, e.Class); !ok {
-		b.reject(r, wait)
+	if admitted, retryAfter := b.admit(e.Tenant, e.Class); !admitted {
+		b.reject(r, retryAfter)
 		return
 	}
 	b.dispatch(r)
 }
+
+// admit takes a token for a request, or says how long its client should wait.
+func (b *Balancer) admit(tenant, class string) (bool, time.Duration) {
+	admitted, retryAfter := b.rateLimiter.admit(b.now, tenant, class, b.rateMultiplier)
+	if !admitted {
+		b.bucketRejected = true
+	}
+	return admitted, retryAfter
+}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -18,11 +18,8 @@
 	formerClasses     map[string]*class      // as they were before the last settings
 	classStats        map[string]*classStats // of all classes ever named,
 	classesByTimer    []*classStats          // and in the order of their timers
-	tenantLimits      map[string]Limit
-	classOrder        []*class // in the order of the settings
-	defaultLimit      *Limit   // for tenants without a quota; nil: no limit
-	buckets           map[bucketKey]*bucket
-	bucketScan        bucketScan
+	rateLimiter       rateLimiter
+	classOrder        []*class               // in the order of the settings
 	rateMultiplier    float64                // scale of all bucket rates
 	maxPriorityWeight float64                // the most that a class is worth
 	loadByKind        map[string]*serverLoad // what the warm servers of a kind report on average
@@ -78,7 +75,7 @@
 	}
 	b := &Balancer{
 		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classStats: make(map[string]*classStats),
-		buckets: make(map[bucketKey]*bucket), rateMultiplier: 1, windowScale: initialWindowScale,
+		rateLimiter: rateLimiter{buckets: newBucketTable()}, rateMultiplier: 1, windowScale: initialWindowScale,
 		servers: make(map[string]*server), requests: make(map[string]*request),
 		loadByKind: make(map[string]*serverLoad),
 	}
@@ -152,7 +149,7 @@
 		b.classes[c.Name] = b.classOrder[len(b.classOrder)-1]
 		b.maxPriorityWeight = max(b.maxPriorityWeight, c.PriorityWeight)
 	}
-	b.divideQuotas()
+	b.rateLimiter.configure(set.Limits, set.Tenants, b.settings.NodeCount)
 }
 
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
--- a/policy/buckets_test.go
+++ b/policy/buckets_test.go
@@ -13,7 +13,7 @@
 type neverDrops map[bucketKey]*bucket
 
 func (n neverDrops) admits(b *Balancer, tenant, class string) bool {
-	l, key, ok := b.resolveLimit(tenant, class)
+	l, key, ok := b.rateLimiter.resolve(tenant, class)
 	if !ok {
 		return true
 	}
@@ -60,10 +60,10 @@
 				t.Fatalf("%s, %s at %v: admitted %v, by a node that keeps all its buckets %v", tenant, class, b.now, got, want)
 			}
 		}
-		if len(b.buckets) != len(b.bucketScan.buckets) {
-			t.Fatalf("%d buckets, %d in the ring", len(b.buckets), len(b.bucketScan.buckets))
+		if len(b.rateLimiter.buckets.byKey) != len(b.rateLimiter.buckets.ring) {
+			t.Fatalf("%d buckets, %d in the ring", len(b.rateLimiter.buckets.byKey), len(b.rateLimiter.buckets.ring))
 		}
-		dropped += len(model) - len(b.buckets)
+		dropped += len(model) - len(b.rateLimiter.buckets.byKey)
 	})
 	if dropped == 0 {
 		t.Error("no bucket was dropped")
@@ -74,7 +74,7 @@
 // that ceded spends half at most.
 func TestDroppedBucketIsCededByHalf(t *testing.T) {
 	b := start(t, site(1), members(2))
-	l := b.tenantLimits["u"]
+	l := b.rateLimiter.tenantLimits["u"]
 	for now := Time(0); now < time.Minute; now += time.Second {
 		tenant := "t"
 		if now == 0 {
@@ -83,7 +83,7 @@
 		b.now = now
 		b.admit(tenant, "free")
 	}
-	if b.buckets[bucketKey{tenant: "u"}] != nil {
+	if b.rateLimiter.buckets.byKey[bucketKey{tenant: "u"}] != nil {
 		t.Fatal("a full bucket was kept for a minute")
 	}
 	b.Handle(time.Minute, HandedOver{Active: true})
@@ -120,13 +120,13 @@
 			admitted++
 		}
 	}
-	kept = len(b.buckets)
+	kept = len(b.rateLimiter.buckets.byKey)
 	for range 2 * kept {
 		b.now += ms
 		b.admit("tenant-0", "free")
 	}
 	after := heap()
-	later = len(b.buckets)
+	later = len(b.rateLimiter.buckets.byKey)
 	return admitted, kept, later, after - min(before, after)
 }
 
@@ -169,8 +169,8 @@
 			t.Errorf("%d of %d first requests of tenants called %s are admitted", admitted, tenants, c.name)
 		}
 	}
-	if most := tenants + 1; len(b.buckets) > most {
-		t.Errorf("%d buckets are kept, want at most %d", len(b.buckets), most)
+	if most := tenants + 1; len(b.rateLimiter.buckets.byKey) > most {
+		t.Errorf("%d buckets are kept, want at most %d", len(b.rateLimiter.buckets.byKey), most)
 	}
 }
 
--- a/policy/class.go
+++ b/policy/class.go
@@ -55,6 +55,19 @@
 	return all
 }
 
+// classOfRequest is the class of a request, as its settings were when its head came. A class that the
+// settings don't name is never sent twice.
+func (b *Balancer) classOfRequest(e Request) *class {
+	if former := b.formerClasses[e.Class]; e.FormerClass && former != nil {
+		return former
+	}
+	if current := b.classes[e.Class]; current != nil {
+		return current
+	}
+	return &class{Class: Class{LatencyObjective: e.Timeout, LateWeight: 1}, eligible: &b.serverPool,
+		classStats: &classStats{timerIndex: -1}}
+}
+
 // isRestricted tells whether a class may be sent to some servers only.
 func (c *class) isRestricted() bool { return len(c.Kinds)+len(c.Zones)+len(c.Regions) > 0 }
 
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -75,7 +75,7 @@
 		return
 	}
 	b.fleetSize.quotaNodes, b.settings.NodeCount, b.orderStale = nodes, nodes, true
-	b.divideQuotas()
+	b.rateLimiter.configure(b.settings.Limits, b.settings.Tenants, nodes)
 	b.refreshOrder()
 }
 
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -6,11 +6,7 @@
 // that may count.
 func (b *Balancer) onHandedOver(e HandedOver) {
 	b.handedOver = e.Active
-	for _, k := range b.buckets {
-		if e.Active {
-			k.tokens -= k.tokens / 2
-		}
-	}
+	b.rateLimiter.handOver(e.Active)
 	for _, s := range b.servers {
 		if !e.Active && e.SuccessorServed {
 			s.warmupBudget.tokens = 0
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -543,16 +543,16 @@
 	}
 	know := old.Snapshot(now)
 	old.Handle(now, HandedOver{Active: true})
-	tokens := old.buckets[bucketKey{tenant: "t"}].tokens
-	if sum := tokens + know.Buckets[0].Tokens; sum > old.tenantLimits["t"].Burst {
-		t.Errorf("%d tokens in both, one node may have %d", sum, old.tenantLimits["t"].Burst)
+	tokens := old.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens
+	if sum := tokens + know.Buckets[0].Tokens; sum > old.rateLimiter.tenantLimits["t"].Burst {
+		t.Errorf("%d tokens in both, one node may have %d", sum, old.rateLimiter.tenantLimits["t"].Burst)
 	}
 	now += 2 * time.Second // beyond the span
 	if retried(old, "b") {
 		t.Error("a ceded process made a further attempt")
 	}
 	old.Handle(now, ask("c", "free"))
-	if got := old.buckets[bucketKey{tenant: "t"}].tokens; got != tokens-2 {
+	if got := old.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != tokens-2 {
 		t.Errorf("%d tokens after two requests, want %d: no refill", got, tokens-2)
 	}
 	if old.hasWarmupBudget(old.servers["young"]) {
@@ -621,7 +621,7 @@
 	b := start(t, set, members(4))
 	first := sentTo(t, b.Handle(0, ask("open", "free")))
 	b.servers["s00"].concurrencyLimit = 9
-	b.buckets[bucketKey{tenant: "t"}].tokens = 5
+	b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens = 5
 	b.classes["free"].tailLatency = 77 * ms
 
 	next := site(1)
@@ -633,7 +633,7 @@
 	if s := b.servers["s00"]; s.concurrencyLimit != 9 || s.inFlight+b.servers["s01"].inFlight+b.servers["s02"].inFlight != 1 {
 		t.Errorf("threshold %v", s.concurrencyLimit)
 	}
-	if got := b.buckets[bucketKey{tenant: "t"}].tokens; got != 5 {
+	if got := b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != 5 {
 		t.Errorf("%d tokens", got)
 	}
 	if got := b.classes["free"].tailLatency; got != 77*ms {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -58,14 +58,6 @@
 	Burst     int64
 }
 
-// perSecond is the refill rate of a limit.
-func (l Limit) perSecond() float64 {
-	if l.Window <= 0 {
-		return 0
-	}
-	return l.PerWindow / l.Window.Seconds()
-}
-
 // RateLimits holds the layers that apply to every tenant. All are optional.
 type RateLimits struct {
 	Default  *Limit           // for tenants without a quota; nil: the smallest quota, or no limit
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -106,7 +106,7 @@
 		BadRatio: b.badRatio, CompletionRate: b.completionRate, ReportedAt: b.toSnapshotTime(b.lastReportAt),
 		CompletionRateAt: b.toSnapshotTime(b.completionRateAt),
 	}
-	for key, v := range b.buckets {
+	for key, v := range b.rateLimiter.buckets.byKey {
 		k.Buckets = append(k.Buckets, BucketSnapshot{key.tenant, key.class, v.tokens / 2,
 			b.toSnapshotTime(v.refilledAt)})
 	}
@@ -142,7 +142,7 @@
 		k.WindowScale, k.Utilization, k.BadRatio, k.CompletionRate
 	b.lastReportAt, b.completionRateAt = b.fromSnapshotTime(k.ReportedAt), b.fromSnapshotTime(k.CompletionRateAt)
 	for _, v := range k.Buckets {
-		bucket := b.bucketOf(bucketKey{v.Tenant, v.Class}, 0)
+		bucket := b.rateLimiter.bucket(b.now, bucketKey{v.Tenant, v.Class}, 0)
 		bucket.tokens, bucket.refilledAt = v.Tokens, b.fromSnapshotTime(v.RefilledAt)
 	}
 	for _, c := range b.classOrder {
--- a/policy/token_buckets.go
+++ b/policy/token_buckets.go
@@ -7,69 +7,90 @@
 )
 
 const (
-	bucketsPerScan     = 2    // buckets that each request looks at
-	bucketShrinkRatio  = 16   // their map is made anew once it holds so small a part of the most that it held,
-	minBucketsToShrink = 4096 // where that was so many
+	// maxBuckets bounds the buckets of tenants without a quota, for clients may invent tenants: further ones
+	// share one bucket.
+	maxBuckets = 4096
+	// bucketsPerSweep is how many buckets each admission examines.
+	bucketsPerSweep = 2
+	// minBucketsToShrink and bucketShrinkRatio say when the map of buckets is made anew, for a Go map never
+	// returns its memory: when it held at least so many buckets, and less than this part of them is left.
+	minBucketsToShrink, bucketShrinkRatio = 4096, 16
 )
 
-// bucketScan are the buckets in the order in which they are looked at.
-type bucketScan struct {
-	buckets     []*bucket
-	next        int // index of the next one
-	peakBuckets int // buckets that the map held since it was made
+// bucketKey names a bucket. The class is empty but for classes that have a limit of their own.
+type bucketKey struct{ tenant, class string }
+
+// sharedBucketKey is the key of the bucket for tenants beyond maxBuckets.
+var sharedBucketKey = bucketKey{}
+
+// bucket is a token bucket with whole tokens.
+type bucket struct {
+	key        bucketKey
+	tokens     int64
+	refilledAt Time
 }
 
-// bucketOf returns the bucket of a key, a new one where none is kept. Of a new one's tokens the process that
-// takes over has half, as of those of all others.
-func (b *Balancer) bucketOf(key bucketKey, burst int64) *bucket {
-	k := b.buckets[key]
-	if k == nil {
-		k = &bucket{key: key, tokens: burst, refilledAt: b.now}
-		if b.handedOver {
-			k.tokens -= burst / 2
-		}
-		b.buckets[key] = k
-		b.bucketScan.buckets = append(b.bucketScan.buckets, k)
-		b.bucketScan.peakBuckets = max(b.bucketScan.peakBuckets, len(b.buckets))
+// refill adds the whole tokens that the rate, in tokens per second, gave since the last refill, up to the
+// burst. Less than one token leaves the refill time as it is.
+func (b *bucket) refill(now Time, perSecond float64, burst int64) {
+	add := math.Floor((now - b.refilledAt).Seconds() * perSecond)
+	if add >= 1 {
+		b.tokens, b.refilledAt = min(burst, b.tokens+int64(min(add, float64(burst)))), now
+	}
+}
+
+// bucketTable holds buckets by key, and sweeps them a few at a time, so that those which no longer matter
+// are dropped.
+type bucketTable struct {
+	byKey     map[bucketKey]*bucket
+	ring      []*bucket // the same buckets, in the order of the sweep
+	next      int       // index in ring of the next to examine
+	peakCount int       // most buckets that byKey held since it was made
+}
+
+func newBucketTable() bucketTable { return bucketTable{byKey: make(map[bucketKey]*bucket)} }
+
+func (t *bucketTable) add(b *bucket) *bucket {
+	t.byKey[b.key] = b
+	t.ring = append(t.ring, b)
+	t.peakCount = max(t.peakCount, len(t.byKey))
+	return b
+}
+
+// shareWhenFull returns the key itself, or that of the shared bucket where the table is full and has no
+// bucket of the key.
+func (t *bucketTable) shareWhenFull(key bucketKey) bucketKey {
+	if t.byKey[key] == nil && len(t.byKey) >= maxBuckets {
+		return sharedBucketKey
 	}
-	return k
+	return key
 }
 
-// dropFullBuckets looks at the next few buckets and drops those that are full.
-func (b *Balancer) dropFullBuckets() {
-	ring := &b.bucketScan
-	for range bucketsPerScan {
-		if len(ring.buckets) == 0 || b.handedOver { // a ceded process refills none
+// sweep examines the next few buckets and drops those that isRefilled names.
+func (t *bucketTable) sweep(isRefilled func(*bucket) bool) {
+	for range bucketsPerSweep {
+		if len(t.ring) == 0 {
 			return
 		}
-		if ring.next >= len(ring.buckets) {
-			ring.next = 0
+		if t.next >= len(t.ring) {
+			t.next = 0
 		}
-		k := ring.buckets[ring.next]
-		if !b.isRefilled(k) {
-			ring.next++
-			continue
+		if isRefilled(t.ring[t.next]) {
+			t.dropNext()
+		} else {
+			t.next++
 		}
-		delete(b.buckets, k.key)
-		last := len(ring.buckets) - 1
-		ring.buckets[ring.next], ring.buckets[last] = ring.buckets[last], nil
-		ring.buckets = ring.buckets[:last]
 	}
-	// a map gives no memory back
-	if ring.peakBuckets >= minBucketsToShrink && bucketShrinkRatio*len(b.buckets) < ring.peakBuckets {
-		ring.peakBuckets = len(b.buckets)
-		b.buckets, ring.buckets = maps.Collect(maps.All(b.buckets)), slices.Clone(ring.buckets)
+	if t.peakCount >= minBucketsToShrink && bucketShrinkRatio*len(t.byKey) < t.peakCount {
+		t.peakCount = len(t.byKey)
+		t.byKey, t.ring = maps.Collect(maps.All(t.byKey)), slices.Clone(t.ring)
 	}
 }
 
-// isRefilled tells whether the time since a bucket's last refill fills it from empty, at the least pace that
-// may yet come. Whatever it held, its next refill then makes it what a new one is: full, as of the moment of
-// that.
-func (b *Balancer) isRefilled(k *bucket) bool {
-	if k.key == (bucketKey{}) { // of all who found no room among the buckets: it has no limit of its own
-		return false
-	}
-	l, _, limited := b.resolveLimit(k.key.tenant, k.key.class)
-	l.PerWindow *= minRateMultiplier
-	return !limited || math.Floor((b.now-k.refilledAt).Seconds()*l.perSecond()) >= max(1, float64(l.Burst))
+// dropNext drops the bucket at next, and puts the last one of the ring in its place.
+func (t *bucketTable) dropNext() {
+	last := len(t.ring) - 1
+	delete(t.byKey, t.ring[t.next].key)
+	t.ring[t.next], t.ring[last] = t.ring[last], nil
+	t.ring = t.ring[:last]
 }
