--- a/policy/admission.go
+++ b/policy/admission.go
@@ -174,9 +174,9 @@
 
 // admit takes a token for a request, or says how long its client should wait.
 func (b *Balancer) admit(tenant, class string) (bool, time.Duration) {
-	admitted, retryAfter := b.rateLimiter.admit(b.now, tenant, class, b.rateMultiplier)
+	admitted, retryAfter := b.rateLimiter.admit(b.now, tenant, class, b.rateMultiplier.value)
 	if !admitted {
-		b.bucketRejected = true
+		b.rateMultiplier.bucketRejected = true
 	}
 	return admitted, retryAfter
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -19,8 +19,8 @@
 	classStats        map[string]*classStats // of all classes ever named,
 	classesByTimer    []*classStats          // and in the order of their timers
 	rateLimiter       rateLimiter
-	classOrder        []*class               // in the order of the settings
-	rateMultiplier    float64                // scale of all bucket rates
+	classOrder        []*class // in the order of the settings
+	rateMultiplier    rateMultiplier
 	maxPriorityWeight float64                // the most that a class is worth
 	loadByKind        map[string]*serverLoad // what the warm servers of a kind report on average
 	typicalLoad       serverLoad             // and all warm servers
@@ -58,8 +58,6 @@
 	peakServerRateAt     Time
 	handedOver           bool // another process of this node has taken over
 	fleetSize            fleetSize
-	badRatio             float64       // part of bad answers lately,
-	lostRatio            float64       // and of time-outs and full answers, where nothing is reported
 	highPriorityShortage float64       // part of the dearest requests lately that found no room
 	zones                []*zoneHealth // in order of their zones; none where the settings name none
 	zonesDegraded        bool          // one of them has less than its whole share,
@@ -75,7 +73,7 @@
 	}
 	b := &Balancer{
 		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classStats: make(map[string]*classStats),
-		rateLimiter: rateLimiter{buckets: newBucketTable()}, rateMultiplier: 1, windowScale: initialWindowScale,
+		rateLimiter: rateLimiter{buckets: newBucketTable()}, rateMultiplier: rateMultiplier{value: 1}, windowScale: initialWindowScale,
 		servers: make(map[string]*server), requests: make(map[string]*request),
 		loadByKind: make(map[string]*serverLoad),
 	}
--- a/policy/buckets_test.go
+++ b/policy/buckets_test.go
@@ -17,7 +17,7 @@
 	if !ok {
 		return true
 	}
-	l.PerWindow *= b.rateMultiplier
+	l.PerWindow *= b.rateMultiplier.value
 	k := n[key]
 	if k == nil {
 		k = &bucket{tokens: l.Burst, refilledAt: b.now}
@@ -52,7 +52,7 @@
 		model := make(neverDrops)
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			b.now += time.Duration(rapid.SampledFrom([]int{0, 1, 30, 999, 5000, 60000}).Draw(t, "wait")) * ms
-			b.rateMultiplier = rapid.SampledFrom([]float64{minRateMultiplier, 0.5, 1, maxRateMultiplier}).Draw(t, "pace")
+			b.rateMultiplier.value = rapid.SampledFrom([]float64{minRateMultiplier, 0.5, 1, maxRateMultiplier}).Draw(t, "pace")
 			tenant := fmt.Sprint("t", rapid.IntRange(0, 12).Draw(t, "tenant")) // the last isn't named
 			class := rapid.SampledFrom([]string{"free", "once"}).Draw(t, "class")
 			want := model.admits(b, tenant, class)
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -53,12 +53,12 @@
 	case float64(s.totalInFlight()+1) >= b.effectiveLimit(s): // answered well, and the threshold was felt
 		step = limitIncrease
 	}
-	updateRatio(&b.badRatio, badRatioGain, step < 0)
+	b.rateMultiplier.recordResponse(step < 0)
 	if b.usesLoadReports() {
 		b.penalizeFailure(s, code, latency, blame)
 		return
 	}
-	updateRatio(&b.lostRatio, lostRatioGain, code == TimedOut || code == Overloaded)
+	b.rateMultiplier.recordLoss(code == TimedOut || code == Overloaded)
 	s.limitReached = s.limitReached || step < 0
 	s.concurrencyLimit = max(minLimitFraction*b.initialLimit(), s.concurrencyLimit+step*min(1,
 		s.concurrencyLimit))
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -43,7 +43,7 @@
 	f := &b.fleetSize
 	f.hasMembership, f.reachable, f.reachableInZone = true, max(1, e.ReachableNodes), e.ReachableInZone
 	b.countNearbyNodes()
-	b.rateMultiplier = min(b.rateMultiplier, b.rateMultiplierCap())
+	b.rateMultiplier.value = min(b.rateMultiplier.value, b.rateConditions().maximum())
 	switch {
 	// or cut off: those not heard may serve on
 	case f.reachable >= f.quotaNodes || 2*f.reachable <= f.quotaNodes:
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -133,12 +133,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.rateMultiplier = maxRateMultiplier
+	b.rateMultiplier.value = maxRateMultiplier
 	b.Handle(1, FleetSize{ReachableNodes: 1})
-	b.bucketRejected = true
+	b.rateMultiplier.bucketRejected = true
 	b.adjustRateMultiplier(true)
-	if b.rateMultiplier != 1 {
-		t.Errorf("pace %v", b.rateMultiplier)
+	if b.rateMultiplier.value != 1 {
+		t.Errorf("pace %v", b.rateMultiplier.value)
 	}
 }
 
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -142,15 +142,15 @@
 	for range 500 {
 		b.adjustRateMultiplier(false)
 	}
-	if b.rateMultiplier != 1 {
-		t.Errorf("the pace is %v, want 1", b.rateMultiplier)
+	if b.rateMultiplier.value != 1 {
+		t.Errorf("the pace is %v, want 1", b.rateMultiplier.value)
 	}
 	b = start(t, site(40), members(12))
 	for range 500 {
 		b.adjustRateMultiplier(false)
 	}
-	if b.rateMultiplier != minRateMultiplier {
-		t.Errorf("without reports the pace is %v, want %v", b.rateMultiplier, minRateMultiplier)
+	if b.rateMultiplier.value != minRateMultiplier {
+		t.Errorf("without reports the pace is %v, want %v", b.rateMultiplier.value, minRateMultiplier)
 	}
 }
 
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -334,17 +334,17 @@
 	for range 100 {
 		b.adjustRateMultiplier(false)
 	}
-	if b.rateMultiplier >= 0.5 || b.rateMultiplier < minRateMultiplier {
-		t.Errorf("after 100 choices without room the scale is %v", b.rateMultiplier)
+	if b.rateMultiplier.value >= 0.5 || b.rateMultiplier.value < minRateMultiplier {
+		t.Errorf("after 100 choices without room the scale is %v", b.rateMultiplier.value)
 	}
-	was := b.rateMultiplier
+	was := b.rateMultiplier.value
 	b.adjustRateMultiplier(true)
-	if b.rateMultiplier != was {
+	if b.rateMultiplier.value != was {
 		t.Error("the scale rose though no bucket refused")
 	}
-	b.bucketRejected = true
+	b.rateMultiplier.bucketRejected = true
 	b.adjustRateMultiplier(true)
-	if b.rateMultiplier <= was {
+	if b.rateMultiplier.value <= was {
 		t.Error("the scale did not rise though a bucket refused and there was room")
 	}
 }
@@ -355,12 +355,12 @@
 	s := b.order()[0]
 	s.concurrencyLimit, s.limitReached, s.inFlight = 1, true, 3
 	b.Handle(ms, ask("x", "free"))
-	was := b.rateMultiplier
+	was := b.rateMultiplier.value
 	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
 		b.Handle(now, Timer{Token: queueTimerToken})
 	}
-	if len(b.queued) != 1 || was >= 1 || b.rateMultiplier != was {
-		t.Errorf("%d held, the scale went from %v to %v", len(b.queued), was, b.rateMultiplier)
+	if len(b.queued) != 1 || was >= 1 || b.rateMultiplier.value != was {
+		t.Errorf("%d held, the scale went from %v to %v", len(b.queued), was, b.rateMultiplier.value)
 	}
 }
 
@@ -410,20 +410,20 @@
 	b := start(t, site(1), members(2))
 	grow := func() {
 		for range 200 {
-			b.bucketRejected = true
+			b.rateMultiplier.bucketRejected = true
 			b.adjustRateMultiplier(true)
 		}
 	}
 	grow()
-	if b.rateMultiplier != maxRateMultiplier {
-		t.Errorf("with good answers the scale is %v, want %v", b.rateMultiplier, maxRateMultiplier)
+	if b.rateMultiplier.value != maxRateMultiplier {
+		t.Errorf("with good answers the scale is %v, want %v", b.rateMultiplier.value, maxRateMultiplier)
 	}
 	for range 20 {
 		b.updateConcurrencyLimit(b.order()[0], b.classOrder[0], TimedOut, ms, 1)
 	}
 	grow()
-	if b.rateMultiplier > cautiousRateMultiplier*(1+rateIncreaseStep) {
-		t.Errorf("with bad answers the scale is %v, want about %v", b.rateMultiplier, cautiousRateMultiplier)
+	if b.rateMultiplier.value > cautiousRateMultiplier*(1+rateIncreaseStep) {
+		t.Errorf("with bad answers the scale is %v, want about %v", b.rateMultiplier.value, cautiousRateMultiplier)
 	}
 }
 
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -102,8 +102,8 @@
 			b.typicalLoad.rate, b.typicalLoad.latency},
 		AcceptedAt: convertTimes(b.acceptedAt, b.toSnapshotTime), RetriesAt: convertTimes(b.retriesAt,
 			b.toSnapshotTime),
-		RateMultiplier: b.rateMultiplier, WindowScale: b.windowScale, Utilization: b.utilization,
-		BadRatio: b.badRatio, CompletionRate: b.completionRate, ReportedAt: b.toSnapshotTime(b.lastReportAt),
+		RateMultiplier: b.rateMultiplier.value, WindowScale: b.windowScale, Utilization: b.utilization,
+		BadRatio: b.rateMultiplier.badRatio, CompletionRate: b.completionRate, ReportedAt: b.toSnapshotTime(b.lastReportAt),
 		CompletionRateAt: b.toSnapshotTime(b.completionRateAt),
 	}
 	for key, v := range b.rateLimiter.buckets.byKey {
@@ -138,8 +138,8 @@
 	b.typicalLoad = serverLoad{k.TypicalLoad.Samples, k.TypicalLoad.Rate, k.TypicalLoad.Latency}
 	b.acceptedAt, b.retriesAt = convertTimes(k.AcceptedAt, b.fromSnapshotTime), convertTimes(k.RetriesAt,
 		b.fromSnapshotTime)
-	b.rateMultiplier, b.windowScale, b.utilization, b.badRatio, b.completionRate = k.RateMultiplier,
-		k.WindowScale, k.Utilization, k.BadRatio, k.CompletionRate
+	b.rateMultiplier.value, b.rateMultiplier.badRatio = k.RateMultiplier, k.BadRatio
+	b.windowScale, b.utilization, b.completionRate = k.WindowScale, k.Utilization, k.CompletionRate
 	b.lastReportAt, b.completionRateAt = b.fromSnapshotTime(k.ReportedAt), b.fromSnapshotTime(k.CompletionRateAt)
 	for _, v := range k.Buckets {
 		bucket := b.rateLimiter.bucket(b.now, bucketKey{v.Tenant, v.Class}, 0)
