--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -20,9 +20,7 @@
 	}
 	if !trial && !r.wasQueued { // each request tells of room once, however long it is held
 		b.adjustRateMultiplier(room)
-		if r.class.PriorityWeight >= b.maxPriorityWeight {
-			updateRatio(&b.highPriorityShortage, shortageGain, s == nil)
-		}
+		b.loadShedder.recordDispatch(r.class.PriorityWeight, s != nil)
 	}
 	switch {
 	case s != nil:
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -8,62 +8,63 @@
 	"time"
 )
 
-// Balancer is one node's decisions. It isn't safe for concurrent use. Make one with New.
+// Balancer decides for one node: it joins the mechanisms, each of which owns its state in a file of its own.
+// It isn't safe for concurrent use. Make one with New.
 type Balancer struct {
-	settings          Settings
-	now               Time
-	rng               *rand.Rand
-	actions           []Action
-	classes           map[string]*class
-	formerClasses     map[string]*class      // as they were before the last settings
-	classStats        map[string]*classStats // of all classes ever named,
-	classesByTimer    []*classStats          // and in the order of their timers
-	rateLimiter       rateLimiter
-	classOrder        []*class // in the order of the settings
-	rateMultiplier    rateMultiplier
-	maxPriorityWeight float64                // the most that a class is worth
-	loadByKind        map[string]*serverLoad // what the warm servers of a kind report on average
-	typicalLoad       serverLoad             // and all warm servers
-	inFlight          int                    // attempts out at warm servers
-	siblingInFlight   int                    // and those of the node's other process
+	settings Settings // in force; NodeCount is the number of nodes that quotas are divided by
+	now      Time     // of the event in hand
+	rng      *rand.Rand
+	actions  []Action // of the event in hand
+
+	rateLimiter    rateLimiter
+	rateMultiplier rateMultiplier
+	loadShedder    loadShedder
+	retryBudget    RetryBudget // of attempts beyond the first of each request
+	acceptedAt     []Time      // requests taken in the span of the budget of attempts, oldest first
+	retriesAt      []Time      // attempts beyond a request's first in it
+	fleetSize      fleetSize
+	handedOver     bool                // another process of this node has taken over
+	requests       map[string]*request // open ones, by their ids
+	queued         []*request          // waiting for a usable server, oldest first
+	queueTimerSet  bool                // the hold timer is set
+	classes        map[string]*class
+	formerClasses  map[string]*class      // as they were before the last settings
+	classStats     map[string]*classStats // of all classes ever named,
+	classesByTimer []*classStats          // and in the order of their timers
+	classOrder     []*class               // in the order of the settings
+
+	loadByKind      map[string]*serverLoad // what the warm servers of a kind report on average
+	typicalLoad     serverLoad             // and all warm servers
+	inFlight        int                    // attempts out at warm servers
+	siblingInFlight int                    // and those of the node's other process
 	// where latency, busy part and rate stand in a report; -1 where they don't
-	reportColumns        [3]int
-	utilization          float64 // how busy warm servers are by their last reports
-	lastReportAt         Time    // when the last of those came
-	capacityWanted       bool    // a choice found no room since then
-	windowScale          float64 // scale of this node's window
-	bucketRejected       bool    // a bucket refused since the last choice
-	listFailures         int     // calls for the list that failed in a row
-	servers              map[string]*server
-	serverPool                           // all servers in service,
-	serversByZone        map[string]int  // how many of them are in each zone,
-	pooledClasses        map[*class]bool // and the classes whose pools they are also in
-	changedServers       []*server       // servers that may stand otherwise in the order, or not at all
-	orderStale           bool            // the order has to be made anew as a whole
-	unavailable          int             // listed servers that drain or are ejected
-	ejectedServers       []*server       // those of the order
-	connectionFaults     fixedPoint      // sum of the parts of broken connections over the order
-	warmUnmonitored      [2]int          // warm servers that are in no judged place: far, and near
-	warmupQueue          serverQueue     // servers that will be warm
-	evidenceQueue        serverQueue     // servers whose evidence will be too old
-	requests             map[string]*request
-	queued               []*request  // waiting for a usable server, oldest first
-	queueTimerSet        bool        // the hold timer is set
-	retryBudget          RetryBudget // of attempts beyond the first of each request
-	acceptedAt           []Time      // requests taken in the span of the budget of attempts, oldest first
-	retriesAt            []Time      // attempts beyond a request's first in it
-	completionRate       float64     // answers of warm servers a second, as of doneAt
-	completionRateAt     Time
-	peakServerRate       float64 // answers a second by a warm server at most of late, as of carriedAt
-	peakServerRateAt     Time
-	handedOver           bool // another process of this node has taken over
-	fleetSize            fleetSize
-	highPriorityShortage float64       // part of the dearest requests lately that found no room
-	zones                []*zoneHealth // in order of their zones; none where the settings name none
-	zonesDegraded        bool          // one of them has less than its whole share,
-	compareFrom          Time          // and since when they are compared
-	retainFor            time.Duration // that servers are kept which a list takes away in a mass
-	nearbyNodes          float64       // nodes near this one, itself included; 0 where not known
+	reportColumns    [3]int
+	utilization      float64 // how busy warm servers are by their last reports
+	lastReportAt     Time    // when the last of those came
+	capacityWanted   bool    // a choice found no room since then
+	windowScale      float64 // scale of this node's window
+	listFailures     int     // calls for the list that failed in a row
+	servers          map[string]*server
+	serverPool                       // all servers in service,
+	serversByZone    map[string]int  // how many of them are in each zone,
+	pooledClasses    map[*class]bool // and the classes whose pools they are also in
+	changedServers   []*server       // servers that may stand otherwise in the order, or not at all
+	orderStale       bool            // the order has to be made anew as a whole
+	unavailable      int             // listed servers that drain or are ejected
+	ejectedServers   []*server       // those of the order
+	connectionFaults fixedPoint      // sum of the parts of broken connections over the order
+	warmUnmonitored  [2]int          // warm servers that are in no judged place: far, and near
+	warmupQueue      serverQueue     // servers that will be warm
+	evidenceQueue    serverQueue     // servers whose evidence will be too old
+	completionRate   float64         // answers of warm servers a second, as of doneAt
+	completionRateAt Time
+	peakServerRate   float64 // answers a second by a warm server at most of late, as of carriedAt
+	peakServerRateAt Time
+	zones            []*zoneHealth // in order of their zones; none where the settings name none
+	zonesDegraded    bool          // one of them has less than its whole share,
+	compareFrom      Time          // and since when they are compared
+	retainFor        time.Duration // that servers are kept which a list takes away in a mass
+	nearbyNodes      float64       // nodes near this one, itself included; 0 where not known
 }
 
 // New returns a node's decisions for the given settings. The seed drives its random choices.
@@ -73,8 +74,9 @@
 	}
 	b := &Balancer{
 		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classStats: make(map[string]*classStats),
-		rateLimiter: rateLimiter{buckets: newBucketTable()}, rateMultiplier: rateMultiplier{value: 1}, windowScale: initialWindowScale,
-		servers: make(map[string]*server), requests: make(map[string]*request),
+		rateLimiter: rateLimiter{buckets: newBucketTable()}, rateMultiplier: rateMultiplier{value: 1},
+		windowScale: initialWindowScale,
+		servers:     make(map[string]*server), requests: make(map[string]*request),
 		loadByKind: make(map[string]*serverLoad),
 	}
 	b.applySettings(set)
@@ -137,7 +139,8 @@
 	for i, name := range []string{reportLatency, reportUtil, reportRate} {
 		b.reportColumns[i] = slices.Index(set.ReportFields, name)
 	}
-	b.formerClasses, b.classes, b.classOrder, b.maxPriorityWeight = b.classes, make(map[string]*class), nil, 0
+	b.formerClasses, b.classes, b.classOrder = b.classes, make(map[string]*class), nil
+	b.loadShedder.configure(set.Classes)
 	for _, c := range set.Classes {
 		if c.LatencyObjective == 0 {
 			c.LatencyObjective = c.Deadline
@@ -145,7 +148,6 @@
 		b.classOrder = append(b.classOrder, &class{Class: c, eligible: &b.serverPool,
 			classStats: b.classStatsOf(c)})
 		b.classes[c.Name] = b.classOrder[len(b.classOrder)-1]
-		b.maxPriorityWeight = max(b.maxPriorityWeight, c.PriorityWeight)
 	}
 	b.rateLimiter.configure(set.Limits, set.Tenants, b.settings.NodeCount)
 }
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -337,7 +337,7 @@
 		t.Errorf("a dear request goes to %s, want a warm server", got)
 	}
 	b := fresh()
-	b.highPriorityShortage = 2 * maxShortageForSlowStart
+	b.loadShedder.highPriorityShortage = 2 * maxShortageForSlowStart
 	if got := sentTo(t, b.Handle(ms, ask("dear", "once"))); got != "z-cold" {
 		t.Errorf("a dear request goes to %s while room is short, want the cold server", got)
 	}
--- a/policy/overcommit.go
+++ b/policy/overcommit.go
@@ -13,11 +13,11 @@
 	if b.usesLoadReports() {
 		most = maxOvercommitReported
 	}
-	if b.maxPriorityWeight <= 0 { // the site states no worth
+	if b.loadShedder.maxPriorityWeight <= 0 { // the site states no worth
 		return most
 	}
-	least := max(0, minOvercommit-shortageFactor*b.highPriorityShortage)
-	return least + (most-least)*c.PriorityWeight/b.maxPriorityWeight
+	least := max(0, minOvercommit-shortageFactor*b.loadShedder.highPriorityShortage)
+	return least + (most-least)*c.PriorityWeight/b.loadShedder.maxPriorityWeight
 }
 
 // serverOvercommit sets attempts in flight against what s was seen to take, lest one that others fill look
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -760,13 +760,13 @@
 	if got := refused("free"); got != 0 {
 		t.Errorf("%v of the cheapest are given up while the dearest find room", got)
 	}
-	b.highPriorityShortage = 0.15
+	b.loadShedder.highPriorityShortage = 0.15
 	cheapest, middle, dearest := refused("free"), refused("all"), refused("once")
 	if math.Abs(cheapest-0.48) > 0.05 || math.Abs(middle-0.24) > 0.05 || dearest != 0 {
 		t.Errorf("%v of the cheapest, %v of the middle and %v of the dearest class are given up, want 0.48, 0.24 and 0",
 			cheapest, middle, dearest)
 	}
-	b.highPriorityShortage = 1
+	b.loadShedder.highPriorityShortage = 1
 	if got := refused("free"); math.Abs(got-maxShedProbability) > 0.05 {
 		t.Errorf("%v of the cheapest are given up while no dear one finds room, want %v", got, maxShedProbability)
 	}
@@ -774,7 +774,7 @@
 		t.Errorf("the dearest class gives way: %+v", acts)
 	}
 	told := fleet(t, 40, members(4))
-	told.highPriorityShortage, told.maxPriorityWeight = 1, 5
+	told.loadShedder.highPriorityShortage, told.loadShedder.maxPriorityWeight = 1, 5
 	if told.shouldShed(told.classes["free"]) {
 		t.Error("a class gives way though reports tell of room")
 	}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -67,7 +67,8 @@
 // servers with room too seldom for them to use their part, and they are missed when others fail. The dearest
 // class goes there once it is short of room, and no further attempt does. Only a few cold ones are looked at.
 func (b *Balancer) pickWarmingUp(r *request) (best *server) {
-	dearest := r.class.PriorityWeight >= b.maxPriorityWeight && b.highPriorityShortage < maxShortageForSlowStart
+	dearest := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
+		b.loadShedder.highPriorityShortage < maxShortageForSlowStart
 	if b.promoteWarm(); b.usesLoadReports() || dearest || len(r.attempts) > 0 {
 		return nil
 	}
