--- a/policy/admission.go
+++ b/policy/admission.go
@@ -159,8 +159,7 @@
 	r := &request{Request: e, class: b.classOfRequest(e), maxAttempts: max(1, b.settings.Allowed.MaxAttempts)}
 	b.setDeadlines(r)
 	b.requests[r.ID] = r
-	b.acceptedAt = append(b.acceptedAt, b.now)
-	b.trimRetryBudget()
+	b.retryBudget.recordRequest(b.now)
 	if b.shouldShed(r.class) {
 		b.reject(r, 0)
 		return
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -40,7 +40,7 @@
 
 func (b *Balancer) sendAttempt(r *request, s *server, trial bool) {
 	if len(r.attempts) > 0 {
-		b.retriesAt = append(b.retriesAt, b.now)
+		b.retryBudget.recordRetry(b.now)
 	}
 	b.emit(Action{Kind: Send, ID: r.ID, Server: s.ID, AttemptDeadline: r.usefulUntil})
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, probation: trial,
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -19,9 +19,7 @@
 	rateLimiter    rateLimiter
 	rateMultiplier rateMultiplier
 	loadShedder    loadShedder
-	retryBudget    RetryBudget // of attempts beyond the first of each request
-	acceptedAt     []Time      // requests taken in the span of the budget of attempts, oldest first
-	retriesAt      []Time      // attempts beyond a request's first in it
+	retryBudget    retryBudget
 	fleetSize      fleetSize
 	handedOver     bool                // another process of this node has taken over
 	requests       map[string]*request // open ones, by their ids
@@ -128,14 +126,12 @@
 	if !reflect.DeepEqual(set.Topology, b.settings.Topology) { // they are judged anew
 		b.zones = nil
 	}
-	b.settings, b.retryBudget, b.orderStale = set, defaultRetryBudget, true
+	b.settings, b.orderStale = set, true
+	b.retryBudget.configure(set.Rules.RetryBudget)
 	b.settings.NodeCount = b.fleetSize.configure(set.NodeCount)
 	if b.retainFor = maxRetainTime; set.Rules.DrainGrace > 0 {
 		b.retainFor = min(maxRetainTime, set.Rules.DrainGrace/2)
 	}
-	if set.Rules.RetryBudget != nil {
-		b.retryBudget = *set.Rules.RetryBudget
-	}
 	for i, name := range []string{reportLatency, reportUtil, reportRate} {
 		b.reportColumns[i] = slices.Index(set.ReportFields, name)
 	}
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -13,9 +13,7 @@
 		}
 	}
 	if !e.Active && e.SuccessorServed {
-		for range int(b.retryBudget.MinRetries + b.retryBudget.RetryRatio*float64(len(b.acceptedAt))) {
-			b.retriesAt = append(b.retriesAt, b.now)
-		}
+		b.retryBudget.exhaust(b.now)
 	}
 }
 
--- a/policy/random_test.go
+++ b/policy/random_test.go
@@ -385,7 +385,7 @@
 		s := sentTo(t, b.Handle(now, ask(id, "free")))
 		b.Handle(now+ms, outcome(id, 0, s, OK, ms))
 	}
-	if most := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.acceptedAt) > most {
-		t.Errorf("%d requests are kept for the budget, at most %d came within its span", len(b.acceptedAt), most)
+	if most := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.retryBudget.acceptedAt) > most {
+		t.Errorf("%d requests are kept for the budget, at most %d came within its span", len(b.retryBudget.acceptedAt), most)
 	}
 }
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -4,28 +4,66 @@
 	"time"
 )
 
-// where the site states none
+// defaultRetryBudget holds where the settings state none.
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
 
-// mayRetry guards the sixth rule: attempts beyond each request's first stay within the site's budget, or the
-// default one. It is counted exactly over its sliding span, and on the safe side at its edges.
-func (b *Balancer) mayRetry() bool {
-	if b.handedOver {
-		return false
+// roundingMargin keeps the count of retries under its limit, whatever the rounding of the ratio.
+const roundingMargin = 1e-9
+
+// retryBudget bounds the retries of a node: in any window they number at most MinRetries plus RetryRatio of
+// the requests that the node received in it. Both are counted exactly, over a sliding window; where an entry
+// is as old as the window, a request counts no longer and a retry still does.
+type retryBudget struct {
+	limits     RetryBudget
+	acceptedAt []Time // requests received within the window, oldest first
+	retriesAt  []Time // retries within it, oldest first
+}
+
+// configure takes over the limits; nil stands for the default.
+func (r *retryBudget) configure(limits *RetryBudget) {
+	if r.limits = defaultRetryBudget; limits != nil {
+		r.limits = *limits
+	}
+}
+
+// recordRequest counts a request that the node received, rejected or not.
+func (r *retryBudget) recordRequest(now Time) {
+	r.acceptedAt = append(r.acceptedAt, now)
+	r.trim(now)
+}
+
+// recordRetry counts a retry.
+func (r *retryBudget) recordRetry(now Time) { r.retriesAt = append(r.retriesAt, now) }
+
+// allows reports whether the budget has one more retry.
+func (r *retryBudget) allows(now Time) bool {
+	r.trim(now)
+	return float64(len(r.retriesAt)+1) <= r.limit()-roundingMargin
+}
+
+// exhaust counts as many retries as the whole budget has, for another process may have made them.
+func (r *retryBudget) exhaust(now Time) {
+	for range int(r.limit()) {
+		r.recordRetry(now)
 	}
-	b.trimRetryBudget()
-	// of rounding
-	return float64(len(b.retriesAt)+1) <= b.retryBudget.MinRetries+b.retryBudget.RetryRatio*float64(len(
-		b.acceptedAt))-1e-9
 }
 
-// trimRetryBudget forgets what has left the span of the budget of attempts.
-func (b *Balancer) trimRetryBudget() {
-	from := b.now - b.retryBudget.Window
-	for len(b.acceptedAt) > 0 && b.acceptedAt[0] <= from {
-		b.acceptedAt = b.acceptedAt[1:]
+// limit is the number of retries allowed in the present window.
+func (r *retryBudget) limit() float64 {
+	return r.limits.MinRetries + r.limits.RetryRatio*float64(len(r.acceptedAt))
+}
+
+// trim drops what has left the window.
+func (r *retryBudget) trim(now Time) {
+	start := now - r.limits.Window
+	for len(r.acceptedAt) > 0 && r.acceptedAt[0] <= start {
+		r.acceptedAt = r.acceptedAt[1:]
 	}
-	for len(b.retriesAt) > 0 && b.retriesAt[0] < from {
-		b.retriesAt = b.retriesAt[1:]
+	for len(r.retriesAt) > 0 && r.retriesAt[0] < start {
+		r.retriesAt = r.retriesAt[1:]
 	}
 }
+
+// mayRetry reports whether this process may retry a request. After a hand-over the budget is the
+// successor's.
+func (b *Balancer) mayRetry() bool { return !b.handedOver && b.retryBudget.allows(b.now) }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -167,7 +167,7 @@
 	if got := extras(ms, 0, 4); got > 4 { // two, and half of four
 		t.Errorf("%d further attempts for 4 requests, at most 4 allowed", got)
 	}
-	b.retriesAt, b.acceptedAt = nil, []Time{0, 1, 2, 3}
+	b.retryBudget.retriesAt, b.retryBudget.acceptedAt = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
 		if may := b.mayRetry(); may != (n < 3) { // on the safe side of the exact 4
@@ -176,14 +176,14 @@
 		if !b.mayRetry() {
 			break
 		}
-		b.retriesAt = append(b.retriesAt, b.now)
+		b.retryBudget.retriesAt = append(b.retryBudget.retriesAt, b.now)
 	}
 	b.now = time.Second + 4 // the requests have left the window, the attempts have not
 	if b.mayRetry() {
 		t.Error("more than the least is allowed for requests that have left the window")
 	}
 	b.now = 2 * time.Second
-	if !b.mayRetry() || len(b.retriesAt)+len(b.acceptedAt) != 0 {
+	if !b.mayRetry() || len(b.retryBudget.retriesAt)+len(b.retryBudget.acceptedAt) != 0 {
 		t.Error("the window was not emptied")
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -100,10 +100,11 @@
 		Classes: make(map[string]ClassSnapshot), Servers: make(map[string]ServerSnapshot),
 		LoadByKind: make(map[string]LoadSnapshot), TypicalLoad: LoadSnapshot{b.typicalLoad.samples,
 			b.typicalLoad.rate, b.typicalLoad.latency},
-		AcceptedAt: convertTimes(b.acceptedAt, b.toSnapshotTime), RetriesAt: convertTimes(b.retriesAt,
-			b.toSnapshotTime),
+		AcceptedAt:     convertTimes(b.retryBudget.acceptedAt, b.toSnapshotTime),
+		RetriesAt:      convertTimes(b.retryBudget.retriesAt, b.toSnapshotTime),
 		RateMultiplier: b.rateMultiplier.value, WindowScale: b.windowScale, Utilization: b.utilization,
-		BadRatio: b.rateMultiplier.badRatio, CompletionRate: b.completionRate, ReportedAt: b.toSnapshotTime(b.lastReportAt),
+		BadRatio: b.rateMultiplier.badRatio, CompletionRate: b.completionRate,
+		ReportedAt:       b.toSnapshotTime(b.lastReportAt),
 		CompletionRateAt: b.toSnapshotTime(b.completionRateAt),
 	}
 	for key, v := range b.rateLimiter.buckets.byKey {
@@ -136,8 +137,8 @@
 func (b *Balancer) Restore(now Time, k Snapshot) {
 	b.now = max(now, b.now)
 	b.typicalLoad = serverLoad{k.TypicalLoad.Samples, k.TypicalLoad.Rate, k.TypicalLoad.Latency}
-	b.acceptedAt, b.retriesAt = convertTimes(k.AcceptedAt, b.fromSnapshotTime), convertTimes(k.RetriesAt,
-		b.fromSnapshotTime)
+	b.retryBudget.acceptedAt = convertTimes(k.AcceptedAt, b.fromSnapshotTime)
+	b.retryBudget.retriesAt = convertTimes(k.RetriesAt, b.fromSnapshotTime)
 	b.rateMultiplier.value, b.rateMultiplier.badRatio = k.RateMultiplier, k.BadRatio
 	b.windowScale, b.utilization, b.completionRate = k.WindowScale, k.Utilization, k.CompletionRate
 	b.lastReportAt, b.completionRateAt = b.fromSnapshotTime(k.ReportedAt), b.fromSnapshotTime(k.CompletionRateAt)
