--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -23,8 +23,7 @@
 	fleetSize      fleetSize
 	handedOver     bool                // another process of this node has taken over
 	requests       map[string]*request // open ones, by their ids
-	queued         []*request          // waiting for a usable server, oldest first
-	queueTimerSet  bool                // the hold timer is set
+	queue          requestQueue        // of requests that wait for a usable server
 	classes        map[string]*class
 	formerClasses  map[string]*class      // as they were before the last settings
 	classStats     map[string]*classStats // of all classes ever named,
@@ -163,8 +162,7 @@
 func (b *Balancer) onTimer(token uint64) {
 	switch {
 	case token == queueTimerToken:
-		b.queueTimerSet = false
-		b.dispatchQueued()
+		b.onQueueTimer()
 	case token == listTimerToken:
 		b.subscribeList()
 	case token == fleetSizeTimerToken:
--- a/policy/class.go
+++ b/policy/class.go
@@ -14,12 +14,11 @@
 
 // classStats is what is known of a class by its name, also when the settings change it.
 type classStats struct {
-	timerIndex      int                    // of its timer; below 0 for a class that the settings don't name
-	tailLatency     time.Duration          // estimate of a high quantile of its latency
-	watched         []attemptWatch         // attempts to look at when they are slow, oldest first
+	timerIndex      int           // of its timer; below 0 for a class that the settings don't name
+	tailLatency     time.Duration // estimate of a high quantile of its latency
+	slowAttempts    slowAttemptWatch
 	firstTryTimeout time.Duration          // the longest that a first try was open
 	typicalByKind   map[string]*serverLoad // what its answers take, by kind of server, where places are judged
-	timerSet        bool                   // the timer for the head of watched is set
 }
 
 // classStatsOf is what is known of c by its name.
@@ -90,5 +89,4 @@
 const (
 	tailQuantile = 0.95 // latency quantile of a class at which attempts are looked at again
 	tailStep     = 0.1  // part by which the estimate of it moves
-	tailMargin   = 1.2  // times that quantile, an attempt counts as slow
 )
--- a/policy/request_queue.go
+++ b/policy/request_queue.go
@@ -4,25 +4,48 @@
 	"time"
 )
 
-const (
-	queuePollInterval = 20 * time.Millisecond // between looks at held requests
-)
+// queuePollInterval is the time between two attempts to dispatch the queued requests.
+const queuePollInterval = 20 * time.Millisecond
+
+// requestQueue holds the requests that wait for a usable server, oldest first.
+type requestQueue struct {
+	requests []*request
+	timerSet bool // a poll is due
+}
+
+// add appends a request, and reports whether the poll has to be scheduled.
+func (q *requestQueue) add(r *request) (schedulePoll bool) {
+	q.requests = append(q.requests, r)
+	schedulePoll = !q.timerSet
+	q.timerSet = true
+	return schedulePoll
+}
 
-// enqueue keeps r until a server may turn up, or its time is up.
+// takeAll empties the queue and returns what it held.
+func (q *requestQueue) takeAll() []*request {
+	all := q.requests
+	q.requests = nil
+	return all
+}
+
+// enqueue lets a request wait until a server may be usable, or its time is up.
 func (b *Balancer) enqueue(r *request) {
 	r.wasQueued = true
-	b.queued = append(b.queued, r)
-	if !b.queueTimerSet {
-		b.queueTimerSet = true
+	if b.queue.add(r) {
 		b.emit(Action{Kind: SetTimer, Wait: queuePollInterval, Token: queueTimerToken})
 	}
 }
 
-// dispatchQueued tries all held requests again.
+// onQueueTimer polls the queue.
+func (b *Balancer) onQueueTimer() {
+	b.queue.timerSet = false
+	b.dispatchQueued()
+}
+
+// dispatchQueued dispatches each queued request that still waits for its answer. Those that find no server
+// are queued again.
 func (b *Balancer) dispatchQueued() {
-	held := b.queued
-	b.queued = nil
-	for _, r := range held {
+	for _, r := range b.queue.takeAll() {
 		if !r.answered {
 			b.dispatch(r)
 		}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -359,8 +359,8 @@
 	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
 		b.Handle(now, Timer{Token: queueTimerToken})
 	}
-	if len(b.queued) != 1 || was >= 1 || b.rateMultiplier.value != was {
-		t.Errorf("%d held, the scale went from %v to %v", len(b.queued), was, b.rateMultiplier.value)
+	if len(b.queue.requests) != 1 || was >= 1 || b.rateMultiplier.value != was {
+		t.Errorf("%d held, the scale went from %v to %v", len(b.queue.requests), was, b.rateMultiplier.value)
 	}
 }
 
--- a/policy/slow_attempts.go
+++ b/policy/slow_attempts.go
@@ -4,42 +4,81 @@
 	"time"
 )
 
-// attemptWatch is one attempt to look at when it has been out for long.
-type attemptWatch struct {
+const (
+	// slowAttemptFactor is how many times the tail latency of its class an attempt takes to count as slow.
+	slowAttemptFactor = 1.2
+	// minSlowTimerWait bounds the wait of a timer whose moment has come already.
+	minSlowTimerWait = time.Millisecond
+)
+
+// watchedAttempt is an attempt that counts as slow from dueAt on.
+type watchedAttempt struct {
 	request *request
-	attempt int
+	index   int // of the attempt among the request's
 	dueAt   Time
 }
 
-// watchLatency queues r's newest attempt: a class waits about equally long, so one timer serves for all.
+func (w watchedAttempt) attempt() *attempt { return &w.request.attempts[w.index] }
+
+// slowAttemptWatch holds a class's attempts until they count as slow, oldest first. All attempts of a class
+// wait about equally long, so one timer for the oldest serves them all.
+type slowAttemptWatch struct {
+	watched  []watchedAttempt
+	timerSet bool
+}
+
+func (w *slowAttemptWatch) add(a watchedAttempt) { w.watched = append(w.watched, a) }
+
+// armTimer returns the wait until the oldest attempt is due, if a timer is needed and not yet set.
+func (w *slowAttemptWatch) armTimer(now Time) (wait time.Duration, needed bool) {
+	if w.timerSet || len(w.watched) == 0 {
+		return 0, false
+	}
+	w.timerSet = true
+	return max(minSlowTimerWait, w.watched[0].dueAt-now), true
+}
+
+// takeDue removes and returns the oldest attempt, if it is due.
+func (w *slowAttemptWatch) takeDue(now Time) (due watchedAttempt, found bool) {
+	if len(w.watched) == 0 || w.watched[0].dueAt > now {
+		return watchedAttempt{}, false
+	}
+	due = w.watched[0]
+	w.watched[0] = watchedAttempt{} // lets go of the request
+	w.watched = w.watched[1:]
+	return due, true
+}
+
+// watchLatency watches r's newest attempt, unless the settings don't name its class.
 func (b *Balancer) watchLatency(r *request) {
-	if c := r.class; c.timerIndex >= 0 {
-		due := b.now + time.Duration(tailMargin*float64(c.tailLatency))
-		c.watched = append(c.watched, attemptWatch{r, len(r.attempts) - 1, due})
-		b.armSlowTimer(c.classStats)
+	if r.class.timerIndex < 0 {
+		return
 	}
+	dueAt := b.now + time.Duration(slowAttemptFactor*float64(r.class.tailLatency))
+	r.class.slowAttempts.add(watchedAttempt{r, len(r.attempts) - 1, dueAt})
+	b.armSlowTimer(r.class.classStats)
 }
 
-// armSlowTimer sets the timer of a class for the head of its queue.
+// armSlowTimer sets the timer of a class for its oldest watched attempt.
 func (b *Balancer) armSlowTimer(c *classStats) {
-	if !c.timerSet && len(c.watched) > 0 {
-		c.timerSet = true
-		b.emit(Action{Kind: SetTimer, Wait: max(time.Millisecond, c.watched[0].dueAt-b.now),
-			Token: firstClassTimerToken + uint64(c.timerIndex)})
+	if wait, needed := c.slowAttempts.armTimer(b.now); needed {
+		b.emit(Action{Kind: SetTimer, Wait: wait, Token: firstClassTimerToken + uint64(c.timerIndex)})
 	}
 }
 
-// checkSlowAttempts looks at the attempts of a class that have been out for long: a server silent since then
-// gets a strike. No second copy goes out: an attempt at a time is the rule.
+// checkSlowAttempts records a failure of each server that has answered nothing since it got an attempt that
+// is slow by now. One that answers others has a heavy request, no fault. The attempt itself goes on: a
+// request has one attempt at a time.
 func (b *Balancer) checkSlowAttempts(c *classStats) {
-	c.timerSet = false
-	for len(c.watched) > 0 && c.watched[0].dueAt <= b.now {
-		w := c.watched[0]
-		c.watched[0] = attemptWatch{}
-		c.watched = c.watched[1:]
-		a := &w.request.attempts[w.attempt]
+	c.slowAttempts.timerSet = false
+	for {
+		due, found := c.slowAttempts.takeDue(b.now)
+		if !found {
+			break
+		}
+		a := due.attempt()
 		if a.finished || a.server.lastResponseAt >= a.sentAt {
-			continue // a server that answers others has a heavy request
+			continue
 		}
 		b.recordFailure(a.server, silenceWeight)
 		b.recordEvidence(a, 1)
