--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -166,7 +166,7 @@
 	case token == listTimerToken:
 		b.subscribeList()
 	case token == fleetSizeTimerToken:
-		b.settleFleetSize()
+		b.onFleetSizeTimer()
 	case token == retainTimerToken:
 		b.releaseRetained()
 	case token >= firstClassTimerToken && token < firstClassTimerToken+uint64(len(b.classesByTimer)):
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -4,26 +4,30 @@
 	"time"
 )
 
-// longer than nearly every restart, and than the splits that heal by themselves
-const fleetShrinkDelay = time.Minute
-
 const (
-	maxSmallFleet = 3 // nodes; more would jam the first server, so each walks from elsewhere
+	// fleetShrinkDelay is how long nodes have to be unreachable before the others divide the quotas without
+	// them: longer than nearly every restart, and than most partitions.
+	fleetShrinkDelay = time.Minute
+	// maxSmallFleet is the largest number of nodes that all fill servers in the same order. More would jam
+	// the first server, so each begins elsewhere.
+	maxSmallFleet = 3
 )
 
-// fleetSize is what is known of how many nodes there are.
+// fleetSize decides by how many nodes the quotas are divided: by those of the settings, or as many as
+// membership reached. The number grows at once and shrinks late, and stays where this node reaches half of
+// the fleet or less: the parts of all nodes shall not exceed a quota.
 type fleetSize struct {
 	configuredNodes int  // by the settings
-	hasMembership   bool // there is a membership
-	quotaNodes      int  // that quotas are divided by
-	reachable       int  // that this node hears, itself included,
-	reachableInZone int  // and those of them in its zone; 0 for not known
-	shrunkSince     Time // since when more than half of the agreed are heard and not all; 0 for not
-	maxReachable    int  // that were heard since
+	hasMembership   bool // a FleetSize event came
+	quotaNodes      int  // nodes that quotas are divided by
+	reachable       int  // nodes that this one reaches, itself included
+	reachableInZone int  // those of them in its zone; 0 where not known
+	shrunkSince     Time // since when more than half of quotaNodes are reachable, but not all; 0: they aren't
+	maxReachable    int  // most that were reachable since shrunkSince
 }
 
-// configure takes over the number of nodes that the settings tell, and returns the one to go by: what the
-// nodes found out themselves, unless the settings have changed since.
+// configure takes over the settings' number of nodes, and returns the number to divide quotas by: what
+// membership found, unless the settings have changed since.
 func (f *fleetSize) configure(nodes int) int {
 	if f.configuredNodes != nodes {
 		f.configuredNodes, f.quotaNodes, f.shrunkSince = nodes, nodes, 0
@@ -31,52 +35,72 @@
 	return f.quotaNodes
 }
 
-// FleetSize tells how many nodes quotas are divided by, how many of them this node hears, and whether it
+// observe takes over how many nodes are reachable, and reports whether to call settle after fleetShrinkDelay.
+func (f *fleetSize) observe(now Time, e FleetSize) (startDelay bool) {
+	f.hasMembership, f.reachable, f.reachableInZone = true, max(1, e.ReachableNodes), e.ReachableInZone
+	switch {
+	case f.reachable >= f.quotaNodes || f.isPartitioned():
+		f.shrunkSince = 0
+		f.quotaNodes = max(f.quotaNodes, f.reachable)
+	case f.shrunkSince == 0:
+		f.shrunkSince, f.maxReachable = now, f.reachable
+		return true
+	default:
+		f.maxReachable = max(f.maxReachable, f.reachable)
+	}
+	return false
+}
+
+// settle counts the nodes as gone that were unreachable throughout the delay, and reports whether it did.
+func (f *fleetSize) settle(now Time) bool {
+	if f.shrunkSince == 0 || now-f.shrunkSince < fleetShrinkDelay {
+		return false
+	}
+	f.shrunkSince, f.quotaNodes = 0, f.maxReachable
+	return true
+}
+
+// isPartitioned reports whether this node reaches half of the fleet or less: the others may serve on.
+func (f *fleetSize) isPartitioned() bool { return f.hasMembership && 2*f.reachable <= f.quotaNodes }
+
+// FleetSize returns how many nodes quotas are divided by, how many of them this node reaches, and whether it
 // takes itself as cut off from the others.
-func (b *Balancer) FleetSize() (agreed, heard int, cutOff bool) {
-	f := b.fleetSize
-	return b.settings.NodeCount, f.reachable, f.hasMembership && 2*f.reachable <= f.quotaNodes
+func (b *Balancer) FleetSize() (quotaNodes, reachable int, partitioned bool) {
+	return b.settings.NodeCount, b.fleetSize.reachable, b.fleetSize.isPartitioned()
 }
 
-// onFleetSize follows the number of nodes that are heard. A part shrinks at once, and grows late.
+// onFleetSize follows the number of reachable nodes.
 func (b *Balancer) onFleetSize(e FleetSize) {
-	f := &b.fleetSize
-	f.hasMembership, f.reachable, f.reachableInZone = true, max(1, e.ReachableNodes), e.ReachableInZone
+	startDelay := b.fleetSize.observe(b.now, e)
 	b.countNearbyNodes()
 	b.rateMultiplier.value = min(b.rateMultiplier.value, b.rateConditions().maximum())
-	switch {
-	// or cut off: those not heard may serve on
-	case f.reachable >= f.quotaNodes || 2*f.reachable <= f.quotaNodes:
-		f.shrunkSince = 0
-		b.setQuotaNodes(max(f.quotaNodes, f.reachable))
-	case f.shrunkSince == 0:
-		f.shrunkSince, f.maxReachable = b.now, f.reachable
+	if startDelay {
 		b.emit(Action{Kind: SetTimer, Wait: fleetShrinkDelay, Token: fleetSizeTimerToken})
-	default:
-		f.maxReachable = max(f.maxReachable, f.reachable)
 	}
+	b.applyQuotaNodes()
 }
 
-// settleFleetSize counts those as gone who were silent throughout the hold.
-func (b *Balancer) settleFleetSize() {
-	f := &b.fleetSize
-	if f.shrunkSince == 0 || b.now-f.shrunkSince < fleetShrinkDelay {
+// onFleetSizeTimer lets the fleet shrink. Fewer nodes may be reachable by now than the delay counted, and
+// those begin a delay of their own.
+func (b *Balancer) onFleetSizeTimer() {
+	if !b.fleetSize.settle(b.now) {
 		return
 	}
-	f.shrunkSince = 0
-	b.setQuotaNodes(f.maxReachable)
-	// fewer may be left by now
-	b.onFleetSize(FleetSize{ReachableNodes: f.reachable, ReachableInZone: f.reachableInZone})
+	b.applyQuotaNodes()
+	b.onFleetSize(FleetSize{ReachableNodes: b.fleetSize.reachable,
+		ReachableInZone: b.fleetSize.reachableInZone})
 }
 
-// setQuotaNodes divides the quotas by another number of nodes.
-func (b *Balancer) setQuotaNodes(nodes int) {
-	if nodes == b.fleetSize.quotaNodes {
+// applyQuotaNodes divides the quotas by another number of nodes, if it changed.
+func (b *Balancer) applyQuotaNodes() {
+	nodes := b.fleetSize.quotaNodes
+	if nodes == b.settings.NodeCount {
 		return
 	}
-	b.fleetSize.quotaNodes, b.settings.NodeCount, b.orderStale = nodes, nodes, true
+	b.settings.NodeCount, b.orderStale = nodes, true
 	b.rateLimiter.configure(b.settings.Limits, b.settings.Tenants, nodes)
 	b.refreshOrder()
 }
 
+// isLargeFleet reports whether the nodes are so many that each fills servers in an order of its own.
 func (b *Balancer) isLargeFleet() bool { return b.settings.NodeCount > maxSmallFleet }
