--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -16,6 +16,7 @@
 	rng      *rand.Rand
 	actions  []Action // of the event in hand
 
+	classes        classRegistry
 	rateLimiter    rateLimiter
 	rateMultiplier rateMultiplier
 	loadShedder    loadShedder
@@ -24,11 +25,6 @@
 	handedOver     bool                // another process of this node has taken over
 	requests       map[string]*request // open ones, by their ids
 	queue          requestQueue        // of requests that wait for a usable server
-	classes        map[string]*class
-	formerClasses  map[string]*class      // as they were before the last settings
-	classStats     map[string]*classStats // of all classes ever named,
-	classesByTimer []*classStats          // and in the order of their timers
-	classOrder     []*class               // in the order of the settings
 
 	loadByKind      map[string]*serverLoad // what the warm servers of a kind report on average
 	typicalLoad     serverLoad             // and all warm servers
@@ -70,7 +66,7 @@
 		return nil, err
 	}
 	b := &Balancer{
-		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classStats: make(map[string]*classStats),
+		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classes: newClassRegistry(),
 		rateLimiter: rateLimiter{buckets: newBucketTable()}, rateMultiplier: rateMultiplier{value: 1},
 		windowScale: initialWindowScale,
 		servers:     make(map[string]*server), requests: make(map[string]*request),
@@ -134,16 +130,8 @@
 	for i, name := range []string{reportLatency, reportUtil, reportRate} {
 		b.reportColumns[i] = slices.Index(set.ReportFields, name)
 	}
-	b.formerClasses, b.classes, b.classOrder = b.classes, make(map[string]*class), nil
+	b.classes.configure(set.Classes, &b.serverPool)
 	b.loadShedder.configure(set.Classes)
-	for _, c := range set.Classes {
-		if c.LatencyObjective == 0 {
-			c.LatencyObjective = c.Deadline
-		}
-		b.classOrder = append(b.classOrder, &class{Class: c, eligible: &b.serverPool,
-			classStats: b.classStatsOf(c)})
-		b.classes[c.Name] = b.classOrder[len(b.classOrder)-1]
-	}
 	b.rateLimiter.configure(set.Limits, set.Tenants, b.settings.NodeCount)
 }
 
@@ -169,8 +157,8 @@
 		b.onFleetSizeTimer()
 	case token == retainTimerToken:
 		b.releaseRetained()
-	case token >= firstClassTimerToken && token < firstClassTimerToken+uint64(len(b.classesByTimer)):
-		b.checkSlowAttempts(b.classesByTimer[token-firstClassTimerToken])
+	case token >= firstClassTimerToken && token < firstClassTimerToken+uint64(len(b.classes.statsByTimer)):
+		b.checkSlowAttempts(b.classes.statsByTimer[token-firstClassTimerToken])
 	}
 }
 
@@ -180,7 +168,7 @@
 
 // TailLatency is how long slow answers take, in the slowest class.
 func (b *Balancer) TailLatency() (longest time.Duration) {
-	for _, c := range b.classOrder {
+	for _, c := range b.classes.ordered {
 		longest = max(longest, c.tailLatency)
 	}
 	return longest
--- a/policy/class.go
+++ b/policy/class.go
@@ -5,88 +5,126 @@
 	"time"
 )
 
-// class is a request class with what was learned of it.
+const (
+	// tailQuantile is the quantile of a class's latency that is estimated: attempts slower than that are
+	// looked at again.
+	tailQuantile = 0.95
+	// tailStep is the part of the estimate by which responses move it.
+	tailStep = 0.1
+)
+
+// class is a request class of the settings, with the servers that it may use and what was measured of it.
 type class struct {
 	Class
 	eligible *serverPool // the servers that it may be sent to
 	*classStats
 }
 
-// classStats is what is known of a class by its name, also when the settings change it.
+// classStats is what was measured of the classes of one name. It outlives changes of the settings.
 type classStats struct {
-	timerIndex      int           // of its timer; below 0 for a class that the settings don't name
-	tailLatency     time.Duration // estimate of a high quantile of its latency
+	timerIndex      int           // of the class's timer; negative for a class that the settings never named
+	tailLatency     time.Duration // estimate of the tailQuantile of its latency, at most its objective
 	slowAttempts    slowAttemptWatch
-	firstTryTimeout time.Duration          // the longest that a first try was open
-	typicalByKind   map[string]*serverLoad // what its answers take, by kind of server, where places are judged
+	firstTryTimeout time.Duration          // longest timeout of a client's first try
+	typicalByKind   map[string]*serverLoad // usual latency by kind of server, where zones are monitored
 }
 
-// classStatsOf is what is known of c by its name.
-func (b *Balancer) classStatsOf(c Class) *classStats {
-	l := b.classStats[c.Name]
-	if l == nil {
-		l = &classStats{timerIndex: len(b.classesByTimer), tailLatency: c.LatencyObjective / 2}
-		b.classStats[c.Name] = l
-		b.classesByTimer = append(b.classesByTimer, l)
-	}
-	if was := b.formerClasses[c.Name]; was != nil && was.Deadline != c.Deadline {
-		l.firstTryTimeout = 0 // a part of the deadline, and that is another now
-	}
-	l.tailLatency = min(l.tailLatency, c.LatencyObjective)
-	return l
+// classRegistry holds the classes of the settings in force, those of the former settings, and what was
+// measured of any class by its name.
+type classRegistry struct {
+	byName       map[string]*class
+	former       map[string]*class // of the settings before
+	ordered      []*class          // in the order of the settings
+	stats        map[string]*classStats
+	statsByTimer []*classStats // by timerIndex
 }
 
-// classesInUse are the classes that requests may be in: those of the settings, of the former ones, and of
-// what is open since before.
-func (b *Balancer) classesInUse() map[*class]bool {
-	all := make(map[*class]bool)
-	for _, c := range b.classOrder {
-		all[c] = true
+func newClassRegistry() classRegistry { return classRegistry{stats: make(map[string]*classStats)} }
+
+// configure takes over the classes of new settings, which all may use the servers of the pool at first. A
+// class without a latency objective has its deadline as one.
+func (c *classRegistry) configure(classes []Class, pool *serverPool) {
+	c.former, c.byName, c.ordered = c.byName, make(map[string]*class), nil
+	for _, settings := range classes {
+		if settings.LatencyObjective == 0 {
+			settings.LatencyObjective = settings.Deadline
+		}
+		current := &class{Class: settings, eligible: pool, classStats: c.statsOf(settings)}
+		c.ordered = append(c.ordered, current)
+		c.byName[settings.Name] = current
 	}
-	for _, c := range b.formerClasses {
-		all[c] = true
+}
+
+// statsOf returns what was measured of the class of a name, adapted to its settings.
+func (c *classRegistry) statsOf(settings Class) *classStats {
+	stats := c.stats[settings.Name]
+	if stats == nil {
+		stats = &classStats{timerIndex: len(c.statsByTimer), tailLatency: settings.LatencyObjective / 2}
+		c.stats[settings.Name] = stats
+		c.statsByTimer = append(c.statsByTimer, stats)
 	}
-	for _, r := range b.requests {
-		if r.class.timerIndex >= 0 { // one that the settings don't name is open to all, and gives no trials
-			all[r.class] = true
-		}
+	if former := c.former[settings.Name]; former != nil && former.Deadline != settings.Deadline {
+		stats.firstTryTimeout = 0 // clients derive it from the deadline
 	}
-	return all
+	stats.tailLatency = min(stats.tailLatency, settings.LatencyObjective)
+	return stats
 }
 
-// classOfRequest is the class of a request, as its settings were when its head came. A class that the
-// settings don't name is never sent twice.
-func (b *Balancer) classOfRequest(e Request) *class {
-	if former := b.formerClasses[e.Class]; e.FormerClass && former != nil {
+// find returns the class of a request by the settings in force, or by the former ones where they applied
+// when its head came; nil for a name that neither has.
+func (c *classRegistry) find(e Request) *class {
+	if former := c.former[e.Class]; e.FormerClass && former != nil {
 		return former
 	}
-	if current := b.classes[e.Class]; current != nil {
-		return current
+	return c.byName[e.Class]
+}
+
+// classOfRequest is the class of a request. One whose class the settings don't name is never repeated.
+func (b *Balancer) classOfRequest(e Request) *class {
+	if known := b.classes.find(e); known != nil {
+		return known
 	}
 	return &class{Class: Class{LatencyObjective: e.Timeout, LateWeight: 1}, eligible: &b.serverPool,
 		classStats: &classStats{timerIndex: -1}}
 }
 
-// isRestricted tells whether a class may be sent to some servers only.
+// classesInUse are the classes that requests may have: those of the settings, those of the former settings,
+// and those of requests that are open since before. A class that the settings never named isn't among them:
+// it may use any server, and its requests are no probes.
+func (b *Balancer) classesInUse() map[*class]bool {
+	inUse := make(map[*class]bool)
+	for _, c := range b.classes.ordered {
+		inUse[c] = true
+	}
+	for _, c := range b.classes.former {
+		inUse[c] = true
+	}
+	for _, r := range b.requests {
+		if r.class.timerIndex >= 0 {
+			inUse[r.class] = true
+		}
+	}
+	return inUse
+}
+
+// isRestricted reports whether a class may use some servers only.
 func (c *class) isRestricted() bool { return len(c.Kinds)+len(c.Zones)+len(c.Regions) > 0 }
 
-// permits guards the fifth rule: a class bound to zones or kinds of server goes nowhere else.
+// permits reports whether a class may use a server: one that is restricted to kinds, zones or regions goes
+// nowhere else.
 func (c *class) permits(s *server) bool {
 	return (len(c.Kinds) == 0 || slices.Contains(c.Kinds, s.Kind)) &&
 		(len(c.Zones) == 0 || slices.Contains(c.Zones, s.Zone)) &&
 		(len(c.Regions) == 0 || slices.Contains(c.Regions, s.zone.regionName()))
 }
 
-// observeLatency follows the slow tail of the latency of a class.
+// observeLatency moves the estimate of the tail latency by one response: up by a slower one, down by a
+// faster one, in the ratio that keeps tailQuantile of the responses below it.
 func (c *class) observeLatency(latency time.Duration) {
 	step := -(1 - tailQuantile)
 	if latency > c.tailLatency {
 		step = tailQuantile
 	}
-	c.tailLatency = min(c.LatencyObjective, c.tailLatency+time.Duration(tailStep*step*float64(c.tailLatency)))
+	moved := c.tailLatency + time.Duration(tailStep*step*float64(c.tailLatency))
+	c.tailLatency = min(c.LatencyObjective, moved)
 }
-
-const (
-	tailQuantile = 0.95 // latency quantile of a class at which attempts are looked at again
-	tailStep     = 0.1  // part by which the estimate of it moves
-)
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -286,7 +286,7 @@
 	const perSecond = 80
 	for i := range 10 * perSecond {
 		b.now += time.Second / perSecond
-		r := &request{class: b.classOrder[0]}
+		r := &request{class: b.classes.ordered[0]}
 		b.observeOutcome(r, &attempt{server: b.servers[fmt.Sprintf("s%02d", cold+i%8)]}, Outcome{Code: OK, Latency: 20 * ms})
 	}
 	if got := b.peakRate(); math.Abs(got-perSecond/8) > 1 {
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -110,10 +110,10 @@
 		t.Fatal("choked servers are not rested")
 	}
 	b.now += maxEjectionTime
-	if s := b.pickProbation(&request{class: b.classOrder[0], usefulUntil: b.now + time.Second}); s != first {
+	if s := b.pickProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != first {
 		t.Errorf("tried out %+v, want the first of the walk", s)
 	}
-	if s := b.pickProbation(&request{class: b.classOrder[0], usefulUntil: b.now + time.Second}); s != nil {
+	if s := b.pickProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != nil {
 		t.Errorf("%s is tried out, though servers before it have room", s.ID)
 	}
 }
@@ -210,8 +210,8 @@
 	b := fleet(t, 40, members(12))
 	s := b.order()[0]
 	hears(b, s, 5, report(50, 0.5, 10))
-	short := &request{class: b.classOrder[0], usefulUntil: b.now + 200*ms}
-	long := &request{class: b.classOrder[0], usefulUntil: b.now + 2000*ms}
+	short := &request{class: b.classes.ordered[0], usefulUntil: b.now + 200*ms}
+	long := &request{class: b.classes.ordered[0], usefulUntil: b.now + 2000*ms}
 	if !b.answersInTime(short, s) {
 		t.Fatal("a fast server is not used")
 	}
@@ -327,7 +327,7 @@
 	takes := func(servers int) time.Duration {
 		b := fleet(t, 300, members(servers))
 		b.inFlight = 1e6 // so that none has room, and each is looked at
-		r := &request{Request: ask("r", "free"), class: b.classes["free"], maxAttempts: 1}
+		r := &request{Request: ask("r", "free"), class: b.classes.byName["free"], maxAttempts: 1}
 		r.deadline, r.usefulUntil = b.now+time.Hour, b.now+time.Hour
 		best := time.Hour
 		for range 200 {
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -76,7 +76,7 @@
 // mayEject keeps the cap on ejections for each class by itself: the few servers that one may be bound
 // to are not all taken out while the fleet as a whole looks well.
 func (b *Balancer) mayEject(s *server) bool {
-	for _, c := range b.classOrder {
+	for _, c := range b.classes.ordered {
 		if c.permits(s) && float64(c.eligible.ejected+1) > maxEjectedFraction*float64(c.eligible.length) {
 			return false
 		}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -135,8 +135,8 @@
 		b.servers[id].outlier.failureScore = 0.6
 		b.recordFailure(b.servers[id], attemptFailureWeight)
 	}
-	if b.classOrder[0].eligible.ejected != 1 {
-		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.classOrder[0].eligible.ejected)
+	if b.classes.ordered[0].eligible.ejected != 1 {
+		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.classes.ordered[0].eligible.ejected)
 	}
 	for id := range open {
 		b.Handle(4*ms, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{{ID: id, Zone: "a", Kind: "k1", Availability: Draining}}})
@@ -419,7 +419,7 @@
 		t.Errorf("with good answers the scale is %v, want %v", b.rateMultiplier.value, maxRateMultiplier)
 	}
 	for range 20 {
-		b.updateConcurrencyLimit(b.order()[0], b.classOrder[0], TimedOut, ms, 1)
+		b.updateConcurrencyLimit(b.order()[0], b.classes.ordered[0], TimedOut, ms, 1)
 	}
 	grow()
 	if b.rateMultiplier.value > cautiousRateMultiplier*(1+rateIncreaseStep) {
@@ -488,7 +488,7 @@
 // for about as long as it was served, and a threshold that still grew would do so until servers choke.
 func TestWaitsAsLongAsTheWorkLowerTheThreshold(t *testing.T) {
 	b := start(t, site(1), members(2))
-	s, c := b.order()[0], b.classOrder[0]
+	s, c := b.order()[0], b.classes.ordered[0]
 	for _, v := range []struct {
 		part float64 // of the aim
 		grow bool
@@ -622,7 +622,7 @@
 	first := sentTo(t, b.Handle(0, ask("open", "free")))
 	b.servers["s00"].concurrencyLimit = 9
 	b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens = 5
-	b.classes["free"].tailLatency = 77 * ms
+	b.classes.byName["free"].tailLatency = 77 * ms
 
 	next := site(1)
 	next.Classes[0].RetrySafety = NonIdempotent
@@ -636,7 +636,7 @@
 	if got := b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != 5 {
 		t.Errorf("%d tokens", got)
 	}
-	if got := b.classes["free"].tailLatency; got != 77*ms {
+	if got := b.classes.byName["free"].tailLatency; got != 77*ms {
 		t.Errorf("tail %v", got)
 	}
 	again := func(id, server string) bool {
@@ -684,7 +684,7 @@
 			}
 			s.inFlight = 9 // its threshold is felt
 			blame := b.failureWeight(s, code)
-			b.updateConcurrencyLimit(s, b.classOrder[0], code, ms, blame)
+			b.updateConcurrencyLimit(s, b.classes.ordered[0], code, ms, blame)
 			b.updateOutlierState(&attempt{server: s, sentAt: b.now}, code, blame)
 		}
 		return b
@@ -751,7 +751,7 @@
 	refused := func(class string) (part float64) {
 		const asked = 2000
 		for range asked {
-			if b.shouldShed(b.classes[class]) {
+			if b.shouldShed(b.classes.byName[class]) {
 				part += 1.0 / asked
 			}
 		}
@@ -775,7 +775,7 @@
 	}
 	told := fleet(t, 40, members(4))
 	told.loadShedder.highPriorityShortage, told.loadShedder.maxPriorityWeight = 1, 5
-	if told.shouldShed(told.classes["free"]) {
+	if told.shouldShed(told.classes.byName["free"]) {
 		t.Error("a class gives way though reports tell of room")
 	}
 }
--- a/policy/server_sums.go
+++ b/policy/server_sums.go
@@ -231,7 +231,7 @@
 		return
 	}
 	b.ejected += by
-	for _, c := range b.classOrder {
+	for _, c := range b.classes.ordered {
 		if c.isRestricted() && c.permits(s) {
 			c.eligible.ejected += by
 		}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -111,7 +111,7 @@
 		k.Buckets = append(k.Buckets, BucketSnapshot{key.tenant, key.class, v.tokens / 2,
 			b.toSnapshotTime(v.refilledAt)})
 	}
-	for _, c := range b.classOrder {
+	for _, c := range b.classes.ordered {
 		k.Classes[c.Name] = ClassSnapshot{c.tailLatency, c.firstTryTimeout}
 	}
 	for kind, l := range b.loadByKind {
@@ -146,7 +146,7 @@
 		bucket := b.rateLimiter.bucket(b.now, bucketKey{v.Tenant, v.Class}, 0)
 		bucket.tokens, bucket.refilledAt = v.Tokens, b.fromSnapshotTime(v.RefilledAt)
 	}
-	for _, c := range b.classOrder {
+	for _, c := range b.classes.ordered {
 		if known, ok := k.Classes[c.Name]; ok {
 			c.tailLatency, c.firstTryTimeout = known.TailLatency, known.FirstTryTimeout
 		}
--- a/policy/sums_test.go
+++ b/policy/sums_test.go
@@ -177,7 +177,7 @@
 		if !slices.Equal(c.eligible.order(), open) || c.eligible.length != len(open) {
 			t.Fatalf("%s is open to %d servers, made anew to %d", c.Name, c.eligible.length, len(open))
 		}
-		if b.classes[c.Name] != c { // of former settings: the ejected aren't counted
+		if b.classes.byName[c.Name] != c { // of former settings: the ejected aren't counted
 			continue
 		}
 		if ejected := countOf(open, func(s *server) bool { return s.outlier.ejected }); c.eligible.ejected != ejected {
