--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -4,27 +4,27 @@
 	"time"
 )
 
-// dispatch sends r to a server, or holds it while one may still turn up, or gives up.
+// latencyGain is the weight of one response in the mean latency of its server.
+const latencyGain = 0.2
+
+// dispatch sends a request to a server, queues it while one may still become usable, or gives it up.
 func (b *Balancer) dispatch(r *request) {
 	if b.attemptsExhausted(r) || len(r.attempts) > 0 && !b.mayRetry() {
 		b.giveUp(r)
 		return
 	}
-	s := b.pickProbation(r)
-	if s == nil {
-		s = b.pickZoneProbe(r)
-	}
-	trial, room := s != nil, false
-	if !trial {
-		s, room = b.pickServer(r)
+	if s := b.pickProbe(r); s != nil {
+		b.sendAttempt(r, s, true)
+		return
 	}
-	if !trial && !r.wasQueued { // each request tells of room once, however long it is held
-		b.adjustRateMultiplier(room)
+	s, foundCapacity := b.pickServer(r)
+	if !r.wasQueued { // each request counts once, however long it is queued
+		b.adjustRateMultiplier(foundCapacity)
 		b.loadShedder.recordDispatch(r.class.PriorityWeight, s != nil)
 	}
 	switch {
 	case s != nil:
-		b.sendAttempt(r, s, trial)
+		b.sendAttempt(r, s, false)
 	case r.mayHaveRun == nil && b.now+queuePollInterval < r.queueUntil:
 		b.enqueue(r)
 	default:
@@ -32,95 +32,110 @@
 	}
 }
 
-// attemptsExhausted tells whether r has had its attempts, or its time to be worth another.
+// pickProbe returns a server that needs a probe which r may be, if there is one.
+func (b *Balancer) pickProbe(r *request) *server {
+	if s := b.pickProbation(r); s != nil {
+		return s
+	}
+	return b.pickZoneProbe(r)
+}
+
+// attemptsExhausted reports whether a request has had its attempts, or a response would come too late.
 func (b *Balancer) attemptsExhausted(r *request) bool {
 	return len(r.attempts) >= min(r.maxAttempts, max(1, b.settings.Allowed.MaxAttempts)) ||
 		b.now >= r.usefulUntil
 }
 
-func (b *Balancer) sendAttempt(r *request, s *server, trial bool) {
+// sendAttempt sends a request to a server.
+func (b *Balancer) sendAttempt(r *request, s *server, isProbe bool) {
 	if len(r.attempts) > 0 {
 		b.retryBudget.recordRetry(b.now)
 	}
 	b.emit(Action{Kind: Send, ID: r.ID, Server: s.ID, AttemptDeadline: r.usefulUntil})
-	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, probation: trial,
+	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, probation: isProbe,
 		warmingUp: b.paceBoundByWarmup(s), uncounted: r.Incomplete})
 	r.pendingAttempts++
 	s.lastSentAt = b.now
 	s.warmupBudget.tokens--
 	r.updateMayHaveRun()
 	if !r.Incomplete {
-		b.occupy(&r.attempts[len(r.attempts)-1], 1)
+		b.countInFlight(&r.attempts[len(r.attempts)-1], 1)
 		b.watchLatency(r)
 	}
 }
 
-// occupy counts an attempt as in flight at its server, or no longer.
-func (b *Balancer) occupy(a *attempt, by int) {
+// countInFlight counts an attempt as in flight at its server (by 1), or no longer (by -1).
+func (b *Balancer) countInFlight(a *attempt, by int) {
 	a.uncounted = by < 0
 	if a.server.inFlight += by; !a.warmingUp {
 		b.inFlight += by
 	}
 }
 
+// onFirstByte takes the attempt of a streamed response out of its server's load: the server has done its
+// work.
 func (b *Balancer) onFirstByte(e FirstByte) {
-	if r := b.requests[e.ID]; r != nil && e.Attempt >= 0 && e.Attempt < len(r.attempts) {
-		r.streaming = true
-		if a := &r.attempts[e.Attempt]; !a.uncounted && !a.finished { // the server has done its work
-			b.occupy(a, -1)
-		}
+	r := b.requests[e.ID]
+	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
+		return
+	}
+	r.streaming = true
+	if a := &r.attempts[e.Attempt]; !a.uncounted && !a.finished {
+		b.countInFlight(a, -1)
 	}
 }
 
+// onOutcome ends an attempt, and then ends, retries or gives up its request.
 func (b *Balancer) onOutcome(e Outcome) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].finished {
-		return // late or twice
+		return // it came late or twice
 	}
 	a := &r.attempts[e.Attempt]
 	a.finished, a.provenNotRun = true, e.Code.ProvesNotRun()
 	r.pendingAttempts--
 	if !a.uncounted {
-		b.occupy(a, -1)
+		b.countInFlight(a, -1)
 	}
 	r.updateMayHaveRun()
 	b.observeOutcome(r, a, e)
 	switch {
 	case e.RequestEnded || r.answered || e.Code == OK:
 		b.finish(r)
-	case e.Code == NotAttempted || b.now >= r.deadline || r.streaming || e.BodyConsumed ||
-		r.mayHaveRun != nil && r.class.RetrySafety == NonIdempotent:
-		b.giveUp(r)
-	default:
+	case r.mayRetryAfter(e, b.now):
 		b.dispatch(r)
+	default:
+		b.giveUp(r)
 	}
 }
 
-const (
-	latencyGain = 0.2 // weight of one answer in the mean latency of a server
-)
-
-// observeOutcome learns from an outcome: latency, threshold and health.
+// observeOutcome updates what is measured of the server and of the class by the outcome of an attempt.
 func (b *Balancer) observeOutcome(r *request, a *attempt, e Outcome) {
-	s, c := a.server, r.class
 	if a.probation {
-		s.outlier.probationInFlight = false
+		a.server.outlier.probationInFlight = false
 	}
 	switch e.Code {
 	case NotAttempted:
 		return
 	case Cancelled:
-		if !a.probation { // our own doing; but a trial that its client didn't wait for has failed
+		if !a.probation { // the node's own doing, unless it is a probe that its client didn't wait for
 			return
 		}
 	case OK, ServerError, Overloaded:
-		s.lastResponseAt = b.now
+		a.server.lastResponseAt = b.now
 	}
-	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled { // a full one has work
+	b.observeResponse(a, r.class, e)
+}
+
+// observeResponse feeds an outcome that tells of its server to each mechanism, in a fixed order: some read
+// what those before them changed.
+func (b *Balancer) observeResponse(a *attempt, c *class, e Outcome) {
+	s := a.server
+	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled { // a server that is full has work
 		b.recordEvidence(a, b.failureLevel(s, c, e.Code, e.Latency.Seconds()))
 	}
-	blame := b.failureWeight(s, e.Code)
-	b.updateConcurrencyLimit(s, c, e.Code, e.Latency, blame)
+	weight := b.failureWeight(s, e.Code)
+	b.updateConcurrencyLimit(s, c, e.Code, e.Latency, weight)
 	if e.Code == OK || e.Code == TimedOut {
 		s.meanLatency += latencyGain * (e.Latency.Seconds() - s.meanLatency)
 	}
@@ -132,13 +147,12 @@
 	if e.Code == OK {
 		c.observeLatency(e.Latency)
 	}
-	b.updateOutlierState(a, e.Code, blame)
+	b.updateOutlierState(a, e.Code, weight)
 }
 
-// giveUp ends r unserved: refused where that is allowed, else failed.
+// giveUp ends a request without a response: rejected where the client may safely send it again, else failed.
 func (b *Balancer) giveUp(r *request) {
-	if r.mayHaveRun == nil || r.class.RetrySafety == Idempotent || r.class.RetrySafety == IdempotencyKeyed &&
-		r.class.DedupScope == DedupEverywhere {
+	if r.mayRejectSafely() {
 		b.reject(r, 0)
 		return
 	}
@@ -146,16 +160,16 @@
 	b.finish(r)
 }
 
-// reject ends r with a wait that its client is told; 0 for none.
-func (b *Balancer) reject(r *request, wait time.Duration) {
-	b.emit(Action{Kind: Reject, ID: r.ID, Wait: wait})
+// reject ends a request. Its client is told to wait for retryAfter; 0 for no such word.
+func (b *Balancer) reject(r *request, retryAfter time.Duration) {
+	b.emit(Action{Kind: Reject, ID: r.ID, Wait: retryAfter})
 	b.finish(r)
 }
 
-// finish marks r as answered and calls its attempt off; r is kept until that is over.
+// finish marks a request as answered and cancels its attempt. It is forgotten once its attempts are over.
 func (b *Balancer) finish(r *request) {
-	if n := len(r.attempts) - 1; !r.answered && r.pendingAttempts > 0 && b.settings.Allowed.Cancel {
-		b.emit(Action{Kind: Cancel, ID: r.ID, Attempt: n})
+	if newest := len(r.attempts) - 1; !r.answered && r.pendingAttempts > 0 && b.settings.Allowed.Cancel {
+		b.emit(Action{Kind: Cancel, ID: r.ID, Attempt: newest})
 	}
 	if r.answered = true; r.pendingAttempts == 0 {
 		delete(b.requests, r.ID)
