--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -1,39 +1,38 @@
 package policy
 
-// onHandedOver leaves to the process that takes over what both may spend only once: refills and half of the
-// tokens of each bucket, further attempts, and all that goes to cold servers. Taken back from one that
-// never served, it is as before; what one that served has spent is not known, so nothing is repeated while
-// that may count.
+// onHandedOver hands over to another process of this node what both together may use only once: refills and
+// half of the tokens of each bucket, retries, and requests to servers that are warming up. If the node is
+// taken back from a process that never served, all is as before. What one that served has used isn't known,
+// so then nothing is retried until that has left the window of the retry budget.
 func (b *Balancer) onHandedOver(e HandedOver) {
 	b.handedOver = e.Active
 	b.rateLimiter.handOver(e.Active)
-	for _, s := range b.servers {
-		if !e.Active && e.SuccessorServed {
-			s.warmupBudget.tokens = 0
-		}
+	if e.Active || !e.SuccessorServed {
+		return
 	}
-	if !e.Active && e.SuccessorServed {
-		b.retryBudget.exhaust(b.now)
+	for _, s := range b.servers {
+		s.warmupBudget.tokens = 0
 	}
+	b.retryBudget.exhaust(b.now)
 }
 
-// InFlight tells how many attempts this process has out at each server.
+// InFlight returns how many attempts this process has in flight, by server.
 func (b *Balancer) InFlight() map[string]int {
-	all := make(map[string]int)
+	inFlight := make(map[string]int)
 	for id, s := range b.servers {
 		if s.inFlight > 0 {
-			all[id] = s.inFlight
+			inFlight[id] = s.inFlight
 		}
 	}
-	return all
+	return inFlight
 }
 
-// SetSiblingInFlight takes over how many attempts the node's other process has out at each server: thresholds
-// hold for both together, or a server would be filled twice while one process replaces the other.
-func (b *Balancer) SetSiblingInFlight(out map[string]int) {
+// SetSiblingInFlight takes over how many attempts the node's other process has in flight, by server. The
+// limits hold for both together, or a server would be filled twice while one process replaces the other.
+func (b *Balancer) SetSiblingInFlight(inFlight map[string]int) {
 	b.siblingInFlight = 0
 	for id, s := range b.servers {
-		if s.siblingInFlight = max(0, out[id]); !b.paceBoundByWarmup(s) {
+		if s.siblingInFlight = max(0, inFlight[id]); !b.paceBoundByWarmup(s) {
 			b.siblingInFlight += s.siblingInFlight
 		}
 	}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -4,58 +4,59 @@
 	"time"
 )
 
-// Snapshot is what a process of a node leaves to the one that takes over. Its times are counted from
-// the moment it was taken, for each process has a clock of its own; 0 stands for never.
+// Snapshot is the state that a process of a node hands over to its successor, as JSON. Each process has a
+// clock of its own, so a time counts from the moment of the snapshot; 0 stands for never. The keys are
+// frozen: old and new processes read each other's.
 type Snapshot struct {
 	Buckets          []BucketSnapshot          `json:"Buckets"`
-	Classes          map[string]ClassSnapshot  `json:"Classes"`
-	Servers          map[string]ServerSnapshot `json:"Servers"`
-	LoadByKind       map[string]LoadSnapshot   `json:"Kinds"`
-	TypicalLoad      LoadSnapshot              `json:"Usual"`
-	AcceptedAt       []Time                    `json:"Took"`
-	RetriesAt        []Time                    `json:"Extra"`
+	Classes          map[string]ClassSnapshot  `json:"Classes"` // by name
+	Servers          map[string]ServerSnapshot `json:"Servers"` // by ID
+	LoadByKind       map[string]LoadSnapshot   `json:"Kinds"`   // by kind of server
+	TypicalLoad      LoadSnapshot              `json:"Usual"`   // of all kinds
+	AcceptedAt       []Time                    `json:"Took"`    // requests that the retry budget counts
+	RetriesAt        []Time                    `json:"Extra"`   // retries that it counts
 	RateMultiplier   float64                   `json:"Pace"`
 	WindowScale      float64                   `json:"Trust"`
-	Utilization      float64                   `json:"Busy"`
-	BadRatio         float64                   `json:"Bad"`
-	CompletionRate   float64                   `json:"Done"`
+	Utilization      float64                   `json:"Busy"` // of the servers' cores, 0 to 1
+	BadRatio         float64                   `json:"Bad"`  // part of the responses, 0 to 1
+	CompletionRate   float64                   `json:"Done"` // responses per second
 	ReportedAt       Time                      `json:"HeardAt"`
 	CompletionRateAt Time                      `json:"DoneAt"`
 }
 
-// BucketSnapshot is one bucket.
+// BucketSnapshot is the part of a token bucket that the successor gets.
 type BucketSnapshot struct {
 	Tenant     string `json:"Tenant"`
-	Class      string `json:"Class"`
+	Class      string `json:"Class"` // empty but for classes with a limit of their own
 	Tokens     int64  `json:"Tokens"`
 	RefilledAt Time   `json:"Last"`
 }
 
-// ClassSnapshot is what was learned of a class.
+// ClassSnapshot is what was measured of a class.
 type ClassSnapshot struct {
 	TailLatency     time.Duration `json:"Tail"`
 	FirstTryTimeout time.Duration `json:"FirstTry"`
 }
 
-// LoadSnapshot is what reports said of a kind of server.
+// LoadSnapshot is what load reports say of a kind of server.
 type LoadSnapshot struct {
-	Samples float64 `json:"N"`
-	Rate    float64 `json:"Rate"`
-	Latency float64 `json:"Latency"`
+	Samples float64 `json:"N"`       // reports in the averages
+	Rate    float64 `json:"Rate"`    // attempts per second that a server can serve
+	Latency float64 `json:"Latency"` // seconds
 }
 
-// ServerSnapshot is what was learned of a server, and what of its cold budget is left.
+// ServerSnapshot is what was measured of a server. Latencies are in seconds.
 type ServerSnapshot struct {
 	StartedAt        Time    `json:"OnlineSince"`
 	ConcurrencyLimit float64 `json:"Threshold"`
 	MeanLatency      float64 `json:"Latency"`
 	ReportedLatency  float64 `json:"Reported"`
-	ReportedRate     float64 `json:"Rate"`
+	ReportedRate     float64 `json:"Rate"` // attempts per second
 	FailureScore     float64 `json:"Score"`
-	WarmupTokens     float64 `json:"ColdTokens"`
+	WarmupTokens     float64 `json:"ColdTokens"` // requests that it may get now while it warms up
 	LimitReached     bool    `json:"Felt"`
 	Ejected          bool    `json:"Out"`
-	Ejections        int     `json:"Times"`
+	Ejections        int     `json:"Times"` // in a row
 	BusyUntil        Time    `json:"BusyTo"`
 	ReportedAt       Time    `json:"HeardAt"`
 	LastSentAt       Time    `json:"LastSend"`
@@ -64,109 +65,158 @@
 	WarmupRefilledAt Time    `json:"ColdAt"`
 }
 
-// startTimeTolerance is how far two processes may differ on when a server started: each rounds its own clock.
+// startTimeTolerance is how far two processes may differ on when a server started: each rounds its own
+// clock.
 const startTimeTolerance = 20 * time.Millisecond
 
-// toSnapshotTime and at turn times of this process's clock into those of Knowledge, and back.
-func (b *Balancer) toSnapshotTime(t Time) Time {
+// snapshotClock turns times of this process's clock into those of a snapshot taken at now, and back.
+type snapshotClock struct{ now Time }
+
+func (c snapshotClock) toSnapshot(t Time) Time {
 	switch t {
 	case 0:
 		return 0
-	case b.now:
-		return -1 // not never
+	case c.now:
+		return -1 // 0 would mean never
 	}
-	return t - b.now
+	return t - c.now
 }
 
-func (b *Balancer) fromSnapshotTime(t Time) Time {
+func (c snapshotClock) fromSnapshot(t Time) Time {
 	if t == 0 {
 		return 0
 	}
-	return max(1, b.now+t)
+	return max(1, c.now+t)
 }
 
-func convertTimes(times []Time, by func(Time) Time) []Time {
-	all := make([]Time, len(times))
+func convertTimes(times []Time, convert func(Time) Time) []Time {
+	converted := make([]Time, len(times))
 	for i, t := range times {
-		all[i] = by(t)
+		converted[i] = convert(t)
 	}
-	return all
+	return converted
 }
 
-// Snapshot returns what the process that takes over from this one has to know.
+// Snapshot returns the state that the successor of this process needs.
 func (b *Balancer) Snapshot(now Time) Snapshot {
 	b.now = max(now, b.now)
-	k := Snapshot{
+	clock := snapshotClock{b.now}
+	snapshot := Snapshot{
+		Buckets: b.rateLimiter.snapshot(clock),
 		Classes: make(map[string]ClassSnapshot), Servers: make(map[string]ServerSnapshot),
-		LoadByKind: make(map[string]LoadSnapshot), TypicalLoad: LoadSnapshot{b.typicalLoad.samples,
-			b.typicalLoad.rate, b.typicalLoad.latency},
-		AcceptedAt:     convertTimes(b.retryBudget.acceptedAt, b.toSnapshotTime),
-		RetriesAt:      convertTimes(b.retryBudget.retriesAt, b.toSnapshotTime),
-		RateMultiplier: b.rateMultiplier.value, WindowScale: b.windowScale, Utilization: b.utilization,
-		BadRatio: b.rateMultiplier.badRatio, CompletionRate: b.completionRate,
-		ReportedAt:       b.toSnapshotTime(b.lastReportAt),
-		CompletionRateAt: b.toSnapshotTime(b.completionRateAt),
-	}
-	for key, v := range b.rateLimiter.buckets.byKey {
-		k.Buckets = append(k.Buckets, BucketSnapshot{key.tenant, key.class, v.tokens / 2,
-			b.toSnapshotTime(v.refilledAt)})
+		LoadByKind:       make(map[string]LoadSnapshot),
+		TypicalLoad:      b.typicalLoad.snapshot(),
+		AcceptedAt:       convertTimes(b.retryBudget.acceptedAt, clock.toSnapshot),
+		RetriesAt:        convertTimes(b.retryBudget.retriesAt, clock.toSnapshot),
+		RateMultiplier:   b.rateMultiplier.value,
+		WindowScale:      b.windowScale,
+		Utilization:      b.utilization,
+		BadRatio:         b.rateMultiplier.badRatio,
+		CompletionRate:   b.completionRate,
+		ReportedAt:       clock.toSnapshot(b.lastReportAt),
+		CompletionRateAt: clock.toSnapshot(b.completionRateAt),
 	}
 	for _, c := range b.classes.ordered {
-		k.Classes[c.Name] = ClassSnapshot{c.tailLatency, c.firstTryTimeout}
+		snapshot.Classes[c.Name] = ClassSnapshot{TailLatency: c.tailLatency, FirstTryTimeout: c.firstTryTimeout}
 	}
-	for kind, l := range b.loadByKind {
-		k.LoadByKind[kind] = LoadSnapshot{l.samples, l.rate, l.latency}
+	for kind, load := range b.loadByKind {
+		snapshot.LoadByKind[kind] = load.snapshot()
 	}
 	for id, s := range b.servers {
-		k.Servers[id] = ServerSnapshot{
-			StartedAt: b.toSnapshotTime(s.StartedAt), ConcurrencyLimit: s.concurrencyLimit,
-			MeanLatency: s.meanLatency, ReportedLatency: s.reportedLatency,
-			ReportedRate: s.reportedRate, FailureScore: s.outlier.failureScore, WarmupTokens: s.warmupBudget.tokens,
-			LimitReached: s.limitReached, Ejected: s.outlier.ejected,
-			Ejections: s.outlier.ejections, BusyUntil: b.toSnapshotTime(s.busyUntil),
-			ReportedAt: b.toSnapshotTime(s.reportedAt),
-			LastSentAt: b.toSnapshotTime(s.lastSentAt), LastResponseAt: b.toSnapshotTime(s.lastResponseAt),
-			EjectedUntil:     b.toSnapshotTime(s.outlier.ejectedUntil),
-			WarmupRefilledAt: b.toSnapshotTime(s.warmupBudget.refilledAt),
-		}
+		snapshot.Servers[id] = s.snapshot(clock)
 	}
-	return k
+	return snapshot
 }
 
-// Restore takes over what another process of this node knew. The list of servers comes first.
-func (b *Balancer) Restore(now Time, k Snapshot) {
+// Restore takes over the state of another process of this node. The list of servers comes before it.
+func (b *Balancer) Restore(now Time, snapshot Snapshot) {
 	b.now = max(now, b.now)
-	b.typicalLoad = serverLoad{k.TypicalLoad.Samples, k.TypicalLoad.Rate, k.TypicalLoad.Latency}
-	b.retryBudget.acceptedAt = convertTimes(k.AcceptedAt, b.fromSnapshotTime)
-	b.retryBudget.retriesAt = convertTimes(k.RetriesAt, b.fromSnapshotTime)
-	b.rateMultiplier.value, b.rateMultiplier.badRatio = k.RateMultiplier, k.BadRatio
-	b.windowScale, b.utilization, b.completionRate = k.WindowScale, k.Utilization, k.CompletionRate
-	b.lastReportAt, b.completionRateAt = b.fromSnapshotTime(k.ReportedAt), b.fromSnapshotTime(k.CompletionRateAt)
-	for _, v := range k.Buckets {
-		bucket := b.rateLimiter.bucket(b.now, bucketKey{v.Tenant, v.Class}, 0)
-		bucket.tokens, bucket.refilledAt = v.Tokens, b.fromSnapshotTime(v.RefilledAt)
-	}
+	clock := snapshotClock{b.now}
+	b.rateLimiter.restore(clock, snapshot.Buckets)
+	b.retryBudget.acceptedAt = convertTimes(snapshot.AcceptedAt, clock.fromSnapshot)
+	b.retryBudget.retriesAt = convertTimes(snapshot.RetriesAt, clock.fromSnapshot)
+	b.rateMultiplier.value, b.rateMultiplier.badRatio = snapshot.RateMultiplier, snapshot.BadRatio
+	b.typicalLoad = snapshot.TypicalLoad.restore()
+	b.windowScale, b.utilization = snapshot.WindowScale, snapshot.Utilization
+	b.lastReportAt = clock.fromSnapshot(snapshot.ReportedAt)
+	b.completionRate = snapshot.CompletionRate
+	b.completionRateAt = clock.fromSnapshot(snapshot.CompletionRateAt)
 	for _, c := range b.classes.ordered {
-		if known, ok := k.Classes[c.Name]; ok {
+		if known, found := snapshot.Classes[c.Name]; found {
 			c.tailLatency, c.firstTryTimeout = known.TailLatency, known.FirstTryTimeout
 		}
 	}
-	for kind, l := range k.LoadByKind {
-		b.loadByKind[kind] = &serverLoad{l.Samples, l.Rate, l.Latency}
+	for kind, load := range snapshot.LoadByKind {
+		restored := load.restore()
+		b.loadByKind[kind] = &restored
 	}
-	for id, v := range k.Servers {
-		s := b.servers[id]
-		if s == nil || (s.StartedAt-b.fromSnapshotTime(v.StartedAt)).Abs() > startTimeTolerance {
-			continue // another process of it, or gone
+	for id, known := range snapshot.Servers {
+		if s := b.servers[id]; s != nil {
+			s.restore(clock, known)
 		}
-		s.concurrencyLimit, s.meanLatency, s.reportedLatency, s.reportedRate, s.limitReached = v.ConcurrencyLimit,
-			v.MeanLatency, v.ReportedLatency, v.ReportedRate, v.LimitReached
-		s.busyUntil, s.reportedAt = b.fromSnapshotTime(v.BusyUntil), b.fromSnapshotTime(v.ReportedAt)
-		s.lastSentAt, s.lastResponseAt = b.fromSnapshotTime(v.LastSentAt), b.fromSnapshotTime(v.LastResponseAt)
-		s.outlier = outlierState{failureScore: v.FailureScore, ejected: v.Ejected,
-			ejectedUntil: b.fromSnapshotTime(v.EjectedUntil), ejections: v.Ejections}
-		s.warmupBudget = warmupBudget{tokens: v.WarmupTokens, refilledAt: b.fromSnapshotTime(v.WarmupRefilledAt)}
 	}
 	b.rebuildOrder(nil)
-	b.orderStale = true // a threshold that the other process had not set yet is set with the next list
+	b.orderStale = true // the next list sets the limits that the other process had not set yet
+}
+
+// snapshot returns the successor's half of the tokens of each bucket.
+func (l *rateLimiter) snapshot(clock snapshotClock) (buckets []BucketSnapshot) {
+	for key, bucket := range l.buckets.byKey {
+		buckets = append(buckets, BucketSnapshot{Tenant: key.tenant, Class: key.class,
+			Tokens: bucket.tokens / 2, RefilledAt: clock.toSnapshot(bucket.refilledAt)})
+	}
+	return buckets
+}
+
+func (l *rateLimiter) restore(clock snapshotClock, buckets []BucketSnapshot) {
+	for _, known := range buckets {
+		bucket := l.bucket(clock.now, bucketKey{known.Tenant, known.Class}, 0)
+		bucket.tokens, bucket.refilledAt = known.Tokens, clock.fromSnapshot(known.RefilledAt)
+	}
+}
+
+func (l serverLoad) snapshot() LoadSnapshot {
+	return LoadSnapshot{Samples: l.samples, Rate: l.rate, Latency: l.latency}
+}
+
+func (l LoadSnapshot) restore() serverLoad {
+	return serverLoad{samples: l.Samples, rate: l.Rate, latency: l.Latency}
+}
+
+func (s *server) snapshot(clock snapshotClock) ServerSnapshot {
+	return ServerSnapshot{
+		StartedAt:        clock.toSnapshot(s.StartedAt),
+		ConcurrencyLimit: s.concurrencyLimit,
+		MeanLatency:      s.meanLatency,
+		ReportedLatency:  s.reportedLatency,
+		ReportedRate:     s.reportedRate,
+		FailureScore:     s.outlier.failureScore,
+		WarmupTokens:     s.warmupBudget.tokens,
+		LimitReached:     s.limitReached,
+		Ejected:          s.outlier.ejected,
+		Ejections:        s.outlier.ejections,
+		BusyUntil:        clock.toSnapshot(s.busyUntil),
+		ReportedAt:       clock.toSnapshot(s.reportedAt),
+		LastSentAt:       clock.toSnapshot(s.lastSentAt),
+		LastResponseAt:   clock.toSnapshot(s.lastResponseAt),
+		EjectedUntil:     clock.toSnapshot(s.outlier.ejectedUntil),
+		WarmupRefilledAt: clock.toSnapshot(s.warmupBudget.refilledAt),
+	}
+}
+
+// restore takes over what was measured of the server, unless it has started again since.
+func (s *server) restore(clock snapshotClock, known ServerSnapshot) {
+	if (s.StartedAt - clock.fromSnapshot(known.StartedAt)).Abs() > startTimeTolerance {
+		return
+	}
+	s.concurrencyLimit, s.limitReached = known.ConcurrencyLimit, known.LimitReached
+	s.meanLatency, s.busyUntil = known.MeanLatency, clock.fromSnapshot(known.BusyUntil)
+	s.reportedLatency, s.reportedRate = known.ReportedLatency, known.ReportedRate
+	s.reportedAt = clock.fromSnapshot(known.ReportedAt)
+	s.lastSentAt = clock.fromSnapshot(known.LastSentAt)
+	s.lastResponseAt = clock.fromSnapshot(known.LastResponseAt)
+	s.outlier = outlierState{failureScore: known.FailureScore, ejected: known.Ejected,
+		ejectedUntil: clock.fromSnapshot(known.EjectedUntil), ejections: known.Ejections}
+	s.warmupBudget = warmupBudget{tokens: known.WarmupTokens,
+		refilledAt: clock.fromSnapshot(known.WarmupRefilledAt)}
 }
