--- a/policy/actions.go
+++ b/policy/actions.go
@@ -9,21 +9,21 @@
 
 // What a node can do; the comments name the fields of Action that count.
 const (
-	Send               ActionKind = iota // ID, Server, Until
-	Reject                               // ID, Wait: the client may safely come again
-	Fail                                 // ID: promises nothing
+	Send               ActionKind = iota // ID, Server, AttemptDeadline
+	Reject                               // ID, Wait: the client may safely send the request again, after Wait
+	Fail                                 // ID: the request may or may not have run
 	Cancel                               // ID, Attempt
-	SetAttemptDeadline                   // ID, Attempt, Until: a time for an attempt that had none
+	SetAttemptDeadline                   // ID, Attempt, AttemptDeadline: of an attempt that had none
 	SetTimer                             // Wait, Token
 	Probe                                // Server
 	SendPeerMessage                      // Peer (-1 for all), Text
 	CloseIdle                            // Server
 	Log                                  // Text
-	WatchList                            // On
+	WatchList                            // Enabled
 	FetchList                            // no fields
 )
 
-// Action is one thing the node wants done now.
+// Action is one thing that the node is to do now.
 type Action struct {
 	Kind            ActionKind
 	ID              string
@@ -31,7 +31,7 @@
 	AttemptDeadline Time // when the attempt times out; 0: with the client's deadline
 	Wait            time.Duration
 	Token           uint64
-	Attempt         int
+	Attempt         int // index among the attempts of the request, from 0
 	Peer            int
 	Text            string
 	Enabled         bool
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -7,20 +7,21 @@
 // Time is a moment on the host's monotonic clock, measured from any fixed origin.
 type Time = time.Duration
 
-// RetrySafety says how far a request of a class may be sent again once it may have run.
+// RetrySafety says whether a request of a class may be sent again once it may have run.
 type RetrySafety uint8
 
-// The zero value is the strictest: a class nobody described is never repeated.
+// The zero value is the strictest, so a class that nobody described is never repeated.
 const (
 	NonIdempotent    RetrySafety = iota // must never run twice
-	IdempotencyKeyed                    // a group of servers drops repeats for a window
-	Idempotent                          // safe to repeat
+	IdempotencyKeyed                    // the servers of a DedupScope drop repeats within the DedupWindow
+	Idempotent                          // safe to repeat anywhere
 )
 
-// DedupScope names the servers that drop the repeats of a Guarded request.
+// DedupScope names the servers that drop repeats of an IdempotencyKeyed request.
 type DedupScope uint8
 
-// The zero value is the narrowest group.
+// The zero value is the narrowest scope. The scope is counted from the server of the first attempt that may
+// have run.
 const (
 	DedupPerCell DedupScope = iota
 	DedupPerZone
@@ -30,28 +31,28 @@
 // Class describes one kind of request.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // an answer within Aim earns the full worth
-	ObjectivePerWork float64       // Aim grows by this multiple of the request's own work; 0 for none
+	LatencyObjective time.Duration // a response within it has its full value; 0 for the deadline
+	ObjectivePerWork float64       // the objective grows by this multiple of the request's EstimatedWork
 	Deadline         time.Duration // how long a client waits in all, over all its tries
 	RetrySafety      RetrySafety
-	DedupScope       DedupScope    // for Guarded
-	DedupWindow      time.Duration // for Guarded: counted from the first attempt that may have run
-	LateWeight       float64       // part of the worth left between Aim and Deadline
-	PriorityWeight   float64
-	Streaming        bool     // the answer is a stream, announced by FirstByte
-	Kinds            []string // the only kinds of server it may be sent to; empty for any
-	Zones            []string // the only zones it may be sent to; empty for any
-	Regions          []string // the only regions, where Settings.Places tells them; empty for any
+	DedupScope       DedupScope    // for IdempotencyKeyed
+	DedupWindow      time.Duration // for IdempotencyKeyed: from the first attempt that may have run
+	LateWeight       float64       // part of the value that a response between objective and deadline has
+	PriorityWeight   float64       // value of a response; lower ones give way under overload
+	Streaming        bool          // the response is a stream, announced by FirstByte
+	Kinds            []string      // the only kinds of server it may be sent to; empty for any
+	Zones            []string      // the only zones; empty for any
+	Regions          []string      // the only regions, where Settings.Topology names them; empty for any
 }
 
 // Tenant is one customer with its agreed share, over all nodes.
 type Tenant struct {
 	Name  string
-	Quota float64 // requests per second over the whole fleet of nodes
+	Quota float64 // requests per second over all nodes
 	Share float64 // part of the service, 0 to 1
 }
 
-// Limit is one layer of rate limits: PerWindow requests each Window, and a burst on top.
+// Limit is one layer of rate limits: PerWindow requests in each Window, with a bucket of Burst tokens.
 type Limit struct {
 	PerWindow float64
 	Window    time.Duration
@@ -60,80 +61,79 @@
 
 // RateLimits holds the layers that apply to every tenant. All are optional.
 type RateLimits struct {
-	Default  *Limit           // for tenants without a quota; nil: the smallest quota, or no limit
-	PerClass map[string]Limit // override; such a class has a bucket of its own for each tenant
-	Max      float64          // platform maximum for PerWindow and Burst; 0 for none
+	Default  *Limit           // of tenants without a quota; nil: the smallest quota, or no limit
+	PerClass map[string]Limit // by class, instead of the tenant's; each tenant has a bucket of its own for it
+	Max      float64          // bounds PerWindow and Burst of every limit; 0 for no bound
 }
 
-// Allowed says what the site lets a node do.
+// Allowed says what a node is permitted to do.
 type Allowed struct {
 	Cancel, Probe, Peers, RetryAfter bool
 	MaxAttempts                      int           // for one request; 0 counts as 1
-	MaxRetryAfter                    time.Duration // longest wait a client follows
-	IdleTimeout                      time.Duration // idle connections are closed after this; 0 if not told
+	MaxRetryAfter                    time.Duration // longest Retry-After that clients follow
+	IdleTimeout                      time.Duration // idle connections are closed after this; 0 if unknown
 }
 
-// RetryBudget rations a node's attempts beyond each request's first: in any Span they number at most
-// Least plus Share of the requests that the node took in it.
+// RetryBudget bounds a node's retries: in any Window they number at most MinRetries, plus RetryRatio of the
+// requests that the node received in it.
 type RetryBudget struct {
 	MinRetries float64
 	RetryRatio float64
 	Window     time.Duration
 }
 
-// Rules holds the figures of the rules.
+// Rules holds the figures of the service's rules.
 type Rules struct {
-	AnswerGrace          time.Duration // a final answer is still in time this long after the deadline
-	DrainGrace           time.Duration // sends to a draining server must end within this time
-	SlowStartMinCapacity float64       // a server starts at this part of its capacity or more
-	SlowStartDuration    time.Duration // and is warm within this time
-	OverloadMultiple     float64       // sent more than this multiple of its present capacity
-	OverloadDuration     time.Duration // for this long, a cold server falls over
-	PollInterval         time.Duration // an unsubscribed node must ask for the list this often
-	RetryBudget          *RetryBudget  // of further attempts; nil where none is stated
+	AnswerGrace          time.Duration // a response is still in time this long after the deadline
+	DrainGrace           time.Duration // nothing may be sent to a server later than this after it drains
+	SlowStartMinCapacity float64       // part of its capacity, 0 to 1, that a server has when it starts
+	SlowStartDuration    time.Duration // after which it has its whole capacity
+	OverloadMultiple     float64       // a server that is sent more than this multiple of its present capacity
+	OverloadDuration     time.Duration // for this long, while it warms up, collapses
+	PollInterval         time.Duration // an unsubscribed node must poll the list this often
+	RetryBudget          *RetryBudget  // nil where none is stated
 }
 
-// Topology says where zones lie, and what crossing from one to another costs, in any unit. A zone that Region
-// doesn't name is a region of its own.
+// Topology says in which region each zone lies, and what it costs, in any unit, to send a request from one
+// zone to another. A zone that RegionOfZone lacks is a region of its own.
 type Topology struct {
-	RegionOfZone                    map[string]string // of each zone
-	SameRegionCost, OtherRegionCost float64           // the usual costs
-	// from one zone to another, where it isn't the usual
-	ZoneCosts map[string]map[string]float64
+	RegionOfZone    map[string]string
+	SameRegionCost  float64                       // between zones of one region
+	OtherRegionCost float64                       // between regions
+	ZoneCosts       map[string]map[string]float64 // from one zone to another, where the cost is another
 }
 
-// cost is that of crossing from one zone to another.
-func (p *Topology) cost(from, to string) float64 {
-	if c, ok := p.ZoneCosts[from][to]; ok || from == to {
-		return c
+// cost is that of sending a request from one zone to another.
+func (t *Topology) cost(from, to string) float64 {
+	if cost, found := t.ZoneCosts[from][to]; found || from == to {
+		return cost
 	}
-	if p.region(from) == p.region(to) {
-		return p.SameRegionCost
+	if t.region(from) == t.region(to) {
+		return t.SameRegionCost
 	}
-	return p.OtherRegionCost
+	return t.OtherRegionCost
 }
 
-// region is where a zone lies; one that nobody named lies alone.
-func (p *Topology) region(zone string) string {
-	if p != nil && p.RegionOfZone[zone] != "" {
-		return p.RegionOfZone[zone]
+// region is the region of a zone.
+func (t *Topology) region(zone string) string {
+	if t != nil && t.RegionOfZone[zone] != "" {
+		return t.RegionOfZone[zone]
 	}
 	return zone
 }
 
-// Settings is what a node is told at its start, and as an event when it changes.
+// Settings is what a node gets at its start, and as an event when it changes.
 type Settings struct {
-	NodeIndex, NodeCount int // this node's number, and how many there are
+	NodeIndex, NodeCount int // number of this node, from 0, and how many there are
 	Zone                 string
 	Classes              []Class
 	Tenants              []Tenant
-	Topology             *Topology // nil: a node knows its own zone from the others, and judges none
+	Topology             *Topology // nil: the node only tells its own zone from others, and monitors none
 	Limits               RateLimits
 	Allowed              Allowed
 	Rules                Rules
-	SubscribeList        bool // the list of servers must be asked for
-	RetainMissing        bool // servers that a list takes away in a mass are kept for a moment
-	WeightByWork         bool // worth is counted for each unit of work, not for each request
-	// ReportFields names the values in load reports, in order. No decision reads them.
-	ReportFields []string
+	SubscribeList        bool     // the node has to subscribe to the list of servers
+	RetainMissing        bool     // servers that vanish from the list in a mass are retained for a moment
+	WeightByWork         bool     // PriorityWeight is the value of a unit of work, not of a request
+	ReportFields         []string // names of the values in a load report, in order
 }
