--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -109,6 +109,13 @@
 	}
 }
 
+// onClientCancelled ends a request whose client has left.
+func (b *Balancer) onClientCancelled(e ClientCancelled) {
+	if r := b.requests[e.ID]; r != nil {
+		b.finish(r)
+	}
+}
+
 // observeOutcome updates what is measured of the server and of the class by the outcome of an attempt.
 func (b *Balancer) observeOutcome(r *request, a *attempt, e Outcome) {
 	if a.probation {
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -60,7 +60,18 @@
 	nearbyNodes      float64       // nodes near this one, itself included; 0 where not known
 }
 
-// New returns a node's decisions for the given settings. The seed drives its random choices.
+// Timer tokens. Those of the classes follow from firstClassTimerToken on, in the order in which the settings
+// first named them.
+const (
+	queueTimerToken      = 1
+	listTimerToken       = 2
+	fleetSizeTimerToken  = 3
+	retainTimerToken     = 4
+	firstClassTimerToken = 8
+)
+
+// New returns a balancer for one node. The seed drives its random choices: the same events then give the same
+// actions. The error names a setting that makes no sense.
 func New(set Settings, now Time, seed uint64) (*Balancer, error) {
 	if err := validate(set); err != nil {
 		return nil, err
@@ -76,7 +87,8 @@
 	return b, nil
 }
 
-// Handle takes one event and returns the actions it calls for. The next call reuses the slice.
+// Handle takes one event and returns the actions that it calls for, in order. The next call reuses the slice.
+// A time before that of the last event counts as that.
 func (b *Balancer) Handle(now Time, ev Event) []Action {
 	b.now, b.actions = max(now, b.now), b.actions[:0]
 	switch e := ev.(type) {
@@ -89,9 +101,7 @@
 	case RequestComplete:
 		b.onRequestComplete(e)
 	case ClientCancelled:
-		if r := b.requests[e.ID]; r != nil {
-			b.finish(r)
-		}
+		b.onClientCancelled(e)
 	case Timer:
 		b.onTimer(e.Token)
 	case EndpointList:
@@ -106,17 +116,17 @@
 	return b.actions
 }
 
-// onSettings goes on by other settings with all that was learned. Open requests keep their class.
+// onSettings goes on by other settings. What was measured stays, and open requests keep their class.
 func (b *Balancer) onSettings(set Settings) {
-	asks := set.SubscribeList && !b.settings.SubscribeList
+	subscribes := set.SubscribeList && !b.settings.SubscribeList
 	b.applySettings(set)
 	b.refreshOrder()
-	if asks {
+	if subscribes {
 		b.subscribeList()
 	}
 }
 
-// applySettings takes over settings. What was learned stays.
+// applySettings hands new settings to each mechanism.
 func (b *Balancer) applySettings(set Settings) {
 	if !reflect.DeepEqual(set.Topology, b.settings.Topology) { // they are judged anew
 		b.zones = nil
@@ -135,18 +145,15 @@
 	b.rateLimiter.configure(set.Limits, set.Tenants, b.settings.NodeCount)
 }
 
+// emit adds an action to those of the event in hand.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// logf has a line written to the log.
+// logf emits a line for the log.
 func (b *Balancer) logf(format string, args ...any) {
 	b.emit(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
-const (
-	// of timers; the classes' follow
-	queueTimerToken, listTimerToken, fleetSizeTimerToken, retainTimerToken, firstClassTimerToken = 1, 2, 3, 4, 8
-)
-
+// onTimer hands a timer to the mechanism that set it.
 func (b *Balancer) onTimer(token uint64) {
 	switch {
 	case token == queueTimerToken:
@@ -162,11 +169,10 @@
 	}
 }
 
-// Servers counts those in the list, and of them those that get no work now: they drain, or are ejected
-// and at most tried out.
-func (b *Balancer) Servers() (listed, avoided int) { return len(b.servers), b.unavailable }
+// Servers returns how many servers are listed, and how many of them are unavailable: draining or ejected.
+func (b *Balancer) Servers() (listed, unavailable int) { return len(b.servers), b.unavailable }
 
-// TailLatency is how long slow answers take, in the slowest class.
+// TailLatency returns the longest of the classes' tail latencies.
 func (b *Balancer) TailLatency() (longest time.Duration) {
 	for _, c := range b.classes.ordered {
 		longest = max(longest, c.tailLatency)
@@ -177,10 +183,10 @@
 // seconds turns a number of seconds into a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// updateRatio moves the part of hits lately by one more.
-func updateRatio(part *float64, gain float64, hit bool) {
-	*part -= gain * *part
+// updateRatio moves an exponential average of the part of hits by one more event. The gain is its weight.
+func updateRatio(ratio *float64, gain float64, hit bool) {
+	*ratio -= gain * *ratio
 	if hit {
-		*part += gain
+		*ratio += gain
 	}
 }
