--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -1,28 +1,11 @@
 package policy
 
 import (
-	"slices"
+	"fmt"
 	"testing"
 	"time"
 )
 
-func TestBucketRefillsInWholeTokens(t *testing.T) {
-	const ms = time.Millisecond
-	k := bucket{tokens: 0, refilledAt: 0}
-	k.refill(599*ms, 1.667, 100)
-	if k.tokens != 0 || k.refilledAt != 0 {
-		t.Fatalf("under one token: got %+v, want nothing added and the refill time kept", k)
-	}
-	k.refill(1100*ms, 1.667, 100) // 1.83 tokens: one is added, the fraction is lost
-	if k.tokens != 1 || k.refilledAt != 1100*ms {
-		t.Fatalf("1.83 tokens: got %+v, want one token and the refill time reset", k)
-	}
-	k.refill(time.Hour, 1.667, 100)
-	if k.tokens != 100 {
-		t.Fatalf("after an hour: got %d tokens, want the burst of 100", k.tokens)
-	}
-}
-
 func TestRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		limit Limit
@@ -41,5 +24,36 @@
 	}
 }
 
-// order is the pool's servers in packing order.
-func (p *serverPool) order() []*server { return slices.Collect(p.all) }
+func TestFullBucketRefusesWithRetryAfter(t *testing.T) {
+	b := start(t, site(1), members(4))
+	b.settings.Allowed.RetryAfter = true
+	for i := 0; ; i++ {
+		r := ask(fmt.Sprint(i), "free")
+		r.Tenant = "u"
+		if ref := of(b.Handle(ms, r), Reject); len(ref) == 1 {
+			if i != 8 { // 10 a second / ln 2, half a second of burst
+				t.Errorf("refused after %d, want 8", i)
+			}
+			if ref[0].Wait != time.Second {
+				t.Errorf("retry-after %v, want 1 s", ref[0].Wait)
+			}
+			break
+		}
+	}
+}
+
+func TestOverrideByClassHasItsOwnBucketAndMaximum(t *testing.T) {
+	set := site(1)
+	set.Limits = RateLimits{PerClass: map[string]Limit{"free": {PerWindow: 50, Window: time.Second, Burst: 50}}, Max: 2}
+	b := start(t, set, members(8))
+	refused := 0
+	for i := range 5 {
+		refused += len(of(b.Handle(ms, ask(fmt.Sprint("f", i), "free")), Reject))
+	}
+	if refused != 3 {
+		t.Errorf("refused %d of 5, want 3: the maximum cuts the burst to 2", refused)
+	}
+	if len(of(b.Handle(ms, ask("x", "once")), Reject)) != 0 {
+		t.Error("another class was refused by the override's bucket")
+	}
+}
--- /dev/null
+++ b/policy/attempts_test.go
@@ -0,0 +1,51 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestRepeatsKeepToTheirClass(t *testing.T) {
+	for _, c := range []struct {
+		class      string
+		code       Code
+		after      time.Duration
+		resent     bool
+		sameZone   bool
+		sameCell   bool
+		mayRefuse  bool
+		wantAction ActionKind
+	}{
+		{class: "free", code: ServerError, resent: true},
+		{class: "once", code: ServerError, wantAction: Fail},
+		{class: "once", code: Reset, wantAction: Fail},
+		{class: "once", code: TimedOut, wantAction: Fail},
+		{class: "once", code: Overloaded, resent: true},
+		{class: "once", code: ConnectFailed, resent: true},
+		{class: "all", code: ServerError, resent: true},
+		{class: "zone", code: ServerError, resent: true, sameZone: true},
+		{class: "cell", code: ServerError, resent: true, sameCell: true},
+		{class: "all", code: ServerError, after: 301 * ms, wantAction: Reject},
+		{class: "zone", code: ServerError, after: 301 * ms, wantAction: Fail},
+		{class: "cell", code: ServerError, after: 301 * ms, wantAction: Fail},
+	} {
+		list := members(8)
+		b := start(t, site(1), list)
+		first := sentTo(t, b.Handle(ms, ask("x", c.class)))
+		acts := b.Handle(2*ms+c.after, outcome("x", 0, first, c.code, c.after))
+		if !c.resent {
+			if len(of(acts, Send)) != 0 || len(of(acts, c.wantAction)) != 1 {
+				t.Errorf("%s after %v at %v: got %+v", c.class, c.code, c.after, acts)
+			}
+			continue
+		}
+		second := sentTo(t, acts)
+		zone, cell := map[string]string{}, map[string]int64{}
+		for _, m := range list {
+			zone[m.ID], cell[m.ID] = m.Zone, m.Cell
+		}
+		if c.sameZone && zone[first] != zone[second] || c.sameCell && cell[first] != cell[second] {
+			t.Errorf("%s: first %s, then %s outside its group", c.class, first, second)
+		}
+	}
+}
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -5,7 +5,6 @@
 	"math"
 	"reflect"
 	"slices"
-	"strings"
 	"testing"
 	"time"
 )
@@ -73,46 +72,6 @@
 	return s[0].Server
 }
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
-	nan := math.NaN()
-	for _, c := range []struct {
-		names string // what the error must name
-		spoil func(*Settings)
-	}{
-		{"classes", func(s *Settings) { s.Classes = nil }},
-		{"deadline", func(s *Settings) { s.Classes[0].Deadline = -1 }},
-		{"deadline", func(s *Settings) { s.Classes[0].Deadline = 0 }},
-		{`class "once": aim`, func(s *Settings) { s.Classes[1].LatencyObjective = -1 }},
-		{"aim stretch", func(s *Settings) { s.Classes[0].ObjectivePerWork = nan }},
-		{"window", func(s *Settings) { s.Classes[2].DedupWindow = -1 }},
-		{"late worth", func(s *Settings) { s.Classes[0].LateWeight = -0.1 }},
-		{"worth", func(s *Settings) { s.Classes[0].PriorityWeight = math.Inf(1) }},
-		{"twice", func(s *Settings) { s.Classes[1].Name = "free" }},
-		{"node 2", func(s *Settings) { s.NodeIndex = 2 }},
-		{"group of 0", func(s *Settings) { s.NodeCount = 0 }},
-		{`tenant "t": quota`, func(s *Settings) { s.Tenants[0].Quota = -1 }},
-		{`tenant "t": quota`, func(s *Settings) { s.Tenants[0].Quota = nan }},
-		{"share", func(s *Settings) { s.Tenants[0].Share = -1 }},
-		{"answer grace", func(s *Settings) { s.Rules.AnswerGrace = -1 }},
-		{"drain grace", func(s *Settings) { s.Rules.DrainGrace = -1 }},
-		{"cold share", func(s *Settings) { s.Rules.SlowStartMinCapacity = 1.1 }},
-		{"cold share", func(s *Settings) { s.Rules.SlowStartMinCapacity = nan }},
-		{"fall multiple", func(s *Settings) { s.Rules.OverloadMultiple = -1 }},
-		{"attempt budget: span", func(s *Settings) { s.Rules.RetryBudget = &RetryBudget{RetryRatio: 0.1} }},
-		{"attempt budget: share", func(s *Settings) { s.Rules.RetryBudget = &RetryBudget{RetryRatio: nan, Window: 1} }},
-		{"attempt budget: least", func(s *Settings) { s.Rules.RetryBudget = &RetryBudget{MinRetries: -1, Window: 1} }},
-		{"max attempts", func(s *Settings) { s.Allowed.MaxAttempts = -1 }},
-		{"max retry-after", func(s *Settings) { s.Allowed.MaxRetryAfter = -1 }},
-		{"idle", func(s *Settings) { s.Allowed.IdleTimeout = -1 }},
-	} {
-		set := site(2)
-		c.spoil(&set)
-		if _, err := New(set, 0, 1); err == nil || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("got %v, want an error that names %q", err, c.names)
-		}
-	}
-}
-
 // A bound class goes to its servers only, at every attempt, even when they are all out; then it is
 // held and refused in time. The cap on ejections holds for its few servers by themselves.
 func TestPlacementIsKept(t *testing.T) {
@@ -150,44 +109,6 @@
 	}
 }
 
-// The budget counts every request taken, those refused too, and each further attempt itself.
-func TestBudgetOfAttemptsIsExact(t *testing.T) {
-	set := site(1)
-	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0.5, Window: time.Second}
-	b := start(t, set, members(9))
-	extras := func(now Time, from, n int) (sent int) {
-		for i := range n {
-			id := fmt.Sprint(from + i)
-			for _, a := range of(slices.Clone(b.Handle(now, ask(id, "free"))), Send) {
-				sent += len(of(b.Handle(now, outcome(id, 0, a.Server, ServerError, ms)), Send))
-			}
-		}
-		return sent
-	}
-	if got := extras(ms, 0, 4); got > 4 { // two, and half of four
-		t.Errorf("%d further attempts for 4 requests, at most 4 allowed", got)
-	}
-	b.retryBudget.retriesAt, b.retryBudget.acceptedAt = nil, []Time{0, 1, 2, 3}
-	b.now = 500 * ms
-	for n := range 10 {
-		if may := b.mayRetry(); may != (n < 3) { // on the safe side of the exact 4
-			t.Fatalf("after %d further attempts: may repeat %v", n, may)
-		}
-		if !b.mayRetry() {
-			break
-		}
-		b.retryBudget.retriesAt = append(b.retryBudget.retriesAt, b.now)
-	}
-	b.now = time.Second + 4 // the requests have left the window, the attempts have not
-	if b.mayRetry() {
-		t.Error("more than the least is allowed for requests that have left the window")
-	}
-	b.now = 2 * time.Second
-	if !b.mayRetry() || len(b.retryBudget.retriesAt)+len(b.retryBudget.acceptedAt) != 0 {
-		t.Error("the window was not emptied")
-	}
-}
-
 func TestPacksOwnZoneInIDOrderThenSpills(t *testing.T) {
 	b := start(t, site(1), members(4))
 	for _, s := range b.order() {
@@ -202,89 +123,10 @@
 	}
 }
 
-func TestFullBucketRefusesWithRetryAfter(t *testing.T) {
-	b := start(t, site(1), members(4))
-	b.settings.Allowed.RetryAfter = true
-	for i := 0; ; i++ {
-		r := ask(fmt.Sprint(i), "free")
-		r.Tenant = "u"
-		if ref := of(b.Handle(ms, r), Reject); len(ref) == 1 {
-			if i != 8 { // 10 a second / ln 2, half a second of burst
-				t.Errorf("refused after %d, want 8", i)
-			}
-			if ref[0].Wait != time.Second {
-				t.Errorf("retry-after %v, want 1 s", ref[0].Wait)
-			}
-			break
-		}
-	}
-}
-
-func TestOverrideByClassHasItsOwnBucketAndMaximum(t *testing.T) {
-	set := site(1)
-	set.Limits = RateLimits{PerClass: map[string]Limit{"free": {PerWindow: 50, Window: time.Second, Burst: 50}}, Max: 2}
-	b := start(t, set, members(8))
-	refused := 0
-	for i := range 5 {
-		refused += len(of(b.Handle(ms, ask(fmt.Sprint("f", i), "free")), Reject))
-	}
-	if refused != 3 {
-		t.Errorf("refused %d of 5, want 3: the maximum cuts the burst to 2", refused)
-	}
-	if len(of(b.Handle(ms, ask("x", "once")), Reject)) != 0 {
-		t.Error("another class was refused by the override's bucket")
-	}
-}
-
 func outcome(id string, attempt int, server string, code Code, latency time.Duration) Outcome {
 	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency, RequestEnded: code == OK}
 }
 
-func TestRepeatsKeepToTheirClass(t *testing.T) {
-	for _, c := range []struct {
-		class      string
-		code       Code
-		after      time.Duration
-		resent     bool
-		sameZone   bool
-		sameCell   bool
-		mayRefuse  bool
-		wantAction ActionKind
-	}{
-		{class: "free", code: ServerError, resent: true},
-		{class: "once", code: ServerError, wantAction: Fail},
-		{class: "once", code: Reset, wantAction: Fail},
-		{class: "once", code: TimedOut, wantAction: Fail},
-		{class: "once", code: Overloaded, resent: true},
-		{class: "once", code: ConnectFailed, resent: true},
-		{class: "all", code: ServerError, resent: true},
-		{class: "zone", code: ServerError, resent: true, sameZone: true},
-		{class: "cell", code: ServerError, resent: true, sameCell: true},
-		{class: "all", code: ServerError, after: 301 * ms, wantAction: Reject},
-		{class: "zone", code: ServerError, after: 301 * ms, wantAction: Fail},
-		{class: "cell", code: ServerError, after: 301 * ms, wantAction: Fail},
-	} {
-		list := members(8)
-		b := start(t, site(1), list)
-		first := sentTo(t, b.Handle(ms, ask("x", c.class)))
-		acts := b.Handle(2*ms+c.after, outcome("x", 0, first, c.code, c.after))
-		if !c.resent {
-			if len(of(acts, Send)) != 0 || len(of(acts, c.wantAction)) != 1 {
-				t.Errorf("%s after %v at %v: got %+v", c.class, c.code, c.after, acts)
-			}
-			continue
-		}
-		second := sentTo(t, acts)
-		zone, cell := map[string]string{}, map[string]int64{}
-		for _, m := range list {
-			zone[m.ID], cell[m.ID] = m.Zone, m.Cell
-		}
-		if c.sameZone && zone[first] != zone[second] || c.sameCell && cell[first] != cell[second] {
-			t.Errorf("%s: first %s, then %s outside its group", c.class, first, second)
-		}
-	}
-}
-
 // A trial that its second copy outran must not block later trials.
 func TestOutrunTrialIsFollowedByAnother(t *testing.T) {
 	b := start(t, site(1), members(6))
@@ -329,41 +171,6 @@
 	}
 }
 
-func TestRatesFollowRoom(t *testing.T) {
-	b := start(t, site(1), members(2))
-	for range 100 {
-		b.adjustRateMultiplier(false)
-	}
-	if b.rateMultiplier.value >= 0.5 || b.rateMultiplier.value < minRateMultiplier {
-		t.Errorf("after 100 choices without room the scale is %v", b.rateMultiplier.value)
-	}
-	was := b.rateMultiplier.value
-	b.adjustRateMultiplier(true)
-	if b.rateMultiplier.value != was {
-		t.Error("the scale rose though no bucket refused")
-	}
-	b.rateMultiplier.bucketRejected = true
-	b.adjustRateMultiplier(true)
-	if b.rateMultiplier.value <= was {
-		t.Error("the scale did not rise though a bucket refused and there was room")
-	}
-}
-
-// A request that is held for long tells once that servers had no room, not at each look.
-func TestHeldRequestMovesTheRatesOnce(t *testing.T) {
-	b := start(t, site(1), members(1))
-	s := b.order()[0]
-	s.concurrencyLimit, s.limitReached, s.inFlight = 1, true, 3
-	b.Handle(ms, ask("x", "free"))
-	was := b.rateMultiplier.value
-	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
-		b.Handle(now, Timer{Token: queueTimerToken})
-	}
-	if len(b.queue.requests) != 1 || was >= 1 || b.rateMultiplier.value != was {
-		t.Errorf("%d held, the scale went from %v to %v", len(b.queue.requests), was, b.rateMultiplier.value)
-	}
-}
-
 // Nodes begin their walks apart.
 func TestStagger(t *testing.T) {
 	firsts := map[string]bool{}
@@ -405,28 +212,6 @@
 	}
 }
 
-// Traffic far beyond the shares passes only while next to no answer is bad: other nodes may lack the room.
-func TestRatesFarOverTheSharesNeedGoodAnswers(t *testing.T) {
-	b := start(t, site(1), members(2))
-	grow := func() {
-		for range 200 {
-			b.rateMultiplier.bucketRejected = true
-			b.adjustRateMultiplier(true)
-		}
-	}
-	grow()
-	if b.rateMultiplier.value != maxRateMultiplier {
-		t.Errorf("with good answers the scale is %v, want %v", b.rateMultiplier.value, maxRateMultiplier)
-	}
-	for range 20 {
-		b.updateConcurrencyLimit(b.order()[0], b.classes.ordered[0], TimedOut, ms, 1)
-	}
-	grow()
-	if b.rateMultiplier.value > cautiousRateMultiplier*(1+rateIncreaseStep) {
-		t.Errorf("with bad answers the scale is %v, want about %v", b.rateMultiplier.value, cautiousRateMultiplier)
-	}
-}
-
 // The rate to a cold server leaves one multiple of its capacity to chance, whatever multiple is allowed.
 func TestColdRateLeavesOneMultipleToChance(t *testing.T) {
 	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
@@ -524,96 +309,6 @@
 	}
 }
 
-// Of what a node may spend once, the process that takes over gets all that is left, and the one that
-// ceded spends nothing more of it until it takes the node back.
-func TestCededProcessSpendsNothingOfTheNodes(t *testing.T) {
-	set := site(1)
-	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: time.Second}
-	cold := append(members(2), Endpoint{ID: "young", Zone: "a", StartedAt: 9 * time.Second, Weight: 1})
-	old := start(t, set, cold)
-	now := 10 * time.Second
-	retried := func(b *Balancer, id string) bool {
-		t.Helper()
-		first := sentTo(t, b.Handle(now, ask(id, "free")))
-		acts := b.Handle(now, Outcome{ID: id, Server: first, Code: Overloaded})
-		return len(of(acts, Send)) > 0
-	}
-	if !retried(old, "a") {
-		t.Fatal("no further attempt before")
-	}
-	know := old.Snapshot(now)
-	old.Handle(now, HandedOver{Active: true})
-	tokens := old.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens
-	if sum := tokens + know.Buckets[0].Tokens; sum > old.rateLimiter.tenantLimits["t"].Burst {
-		t.Errorf("%d tokens in both, one node may have %d", sum, old.rateLimiter.tenantLimits["t"].Burst)
-	}
-	now += 2 * time.Second // beyond the span
-	if retried(old, "b") {
-		t.Error("a ceded process made a further attempt")
-	}
-	old.Handle(now, ask("c", "free"))
-	if got := old.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != tokens-2 {
-		t.Errorf("%d tokens after two requests, want %d: no refill", got, tokens-2)
-	}
-	if old.hasWarmupBudget(old.servers["young"]) {
-		t.Error("a ceded process may send to a cold server")
-	}
-	old.Handle(now, HandedOver{})
-	if !retried(old, "d") {
-		t.Error("taken back, it makes no further attempt")
-	}
-}
-
-// What one process knows another learns, by a clock of its own.
-func TestKnowledgePassesToAnotherClock(t *testing.T) {
-	set := site(1)
-	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: 10 * time.Second}
-	list := append(members(3), Endpoint{ID: "young", Zone: "a", StartedAt: 8 * time.Second, Weight: 1})
-	old := start(t, set, list)
-	now := 10 * time.Second
-	first := sentTo(t, old.Handle(now, ask("a", "free")))
-	old.Handle(now, Outcome{ID: "a", Server: first, Code: Overloaded})
-	old.servers["s01"].concurrencyLimit, old.servers["young"].warmupBudget.tokens = 7, 0.25
-	old.servers["s02"].outlier = outlierState{failureScore: 0.4, ejected: true, ejectedUntil: 12 * time.Second, ejections: 2}
-	know := old.Snapshot(now)
-
-	const ahead = 40 * time.Second
-	for i := range list {
-		if list[i].StartedAt > 0 {
-			list[i].StartedAt += ahead + ms
-		}
-	}
-	heir, err := New(set, now+ahead, 2)
-	if err != nil {
-		t.Fatal(err)
-	}
-	heir.Handle(now+ahead, EndpointList{Kind: ListCached, Endpoints: list})
-	heir.Restore(now+ahead, know)
-	if got := heir.servers["s01"].concurrencyLimit; got != 7 {
-		t.Errorf("threshold %v", got)
-	}
-	if got := heir.servers["young"].warmupBudget; got.tokens != 0.25 {
-		t.Errorf("cold budget %+v", got)
-	}
-	if got := heir.servers["s02"].outlier; !got.ejected || got.ejectedUntil != 12*time.Second+ahead || got.ejections != 2 {
-		t.Errorf("health %+v", got)
-	}
-	if listed, avoided := heir.Servers(); listed != 4 || avoided != 1 {
-		t.Errorf("%d servers, %d avoided", listed, avoided)
-	}
-	if heir.mayRetry() {
-		t.Error("the budget of attempts was spent before")
-	}
-	for i := range list { // a server that started again is another
-		list[i].StartedAt = now + ahead
-	}
-	fresh := start(t, set, list)
-	fresh.Restore(now+ahead, know)
-	if got := fresh.servers["s01"].concurrencyLimit; got == 7 {
-		t.Error("a new process of a server inherits the threshold of its former one")
-	}
-}
-
 // New settings leave what was learned, and requests that are open, as they were; former forms are taken
 // by the former rules.
 func TestNewSettingsKeepWhatWasLearned(t *testing.T) {
@@ -720,62 +415,5 @@
 	}
 }
 
-// While one process replaces another, a server's threshold holds for what both have out there.
-func TestThresholdsHoldOverBothProcesses(t *testing.T) {
-	old, heir := start(t, site(1), members(2)), start(t, site(1), members(2))
-	full := int(old.servers["s00"].concurrencyLimit)
-	for i := range full {
-		sentTo(t, old.Handle(ms, ask(fmt.Sprint("o", i), "free")))
-	}
-	out := old.InFlight()
-	if out["s00"] != full || len(out) != 1 {
-		t.Fatalf("%v are out, want %d at the first server", out, full)
-	}
-	out["gone"] = 5 // and a server that this process has not heard of
-	heir.SetSiblingInFlight(out)
-	if first := sentTo(t, heir.Handle(ms, ask("a", "free"))); first == "s00" {
-		t.Error("the first server is filled again")
-	}
-	heir.SetSiblingInFlight(nil)
-	if next := sentTo(t, heir.Handle(ms, ask("b", "free"))); next != "s00" {
-		t.Errorf("sent to %s, though the other process has nothing out any more", next)
-	}
-}
-
-// While the dearest class finds no room, what is worth less gives way before it takes any, the more the less it is
-// worth; the dearest never does, and neither does any where reports tell of room.
-func TestCheapClassesGiveWayToTheDearest(t *testing.T) {
-	set := site(1)
-	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 5, 3
-	b := start(t, set, members(4))
-	refused := func(class string) (part float64) {
-		const asked = 2000
-		for range asked {
-			if b.shouldShed(b.classes.byName[class]) {
-				part += 1.0 / asked
-			}
-		}
-		return part
-	}
-	if got := refused("free"); got != 0 {
-		t.Errorf("%v of the cheapest are given up while the dearest find room", got)
-	}
-	b.loadShedder.highPriorityShortage = 0.15
-	cheapest, middle, dearest := refused("free"), refused("all"), refused("once")
-	if math.Abs(cheapest-0.48) > 0.05 || math.Abs(middle-0.24) > 0.05 || dearest != 0 {
-		t.Errorf("%v of the cheapest, %v of the middle and %v of the dearest class are given up, want 0.48, 0.24 and 0",
-			cheapest, middle, dearest)
-	}
-	b.loadShedder.highPriorityShortage = 1
-	if got := refused("free"); math.Abs(got-maxShedProbability) > 0.05 {
-		t.Errorf("%v of the cheapest are given up while no dear one finds room, want %v", got, maxShedProbability)
-	}
-	if acts := b.Handle(ms, ask("x", "once")); len(of(acts, Send)) != 1 {
-		t.Errorf("the dearest class gives way: %+v", acts)
-	}
-	told := fleet(t, 40, members(4))
-	told.loadShedder.highPriorityShortage, told.loadShedder.maxPriorityWeight = 1, 5
-	if told.shouldShed(told.classes.byName["free"]) {
-		t.Error("a class gives way though reports tell of room")
-	}
-}
+// order is the pool's servers in packing order.
+func (p *serverPool) order() []*server { return slices.Collect(p.all) }
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -127,21 +127,6 @@
 	return sum
 }
 
-// A quota that nodes divide is one: no pace goes beyond it.
-func TestFleetHoldsThePace(t *testing.T) {
-	b, err := New(site(1), 0, 1)
-	if err != nil {
-		t.Fatal(err)
-	}
-	b.rateMultiplier.value = maxRateMultiplier
-	b.Handle(1, FleetSize{ReachableNodes: 1})
-	b.rateMultiplier.bucketRejected = true
-	b.adjustRateMultiplier(true)
-	if b.rateMultiplier.value != 1 {
-		t.Errorf("pace %v", b.rateMultiplier.value)
-	}
-}
-
 // New settings leave what the nodes found out, unless they tell another number.
 func TestFleetOutlivesSettings(t *testing.T) {
 	set := site(1)
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -374,18 +374,3 @@
 		t.Errorf("%d requests kept", n)
 	}
 }
-
-// Requests that need no further attempt leave nothing behind once the span of the budget has passed.
-func TestRequestsWithoutRepeatsLeaveTheBudget(t *testing.T) {
-	b := start(t, site(1), members(4))
-	const perSecond = 50
-	for i := range 60 * perSecond {
-		now := time.Duration(i) * time.Second / perSecond
-		id := fmt.Sprint(i)
-		s := sentTo(t, b.Handle(now, ask(id, "free")))
-		b.Handle(now+ms, outcome(id, 0, s, OK, ms))
-	}
-	if most := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.retryBudget.acceptedAt) > most {
-		t.Errorf("%d requests are kept for the budget, at most %d came within its span", len(b.retryBudget.acceptedAt), most)
-	}
-}
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -86,3 +86,53 @@
 	}
 	check(reflect.TypeFor[Snapshot]())
 }
+
+// What one process knows another learns, by a clock of its own.
+func TestKnowledgePassesToAnotherClock(t *testing.T) {
+	set := site(1)
+	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: 10 * time.Second}
+	list := append(members(3), Endpoint{ID: "young", Zone: "a", StartedAt: 8 * time.Second, Weight: 1})
+	old := start(t, set, list)
+	now := 10 * time.Second
+	first := sentTo(t, old.Handle(now, ask("a", "free")))
+	old.Handle(now, Outcome{ID: "a", Server: first, Code: Overloaded})
+	old.servers["s01"].concurrencyLimit, old.servers["young"].warmupBudget.tokens = 7, 0.25
+	old.servers["s02"].outlier = outlierState{failureScore: 0.4, ejected: true, ejectedUntil: 12 * time.Second, ejections: 2}
+	know := old.Snapshot(now)
+
+	const ahead = 40 * time.Second
+	for i := range list {
+		if list[i].StartedAt > 0 {
+			list[i].StartedAt += ahead + ms
+		}
+	}
+	heir, err := New(set, now+ahead, 2)
+	if err != nil {
+		t.Fatal(err)
+	}
+	heir.Handle(now+ahead, EndpointList{Kind: ListCached, Endpoints: list})
+	heir.Restore(now+ahead, know)
+	if got := heir.servers["s01"].concurrencyLimit; got != 7 {
+		t.Errorf("threshold %v", got)
+	}
+	if got := heir.servers["young"].warmupBudget; got.tokens != 0.25 {
+		t.Errorf("cold budget %+v", got)
+	}
+	if got := heir.servers["s02"].outlier; !got.ejected || got.ejectedUntil != 12*time.Second+ahead || got.ejections != 2 {
+		t.Errorf("health %+v", got)
+	}
+	if listed, avoided := heir.Servers(); listed != 4 || avoided != 1 {
+		t.Errorf("%d servers, %d avoided", listed, avoided)
+	}
+	if heir.mayRetry() {
+		t.Error("the budget of attempts was spent before")
+	}
+	for i := range list { // a server that started again is another
+		list[i].StartedAt = now + ahead
+	}
+	fresh := start(t, set, list)
+	fresh.Restore(now+ahead, know)
+	if got := fresh.servers["s01"].concurrencyLimit; got == 7 {
+		t.Error("a new process of a server inherits the threshold of its former one")
+	}
+}
--- a/policy/token_buckets_test.go
+++ b/policy/token_buckets_test.go
@@ -184,3 +184,20 @@
 		b.ReportMetric(float64(held), "bytes-held")
 	}
 }
+
+func TestBucketRefillsInWholeTokens(t *testing.T) {
+	const ms = time.Millisecond
+	k := bucket{tokens: 0, refilledAt: 0}
+	k.refill(599*ms, 1.667, 100)
+	if k.tokens != 0 || k.refilledAt != 0 {
+		t.Fatalf("under one token: got %+v, want nothing added and the refill time kept", k)
+	}
+	k.refill(1100*ms, 1.667, 100) // 1.83 tokens: one is added, the fraction is lost
+	if k.tokens != 1 || k.refilledAt != 1100*ms {
+		t.Fatalf("1.83 tokens: got %+v, want one token and the refill time reset", k)
+	}
+	k.refill(time.Hour, 1.667, 100)
+	if k.tokens != 100 {
+		t.Fatalf("after an hour: got %d tokens, want the burst of 100", k.tokens)
+	}
+}
