--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRetryAfter(t *testing.T) {
+func TestRetryAfterIsTheTimeOfOneToken(t *testing.T) {
 	for _, c := range []struct {
 		limit Limit
 		want  time.Duration
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestFullBucketRefusesWithRetryAfter(t *testing.T) {
+func TestEmptyBucketRejectsWithRetryAfter(t *testing.T) {
 	b := start(t, site(1), members(4))
 	b.settings.Allowed.RetryAfter = true
 	for i := 0; ; i++ {
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestOverrideByClassHasItsOwnBucketAndMaximum(t *testing.T) {
+func TestClassLimitHasItsOwnBucketAndMaximum(t *testing.T) {
 	set := site(1)
 	set.Limits = RateLimits{PerClass: map[string]Limit{"free": {PerWindow: 50, Window: time.Second, Burst: 50}}, Max: 2}
 	b := start(t, set, members(8))
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestRepeatsKeepToTheirClass(t *testing.T) {
+func TestRetriesFollowTheRetrySafetyOfTheClass(t *testing.T) {
 	for _, c := range []struct {
 		class      string
 		code       Code
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -74,7 +74,7 @@
 
 // A bound class goes to its servers only, at every attempt, even when they are all out; then it is
 // held and refused in time. The cap on ejections holds for its few servers by themselves.
-func TestPlacementIsKept(t *testing.T) {
+func TestRestrictedClassUsesOnlyItsServers(t *testing.T) {
 	set := site(1)
 	set.Classes[0].Kinds = []string{"k1"} // s01, s04, s07 of nine
 	b := start(t, set, members(9))
@@ -109,7 +109,7 @@
 	}
 }
 
-func TestPacksOwnZoneInIDOrderThenSpills(t *testing.T) {
+func TestOwnZoneFillsInIDOrderBeforeOthers(t *testing.T) {
 	b := start(t, site(1), members(4))
 	for _, s := range b.order() {
 		s.concurrencyLimit = 1
@@ -128,7 +128,7 @@
 }
 
 // A trial that its second copy outran must not block later trials.
-func TestOutrunTrialIsFollowedByAnother(t *testing.T) {
+func TestCancelledProbeIsFollowedByAnother(t *testing.T) {
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
 	b.eject(s)
@@ -147,7 +147,7 @@
 }
 
 // A hung server that is full turns trials away at once: that must not invite the next trial.
-func TestFullTrialPutsTheNextOff(t *testing.T) {
+func TestOverloadedProbeDelaysTheNext(t *testing.T) {
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
 	b.eject(s)
@@ -160,7 +160,7 @@
 }
 
 // A slow request at a server that answers others is no sign of a hang.
-func TestTimeOutAtAnAnsweringServerIsNoStrike(t *testing.T) {
+func TestTimeoutAtARespondingServerIsNoFailure(t *testing.T) {
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
 	b.Handle(ms, ask("x", "once"))
@@ -172,7 +172,7 @@
 }
 
 // Nodes begin their walks apart.
-func TestStagger(t *testing.T) {
+func TestNodesOfALargeFleetBeginAtDifferentServers(t *testing.T) {
 	firsts := map[string]bool{}
 	for n := range 6 {
 		set := site(6)
@@ -186,7 +186,7 @@
 }
 
 // A cold server gets a small part of what a warm one gets, over all nodes.
-func TestColdServerIsNotPushedOver(t *testing.T) {
+func TestWarmingUpServerGetsItsPartOfAllNodes(t *testing.T) {
 	list := members(8)
 	list[0].StartedAt = 1000 * ms
 	const nodes = 8
@@ -213,7 +213,7 @@
 }
 
 // The rate to a cold server leaves one multiple of its capacity to chance, whatever multiple is allowed.
-func TestColdRateLeavesOneMultipleToChance(t *testing.T) {
+func TestWarmupRateLeavesOneMultipleAsMargin(t *testing.T) {
 	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		set := site(1)
 		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
@@ -231,7 +231,7 @@
 
 // What all nodes together first trust a server with stays the same where nodes are few: four of each of
 // three nodes jam the first server in the order.
-func TestStartIsSharedByFewNodes(t *testing.T) {
+func TestSmallFleetSharesTheInitialLimit(t *testing.T) {
 	for nodes := 1; nodes <= maxSmallFleet; nodes++ {
 		b := start(t, site(nodes), members(4))
 		if all := b.order()[0].concurrencyLimit * float64(nodes); math.Abs(all-initialFleetLimit) > 1e-9 {
@@ -242,7 +242,7 @@
 
 // A failed call for the list, or a lost subscription, is repeated soon enough to count as asking, and not
 // by all nodes at once.
-func TestFailedListCallsAreRepeatedApart(t *testing.T) {
+func TestListRetriesOfNodesAreSpread(t *testing.T) {
 	waits := map[time.Duration]bool{}
 	for n := range 8 {
 		set := site(8)
@@ -271,7 +271,7 @@
 
 // Aims leave three to five times the work of a request. Where half an aim goes by, a request has waited
 // for about as long as it was served, and a threshold that still grew would do so until servers choke.
-func TestWaitsAsLongAsTheWorkLowerTheThreshold(t *testing.T) {
+func TestSlowResponsesLowerTheConcurrencyLimit(t *testing.T) {
 	b := start(t, site(1), members(2))
 	s, c := b.order()[0], b.classes.ordered[0]
 	for _, v := range []struct {
@@ -288,7 +288,7 @@
 
 // Where no server has room, the least busy still takes a little of the dearest class, and the class that
 // is worth least waits for room.
-func TestDearestClassIsGivenUpLast(t *testing.T) {
+func TestHighestPriorityIsSentBeyondTheLimit(t *testing.T) {
 	set := site(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
 	b := start(t, set, members(2))
@@ -311,7 +311,7 @@
 
 // New settings leave what was learned, and requests that are open, as they were; former forms are taken
 // by the former rules.
-func TestNewSettingsKeepWhatWasLearned(t *testing.T) {
+func TestNewSettingsKeepMeasurementsAndOpenRequests(t *testing.T) {
 	set := site(1)
 	b := start(t, set, members(4))
 	first := sentTo(t, b.Handle(0, ask("open", "free")))
@@ -364,7 +364,7 @@
 
 // Faults at all servers alike are not theirs: they cut no threshold and eject nobody. One that fails
 // alone, or far more often than the others, is out as soon as before.
-func TestFaultsEverywhereBlameNobody(t *testing.T) {
+func TestFaultsAtAllServersEjectNone(t *testing.T) {
 	drive := func(part func(s *server) float64) *Balancer {
 		b := start(t, site(1), members(10))
 		for _, s := range b.order() {
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -22,7 +22,7 @@
 }
 
 // Parts shrink at once, grow late, and stay on a side that hears half or less.
-func TestFleetDividesQuotas(t *testing.T) {
+func TestQuotaNodesShrinkLateAndGrowAtOnce(t *testing.T) {
 	set := site(1)
 	set.NodeCount = 7
 	for _, step := range []struct {
@@ -60,7 +60,7 @@
 
 // However a fleet falls apart and comes together, the parts of all nodes are a quota at most until a silence
 // has lasted for the hold.
-func TestFleetPartsStayWithinTheQuota(t *testing.T) {
+func TestQuotaPartsStayWithinTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, timers := fleetOf(rapid.IntRange(2, 9).Draw(t, "nodes"))
 		whole := time.Duration(0) // when the fleet was last whole
@@ -86,7 +86,7 @@
 }
 
 // A split in two stays under one and a half quotas however long it lasts, and one side grows at most.
-func TestFleetSplitForLong(t *testing.T) {
+func TestLongPartitionStaysUnderOneAndAHalfQuotas(t *testing.T) {
 	for n := 2; n <= 9; n++ {
 		for k := 1; k < n; k++ {
 			nodes, timers := fleetOf(n)
@@ -128,7 +128,7 @@
 }
 
 // New settings leave what the nodes found out, unless they tell another number.
-func TestFleetOutlivesSettings(t *testing.T) {
+func TestQuotaNodesOutliveEqualSettings(t *testing.T) {
 	set := site(1)
 	b, err := New(set, 0, 1)
 	if err != nil {
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -8,7 +8,7 @@
 
 // Of what a node may spend once, the process that takes over gets all that is left, and the one that
 // ceded spends nothing more of it until it takes the node back.
-func TestCededProcessSpendsNothingOfTheNodes(t *testing.T) {
+func TestHandedOverProcessUsesNoSharedBudget(t *testing.T) {
 	set := site(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: time.Second}
 	cold := append(members(2), Endpoint{ID: "young", Zone: "a", StartedAt: 9 * time.Second, Weight: 1})
@@ -47,7 +47,7 @@
 }
 
 // While one process replaces another, a server's threshold holds for what both have out there.
-func TestThresholdsHoldOverBothProcesses(t *testing.T) {
+func TestLimitsHoldOverBothProcesses(t *testing.T) {
 	old, heir := start(t, site(1), members(2)), start(t, site(1), members(2))
 	full := int(old.servers["s00"].concurrencyLimit)
 	for i := range full {
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -7,7 +7,7 @@
 
 // While the dearest class finds no room, what is worth less gives way before it takes any, the more the less it is
 // worth; the dearest never does, and neither does any where reports tell of room.
-func TestCheapClassesGiveWayToTheDearest(t *testing.T) {
+func TestLowPrioritiesAreShedForTheHighest(t *testing.T) {
 	set := site(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 5, 3
 	b := start(t, set, members(4))
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -339,7 +339,7 @@
 	w.event(EndpointList{Kind: ListReplace, Endpoints: w.members()})
 }
 
-func TestRandomStreamsKeepTheRules(t *testing.T) {
+func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := range uint64(40) {
 		w := newWorld(t, seed)
 		for range 1500 {
@@ -351,7 +351,7 @@
 	}
 }
 
-func TestSameEventsSameActions(t *testing.T) {
+func TestSameEventsGiveTheSameActions(t *testing.T) {
 	run := func() []string {
 		w := newWorld(t, 12)
 		for range 800 {
@@ -365,7 +365,7 @@
 }
 
 // What is kept for a request goes once it is over.
-func TestNothingIsKeptForEver(t *testing.T) {
+func TestFinishedRequestsAreForgotten(t *testing.T) {
 	w := newWorld(t, 4)
 	for range 3000 {
 		w.step()
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -4,7 +4,7 @@
 	"testing"
 )
 
-func TestRatesFollowRoom(t *testing.T) {
+func TestRateMultiplierFollowsCapacity(t *testing.T) {
 	b := start(t, site(1), members(2))
 	for range 100 {
 		b.adjustRateMultiplier(false)
@@ -25,7 +25,7 @@
 }
 
 // A request that is held for long tells once that servers had no room, not at each look.
-func TestHeldRequestMovesTheRatesOnce(t *testing.T) {
+func TestQueuedRequestMovesTheRateMultiplierOnce(t *testing.T) {
 	b := start(t, site(1), members(1))
 	s := b.order()[0]
 	s.concurrencyLimit, s.limitReached, s.inFlight = 1, true, 3
@@ -40,7 +40,7 @@
 }
 
 // Traffic far beyond the shares passes only while next to no answer is bad: other nodes may lack the room.
-func TestRatesFarOverTheSharesNeedGoodAnswers(t *testing.T) {
+func TestRateMultiplierIsCautiousWhileResponsesAreBad(t *testing.T) {
 	b := start(t, site(1), members(2))
 	grow := func() {
 		for range 200 {
@@ -62,7 +62,7 @@
 }
 
 // A quota that nodes divide is one: no pace goes beyond it.
-func TestFleetHoldsThePace(t *testing.T) {
+func TestRateMultiplierIsAtMostOneWithMembership(t *testing.T) {
 	b, err := New(site(1), 0, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -8,7 +8,7 @@
 )
 
 // The budget counts every request taken, those refused too, and each further attempt itself.
-func TestBudgetOfAttemptsIsExact(t *testing.T) {
+func TestRetryBudgetCountsExactly(t *testing.T) {
 	set := site(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0.5, Window: time.Second}
 	b := start(t, set, members(9))
@@ -46,7 +46,7 @@
 }
 
 // Requests that need no further attempt leave nothing behind once the span of the budget has passed.
-func TestRequestsWithoutRepeatsLeaveTheBudget(t *testing.T) {
+func TestRetryBudgetForgetsRequestsAfterItsWindow(t *testing.T) {
 	b := start(t, site(1), members(4))
 	const perSecond = 50
 	for i := range 60 * perSecond {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -38,7 +38,7 @@
 }
 
 // A process of another version reads the keys that it knows: they stay whatever the fields are named.
-func TestKnowledgeKeepsItsKeys(t *testing.T) {
+func TestSnapshotKeepsItsKeys(t *testing.T) {
 	if *record {
 		if err := os.WriteFile(knowledgeFile, writtenKnowledge(t, wholeKnowledge()), 0o644); err != nil {
 			t.Fatal(err)
@@ -64,7 +64,7 @@
 }
 
 // No key rests on the name of its field.
-func TestKnowledgeNamesItsKeys(t *testing.T) {
+func TestSnapshotFieldsHaveKeys(t *testing.T) {
 	seen := make(map[reflect.Type]bool)
 	var check func(of reflect.Type)
 	check = func(of reflect.Type) {
@@ -88,7 +88,7 @@
 }
 
 // What one process knows another learns, by a clock of its own.
-func TestKnowledgePassesToAnotherClock(t *testing.T) {
+func TestSnapshotIsRestoredOnAnotherClock(t *testing.T) {
 	set := site(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: 10 * time.Second}
 	list := append(members(3), Endpoint{ID: "young", Zone: "a", StartedAt: 8 * time.Second, Weight: 1})
--- a/policy/token_buckets_test.go
+++ b/policy/token_buckets_test.go
@@ -72,7 +72,7 @@
 
 // A bucket that was dropped is as good as handed over: the process that takes over makes a full one, and the one
 // that ceded spends half at most.
-func TestDroppedBucketIsCededByHalf(t *testing.T) {
+func TestDroppedBucketIsHandedOverByHalf(t *testing.T) {
 	b := start(t, site(1), members(2))
 	l := b.rateLimiter.tenantLimits["u"]
 	for now := Time(0); now < time.Minute; now += time.Second {
--- a/policy/validation_test.go
+++ b/policy/validation_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestSettingsThatMakeNoSense(t *testing.T) {
+func TestNewRejectsInvalidSettings(t *testing.T) {
 	nan := math.NaN()
 	for _, c := range []struct {
 		names string // what the error must name
