--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -57,3 +57,35 @@
 		t.Error("another class was refused by the override's bucket")
 	}
 }
+
+func TestRateLimiterResolvesTheLayers(t *testing.T) {
+	classLimit := Limit{PerWindow: 5, Window: time.Minute, Burst: 7}
+	half := quotaLimit(100, 2)
+	smallest := quotaLimit(10, 2)
+	for _, c := range []struct {
+		name, tenant, class string
+		limits              RateLimits
+		want                Limit
+		wantKey             bucketKey
+	}{
+		{name: "a quota is divided by the nodes", tenant: "t", class: "read", want: half, wantKey: bucketKey{tenant: "t"}},
+		{name: "the smallest quota is the default", tenant: "unknown", class: "read", want: smallest,
+			wantKey: bucketKey{tenant: "unknown"}},
+		{name: "a stated default", tenant: "unknown", class: "read", limits: RateLimits{Default: &classLimit},
+			want: classLimit, wantKey: bucketKey{tenant: "unknown"}},
+		{name: "a class limit has a bucket of its own", tenant: "t", class: "write",
+			limits: RateLimits{PerClass: map[string]Limit{"write": classLimit}},
+			want:   classLimit, wantKey: bucketKey{tenant: "t", class: "write"}},
+		{name: "the maximum bounds rate and burst", tenant: "t", class: "read", limits: RateLimits{Max: 2},
+			want: Limit{PerWindow: 2, Window: quotaWindow, Burst: 2}, wantKey: bucketKey{tenant: "t"}},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			limiter := rateLimiter{buckets: newBucketTable()}
+			limiter.configure(c.limits, []Tenant{{Name: "t", Quota: 100}, {Name: "u", Quota: 10}}, 2)
+			limit, key, limited := limiter.resolve(c.tenant, c.class)
+			if !limited || limit != c.want || key != c.wantKey {
+				t.Errorf("got %+v of %+v, limited %v; want %+v of %+v", limit, key, limited, c.want, c.wantKey)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/class_test.go
@@ -0,0 +1,49 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestClassRegistryFindsClassesByFormerSettings(t *testing.T) {
+	registry := newClassRegistry()
+	pool := new(serverPool)
+	registry.configure([]Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second}}, pool)
+	former := registry.byName["read"]
+	former.firstTryTimeout = time.Second
+	registry.configure([]Class{{Name: "read", Deadline: time.Second}, {Name: "write", Deadline: time.Second}}, pool)
+	current := registry.byName["read"]
+	for _, c := range []struct {
+		name    string
+		request Request
+		want    *class
+	}{
+		{"present settings", Request{Class: "read"}, current},
+		{"former settings", Request{Class: "read", FormerClass: true}, former},
+		{"a class that the former settings lack", Request{Class: "write", FormerClass: true}, registry.byName["write"]},
+		{"an unknown class", Request{Class: "unknown"}, nil},
+	} {
+		if got := registry.find(c.request); got != c.want {
+			t.Errorf("%s: got %p, want %p", c.name, got, c.want)
+		}
+	}
+	if current.classStats != former.classStats || current.firstTryTimeout != 0 {
+		t.Errorf("want the same statistics, without the timeout that the former deadline gave: %+v", current.classStats)
+	}
+	if current.LatencyObjective != current.Deadline {
+		t.Errorf("objective %v without a stated one, want the deadline", current.LatencyObjective)
+	}
+}
+
+func TestTailLatencyHoldsItsQuantile(t *testing.T) {
+	c := &class{Class: Class{LatencyObjective: time.Second}, classStats: &classStats{tailLatency: 500 * ms}}
+	for i := range 10000 {
+		c.observeLatency(time.Duration(i*7919%100) * ms)
+	}
+	if c.tailLatency < 85*ms || c.tailLatency > 105*ms {
+		t.Errorf("of latencies up to 99 ms the tail is %v", c.tailLatency)
+	}
+	if c.observeLatency(time.Hour); c.tailLatency > c.LatencyObjective {
+		t.Errorf("tail %v beyond the objective", c.tailLatency)
+	}
+}
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -145,3 +145,23 @@
 		t.Errorf("%d nodes after settings for 2", got)
 	}
 }
+
+func TestFleetSizeSettlesOnTheMostThatWereReachable(t *testing.T) {
+	var f fleetSize
+	f.configure(5)
+	if f.observe(1, FleetSize{ReachableNodes: 5}) {
+		t.Error("a delay though all are reachable")
+	}
+	if !f.observe(2, FleetSize{ReachableNodes: 3}) || f.observe(3, FleetSize{ReachableNodes: 4}) {
+		t.Error("want one delay")
+	}
+	if f.settle(fleetShrinkDelay) || f.quotaNodes != 5 {
+		t.Errorf("settled before the delay, at %d nodes", f.quotaNodes)
+	}
+	if !f.settle(2+fleetShrinkDelay) || f.quotaNodes != 4 {
+		t.Errorf("%d nodes after the delay, want 4", f.quotaNodes)
+	}
+	if f.observe(3+fleetShrinkDelay, FleetSize{ReachableNodes: 2}); !f.isPartitioned() || f.quotaNodes != 4 {
+		t.Errorf("half of the fleet: partitioned %v, %d nodes", f.isPartitioned(), f.quotaNodes)
+	}
+}
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"math"
+	"math/rand/v2"
 	"testing"
 )
 
@@ -42,3 +43,22 @@
 		t.Error("a class gives way though reports tell of room")
 	}
 }
+
+func TestLoadShedderFollowsTheShortageOfTheHighestPriority(t *testing.T) {
+	var shedder loadShedder
+	shedder.configure([]Class{{PriorityWeight: 1}, {PriorityWeight: 4}})
+	shedder.recordDispatch(1, false)
+	if shedder.highPriorityShortage != 0 {
+		t.Errorf("a low priority without a server makes a shortage of %v", shedder.highPriorityShortage)
+	}
+	shedder.recordDispatch(4, false)
+	if shedder.highPriorityShortage != shortageGain {
+		t.Errorf("one request without a server makes a shortage of %v, want %v", shedder.highPriorityShortage, shortageGain)
+	}
+	rng := rand.New(rand.NewPCG(1, 1))
+	for range 100 {
+		if shedder.shouldShed(rng, 4) {
+			t.Fatal("the highest priority is shed")
+		}
+	}
+}
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -75,3 +75,33 @@
 		t.Errorf("pace %v", b.rateMultiplier.value)
 	}
 }
+
+func TestRateMultiplierStepsByCapacity(t *testing.T) {
+	up, down := 1+rateIncreaseStep, 1-rateDecreaseStep
+	for _, c := range []struct {
+		name          string
+		multiplier    rateMultiplier
+		conditions    rateConditions
+		foundCapacity bool
+		want          float64
+	}{
+		{"no capacity lowers it", rateMultiplier{value: 2}, rateConditions{}, false, 2 * down},
+		{"not below its minimum", rateMultiplier{value: minRateMultiplier}, rateConditions{}, false, minRateMultiplier},
+		{"not below one where servers report load", rateMultiplier{value: 1}, rateConditions{usesLoadReports: true}, false, 1},
+		{"capacity alone changes nothing", rateMultiplier{value: 1}, rateConditions{}, true, 1},
+		{"a rejection raises it", rateMultiplier{value: 1, bucketRejected: true}, rateConditions{}, true, up},
+		{"not beyond one with membership", rateMultiplier{value: 1, bucketRejected: true},
+			rateConditions{hasMembership: true}, true, 1},
+		{"bad responses lower a high one", rateMultiplier{value: 2, badRatio: 2 * maxBadRatio, bucketRejected: true},
+			rateConditions{}, true, 2 * down},
+		{"lost attempts lower it in a large fleet", rateMultiplier{value: 1, lostRatio: 2 * maxBadRatio},
+			rateConditions{minLimitsOverload: true}, true, down},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			c.multiplier.adjust(c.foundCapacity, c.conditions)
+			if c.multiplier.value != c.want || c.multiplier.bucketRejected {
+				t.Errorf("got %+v, want the value %v", c.multiplier, c.want)
+			}
+		})
+	}
+}
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -7,11 +7,12 @@
 // defaultRetryBudget holds where the settings state none.
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
 
-// roundingMargin keeps the count of retries under its limit, whatever the rounding of the ratio.
-const roundingMargin = 1e-9
+// limitMargin keeps the retries below the limit rather than at it, so that neither the rounding of the ratio
+// nor a host that counts the window's edges otherwise sees one too many.
+const limitMargin = 1e-9
 
-// retryBudget bounds the retries of a node: in any window they number at most MinRetries plus RetryRatio of
-// the requests that the node received in it. Both are counted exactly, over a sliding window; where an entry
+// retryBudget bounds the retries of a node: in any window they number fewer than MinRetries plus RetryRatio
+// of the requests that the node received in it. Both are counted exactly, over a sliding window; where an entry
 // is as old as the window, a request counts no longer and a retry still does.
 type retryBudget struct {
 	limits     RetryBudget
@@ -38,7 +39,7 @@
 // allows reports whether the budget has one more retry.
 func (r *retryBudget) allows(now Time) bool {
 	r.trim(now)
-	return float64(len(r.retriesAt)+1) <= r.limit()-roundingMargin
+	return float64(len(r.retriesAt)+1) <= r.limit()-limitMargin
 }
 
 // exhaust counts as many retries as the whole budget has, for another process may have made them.
@@ -48,7 +49,7 @@
 	}
 }
 
-// limit is the number of retries allowed in the present window.
+// limit is the number that the retries in the present window stay below.
 func (r *retryBudget) limit() float64 {
 	return r.limits.MinRetries + r.limits.RetryRatio*float64(len(r.acceptedAt))
 }
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -59,3 +59,38 @@
 		t.Errorf("%d requests are kept for the budget, at most %d came within its span", len(b.retryBudget.acceptedAt), most)
 	}
 }
+
+func TestRetryBudgetAllowsAPartOfTheRequests(t *testing.T) {
+	for _, c := range []struct {
+		name              string
+		limits            RetryBudget
+		requests, retries int
+		now               Time
+		want              bool
+	}{
+		{"fewer than the minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 0, 0, true},
+		{"not the whole minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 1, 0, false},
+		{"a part of the requests", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 1, 0, true},
+		{"no more than that part", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 2, 0, false},
+		{"requests leave the window", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 0, time.Second, false},
+		{"retries leave it later", RetryBudget{MinRetries: 1.5, Window: time.Second}, 0, 1, time.Second, false},
+		{"and then are forgotten", RetryBudget{MinRetries: 1.5, Window: time.Second}, 0, 1, time.Second + 1, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var budget retryBudget
+			budget.configure(&c.limits)
+			for range c.requests {
+				budget.recordRequest(0)
+			}
+			for range c.retries {
+				budget.recordRetry(0)
+			}
+			if got := budget.allows(c.now); got != c.want {
+				t.Errorf("allows another retry: %v, want %v", got, c.want)
+			}
+			if budget.exhaust(c.now); budget.allows(c.now) {
+				t.Error("an exhausted budget allows a retry")
+			}
+		})
+	}
+}
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -136,3 +136,17 @@
 		t.Error("a new process of a server inherits the threshold of its former one")
 	}
 }
+
+func TestSnapshotClockKeepsDistances(t *testing.T) {
+	const now, ahead = 10 * time.Second, 40 * time.Second
+	for _, c := range []struct{ at, want Time }{
+		{0, 0}, // never
+		{7 * time.Second, 7*time.Second + ahead},
+		{now, now + ahead - 1}, // not never
+		{12 * time.Second, 12*time.Second + ahead},
+	} {
+		if got := (snapshotClock{now + ahead}).fromSnapshot(snapshotClock{now}.toSnapshot(c.at)); got != c.want {
+			t.Errorf("%v is %v on a clock that is %v ahead, want %v", c.at, got, ahead, c.want)
+		}
+	}
+}
