--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -30,12 +30,12 @@
 	for i := 0; ; i++ {
 		r := ask(fmt.Sprint(i), "free")
 		r.Tenant = "u"
-		if ref := of(b.Handle(ms, r), Reject); len(ref) == 1 {
+		if rejects := of(b.Handle(ms, r), Reject); len(rejects) == 1 {
 			if i != 8 { // 10 a second / ln 2, half a second of burst
-				t.Errorf("refused after %d, want 8", i)
+				t.Errorf("rejected after %d, want 8", i)
 			}
-			if ref[0].Wait != time.Second {
-				t.Errorf("retry-after %v, want 1 s", ref[0].Wait)
+			if rejects[0].Wait != time.Second {
+				t.Errorf("retry-after %v, want 1 s", rejects[0].Wait)
 			}
 			break
 		}
@@ -46,15 +46,15 @@
 	set := site(1)
 	set.Limits = RateLimits{PerClass: map[string]Limit{"free": {PerWindow: 50, Window: time.Second, Burst: 50}}, Max: 2}
 	b := start(t, set, members(8))
-	refused := 0
+	rejected := 0
 	for i := range 5 {
-		refused += len(of(b.Handle(ms, ask(fmt.Sprint("f", i), "free")), Reject))
+		rejected += len(of(b.Handle(ms, ask(fmt.Sprint("f", i), "free")), Reject))
 	}
-	if refused != 3 {
-		t.Errorf("refused %d of 5, want 3: the maximum cuts the burst to 2", refused)
+	if rejected != 3 {
+		t.Errorf("rejected %d of 5, want 3: the maximum bounds the burst to 2", rejected)
 	}
 	if len(of(b.Handle(ms, ask("x", "once")), Reject)) != 0 {
-		t.Error("another class was refused by the override's bucket")
+		t.Error("another class was rejected by the bucket of the class limit")
 	}
 }
 
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// site is a small deployment with one class of each kind.
+// site is a small deployment with one class of each retry safety.
 func site(nodes int) Settings {
 	return Settings{
 		NodeCount: nodes, Zone: "a",
@@ -50,13 +50,13 @@
 
 // of returns the actions of one kind.
 func of(acts []Action, kind ActionKind) []Action {
-	var out []Action
+	var found []Action
 	for _, a := range acts {
 		if a.Kind == kind {
-			out = append(out, a)
+			found = append(found, a)
 		}
 	}
-	return out
+	return found
 }
 
 func ask(id, class string) Request {
@@ -72,8 +72,8 @@
 	return s[0].Server
 }
 
-// A bound class goes to its servers only, at every attempt, even when they are all out; then it is
-// held and refused in time. The cap on ejections holds for its few servers by themselves.
+// A restricted class is sent to its servers only, at every attempt, even when none of them is in service; then
+// it is queued, and rejected in time. The bound on ejections counts its few servers by themselves.
 func TestRestrictedClassUsesOnlyItsServers(t *testing.T) {
 	set := site(1)
 	set.Classes[0].Kinds = []string{"k1"} // s01, s04, s07 of nine
@@ -105,7 +105,7 @@
 		acts = append(acts, b.Handle(now, Timer{Token: queueTimerToken})...)
 	}
 	if len(of(acts, Send)) != 0 || len(of(acts, Reject)) != 1 {
-		t.Errorf("with its servers gone: got %+v, want one refusal and no send", acts)
+		t.Errorf("without its servers: got %+v, want one rejection and no send", acts)
 	}
 }
 
@@ -119,7 +119,7 @@
 		got = append(got, sentTo(t, b.Handle(ms, ask(fmt.Sprint(i), "free"))))
 	}
 	if want := []string{"s00", "s02", "s01", "s03"}; !reflect.DeepEqual(got, want) {
-		t.Errorf("with a threshold of one: sent to %v, want %v", got, want)
+		t.Errorf("with a limit of one: sent to %v, want %v", got, want)
 	}
 }
 
@@ -127,26 +127,26 @@
 	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency, RequestEnded: code == OK}
 }
 
-// A trial that its second copy outran must not block later trials.
+// A probe that was cancelled must not block later probes.
 func TestCancelledProbeIsFollowedByAnother(t *testing.T) {
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
 	b.eject(s)
 	now := s.outlier.ejectedUntil
 	if got := sentTo(t, b.Handle(now, ask("x", "free"))); got != "s00" {
-		t.Fatalf("trial went to %s", got)
+		t.Fatalf("the probe went to %s", got)
 	}
 	b.Handle(now+100*ms, outcome("x", 0, "s00", Cancelled, 100*ms))
 	if s.outlier.probationInFlight {
-		t.Error("the trial still counts as out")
+		t.Error("the probe still counts as in flight")
 	}
 	now = s.outlier.ejectedUntil
 	if got := sentTo(t, b.Handle(now, ask("y", "free"))); got != "s00" {
-		t.Errorf("next trial went to %s, want s00", got)
+		t.Errorf("the next probe went to %s, want s00", got)
 	}
 }
 
-// A hung server that is full turns trials away at once: that must not invite the next trial.
+// A hung server that is full rejects probes at once: that must not invite the next one.
 func TestOverloadedProbeDelaysTheNext(t *testing.T) {
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
@@ -155,11 +155,11 @@
 	b.Handle(now, ask("x", "free"))
 	b.Handle(now+ms, outcome("x", 0, "s00", Overloaded, ms))
 	if got := sentTo(t, b.Handle(now+2*ms, ask("y", "free"))); got == "s00" {
-		t.Error("tried again at once")
+		t.Error("probed again at once")
 	}
 }
 
-// A slow request at a server that answers others is no sign of a hang.
+// A slow request at a server that responds to others is no sign of a hang.
 func TestTimeoutAtARespondingServerIsNoFailure(t *testing.T) {
 	b := start(t, site(1), members(6))
 	s := b.servers["s00"]
@@ -171,7 +171,7 @@
 	}
 }
 
-// Nodes begin their walks apart.
+// Nodes begin their walks at different servers.
 func TestNodesOfALargeFleetBeginAtDifferentServers(t *testing.T) {
 	firsts := map[string]bool{}
 	for n := range 6 {
@@ -185,7 +185,7 @@
 	}
 }
 
-// A cold server gets a small part of what a warm one gets, over all nodes.
+// A server that is warming up gets a small part of what others get, over all nodes.
 func TestWarmingUpServerGetsItsPartOfAllNodes(t *testing.T) {
 	list := members(8)
 	list[0].StartedAt = 1000 * ms
@@ -207,12 +207,12 @@
 			}
 		}
 	}
-	if most := rate / len(list) / 2; sends > most || sends == 0 {
-		t.Errorf("%d of %d went to the cold server, want some but at most %d", sends, rate, most)
+	if limit := rate / len(list) / 2; sends > limit || sends == 0 {
+		t.Errorf("%d of %d went to the server that is warming up, want some but at most %d", sends, rate, limit)
 	}
 }
 
-// The rate to a cold server leaves one multiple of its capacity to chance, whatever multiple is allowed.
+// The rate to a server that is warming up leaves one multiple of its capacity as a margin, whatever the overload multiple.
 func TestWarmupRateLeavesOneMultipleAsMargin(t *testing.T) {
 	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		set := site(1)
@@ -229,8 +229,8 @@
 	}
 }
 
-// What all nodes together first trust a server with stays the same where nodes are few: four of each of
-// three nodes jam the first server in the order.
+// The initial limits of a small fleet's nodes sum to the same at each server: whole limits of each node would
+// overload the first one.
 func TestSmallFleetSharesTheInitialLimit(t *testing.T) {
 	for nodes := 1; nodes <= maxSmallFleet; nodes++ {
 		b := start(t, site(nodes), members(4))
@@ -240,8 +240,7 @@
 	}
 }
 
-// A failed call for the list, or a lost subscription, is repeated soon enough to count as asking, and not
-// by all nodes at once.
+// A failed call for the list, or a lost subscription, is repeated soon, and not by all nodes at once.
 func TestListRetriesOfNodesAreSpread(t *testing.T) {
 	waits := map[time.Duration]bool{}
 	for n := range 8 {
@@ -261,7 +260,7 @@
 		}
 		waits[timers[0].Wait] = true
 		if len(of(b.Handle(3*time.Second, Timer{Token: timers[0].Token}), WatchList)) != 1 {
-			t.Error("not asked again")
+			t.Error("the list isn't called for again")
 		}
 	}
 	if len(waits) < 8 {
@@ -269,25 +268,25 @@
 	}
 }
 
-// Aims leave three to five times the work of a request. Where half an aim goes by, a request has waited
-// for about as long as it was served, and a threshold that still grew would do so until servers choke.
+// A response after half of its objective has waited for about as long as it was served: a limit that still grew
+// would do so until servers are overloaded.
 func TestSlowResponsesLowerTheConcurrencyLimit(t *testing.T) {
 	b := start(t, site(1), members(2))
 	s, c := b.order()[0], b.classes.ordered[0]
 	for _, v := range []struct {
-		part float64 // of the aim
+		part float64 // of the objective
 		grow bool
 	}{{0.3, true}, {0.5, false}, {0.9, false}} {
 		s.concurrencyLimit, s.inFlight = 10, 10
 		b.updateConcurrencyLimit(s, c, OK, seconds(v.part*c.LatencyObjective.Seconds()), 1)
 		if grew := s.concurrencyLimit > 10; grew != v.grow || s.concurrencyLimit == 10 {
-			t.Errorf("an answer after %v of its aim moves the threshold from 10 to %v", v.part, s.concurrencyLimit)
+			t.Errorf("a response after %v of its objective moves the limit from 10 to %v", v.part, s.concurrencyLimit)
 		}
 	}
 }
 
-// Where no server has room, the least busy still takes a little of the dearest class, and the class that
-// is worth least waits for room.
+// Where no server has capacity, the one with the least overcommit still gets a little of the highest priority, and
+// the lowest is queued.
 func TestHighestPriorityIsSentBeyondTheLimit(t *testing.T) {
 	set := site(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
@@ -295,22 +294,22 @@
 	for _, s := range b.order() {
 		s.concurrencyLimit, s.limitReached, s.inFlight = 10, true, 12
 	}
-	if sent := of(b.Handle(ms, ask("cheap", "free")), Send); len(sent) != 0 {
-		t.Errorf("the cheapest class is sent over the threshold: %+v", sent)
+	if sent := of(b.Handle(ms, ask("low", "free")), Send); len(sent) != 0 {
+		t.Errorf("the lowest priority is sent beyond the limit: %+v", sent)
 	}
-	if sent := of(b.Handle(ms, ask("dear", "once")), Send); len(sent) != 1 {
-		t.Errorf("the dearest class is not sent, though servers are little over the threshold")
+	if sent := of(b.Handle(ms, ask("high", "once")), Send); len(sent) != 1 {
+		t.Errorf("the highest priority is not sent, though servers are little beyond the limit")
 	}
 	for _, s := range b.order() {
 		s.inFlight = int(maxOvercommitLearned * 10)
 	}
 	if sent := of(b.Handle(ms, ask("late", "once")), Send); len(sent) != 0 {
-		t.Errorf("the dearest class is sent to servers that are far over the threshold")
+		t.Errorf("the highest priority is sent to servers far beyond the limit")
 	}
 }
 
-// New settings leave what was learned, and requests that are open, as they were; former forms are taken
-// by the former rules.
+// New settings leave what was measured, and open requests, as they were. A request of the former settings is
+// handled by those.
 func TestNewSettingsKeepMeasurementsAndOpenRequests(t *testing.T) {
 	set := site(1)
 	b := start(t, set, members(4))
@@ -326,7 +325,7 @@
 	next.Allowed.MaxAttempts = 2
 	b.Handle(ms, next)
 	if s := b.servers["s00"]; s.concurrencyLimit != 9 || s.inFlight+b.servers["s01"].inFlight+b.servers["s02"].inFlight != 1 {
-		t.Errorf("threshold %v", s.concurrencyLimit)
+		t.Errorf("limit %v", s.concurrencyLimit)
 	}
 	if got := b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != 5 {
 		t.Errorf("%d tokens", got)
@@ -349,7 +348,7 @@
 	was := ask("was", "free")
 	was.FormerClass = true
 	if !again("was", sentTo(t, b.Handle(2*ms, was))) {
-		t.Error("a request in its class's former form is not repeated")
+		t.Error("a request of its class's former settings is not repeated")
 	}
 	if again("gone", sentTo(t, b.Handle(2*ms, ask("gone", "once")))) {
 		t.Error("a request of a dropped class is repeated")
@@ -362,8 +361,8 @@
 	}
 }
 
-// Faults at all servers alike are not theirs: they cut no threshold and eject nobody. One that fails
-// alone, or far more often than the others, is out as soon as before.
+// Connection faults at all servers alike lower no limit and eject none. A server that fails alone, or far more
+// often than the others, is ejected as soon as without them.
 func TestFaultsAtAllServersEjectNone(t *testing.T) {
 	drive := func(part func(s *server) float64) *Balancer {
 		b := start(t, site(1), members(10))
@@ -377,10 +376,10 @@
 			if b.rng.Float64() < part(s) {
 				code = Reset
 			}
-			s.inFlight = 9 // its threshold is felt
-			blame := b.failureWeight(s, code)
-			b.updateConcurrencyLimit(s, b.classes.ordered[0], code, ms, blame)
-			b.updateOutlierState(&attempt{server: s, sentAt: b.now}, code, blame)
+			s.inFlight = 9 // it is at its limit
+			weight := b.failureWeight(s, code)
+			b.updateConcurrencyLimit(s, b.classes.ordered[0], code, ms, weight)
+			b.updateOutlierState(&attempt{server: s, sentAt: b.now}, code, weight)
 		}
 		return b
 	}
@@ -391,7 +390,7 @@
 		}
 		for _, s := range b.order() {
 			if s.concurrencyLimit < 8 {
-				t.Errorf("%s resets everywhere: threshold %.1f of 10", name, s.concurrencyLimit)
+				t.Errorf("%s resets everywhere: limit %.1f of 10", name, s.concurrencyLimit)
 			}
 		}
 	}
@@ -411,7 +410,7 @@
 		}
 	}
 	if b := start(t, site(1), members(1)); b.failureWeight(b.order()[0], Reset) != 1 {
-		t.Error("the only server is not blamed")
+		t.Error("the faults of the only server don't count in full")
 	}
 }
 
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -11,23 +11,23 @@
 
 // benchSite is one way in which a deployment is set up, as far as it matters to the cost of a decision.
 type benchSite struct {
-	name  string
-	nodes int
-	every time.Duration // between requests at this node
-	told  bool          // servers report their load
-	zones bool          // the settings name places, and two classes are bound to some of the servers
+	name    string
+	nodes   int
+	every   time.Duration // between requests at this node
+	reports bool          // servers report their load
+	zones   bool          // the settings name zones, and two classes are restricted to some of the servers
 }
 
 var benchSites = []benchSite{
 	{name: "one-node", nodes: 1, every: ms},
 	{name: "many-nodes", nodes: 300, every: 20 * ms, zones: true},
-	{name: "many-nodes-reports", nodes: 300, every: 20 * ms, told: true, zones: true},
+	{name: "many-nodes-reports", nodes: 300, every: 20 * ms, reports: true, zones: true},
 }
 
 func (s benchSite) settings() Settings {
 	set := site(s.nodes)
 	set.Tenants = []Tenant{{Name: "t", Quota: 1e9}}
-	if s.told {
+	if s.reports {
 		set.ReportFields = []string{reportLatency, reportUtil, reportRate}
 	}
 	if s.zones {
@@ -38,7 +38,7 @@
 	return set
 }
 
-// benchMembers are n servers of which one in a hundred is cold for the time of the benchmark.
+// benchMembers are n servers, of which one in a hundred is warming up during the benchmark.
 func benchMembers(n int, now Time) []Endpoint {
 	list := make([]Endpoint, 0, n)
 	for i := range n {
@@ -52,7 +52,7 @@
 	return list
 }
 
-const benchStart = time.Hour // on the clock of the node: no server is young by chance
+const benchStart = time.Hour // on the clock of the node: no server warms up by chance
 
 func benchBalancer(tb testing.TB, s benchSite, servers int) *Balancer {
 	tb.Helper()
@@ -90,14 +90,14 @@
 		balancer := benchBalancer(b, s, servers)
 		classes := []string{"free", "once", "all"}
 		load := report(20, 0.5, 10)
-		now, sent, asked := benchStart, 0, 0
+		now, sent, requests := benchStart, 0, 0
 		for b.Loop() {
 			now += s.every
-			sent += decide(balancer, now, "r", classes[asked%len(classes)], load)
-			asked++
+			sent += decide(balancer, now, "r", classes[requests%len(classes)], load)
+			requests++
 		}
-		if sent < asked/2 {
-			b.Fatalf("%d of %d requests were sent on", sent, asked)
+		if sent < requests/2 {
+			b.Fatalf("%d of %d requests were forwarded", sent, requests)
 		}
 	})
 }
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -7,31 +7,32 @@
 	"pgregory.net/rapid"
 )
 
-// counts tells a node how many it hears, and fires its timers up to then.
-func counts(b *Balancer, timers *[]Time, now Time, heard int) {
+// observeFleet fires a node's timers up to now, and then lets it reach a number of nodes.
+func observeFleet(b *Balancer, timers *[]Time, now Time, reachable int) {
 	for _, at := range *timers {
 		if at <= now {
 			b.Handle(at, Timer{Token: fleetSizeTimerToken})
 		}
 	}
-	for _, a := range b.Handle(now, FleetSize{ReachableNodes: heard}) {
+	for _, a := range b.Handle(now, FleetSize{ReachableNodes: reachable}) {
 		if a.Kind == SetTimer && a.Token == fleetSizeTimerToken {
 			*timers = append(*timers, now+a.Wait)
 		}
 	}
 }
 
-// Parts shrink at once, grow late, and stay on a side that hears half or less.
+// The number of nodes that quotas are divided by grows at once, shrinks late, and stays where a node reaches half of
+// the fleet or less.
 func TestQuotaNodesShrinkLateAndGrowAtOnce(t *testing.T) {
 	set := site(1)
 	set.NodeCount = 7
 	for _, step := range []struct {
-		name  string
-		hears []int // one every 10 s
-		want  int
-		cut   bool
+		name        string
+		reachable   []int // one every 10 s
+		want        int
+		partitioned bool
 	}{
-		{"its own start", []int{1}, 7, true},
+		{"at its own start", []int{1}, 7, true},
 		{"all there", []int{1, 7}, 7, false},
 		{"one more than the settings say", []int{8}, 8, false},
 		{"one gone for a while", []int{7, 6, 6, 6}, 7, false},
@@ -48,18 +49,18 @@
 				t.Fatal(err)
 			}
 			var timers []Time
-			for i, n := range step.hears {
-				counts(b, &timers, time.Duration(i)*10*time.Second, n)
+			for i, n := range step.reachable {
+				observeFleet(b, &timers, time.Duration(i)*10*time.Second, n)
 			}
-			if got, _, cut := b.FleetSize(); got != step.want || cut != step.cut {
-				t.Errorf("quotas by %d nodes, cut off: %v; want %d, %v", got, cut, step.want, step.cut)
+			if got, _, partitioned := b.FleetSize(); got != step.want || partitioned != step.partitioned {
+				t.Errorf("quotas by %d nodes, partitioned %v; want %d, %v", got, partitioned, step.want, step.partitioned)
 			}
 		})
 	}
 }
 
-// However a fleet falls apart and comes together, the parts of all nodes are a quota at most until a silence
-// has lasted for the hold.
+// However a fleet is partitioned and healed, the parts of all nodes are a quota at most until a partition has lasted
+// for fleetShrinkDelay.
 func TestQuotaPartsStayWithinTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, timers := fleetOf(rapid.IntRange(2, 9).Draw(t, "nodes"))
@@ -76,7 +77,7 @@
 				whole = now
 			}
 			for i, b := range nodes {
-				counts(b, &timers[i], now, sizes[side[i]])
+				observeFleet(b, &timers[i], now, sizes[side[i]])
 			}
 			if sum := parts(nodes); now-whole < fleetShrinkDelay && sum > 1+1e-9 {
 				t.Fatalf("the parts sum to %.3f of the quota at %v, whole at %v, sides %v", sum, now, whole, side)
@@ -85,18 +86,19 @@
 	})
 }
 
-// A split in two stays under one and a half quotas however long it lasts, and one side grows at most.
+// In a partition into two sides, however long, one of them at most takes over parts of the other: all parts together
+// stay under one and a half quotas.
 func TestLongPartitionStaysUnderOneAndAHalfQuotas(t *testing.T) {
 	for n := 2; n <= 9; n++ {
 		for k := 1; k < n; k++ {
 			nodes, timers := fleetOf(n)
 			for now := time.Second; now < 3*fleetShrinkDelay; now += 10 * time.Second {
 				for i, b := range nodes {
-					heard := k
+					side := k
 					if i >= k {
-						heard = n - k
+						side = n - k
 					}
-					counts(b, &timers[i], now, heard)
+					observeFleet(b, &timers[i], now, side)
 				}
 			}
 			if sum := parts(nodes); sum < 1-1e-9 || sum >= 1.5 {
@@ -106,14 +108,14 @@
 	}
 }
 
-// fleetOf are nodes that have heard each other, and their timers.
+// fleetOf returns nodes that reach each other, and their timers.
 func fleetOf(n int) (nodes []*Balancer, timers [][]Time) {
 	nodes, timers = make([]*Balancer, n), make([][]Time, n)
 	for i := range nodes {
 		set := site(n)
 		set.NodeIndex = i
 		nodes[i], _ = New(set, 0, uint64(i))
-		counts(nodes[i], &timers[i], 0, n)
+		observeFleet(nodes[i], &timers[i], 0, n)
 	}
 	return nodes, timers
 }
@@ -127,7 +129,7 @@
 	return sum
 }
 
-// New settings leave what the nodes found out, unless they tell another number.
+// New settings leave the number that membership found, unless they state another one.
 func TestQuotaNodesOutliveEqualSettings(t *testing.T) {
 	set := site(1)
 	b, err := New(set, 0, 1)
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -6,41 +6,41 @@
 	"testing"
 )
 
-// While the dearest class finds no room, what is worth less gives way before it takes any, the more the less it is
-// worth; the dearest never does, and neither does any where reports tell of room.
+// While the highest priority finds no capacity, lower ones are shed, the lower the more. The highest never is, and
+// none is where servers report their load.
 func TestLowPrioritiesAreShedForTheHighest(t *testing.T) {
 	set := site(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 5, 3
 	b := start(t, set, members(4))
-	refused := func(class string) (part float64) {
-		const asked = 2000
-		for range asked {
+	shedPart := func(class string) (part float64) {
+		const requests = 2000
+		for range requests {
 			if b.shouldShed(b.classes.byName[class]) {
-				part += 1.0 / asked
+				part += 1.0 / requests
 			}
 		}
 		return part
 	}
-	if got := refused("free"); got != 0 {
-		t.Errorf("%v of the cheapest are given up while the dearest find room", got)
+	if got := shedPart("free"); got != 0 {
+		t.Errorf("%v of the lowest priority are shed while the highest finds capacity", got)
 	}
 	b.loadShedder.highPriorityShortage = 0.15
-	cheapest, middle, dearest := refused("free"), refused("all"), refused("once")
-	if math.Abs(cheapest-0.48) > 0.05 || math.Abs(middle-0.24) > 0.05 || dearest != 0 {
-		t.Errorf("%v of the cheapest, %v of the middle and %v of the dearest class are given up, want 0.48, 0.24 and 0",
-			cheapest, middle, dearest)
+	lowest, middle, highest := shedPart("free"), shedPart("all"), shedPart("once")
+	if math.Abs(lowest-0.48) > 0.05 || math.Abs(middle-0.24) > 0.05 || highest != 0 {
+		t.Errorf("%v of the lowest, %v of the middle and %v of the highest priority are shed, want 0.48, 0.24 and 0",
+			lowest, middle, highest)
 	}
 	b.loadShedder.highPriorityShortage = 1
-	if got := refused("free"); math.Abs(got-maxShedProbability) > 0.05 {
-		t.Errorf("%v of the cheapest are given up while no dear one finds room, want %v", got, maxShedProbability)
+	if got := shedPart("free"); math.Abs(got-maxShedProbability) > 0.05 {
+		t.Errorf("%v of the lowest priority are shed while the highest finds no capacity, want %v", got, maxShedProbability)
 	}
 	if acts := b.Handle(ms, ask("x", "once")); len(of(acts, Send)) != 1 {
-		t.Errorf("the dearest class gives way: %+v", acts)
+		t.Errorf("the highest priority is shed: %+v", acts)
 	}
-	told := fleet(t, 40, members(4))
-	told.loadShedder.highPriorityShortage, told.loadShedder.maxPriorityWeight = 1, 5
-	if told.shouldShed(told.classes.byName["free"]) {
-		t.Error("a class gives way though reports tell of room")
+	reporting := fleet(t, 40, members(4))
+	reporting.loadShedder.highPriorityShortage, reporting.loadShedder.maxPriorityWeight = 1, 5
+	if reporting.shouldShed(reporting.classes.byName["free"]) {
+		t.Error("a class is shed though servers report their load")
 	}
 }
 
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -9,26 +9,26 @@
 	"time"
 )
 
-// world plays random legal events at one node and checks the rules that a node keeps alone: one final
-// answer in time, no forbidden repeat or refusal, no late send to a draining server, placement, and
-// the budget of attempts. It keeps its own books and shares no code with the module.
+// world plays random legal events at one node and checks the rules that a node follows by itself: one final
+// answer in time, no forbidden retry or rejection, no late send to a draining server, placement, and the retry
+// budget. It counts by itself and shares no code with the balancer.
 type world struct {
-	t     *testing.T
-	rng   *rand.Rand
-	set   Settings
-	b     *Balancer
-	now   Time
-	list  map[string]Endpoint
-	told  map[string]Time // when a server was said to drain or be gone
-	open  map[string]*play
-	ids   int
-	tasks []task // outcomes, timers, probe results to come
-	log   []string
+	t             *testing.T
+	rng           *rand.Rand
+	set           Settings
+	b             *Balancer
+	now           Time
+	list          map[string]Endpoint
+	drainingSince map[string]Time // when the list first had a server as draining or removed
+	open          map[string]*play
+	ids           int
+	tasks         []task // outcomes, timers, probe results to come
+	log           []string
 	// One attempt in faulty/5 fails, all take up to slowest ms, and requests come every so often.
 	faulty, slowest, every int
 
-	took  []Time // all requests taken
-	extra []Time // all attempts beyond a request's first
+	requestsAt []Time
+	retriesAt  []Time
 }
 
 type play struct {
@@ -64,7 +64,7 @@
 	if seed%2 == 1 {
 		set.Rules.RetryBudget = &RetryBudget{MinRetries: float64(rng.IntN(3)), RetryRatio: 0.05, Window: 5 * time.Second}
 	}
-	for i := range set.Classes { // windows shorter than the time a request is worth another attempt
+	for i := range set.Classes { // windows shorter than the time in which a request may be retried
 		set.Classes[i].DedupWindow = time.Duration(20+rng.IntN(150)) * ms
 	}
 	set.RetainMissing = seed%4 == 1
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, rng: rng, set: set, b: b, list: map[string]Endpoint{}, told: map[string]Time{}, open: map[string]*play{},
+	w := &world{t: t, rng: rng, set: set, b: b, list: map[string]Endpoint{}, drainingSince: map[string]Time{}, open: map[string]*play{},
 		faulty: []int{8, 20, 60}[seed/3%3], slowest: []int{300, 50}[seed/2%2], every: []int{1, 8}[seed/4%2]}
 	for _, m := range members(1 + rng.IntN(9)) {
 		if rng.IntN(4) == 0 {
@@ -97,13 +97,13 @@
 }
 
 func (w *world) members() []Endpoint {
-	var out []Endpoint
+	var listed []Endpoint
 	for i := range 10 {
 		if m, ok := w.list[fmt.Sprintf("s%02d", i)]; ok {
-			out = append(out, m)
+			listed = append(listed, m)
 		}
 	}
-	return out
+	return listed
 }
 
 func (w *world) later(d time.Duration, do func()) { w.tasks = append(w.tasks, task{w.now + d, do}) }
@@ -145,17 +145,39 @@
 	}
 }
 
+// send checks an attempt, and schedules its outcome.
 func (w *world) send(p *play, a Action) {
+	if p == nil || p.ended || w.now >= p.deadline {
+		w.t.Fatalf("send after the end: %+v", a)
+	}
 	m, listed := w.list[a.Server]
-	if told, ok := w.told[a.Server]; ok && w.now > told+w.set.Rules.DrainGrace {
-		w.t.Errorf("%s drains since %v, sent to at %v", a.Server, told, w.now)
+	if since, ok := w.drainingSince[a.Server]; ok && w.now > since+w.set.Rules.DrainGrace {
+		w.t.Errorf("%s drains since %v, sent to at %v", a.Server, since, w.now)
 	}
-	if !listed && w.told[a.Server] == 0 {
+	if !listed && w.drainingSince[a.Server] == 0 {
 		w.t.Errorf("unknown server %q", a.Server)
 	}
-	if p == nil || p.ended || w.now >= p.deadline {
-		w.t.Fatalf("send after the end: %+v", a)
+	w.checkPlacement(p.class, m, a)
+	w.checkFormerAttempts(p, m, a)
+	if len(p.tries) > 0 {
+		w.checkRetryBudget()
+	}
+	p.tries = append(p.tries, try{server: m, sent: w.now})
+	w.scheduleOutcome(p, a)
+}
+
+// checkPlacement checks that a restricted class is sent to its servers only.
+func (w *world) checkPlacement(c Class, m Endpoint, a Action) {
+	if len(c.Kinds) > 0 && !slices.Contains(c.Kinds, m.Kind) || len(c.Zones) > 0 && !slices.Contains(c.Zones, m.Zone) {
+		w.t.Errorf("%s sent to %s of kind %s in zone %s", c.Name, a.Server, m.Kind, m.Zone)
+	}
+	if len(c.Regions) > 0 && w.set.Topology.RegionOfZone[m.Zone] != c.Regions[0] {
+		w.t.Errorf("%s sent to %s in zone %s, out of its region", c.Name, a.Server, m.Zone)
 	}
+}
+
+// checkFormerAttempts checks that the attempts before this one are over, few enough, and permit it.
+func (w *world) checkFormerAttempts(p *play, m Endpoint, a Action) {
 	pending := 0
 	for _, x := range p.tries {
 		if !x.over {
@@ -171,42 +193,35 @@
 			g := p.class.DedupScope
 			if w.now > x.sent+p.class.DedupWindow || g == DedupPerZone && m.Zone != x.server.Zone ||
 				g == DedupPerCell && m.Cell != x.server.Cell {
-				w.t.Errorf("%s sent again outside its group or window", p.class.Name)
+				w.t.Errorf("%s sent again outside its scope or window", p.class.Name)
 			}
 		}
 	}
 	if pending > 0 || len(p.tries) >= w.set.Allowed.MaxAttempts {
-		w.t.Errorf("a second copy or an attempt too many: %+v", a)
-	}
-	if c := p.class; len(c.Kinds) > 0 && !slices.Contains(c.Kinds, m.Kind) ||
-		len(c.Zones) > 0 && !slices.Contains(c.Zones, m.Zone) {
-		w.t.Errorf("%s sent to %s of kind %s in zone %s", c.Name, a.Server, m.Kind, m.Zone)
-	}
-	if c := p.class; len(c.Regions) > 0 && w.set.Topology.RegionOfZone[m.Zone] != c.Regions[0] {
-		w.t.Errorf("%s sent to %s in zone %s, out of its region", c.Name, a.Server, m.Zone)
-	}
-	if len(p.tries) > 0 {
-		w.ration()
+		w.t.Errorf("a second attempt at a time, or one too many: %+v", a)
 	}
-	n := len(p.tries)
-	p.tries = append(p.tries, try{server: m, sent: w.now})
+}
+
+// scheduleOutcome draws the outcome of the newest attempt, and when it comes.
+func (w *world) scheduleOutcome(p *play, a Action) {
+	n := len(p.tries) - 1
 	until := p.deadline
 	if a.AttemptDeadline > 0 {
 		until = min(until, a.AttemptDeadline)
 	}
-	code, took := OK, time.Duration(w.rng.IntN(w.slowest))*ms
+	code, latency := OK, time.Duration(w.rng.IntN(w.slowest))*ms
 	if w.rng.IntN(w.faulty) < 5 {
 		code = []Code{ServerError, Overloaded, ConnectFailed, Reset, TimedOut}[w.rng.IntN(5)]
 	}
-	if code == TimedOut || w.now+took > until {
-		code, took = TimedOut, until-w.now
+	if code == TimedOut || w.now+latency > until {
+		code, latency = TimedOut, until-w.now
 	}
-	w.later(took, func() {
+	w.later(latency, func() {
 		p.tries[n].over, p.tries[n].notRun = true, code.ProvesNotRun()
 		if code == OK {
 			p.ended = true
 		}
-		ev := Outcome{ID: p.ID, Attempt: n, Server: a.Server, Code: code, Latency: took, RequestEnded: p.ended}
+		ev := Outcome{ID: p.ID, Attempt: n, Server: a.Server, Code: code, Latency: latency, RequestEnded: p.ended}
 		w.event(ev)
 		if w.rng.IntN(20) == 0 {
 			w.event(ev) // twice
@@ -214,9 +229,9 @@
 	})
 }
 
-// ration checks the budget of attempts by its own count.
-func (w *world) ration() {
-	w.extra = append(w.extra, w.now)
+// checkRetryBudget checks the retry budget by a count of its own.
+func (w *world) checkRetryBudget() {
+	w.retriesAt = append(w.retriesAt, w.now)
 	q := w.set.Rules.RetryBudget
 	if q == nil {
 		return
@@ -229,8 +244,8 @@
 		}
 		return n
 	}
-	if n, most := within(w.extra), q.MinRetries+q.RetryRatio*float64(within(w.took)); float64(n) > most {
-		w.t.Errorf("%d attempts beyond the first in %v, at most %v allowed", n, q.Window, most)
+	if n, limit := within(w.retriesAt), q.MinRetries+q.RetryRatio*float64(within(w.requestsAt)); float64(n) > limit {
+		w.t.Errorf("%d retries in %v, at most %v allowed", n, q.Window, limit)
 	}
 }
 
@@ -242,14 +257,14 @@
 	for _, x := range p.tries {
 		safe := p.class.RetrySafety == Idempotent || p.class.RetrySafety == IdempotencyKeyed && p.class.DedupScope == DedupEverywhere
 		if a.Kind == Reject && !x.notRun && !safe {
-			w.t.Errorf("%s refused though it may have run", p.class.Name)
+			w.t.Errorf("%s rejected though it may have run", p.class.Name)
 		}
 	}
 }
 
 func (w *world) step() {
 	w.now += time.Duration(1+w.rng.IntN(4)) * ms
-	stall := w.rng.IntN(400) == 0 // the node gets no turn, and then all that came meanwhile at once
+	stall := w.rng.IntN(400) == 0 // the node doesn't run, and then gets all that came meanwhile at once
 	if stall {
 		w.now += time.Duration(w.rng.IntN(900)) * ms
 	}
@@ -298,7 +313,7 @@
 		Timeout: time.Duration(1+w.rng.IntN(600)) * ms, Key: fmt.Sprint(w.rng.IntN(30))}
 	p := &play{Request: r, class: c, deadline: w.now + r.Timeout}
 	w.open[r.ID] = p
-	w.took = append(w.took, w.now)
+	w.requestsAt = append(w.requestsAt, w.now)
 	w.event(r)
 	if !p.ended && w.rng.IntN(40) == 0 {
 		w.later(ms, func() {
@@ -319,15 +334,15 @@
 		m = members(10)[w.rng.IntN(10)]
 		m.StartedAt = w.now
 		w.list[m.ID] = m
-		delete(w.told, m.ID)
+		delete(w.drainingSince, m.ID)
 	case w.rng.IntN(3) == 0:
 		m.StartedAt, m.Availability = w.now, Running
 		w.list[id] = m
-		delete(w.told, id)
+		delete(w.drainingSince, id)
 	case m.Availability == Running:
 		m.Availability = Draining
 		w.list[id] = m
-		w.told[id] = w.now
+		w.drainingSince[id] = w.now
 	default:
 		m.Availability = Removed
 		delete(w.list, id)
@@ -364,13 +379,13 @@
 	}
 }
 
-// What is kept for a request goes once it is over.
+// A request is forgotten once it is over.
 func TestFinishedRequestsAreForgotten(t *testing.T) {
 	w := newWorld(t, 4)
 	for range 3000 {
 		w.step()
 	}
 	if n := len(w.b.requests); n > 600 {
-		t.Errorf("%d requests kept", n)
+		t.Errorf("%d requests are still known", n)
 	}
 }
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -10,21 +10,21 @@
 		b.adjustRateMultiplier(false)
 	}
 	if b.rateMultiplier.value >= 0.5 || b.rateMultiplier.value < minRateMultiplier {
-		t.Errorf("after 100 choices without room the scale is %v", b.rateMultiplier.value)
+		t.Errorf("after 100 choices without capacity the multiplier is %v", b.rateMultiplier.value)
 	}
 	was := b.rateMultiplier.value
 	b.adjustRateMultiplier(true)
 	if b.rateMultiplier.value != was {
-		t.Error("the scale rose though no bucket refused")
+		t.Error("the multiplier rose though no bucket rejected a request")
 	}
 	b.rateMultiplier.bucketRejected = true
 	b.adjustRateMultiplier(true)
 	if b.rateMultiplier.value <= was {
-		t.Error("the scale did not rise though a bucket refused and there was room")
+		t.Error("the multiplier did not rise though a bucket rejected a request and there was capacity")
 	}
 }
 
-// A request that is held for long tells once that servers had no room, not at each look.
+// A request that is queued for long counts once as one that found no capacity, not at each poll.
 func TestQueuedRequestMovesTheRateMultiplierOnce(t *testing.T) {
 	b := start(t, site(1), members(1))
 	s := b.order()[0]
@@ -35,11 +35,11 @@
 		b.Handle(now, Timer{Token: queueTimerToken})
 	}
 	if len(b.queue.requests) != 1 || was >= 1 || b.rateMultiplier.value != was {
-		t.Errorf("%d held, the scale went from %v to %v", len(b.queue.requests), was, b.rateMultiplier.value)
+		t.Errorf("%d queued, the multiplier went from %v to %v", len(b.queue.requests), was, b.rateMultiplier.value)
 	}
 }
 
-// Traffic far beyond the shares passes only while next to no answer is bad: other nodes may lack the room.
+// Traffic far beyond the quotas is admitted only while few responses are bad: other nodes may lack the capacity.
 func TestRateMultiplierIsCautiousWhileResponsesAreBad(t *testing.T) {
 	b := start(t, site(1), members(2))
 	grow := func() {
@@ -50,18 +50,18 @@
 	}
 	grow()
 	if b.rateMultiplier.value != maxRateMultiplier {
-		t.Errorf("with good answers the scale is %v, want %v", b.rateMultiplier.value, maxRateMultiplier)
+		t.Errorf("with good responses the multiplier is %v, want %v", b.rateMultiplier.value, maxRateMultiplier)
 	}
 	for range 20 {
 		b.updateConcurrencyLimit(b.order()[0], b.classes.ordered[0], TimedOut, ms, 1)
 	}
 	grow()
 	if b.rateMultiplier.value > cautiousRateMultiplier*(1+rateIncreaseStep) {
-		t.Errorf("with bad answers the scale is %v, want about %v", b.rateMultiplier.value, cautiousRateMultiplier)
+		t.Errorf("with bad responses the multiplier is %v, want about %v", b.rateMultiplier.value, cautiousRateMultiplier)
 	}
 }
 
-// A quota that nodes divide is one: no pace goes beyond it.
+// Nodes that divide a quota admit no more than that, whatever the capacity.
 func TestRateMultiplierIsAtMostOneWithMembership(t *testing.T) {
 	b, err := New(site(1), 0, 1)
 	if err != nil {
@@ -72,7 +72,7 @@
 	b.rateMultiplier.bucketRejected = true
 	b.adjustRateMultiplier(true)
 	if b.rateMultiplier.value != 1 {
-		t.Errorf("pace %v", b.rateMultiplier.value)
+		t.Errorf("multiplier %v", b.rateMultiplier.value)
 	}
 }
 
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -7,13 +7,13 @@
 // defaultRetryBudget holds where the settings state none.
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
 
-// limitMargin keeps the retries below the limit rather than at it, so that neither the rounding of the ratio
-// nor a host that counts the window's edges otherwise sees one too many.
+// limitMargin keeps the retries below the limit rather than at it, so that neither the ratio's rounding nor a
+// host that counts the edges of the window otherwise makes them one too many.
 const limitMargin = 1e-9
 
 // retryBudget bounds the retries of a node: in any window they number fewer than MinRetries plus RetryRatio
-// of the requests that the node received in it. Both are counted exactly, over a sliding window; where an entry
-// is as old as the window, a request counts no longer and a retry still does.
+// of the requests that the node received in it. Both are counted exactly, over a sliding window; where an
+// entry is as old as the window, a request counts no longer and a retry still does.
 type retryBudget struct {
 	limits     RetryBudget
 	acceptedAt []Time // requests received within the window, oldest first
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// The budget counts every request taken, those refused too, and each further attempt itself.
+// The budget counts every request that is received, rejected ones too, and each retry itself.
 func TestRetryBudgetCountsExactly(t *testing.T) {
 	set := site(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0.5, Window: time.Second}
 	b := start(t, set, members(9))
-	extras := func(now Time, from, n int) (sent int) {
+	retries := func(now Time, from, n int) (sent int) {
 		for i := range n {
 			id := fmt.Sprint(from + i)
 			for _, a := range of(slices.Clone(b.Handle(now, ask(id, "free"))), Send) {
@@ -21,23 +21,23 @@
 		}
 		return sent
 	}
-	if got := extras(ms, 0, 4); got > 4 { // two, and half of four
-		t.Errorf("%d further attempts for 4 requests, at most 4 allowed", got)
+	if got := retries(ms, 0, 4); got > 4 { // two, and half of four
+		t.Errorf("%d retries for 4 requests, at most 4 allowed", got)
 	}
 	b.retryBudget.retriesAt, b.retryBudget.acceptedAt = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
 		if may := b.mayRetry(); may != (n < 3) { // on the safe side of the exact 4
-			t.Fatalf("after %d further attempts: may repeat %v", n, may)
+			t.Fatalf("after %d retries: may retry %v", n, may)
 		}
 		if !b.mayRetry() {
 			break
 		}
 		b.retryBudget.retriesAt = append(b.retryBudget.retriesAt, b.now)
 	}
-	b.now = time.Second + 4 // the requests have left the window, the attempts have not
+	b.now = time.Second + 4 // the requests have left the window, the retries have not
 	if b.mayRetry() {
-		t.Error("more than the least is allowed for requests that have left the window")
+		t.Error("more than the minimum is allowed for requests that have left the window")
 	}
 	b.now = 2 * time.Second
 	if !b.mayRetry() || len(b.retryBudget.retriesAt)+len(b.retryBudget.acceptedAt) != 0 {
@@ -45,7 +45,7 @@
 	}
 }
 
-// Requests that need no further attempt leave nothing behind once the span of the budget has passed.
+// Requests without a retry leave nothing behind once the window of the budget has passed.
 func TestRetryBudgetForgetsRequestsAfterItsWindow(t *testing.T) {
 	b := start(t, site(1), members(4))
 	const perSecond = 50
@@ -55,8 +55,8 @@
 		s := sentTo(t, b.Handle(now, ask(id, "free")))
 		b.Handle(now+ms, outcome(id, 0, s, OK, ms))
 	}
-	if most := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.retryBudget.acceptedAt) > most {
-		t.Errorf("%d requests are kept for the budget, at most %d came within its span", len(b.retryBudget.acceptedAt), most)
+	if limit := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.retryBudget.acceptedAt) > limit {
+		t.Errorf("the budget counts %d requests, at most %d came within its window", len(b.retryBudget.acceptedAt), limit)
 	}
 }
 
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -9,11 +9,11 @@
 	"time"
 )
 
-// knowledgeFile is what one process of a node hands over to another, which may be of an earlier or a later version.
-const knowledgeFile = "testdata/snapshot.json"
+// snapshotFile is what one process of a node hands over to another, which may be of an earlier or a later version.
+const snapshotFile = "testdata/snapshot.json"
 
-// wholeKnowledge has another value in each field, so that no two keys can be mixed up unnoticed.
-func wholeKnowledge() Snapshot {
+// fullSnapshot has another value in each field, so that no two keys can be mixed up unnoticed.
+func fullSnapshot() Snapshot {
 	return Snapshot{
 		Buckets: []BucketSnapshot{{Tenant: "tenant", Class: "class", Tokens: 1, RefilledAt: -2}},
 		Classes: map[string]ClassSnapshot{"class": {TailLatency: 3 * time.Millisecond, FirstTryTimeout: 4 * time.Millisecond}},
@@ -28,7 +28,7 @@
 	}
 }
 
-func writtenKnowledge(t *testing.T, k Snapshot) []byte {
+func encodeSnapshot(t *testing.T, k Snapshot) []byte {
 	t.Helper()
 	text, err := json.MarshalIndent(k, "", "\t")
 	if err != nil {
@@ -40,25 +40,25 @@
 // A process of another version reads the keys that it knows: they stay whatever the fields are named.
 func TestSnapshotKeepsItsKeys(t *testing.T) {
 	if *record {
-		if err := os.WriteFile(knowledgeFile, writtenKnowledge(t, wholeKnowledge()), 0o644); err != nil {
+		if err := os.WriteFile(snapshotFile, encodeSnapshot(t, fullSnapshot()), 0o644); err != nil {
 			t.Fatal(err)
 		}
 	}
-	want, err := os.ReadFile(knowledgeFile)
+	want, err := os.ReadFile(snapshotFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := writtenKnowledge(t, wholeKnowledge()); !bytes.Equal(got, want) {
+	if got := encodeSnapshot(t, fullSnapshot()); !bytes.Equal(got, want) {
 		t.Errorf("written as\n%s\nwant\n%s", got, want)
 	}
 	var read Snapshot
 	if err := json.Unmarshal(want, &read); err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(read, wholeKnowledge()) {
-		t.Errorf("read as %+v, want %+v", read, wholeKnowledge())
+	if !reflect.DeepEqual(read, fullSnapshot()) {
+		t.Errorf("read as %+v, want %+v", read, fullSnapshot())
 	}
-	if got := writtenKnowledge(t, read); !bytes.Equal(got, want) {
+	if got := encodeSnapshot(t, read); !bytes.Equal(got, want) {
 		t.Errorf("written back as\n%s\nwant\n%s", got, want)
 	}
 }
@@ -87,7 +87,7 @@
 	check(reflect.TypeFor[Snapshot]())
 }
 
-// What one process knows another learns, by a clock of its own.
+// A process restores what another one measured, by a clock of its own.
 func TestSnapshotIsRestoredOnAnotherClock(t *testing.T) {
 	set := site(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: 10 * time.Second}
@@ -98,7 +98,7 @@
 	old.Handle(now, Outcome{ID: "a", Server: first, Code: Overloaded})
 	old.servers["s01"].concurrencyLimit, old.servers["young"].warmupBudget.tokens = 7, 0.25
 	old.servers["s02"].outlier = outlierState{failureScore: 0.4, ejected: true, ejectedUntil: 12 * time.Second, ejections: 2}
-	know := old.Snapshot(now)
+	snapshot := old.Snapshot(now)
 
 	const ahead = 40 * time.Second
 	for i := range list {
@@ -106,34 +106,34 @@
 			list[i].StartedAt += ahead + ms
 		}
 	}
-	heir, err := New(set, now+ahead, 2)
+	successor, err := New(set, now+ahead, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	heir.Handle(now+ahead, EndpointList{Kind: ListCached, Endpoints: list})
-	heir.Restore(now+ahead, know)
-	if got := heir.servers["s01"].concurrencyLimit; got != 7 {
-		t.Errorf("threshold %v", got)
+	successor.Handle(now+ahead, EndpointList{Kind: ListCached, Endpoints: list})
+	successor.Restore(now+ahead, snapshot)
+	if got := successor.servers["s01"].concurrencyLimit; got != 7 {
+		t.Errorf("limit %v", got)
 	}
-	if got := heir.servers["young"].warmupBudget; got.tokens != 0.25 {
-		t.Errorf("cold budget %+v", got)
+	if got := successor.servers["young"].warmupBudget; got.tokens != 0.25 {
+		t.Errorf("warm-up budget %+v", got)
 	}
-	if got := heir.servers["s02"].outlier; !got.ejected || got.ejectedUntil != 12*time.Second+ahead || got.ejections != 2 {
-		t.Errorf("health %+v", got)
+	if got := successor.servers["s02"].outlier; !got.ejected || got.ejectedUntil != 12*time.Second+ahead || got.ejections != 2 {
+		t.Errorf("outlier state %+v", got)
 	}
-	if listed, avoided := heir.Servers(); listed != 4 || avoided != 1 {
-		t.Errorf("%d servers, %d avoided", listed, avoided)
+	if listed, unavailable := successor.Servers(); listed != 4 || unavailable != 1 {
+		t.Errorf("%d servers, %d unavailable", listed, unavailable)
 	}
-	if heir.mayRetry() {
-		t.Error("the budget of attempts was spent before")
+	if successor.mayRetry() {
+		t.Error("the retry budget was used up before")
 	}
 	for i := range list { // a server that started again is another
 		list[i].StartedAt = now + ahead
 	}
 	fresh := start(t, set, list)
-	fresh.Restore(now+ahead, know)
+	fresh.Restore(now+ahead, snapshot)
 	if got := fresh.servers["s01"].concurrencyLimit; got == 7 {
-		t.Error("a new process of a server inherits the threshold of its former one")
+		t.Error("a new process of a server inherits the limit of its former one")
 	}
 }
 
--- a/policy/token_buckets_test.go
+++ b/policy/token_buckets_test.go
@@ -9,21 +9,21 @@
 	"pgregory.net/rapid"
 )
 
-// neverDrops are the buckets of a node that keeps all it ever made.
-type neverDrops map[bucketKey]*bucket
+// allBuckets is a model of the buckets of a node that drops none.
+type allBuckets map[bucketKey]*bucket
 
-func (n neverDrops) admits(b *Balancer, tenant, class string) bool {
-	l, key, ok := b.rateLimiter.resolve(tenant, class)
-	if !ok {
+func (n allBuckets) admits(b *Balancer, tenant, class string) bool {
+	limit, key, limited := b.rateLimiter.resolve(tenant, class)
+	if !limited {
 		return true
 	}
-	l.PerWindow *= b.rateMultiplier.value
+	limit.PerWindow *= b.rateMultiplier.value
 	k := n[key]
 	if k == nil {
-		k = &bucket{tokens: l.Burst, refilledAt: b.now}
+		k = &bucket{tokens: limit.Burst, refilledAt: b.now}
 		n[key] = k
 	}
-	k.refill(b.now, l.perSecond(), l.Burst)
+	k.refill(b.now, limit.perSecond(), limit.Burst)
 	if k.tokens <= 0 {
 		return false
 	}
@@ -31,7 +31,7 @@
 	return true
 }
 
-// Dropping full buckets changes no decision, at whatever pace the rates are.
+// Dropping full buckets changes no decision, whatever the rate multiplier.
 func TestDroppedBucketsChangeNoDecision(t *testing.T) {
 	dropped := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -49,15 +49,15 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		model := make(neverDrops)
+		model := make(allBuckets)
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			b.now += time.Duration(rapid.SampledFrom([]int{0, 1, 30, 999, 5000, 60000}).Draw(t, "wait")) * ms
-			b.rateMultiplier.value = rapid.SampledFrom([]float64{minRateMultiplier, 0.5, 1, maxRateMultiplier}).Draw(t, "pace")
-			tenant := fmt.Sprint("t", rapid.IntRange(0, 12).Draw(t, "tenant")) // the last isn't named
+			b.rateMultiplier.value = rapid.SampledFrom([]float64{minRateMultiplier, 0.5, 1, maxRateMultiplier}).Draw(t, "multiplier")
+			tenant := fmt.Sprint("t", rapid.IntRange(0, 12).Draw(t, "tenant")) // the last has no quota
 			class := rapid.SampledFrom([]string{"free", "once"}).Draw(t, "class")
 			want := model.admits(b, tenant, class)
 			if got, _ := b.admit(tenant, class); got != want {
-				t.Fatalf("%s, %s at %v: admitted %v, by a node that keeps all its buckets %v", tenant, class, b.now, got, want)
+				t.Fatalf("%s, %s at %v: admitted %v, by a node that drops no bucket %v", tenant, class, b.now, got, want)
 			}
 		}
 		if len(b.rateLimiter.buckets.byKey) != len(b.rateLimiter.buckets.ring) {
@@ -70,11 +70,11 @@
 	}
 }
 
-// A bucket that was dropped is as good as handed over: the process that takes over makes a full one, and the one
-// that ceded spends half at most.
+// A bucket that was dropped counts as handed over: the successor makes a full one, and the process that handed over
+// uses half of one at most.
 func TestDroppedBucketIsHandedOverByHalf(t *testing.T) {
 	b := start(t, site(1), members(2))
-	l := b.rateLimiter.tenantLimits["u"]
+	limit := b.rateLimiter.tenantLimits["u"]
 	for now := Time(0); now < time.Minute; now += time.Second {
 		tenant := "t"
 		if now == 0 {
@@ -84,23 +84,23 @@
 		b.admit(tenant, "free")
 	}
 	if b.rateLimiter.buckets.byKey[bucketKey{tenant: "u"}] != nil {
-		t.Fatal("a full bucket was kept for a minute")
+		t.Fatal("a full bucket was not dropped within a minute")
 	}
 	b.Handle(time.Minute, HandedOver{Active: true})
 	admitted := int64(0)
-	for range 2 * l.Burst {
+	for range 2 * limit.Burst {
 		if ok, _ := b.admit("u", "free"); ok {
 			admitted++
 		}
 	}
-	if most := l.Burst - l.Burst/2; admitted != most {
-		t.Errorf("a ceded process admits %d of a burst of %d, want %d", admitted, l.Burst, most)
+	if want := limit.Burst - limit.Burst/2; admitted != want {
+		t.Errorf("after the hand-over %d of a burst of %d are admitted, want %d", admitted, limit.Burst, want)
 	}
 }
 
-// seenOnce has each of n tenants make one request, a millisecond apart, and tells what the node's buckets hold then
-// and some requests later.
-func seenOnce(tb testing.TB, n int) (admitted, kept, later int, held uint64) {
+// seenOnce has each of n tenants make one request, a millisecond apart. It returns how many are admitted, how many
+// buckets there are then and some requests later, and the bytes of heap in use.
+func seenOnce(tb testing.TB, n int) (admitted, atOnce, later int, heapBytes uint64) {
 	set := site(1)
 	set.Tenants, set.Limits.Default = nil, &Limit{PerWindow: 10, Window: time.Second, Burst: 5}
 	b, err := New(set, 0, 1)
@@ -120,43 +120,43 @@
 			admitted++
 		}
 	}
-	kept = len(b.rateLimiter.buckets.byKey)
-	for range 2 * kept {
+	atOnce = len(b.rateLimiter.buckets.byKey)
+	for range 2 * atOnce {
 		b.now += ms
 		b.admit("tenant-0", "free")
 	}
 	after := heap()
 	later = len(b.rateLimiter.buckets.byKey)
-	return admitted, kept, later, after - min(before, after)
+	return admitted, atOnce, later, after - min(before, after)
 }
 
-// What is kept follows the tenants that ask, not those ever seen.
+// The number of buckets follows the tenants that send requests now, not those ever seen.
 func TestBucketsOfTenantsSeenOnceAreDropped(t *testing.T) {
 	const tenants = 50000
-	admitted, kept, later, _ := seenOnce(t, tenants)
-	if kept > maxBuckets || later > 10 {
-		t.Errorf("of %d tenants seen once %d buckets are kept at once, %d later", tenants, kept, later)
+	admitted, atOnce, later, _ := seenOnce(t, tenants)
+	if atOnce > maxBuckets || later > 10 {
+		t.Errorf("of %d tenants seen once there are %d buckets at once, %d later", tenants, atOnce, later)
 	}
 	if admitted < tenants {
-		t.Errorf("the first request of %d of %d tenants is refused", tenants-admitted, tenants)
+		t.Errorf("the first request of %d of %d tenants is rejected", tenants-admitted, tenants)
 	}
 }
 
-// Tenants that the settings name have buckets of their own, however many ask at once; of those that clients name
-// freely, further ones share a bucket.
+// Tenants with a quota have buckets of their own, however many there are; of the others, those beyond maxBuckets
+// share one.
 func TestTenantsWithQuotasShareNoBucket(t *testing.T) {
 	const tenants = 3 * maxBuckets
 	set := site(1)
 	set.Tenants = nil
 	for i := range tenants {
-		set.Tenants = append(set.Tenants, Tenant{Name: fmt.Sprint("told", i), Quota: 1})
+		set.Tenants = append(set.Tenants, Tenant{Name: fmt.Sprint("quota", i), Quota: 1})
 	}
 	b := start(t, set, members(1))
 	for _, c := range []struct {
 		name string
 		want func(admitted int) bool
 	}{
-		{"told", func(admitted int) bool { return admitted == tenants }},
+		{"quota", func(admitted int) bool { return admitted == tenants }},
 		{"free", func(admitted int) bool { return admitted < maxBuckets }},
 	} {
 		admitted := 0
@@ -169,19 +169,19 @@
 			t.Errorf("%d of %d first requests of tenants called %s are admitted", admitted, tenants, c.name)
 		}
 	}
-	if most := tenants + 1; len(b.rateLimiter.buckets.byKey) > most {
-		t.Errorf("%d buckets are kept, want at most %d", len(b.rateLimiter.buckets.byKey), most)
+	if limit := tenants + 1; len(b.rateLimiter.buckets.byKey) > limit {
+		t.Errorf("%d buckets, want at most %d", len(b.rateLimiter.buckets.byKey), limit)
 	}
 }
 
-// BenchmarkTenantsSeenOnce gives the bytes that 800,000 tenants leave behind.
+// BenchmarkTenantsSeenOnce reports the memory that 800,000 tenants leave behind.
 func BenchmarkTenantsSeenOnce(b *testing.B) {
 	for b.Loop() {
-		admitted, kept, later, held := seenOnce(b, 800000)
+		admitted, atOnce, later, heapBytes := seenOnce(b, 800000)
 		b.ReportMetric(float64(admitted), "admitted")
-		b.ReportMetric(float64(kept), "buckets-at-the-end")
+		b.ReportMetric(float64(atOnce), "buckets-at-the-end")
 		b.ReportMetric(float64(later), "buckets-later")
-		b.ReportMetric(float64(held), "bytes-held")
+		b.ReportMetric(float64(heapBytes), "bytes-held")
 	}
 }
 
