--- /dev/null
+++ b/internal/emulator/form_test.go
@@ -0,0 +1,43 @@
+package emulator
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+)
+
+// goldenAnswer has every key and every phase.
+func goldenAnswer() Answer {
+	return Answer{Revision: 7, Complete: true, Members: []Entry{
+		{ID: "s-0", HostPort: "10.0.0.1:9000", Locality: "a", Flavor: "big-box", Cell: 3, Phase: Up, Size: 1.5, UpSince: 1700000000123},
+		{ID: "s-1", HostPort: "10.0.0.2:9000", Locality: "b", Flavor: "small-box", Cell: -1, Phase: Draining, Size: 1},
+		{ID: "s-2", Phase: Removed},
+	}}
+}
+
+// What the stand-in for the list service answers is in the form of the service.
+func TestListFormIsFrozen(t *testing.T) {
+	for file, answer := range map[string]Answer{"list.json": goldenAnswer(), "empty.json": NewList().Whole()} {
+		raw, err := json.Marshal(answer)
+		if err != nil {
+			t.Fatal(err)
+		}
+		checkGolden(t, file, raw)
+		var read Answer
+		if err := json.Unmarshal(readGolden(t, file), &read); err != nil {
+			t.Fatal(err)
+		}
+		if !reflect.DeepEqual(read, answer) {
+			t.Errorf("%s: read %+v", file, read)
+		}
+	}
+}
+
+// Settings hold these words.
+func TestRepeatWordsAreFrozen(t *testing.T) {
+	for got, want := range map[Repeat]string{Free: "free", Guarded: "guarded", Never: "single_shot"} {
+		if string(got) != want {
+			t.Errorf("got %q, want %q", got, want)
+		}
+	}
+}
--- /dev/null
+++ b/internal/lab/form_test.go
@@ -0,0 +1,107 @@
+package lab
+
+import (
+	"encoding/json"
+	"reflect"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+)
+
+// goldenScenario has every key and every kind of fault.
+func goldenScenario() Scenario {
+	reports := false
+	s := Scenario{Name: "golden", What: "every key", For: Duration{90 * time.Second}, Rate: 12.5, Work: 1.25, Places: true, Quota: 400,
+		Reports: &reports, Zones: []Zone{{"a", "east", 6, 2}, {"b", "west", 3, 1}},
+		Bound: []Bound{{Class: "bill-charge", Regions: []string{"east"}, Zones: []string{"a"}}}}
+	for i, kind := range []FaultKind{Lost, Cold, Silent, Mute, Partition, Errors, Slow, Vanish, Drain, Nodes, Load} {
+		s.Faults = append(s.Faults, Fault{At: Duration{time.Duration(i) * time.Second}, For: Duration{1500 * time.Millisecond}, Kind: kind,
+			Zone: "a", Fraction: 0.5, Factor: 2.5, Every: Duration{10 * time.Second}, Count: 3})
+	}
+	return s
+}
+
+func TestScenarioFormIsFrozen(t *testing.T) {
+	const file = "scenario.toml"
+	raw, err := toml.Marshal(goldenScenario())
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, file, raw)
+	read, err := Parse(readGolden(t, file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, goldenScenario()) {
+		t.Errorf("read %+v", read)
+	}
+	if got, want := len(goldenScenario().Faults), len(faultKinds); got != want {
+		t.Errorf("%d kinds of fault in the file, of %d", got, want)
+	}
+}
+
+// goldenOutcome has every key.
+func goldenOutcome() Outcome {
+	sum := Sum{Asked: 10, InTime: 7, Late: 1, Failed: 2, Value: 12.5, ServedValue: 8.75}
+	return Outcome{
+		Seconds: []Second{
+			{Sum: sum, Attempts: 12, Crossing: 3, Choked: 1, Busy: 0.75, To: map[string]map[string]int{"a": {"a": 9, "b": 3}},
+				Work: map[string]map[string]float64{"a": {"meter-read": 1.5, "bill-charge": 0.5}}},
+			newSecond(),
+		},
+		Classes: map[string]Sum{"meter-read": sum},
+		Marks:   []Mark{{At: 1.25, Who: "n0", What: "place a is left: 5 of 6 ill"}},
+		Broken:  1, BrokenRules: []string{"1.000 s: c1: a second final answer, 200"}, Errors: 4,
+		Sends:       map[string]map[string]int{"meter-read": {"a": 9, "b": 3}},
+		Interrupted: 5, Cores: map[string]float64{"a": 75.6},
+	}
+}
+
+func TestOutcomeFormIsFrozen(t *testing.T) {
+	const file = "outcome.json"
+	raw, err := json.Marshal(goldenOutcome())
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, file, raw)
+	var read Outcome
+	if err := json.Unmarshal(readGolden(t, file), &read); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, goldenOutcome()) {
+		t.Errorf("read %+v", read)
+	}
+}
+
+// A seed plays the same scenario to the same outcome in later versions, byte for byte.
+func TestPlayedOutcomeIsFrozen(t *testing.T) {
+	s, err := Read("zone-errors")
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.For = Duration{4 * time.Second}
+	s.Faults[0].At = Duration{time.Second}
+	w, err := New(s, 39)
+	if err != nil {
+		t.Fatal(err)
+	}
+	o := w.Run()
+	o.Marks = slices.DeleteFunc(o.Marks, func(m Mark) bool { return m.Who != "" }) // what nodes log may change
+	raw, err := json.Marshal(o)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "played.json", raw)
+}
+
+func TestPairFormIsFrozen(t *testing.T) {
+	pair := Pair{Scenario: "calm", Ours: []float64{1}, Theirs: []float64{2}, Mean: 0.5, HalfInterval: 0.25, P: 0.125, OurG: 0.75, TheirG: 0.625,
+		OurBroken: 1, TheirBroken: 2}
+	raw, err := json.Marshal([]Pair{pair})
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "pairs.json", raw)
+}
--- /dev/null
+++ b/internal/rig/form_test.go
@@ -0,0 +1,82 @@
+package rig
+
+import (
+	"encoding/json"
+	"os"
+	"reflect"
+	"testing"
+	"time"
+
+	"sloerail/internal/emulator"
+)
+
+// goldenSchedule has every kind of fault, and every key both present and left out.
+func goldenSchedule() Schedule {
+	return Schedule{
+		{At: 0, Do: Kill, Whom: []string{"n0"}},
+		{At: time.Second, Do: Pause, Whom: []string{"n0", "n1"}, For: 2500 * time.Millisecond},
+		{At: 2 * time.Second, Do: Replace, Whom: []string{"n1"}},
+		{At: 3 * time.Second, Do: Restart, Whom: []string{"n2"}, For: time.Second},
+		{At: 4 * time.Second, Do: Part, Whom: []string{"n0"}, Among: []string{"n1", "s-0"}, For: time.Second},
+		{At: 5 * time.Second, Do: PartOne, Whom: []string{"n0"}, Among: []string{"list"}, For: 1},
+		{At: 6*time.Second + 1, Do: Lossy, Whom: []string{"n0", "n1"}, For: time.Minute, Loss: 0.125},
+	}
+}
+
+// A schedule that a failure printed has to be replayed by later versions.
+func TestScheduleFormIsFrozen(t *testing.T) {
+	const file = "schedule.json"
+	checkGolden(t, file, []byte(goldenSchedule().String()+"\n"))
+	raw := readGolden(t, file)
+	read, err := Parse(string(raw))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, goldenSchedule()) {
+		t.Errorf("read %+v", read)
+	}
+	if got := read.String() + "\n"; got != string(raw) {
+		t.Errorf("written back as %s", got)
+	}
+	kinds := make(map[Kind]bool)
+	for _, step := range read {
+		kinds[step.Do] = true
+	}
+	if want := []Kind{"kill", "pause", "replace", "restart", "part", "partOne", "lossy"}; len(kinds) != len(want) {
+		t.Errorf("kinds %v, want %v", kinds, want)
+	}
+}
+
+// A seed draws the same schedule in later versions.
+func TestDrawnScheduleIsFrozen(t *testing.T) {
+	s := Draw(39, 12, time.Minute, []string{"n0", "n1", "n2"}, Kill, Pause, Replace, Restart, Part, PartOne, Lossy)
+	checkGolden(t, "drawn.json", []byte(s.String()+"\n"))
+}
+
+// The settings that nodes are given have the keys of the operators' settings.
+func TestNodeSettingsAreFrozen(t *testing.T) {
+	tenants := []emulator.Tenant{{Name: "east", Share: 0.5}, {Name: "west", Share: 0.25}}
+	raw, err := json.MarshalIndent(Settings(1, 3, "a", emulator.Classes(), tenants, 240), "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "settings.json", append(raw, '\n'))
+}
+
+// The file of a node with every section.
+func TestNodeFileIsFrozen(t *testing.T) {
+	n := Node{Listen: "127.0.0.9:8080", dir: t.TempDir(), Spec: NodeSpec{
+		Name: "n0", Discovery: "127.0.0.8:8500", ListFile: "/tmp/list", Settings: map[string]any{"position": 0},
+		Cores: 1.5, MemoryMB: 512, Sockets: 1024, Fleet: map[string]any{"bind": "127.0.0.9:7946"},
+		Places: map[string]any{"regions": map[string]any{"r": []string{"a"}}}, Scope: map[string]any{"service": "s"}, EaseLists: true,
+	}}
+	path, err := n.configure()
+	if err != nil {
+		t.Fatal(err)
+	}
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "node.json", raw)
+}
--- a/internal/rig/schedule.go
+++ b/internal/rig/schedule.go
@@ -23,14 +23,14 @@
 	Lossy   Kind = "lossy"   // lose a part of what passes between Whom and Among, for a time
 )
 
-// Step is one fault of a schedule.
+// Step is one fault of a schedule. Its keys are fixed: a schedule that was printed earlier has to be replayed.
 type Step struct {
-	At    time.Duration
-	Do    Kind
-	Whom  []string
-	Among []string      `json:",omitempty"` // the others of a path's fault; empty for all but Whom
-	For   time.Duration `json:",omitempty"`
-	Loss  float64       `json:",omitempty"`
+	At    time.Duration `json:"At"`
+	Do    Kind          `json:"Do"`
+	Whom  []string      `json:"Whom"`
+	Among []string      `json:"Among,omitempty"` // the others of a path's fault; empty for all but Whom
+	For   time.Duration `json:"For,omitempty"`
+	Loss  float64       `json:"Loss,omitempty"`
 }
 
 // Schedule is data: what goes wrong, when and with whom, in order of time.
--- /dev/null
+++ b/internal/scale/form_test.go
@@ -0,0 +1,112 @@
+package scale
+
+import (
+	"encoding/json"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/pelletier/go-toml/v2"
+
+	"sloerail/internal/lab"
+)
+
+// goldenScenario has every key.
+func goldenScenario() Scenario {
+	return Scenario{Name: "golden", What: "every key", Dimension: Changes, Sizes: []int{10, 20, 40, 80, 160}, Runs: 3, Seed: 39,
+		For: lab.Duration{Duration: 10 * time.Minute}, Span: lab.Duration{Duration: 1500 * time.Millisecond},
+		Held:     Held{Servers: 1000, Tenants: 50, Nodes: 20, Requests: 200.5, Changes: 0.5},
+		Replicas: 3, Fault: ReplicasAway, Away: lab.Duration{Duration: 5 * time.Second}, Target: 20000,
+		Budgets: []Budget{{Measure: "heap", Most: 1e8}, {Measure: "decision CPU", Most: 5000.5}}}
+}
+
+func TestScenarioFormIsFrozen(t *testing.T) {
+	const file = "scenario.toml"
+	raw, err := toml.Marshal(goldenScenario())
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, file, raw)
+	read, err := Parse(readGolden(t, file))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, goldenScenario()) {
+		t.Errorf("read %+v", read)
+	}
+}
+
+// goldenReport has every key, and each that may be left out both ways.
+func goldenReport() Report {
+	fit := Fit{Measure: Heap, Source: Hollow, Law: Power, A: 1.5, B: 2.5, P: 1.25, Points: 15, From: 10, To: 160, Residual: 0.125, Worst: 0.25,
+		Exponent: 1.0625, Left: 1}
+	none := Fit{Measure: Resident, Source: Process, Why: NoLaw}
+	return Report{Scenario: goldenScenario(), Machine: Machine{Cores: 8, Memory: 1 << 35, Go: "go1.26"},
+		Began: time.Date(2026, 12, 3, 4, 5, 6, 7000, time.UTC),
+		Measurements: []Measurement{
+			{Dimension: "changes", Size: 10, Run: 1, Source: Hollow, Value: 1024.5, Measure: Heap},
+			{Dimension: "changes", Size: 10, Run: 2, Source: Process, Value: 0, Measure: InForceP99},
+		},
+		Ratios: []Ratio{{Measure: Heap, Size: 10, Hollow: 2, Process: 3, Ratio: 1.5}},
+		Laws: []Extrapolate{{Fit: fit, Target: 20000, AtTarget: 5e6, Low: 4e6, High: 6e6, Beyond: 125, Budget: 1e8, Reaches: 3e5},
+			{Fit: none}},
+		NotMeasured: NotMeasured, Stopped: "context canceled"}
+}
+
+func TestReportFormIsFrozen(t *testing.T) {
+	const file = "report.json"
+	raw, err := json.MarshalIndent(goldenReport(), "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, file, append(raw, '\n'))
+	var read Report
+	if err := json.Unmarshal(readGolden(t, file), &read); err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(read, goldenReport()) {
+		t.Errorf("read %+v", read)
+	}
+}
+
+// A report that ended with nothing leaves out what there is none of.
+func TestEmptyReportFormIsFrozen(t *testing.T) {
+	raw, err := json.Marshal(Report{})
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "empty.json", raw)
+}
+
+// Names by which runs are set beside each other.
+func TestReportNamesAreFrozen(t *testing.T) {
+	raw, err := json.MarshalIndent(map[string]any{
+		"measures": Measures(), "dimensions": measuredDimensions, "not_measured": NotMeasured, "faults": faults,
+		"sources": []Source{Hollow, Process}, "laws": []Law{Constant, Logarithmic, Linear, Linearithmic, Power},
+		"reasons":   []Reason{NoLaw, TooFewSizes, NotAboveZero},
+		"units":     []Unit{Nanoseconds, Milliseconds, Bytes, BytesPerSecond, PerSecond, CorePercent, Percent, Count, Times},
+		"scenarios": Shipped(),
+	}, "", " ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, "names.json", append(raw, '\n'))
+}
+
+// What writers tell the list service is in the form of the service.
+func TestRegistrationFormIsFrozen(t *testing.T) {
+	const file = "registration.json"
+	want := registration{HostPort: "10.0.0.1:8080", Locality: "region-0-zone-0", Flavor: "big-box", Cell: 7, Phase: "up", Size: 1.5, LeaseMs: 60000}
+	raw, err := json.Marshal(want)
+	if err != nil {
+		t.Fatal(err)
+	}
+	checkGolden(t, file, raw)
+	var read registration
+	if err := json.Unmarshal(readGolden(t, file), &read); err != nil {
+		t.Fatal(err)
+	}
+	if read != want {
+		t.Errorf("read %+v", read)
+	}
+}
