--- /dev/null
+++ b/cmd/sloerail/form_test.go
@@ -0,0 +1,147 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/spf13/cobra"
+	"github.com/spf13/pflag"
+
+	"sloerail/internal/lab"
+	"sloerail/internal/member"
+	"sloerail/internal/node"
+	"sloerail/internal/registry"
+	"sloerail/internal/scale"
+)
+
+// TestCommandsAndFlagsAreFrozen pins what scripts write: commands, their arguments, flags, shorthands and defaults. A hidden
+// alias counts as well.
+func TestCommandsAndFlagsAreFrozen(t *testing.T) {
+	var out bytes.Buffer
+	var list func(cmd *cobra.Command)
+	list = func(cmd *cobra.Command) {
+		fmt.Fprintf(&out, "%s | use %q aliases %v hidden %v\n", cmd.CommandPath(), cmd.Use, cmd.Aliases, cmd.Hidden)
+		flag := func(of string) func(f *pflag.Flag) {
+			return func(f *pflag.Flag) {
+				fmt.Fprintf(&out, "  %s --%s shorthand %q type %s default %q without value %q hidden %v\n", of, f.Name, f.Shorthand,
+					f.Value.Type(), f.DefValue, f.NoOptDefVal, f.Hidden)
+			}
+		}
+		cmd.InitDefaultHelpFlag()
+		cmd.InitDefaultVersionFlag()
+		cmd.LocalNonPersistentFlags().VisitAll(flag("flag"))
+		cmd.PersistentFlags().VisitAll(flag("persistent"))
+		for _, sub := range cmd.Commands() {
+			list(sub)
+		}
+	}
+	root := newRoot()
+	root.InitDefaultHelpCmd()
+	root.InitDefaultCompletionCmd()
+	list(root)
+	checkGolden(t, "commands.txt", out.Bytes())
+}
+
+// answering serves a fixed answer at a path, and 404 at others.
+func answering(t *testing.T, path string, answer any) string {
+	t.Helper()
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		if r.URL.Path != path {
+			http.NotFound(w, r)
+			return
+		}
+		w.Header().Set("Content-Type", "application/json")
+		_ = json.NewEncoder(w).Encode(answer)
+	}))
+	t.Cleanup(s.Close)
+	return strings.TrimPrefix(s.URL, "http://")
+}
+
+func goldenFleetView() node.FleetView {
+	return node.FleetView{Node: "n0", View: 7, Agreed: 3, Heard: 2, CutOff: true, Superseded: true, SentBytes: 11, HeardBytes: 12,
+		Refuted: 13, Conflicts: 14, LinesQuiet: 15, GeneratedAt: time.Date(2026, 12, 3, 4, 5, 6, 0, time.UTC),
+		Members: []node.FleetMember{{Name: "n0", Address: "10.0.0.1:7946", Zone: "a", Version: "v1", Incarnation: 9,
+			State: member.Alive, SinceMs: 61000}}}
+}
+
+// TestJSONOfNodesAndListIsFrozen pins --json of the commands that ask, with servers that answer in place of a fleet.
+func TestJSONOfNodesAndListIsFrozen(t *testing.T) {
+	fleet := answering(t, "/fleet", goldenFleetView())
+	places := answering(t, "/places", []node.PlaceView{
+		{Zone: "a", Region: "r", State: "left", Cost: 1.5, Share: 0.25, Servers: 6, Left: 2, Ill: 4.5, Heard: 8, TriedInMs: 1200, Why: "ill"},
+		{Zone: "b", Region: "r", State: "well"}})
+	list := answering(t, "/registry/instances", registry.List{Revision: 41, Complete: true, Members: []registry.Entry{
+		{ID: "s-0", HostPort: "10.0.0.1:9000", Locality: "a", Flavor: "big-box", Cell: 3, Phase: "up", Size: 1.5, UpSince: 1700000000123,
+			Service: "svc"}, {ID: "s-1"}}})
+	status := answering(t, "/registry/status", registry.Status{ID: "r0", Leader: "r1", Epoch: 2, Revision: 41, Instances: 20, Held: true,
+		AgeMs: 5, Watches: 6, Lists: 7, Writes: 8, Shed: 9, Stale: 10,
+		Replicas: []registry.ReplicaStatus{{ID: "r0", Raft: "10.0.0.1:8501", Calls: "10.0.0.1:8500"}}})
+	for _, c := range []struct {
+		file, args string
+		address    string
+		status     int
+	}{
+		{"members.json", "members --json ", fleet, 0},
+		{"members-none.json", "members --json ", places, 1},
+		{"places.json", "places --json ", places, 0},
+		{"places-none.json", "places --json ", fleet, 1},
+		{"registry-list.json", "registry list --json --to ", list, 0},
+		{"registry-status.json", "registry status --json --to ", status, 0},
+	} {
+		got, out, errs := call(t.Context(), strings.Fields(c.args+c.address)...)
+		if got != c.status {
+			t.Errorf("%s: status %d, want %d; %s", c.args, got, c.status, errs)
+		}
+		checkGolden(t, c.file, []byte(strings.ReplaceAll(out, c.address, "ADDRESS")))
+	}
+}
+
+// TestJSONOfExperimentsIsFrozen pins what the commands that measure print.
+func TestJSONOfExperimentsIsFrozen(t *testing.T) {
+	pairs := []lab.Pair{{Scenario: "all", Mean: 0.5, HalfInterval: 0.25, P: 0.125, OurG: 0.75, TheirG: 0.625, OurBroken: 1, TheirBroken: 2}}
+	row := lab.Row{Measure: lab.Measure{Name: "calm: attempts that cross", Max: 1}, Places: []float64{0, 0.5}, Alone: []float64{1, 2}}
+	report := &scale.Report{Laws: []scale.Extrapolate{{Target: 5}}, Stopped: "called off"}
+	outcome := &lab.Outcome{Classes: map[string]lab.Sum{"x": {Asked: 1}}, Broken: 3, BrokenRules: []string{"a rule"}}
+	for _, c := range []struct {
+		file  string
+		print func(out *bytes.Buffer) error
+		err   string
+	}{
+		{"pair.json", func(out *bytes.Buffer) error { return reportPairs(out, pairs, true) }, "1 rules were broken"},
+		{"zones.json", func(out *bytes.Buffer) error { return reportRows(out, []lab.Row{row}, true) }, ""},
+		{"scale.json", func(out *bytes.Buffer) error { return tellScale(out, report, scaleFlags{asJSON: true}) },
+			"stopped before all was measured: called off"},
+		{"simulate.json", func(out *bytes.Buffer) error { return reportOutcome(out, outcome, 1, true) }, "3 rules were broken"},
+	} {
+		var out bytes.Buffer
+		err := c.print(&out)
+		if (err != nil || c.err != "") && fmt.Sprint(err) != c.err {
+			t.Errorf("%s: error %v, want %q", c.file, err, c.err)
+		}
+		checkGolden(t, c.file, out.Bytes())
+	}
+}
+
+// TestExitCodesAreFrozen: 0 for what is so, 1 for what is not so or could not be done, 2 for wrong use.
+func TestExitCodesAreFrozen(t *testing.T) {
+	status := answering(t, "/registry/status", registry.Status{ID: "r0", AgeMs: -1})
+	for args, want := range map[string]int{
+		"": 0, "--help": 0, "--version": 0, "version": 0, "simulate": 0, "scale": 0, "experiment": 0, "registry": 0, "help members": 0,
+		"members 127.0.0.1:1": 1, "places 127.0.0.1:1": 1, "registry list --to 127.0.0.1:1x": 1, "registry status --to " + status: 1,
+		"registry status --json --to " + status: 0, "registry serve --config /nowhere": 1,
+		"nonsense": 2, "--nonsense": 2, "version more": 2, "members": 2, "places": 2, "simulate nowhere": 2, "simulate a b": 2,
+		"scale nowhere": 2, "scale servers --for -1s": 2, "scale a b": 2, "experiment pair": 2, "experiment zones --seeds 0": 2,
+		"experiment zones more": 2, "registry list more": 2, "registry add a": 2, "registry remove": 2, "register": 2, "register a/b 10.0.0.1:1": 2,
+		"register s nowhere": 2, "demo --for 1s": 2, "demo --nodes 1": 2, "demo more": 2,
+	} {
+		if got, _, errs := call(t.Context(), strings.Fields(args)...); got != want {
+			t.Errorf("%q: status %d, want %d; %s", args, got, want, errs)
+		}
+	}
+}
