--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -13,11 +13,11 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
-	"sloerail/internal/lab"
-	"sloerail/internal/member"
+	"sloerail/internal/membership"
 	"sloerail/internal/node"
 	"sloerail/internal/registry"
-	"sloerail/internal/scale"
+	"sloerail/internal/scaletest"
+	"sloerail/internal/simulation"
 )
 
 // TestCommandsAndFlagsAreFrozen pins what scripts write: commands, their arguments, flags, shorthands and defaults. A hidden
@@ -67,7 +67,7 @@
 	return node.FleetView{Node: "n0", View: 7, Agreed: 3, Heard: 2, CutOff: true, Superseded: true, SentBytes: 11, HeardBytes: 12,
 		Refuted: 13, Conflicts: 14, LinesQuiet: 15, GeneratedAt: time.Date(2026, 12, 3, 4, 5, 6, 0, time.UTC),
 		Members: []node.FleetMember{{Name: "n0", Address: "10.0.0.1:7946", Zone: "a", Version: "v1", Incarnation: 9,
-			State: member.Alive, SinceMs: 61000}}}
+			State: membership.Alive, SinceMs: 61000}}}
 }
 
 // TestJSONOfNodesAndListIsFrozen pins --json of the commands that ask, with servers that answer in place of a fleet.
@@ -104,17 +104,17 @@
 
 // TestJSONOfExperimentsIsFrozen pins what the commands that measure print.
 func TestJSONOfExperimentsIsFrozen(t *testing.T) {
-	pairs := []lab.Pair{{Scenario: "all", Mean: 0.5, HalfInterval: 0.25, P: 0.125, OurG: 0.75, TheirG: 0.625, OurBroken: 1, TheirBroken: 2}}
-	row := lab.Row{Measure: lab.Measure{Name: "calm: attempts that cross", Max: 1}, Places: []float64{0, 0.5}, Alone: []float64{1, 2}}
-	report := &scale.Report{Laws: []scale.Extrapolate{{Target: 5}}, Stopped: "called off"}
-	outcome := &lab.Outcome{Classes: map[string]lab.Sum{"x": {Asked: 1}}, Broken: 3, BrokenRules: []string{"a rule"}}
+	pairs := []simulation.Pair{{Scenario: "all", Mean: 0.5, HalfInterval: 0.25, P: 0.125, OurG: 0.75, TheirG: 0.625, OurBroken: 1, TheirBroken: 2}}
+	row := simulation.Row{Measure: simulation.Measure{Name: "calm: attempts that cross", Max: 1}, Places: []float64{0, 0.5}, Alone: []float64{1, 2}}
+	report := &scaletest.Report{Laws: []scaletest.Extrapolate{{Target: 5}}, Stopped: "called off"}
+	outcome := &simulation.Outcome{Classes: map[string]simulation.Sum{"x": {Asked: 1}}, Broken: 3, BrokenRules: []string{"a rule"}}
 	for _, c := range []struct {
 		file  string
 		print func(out *bytes.Buffer) error
 		err   string
 	}{
 		{"pair.json", func(out *bytes.Buffer) error { return reportPairs(out, pairs, true) }, "1 rules were broken"},
-		{"zones.json", func(out *bytes.Buffer) error { return reportRows(out, []lab.Row{row}, true) }, ""},
+		{"zones.json", func(out *bytes.Buffer) error { return reportRows(out, []simulation.Row{row}, true) }, ""},
 		{"scale.json", func(out *bytes.Buffer) error { return tellScale(out, report, scaleFlags{asJSON: true}) },
 			"stopped before all was measured: called off"},
 		{"simulate.json", func(out *bytes.Buffer) error { return reportOutcome(out, outcome, 1, true) }, "3 rules were broken"},
--- a/internal/scaletest/form_test.go
+++ b/internal/scaletest/form_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"encoding/json"
@@ -8,15 +8,15 @@
 
 	"github.com/pelletier/go-toml/v2"
 
-	"sloerail/internal/lab"
+	"sloerail/internal/simulation"
 )
 
 // goldenScenario has every key.
 func goldenScenario() Scenario {
 	return Scenario{Name: "golden", What: "every key", Dimension: Changes, Sizes: []int{10, 20, 40, 80, 160}, Runs: 3, Seed: 39,
-		For: lab.Duration{Duration: 10 * time.Minute}, Span: lab.Duration{Duration: 1500 * time.Millisecond},
+		For: simulation.Duration{Duration: 10 * time.Minute}, Span: simulation.Duration{Duration: 1500 * time.Millisecond},
 		Held:     Held{Servers: 1000, Tenants: 50, Nodes: 20, Requests: 200.5, Changes: 0.5},
-		Replicas: 3, Fault: ReplicasAway, Away: lab.Duration{Duration: 5 * time.Second}, Target: 20000,
+		Replicas: 3, Fault: ReplicasAway, Away: simulation.Duration{Duration: 5 * time.Second}, Target: 20000,
 		Budgets: []Budget{{Measure: "heap", Most: 1e8}, {Measure: "decision CPU", Most: 5000.5}}}
 }
 
--- a/internal/scaletest/golden_test.go
+++ b/internal/scaletest/golden_test.go
@@ -1,4 +1,4 @@
-package scale
+package scaletest
 
 import (
 	"flag"
--- a/internal/simulation/golden_test.go
+++ b/internal/simulation/golden_test.go
@@ -1,4 +1,4 @@
-package lab
+package simulation
 
 import (
 	"flag"
--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -19,35 +19,35 @@
 
 // everySetting is what the line with every key says.
 func everySetting() policy.Settings {
-	return policy.Settings{Node: 1, Nodes: 4, Zone: "a", Subscribe: true, WorthByWork: true,
+	return policy.Settings{NodeIndex: 1, NodeCount: 4, Zone: "a", SubscribeList: true, WeightByWork: true,
 		Classes: []policy.Class{
-			{Name: "x", Aim: 250*ms + 500*time.Microsecond, AimStretch: 1.5, Deadline: 600 * ms, Repeat: policy.Guarded,
-				Group: policy.GroupZone, Window: 5 * time.Second, LateWorth: 0.25, Worth: 5, Stream: true,
+			{Name: "x", LatencyObjective: 250*ms + 500*time.Microsecond, ObjectivePerWork: 1.5, Deadline: 600 * ms, RetrySafety: policy.IdempotencyKeyed,
+				DedupScope: policy.DedupPerZone, DedupWindow: 5 * time.Second, LateWeight: 0.25, PriorityWeight: 5, Streaming: true,
 				Kinds: []string{"big-box", "small-box"}, Zones: []string{"a", "b"}},
-			{Name: "y", Repeat: policy.Free, Group: policy.GroupAll},
-			{Name: "z", Repeat: policy.Never, Group: policy.GroupCell},
+			{Name: "y", RetrySafety: policy.Idempotent, DedupScope: policy.DedupEverywhere},
+			{Name: "z", RetrySafety: policy.NonIdempotent, DedupScope: policy.DedupPerCell},
 		},
 		Tenants: []policy.Tenant{{Name: "t", Quota: 42.5, Share: 0.4}},
 		Allowed: policy.Allowed{Cancel: true, Probe: true, Peers: true, RetryAfter: true, MaxAttempts: 4,
-			MaxRetryAfter: 3 * time.Second, ConnIdle: 5 * time.Second},
-		Rules: policy.Rules{AnswerGrace: 20 * ms, DrainGrace: 1500 * ms, ColdShare: 0.17, ColdFor: 23 * time.Second,
-			FallMultiple: 2.5, FallFor: 3 * time.Second, AskWithin: 10 * time.Second,
-			Attempts: &policy.Budget{Least: 5, Share: 0.15, Span: 6 * time.Second}},
-		Report: []string{"latency_ms", "util", "qps"},
+			MaxRetryAfter: 3 * time.Second, IdleTimeout: 5 * time.Second},
+		Rules: policy.Rules{AnswerGrace: 20 * ms, DrainGrace: 1500 * ms, SlowStartMinCapacity: 0.17, SlowStartDuration: 23 * time.Second,
+			OverloadMultiple: 2.5, OverloadDuration: 3 * time.Second, PollInterval: 10 * time.Second,
+			RetryBudget: &policy.RetryBudget{MinRetries: 5, RetryRatio: 0.15, Window: 6 * time.Second}},
+		ReportFields: []string{"latency_ms", "util", "qps"},
 	}
 }
 
-func budgetAlone(b policy.Budget) policy.Settings {
-	return policy.Settings{Rules: policy.Rules{Attempts: &b}}
+func budgetAlone(b policy.RetryBudget) policy.Settings {
+	return policy.Settings{Rules: policy.Rules{RetryBudget: &b}}
 }
 
 // everyLine is what the lines of events.jsonl say, in order.
 func everyLine() []Line {
-	members := []policy.Member{
-		{Server: "s1", Zone: "a", Kind: "big-box", Weight: 1, Availability: policy.Running},
-		{Server: "s2", Zone: "b", Kind: "small-box", Cell: 7, Weight: 1.5, OnlineSince: 6100*ms + 500*time.Microsecond,
+	members := []policy.Endpoint{
+		{ID: "s1", Zone: "a", Kind: "big-box", Weight: 1, Availability: policy.Running},
+		{ID: "s2", Zone: "b", Kind: "small-box", Cell: 7, Weight: 1.5, StartedAt: 6100*ms + 500*time.Microsecond,
 			Availability: policy.Draining},
-		{Server: "s3", Weight: 1, Availability: policy.Removed},
+		{ID: "s3", Weight: 1, Availability: policy.Removed},
 	}
 	all := []Line{
 		{Kind: Mark, Now: 8412*ms + 250*time.Microsecond},
@@ -57,28 +57,28 @@
 		{Kind: Configure, Node: 3, Seed: 1<<64 - 1, Settings: everySetting()},
 		{Kind: Configure, Node: 4, Seed: 1},
 		{Kind: Configure, Node: 4, Seed: 1},
-		{Kind: Configure, Node: 4, Seed: 1, Settings: budgetAlone(policy.Budget{Least: 5})},
-		{Kind: Configure, Node: 4, Seed: 1, Settings: budgetAlone(policy.Budget{Share: 0.5})},
-		{Kind: Configure, Node: 4, Seed: 1, Settings: budgetAlone(policy.Budget{Span: 6 * time.Second})},
+		{Kind: Configure, Node: 4, Seed: 1, Settings: budgetAlone(policy.RetryBudget{MinRetries: 5})},
+		{Kind: Configure, Node: 4, Seed: 1, Settings: budgetAlone(policy.RetryBudget{RetryRatio: 0.5})},
+		{Kind: Configure, Node: 4, Seed: 1, Settings: budgetAlone(policy.RetryBudget{Window: 6 * time.Second})},
 	}
 	outcome := func(code policy.Code) policy.Event {
 		return policy.Outcome{ID: "id", Server: "s1", Code: code, Latency: ms}
 	}
 	for _, event := range []policy.Event{
-		policy.Request{ID: "id", Class: "x", Tenant: "t", Key: "k", ExpiresIn: 240 * ms, Hint: 12 * ms, Retry: true, Write: true},
-		policy.Request{ID: "id", Class: "x", ExpiresIn: 240 * ms},
-		policy.MemberList{Kind: policy.ListReplace, Members: members},
-		policy.MemberList{Kind: policy.ListUpdate, Members: members},
-		policy.MemberList{Kind: policy.ListRestored, Members: []policy.Member{}},
-		policy.MemberList{Kind: policy.ListUnavailable},
+		policy.Request{ID: "id", Class: "x", Tenant: "t", Key: "k", Timeout: 240 * ms, EstimatedWork: 12 * ms, ClientRetry: true, Write: true},
+		policy.Request{ID: "id", Class: "x", Timeout: 240 * ms},
+		policy.EndpointList{Kind: policy.ListReplace, Endpoints: members},
+		policy.EndpointList{Kind: policy.ListUpdate, Endpoints: members},
+		policy.EndpointList{Kind: policy.ListCached, Endpoints: []policy.Endpoint{}},
+		policy.EndpointList{Kind: policy.ListUnavailable},
 		policy.Timer{Token: 1 << 63},
-		policy.Lapsed{ID: "id"},
+		policy.ClientCancelled{ID: "id"},
 		policy.FirstByte{ID: "id", Server: "s1", Attempt: 1, Latency: 9*ms + 125*time.Microsecond},
-		policy.Outcome{ID: "id", Attempt: 1, Server: "s1", Code: policy.OK, Latency: 18*ms + 500*time.Microsecond, Ended: true,
-			Report: []float64{0.5, 14.5, 3}},
-		outcome(policy.ServerError), outcome(policy.Full), outcome(policy.TimedOut), outcome(policy.ConnectFailed),
-		outcome(policy.Reset), outcome(policy.Cancelled), outcome(policy.Moot),
-		policy.ProbeResult{Server: "s1", Code: policy.OK, Latency: 1500 * time.Microsecond, Report: []float64{1, 2, 3}},
+		policy.Outcome{ID: "id", Attempt: 1, Server: "s1", Code: policy.OK, Latency: 18*ms + 500*time.Microsecond, RequestEnded: true,
+			LoadReport: []float64{0.5, 14.5, 3}},
+		outcome(policy.ServerError), outcome(policy.Overloaded), outcome(policy.TimedOut), outcome(policy.ConnectFailed),
+		outcome(policy.Reset), outcome(policy.Cancelled), outcome(policy.NotAttempted),
+		policy.ProbeResult{Server: "s1", Code: policy.OK, Latency: 1500 * time.Microsecond, LoadReport: []float64{1, 2, 3}},
 		policy.ProbeResult{Server: "s1", Code: policy.TimedOut, Latency: 1500 * time.Microsecond},
 		policy.PeerMessage{From: 2, Body: `hi "7" ü`},
 	} {
@@ -120,18 +120,18 @@
 func TestEveryActionIsFrozen(t *testing.T) {
 	var out []byte
 	for _, a := range []policy.Action{
-		{Kind: policy.Send, ID: "id", Server: "s", Until: 8492*ms + 250*time.Microsecond},
+		{Kind: policy.Send, ID: "id", Server: "s", AttemptDeadline: 8492*ms + 250*time.Microsecond},
 		{Kind: policy.Send, ID: "id", Server: "s"},
-		{Kind: policy.Refuse, ID: "id", Wait: 250 * ms},
-		{Kind: policy.Refuse, ID: "id"},
+		{Kind: policy.Reject, ID: "id", Wait: 250 * ms},
+		{Kind: policy.Reject, ID: "id"},
 		{Kind: policy.Fail, ID: "id"},
 		{Kind: policy.Cancel, ID: "id", Attempt: 2},
 		{Kind: policy.SetTimer, Wait: 500*ms + 1500*time.Nanosecond, Token: 1<<64 - 1},
 		{Kind: policy.Probe, Server: "s"},
 		{Kind: policy.CloseIdle, Server: "s"},
-		{Kind: policy.Tell, Peer: -1, Text: "a\nb"},
+		{Kind: policy.SendPeerMessage, Peer: -1, Text: "a\nb"},
 		{Kind: policy.Log, Text: `quoted "ü" <&>` + "\x7f"},
-		{Kind: policy.WatchList, On: true},
+		{Kind: policy.WatchList, Enabled: true},
 		{Kind: policy.WatchList},
 		{Kind: policy.FetchList},
 	} {
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"flag"
--- a/internal/testcluster/golden_test.go
+++ b/internal/testcluster/golden_test.go
@@ -1,4 +1,4 @@
-package rig
+package testcluster
 
 import (
 	"flag"
