--- a/cmd/sloerail/registry.go
+++ b/cmd/sloerail/registry.go
@@ -19,7 +19,7 @@
 func newRegistry() *cobra.Command {
 	var to []string
 	root := &cobra.Command{Use: "registry", Short: "Run the list service, and look after it"}
-	root.PersistentFlags().StringSliceVar(&to, "to", []string{registry.Default().Listen}, "addresses of the replicas")
+	root.PersistentFlags().StringSliceVar(&to, "to", []string{registry.DefaultConfig().ListenAddress}, "addresses of the replicas")
 	client := func() *registry.Client { return registry.NewClient(to) }
 	root.AddCommand(newServe(), newList(client), newWatch(client), newStatus(client), newAdd(client), newRemove(client))
 	return root
@@ -33,7 +33,7 @@
 		Example: "  sloerail registry serve\n  sloerail registry serve --config r1.toml\n" +
 			"  sloerail registry serve --config r1.toml --new-epoch",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c := registry.Default()
+			c := registry.DefaultConfig()
 			if file != "" {
 				var err error
 				if c, err = registry.LoadConfig(file); err != nil {
@@ -54,7 +54,7 @@
 		Use: "list", Short: "Show the servers that are in the list", Args: args(cobra.NoArgs),
 		Example: "  sloerail registry list --to 10.2.0.1:8500,10.2.0.2:8500",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			var l registry.List
+			var l registry.EndpointList
 			if err := client().Do(cmd.Context(), http.MethodGet, "/registry/instances", nil, &l, 0); err != nil {
 				return err
 			}
@@ -73,7 +73,7 @@
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			c, at := client(), int64(-1)
 			for cmd.Context().Err() == nil {
-				var l registry.List
+				var l registry.EndpointList
 				path := fmt.Sprintf("/registry/instances?index=%d&wait=%d", at, watchWait.Milliseconds())
 				if err := c.Watch(cmd.Context(), path, watchWait, &l); err != nil {
 					if cmd.Context().Err() != nil {
@@ -81,7 +81,7 @@
 					}
 					return err
 				}
-				if at = l.Revision; l.Complete || len(l.Members) > 0 {
+				if at = l.Revision; l.Complete || len(l.Endpoints) > 0 {
 					if err := showList(cmd.OutOrStdout(), l, asJSON); err != nil {
 						return err
 					}
@@ -94,12 +94,12 @@
 	return cmd
 }
 
-func showList(out io.Writer, l registry.List, asJSON bool) error {
+func showList(out io.Writer, l registry.EndpointList, asJSON bool) error {
 	return output.Show(out, l, asJSON, func(p *output.Printer) {
 		p.Printf("revision %d, complete: %v\n", l.Revision, l.Complete)
 		t := newTable(p, "id", "address", "zone", "kind", "cell", "phase", "size")
-		for _, e := range l.Members {
-			t.AppendRow(table.Row{e.ID, e.HostPort, e.Locality, e.Flavor, e.Cell, e.Phase, e.Size})
+		for _, e := range l.Endpoints {
+			t.AppendRow(table.Row{e.ID, e.Address, e.Zone, e.Kind, e.Cell, e.Phase, e.Size})
 		}
 		t.Render()
 	})
@@ -134,12 +134,12 @@
 func printStatus(p *output.Printer, s registry.Status) {
 	p.Printf("%s: leader %q, epoch %d, revision %d, %d instances, %d watches, age %d ms\n", s.ID, s.Leader,
 		s.Epoch, s.Revision, s.Instances, s.Watches, s.AgeMs)
-	if s.Held {
+	if s.ExpirySuspended {
 		p.Println("LEASES RUN OUT IN A MASS: nobody is removed")
 	}
 	t := newTable(p, "replica", "raft", "calls")
 	for _, r := range s.Replicas {
-		t.AppendRow(table.Row{r.ID, r.Raft, r.Calls})
+		t.AppendRow(table.Row{r.ID, r.RaftAddress, r.APIAddress})
 	}
 	t.Render()
 }
@@ -168,7 +168,7 @@
 func newRegister() *cobra.Command {
 	var to []string
 	var drain time.Duration
-	a := registry.Agent{Entry: registry.Entry{Phase: registry.Up}}
+	a := registry.Agent{Endpoint: registry.Endpoint{Phase: registry.PhaseUp}}
 	cmd := &cobra.Command{
 		Use:   "register ID HOST:PORT",
 		Short: "Keep a server in the list: register, renew, and at SIGTERM drain and take out",
@@ -177,24 +177,24 @@
 		Args: args(cobra.ExactArgs(2)),
 		RunE: func(cmd *cobra.Command, given []string) error {
 			a.Client = registry.NewClient(to)
-			a.Entry.ID, a.Entry.HostPort, a.Entry.UpSince = given[0], given[1], time.Now().UnixMilli()
-			if err := a.Entry.Check(); err != nil {
+			a.Endpoint.ID, a.Endpoint.Address, a.Endpoint.StartTimeMs = given[0], given[1], time.Now().UnixMilli()
+			if err := a.Endpoint.Validate(); err != nil {
 				return fmt.Errorf("%w: %w", errUse, err)
 			}
-			if strings.Contains(a.Entry.ID, "/") {
+			if strings.Contains(a.Endpoint.ID, "/") {
 				return fmt.Errorf("%w: id: want no slash", errUse)
 			}
 			return a.Run(cmd.Context(), drain)
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&to, "to", []string{registry.Default().Listen}, "addresses of the list service's replicas")
-	f.StringVar(&a.Entry.Locality, "zone", "", "zone that the server is in")
-	f.StringVar(&a.Entry.Flavor, "kind", "", "kind of server")
-	f.Int64Var(&a.Entry.Cell, "cell", 0, "cell (rack) that the server is in")
-	f.StringVar(&a.Entry.Service, "service", "", "service that the server belongs to; empty for none")
-	f.Float64Var(&a.Entry.Size, "size", 1, "size of the server beside others")
-	f.DurationVar(&a.Lease, "lease", registry.LeaseDefault, "without a word for so long, the server leaves the list")
+	f.StringSliceVar(&to, "to", []string{registry.DefaultConfig().ListenAddress}, "addresses of the list service's replicas")
+	f.StringVar(&a.Endpoint.Zone, "zone", "", "zone that the server is in")
+	f.StringVar(&a.Endpoint.Kind, "kind", "", "kind of server")
+	f.Int64Var(&a.Endpoint.Cell, "cell", 0, "cell (rack) that the server is in")
+	f.StringVar(&a.Endpoint.Service, "service", "", "service that the server belongs to; empty for none")
+	f.Float64Var(&a.Endpoint.Size, "size", 1, "size of the server beside others")
+	f.DurationVar(&a.TTL, "lease", registry.DefaultTTL, "without a word for so long, the server leaves the list")
 	f.DurationVar(&drain, "drain", 5*time.Second, "from the drain at SIGTERM to the end")
 	return cmd
 }
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	clientTime  = 3 * time.Second // for one call
+	callTimeout = 3 * time.Second // for one call
 	clientTries = 8               // of one write, each at the next address
 	clientLeast = 50 * time.Millisecond
 	clientMost  = 2 * time.Second
@@ -33,16 +33,16 @@
 func NewClient(addrs []string) *Client {
 	own := http.DefaultTransport.(*http.Transport).Clone() // a shared one keeps two connections for all clients
 	own.Proxy = nil
-	return &Client{addrs: addrs, at: mrand.IntN(len(addrs)), http: http.Client{Timeout: clientTime, Transport: own}}
+	return &Client{addrs: addrs, at: mrand.IntN(len(addrs)), http: http.Client{Timeout: callTimeout, Transport: own}}
 }
 
-// ErrRefused is a call that was answered, and not with what was asked for.
-type ErrRefused struct {
-	Status int
-	Says   string
+// StatusError is a call that was answered, and not with what was asked for.
+type StatusError struct {
+	StatusCode int
+	Message    string
 }
 
-func (e ErrRefused) Error() string { return fmt.Sprintf("answered %d: %s", e.Status, e.Says) }
+func (e StatusError) Error() string { return fmt.Sprintf("answered %d: %s", e.StatusCode, e.Message) }
 
 // Do calls, at the next address where one fails or turns the call away, until ctx ends or so many tries are
 // spent. A write bears one request id throughout, so that a repeat is harmless.
@@ -57,8 +57,8 @@
 	request, wait := rand.Text(), clientLeast
 	for try := 1; ; try++ {
 		err := c.once(ctx, method, path, request, body, out, match)
-		var refused ErrRefused
-		final := errors.As(err, &refused) && refused.Status != http.StatusServiceUnavailable
+		var refused StatusError
+		final := errors.As(err, &refused) && refused.StatusCode != http.StatusServiceUnavailable
 		if err == nil || final || try >= clientTries || ctx.Err() != nil {
 			return err
 		}
@@ -92,7 +92,7 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return ErrRefused{resp.StatusCode, string(bytes.TrimSpace(raw[:min(len(raw), 256)]))}
+		return StatusError{resp.StatusCode, string(bytes.TrimSpace(raw[:min(len(raw), 256)]))}
 	}
 	if out == nil {
 		return nil
@@ -102,9 +102,9 @@
 
 // Agent keeps one instance in the list: it registers, renews, and registers anew where the list has lost it.
 type Agent struct {
-	Client *Client
-	Entry  Entry
-	Lease  time.Duration
+	Client   *Client
+	Endpoint Endpoint
+	TTL      time.Duration
 }
 
 // Run keeps the instance in the list until ctx ends; then it drains it for a while, and takes it out. An outage
@@ -119,17 +119,17 @@
 			return a.leave(drain)
 		}
 		err := a.keep(ctx, registered)
-		var refused ErrRefused
+		var refused StatusError
 		switch {
 		case err == nil:
 			if !registered {
-				slog.Info("register: in the list", "id", a.Entry.ID, "lease", a.Lease)
+				slog.Info("register: in the list", "id", a.Endpoint.ID, "lease", a.TTL)
 			}
-			registered, wait = true, a.Lease/3
-		case errors.As(err, &refused) && refused.Status == http.StatusNotFound:
-			slog.Warn("register: the list has lost the instance; registering anew", "id", a.Entry.ID)
+			registered, wait = true, a.TTL/3
+		case errors.As(err, &refused) && refused.StatusCode == http.StatusNotFound:
+			slog.Warn("register: the list has lost the instance; registering anew", "id", a.Endpoint.ID)
 			registered, wait = false, 0
-		case errors.As(err, &refused) && refused.Status == http.StatusBadRequest:
+		case errors.As(err, &refused) && refused.StatusCode == http.StatusBadRequest:
 			return err
 		default:
 			slog.Warn("register: the list service is out of reach", "err", err)
@@ -140,33 +140,33 @@
 
 func (a *Agent) keep(ctx context.Context, registered bool) error {
 	if registered {
-		return a.Client.Do(ctx, http.MethodPut, listPath+"/"+a.Entry.ID+"/lease", nil, nil, 0)
+		return a.Client.Do(ctx, http.MethodPut, listPath+"/"+a.Endpoint.ID+"/lease", nil, nil, 0)
 	}
-	e := a.Entry
-	return a.Client.Do(ctx, http.MethodPut, listPath+"/"+e.ID, registration{HostPort: e.HostPort, Locality: e.Locality,
-		Flavor: e.Flavor, Cell: e.Cell, Phase: e.Phase, Size: &e.Size, UpSince: e.UpSince,
-		LeaseMs: a.Lease.Milliseconds(), Service: e.Service}, nil, 0)
+	e := a.Endpoint
+	return a.Client.Do(ctx, http.MethodPut, listPath+"/"+e.ID, registration{Address: e.Address, Zone: e.Zone,
+		Kind: e.Kind, Cell: e.Cell, Phase: e.Phase, Size: &e.Size, StartTimeMs: e.StartTimeMs,
+		TTLMs: a.TTL.Milliseconds(), Service: e.Service}, nil, 0)
 }
 
 // leave drains the instance, waits, and takes it out.
 func (a *Agent) leave(drain time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), drain+2*clientTime)
+	ctx, cancel := context.WithTimeout(context.Background(), drain+2*callTimeout)
 	defer cancel()
-	err := a.Client.Do(ctx, http.MethodPut, listPath+"/"+a.Entry.ID+"/phase", map[string]string{"phase": Draining}, nil, 0)
+	err := a.Client.Do(ctx, http.MethodPut, listPath+"/"+a.Endpoint.ID+"/phase", map[string]string{"phase": PhaseDraining}, nil, 0)
 	if err == nil {
-		slog.Info("register: draining", "id", a.Entry.ID, "for", drain)
+		slog.Info("register: draining", "id", a.Endpoint.ID, "for", drain)
 		select {
 		case <-time.After(drain):
 		case <-ctx.Done():
 		}
 	}
-	return errors.Join(err, a.Client.Do(ctx, http.MethodDelete, listPath+"/"+a.Entry.ID, nil, nil, 0))
+	return errors.Join(err, a.Client.Do(ctx, http.MethodDelete, listPath+"/"+a.Endpoint.ID, nil, nil, 0))
 }
 
 // Watch makes one call that the service may hold for a while.
-func (c *Client) Watch(ctx context.Context, path string, wait time.Duration, l *List) error {
+func (c *Client) Watch(ctx context.Context, path string, wait time.Duration, l *EndpointList) error {
 	held := *c
-	held.http.Timeout = wait + clientTime
+	held.http.Timeout = wait + callTimeout
 	err := held.Do(ctx, http.MethodGet, path, nil, l, 0)
 	c.at = held.at
 	return err
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -53,9 +53,9 @@
 	return raw
 }
 
-func goldenEntry(id, service string) Entry {
-	return Entry{ID: id, HostPort: "10.1.0.18:9000", Locality: "cairo-1", Flavor: "big-box", Cell: 3, Phase: Up, Size: 1.5,
-		UpSince: 1_700_000_000_123, Service: service}
+func goldenEntry(id, service string) Endpoint {
+	return Endpoint{ID: id, Address: "10.1.0.18:9000", Zone: "cairo-1", Kind: "big-box", Cell: 3, Phase: PhaseUp, Size: 1.5,
+		StartTimeMs: 1_700_000_000_123, Service: service}
 }
 
 // namedCommand is a command with a label for the golden file.
@@ -66,38 +66,38 @@
 
 // goldenCommands has each kind, with few and with many fields. Applied in this order they fill a state.
 var goldenCommands = []namedCommand{
-	{"lead", Command{Kind: Lead}},
-	{"set-peer-r0", Command{Kind: SetPeer, ID: "r0", Entry: Entry{HostPort: "10.2.0.1:8500"}}},
-	{"set-peer-r1", Command{Kind: SetPeer, ID: "r1", Entry: Entry{HostPort: "10.2.0.2:8500"}}},
-	{"register", Command{Kind: Register, ID: "s0", Entry: goldenEntry("s0", ""), Lease: LeaseDefault}},
-	{"register-service", Command{Kind: Register, Request: "q1", ID: "s1", Entry: goldenEntry("s1", "pay"), Lease: LeaseMost}},
-	{"register-service-2", Command{Kind: Register, Request: "q2", ID: "s2", Entry: goldenEntry("s2", "pay"), Lease: LeaseMost}},
-	{"register-service-3", Command{Kind: Register, ID: "s3", Entry: goldenEntry("s3", "pay"), Lease: LeaseMost}},
-	{"register-if-match", Command{Kind: Register, Request: "q3", ID: "s3", IfMatch: 1<<32 + 4, Entry: goldenEntry("s3", "mail"),
-		Lease: time.Minute}},
-	{"register-mismatch", Command{Kind: Register, Request: "q4", ID: "s3", IfMatch: 7, Entry: goldenEntry("s3", "mail"),
-		Lease: time.Minute}},
-	{"renew", Command{Kind: Renew, ID: "s1"}},
-	{"set-phase", Command{Kind: SetPhase, Request: "q5", ID: "s1", Phase: Draining}},
-	{"set-phase-if-match", Command{Kind: SetPhase, ID: "s2", IfMatch: 1<<32 + 3, Phase: Draining}},
-	{"remove", Command{Kind: Remove, Request: "q6", ID: "s2"}},
-	{"remove-unknown", Command{Kind: Remove, Request: "q7", ID: "s9"}},
-	{"unknown-kind", Command{Kind: 200, Request: "q8"}},
-	{"tick", Command{Kind: Tick, Span: 200 * time.Millisecond}},
-	{"tick-5s", Command{Kind: Tick, Span: 5 * time.Second}},
-	{"tick-5s-again", Command{Kind: Tick, Span: 5 * time.Second}},
-	{"tick-lease-over", Command{Kind: Tick, Span: 5 * time.Second}},
-	{"remove-peer", Command{Kind: SetPeer, ID: "r1"}},
+	{"lead", Command{Kind: RestartLeases}},
+	{"set-peer-r0", Command{Kind: SetReplicaAddress, ID: "r0", Endpoint: Endpoint{Address: "10.2.0.1:8500"}}},
+	{"set-peer-r1", Command{Kind: SetReplicaAddress, ID: "r1", Endpoint: Endpoint{Address: "10.2.0.2:8500"}}},
+	{"register", Command{Kind: RegisterInstance, ID: "s0", Endpoint: goldenEntry("s0", ""), TTL: DefaultTTL}},
+	{"register-service", Command{Kind: RegisterInstance, RequestID: "q1", ID: "s1", Endpoint: goldenEntry("s1", "pay"), TTL: MaxTTL}},
+	{"register-service-2", Command{Kind: RegisterInstance, RequestID: "q2", ID: "s2", Endpoint: goldenEntry("s2", "pay"), TTL: MaxTTL}},
+	{"register-service-3", Command{Kind: RegisterInstance, ID: "s3", Endpoint: goldenEntry("s3", "pay"), TTL: MaxTTL}},
+	{"register-if-match", Command{Kind: RegisterInstance, RequestID: "q3", ID: "s3", IfMatch: 1<<32 + 4, Endpoint: goldenEntry("s3", "mail"),
+		TTL: time.Minute}},
+	{"register-mismatch", Command{Kind: RegisterInstance, RequestID: "q4", ID: "s3", IfMatch: 7, Endpoint: goldenEntry("s3", "mail"),
+		TTL: time.Minute}},
+	{"renew", Command{Kind: RenewLease, ID: "s1"}},
+	{"set-phase", Command{Kind: SetInstancePhase, RequestID: "q5", ID: "s1", Phase: PhaseDraining}},
+	{"set-phase-if-match", Command{Kind: SetInstancePhase, ID: "s2", IfMatch: 1<<32 + 3, Phase: PhaseDraining}},
+	{"remove", Command{Kind: DeregisterInstance, RequestID: "q6", ID: "s2"}},
+	{"remove-unknown", Command{Kind: DeregisterInstance, RequestID: "q7", ID: "s9"}},
+	{"unknown-kind", Command{Kind: 200, RequestID: "q8"}},
+	{"tick", Command{Kind: AdvanceClock, Elapsed: 200 * time.Millisecond}},
+	{"tick-5s", Command{Kind: AdvanceClock, Elapsed: 5 * time.Second}},
+	{"tick-5s-again", Command{Kind: AdvanceClock, Elapsed: 5 * time.Second}},
+	{"tick-lease-over", Command{Kind: AdvanceClock, Elapsed: 5 * time.Second}},
+	{"remove-peer", Command{Kind: SetReplicaAddress, ID: "r1"}},
 }
 
-var goldenNewEpoch = namedCommand{"new-epoch", Command{Kind: NewEpoch}}
+var goldenNewEpoch = namedCommand{"new-epoch", Command{Kind: BeginEpoch}}
 
-func goldenState() *State {
-	s := NewState()
+func goldenState() *Store {
+	s := NewStore()
 	for _, n := range goldenCommands {
 		s.Apply(n.command)
 	}
-	s.Index = 4711
+	s.AppliedIndex = 4711
 	return s
 }
 
@@ -136,11 +136,11 @@
 func TestGoldenSnapshot(t *testing.T) {
 	s := goldenState()
 	var now bytes.Buffer
-	if err := s.Write(&now); err != nil {
+	if err := s.WriteSnapshot(&now); err != nil {
 		t.Fatal(err)
 	}
 	raw := golden(t, "snapshot", now.Bytes())
-	back, err := Read(bytes.NewReader(raw))
+	back, err := ReadSnapshot(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,26 +154,26 @@
 func TestGoldenSnapshotBytes(t *testing.T) {
 	s := goldenState()
 	for _, id := range []string{"s0", "s1"} {
-		s.Apply(Command{Kind: Remove, ID: id})
+		s.Apply(Command{Kind: DeregisterInstance, ID: id})
 	}
 	var now bytes.Buffer
-	if err := s.Write(&now); err != nil {
+	if err := s.WriteSnapshot(&now); err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Instances) != 1 || len(s.Peers) != 1 {
-		t.Fatalf("%d instances and %d peers: the order of their keys isn't given", len(s.Instances), len(s.Peers))
+	if len(s.Instances) != 1 || len(s.ReplicaAddresses) != 1 {
+		t.Fatalf("%d instances and %d peers: the order of their keys isn't given", len(s.Instances), len(s.ReplicaAddresses))
 	}
 	raw := golden(t, "snapshot-one", now.Bytes())
 	if !bytes.Equal(raw, now.Bytes()) {
 		t.Errorf("a snapshot is written otherwise:\ngolden %x\nnow    %x", raw, now.Bytes())
 	}
-	back, err := Read(bytes.NewReader(raw))
+	back, err := ReadSnapshot(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkSameState(t, s, back)
 	var again bytes.Buffer
-	if err := back.Write(&again); err != nil {
+	if err := back.WriteSnapshot(&again); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(raw, again.Bytes()) {
@@ -182,15 +182,15 @@
 }
 
 // checkSameState compares what a snapshot holds, and what is derived from it.
-func checkSameState(t *testing.T, want, got *State) {
+func checkSameState(t *testing.T, want, got *Store) {
 	t.Helper()
-	if diff := cmp.Diff(want.image, got.image, cmp.AllowUnexported(image{}, change{}, answered{})); diff != "" {
+	if diff := cmp.Diff(want.snapshotImage, got.snapshotImage, cmp.AllowUnexported(snapshotImage{}, change{}, cachedResponse{})); diff != "" {
 		t.Error("the state differs (-want +got):", diff)
 	}
 	if !maps.Equal(want.answers, got.answers) {
 		t.Error("the answers to requests differ:", cmp.Diff(want.answers, got.answers))
 	}
-	if diff := cmp.Diff(want.Whole(), got.Whole()); diff != "" {
+	if diff := cmp.Diff(want.FullList(), got.FullList()); diff != "" {
 		t.Error("the lists differ (-want +got):", diff)
 	}
 }
@@ -218,13 +218,13 @@
 func openAlone(t *testing.T, folder string) *Replica {
 	t.Helper()
 	addr, transport := raft.NewInmemTransport("r0.raft")
-	r, err := Open(ReplicaConfig{ID: "r0", Raft: string(addr), Calls: "10.2.0.1:8500", Folder: folder,
-		Peers: map[string]string{"r0": string(addr)}, transport: transport})
+	r, err := Open(ReplicaConfig{ID: "r0", RaftAddress: string(addr), APIAddress: "10.2.0.1:8500", DataDir: folder,
+		InitialReplicas: map[string]string{"r0": string(addr)}, transport: transport})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(mostWait); ; time.Sleep(tickEvery / 10) {
-		if age, ok := r.Age(); ok && age < staleMost {
+	for until := time.Now().Add(maxWatchWait); ; time.Sleep(tickInterval / 10) {
+		if age, ok := r.Age(); ok && age < defaultMaxAge {
 			return r
 		}
 		if time.Now().After(until) {
@@ -248,23 +248,23 @@
 			t.Error(err)
 		}
 	}()
-	var list List
+	var list EndpointList
 	var peers map[string]string
-	r.Look(func(s *State) { list, peers = s.Whole(), maps.Clone(s.Peers) })
+	r.View(func(s *Store) { list, peers = s.FullList(), maps.Clone(s.ReplicaAddresses) })
 	s1, s3 := goldenEntry("s1", "pay"), goldenEntry("s3", "pay")
-	s1.Phase = Draining
-	want := List{Revision: 1<<32 + 7, Complete: true, Members: []Entry{goldenEntry("s0", ""), s1, s3}}
+	s1.Phase = PhaseDraining
+	want := EndpointList{Revision: 1<<32 + 7, Complete: true, Endpoints: []Endpoint{goldenEntry("s0", ""), s1, s3}}
 	if diff := cmp.Diff(want, list); diff != "" {
 		t.Error("the list differs (-want +got):", diff)
 	}
 	if want := map[string]string{"r0": "10.2.0.1:8500", "r1": "10.2.0.2:8500"}; !maps.Equal(want, peers) {
 		t.Errorf("the replicas' addresses are %v, want %v", peers, want)
 	}
-	res, err := r.Apply(Command{Kind: SetPhase, Request: "q5", ID: "s1", Phase: Draining})
+	res, err := r.Propose(Command{Kind: SetInstancePhase, RequestID: "q5", ID: "s1", Phase: PhaseDraining})
 	if err != nil || res.Revision != 1<<32+5 {
 		t.Errorf("a request that was answered before gets %+v, %v, want the answer of then", res, err)
 	}
-	if res, err := r.Apply(Command{Kind: Remove, ID: "s0"}); err != nil || res.Revision != want.Revision+1 {
+	if res, err := r.Propose(Command{Kind: DeregisterInstance, ID: "s0"}); err != nil || res.Revision != want.Revision+1 {
 		t.Errorf("the next change gives %+v, %v", res, err)
 	}
 }
@@ -274,19 +274,19 @@
 	folder := t.TempDir()
 	r := openAlone(t, folder)
 	apply(t, r,
-		Command{Kind: SetPeer, ID: "r1", Entry: Entry{HostPort: "10.2.0.2:8500"}},
-		Command{Kind: Register, Entry: goldenEntry("s0", ""), Lease: LeaseMost},
-		Command{Kind: Register, Request: "q1", Entry: goldenEntry("s1", "pay"), Lease: LeaseMost},
-		Command{Kind: Register, Entry: goldenEntry("s2", "pay"), Lease: LeaseMost},
-		Command{Kind: Renew, ID: "s0"})
+		Command{Kind: SetReplicaAddress, ID: "r1", Endpoint: Endpoint{Address: "10.2.0.2:8500"}},
+		Command{Kind: RegisterInstance, Endpoint: goldenEntry("s0", ""), TTL: MaxTTL},
+		Command{Kind: RegisterInstance, RequestID: "q1", Endpoint: goldenEntry("s1", "pay"), TTL: MaxTTL},
+		Command{Kind: RegisterInstance, Endpoint: goldenEntry("s2", "pay"), TTL: MaxTTL},
+		Command{Kind: RenewLease, ID: "s0"})
 	if err := r.raft.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
 	apply(t, r,
-		Command{Kind: Register, Entry: goldenEntry("s3", "pay"), Lease: LeaseMost},
-		Command{Kind: SetPhase, Request: "q5", ID: "s1", Phase: Draining},
-		Command{Kind: SetPhase, ID: "s2", Phase: Draining},
-		Command{Kind: Remove, Request: "q6", ID: "s2"})
+		Command{Kind: RegisterInstance, Endpoint: goldenEntry("s3", "pay"), TTL: MaxTTL},
+		Command{Kind: SetInstancePhase, RequestID: "q5", ID: "s1", Phase: PhaseDraining},
+		Command{Kind: SetInstancePhase, ID: "s2", Phase: PhaseDraining},
+		Command{Kind: DeregisterInstance, RequestID: "q6", ID: "s2"})
 	if err := r.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -432,11 +432,11 @@
 		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","up_since_ms":-1}`},
 		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","service":"a b"}`},
 		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","lease_ms":999}`},
-		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","locality":"` + strings.Repeat("z", mostText+1) + `"}`},
+		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","locality":"` + strings.Repeat("z", maxFieldBytes+1) + `"}`},
 		{method: "PUT", path: "/registry/instances/", body: `{"host_port":"a:1"}`},
 		{method: "PUT", path: "/registry/instances/s0/phase", body: `{"phase":"removed"}`},
 		{method: "PUT", path: "/registry/instances/s0", header: map[string]string{"If-Match": "x"}},
-		{method: "PUT", path: "/registry/instances/s0", header: map[string]string{"X-Request-Id": strings.Repeat("q", mostText+1)}},
+		{method: "PUT", path: "/registry/instances/s0", header: map[string]string{"X-Request-Id": strings.Repeat("q", maxFieldBytes+1)}},
 		{method: "PUT", path: "/registry/replicas/r1", body: `{"raft":"10.2.0.2:8501"}`},
 		{method: "PUT", path: "/registry/replicas/r1", body: `{"raft":3}`},
 		{method: "POST", path: "/registry/replicas/r1"},
@@ -455,11 +455,11 @@
 // TestGoldenRefusals has the answers of a replica that doesn't lead, and of one with no room.
 func TestGoldenRefusals(t *testing.T) {
 	addr, transport := raft.NewInmemTransport("r0.raft")
-	r, err := Open(ReplicaConfig{ID: "r0", Raft: string(addr), Folder: t.TempDir(), transport: transport})
+	r, err := Open(ReplicaConfig{ID: "r0", RaftAddress: string(addr), DataDir: t.TempDir(), transport: transport})
 	if err != nil {
 		t.Fatal(err)
 	}
-	replica := NewServer(r, ServerConfig{Watches: 1})
+	replica := NewServer(r, ServerConfig{MaxWatches: 1})
 	server, control := httptest.NewServer(replica), httptest.NewServer(replica.control())
 	defer func() {
 		server.Close()
@@ -482,11 +482,11 @@
 		replica.writes <- struct{}{}
 	}
 	transcript(t, &b, "DELETE", server.URL, "/registry/instances/s0", "", nil)
-	for _, err := range []error{ErrNotLeader{Calls: "10.2.0.2:8500"}, ErrNotLeader{}, ErrNotKept} {
+	for _, err := range []error{NotLeaderError{LeaderAddress: "10.2.0.2:8500"}, NotLeaderError{}, ErrNotCommitted} {
 		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.answer(w, req, "s0", Result{}, err) }))
 	}
-	for _, fault := range []Fault{NotFound, Mismatch, Full, Unknown} {
-		res := Result{Fault: fault, Instance: Instance{Version: 7}}
+	for _, fault := range []ResultCode{ResultNotFound, ResultVersionMismatch, ResultTooManyInstances, ResultUnknownCommand} {
+		res := Result{Code: fault, Instance: Instance{Version: 7}}
 		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.answer(w, req, "s0", res, nil) }))
 	}
 	now := masked(b.String())
@@ -530,7 +530,7 @@
 	}))
 	defer server.Close()
 	client := NewClient([]string{strings.TrimPrefix(server.URL, "http://")})
-	agent := &Agent{Client: client, Entry: goldenEntry("s0", "pay"), Lease: 300 * time.Millisecond}
+	agent := &Agent{Client: client, Endpoint: goldenEntry("s0", "pay"), TTL: 300 * time.Millisecond}
 	if err := agent.Run(ctx, time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
@@ -558,9 +558,9 @@
 r2 = "10.2.0.3:8501"
 `))
 	got, err := LoadConfig(filepath.Join("testdata", "replica.toml"))
-	want := Config{ID: "r1", Listen: "10.2.0.2:8500", Raft: "10.2.0.2:8501", Bind: "0.0.0.0:8501", Control: "10.2.0.2:8502",
-		Folder: "/var/lib/sloerail", Watches: 512,
-		Peers: map[string]string{"r0": "10.2.0.1:8501", "r1": "10.2.0.2:8501", "r2": "10.2.0.3:8501"}}
+	want := Config{ID: "r1", ListenAddress: "10.2.0.2:8500", RaftAddress: "10.2.0.2:8501", RaftBindAddress: "0.0.0.0:8501", AdminAddress: "10.2.0.2:8502",
+		DataDir: "/var/lib/sloerail", MaxWatches: 512,
+		InitialReplicas: map[string]string{"r0": "10.2.0.1:8501", "r1": "10.2.0.2:8501", "r2": "10.2.0.3:8501"}}
 	if diff := cmp.Diff(want, got); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
@@ -569,8 +569,8 @@
 // TestStoredFieldsHaveExplicitKeys holds that no stored or sent form takes a key from a Go name.
 func TestStoredFieldsHaveExplicitKeys(t *testing.T) {
 	for tag, forms := range map[string][]any{
-		"cbor": {Command{}, image{}, Instance{}, Entry{}, Result{}, change{}, Placement{}, answered{}},
-		"json": {List{}, Entry{}, registration{}, Answer{}, Status{}, ReplicaStatus{}, fresh{}},
+		"cbor": {Command{}, snapshotImage{}, Instance{}, Endpoint{}, Result{}, change{}, Placement{}, cachedResponse{}},
+		"json": {EndpointList{}, Endpoint{}, registration{}, WriteResponse{}, Status{}, ReplicaStatus{}, freshnessResponse{}},
 		"toml": {Config{}},
 	} {
 		for _, form := range forms {
--- a/internal/registry/http.go
+++ b/internal/registry/http.go
@@ -18,25 +18,25 @@
 const (
 	listPath = "/registry/instances"
 
-	mostWait    = time.Minute // that a watch lasts, as the platform has it
-	mostBody    = 16 << 10
-	mostReads   = 256 // lists being written at a time
-	mostWrites  = 64  // commands under way at a time: registration has a share of its own
-	readTime    = 5 * time.Second
-	writeGrace  = 10 * time.Second // for a caller to take an answer; slower ones are dropped
-	againIn     = "1"              // seconds, for a caller that was turned away
-	staleMost   = 2 * time.Second  // older than that, a replica serves nothing
-	headerEpoch = "X-Registry-Epoch"
-	headerAge   = "X-Registry-Age-Ms" // how old the list may be at most
-
-	headerScoped  = "X-Registry-Scoped"           // the list is of the scope that the call named
-	headerUnknown = "X-Registry-Unknown-Services" // those of the scope of which nothing is known
+	maxWatchWait     = time.Minute // that a watch lasts, as the platform has it
+	maxBodyBytes     = 16 << 10
+	maxListResponses = 256 // lists being written at a time
+	maxWrites        = 64  // commands under way at a time: registration has a share of its own
+	readTime         = 5 * time.Second
+	writeGrace       = 10 * time.Second // for a caller to take an answer; slower ones are dropped
+	againIn          = "1"              // seconds, for a caller that was turned away
+	defaultMaxAge    = 2 * time.Second  // older than that, a replica serves nothing
+	epochHeader      = "X-Registry-Epoch"
+	ageHeader        = "X-Registry-Age-Ms" // how old the list may be at most
+
+	scopedHeader          = "X-Registry-Scoped"           // the list is of the scope that the call named
+	unknownServicesHeader = "X-Registry-Unknown-Services" // those of the scope of which nothing is known
 )
 
 // ServerConfig bounds a replica's side for callers.
 type ServerConfig struct {
-	Watches int           // held at a time; more are turned away
-	Stale   time.Duration // how old a list may be at most; 0 for 2 s
+	MaxWatches int           // held at a time; more are turned away
+	MaxAge     time.Duration // how old a list may be at most; 0 for 2 s
 }
 
 // Server answers calls for the list and registrations.
@@ -58,19 +58,19 @@
 
 // NewServer makes a replica's side for callers.
 func NewServer(r *Replica, c ServerConfig) *Server {
-	if c.Stale == 0 {
-		c.Stale = staleMost
+	if c.MaxAge == 0 {
+		c.MaxAge = defaultMaxAge
 	}
-	if c.Watches == 0 {
-		c.Watches = 4096
+	if c.MaxWatches == 0 {
+		c.MaxWatches = 4096
 	}
-	return &Server{r: r, c: c, watches: make(chan struct{}, c.Watches), reads: make(chan struct{}, mostReads),
-		writes: make(chan struct{}, mostWrites), choices: make(chan struct{}, runtime.GOMAXPROCS(0))}
+	return &Server{r: r, c: c, watches: make(chan struct{}, c.MaxWatches), reads: make(chan struct{}, maxListResponses),
+		writes: make(chan struct{}, maxWrites), choices: make(chan struct{}, runtime.GOMAXPROCS(0))}
 }
 
 // HTTP is an HTTP server for it, whose slow callers are dropped.
 func (s *Server) HTTP() *http.Server {
-	return &http.Server{Handler: s, MaxHeaderBytes: mostBody, ReadHeaderTimeout: readTime, IdleTimeout: 2 * mostWait,
+	return &http.Server{Handler: s, MaxHeaderBytes: maxBodyBytes, ReadHeaderTimeout: readTime, IdleTimeout: 2 * maxWatchWait,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
 }
 
@@ -138,7 +138,7 @@
 		return
 	}
 	if !watch {
-		s.tell(w, c, func(*State) (int64, bool) { return -1, true })
+		s.tell(w, c, func(*Store) (int64, bool) { return -1, true })
 		return
 	}
 	if !s.enter(w, s.watches) {
@@ -146,22 +146,22 @@
 	}
 	s.stats.Watches.Add(1)
 	defer func() { <-s.watches; s.stats.Watches.Add(-1) }()
-	until := time.NewTimer(min(mostWait, max(0, time.Duration(ms)*time.Millisecond)))
+	until := time.NewTimer(min(maxWatchWait, max(0, time.Duration(ms)*time.Millisecond)))
 	defer until.Stop()
 	if scope != nil {
 		s.watchScoped(w, req, c, scope, index, until.C)
 		return
 	}
 	for {
-		news := s.r.Wait() // before looking, so that no change is missed
-		told := s.tell(w, c, func(st *State) (int64, bool) { return index, index != st.Revision })
+		news := s.r.Changed() // before looking, so that no change is missed
+		told := s.tell(w, c, func(st *Store) (int64, bool) { return index, index != st.Revision })
 		if told {
 			return
 		}
 		select {
 		case <-news:
 		case <-until.C:
-			s.tell(w, c, func(*State) (int64, bool) { return index, true })
+			s.tell(w, c, func(*Store) (int64, bool) { return index, true })
 			return
 		case <-req.Context().Done():
 			return
@@ -179,11 +179,11 @@
 
 // tell writes what is new since a revision, -1 for the whole list, where want says so. It refuses where this
 // replica can't tell that its list is fresh enough.
-func (s *Server) tell(w http.ResponseWriter, c *http.ResponseController, want func(*State) (since int64, now bool)) bool {
+func (s *Server) tell(w http.ResponseWriter, c *http.ResponseController, want func(*Store) (since int64, now bool)) bool {
 	var raw []byte
 	var epoch int64
 	var now bool
-	s.r.Look(func(st *State) {
+	s.r.View(func(st *Store) {
 		var since int64
 		if since, now = want(st); now {
 			raw, epoch = s.r.encode(st, since), st.Epoch()
@@ -201,12 +201,12 @@
 // fresh refuses a call where this replica can't tell that its list is fresh enough.
 func (s *Server) fresh(w http.ResponseWriter) bool {
 	age, ok := s.r.Age()
-	if !ok || age > s.c.Stale {
+	if !ok || age > s.c.MaxAge {
 		s.stats.Stale.Add(1)
 		s.turnAway(w, "this replica can't tell that its list is fresh")
 		return false
 	}
-	w.Header().Set(headerAge, strconv.FormatInt(age.Milliseconds(), 10))
+	w.Header().Set(ageHeader, strconv.FormatInt(age.Milliseconds(), 10))
 	return true
 }
 
@@ -218,19 +218,19 @@
 	defer func() { <-s.reads }()
 	_ = c.SetWriteDeadline(time.Now().Add(writeGrace))
 	w.Header().Set("Content-Type", "application/json")
-	w.Header().Set(headerEpoch, strconv.FormatInt(epoch, 10))
+	w.Header().Set(epochHeader, strconv.FormatInt(epoch, 10))
 	s.stats.Lists.Add(1)
 	_, _ = w.Write(raw)
 }
 
 // encode is the list since a revision as text, made once for all who ask. The replica's lock is held.
-func (r *Replica) encode(st *State, since int64) []byte {
+func (r *Replica) encode(st *Store, since int64) []byte {
 	if raw, ok := r.encoded[since]; ok {
 		return raw
 	}
-	l := st.Whole()
+	l := st.FullList()
 	if since >= 0 {
-		l, _ = st.Since(since)
+		l, _ = st.ChangesSince(since)
 	}
 	raw, err := json.Marshal(l)
 	if err != nil { // plain fields always can be written
@@ -244,30 +244,30 @@
 
 // registration is the body of a PUT.
 type registration struct {
-	HostPort string   `json:"host_port"`
-	Locality string   `json:"locality"`
-	Flavor   string   `json:"flavor"`
-	Cell     int64    `json:"cell"`
-	Phase    string   `json:"phase"`
-	Size     *float64 `json:"size"`
-	UpSince  int64    `json:"up_since_ms"`
-	LeaseMs  int64    `json:"lease_ms"`
-	Service  string   `json:"service,omitempty"` // left out for services that know no such key
+	Address     string   `json:"host_port"`
+	Zone        string   `json:"locality"`
+	Kind        string   `json:"flavor"`
+	Cell        int64    `json:"cell"`
+	Phase       string   `json:"phase"`
+	Size        *float64 `json:"size"`
+	StartTimeMs int64    `json:"up_since_ms"`
+	TTLMs       int64    `json:"lease_ms"`
+	Service     string   `json:"service,omitempty"` // left out for services that know no such key
 }
 
-// Answer is what a write is answered with.
-type Answer struct {
+// WriteResponse is what a write is answered with.
+type WriteResponse struct {
 	ID       string `json:"id"`
 	Version  int64  `json:"version"`
 	Revision int64  `json:"revision"`
-	LeaseMs  int64  `json:"lease_ms"`
+	TTLMs    int64  `json:"lease_ms"`
 	Phase    string `json:"phase"`
 }
 
 // instance takes a write: PUT of an instance, of its lease or of its phase, and DELETE.
 func (s *Server) instance(w http.ResponseWriter, req *http.Request, path string) {
 	id, what, _ := strings.Cut(path, "/")
-	cmd := Command{ID: id, Request: req.Header.Get("X-Request-Id")}
+	cmd := Command{ID: id, RequestID: req.Header.Get("X-Request-Id")}
 	if match := strings.Trim(req.Header.Get("If-Match"), `"`); match != "" {
 		v, err := strconv.ParseInt(match, 10, 64)
 		if err != nil || v <= 0 {
@@ -276,8 +276,8 @@
 		}
 		cmd.IfMatch = v
 	}
-	if len(cmd.Request) > mostText {
-		s.bad(w, fmt.Errorf("X-Request-Id: over %d bytes", mostText))
+	if len(cmd.RequestID) > maxFieldBytes {
+		s.bad(w, fmt.Errorf("X-Request-Id: over %d bytes", maxFieldBytes))
 		return
 	}
 	var err error
@@ -285,11 +285,11 @@
 	case req.Method == http.MethodPut && what == "":
 		err = cmd.register(req, id)
 	case req.Method == http.MethodPut && what == "lease":
-		cmd.Kind, cmd.Request = Renew, "" // a repeat is harmless as it is
+		cmd.Kind, cmd.RequestID = RenewLease, "" // a repeat is harmless as it is
 	case req.Method == http.MethodPut && what == "phase":
 		err = cmd.phase(req)
 	case req.Method == http.MethodDelete && what == "":
-		cmd.Kind = Remove
+		cmd.Kind = DeregisterInstance
 	default:
 		http.Error(w, "want PUT of an instance, its lease or its phase, or DELETE", http.StatusMethodNotAllowed)
 		return
@@ -302,7 +302,7 @@
 		return
 	}
 	defer func() { <-s.writes }()
-	res, err := s.r.Apply(cmd)
+	res, err := s.r.Propose(cmd)
 	s.answer(w, req, id, res, err)
 }
 
@@ -317,22 +317,22 @@
 	if err := readJSON(req, &in); err != nil {
 		return err
 	}
-	e := Entry{ID: id, HostPort: in.HostPort, Locality: in.Locality, Flavor: in.Flavor, Cell: in.Cell, Phase: in.Phase,
-		Size: 1, UpSince: in.UpSince, Service: in.Service}
+	e := Endpoint{ID: id, Address: in.Address, Zone: in.Zone, Kind: in.Kind, Cell: in.Cell, Phase: in.Phase,
+		Size: 1, StartTimeMs: in.StartTimeMs, Service: in.Service}
 	if e.Phase == "" {
-		e.Phase = Up
+		e.Phase = PhaseUp
 	}
 	if in.Size != nil {
 		e.Size = *in.Size
 	}
-	c.Kind, c.Entry, c.Lease = Register, e, LeaseDefault
-	if in.LeaseMs != 0 {
-		c.Lease = time.Duration(in.LeaseMs) * time.Millisecond
+	c.Kind, c.Endpoint, c.TTL = RegisterInstance, e, DefaultTTL
+	if in.TTLMs != 0 {
+		c.TTL = time.Duration(in.TTLMs) * time.Millisecond
 	}
-	if c.Lease < LeaseLeast || c.Lease > LeaseMost {
-		return fmt.Errorf("lease_ms: want %d to %d", LeaseLeast.Milliseconds(), LeaseMost.Milliseconds())
+	if c.TTL < MinTTL || c.TTL > MaxTTL {
+		return fmt.Errorf("lease_ms: want %d to %d", MinTTL.Milliseconds(), MaxTTL.Milliseconds())
 	}
-	return e.Check()
+	return e.Validate()
 }
 
 func (c *Command) phase(req *http.Request) error {
@@ -342,15 +342,15 @@
 	if err := readJSON(req, &in); err != nil {
 		return err
 	}
-	if in.Phase != Up && in.Phase != Draining {
-		return fmt.Errorf("phase: want %s or %s, got %q", Up, Draining, in.Phase)
+	if in.Phase != PhaseUp && in.Phase != PhaseDraining {
+		return fmt.Errorf("phase: want %s or %s, got %q", PhaseUp, PhaseDraining, in.Phase)
 	}
-	c.Kind, c.Phase = SetPhase, in.Phase
+	c.Kind, c.Phase = SetInstancePhase, in.Phase
 	return nil
 }
 
 func readJSON(req *http.Request, to any) error {
-	d := json.NewDecoder(io.LimitReader(req.Body, mostBody))
+	d := json.NewDecoder(io.LimitReader(req.Body, maxBodyBytes))
 	d.DisallowUnknownFields()
 	if err := d.Decode(to); err != nil {
 		return fmt.Errorf("body: %w", err)
@@ -360,24 +360,24 @@
 
 // answer tells what came of a write. A replica that isn't the leader names the one that is.
 func (s *Server) answer(w http.ResponseWriter, req *http.Request, id string, res Result, err error) {
-	var other ErrNotLeader
+	var other NotLeaderError
 	switch {
-	case errors.As(err, &other) && other.Calls != "":
-		http.Redirect(w, req, "http://"+other.Calls+req.URL.RequestURI(), http.StatusTemporaryRedirect)
+	case errors.As(err, &other) && other.LeaderAddress != "":
+		http.Redirect(w, req, "http://"+other.LeaderAddress+req.URL.RequestURI(), http.StatusTemporaryRedirect)
 	case err != nil:
 		s.turnAway(w, err.Error())
-	case res.Fault == NotFound:
-		http.Error(w, string(res.Fault), http.StatusNotFound)
-	case res.Fault == Mismatch:
+	case res.Code == ResultNotFound:
+		http.Error(w, string(res.Code), http.StatusNotFound)
+	case res.Code == ResultVersionMismatch:
 		w.Header().Set("ETag", strconv.Quote(strconv.FormatInt(res.Instance.Version, 10)))
-		http.Error(w, string(res.Fault), http.StatusPreconditionFailed)
-	case res.Fault != Fine:
-		http.Error(w, string(res.Fault), http.StatusInsufficientStorage)
+		http.Error(w, string(res.Code), http.StatusPreconditionFailed)
+	case res.Code != ResultOK:
+		http.Error(w, string(res.Code), http.StatusInsufficientStorage)
 	default:
 		s.stats.Writes.Add(1)
 		w.Header().Set("ETag", strconv.Quote(strconv.FormatInt(res.Instance.Version, 10)))
-		s.json(w, Answer{ID: id, Version: res.Instance.Version, Revision: res.Revision,
-			LeaseMs: res.Instance.Lease.Milliseconds(), Phase: res.Instance.Entry.Phase})
+		s.json(w, WriteResponse{ID: id, Version: res.Instance.Version, Revision: res.Revision,
+			TTLMs: res.Instance.TTL.Milliseconds(), Phase: res.Instance.Endpoint.Phase})
 	}
 }
 
@@ -390,40 +390,40 @@
 
 // Status is what a replica says of itself.
 type Status struct {
-	ID        string          `json:"id"`
-	Leader    string          `json:"leader"` // empty for none that this replica knows
-	Epoch     int64           `json:"epoch"`
-	Revision  int64           `json:"revision"`
-	Instances int             `json:"instances"`
-	Held      bool            `json:"leases_held"` // they run out in a mass, and nobody is removed
-	AgeMs     int64           `json:"age_ms"`      // -1: it can't say, and serves no list
-	Watches   int64           `json:"watches"`
-	Lists     uint64          `json:"lists"`
-	Writes    uint64          `json:"writes"`
-	Shed      uint64          `json:"calls_turned_away"`
-	Stale     uint64          `json:"calls_refused_stale"`
-	Replicas  []ReplicaStatus `json:"replicas"`
+	ID                 string          `json:"id"`
+	Leader             string          `json:"leader"` // empty for none that this replica knows
+	Epoch              int64           `json:"epoch"`
+	Revision           int64           `json:"revision"`
+	Instances          int             `json:"instances"`
+	ExpirySuspended    bool            `json:"leases_held"` // they run out in a mass, and nobody is removed
+	AgeMs              int64           `json:"age_ms"`      // -1: it can't say, and serves no list
+	Watches            int64           `json:"watches"`
+	Lists              uint64          `json:"lists"`
+	Writes             uint64          `json:"writes"`
+	CallsRejected      uint64          `json:"calls_turned_away"`
+	CallsRejectedStale uint64          `json:"calls_refused_stale"`
+	Replicas           []ReplicaStatus `json:"replicas"`
 }
 
 // ReplicaStatus is one of the replicas.
 type ReplicaStatus struct {
-	ID    string `json:"id"`
-	Raft  string `json:"raft"`
-	Calls string `json:"calls"`
+	ID          string `json:"id"`
+	RaftAddress string `json:"raft"`
+	APIAddress  string `json:"calls"`
 }
 
 // Status tells how the replica is.
 func (s *Server) Status() (Status, error) {
-	servers, leader, err := s.r.Servers()
+	servers, leader, err := s.r.Configuration()
 	out := Status{ID: s.r.c.ID, Leader: leader, AgeMs: -1, Watches: s.stats.Watches.Load(), Lists: s.stats.Lists.Load(),
-		Writes: s.stats.Writes.Load(), Shed: s.stats.Shed.Load(), Stale: s.stats.Stale.Load()}
+		Writes: s.stats.Writes.Load(), CallsRejected: s.stats.Shed.Load(), CallsRejectedStale: s.stats.Stale.Load()}
 	if age, ok := s.r.Age(); ok {
 		out.AgeMs = age.Milliseconds()
 	}
-	s.r.Look(func(st *State) {
-		out.Epoch, out.Revision, out.Instances, out.Held = st.Epoch(), st.Revision, len(st.Instances), st.Held
+	s.r.View(func(st *Store) {
+		out.Epoch, out.Revision, out.Instances, out.ExpirySuspended = st.Epoch(), st.Revision, len(st.Instances), st.ExpirySuspended
 		for _, v := range servers {
-			out.Replicas = append(out.Replicas, ReplicaStatus{string(v.ID), string(v.Address), st.Peers[string(v.ID)]})
+			out.Replicas = append(out.Replicas, ReplicaStatus{string(v.ID), string(v.Address), st.ReplicaAddresses[string(v.ID)]})
 		}
 	})
 	return out, err
@@ -451,11 +451,11 @@
 			s.bad(w, err)
 			return
 		}
-		if id == "" || len(id) > mostText || in.Raft == "" || in.Calls == "" {
+		if id == "" || len(id) > maxFieldBytes || in.Raft == "" || in.Calls == "" {
 			s.bad(w, errors.New("want an id, raft and calls"))
 			return
 		}
-		err = s.r.Add(id, in.Raft, in.Calls)
+		err = s.r.AddReplica(id, in.Raft, in.Calls)
 	case http.MethodDelete:
 		err = s.r.RemoveReplica(id)
 	default:
--- a/internal/registry/http_test.go
+++ b/internal/registry/http_test.go
@@ -17,16 +17,16 @@
 func serveAlone(t *testing.T) (r *Replica, url string) {
 	t.Helper()
 	addr, transport := raft.NewInmemTransport("")
-	r, err := Open(ReplicaConfig{ID: "r0", Raft: string(addr), Folder: t.TempDir(), Peers: map[string]string{"r0": string(addr)},
+	r, err := Open(ReplicaConfig{ID: "r0", RaftAddress: string(addr), DataDir: t.TempDir(), InitialReplicas: map[string]string{"r0": string(addr)},
 		transport: transport})
 	if err != nil {
 		t.Fatal(err)
 	}
 	for {
-		if age, ok := r.Age(); ok && age < staleMost {
+		if age, ok := r.Age(); ok && age < defaultMaxAge {
 			break
 		}
-		time.Sleep(tickEvery / 10)
+		time.Sleep(tickInterval / 10)
 	}
 	server := httptest.NewServer(NewServer(r, ServerConfig{}))
 	t.Cleanup(func() {
@@ -42,9 +42,9 @@
 func apply(t *testing.T, r *Replica, commands ...Command) (revision int64) {
 	t.Helper()
 	for _, c := range commands {
-		res, err := r.Apply(c)
-		if err != nil || res.Fault != Fine {
-			t.Fatal(err, res.Fault)
+		res, err := r.Propose(c)
+		if err != nil || res.Code != ResultOK {
+			t.Fatal(err, res.Code)
 		}
 		revision = res.Revision
 	}
@@ -72,7 +72,7 @@
 	return answer{resp.StatusCode, resp.Header, string(body)}
 }
 
-func (a answer) list(t *testing.T) (l List) {
+func (a answer) list(t *testing.T) (l EndpointList) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(a.body), &l); err != nil || a.status != http.StatusOK {
 		t.Fatalf("%d %s: %v", a.status, a.body, err)
@@ -83,11 +83,11 @@
 // Without a scope and without services, answers are in the platform's form, byte for byte.
 func TestWholeListHasThePlatformsForm(t *testing.T) {
 	r, url := serveAlone(t)
-	revision := apply(t, r, registers("s0", LeaseDefault))
+	revision := apply(t, r, registers("s0", DefaultTTL))
 	got := get(t, url)
 	want := fmt.Sprintf(`{"revision":%d,"complete":true,"members":[{"id":"s0","host_port":"10.0.0.1:9000","locality":"a",`+
 		`"flavor":"","cell":0,"phase":"up","size":1,"up_since_ms":0}]}`, revision)
-	if got.body != want || got.header.Get(headerScoped) != "" {
+	if got.body != want || got.header.Get(scopedHeader) != "" {
 		t.Errorf("got %s\nwant %s", got.body, want)
 	}
 }
@@ -97,10 +97,10 @@
 	r, url := serveAlone(t)
 	at := apply(t, r, serves("a0", "a"), serves("b0", "b"))
 	whole := get(t, url+"?service=a")
-	if l := whole.list(t); !l.Complete || l.Revision != at || len(l.Members) != 1 || l.Members[0].Service != "a" {
+	if l := whole.list(t); !l.Complete || l.Revision != at || len(l.Endpoints) != 1 || l.Endpoints[0].Service != "a" {
 		t.Errorf("the list of a is %+v", l)
 	}
-	if whole.header.Get(headerScoped) == "" || whole.header.Get(headerUnknown) != "" {
+	if whole.header.Get(scopedHeader) == "" || whole.header.Get(unknownServicesHeader) != "" {
 		t.Errorf("headers %v", whole.header)
 	}
 	watch := func(wait time.Duration) chan answer {
@@ -108,22 +108,22 @@
 		go func() { told <- get(t, fmt.Sprintf("%s?service=a&index=%d&wait=%d", url, at, wait.Milliseconds())) }()
 		return told
 	}
-	told := watch(mostWait)
+	told := watch(maxWatchWait)
 	held(t, r, "a")
-	gathered := r.Wait()
-	outside := apply(t, r, Command{Kind: SetPhase, ID: "b0", Phase: Draining})
+	gathered := r.Changed()
+	outside := apply(t, r, Command{Kind: SetInstancePhase, ID: "b0", Phase: PhaseDraining})
 	<-gathered
-	within := apply(t, r, Command{Kind: SetPhase, ID: "a0", Phase: Draining})
-	if l := (<-told).list(t); l.Complete || l.Revision != within || len(l.Members) != 1 || l.Members[0].ID != "a0" {
+	within := apply(t, r, Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
+	if l := (<-told).list(t); l.Complete || l.Revision != within || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "a0" {
 		t.Errorf("told %+v, want the change of a0 at revision %d", l, within)
 	}
 	at = outside // a0's change is news for it at once
-	if l := (<-watch(mostWait)).list(t); l.Revision != within || len(l.Members) != 1 {
+	if l := (<-watch(maxWatchWait)).list(t); l.Revision != within || len(l.Endpoints) != 1 {
 		t.Errorf("told %+v", l)
 	}
 	at = within
-	outside = apply(t, r, Command{Kind: SetPhase, ID: "b0", Phase: Up})
-	if l := (<-watch(0)).list(t); l.Complete || l.Revision != outside || len(l.Members) != 0 {
+	outside = apply(t, r, Command{Kind: SetInstancePhase, ID: "b0", Phase: PhaseUp})
+	if l := (<-watch(0)).list(t); l.Complete || l.Revision != outside || len(l.Endpoints) != 0 {
 		t.Errorf("at its end, with nothing new in its scope, told %+v, want revision %d alone", l, outside)
 	}
 }
@@ -131,7 +131,7 @@
 // held waits until a watch of a service is held.
 func held(t *testing.T, r *Replica, service string) {
 	t.Helper()
-	for until := time.Now().Add(mostWait); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for until := time.Now().Add(maxWatchWait); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		r.mu.Lock()
 		n := len(r.scoped.byService[service])
 		r.mu.Unlock()
@@ -163,7 +163,7 @@
 	apply(t, r, serves("a0", "c")) // it leaves one service for another
 	<-a
 	<-b
-	apply(t, r, Command{Kind: NewEpoch})
+	apply(t, r, Command{Kind: BeginEpoch})
 	<-a
 	<-b
 	cancelA()
@@ -181,14 +181,14 @@
 	}
 	at := apply(t, r, serves("a0", "a"))
 	some := get(t, url+"?service=b&service=a")
-	if l := some.list(t); len(l.Members) != 1 || some.header.Get(headerUnknown) != "b" {
+	if l := some.list(t); len(l.Endpoints) != 1 || some.header.Get(unknownServicesHeader) != "b" {
 		t.Errorf("told %+v with %v", l, some.header)
 	}
 	if a := get(t, fmt.Sprintf("%s?service=b&index=%d&wait=1000", url, at)); a.status != http.StatusNotFound {
 		t.Errorf("a watch of an unknown service is answered %d", a.status)
 	}
-	apply(t, r, Command{Kind: Remove, ID: "a0"})
-	if l := get(t, url+"?service=a").list(t); !l.Complete || len(l.Members) != 0 {
+	apply(t, r, Command{Kind: DeregisterInstance, ID: "a0"})
+	if l := get(t, url+"?service=a").list(t); !l.Complete || len(l.Endpoints) != 0 {
 		t.Errorf("a service whose last server was removed is told as %+v", l)
 	}
 }
--- a/internal/registry/measure_test.go
+++ b/internal/registry/measure_test.go
@@ -24,13 +24,13 @@
 
 // fleet is a list of n instances in a large service and many small ones.
 type fleet struct {
-	state *State
+	state *Store
 	next  int
 	rng   *rand.Rand
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{state: NewState(), rng: rand.New(rand.NewPCG(measuredSeed, uint64(n)))}
+	f := &fleet{state: NewStore(), rng: rand.New(rand.NewPCG(measuredSeed, uint64(n)))}
 	for i := range n {
 		service := "large"
 		if i%10 != 0 {
@@ -44,19 +44,19 @@
 func (f *fleet) add(service string) {
 	f.next++
 	id := fmt.Sprintf("s-%08x", uint32(f.next)*2654435761) // odd, so that no two are alike
-	f.state.Apply(Command{Kind: Register, Lease: LeaseDefault, Entry: Entry{ID: id, HostPort: fmt.Sprintf("10.%d.%d.%d:9000",
-		f.next>>16, f.next>>8&255, f.next&255), Locality: fmt.Sprint("zone-", f.next%20), Flavor: "m2", Cell: int64(f.next % 500),
-		Phase: Up, Size: 1, UpSince: 1_700_000_000_000, Service: service}})
+	f.state.Apply(Command{Kind: RegisterInstance, TTL: DefaultTTL, Endpoint: Endpoint{ID: id, Address: fmt.Sprintf("10.%d.%d.%d:9000",
+		f.next>>16, f.next>>8&255, f.next&255), Zone: fmt.Sprint("zone-", f.next%20), Kind: "m2", Cell: int64(f.next % 500),
+		Phase: PhaseUp, Size: 1, StartTimeMs: 1_700_000_000_000, Service: service}})
 }
 
 // nodeScope is what the measured node needs: the large service and four others.
 func nodeScope(size int) *Scope {
-	return &Scope{Services: []string{"large", "service-0", "service-1", "service-2", "service-3"}, Size: size,
+	return &Scope{Services: []string{"large", "service-0", "service-1", "service-2", "service-3"}, SubsetSize: size,
 		Client: subset.Client{Position: 1234, Count: 5100, Zone: "zone-3"}}
 }
 
 // bytesOf is the length of a list as it is sent.
-func bytesOf(t *testing.T, l List) int {
+func bytesOf(t *testing.T, l EndpointList) int {
 	t.Helper()
 	raw, err := json.Marshal(l)
 	if err != nil {
@@ -66,7 +66,7 @@
 }
 
 // scopedBytes is the length of what a scoped watcher is told, 0 if it isn't.
-func scopedBytes(t *testing.T, s *State, scope *Scope, since int64) int {
+func scopedBytes(t *testing.T, s *Store, scope *Scope, since int64) int {
 	t.Helper()
 	view, err := s.scoped(scope, since)
 	if err != nil {
@@ -86,14 +86,14 @@
 	step := func(do func()) {
 		before := f.state.Revision
 		do()
-		l, _ := f.state.Since(before)
+		l, _ := f.state.ChangesSince(before)
 		whole += bytesOf(t, l)
 		scoped += scopedBytes(t, f.state, scope, before)
 	}
 	id := ids[at]
-	service := f.state.Instances[id].Entry.Service
-	step(func() { f.state.Apply(Command{Kind: SetPhase, ID: id, Phase: Draining}) })
-	step(func() { f.state.Apply(Command{Kind: Remove, ID: id}) })
+	service := f.state.Instances[id].Endpoint.Service
+	step(func() { f.state.Apply(Command{Kind: SetInstancePhase, ID: id, Phase: PhaseDraining}) })
+	step(func() { f.state.Apply(Command{Kind: DeregisterInstance, ID: id}) })
 	step(func() { f.add(service) })
 	return whole, scoped
 }
@@ -102,8 +102,8 @@
 	t.Helper()
 	for text := range strings.SplitSeq(*sizes, ",") {
 		n, err := strconv.Atoi(text)
-		if err != nil || n < 1000 || n > mostInstances {
-			t.Fatalf("sizes: want whole numbers from 1000 to %d, got %q", mostInstances, text)
+		if err != nil || n < 1000 || n > maxInstances {
+			t.Fatalf("sizes: want whole numbers from 1000 to %d, got %q", maxInstances, text)
 		}
 		all = append(all, n)
 	}
@@ -117,9 +117,9 @@
 	var first int
 	for _, n := range measuredSizes(t) {
 		f, scope := newFleet(n), nodeScope(20)
-		list, services, part := bytesOf(t, f.state.Whole()), scopedBytes(t, f.state, nodeScope(0), -1), scopedBytes(t, f.state, scope, -1)
+		list, services, part := bytesOf(t, f.state.FullList()), scopedBytes(t, f.state, nodeScope(0), -1), scopedBytes(t, f.state, scope, -1)
 		var ids []string
-		for _, e := range f.state.Whole().Members {
+		for _, e := range f.state.FullList().Endpoints {
 			ids = append(ids, e.ID)
 		}
 		var whole, scoped int
@@ -150,26 +150,26 @@
 		before := heldMemory()
 		fill := timed(func() { f = newFleet(n) })
 		memory := heldMemory() - before
-		id := f.state.Whole().Members[n/2].ID
+		id := f.state.FullList().Endpoints[n/2].ID
 		renew := timed(func() {
 			for range 1000 {
-				f.state.Apply(Command{Kind: Renew, ID: id})
+				f.state.Apply(Command{Kind: RenewLease, ID: id})
 			}
 		}) / 1000
-		tick := timed(func() { f.state.Apply(Command{Kind: Tick, Span: tickEvery}) })
-		lead := timed(func() { f.state.Apply(Command{Kind: Lead}) })
-		whole := timed(func() { bytesOf(t, f.state.Whole()) })
+		tick := timed(func() { f.state.Apply(Command{Kind: AdvanceClock, Elapsed: tickInterval}) })
+		lead := timed(func() { f.state.Apply(Command{Kind: RestartLeases}) })
+		whole := timed(func() { bytesOf(t, f.state.FullList()) })
 		view := timed(func() { scopedBytes(t, f.state, nodeScope(20), -1) })
 		watchers := timed(func() { f.tellWatchers(t, 1000) })
 		var snapshot bytes.Buffer
 		write := timed(func() {
-			if err := f.state.Write(&snapshot); err != nil {
+			if err := f.state.WriteSnapshot(&snapshot); err != nil {
 				t.Fatal(err)
 			}
 		})
 		length := snapshot.Len()
 		read := timed(func() {
-			if _, err := Read(&snapshot); err != nil {
+			if _, err := ReadSnapshot(&snapshot); err != nil {
 				t.Fatal(err)
 			}
 		})
@@ -181,7 +181,7 @@
 // tellWatchers makes what each of n nodes is told of a change of the large service.
 func (f *fleet) tellWatchers(t *testing.T, n int) {
 	before := f.state.Revision
-	f.state.Apply(Command{Kind: SetPhase, ID: f.state.services["large"].ids[0], Phase: Draining})
+	f.state.Apply(Command{Kind: SetInstancePhase, ID: f.state.services["large"].ids[0], Phase: PhaseDraining})
 	scope := nodeScope(20)
 	for position := range n {
 		scope.Client.Position = position
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -24,33 +24,33 @@
 )
 
 const (
-	tickEvery   = 200 * time.Millisecond // of the leader's time, to all
-	writeTime   = 2 * time.Second        // for a command to be kept by most replicas
-	gatherFor   = 20 * time.Millisecond  // changes that come together are told together
-	raftTime    = time.Second            // for a call between replicas
-	raftPool    = 3                      // connections to each
-	keepShots   = 2                      // snapshots
-	shotEvery   = 2 * time.Minute        // a look at whether one is due,
-	shotAfter   = 8192                   // after so many commands
-	trailing    = 4096                   // commands kept for a replica that lags
-	heartbeat   = 500 * time.Millisecond // without one, a follower asks to be elected
-	leaderLease = 250 * time.Millisecond // without an answer of most, a leader is none
-	logName     = "commands.db"
-	askEvery    = 250 * time.Millisecond // how far the leader has got
-	keptWords   = 64
-	freshPath   = "/registry/fresh"
+	tickInterval = 200 * time.Millisecond // of the leader's time, to all
+	writeTime    = 2 * time.Second        // for a command to be kept by most replicas
+	gatherFor    = 20 * time.Millisecond  // changes that come together are told together
+	raftTime     = time.Second            // for a call between replicas
+	raftPool     = 3                      // connections to each
+	keepShots    = 2                      // snapshots
+	shotEvery    = 2 * time.Minute        // a look at whether one is due,
+	shotAfter    = 8192                   // after so many commands
+	trailing     = 4096                   // commands kept for a replica that lags
+	heartbeat    = 500 * time.Millisecond // without one, a follower asks to be elected
+	leaderLease  = 250 * time.Millisecond // without an answer of most, a leader is none
+	logName      = "commands.db"
+	askEvery     = 250 * time.Millisecond // how far the leader has got
+	keptWords    = 64
+	freshPath    = "/registry/fresh"
 )
 
 // ReplicaConfig says what a replica is.
 type ReplicaConfig struct {
-	ID        string
-	Raft      string // host:port for the other replicas, as they reach it
-	Bind      string // where that is bound, if it is elsewhere
-	Calls     string // host:port where this one answers calls, as others reach it
-	Folder    string
-	Peers     map[string]string // id and Raft of the first replicas, this one among them; only a fresh folder reads it
-	NewEpoch  bool              // the folder is a copy of an older one
-	transport raft.Transport    // nil for sockets
+	ID              string
+	RaftAddress     string // host:port for the other replicas, as they reach it
+	RaftBindAddress string // where that is bound, if it is elsewhere
+	APIAddress      string // host:port where this one answers calls, as others reach it
+	DataDir         string
+	InitialReplicas map[string]string // id and Raft of the first replicas, this one among them; only a fresh folder reads it
+	NewEpoch        bool              // the folder is a copy of an older one
+	transport       raft.Transport    // nil for sockets
 }
 
 // Replica keeps one copy of the list. Its methods may be called from any goroutine.
@@ -61,9 +61,9 @@
 	net  io.Closer
 
 	mu      sync.Mutex
-	state   *State
+	state   *Store
 	changed chan struct{} // closed once there is something new to tell
-	scoped  subscriptions // of watches of a part of the list
+	scoped  watcherGroup  // of watches of a part of the list
 	due     *time.Timer   // that tells both; nil while nothing is new
 	ticked  time.Time     // when this replica's last tick as the leader was begun; zero for never
 	freshAt time.Time     // as of when a follower has all that its leader had; zero for never
@@ -74,21 +74,21 @@
 	parts sync.WaitGroup
 }
 
-// ErrNotLeader says where the leader answers calls; empty where there is none now.
-type ErrNotLeader struct{ Calls string }
+// NotLeaderError says where the leader answers calls; empty where there is none now.
+type NotLeaderError struct{ LeaderAddress string }
 
-func (e ErrNotLeader) Error() string { return "this replica is not the leader" }
+func (e NotLeaderError) Error() string { return "this replica is not the leader" }
 
-// ErrNotKept is for a command that may or may not be carried out later: a repeat of its request finds out.
-var ErrNotKept = errors.New("not kept by most replicas in time")
+// ErrNotCommitted is for a command that may or may not be carried out later: a repeat of its request finds out.
+var ErrNotCommitted = errors.New("not kept by most replicas in time")
 
 // Open starts a replica in its folder.
 func Open(c ReplicaConfig) (*Replica, error) {
-	if err := os.MkdirAll(c.Folder, 0o700); err != nil {
+	if err := os.MkdirAll(c.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
 	}
-	r := &Replica{c: c, state: NewState(), changed: make(chan struct{}), encoded: make(map[int64][]byte)}
-	path := filepath.Join(c.Folder, logName)
+	r := &Replica{c: c, state: NewStore(), changed: make(chan struct{}), encoded: make(map[int64][]byte)}
+	path := filepath.Join(c.DataDir, logName)
 	log, err := raftboltdb.NewBoltStore(path)
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -113,13 +113,13 @@
 // join brings up raft.
 func (r *Replica) join(log *checkedLog) error {
 	quiet := hclog.New(&hclog.LoggerOptions{Output: logWriter{}, Level: hclog.Warn, DisableTime: true})
-	shots, err := raft.NewFileSnapshotStoreWithLogger(r.c.Folder, keepShots, quiet)
+	shots, err := raft.NewFileSnapshotStoreWithLogger(r.c.DataDir, keepShots, quiet)
 	if err != nil {
-		return fmt.Errorf("%s: snapshots: %w", r.c.Folder, err)
+		return fmt.Errorf("%s: snapshots: %w", r.c.DataDir, err)
 	}
 	t := r.c.transport
 	if t == nil {
-		streams, err := listenStreams(cmp.Or(r.c.Bind, r.c.Raft), r.c.Raft)
+		streams, err := listenStreams(cmp.Or(r.c.RaftBindAddress, r.c.RaftAddress), r.c.RaftAddress)
 		if err != nil {
 			return fmt.Errorf("raft: %w", err)
 		}
@@ -132,20 +132,20 @@
 	c.SnapshotInterval, c.SnapshotThreshold, c.TrailingLogs = shotEvery, shotAfter, trailing
 	fresh, err := raft.HasExistingState(log, r.log, shots)
 	if err != nil {
-		return fmt.Errorf("%s: %w", r.c.Folder, err)
+		return fmt.Errorf("%s: %w", r.c.DataDir, err)
 	}
-	if !fresh && len(r.c.Peers) > 0 {
+	if !fresh && len(r.c.InitialReplicas) > 0 {
 		var first raft.Configuration
-		for id, at := range r.c.Peers {
+		for id, at := range r.c.InitialReplicas {
 			first.Servers = append(first.Servers, raft.Server{ID: raft.ServerID(id), Address: raft.ServerAddress(at)})
 		}
 		if err := raft.BootstrapCluster(c, log, r.log, shots, t, first); err != nil {
-			return fmt.Errorf("%s: %w", r.c.Folder, err)
+			return fmt.Errorf("%s: %w", r.c.DataDir, err)
 		}
 	}
 	r.raft, err = raft.NewRaft(c, (*machine)(r), log, r.log, shots, t)
 	if err != nil {
-		return fmt.Errorf("%s: %w", r.c.Folder, err)
+		return fmt.Errorf("%s: %w", r.c.DataDir, err)
 	}
 	return nil
 }
@@ -196,7 +196,7 @@
 // lead gives out the time while this replica is the leader. A new leader begins with all leases anew, for
 // nobody can have renewed while there was none.
 func (r *Replica) lead(ctx context.Context) {
-	tick := time.NewTicker(tickEvery)
+	tick := time.NewTicker(tickInterval)
 	defer tick.Stop()
 	var last time.Time // when this leader's last tick was kept; zero while it isn't one
 	for {
@@ -216,7 +216,7 @@
 				continue
 			}
 			slog.Info("registry: this replica leads", "id", r.c.ID)
-		} else if _, err := r.apply(Command{Kind: Tick, Span: now.Sub(last)}); err != nil {
+		} else if _, err := r.apply(Command{Kind: AdvanceClock, Elapsed: now.Sub(last)}); err != nil {
 			continue // the next tick counts for both
 		}
 		last = now
@@ -228,20 +228,20 @@
 
 // begin says what a new leader has to say first.
 func (r *Replica) begin() error {
-	first := Command{Kind: Lead}
+	first := Command{Kind: RestartLeases}
 	if r.c.NewEpoch {
-		first.Kind = NewEpoch
+		first.Kind = BeginEpoch
 	}
 	if _, err := r.apply(first); err != nil {
 		return err
 	}
 	r.c.NewEpoch = false
-	_, err := r.apply(Command{Kind: SetPeer, ID: r.c.ID, Entry: Entry{HostPort: r.c.Calls}})
+	_, err := r.apply(Command{Kind: SetReplicaAddress, ID: r.c.ID, Endpoint: Endpoint{Address: r.c.APIAddress}})
 	return err
 }
 
-// Apply has most replicas keep a command, and returns what came of it.
-func (r *Replica) Apply(c Command) (Result, error) {
+// Propose has most replicas keep a command, and returns what came of it.
+func (r *Replica) Propose(c Command) (Result, error) {
 	if r.raft.State() != raft.Leader {
 		return Result{}, r.elsewhere()
 	}
@@ -260,7 +260,7 @@
 	case errors.Is(err, raft.ErrNotLeader):
 		return Result{}, r.elsewhere()
 	default:
-		return Result{}, fmt.Errorf("%w: %w", ErrNotKept, err)
+		return Result{}, fmt.Errorf("%w: %w", ErrNotCommitted, err)
 	}
 }
 
@@ -270,9 +270,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if string(id) == r.c.ID {
-		return ErrNotLeader{} // it is just becoming the leader, or ceasing to be
+		return NotLeaderError{} // it is just becoming the leader, or ceasing to be
 	}
-	return ErrNotLeader{Calls: r.state.Peers[string(id)]}
+	return NotLeaderError{LeaderAddress: r.state.ReplicaAddresses[string(id)]}
 }
 
 // Age is how old at most what this replica has may be; ok is false where it can't say. A leader without most of
@@ -289,24 +289,24 @@
 	return time.Since(at), !at.IsZero()
 }
 
-// fresh is what a leader tells a follower: the last command that it has carried out, and how old that may be.
-type fresh struct {
+// freshnessResponse is what a leader tells a follower: the last command that it has carried out, and how old that may be.
+type freshnessResponse struct {
 	Index uint64 `json:"index"`
 	AgeMs int64  `json:"age_ms"`
 }
 
 // Fresh is a leader's word to followers.
-func (r *Replica) Fresh() (fresh, error) {
+func (r *Replica) Fresh() (freshnessResponse, error) {
 	age, ok := r.Age()
 	if r.raft.State() != raft.Leader {
-		return fresh{}, r.elsewhere()
+		return freshnessResponse{}, r.elsewhere()
 	}
 	if !ok {
-		return fresh{}, ErrNotKept
+		return freshnessResponse{}, ErrNotCommitted
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return fresh{r.state.Index, age.Milliseconds() + 1}, nil
+	return freshnessResponse{r.state.AppliedIndex, age.Milliseconds() + 1}, nil
 }
 
 // follow asks the leader, while this replica isn't one, how far its list has got.
@@ -329,12 +329,12 @@
 
 // ask hears the leader's word, and once this replica has got as far it is as fresh as that was when asked.
 func (r *Replica) ask(ctx context.Context, caller *http.Client) {
-	var other ErrNotLeader
-	if !errors.As(r.elsewhere(), &other) || other.Calls == "" {
+	var other NotLeaderError
+	if !errors.As(r.elsewhere(), &other) || other.LeaderAddress == "" {
 		return
 	}
 	asked := time.Now()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+other.Calls+freshPath, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+other.LeaderAddress+freshPath, nil)
 	if err != nil {
 		return
 	}
@@ -343,8 +343,8 @@
 		return
 	}
 	defer resp.Body.Close()
-	var f fresh
-	if resp.StatusCode != http.StatusOK || json.NewDecoder(io.LimitReader(resp.Body, mostBody)).Decode(&f) != nil || f.AgeMs < 0 {
+	var f freshnessResponse
+	if resp.StatusCode != http.StatusOK || json.NewDecoder(io.LimitReader(resp.Body, maxBodyBytes)).Decode(&f) != nil || f.AgeMs < 0 {
 		return
 	}
 	r.mu.Lock()
@@ -364,21 +364,21 @@
 
 // reached notes the words that this replica has got as far as. The lock is held.
 func (r *Replica) reached() {
-	for len(r.asked) > 0 && r.asked[0].index <= r.state.Index {
+	for len(r.asked) > 0 && r.asked[0].index <= r.state.AppliedIndex {
 		r.freshAt = r.asked[0].at
 		r.asked = r.asked[1:]
 	}
 }
 
-// Look calls do with the state, which it must not keep.
-func (r *Replica) Look(do func(*State)) {
+// View calls do with the state, which it must not keep.
+func (r *Replica) View(do func(*Store)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	do(r.state)
 }
 
-// Wait returns a channel that is closed at the next change that is told.
-func (r *Replica) Wait() <-chan struct{} {
+// Changed returns a channel that is closed at the next change that is told.
+func (r *Replica) Changed() <-chan struct{} {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.changed
@@ -396,8 +396,8 @@
 	}
 }
 
-// Servers are the replicas by raft's own account, and the leader's id.
-func (r *Replica) Servers() (all []raft.Server, leader string, err error) {
+// Configuration are the replicas by raft's own account, and the leader's id.
+func (r *Replica) Configuration() (all []raft.Server, leader string, err error) {
 	f := r.raft.GetConfiguration()
 	if err := f.Error(); err != nil {
 		return nil, "", err
@@ -406,12 +406,12 @@
 	return f.Configuration().Servers, string(id), nil
 }
 
-// Add makes another replica one of those that keep the list; RemoveReplica ends that.
-func (r *Replica) Add(id, at, calls string) error {
+// AddReplica makes another replica one of those that keep the list; RemoveReplica ends that.
+func (r *Replica) AddReplica(id, at, calls string) error {
 	if err := r.raft.AddVoter(raft.ServerID(id), raft.ServerAddress(at), 0, writeTime).Error(); err != nil {
 		return r.peerError(err)
 	}
-	_, err := r.Apply(Command{Kind: SetPeer, ID: id, Entry: Entry{HostPort: calls}})
+	_, err := r.Propose(Command{Kind: SetReplicaAddress, ID: id, Endpoint: Endpoint{Address: calls}})
 	return err
 }
 
@@ -420,7 +420,7 @@
 	if err := r.raft.RemoveServer(raft.ServerID(id), 0, writeTime).Error(); err != nil {
 		return r.peerError(err)
 	}
-	_, err := r.Apply(Command{Kind: SetPeer, ID: id})
+	_, err := r.Propose(Command{Kind: SetReplicaAddress, ID: id})
 	return err
 }
 
@@ -428,7 +428,7 @@
 	if errors.Is(err, raft.ErrNotLeader) {
 		return r.elsewhere()
 	}
-	return fmt.Errorf("%w: %w", ErrNotKept, err)
+	return fmt.Errorf("%w: %w", ErrNotCommitted, err)
 }
 
 // machine is the replica as raft sees it.
@@ -439,15 +439,15 @@
 	var c Command
 	if err := cbor.Unmarshal(l.Data, &c); err != nil {
 		slog.Error("registry: a command can't be read, and changes nothing", "index", l.Index, "err", err)
-		return Result{Fault: Unknown}
+		return Result{Code: ResultUnknownCommand}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before, held := m.state.Revision, m.state.Held
+	before, held := m.state.Revision, m.state.ExpirySuspended
 	res := m.state.Apply(c)
-	m.state.Index = l.Index
+	m.state.AppliedIndex = l.Index
 	(*Replica)(m).reached()
-	if m.state.Held && !held {
+	if m.state.ExpirySuspended && !held {
 		slog.Error("registry: leases run out in a mass: nobody is removed until they are renewed, or fewer are overdue",
 			"instances", len(m.state.Instances))
 	}
@@ -460,7 +460,7 @@
 
 // touch notes whose services a command changed, which began at a revision. The lock is held.
 func (m *machine) touch(before int64) {
-	if before < m.state.Floor { // a new epoch, or more changes than are kept
+	if before < m.state.CompactedRevision { // a new epoch, or more changes than are kept
 		m.scoped.touchAll()
 		return
 	}
@@ -488,7 +488,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var b shot
-	if err := m.state.Write(&b); err != nil {
+	if err := m.state.WriteSnapshot(&b); err != nil {
 		return nil, err
 	}
 	return b, nil
@@ -497,7 +497,7 @@
 // Restore takes a state over. One that doesn't fit its hash is no state.
 func (m *machine) Restore(from io.ReadCloser) error {
 	defer from.Close()
-	s, err := Read(from)
+	s, err := ReadSnapshot(from)
 	if err != nil {
 		return err
 	}
--- a/internal/registry/scope.go
+++ b/internal/registry/scope.go
@@ -14,22 +14,22 @@
 
 // Bounds on what a call may ask for.
 const (
-	mostScope = 256     // services in one scope
-	mostNodes = 100_000 // among which a service is divided
+	maxScopeServices = 256     // services in one scope
+	maxSubsetClients = 100_000 // among which a service is divided
 )
 
 // Scope is the part of the list that a node needs: some services and, where Size is above 0, of each of them the
 // subset that the node connects to.
 type Scope struct {
-	Services []string // sorted, each once
-	Size     int
-	Client   subset.Client
+	Services   []string // sorted, each once
+	SubsetSize int
+	Client     subset.Client
 }
 
 // checkService says why a name can't be a service's.
 func checkService(name string) error {
-	if name == "" || len(name) > mostText {
-		return fmt.Errorf("service: want 1 to %d bytes, got %d", mostText, len(name))
+	if name == "" || len(name) > maxFieldBytes {
+		return fmt.Errorf("service: want 1 to %d bytes, got %d", maxFieldBytes, len(name))
 	}
 	for _, c := range []byte(name) {
 		if c <= ' ' || c > '~' || c == ',' {
@@ -60,8 +60,8 @@
 	}
 	slices.Sort(names)
 	scope := &Scope{Services: slices.Compact(names)}
-	if len(scope.Services) > mostScope {
-		return nil, fmt.Errorf("service: want %d names at most, got %d", mostScope, len(scope.Services))
+	if len(scope.Services) > maxScopeServices {
+		return nil, fmt.Errorf("service: want %d names at most, got %d", maxScopeServices, len(scope.Services))
 	}
 	return scope, scope.parseSubset(query)
 }
@@ -77,17 +77,17 @@
 		return nil
 	}
 	var err error
-	if scope.Size, err = within(query, "subset", 1, mostInstances); err != nil {
+	if scope.SubsetSize, err = within(query, "subset", 1, maxInstances); err != nil {
 		return err
 	}
-	if scope.Client.Count, err = within(query, "nodes", 1, mostNodes); err != nil {
+	if scope.Client.Count, err = within(query, "nodes", 1, maxSubsetClients); err != nil {
 		return err
 	}
 	if scope.Client.Position, err = within(query, "position", 0, scope.Client.Count-1); err != nil {
 		return err
 	}
-	if scope.Client.Zone = query.Get("zone"); len(scope.Client.Zone) > mostText {
-		return fmt.Errorf("zone: over %d bytes", mostText)
+	if scope.Client.Zone = query.Get("zone"); len(scope.Client.Zone) > maxFieldBytes {
+		return fmt.Errorf("zone: over %d bytes", maxFieldBytes)
 	}
 	return nil
 }
@@ -101,10 +101,10 @@
 	return n, nil
 }
 
-// ErrUnknownServices is a scope of which nothing is known: neither instances nor changes that are kept.
-type ErrUnknownServices struct{ Services []string }
+// UnknownServicesError is a scope of which nothing is known: neither instances nor changes that are kept.
+type UnknownServicesError struct{ Services []string }
 
-func (e ErrUnknownServices) Error() string {
+func (e UnknownServicesError) Error() string {
 	return "service: unknown: " + strings.Join(e.Services, ", ")
 }
 
@@ -128,22 +128,22 @@
 
 // scoped gathers a scope as it is now, with what changed after a revision. Below 0, at a revision that never was
 // and where the history doesn't reach back, the list is whole.
-func (s *State) scoped(scope *Scope, since int64) (*scopedView, error) {
+func (s *Store) scoped(scope *Scope, since int64) (*scopedView, error) {
 	view := &scopedView{scope: scope, revision: s.Revision, epoch: s.Epoch()}
 	view.complete = since < 0 || since > s.Revision || since>>epochBits != s.Epoch()
 	for _, name := range scope.Services {
 		index := s.services[name]
 		if index == nil {
 			view.unknown = append(view.unknown, name)
-			view.complete = view.complete || since < s.Floor
+			view.complete = view.complete || since < s.CompactedRevision
 			continue
 		}
-		if index.changed > since && since < s.Floor {
+		if index.changed > since && since < s.CompactedRevision {
 			view.complete = true
 		}
 	}
 	if len(view.unknown) == len(scope.Services) {
-		return nil, ErrUnknownServices{view.unknown}
+		return nil, UnknownServicesError{view.unknown}
 	}
 	for _, name := range scope.Services {
 		index := s.services[name]
@@ -160,8 +160,8 @@
 }
 
 // list is the answer to a call; news is false if nothing in the scope changed.
-func (v *scopedView) list() (l List, news bool) {
-	told, left := make(map[string]Entry), make(map[string]Entry)
+func (v *scopedView) list() (l EndpointList, news bool) {
+	told, left := make(map[string]Endpoint), make(map[string]Endpoint)
 	for _, part := range v.parts {
 		if v.complete {
 			part.whole(v.scope, told)
@@ -171,36 +171,36 @@
 	}
 	for id, entry := range left {
 		if _, there := told[id]; !there { // else it changed its service, and is in scope by the other
-			entry.Phase = Removed
+			entry.Phase = PhaseRemoved
 			told[id] = entry
 		}
 	}
-	l = List{Revision: v.revision, Complete: v.complete, Members: slices.AppendSeq([]Entry{}, maps.Values(told))}
-	slices.SortFunc(l.Members, func(a, b Entry) int { return cmp.Compare(a.ID, b.ID) })
+	l = EndpointList{Revision: v.revision, Complete: v.complete, Endpoints: slices.AppendSeq([]Endpoint{}, maps.Values(told))}
+	slices.SortFunc(l.Endpoints, func(a, b Endpoint) int { return cmp.Compare(a.ID, b.ID) })
 	return l, v.complete || len(told) > 0
 }
 
 // whole adds the servers in scope.
-func (p servicePart) whole(scope *Scope, told map[string]Entry) {
-	if scope.Size == 0 {
+func (p servicePart) whole(scope *Scope, told map[string]Endpoint) {
+	if scope.SubsetSize == 0 {
 		for _, entry := range p.now.entries {
 			told[entry.ID] = entry
 		}
 		return
 	}
-	for id := range p.now.ringsNow(scope.Size).choose(scope.Client) {
+	for id := range p.now.ringsNow(scope.SubsetSize).choose(scope.Client) {
 		told[id] = p.now.byID()[id]
 	}
 }
 
 // delta adds the servers that changed or entered the scope, and those that left it, also those that still run.
-func (p servicePart) delta(scope *Scope, told, left map[string]Entry) {
-	newest := make(map[string]Entry)
+func (p servicePart) delta(scope *Scope, told, left map[string]Endpoint) {
+	newest := make(map[string]Endpoint)
 	for _, c := range p.changes {
-		newest[c.Entry.ID] = c.Entry
+		newest[c.Endpoint.ID] = c.Endpoint
 	}
 	entries := p.now.byID()
-	if scope.Size == 0 || len(entries)+len(newest) <= scope.Size { // all of the service was and is in scope
+	if scope.SubsetSize == 0 || len(entries)+len(newest) <= scope.SubsetSize { // all of the service was and is in scope
 		for id, entry := range newest {
 			if now, there := entries[id]; there {
 				told[id] = now
@@ -210,8 +210,8 @@
 		}
 		return
 	}
-	now := p.now.ringsNow(scope.Size).choose(scope.Client)
-	before := p.now.ringsBefore(scope.Size, p.changes, p.former).choose(scope.Client)
+	now := p.now.ringsNow(scope.SubsetSize).choose(scope.Client)
+	before := p.now.ringsBefore(scope.SubsetSize, p.changes, p.former).choose(scope.Client)
 	for id := range now {
 		if _, changed := newest[id]; changed || !before[id] {
 			told[id] = entries[id]
@@ -233,8 +233,8 @@
 func (p servicePart) former() candidates {
 	changed := make(map[string]*Placement)
 	for _, c := range p.changes {
-		if _, seen := changed[c.Entry.ID]; !seen {
-			changed[c.Entry.ID] = c.Former
+		if _, seen := changed[c.Endpoint.ID]; !seen {
+			changed[c.Endpoint.ID] = c.Previous
 		}
 	}
 	var servers candidates
--- a/internal/registry/scope_test.go
+++ b/internal/registry/scope_test.go
@@ -20,7 +20,7 @@
 
 func serves(id, service string) Command {
 	c := registers(id, 10*time.Second)
-	c.Entry.Service = service
+	c.Endpoint.Service = service
 	return c
 }
 
@@ -28,15 +28,15 @@
 func drawServiceCommand(t *rapid.T) Command {
 	c := drawCommand(t)
 	c.ID = fmt.Sprint("s", rapid.IntRange(0, 11).Draw(t, "instance"))
-	c.Entry.ID = c.ID
-	c.Entry.Service = rapid.SampledFrom([]string{"", "a", "a", "a", "b"}).Draw(t, "service")
-	c.Entry.Locality = rapid.SampledFrom([]string{"z0", "z1"}).Draw(t, "zone")
+	c.Endpoint.ID = c.ID
+	c.Endpoint.Service = rapid.SampledFrom([]string{"", "a", "a", "a", "b"}).Draw(t, "service")
+	c.Endpoint.Zone = rapid.SampledFrom([]string{"z0", "z1"}).Draw(t, "zone")
 	if rapid.IntRange(0, 2).Draw(t, "returns") == 0 {
-		c.Phase = Up
+		c.Phase = PhaseUp
 	}
 	if rapid.IntRange(0, 4).Draw(t, "more of what changes lists") > 0 {
-		c.Kind = rapid.SampledFrom([]Kind{Register, Register, Register, SetPhase, Remove}).Draw(t, "kind")
-		c.Request, c.IfMatch = "", 0
+		c.Kind = rapid.SampledFrom([]CommandKind{RegisterInstance, RegisterInstance, RegisterInstance, SetInstancePhase, DeregisterInstance}).Draw(t, "kind")
+		c.RequestID, c.IfMatch = "", 0
 	}
 	return c
 }
@@ -44,7 +44,7 @@
 // drawScope is a part of the services, whole or by subsets.
 func drawScope(t *rapid.T) *Scope {
 	scope := &Scope{Services: rapid.SampledFrom([][]string{{"a"}, {"a", "b"}, {"b"}, {"a", "none"}}).Draw(t, "scope")}
-	if scope.Size = rapid.IntRange(0, 3).Draw(t, "size"); scope.Size > 0 {
+	if scope.SubsetSize = rapid.IntRange(0, 3).Draw(t, "size"); scope.SubsetSize > 0 {
 		scope.Client = subset.Client{Count: rapid.IntRange(1, 5).Draw(t, "nodes"), Zone: "z0"}
 		scope.Client.Position = rapid.IntRange(0, scope.Client.Count-1).Draw(t, "position")
 	}
@@ -55,25 +55,25 @@
 type scopedWatcher struct {
 	scope *Scope
 	at    int64
-	seen  map[string]Entry
+	seen  map[string]Endpoint
 }
 
 func watching(scope *Scope) *scopedWatcher {
-	return &scopedWatcher{scope: scope, at: -1, seen: make(map[string]Entry)}
+	return &scopedWatcher{scope: scope, at: -1, seen: make(map[string]Endpoint)}
 }
 
 // follow takes over what the watcher is told.
-func (w *scopedWatcher) follow(s *State) (l List, err error) {
+func (w *scopedWatcher) follow(s *Store) (l EndpointList, err error) {
 	view, err := s.scoped(w.scope, w.at)
 	if err != nil {
-		return List{}, err
+		return EndpointList{}, err
 	}
 	l, _ = view.list()
 	if l.Complete {
 		clear(w.seen)
 	}
-	for _, e := range l.Members {
-		if w.seen[e.ID] = e; e.Phase == Removed {
+	for _, e := range l.Endpoints {
+		if w.seen[e.ID] = e; e.Phase == PhaseRemoved {
 			delete(w.seen, e.ID)
 		}
 	}
@@ -82,7 +82,7 @@
 }
 
 // look follows, and returns the ids that the watcher then has.
-func (w *scopedWatcher) look(t *testing.T, s *State) (List, []string) {
+func (w *scopedWatcher) look(t *testing.T, s *Store) (EndpointList, []string) {
 	t.Helper()
 	l, err := w.follow(s)
 	if err != nil {
@@ -95,7 +95,7 @@
 func checkSlots(t *rapid.T, before, after map[string]Instance) {
 	taken := make(map[string]map[int]string)
 	for id, i := range after {
-		service := i.Entry.Service
+		service := i.Endpoint.Service
 		if taken[service] == nil {
 			taken[service] = make(map[int]string)
 		}
@@ -107,14 +107,14 @@
 	for id, i := range after {
 		was, there := before[id]
 		switch {
-		case i.Entry.Service == "" && i.Slot != 0:
+		case i.Endpoint.Service == "" && i.Slot != 0:
 			t.Fatalf("%s has no service, and slot %d", id, i.Slot)
-		case there && was.Entry.Service == i.Entry.Service && was.Slot != i.Slot:
+		case there && was.Endpoint.Service == i.Endpoint.Service && was.Slot != i.Slot:
 			t.Fatalf("%s had slot %d, and now %d", id, was.Slot, i.Slot)
-		case i.Entry.Service != "" && (!there || was.Entry.Service != i.Entry.Service):
+		case i.Endpoint.Service != "" && (!there || was.Endpoint.Service != i.Endpoint.Service):
 			for slot := range i.Slot {
-				if _, ok := taken[i.Entry.Service][slot]; !ok {
-					t.Fatalf("%s got slot %d of %s, and %d is free", id, i.Slot, i.Entry.Service, slot)
+				if _, ok := taken[i.Endpoint.Service][slot]; !ok {
+					t.Fatalf("%s got slot %d of %s, and %d is free", id, i.Slot, i.Endpoint.Service, slot)
 				}
 			}
 		}
@@ -125,7 +125,7 @@
 // the lowest that is free, and kept; a snapshot is the state in all of this.
 func TestScopedWatchProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewState()
+		s := NewStore()
 		var watchers []*scopedWatcher
 		for range 4 {
 			watchers = append(watchers, watching(drawScope(t)))
@@ -150,13 +150,13 @@
 }
 
 // check has a watcher follow, and holds that it has what a fresh list has.
-func (w *scopedWatcher) check(t *rapid.T, s *State) {
+func (w *scopedWatcher) check(t *rapid.T, s *Store) {
 	fresh := watching(w.scope)
 	_, err := fresh.follow(s)
 	if _, followErr := w.follow(s); (err == nil) != (followErr == nil) {
 		t.Fatalf("a fresh list: %v; a watcher: %v", err, followErr)
 	}
-	var unknown ErrUnknownServices
+	var unknown UnknownServicesError
 	if errors.As(err, &unknown) {
 		return
 	}
@@ -166,13 +166,13 @@
 }
 
 // reread is a state after its way through a snapshot.
-func reread(t rapid.TB, s *State) *State {
+func reread(t rapid.TB, s *Store) *Store {
 	t.Helper()
 	var b bytes.Buffer
-	if err := s.Write(&b); err != nil {
+	if err := s.WriteSnapshot(&b); err != nil {
 		t.Fatal(err)
 	}
-	back, err := Read(&b)
+	back, err := ReadSnapshot(&b)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,20 +184,20 @@
 
 // A watcher is told nothing of what happens outside its scope, also when more happened than the history keeps.
 func TestChangesOutsideAScope(t *testing.T) {
-	s := NewState()
+	s := NewStore()
 	s.Apply(serves("a0", "a"))
 	s.Apply(serves("b0", "b"))
 	w := watching(&Scope{Services: []string{"a"}})
 	w.look(t, s)
-	for i := range mostHistory + 10 {
-		s.Apply(Command{Kind: SetPhase, ID: "b0", Phase: []string{Draining, Up}[i%2]})
+	for i := range maxHistoryChanges + 10 {
+		s.Apply(Command{Kind: SetInstancePhase, ID: "b0", Phase: []string{PhaseDraining, PhaseUp}[i%2]})
 	}
 	before := *w
-	if l, _ := w.look(t, s); l.Complete || len(l.Members) != 0 || l.Revision != s.Revision || before.at >= s.Floor {
-		t.Errorf("told %+v at revision %d below the floor %d", l, before.at, s.Floor)
+	if l, _ := w.look(t, s); l.Complete || len(l.Endpoints) != 0 || l.Revision != s.Revision || before.at >= s.CompactedRevision {
+		t.Errorf("told %+v at revision %d below the floor %d", l, before.at, s.CompactedRevision)
 	}
-	s.Apply(Command{Kind: SetPhase, ID: "a0", Phase: Draining})
-	if l, _ := before.look(t, s); !l.Complete || len(l.Members) != 1 || l.Members[0].Phase != Draining {
+	s.Apply(Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
+	if l, _ := before.look(t, s); !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Phase != PhaseDraining {
 		t.Errorf("a change that the history doesn't reach back from is told as %+v", l)
 	}
 }
@@ -206,16 +206,16 @@
 // that changed is unknown now, and at a replica that has read a snapshot since.
 func TestScopeToldWhole(t *testing.T) {
 	for gone, want := range map[string][]string{"a1": {"a0", "b0"}, "b0": {"a0", "a1"}, "": {"a0", "a1", "b0"}} {
-		s := NewState()
+		s := NewStore()
 		for id, service := range map[string]string{"a0": "a", "a1": "a", "b0": "b"} {
 			s.Apply(serves(id, service))
 		}
 		w := watching(&Scope{Services: []string{"a", "b"}})
 		w.look(t, s)
 		if gone == "" {
-			s.Apply(Command{Kind: NewEpoch})
+			s.Apply(Command{Kind: BeginEpoch})
 		}
-		s.Apply(Command{Kind: Remove, ID: gone})
+		s.Apply(Command{Kind: DeregisterInstance, ID: gone})
 		s.forget(len(s.History), s.Revision)
 		if l, got := w.look(t, reread(t, s)); !l.Complete || !slices.Equal(got, want) {
 			t.Errorf("after the end of %q told %+v, and has %v", gone, l, got)
@@ -226,17 +226,17 @@
 // A server that drains is told so to those whose subset it is in, and what takes its place is told with it. The one
 // that gets its slot is in the subsets that it was in.
 func TestSubsetThroughADrain(t *testing.T) {
-	s := NewState()
+	s := NewStore()
 	for i := range 8 {
 		s.Apply(serves(fmt.Sprint("s", i), "a"))
 	}
-	w := watching(&Scope{Services: []string{"a"}, Size: 2, Client: subset.Client{Count: 4}})
+	w := watching(&Scope{Services: []string{"a"}, SubsetSize: 2, Client: subset.Client{Count: 4}})
 	_, first := w.look(t, s)
-	s.Apply(Command{Kind: SetPhase, ID: first[0], Phase: Draining})
-	if _, during := w.look(t, s); w.seen[first[0]].Phase != Draining || len(first) != 2 || len(during) < 3 {
+	s.Apply(Command{Kind: SetInstancePhase, ID: first[0], Phase: PhaseDraining})
+	if _, during := w.look(t, s); w.seen[first[0]].Phase != PhaseDraining || len(first) != 2 || len(during) < 3 {
 		t.Errorf("at first %v; while one drains, the watcher has %v", first, w.seen)
 	}
-	s.Apply(Command{Kind: Remove, ID: first[0]})
+	s.Apply(Command{Kind: DeregisterInstance, ID: first[0]})
 	if _, after := w.look(t, s); len(after) != 2 || slices.Contains(after, first[0]) {
 		t.Errorf("after %s has gone, the watcher has %v", first[0], after)
 	}
@@ -267,20 +267,20 @@
 		History   []formerChange            `cbor:"4,keyasint"`
 		Floor     int64                     `cbor:"5,keyasint"`
 	}
-	e, at := formerEntry{ID: "s0", HostPort: "10.0.0.1:9000", Phase: Up}, int64(1)<<epochBits+1
+	e, at := formerEntry{ID: "s0", HostPort: "10.0.0.1:9000", Phase: PhaseUp}, int64(1)<<epochBits+1
 	raw, err := cbor.Marshal(formerImage{at, map[string]formerInstance{"s0": {e, at}}, []formerChange{{at, e}}, at - 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := Read(bytes.NewReader(append(head(raw), raw...)))
-	if err != nil || len(s.Whole().Members) != 1 {
+	s, err := ReadSnapshot(bytes.NewReader(append(head(raw), raw...)))
+	if err != nil || len(s.FullList().Endpoints) != 1 {
 		t.Fatal(err)
 	}
 	s.Apply(serves("s0", "a")) // its agent now names a service
 	if _, got := watching(&Scope{Services: []string{"a"}}).look(t, s); len(got) != 1 {
 		t.Errorf("in its service are %v", got)
 	}
-	if raw, err = cbor.Marshal(s.image); err != nil {
+	if raw, err = cbor.Marshal(s.snapshotImage); err != nil {
 		t.Fatal(err)
 	}
 	var back formerImage
@@ -291,29 +291,29 @@
 
 // A snapshot of as many instances as there may be is read.
 func TestSnapshotOfAFullList(t *testing.T) {
-	s := NewState()
-	for i := range mostInstances {
+	s := NewStore()
+	for i := range maxInstances {
 		id := fmt.Sprint("s", i)
-		s.Instances[id] = Instance{Entry: serves(id, "a").Entry, Slot: i}
+		s.Instances[id] = Instance{Endpoint: serves(id, "a").Endpoint, Slot: i}
 	}
-	if back := reread(t, s); back.Apply(registers("one more", LeaseDefault)).Fault != Full {
+	if back := reread(t, s); back.Apply(registers("one more", DefaultTTL)).Code != ResultTooManyInstances {
 		t.Error("one more was taken")
 	}
 }
 
 // A snapshot whose slots don't fit is none.
 func TestSnapshotsWithBadSlots(t *testing.T) {
-	for want, slots := range map[string][2]int{"both have slot 1": {1, 1}, "out of range": {0, mostInstances}} {
-		s := NewState()
+	for want, slots := range map[string][2]int{"both have slot 1": {1, 1}, "out of range": {0, maxInstances}} {
+		s := NewStore()
 		for i, slot := range slots {
 			id := fmt.Sprint("s", i)
-			s.Instances[id] = Instance{Entry: serves(id, "a").Entry, Slot: slot}
+			s.Instances[id] = Instance{Endpoint: serves(id, "a").Endpoint, Slot: slot}
 		}
 		var b bytes.Buffer
-		if err := s.Write(&b); err != nil {
+		if err := s.WriteSnapshot(&b); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := Read(&b); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ReadSnapshot(&b); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("slots %v: %v, want %q", slots, err, want)
 		}
 	}
@@ -321,7 +321,7 @@
 
 func TestBadScopesNameTheParameter(t *testing.T) {
 	var names []string
-	for i := range mostScope + 1 {
+	for i := range maxScopeServices + 1 {
 		names = append(names, fmt.Sprint("s", i))
 	}
 	for query, want := range map[string]string{
@@ -340,7 +340,7 @@
 		"service=a&subset=2&nodes=3&position=3":  "position: want",
 		"service=a&subset=2&nodes=3&position=-1": "position: want",
 		"service=a&subset=99999999999999999999":  "subset: want",
-		"service=a&subset=2&nodes=3&position=0&zone=" + strings.Repeat("z", mostText+1): "zone: over",
+		"service=a&subset=2&nodes=3&position=0&zone=" + strings.Repeat("z", maxFieldBytes+1): "zone: over",
 	} {
 		values, err := url.ParseQuery(query)
 		if err != nil {
@@ -351,7 +351,7 @@
 		}
 	}
 	scope, err := parseScope(url.Values{"service": {"b,a", "a"}, "subset": {"2"}, "nodes": {"3"}, "position": {"1"}, "zone": {"z"}})
-	want := &Scope{Services: []string{"a", "b"}, Size: 2, Client: subset.Client{Position: 1, Count: 3, Zone: "z"}}
+	want := &Scope{Services: []string{"a", "b"}, SubsetSize: 2, Client: subset.Client{Position: 1, Count: 3, Zone: "z"}}
 	if diff := cmp.Diff(want, scope); err != nil || diff != "" {
 		t.Error(err, diff)
 	}
--- a/internal/registry/scopedwatch.go
+++ b/internal/registry/scopedwatch.go
@@ -34,7 +34,7 @@
 func (s *Server) tellScoped(w http.ResponseWriter, c *http.ResponseController, scope *Scope, since int64, always bool) (now int64, told bool) {
 	var view *scopedView
 	var unknown error
-	s.r.Look(func(state *State) { view, unknown = state.scoped(scope, since) })
+	s.r.View(func(state *Store) { view, unknown = state.scoped(scope, since) })
 	if unknown != nil {
 		if s.fresh(w) {
 			s.stats.Bad.Add(1)
@@ -55,9 +55,9 @@
 	if !s.fresh(w) {
 		return 0, true
 	}
-	w.Header().Set(headerScoped, "true")
+	w.Header().Set(scopedHeader, "true")
 	if len(view.unknown) > 0 {
-		w.Header().Set(headerUnknown, strings.Join(view.unknown, ","))
+		w.Header().Set(unknownServicesHeader, strings.Join(view.unknown, ","))
 	}
 	s.write(w, c, raw, view.epoch)
 	return 0, true
--- a/internal/registry/service.go
+++ b/internal/registry/service.go
@@ -16,20 +16,20 @@
 
 // Config is a replica's file.
 type Config struct {
-	ID      string            `toml:"id"`
-	Listen  string            `toml:"listen"`  // for nodes, agents and operators
-	Raft    string            `toml:"raft"`    // for the other replicas, as they reach it
-	Bind    string            `toml:"bind"`    // where that is bound; empty for raft
-	Control string            `toml:"control"` // health and figures; empty for none
-	Folder  string            `toml:"folder"`
-	Watches int               `toml:"watches"` // held at a time; 0 for 4,096
-	Peers   map[string]string `toml:"peers"`   // id and raft of the first replicas; empty for one that is added later
+	ID              string            `toml:"id"`
+	ListenAddress   string            `toml:"listen"`  // for nodes, agents and operators
+	RaftAddress     string            `toml:"raft"`    // for the other replicas, as they reach it
+	RaftBindAddress string            `toml:"bind"`    // where that is bound; empty for raft
+	AdminAddress    string            `toml:"control"` // health and figures; empty for none
+	DataDir         string            `toml:"folder"`
+	MaxWatches      int               `toml:"watches"` // held at a time; 0 for 4,096
+	InitialReplicas map[string]string `toml:"peers"`   // id and raft of the first replicas; empty for one that is added later
 }
 
-// Default is a single replica on this machine.
-func Default() Config {
-	return Config{ID: "r0", Listen: "127.0.0.1:8500", Raft: "127.0.0.1:8501", Control: "127.0.0.1:8502",
-		Folder: "registry-r0", Peers: map[string]string{"r0": "127.0.0.1:8501"}}
+// DefaultConfig is a single replica on this machine.
+func DefaultConfig() Config {
+	return Config{ID: "r0", ListenAddress: "127.0.0.1:8500", RaftAddress: "127.0.0.1:8501", AdminAddress: "127.0.0.1:8502",
+		DataDir: "registry-r0", InitialReplicas: map[string]string{"r0": "127.0.0.1:8501"}}
 }
 
 // LoadConfig reads a file, strictly.
@@ -53,32 +53,32 @@
 		}
 		return c, fmt.Errorf("%s: %w", path, err)
 	}
-	if err := c.Check(); err != nil {
+	if err := c.Validate(); err != nil {
 		return c, fmt.Errorf("%s: %w", path, err)
 	}
 	return c, nil
 }
 
-// Check says which key can't be used.
-func (c Config) Check() error {
-	if c.ID == "" || len(c.ID) > mostText {
+// Validate says which key can't be used.
+func (c Config) Validate() error {
+	if c.ID == "" || len(c.ID) > maxFieldBytes {
 		return errors.New("id: missing or too long")
 	}
-	if c.Folder == "" {
+	if c.DataDir == "" {
 		return errors.New("folder: missing")
 	}
-	if c.Watches < 0 || c.Watches > 100_000 {
-		return fmt.Errorf("watches: want 0 to 100000, got %d", c.Watches)
+	if c.MaxWatches < 0 || c.MaxWatches > 100_000 {
+		return fmt.Errorf("watches: want 0 to 100000, got %d", c.MaxWatches)
 	}
-	for key, addr := range map[string]string{"listen": c.Listen, "raft": c.Raft, "control": c.Control} {
+	for key, addr := range map[string]string{"listen": c.ListenAddress, "raft": c.RaftAddress, "control": c.AdminAddress} {
 		if _, _, err := net.SplitHostPort(addr); err != nil && (key != "control" || addr != "") {
 			return fmt.Errorf("%s: want host:port, got %q", key, addr)
 		}
 	}
-	if len(c.Peers) > 0 && c.Peers[c.ID] != c.Raft {
-		return fmt.Errorf("peers.%s: want this replica's raft, %q, got %q", c.ID, c.Raft, c.Peers[c.ID])
+	if len(c.InitialReplicas) > 0 && c.InitialReplicas[c.ID] != c.RaftAddress {
+		return fmt.Errorf("peers.%s: want this replica's raft, %q, got %q", c.ID, c.RaftAddress, c.InitialReplicas[c.ID])
 	}
-	if n := len(c.Peers); n > 0 && n%2 == 0 {
+	if n := len(c.InitialReplicas); n > 0 && n%2 == 0 {
 		return fmt.Errorf("peers: want an odd number, got %d", n)
 	}
 	return nil
@@ -86,20 +86,22 @@
 
 // Serve runs a replica until ctx ends. A folder that is a copy of an older one begins a new epoch.
 func Serve(ctx context.Context, c Config, newEpoch bool) error {
-	r, err := Open(ReplicaConfig{ID: c.ID, Raft: c.Raft, Bind: c.Bind, Calls: c.Listen, Folder: c.Folder, Peers: c.Peers, NewEpoch: newEpoch})
+	r, err := Open(ReplicaConfig{ID: c.ID, RaftAddress: c.RaftAddress, RaftBindAddress: c.RaftBindAddress, APIAddress: c.ListenAddress, DataDir: c.DataDir, InitialReplicas: c.InitialReplicas, NewEpoch: newEpoch})
 	if err != nil {
 		return err
 	}
-	s := NewServer(r, ServerConfig{Watches: c.Watches})
+	s := NewServer(r, ServerConfig{MaxWatches: c.MaxWatches})
 	ctx, stop := context.WithCancel(ctx)
 	failed := make(chan error, 2)
 	running := 1
-	go func() { failed <- Run(ctx, s.HTTP(), c.Listen) }()
-	if c.Control != "" {
+	go func() { failed <- Run(ctx, s.HTTP(), c.ListenAddress) }()
+	if c.AdminAddress != "" {
 		running++
-		go func() { failed <- Run(ctx, &http.Server{Handler: s.control(), ReadHeaderTimeout: readTime}, c.Control) }()
+		go func() {
+			failed <- Run(ctx, &http.Server{Handler: s.control(), ReadHeaderTimeout: readTime}, c.AdminAddress)
+		}()
 	}
-	slog.Info("registry: a replica", "id", c.ID, "listen", c.Listen, "raft", c.Raft, "folder", c.Folder)
+	slog.Info("registry: a replica", "id", c.ID, "listen", c.ListenAddress, "raft", c.RaftAddress, "folder", c.DataDir)
 	first := <-failed // nil once ctx ends
 	stop()
 	for range running - 1 {
@@ -118,9 +120,9 @@
 		"registry_watches":                   func(v Status) float64 { return float64(v.Watches) },
 		"registry_lists_total":               func(v Status) float64 { return float64(v.Lists) },
 		"registry_writes_total":              func(v Status) float64 { return float64(v.Writes) },
-		"registry_calls_turned_away_total":   func(v Status) float64 { return float64(v.Shed) },
-		"registry_calls_refused_stale_total": func(v Status) float64 { return float64(v.Stale) },
-		"registry_leases_held":               func(v Status) float64 { return truth(v.Held) },
+		"registry_calls_turned_away_total":   func(v Status) float64 { return float64(v.CallsRejected) },
+		"registry_calls_refused_stale_total": func(v Status) float64 { return float64(v.CallsRejectedStale) },
+		"registry_leases_held":               func(v Status) float64 { return truth(v.ExpirySuspended) },
 		"registry_leader":                    func(v Status) float64 { return truth(v.Leader == v.ID) },
 	} {
 		set.NewGauge(name, func() float64 {
@@ -130,7 +132,7 @@
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthcheck", func(w http.ResponseWriter, _ *http.Request) {
-		if age, ok := s.r.Age(); !ok || age > s.c.Stale {
+		if age, ok := s.r.Age(); !ok || age > s.c.MaxAge {
 			http.Error(w, "this replica can't tell that its list is fresh", http.StatusServiceUnavailable)
 		}
 	})
--- a/internal/registry/services.go
+++ b/internal/registry/services.go
@@ -19,7 +19,7 @@
 }
 
 func (i Instance) placement() *Placement {
-	return &Placement{Service: i.Entry.Service, Locality: i.Entry.Locality, Phase: i.Entry.Phase, Slot: i.Slot}
+	return &Placement{Service: i.Endpoint.Service, Locality: i.Endpoint.Zone, Phase: i.Endpoint.Phase, Slot: i.Slot}
 }
 
 // services is an index of the state by service. It is derived from the image: a snapshot doesn't hold it.
@@ -81,7 +81,7 @@
 
 // note enters a change into the services that it touches.
 func (s services) note(c change) {
-	for _, service := range c.services() {
+	for _, service := range c.touchedServices() {
 		index := s[service]
 		index.changes = append(index.changes, c)
 		index.changed = c.Revision
@@ -93,7 +93,7 @@
 // changes is unknown from then on.
 func (s services) forget(dropped []change, floor int64) {
 	for _, c := range dropped {
-		for _, service := range c.services() {
+		for _, service := range c.touchedServices() {
 			index := s[service]
 			if index == nil {
 				continue
@@ -109,19 +109,19 @@
 }
 
 // newServices makes the index of an image that was read.
-func newServices(from image) (services, error) {
+func newServices(from snapshotImage) (services, error) {
 	all := make(services)
 	for id, instance := range from.Instances {
-		service, slot := instance.Entry.Service, instance.Slot
+		service, slot := instance.Endpoint.Service, instance.Slot
 		if service == "" {
 			continue
 		}
-		if slot < 0 || slot >= mostInstances {
+		if slot < 0 || slot >= maxInstances {
 			return nil, fmt.Errorf("instance %q: slot %d is out of range", id, slot)
 		}
 		index := all[service]
 		if index == nil {
-			index = &serviceIndex{changed: from.Floor}
+			index = &serviceIndex{changed: from.CompactedRevision}
 			all[service] = index
 		}
 		if missing := slot + 1 - len(index.ids); missing > 0 {
@@ -141,9 +141,9 @@
 		}
 	}
 	for _, c := range from.History {
-		for _, service := range c.services() {
+		for _, service := range c.touchedServices() {
 			if all[service] == nil {
-				all[service] = &serviceIndex{changed: from.Floor}
+				all[service] = &serviceIndex{changed: from.CompactedRevision}
 			}
 		}
 		all.note(c)
@@ -153,9 +153,9 @@
 
 // serviceView is a service at one revision. It is shared by all who ask, and its servers never change.
 type serviceView struct {
-	entries []Entry // in the order of slots
+	entries []Endpoint // in the order of slots
 	servers candidates
-	byID    func() map[string]Entry
+	byID    func() map[string]Endpoint
 
 	mu    sync.Mutex
 	rings map[ringsKey]*rings
@@ -204,7 +204,7 @@
 
 func (c *candidates) add(server subset.Server, phase string) {
 	c.all = append(c.all, server)
-	if phase == Up {
+	if phase == PhaseUp {
 		c.running = append(c.running, server)
 	}
 }
@@ -248,12 +248,12 @@
 		if id == "" {
 			continue
 		}
-		entry := instances[id].Entry
+		entry := instances[id].Endpoint
 		view.entries = append(view.entries, entry)
-		view.servers.add(subset.Server{ID: id, Zone: entry.Locality, Slot: slot}, entry.Phase)
+		view.servers.add(subset.Server{ID: id, Zone: entry.Zone, Slot: slot}, entry.Phase)
 	}
-	view.byID = sync.OnceValue(func() map[string]Entry {
-		byID := make(map[string]Entry, len(view.entries))
+	view.byID = sync.OnceValue(func() map[string]Endpoint {
+		byID := make(map[string]Endpoint, len(view.entries))
 		for _, entry := range view.entries {
 			byID[entry.ID] = entry
 		}
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -22,16 +22,16 @@
 
 // decoder reads images: the library's own bound on a map's pairs is below that on instances.
 var decoder = func() cbor.DecMode {
-	mode, err := cbor.DecOptions{MaxMapPairs: mostInstances}.DecMode()
+	mode, err := cbor.DecOptions{MaxMapPairs: maxInstances}.DecMode()
 	if err != nil { // the options are constant
 		panic(err)
 	}
 	return mode
 }()
 
-// Write writes the state so that Read reads it.
-func (s *State) Write(w io.Writer) error {
-	raw, err := cbor.Marshal(s.image)
+// WriteSnapshot writes the state so that Read reads it.
+func (s *Store) WriteSnapshot(w io.Writer) error {
+	raw, err := cbor.Marshal(s.snapshotImage)
 	if err != nil {
 		return err
 	}
@@ -50,8 +50,8 @@
 	return binary.BigEndian.AppendUint64(head, xxhash.Sum64(raw))
 }
 
-// Read reads a state as Write wrote it.
-func Read(r io.Reader) (*State, error) {
+// ReadSnapshot reads a state as Write wrote it.
+func ReadSnapshot(r io.Reader) (*Store, error) {
 	head := make([]byte, len(snapshotMark)+17)
 	if _, err := io.ReadFull(r, head); err != nil {
 		return nil, fmt.Errorf("snapshot: cut in its head: %w", err)
@@ -74,23 +74,23 @@
 	if xxhash.Sum64(raw) != sum {
 		return nil, fmt.Errorf("snapshot: bytes %d to %d: the hash doesn't fit", len(head), len(head)+int(size))
 	}
-	s := NewState()
-	if err := decoder.Unmarshal(raw, &s.image); err != nil {
+	s := NewStore()
+	if err := decoder.Unmarshal(raw, &s.snapshotImage); err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	if s.Instances == nil {
 		s.Instances = make(map[string]Instance)
 	}
-	services, err := newServices(s.image)
+	services, err := newServices(s.snapshotImage)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w", err)
 	}
 	s.services = services
-	if s.Peers == nil {
-		s.Peers = make(map[string]string)
+	if s.ReplicaAddresses == nil {
+		s.ReplicaAddresses = make(map[string]string)
 	}
-	for _, a := range s.Answers {
-		s.answers[a.Request] = a.Result
+	for _, a := range s.Responses {
+		s.answers[a.RequestID] = a.Result
 	}
 	return s, nil
 }
--- a/internal/registry/state_test.go
+++ b/internal/registry/state_test.go
@@ -13,22 +13,22 @@
 	"pgregory.net/rapid"
 )
 
-func entry(id string) Entry {
-	return Entry{ID: id, HostPort: "10.0.0.1:9000", Locality: "a", Phase: Up, Size: 1}
+func entry(id string) Endpoint {
+	return Endpoint{ID: id, Address: "10.0.0.1:9000", Zone: "a", Phase: PhaseUp, Size: 1}
 }
 
 func registers(id string, lease time.Duration) Command {
-	return Command{Kind: Register, Entry: entry(id), Lease: lease}
+	return Command{Kind: RegisterInstance, Endpoint: entry(id), TTL: lease}
 }
 
 // drawCommand is any command, odd ones among them.
 func drawCommand(t *rapid.T) Command {
 	id := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "id"))
-	c := Command{Kind: Kind(rapid.IntRange(0, 9).Draw(t, "kind")), ID: id, Entry: entry(id), Phase: Draining,
-		Lease: time.Duration(rapid.IntRange(1, 30).Draw(t, "lease")) * time.Second,
-		Span:  time.Duration(rapid.IntRange(-1000, 9000).Draw(t, "span")) * time.Millisecond}
+	c := Command{Kind: CommandKind(rapid.IntRange(0, 9).Draw(t, "kind")), ID: id, Endpoint: entry(id), Phase: PhaseDraining,
+		TTL:     time.Duration(rapid.IntRange(1, 30).Draw(t, "lease")) * time.Second,
+		Elapsed: time.Duration(rapid.IntRange(-1000, 9000).Draw(t, "span")) * time.Millisecond}
 	if rapid.Bool().Draw(t, "asks again") {
-		c.Request = fmt.Sprint("r", rapid.IntRange(0, 9).Draw(t, "request"))
+		c.RequestID = fmt.Sprint("r", rapid.IntRange(0, 9).Draw(t, "request"))
 	}
 	if rapid.IntRange(0, 3).Draw(t, "matches") == 0 {
 		c.IfMatch = int64(rapid.IntRange(1, 9).Draw(t, "version")) + 1<<epochBits
@@ -40,15 +40,15 @@
 // repeat is harmless; a snapshot is the state.
 func TestStateProperties(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := NewState()
-		seen, at := make(map[string]Entry), int64(-1)
+		s := NewStore()
+		seen, at := make(map[string]Endpoint), int64(-1)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c, before := drawCommand(t), s.Revision
 			first := s.Apply(c)
 			if s.Revision < before {
 				t.Fatalf("revision %d after %d", s.Revision, before)
 			}
-			if c.Request != "" {
+			if c.RequestID != "" {
 				then := s.Revision
 				if again := s.Apply(c); again != first || s.Revision != then {
 					t.Fatalf("a repeat of %+v gave %+v, first %+v", c, again, first)
@@ -62,105 +62,105 @@
 			}
 		}
 		var b bytes.Buffer
-		if err := s.Write(&b); err != nil {
+		if err := s.WriteSnapshot(&b); err != nil {
 			t.Fatal(err)
 		}
-		back, err := Read(&b)
+		back, err := ReadSnapshot(&b)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(s.Whole(), back.Whole()); diff != "" || back.Clock != s.Clock || len(back.answers) != len(s.answers) {
+		if diff := cmp.Diff(s.FullList(), back.FullList()); diff != "" || back.Clock != s.Clock || len(back.answers) != len(s.answers) {
 			t.Fatal("a snapshot is not the state:", diff)
 		}
 	})
 }
 
 // follow takes over what a watcher at a revision is told.
-func follow(s *State, seen map[string]Entry, at *int64) {
-	l, _ := s.Since(*at)
+func follow(s *Store, seen map[string]Endpoint, at *int64) {
+	l, _ := s.ChangesSince(*at)
 	if l.Complete {
 		clear(seen)
 	}
-	for _, e := range l.Members {
-		if seen[e.ID] = e; e.Phase == Removed {
+	for _, e := range l.Endpoints {
+		if seen[e.ID] = e; e.Phase == PhaseRemoved {
 			delete(seen, e.ID)
 		}
 	}
 	*at = l.Revision
 }
 
-func ticks(s *State, span time.Duration) {
-	for ; span > 0; span -= tickMost {
-		s.Apply(Command{Kind: Tick, Span: min(span, tickMost)})
+func ticks(s *Store, span time.Duration) {
+	for ; span > 0; span -= maxClockStep {
+		s.Apply(Command{Kind: AdvanceClock, Elapsed: min(span, maxClockStep)})
 	}
 }
 
 func TestLeases(t *testing.T) {
-	s := NewState()
+	s := NewStore()
 	for i := range 20 {
 		s.Apply(registers(fmt.Sprint("s", i), 10*time.Second))
 	}
 	for i := range 18 { // two fall silent
 		ticks(s, 3*time.Second)
 		for n := range 18 {
-			s.Apply(Command{Kind: Renew, ID: fmt.Sprint("s", n)})
+			s.Apply(Command{Kind: RenewLease, ID: fmt.Sprint("s", n)})
 		}
 		if i == 3 && len(s.Instances) != 18 {
 			t.Fatalf("%d instances after the leases of two, want 18", len(s.Instances))
 		}
 	}
 	ticks(s, time.Minute)
-	if len(s.Instances) != 18 || !s.Held {
-		t.Errorf("%d instances left, held %v: all leases run out at once, which is the service's fault", len(s.Instances), s.Held)
+	if len(s.Instances) != 18 || !s.ExpirySuspended {
+		t.Errorf("%d instances left, held %v: all leases run out at once, which is the service's fault", len(s.Instances), s.ExpirySuspended)
 	}
-	s.Apply(Command{Kind: Renew, ID: "s0"})
-	s.Apply(Command{Kind: Lead})
+	s.Apply(Command{Kind: RenewLease, ID: "s0"})
+	s.Apply(Command{Kind: RestartLeases})
 	ticks(s, 9*time.Second)
-	if len(s.Instances) != 18 || s.Held {
-		t.Errorf("%d instances, held %v: a new leader gives all leases their whole time", len(s.Instances), s.Held)
+	if len(s.Instances) != 18 || s.ExpirySuspended {
+		t.Errorf("%d instances, held %v: a new leader gives all leases their whole time", len(s.Instances), s.ExpirySuspended)
 	}
 }
 
 func TestEpochsAndHistory(t *testing.T) {
-	s := NewState()
-	s.Apply(registers("a", LeaseDefault))
+	s := NewStore()
+	s.Apply(registers("a", DefaultTTL))
 	old := s.Revision
 	copied := *s
-	s.Apply(registers("b", LeaseDefault))
-	if l, _ := s.Since(old); l.Complete || len(l.Members) != 1 || l.Members[0].ID != "b" {
+	s.Apply(registers("b", DefaultTTL))
+	if l, _ := s.ChangesSince(old); l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "b" {
 		t.Errorf("a change is told as %+v", l)
 	}
-	if l, news := s.Since(s.Revision + 5); !news || !l.Complete {
+	if l, news := s.ChangesSince(s.Revision + 5); !news || !l.Complete {
 		t.Errorf("a revision that never was is told %+v", l)
 	}
 	at := s.Revision
-	copied.Apply(Command{Kind: NewEpoch})
-	if l, news := copied.Since(at); !news || !l.Complete || copied.Revision <= at {
+	copied.Apply(Command{Kind: BeginEpoch})
+	if l, news := copied.ChangesSince(at); !news || !l.Complete || copied.Revision <= at {
 		t.Errorf("a watcher of the epoch before is told %+v at revision %d", l, copied.Revision)
 	}
-	for i := range mostHistory + 10 {
-		s.Apply(Command{Kind: SetPhase, ID: "a", Phase: []string{Up, Draining}[i%2]})
+	for i := range maxHistoryChanges + 10 {
+		s.Apply(Command{Kind: SetInstancePhase, ID: "a", Phase: []string{PhaseUp, PhaseDraining}[i%2]})
 	}
-	if l, _ := s.Since(old); !l.Complete || len(s.History) > mostHistory {
+	if l, _ := s.ChangesSince(old); !l.Complete || len(s.History) > maxHistoryChanges {
 		t.Errorf("%d changes kept, and one before them is told %+v", len(s.History), l)
 	}
 }
 
 // A snapshot that is cut at any byte, or has any byte flipped, is none.
 func TestSpoiltSnapshots(t *testing.T) {
-	s := NewState()
-	s.Apply(registers("a", LeaseDefault))
+	s := NewStore()
+	s.Apply(registers("a", DefaultTTL))
 	var b bytes.Buffer
-	if err := s.Write(&b); err != nil {
+	if err := s.WriteSnapshot(&b); err != nil {
 		t.Fatal(err)
 	}
 	for i := range b.Len() {
-		if _, err := Read(bytes.NewReader(b.Bytes()[:i])); err == nil || !strings.HasPrefix(err.Error(), "snapshot: ") {
+		if _, err := ReadSnapshot(bytes.NewReader(b.Bytes()[:i])); err == nil || !strings.HasPrefix(err.Error(), "snapshot: ") {
 			t.Fatalf("cut at byte %d: %v", i, err)
 		}
 		flipped := bytes.Clone(b.Bytes())
 		flipped[i] ^= 0x40
-		if _, err := Read(bytes.NewReader(flipped)); err == nil {
+		if _, err := ReadSnapshot(bytes.NewReader(flipped)); err == nil {
 			t.Fatalf("byte %d flipped, and read", i)
 		}
 	}
--- a/internal/registry/subscriptions.go
+++ b/internal/registry/subscriptions.go
@@ -1,34 +1,34 @@
 package registry
 
-// subscriptions are the scoped watches that wait, by the services that they name: a change wakes only those whose
+// watcherGroup are the scoped watches that wait, by the services that they name: a change wakes only those whose
 // services it touches. The zero value is ready; a lock of the owner guards it.
-type subscriptions struct {
-	byService map[string]map[*subscription]bool
+type watcherGroup struct {
+	byService map[string]map[*watcher]bool
 	touched   map[string]bool // services that changed since the last wake
 	all       bool            // all of them have
 }
 
-// subscription is one watch that waits.
-type subscription struct {
+// watcher is one watch that waits.
+type watcher struct {
 	news     chan struct{} // holds one value: further changes before it is read are told by the same
 	services []string
 }
 
-func (s *subscriptions) add(services []string) *subscription {
+func (s *watcherGroup) add(services []string) *watcher {
 	if s.byService == nil {
-		s.byService, s.touched = make(map[string]map[*subscription]bool), make(map[string]bool)
+		s.byService, s.touched = make(map[string]map[*watcher]bool), make(map[string]bool)
 	}
-	sub := &subscription{news: make(chan struct{}, 1), services: services}
+	sub := &watcher{news: make(chan struct{}, 1), services: services}
 	for _, service := range services {
 		if s.byService[service] == nil {
-			s.byService[service] = make(map[*subscription]bool)
+			s.byService[service] = make(map[*watcher]bool)
 		}
 		s.byService[service][sub] = true
 	}
 	return sub
 }
 
-func (s *subscriptions) remove(sub *subscription) {
+func (s *watcherGroup) remove(sub *watcher) {
 	for _, service := range sub.services {
 		delete(s.byService[service], sub)
 		if len(s.byService[service]) == 0 {
@@ -38,9 +38,9 @@
 }
 
 // touch notes the services of changes for the next wake.
-func (s *subscriptions) touch(changes []change) {
+func (s *watcherGroup) touch(changes []change) {
 	for _, c := range changes {
-		for _, service := range c.services() {
+		for _, service := range c.touchedServices() {
 			if s.byService[service] != nil {
 				s.touched[service] = true
 			}
@@ -49,10 +49,10 @@
 }
 
 // touchAll notes that the state is another as a whole.
-func (s *subscriptions) touchAll() { s.all = true }
+func (s *watcherGroup) touchAll() { s.all = true }
 
 // wake tells those whose services changed.
-func (s *subscriptions) wake() {
+func (s *watcherGroup) wake() {
 	if s.all {
 		for service := range s.byService {
 			s.touched[service] = true
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -55,11 +55,11 @@
 	}
 	w.record.Record(ReturnCalls, overMean(after, steady, func(t node.Traffic) uint64 { return t.Calls }))
 	w.record.Record(ReturnBytes, overMean(after, steady, func(t node.Traffic) uint64 { return t.Received }))
-	var list registry.List
+	var list registry.EndpointList
 	if err := w.clients[0].Do(ctx, http.MethodGet, instancesList, nil, &list, 0); err != nil {
 		return err
 	}
-	w.record.Record(ServersRemoved, float64(len(w.entries)-len(list.Members)))
+	w.record.Record(ServersRemoved, float64(len(w.entries)-len(list.Endpoints)))
 	return nil
 }
 
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -42,19 +42,19 @@
 func zoneName(i int) string { return fmt.Sprintf("region-%d-zone-%d", i%regions, i/regions%zonesEach) }
 
 // servers are the entries of the list, in zones drawn at random.
-func (f *fleet) servers() []registry.Entry {
-	all := make([]registry.Entry, f.held.Servers)
+func (f *fleet) servers() []registry.Endpoint {
+	all := make([]registry.Endpoint, f.held.Servers)
 	for i := range all {
-		all[i] = registry.Entry{ID: fmt.Sprintf("server-%06d", i), HostPort: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
-			Locality: zoneName(f.rng.IntN(regions * zonesEach)), Flavor: serverKinds[i%len(serverKinds)], Cell: int64(i / cellSize),
-			Phase: registry.Up, Size: 1}
+		all[i] = registry.Endpoint{ID: fmt.Sprintf("server-%06d", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
+			Zone: zoneName(f.rng.IntN(regions * zonesEach)), Kind: serverKinds[i%len(serverKinds)], Cell: int64(i / cellSize),
+			Phase: registry.PhaseUp, Size: 1}
 	}
 	return all
 }
 
 // encodeList is a list as the list service answers it.
-func encodeList(revision int64, complete bool, members ...registry.Entry) []byte {
-	raw, err := json.Marshal(registry.List{Revision: revision, Complete: complete, Members: members})
+func encodeList(revision int64, complete bool, members ...registry.Endpoint) []byte {
+	raw, err := json.Marshal(registry.EndpointList{Revision: revision, Complete: complete, Endpoints: members})
 	if err != nil { // plain fields always can be written
 		panic(err)
 	}
--- a/internal/scaletest/process_registry.go
+++ b/internal/scaletest/process_registry.go
@@ -85,8 +85,8 @@
 func put(ctx context.Context, c *registry.Client, path string, body any) error {
 	for {
 		err := c.Do(ctx, http.MethodPut, path, body, nil, 0)
-		var refused registry.ErrRefused
-		if ctx.Err() != nil || !errors.As(err, &refused) || refused.Status != http.StatusServiceUnavailable {
+		var refused registry.StatusError
+		if ctx.Err() != nil || !errors.As(err, &refused) || refused.StatusCode != http.StatusServiceUnavailable {
 			return err
 		}
 	}
@@ -258,7 +258,7 @@
 func (w *watchers) follow(ctx context.Context, c *registry.Client) {
 	at := int64(-1)
 	for first := true; ctx.Err() == nil; {
-		var l registry.List
+		var l registry.EndpointList
 		path := fmt.Sprintf("/registry/instances?index=%d&wait=%d", at, watchFor.Milliseconds())
 		if c.Watch(ctx, path, watchFor, &l) != nil {
 			continue
@@ -269,15 +269,15 @@
 	}
 }
 
-func (w *watchers) note(l registry.List, first bool) {
+func (w *watchers) note(l registry.EndpointList, first bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if first {
 		w.ready++
 		return
 	}
-	for _, e := range l.Members {
-		if e.UpSince == w.mark {
+	for _, e := range l.Endpoints {
+		if e.StartTimeMs == w.mark {
 			w.told++
 			_ = w.late.RecordValue(time.Since(w.sent).Microseconds())
 		}
--- a/internal/scaletest/process_scoped.go
+++ b/internal/scaletest/process_scoped.go
@@ -42,7 +42,7 @@
 	})); err != nil {
 		return nil, err
 	}
-	_, err = run.writeAll(ctx, n, func(c *registry.Client, i int) error { return l.write(ctx, c, i, registry.Up) })
+	_, err = run.writeAll(ctx, n, func(c *registry.Client, i int) error { return l.write(ctx, c, i, registry.PhaseUp) })
 	return l, err
 }
 
@@ -90,13 +90,13 @@
 	for i := range min(spec.Routes, serviceCount(size)) {
 		services = append(services, routeService(i))
 	}
-	var scoped registry.List
+	var scoped registry.EndpointList
 	path := fmt.Sprintf("/registry/instances?service=%s&subset=%d&position=%v&nodes=%v&zone=%v", strings.Join(services, ","),
 		defaultSubset, settings["position"], settings["groupSize"], settings["zone"])
 	if err := list.client.Do(ctx, http.MethodGet, path, nil, &scoped, 0); err != nil {
 		return nil, err
 	}
-	want := len(scoped.Members)
+	want := len(scoped.Endpoints)
 	n, listed, err := startAndRecord(ctx, r, testcluster.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB,
 		Sockets: nodeDescripts, Settings: settings, Scope: map[string]any{"services": services, "subset": defaultSubset}}, want, rec)
 	if err == nil && listed != want {
@@ -153,14 +153,14 @@
 // changeAll has servers drawn from all of them drain, and each come back with the next change, until ctx ends.
 func (l *registryList) changeAll(ctx context.Context, seed uint64, n int, rate float64) error {
 	rng := rand.New(rand.NewPCG(seed, 0xda))
-	for server, phase := 0, registry.Up; ; {
+	for server, phase := 0, registry.PhaseUp; ; {
 		if sleep(ctx, time.Duration(rng.ExpFloat64()/rate*float64(time.Second))) != nil {
 			return nil
 		}
-		if phase == registry.Up {
-			server, phase = rng.IntN(n), registry.Draining
+		if phase == registry.PhaseUp {
+			server, phase = rng.IntN(n), registry.PhaseDraining
 		} else {
-			phase = registry.Up
+			phase = registry.PhaseUp
 		}
 		if err := l.change(ctx, server, phase); err != nil && ctx.Err() == nil {
 			return err
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -186,8 +186,8 @@
 }
 
 func TestRefusedChangesAreNoFailureAndNotMissed(t *testing.T) {
-	turnedAway := registry.ErrRefused{Status: http.StatusServiceUnavailable}
-	if !tooMuch(fmt.Errorf("registering: %w", turnedAway)) || tooMuch(registry.ErrRefused{Status: http.StatusBadRequest}) ||
+	turnedAway := registry.StatusError{StatusCode: http.StatusServiceUnavailable}
+	if !tooMuch(fmt.Errorf("registering: %w", turnedAway)) || tooMuch(registry.StatusError{StatusCode: http.StatusBadRequest}) ||
 		tooMuch(nil) || tooMuch(context.Canceled) {
 		t.Error("a service that has no room is told from other failures by its status")
 	}
--- a/internal/scaletest/stepped.go
+++ b/internal/scaletest/stepped.go
@@ -30,7 +30,7 @@
 type steppedNode struct {
 	*node.Hollow
 	path     string // of its configuration
-	entries  []registry.Entry
+	entries  []registry.Endpoint
 	revision int64
 	began    float64 // the heap before there was anything of the node
 }
@@ -98,7 +98,7 @@
 	changes := make([][]byte, 0, count)
 	for len(changes) < count {
 		entry := s.entries[p.fleet.rng.IntN(len(s.entries))]
-		for _, phase := range []string{registry.Draining, registry.Up} {
+		for _, phase := range []string{registry.PhaseDraining, registry.PhaseUp} {
 			entry.Phase = phase
 			s.revision++
 			changes = append(changes, encodeList(s.revision, false, entry))
--- a/internal/scaletest/watchers.go
+++ b/internal/scaletest/watchers.go
@@ -71,7 +71,7 @@
 	rig     *testcluster.Rig
 	service *testcluster.Registry
 	clients []*registry.Client // of the writers
-	entries []registry.Entry
+	entries []registry.Endpoint
 	changes int          // made so far,
 	refused atomic.Int64 // and those of them that the service turned away
 }
@@ -109,7 +109,7 @@
 }
 
 // registerPatiently registers a server, again and again while the service has no room or no leader.
-func registerPatiently(ctx context.Context, client *registry.Client, e registry.Entry) error {
+func registerPatiently(ctx context.Context, client *registry.Client, e registry.Endpoint) error {
 	for {
 		if err := register(ctx, client, e); !tooMuch(err) || ctx.Err() != nil {
 			return err
@@ -148,8 +148,8 @@
 	LeaseMs  int64   `json:"lease_ms"`
 }
 
-func register(ctx context.Context, client *registry.Client, e registry.Entry) error {
-	body := registration{HostPort: e.HostPort, Locality: e.Locality, Flavor: e.Flavor, Cell: e.Cell, Phase: e.Phase,
+func register(ctx context.Context, client *registry.Client, e registry.Endpoint) error {
+	body := registration{HostPort: e.Address, Locality: e.Zone, Flavor: e.Kind, Cell: e.Cell, Phase: e.Phase,
 		Size: e.Size, LeaseMs: lease.Milliseconds()}
 	return client.Do(ctx, http.MethodPut, instancesPath+e.ID, body, nil, 0)
 }
@@ -196,8 +196,8 @@
 
 // tooMuch tells whether the list service turned a change away, time and again, for it has no room for more.
 func tooMuch(err error) bool {
-	var refused registry.ErrRefused
-	return errors.As(err, &refused) && refused.Status == http.StatusServiceUnavailable
+	var refused registry.StatusError
+	return errors.As(err, &refused) && refused.StatusCode == http.StatusServiceUnavailable
 }
 
 // schedule calls do at a steady pace, until the span is over.
--- a/internal/testcluster/discovery_test.go
+++ b/internal/testcluster/discovery_test.go
@@ -27,8 +27,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		a := registry.Agent{Client: registry.NewClient(g.Addresses()), Lease: 2 * time.Second, Entry: registry.Entry{ID: id,
-			HostPort: at, Locality: b.Spec.Zone, Flavor: b.Spec.Kind, Cell: b.Spec.Cell, Phase: registry.Up, Size: 1}}
+		a := registry.Agent{Client: registry.NewClient(g.Addresses()), TTL: 2 * time.Second, Endpoint: registry.Endpoint{ID: id,
+			Address: at, Zone: b.Spec.Zone, Kind: b.Spec.Kind, Cell: b.Spec.Cell, Phase: registry.PhaseUp, Size: 1}}
 		ctx, stop := context.WithCancel(w.ctx)
 		stops[id] = sync.OnceFunc(stop)
 		all.Go(func() { _ = a.Run(ctx, 300*time.Millisecond) })
--- a/internal/testcluster/measure_test.go
+++ b/internal/testcluster/measure_test.go
@@ -214,7 +214,7 @@
 		all.Go(func() {
 			c, at := registry.NewClient([]string{g.Listen(g.Names[i%len(g.Names)])}), int64(-1)
 			for first := true; under.Err() == nil; first = false {
-				var l registry.List
+				var l registry.EndpointList
 				if c.Watch(under, fmt.Sprintf("/registry/instances?index=%d&wait=30000", at), 30*time.Second, &l) != nil {
 					continue
 				}
@@ -223,8 +223,8 @@
 				if first {
 					ready++
 				}
-				for _, e := range l.Members {
-					if from, ok := sent[e.UpSince]; ok && !first {
+				for _, e := range l.Endpoints {
+					if from, ok := sent[e.StartTimeMs]; ok && !first {
 						late = append(late, time.Since(from))
 					}
 				}
--- a/internal/testcluster/registry.go
+++ b/internal/testcluster/registry.go
@@ -48,13 +48,13 @@
 		if err != nil {
 			return nil, err
 		}
-		c := registry.Config{ID: name, Listen: fmt.Sprintf("%s:%d", hosts[i], listPort),
-			Bind: fmt.Sprintf("%s:%d", hosts[i], raftPort), Folder: filepath.Join(dir, "data"), Peers: peers}
+		c := registry.Config{ID: name, ListenAddress: fmt.Sprintf("%s:%d", hosts[i], listPort),
+			RaftBindAddress: fmt.Sprintf("%s:%d", hosts[i], raftPort), DataDir: filepath.Join(dir, "data"), InitialReplicas: peers}
 		// The relay reads names from here on.
-		if c.Raft, err = r.RelayStreams(name, c.Bind, func(host string) string { return names[host] }); err != nil {
+		if c.RaftAddress, err = r.RelayStreams(name, c.RaftBindAddress, func(host string) string { return names[host] }); err != nil {
 			return nil, err
 		}
-		peers[name] = c.Raft
+		peers[name] = c.RaftAddress
 		g.replicas[name] = &replica{config: c}
 	}
 	return g, nil
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	file := r.config.Folder + ".toml"
+	file := r.config.DataDir + ".toml"
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		return err
 	}
@@ -89,10 +89,10 @@
 }
 
 // Listen is where a replica answers calls, and Folder where it keeps the list.
-func (g *Registry) Listen(name string) string { return g.replicas[name].config.Listen }
+func (g *Registry) Listen(name string) string { return g.replicas[name].config.ListenAddress }
 
 // Folder is where a replica keeps the list.
-func (g *Registry) Folder(name string) string { return g.replicas[name].config.Folder }
+func (g *Registry) Folder(name string) string { return g.replicas[name].config.DataDir }
 
 // Addresses are where all replicas answer calls.
 func (g *Registry) Addresses() (all []string) {
--- a/internal/testcluster/registry_test.go
+++ b/internal/testcluster/registry_test.go
@@ -97,13 +97,13 @@
 					h.mu.Unlock()
 				}
 				op := porcupine.Operation{ClientId: w, Input: in, Call: int64(time.Since(start))}
-				var a registry.Answer
+				var a registry.WriteResponse
 				err := c.Do(ctx, http.MethodPut, "/registry/instances/"+in.id, map[string]any{"host_port": "10.0.0.1:9000",
 					"lease_ms": 600_000, "up_since_ms": w*1_000_000 + i + 1}, &a, in.match) // each entry is another
 				out := came{version: a.Version}
-				var refused registry.ErrRefused
+				var refused registry.StatusError
 				switch {
-				case errors.As(err, &refused) && refused.Status == http.StatusPreconditionFailed:
+				case errors.As(err, &refused) && refused.StatusCode == http.StatusPreconditionFailed:
 					continue // it took no effect, and tells no version here
 				case err != nil:
 					out = came{unknown: true}
@@ -128,7 +128,7 @@
 func followList(ctx context.Context, at string) error {
 	c, seen := registry.NewClient([]string{at}), int64(-1)
 	for ctx.Err() == nil {
-		var l registry.List
+		var l registry.EndpointList
 		path := fmt.Sprintf("/registry/instances?index=%d&wait=500", seen)
 		if err := c.Watch(ctx, path, 500*time.Millisecond, &l); err != nil {
 			continue // away, or not fresh
@@ -251,16 +251,16 @@
 	if _, err := g.AwaitLeader(within(t, ctx)); err != nil {
 		t.Fatal(err)
 	}
-	var l registry.List
+	var l registry.EndpointList
 	c := registry.NewClient(g.Addresses())
 	for id, version := range h.newest {
-		var a registry.Answer
+		var a registry.WriteResponse
 		if err := c.Do(ctx, http.MethodPut, "/registry/instances/"+id+"/lease", nil, &a, 0); err != nil || a.Version < version {
 			t.Errorf("%s: version %d, %v; version %d was acknowledged", id, a.Version, err, version)
 		}
 	}
-	if err := c.Do(ctx, http.MethodGet, "/registry/instances", nil, &l, 0); err != nil || len(l.Members) != len(h.newest) {
-		t.Errorf("the list has %d instances, %v; want %d", len(l.Members), err, len(h.newest))
+	if err := c.Do(ctx, http.MethodGet, "/registry/instances", nil, &l, 0); err != nil || len(l.Endpoints) != len(h.newest) {
+		t.Errorf("the list has %d instances, %v; want %d", len(l.Endpoints), err, len(h.newest))
 	}
 	t.Logf("%d writes", len(h.history))
 }
@@ -309,8 +309,8 @@
 		t.Fatal(err)
 	}
 	err = Await(within(t, ctx), "the replica to have the list again", func() bool {
-		var l registry.List
-		return Get(ctx, g.Listen(other), "/registry/instances", &l) == nil && len(l.Members) == 20
+		var l registry.EndpointList
+		return Get(ctx, g.Listen(other), "/registry/instances", &l) == nil && len(l.Endpoints) == 20
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -388,9 +388,9 @@
 	})
 	put("s-2")
 	put("s-3")
-	var last, now registry.List
-	if err := c.Do(ctx, http.MethodGet, "/registry/instances", nil, &last, 0); err != nil || len(last.Members) != 3 {
-		t.Fatalf("%d instances, %v", len(last.Members), err)
+	var last, now registry.EndpointList
+	if err := c.Do(ctx, http.MethodGet, "/registry/instances", nil, &last, 0); err != nil || len(last.Endpoints) != 3 {
+		t.Fatalf("%d instances, %v", len(last.Endpoints), err)
 	}
 	restart(func() {
 		if err := os.RemoveAll(g.Folder(name)); err != nil {
@@ -408,7 +408,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if now.Revision <= last.Revision || len(now.Members) != 1 {
-		t.Errorf("the copy has revision %d and %d instances, where %d was seen before", now.Revision, len(now.Members), last.Revision)
+	if now.Revision <= last.Revision || len(now.Endpoints) != 1 {
+		t.Errorf("the copy has revision %d and %d instances, where %d was seen before", now.Revision, len(now.Endpoints), last.Revision)
 	}
 }
--- a/internal/testcluster/scope_test.go
+++ b/internal/testcluster/scope_test.go
@@ -70,7 +70,7 @@
 // write changes an instance in the list.
 func (x *scopedTrial) write(method, id string, body any) {
 	x.t.Helper()
-	var a registry.Answer
+	var a registry.WriteResponse
 	if err := x.c.Do(within(x.t, x.ctx), method, "/registry/instances/"+id, body, &a, 0); err != nil {
 		x.t.Fatal(err)
 	}
@@ -86,12 +86,12 @@
 func (x *scopedTrial) followed(what string) (ids []string) {
 	x.t.Helper()
 	err := Await(within(x.t, x.ctx), "the node to have its scope "+what, func() bool {
-		var list registry.List
+		var list registry.EndpointList
 		if x.c.Do(x.ctx, http.MethodGet, scopedList, nil, &list, 0) != nil || list.Revision < x.written {
 			return false
 		}
 		ids = ids[:0]
-		for _, e := range list.Members {
+		for _, e := range list.Endpoints {
 			ids = append(ids, e.ID+" "+e.Phase)
 		}
 		return slices.Equal(ids, x.held())
@@ -115,11 +115,11 @@
 		return nil
 	}
 	_, body, _ := strings.Cut(string(raw), "\n")
-	var list registry.List
+	var list registry.EndpointList
 	if json.Unmarshal([]byte(body), &list) != nil {
 		return nil
 	}
-	for _, e := range list.Members {
+	for _, e := range list.Endpoints {
 		servers = append(servers, e.ID+" "+e.Phase)
 	}
 	return servers
@@ -167,7 +167,7 @@
 // replace drains a server of the node's subset, takes it out, and puts another in its place.
 func (x *scopedTrial) replace(old, next string) {
 	x.t.Helper()
-	x.write(http.MethodPut, old+"/phase", map[string]string{"phase": registry.Draining})
+	x.write(http.MethodPut, old+"/phase", map[string]string{"phase": registry.PhaseDraining})
 	if during := x.followed("in the drain of " + old); !slices.Contains(during, old) || len(during) < 4 {
 		x.t.Errorf("while %s drains, the node has %v", old, during)
 	}
