--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -97,7 +97,7 @@
 	for _, n := range goldenCommands {
 		s.Apply(n.command)
 	}
-	s.AppliedIndex = 4711
+	s.appliedIndex = 4711
 	return s
 }
 
@@ -160,8 +160,8 @@
 	if err := s.WriteSnapshot(&now); err != nil {
 		t.Fatal(err)
 	}
-	if len(s.Instances) != 1 || len(s.ReplicaAddresses) != 1 {
-		t.Fatalf("%d instances and %d peers: the order of their keys isn't given", len(s.Instances), len(s.ReplicaAddresses))
+	if len(s.instances) != 1 || len(s.replicaAddresses) != 1 {
+		t.Fatalf("%d instances and %d peers: the order of their keys isn't given", len(s.instances), len(s.replicaAddresses))
 	}
 	raw := golden(t, "snapshot-one", now.Bytes())
 	if !bytes.Equal(raw, now.Bytes()) {
@@ -184,11 +184,11 @@
 // checkSameState compares what a snapshot holds, and what is derived from it.
 func checkSameState(t *testing.T, want, got *Store) {
 	t.Helper()
-	if diff := cmp.Diff(want.snapshotImage, got.snapshotImage, cmp.AllowUnexported(snapshotImage{}, change{}, cachedResponse{})); diff != "" {
+	if diff := cmp.Diff(want.image(), got.image(), cmp.AllowUnexported(snapshotImage{}, change{}, cachedResponse{})); diff != "" {
 		t.Error("the state differs (-want +got):", diff)
 	}
-	if !maps.Equal(want.answers, got.answers) {
-		t.Error("the answers to requests differ:", cmp.Diff(want.answers, got.answers))
+	if !maps.Equal(want.responses.byRequest, got.responses.byRequest) {
+		t.Error("the answers to requests differ:", cmp.Diff(want.responses.byRequest, got.responses.byRequest))
 	}
 	if diff := cmp.Diff(want.FullList(), got.FullList()); diff != "" {
 		t.Error("the lists differ (-want +got):", diff)
@@ -250,7 +250,7 @@
 	}()
 	var list EndpointList
 	var peers map[string]string
-	r.View(func(s *Store) { list, peers = s.FullList(), maps.Clone(s.ReplicaAddresses) })
+	r.View(func(s *Store) { list, peers = s.FullList(), maps.Clone(s.replicaAddresses) })
 	s1, s3 := goldenEntry("s1", "pay"), goldenEntry("s3", "pay")
 	s1.Phase = PhaseDraining
 	want := EndpointList{Revision: 1<<32 + 7, Complete: true, Endpoints: []Endpoint{goldenEntry("s0", ""), s1, s3}}
--- a/internal/registry/http_list.go
+++ b/internal/registry/http_list.go
@@ -59,6 +59,6 @@
 	if len(view.unknown) > 0 {
 		w.Header().Set(unknownServicesHeader, strings.Join(view.unknown, ","))
 	}
-	s.write(w, c, raw, view.epoch)
+	s.write(w, c, raw, epochOf(view.revision))
 	return 0, true
 }
--- /dev/null
+++ b/internal/registry/lessor_test.go
@@ -0,0 +1,104 @@
+package registry
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// grantLeases returns n instances whose leases were granted now.
+func grantLeases(l *lessor, n int, ttl time.Duration) map[string]Instance {
+	instances := make(map[string]Instance)
+	for i := range n {
+		instance := Instance{Endpoint: entry(fmt.Sprintf("s%02d", i)), TTL: ttl}
+		l.grant(&instance)
+		instances[instance.Endpoint.ID] = instance
+	}
+	return instances
+}
+
+// expireAll removes the instances whose leases expired, as the Store does, and returns their ids.
+func expireAll(l *lessor, instances map[string]Instance) (ids []string) {
+	for _, instance := range l.expire(instances) {
+		delete(instances, instance.Endpoint.ID)
+		ids = append(ids, instance.Endpoint.ID)
+	}
+	return ids
+}
+
+func TestLeaseExpiresAtItsDeadline(t *testing.T) {
+	l := new(lessor)
+	instances := grantLeases(l, 1, 4*time.Second)
+	l.advance(4*time.Second - 1)
+	if ids := expireAll(l, instances); ids != nil {
+		t.Errorf("%v expired before the deadline", ids)
+	}
+	l.advance(1)
+	if ids := expireAll(l, instances); !slices.Equal(ids, []string{"s00"}) {
+		t.Errorf("%v expired at the deadline, want s00", ids)
+	}
+}
+
+func TestExpiryIsSuspendedForAMassOfLeases(t *testing.T) {
+	for _, test := range []struct {
+		name               string
+		expiring, renewing int
+		suspended          bool
+	}{
+		{"all of a few", minMassExpirations, 0, false},
+		{"all", minMassExpirations + 1, 0, true},
+		{"the largest fraction", 6, 14, false},
+		{"over the largest fraction", 7, 13, true},
+	} {
+		t.Run(test.name, func(t *testing.T) {
+			l := new(lessor)
+			instances := grantLeases(l, test.expiring, time.Second)
+			for i := range test.renewing {
+				instance := Instance{Endpoint: entry(fmt.Sprint("renewed", i)), TTL: time.Minute}
+				l.grant(&instance)
+				instances[instance.Endpoint.ID] = instance
+			}
+			l.advance(2 * time.Second)
+			expired := expireAll(l, instances)
+			want := test.expiring
+			if test.suspended {
+				want = 0
+			}
+			if len(expired) != want || l.suspended != test.suspended {
+				t.Errorf("%d expired, suspended %v; want %d, %v", len(expired), l.suspended, want, test.suspended)
+			}
+		})
+	}
+}
+
+func TestEarlierExpirationsCountWithinTheWindow(t *testing.T) {
+	for wait, suspended := range map[time.Duration]bool{expirationWindow: true, expirationWindow + 1: false} {
+		l := new(lessor)
+		instances := grantLeases(l, minMassExpirations, time.Second)
+		instances["last"] = Instance{Endpoint: entry("last"), Deadline: time.Second + wait}
+		for i := range 2 * minMassExpirations {
+			id := fmt.Sprint("renewed", i)
+			instances[id] = Instance{Endpoint: entry(id), Deadline: time.Hour}
+		}
+		l.advance(time.Second)
+		if ids := expireAll(l, instances); len(ids) != minMassExpirations {
+			t.Fatalf("%v expired, want %d", ids, minMassExpirations)
+		}
+		for passed := time.Duration(0); passed < wait; passed += maxClockStep {
+			l.advance(min(maxClockStep, wait-passed))
+		}
+		if ids := expireAll(l, instances); (len(ids) == 0) != suspended || l.suspended != suspended {
+			t.Errorf("one more after %v: %v expired, suspended %v, want %v", wait, ids, l.suspended, suspended)
+		}
+	}
+}
+
+func TestOneClockStepIsBounded(t *testing.T) {
+	l := new(lessor)
+	l.advance(time.Hour)
+	l.advance(-time.Hour)
+	if l.now != maxClockStep {
+		t.Errorf("the clock is at %v, want %v", l.now, maxClockStep)
+	}
+}
--- a/internal/registry/measure_test.go
+++ b/internal/registry/measure_test.go
@@ -84,14 +84,14 @@
 func (f *fleet) replace(t *testing.T, scope *Scope, ids []string, at int) (whole, scoped int) {
 	t.Helper()
 	step := func(do func()) {
-		before := f.state.Revision
+		before := f.state.revision
 		do()
 		l, _ := f.state.ChangesSince(before)
 		whole += bytesOf(t, l)
 		scoped += scopedBytes(t, f.state, scope, before)
 	}
 	id := ids[at]
-	service := f.state.Instances[id].Endpoint.Service
+	service := f.state.instances[id].Endpoint.Service
 	step(func() { f.state.Apply(Command{Kind: SetInstancePhase, ID: id, Phase: PhaseDraining}) })
 	step(func() { f.state.Apply(Command{Kind: DeregisterInstance, ID: id}) })
 	step(func() { f.add(service) })
@@ -180,8 +180,8 @@
 
 // tellWatchers makes what each of n nodes is told of a change of the large service.
 func (f *fleet) tellWatchers(t *testing.T, n int) {
-	before := f.state.Revision
-	f.state.Apply(Command{Kind: SetInstancePhase, ID: f.state.services["large"].ids[0], Phase: PhaseDraining})
+	before := f.state.revision
+	f.state.Apply(Command{Kind: SetInstancePhase, ID: f.state.services["large"].slots.ids[0], Phase: PhaseDraining})
 	scope := nodeScope(20)
 	for position := range n {
 		scope.Client.Position = position
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -17,7 +17,6 @@
 	"time"
 
 	"github.com/cespare/xxhash/v2"
-	"github.com/fxamacker/cbor/v2"
 	"github.com/hashicorp/go-hclog"
 	"github.com/hashicorp/raft"
 	raftboltdb "github.com/hashicorp/raft-boltdb/v2"
@@ -249,7 +248,7 @@
 }
 
 func (r *Replica) apply(c Command) (Result, error) {
-	raw, err := cbor.Marshal(c)
+	raw, err := encodeCommand(c)
 	if err != nil {
 		return Result{}, err
 	}
@@ -272,7 +271,7 @@
 	if string(id) == r.c.ID {
 		return NotLeaderError{} // it is just becoming the leader, or ceasing to be
 	}
-	return NotLeaderError{LeaderAddress: r.state.ReplicaAddresses[string(id)]}
+	return NotLeaderError{LeaderAddress: r.state.replicaAddresses[string(id)]}
 }
 
 // Age is how old at most what this replica has may be; ok is false where it can't say. A leader without most of
@@ -306,7 +305,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return freshnessResponse{r.state.AppliedIndex, age.Milliseconds() + 1}, nil
+	return freshnessResponse{r.state.appliedIndex, age.Milliseconds() + 1}, nil
 }
 
 // follow asks the leader, while this replica isn't one, how far its list has got.
@@ -364,7 +363,7 @@
 
 // reached notes the words that this replica has got as far as. The lock is held.
 func (r *Replica) reached() {
-	for len(r.asked) > 0 && r.asked[0].index <= r.state.AppliedIndex {
+	for len(r.asked) > 0 && r.asked[0].index <= r.state.appliedIndex {
 		r.freshAt = r.asked[0].at
 		r.asked = r.asked[1:]
 	}
@@ -389,7 +388,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.scoped.add(services)
-	return s.news, func() {
+	return s.notify, func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
 		r.scoped.remove(s)
@@ -436,22 +435,22 @@
 
 // Apply carries out a command that most replicas keep.
 func (m *machine) Apply(l *raft.Log) any {
-	var c Command
-	if err := cbor.Unmarshal(l.Data, &c); err != nil {
+	c, err := decodeCommand(l.Data)
+	if err != nil {
 		slog.Error("registry: a command can't be read, and changes nothing", "index", l.Index, "err", err)
 		return Result{Code: ResultUnknownCommand}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	before, held := m.state.Revision, m.state.ExpirySuspended
+	before, held := m.state.revision, m.state.leases.suspended
 	res := m.state.Apply(c)
-	m.state.AppliedIndex = l.Index
+	m.state.appliedIndex = l.Index
 	(*Replica)(m).reached()
-	if m.state.ExpirySuspended && !held {
+	if m.state.leases.suspended && !held {
 		slog.Error("registry: leases run out in a mass: nobody is removed until they are renewed, or fewer are overdue",
-			"instances", len(m.state.Instances))
+			"instances", len(m.state.instances))
 	}
-	if m.state.Revision != before {
+	if m.state.revision != before {
 		m.touch(before)
 		m.news()
 	}
@@ -460,11 +459,11 @@
 
 // touch notes whose services a command changed, which began at a revision. The lock is held.
 func (m *machine) touch(before int64) {
-	if before < m.state.CompactedRevision { // a new epoch, or more changes than are kept
+	if before < m.state.history.compactedRevision { // a new epoch, or more changes than are kept
 		m.scoped.touchAll()
 		return
 	}
-	m.scoped.touch(changesAfter(m.state.History, before))
+	m.scoped.touch(m.state.history.since(before))
 }
 
 // news tells watches, together with what else comes shortly. The lock is held.
@@ -479,7 +478,7 @@
 		m.due = nil
 		close(m.changed)
 		m.changed = make(chan struct{})
-		m.scoped.wake()
+		m.scoped.notify()
 	})
 }
 
--- /dev/null
+++ b/internal/registry/response_cache.go
@@ -0,0 +1,50 @@
+package registry
+
+import "slices"
+
+// maxCachedResponses bounds the requests whose retries are recognized.
+const maxCachedResponses = 8192
+
+// responseCache holds results by request id, so that a retried write is carried out once.
+type responseCache struct {
+	byRequest map[string]Result
+	ordered   []cachedResponse // oldest first
+}
+
+type cachedResponse struct {
+	RequestID string `cbor:"1,keyasint"`
+	Result    Result `cbor:"2,keyasint"`
+}
+
+func newResponseCache(ordered []cachedResponse) responseCache {
+	cache := responseCache{byRequest: make(map[string]Result), ordered: ordered}
+	for _, r := range ordered {
+		cache.byRequest[r.RequestID] = r.Result
+	}
+	return cache
+}
+
+// lookup returns the result of an earlier command with a request id. The empty id is never found.
+func (c *responseCache) lookup(requestID string) (Result, bool) {
+	if requestID == "" {
+		return Result{}, false
+	}
+	result, ok := c.byRequest[requestID]
+	return result, ok
+}
+
+// add stores the result of a command. One without a request id isn't stored.
+func (c *responseCache) add(requestID string, result Result) {
+	if requestID == "" {
+		return
+	}
+	c.byRequest[requestID] = result
+	c.ordered = append(c.ordered, cachedResponse{RequestID: requestID, Result: result})
+	if len(c.ordered) <= maxCachedResponses {
+		return
+	}
+	for _, r := range c.ordered[:maxCachedResponses/2] {
+		delete(c.byRequest, r.RequestID)
+	}
+	c.ordered = slices.Clone(c.ordered[maxCachedResponses/2:])
+}
--- a/internal/registry/scoped_list_test.go
+++ b/internal/registry/scoped_list_test.go
@@ -131,14 +131,14 @@
 			watchers = append(watchers, watching(drawScope(t)))
 		}
 		for range rapid.IntRange(1, 80).Draw(t, "commands") {
-			before := maps.Clone(s.Instances)
+			before := maps.Clone(s.instances)
 			s.Apply(drawServiceCommand(t))
-			checkSlots(t, before, s.Instances)
+			checkSlots(t, before, s.instances)
 			if rapid.IntRange(0, 9).Draw(t, "restored") == 0 {
 				s = reread(t, s)
 			}
-			if oldest := rapid.IntRange(0, 20).Draw(t, "forgets"); oldest > 0 && oldest <= len(s.History)/2 {
-				s.forget(oldest, s.History[oldest-1].Revision)
+			if oldest := rapid.IntRange(0, 20).Draw(t, "forgets"); oldest > 0 && oldest <= len(s.history.changes)/2 {
+				s.compact(oldest, s.history.changes[oldest-1].Revision)
 			}
 			for _, w := range watchers {
 				if rapid.IntRange(0, 3).Draw(t, "looks") == 0 {
@@ -156,7 +156,7 @@
 	if _, followErr := w.follow(s); (err == nil) != (followErr == nil) {
 		t.Fatalf("a fresh list: %v; a watcher: %v", err, followErr)
 	}
-	var unknown UnknownServicesError
+	var unknown *UnknownServicesError
 	if errors.As(err, &unknown) {
 		return
 	}
@@ -176,8 +176,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !maps.Equal(s.Instances, back.Instances) {
-		t.Fatal("a snapshot is not the state:", cmp.Diff(s.Instances, back.Instances))
+	if !maps.Equal(s.instances, back.instances) {
+		t.Fatal("a snapshot is not the state:", cmp.Diff(s.instances, back.instances))
 	}
 	return back
 }
@@ -193,8 +193,8 @@
 		s.Apply(Command{Kind: SetInstancePhase, ID: "b0", Phase: []string{PhaseDraining, PhaseUp}[i%2]})
 	}
 	before := *w
-	if l, _ := w.look(t, s); l.Complete || len(l.Endpoints) != 0 || l.Revision != s.Revision || before.at >= s.CompactedRevision {
-		t.Errorf("told %+v at revision %d below the floor %d", l, before.at, s.CompactedRevision)
+	if l, _ := w.look(t, s); l.Complete || len(l.Endpoints) != 0 || l.Revision != s.revision || before.at >= s.history.compactedRevision {
+		t.Errorf("told %+v at revision %d below the floor %d", l, before.at, s.history.compactedRevision)
 	}
 	s.Apply(Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
 	if l, _ := before.look(t, s); !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Phase != PhaseDraining {
@@ -216,7 +216,7 @@
 			s.Apply(Command{Kind: BeginEpoch})
 		}
 		s.Apply(Command{Kind: DeregisterInstance, ID: gone})
-		s.forget(len(s.History), s.Revision)
+		s.compact(len(s.history.changes), s.revision)
 		if l, got := w.look(t, reread(t, s)); !l.Complete || !slices.Equal(got, want) {
 			t.Errorf("after the end of %q told %+v, and has %v", gone, l, got)
 		}
@@ -267,12 +267,12 @@
 		History   []formerChange            `cbor:"4,keyasint"`
 		Floor     int64                     `cbor:"5,keyasint"`
 	}
-	e, at := formerEntry{ID: "s0", HostPort: "10.0.0.1:9000", Phase: PhaseUp}, int64(1)<<epochBits+1
+	e, at := formerEntry{ID: "s0", HostPort: "10.0.0.1:9000", Phase: PhaseUp}, int64(1)<<epochShift+1
 	raw, err := cbor.Marshal(formerImage{at, map[string]formerInstance{"s0": {e, at}}, []formerChange{{at, e}}, at - 1})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := ReadSnapshot(bytes.NewReader(append(head(raw), raw...)))
+	s, err := ReadSnapshot(bytes.NewReader(append(snapshotHeader(raw), raw...)))
 	if err != nil || len(s.FullList().Endpoints) != 1 {
 		t.Fatal(err)
 	}
@@ -280,7 +280,7 @@
 	if _, got := watching(&Scope{Services: []string{"a"}}).look(t, s); len(got) != 1 {
 		t.Errorf("in its service are %v", got)
 	}
-	if raw, err = cbor.Marshal(s.snapshotImage); err != nil {
+	if raw, err = cbor.Marshal(s.image()); err != nil {
 		t.Fatal(err)
 	}
 	var back formerImage
@@ -294,7 +294,7 @@
 	s := NewStore()
 	for i := range maxInstances {
 		id := fmt.Sprint("s", i)
-		s.Instances[id] = Instance{Endpoint: serves(id, "a").Endpoint, Slot: i}
+		s.instances[id] = Instance{Endpoint: serves(id, "a").Endpoint, Slot: i}
 	}
 	if back := reread(t, s); back.Apply(registers("one more", DefaultTTL)).Code != ResultTooManyInstances {
 		t.Error("one more was taken")
@@ -307,7 +307,7 @@
 		s := NewStore()
 		for i, slot := range slots {
 			id := fmt.Sprint("s", i)
-			s.Instances[id] = Instance{Endpoint: serves(id, "a").Endpoint, Slot: slot}
+			s.instances[id] = Instance{Endpoint: serves(id, "a").Endpoint, Slot: slot}
 		}
 		var b bytes.Buffer
 		if err := s.WriteSnapshot(&b); err != nil {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -154,7 +154,7 @@
 	}
 	for {
 		news := s.r.Changed() // before looking, so that no change is missed
-		told := s.tell(w, c, func(st *Store) (int64, bool) { return index, index != st.Revision })
+		told := s.tell(w, c, func(st *Store) (int64, bool) { return index, index != st.revision })
 		if told {
 			return
 		}
@@ -421,9 +421,9 @@
 		out.AgeMs = age.Milliseconds()
 	}
 	s.r.View(func(st *Store) {
-		out.Epoch, out.Revision, out.Instances, out.ExpirySuspended = st.Epoch(), st.Revision, len(st.Instances), st.ExpirySuspended
+		out.Epoch, out.Revision, out.Instances, out.ExpirySuspended = st.Epoch(), st.revision, len(st.instances), st.leases.suspended
 		for _, v := range servers {
-			out.Replicas = append(out.Replicas, ReplicaStatus{string(v.ID), string(v.Address), st.ReplicaAddresses[string(v.ID)]})
+			out.Replicas = append(out.Replicas, ReplicaStatus{string(v.ID), string(v.Address), st.replicaAddresses[string(v.ID)]})
 		}
 	})
 	return out, err
--- /dev/null
+++ b/internal/registry/slots.go
@@ -0,0 +1,65 @@
+package registry
+
+import "container/heap"
+
+// slotTable gives each instance of a service a slot: a number that is unique within the service, and the lowest that
+// was free, so that a replacement takes the place of the instance that it replaces.
+type slotTable struct {
+	ids  []string // by slot; empty where the slot is free
+	free slotHeap // the free slots among them
+}
+
+// allocate gives the lowest free slot to an instance.
+func (t *slotTable) allocate(id string) (slot int) {
+	if t.free.Len() == 0 {
+		t.ids = append(t.ids, id)
+		return len(t.ids) - 1
+	}
+	slot = heap.Pop(&t.free).(int)
+	t.ids[slot] = id
+	return slot
+}
+
+func (t *slotTable) release(slot int) {
+	t.ids[slot] = ""
+	heap.Push(&t.free, slot)
+}
+
+// restore puts an instance into the slot that it had when a snapshot was written. It returns the other instance that
+// is in that slot already, empty for none. Call rebuildFree after the last.
+func (t *slotTable) restore(id string, slot int) (other string) {
+	if missing := slot + 1 - len(t.ids); missing > 0 {
+		t.ids = append(t.ids, make([]string, missing)...)
+	}
+	other = t.ids[slot]
+	t.ids[slot] = id
+	return other
+}
+
+// rebuildFree finds the free slots.
+func (t *slotTable) rebuildFree() {
+	t.free = nil
+	for slot, id := range t.ids {
+		if id == "" {
+			t.free = append(t.free, slot) // in ascending order, which is a heap
+		}
+	}
+}
+
+func (t *slotTable) empty() bool { return t.free.Len() == len(t.ids) }
+
+// slotHeap is a container/heap with the lowest slot first.
+type slotHeap []int
+
+func (h slotHeap) Len() int           { return len(h) }
+func (h slotHeap) Less(i, j int) bool { return h[i] < h[j] }
+func (h slotHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *slotHeap) Push(slot any)     { *h = append(*h, slot.(int)) }
+
+// Pop removes the last element.
+func (h *slotHeap) Pop() any {
+	last := len(*h) - 1
+	slot := (*h)[last]
+	*h = (*h)[:last]
+	return slot
+}
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -6,91 +6,153 @@
 	"errors"
 	"fmt"
 	"io"
+	"time"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 )
 
-// A snapshot is a mark, a version, the length and hash of what follows, and the image in CBOR. Whatever doesn't
-// fit is no snapshot: a list is never made of half a file.
-var snapshotMark = []byte("sloerail list\x00")
+// ErrCorrupt is stored data that is cut, changed or not the registry's: a snapshot, or an entry of the raft log.
+var ErrCorrupt = errors.New("corrupt data")
 
+// A snapshot is a magic string, a version, the length and the checksum of what follows, and an image in CBOR. It is
+// read as a whole or not at all.
 const (
+	snapshotMagic   = "sloerail list\x00"
 	snapshotVersion = 1
-	snapshotMost    = 64 << 20 // bytes
+	maxImageBytes   = 64 << 20
 )
 
-// decoder reads images: the library's own bound on a map's pairs is below that on instances.
-var decoder = func() cbor.DecMode {
+// Offsets in the header of a snapshot.
+const (
+	versionOffset  = len(snapshotMagic)
+	lengthOffset   = versionOffset + 1
+	checksumOffset = lengthOffset + 8
+	headerBytes    = checksumOffset + 8
+)
+
+// snapshotImage is the stored form of a Store.
+type snapshotImage struct {
+	Revision          int64               `cbor:"1,keyasint"`
+	Clock             time.Duration       `cbor:"2,keyasint"` // lease time
+	Instances         map[string]Instance `cbor:"3,keyasint"`
+	History           []change            `cbor:"4,keyasint"` // oldest first
+	CompactedRevision int64               `cbor:"5,keyasint"`
+	Responses         []cachedResponse    `cbor:"6,keyasint"` // oldest first
+	ReplicaAddresses  map[string]string   `cbor:"7,keyasint"`
+	RecentExpirations []time.Duration     `cbor:"8,keyasint"`
+	ExpirySuspended   bool                `cbor:"9,keyasint"`
+	AppliedIndex      uint64              `cbor:"10,keyasint"`
+}
+
+// imageDecoder reads images: the library's own bound on the pairs of a map is below maxInstances.
+var imageDecoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxMapPairs: maxInstances}.DecMode()
-	if err != nil { // the options are constant
-		panic(err)
+	if err != nil {
+		panic(err) // the options are constant
 	}
 	return mode
 }()
 
-// WriteSnapshot writes the state so that Read reads it.
+// image returns the stored form. It shares the store's maps and slices.
+func (s *Store) image() snapshotImage {
+	return snapshotImage{
+		Revision:          s.revision,
+		Clock:             s.leases.now,
+		Instances:         s.instances,
+		History:           s.history.changes,
+		CompactedRevision: s.history.compactedRevision,
+		Responses:         s.responses.ordered,
+		ReplicaAddresses:  s.replicaAddresses,
+		RecentExpirations: s.leases.recentExpirations,
+		ExpirySuspended:   s.leases.suspended,
+		AppliedIndex:      s.appliedIndex,
+	}
+}
+
+// storeOf returns the store whose stored form an image is.
+func storeOf(image snapshotImage) (*Store, error) {
+	s := &Store{
+		revision:         image.Revision,
+		instances:        image.Instances,
+		leases:           lessor{now: image.Clock, recentExpirations: image.RecentExpirations, suspended: image.ExpirySuspended},
+		history:          history{changes: image.History, compactedRevision: image.CompactedRevision},
+		responses:        newResponseCache(image.Responses),
+		replicaAddresses: image.ReplicaAddresses,
+		appliedIndex:     image.AppliedIndex,
+	}
+	if s.instances == nil {
+		s.instances = make(map[string]Instance)
+	}
+	if s.replicaAddresses == nil {
+		s.replicaAddresses = make(map[string]string)
+	}
+	var err error
+	s.services, err = restoreServiceIndexes(s.instances, s.history)
+	return s, err
+}
+
+// WriteSnapshot writes the store so that ReadSnapshot reads it.
 func (s *Store) WriteSnapshot(w io.Writer) error {
-	raw, err := cbor.Marshal(s.snapshotImage)
+	raw, err := cbor.Marshal(s.image())
 	if err != nil {
-		return err
+		return fmt.Errorf("snapshot: encode: %w", err)
+	}
+	if _, err := w.Write(snapshotHeader(raw)); err != nil {
+		return fmt.Errorf("snapshot: write: %w", err)
 	}
-	if _, err := w.Write(head(raw)); err != nil {
-		return err
+	if _, err := w.Write(raw); err != nil {
+		return fmt.Errorf("snapshot: write: %w", err)
 	}
-	_, err = w.Write(raw)
-	return err
+	return nil
 }
 
-// head is what stands before an encoded image.
-func head(raw []byte) []byte {
-	head := bytes.Clone(snapshotMark)
-	head = append(head, snapshotVersion)
-	head = binary.BigEndian.AppendUint64(head, uint64(len(raw)))
-	return binary.BigEndian.AppendUint64(head, xxhash.Sum64(raw))
+// snapshotHeader returns what is written before an encoded image.
+func snapshotHeader(image []byte) []byte {
+	header := append([]byte(snapshotMagic), snapshotVersion)
+	header = binary.BigEndian.AppendUint64(header, uint64(len(image)))
+	return binary.BigEndian.AppendUint64(header, xxhash.Sum64(image))
 }
 
-// ReadSnapshot reads a state as Write wrote it.
+// ReadSnapshot reads a store as WriteSnapshot wrote it. Whatever else it reads is ErrCorrupt.
 func ReadSnapshot(r io.Reader) (*Store, error) {
-	head := make([]byte, len(snapshotMark)+17)
-	if _, err := io.ReadFull(r, head); err != nil {
-		return nil, fmt.Errorf("snapshot: cut in its head: %w", err)
-	}
-	rest, ok := bytes.CutPrefix(head, snapshotMark)
-	if !ok {
-		return nil, errors.New("snapshot: byte 0: this is no list")
-	}
-	if rest[0] != snapshotVersion {
-		return nil, fmt.Errorf("snapshot: version %d, and this program reads %d", rest[0], snapshotVersion)
+	raw, err := readImage(r)
+	if err != nil {
+		return nil, fmt.Errorf("snapshot: %w: %w", ErrCorrupt, err)
 	}
-	size, sum := binary.BigEndian.Uint64(rest[1:]), binary.BigEndian.Uint64(rest[9:])
-	if size > snapshotMost {
-		return nil, fmt.Errorf("snapshot: byte %d: a length of %d", len(snapshotMark)+1, size)
+	image := snapshotImage{Revision: 1 << epochShift, CompactedRevision: 1 << epochShift}
+	if err := imageDecoder.Unmarshal(raw, &image); err != nil {
+		return nil, fmt.Errorf("snapshot: %w: %w", ErrCorrupt, err)
 	}
-	raw := make([]byte, size)
-	if n, err := io.ReadFull(r, raw); err != nil {
-		return nil, fmt.Errorf("snapshot: cut at byte %d of %d", len(head)+n, len(head)+int(size))
+	s, err := storeOf(image)
+	if err != nil {
+		return nil, fmt.Errorf("snapshot: %w: %w", ErrCorrupt, err)
 	}
-	if xxhash.Sum64(raw) != sum {
-		return nil, fmt.Errorf("snapshot: bytes %d to %d: the hash doesn't fit", len(head), len(head)+int(size))
+	return s, nil
+}
+
+// readImage reads an encoded image after checking its header.
+func readImage(r io.Reader) ([]byte, error) {
+	header := make([]byte, headerBytes)
+	if _, err := io.ReadFull(r, header); err != nil {
+		return nil, fmt.Errorf("cut in its header: %w", err)
 	}
-	s := NewStore()
-	if err := decoder.Unmarshal(raw, &s.snapshotImage); err != nil {
-		return nil, fmt.Errorf("snapshot: %w", err)
+	if !bytes.HasPrefix(header, []byte(snapshotMagic)) {
+		return nil, errors.New("byte 0: not a snapshot of the registry")
 	}
-	if s.Instances == nil {
-		s.Instances = make(map[string]Instance)
+	if version := header[versionOffset]; version != snapshotVersion {
+		return nil, fmt.Errorf("version %d, and this program reads %d", version, snapshotVersion)
 	}
-	services, err := newServices(s.snapshotImage)
-	if err != nil {
-		return nil, fmt.Errorf("snapshot: %w", err)
+	length := binary.BigEndian.Uint64(header[lengthOffset:])
+	if length > maxImageBytes {
+		return nil, fmt.Errorf("byte %d: a length of %d, over %d", lengthOffset, length, maxImageBytes)
 	}
-	s.services = services
-	if s.ReplicaAddresses == nil {
-		s.ReplicaAddresses = make(map[string]string)
+	raw, end := make([]byte, length), headerBytes+int(length)
+	if n, err := io.ReadFull(r, raw); err != nil {
+		return nil, fmt.Errorf("cut at byte %d of %d: %w", headerBytes+n, end, err)
 	}
-	for _, a := range s.Responses {
-		s.answers[a.RequestID] = a.Result
+	if xxhash.Sum64(raw) != binary.BigEndian.Uint64(header[checksumOffset:]) {
+		return nil, fmt.Errorf("bytes %d to %d: checksum mismatch", headerBytes, end)
 	}
-	return s, nil
+	return raw, nil
 }
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -31,7 +31,7 @@
 		c.RequestID = fmt.Sprint("r", rapid.IntRange(0, 9).Draw(t, "request"))
 	}
 	if rapid.IntRange(0, 3).Draw(t, "matches") == 0 {
-		c.IfMatch = int64(rapid.IntRange(1, 9).Draw(t, "version")) + 1<<epochBits
+		c.IfMatch = int64(rapid.IntRange(1, 9).Draw(t, "version")) + 1<<epochShift
 	}
 	return c
 }
@@ -43,20 +43,20 @@
 		s := NewStore()
 		seen, at := make(map[string]Endpoint), int64(-1)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
-			c, before := drawCommand(t), s.Revision
+			c, before := drawCommand(t), s.revision
 			first := s.Apply(c)
-			if s.Revision < before {
-				t.Fatalf("revision %d after %d", s.Revision, before)
+			if s.revision < before {
+				t.Fatalf("revision %d after %d", s.revision, before)
 			}
 			if c.RequestID != "" {
-				then := s.Revision
-				if again := s.Apply(c); again != first || s.Revision != then {
+				then := s.revision
+				if again := s.Apply(c); again != first || s.revision != then {
 					t.Fatalf("a repeat of %+v gave %+v, first %+v", c, again, first)
 				}
 			}
 			if rapid.Bool().Draw(t, "looks") {
 				follow(s, seen, &at)
-				if got, want := slices.Sorted(maps.Keys(seen)), slices.Sorted(maps.Keys(s.Instances)); !slices.Equal(got, want) {
+				if got, want := slices.Sorted(maps.Keys(seen)), slices.Sorted(maps.Keys(s.instances)); !slices.Equal(got, want) {
 					t.Fatalf("a watcher has %v, and there are %v", got, want)
 				}
 			}
@@ -69,7 +69,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(s.FullList(), back.FullList()); diff != "" || back.Clock != s.Clock || len(back.answers) != len(s.answers) {
+		if diff := cmp.Diff(s.FullList(), back.FullList()); diff != "" || back.leases.now != s.leases.now || len(back.responses.byRequest) != len(s.responses.byRequest) {
 			t.Fatal("a snapshot is not the state:", diff)
 		}
 	})
@@ -105,44 +105,44 @@
 		for n := range 18 {
 			s.Apply(Command{Kind: RenewLease, ID: fmt.Sprint("s", n)})
 		}
-		if i == 3 && len(s.Instances) != 18 {
-			t.Fatalf("%d instances after the leases of two, want 18", len(s.Instances))
+		if i == 3 && len(s.instances) != 18 {
+			t.Fatalf("%d instances after the leases of two, want 18", len(s.instances))
 		}
 	}
 	ticks(s, time.Minute)
-	if len(s.Instances) != 18 || !s.ExpirySuspended {
-		t.Errorf("%d instances left, held %v: all leases run out at once, which is the service's fault", len(s.Instances), s.ExpirySuspended)
+	if len(s.instances) != 18 || !s.leases.suspended {
+		t.Errorf("%d instances left, held %v: all leases run out at once, which is the service's fault", len(s.instances), s.leases.suspended)
 	}
 	s.Apply(Command{Kind: RenewLease, ID: "s0"})
 	s.Apply(Command{Kind: RestartLeases})
 	ticks(s, 9*time.Second)
-	if len(s.Instances) != 18 || s.ExpirySuspended {
-		t.Errorf("%d instances, held %v: a new leader gives all leases their whole time", len(s.Instances), s.ExpirySuspended)
+	if len(s.instances) != 18 || s.leases.suspended {
+		t.Errorf("%d instances, held %v: a new leader gives all leases their whole time", len(s.instances), s.leases.suspended)
 	}
 }
 
 func TestEpochsAndHistory(t *testing.T) {
 	s := NewStore()
 	s.Apply(registers("a", DefaultTTL))
-	old := s.Revision
+	old := s.revision
 	copied := *s
 	s.Apply(registers("b", DefaultTTL))
 	if l, _ := s.ChangesSince(old); l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "b" {
 		t.Errorf("a change is told as %+v", l)
 	}
-	if l, news := s.ChangesSince(s.Revision + 5); !news || !l.Complete {
+	if l, news := s.ChangesSince(s.revision + 5); !news || !l.Complete {
 		t.Errorf("a revision that never was is told %+v", l)
 	}
-	at := s.Revision
+	at := s.revision
 	copied.Apply(Command{Kind: BeginEpoch})
-	if l, news := copied.ChangesSince(at); !news || !l.Complete || copied.Revision <= at {
-		t.Errorf("a watcher of the epoch before is told %+v at revision %d", l, copied.Revision)
+	if l, news := copied.ChangesSince(at); !news || !l.Complete || copied.revision <= at {
+		t.Errorf("a watcher of the epoch before is told %+v at revision %d", l, copied.revision)
 	}
 	for i := range maxHistoryChanges + 10 {
 		s.Apply(Command{Kind: SetInstancePhase, ID: "a", Phase: []string{PhaseUp, PhaseDraining}[i%2]})
 	}
-	if l, _ := s.ChangesSince(old); !l.Complete || len(s.History) > maxHistoryChanges {
-		t.Errorf("%d changes kept, and one before them is told %+v", len(s.History), l)
+	if l, _ := s.ChangesSince(old); !l.Complete || len(s.history.changes) > maxHistoryChanges {
+		t.Errorf("%d changes kept, and one before them is told %+v", len(s.history.changes), l)
 	}
 }
 
--- a/internal/registry/watcher_group.go
+++ b/internal/registry/watcher_group.go
@@ -1,71 +1,71 @@
 package registry
 
-// watcherGroup are the scoped watches that wait, by the services that they name: a change wakes only those whose
-// services it touches. The zero value is ready; a lock of the owner guards it.
+// watcherGroup holds the scoped watches that wait, by the services that they name, so that a change wakes only the
+// watches whose services it touches. The zero value is ready. It has no lock: watchableStore guards it.
 type watcherGroup struct {
-	byService map[string]map[*watcher]bool
-	touched   map[string]bool // services that changed since the last wake
-	all       bool            // all of them have
+	byService  map[string]map[*watcher]bool
+	touched    map[string]bool // services that changed since the last notify
+	touchedAll bool            // all of them did
 }
 
 // watcher is one watch that waits.
 type watcher struct {
-	news     chan struct{} // holds one value: further changes before it is read are told by the same
+	notify   chan struct{} // buffers one value, which stands for all changes until it is received
 	services []string
 }
 
-func (s *watcherGroup) add(services []string) *watcher {
-	if s.byService == nil {
-		s.byService, s.touched = make(map[string]map[*watcher]bool), make(map[string]bool)
+func (g *watcherGroup) add(services []string) *watcher {
+	if g.byService == nil {
+		g.byService, g.touched = make(map[string]map[*watcher]bool), make(map[string]bool)
 	}
-	sub := &watcher{news: make(chan struct{}, 1), services: services}
+	w := &watcher{notify: make(chan struct{}, 1), services: services}
 	for _, service := range services {
-		if s.byService[service] == nil {
-			s.byService[service] = make(map[*watcher]bool)
+		if g.byService[service] == nil {
+			g.byService[service] = make(map[*watcher]bool)
 		}
-		s.byService[service][sub] = true
+		g.byService[service][w] = true
 	}
-	return sub
+	return w
 }
 
-func (s *watcherGroup) remove(sub *watcher) {
-	for _, service := range sub.services {
-		delete(s.byService[service], sub)
-		if len(s.byService[service]) == 0 {
-			delete(s.byService, service)
+func (g *watcherGroup) remove(w *watcher) {
+	for _, service := range w.services {
+		delete(g.byService[service], w)
+		if len(g.byService[service]) == 0 {
+			delete(g.byService, service)
 		}
 	}
 }
 
-// touch notes the services of changes for the next wake.
-func (s *watcherGroup) touch(changes []change) {
+// touch marks the services of some changes for the next notify.
+func (g *watcherGroup) touch(changes []change) {
 	for _, c := range changes {
 		for _, service := range c.touchedServices() {
-			if s.byService[service] != nil {
-				s.touched[service] = true
+			if g.byService[service] != nil {
+				g.touched[service] = true
 			}
 		}
 	}
 }
 
-// touchAll notes that the state is another as a whole.
-func (s *watcherGroup) touchAll() { s.all = true }
+// touchAll marks all services, for a state that was replaced as a whole.
+func (g *watcherGroup) touchAll() { g.touchedAll = true }
 
-// wake tells those whose services changed.
-func (s *watcherGroup) wake() {
-	if s.all {
-		for service := range s.byService {
-			s.touched[service] = true
+// notify wakes the watches of the marked services, and clears the marks. It doesn't block.
+func (g *watcherGroup) notify() {
+	if g.touchedAll {
+		for service := range g.byService {
+			g.touched[service] = true
 		}
-		s.all = false
+		g.touchedAll = false
 	}
-	for service := range s.touched {
-		for sub := range s.byService[service] {
+	for service := range g.touched {
+		for w := range g.byService[service] {
 			select {
-			case sub.news <- struct{}{}:
+			case w.notify <- struct{}{}:
 			default:
 			}
 		}
 	}
-	clear(s.touched)
+	clear(g.touched)
 }
--- /dev/null
+++ b/internal/registry/watcher_group_test.go
@@ -0,0 +1,69 @@
+package registry
+
+import "testing"
+
+// isNotified reports whether a watcher has been notified since the last call.
+func isNotified(w *watcher) bool {
+	select {
+	case <-w.notify:
+		return true
+	default:
+		return false
+	}
+}
+
+func TestNotificationsAreMergedUntilReceived(t *testing.T) {
+	var g watcherGroup
+	a, b := g.add([]string{"a", "shared"}), g.add([]string{"b", "shared"})
+	for range 3 {
+		g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
+		g.notify()
+	}
+	if !isNotified(a) || isNotified(a) || isNotified(b) {
+		t.Error("three changes of service a: want its watcher notified once, and no other")
+	}
+	g.notify()
+	if isNotified(a) {
+		t.Error("notified again without a change")
+	}
+	g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "shared"}}})
+	g.notify()
+	if !isNotified(a) || !isNotified(b) {
+		t.Error("a change of a shared service: want both watchers notified")
+	}
+}
+
+func TestMovedEndpointNotifiesBothServices(t *testing.T) {
+	var g watcherGroup
+	before, after := g.add([]string{"before"}), g.add([]string{"after"})
+	g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "after"}, Previous: &Placement{Service: "before"}}})
+	g.notify()
+	if !isNotified(before) || !isNotified(after) {
+		t.Error("want the watchers of both services notified")
+	}
+}
+
+func TestTouchAllNotifiesEveryWatcherOnce(t *testing.T) {
+	var g watcherGroup
+	a, b := g.add([]string{"a"}), g.add([]string{"b"})
+	g.touchAll()
+	g.notify()
+	if !isNotified(a) || !isNotified(b) {
+		t.Error("want all watchers notified")
+	}
+	g.notify()
+	if isNotified(a) || isNotified(b) {
+		t.Error("notified again without a change")
+	}
+}
+
+func TestRemovedWatcherLeavesNothing(t *testing.T) {
+	var g watcherGroup
+	a := g.add([]string{"a", "b"})
+	g.remove(a)
+	g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
+	g.notify()
+	if isNotified(a) || len(g.byService) != 0 {
+		t.Errorf("a removed watcher: services %v remain, or it was notified", g.byService)
+	}
+}
