--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -171,3 +171,9 @@
 	c.at = held.at
 	return err
 }
+
+func closeBody(resp *http.Response) {
+	if err := resp.Body.Close(); err != nil {
+		slog.Debug("registry: close a response", "error", err)
+	}
+}
--- /dev/null
+++ b/internal/registry/follower.go
@@ -0,0 +1,89 @@
+package registry
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"log/slog"
+	"net/http"
+	"time"
+)
+
+// progressPollInterval is how often a follower asks the leader for its progress. It is also how fresh a follower's
+// list is.
+const progressPollInterval = 250 * time.Millisecond
+
+// progress returns the last command that this replica has applied, and the list's age. The error is ErrNotLeader, or
+// ErrNotCommitted where this leader has committed no tick yet.
+func (r *Replica) progress() (progressResponse, error) {
+	age, known := r.Age()
+	if !r.isLeader() {
+		return progressResponse{}, r.notLeaderError()
+	}
+	if !known {
+		return progressResponse{}, ErrNotCommitted
+	}
+	progress := progressResponse{AgeMs: age.Milliseconds() + 1} // rounded up
+	r.store.view(func(s *Store) { progress.Index = s.appliedIndex })
+	return progress, nil
+}
+
+// runFollower polls the leader's progress while this replica isn't the leader, until ctx ends.
+func (r *Replica) runFollower(ctx context.Context) {
+	ticker := time.NewTicker(progressPollInterval)
+	defer ticker.Stop()
+	client := &http.Client{Timeout: replicaCallTimeout}
+	defer client.CloseIdleConnections()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-ticker.C:
+		}
+		if r.isLeader() {
+			continue
+		}
+		if err := r.pollLeader(ctx, client); err != nil {
+			slog.Debug("registry: poll the leader", "id", r.config.ID, "error", err)
+		}
+	}
+}
+
+// pollLeader asks the leader for its progress. Without a leader there is nobody to ask.
+func (r *Replica) pollLeader(ctx context.Context, client *http.Client) error {
+	var notLeader *NotLeaderError
+	if !errors.As(r.notLeaderError(), &notLeader) || notLeader.LeaderAddress == "" {
+		return nil
+	}
+	asked := time.Now()
+	progress, err := fetchProgress(ctx, client, notLeader.LeaderAddress)
+	if err != nil {
+		return err
+	}
+	r.freshness.leaderAnswered(progress.Index, asked.Add(-time.Duration(progress.AgeMs)*time.Millisecond))
+	return nil
+}
+
+func fetchProgress(ctx context.Context, client *http.Client, address string) (progress progressResponse, err error) {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+progressPath, nil)
+	if err != nil {
+		return progress, err
+	}
+	resp, err := client.Do(req)
+	if err != nil {
+		return progress, err
+	}
+	defer closeBody(resp)
+	if resp.StatusCode != http.StatusOK {
+		return progress, fmt.Errorf("registry: progress of %s: status %d", address, resp.StatusCode)
+	}
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxBodyBytes)).Decode(&progress); err != nil {
+		return progress, fmt.Errorf("registry: progress of %s: %w", address, err)
+	}
+	if progress.AgeMs < 0 {
+		return progress, fmt.Errorf("registry: progress of %s: age_ms: %d is negative", address, progress.AgeMs)
+	}
+	return progress, nil
+}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -250,7 +250,7 @@
 	}()
 	var list EndpointList
 	var peers map[string]string
-	r.View(func(s *Store) { list, peers = s.FullList(), maps.Clone(s.replicaAddresses) })
+	r.store.view(func(s *Store) { list, peers = s.FullList(), maps.Clone(s.replicaAddresses) })
 	s1, s3 := goldenEntry("s1", "pay"), goldenEntry("s3", "pay")
 	s1.Phase = PhaseDraining
 	want := EndpointList{Revision: 1<<32 + 7, Complete: true, Endpoints: []Endpoint{goldenEntry("s0", ""), s1, s3}}
@@ -482,7 +482,7 @@
 		replica.writes <- struct{}{}
 	}
 	transcript(t, &b, "DELETE", server.URL, "/registry/instances/s0", "", nil)
-	for _, err := range []error{NotLeaderError{LeaderAddress: "10.2.0.2:8500"}, NotLeaderError{}, ErrNotCommitted} {
+	for _, err := range []error{&NotLeaderError{LeaderAddress: "10.2.0.2:8500"}, &NotLeaderError{}, ErrNotCommitted} {
 		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.answer(w, req, "s0", Result{}, err) }))
 	}
 	for _, fault := range []ResultCode{ResultNotFound, ResultVersionMismatch, ResultTooManyInstances, ResultUnknownCommand} {
@@ -570,7 +570,7 @@
 func TestStoredFieldsHaveExplicitKeys(t *testing.T) {
 	for tag, forms := range map[string][]any{
 		"cbor": {Command{}, snapshotImage{}, Instance{}, Endpoint{}, Result{}, change{}, Placement{}, cachedResponse{}},
-		"json": {EndpointList{}, Endpoint{}, registration{}, WriteResponse{}, Status{}, ReplicaStatus{}, freshnessResponse{}},
+		"json": {EndpointList{}, Endpoint{}, registration{}, WriteResponse{}, Status{}, ReplicaStatus{}, progressResponse{}},
 		"toml": {Config{}},
 	} {
 		for _, form := range forms {
--- a/internal/registry/http_list.go
+++ b/internal/registry/http_list.go
@@ -10,7 +10,7 @@
 // watchScoped holds a call until something in its scope is new, or its time is over.
 func (s *Server) watchScoped(w http.ResponseWriter, req *http.Request, c *http.ResponseController, scope *Scope,
 	index int64, until <-chan time.Time) {
-	news, cancel := s.r.subscribe(scope.Services) // before looking, so that no change is missed
+	news, cancel := s.r.store.watchServices(scope.Services) // before looking, so that no change is missed
 	defer cancel()
 	over := false
 	for {
@@ -32,9 +32,7 @@
 // tellScoped writes what is new in a scope since a revision, or, where the call is to be answered in any case, that
 // nothing is. While it tells nothing, the caller has all of the scope as of the revision that is returned.
 func (s *Server) tellScoped(w http.ResponseWriter, c *http.ResponseController, scope *Scope, since int64, always bool) (now int64, told bool) {
-	var view *scopedView
-	var unknown error
-	s.r.View(func(state *Store) { view, unknown = state.scoped(scope, since) })
+	view, unknown := s.r.store.scopedView(scope, since)
 	if unknown != nil {
 		if s.fresh(w) {
 			s.stats.Bad.Add(1)
--- a/internal/registry/http_list_test.go
+++ b/internal/registry/http_list_test.go
@@ -110,7 +110,7 @@
 	}
 	told := watch(maxWatchWait)
 	held(t, r, "a")
-	gathered := r.Changed()
+	gathered := r.store.nextChange()
 	outside := apply(t, r, Command{Kind: SetInstancePhase, ID: "b0", Phase: PhaseDraining})
 	<-gathered
 	within := apply(t, r, Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
@@ -132,9 +132,9 @@
 func held(t *testing.T, r *Replica, service string) {
 	t.Helper()
 	for until := time.Now().Add(maxWatchWait); time.Now().Before(until); time.Sleep(time.Millisecond) {
-		r.mu.Lock()
-		n := len(r.scoped.byService[service])
-		r.mu.Unlock()
+		r.store.mu.Lock()
+		n := len(r.store.scoped.byService[service])
+		r.store.mu.Unlock()
 		if n > 0 {
 			return
 		}
@@ -153,8 +153,8 @@
 			return false
 		}
 	}
-	a, cancelA := r.subscribe([]string{"a"})
-	b, cancelB := r.subscribe([]string{"b", "c"})
+	a, cancelA := r.store.watchServices([]string{"a"})
+	b, cancelB := r.store.watchServices([]string{"b", "c"})
 	apply(t, r, serves("a0", "a"))
 	<-a
 	if woken(b) {
@@ -168,8 +168,8 @@
 	<-b
 	cancelA()
 	cancelB()
-	if len(r.scoped.byService) != 0 {
-		t.Errorf("%d services are watched by nobody", len(r.scoped.byService))
+	if len(r.store.scoped.byService) != 0 {
+		t.Errorf("%d services are watched by nobody", len(r.store.scoped.byService))
 	}
 }
 
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -16,7 +16,8 @@
 )
 
 const (
-	listPath = "/registry/instances"
+	listPath     = "/registry/instances"
+	progressPath = "/registry/fresh"
 
 	maxWatchWait     = time.Minute // that a watch lasts, as the platform has it
 	maxBodyBytes     = 16 << 10
@@ -86,10 +87,10 @@
 		s.instance(w, req, path)
 	case req.URL.Path == "/registry/status" && req.Method == http.MethodGet:
 		s.status(w)
-	case req.URL.Path == freshPath && req.Method == http.MethodGet:
-		f, err := s.r.Fresh()
+	case req.URL.Path == progressPath && req.Method == http.MethodGet:
+		f, err := s.r.progress()
 		if err != nil {
-			s.turnAway(w, err.Error())
+			s.turnAway(w, errorText(err))
 			return
 		}
 		s.json(w, f)
@@ -138,7 +139,7 @@
 		return
 	}
 	if !watch {
-		s.tell(w, c, func(*Store) (int64, bool) { return -1, true })
+		s.tell(w, c, fullListRevision, true)
 		return
 	}
 	if !s.enter(w, s.watches) {
@@ -153,15 +154,15 @@
 		return
 	}
 	for {
-		news := s.r.Changed() // before looking, so that no change is missed
-		told := s.tell(w, c, func(st *Store) (int64, bool) { return index, index != st.revision })
+		news := s.r.store.nextChange() // before looking, so that no change is missed
+		told := s.tell(w, c, index, false)
 		if told {
 			return
 		}
 		select {
 		case <-news:
 		case <-until.C:
-			s.tell(w, c, func(*Store) (int64, bool) { return index, true })
+			s.tell(w, c, index, true)
 			return
 		case <-req.Context().Done():
 			return
@@ -177,19 +178,11 @@
 	return n, true, err
 }
 
-// tell writes what is new since a revision, -1 for the whole list, where want says so. It refuses where this
-// replica can't tell that its list is fresh enough.
-func (s *Server) tell(w http.ResponseWriter, c *http.ResponseController, want func(*Store) (since int64, now bool)) bool {
-	var raw []byte
-	var epoch int64
-	var now bool
-	s.r.View(func(st *Store) {
-		var since int64
-		if since, now = want(st); now {
-			raw, epoch = s.r.encode(st, since), st.Epoch()
-		}
-	})
-	if !now {
+// tell writes the list since a revision, unless it is unchanged since. It refuses where this replica can't tell that
+// its list is fresh enough.
+func (s *Server) tell(w http.ResponseWriter, c *http.ResponseController, since int64, evenUnchanged bool) bool {
+	raw, epoch := s.r.store.encodedList(since, evenUnchanged)
+	if raw == nil {
 		return false
 	}
 	if s.fresh(w) {
@@ -223,25 +216,6 @@
 	_, _ = w.Write(raw)
 }
 
-// encode is the list since a revision as text, made once for all who ask. The replica's lock is held.
-func (r *Replica) encode(st *Store, since int64) []byte {
-	if raw, ok := r.encoded[since]; ok {
-		return raw
-	}
-	l := st.FullList()
-	if since >= 0 {
-		l, _ = st.ChangesSince(since)
-	}
-	raw, err := json.Marshal(l)
-	if err != nil { // plain fields always can be written
-		panic(err)
-	}
-	if len(r.encoded) < 256 { // callers choose the revisions
-		r.encoded[since] = raw
-	}
-	return raw
-}
-
 // registration is the body of a PUT.
 type registration struct {
 	Address     string   `json:"host_port"`
@@ -360,12 +334,12 @@
 
 // answer tells what came of a write. A replica that isn't the leader names the one that is.
 func (s *Server) answer(w http.ResponseWriter, req *http.Request, id string, res Result, err error) {
-	var other NotLeaderError
+	var other *NotLeaderError
 	switch {
 	case errors.As(err, &other) && other.LeaderAddress != "":
 		http.Redirect(w, req, "http://"+other.LeaderAddress+req.URL.RequestURI(), http.StatusTemporaryRedirect)
-	case err != nil:
-		s.turnAway(w, err.Error())
+	case err != nil && res.Code == ResultOK:
+		s.turnAway(w, errorText(err))
 	case res.Code == ResultNotFound:
 		http.Error(w, string(res.Code), http.StatusNotFound)
 	case res.Code == ResultVersionMismatch:
@@ -415,12 +389,12 @@
 // Status tells how the replica is.
 func (s *Server) Status() (Status, error) {
 	servers, leader, err := s.r.Configuration()
-	out := Status{ID: s.r.c.ID, Leader: leader, AgeMs: -1, Watches: s.stats.Watches.Load(), Lists: s.stats.Lists.Load(),
+	out := Status{ID: s.r.config.ID, Leader: leader, AgeMs: -1, Watches: s.stats.Watches.Load(), Lists: s.stats.Lists.Load(),
 		Writes: s.stats.Writes.Load(), CallsRejected: s.stats.Shed.Load(), CallsRejectedStale: s.stats.Stale.Load()}
 	if age, ok := s.r.Age(); ok {
 		out.AgeMs = age.Milliseconds()
 	}
-	s.r.View(func(st *Store) {
+	s.r.store.view(func(st *Store) {
 		out.Epoch, out.Revision, out.Instances, out.ExpirySuspended = st.Epoch(), st.revision, len(st.instances), st.leases.suspended
 		for _, v := range servers {
 			out.Replicas = append(out.Replicas, ReplicaStatus{string(v.ID), string(v.Address), st.replicaAddresses[string(v.ID)]})
@@ -475,3 +449,39 @@
 	}
 	return nil
 }
+
+// progressResponse is what the leader tells a follower: the last command that it has applied, and how old its list may
+// be.
+type progressResponse struct {
+	Index uint64 `json:"index"`
+	AgeMs int64  `json:"age_ms"`
+}
+
+// mustMarshalJSON encodes a list, whose types have no value that can't be encoded: sizes are validated.
+func mustMarshalJSON(list EndpointList) []byte {
+	raw, err := json.Marshal(list)
+	if err != nil {
+		panic(err)
+	}
+	return raw
+}
+
+// errorText returns the text of a 503 response, which is a part of the protocol.
+func errorText(err error) string {
+	const notLeader, notCommitted = "this replica is not the leader", "not kept by most replicas in time"
+	var commit *CommitError
+	switch {
+	case errors.As(err, &commit):
+		return notCommitted + ": " + commit.Reason.Error()
+	case errors.Is(err, ErrNotCommitted):
+		return notCommitted
+	case errors.Is(err, ErrNotLeader):
+		return notLeader
+	case errors.Is(err, ErrStale):
+		return "this replica can't tell that its list is fresh"
+	case errors.Is(err, ErrTooManyCalls):
+		return "too many calls"
+	default:
+		return err.Error()
+	}
+}
--- /dev/null
+++ b/internal/registry/watchable_store.go
@@ -0,0 +1,154 @@
+package registry
+
+import (
+	"bytes"
+	"log/slog"
+	"sync"
+	"time"
+)
+
+const (
+	notifyDelay     = 20 * time.Millisecond // changes within it wake the watches once
+	maxEncodedLists = 256                   // callers choose the revisions
+)
+
+// watchableStore guards a Store and notifies watches of its changes. Raft's goroutine applies commands, and calls of
+// the HTTP side read; none of its methods blocks for longer than the lock.
+type watchableStore struct {
+	mu            sync.Mutex
+	store         *Store
+	changed       chan struct{}    // closed at the next notification
+	scoped        watcherGroup     // watches of a part of the list
+	notification  *time.Timer      // pending; nil while nothing has changed
+	encoded       map[int64][]byte // lists as they are sent, by the revision that they begin at
+	onIndexChange func(appliedIndex uint64)
+}
+
+// newWatchableStore returns an empty store. onIndexChange is called, with the lock held, after each command and each
+// replacement of the store; it must not call the store.
+func newWatchableStore(onIndexChange func(appliedIndex uint64)) *watchableStore {
+	return &watchableStore{store: NewStore(), changed: make(chan struct{}), encoded: make(map[int64][]byte),
+		onIndexChange: onIndexChange}
+}
+
+// view calls do with the store, which must not outlive the call.
+func (w *watchableStore) view(do func(*Store)) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	do(w.store)
+}
+
+// apply carries out the command at an index of the raft log.
+func (w *watchableStore) apply(c Command, index uint64) Result {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	revision, suspended := w.store.revision, w.store.leases.suspended
+	result := w.store.Apply(c)
+	w.store.appliedIndex = index
+	w.onIndexChange(index)
+	if w.store.leases.suspended && !suspended {
+		slog.Error("registry: lease expiry suspended, too many leases expire at once", "instances", len(w.store.instances))
+	}
+	if w.store.revision != revision {
+		w.touchSince(revision)
+		w.scheduleNotification()
+	}
+	return result
+}
+
+// touchSince marks the scoped watches that changes after a revision concern. The lock is held.
+func (w *watchableStore) touchSince(revision int64) {
+	if revision < w.store.history.compactedRevision { // a new epoch, or more changes than the history holds
+		w.scoped.touchAll()
+		return
+	}
+	w.scoped.touch(w.store.history.since(revision))
+}
+
+// replace puts another store in the place of this one.
+func (w *watchableStore) replace(store *Store) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.store = store
+	w.onIndexChange(store.appliedIndex)
+	w.scoped.touchAll()
+	w.scheduleNotification()
+}
+
+// scheduleNotification drops the encoded lists, and wakes the watches after notifyDelay. The lock is held.
+func (w *watchableStore) scheduleNotification() {
+	clear(w.encoded)
+	if w.notification == nil {
+		w.notification = time.AfterFunc(notifyDelay, w.notify)
+	}
+}
+
+func (w *watchableStore) notify() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.notification = nil
+	close(w.changed)
+	w.changed = make(chan struct{})
+	w.scoped.notify()
+}
+
+// nextChange returns a channel that is closed at the next notification.
+func (w *watchableStore) nextChange() <-chan struct{} {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.changed
+}
+
+// watchServices returns a channel that gets a value after each change of one of the services, until cancel is called.
+func (w *watchableStore) watchServices(services []string) (changes <-chan struct{}, cancel func()) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	added := w.scoped.add(services)
+	return added.notify, func() {
+		w.mu.Lock()
+		defer w.mu.Unlock()
+		w.scoped.remove(added)
+	}
+}
+
+// encodedList returns the list since a revision as it is sent, encoded once for all callers, and the epoch. It is nil
+// where nothing changed since, unless evenUnchanged.
+func (w *watchableStore) encodedList(since int64, evenUnchanged bool) (raw []byte, epoch int64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if since == w.store.revision && !evenUnchanged {
+		return nil, 0
+	}
+	raw, ok := w.encoded[since]
+	if !ok {
+		raw = mustMarshalJSON(w.listSince(since))
+		if len(w.encoded) < maxEncodedLists {
+			w.encoded[since] = raw
+		}
+	}
+	return raw, w.store.Epoch()
+}
+
+func (w *watchableStore) listSince(since int64) EndpointList {
+	if since < 0 {
+		return w.store.FullList()
+	}
+	list, _ := w.store.ChangesSince(since)
+	return list
+}
+
+// scopedView collects what a scoped list since a revision is computed from, without the lock.
+func (w *watchableStore) scopedView(scope *Scope, since int64) (*scopedView, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.store.scoped(scope, since)
+}
+
+// snapshot returns the store as WriteSnapshot writes it.
+func (w *watchableStore) snapshot() ([]byte, error) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	var b bytes.Buffer
+	err := w.store.WriteSnapshot(&b)
+	return b.Bytes(), err
+}
