--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -140,10 +140,10 @@
 
 func (a *Agent) keep(ctx context.Context, registered bool) error {
 	if registered {
-		return a.Client.Do(ctx, http.MethodPut, listPath+"/"+a.Endpoint.ID+"/lease", nil, nil, 0)
+		return a.Client.Do(ctx, http.MethodPut, instancesPath+"/"+a.Endpoint.ID+"/lease", nil, nil, 0)
 	}
 	e := a.Endpoint
-	return a.Client.Do(ctx, http.MethodPut, listPath+"/"+e.ID, registration{Address: e.Address, Zone: e.Zone,
+	return a.Client.Do(ctx, http.MethodPut, instancesPath+"/"+e.ID, registration{Address: e.Address, Zone: e.Zone,
 		Kind: e.Kind, Cell: e.Cell, Phase: e.Phase, Size: &e.Size, StartTimeMs: e.StartTimeMs,
 		TTLMs: a.TTL.Milliseconds(), Service: e.Service}, nil, 0)
 }
@@ -152,7 +152,7 @@
 func (a *Agent) leave(drain time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drain+2*callTimeout)
 	defer cancel()
-	err := a.Client.Do(ctx, http.MethodPut, listPath+"/"+a.Endpoint.ID+"/phase", map[string]string{"phase": PhaseDraining}, nil, 0)
+	err := a.Client.Do(ctx, http.MethodPut, instancesPath+"/"+a.Endpoint.ID+"/phase", map[string]string{"phase": PhaseDraining}, nil, 0)
 	if err == nil {
 		slog.Info("register: draining", "id", a.Endpoint.ID, "for", drain)
 		select {
@@ -160,7 +160,7 @@
 		case <-ctx.Done():
 		}
 	}
-	return errors.Join(err, a.Client.Do(ctx, http.MethodDelete, listPath+"/"+a.Endpoint.ID, nil, nil, 0))
+	return errors.Join(err, a.Client.Do(ctx, http.MethodDelete, instancesPath+"/"+a.Endpoint.ID, nil, nil, 0))
 }
 
 // Watch makes one call that the service may hold for a while.
--- /dev/null
+++ b/internal/registry/errors_test.go
@@ -0,0 +1,46 @@
+package registry
+
+import (
+	"errors"
+	"testing"
+
+	"github.com/hashicorp/raft"
+)
+
+func TestErrorsAreTestedByCondition(t *testing.T) {
+	for _, test := range []struct {
+		err  error
+		is   []error
+		text string // of the response
+	}{
+		{&NotLeaderError{LeaderAddress: "10.2.0.2:8500"}, []error{ErrNotLeader}, "this replica is not the leader"},
+		{&CommitError{Reason: raft.ErrEnqueueTimeout}, []error{ErrNotCommitted, raft.ErrEnqueueTimeout},
+			"not kept by most replicas in time: timed out enqueuing operation"},
+		{ErrNotCommitted, []error{ErrNotCommitted}, "not kept by most replicas in time"},
+		{ResultNotFound.Err(), []error{ErrInstanceNotFound}, "registry: instance not found"},
+		{ResultVersionMismatch.Err(), []error{ErrVersionMismatch}, "registry: instance has another version"},
+		{ResultTooManyInstances.Err(), []error{ErrTooManyInstances}, "registry: too many instances"},
+		{ResultCode("of a later version").Err(), []error{ErrUnknownCommand}, "registry: unknown command"},
+	} {
+		for _, condition := range test.is {
+			if !errors.Is(test.err, condition) {
+				t.Errorf("%v is not %v", test.err, condition)
+			}
+		}
+		if got := errorText(test.err); got != test.text {
+			t.Errorf("the response to %v is %q, want %q", test.err, got, test.text)
+		}
+	}
+	if err := ResultOK.Err(); err != nil {
+		t.Errorf("ResultOK is the error %v", err)
+	}
+}
+
+func TestFieldErrorsNameTheField(t *testing.T) {
+	invalid := entry("s0")
+	invalid.Size = -1
+	var field *FieldError
+	if err := invalid.Validate(); !errors.As(err, &field) || field.Field != "size" {
+		t.Errorf("got %v, want a FieldError of size", err)
+	}
+}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -377,7 +377,7 @@
 func TestGoldenAnswers(t *testing.T) {
 	r := openAlone(t, t.TempDir())
 	replica := NewServer(r, ServerConfig{})
-	server, control := httptest.NewServer(replica), httptest.NewServer(replica.control())
+	server, control := httptest.NewServer(replica), httptest.NewServer(replica.adminHandler())
 	defer func() {
 		server.Close()
 		control.Close()
@@ -460,7 +460,7 @@
 		t.Fatal(err)
 	}
 	replica := NewServer(r, ServerConfig{MaxWatches: 1})
-	server, control := httptest.NewServer(replica), httptest.NewServer(replica.control())
+	server, control := httptest.NewServer(replica), httptest.NewServer(replica.adminHandler())
 	defer func() {
 		server.Close()
 		control.Close()
@@ -483,11 +483,11 @@
 	}
 	transcript(t, &b, "DELETE", server.URL, "/registry/instances/s0", "", nil)
 	for _, err := range []error{&NotLeaderError{LeaderAddress: "10.2.0.2:8500"}, &NotLeaderError{}, ErrNotCommitted} {
-		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.answer(w, req, "s0", Result{}, err) }))
+		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.respondWrite(w, req, "s0", Result{}, err) }))
 	}
-	for _, fault := range []ResultCode{ResultNotFound, ResultVersionMismatch, ResultTooManyInstances, ResultUnknownCommand} {
-		res := Result{Code: fault, Instance: Instance{Version: 7}}
-		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.answer(w, req, "s0", res, nil) }))
+	for _, code := range []ResultCode{ResultNotFound, ResultVersionMismatch, ResultTooManyInstances, ResultUnknownCommand} {
+		res := Result{Code: code, Instance: Instance{Version: 7}}
+		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.respondWrite(w, req, "s0", res, code.Err()) }))
 	}
 	now := masked(b.String())
 	if diff := cmp.Diff(string(golden(t, "refusals.txt", []byte(now))), now); diff != "" {
@@ -534,7 +534,7 @@
 	if err := agent.Run(ctx, time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
-	if err := client.Do(t.Context(), http.MethodDelete, listPath+"/s0", nil, nil, 7); err != nil {
+	if err := client.Do(t.Context(), http.MethodDelete, instancesPath+"/s0", nil, nil, 7); err != nil {
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(string(golden(t, "agent-calls.txt", []byte(b.String()))), b.String()); diff != "" {
--- a/internal/registry/http_list.go
+++ b/internal/registry/http_list.go
@@ -1,62 +1,180 @@
 package registry
 
 import (
-	"encoding/json"
+	"log/slog"
 	"net/http"
+	"strconv"
 	"strings"
 	"time"
 )
 
-// watchScoped holds a call until something in its scope is new, or its time is over.
-func (s *Server) watchScoped(w http.ResponseWriter, req *http.Request, c *http.ResponseController, scope *Scope,
-	index int64, until <-chan time.Time) {
-	news, cancel := s.r.store.watchServices(scope.Services) // before looking, so that no change is missed
-	defer cancel()
-	over := false
+// listCall is a GET of the list.
+type listCall struct {
+	isWatch bool
+	since   int64         // revision that the caller of a watch has
+	wait    time.Duration // for a watch without changes
+	scope   *Scope        // nil for the full list
+}
+
+func parseListCall(req *http.Request) (call listCall, err error) {
+	query := req.URL.Query()
+	revision, wait := query.Get(revisionParam), query.Get(waitParam)
+	since, err := parseOptionalInt(revision)
+	waitMs, waitErr := parseOptionalInt(wait)
+	if err != nil || waitErr != nil {
+		return listCall{}, invalidField(revisionParam+", "+waitParam, "want whole numbers")
+	}
+	scope, err := parseScope(query)
+	if err != nil {
+		return listCall{}, err
+	}
+	return listCall{isWatch: revision != "", since: since, scope: scope,
+		wait: min(maxWatchWait, max(0, time.Duration(waitMs)*time.Millisecond))}, nil
+}
+
+// parseOptionalInt returns 0 for an empty text.
+func parseOptionalInt(text string) (int64, error) {
+	if text == "" {
+		return 0, nil
+	}
+	return strconv.ParseInt(text, 10, 64)
+}
+
+func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
+
+// handleList responds with the list, or, to a watch, with the changes since the caller's revision once there are any.
+func (s *Server) handleList(w http.ResponseWriter, req *http.Request) {
+	call, err := parseListCall(req)
+	if err != nil {
+		s.badRequest(w, err)
+		return
+	}
+	switch {
+	case call.isWatch:
+		s.handleWatch(w, req, call)
+	case call.scope != nil:
+		s.respondScoped(w, call.scope, fullListRevision, true)
+	default:
+		s.respondList(w, fullListRevision, true)
+	}
+}
+
+func (s *Server) handleWatch(w http.ResponseWriter, req *http.Request, call listCall) {
+	if !s.acquire(w, s.watches) {
+		return
+	}
+	s.counters.watches.Add(1)
+	defer func() {
+		s.watches.release()
+		s.counters.watches.Add(-1)
+	}()
+	timeout := time.NewTimer(call.wait)
+	defer timeout.Stop()
+	if call.scope != nil {
+		s.watchScoped(w, req, call, timeout.C)
+		return
+	}
+	s.watchList(w, req, call, timeout.C)
+}
+
+// watchList waits until there is a change since the caller's revision, or until the timeout.
+func (s *Server) watchList(w http.ResponseWriter, req *http.Request, call listCall, timeout <-chan time.Time) {
+	timedOut := false
 	for {
-		now, told := s.tellScoped(w, c, scope, index, over)
-		if told {
+		change := s.replica.store.nextChange() // before the list is read, so that no change is missed
+		if responded := s.respondList(w, call.since, timedOut); responded {
 			return
 		}
-		index = now
 		select {
-		case <-news:
-		case <-until:
-			over = true
+		case <-change:
+		case <-timeout:
+			timedOut = true
 		case <-req.Context().Done():
 			return
 		}
 	}
 }
 
-// tellScoped writes what is new in a scope since a revision, or, where the call is to be answered in any case, that
-// nothing is. While it tells nothing, the caller has all of the scope as of the revision that is returned.
-func (s *Server) tellScoped(w http.ResponseWriter, c *http.ResponseController, scope *Scope, since int64, always bool) (now int64, told bool) {
-	view, unknown := s.r.store.scopedView(scope, since)
-	if unknown != nil {
-		if s.fresh(w) {
-			s.stats.Bad.Add(1)
-			http.Error(w, unknown.Error(), http.StatusNotFound)
+// respondList responds with the list since a revision, unless it is unchanged since. It responds 503 where the list may
+// be too old.
+func (s *Server) respondList(w http.ResponseWriter, since int64, evenUnchanged bool) (responded bool) {
+	raw, epoch := s.replica.store.encodedList(since, evenUnchanged)
+	if raw == nil {
+		return false
+	}
+	if s.checkAge(w) {
+		s.sendList(w, raw, epoch)
+	}
+	return true
+}
+
+// watchScoped waits until there is a change in the scope since the caller's revision, or until the timeout.
+func (s *Server) watchScoped(w http.ResponseWriter, req *http.Request, call listCall, timeout <-chan time.Time) {
+	changes, cancel := s.replica.store.watchServices(call.scope.Services) // before the list is read
+	defer cancel()
+	timedOut := false
+	since := call.since
+	for {
+		current, responded := s.respondScoped(w, call.scope, since, timedOut)
+		if responded {
+			return
 		}
+		since = current // nothing in the scope changed up to this revision
+		select {
+		case <-changes:
+		case <-timeout:
+			timedOut = true
+		case <-req.Context().Done():
+			return
+		}
+	}
+}
+
+// respondScoped responds with the scoped list since a revision, unless it is unchanged up to the revision that is
+// returned.
+func (s *Server) respondScoped(w http.ResponseWriter, scope *Scope, since int64, evenUnchanged bool) (revision int64, responded bool) {
+	view, err := s.replica.store.scopedView(scope, since)
+	if err != nil {
+		s.respondUnknownServices(w, err)
 		return 0, true
 	}
-	s.choices <- struct{}{} // many wake at one change, and raft needs processor time too
-	list, news := view.list()
-	<-s.choices
-	if !news && !always {
+	s.scopedLists.acquire() // one change wakes many watches, and raft needs processor time too
+	list, changed := view.list()
+	s.scopedLists.release()
+	if !changed && !evenUnchanged {
 		return list.Revision, false
 	}
-	raw, err := json.Marshal(list)
-	if err != nil { // plain fields always can be written
-		panic(err)
-	}
-	if !s.fresh(w) {
+	raw := mustMarshalJSON(list)
+	if !s.checkAge(w) {
 		return 0, true
 	}
 	w.Header().Set(scopedHeader, "true")
 	if len(view.unknown) > 0 {
 		w.Header().Set(unknownServicesHeader, strings.Join(view.unknown, ","))
 	}
-	s.write(w, c, raw, epochOf(view.revision))
+	s.sendList(w, raw, epochOf(list.Revision))
 	return 0, true
 }
+
+// respondUnknownServices responds 404, which a caller doesn't take for an empty list.
+func (s *Server) respondUnknownServices(w http.ResponseWriter, err error) {
+	if !s.checkAge(w) {
+		return
+	}
+	s.counters.invalidCalls.Add(1)
+	http.Error(w, err.Error(), http.StatusNotFound)
+}
+
+func (s *Server) sendList(w http.ResponseWriter, raw []byte, epoch int64) {
+	if !s.acquire(w, s.listResponses) {
+		return
+	}
+	defer s.listResponses.release()
+	setWriteDeadline(w)
+	w.Header().Set("Content-Type", "application/json")
+	w.Header().Set(epochHeader, formatInt(epoch))
+	s.counters.lists.Add(1)
+	if _, err := w.Write(raw); err != nil {
+		slog.Debug("registry: send a list", "error", err)
+	}
+}
--- a/internal/registry/http_list_test.go
+++ b/internal/registry/http_list_test.go
@@ -35,7 +35,7 @@
 			t.Error(err)
 		}
 	})
-	return r, server.URL + listPath
+	return r, server.URL + instancesPath
 }
 
 // apply has the replica carry out commands, and returns its revision after them.
