--- /dev/null
+++ b/internal/registry/agent.go
@@ -0,0 +1,81 @@
+package registry
+
+import (
+	"context"
+	"errors"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"time"
+)
+
+// renewalsPerTTL is how often a lease is renewed within its TTL, so that some renewals may fail.
+const renewalsPerTTL = 3
+
+// Agent registers one endpoint and renews its lease.
+type Agent struct {
+	Client   *Client
+	Endpoint Endpoint
+	TTL      time.Duration
+}
+
+// Run registers the endpoint and renews its lease until ctx ends; then it sets the endpoint draining, waits for drain,
+// and deregisters it. It registers again where the lease is lost, and retries for as long as the registry is
+// unreachable. It returns early only if the registry rejects the endpoint as invalid, with a StatusError.
+func (a *Agent) Run(ctx context.Context, drain time.Duration) error {
+	registered := false
+	wait := time.Duration(0)
+	for {
+		select {
+		case <-time.After(wait):
+		case <-ctx.Done():
+			return a.deregister(drain)
+		}
+		err := a.registerOrRenew(ctx, registered)
+		switch {
+		case err == nil:
+			if !registered {
+				slog.Info("registry agent: registered", "id", a.Endpoint.ID, "ttl", a.TTL)
+			}
+			registered, wait = true, a.TTL/renewalsPerTTL
+		case hasStatus(err, http.StatusNotFound):
+			slog.Warn("registry agent: lease lost, registering again", "id", a.Endpoint.ID)
+			registered, wait = false, 0
+		case hasStatus(err, http.StatusBadRequest):
+			return err
+		default:
+			slog.Warn("registry agent: registry unreachable", "id", a.Endpoint.ID, "error", err)
+			wait = maxBackoff/2 + rand.N(maxBackoff)
+		}
+	}
+}
+
+func hasStatus(err error, code int) bool {
+	var status StatusError
+	return errors.As(err, &status) && status.StatusCode == code
+}
+
+func (a *Agent) path() string { return instancesPath + "/" + a.Endpoint.ID }
+
+func (a *Agent) registerOrRenew(ctx context.Context, registered bool) error {
+	if registered {
+		return a.Client.Do(ctx, http.MethodPut, a.path()+"/"+leaseResource, nil, nil, 0)
+	}
+	return a.Client.Do(ctx, http.MethodPut, a.path(), registrationOf(a.Endpoint, a.TTL), nil, 0)
+}
+
+// deregister drains the endpoint and removes it. It blocks for drain and the calls; ctx of Run has ended by then.
+func (a *Agent) deregister(drain time.Duration) error {
+	ctx, cancel := context.WithTimeout(context.Background(), drain+2*callTimeout)
+	defer cancel()
+	draining := phaseBody{Phase: PhaseDraining}
+	err := a.Client.Do(ctx, http.MethodPut, a.path()+"/"+phaseResource, draining, nil, 0)
+	if err == nil {
+		slog.Info("registry agent: draining", "id", a.Endpoint.ID, "for", drain)
+		select {
+		case <-time.After(drain):
+		case <-ctx.Done():
+		}
+	}
+	return errors.Join(err, a.Client.Do(ctx, http.MethodDelete, a.path(), nil, nil, 0))
+}
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -9,90 +9,108 @@
 	"fmt"
 	"io"
 	"log/slog"
-	mrand "math/rand/v2"
+	mathrand "math/rand/v2"
 	"net/http"
 	"time"
 )
 
 const (
-	callTimeout = 3 * time.Second // for one call
-	clientTries = 8               // of one write, each at the next address
-	clientLeast = 50 * time.Millisecond
-	clientMost  = 2 * time.Second
-	answerMost  = 64 << 20 // bytes
+	callTimeout      = 3 * time.Second // for one attempt
+	maxAttempts      = 8               // of one call, each at the next address
+	minBackoff       = 50 * time.Millisecond
+	maxBackoff       = 2 * time.Second
+	maxResponseBytes = 64 << 20
+	maxErrorBytes    = 256 // of a response's text in an error
 )
 
-// Client calls the list service at one of several addresses, and goes on to the next where that fails.
+// Client calls the registry at one of several addresses, and fails over to the next. One goroutine uses it.
 type Client struct {
-	addrs []string
-	at    int
-	http  http.Client
+	addresses []string
+	current   int // index of the address that is called
+	http      http.Client
 }
 
-// NewClient makes a client of the replicas at these addresses. One goroutine uses it.
-func NewClient(addrs []string) *Client {
-	own := http.DefaultTransport.(*http.Transport).Clone() // a shared one keeps two connections for all clients
-	own.Proxy = nil
-	return &Client{addrs: addrs, at: mrand.IntN(len(addrs)), http: http.Client{Timeout: callTimeout, Transport: own}}
+// NewClient returns a client of the replicas at these addresses, which begins at a random one.
+func NewClient(addresses []string) *Client {
+	transport := http.DefaultTransport.(*http.Transport).Clone() // a shared one keeps two idle connections for all clients
+	transport.Proxy = nil
+	return &Client{addresses: addresses, current: mathrand.IntN(len(addresses)),
+		http: http.Client{Timeout: callTimeout, Transport: transport}}
 }
 
-// StatusError is a call that was answered, and not with what was asked for.
+// StatusError is a response with another status than 200.
 type StatusError struct {
 	StatusCode int
-	Message    string
+	Message    string // the first bytes of the body
 }
 
 func (e StatusError) Error() string { return fmt.Sprintf("answered %d: %s", e.StatusCode, e.Message) }
 
-// Do calls, at the next address where one fails or turns the call away, until ctx ends or so many tries are
-// spent. A write bears one request id throughout, so that a repeat is harmless.
-func (c *Client) Do(ctx context.Context, method, path string, in, out any, match int64) error {
-	var body []byte
+// isFinal reports whether the same call would get the same response from another replica, or later.
+func isFinal(err error) bool {
+	var status StatusError
+	return errors.As(err, &status) && status.StatusCode != http.StatusServiceUnavailable
+}
+
+// Do calls a path with a body (nil for none), and decodes the response into out (nil for none). An attempt that fails is
+// retried at the next address with exponential backoff, until ctx ends or maxAttempts. All attempts have one request
+// id, so that a retried write is carried out once. ifMatch is the version that a write requires, 0 for any. The error of
+// a call that was answered is a StatusError.
+func (c *Client) Do(ctx context.Context, method, path string, in, out any, ifMatch int64) error {
+	call := clientCall{method: method, path: path, requestID: rand.Text(), ifMatch: ifMatch}
 	if in != nil {
 		var err error
-		if body, err = json.Marshal(in); err != nil {
-			return err
+		if call.body, err = json.Marshal(in); err != nil {
+			return fmt.Errorf("registry: encode a call: %w", err)
 		}
 	}
-	request, wait := rand.Text(), clientLeast
-	for try := 1; ; try++ {
-		err := c.once(ctx, method, path, request, body, out, match)
-		var refused StatusError
-		final := errors.As(err, &refused) && refused.StatusCode != http.StatusServiceUnavailable
-		if err == nil || final || try >= clientTries || ctx.Err() != nil {
+	backoff := minBackoff
+	for attempt := 1; ; attempt++ {
+		err := c.attempt(ctx, call, out)
+		if err == nil || isFinal(err) || attempt >= maxAttempts || ctx.Err() != nil {
 			return err
 		}
-		c.at = (c.at + 1) % len(c.addrs)
-		// Spread, for all clients of a replica lose it at the same moment.
+		c.current = (c.current + 1) % len(c.addresses)
+		// Jitter, as all clients of a replica lose it at the same moment.
 		select {
-		case <-time.After(wait/2 + mrand.N(wait)):
+		case <-time.After(backoff/2 + mathrand.N(backoff)):
 		case <-ctx.Done():
 			return err
 		}
-		wait = min(clientMost, 2*wait)
+		backoff = min(maxBackoff, 2*backoff)
 	}
 }
 
-func (c *Client) once(ctx context.Context, method, path, request string, body []byte, out any, match int64) error {
-	req, err := http.NewRequestWithContext(ctx, method, "http://"+c.addrs[c.at]+path, bytes.NewReader(body))
+// clientCall is what all attempts of a call have in common.
+type clientCall struct {
+	method, path string
+	requestID    string
+	body         []byte
+	ifMatch      int64
+}
+
+func (c *Client) attempt(ctx context.Context, call clientCall, out any) error {
+	url := "http://" + c.addresses[c.current] + call.path
+	req, err := http.NewRequestWithContext(ctx, call.method, url, bytes.NewReader(call.body))
 	if err != nil {
 		return err
 	}
-	req.Header.Set("X-Request-Id", request)
-	if match > 0 {
-		req.Header.Set("If-Match", fmt.Sprintf("%q", fmt.Sprint(match)))
+	req.Header.Set(requestIDHeader, call.requestID)
+	if call.ifMatch > 0 {
+		req.Header.Set("If-Match", etag(call.ifMatch))
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return err
 	}
-	defer resp.Body.Close()
-	raw, err := io.ReadAll(io.LimitReader(resp.Body, answerMost))
+	defer closeBody(resp)
+	raw, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return StatusError{resp.StatusCode, string(bytes.TrimSpace(raw[:min(len(raw), 256)]))}
+		message := bytes.TrimSpace(raw[:min(len(raw), maxErrorBytes)])
+		return StatusError{StatusCode: resp.StatusCode, Message: string(message)}
 	}
 	if out == nil {
 		return nil
@@ -100,80 +118,17 @@
 	return json.Unmarshal(raw, out)
 }
 
-// Agent keeps one instance in the list: it registers, renews, and registers anew where the list has lost it.
-type Agent struct {
-	Client   *Client
-	Endpoint Endpoint
-	TTL      time.Duration
-}
-
-// Run keeps the instance in the list until ctx ends; then it drains it for a while, and takes it out. An outage
-// of the service is survived, however long.
-func (a *Agent) Run(ctx context.Context, drain time.Duration) error {
-	registered := false
-	wait := time.Duration(0)
-	for {
-		select {
-		case <-time.After(wait):
-		case <-ctx.Done():
-			return a.leave(drain)
-		}
-		err := a.keep(ctx, registered)
-		var refused StatusError
-		switch {
-		case err == nil:
-			if !registered {
-				slog.Info("register: in the list", "id", a.Endpoint.ID, "lease", a.TTL)
-			}
-			registered, wait = true, a.TTL/3
-		case errors.As(err, &refused) && refused.StatusCode == http.StatusNotFound:
-			slog.Warn("register: the list has lost the instance; registering anew", "id", a.Endpoint.ID)
-			registered, wait = false, 0
-		case errors.As(err, &refused) && refused.StatusCode == http.StatusBadRequest:
-			return err
-		default:
-			slog.Warn("register: the list service is out of reach", "err", err)
-			wait = clientMost/2 + mrand.N(clientMost)
-		}
-	}
-}
-
-func (a *Agent) keep(ctx context.Context, registered bool) error {
-	if registered {
-		return a.Client.Do(ctx, http.MethodPut, instancesPath+"/"+a.Endpoint.ID+"/lease", nil, nil, 0)
-	}
-	e := a.Endpoint
-	return a.Client.Do(ctx, http.MethodPut, instancesPath+"/"+e.ID, registration{Address: e.Address, Zone: e.Zone,
-		Kind: e.Kind, Cell: e.Cell, Phase: e.Phase, Size: &e.Size, StartTimeMs: e.StartTimeMs,
-		TTLMs: a.TTL.Milliseconds(), Service: e.Service}, nil, 0)
-}
-
-// leave drains the instance, waits, and takes it out.
-func (a *Agent) leave(drain time.Duration) error {
-	ctx, cancel := context.WithTimeout(context.Background(), drain+2*callTimeout)
-	defer cancel()
-	err := a.Client.Do(ctx, http.MethodPut, instancesPath+"/"+a.Endpoint.ID+"/phase", map[string]string{"phase": PhaseDraining}, nil, 0)
-	if err == nil {
-		slog.Info("register: draining", "id", a.Endpoint.ID, "for", drain)
-		select {
-		case <-time.After(drain):
-		case <-ctx.Done():
-		}
-	}
-	return errors.Join(err, a.Client.Do(ctx, http.MethodDelete, instancesPath+"/"+a.Endpoint.ID, nil, nil, 0))
-}
-
-// Watch makes one call that the service may hold for a while.
-func (c *Client) Watch(ctx context.Context, path string, wait time.Duration, l *EndpointList) error {
-	held := *c
-	held.http.Timeout = wait + callTimeout
-	err := held.Do(ctx, http.MethodGet, path, nil, l, 0)
-	c.at = held.at
-	return err
-}
-
 func closeBody(resp *http.Response) {
 	if err := resp.Body.Close(); err != nil {
 		slog.Debug("registry: close a response", "error", err)
 	}
 }
+
+// Watch calls a path whose response may take as long as wait.
+func (c *Client) Watch(ctx context.Context, path string, wait time.Duration, list *EndpointList) error {
+	patient := *c
+	patient.http.Timeout = wait + callTimeout
+	err := patient.Do(ctx, http.MethodGet, path, nil, list, 0)
+	c.current = patient.current
+	return err
+}
