--- a/internal/registry/errors_test.go
+++ b/internal/registry/errors_test.go
@@ -37,7 +37,7 @@
 }
 
 func TestFieldErrorsNameTheField(t *testing.T) {
-	invalid := entry("s0")
+	invalid := testEndpoint("s0")
 	invalid.Size = -1
 	var field *FieldError
 	if err := invalid.Validate(); !errors.As(err, &field) || field.Field != "size" {
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -4,22 +4,16 @@
 	"archive/tar"
 	"bytes"
 	"compress/gzip"
-	"context"
 	"encoding/hex"
 	"errors"
 	"fmt"
 	"io"
 	"io/fs"
 	"maps"
-	"net/http"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
-	"reflect"
-	"regexp"
 	"slices"
 	"strings"
-	"sync"
 	"testing"
 	"time"
 
@@ -92,7 +86,7 @@
 
 var goldenNewEpoch = namedCommand{"new-epoch", Command{Kind: BeginEpoch}}
 
-func goldenState() *Store {
+func goldenStore() *Store {
 	s := NewStore()
 	for _, n := range goldenCommands {
 		s.Apply(n.command)
@@ -134,17 +128,17 @@
 
 // TestGoldenSnapshot reads a snapshot with several instances, whose maps are written in any order.
 func TestGoldenSnapshot(t *testing.T) {
-	s := goldenState()
+	s := goldenStore()
 	var now bytes.Buffer
 	if err := s.WriteSnapshot(&now); err != nil {
 		t.Fatal(err)
 	}
 	raw := golden(t, "snapshot", now.Bytes())
-	back, err := ReadSnapshot(bytes.NewReader(raw))
+	restored, err := ReadSnapshot(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkSameState(t, s, back)
+	checkSameStore(t, s, restored)
 	if before, now := canonicalImage(t, raw), canonicalImage(t, now.Bytes()); !bytes.Equal(before, now) {
 		t.Errorf("a snapshot is written otherwise:\ngolden %x\nnow    %x", before, now)
 	}
@@ -152,7 +146,7 @@
 
 // TestGoldenSnapshotBytes writes a snapshot whose maps have one key each, byte for byte.
 func TestGoldenSnapshotBytes(t *testing.T) {
-	s := goldenState()
+	s := goldenStore()
 	for _, id := range []string{"s0", "s1"} {
 		s.Apply(Command{Kind: DeregisterInstance, ID: id})
 	}
@@ -167,13 +161,13 @@
 	if !bytes.Equal(raw, now.Bytes()) {
 		t.Errorf("a snapshot is written otherwise:\ngolden %x\nnow    %x", raw, now.Bytes())
 	}
-	back, err := ReadSnapshot(bytes.NewReader(raw))
+	restored, err := ReadSnapshot(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkSameState(t, s, back)
+	checkSameStore(t, s, restored)
 	var again bytes.Buffer
-	if err := back.WriteSnapshot(&again); err != nil {
+	if err := restored.WriteSnapshot(&again); err != nil {
 		t.Fatal(err)
 	}
 	if !bytes.Equal(raw, again.Bytes()) {
@@ -181,14 +175,14 @@
 	}
 }
 
-// checkSameState compares what a snapshot holds, and what is derived from it.
-func checkSameState(t *testing.T, want, got *Store) {
+// checkSameStore compares what is stored in a snapshot, and what is derived from it.
+func checkSameStore(t *testing.T, want, got *Store) {
 	t.Helper()
 	if diff := cmp.Diff(want.image(), got.image(), cmp.AllowUnexported(snapshotImage{}, change{}, cachedResponse{})); diff != "" {
-		t.Error("the state differs (-want +got):", diff)
+		t.Error("the store differs (-want +got):", diff)
 	}
 	if !maps.Equal(want.responses.byRequest, got.responses.byRequest) {
-		t.Error("the answers to requests differ:", cmp.Diff(want.responses.byRequest, got.responses.byRequest))
+		t.Error("the cached responses differ:", cmp.Diff(want.responses.byRequest, got.responses.byRequest))
 	}
 	if diff := cmp.Diff(want.FullList(), got.FullList()); diff != "" {
 		t.Error("the lists differ (-want +got):", diff)
@@ -214,8 +208,8 @@
 	return raw
 }
 
-// openAlone opens the only replica of a folder, and waits until it leads.
-func openAlone(t *testing.T, folder string) *Replica {
+// openLeader opens the only replica of a data directory, and waits until it is the leader.
+func openLeader(t *testing.T, folder string) *Replica {
 	t.Helper()
 	addr, transport := raft.NewInmemTransport("r0.raft")
 	r, err := Open(ReplicaConfig{ID: "r0", RaftAddress: string(addr), APIAddress: "10.2.0.1:8500", DataDir: folder,
@@ -228,7 +222,7 @@
 			return r
 		}
 		if time.Now().After(until) {
-			t.Fatal("no replica leads")
+			t.Fatal("the replica doesn't become the leader")
 		}
 	}
 }
@@ -242,7 +236,7 @@
 	raw := golden(t, name, nil)
 	folder := t.TempDir()
 	unpack(t, raw, folder)
-	r := openAlone(t, folder)
+	r := openLeader(t, folder)
 	defer func() {
 		if err := r.Close(); err != nil {
 			t.Error(err)
@@ -260,20 +254,20 @@
 	if want := map[string]string{"r0": "10.2.0.1:8500", "r1": "10.2.0.2:8500"}; !maps.Equal(want, peers) {
 		t.Errorf("the replicas' addresses are %v, want %v", peers, want)
 	}
-	res, err := r.Propose(Command{Kind: SetInstancePhase, RequestID: "q5", ID: "s1", Phase: PhaseDraining})
-	if err != nil || res.Revision != 1<<32+5 {
-		t.Errorf("a request that was answered before gets %+v, %v, want the answer of then", res, err)
+	result, err := r.Propose(Command{Kind: SetInstancePhase, RequestID: "q5", ID: "s1", Phase: PhaseDraining})
+	if err != nil || result.Revision != 1<<32+5 {
+		t.Errorf("a request that was answered before gets %+v, %v, want its first result", result, err)
 	}
-	if res, err := r.Propose(Command{Kind: DeregisterInstance, ID: "s0"}); err != nil || res.Revision != want.Revision+1 {
-		t.Errorf("the next change gives %+v, %v", res, err)
+	if result, err := r.Propose(Command{Kind: DeregisterInstance, ID: "s0"}); err != nil || result.Revision != want.Revision+1 {
+		t.Errorf("the next change gives %+v, %v", result, err)
 	}
 }
 
 // writeFolder makes an archive of a replica's folder that has a snapshot and commands after it.
 func writeFolder(t *testing.T) []byte {
 	folder := t.TempDir()
-	r := openAlone(t, folder)
-	apply(t, r,
+	r := openLeader(t, folder)
+	propose(t, r,
 		Command{Kind: SetReplicaAddress, ID: "r1", Endpoint: Endpoint{Address: "10.2.0.2:8500"}},
 		Command{Kind: RegisterInstance, Endpoint: goldenEntry("s0", ""), TTL: MaxTTL},
 		Command{Kind: RegisterInstance, RequestID: "q1", Endpoint: goldenEntry("s1", "pay"), TTL: MaxTTL},
@@ -282,7 +276,7 @@
 	if err := r.raft.Snapshot().Error(); err != nil {
 		t.Fatal(err)
 	}
-	apply(t, r,
+	propose(t, r,
 		Command{Kind: RegisterInstance, Endpoint: goldenEntry("s3", "pay"), TTL: MaxTTL},
 		Command{Kind: SetInstancePhase, RequestID: "q5", ID: "s1", Phase: PhaseDraining},
 		Command{Kind: SetInstancePhase, ID: "s2", Phase: PhaseDraining},
@@ -335,251 +329,3 @@
 		}
 	}
 }
-
-// varying are the parts of answers that differ from run to run.
-var varying = regexp.MustCompile(`"(age_ms|index)":[0-9]+|(?m)^(X-Registry-Age-Ms: |registry_age_seconds )[0-9.e+-]+$`)
-
-// transcript lists what a call is answered with: the status, the headers that have a meaning here, and the body.
-func transcript(t *testing.T, b *strings.Builder, method, url, path, body string, header map[string]string) {
-	t.Helper()
-	req, err := http.NewRequest(method, url+path, strings.NewReader(body))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for key, value := range header {
-		req.Header.Set(key, value)
-	}
-	resp, err := http.DefaultTransport.RoundTrip(req)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer resp.Body.Close()
-	answer, err := io.ReadAll(resp.Body)
-	if err != nil {
-		t.Fatal(err)
-	}
-	fmt.Fprintf(b, "> %s %s %s\n%d\n", method, path, body, resp.StatusCode)
-	for _, key := range slices.Sorted(maps.Keys(resp.Header)) {
-		if key != "Date" && key != "Content-Length" {
-			fmt.Fprintf(b, "%s: %s\n", key, strings.Join(resp.Header[key], "|"))
-		}
-	}
-	fmt.Fprintf(b, "%s\n\n", answer)
-}
-
-func masked(text string) string {
-	return varying.ReplaceAllStringFunc(text, func(part string) string {
-		return strings.TrimRight(part, "0123456789.e+-") + "N"
-	})
-}
-
-// TestGoldenAnswers goes through the calls that nodes, agents and operators make, wrong ones among them.
-func TestGoldenAnswers(t *testing.T) {
-	r := openAlone(t, t.TempDir())
-	replica := NewServer(r, ServerConfig{})
-	server, control := httptest.NewServer(replica), httptest.NewServer(replica.adminHandler())
-	defer func() {
-		server.Close()
-		control.Close()
-		if err := r.Close(); err != nil {
-			t.Error(err)
-		}
-	}()
-	var b strings.Builder
-	for _, call := range []struct {
-		method, path, body string
-		header             map[string]string
-	}{
-		{method: "GET", path: "/registry/instances"},
-		{method: "PUT", path: "/registry/instances/s0", header: map[string]string{"X-Request-Id": "q0"},
-			body: `{"host_port":"10.1.0.18:9000","locality":"cairo-1","flavor":"big-box","cell":3,"phase":"up","size":1.5,"up_since_ms":1700000000123,"lease_ms":60000,"service":"pay"}`},
-		{method: "PUT", path: "/registry/instances/s0", header: map[string]string{"X-Request-Id": "q0"}, body: `{"host_port":"10.1.0.18:9000"}`},
-		{method: "PUT", path: "/registry/instances/s1", body: `{"host_port":"10.1.0.19:9000"}`},
-		{method: "PUT", path: "/registry/instances/s2", body: `{"host_port":"10.1.0.20:9000","size":0,"service":"mail"}`},
-		{method: "PUT", path: "/registry/instances/s0/lease"},
-		{method: "PUT", path: "/registry/instances/s0/lease", header: map[string]string{"If-Match": `"7"`}},
-		{method: "PUT", path: "/registry/instances/s0/phase", body: `{"phase":"draining"}`, header: map[string]string{"If-Match": `"4294967297"`}},
-		{method: "PUT", path: "/registry/instances/s9/lease"},
-		{method: "DELETE", path: "/registry/instances/s9"},
-		{method: "DELETE", path: "/registry/instances/s2"},
-		{method: "GET", path: "/registry/instances"},
-		{method: "GET", path: "/registry/instances?index=4294967297&wait=1000"},
-		{method: "GET", path: "/registry/instances?index=4294967300&wait=0"},
-		{method: "GET", path: "/registry/instances?index=9000000000&wait=0"},
-		{method: "GET", path: "/registry/instances?index=4294967300"},
-		{method: "GET", path: "/registry/instances?service=pay"},
-		{method: "GET", path: "/registry/instances?service=pay,none&subset=1&position=0&nodes=2&zone=cairo-1"},
-		{method: "GET", path: "/registry/instances?service=pay&index=4294967297&wait=1000"},
-		{method: "GET", path: "/registry/instances?service=mail&index=4294967299&wait=1000"},
-		{method: "GET", path: "/registry/instances?service=pay&index=4294967301&wait=0"},
-		{method: "GET", path: "/registry/instances?service=none"},
-		{method: "GET", path: "/registry/instances?service="},
-		{method: "GET", path: "/registry/instances?subset=3"},
-		{method: "GET", path: "/registry/instances?service=pay&zone=z"},
-		{method: "GET", path: "/registry/instances?service=pay&subset=0&position=0&nodes=1"},
-		{method: "GET", path: "/registry/instances?index=x"},
-		{method: "GET", path: "/registry/status"},
-		{method: "GET", path: "/registry/fresh"},
-		{method: "GET", path: "/registry/none"},
-		{method: "POST", path: "/registry/instances"},
-		{method: "POST", path: "/registry/instances/s0"},
-		{method: "PUT", path: "/registry/instances/s0/other"},
-		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":`},
-		{method: "PUT", path: "/registry/instances/s0", body: `{"port":3}`},
-		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"here"}`},
-		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","phase":"removed"}`},
-		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","size":-1}`},
-		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","up_since_ms":-1}`},
-		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","service":"a b"}`},
-		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","lease_ms":999}`},
-		{method: "PUT", path: "/registry/instances/s0", body: `{"host_port":"a:1","locality":"` + strings.Repeat("z", maxFieldBytes+1) + `"}`},
-		{method: "PUT", path: "/registry/instances/", body: `{"host_port":"a:1"}`},
-		{method: "PUT", path: "/registry/instances/s0/phase", body: `{"phase":"removed"}`},
-		{method: "PUT", path: "/registry/instances/s0", header: map[string]string{"If-Match": "x"}},
-		{method: "PUT", path: "/registry/instances/s0", header: map[string]string{"X-Request-Id": strings.Repeat("q", maxFieldBytes+1)}},
-		{method: "PUT", path: "/registry/replicas/r1", body: `{"raft":"10.2.0.2:8501"}`},
-		{method: "PUT", path: "/registry/replicas/r1", body: `{"raft":3}`},
-		{method: "POST", path: "/registry/replicas/r1"},
-		{method: "DELETE", path: "/registry/replicas/r9"},
-	} {
-		transcript(t, &b, call.method, server.URL, call.path, call.body, call.header)
-	}
-	transcript(t, &b, "GET", control.URL, "/healthcheck", "", nil)
-	transcript(t, &b, "GET", control.URL, "/stats", "", nil)
-	now := masked(b.String())
-	if diff := cmp.Diff(string(golden(t, "answers.txt", []byte(now))), now); diff != "" {
-		t.Error("answers differ (-golden +now):", diff)
-	}
-}
-
-// TestGoldenRefusals has the answers of a replica that doesn't lead, and of one with no room.
-func TestGoldenRefusals(t *testing.T) {
-	addr, transport := raft.NewInmemTransport("r0.raft")
-	r, err := Open(ReplicaConfig{ID: "r0", RaftAddress: string(addr), DataDir: t.TempDir(), transport: transport})
-	if err != nil {
-		t.Fatal(err)
-	}
-	replica := NewServer(r, ServerConfig{MaxWatches: 1})
-	server, control := httptest.NewServer(replica), httptest.NewServer(replica.adminHandler())
-	defer func() {
-		server.Close()
-		control.Close()
-		if err := r.Close(); err != nil {
-			t.Error(err)
-		}
-	}()
-	var b strings.Builder
-	for _, call := range [][2]string{{"GET", "/registry/instances"}, {"GET", "/registry/instances?service=a"},
-		{"PUT", "/registry/instances/s0/lease"}, {"GET", "/registry/fresh"}, {"GET", "/registry/status"},
-		{"DELETE", "/registry/replicas/r9"}} {
-		transcript(t, &b, call[0], server.URL, call[1], "", nil)
-	}
-	transcript(t, &b, "GET", control.URL, "/healthcheck", "", nil)
-	transcript(t, &b, "GET", control.URL, "/stats", "", nil)
-	replica.watches <- struct{}{}
-	transcript(t, &b, "GET", server.URL, "/registry/instances?index=1&wait=1000", "", nil)
-	for range cap(replica.writes) {
-		replica.writes <- struct{}{}
-	}
-	transcript(t, &b, "DELETE", server.URL, "/registry/instances/s0", "", nil)
-	for _, err := range []error{&NotLeaderError{LeaderAddress: "10.2.0.2:8500"}, &NotLeaderError{}, ErrNotCommitted} {
-		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.respondWrite(w, req, "s0", Result{}, err) }))
-	}
-	for _, code := range []ResultCode{ResultNotFound, ResultVersionMismatch, ResultTooManyInstances, ResultUnknownCommand} {
-		res := Result{Code: code, Instance: Instance{Version: 7}}
-		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.respondWrite(w, req, "s0", res, code.Err()) }))
-	}
-	now := masked(b.String())
-	if diff := cmp.Diff(string(golden(t, "refusals.txt", []byte(now))), now); diff != "" {
-		t.Error("answers differ (-golden +now):", diff)
-	}
-}
-
-// recorded is what a handler answers to a write.
-func recorded(handle http.HandlerFunc) string {
-	w := httptest.NewRecorder()
-	handle(w, httptest.NewRequest("PUT", "/registry/instances/s0/lease?x=1", nil))
-	var b strings.Builder
-	fmt.Fprintln(&b, w.Code)
-	for _, key := range slices.Sorted(maps.Keys(w.Header())) {
-		fmt.Fprintf(&b, "%s: %s\n", key, strings.Join(w.Header()[key], "|"))
-	}
-	fmt.Fprintf(&b, "%s\n\n", w.Body)
-	return b.String()
-}
-
-// TestGoldenAgentCalls has the calls of an agent through the life of a server.
-func TestGoldenAgentCalls(t *testing.T) {
-	var mu sync.Mutex
-	var b strings.Builder
-	ctx, leave := context.WithCancel(t.Context())
-	renewals := 0
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		mu.Lock()
-		defer mu.Unlock()
-		body, _ := io.ReadAll(req.Body)
-		fmt.Fprintf(&b, "%s %s id:%v match:%q %s\n", req.Method, req.URL.RequestURI(), req.Header.Get("X-Request-Id") != "",
-			req.Header.Get("If-Match"), body)
-		if strings.HasSuffix(req.URL.Path, "/lease") {
-			if renewals++; renewals == 1 {
-				http.Error(w, "not found", http.StatusNotFound)
-				return
-			}
-			leave()
-		}
-	}))
-	defer server.Close()
-	client := NewClient([]string{strings.TrimPrefix(server.URL, "http://")})
-	agent := &Agent{Client: client, Endpoint: goldenEntry("s0", "pay"), TTL: 300 * time.Millisecond}
-	if err := agent.Run(ctx, time.Millisecond); err != nil {
-		t.Fatal(err)
-	}
-	if err := client.Do(t.Context(), http.MethodDelete, instancesPath+"/s0", nil, nil, 7); err != nil {
-		t.Fatal(err)
-	}
-	if diff := cmp.Diff(string(golden(t, "agent-calls.txt", []byte(b.String()))), b.String()); diff != "" {
-		t.Error("an agent's calls differ (-golden +now):", diff)
-	}
-}
-
-// TestGoldenConfig reads a replica's file with all keys.
-func TestGoldenConfig(t *testing.T) {
-	golden(t, "replica.toml", []byte(`id = "r1"
-listen = "10.2.0.2:8500"
-raft = "10.2.0.2:8501"
-bind = "0.0.0.0:8501"
-control = "10.2.0.2:8502"
-folder = "/var/lib/sloerail"
-watches = 512
-
-[peers]
-r0 = "10.2.0.1:8501"
-r1 = "10.2.0.2:8501"
-r2 = "10.2.0.3:8501"
-`))
-	got, err := LoadConfig(filepath.Join("testdata", "replica.toml"))
-	want := Config{ID: "r1", ListenAddress: "10.2.0.2:8500", RaftAddress: "10.2.0.2:8501", RaftBindAddress: "0.0.0.0:8501", AdminAddress: "10.2.0.2:8502",
-		DataDir: "/var/lib/sloerail", MaxWatches: 512,
-		InitialReplicas: map[string]string{"r0": "10.2.0.1:8501", "r1": "10.2.0.2:8501", "r2": "10.2.0.3:8501"}}
-	if diff := cmp.Diff(want, got); err != nil || diff != "" {
-		t.Error(err, diff)
-	}
-}
-
-// TestStoredFieldsHaveExplicitKeys holds that no stored or sent form takes a key from a Go name.
-func TestStoredFieldsHaveExplicitKeys(t *testing.T) {
-	for tag, forms := range map[string][]any{
-		"cbor": {Command{}, snapshotImage{}, Instance{}, Endpoint{}, Result{}, change{}, Placement{}, cachedResponse{}},
-		"json": {EndpointList{}, Endpoint{}, registration{}, WriteResponse{}, Status{}, ReplicaStatus{}, progressResponse{}},
-		"toml": {Config{}},
-	} {
-		for _, form := range forms {
-			of := reflect.TypeOf(form)
-			for field := range of.Fields() {
-				if key, _, _ := strings.Cut(field.Tag.Get(tag), ","); key == "" {
-					t.Errorf("%s.%s has no explicit %s key", of, field.Name, tag)
-				}
-			}
-		}
-	}
-}
--- a/internal/registry/lessor_test.go
+++ b/internal/registry/lessor_test.go
@@ -11,7 +11,7 @@
 func grantLeases(l *lessor, n int, ttl time.Duration) map[string]Instance {
 	instances := make(map[string]Instance)
 	for i := range n {
-		instance := Instance{Endpoint: entry(fmt.Sprintf("s%02d", i)), TTL: ttl}
+		instance := Instance{Endpoint: testEndpoint(fmt.Sprintf("s%02d", i)), TTL: ttl}
 		l.grant(&instance)
 		instances[instance.Endpoint.ID] = instance
 	}
@@ -55,7 +55,7 @@
 			l := new(lessor)
 			instances := grantLeases(l, test.expiring, time.Second)
 			for i := range test.renewing {
-				instance := Instance{Endpoint: entry(fmt.Sprint("renewed", i)), TTL: time.Minute}
+				instance := Instance{Endpoint: testEndpoint(fmt.Sprint("renewed", i)), TTL: time.Minute}
 				l.grant(&instance)
 				instances[instance.Endpoint.ID] = instance
 			}
@@ -76,10 +76,10 @@
 	for wait, suspended := range map[time.Duration]bool{expirationWindow: true, expirationWindow + 1: false} {
 		l := new(lessor)
 		instances := grantLeases(l, minMassExpirations, time.Second)
-		instances["last"] = Instance{Endpoint: entry("last"), Deadline: time.Second + wait}
+		instances["last"] = Instance{Endpoint: testEndpoint("last"), Deadline: time.Second + wait}
 		for i := range 2 * minMassExpirations {
 			id := fmt.Sprint("renewed", i)
-			instances[id] = Instance{Endpoint: entry(id), Deadline: time.Hour}
+			instances[id] = Instance{Endpoint: testEndpoint(id), Deadline: time.Hour}
 		}
 		l.advance(time.Second)
 		if ids := expireAll(l, instances); len(ids) != minMassExpirations {
--- a/internal/registry/measure_test.go
+++ b/internal/registry/measure_test.go
@@ -15,7 +15,7 @@
 	"sloerail/internal/subset"
 )
 
-var sizes = flag.String("sizes", "1000,2000,4000", "instances in the measurements, parted by commas")
+var sizes = flag.String("sizes", "1000,2000,4000", "instances in the measurements, separated by commas")
 
 const (
 	smallService = 50 // instances of each service but the large one, which has a tenth of all
@@ -24,13 +24,13 @@
 
 // fleet is a list of n instances in a large service and many small ones.
 type fleet struct {
-	state *Store
+	store *Store
 	next  int
 	rng   *rand.Rand
 }
 
 func newFleet(n int) *fleet {
-	f := &fleet{state: NewStore(), rng: rand.New(rand.NewPCG(measuredSeed, uint64(n)))}
+	f := &fleet{store: NewStore(), rng: rand.New(rand.NewPCG(measuredSeed, uint64(n)))}
 	for i := range n {
 		service := "large"
 		if i%10 != 0 {
@@ -44,7 +44,7 @@
 func (f *fleet) add(service string) {
 	f.next++
 	id := fmt.Sprintf("s-%08x", uint32(f.next)*2654435761) // odd, so that no two are alike
-	f.state.Apply(Command{Kind: RegisterInstance, TTL: DefaultTTL, Endpoint: Endpoint{ID: id, Address: fmt.Sprintf("10.%d.%d.%d:9000",
+	f.store.Apply(Command{Kind: RegisterInstance, TTL: DefaultTTL, Endpoint: Endpoint{ID: id, Address: fmt.Sprintf("10.%d.%d.%d:9000",
 		f.next>>16, f.next>>8&255, f.next&255), Zone: fmt.Sprint("zone-", f.next%20), Kind: "m2", Cell: int64(f.next % 500),
 		Phase: PhaseUp, Size: 1, StartTimeMs: 1_700_000_000_000, Service: service}})
 }
@@ -55,8 +55,8 @@
 		Client: subset.Client{Position: 1234, Count: 5100, Zone: "zone-3"}}
 }
 
-// bytesOf is the length of a list as it is sent.
-func bytesOf(t *testing.T, l EndpointList) int {
+// encodedBytes returns the length of a list as it is sent.
+func encodedBytes(t *testing.T, l EndpointList) int {
 	t.Helper()
 	raw, err := json.Marshal(l)
 	if err != nil {
@@ -65,37 +65,36 @@
 	return len(raw)
 }
 
-// scopedBytes is the length of what a scoped watcher is told, 0 if it isn't.
+// scopedBytes returns the length of what a scoped watcher gets, 0 for no response.
 func scopedBytes(t *testing.T, s *Store, scope *Scope, since int64) int {
 	t.Helper()
 	view, err := s.scoped(scope, since)
 	if err != nil {
 		t.Fatal(err)
 	}
-	l, news := view.list()
-	if !news {
+	l, changed := view.list()
+	if !changed {
 		return 0
 	}
-	return bytesOf(t, l)
+	return encodedBytes(t, l)
 }
 
-// replace drains a random instance, removes it, and puts another in its place. It returns the bytes that a watcher of
-// the whole list and one of the scope are told by it.
-func (f *fleet) replace(t *testing.T, scope *Scope, ids []string, at int) (whole, scoped int) {
+// replace drains an instance, deregisters it, and registers a replacement. It returns the bytes that a watcher of the
+// full list and one of the scope get of it.
+func (f *fleet) replace(t *testing.T, scope *Scope, id string) (full, scoped int) {
 	t.Helper()
 	step := func(do func()) {
-		before := f.state.revision
+		before := f.store.revision
 		do()
-		l, _ := f.state.ChangesSince(before)
-		whole += bytesOf(t, l)
-		scoped += scopedBytes(t, f.state, scope, before)
+		l, _ := f.store.ChangesSince(before)
+		full += encodedBytes(t, l)
+		scoped += scopedBytes(t, f.store, scope, before)
 	}
-	id := ids[at]
-	service := f.state.instances[id].Endpoint.Service
-	step(func() { f.state.Apply(Command{Kind: SetInstancePhase, ID: id, Phase: PhaseDraining}) })
-	step(func() { f.state.Apply(Command{Kind: DeregisterInstance, ID: id}) })
+	service := f.store.instances[id].Endpoint.Service
+	step(func() { f.store.Apply(Command{Kind: SetInstancePhase, ID: id, Phase: PhaseDraining}) })
+	step(func() { f.store.Apply(Command{Kind: DeregisterInstance, ID: id}) })
 	step(func() { f.add(service) })
-	return whole, scoped
+	return full, scoped
 }
 
 func measuredSizes(t *testing.T) (all []int) {
@@ -110,25 +109,25 @@
 	return all
 }
 
-// What a node is sent follows its scope, and not the number of instances; with a subset the whole of a large service
-// isn't sent either.
+// What a node is sent grows with its scope, and not with the number of instances; with a subset, not with the size of a
+// large service either.
 func TestMeasureScope(t *testing.T) {
 	const replaced = 300
 	var first int
 	for _, n := range measuredSizes(t) {
 		f, scope := newFleet(n), nodeScope(20)
-		list, services, part := bytesOf(t, f.state.FullList()), scopedBytes(t, f.state, nodeScope(0), -1), scopedBytes(t, f.state, scope, -1)
+		list, services, part := encodedBytes(t, f.store.FullList()), scopedBytes(t, f.store, nodeScope(0), -1), scopedBytes(t, f.store, scope, -1)
 		var ids []string
-		for _, e := range f.state.FullList().Endpoints {
+		for _, e := range f.store.FullList().Endpoints {
 			ids = append(ids, e.ID)
 		}
-		var whole, scoped int
+		var full, scoped int
 		for _, at := range f.rng.Perm(len(ids))[:replaced] {
-			a, b := f.replace(t, scope, ids, at)
-			whole, scoped = whole+a, scoped+b
+			fullBytes, partBytes := f.replace(t, scope, ids[at])
+			full, scoped = full+fullBytes, scoped+partBytes
 		}
 		t.Logf("%6d instances: whole list %9d bytes, its five services %8d, subsets of 20 %6d; a replacement %4d and %7.2f",
-			n, list, services, part, whole/replaced, float64(scoped)/replaced)
+			n, list, services, part, full/replaced, float64(scoped)/replaced)
 		if first == 0 {
 			first = part
 		}
@@ -139,58 +138,58 @@
 }
 
 // What the list costs a replica.
-func TestMeasureState(t *testing.T) {
-	timed := func(do func()) time.Duration {
-		began := time.Now()
+func TestMeasureStore(t *testing.T) {
+	measure := func(do func()) time.Duration {
+		start := time.Now()
 		do()
-		return time.Since(began).Round(10 * time.Microsecond)
+		return time.Since(start).Round(10 * time.Microsecond)
 	}
 	for _, n := range measuredSizes(t) {
 		var f *fleet
-		before := heldMemory()
-		fill := timed(func() { f = newFleet(n) })
-		memory := heldMemory() - before
-		id := f.state.FullList().Endpoints[n/2].ID
-		renew := timed(func() {
+		before := heapBytes()
+		fill := measure(func() { f = newFleet(n) })
+		memory := heapBytes() - before
+		id := f.store.FullList().Endpoints[n/2].ID
+		renew := measure(func() {
 			for range 1000 {
-				f.state.Apply(Command{Kind: RenewLease, ID: id})
+				f.store.Apply(Command{Kind: RenewLease, ID: id})
 			}
 		}) / 1000
-		tick := timed(func() { f.state.Apply(Command{Kind: AdvanceClock, Elapsed: tickInterval}) })
-		lead := timed(func() { f.state.Apply(Command{Kind: RestartLeases}) })
-		whole := timed(func() { bytesOf(t, f.state.FullList()) })
-		view := timed(func() { scopedBytes(t, f.state, nodeScope(20), -1) })
-		watchers := timed(func() { f.tellWatchers(t, 1000) })
+		tick := measure(func() { f.store.Apply(Command{Kind: AdvanceClock, Elapsed: tickInterval}) })
+		lead := measure(func() { f.store.Apply(Command{Kind: RestartLeases}) })
+		full := measure(func() { encodedBytes(t, f.store.FullList()) })
+		view := measure(func() { scopedBytes(t, f.store, nodeScope(20), -1) })
+		watchers := measure(func() { f.notifyWatchers(t, 1000) })
 		var snapshot bytes.Buffer
-		write := timed(func() {
-			if err := f.state.WriteSnapshot(&snapshot); err != nil {
+		write := measure(func() {
+			if err := f.store.WriteSnapshot(&snapshot); err != nil {
 				t.Fatal(err)
 			}
 		})
 		length := snapshot.Len()
-		read := timed(func() {
+		read := measure(func() {
 			if _, err := ReadSnapshot(&snapshot); err != nil {
 				t.Fatal(err)
 			}
 		})
-		t.Logf("%6d instances: %3d MB, registered in %v each, renewed in %v, tick %v, new leader %v, whole list %v, scoped list %v, a drain in the large service told to 1,000 watchers %v, snapshot %.1f MB written in %v, read in %v",
-			n, memory>>20, (fill / time.Duration(n)).Round(10*time.Nanosecond), renew, tick, lead, whole, view, watchers, float64(length)/1e6, write, read)
+		t.Logf("%6d instances: %3d MB, registered in %v each, renewed in %v, tick %v, new leader %v, whole list %v, scoped list %v, a drain in the large service sent to 1,000 watchers %v, snapshot %.1f MB written in %v, read in %v",
+			n, memory>>20, (fill / time.Duration(n)).Round(10*time.Nanosecond), renew, tick, lead, full, view, watchers, float64(length)/1e6, write, read)
 	}
 }
 
-// tellWatchers makes what each of n nodes is told of a change of the large service.
-func (f *fleet) tellWatchers(t *testing.T, n int) {
-	before := f.state.revision
-	f.state.Apply(Command{Kind: SetInstancePhase, ID: f.state.services["large"].slots.ids[0], Phase: PhaseDraining})
+// notifyWatchers computes what each of n nodes gets of a change of the large service.
+func (f *fleet) notifyWatchers(t *testing.T, n int) {
+	before := f.store.revision
+	f.store.Apply(Command{Kind: SetInstancePhase, ID: f.store.services["large"].slots.ids[0], Phase: PhaseDraining})
 	scope := nodeScope(20)
 	for position := range n {
 		scope.Client.Position = position
-		scopedBytes(t, f.state, scope, before)
+		scopedBytes(t, f.store, scope, before)
 	}
 }
 
-// heldMemory is what is held after a collection.
-func heldMemory() int64 {
+// heapBytes returns the memory that is in use after a collection.
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- /dev/null
+++ b/internal/registry/snapshot_test.go
@@ -0,0 +1,124 @@
+package registry
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"maps"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+)
+
+// restored returns a store as its snapshot is read.
+func restored(t rapid.TB, s *Store) *Store {
+	t.Helper()
+	var b bytes.Buffer
+	if err := s.WriteSnapshot(&b); err != nil {
+		t.Fatal(err)
+	}
+	read, err := ReadSnapshot(&b)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !maps.Equal(s.instances, read.instances) {
+		t.Fatal("a snapshot doesn't restore the store:", cmp.Diff(s.instances, read.instances))
+	}
+	return read
+}
+
+// A snapshot from before there were services is read, and a program of that version reads a present one.
+func TestSnapshotsAreCompatibleWithThePreviousVersion(t *testing.T) {
+	type previousEndpoint struct { // the keys that matter here
+		ID       string `cbor:"1,keyasint"`
+		HostPort string `cbor:"2,keyasint"`
+		Phase    string `cbor:"6,keyasint"`
+	}
+	type previousInstance struct {
+		Endpoint previousEndpoint `cbor:"1,keyasint"`
+		Version  int64            `cbor:"2,keyasint"`
+	}
+	type previousChange struct {
+		Revision int64            `cbor:"1,keyasint"`
+		Endpoint previousEndpoint `cbor:"2,keyasint"`
+	}
+	type previousImage struct {
+		Revision  int64                       `cbor:"1,keyasint"`
+		Instances map[string]previousInstance `cbor:"3,keyasint"`
+		History   []previousChange            `cbor:"4,keyasint"`
+		Floor     int64                       `cbor:"5,keyasint"`
+	}
+	e, at := previousEndpoint{ID: "s0", HostPort: "10.0.0.1:9000", Phase: PhaseUp}, int64(1)<<epochShift+1
+	raw, err := cbor.Marshal(previousImage{at, map[string]previousInstance{"s0": {e, at}}, []previousChange{{at, e}}, at - 1})
+	if err != nil {
+		t.Fatal(err)
+	}
+	s, err := ReadSnapshot(bytes.NewReader(append(snapshotHeader(raw), raw...)))
+	if err != nil || len(s.FullList().Endpoints) != 1 {
+		t.Fatal(err)
+	}
+	s.Apply(registerInService("s0", "a")) // its agent has a service now
+	if _, got := newScopedWatcher(&Scope{Services: []string{"a"}}).mustPoll(t, s); len(got) != 1 {
+		t.Errorf("in its service are %v", got)
+	}
+	if raw, err = cbor.Marshal(s.image()); err != nil {
+		t.Fatal(err)
+	}
+	var read previousImage
+	if err := cbor.Unmarshal(raw, &read); err != nil || read.Instances["s0"].Endpoint != e || len(read.History) != 2 {
+		t.Errorf("the previous version reads %+v, %v", read, err)
+	}
+}
+
+// A snapshot of as many instances as there may be is read.
+func TestSnapshotOfMaxInstancesIsRead(t *testing.T) {
+	s := NewStore()
+	for i := range maxInstances {
+		id := fmt.Sprint("s", i)
+		s.instances[id] = Instance{Endpoint: registerInService(id, "a").Endpoint, Slot: i}
+	}
+	if read := restored(t, s); read.Apply(registerCommandFor("one more", DefaultTTL)).Code != ResultTooManyInstances {
+		t.Error("one more was registered")
+	}
+}
+
+// A snapshot with a slot that is out of range or used twice is rejected.
+func TestSnapshotsWithInvalidSlotsAreRejected(t *testing.T) {
+	for want, slots := range map[string][2]int{"both have slot 1": {1, 1}, "out of range": {0, maxInstances}} {
+		s := NewStore()
+		for i, slot := range slots {
+			id := fmt.Sprint("s", i)
+			s.instances[id] = Instance{Endpoint: registerInService(id, "a").Endpoint, Slot: slot}
+		}
+		var b bytes.Buffer
+		if err := s.WriteSnapshot(&b); err != nil {
+			t.Fatal(err)
+		}
+		if _, err := ReadSnapshot(&b); err == nil || !strings.Contains(err.Error(), want) {
+			t.Errorf("slots %v: %v, want %q", slots, err, want)
+		}
+	}
+}
+
+// A snapshot that is cut at any byte, or has any byte flipped, is rejected.
+func TestCorruptSnapshotsAreRejected(t *testing.T) {
+	s := NewStore()
+	s.Apply(registerCommandFor("a", DefaultTTL))
+	var b bytes.Buffer
+	if err := s.WriteSnapshot(&b); err != nil {
+		t.Fatal(err)
+	}
+	for i := range b.Len() {
+		if _, err := ReadSnapshot(bytes.NewReader(b.Bytes()[:i])); !errors.Is(err, ErrCorrupt) || !strings.HasPrefix(err.Error(), "snapshot: ") {
+			t.Fatalf("cut at byte %d: %v", i, err)
+		}
+		flipped := bytes.Clone(b.Bytes())
+		flipped[i] ^= 0x40
+		if _, err := ReadSnapshot(bytes.NewReader(flipped)); !errors.Is(err, ErrCorrupt) {
+			t.Fatalf("byte %d flipped: %v", i, err)
+		}
+	}
+}
