--- /dev/null
+++ b/internal/registry/watcher_group.go
@@ -0,0 +1,71 @@
+package registry
+
+// watcherGroup holds the scoped watches that wait, by the services that they name, so that a change wakes only the
+// watches whose services it touches. The zero value is ready. It has no lock: watchableStore guards it.
+type watcherGroup struct {
+	byService  map[string]map[*watcher]bool
+	touched    map[string]bool // services that changed since the last notify
+	touchedAll bool            // all of them did
+}
+
+// watcher is one watch that waits.
+type watcher struct {
+	notify   chan struct{} // buffers one value, which stands for all changes until it is received
+	services []string
+}
+
+func (g *watcherGroup) add(services []string) *watcher {
+	if g.byService == nil {
+		g.byService, g.touched = make(map[string]map[*watcher]bool), make(map[string]bool)
+	}
+	w := &watcher{notify: make(chan struct{}, 1), services: services}
+	for _, service := range services {
+		if g.byService[service] == nil {
+			g.byService[service] = make(map[*watcher]bool)
+		}
+		g.byService[service][w] = true
+	}
+	return w
+}
+
+func (g *watcherGroup) remove(w *watcher) {
+	for _, service := range w.services {
+		delete(g.byService[service], w)
+		if len(g.byService[service]) == 0 {
+			delete(g.byService, service)
+		}
+	}
+}
+
+// touch marks the services of some changes for the next notify.
+func (g *watcherGroup) touch(changes []change) {
+	for _, c := range changes {
+		for _, service := range c.touchedServices() {
+			if g.byService[service] != nil {
+				g.touched[service] = true
+			}
+		}
+	}
+}
+
+// touchAll marks all services, for a state that was replaced as a whole.
+func (g *watcherGroup) touchAll() { g.touchedAll = true }
+
+// notify wakes the watches of the marked services, and clears the marks. It doesn't block.
+func (g *watcherGroup) notify() {
+	if g.touchedAll {
+		for service := range g.byService {
+			g.touched[service] = true
+		}
+		g.touchedAll = false
+	}
+	for service := range g.touched {
+		for w := range g.byService[service] {
+			select {
+			case w.notify <- struct{}{}:
+			default:
+			}
+		}
+	}
+	clear(g.touched)
+}
