--- a/policy/admission.go
+++ b/policy/admission.go
@@ -108,7 +108,7 @@
 		c = was
 	}
 	if c == nil { // not in the settings: one safe try, never repeated
-		c = &class{Class: Class{LatencyObjective: e.Timeout, LateWeight: 1}, eligible: &b.serverPool,
+		c = &class{Class: Class{LatencyObjective: e.Timeout, LateWeight: 1}, eligible: &b.packing.pool,
 			classStats: &classStats{timerIndex: -1}}
 	}
 	r := &request{Request: e, class: c, maxAttempts: max(1, b.settings.Allowed.MaxAttempts)}
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -46,7 +46,7 @@
 	}
 	b.emit(Action{Kind: Send, ID: r.ID, Server: s.ID, AttemptDeadline: r.usefulUntil})
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, probation: trial,
-		warmingUp: b.paceBoundByWarmup(s), uncounted: r.Incomplete})
+		warmingUp: b.isPacedByWarmup(s), uncounted: r.Incomplete})
 	r.pendingAttempts++
 	s.lastSentAt = b.now
 	s.warmupBudget.tokens--
@@ -61,7 +61,7 @@
 func (b *Balancer) occupy(a *attempt, by int) {
 	a.uncounted = by < 0
 	if a.server.inFlight += by; !a.warmingUp {
-		b.inFlight += by
+		b.window.inFlight += by
 	}
 }
 
@@ -119,7 +119,7 @@
 		s.lastResponseAt = b.now
 	}
 	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled { // a full one has work
-		b.recordEvidence(a, b.failureLevel(s, c, e.Code, e.Latency.Seconds()))
+		b.recordEvidence(a, c.failureLevel(s.Kind, e.Code, e.Latency.Seconds()))
 	}
 	blame := b.failureWeight(s, e.Code)
 	b.updateConcurrencyLimit(s, c, e.Code, e.Latency, blame)
@@ -128,8 +128,7 @@
 	}
 	b.onLoadReport(s, e.LoadReport)
 	if e.Code == OK && b.warmFraction(s) >= 1 {
-		b.completionRate, b.completionRateAt = b.currentCompletionRate()+1/completionRateTime.Seconds(), b.now
-		b.peakRate()
+		b.slowStart.recordCompletion(b.now)
 	}
 	if e.Code == OK {
 		c.observeLatency(e.Latency)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"reflect"
-	"slices"
 	"time"
 )
 
@@ -23,52 +21,31 @@
 	defaultLimit      *Limit   // for tenants without a quota; nil: no limit
 	buckets           map[bucketKey]*bucket
 	bucketScan        bucketScan
-	rateMultiplier    float64                // scale of all bucket rates
-	maxPriorityWeight float64                // the most that a class is worth
-	loadByKind        map[string]*serverLoad // what the warm servers of a kind report on average
-	typicalLoad       serverLoad             // and all warm servers
-	inFlight          int                    // attempts out at warm servers
-	siblingInFlight   int                    // and those of the node's other process
-	// where latency, busy part and rate stand in a report; -1 where they don't
-	reportColumns        [3]int
-	utilization          float64 // how busy warm servers are by their last reports
-	lastReportAt         Time    // when the last of those came
-	capacityWanted       bool    // a choice found no room since then
-	windowScale          float64 // scale of this node's window
-	bucketRejected       bool    // a bucket refused since the last choice
-	listFailures         int     // calls for the list that failed in a row
-	servers              map[string]*server
-	serverPool                           // all servers in service,
-	serversByZone        map[string]int  // how many of them are in each zone,
-	pooledClasses        map[*class]bool // and the classes whose pools they are also in
-	changedServers       []*server       // servers that may stand otherwise in the order, or not at all
-	orderStale           bool            // the order has to be made anew as a whole
-	unavailable          int             // listed servers that drain or are ejected
-	ejectedServers       []*server       // those of the order
-	connectionFaults     fixedPoint      // sum of the parts of broken connections over the order
-	warmUnmonitored      [2]int          // warm servers that are in no judged place: far, and near
-	warmupQueue          serverQueue     // servers that will be warm
-	evidenceQueue        serverQueue     // servers whose evidence will be too old
+	rateMultiplier    float64            // scale of all bucket rates
+	maxPriorityWeight float64            // the most that a class is worth
+	bucketRejected    bool               // a bucket refused since the last choice
+	servers           map[string]*server // listed, by ID
+
+	packing   packingOrder
+	list      endpointList
+	loads     loadReports
+	window    concurrencyWindow
+	share     capacityShare
+	slowStart slowStart
+	outliers  outlierDetector
+	zones     zoneFailover
+
 	requests             map[string]*request
 	queued               []*request  // waiting for a usable server, oldest first
 	queueTimerSet        bool        // the hold timer is set
 	retryBudget          RetryBudget // of attempts beyond the first of each request
 	acceptedAt           []Time      // requests taken in the span of the budget of attempts, oldest first
 	retriesAt            []Time      // attempts beyond a request's first in it
-	completionRate       float64     // answers of warm servers a second, as of doneAt
-	completionRateAt     Time
-	peakServerRate       float64 // answers a second by a warm server at most of late, as of carriedAt
-	peakServerRateAt     Time
-	handedOver           bool // another process of this node has taken over
+	handedOver           bool        // another process of this node has taken over
 	fleetSize            fleetSize
-	badRatio             float64       // part of bad answers lately,
-	lostRatio            float64       // and of time-outs and full answers, where nothing is reported
-	highPriorityShortage float64       // part of the dearest requests lately that found no room
-	zones                []*zoneHealth // in order of their zones; none where the settings name none
-	zonesDegraded        bool          // one of them has less than its whole share,
-	compareFrom          Time          // and since when they are compared
-	retainFor            time.Duration // that servers are kept which a list takes away in a mass
-	nearbyNodes          float64       // nodes near this one, itself included; 0 where not known
+	badRatio             float64 // part of bad answers lately,
+	lostRatio            float64 // and of time-outs and full answers, where nothing is reported
+	highPriorityShortage float64 // part of the dearest requests lately that found no room
 }
 
 // New returns a node's decisions for the given settings. The seed drives its random choices.
@@ -78,10 +55,12 @@
 	}
 	b := &Balancer{
 		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classStats: make(map[string]*classStats),
-		buckets: make(map[bucketKey]*bucket), rateMultiplier: 1, windowScale: initialWindowScale,
+		buckets: make(map[bucketKey]*bucket), rateMultiplier: 1,
 		servers: make(map[string]*server), requests: make(map[string]*request),
-		loadByKind: make(map[string]*serverLoad),
+		loads:  loadReports{byKind: make(map[string]*serverLoad)},
+		window: concurrencyWindow{scale: initialWindowScale},
 	}
+	b.zones.servers, b.zones.rng, b.zones.logf = &b.packing.pool, b.rng, b.logf
 	b.applySettings(set)
 	return b, nil
 }
@@ -128,26 +107,21 @@
 
 // applySettings takes over settings. What was learned stays.
 func (b *Balancer) applySettings(set Settings) {
-	if !reflect.DeepEqual(set.Topology, b.settings.Topology) { // they are judged anew
-		b.zones = nil
-	}
-	b.settings, b.retryBudget, b.orderStale = set, defaultRetryBudget, true
+	b.zones.configure(set.Topology, set.Zone)
+	b.slowStart.configure(&set.Rules)
+	b.list.configure(set.Rules.DrainGrace)
+	b.loads.configure(set.ReportFields)
+	b.settings, b.retryBudget, b.packing.stale = set, defaultRetryBudget, true
 	b.settings.NodeCount = b.fleetSize.configure(set.NodeCount)
-	if b.retainFor = maxRetainTime; set.Rules.DrainGrace > 0 {
-		b.retainFor = min(maxRetainTime, set.Rules.DrainGrace/2)
-	}
 	if set.Rules.RetryBudget != nil {
 		b.retryBudget = *set.Rules.RetryBudget
 	}
-	for i, name := range []string{reportLatency, reportUtil, reportRate} {
-		b.reportColumns[i] = slices.Index(set.ReportFields, name)
-	}
 	b.formerClasses, b.classes, b.classOrder, b.maxPriorityWeight = b.classes, make(map[string]*class), nil, 0
 	for _, c := range set.Classes {
 		if c.LatencyObjective == 0 {
 			c.LatencyObjective = c.Deadline
 		}
-		b.classOrder = append(b.classOrder, &class{Class: c, eligible: &b.serverPool,
+		b.classOrder = append(b.classOrder, &class{Class: c, eligible: &b.packing.pool,
 			classStats: b.classStatsOf(c)})
 		b.classes[c.Name] = b.classOrder[len(b.classOrder)-1]
 		b.maxPriorityWeight = max(b.maxPriorityWeight, c.PriorityWeight)
@@ -185,7 +159,7 @@
 
 // Servers counts those in the list, and of them those that get no work now: they drain, or are ejected
 // and at most tried out.
-func (b *Balancer) Servers() (listed, avoided int) { return len(b.servers), b.unavailable }
+func (b *Balancer) Servers() (listed, avoided int) { return len(b.servers), b.list.unavailable }
 
 // TailLatency is how long slow answers take, in the slowest class.
 func (b *Balancer) TailLatency() (longest time.Duration) {
--- a/policy/cold_test.go
+++ b/policy/cold_test.go
@@ -289,10 +289,10 @@
 		r := &request{class: b.classOrder[0]}
 		b.observeOutcome(r, &attempt{server: b.servers[fmt.Sprintf("s%02d", cold+i%8)]}, Outcome{Code: OK, Latency: 20 * ms})
 	}
-	if got := b.peakRate(); math.Abs(got-perSecond/8) > 1 {
+	if got := b.slowStart.peakRate(b.now); math.Abs(got-perSecond/8) > 1 {
 		t.Fatalf("a warm server is held to carry %v, want about %v", got, perSecond/8)
 	}
-	before := b.peakRate()
+	before := b.slowStart.peakRate(b.now)
 	rate := func() float64 { // of a server half warm, by all nodes: this is the only one
 		s := b.servers["s00"]
 		s.StartedAt, s.warmupBudget = b.now, warmupBudget{refilledAt: b.now - 10*ms}
@@ -304,14 +304,14 @@
 		b.Handle(b.now, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{{ID: fmt.Sprintf("s%02d", i), Availability: Removed}}})
 	}
 	b.now += 10 * time.Second
-	if got := b.peakRate(); got < 0.8*before {
+	if got := b.slowStart.peakRate(b.now); got < 0.8*before {
 		t.Errorf("10 s after most warm servers are gone and nothing is answered, a warm one is held to carry %v of %v", got, before)
 	}
 	if got := rate(); got < 0.8*allowed {
 		t.Errorf("a cold server may get %v requests a second then, %v before", got, allowed)
 	}
 	b.now += 10 * peakRateDecayTime
-	if got := b.peakRate(); got > 0.01*before {
+	if got := b.slowStart.peakRate(b.now); got > 0.01*before {
 		t.Errorf("what a warm server carried long ago still counts %v of %v", got, before)
 	}
 }
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -2,124 +2,165 @@
 
 import (
 	"cmp"
+	"math/rand/v2"
 	"time"
 )
 
-// listBackoffBase is the mean wait before a failed call for the list is repeated, spread among nodes and
-// doubled by each further failure up to askMost: a change counts as told 6 s after the service has it and can
-// be reached (sooner where the settings say so), and a call that it turns away then has to leave time for
-// further ones.
-const listBackoffBase, listBackoffMax = 500 * time.Millisecond, time.Second
-
 const (
-	maxRetainTime = 5 * time.Second // or half of the grace for drains, if one is stated
+	// listBackoffBase is the mean wait before a failed subscription to the list is repeated. It doubles with
+	// each further failure up to listBackoffMax, which leaves time for several tries before a change of the
+	// list has to be followed.
+	listBackoffBase = 500 * time.Millisecond
+	listBackoffMax  = time.Second
+	// maxBackoffDoublings keeps the shift by the number of failures in range.
+	maxBackoffDoublings = 8
+	// maxRetainTime bounds how long servers are retained that the list takes away in a mass.
+	maxRetainTime = 5 * time.Second
 )
 
+// endpointList owns the state of the subscription to the list of servers, and of the servers that it takes
+// away.
+type endpointList struct {
+	failures    int           // failed calls in a row
+	retainFor   time.Duration // how long servers are retained that the list takes away in a mass
+	unavailable int           // listed servers that get no work: they drain or are ejected
+}
+
+// configure sets how long servers are retained: well within the grace of drains, which they may have missed.
+func (l *endpointList) configure(drainGrace time.Duration) {
+	l.retainFor = maxRetainTime
+	if drainGrace > 0 {
+		l.retainFor = min(maxRetainTime, drainGrace/2)
+	}
+}
+
+// nextBackoff is the wait before the next call after one that failed, spread among nodes.
+func (l *endpointList) nextBackoff(pollInterval time.Duration, rng *rand.Rand) time.Duration {
+	longest := min(listBackoffMax, cmp.Or(pollInterval/4, listBackoffMax))
+	mean := min(longest, listBackoffBase<<min(l.failures, maxBackoffDoublings))
+	l.failures++
+	return time.Duration((0.5 + rng.Float64()) * float64(mean))
+}
+
 func (b *Balancer) subscribeList() { b.emit(Action{Kind: WatchList, Enabled: true}) }
 
-// subscribeListAfter calls for the list after a wait.
+// subscribeListAfter subscribes to the list after a wait.
 func (b *Balancer) subscribeListAfter(wait time.Duration) {
 	b.emit(Action{Kind: SetTimer, Wait: wait, Token: listTimerToken})
 }
 
+// onEndpointList takes over news of the servers.
 func (b *Balancer) onEndpointList(e EndpointList) {
-	switch {
-	case e.Kind == ListUnavailable:
-		most := min(listBackoffMax, cmp.Or(b.settings.Rules.PollInterval/4, listBackoffMax))
-		b.subscribeListAfter(time.Duration((0.5 + b.rng.Float64()) * float64(min(most,
-			listBackoffBase<<min(b.listFailures, 8)))))
-		b.listFailures++
+	if e.Kind == ListUnavailable {
+		b.subscribeListAfter(b.list.nextBackoff(b.settings.Rules.PollInterval, b.rng))
 		return
-	// many nodes may be starting at once
-	case e.Kind == ListCached && b.settings.SubscribeList && b.isLargeFleet():
-		b.subscribeListAfter(time.Duration(b.rng.Float64() * float64(min(2*listBackoffMax,
-			b.settings.Rules.DrainGrace))))
-	case e.Kind == ListCached && b.settings.SubscribeList:
-		b.subscribeList()
-	default:
-		b.listFailures = 0
-	}
-	var gone []*server
-	for _, m := range e.Endpoints {
-		if s := b.servers[m.ID]; m.Availability != Removed {
-			b.upsertEndpoint(m)
-		} else if s != nil {
-			gone = append(gone, s)
+	}
+	b.followSubscription(e.Kind)
+	var missing []*server
+	for _, endpoint := range e.Endpoints {
+		if endpoint.Availability != Removed {
+			b.upsertEndpoint(endpoint)
+		} else if s := b.servers[endpoint.ID]; s != nil {
+			missing = append(missing, s)
 		}
 	}
-	if e.Kind != ListUpdate { // what a whole list lacks is gone
-		gone = append(gone, b.missingEndpoints(e.Endpoints)...)
+	if e.Kind != ListUpdate { // what a whole list lacks is missing
+		missing = append(missing, b.missingEndpoints(e.Endpoints)...)
 	}
-	b.retainMissing(gone)
+	b.retainMissing(missing)
 	b.refreshOrder()
 	b.dispatchQueued()
 }
 
-// upsertEndpoint takes over one entry of the list.
-func (b *Balancer) upsertEndpoint(m Endpoint) {
-	s := b.servers[m.ID]
-	if s == nil || s.StartedAt != m.StartedAt { // new, or a new process: forget the old one
+// followSubscription subscribes to the list once the cached one has been read. Nodes of a large fleet may
+// all be starting, so they spread their calls.
+func (b *Balancer) followSubscription(kind ListKind) {
+	switch {
+	case kind == ListCached && b.settings.SubscribeList && b.isLargeFleet():
+		longest := min(2*listBackoffMax, b.settings.Rules.DrainGrace)
+		b.subscribeListAfter(time.Duration(b.rng.Float64() * float64(longest)))
+	case kind == ListCached && b.settings.SubscribeList:
+		b.subscribeList()
+	default:
+		b.list.failures = 0
+	}
+}
+
+// upsertEndpoint takes over one entry of the list. A server that has started anew is a new one.
+func (b *Balancer) upsertEndpoint(endpoint Endpoint) {
+	s := b.servers[endpoint.ID]
+	if s == nil || s.StartedAt != endpoint.StartedAt {
 		if s != nil {
-			b.changedServers = append(b.changedServers, s)
+			b.packing.changed = append(b.packing.changed, s)
 		}
-		s = &server{meanLatency: b.settings.Classes[0].LatencyObjective.Seconds() / 4}
-		// A random part of a token, so that nodes who hear of a cold server together don't all send.
-		s.warmupBudget = warmupBudget{tokens: b.rng.Float64(), refilledAt: b.now}
-		b.servers[m.ID] = s
+		s = b.newServer()
+		b.servers[endpoint.ID] = s
+	}
+	zone := b.zones.find(endpoint.Zone)
+	if s.Endpoint != endpoint || s.zone != zone {
+		b.packing.changed = append(b.packing.changed, s)
 	}
-	p := b.zoneOf(m.Zone)
-	if s.Endpoint != m || s.zone != p {
-		b.changedServers = append(b.changedServers, s)
+	if s.segment != nil && s.Zone != endpoint.Zone {
+		b.packing.serversByZone[s.Zone]--
+		b.packing.serversByZone[endpoint.Zone]++
 	}
-	if s.segment != nil && s.Zone != m.Zone {
-		b.serversByZone[s.Zone]--
-		b.serversByZone[m.Zone]++
+	s.Endpoint, s.missingSince, s.zone = endpoint, 0, zone
+	if zone.takeVanished() {
+		b.zones.startRecovery(zone, b.now)
 	}
-	if s.Endpoint, s.missingSince, s.zone = m, 0, p; s.zone.takeVanished() {
-		b.startRecovery(s.zone)
+}
+
+// newServer makes a server that nothing is known of. It begins with a random part of a token, so that nodes
+// that hear of a starting server together don't all send to it at once.
+func (b *Balancer) newServer() *server {
+	return &server{
+		meanLatency:  b.settings.Classes[0].LatencyObjective.Seconds() / 4,
+		warmupBudget: warmupBudget{tokens: b.rng.Float64(), refilledAt: b.now},
 	}
 }
 
 // missingEndpoints are the servers that a whole list lacks.
-func (b *Balancer) missingEndpoints(list []Endpoint) (gone []*server) {
-	named := make(map[string]bool, len(list))
-	for _, m := range list {
-		if m.Availability != Removed {
-			named[m.ID] = true
+func (b *Balancer) missingEndpoints(list []Endpoint) (missing []*server) {
+	listed := make(map[string]bool, len(list))
+	for _, endpoint := range list {
+		if endpoint.Availability != Removed {
+			listed[endpoint.ID] = true
 		}
 	}
 	for id, s := range b.servers {
-		if !named[id] {
-			gone = append(gone, s)
+		if !listed[id] {
+			missing = append(missing, s)
 		}
 	}
-	return gone
+	return missing
 }
 
-// retainMissing keeps servers that a list takes away in a mass, a zone's larger part at once, though nobody
-// drained them: that is more often the list's fault than theirs. They are let go unless it names them again,
-// well within the grace of the third rule. A place that comes back so does by its small share first.
-func (b *Balancer) retainMissing(gone []*server) {
-	leaving := make(map[string]int)
-	for _, s := range gone {
+// retainMissing drops the servers that a list takes away. If it takes away more than half of a zone's
+// running servers at once, which were not drained, that is more often a fault of the list: these are
+// retained for a while.
+func (b *Balancer) retainMissing(missing []*server) {
+	runningInZone := make(map[string]int)
+	for _, s := range missing {
 		if s.Availability == Running {
-			leaving[s.Zone]++
+			runningInZone[s.Zone]++
 		}
 	}
-	for _, s := range gone {
-		if !b.settings.RetainMissing || b.serversByZone[s.Zone] >= 2*leaving[s.Zone] || s.Availability != Running {
+	for _, s := range missing {
+		isMass := b.packing.serversByZone[s.Zone] < 2*runningInZone[s.Zone]
+		if !b.settings.RetainMissing || !isMass || s.Availability != Running {
 			b.dropServer(s)
 		} else if s.missingSince == 0 {
 			s.missingSince = b.now
-			b.emit(Action{Kind: SetTimer, Wait: b.retainFor, Token: retainTimerToken})
+			b.emit(Action{Kind: SetTimer, Wait: b.list.retainFor, Token: retainTimerToken})
 		}
 	}
 }
 
-// releaseRetained drops the servers that the list has taken away for as long as it is eased.
+// releaseRetained drops the servers that have been retained for long enough. If they are listed again
+// later, their zone recovers by a small share.
 func (b *Balancer) releaseRetained() {
 	for _, s := range b.servers {
-		if s.missingSince > 0 && b.now-s.missingSince >= b.retainFor {
+		if s.missingSince > 0 && b.now-s.missingSince >= b.list.retainFor {
 			b.dropServer(s)
 			if s.zone != nil {
 				s.zone.serversVanished = true
@@ -132,5 +173,17 @@
 // dropServer forgets a server that the list has taken away.
 func (b *Balancer) dropServer(s *server) {
 	delete(b.servers, s.ID)
-	b.changedServers = append(b.changedServers, s)
+	b.packing.changed = append(b.packing.changed, s)
+}
+
+// countUnavailable updates the count of listed servers that get no work.
+func (b *Balancer) countUnavailable(s *server) {
+	unavailable := b.servers[s.ID] == s && (s.outlier.ejected || s.Availability != Running)
+	switch {
+	case unavailable && !s.contribution.unavailable:
+		b.list.unavailable++
+	case !unavailable && s.contribution.unavailable:
+		b.list.unavailable--
+	}
+	s.contribution.unavailable = unavailable
 }
--- a/policy/fixed_point.go
+++ b/policy/fixed_point.go
@@ -1,11 +1,9 @@
 package policy
 
-import (
-	"math"
-)
+import "math"
 
-// fixedPoint is a figure in units of 2^-40. Sums of such are exact: what is added and taken off again leaves
-// nothing.
+// fixedPoint is a number in units of 2^-40. Sums of such numbers are exact: adding and later subtracting
+// the same number leaves no rounding error behind.
 type fixedPoint int64
 
 const fixedUnit = 1 << 40
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -42,7 +42,7 @@
 func (b *Balancer) onFleetSize(e FleetSize) {
 	f := &b.fleetSize
 	f.hasMembership, f.reachable, f.reachableInZone = true, max(1, e.ReachableNodes), e.ReachableInZone
-	b.countNearbyNodes()
+	b.updateCapacityShare()
 	b.rateMultiplier = min(b.rateMultiplier, b.rateMultiplierCap())
 	switch {
 	// or cut off: those not heard may serve on
@@ -74,7 +74,7 @@
 	if nodes == b.fleetSize.quotaNodes {
 		return
 	}
-	b.fleetSize.quotaNodes, b.settings.NodeCount, b.orderStale = nodes, nodes, true
+	b.fleetSize.quotaNodes, b.settings.NodeCount, b.packing.stale = nodes, nodes, true
 	b.divideQuotas()
 	b.refreshOrder()
 }
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -37,10 +37,10 @@
 // SetSiblingInFlight takes over how many attempts the node's other process has out at each server: thresholds
 // hold for both together, or a server would be filled twice while one process replaces the other.
 func (b *Balancer) SetSiblingInFlight(out map[string]int) {
-	b.siblingInFlight = 0
+	b.window.siblingInFlight = 0
 	for id, s := range b.servers {
-		if s.siblingInFlight = max(0, out[id]); !b.paceBoundByWarmup(s) {
-			b.siblingInFlight += s.siblingInFlight
+		if s.siblingInFlight = max(0, out[id]); !b.isPacedByWarmup(s) {
+			b.window.siblingInFlight += s.siblingInFlight
 		}
 	}
 }
--- a/policy/load_reports.go
+++ b/policy/load_reports.go
@@ -1,124 +1,167 @@
 package policy
 
-import (
-	"math"
-	"time"
+import "slices"
+
+// Names of the values in load reports that the decisions use.
+const (
+	reportLatency = "latency_ms" // mean latency of the server's requests, in milliseconds
+	reportUtil    = "util"       // busy part of its cores
+	reportRate    = "qps"        // requests a second that it served
 )
 
 const (
-	reportLatency, reportUtil, reportRate = "latency_ms", "util", "qps"
-	// weight of one report in what is known of its server,
-	reportGain   = 0.5
-	kindLoadGain = 0.05 // and of the warm ones of its kind
-	// busy part of the cores below which a report tells little of them,
+	// reportGain is the weight of one report in what is known of its server.
+	reportGain = 0.5
+	// kindLoadGain is the weight of one report in the average of the warmed-up servers of its kind.
+	kindLoadGain = 0.05
+	// minTellingUtilization is the utilization below which a report says little of what its server can serve.
 	minTellingUtilization = 0.3
-	// and above which they say more of the crowd than of the server
-	maxTellingUtilization   = 0.8
-	maxPlausibleUtilization = 1.5 // busy part and
-	maxPlausibleRate        = 1e6 // rate above which a report is rubbish
-	// that are told apart; servers of further ones count as the usual
+	// maxTellingUtilization is the utilization above which a report shows queueing rather than the server.
+	maxTellingUtilization = 0.8
+	// maxPlausibleUtilization and maxPlausibleRate bound the values of reports that are taken as valid.
+	maxPlausibleUtilization = 1.5
+	maxPlausibleRate        = 1e6
+	// maxKinds bounds how many kinds of servers are told apart; servers of others count as typical ones.
 	maxKinds = 64
-	// in which what a server said of its latency is forgotten
-	reportDecayTime = 5 * time.Second
-	// weight of one report in how busy servers are: one alone is far off either way
-	utilizationGain = 0.1
-	// times what is busy beyond the aim comes off a server's threshold
-	overloadSlope = 4.0
-	minLimitScale = 0.1 // part of it that stays
-	// times the usual latency of its kind from which a busy server needs a rest
-	ejectLatencyFactor = 4.0
-	// times the rate of its kind, and no server counts for more
+	// maxKindRateFactor bounds the service rate of a server, in multiples of that of its kind.
 	maxKindRateFactor = 1.5
-	// times the usual latency of its kind from which a server is eased
+	// overloadSlope is how much of its limit a server loses for its utilization beyond the target.
+	overloadSlope = 4.0
+	// minLimitScale is the part of its limit that an overloaded or failing server keeps.
+	minLimitScale = 0.1
+	// slowLatencyFactor is the multiple of the latency of its kind from which a server's limit is reduced.
 	slowLatencyFactor = 2.0
+	// ejectLatencyFactor is the multiple of the latency of its kind from which an overloaded server is ejected:
+	// its queue drains only if it gets no work for a while.
+	ejectLatencyFactor = 4.0
 )
 
-// serverLoad is what n reports tell: how many attempts a second servers can serve, and in what time each.
+// loadReport is what a server says of itself in a response.
+type loadReport struct {
+	latency     float64 // mean of its requests, in seconds
+	utilization float64 // busy part of its cores
+	rate        float64 // requests a second
+}
+
+// serverLoad is an average over reports: how many attempts a second servers can serve, and in how many
+// seconds each.
 type serverLoad struct{ samples, rate, latency float64 }
 
-// add follows the average over servers, plainly at first.
-func (l *serverLoad) add(now serverLoad) {
+// add moves the average; it is the plain mean of the first samples.
+func (l *serverLoad) add(sample serverLoad) {
 	l.samples++
 	gain := max(kindLoadGain, 1/l.samples)
-	l.rate += gain * (now.rate - l.rate)
-	l.latency += gain * (now.latency - l.latency)
+	l.rate += gain * (sample.rate - l.rate)
+	l.latency += gain * (sample.latency - l.latency)
 }
 
-// usesLoadReports tells whether thresholds rest on load reports: of many nodes each sees too little of a
-// server to learn by its own answers, while a report tells how many cores it has and how fast it is, whoever
-// fills it.
-func (b *Balancer) usesLoadReports() bool {
-	return b.isLargeFleet() && min(b.reportColumns[0], b.reportColumns[1], b.reportColumns[2]) >= 0
+// loadReports owns what load reports say of the kinds of servers.
+type loadReports struct {
+	fields      int                    // values in a report
+	columns     [3]int                 // of latency, utilization and rate; -1 where reports have none
+	byKind      map[string]*serverLoad // average of the warmed-up servers of each kind
+	typicalLoad serverLoad             // average of all warmed-up servers
 }
 
-// onLoadReport learns from the report in a good answer of s: what it can serve, and whether it is far slower
-// than others of its kind. How busy servers are moves the trust: down where too busy, up where no room was
-// found.
-func (b *Balancer) onLoadReport(s *server, row []float64) {
-	if !b.usesLoadReports() || len(row) < len(b.settings.ReportFields) {
-		return
+// configure takes over the names of the values in reports, in their order.
+func (l *loadReports) configure(fields []string) {
+	l.fields = len(fields)
+	for i, name := range []string{reportLatency, reportUtil, reportRate} {
+		l.columns[i] = slices.Index(fields, name)
 	}
-	latency, util, rate := row[b.reportColumns[0]]/1000, row[b.reportColumns[1]], row[b.reportColumns[2]]
-	// rubbish, or idle
-	if !(latency > 0 && util > 0 && util <= maxPlausibleUtilization && rate > 0 && rate < maxPlausibleRate) {
-		return
-	}
-	if util >= minTellingUtilization && util <= maxTellingUtilization {
-		b.recordServiceRate(s, serverLoad{rate: rate / util, latency: latency})
-	}
-	s.reportedLatency, s.reportedAt, s.limitReached = latency, b.now, true // what it takes is known
-	ease := 1.0
-	if k := b.loadByKind[s.Kind]; k != nil {
-		ease = max(minLimitScale, min(1, slowLatencyFactor*k.latency/latency,
-			1-overloadSlope*(util-targetUtilization)))
-		if util > targetUtilization && latency > ejectLatencyFactor*k.latency && !s.outlier.ejected &&
-			b.mayEject(s) {
-			b.eject(s)
-		}
-	}
-	s.concurrencyLimit += reportGain * (ease - s.concurrencyLimit)
-	if k := b.loadByKind[s.Kind]; k == nil || b.warmFraction(s) < 1 || latency > ejectLatencyFactor*k.latency {
-		return // a cold or choked server says nothing of the others
-	}
-	if b.lastReportAt == 0 {
-		b.utilization = util
-	}
-	b.utilization += utilizationGain * (util - b.utilization)
-	err, dt := targetUtilization-b.utilization, min(b.now-b.lastReportAt, time.Second)
-	if err < 0 {
-		err *= windowDecreaseFactor
+}
+
+// areComplete reports whether reports have all values that decisions need.
+func (l *loadReports) areComplete() bool { return min(l.columns[0], l.columns[1], l.columns[2]) >= 0 }
+
+// parse reads a report. It isn't valid if values are missing, not plausible, or those of an idle server.
+func (l *loadReports) parse(row []float64) (report loadReport, valid bool) {
+	if len(row) < l.fields {
+		return loadReport{}, false
 	}
-	if err < 0 || b.capacityWanted {
-		b.scaleWindow(math.Exp(err * dt.Seconds() / windowTimeConstant.Seconds()))
+	r := loadReport{latency: row[l.columns[0]] / 1000, utilization: row[l.columns[1]], rate: row[l.columns[2]]}
+	valid = r.latency > 0 && r.utilization > 0 && r.utilization <= maxPlausibleUtilization &&
+		r.rate > 0 && r.rate < maxPlausibleRate
+	return r, valid
+}
+
+// record takes over the latency that a server reports and, where the report tells it, its service rate.
+func (l *loadReports) record(s *server, report loadReport, warmedUp bool, now Time) {
+	if report.utilization >= minTellingUtilization && report.utilization <= maxTellingUtilization {
+		sample := serverLoad{rate: report.rate / report.utilization, latency: report.latency}
+		l.recordServiceRate(s, sample, warmedUp)
 	}
-	b.capacityWanted, b.lastReportAt = false, b.now
+	s.reportedLatency, s.reportedAt, s.limitReached = report.latency, now, true
 }
 
-// recordServiceRate takes over what s can serve, and what the warm ones of its kind can.
-func (b *Balancer) recordServiceRate(s *server, now serverLoad) {
-	if b.warmFraction(s) >= 1 {
-		if b.loadByKind[s.Kind] == nil && len(b.loadByKind) < maxKinds {
-			b.loadByKind[s.Kind] = &serverLoad{}
+// recordServiceRate takes over what a server can serve. Only warmed-up servers count for the others of
+// their kind.
+func (l *loadReports) recordServiceRate(s *server, sample serverLoad, warmedUp bool) {
+	if warmedUp {
+		if l.byKind[s.Kind] == nil && len(l.byKind) < maxKinds {
+			l.byKind[s.Kind] = &serverLoad{}
 		}
-		if k := b.loadByKind[s.Kind]; k != nil {
-			k.add(now)
+		if kind := l.byKind[s.Kind]; kind != nil {
+			kind.add(sample)
 		}
-		b.typicalLoad.add(now)
+		l.typicalLoad.add(sample)
 	}
 	if s.reportedRate == 0 { // its first report
-		s.reportedRate = now.rate
+		s.reportedRate = sample.rate
 	}
-	s.reportedRate += reportGain * (now.rate - s.reportedRate)
+	s.reportedRate += reportGain * (sample.rate - s.reportedRate)
 }
 
-// serviceRate is how many attempts a second s can serve: by its own reports, or as others of its kind.
-func (b *Balancer) serviceRate(s *server) float64 {
-	k := b.loadByKind[s.Kind]
-	if k == nil {
-		k = &b.typicalLoad
+// serviceRate is how many attempts a second a server can serve: by its own reports, or as others of its kind.
+func (l *loadReports) serviceRate(s *server, warmFraction float64) float64 {
+	kind := l.byKind[s.Kind]
+	if kind == nil {
+		kind = &l.typicalLoad
 	}
 	if s.reportedRate > 0 {
-		return min(maxKindRateFactor*k.rate, s.reportedRate)
+		return min(maxKindRateFactor*kind.rate, s.reportedRate)
+	}
+	return kind.rate * warmFraction
+}
+
+// limitScale is the part of its fair limit that a server gets by a report: less while it is busier than the
+// target or slower than its kind.
+func (l *serverLoad) limitScale(report loadReport) float64 {
+	return max(minLimitScale, min(1, slowLatencyFactor*l.latency/report.latency,
+		1-overloadSlope*(report.utilization-targetUtilization)))
+}
+
+// isOverloaded reports whether a report shows a server so busy and slow that only a rest helps it.
+func (l *serverLoad) isOverloaded(report loadReport) bool {
+	return report.utilization > targetUtilization && report.latency > ejectLatencyFactor*l.latency
+}
+
+// usesLoadReports reports whether limits rest on load reports. Each of many nodes sees too few responses of
+// a server to learn its limit from, while a report tells what it can serve, whichever nodes use it.
+func (b *Balancer) usesLoadReports() bool { return b.isLargeFleet() && b.loads.areComplete() }
+
+// onLoadReport updates the limit of a server by the report in its OK response, ejects it if it is
+// overloaded, and moves the node's window by how busy the servers are.
+func (b *Balancer) onLoadReport(s *server, row []float64) {
+	if !b.usesLoadReports() {
+		return
+	}
+	report, valid := b.loads.parse(row)
+	if !valid {
+		return
+	}
+	warmedUp := b.warmFraction(s) >= 1
+	b.loads.record(s, report, warmedUp, b.now)
+	kind, scale := b.loads.byKind[s.Kind], 1.0
+	if kind != nil {
+		scale = kind.limitScale(report)
+		if kind.isOverloaded(report) && !s.outlier.ejected && b.mayEject(s) {
+			b.eject(s)
+		}
+	}
+	s.concurrencyLimit += reportGain * (scale - s.concurrencyLimit)
+	if kind == nil || !warmedUp || report.latency > ejectLatencyFactor*kind.latency {
+		return // such a server says nothing of the load of the others
 	}
-	return k.rate * b.warmFraction(s)
+	b.window.observe(report.utilization, b.now, b.settings.NodeCount)
 }
--- a/policy/load_test.go
+++ b/policy/load_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("the window is %v while servers are full, want less than %v", full, first)
 	}
 	for range 60 {
-		b.capacityWanted = true
+		b.window.capacityWanted = true
 		hears(b, s, 1, report(100, 0.3, 10))
 	}
 	if b.concurrencyWindow() <= full {
@@ -91,8 +91,8 @@
 	if n := send("once"); n == 0 {
 		t.Error("the dearest class found no room beyond the window")
 	}
-	if most := maxOvercommitReported*b.concurrencyWindow() + 1; float64(b.inFlight) > most {
-		t.Errorf("%d attempts are out, want at most %v", b.inFlight, most)
+	if most := maxOvercommitReported*b.concurrencyWindow() + 1; float64(b.window.inFlight) > most {
+		t.Errorf("%d attempts are out, want at most %v", b.window.inFlight, most)
 	}
 }
 
@@ -127,7 +127,7 @@
 	nan, inf := math.NaN(), math.Inf(1)
 	for _, row := range [][]float64{nil, {1}, report(nan, 1, 1), report(100, nan, 10), report(100, 0.5, nan),
 		report(100, 0.5, inf), report(100, inf, 10), report(-1, 0.5, 10), report(100, 0, 0), report(100, 40, 10)} {
-		b.capacityWanted = true
+		b.window.capacityWanted = true
 		hears(b, s, 1, row)
 		if b.effectiveLimit(s) != limit || b.concurrencyWindow() != window {
 			t.Errorf("%v moved the limit from %v to %v, the window from %v to %v", row, limit, b.effectiveLimit(s), window, b.concurrencyWindow())
@@ -240,7 +240,7 @@
 	b.order()[1].StartedAt = b.now
 	hears(b, b.order()[0], 20, report(900, 1, 3))
 	hears(b, b.order()[1], 20, report(100, 1, 3))
-	if trust := b.concurrencyWindow() / b.warmWeight() * 12 / was; trust < 0.99 {
+	if trust := b.concurrencyWindow() / b.warmedUpWeight() * 12 / was; trust < 0.99 {
 		t.Errorf("the window fell to %v of what it was", trust)
 	}
 }
@@ -274,7 +274,7 @@
 	hears(b, b.order()[0], 5, report(100, 0.5, 10))
 	was := b.concurrencyWindow()
 	for i := range 60 {
-		b.capacityWanted = true
+		b.window.capacityWanted = true
 		hears(b, b.order()[0], 1, report(100, []float64{0.4, 1}[i%2], 10))
 	}
 	if b.concurrencyWindow() < was {
@@ -326,7 +326,7 @@
 func TestChoiceTakesAsLongAsThereAreServers(t *testing.T) {
 	takes := func(servers int) time.Duration {
 		b := fleet(t, 300, members(servers))
-		b.inFlight = 1e6 // so that none has room, and each is looked at
+		b.window.inFlight = 1e6 // so that none has room, and each is looked at
 		r := &request{Request: ask("r", "free"), class: b.classes["free"], maxAttempts: 1}
 		r.deadline, r.usefulUntil = b.now+time.Hour, b.now+time.Hour
 		best := time.Hour
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -7,74 +7,150 @@
 )
 
 const (
-	// of one failure in the score: two in a row eject, a lone one doesn't
+	// attemptFailureWeight is the weight of a failed attempt in the failure score: two in a row eject, one
+	// doesn't.
 	attemptFailureWeight = 0.3
-	// of an attempt out for long at a silent server: it may just be heavy
-	silenceWeight       = 0.15
-	overloadedWeight    = 0.2             // of a full answer: a server that keeps giving those needs a rest
-	ejectionScore       = 0.5             // score that ejects
-	connectionFaultGain = 0.1             // weight of one answer in the part of a server's that are faults
-	sharedFaultFactor   = 2.0             // times that part at the others, one says nothing of its server
-	baseEjectionTime    = time.Second     // first ejection, doubled each time
-	maxEjectionTime     = 8 * time.Second // up to this
-	// part of the fleet; when more seems broken, the cause isn't the servers
+	// silenceWeight is that of a slow attempt at a server that answers nothing: the request may just be heavy.
+	silenceWeight = 0.15
+	// overloadedWeight is that of an Overloaded response: a server that keeps giving those needs a rest.
+	overloadedWeight = 0.2
+	// ejectionScore is the failure score beyond which a server is ejected.
+	ejectionScore = 0.5
+	// connectionFaultGain is the weight of one response in a server's connection fault ratio.
+	connectionFaultGain = 0.1
+	// sharedFaultFactor is the multiple of the fault ratio of the other servers up to which that of a server
+	// says nothing of it: the cause is likely the network.
+	sharedFaultFactor = 2.0
+	// baseEjectionTime is the time of the first ejection. Each further one in a row takes twice as long, up to
+	// maxEjectionTime.
+	baseEjectionTime = time.Second
+	maxEjectionTime  = 8 * time.Second
+	// maxEjectionDoublings keeps the shift by the number of ejections in range.
+	maxEjectionDoublings = 10
+	// maxEjectedFraction bounds how many servers may be ejected at once: past it, the cause is more likely the
+	// node or the network than the servers, and ejecting more would overload the rest.
 	maxEjectedFraction = 0.4
-	// good trials in a row: half of them pass at a server that fails half
+	// probationSuccessesNeeded is the number of successes in a row that end an ejection. A server that fails
+	// half of its requests rarely has so many.
 	probationSuccessesNeeded = 3
 )
 
-// outlierState is the state of one server's circuit breaker.
+// outlierState is the circuit breaker of one server.
 type outlierState struct {
-	failureScore       float64
-	ejected            bool // ejected, or half-open once until has passed
+	failureScore       float64 // 0 to 1, a decaying weight of recent failures
+	ejected            bool    // it gets no requests, or after ejectedUntil only those of its probation
 	ejectedUntil       Time
-	ejections          int // ejections in a row
-	probationSuccesses int // good trials in a row
+	ejections          int // in a row
+	probationSuccesses int // in a row
 	probationInFlight  bool
 }
 
-// failureWeight is how far a failure is its server's own: connections that break at all servers alike, as
-// where the network resets them, would leave no server a threshold and eject as many as may be.
-func (b *Balancer) failureWeight(s *server, code Code) float64 {
-	fault := code == Reset || code == ConnectFailed // an error is a server's own
-	others := b.trackConnectionFaults(s, fault)
-	if !fault || b.length < 2 {
+// eject takes a server out of use for a time that grows with each ejection in a row.
+func (o *outlierState) eject(now Time) {
+	duration := min(maxEjectionTime, baseEjectionTime<<min(o.ejections, maxEjectionDoublings))
+	o.ejected, o.ejectedUntil, o.probationSuccesses = true, now+duration, 0
+	o.ejections++
+}
+
+// addFailure raises the failure score, and reports whether it is beyond the score that ejects.
+func (o *outlierState) addFailure(weight float64) bool {
+	o.failureScore += weight * (1 - o.failureScore)
+	return !o.ejected && o.failureScore > ejectionScore
+}
+
+// addSuccess lowers the failure score.
+func (o *outlierState) addSuccess() { o.failureScore -= attemptFailureWeight * o.failureScore }
+
+// isDue reports whether the server may get a request of its probation.
+func (o *outlierState) isDue(now Time) bool {
+	return o.ejected && !o.probationInFlight && now >= o.ejectedUntil
+}
+
+// outlierDetector owns what is known of the outliers among the servers in service.
+type outlierDetector struct {
+	ejected          []*server
+	connectionFaults fixedPoint // sum of the connection fault ratios
+}
+
+// outlierContribution is what a server in service adds to the sums of outlierDetector.
+type outlierContribution struct {
+	counted          bool // among the ejected
+	index            int  // there
+	connectionFaults fixedPoint
+}
+
+// reset empties the sums.
+func (d *outlierDetector) reset() { d.connectionFaults, d.ejected = 0, nil }
+
+// add takes up a server that has come into service; countEjected follows.
+func (d *outlierDetector) add(s *server) {
+	s.contribution.outlier.connectionFaults = toFixedPoint(s.connectionFaultRatio)
+	d.connectionFaults += s.contribution.outlier.connectionFaults
+}
+
+// remove takes off a server that has left service; countEjected follows.
+func (d *outlierDetector) remove(s *server) {
+	d.connectionFaults -= s.contribution.outlier.connectionFaults
+}
+
+// countEjected brings the list of ejected servers in line with a server's state. It returns by how many the
+// number of them changed.
+func (d *outlierDetector) countEjected(s *server) (change int) {
+	c := &s.contribution.outlier
+	switch ejected := s.segment != nil && s.outlier.ejected; {
+	case ejected && !c.counted:
+		c.counted, c.index = true, len(d.ejected)
+		d.ejected = append(d.ejected, s)
 		return 1
+	case !ejected && c.counted:
+		c.counted = false
+		last := d.ejected[len(d.ejected)-1]
+		d.ejected[c.index], last.contribution.outlier.index = last, c.index
+		d.ejected = d.ejected[:len(d.ejected)-1]
+		return -1
 	}
-	return max(0, 1-sharedFaultFactor*max(0, others)/float64(b.length-1)/s.connectionFaultRatio)
+	return 0
 }
 
-// updateOutlierState moves the breaker of an attempt's server by its outcome.
-func (b *Balancer) updateOutlierState(a *attempt, code Code, blame float64) {
-	s, h := a.server, &a.server.outlier
-	switch {
-	case h.ejected && a.probation && code == OK:
-		if h.probationSuccesses++; h.probationSuccesses >= probationSuccessesNeeded {
-			*h, s.concurrencyLimit = outlierState{}, b.initialLimit()
-			b.countEjected(s)
-		}
-	case h.ejected && a.probation: // full too: a hung server turns away what it has no room for
-		b.eject(s)
-	case code == OK:
-		h.failureScore -= attemptFailureWeight * h.failureScore
-	case code == Overloaded:
-		b.recordFailure(s, overloadedWeight)
-	case code != TimedOut || s.lastResponseAt < a.sentAt: // a server that answers others isn't hung
-		b.recordFailure(s, attemptFailureWeight*blame)
+// failureWeight is how far a failure is the server's own, 0 to 1. Connections that break at all servers
+// alike, as where the network resets them, would otherwise cut all limits and eject as many servers as may
+// be.
+func (d *outlierDetector) failureWeight(s *server, code Code, servers int) float64 {
+	fault := code == Reset || code == ConnectFailed
+	others := d.trackConnectionFaults(s, fault)
+	if !fault || servers < 2 {
+		return 1
 	}
+	return max(0, 1-sharedFaultFactor*max(0, others)/float64(servers-1)/s.connectionFaultRatio)
 }
 
-// recordFailure counts a failure, or a silence, against a server.
-func (b *Balancer) recordFailure(s *server, weight float64) {
-	h := &s.outlier
-	h.failureScore += weight * (1 - h.failureScore)
-	if !h.ejected && h.failureScore > ejectionScore && b.mayEject(s) {
-		b.eject(s)
+// trackConnectionFaults updates the connection fault ratio of a server, and returns the sum of those of the
+// others.
+func (d *outlierDetector) trackConnectionFaults(s *server, fault bool) (others float64) {
+	updateRatio(&s.connectionFaultRatio, connectionFaultGain, fault)
+	present := toFixedPoint(s.connectionFaultRatio)
+	if c := &s.contribution.outlier; s.segment != nil {
+		d.connectionFaults += present - c.connectionFaults
+		c.connectionFaults = present
 	}
+	return (d.connectionFaults - present).float()
 }
 
-// mayEject keeps the cap on ejections for each class by itself: the few servers that one may be bound
-// to are not all taken out while the fleet as a whole looks well.
+// dueFor returns the ejected servers that may get a request of a class for their probation, in packing order.
+func (d *outlierDetector) dueFor(c *class, now Time) iter.Seq[*server] {
+	var due []*server
+	for _, s := range d.ejected {
+		if s.outlier.isDue(now) && c.permits(s) {
+			due = append(due, s)
+		}
+	}
+	slices.SortFunc(due, comparePackingOrder)
+	return slices.Values(due)
+}
+
+// mayEject reports whether one more of the servers that each class may use can be ejected. The bound holds
+// for each class, so that the few servers of a restricted one aren't all ejected while the fleet as a whole
+// looks well.
 func (b *Balancer) mayEject(s *server) bool {
 	for _, c := range b.classOrder {
 		if c.permits(s) && float64(c.eligible.ejected+1) > maxEjectedFraction*float64(c.eligible.length) {
@@ -85,50 +161,82 @@
 }
 
 func (b *Balancer) eject(s *server) {
-	h := &s.outlier
-	span := min(maxEjectionTime, baseEjectionTime<<min(h.ejections, 10))
-	h.ejected, h.ejectedUntil, h.probationSuccesses, h.ejections = true, b.now+span, 0, h.ejections+1
-	b.countEjected(s)
+	s.outlier.eject(b.now)
+	b.ejectionChanged(s)
+}
+
+// ejectionChanged updates the counts of ejected servers for one whose state may have changed.
+func (b *Balancer) ejectionChanged(s *server) {
+	change := b.outliers.countEjected(s)
+	if change != 0 && s.segment != nil { // one that left service has been taken off the pools' counts
+		b.packing.pool.ejected += change
+		for _, c := range b.classOrder {
+			if c.isRestricted() && c.permits(s) {
+				c.eligible.ejected += change
+			}
+		}
+	}
+	b.countUnavailable(s)
+}
+
+// failureWeight is how far a failure is the server's own.
+func (b *Balancer) failureWeight(s *server, code Code) float64 {
+	return b.outliers.failureWeight(s, code, b.packing.pool.length)
+}
+
+// recordFailure counts a failure, or a silence, against a server.
+func (b *Balancer) recordFailure(s *server, weight float64) {
+	if s.outlier.addFailure(weight) && b.mayEject(s) {
+		b.eject(s)
+	}
 }
 
-// pickProbation returns an ejected server whose time is up, if r can safely try it out: of the classes that
-// the server is open to, one that may be repeated most freely.
+// updateOutlierState follows the outcome of an attempt. An ejected server comes back by a row of successes
+// in its probation; any failure there, an Overloaded too, ejects it again.
+func (b *Balancer) updateOutlierState(a *attempt, code Code, failureWeight float64) {
+	s, state := a.server, &a.server.outlier
+	switch {
+	case state.ejected && a.probation && code == OK:
+		if state.probationSuccesses++; state.probationSuccesses >= probationSuccessesNeeded {
+			*state, s.concurrencyLimit = outlierState{}, b.initialLimit()
+			b.ejectionChanged(s)
+		}
+	case state.ejected && a.probation:
+		b.eject(s)
+	case code == OK:
+		state.addSuccess()
+	case code == Overloaded:
+		b.recordFailure(s, overloadedWeight)
+	case code != TimedOut || s.lastResponseAt < a.sentAt: // a server that answers others doesn't hang
+		b.recordFailure(s, attemptFailureWeight*failureWeight)
+	}
+}
+
+// pickProbation returns an ejected server that is due for a request of its probation, or nil. The request
+// has to be of a class that is as safe to retry as any that may use the server.
 func (b *Balancer) pickProbation(r *request) *server {
 	if r.class.eligible.ejected == 0 || len(r.attempts) > 0 {
 		return nil
 	}
 	for s := range b.probationCandidates(r.class) {
-		h := &s.outlier
-		if h.ejected && !h.probationInFlight && b.now >= h.ejectedUntil && !s.zone.evacuated() &&
-			r.class.RetrySafety >= s.retrySafety &&
+		if s.outlier.isDue(b.now) && !s.zone.isEvacuated() && r.class.RetrySafety >= s.retrySafety &&
 			b.hasWarmupBudget(s) {
-			h.probationInFlight = true
+			s.outlier.probationInFlight = true
 			return s
 		}
 		if b.usesLoadReports() && b.isUsable(r, s) && b.hasCapacity(s) {
-			return nil // the walk ends here: trials by all nodes would keep a choked server from its rest
+			return nil
 		}
 	}
 	return nil
 }
 
-// probationCandidates walks the servers among which a trial is sought, in packing order. Where reports tell
-// of room that is all of them, for the first with room ends the walk; else it is those that are ejected.
+// probationCandidates are the servers among which pickProbation looks. Where limits rest on load reports,
+// nodes are many, and probation by all of them would keep an overloaded server from recovering: there the
+// whole walk counts, which ends at the first server with capacity.
 func (b *Balancer) probationCandidates(c *class) iter.Seq[*server] {
 	if b.usesLoadReports() {
 		return c.eligible.all
 	}
-	var due []*server
-	for _, s := range b.ejectedServers {
-		if !s.outlier.probationInFlight && b.now >= s.outlier.ejectedUntil && c.permits(s) {
-			due = append(due, s)
-		}
-	}
-	slices.SortFunc(due, func(s, o *server) int {
-		if s.isBefore(o) {
-			return -1
-		}
-		return 1
-	})
-	return slices.Values(due)
+	return b.outliers.dueFor(c, b.now)
 }
--- a/policy/overcommit.go
+++ b/policy/overcommit.go
@@ -1,27 +1,34 @@
 package policy
 
+// Overcommit is how many times its limit a server, or its window a node, has in flight. Where no server has
+// capacity, the least loaded one is overcommitted up to a bound that depends on the priority of the class.
+
 const (
-	maxOvercommitLearned  = 2.0 // times its limit, the least busy is filled by the dearest class,
-	maxOvercommitReported = 1.5 // or this where reports make it: own answers tell too little of room,
-	minOvercommit         = 0.8 // and down to this by one that is worth next to nothing
+	// maxOvercommitLearned bounds the overcommit for the highest priority where limits are learned from
+	// responses.
+	maxOvercommitLearned = 2.0
+	// maxOvercommitReported is that bound where limits rest on load reports, which are closer to the capacity.
+	maxOvercommitReported = 1.5
+	// minOvercommit is the bound for a class of the lowest priority, while the highest isn't short of capacity.
+	minOvercommit = 0.8
 )
 
-// maxOvercommit is how many times its limit the least busy server is filled for a class. Without room for
-// all, what is worth less is given up first; beyond the most, answers would only be late.
+// maxOvercommit is the bound of the overcommit for a class. The lower its priority weight, the sooner its
+// requests are given up when capacity is short; beyond the bound, responses would only be late.
 func (b *Balancer) maxOvercommit(c *class) float64 {
-	most := maxOvercommitLearned
+	highest := maxOvercommitLearned
 	if b.usesLoadReports() {
-		most = maxOvercommitReported
+		highest = maxOvercommitReported
 	}
-	if b.maxPriorityWeight <= 0 { // the site states no worth
-		return most
+	if b.maxPriorityWeight <= 0 { // the site states no priorities
+		return highest
 	}
-	least := max(0, minOvercommit-shortageFactor*b.highPriorityShortage)
-	return least + (most-least)*c.PriorityWeight/b.maxPriorityWeight
+	lowest := max(0, minOvercommit-shortageFactor*b.highPriorityShortage)
+	return lowest + (highest-lowest)*c.PriorityWeight/b.maxPriorityWeight
 }
 
-// serverOvercommit sets attempts in flight against what s was seen to take, lest one that others fill look
-// idle. A threshold under one is kept in time, and so is crowding then.
+// serverOvercommit is the overcommit of a server with one more attempt. A limit under one is spread over
+// time, and so is the overcommit then.
 func (b *Balancer) serverOvercommit(s *server) float64 {
 	limit := b.effectiveLimit(s)
 	if limit < 1 && s.totalInFlight() == 0 && b.usesLoadReports() {
--- a/policy/packing_order.go
+++ b/policy/packing_order.go
@@ -6,143 +6,181 @@
 	"slices"
 )
 
-// refreshOrder follows the list: servers are walked by what crossing costs, then by id, and draining ones
-// aren't.
-func (b *Balancer) refreshOrder() {
-	for _, s := range b.updateOrder() {
-		if s.concurrencyLimit == 0 {
-			s.concurrencyLimit = b.initialLimit()
-			s.lastSentAt = b.now - seconds(b.rng.Float64()*s.meanLatency/s.concurrencyLimit)
-		}
-	}
+// rebuildRatio decides between incremental changes of the packing order and a rebuild: once more than one
+// server in rebuildRatio has changed, a rebuild costs less.
+const rebuildRatio = 4
+
+// packingOrder owns the servers in service in the order in which they are filled, and the pool of each
+// class that is restricted to some of them.
+type packingOrder struct {
+	pool          serverPool
+	serversByZone map[string]int  // servers of the pool in each zone
+	classes       map[*class]bool // classes whose pools follow the order
+	changed       []*server       // servers that the list changed or dropped since the order was updated
+	stale         bool            // the order has to be rebuilt
+	walkOffset    float64         // where the walk of a segment begins, as a part of its length
 }
 
-// walkStart is where this node's walk of n servers of one cost begins: at its own place, where they are many.
-// Steps of the golden ratio lie evenly whichever of the nodes share a zone.
-func (b *Balancer) walkStart(n int) int {
-	if !b.isLargeFleet() {
+// newWalkOffset is where a node's walk of each segment begins. Few nodes all begin at the first server,
+// which packs the load; many nodes would overload it, so their walks begin at steps of the golden ratio,
+// which are spread evenly whichever of the nodes share a zone.
+func newWalkOffset(nodeIndex int, largeFleet bool) float64 {
+	if !largeFleet {
 		return 0
 	}
-	_, at := math.Modf(float64(b.settings.NodeIndex) / math.Phi)
-	return int(at * float64(n))
+	_, offset := math.Modf(float64(nodeIndex) / math.Phi)
+	return offset
 }
 
-// rotate follows where this node's walk of a segment begins, which rests on its length. The pools of bound
-// classes are walked in the same order.
-func (b *Balancer) rotate(g *segment) {
-	first := ""
-	if g.start = b.walkStart(len(g.servers)); g.start < len(g.servers) {
-		first = g.servers[g.start].ID
+// rotate updates where the walk of a segment begins, which depends on its length. The pools of restricted
+// classes begin at the same server.
+func (o *packingOrder) rotate(g *segment) {
+	firstID := ""
+	if g.start = int(o.walkOffset * float64(len(g.servers))); g.start < len(g.servers) {
+		firstID = g.servers[g.start].ID
 	}
-	for c := range b.pooledClasses {
+	for c := range o.classes {
 		if c.isRestricted() {
-			c.eligible.rotate(g.cost, first)
+			c.eligible.rotate(g.cost, firstID)
 		}
 	}
 }
 
-// isBefore tells whether s stands before another server in the packing order.
-func (s *server) isBefore(o *server) bool {
-	g := s.segment
-	if g != o.segment {
-		return g.cost < o.segment.cost
-	}
-	if g.start < len(g.servers) {
-		first := g.servers[g.start].ID
-		if wrapped := s.ID < first; wrapped != (o.ID < first) {
-			return !wrapped
-		}
-	}
-	return s.ID < o.ID
-}
-
-// insert puts a server into the order and the sums; where the walk of its segment begins is left to turn.
-func (b *Balancer) insert(s *server) {
-	s.segment = b.serverPool.insert(s, b.crossingCost(s))
+// insert puts a server into the pools. Where the walk of its segment begins is left to rotate.
+func (o *packingOrder) insert(s *server, cost float64) {
+	s.segment = o.pool.insert(s, cost)
 	s.retrySafety = NonIdempotent
-	for c := range b.pooledClasses {
+	for c := range o.classes {
 		if !c.permits(s) {
 			continue
 		}
 		s.retrySafety = max(s.retrySafety, c.RetrySafety)
 		if c.isRestricted() {
-			c.eligible.insert(s, s.segment.cost)
+			c.eligible.insert(s, cost)
 		}
 	}
-	b.serversByZone[s.Zone]++
-	b.addToSums(s)
+	o.serversByZone[s.Zone]++
 }
 
-// remove takes a server out of the order and the sums.
-func (b *Balancer) remove(s *server) {
+// remove takes a server out of the pools.
+func (o *packingOrder) remove(s *server) {
 	g := s.segment
-	b.serverPool.remove(s, g.cost)
-	for c := range b.pooledClasses {
+	o.pool.remove(s, g.cost)
+	for c := range o.classes {
 		if c.isRestricted() {
 			c.eligible.remove(s, g.cost)
 		}
 	}
-	b.serversByZone[s.Zone]--
+	o.serversByZone[s.Zone]--
 	s.segment = nil
-	b.removeFromSums(s)
-	b.rotate(g)
 }
 
-const rebuildRatio = 4 // changes for 1 / remakeFrom of the servers cost more one by one than all anew
+// needsRebuild reports whether the order has to be rebuilt, or is better rebuilt than changed server by
+// server.
+func (o *packingOrder) needsRebuild(classes map[*class]bool) bool {
+	return o.stale || rebuildRatio*len(o.changed) > o.pool.length || !maps.Equal(o.classes, classes)
+}
 
-// updateOrder brings the order and the sums in line with the list. It returns the servers that may be new to
-// them, in packing order.
+// reset empties the pools, for the given classes and walk offset.
+func (o *packingOrder) reset(classes map[*class]bool, walkOffset float64) {
+	o.pool, o.serversByZone, o.changed, o.stale = serverPool{}, make(map[string]int), nil, false
+	o.classes, o.walkOffset = classes, walkOffset
+	for c := range classes {
+		if c.isRestricted() {
+			c.eligible = &serverPool{}
+		}
+	}
+}
+
+// refreshOrder brings the order and the sums over it in line with the list, and sets the initial limits of
+// servers that are new in it.
+func (b *Balancer) refreshOrder() {
+	for _, s := range b.updateOrder() {
+		if s.concurrencyLimit == 0 {
+			s.concurrencyLimit = b.initialLimit()
+			s.lastSentAt = b.now - seconds(b.rng.Float64()*s.meanLatency/s.concurrencyLimit)
+		}
+	}
+}
+
+// updateOrder returns the servers that may be new in the order, in packing order.
 func (b *Balancer) updateOrder() []*server {
-	changed := b.changedServers
-	b.changedServers = nil
-	if b.orderStale || rebuildRatio*len(changed) > b.length || !maps.Equal(b.pooledClasses, b.classesInUse()) {
-		b.rebuildOrder(changed)
-		return slices.Collect(b.all)
+	if b.packing.needsRebuild(b.classesInUse()) {
+		b.rebuildOrder()
+		return slices.Collect(b.packing.pool.all)
 	}
+	changed := b.packing.changed
+	b.packing.changed = nil
 	for _, s := range changed {
 		if s.segment != nil {
-			b.remove(s)
+			b.removeFromService(s)
 		}
 	}
-	var fresh []*server
+	var added []*server
 	for _, s := range changed {
 		if s.segment == nil && s.Availability == Running && b.servers[s.ID] == s {
-			b.insert(s)
-			b.rotate(s.segment)
-			fresh = append(fresh, s)
+			b.addToService(s)
+			b.packing.rotate(s.segment)
+			added = append(added, s)
 		}
 		b.countUnavailable(s)
 	}
-	b.countNearbyNodes()
-	slices.SortFunc(fresh, func(s, o *server) int {
-		if s.isBefore(o) {
-			return -1
-		}
-		return 1
-	})
-	return fresh
+	b.updateCapacityShare()
+	slices.SortFunc(added, comparePackingOrder)
+	return added
 }
 
-// rebuildOrder makes the order and the sums anew. Those that have changed may be in neither the order nor the
-// list now.
-func (b *Balancer) rebuildOrder(changed []*server) {
-	b.resetSums(changed)
-	b.serverPool, b.serversByZone, b.pooledClasses = serverPool{}, make(map[string]int), b.classesInUse()
-	for c := range b.pooledClasses {
-		if c.isRestricted() {
-			c.eligible = &serverPool{}
-		}
-	}
+// rebuildOrder builds the order and all sums over it from the list.
+func (b *Balancer) rebuildOrder() {
+	b.resetSums()
+	b.packing.reset(b.classesInUse(), newWalkOffset(b.settings.NodeIndex, b.isLargeFleet()))
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
 		s := b.servers[id]
-		if s.zone = b.zoneOf(s.Zone); s.Availability == Running {
-			b.insert(s)
+		if s.zone = b.zones.find(s.Zone); s.Availability == Running {
+			b.addToService(s)
 		}
 		b.countUnavailable(s)
 	}
-	for _, g := range b.segments {
-		b.rotate(g)
+	for _, g := range b.packing.pool.segments {
+		b.packing.rotate(g)
+	}
+	b.updateCapacityShare()
+}
+
+// addToService puts a server into the order and the sums over it.
+func (b *Balancer) addToService(s *server) {
+	b.packing.insert(s, b.zones.crossingCost(s))
+	b.slowStart.add(s, b.now)
+	b.zones.addEvidence(s, b.now)
+	b.outliers.add(s)
+	b.ejectionChanged(s)
+}
+
+// removeFromService takes a server out of the order and the sums over it.
+func (b *Balancer) removeFromService(s *server) {
+	g := s.segment
+	b.packing.remove(s)
+	b.slowStart.remove(s)
+	b.zones.removeEvidence(s)
+	b.outliers.remove(s)
+	b.ejectionChanged(s)
+	b.packing.rotate(g)
+}
+
+// resetSums empties the sums over the order. Servers that changed may be in neither the order nor the list
+// by now.
+func (b *Balancer) resetSums() {
+	for s := range b.packing.pool.all {
+		s.segment, s.contribution = nil, contribution{}
+	}
+	for _, s := range b.packing.changed {
+		s.segment, s.contribution = nil, contribution{}
+	}
+	for _, s := range b.servers {
+		s.contribution = contribution{}
 	}
-	b.countNearbyNodes()
-	b.orderStale = false
+	b.slowStart.reset(b.zones.all)
+	b.zones.resetEvidence()
+	b.outliers.reset()
+	b.list.unavailable = 0
 }
--- a/policy/places_test.go
+++ b/policy/places_test.go
@@ -69,7 +69,7 @@
 		}
 		b.Handle(ms+grace/2, Timer{Token: retainTimerToken})
 		b.Handle(time.Second+grace, EndpointList{Kind: ListReplace, Endpoints: all})
-		if got := b.zoneOf("a").recovering; got != c.back {
+		if got := b.zones.find("a").recovering; got != c.back {
 			t.Errorf("%s: the place returns by shares: %v, want %v", name, got, c.back)
 		}
 	}
@@ -80,7 +80,7 @@
 	b.Handle(ms, gone(ListUpdate, 4, Removed))
 	b.Handle(2*ms, EndpointList{Kind: ListReplace, Endpoints: all})
 	b.Handle(ms+grace, Timer{Token: retainTimerToken})
-	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zoneOf("a").recovering {
+	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zones.find("a").recovering {
 		t.Error("named again in time, a server is not as before")
 	}
 	b.Handle(3*time.Second, gone(ListUpdate, 4, Draining))
@@ -144,11 +144,11 @@
 				}
 			}
 		}
-		if got := b.zoneOf("a").evacuated(); got != c.left {
+		if got := b.zones.find("a").isEvacuated(); got != c.left {
 			t.Errorf("%s: left %v, want %v", name, got, c.left)
 		}
-		if b.zoneOf("b").trafficShare != 1 {
-			t.Errorf("%s: the other place has a share of %v", name, b.zoneOf("b").trafficShare)
+		if b.zones.find("b").trafficShare != 1 {
+			t.Errorf("%s: the other place has a share of %v", name, b.zones.find("b").trafficShare)
 		}
 	}
 }
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -433,7 +433,7 @@
 		set := site(1)
 		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
 		b := start(t, set, members(1))
-		b.completionRate, b.completionRateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		b.slowStart.completionRate, b.slowStart.completionRateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
 		s := b.order()[0]
 		s.StartedAt = b.now
 		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
@@ -691,8 +691,8 @@
 	}
 	for name, part := range map[string]float64{"few": 0.05, "many": 0.15} {
 		b := drive(func(*server) float64 { return part })
-		if b.serverPool.ejected > 1 {
-			t.Errorf("%s resets everywhere: %d of 10 servers are ejected", name, b.serverPool.ejected)
+		if b.packing.pool.ejected > 1 {
+			t.Errorf("%s resets everywhere: %d of 10 servers are ejected", name, b.packing.pool.ejected)
 		}
 		for _, s := range b.order() {
 			if s.concurrencyLimit < 8 {
--- a/policy/server.go
+++ b/policy/server.go
@@ -1,30 +1,44 @@
 package policy
 
-// server is one listed server as this node sees it.
+// server is one listed server as this node sees it. It holds the state that the components keep for each
+// server; a component changes its own fields alone.
 type server struct {
 	Endpoint
-	retrySafety          RetrySafety // of the classes that it is open to: those give the trials
-	inFlight             int         // this process's attempts out
-	siblingInFlight      int         // and those of the node's other process
-	concurrencyLimit     float64     // packing threshold, in attempts in flight
-	busyUntil            Time        // until then it likely works off an attempt that timed out
-	reportedLatency      float64     // latency in its last report, in seconds,
-	reportedAt           Time        // and when that came; 0 before the first
-	reportedRate         float64     // attempts a second that it can serve by its reports; 0 before the first
-	lastSentAt           Time
-	lastResponseAt       Time    // when it last answered anything
-	meanLatency          float64 // mean latency of its answers, in seconds
+	zone         *zoneHealth // nil where the settings name no topology
+	segment      *segment    // of the packing order; nil while the server isn't in service
+	retrySafety  RetrySafety // of the class that is safest to retry among those that may use the server
+	missingSince Time        // since when the list lacks the server while it is retained; 0 while it is listed
+
+	inFlight        int  // attempts of this process in flight
+	siblingInFlight int  // and those of the node's other process, during a hot restart
+	lastSentAt      Time // of the newest attempt
+	lastResponseAt  Time // of any response, whatever its code
+
+	concurrencyLimit float64 // attempts of this node in flight up to which the server has capacity
+	limitReached     bool    // the limit rests on an outcome or a report, not on the initial guess alone
+	meanLatency      float64 // of its responses, in seconds
+	busyUntil        Time    // until then it likely still works on an attempt that timed out
+
+	reportedLatency float64 // of its newest load report, in seconds
+	reportedAt      Time    // of that report; 0 before the first
+	reportedRate    float64 // attempts a second that it can serve by its reports; 0 before the first
+
 	outlier              outlierState
-	connectionFaultRatio float64     // part of its answers lately that were broken connections
-	zone                 *zoneHealth // nil where the settings name none
-	segment              *segment    // of the packing order; nil where it isn't in it
-	contribution         contribution
-	limitReached         bool    // the threshold was cut at least once, or a report told
-	zoneEvidence         float64 // evidence against its place
-	zoneEvidenceAt       Time    // and when that was last added to
-	missingSince         Time    // since when the list lacks it, which is eased; 0 for not
+	connectionFaultRatio float64 // part of its recent responses that were broken connections
+	zoneEvidence         float64 // that its zone has failed, in nats
+	zoneEvidenceAt       Time    // when the evidence was last updated
 	warmupBudget         warmupBudget
+	contribution         contribution
+}
+
+// contribution is what a server in service adds to the sums of the components, so that exactly that is
+// taken off again whatever has changed since.
+type contribution struct {
+	warmup      warmupContribution
+	outlier     outlierContribution
+	evidence    evidenceContribution
+	unavailable bool // it counts among the listed servers that get no work
 }
 
-// totalInFlight is how many attempts this node has out at s.
+// totalInFlight is how many attempts both processes of this node have in flight at the server.
 func (s *server) totalInFlight() int { return s.inFlight + s.siblingInFlight }
--- a/policy/server_pool.go
+++ b/policy/server_pool.go
@@ -6,21 +6,23 @@
 	"strings"
 )
 
-// serverPool is a set of servers in packing order.
+// serverPool is a set of servers in packing order: by the cost of crossing to them, then by ID. A change
+// takes a binary search, so that a list change costs little at any number of servers.
 type serverPool struct {
-	segments []*segment // in the order of their costs
-	length   int        // servers in all segments,
-	ejected  int        // and those of them that are ejected; 0 for a class that the settings name no more
+	segments []*segment // by ascending cost
+	length   int        // servers in all segments
+	ejected  int        // ejected servers among them; not maintained for classes of former settings
 }
 
-// segment holds the servers of a pool that cost the same to cross to, sorted by id. Its walk begins at start.
+// segment holds the servers of a pool that cost the same to cross to, sorted by ID. A walk begins at the
+// index start and wraps around.
 type segment struct {
 	cost    float64
 	servers []*server
 	start   int
 }
 
-// all walks the servers in packing order.
+// all iterates over the servers in packing order.
 func (p *serverPool) all(yield func(*server) bool) {
 	for _, g := range p.segments {
 		for _, s := range g.servers[g.start:] {
@@ -36,7 +38,7 @@
 	}
 }
 
-// contains tells whether the predicate holds for a server of the pool.
+// contains reports whether the predicate holds for a server of the pool.
 func (p *serverPool) contains(predicate func(*server) bool) bool {
 	for s := range p.all {
 		if predicate(s) {
@@ -46,22 +48,21 @@
 	return false
 }
 
-// find returns the segment of a cost, or where it would stand.
-func (p *serverPool) find(cost float64) (int, bool) {
-	return slices.BinarySearchFunc(p.segments, cost, func(g *segment,
-		c float64) int {
-		return cmp.Compare(g.cost, c)
+// find returns the index of the segment with a cost, or the index to insert it at.
+func (p *serverPool) find(cost float64) (index int, found bool) {
+	return slices.BinarySearchFunc(p.segments, cost, func(g *segment, cost float64) int {
+		return cmp.Compare(g.cost, cost)
 	})
 }
 
-// find returns where the server of an id stands in the segment, or would stand.
-func (g *segment) find(id string) (int, bool) {
+// find returns the index of the server with an ID, or the index to insert it at.
+func (g *segment) find(id string) (index int, found bool) {
 	return slices.BinarySearchFunc(g.servers, id, func(s *server, id string) int {
-		return strings.Compare(s.ID,
-			id)
+		return strings.Compare(s.ID, id)
 	})
 }
 
+// insert puts a server into the segment of a cost. Where the walk of the segment begins is left to rotate.
 func (p *serverPool) insert(s *server, cost float64) *segment {
 	i, found := p.find(cost)
 	if !found {
@@ -74,7 +75,7 @@
 	return g
 }
 
-// remove takes s out, if it is in the pool.
+// remove takes a server out of the segment of a cost, if it is there.
 func (p *serverPool) remove(s *server, cost float64) {
 	i, found := p.find(cost)
 	if !found {
@@ -87,14 +88,37 @@
 	}
 	g.servers = slices.Delete(g.servers, at, at+1)
 	p.length--
-	if p.ejected > 0 && s.contribution.ejected {
+	if p.ejected > 0 && s.contribution.outlier.counted {
 		p.ejected--
 	}
 }
 
-// rotate lets the walk of a segment of the pool begin at the first server whose id isn't below the given one.
-func (p *serverPool) rotate(cost float64, first string) {
+// rotate lets the walk of a segment begin at the first server whose ID isn't below firstID.
+func (p *serverPool) rotate(cost float64, firstID string) {
 	if i, found := p.find(cost); found {
-		p.segments[i].start, _ = p.segments[i].find(first)
+		p.segments[i].start, _ = p.segments[i].find(firstID)
 	}
 }
+
+// isBefore reports whether a server comes before another one in the packing order that both are in.
+func (s *server) isBefore(other *server) bool {
+	g := s.segment
+	if g != other.segment {
+		return g.cost < other.segment.cost
+	}
+	if g.start < len(g.servers) {
+		firstID := g.servers[g.start].ID
+		if wrapped := s.ID < firstID; wrapped != (other.ID < firstID) {
+			return !wrapped
+		}
+	}
+	return s.ID < other.ID
+}
+
+// comparePackingOrder orders servers in service for slices.SortFunc.
+func comparePackingOrder(s, other *server) int {
+	if s.isBefore(other) {
+		return -1
+	}
+	return 1
+}
--- a/policy/server_queue.go
+++ b/policy/server_queue.go
@@ -1,10 +1,8 @@
 package policy
 
-import (
-	"container/heap"
-)
+import "container/heap"
 
-// serverQueue is a heap of servers by a moment each.
+// serverQueue is a heap of servers by the time at which each is due.
 type serverQueue []serverQueueEntry
 
 type serverQueueEntry struct {
@@ -12,24 +10,25 @@
 	server *server
 }
 
-func (t serverQueue) Len() int { return len(t) }
+func (q serverQueue) Len() int { return len(q) }
 
-func (t serverQueue) Less(i, j int) bool { return t[i].at < t[j].at }
+func (q serverQueue) Less(i, j int) bool { return q[i].at < q[j].at }
 
-func (t serverQueue) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+func (q serverQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
-// Push is for the heap alone.
-func (t *serverQueue) Push(entry any) { *t = append(*t, entry.(serverQueueEntry)) }
+// Push implements heap.Interface; use add.
+func (q *serverQueue) Push(entry any) { *q = append(*q, entry.(serverQueueEntry)) }
 
-// Pop is for the heap alone.
-func (t *serverQueue) Pop() any {
-	old := *t
+// Pop implements heap.Interface; use next.
+func (q *serverQueue) Pop() any {
+	old := *q
 	last := old[len(old)-1]
 	old[len(old)-1] = serverQueueEntry{}
-	*t = old[:len(old)-1]
+	*q = old[:len(old)-1]
 	return last
 }
 
-func (t *serverQueue) add(at Time, s *server) { heap.Push(t, serverQueueEntry{at, s}) }
+func (q *serverQueue) add(at Time, s *server) { heap.Push(q, serverQueueEntry{at, s}) }
 
-func (t *serverQueue) next() *server { return heap.Pop(t).(serverQueueEntry).server }
+// next removes the server that is due first.
+func (q *serverQueue) next() *server { return heap.Pop(q).(serverQueueEntry).server }
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -2,19 +2,24 @@
 
 import (
 	"math"
+	"time"
 )
 
 const (
-	slowObjectiveFraction = 0.4 // part of the aim from which an answer waited about as long as it ran
+	// maxLatencyFraction is the part of the time in which a response is useful that a server's usual latency may
+	// take.
+	maxLatencyFraction = 0.5
+	// reportDecayTime is the time constant with which a reported latency gives way to that of the server's kind.
+	reportDecayTime = 5 * time.Second
 )
 
-// pickServer chooses a server: the first ready one in id order that holds fewer of this node's attempts
-// than its threshold, else the least busy; nil where none may be used. Room is also reported where
-// the least busy was never cut: what it takes is not known yet.
-func (b *Balancer) pickServer(r *request) (s *server, room bool) {
-	crowd, most := b.windowOvercommit(), b.maxOvercommit(r.class)
+// pickServer chooses a server for a request: the first usable one in packing order that has capacity, else
+// the one with the least overcommit; nil where none may be used. It also reports whether the node has
+// capacity, which it has too while the limit of the least overcommitted server is only the initial guess.
+func (b *Balancer) pickServer(r *request) (picked *server, hasCapacity bool) {
+	windowOvercommit, maxOvercommit := b.windowOvercommit(), b.maxOvercommit(r.class)
 	b.chooseZones(r)
-	if s = b.pickWarmingUp(r); s != nil {
+	if s := b.pickWarmingUp(r); s != nil {
 		return s, true
 	}
 	var least *server
@@ -22,47 +27,52 @@
 		if !b.isUsable(r, s) {
 			continue
 		}
-		if (crowd < min(1, most) || b.paceBoundByWarmup(s)) && b.hasCapacity(s) {
+		if (windowOvercommit < min(1, maxOvercommit) || b.isPacedByWarmup(s)) && b.hasCapacity(s) {
 			return s, true
 		}
-		if least == nil || b.serverOvercommit(s) < b.serverOvercommit(least) && (!isNearer(least, s) ||
-			b.serverOvercommit(least) >= 1) {
+		if least == nil || b.isLessOvercommitted(s, least) {
 			least = s
 		}
 	}
-	b.capacityWanted = true
-	if least != nil && max(crowd, b.serverOvercommit(least)) > most {
+	b.window.capacityWanted = true
+	if least != nil && max(windowOvercommit, b.serverOvercommit(least)) > maxOvercommit {
 		return nil, !least.limitReached
 	}
 	return least, least != nil && !least.limitReached
 }
 
-// isUsable tells whether r may go to s now: s is in service, the rules allow it, and, if cold, it has room.
+// isLessOvercommitted reports whether a server is to be preferred to one that comes before it in the walk.
+// Crossing to a zone at a higher cost is worth it only once the nearer server is at its limit.
+func (b *Balancer) isLessOvercommitted(s, earlier *server) bool {
+	return b.serverOvercommit(s) < b.serverOvercommit(earlier) &&
+		(!isNearer(earlier, s) || b.serverOvercommit(earlier) >= 1)
+}
+
+// isUsable reports whether a request may go to a server now.
 func (b *Balancer) isUsable(r *request, s *server) bool {
-	return !s.outlier.ejected && !s.zone.isClosed() && b.mayRunOn(r, s) && b.answersInTime(r, s) &&
+	return !s.outlier.ejected && !s.zone.isClosed() && r.mayRunOn(s, b.now) && b.answersInTime(r, s) &&
 		b.hasWarmupBudget(s)
 }
 
-// answersInTime tells whether s would likely answer r while that is worth something: a cold or choked server
-// takes several times as long as a warm one, and work for an answer that comes late is lost.
+// answersInTime reports whether a server likely answers a request while that is useful. Servers that are
+// warming up or overloaded take several times as long as others. The latency of a report counts the less
+// the older it is.
 func (b *Balancer) answersInTime(r *request, s *server) bool {
-	k := b.loadByKind[s.Kind]
-	if k == nil || !b.usesLoadReports() {
+	kind := b.loads.byKind[s.Kind]
+	if kind == nil || !b.usesLoadReports() {
 		return true
 	}
-	takes := k.latency / b.warmFraction(s)
-	if s.reportedAt > 0 { // as it said, the less so the longer ago that was
-		takes += (s.reportedLatency - takes) * math.Exp(-(b.now-s.reportedAt).Seconds()/reportDecayTime.Seconds())
+	latency := kind.latency / b.warmFraction(s)
+	if s.reportedAt > 0 {
+		age := b.now - s.reportedAt
+		latency += (s.reportedLatency - latency) * math.Exp(-age.Seconds()/reportDecayTime.Seconds())
 	}
-	return takes <= maxLatencyFraction*(r.usefulUntil-b.now).Seconds()
+	return latency <= maxLatencyFraction*(r.usefulUntil-b.now).Seconds()
 }
 
-const (
-	maxLatencyFraction = 0.5 // part of the time left that the usual answer of a server may take
-)
-
-// mayRunOn guards the fifth rule, and the second: what may have run only goes where repeats are dropped.
-func (b *Balancer) mayRunOn(r *request, s *server) bool {
+// mayRunOn guards placement, and that a request which may have run is only sent where a repeat does no
+// harm: to servers that drop it, while they still know the request.
+func (r *request) mayRunOn(s *server, now Time) bool {
 	if !r.class.permits(s) {
 		return false
 	}
@@ -74,7 +84,7 @@
 	if r.mayHaveRun == nil || r.class.RetrySafety == Idempotent {
 		return true
 	}
-	if r.class.RetrySafety != IdempotencyKeyed || b.now >= r.mayHaveRun.sentAt+r.class.DedupWindow {
+	if r.class.RetrySafety != IdempotencyKeyed || now >= r.mayHaveRun.sentAt+r.class.DedupWindow {
 		return false
 	}
 	switch r.class.DedupScope {
@@ -86,17 +96,7 @@
 	return s.Cell == r.mayHaveRun.server.Cell
 }
 
-// crossingCost is what sending to s costs beyond sending to the own zone.
-func (b *Balancer) crossingCost(s *server) float64 {
-	switch {
-	case s.zone != nil:
-		s.zone.crossingCost = b.settings.Topology.cost(b.settings.Zone, s.Zone)
-		return s.zone.crossingCost
-	case s.Zone == b.settings.Zone:
-		return 0
-	}
-	return 1
+// isNearer reports whether crossing to a server costs less than to another one.
+func isNearer(s, other *server) bool {
+	return s.zone != nil && s.zone.crossingCost < other.zone.crossingCost
 }
-
-// isNearer tells whether crossing to one server costs less than to another.
-func isNearer(a, b *server) bool { return a.zone != nil && a.zone.crossingCost < b.zone.crossingCost }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -6,91 +6,230 @@
 )
 
 const (
-	// of the multiple beyond one: that one is left to chance, heavy work and unequal servers
+	// warmupMargin is the part of the overload bound that all nodes together aim at. The rest absorbs requests
+	// that arrive together by chance, heavy requests, and differences between servers.
 	warmupMargin = 0.7
-	// requests a second by all nodes to a cold server when nothing is known yet
-	minWarmupRate       = 1.0
-	maxWarmingUpScanned = 16 // cold servers that a choice looks at before its walk
-	// part of the dearest without room up to which they keep to warm servers
+	// minOverloadMargin is the least part of a server's present capacity that the overload bound counts for.
+	minOverloadMargin = 0.5
+	// minWarmupRate is what all nodes together send a server that is warming up while nothing is known of the
+	// capacity of others, in requests a second.
+	minWarmupRate = 1.0
+	// warmupBurstDivisor bounds a burst: that part of what the budget allows within the overload duration.
+	warmupBurstDivisor = 4
+	// maxWarmingUpScanned bounds how many servers that are warming up a choice looks at before its walk.
+	maxWarmingUpScanned = 16
+	// maxShortageForSlowStart is the shortage of the highest-priority class up to which its requests avoid
+	// servers that are warming up.
 	maxShortageForSlowStart = 0.05
-	peakRateDecayTime       = time.Minute     // in which it is forgotten what a warm server carried at most
-	completionRateTime      = 3 * time.Second // memory of the rate of answers: holds a few at a quiet node
+	// peakRateDecayTime is the time constant with which the peak rate of a server is forgotten.
+	peakRateDecayTime = time.Minute
+	// completionRateTime is the time constant of the completion rate: long enough for some responses at a node
+	// with little traffic.
+	completionRateTime = 3 * time.Second
 )
 
-// warmupBudget is a token bucket in fractions, which fills as fast as this node may send.
+// slowStart bounds what servers get while they warm up after their start. It owns the counts of the servers
+// that have warmed up, the queue of those that haven't, and the completion rate that the budgets rest on.
+type slowStart struct {
+	minCapacity float64       // part of its capacity that a server has when it starts
+	duration    time.Duration // in which it reaches its whole capacity
+
+	warmedUp        int             // servers in service that have warmed up
+	warmedUpOutside warmedUpServers // those of them in zones that aren't monitored
+	queue           serverQueue     // the other servers in service, by when they will have warmed up
+
+	completionRate   float64 // OK responses of warmed-up servers to this node, a second, as of completionRateAt
+	completionRateAt Time
+	peakServerRate   float64 // peak of that rate for one server, decayed as of peakServerRateAt
+	peakServerRateAt Time
+}
+
+// warmedUpServers counts servers that have warmed up by whether crossing to them costs nothing.
+type warmedUpServers struct{ near, far int }
+
+// warmupContribution is what a server in service adds to the counts of slowStart.
+type warmupContribution struct {
+	zone     *zoneHealth // under which it counts
+	warmedUp bool
+	queued   bool
+}
+
+// warmupBudget is a token bucket in fractions of a request. It fills at the rate at which this node may
+// send to a server that is warming up.
 type warmupBudget struct {
 	tokens     float64
 	refilledAt Time
 }
 
-// warmFraction is the part of its capacity that s has at least, or 1 once it is warm.
-func (b *Balancer) warmFraction(s *server) float64 {
-	age := b.now - s.StartedAt
-	if s.StartedAt <= 0 || age >= b.settings.Rules.SlowStartDuration {
+// refill adds the tokens of the time since the last refill, up to maxTokens, and reports whether a request
+// may be sent. The rate is in requests a second.
+func (w *warmupBudget) refill(now Time, rate, maxTokens float64) bool {
+	w.tokens, w.refilledAt = min(maxTokens, w.tokens+rate*(now-w.refilledAt).Seconds()), now
+	return w.tokens >= 1
+}
+
+// configure sets the figures of the site's rules.
+func (w *slowStart) configure(rules *Rules) {
+	w.minCapacity, w.duration = rules.SlowStartMinCapacity, rules.SlowStartDuration
+}
+
+// warmFraction is the part of its capacity that a server has reached at least; 1 once it has warmed up.
+func (w *slowStart) warmFraction(s *server, now Time) float64 {
+	age := now - s.StartedAt
+	if s.StartedAt <= 0 || age >= w.duration {
 		return 1
 	}
-	share := b.settings.Rules.SlowStartMinCapacity
-	return share + (1-share)*max(0, age.Seconds())/b.settings.Rules.SlowStartDuration.Seconds()
+	return w.minCapacity + (1-w.minCapacity)*max(0, age.Seconds())/w.duration.Seconds()
+}
+
+// reset empties the counts of servers.
+func (w *slowStart) reset(zones []*zoneHealth) {
+	w.warmedUp, w.warmedUpOutside, w.queue = 0, warmedUpServers{}, nil
+	for _, z := range zones {
+		z.warmedUp = 0
+	}
+}
+
+// add counts a server that has come into service.
+func (w *slowStart) add(s *server, now Time) {
+	s.contribution.warmup.zone = s.zone
+	w.count(s, now)
+}
+
+// remove takes a server off the counts that has left service. Its entry in the queue is ignored later.
+func (w *slowStart) remove(s *server) {
+	if s.contribution.warmup.warmedUp {
+		s.contribution.warmup.warmedUp = false
+		w.addWarmedUp(s.contribution.warmup.zone, -1)
+	}
+}
+
+// count counts a server in service if it has warmed up, and queues it otherwise.
+func (w *slowStart) count(s *server, now Time) {
+	c := &s.contribution.warmup
+	switch {
+	case s.segment == nil || c.warmedUp:
+	case w.warmFraction(s, now) >= 1:
+		c.warmedUp = true
+		w.addWarmedUp(c.zone, 1)
+	case !c.queued:
+		c.queued = true
+		w.queue.add(s.StartedAt+w.duration, s)
+	}
 }
 
-// paceBoundByWarmup tells whether s is cold: the pace that its age allows bounds what it gets, and the window
-// doesn't.
-func (b *Balancer) paceBoundByWarmup(s *server) bool {
+// addWarmedUp changes the counts that a server of a zone belongs to.
+func (w *slowStart) addWarmedUp(zone *zoneHealth, change int) {
+	w.warmedUp += change
+	switch {
+	case zone != nil && zone.monitored:
+		zone.warmedUp += change
+	case zone != nil && zone.crossingCost == 0:
+		w.warmedUpOutside.near += change
+	default:
+		w.warmedUpOutside.far += change
+	}
+}
+
+// promote counts the queued servers that have warmed up by now.
+func (w *slowStart) promote(now Time) {
+	for len(w.queue) > 0 && w.queue[0].at <= now {
+		s := w.queue.next()
+		s.contribution.warmup.queued = false
+		w.count(s, now)
+	}
+}
+
+// outsideEvacuated counts the warmed-up servers in service whose zones aren't evacuated.
+func (w *slowStart) outsideEvacuated(zones []*zoneHealth, now Time) warmedUpServers {
+	w.promote(now)
+	servers := w.warmedUpOutside
+	for _, z := range zones {
+		switch {
+		case z.isEvacuated():
+		case z.crossingCost == 0:
+			servers.near += z.warmedUp
+		default:
+			servers.far += z.warmedUp
+		}
+	}
+	return servers
+}
+
+// recordCompletion counts an OK response of a server that has warmed up.
+func (w *slowStart) recordCompletion(now Time) {
+	w.completionRate, w.completionRateAt = w.currentCompletionRate(now)+1/completionRateTime.Seconds(), now
+	w.peakRate(now)
+}
+
+// currentCompletionRate is how many OK responses a second came lately from servers that have warmed up.
+func (w *slowStart) currentCompletionRate(now Time) float64 {
+	return w.completionRate * math.Exp(-(now-w.completionRateAt).Seconds()/completionRateTime.Seconds())
+}
+
+// peakRate is the most requests a second that a warmed-up server lately completed for this node. The peak
+// counts because the present rate falls while servers fail, which would starve those that come back of
+// requests.
+func (w *slowStart) peakRate(now Time) float64 {
+	w.promote(now)
+	present := w.currentCompletionRate(now) / max(1, float64(w.warmedUp))
+	w.peakServerRate = max(present,
+		w.peakServerRate*math.Exp(-(now-w.peakServerRateAt).Seconds()/peakRateDecayTime.Seconds()))
+	w.peakServerRateAt = now
+	return w.peakServerRate
+}
+
+// warmFraction is the part of its capacity that a server has reached by now.
+func (b *Balancer) warmFraction(s *server) float64 { return b.slowStart.warmFraction(s, b.now) }
+
+// isPacedByWarmup reports whether the warm-up budget alone paces what a server gets, and not the node's
+// window.
+func (b *Balancer) isPacedByWarmup(s *server) bool {
 	return b.usesLoadReports() && b.warmFraction(s) < 1
 }
 
-// hasWarmupBudget guards the fourth rule. What a warm server carries for this node, summed over the nodes, is
-// what one can take; a cold one may get its present part of that, and no more. Where load is reported, what
-// warm ones of its kind can serve stands in for that.
+// hasWarmupBudget reports whether a server may get a request as far as its warm-up goes; always once it has
+// warmed up. What a warmed-up server completes for this node is, summed over the nodes, what one can take;
+// a server that is warming up gets the part of that which it has reached, below the multiple at which the
+// site's rules say that it becomes overloaded. Where load is reported, the service rate of its kind counts
+// instead.
 func (b *Balancer) hasWarmupBudget(s *server) bool {
-	part := b.warmFraction(s)
-	if part >= 1 || b.handedOver {
-		return part >= 1
+	fraction := b.warmFraction(s)
+	if fraction >= 1 || b.handedOver {
+		return fraction >= 1
 	}
-	mean := b.peakRate()
-	if k := b.loadByKind[s.Kind]; k != nil {
-		mean = k.rate / float64(b.settings.NodeCount)
-		part = max(part, min(1, targetUtilization*s.reportedRate/k.rate))
+	rules, nodes := &b.settings.Rules, float64(b.settings.NodeCount)
+	mean := b.slowStart.peakRate(b.now)
+	if kind := b.loads.byKind[s.Kind]; kind != nil {
+		mean = kind.rate / nodes
+		fraction = max(fraction, min(1, targetUtilization*s.reportedRate/kind.rate))
 	}
-	mean = max(mean, minWarmupRate/float64(b.settings.NodeCount))
-	rate := warmupMargin * max(0.5, b.settings.Rules.OverloadMultiple-1) * part * mean
+	mean = max(mean, minWarmupRate/nodes)
+	rate := warmupMargin * max(minOverloadMargin, rules.OverloadMultiple-1) * fraction * mean
 	if b.usesLoadReports() {
-		rate = warmupMargin * part * mean * s.concurrencyLimit // eased where it is too busy or slow
+		rate = warmupMargin * fraction * mean * s.concurrencyLimit // scaled down while it is overloaded or slow
 	}
-	k := &s.warmupBudget
-	most := max(1, rate*b.settings.Rules.OverloadDuration.Seconds()/4)
-	k.tokens, k.refilledAt = min(most, k.tokens+rate*(b.now-k.refilledAt).Seconds()), b.now
-	return k.tokens >= 1
+	maxTokens := max(1, rate*rules.OverloadDuration.Seconds()/warmupBurstDivisor)
+	return s.warmupBudget.refill(b.now, rate, maxTokens)
 }
 
-// pickWarmingUp returns a cold server of the nearest that may get a request now: the walk meets those behind
-// servers with room too seldom for them to use their part, and they are missed when others fail. The dearest
-// class goes there once it is short of room, and no further attempt does. Only a few cold ones are looked at.
+// pickWarmingUp returns a server of the nearest segment that is warming up and may get a request now, or
+// nil. Without this, servers with capacity that stand earlier in the walk would take its part, and it would
+// be missed when they fail. Retries and, unless it is short of capacity, the highest-priority class keep to
+// servers that have warmed up.
 func (b *Balancer) pickWarmingUp(r *request) (best *server) {
-	dearest := r.class.PriorityWeight >= b.maxPriorityWeight && b.highPriorityShortage < maxShortageForSlowStart
-	if b.promoteWarm(); b.usesLoadReports() || dearest || len(r.attempts) > 0 {
+	avoids := r.class.PriorityWeight >= b.maxPriorityWeight && b.highPriorityShortage < maxShortageForSlowStart
+	b.slowStart.promote(b.now)
+	if b.usesLoadReports() || avoids || len(r.attempts) > 0 {
 		return nil
 	}
-	for _, e := range b.warmupQueue[:min(len(b.warmupQueue), maxWarmingUpScanned)] {
-		if s := e.server; s.segment != nil && s.segment == b.segments[0] && b.isUsable(r, s) && b.hasCapacity(s) &&
+	queue := b.slowStart.queue
+	for _, entry := range queue[:min(len(queue), maxWarmingUpScanned)] {
+		s := entry.server
+		if s.segment != nil && s.segment == b.packing.pool.segments[0] && b.isUsable(r, s) && b.hasCapacity(s) &&
 			(best == nil || s.warmupBudget.tokens > best.warmupBudget.tokens) {
 			best = s
 		}
 	}
 	return best
 }
-
-// peakRate is how many requests a second a warm server was seen to answer for this node, at most of late.
-// What is answered now falls with the servers that fail, and those that return would be kept cold by that.
-func (b *Balancer) peakRate() float64 {
-	now := b.currentCompletionRate() / max(1, float64(b.warmServers()))
-	b.peakServerRate = max(now,
-		b.peakServerRate*math.Exp(-(b.now-b.peakServerRateAt).Seconds()/peakRateDecayTime.Seconds()))
-	b.peakServerRateAt = b.now
-	return b.peakServerRate
-}
-
-// currentCompletionRate is how many answers a second came lately.
-func (b *Balancer) currentCompletionRate() float64 {
-	return b.completionRate * math.Exp(-(b.now-b.completionRateAt).Seconds()/completionRateTime.Seconds())
-}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -98,13 +98,14 @@
 	b.now = max(now, b.now)
 	k := Snapshot{
 		Classes: make(map[string]ClassSnapshot), Servers: make(map[string]ServerSnapshot),
-		LoadByKind: make(map[string]LoadSnapshot), TypicalLoad: LoadSnapshot{b.typicalLoad.samples,
-			b.typicalLoad.rate, b.typicalLoad.latency},
+		LoadByKind: make(map[string]LoadSnapshot), TypicalLoad: LoadSnapshot{b.loads.typicalLoad.samples,
+			b.loads.typicalLoad.rate, b.loads.typicalLoad.latency},
 		AcceptedAt: convertTimes(b.acceptedAt, b.toSnapshotTime), RetriesAt: convertTimes(b.retriesAt,
 			b.toSnapshotTime),
-		RateMultiplier: b.rateMultiplier, WindowScale: b.windowScale, Utilization: b.utilization,
-		BadRatio: b.badRatio, CompletionRate: b.completionRate, ReportedAt: b.toSnapshotTime(b.lastReportAt),
-		CompletionRateAt: b.toSnapshotTime(b.completionRateAt),
+		RateMultiplier: b.rateMultiplier, WindowScale: b.window.scale, Utilization: b.window.utilization,
+		BadRatio: b.badRatio, CompletionRate: b.slowStart.completionRate,
+		ReportedAt:       b.toSnapshotTime(b.window.reportedAt),
+		CompletionRateAt: b.toSnapshotTime(b.slowStart.completionRateAt),
 	}
 	for key, v := range b.buckets {
 		k.Buckets = append(k.Buckets, BucketSnapshot{key.tenant, key.class, v.tokens / 2,
@@ -113,7 +114,7 @@
 	for _, c := range b.classOrder {
 		k.Classes[c.Name] = ClassSnapshot{c.tailLatency, c.firstTryTimeout}
 	}
-	for kind, l := range b.loadByKind {
+	for kind, l := range b.loads.byKind {
 		k.LoadByKind[kind] = LoadSnapshot{l.samples, l.rate, l.latency}
 	}
 	for id, s := range b.servers {
@@ -135,12 +136,13 @@
 // Restore takes over what another process of this node knew. The list of servers comes first.
 func (b *Balancer) Restore(now Time, k Snapshot) {
 	b.now = max(now, b.now)
-	b.typicalLoad = serverLoad{k.TypicalLoad.Samples, k.TypicalLoad.Rate, k.TypicalLoad.Latency}
+	b.loads.typicalLoad = serverLoad{k.TypicalLoad.Samples, k.TypicalLoad.Rate, k.TypicalLoad.Latency}
 	b.acceptedAt, b.retriesAt = convertTimes(k.AcceptedAt, b.fromSnapshotTime), convertTimes(k.RetriesAt,
 		b.fromSnapshotTime)
-	b.rateMultiplier, b.windowScale, b.utilization, b.badRatio, b.completionRate = k.RateMultiplier,
-		k.WindowScale, k.Utilization, k.BadRatio, k.CompletionRate
-	b.lastReportAt, b.completionRateAt = b.fromSnapshotTime(k.ReportedAt), b.fromSnapshotTime(k.CompletionRateAt)
+	b.rateMultiplier, b.window.scale, b.window.utilization = k.RateMultiplier, k.WindowScale, k.Utilization
+	b.badRatio, b.slowStart.completionRate = k.BadRatio, k.CompletionRate
+	b.window.reportedAt = b.fromSnapshotTime(k.ReportedAt)
+	b.slowStart.completionRateAt = b.fromSnapshotTime(k.CompletionRateAt)
 	for _, v := range k.Buckets {
 		bucket := b.bucketOf(bucketKey{v.Tenant, v.Class}, 0)
 		bucket.tokens, bucket.refilledAt = v.Tokens, b.fromSnapshotTime(v.RefilledAt)
@@ -151,7 +153,7 @@
 		}
 	}
 	for kind, l := range k.LoadByKind {
-		b.loadByKind[kind] = &serverLoad{l.Samples, l.Rate, l.Latency}
+		b.loads.byKind[kind] = &serverLoad{l.Samples, l.Rate, l.Latency}
 	}
 	for id, v := range k.Servers {
 		s := b.servers[id]
@@ -166,6 +168,6 @@
 			ejectedUntil: b.fromSnapshotTime(v.EjectedUntil), ejections: v.Ejections}
 		s.warmupBudget = warmupBudget{tokens: v.WarmupTokens, refilledAt: b.fromSnapshotTime(v.WarmupRefilledAt)}
 	}
-	b.rebuildOrder(nil)
-	b.orderStale = true // a threshold that the other process had not set yet is set with the next list
+	b.rebuildOrder()
+	b.packing.stale = true // a threshold that the other process had not set yet is set with the next list
 }
--- a/policy/sums_test.go
+++ b/policy/sums_test.go
@@ -118,8 +118,8 @@
 		}
 		w.open = nil
 	case 9:
-		if b := w.b; b.length > 0 {
-			b.eject(b.order()[rapid.IntRange(0, b.length-1).Draw(t, "ejected")])
+		if b := w.b; b.packing.pool.length > 0 {
+			b.eject(b.order()[rapid.IntRange(0, b.packing.pool.length-1).Draw(t, "ejected")])
 		}
 	default:
 		w.good = rapid.Bool().Draw(t, "good")
@@ -135,7 +135,7 @@
 	byCost := make(map[float64][]*server)
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
 		if s := b.servers[id]; s.Availability == Running {
-			byCost[b.crossingCost(s)] = append(byCost[b.crossingCost(s)], s)
+			byCost[b.zones.crossingCost(s)] = append(byCost[b.zones.crossingCost(s)], s)
 		}
 	}
 	for _, cost := range slices.Sorted(maps.Keys(byCost)) {
@@ -152,8 +152,8 @@
 
 // checkOrder holds the packing order against the one made anew.
 func checkOrder(t *rapid.T, b *Balancer, order []*server) {
-	if !slices.Equal(b.order(), order) || b.length != len(order) {
-		t.Fatalf("the order of %d servers isn't the one made anew of %d", b.length, len(order))
+	if !slices.Equal(b.order(), order) || b.packing.pool.length != len(order) {
+		t.Fatalf("the order of %d servers isn't the one made anew of %d", b.packing.pool.length, len(order))
 	}
 	zones := make(map[string]int)
 	for i, s := range order {
@@ -162,7 +162,7 @@
 			t.Fatalf("%s isn't held to stand before %s", order[i-1].ID, s.ID)
 		}
 	}
-	for zone, n := range b.serversByZone {
+	for zone, n := range b.packing.serversByZone {
 		if n != zones[zone] {
 			t.Fatalf("%d servers in zone %s, anew %d", n, zone, zones[zone])
 		}
@@ -214,27 +214,27 @@
 func checkSums(t *rapid.T, b *Balancer, order []*server) {
 	weight, faults := 0.0, fixedPoint(0)
 	for _, s := range order {
-		if b.warmFraction(s) >= 1 && !s.zone.evacuated() {
-			weight += b.fairParts(s)
+		if b.warmFraction(s) >= 1 && !s.zone.isEvacuated() {
+			weight += b.share.of(s)
 		}
 		faults += toFixedPoint(s.connectionFaultRatio)
 	}
-	if got := b.warmWeight(); math.Abs(got-weight) > 1e-9*weight {
+	if got := b.warmedUpWeight(); math.Abs(got-weight) > 1e-9*weight {
 		t.Fatalf("the warm servers weigh %v, anew %v", got, weight)
 	}
-	if n := countOf(order, func(s *server) bool { return b.warmFraction(s) >= 1 }); b.warmServers() != n {
-		t.Fatalf("%d servers are warm, anew %d", b.warmServers(), n)
+	if n := countOf(order, func(s *server) bool { return b.warmFraction(s) >= 1 }); b.warmedUpServers() != n {
+		t.Fatalf("%d servers are warm, anew %d", b.warmedUpServers(), n)
 	}
-	if b.connectionFaults != faults {
-		t.Fatalf("the faults sum up to %v, anew %v", b.connectionFaults, faults)
+	if b.outliers.connectionFaults != faults {
+		t.Fatalf("the faults sum up to %v, anew %v", b.outliers.connectionFaults, faults)
 	}
-	if n := countOf(order, func(s *server) bool { return s.outlier.ejected }); len(b.ejectedServers) != n {
-		t.Fatalf("%d servers are ejected, anew %d", len(b.ejectedServers), n)
+	if n := countOf(order, func(s *server) bool { return s.outlier.ejected }); len(b.outliers.ejected) != n {
+		t.Fatalf("%d servers are ejected, anew %d", len(b.outliers.ejected), n)
 	}
 	listed := slices.Collect(maps.Values(b.servers))
 	avoided := countOf(listed, func(s *server) bool { return s.outlier.ejected || s.Availability != Running })
-	if b.unavailable != avoided {
-		t.Fatalf("%d servers are avoided, anew %d", b.unavailable, avoided)
+	if b.list.unavailable != avoided {
+		t.Fatalf("%d servers are avoided, anew %d", b.list.unavailable, avoided)
 	}
 }
 
@@ -251,8 +251,8 @@
 			anew[kindOf{s.zone, s.Kind}] = evidenceSum{of.sum + toFixedPoint(s.zoneEvidence), of.servers + 1}
 		}
 	}
-	b.expireEvidence()
-	for _, p := range b.zones {
+	b.zones.expireEvidence(b.now)
+	for _, p := range b.zones.all {
 		sum := fixedPoint(0)
 		for kind, of := range p.evidenceByKind {
 			kept[kindOf{p, kind}] = *of
@@ -312,3 +312,12 @@
 		}
 	}
 }
+
+// order returns the servers in service in packing order.
+func (b *Balancer) order() []*server { return b.packing.pool.order() }
+
+// warmedUpServers counts the servers in service that have warmed up by now.
+func (b *Balancer) warmedUpServers() int {
+	b.slowStart.promote(b.now)
+	return b.slowStart.warmedUp
+}
--- a/policy/zone_evidence.go
+++ b/policy/zone_evidence.go
@@ -5,129 +5,282 @@
 	"time"
 )
 
+// Each server gives evidence for or against its zone: a log likelihood ratio of failures there against
+// those that other zones have at the same time. It is bounded, so that no single server or kind of servers
+// convicts a zone. docs/zones.md has the alternatives.
+
 const (
-	// part of ill answers that any place may have, and the trouble sought
-	baseFailureRatio, excessFailureRatio = 0.05, 0.3
-	// evidence, in nats, that a server gives against its place, and for it
-	maxServerEvidence, maxContraryEvidence = 4.0, 1.0
-	// evidenceTTL is how long a server's evidence holds that isn't heard of.
+	// baseFailureRatio is the part of failures that any zone may have.
+	baseFailureRatio = 0.05
+	// excessFailureRatio is the additional part of failures in a zone that has failed.
+	excessFailureRatio = 0.3
+	// maxServerEvidence and maxContraryEvidence bound the evidence, in nats, that a server gives against its
+	// zone and for it.
+	maxServerEvidence   = 4.0
+	maxContraryEvidence = 1.0
+	// evidenceTTL is how long evidence of a server counts that gives no more.
 	evidenceTTL = 10 * time.Second
-	// evidence at which a place is left: that of two servers at least;
-	evacuateEvidence     = 8.0
-	suspectEvidence      = evacuateEvidence / 2 // at which a part of the requests looks how other places are
-	exploreFraction      = 0.5                  // that part
-	minComparedResponses = 4.0                  // answers from which on a part of them is taken at its word
-	// answers that what is sought counts for beside a place's own few
-	priorResponses     = 12.0
-	betterZoneEvidence = 7.0              // evidence that other places are better: only then is one left
-	responseDecayTime  = 10 * time.Second // in which answers of a place are forgotten
-	slowResponseFactor = 3.0              // times the usual time of its class and kind, an answer is ill
-	typicalLoadGain    = 0.005            // weight of one answer in that; the first ones count plainly
-	minTypicalSamples  = 10               // answers that tell what is usual
+	// evacuateEvidence is the evidence at which a zone is evacuated: that of two servers at least.
+	evacuateEvidence = 8.0
+	// suspectEvidence is the evidence at which a zone is suspect, and part of its requests explores other zones.
+	suspectEvidence = evacuateEvidence / 2
+	// exploreFraction is that part.
+	exploreFraction = 0.5
+	// minComparedResponses is how many responses of other zones count as enough for their failure ratio.
+	minComparedResponses = 4.0
+	// priorResponses is the weight, in responses, of the sought failure ratio beside a zone's own responses.
+	priorResponses = 12.0
+	// betterZoneEvidence is the evidence that other zones are better without which none is evacuated.
+	betterZoneEvidence = 7.0
+	// slowResponseFactor is the multiple of the typical latency from which a response counts as a failure.
+	slowResponseFactor = 3.0
+	// typicalLoadGain is the weight of one response in the typical latency, after the first ones.
+	typicalLoadGain = 0.005
+	// minTypicalSamples is how many responses a typical latency rests on before it is used.
+	minTypicalSamples = 10
 )
 
-// recordEvidence takes the answer to an attempt, or the want of one, as evidence on the place of its server:
-// 0 for a good one, 1 for an ill one, 2 where no connection came up, which next to never happens by chance.
-func (b *Balancer) recordEvidence(a *attempt, ill float64) {
-	s, p := a.server, a.server.zone
-	if p == nil || b.zonesDegraded && a.sentAt < b.compareFrom { // of before the look at all places alike
-		return
-	}
-	usual := baseFailureRatio
-	if b.zonesDegraded {
-		_, part := b.compareWithOtherZones(p)
-		usual = min(1-excessFailureRatio-baseFailureRatio, max(baseFailureRatio, part))
-		p.record(ill > 0)
-	}
-	if b.now-s.zoneEvidenceAt > evidenceTTL {
-		s.zoneEvidence = 0
-	}
-	step := ill * math.Log((usual+excessFailureRatio)/usual)
-	if ill == 0 {
-		step = math.Log((1 - usual - excessFailureRatio) / (1 - usual))
-	}
-	b.setEvidence(s, max(-maxContraryEvidence, min(maxServerEvidence, s.zoneEvidence+step)))
-	if p.evacuated() {
-		b.recordZoneProbe(p, ill > 0)
-	} else if ill > 0 || p.trafficShare < 1 {
-		b.weighEvidence(p, ill > 0)
-	}
+// Levels of a failure, in multiples of the evidence of a plain one.
+const (
+	noFailure      = 0.0
+	plainFailure   = 1.0
+	connectFailure = 2.0 // no connection came up, which hardly happens by chance
+)
+
+// evidenceSum sums the evidence of several servers.
+type evidenceSum struct {
+	sum     fixedPoint
+	servers int
+}
+
+// evidenceContribution is what a server in service adds to the evidence of its zone.
+type evidenceContribution struct {
+	zone     *zoneHealth // against which it counts
+	kind     string      // of servers, under which it counts
+	evidence fixedPoint
+	counted  bool // it is recent enough to count
+	queued   bool // for its expiry
 }
 
-// failureLevel tells how far an outcome is one of an ill place.
-func (b *Balancer) failureLevel(s *server, c *class, code Code, latency float64) float64 {
+// failureLevel tells how far an outcome is evidence that the server's zone has failed. A response that is
+// far slower than is typical counts as a failure; the typical latency follows slowly, so that a fleet that
+// became slow as a whole becomes typical.
+func (c *classStats) failureLevel(kind string, code Code, latency float64) float64 {
 	if code == ConnectFailed {
-		return 2
+		return connectFailure
 	} else if code != OK {
-		return 1
+		return plainFailure
 	}
-	u := c.typicalLoad(s.Kind)
-	limit, ill := slowResponseFactor*u.latency, 0.0
-	// a world that became slow becomes the usual one, and not at once
-	if u.samples >= minTypicalSamples && latency > limit {
-		ill, latency = 1, limit
+	typical, level := c.typicalLoad(kind), noFailure
+	limit := slowResponseFactor * typical.latency
+	if typical.samples >= minTypicalSamples && latency > limit {
+		level, latency = plainFailure, limit
 	}
-	u.samples++
-	u.latency += max(typicalLoadGain, 1/u.samples) * (latency - u.latency)
-	return ill
+	typical.samples++
+	typical.latency += max(typicalLoadGain, 1/typical.samples) * (latency - typical.latency)
+	return level
 }
 
-// typicalLoad is what answers of a class from a kind of server usually take.
+// typicalLoad is what responses of a class typically take from a kind of servers.
 func (c *classStats) typicalLoad(kind string) *serverLoad {
-	u := c.typicalByKind[kind]
-	if u == nil {
+	typical := c.typicalByKind[kind]
+	if typical == nil {
 		if c.typicalByKind == nil {
 			c.typicalByKind = make(map[string]*serverLoad)
 		}
-		if u = new(serverLoad); len(c.typicalByKind) < maxKinds {
-			c.typicalByKind[kind] = u
+		if typical = new(serverLoad); len(c.typicalByKind) < maxKinds {
+			c.typicalByKind[kind] = typical
 		}
 	}
-	return u
+	return typical
+}
+
+// recordEvidence takes the outcome of an attempt, or that there is none for long, as evidence on the zone
+// of its server.
+func (b *Balancer) recordEvidence(a *attempt, failureLevel float64) {
+	b.zones.record(a, failureLevel, b.now)
+}
+
+// record updates the evidence of an attempt's server, and what follows for its zone. While zones are
+// compared, attempts that were sent before that don't count, since not all zones had a part of the requests
+// then.
+func (f *zoneFailover) record(a *attempt, failureLevel float64, now Time) {
+	s, z := a.server, a.server.zone
+	if z == nil || f.degraded && a.sentAt < f.compareFrom {
+		return
+	}
+	expected := baseFailureRatio
+	if f.degraded {
+		ratio := f.compare(z, now).failureRatio
+		expected = min(1-excessFailureRatio-baseFailureRatio, max(baseFailureRatio, ratio))
+		z.record(failureLevel > 0)
+	}
+	if now-s.zoneEvidenceAt > evidenceTTL {
+		s.zoneEvidence = 0
+	}
+	evidence := s.zoneEvidence + evidenceOf(failureLevel, expected)
+	s.zoneEvidence, s.zoneEvidenceAt = max(-maxContraryEvidence, min(maxServerEvidence, evidence)), now
+	f.countEvidence(s, now)
+	if z.isEvacuated() {
+		f.recordProbe(z, failureLevel > 0, now)
+	} else if failureLevel > 0 || z.trafficShare < 1 {
+		f.weighEvidence(z, failureLevel > 0, now)
+	}
+}
+
+// evidenceOf is the log likelihood ratio of an outcome, in nats: of a zone with excessFailureRatio more
+// failures than the expected ratio against one with that ratio.
+func evidenceOf(failureLevel, expectedRatio float64) float64 {
+	if failureLevel == noFailure {
+		return math.Log((1 - expectedRatio - excessFailureRatio) / (1 - expectedRatio))
+	}
+	return failureLevel * math.Log((expectedRatio+excessFailureRatio)/expectedRatio)
+}
+
+// zoneComparison is what other zones show in comparison with one.
+type zoneComparison struct {
+	evidence     float64 // that they are better, in nats
+	failureRatio float64 // of their responses
 }
 
-// compareWithOtherZones is what the other places answered since places are compared, but for suspect ones:
-// the evidence that they are better than p, and their part of ill answers.
-func (b *Balancer) compareWithOtherZones(p *zoneHealth) (evidence, part float64) {
+// compare compares a zone with the others that have their whole share of the requests.
+func (f *zoneFailover) compare(z *zoneHealth, now Time) zoneComparison {
 	own := max(baseFailureRatio+excessFailureRatio,
-		(p.failures+priorResponses*(baseFailureRatio+excessFailureRatio))/(p.total+priorResponses))
-	ill, heard := 0.0, 0.0
-	for _, o := range b.zones {
-		if o.decay(b.now); o != p && o.trafficShare == 1 {
-			ill, heard = ill+o.failures, heard+o.total
+		(z.failures+priorResponses*(baseFailureRatio+excessFailureRatio))/(z.total+priorResponses))
+	failures, total := 0.0, 0.0
+	for _, other := range f.all {
+		other.decay(now)
+		if other != z && other.trafficShare == 1 {
+			failures, total = failures+other.failures, total+other.total
 		}
 	}
-	return (heard-ill)*math.Log((1-baseFailureRatio)/(1-own)) - ill*math.Log(own/baseFailureRatio),
-		ill / max(minComparedResponses, heard)
+	return zoneComparison{
+		evidence: (total-failures)*math.Log((1-baseFailureRatio)/(1-own)) -
+			failures*math.Log(own/baseFailureRatio),
+		failureRatio: failures / max(minComparedResponses, total),
+	}
 }
 
-// weighEvidence sums what the servers of p say of it. What is left of that without any one kind has to speak
-// against the place too, where it has several.
-func (b *Balancer) weighEvidence(p *zoneHealth, ill bool) {
-	b.expireEvidence()
-	sum, kinds := p.evidence.float(), p.evidenceByKind
-	for _, of := range kinds {
-		if len(kinds) > 1 && p.evidence <= of.sum {
+// weighEvidence decides what the evidence of its servers means for a zone. Where it has servers of several
+// kinds, the evidence has to hold without any one of them too.
+func (f *zoneFailover) weighEvidence(z *zoneHealth, failed bool, now Time) {
+	f.expireEvidence(now)
+	sum := z.evidence.float()
+	for _, ofKind := range z.evidenceByKind {
+		if len(z.evidenceByKind) > 1 && z.evidence <= ofKind.sum {
 			sum = 0
 		}
 	}
-	b.growTrafficShare(p)
-	better, _ := b.compareWithOtherZones(p)
+	f.growShare(z, now)
+	comparison := f.compare(z, now)
 	switch {
-	case sum >= evacuateEvidence && better >= betterZoneEvidence, p.recovering && sum >= suspectEvidence:
-		b.evacuate(p, sum)
-	case p.recovering && ill:
-		p.trafficShare = max(initialRecoveryShare, failureShareFactor*p.trafficShare)
-	case p.recovering:
-	case sum >= suspectEvidence && len(b.zones) > 1:
-		if !b.zonesDegraded { // from now on places are compared, by the answers to what is sent from now on
-			b.compareFrom = b.now
-			for _, o := range b.zones {
-				o.responseCounts = responseCounts{decayedAt: b.now}
-			}
-		}
-		p.trafficShare, b.zonesDegraded = 1-exploreFraction, true
+	case sum >= evacuateEvidence && comparison.evidence >= betterZoneEvidence,
+		z.recovering && sum >= suspectEvidence:
+		f.evacuate(z, sum, now)
+	case z.recovering && failed:
+		z.trafficShare = max(initialRecoveryShare, failureShareFactor*z.trafficShare)
+	case z.recovering:
+	case sum >= suspectEvidence && len(f.all) > 1:
+		f.suspect(z, now)
 	default:
-		p.trafficShare = 1
+		z.trafficShare = 1
+	}
+}
+
+// suspect lets a part of a zone's requests explore the others. The comparison of zones begins with the
+// first one that is suspect.
+func (f *zoneFailover) suspect(z *zoneHealth, now Time) {
+	if !f.degraded {
+		f.compareFrom = now
+		for _, each := range f.all {
+			each.responseCounts = responseCounts{decayedAt: now}
+		}
+	}
+	z.trafficShare, f.degraded = 1-exploreFraction, true
+}
+
+// resetEvidence empties the sums of evidence of all zones.
+func (f *zoneFailover) resetEvidence() {
+	for _, z := range f.all {
+		z.evidence, z.evidenceByKind = 0, nil
+	}
+	f.evidenceQueue = nil
+}
+
+// addEvidence counts the evidence of a server that has come into service.
+func (f *zoneFailover) addEvidence(s *server, now Time) {
+	s.contribution.evidence.zone, s.contribution.evidence.kind = s.zone, s.Kind
+	f.countEvidence(s, now)
+}
+
+// countEvidence counts the evidence of a server in service while it is recent.
+func (f *zoneFailover) countEvidence(s *server, now Time) {
+	f.removeEvidence(s)
+	c := &s.contribution.evidence
+	if s.segment == nil || c.zone == nil || now-s.zoneEvidenceAt > evidenceTTL {
+		return
+	}
+	c.counted, c.evidence = true, toFixedPoint(s.zoneEvidence)
+	c.zone.addEvidence(c.kind, c.evidence)
+	if !c.queued {
+		c.queued = true
+		f.evidenceQueue.add(s.zoneEvidenceAt, s)
+	}
+}
+
+// removeEvidence takes the evidence of a server off that of its zone.
+func (f *zoneFailover) removeEvidence(s *server) {
+	if c := &s.contribution.evidence; c.counted {
+		c.counted = false
+		c.zone.removeEvidence(c.kind, c.evidence)
+	}
+}
+
+// expireEvidence takes off evidence that is too old.
+func (f *zoneFailover) expireEvidence(now Time) {
+	for len(f.evidenceQueue) > 0 && now-f.evidenceQueue[0].at > evidenceTTL {
+		s := f.evidenceQueue.next()
+		s.contribution.evidence.queued = false
+		if s.contribution.evidence.counted {
+			f.countEvidence(s, now)
+		}
+	}
+}
+
+// clearEvidence drops what the servers of a zone say against it.
+func (f *zoneFailover) clearEvidence(z *zoneHealth, now Time) {
+	for s := range f.servers.all {
+		if s.zone != z {
+			continue
+		}
+		s.zoneEvidence = min(s.zoneEvidence, 0)
+		if s.contribution.evidence.counted {
+			f.countEvidence(s, now)
+		}
+	}
+}
+
+// addEvidence adds that of one server of a kind.
+func (z *zoneHealth) addEvidence(kind string, evidence fixedPoint) {
+	z.evidence += evidence
+	if z.evidenceByKind == nil {
+		z.evidenceByKind = make(map[string]*evidenceSum)
+	}
+	ofKind := z.evidenceByKind[kind]
+	if ofKind == nil {
+		ofKind = new(evidenceSum)
+		z.evidenceByKind[kind] = ofKind
+	}
+	ofKind.sum += evidence
+	ofKind.servers++
+}
+
+// removeEvidence subtracts that of one server of a kind.
+func (z *zoneHealth) removeEvidence(kind string, evidence fixedPoint) {
+	z.evidence -= evidence
+	ofKind := z.evidenceByKind[kind]
+	ofKind.sum -= evidence
+	if ofKind.servers--; ofKind.servers == 0 {
+		delete(z.evidenceByKind, kind)
 	}
 }
--- a/policy/zone_failover.go
+++ b/policy/zone_failover.go
@@ -7,132 +7,143 @@
 )
 
 const (
+	// zoneProbeInterval is the least time between two requests that probe an evacuated zone.
 	zoneProbeInterval = 100 * time.Millisecond
-	// tries in a row, and requests come back,
-	zoneProbesNeeded     = 12
-	initialRecoveryShare = 0.05 // to this share at first,
-	// of which an ill answer leaves so much
+	// zoneProbesNeeded is the number of probes that have to succeed in a row before a zone recovers.
+	zoneProbesNeeded = 12
+	// initialRecoveryShare is the share of its requests that a zone begins to recover with, and the least one.
+	initialRecoveryShare = 0.05
+	// failureShareFactor is the part of the share of a recovering zone that a failure leaves.
 	failureShareFactor = 0.8
-	// at its whole share, and a place's returns are forgotten
+	// recoveryForgetTime is the time at its whole share after which a zone's evacuations are forgotten.
 	recoveryForgetTime = time.Minute
-	// left alone, four times as long after each return
-	baseEvacuationTime, maxEvacuationTime = 2 * time.Second, time.Minute
-	// that failed; a share grows e-fold in this, doubled
-	baseGrowthTime, maxGrowthTime = 2 * time.Second, 16 * time.Second
+	// baseEvacuationTime is how long an evacuated zone isn't probed. Each further evacuation multiplies it by
+	// evacuationTimeFactor, up to maxEvacuationTime.
+	baseEvacuationTime   = 2 * time.Second
+	evacuationTimeFactor = 4
+	maxEvacuationTime    = time.Minute
+	// minEvacuationJitter and evacuationJitter spread the time among nodes: 0.8 to 1.2 times as long.
+	minEvacuationJitter = 0.8
+	evacuationJitter    = 0.4
+	// baseGrowthTime is the time in which the share of a recovering zone grows e-fold. Each further evacuation
+	// doubles it, up to maxGrowthTime.
+	baseGrowthTime = 2 * time.Second
+	maxGrowthTime  = 16 * time.Second
+	// maxGrowthDoublings keeps the shift by the number of evacuations in range.
+	maxGrowthDoublings = 8
 )
 
-// evacuate sends no more to p than tries, from a moment that nodes spread.
-func (b *Balancer) evacuate(p *zoneHealth, sum float64) {
-	if !p.recovering && b.now-p.fullShareSince > recoveryForgetTime {
-		p.evacuations = 0
+// evacuate sends a zone no more than probes, from a time on that is spread among nodes.
+func (f *zoneFailover) evacuate(z *zoneHealth, evidence float64, now Time) {
+	if !z.recovering && now-z.fullShareSince > recoveryForgetTime {
+		z.evacuations = 0
 	}
-	p.trafficShare, p.recovering, p.probeSuccesses, b.zonesDegraded = 0, false, 0, true
-	p.evacuatedUntil = b.now + b.evacuationTime(p)
-	p.evacuations++
-	better, part := b.compareWithOtherZones(p)
-	p.evacuationReason = fmt.Sprintf("evidence %.1f, %.0f of %.0f answers ill, %.0f%% elsewhere (evidence %.1f)",
-		sum, p.failures, p.total, 100*part, better)
-	b.logf("place %s is left: %s; tried again in %v, leaving %d", p.name, p.evacuationReason,
-		p.evacuatedUntil-b.now, p.evacuations)
+	z.trafficShare, z.recovering, z.probeSuccesses, f.degraded = 0, false, 0, true
+	z.evacuatedUntil = now + f.evacuationTime(z)
+	z.evacuations++
+	others := f.compare(z, now)
+	z.evacuationReason = fmt.Sprintf("evidence %.1f, %.0f of %.0f answers ill, %.0f%% elsewhere (evidence %.1f)",
+		evidence, z.failures, z.total, 100*others.failureRatio, others.evidence)
+	f.logf("place %s is left: %s; tried again in %v, leaving %d", z.name, z.evacuationReason,
+		z.evacuatedUntil-now, z.evacuations)
 }
 
-// evacuationTime is how long p is left alone, spread among nodes.
-func (b *Balancer) evacuationTime(p *zoneHealth) time.Duration {
-	span := min(maxEvacuationTime.Seconds(), baseEvacuationTime.Seconds()*math.Pow(4, float64(p.evacuations)))
-	return seconds(span * (0.8 + 0.4*b.rng.Float64()))
+// evacuationTime is how long a zone isn't probed.
+func (f *zoneFailover) evacuationTime(z *zoneHealth) time.Duration {
+	duration := min(maxEvacuationTime.Seconds(),
+		baseEvacuationTime.Seconds()*math.Pow(evacuationTimeFactor, float64(z.evacuations)))
+	return seconds(duration * (minEvacuationJitter + evacuationJitter*f.rng.Float64()))
 }
 
-// pickZoneProbe returns a server of a place that is due to be tried again, if r may try it: it is of a class
-// that may be repeated as freely as any that the server takes.
-func (b *Balancer) pickZoneProbe(r *request) *server {
-	if !b.zonesDegraded || len(r.attempts) > 0 {
-		return nil
-	}
-	for _, p := range b.zones {
-		if !p.evacuated() || b.now < max(p.evacuatedUntil, p.lastProbeAt+zoneProbeInterval) {
+// nextToProbe returns a server of an evacuated zone that is due for a probe, or nil: the one without
+// attempts in flight that was longest sent nothing, of those that are no safer to retry than the request's
+// class.
+func (f *zoneFailover) nextToProbe(c *class, now Time, hasBudget func(*server) bool) *server {
+	for _, z := range f.all {
+		if !z.isEvacuated() || now < max(z.evacuatedUntil, z.lastProbeAt+zoneProbeInterval) {
 			continue
 		}
 		var next *server
-		for s := range r.class.eligible.all {
-			if s.zone == p && r.class.RetrySafety >= s.retrySafety && s.totalInFlight() == 0 &&
-				!s.outlier.probationInFlight &&
-				b.hasWarmupBudget(s) && (next == nil || s.lastSentAt < next.lastSentAt) {
+		for s := range c.eligible.all {
+			if s.zone == z && s.mayBeProbedBy(c) && hasBudget(s) && (next == nil || s.lastSentAt < next.lastSentAt) {
 				next = s
 			}
 		}
 		if next != nil {
-			p.lastProbeAt, next.outlier.probationInFlight = b.now, next.outlier.ejected
+			z.lastProbeAt = now
 			return next
 		}
 	}
 	return nil
 }
 
-// recordZoneProbe follows the tries of a place that was left.
-func (b *Balancer) recordZoneProbe(p *zoneHealth, ill bool) {
-	if p.probeSuccesses++; ill {
-		p.probeSuccesses, p.evacuatedUntil = 0, max(p.evacuatedUntil, b.now+b.evacuationTime(p)/2)
-	} else if p.probeSuccesses >= zoneProbesNeeded && b.now >= p.evacuatedUntil {
-		b.startRecovery(p)
+// mayBeProbedBy reports whether a request of a class may probe the server's zone there.
+func (s *server) mayBeProbedBy(c *class) bool {
+	return c.RetrySafety >= s.retrySafety && s.totalInFlight() == 0 && !s.outlier.probationInFlight
+}
+
+// recordProbe follows the probes of an evacuated zone.
+func (f *zoneFailover) recordProbe(z *zoneHealth, failed bool, now Time) {
+	if z.probeSuccesses++; failed {
+		z.probeSuccesses, z.evacuatedUntil = 0, max(z.evacuatedUntil, now+f.evacuationTime(z)/2)
+	} else if z.probeSuccesses >= zoneProbesNeeded && now >= z.evacuatedUntil {
+		f.startRecovery(z, now)
 	}
 }
 
-// startRecovery begins with a small share of p.
-func (b *Balancer) startRecovery(p *zoneHealth) {
-	p.evacuatedUntil, p.trafficShare, p.recovering, p.shareUpdatedAt, b.zonesDegraded = 0,
-		initialRecoveryShare, true, b.now, true
-	p.growthTime = min(maxGrowthTime, baseGrowthTime<<min(max(0, p.evacuations-1), 8))
-	b.clearEvidence(p)
-	b.logf("place %s is well again: its share grows e-fold in %v", p.name, p.growthTime)
+// startRecovery gives a zone a small share, which grows.
+func (f *zoneFailover) startRecovery(z *zoneHealth, now Time) {
+	z.evacuatedUntil, z.recovering, f.degraded = 0, true, true
+	z.trafficShare, z.shareUpdatedAt = initialRecoveryShare, now
+	z.growthTime = min(maxGrowthTime, baseGrowthTime<<min(max(0, z.evacuations-1), maxGrowthDoublings))
+	f.clearEvidence(z, now)
+	f.logf("place %s is well again: its share grows e-fold in %v", z.name, z.growthTime)
 }
 
-// growTrafficShare follows the law of a return: share = shareFirst * exp(t / growth), less what ill answers
-// took.
-func (b *Balancer) growTrafficShare(p *zoneHealth) {
-	if !p.recovering {
+// growShare lets the share of a recovering zone grow exponentially with time.
+func (f *zoneFailover) growShare(z *zoneHealth, now Time) {
+	if !z.recovering {
 		return
 	}
-	p.trafficShare = min(1, p.trafficShare*math.Exp((b.now-p.shareUpdatedAt).Seconds()/p.growthTime.Seconds()))
-	if p.shareUpdatedAt = b.now; p.trafficShare >= 1 {
-		p.recovering, p.fullShareSince = false, b.now
-		b.logf("place %s has its whole share again", p.name)
+	z.trafficShare = min(1, z.trafficShare*math.Exp((now-z.shareUpdatedAt).Seconds()/z.growthTime.Seconds()))
+	z.shareUpdatedAt = now
+	if z.trafficShare >= 1 {
+		z.recovering, z.fullShareSince = false, now
+		f.logf("place %s has its whole share again", z.name)
 	}
 }
 
-// chooseZones draws which places r may go to now. A class whose places are all left has none better.
-func (b *Balancer) chooseZones(r *request) {
-	if !b.zonesDegraded {
+// chooseZones draws which zones a request may go to now: a zone with less than its whole share is closed to
+// the rest of the requests, and to all retries. If all servers that the class may use are in closed zones,
+// none is closed.
+func (f *zoneFailover) chooseZones(c *class, isRetry bool, now Time) {
+	if !f.degraded {
 		return
 	}
-	b.zonesDegraded = false
-	for _, p := range b.zones {
-		b.growTrafficShare(p)
-		p.closed = p.trafficShare < 1 && (len(r.attempts) > 0 || b.rng.Float64() >= p.trafficShare)
-		b.zonesDegraded = b.zonesDegraded || p.trafficShare < 1
+	f.degraded = false
+	for _, z := range f.all {
+		f.growShare(z, now)
+		z.closed = z.trafficShare < 1 && (isRetry || f.rng.Float64() >= z.trafficShare)
+		f.degraded = f.degraded || z.trafficShare < 1
 	}
-	if !r.class.eligible.contains(func(s *server) bool { return !s.zone.closed }) {
-		for _, p := range b.zones {
-			p.closed = false
+	if !c.eligible.contains(func(s *server) bool { return !s.zone.closed }) {
+		for _, z := range f.all {
+			z.closed = false
 		}
 	}
 }
 
-// fairParts is how many even parts of s this node has: those near a server fill it between them, and all
-// nodes may cross to it beside, each by one.
-func (b *Balancer) fairParts(s *server) float64 {
-	if s.zone != nil && s.zone.crossingCost == 0 {
-		return b.nearbyParts()
-	}
-	return 1
-}
-
-func (b *Balancer) nearbyParts() float64 { return float64(b.settings.NodeCount) / b.nearbyNodes }
+// chooseZones draws which zones a request may go to now.
+func (b *Balancer) chooseZones(r *request) { b.zones.chooseZones(r.class, len(r.attempts) > 0, b.now) }
 
-// countNearbyNodes works out how many nodes fill the servers near this one: as membership has it, or an even
-// part.
-func (b *Balancer) countNearbyNodes() {
-	nodes := float64(b.settings.NodeCount)
-	if b.nearbyNodes = min(nodes, float64(b.fleetSize.reachableInZone)); b.nearbyNodes == 0 {
-		b.nearbyNodes = max(1, nodes/float64(max(1, len(b.zones))))
+// pickZoneProbe returns a server of an evacuated zone that a request should probe, or nil.
+func (b *Balancer) pickZoneProbe(r *request) *server {
+	if !b.zones.degraded || len(r.attempts) > 0 {
+		return nil
+	}
+	s := b.zones.nextToProbe(r.class, b.now, b.hasWarmupBudget)
+	if s != nil {
+		s.outlier.probationInFlight = s.outlier.ejected // it counts for the server's probation too
 	}
+	return s
 }
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -2,128 +2,179 @@
 
 import (
 	"math"
+	"math/rand/v2"
+	"reflect"
 	"slices"
 	"strings"
 	"time"
 )
 
-// responseCounts counts those of a place lately, and the ill ones among them.
+// maxMonitoredZones bounds how many zones are monitored. Further ones are used, and never evacuated.
+const maxMonitoredZones = 1024
+
+// responseDecayTime is the time constant with which responses of a zone are forgotten.
+const responseDecayTime = 10 * time.Second
+
+// responseCounts counts recent responses, and the failures among them.
 type responseCounts struct {
 	failures, total float64
 	decayedAt       Time
 }
 
-func (a *responseCounts) decay(now Time) {
-	part := math.Exp(-(now - a.decayedAt).Seconds() / responseDecayTime.Seconds())
-	a.failures, a.total, a.decayedAt = a.failures*part, a.total*part, now
+// decay forgets responses by the time gone by.
+func (c *responseCounts) decay(now Time) {
+	remaining := math.Exp(-(now - c.decayedAt).Seconds() / responseDecayTime.Seconds())
+	c.failures, c.total, c.decayedAt = c.failures*remaining, c.total*remaining, now
 }
 
-func (a *responseCounts) record(ill bool) {
-	if a.total++; ill {
-		a.failures++
+func (c *responseCounts) record(failed bool) {
+	if c.total++; failed {
+		c.failures++
 	}
 }
 
-// zoneHealth is a zone as its servers show it.
+// zoneHealth is what is known of one zone.
 type zoneHealth struct {
-	responseCounts
-	name, region     string                  // and its region
-	monitored        bool                    // it is one of those that are judged
-	warmServers      int                     // its warm servers
-	evidence         fixedPoint              // sum of the evidence of its servers,
-	evidenceByKind   map[string]*evidenceSum // and by their kinds
-	crossingCost     float64                 // of crossing to it
-	trafficShare     float64                 // of the requests that would go there by order and room
-	closed           bool                    // to the request in hand
-	evacuatedUntil   Time                    // left, and not tried before; 0 for not left
-	lastProbeAt      Time                    // when a request last tried it
-	probeSuccesses   int                     // good tries in a row
-	serversVanished  bool                    // the list took its servers away in a mass
-	recovering       bool
-	growthTime       time.Duration // in which the share grows e-fold then
+	responseCounts // only while zones are compared
+	name, region   string
+	monitored      bool    // it may be evacuated
+	crossingCost   float64 // of sending to the zone
+	warmedUp       int     // servers in service that have warmed up; maintained by slowStart
+
+	evidence       fixedPoint              // sum of the evidence of its servers
+	evidenceByKind map[string]*evidenceSum // the same by their kinds
+
+	trafficShare    float64 // part of the requests that would go there by order and capacity
+	closed          bool    // to the request in hand
+	evacuatedUntil  Time    // when probes begin; 0 while it isn't evacuated
+	lastProbeAt     Time    // when a request last probed it
+	probeSuccesses  int     // in a row
+	serversVanished bool    // the list took its servers away in a mass
+
+	recovering       bool          // its share grows again
+	growthTime       time.Duration // in which the share grows e-fold
 	shareUpdatedAt   Time          // as of when the share is
 	fullShareSince   Time          // since when it is whole again
-	evacuations      int           // it was left lately
-	evacuationReason string        // it was left last
+	evacuations      int           // recent ones
+	evacuationReason string        // of the last one
 }
 
-func (p *zoneHealth) evacuated() bool { return p != nil && p.evacuatedUntil > 0 }
+// isEvacuated reports whether the zone gets no requests but probes.
+func (z *zoneHealth) isEvacuated() bool { return z != nil && z.evacuatedUntil > 0 }
 
-func (p *zoneHealth) isClosed() bool { return p != nil && p.closed }
+// isClosed reports whether the zone gets no part of the request in hand.
+func (z *zoneHealth) isClosed() bool { return z != nil && z.closed }
 
-func (p *zoneHealth) regionName() string {
-	if p == nil {
+func (z *zoneHealth) regionName() string {
+	if z == nil {
 		return ""
 	}
-	return p.region
+	return z.region
 }
 
-// takeVanished tells, once, whether the place's servers had vanished from the list.
-func (p *zoneHealth) takeVanished() (was bool) {
-	if p != nil {
-		was, p.serversVanished = p.serversVanished, false
+// takeVanished reports, once, whether the zone's servers had vanished from the list.
+func (z *zoneHealth) takeVanished() (vanished bool) {
+	if z != nil {
+		vanished, z.serversVanished = z.serversVanished, false
 	}
-	return was
+	return vanished
 }
 
-const maxMonitoredZones = 1024 // that are judged
+// zoneFailover owns the health of the zones, and decides which part of the requests may go to each. Where
+// the settings name no topology there are none. It draws from the Balancer's random numbers, and reads the
+// servers in service from its packing order.
+type zoneFailover struct {
+	topology      *Topology
+	ownZone       string
+	all           []*zoneHealth // monitored zones, sorted by name
+	degraded      bool          // a zone may have less than its whole share
+	compareFrom   Time          // attempts sent from then on count in the comparison of degraded zones
+	evidenceQueue serverQueue   // servers with evidence, by the time of it when queued
+	servers       *serverPool   // in service
+	rng           *rand.Rand
+	logf          func(format string, args ...any) // writes a line to the node's log
+}
+
+// configure takes over the settings. All zones are well again if the topology is another one.
+func (f *zoneFailover) configure(topology *Topology, ownZone string) {
+	if !reflect.DeepEqual(topology, f.topology) {
+		f.all = nil
+	}
+	f.topology, f.ownZone = topology, ownZone
+}
 
-// zoneOf is the place that a zone is; nil where the settings name none.
-func (b *Balancer) zoneOf(zone string) *zoneHealth {
-	if b.settings.Topology == nil {
+// find returns the health of a zone, which is well if it is new; nil where the settings name no topology.
+func (f *zoneFailover) find(name string) *zoneHealth {
+	if f.topology == nil {
 		return nil
 	}
-	i, found := slices.BinarySearchFunc(b.zones, zone, func(p *zoneHealth,
-		z string) int {
-		return strings.Compare(p.name, z)
+	i, found := slices.BinarySearchFunc(f.all, name, func(z *zoneHealth, name string) int {
+		return strings.Compare(z.name, name)
 	})
+	if found {
+		return f.all[i]
+	}
+	z := &zoneHealth{name: name, region: f.topology.region(name), trafficShare: 1}
+	if len(f.all) < maxMonitoredZones {
+		z.monitored = true
+		f.all = slices.Insert(f.all, i, z)
+	}
+	return z
+}
+
+// crossingCost is what sending to a server costs beyond sending to this node's own zone.
+func (f *zoneFailover) crossingCost(s *server) float64 {
 	switch {
-	case found:
-		return b.zones[i]
-	case len(b.zones) >= maxMonitoredZones:
-		// served, and not judged
-		return &zoneHealth{name: zone, region: b.settings.Topology.region(zone), trafficShare: 1}
+	case s.zone != nil:
+		s.zone.crossingCost = f.topology.cost(f.ownZone, s.Zone)
+		return s.zone.crossingCost
+	case s.Zone == f.ownZone:
+		return 0
 	}
-	p := &zoneHealth{name: zone, region: b.settings.Topology.region(zone), trafficShare: 1, monitored: true}
-	b.zones = slices.Insert(b.zones, i, p)
-	return p
+	return 1
 }
 
-// ZoneState is what a node makes of a place.
+// ZoneState is what a node makes of a zone.
 type ZoneState struct {
-	Zone, Region, State  string // well, suspect, left, returning
-	Cost, TrafficShare   float64
+	Zone, Region         string
+	State                string  // well, suspect, left, returning
+	Cost                 float64 // of crossing to it
+	TrafficShare         float64 // part of the requests that would go there by order and capacity
 	Servers, Evacuations int
-	Failures, Responses  float64 // answers lately
-	RetryIn              time.Duration
-	EvacuationReason     string // it was left last
+	Failures, Responses  float64       // recent ones
+	RetryIn              time.Duration // until it is probed again; 0 unless it is left
+	EvacuationReason     string        // of the last evacuation
 }
 
-// Zones tells what the node makes of each place; none where the settings name none.
+// Zones returns what the node makes of each zone; nil where the settings name no topology.
 func (b *Balancer) Zones(now Time) (all []ZoneState) {
 	if b.settings.Topology != nil {
 		all = []ZoneState{}
 	}
-	for _, p := range b.zones {
-		p.decay(max(now, b.now))
-		s := ZoneState{Zone: p.name, Region: p.region, State: "well", Cost: p.crossingCost,
-			TrafficShare: p.trafficShare,
-			Evacuations:  p.evacuations, Failures: p.failures, Responses: p.total,
-			EvacuationReason: p.evacuationReason}
-		switch {
-		case p.evacuated():
-			s.State, s.RetryIn = "left", max(0, p.evacuatedUntil-now)
-		case p.recovering:
-			s.State = "returning"
-		case p.trafficShare < 1:
-			s.State = "suspect"
-		}
-		for o := range b.all {
-			if o.zone == p {
-				s.Servers++
+	for _, z := range b.zones.all {
+		z.decay(max(now, b.now))
+		state := z.state(now)
+		for s := range b.packing.pool.all {
+			if s.zone == z {
+				state.Servers++
 			}
 		}
-		all = append(all, s)
+		all = append(all, state)
 	}
 	return all
 }
+
+func (z *zoneHealth) state(now Time) ZoneState {
+	state := ZoneState{Zone: z.name, Region: z.region, State: "well", Cost: z.crossingCost,
+		TrafficShare: z.trafficShare, Evacuations: z.evacuations, Failures: z.failures, Responses: z.total,
+		EvacuationReason: z.evacuationReason}
+	switch {
+	case z.isEvacuated():
+		state.State, state.RetryIn = "left", max(0, z.evacuatedUntil-now)
+	case z.recovering:
+		state.State = "returning"
+	case z.trafficShare < 1:
+		state.State = "suspect"
+	}
+	return state
+}
