--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -76,12 +76,12 @@
 	places := answering(t, "/places", []node.PlaceView{
 		{Zone: "a", Region: "r", State: "left", Cost: 1.5, Share: 0.25, Servers: 6, Left: 2, Ill: 4.5, Heard: 8, TriedInMs: 1200, Why: "ill"},
 		{Zone: "b", Region: "r", State: "well"}})
-	list := answering(t, "/registry/instances", registry.List{Revision: 41, Complete: true, Members: []registry.Entry{
-		{ID: "s-0", HostPort: "10.0.0.1:9000", Locality: "a", Flavor: "big-box", Cell: 3, Phase: "up", Size: 1.5, UpSince: 1700000000123,
+	list := answering(t, "/registry/instances", registry.EndpointList{Revision: 41, Complete: true, Endpoints: []registry.Endpoint{
+		{ID: "s-0", Address: "10.0.0.1:9000", Zone: "a", Kind: "big-box", Cell: 3, Phase: "up", Size: 1.5, StartTimeMs: 1700000000123,
 			Service: "svc"}, {ID: "s-1"}}})
-	status := answering(t, "/registry/status", registry.Status{ID: "r0", Leader: "r1", Epoch: 2, Revision: 41, Instances: 20, Held: true,
-		AgeMs: 5, Watches: 6, Lists: 7, Writes: 8, Shed: 9, Stale: 10,
-		Replicas: []registry.ReplicaStatus{{ID: "r0", Raft: "10.0.0.1:8501", Calls: "10.0.0.1:8500"}}})
+	status := answering(t, "/registry/status", registry.Status{ID: "r0", Leader: "r1", Epoch: 2, Revision: 41, Instances: 20, ExpirySuspended: true,
+		AgeMs: 5, Watches: 6, Lists: 7, Writes: 8, CallsRejected: 9, CallsRejectedStale: 10,
+		Replicas: []registry.ReplicaStatus{{ID: "r0", RaftAddress: "10.0.0.1:8501", APIAddress: "10.0.0.1:8500"}}})
 	for _, c := range []struct {
 		file, args string
 		address    string
--- a/policy/class.go
+++ b/policy/class.go
@@ -84,7 +84,7 @@
 	if known := b.classes.find(e); known != nil {
 		return known
 	}
-	return &class{Class: Class{LatencyObjective: e.Timeout, LateWeight: 1}, eligible: &b.serverPool,
+	return &class{Class: Class{LatencyObjective: e.Timeout, LateWeight: 1}, eligible: &b.packing.pool,
 		classStats: &classStats{timerIndex: -1}}
 }
 
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -72,7 +72,7 @@
 // onFleetSize follows the number of reachable nodes.
 func (b *Balancer) onFleetSize(e FleetSize) {
 	startDelay := b.fleetSize.observe(b.now, e)
-	b.countNearbyNodes()
+	b.updateCapacityShare()
 	b.rateMultiplier.value = min(b.rateMultiplier.value, b.rateConditions().maximum())
 	if startDelay {
 		b.emit(Action{Kind: SetTimer, Wait: fleetShrinkDelay, Token: fleetSizeTimerToken})
@@ -97,7 +97,7 @@
 	if nodes == b.settings.NodeCount {
 		return
 	}
-	b.settings.NodeCount, b.orderStale = nodes, true
+	b.settings.NodeCount, b.packing.stale = nodes, true
 	b.rateLimiter.configure(b.settings.Limits, b.settings.Tenants, nodes)
 	b.refreshOrder()
 }
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -30,10 +30,10 @@
 // SetSiblingInFlight takes over how many attempts the node's other process has in flight, by server. The
 // limits hold for both together, or a server would be filled twice while one process replaces the other.
 func (b *Balancer) SetSiblingInFlight(inFlight map[string]int) {
-	b.siblingInFlight = 0
+	b.window.siblingInFlight = 0
 	for id, s := range b.servers {
-		if s.siblingInFlight = max(0, inFlight[id]); !b.paceBoundByWarmup(s) {
-			b.siblingInFlight += s.siblingInFlight
+		if s.siblingInFlight = max(0, inFlight[id]); !b.isPacedByWarmup(s) {
+			b.window.siblingInFlight += s.siblingInFlight
 		}
 	}
 }
