--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -13,6 +13,7 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
+	"sloerail/internal/golden"
 	"sloerail/internal/membership"
 	"sloerail/internal/node"
 	"sloerail/internal/registry"
@@ -45,7 +46,7 @@
 	root.InitDefaultHelpCmd()
 	root.InitDefaultCompletionCmd()
 	list(root)
-	checkGolden(t, "commands.txt", out.Bytes())
+	golden.Check(t, "commands.txt", out.Bytes())
 }
 
 // answering serves a fixed answer at a path, and 404 at others.
@@ -98,7 +99,7 @@
 		if got != c.status {
 			t.Errorf("%s: status %d, want %d; %s", c.args, got, c.status, errs)
 		}
-		checkGolden(t, c.file, []byte(strings.ReplaceAll(out, c.address, "ADDRESS")))
+		golden.Check(t, c.file, []byte(strings.ReplaceAll(out, c.address, "ADDRESS")))
 	}
 }
 
@@ -124,7 +125,7 @@
 		if (err != nil || c.err != "") && fmt.Sprint(err) != c.err {
 			t.Errorf("%s: error %v, want %q", c.file, err, c.err)
 		}
-		checkGolden(t, c.file, out.Bytes())
+		golden.Check(t, c.file, out.Bytes())
 	}
 }
 
--- a/internal/emulator/form_test.go
+++ b/internal/emulator/form_test.go
@@ -4,6 +4,8 @@
 	"encoding/json"
 	"reflect"
 	"testing"
+
+	"sloerail/internal/golden"
 )
 
 // goldenAnswer has every key and every phase.
@@ -22,9 +24,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		checkGolden(t, file, raw)
+		golden.Check(t, file, raw)
 		var read Answer
-		if err := json.Unmarshal(readGolden(t, file), &read); err != nil {
+		if err := json.Unmarshal(golden.Read(t, file), &read); err != nil {
 			t.Fatal(err)
 		}
 		if !reflect.DeepEqual(read, answer) {
--- a/internal/scaletest/form_test.go
+++ b/internal/scaletest/form_test.go
@@ -8,6 +8,7 @@
 
 	"github.com/pelletier/go-toml/v2"
 
+	"sloerail/internal/golden"
 	"sloerail/internal/simulation"
 )
 
@@ -26,8 +27,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, file, raw)
-	read, err := Parse(readGolden(t, file))
+	golden.Check(t, file, raw)
+	read, err := Parse(golden.Read(t, file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,9 +60,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, file, append(raw, '\n'))
+	golden.Check(t, file, append(raw, '\n'))
 	var read Report
-	if err := json.Unmarshal(readGolden(t, file), &read); err != nil {
+	if err := json.Unmarshal(golden.Read(t, file), &read); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, goldenReport()) {
@@ -75,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "empty.json", raw)
+	golden.Check(t, "empty.json", raw)
 }
 
 // Names by which runs are set beside each other.
@@ -90,7 +91,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "names.json", append(raw, '\n'))
+	golden.Check(t, "names.json", append(raw, '\n'))
 }
 
 // What writers tell the list service is in the form of the service.
@@ -101,9 +102,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, file, raw)
+	golden.Check(t, file, raw)
 	var read registration
-	if err := json.Unmarshal(readGolden(t, file), &read); err != nil {
+	if err := json.Unmarshal(golden.Read(t, file), &read); err != nil {
 		t.Fatal(err)
 	}
 	if read != want {
--- a/internal/simulation/form_test.go
+++ b/internal/simulation/form_test.go
@@ -8,6 +8,8 @@
 	"time"
 
 	"github.com/pelletier/go-toml/v2"
+
+	"sloerail/internal/golden"
 )
 
 // goldenScenario has every key and every kind of fault.
@@ -29,8 +31,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, file, raw)
-	read, err := Parse(readGolden(t, file))
+	golden.Check(t, file, raw)
+	read, err := Parse(golden.Read(t, file))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,9 +67,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, file, raw)
+	golden.Check(t, file, raw)
 	var read Outcome
-	if err := json.Unmarshal(readGolden(t, file), &read); err != nil {
+	if err := json.Unmarshal(golden.Read(t, file), &read); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, goldenOutcome()) {
@@ -93,7 +95,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "played.json", raw)
+	golden.Check(t, "played.json", raw)
 }
 
 func TestPairFormIsFrozen(t *testing.T) {
@@ -103,5 +105,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "pairs.json", raw)
+	golden.Check(t, "pairs.json", raw)
 }
--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -8,13 +8,14 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/golden"
 	"sloerail/policy"
 )
 
 // goldenLines are the lines of a file of testdata.
 func goldenLines(t *testing.T, file string) []string {
 	t.Helper()
-	return strings.Split(strings.TrimSuffix(string(readGolden(t, file)), "\n"), "\n")
+	return strings.Split(strings.TrimSuffix(string(golden.Read(t, file)), "\n"), "\n")
 }
 
 // everySetting is what the line with every key says.
@@ -113,7 +114,7 @@
 		}
 		fmt.Fprintln(&out, err)
 	}
-	checkGolden(t, "faults.golden", out.Bytes())
+	golden.Check(t, "faults.golden", out.Bytes())
 }
 
 // TestEveryActionIsFrozen writes every action, with each value that may be left out both ways.
@@ -138,7 +139,7 @@
 		out = AppendAction(out, 3, a)
 	}
 	out = AppendYield(AppendBroken(out, 3, `a "b"`))
-	checkGolden(t, "actions.golden", out)
+	golden.Check(t, "actions.golden", out)
 	for kind, name := range actionNames {
 		if !bytes.Contains(out, []byte(`["`+name+`",`)) && name != "" { // a kind without a name is never written here
 			t.Errorf("action %d, %s, is not among those written", kind, name)
--- a/internal/testcluster/form_test.go
+++ b/internal/testcluster/form_test.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sloerail/internal/emulator"
+	"sloerail/internal/golden"
 )
 
 // goldenSchedule has every kind of fault, and every key both present and left out.
@@ -26,8 +27,8 @@
 // A schedule that a failure printed has to be replayed by later versions.
 func TestScheduleFormIsFrozen(t *testing.T) {
 	const file = "schedule.json"
-	checkGolden(t, file, []byte(goldenSchedule().String()+"\n"))
-	raw := readGolden(t, file)
+	golden.Check(t, file, []byte(goldenSchedule().String()+"\n"))
+	raw := golden.Read(t, file)
 	read, err := Parse(string(raw))
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +51,7 @@
 // A seed draws the same schedule in later versions.
 func TestDrawnScheduleIsFrozen(t *testing.T) {
 	s := Draw(39, 12, time.Minute, []string{"n0", "n1", "n2"}, Kill, Pause, Replace, Restart, Part, PartOne, Lossy)
-	checkGolden(t, "drawn.json", []byte(s.String()+"\n"))
+	golden.Check(t, "drawn.json", []byte(s.String()+"\n"))
 }
 
 // The settings that nodes are given have the keys of the operators' settings.
@@ -60,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "settings.json", append(raw, '\n'))
+	golden.Check(t, "settings.json", append(raw, '\n'))
 }
 
 // The file of a node with every section.
@@ -78,5 +79,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	checkGolden(t, "node.json", raw)
+	golden.Check(t, "node.json", raw)
 }
