--- a/cmd/sloerail/experiment.go
+++ b/cmd/sloerail/experiment.go
@@ -154,7 +154,7 @@
 		return out
 	}
 	for _, r := range rows {
-		all = append(all, jsonRow{r.Name, finite(r.Places), finite(r.Alone), r.Broken, r.Reached()})
+		all = append(all, jsonRow{r.Name, finite(r.WithTopology), finite(r.WithoutTopology), r.Broken, r.Reached()})
 	}
 	return all
 }
@@ -169,7 +169,7 @@
 		if !math.IsInf(r.Max, 0) {
 			want += fmt.Sprintf(" %.3g or less", r.Max)
 		}
-		t.AppendRow(table.Row{r.Name, want, meanAndRange(r.Places), meanAndRange(r.Alone), r.Broken, r.Reached()})
+		t.AppendRow(table.Row{r.Name, want, meanAndRange(r.WithTopology), meanAndRange(r.WithoutTopology), r.Broken, r.Reached()})
 	}
 	t.Render()
 }
--- a/cmd/sloerail/scale.go
+++ b/cmd/sloerail/scale.go
@@ -48,7 +48,7 @@
 	}
 	f := cmd.Flags()
 	f.DurationVar(&flags.For, "for", 0, "the whole run takes no longer; 0 for what the scenario says")
-	f.IntVar(&flags.Most, "most", 0, "leave out larger sizes; 0 for none")
+	f.IntVar(&flags.MaxSize, "most", 0, "leave out larger sizes; 0 for none")
 	f.Uint64Var(&flags.seed, "seed", 0, "of all chances, in place of the scenario's")
 	f.BoolVar(&flags.asJSON, "json", false, "print all that was measured as JSON")
 	f.StringVar(&flags.plot, "plot", "", "draw the measures and their laws into this SVG file")
@@ -75,7 +75,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUse, err)
 	}
-	if flags.For < 0 || flags.Most < 0 {
+	if flags.For < 0 || flags.MaxSize < 0 {
 		return fmt.Errorf("%w: for, most: want 0 or more", errUse)
 	}
 	if cmd.Flags().Changed("seed") {
@@ -165,7 +165,7 @@
 
 // heldOf names the sizes that don't grow.
 func heldOf(s scaletest.Scenario) string {
-	h := s.Held
+	h := s.Fixed
 	var all []string
 	for _, v := range []struct {
 		of    scaletest.Dimension
@@ -260,8 +260,8 @@
 			row[8] = fmt.Sprintf("%s (%s to %s)", short(l.AtTarget), short(l.Low), short(l.High))
 			row[9] = fmt.Sprintf("x%.3g", l.Beyond)
 		}
-		if l.Budget > 0 {
-			row[10] = short(l.Budget)
+		if l.Limit > 0 {
+			row[10] = short(l.Limit)
 			switch {
 			case l.Reaches > 0:
 				row[11] = short(l.Reaches)
--- a/cmd/sloerail/simulate.go
+++ b/cmd/sloerail/simulate.go
@@ -30,7 +30,7 @@
 			if err != nil {
 				return fmt.Errorf("%w: %w", errUse, err)
 			}
-			s.Places = s.Places && !noPlaces
+			s.Topology = s.Topology && !noPlaces
 			w, err := simulation.New(s, seed)
 			if err != nil {
 				return fmt.Errorf("%w: %w", errUse, err)
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -26,12 +26,12 @@
 	rules         Rules
 	tries         map[string]*tryRecord
 	drainingSince map[[2]string]Time // node and server: since when the node knows that it drains
-	cold          map[string]*workWindow
+	slowStartWork map[string]*workWindow
 	violations    []string
 	count         int
 
-	Taken, Answered, Lost, Sent, Turned int
-	TurnedWhy                           []string // of those at nodes that weren't killed
+	Accepted, Answered, Unanswered, Sent, TurnedAway int
+	TurnedWhy                                        []string // of those at nodes that weren't killed
 }
 
 type tryRecord struct {
@@ -51,7 +51,7 @@
 // NewChecker makes a checker that has seen nothing.
 func NewChecker(rules Rules) *Checker {
 	return &Checker{rules: rules, tries: make(map[string]*tryRecord), drainingSince: make(map[[2]string]Time),
-		cold: make(map[string]*workWindow)}
+		slowStartWork: make(map[string]*workWindow)}
 }
 
 // Violations are the rules broken so far, each with what broke it; count is how many there were, for only so
@@ -65,9 +65,9 @@
 	}
 }
 
-// Took books that a try's last byte was written to a connection that a node had accepted.
-func (c *Checker) Took(now Time, t *Try) {
-	c.Taken++
+// RequestAccepted books that a try's last byte was written to a connection that a node had accepted.
+func (c *Checker) RequestAccepted(now Time, t *Try) {
+	c.Accepted++
 	seen := c.tries[t.ID]
 	if seen == nil {
 		seen = &tryRecord{}
@@ -93,14 +93,14 @@
 	if status == 200 && !t.mayHaveRun() {
 		c.violate(now, "%s: 200, and no server served it", id)
 	}
-	if refused := status == 429 || status == 503; refused && t.mayHaveRun() && t.try.Class.Repeat != Free {
+	if refused := status == 429 || status == 503; refused && t.mayHaveRun() && t.try.Class.RetrySafety != Idempotent {
 		c.violate(now, "%s: refused though it may have run", id)
 	}
 }
 
 // Broke books that the connection of a try ended without a whole answer: a violation unless its node was killed.
 func (c *Checker) Broke(now Time, id string, killed bool) {
-	c.Lost++
+	c.Unanswered++
 	if killed {
 		return
 	}
@@ -109,15 +109,15 @@
 
 // TurnedBack books a try that found no node: its connection was refused, or ended with no answer.
 func (c *Checker) TurnedBack(now Time, id string, why error, killed bool) {
-	if c.Turned++; !killed && len(c.TurnedWhy) < maxViolations {
+	if c.TurnedAway++; !killed && len(c.TurnedWhy) < maxViolations {
 		c.TurnedWhy = append(c.TurnedWhy, fmt.Sprintf("%.3f s: %s: %v", now.Seconds(), id, why))
 	}
 }
 
-// Silent books that a try had no answer when its time, with the grace, was over: it has failed.
-func (c *Checker) Silent(now Time, id string) {
+// WatchSilent books that a try had no answer when its time, with the grace, was over: it has failed.
+func (c *Checker) WatchSilent(now Time, id string) {
 	if t := c.tries[id]; t != nil && t.answers == 0 {
-		c.Lost++
+		c.Unanswered++
 	}
 }
 
@@ -150,9 +150,9 @@
 			continue
 		}
 		switch k := t.try.Class; {
-		case k.Repeat == Never:
+		case k.RetrySafety == NonIdempotent:
 			c.violate(now, "%s: a second copy at %s of what may have run at %s", id, server.Spec.ID, a.server)
-		case k.Repeat == Guarded && (a.cell != cell || now-a.at > k.Window):
+		case k.RetrySafety == IdempotencyKeyed && (a.cell != cell || now-a.at > k.DedupWindow):
 			c.violate(now, "%s: a copy at %s, outside of the group and window of %s", id, server.Spec.ID, a.server)
 		}
 	}
@@ -164,13 +164,13 @@
 func (c *Checker) checkSlowStart(now Time, id string, server *Server, t *tryRecord) {
 	capacity := server.Capacity(now)
 	if capacity >= 1 {
-		delete(c.cold, server.Spec.ID)
+		delete(c.slowStartWork, server.Spec.ID)
 		return
 	}
-	w := c.cold[server.Spec.ID]
+	w := c.slowStartWork[server.Spec.ID]
 	if w == nil {
 		w = &workWindow{}
-		c.cold[server.Spec.ID] = w
+		c.slowStartWork[server.Spec.ID] = w
 	}
 	var work time.Duration
 	if t.try != nil {
@@ -197,8 +197,8 @@
 	}
 }
 
-// Told books that a node was told what a server does now.
-func (c *Checker) Told(now Time, node, server, phase string) {
+// ChangeNotified books that a node was told what a server does now.
+func (c *Checker) ChangeNotified(now Time, node, server, phase string) {
 	key := [2]string{node, server}
 	if phase == Up {
 		delete(c.drainingSince, key)
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -9,34 +9,34 @@
 	"sloerail/internal/priority"
 )
 
-// Repeat says how often a request of a class may run.
-type Repeat string
+// RetrySafety says how often a request of a class may run.
+type RetrySafety string
 
 // The words that settings have for it.
 const (
-	Free    Repeat = "free"
-	Guarded Repeat = "guarded"
-	Never   Repeat = "single_shot"
+	Idempotent       RetrySafety = "free"
+	IdempotencyKeyed RetrySafety = "guarded"
+	NonIdempotent    RetrySafety = "single_shot"
 )
 
 // Class is a class of requests as clients send them.
 type Class struct {
-	Name             string
-	Share            float64
-	MinWork, MaxWork time.Duration // of work
-	Aim, Deadline    time.Duration
-	Worth            float64
-	Repeat           Repeat
-	Window           time.Duration // for Guarded
+	Name                       string
+	Share                      float64
+	MinWork, MaxWork           time.Duration // of work
+	LatencyObjective, Deadline time.Duration
+	PriorityWeight             float64
+	RetrySafety                RetrySafety
+	DedupWindow                time.Duration // for Guarded
 }
 
 // Classes are those of the operators' pages.
 func Classes() []Class {
 	const ms = time.Millisecond
 	return []Class{
-		{"meter-read", 0.51, 230 * ms, 410 * ms, 1500 * ms, 3000 * ms, 1, Free, 0},
-		{"service-order", 0.26, 150 * ms, 270 * ms, 750 * ms, 2500 * ms, 2, Guarded, 12 * time.Second},
-		{"bill-charge", 0.23, 340 * ms, 610 * ms, 2500 * ms, 6000 * ms, 5, Never, 0},
+		{"meter-read", 0.51, 230 * ms, 410 * ms, 1500 * ms, 3000 * ms, 1, Idempotent, 0},
+		{"service-order", 0.26, 150 * ms, 270 * ms, 750 * ms, 2500 * ms, 2, IdempotencyKeyed, 12 * time.Second},
+		{"bill-charge", 0.23, 340 * ms, 610 * ms, 2500 * ms, 6000 * ms, 5, NonIdempotent, 0},
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 	t.Work = time.Duration(c.spec.Work * float64(k.MinWork+time.Duration(c.rng.Int64N(int64(k.MaxWork-k.MinWork)+1))))
 	t.ID = c.id()
-	if k.Repeat == Guarded {
+	if k.RetrySafety == IdempotencyKeyed {
 		t.Key = "k-" + t.ID
 	}
 	t.Expires = c.open(t)
@@ -199,7 +199,7 @@
 	switch status {
 	case http.StatusOK:
 		r.served = now
-		if now-r.first <= t.Class.Aim {
+		if now-r.first <= t.Class.LatencyObjective {
 			sums.InTime++
 		} else {
 			sums.Late++
@@ -210,7 +210,7 @@
 	}
 	again := now + max(c.spec.Wait, retryAfter)
 	// What may have run and must not run twice is the client's to settle, not to send again.
-	harmless := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || t.Class.Repeat != Never
+	harmless := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || t.Class.RetrySafety != NonIdempotent
 	if !harmless || r.tries >= c.spec.Tries || again >= r.first+t.Class.Deadline {
 		sums.Unserved++
 		return
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-func try(id string, repeat Repeat) *Try {
-	return &Try{ID: id, Class: &Class{Name: string(repeat), Repeat: repeat, Window: 12 * time.Second}, Expires: time.Second,
+func try(id string, repeat RetrySafety) *Try {
+	return &Try{ID: id, Class: &Class{Name: string(repeat), RetrySafety: repeat, DedupWindow: 12 * time.Second}, Expires: time.Second,
 		Work: 100 * ms}
 }
 
@@ -28,69 +28,69 @@
 		want string // empty for nothing
 	}{
 		{"an answer in time", func(j *Checker) {
-			j.Took(0, try("x", Never))
+			j.RequestAccepted(0, try("x", NonIdempotent))
 			j.Arrived(0, "n", "x", a)
 			j.Over("x", "a", false)
 			j.Answer(time.Second, "x", 200)
 		}, ""},
-		{"a late answer", func(j *Checker) { j.Took(0, try("x", Free)); j.Answer(1100*ms, "x", 503) }, "late"},
+		{"a late answer", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.Answer(1100*ms, "x", 503) }, "late"},
 		{"two answers", func(j *Checker) {
-			j.Took(0, try("x", Free))
+			j.RequestAccepted(0, try("x", Idempotent))
 			j.Answer(1, "x", 503)
 			j.Answer(2, "x", 503)
 		}, "second final answer"},
-		{"an answer out of nothing", func(j *Checker) { j.Took(0, try("x", Free)); j.Answer(1, "x", 200) }, "no server served"},
-		{"a connection cut off", func(j *Checker) { j.Took(0, try("x", Free)); j.Broke(1, "x", false) }, "no answer"},
-		{"a connection of a killed node", func(j *Checker) { j.Took(0, try("x", Free)); j.Broke(1, "x", true) }, ""},
+		{"an answer out of nothing", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.Answer(1, "x", 200) }, "no server served"},
+		{"a connection cut off", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.Broke(1, "x", false) }, "no answer"},
+		{"a connection of a killed node", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.Broke(1, "x", true) }, ""},
 		{"a second copy of what must not run twice", func(j *Checker) {
-			j.Took(0, try("x", Never))
+			j.RequestAccepted(0, try("x", NonIdempotent))
 			j.Arrived(1, "n", "x", a)
 			j.Over("x", "a", false)
 			j.Arrived(2, "n", "x", b)
 		}, "second copy"},
 		{"another try after it was turned away", func(j *Checker) {
-			j.Took(0, try("x", Never))
+			j.RequestAccepted(0, try("x", NonIdempotent))
 			j.Arrived(1, "n", "x", a)
 			j.Over("x", "a", true)
 			j.Arrived(2, "n", "x", b)
 		}, ""},
 		{"a repeat in another cell", func(j *Checker) {
-			j.Took(0, try("x", Guarded))
+			j.RequestAccepted(0, try("x", IdempotencyKeyed))
 			j.Arrived(1, "n", "x", a)
 			j.Over("x", "a", false)
 			j.Arrived(2, "n", "x", b)
 		}, "outside of the group"},
 		{"a repeat in the same cell", func(j *Checker) {
-			j.Took(0, try("x", Guarded))
+			j.RequestAccepted(0, try("x", IdempotencyKeyed))
 			j.Arrived(1, "n", "x", a)
 			j.Over("x", "a", false)
 			j.Arrived(2, "n", "x", a)
 		}, ""},
 		{"two attempts out", func(j *Checker) {
-			j.Took(0, try("x", Free))
+			j.RequestAccepted(0, try("x", Idempotent))
 			j.Arrived(1, "n", "x", a)
 			j.Arrived(2, "n", "x", b)
 		}, "is out"},
 		{"refused after it may have run", func(j *Checker) {
-			j.Took(0, try("x", Never))
+			j.RequestAccepted(0, try("x", NonIdempotent))
 			j.Arrived(1, "n", "x", a)
 			j.Over("x", "a", false)
 			j.Answer(2, "x", 503)
 		}, "refused though"},
 		{"a draining server", func(j *Checker) {
-			j.Told(0, "n", "a", Draining)
-			j.Took(time.Second, try("x", Free))
+			j.ChangeNotified(0, "n", "a", Draining)
+			j.RequestAccepted(time.Second, try("x", Idempotent))
 			j.Arrived(2*time.Second, "n", "x", a)
 		}, "which drains"},
 		{"a draining server, told to another node", func(j *Checker) {
-			j.Told(0, "m", "a", Draining)
-			j.Took(time.Second, try("x", Free))
+			j.ChangeNotified(0, "m", "a", Draining)
+			j.RequestAccepted(time.Second, try("x", Idempotent))
 			j.Arrived(2*time.Second, "n", "x", a)
 		}, ""},
 		{"a cold server", func(j *Checker) {
 			for i := range 200 {
 				id := fmt.Sprint("x", i)
-				j.Took(time.Second, try(id, Free))
+				j.RequestAccepted(time.Second, try(id, Idempotent))
 				j.Arrived(time.Second+Time(i)*ms, fmt.Sprint("n", i%3), id, cold)
 			}
 		}, "the cold cold was sent"},
@@ -194,7 +194,7 @@
 					t.Fatalf("%s is sent again though it may have run", try.ID)
 				}
 				status := []int{200, 503, 502, 0}[len(log.String())%4]
-				if (status == 502 || status == 0) && try.Class.Repeat == Never {
+				if (status == 502 || status == 0) && try.Class.RetrySafety == NonIdempotent {
 					unsafe[try.request] = true
 				}
 				c.Ended(try.At+ms, try, status, 0)
@@ -224,7 +224,7 @@
 						delete(seen, e.ID)
 					}
 				}
-				if whole := l.Whole(); len(whole.Members) != len(seen) {
+				if whole := l.Snapshot(); len(whole.Members) != len(seen) {
 					t.Fatalf("seen %v, and there are %v", seen, whole.Members)
 				}
 			}
--- a/internal/emulator/form_test.go
+++ b/internal/emulator/form_test.go
@@ -19,7 +19,7 @@
 
 // What the stand-in for the list service answers is in the form of the service.
 func TestListFormIsFrozen(t *testing.T) {
-	for file, answer := range map[string]Answer{"list.json": goldenAnswer(), "empty.json": NewList().Whole()} {
+	for file, answer := range map[string]Answer{"list.json": goldenAnswer(), "empty.json": NewList().Snapshot()} {
 		raw, err := json.Marshal(answer)
 		if err != nil {
 			t.Fatal(err)
@@ -37,7 +37,7 @@
 
 // Settings hold these words.
 func TestRepeatWordsAreFrozen(t *testing.T) {
-	for got, want := range map[Repeat]string{Free: "free", Guarded: "guarded", Never: "single_shot"} {
+	for got, want := range map[RetrySafety]string{Idempotent: "free", IdempotencyKeyed: "guarded", NonIdempotent: "single_shot"} {
 		if string(got) != want {
 			t.Errorf("got %q, want %q", got, want)
 		}
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// Whole is the list as it is.
-func (l *List) Whole() Answer {
+// Snapshot is the list as it is.
+func (l *List) Snapshot() Answer {
 	a := Answer{Revision: l.revision, Complete: true, Members: []Entry{}}
 	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
 		a.Members = append(a.Members, l.entries[id])
@@ -83,7 +83,7 @@
 		return Answer{Revision: l.revision, Members: []Entry{}}, false
 	}
 	if revision > l.revision || len(l.changes) == 0 || revision < l.changes[0].revision-1 {
-		return l.Whole(), true
+		return l.Snapshot(), true
 	}
 	newest := make(map[string]Entry)
 	for _, c := range l.changes {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -21,8 +21,8 @@
 	Speed          float64 // of a core; 1 is the unit of work
 	MaxRequests    int     // requests in work and waiting; more are turned away
 
-	ColdShare float64       // it starts at this part of its capacity
-	ColdFor   time.Duration // and is warm after this
+	SlowStartMinCapacity float64       // it starts at this part of its capacity
+	SlowStartDuration    time.Duration // and is warm after this
 
 	OverloadAt       float64       // times its cores, waiting for OverloadAfter, make it slower
 	OverloadAfter    time.Duration // see OverloadAt
@@ -35,8 +35,8 @@
 
 // DefaultServer is a server in the middle of the ranges that the operators state for theirs.
 func DefaultServer(id, zone string) ServerSpec {
-	return ServerSpec{ID: id, Zone: zone, Kind: "big-box", Cores: 7, Speed: 1.8, MaxRequests: 64, ColdShare: 0.13,
-		ColdFor: 24 * time.Second, OverloadAt: 2, OverloadAfter: 2 * time.Second, OverloadSlowdown: 2.9,
+	return ServerSpec{ID: id, Zone: zone, Kind: "big-box", Cores: 7, Speed: 1.8, MaxRequests: 64, SlowStartMinCapacity: 0.13,
+		SlowStartDuration: 24 * time.Second, OverloadAt: 2, OverloadAfter: 2 * time.Second, OverloadSlowdown: 2.9,
 		OverloadRecovery: 3 * time.Second, DedupWindow: 12 * time.Second, ReportInterval: time.Second}
 }
 
@@ -104,11 +104,11 @@
 
 // Capacity is the part of its full capacity that the server has.
 func (s *Server) Capacity(now Time) float64 {
-	if s.started == 0 || now >= s.started+s.Spec.ColdFor {
+	if s.started == 0 || now >= s.started+s.Spec.SlowStartDuration {
 		return 1
 	}
-	age := float64(now-s.started) / float64(s.Spec.ColdFor)
-	return s.Spec.ColdShare + (1-s.Spec.ColdShare)*max(0, age)
+	age := float64(now-s.started) / float64(s.Spec.SlowStartDuration)
+	return s.Spec.SlowStartMinCapacity + (1-s.Spec.SlowStartMinCapacity)*max(0, age)
 }
 
 // coreSpeed is how many times faster than one core of speed 1 a core of the server is now.
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -26,7 +26,7 @@
 const (
 	sampleEvery   = time.Second      // traffic is compared by such windows
 	leaderWithin  = 30 * time.Second // of a fault's end, or the point has failed
-	mostReplicas  = 7
+	maxReplicas   = 7
 	instancesList = "/registry/instances"
 )
 
@@ -78,7 +78,7 @@
 	for _, name := range w.service.Names {
 		w.service.Process(name).Kill()
 	}
-	if err := sleep(ctx, w.scenario.Away.Duration); err != nil {
+	if err := sleep(ctx, w.scenario.Outage.Duration); err != nil {
 		return nil, err
 	}
 	sampling, began := w.startSampling(nodes), time.Now()
@@ -192,8 +192,8 @@
 		return fmt.Errorf("fault: of dimensions %s and %s alone, got %s", Nodes, Changes, s.Dimension)
 	case s.Fault == LeaderKilled && s.Replicas < 3:
 		return fmt.Errorf("replicas: want 3 or more for %s, got %d", s.Fault, s.Replicas)
-	case s.Fault == ReplicasAway && (s.Away.Duration <= 0 || s.Away.Duration > s.For.Duration):
-		return fmt.Errorf("away: want more than 0 and up to for, %v, got %v", s.For, s.Away)
+	case s.Fault == ReplicasAway && (s.Outage.Duration <= 0 || s.Outage.Duration > s.For.Duration):
+		return fmt.Errorf("away: want more than 0 and up to for, %v, got %v", s.For, s.Outage)
 	}
 	return nil
 }
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -25,7 +25,7 @@
 var laws = []Law{Constant, Logarithmic, Linear, Linearithmic, Power}
 
 // The exponents that are tried for Power.
-const leastPower, mostPower, powerStep = 1.05, 3.0, 0.05
+const minPower, maxPower, powerStep = 1.05, 3.0, 0.05
 
 // term is f(n).
 func (f Fit) term(n float64) float64 {
@@ -66,19 +66,19 @@
 // span factors, and so do values.
 type Fit struct {
 	Measure
-	Source   Source  `json:"source"`
-	Law      Law     `json:"law"`           // empty for none
-	Why      Reason  `json:"why,omitempty"` // there is none
-	A        float64 `json:"a"`
-	B        float64 `json:"b"`
-	P        float64 `json:"p,omitempty"` // of Power
-	Points   int     `json:"points"`
-	From     int     `json:"from"` // the sizes that it was fitted over
-	To       int     `json:"to"`
-	Residual float64 `json:"residual"` // root mean square, as a part of the value
-	Worst    float64 `json:"worst"`    // of the means at the sizes, the same
-	Exponent float64 `json:"exponent"` // of the growth between the two largest sizes: 0 is constant, 1 linear
-	Left     int     `json:"left"`     // smallest sizes left out, for no law fits over all
+	Source       Source  `json:"source"`
+	Law          Law     `json:"law"`           // empty for none
+	Why          Reason  `json:"why,omitempty"` // there is none
+	A            float64 `json:"a"`
+	B            float64 `json:"b"`
+	P            float64 `json:"p,omitempty"` // of Power
+	Points       int     `json:"points"`
+	From         int     `json:"from"` // the sizes that it was fitted over
+	To           int     `json:"to"`
+	Residual     float64 `json:"residual"` // root mean square, as a part of the value
+	Worst        float64 `json:"worst"`    // of the means at the sizes, the same
+	Exponent     float64 `json:"exponent"` // of the growth between the two largest sizes: 0 is constant, 1 linear
+	SizesOmitted int     `json:"left"`     // smallest sizes left out, for no law fits over all
 
 	weights, terms float64 // sums of the fit, for its uncertainty
 	mean           float64
@@ -125,13 +125,13 @@
 	case slices.ContainsFunc(o.values, func(v float64) bool { return !(v > 0) || math.IsInf(v, 0) }):
 		none.Why = NotAboveZero
 		return none
-	case len(sizes) < leastSizes:
+	case len(sizes) < minSizes:
 		none.Why = TooFewSizes
 		return none
 	}
-	for left := 0; len(sizes)-left >= leastSizes; left++ {
+	for left := 0; len(sizes)-left >= minSizes; left++ {
 		if f, found := plainest(o.from(sizes[left])); found {
-			f.Left, f.Exponent = left, none.Exponent
+			f.SizesOmitted, f.Exponent = left, none.Exponent
 			return f
 		}
 	}
@@ -185,7 +185,7 @@
 	if law != Power {
 		return fitOne(Fit{Law: law}, o)
 	}
-	for p := leastPower; p <= mostPower; p += powerStep {
+	for p := minPower; p <= maxPower; p += powerStep {
 		f, ok := fitOne(Fit{Law: law, P: p}, o)
 		if ok && (!found || f.Residual < best.Residual) {
 			best, found = f, true
--- a/internal/scaletest/fit_test.go
+++ b/internal/scaletest/fit_test.go
@@ -37,7 +37,7 @@
 		recognised, within := 0, 0
 		for seed := range uint64(seeds) {
 			f := fitLaw(observe(testSizes, seed, known.of))
-			if f.Law == known.law && f.Left == 0 {
+			if f.Law == known.law && f.SizesOmitted == 0 {
 				recognised++
 			}
 			const target = 1e6
@@ -77,8 +77,8 @@
 func TestSmallSizesThatHideTheLawAreLeftOut(t *testing.T) {
 	// Constant up to 300, and a steep line from then on.
 	f := fitLaw(observe(testSizes, 1, func(n float64) float64 { return 10 + 50*max(0, n-290) }))
-	if f.Law != Linear || f.Left != 1 && f.Left != 2 || f.From != int(testSizes[f.Left]) {
-		t.Errorf("got %s over %d to %d with %d left out", f.Law, f.From, f.To, f.Left)
+	if f.Law != Linear || f.SizesOmitted != 1 && f.SizesOmitted != 2 || f.From != int(testSizes[f.SizesOmitted]) {
+		t.Errorf("got %s over %d to %d with %d left out", f.Law, f.From, f.To, f.SizesOmitted)
 	}
 }
 
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -29,21 +29,21 @@
 
 // fleet draws what a point needs from the seed: servers, tenants and the nodes' configurations.
 type fleet struct {
-	held Held
-	dir  string
-	rng  *rand.Rand
+	fixed FixedSizes
+	dir   string
+	rng   *rand.Rand
 }
 
 // newFleet makes the same fleet for the same seed, run and size.
-func newFleet(held Held, dir string, seed uint64, run int) *fleet {
-	return &fleet{held: held, dir: dir, rng: rand.New(rand.NewPCG(seed, uint64(run)))}
+func newFleet(held FixedSizes, dir string, seed uint64, run int) *fleet {
+	return &fleet{fixed: held, dir: dir, rng: rand.New(rand.NewPCG(seed, uint64(run)))}
 }
 
 func zoneName(i int) string { return fmt.Sprintf("region-%d-zone-%d", i%regions, i/regions%zonesEach) }
 
 // servers are the entries of the list, in zones drawn at random.
 func (f *fleet) servers() []registry.Endpoint {
-	all := make([]registry.Endpoint, f.held.Servers)
+	all := make([]registry.Endpoint, f.fixed.Servers)
 	for i := range all {
 		all[i] = registry.Endpoint{ID: fmt.Sprintf("server-%06d", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
 			Zone: zoneName(f.rng.IntN(regions * zonesEach)), Kind: serverKinds[i%len(serverKinds)], Cell: int64(i / cellSize),
@@ -64,7 +64,7 @@
 // configuration writes the file of a node, and returns its path and its size. The node is one of so many; discovery is
 // where it watches the list.
 func (f *fleet) configuration(position int, discovery string) (path string, size int, err error) {
-	tenants := make([]emulator.Tenant, f.held.Tenants)
+	tenants := make([]emulator.Tenant, f.fixed.Tenants)
 	for i := range tenants {
 		tenants[i] = emulator.Tenant{Name: tenantName(i), Share: 1 / float64(len(tenants))}
 	}
@@ -73,13 +73,13 @@
 		region := fmt.Sprintf("region-%d", i%regions)
 		zonesOf[region] = append(zonesOf[region], zoneName(i))
 	}
-	quota := tenantRate * float64(len(tenants)*f.held.Nodes)
+	quota := tenantRate * float64(len(tenants)*f.fixed.Nodes)
 	file := map[string]any{
 		"name": fmt.Sprintf("node-%05d", position), "listen": "127.0.0.1:0", "discovery": discovery,
 		"seed":   fmt.Sprintf("%x", f.rng.Uint64()),
 		"limits": map[string]any{"cores": 1, "memory_mb": nodeMemoryMB, "sockets": nodeSockets},
 		"known":  map[string]any{"revision": 0, "complete": true, "members": []any{}},
-		"settings": testcluster.Settings(position, f.held.Nodes, zoneName(position%(regions*zonesEach)), emulator.Classes(), tenants,
+		"settings": testcluster.Settings(position, f.fixed.Nodes, zoneName(position%(regions*zonesEach)), emulator.Classes(), tenants,
 			quota),
 		"places": map[string]any{"regions": zonesOf},
 	}
--- a/internal/scaletest/form_test.go
+++ b/internal/scaletest/form_test.go
@@ -16,9 +16,9 @@
 func goldenScenario() Scenario {
 	return Scenario{Name: "golden", What: "every key", Dimension: Changes, Sizes: []int{10, 20, 40, 80, 160}, Runs: 3, Seed: 39,
 		For: simulation.Duration{Duration: 10 * time.Minute}, Span: simulation.Duration{Duration: 1500 * time.Millisecond},
-		Held:     Held{Servers: 1000, Tenants: 50, Nodes: 20, Requests: 200.5, Changes: 0.5},
-		Replicas: 3, Fault: ReplicasAway, Away: simulation.Duration{Duration: 5 * time.Second}, Target: 20000,
-		Budgets: []Budget{{Measure: "heap", Most: 1e8}, {Measure: "decision CPU", Most: 5000.5}}}
+		Fixed:    FixedSizes{Servers: 1000, Tenants: 50, Nodes: 20, Requests: 200.5, Changes: 0.5},
+		Replicas: 3, Fault: ReplicasAway, Outage: simulation.Duration{Duration: 5 * time.Second}, Target: 20000,
+		Budgets: []Limit{{Measure: "heap", Max: 1e8}, {Measure: "decision CPU", Max: 5000.5}}}
 }
 
 func TestScenarioFormIsFrozen(t *testing.T) {
@@ -40,7 +40,7 @@
 // goldenReport has every key, and each that may be left out both ways.
 func goldenReport() Report {
 	fit := Fit{Measure: Heap, Source: Hollow, Law: Power, A: 1.5, B: 2.5, P: 1.25, Points: 15, From: 10, To: 160, Residual: 0.125, Worst: 0.25,
-		Exponent: 1.0625, Left: 1}
+		Exponent: 1.0625, SizesOmitted: 1}
 	none := Fit{Measure: Resident, Source: Process, Why: NoLaw}
 	return Report{Scenario: goldenScenario(), Machine: Machine{Cores: 8, Memory: 1 << 35, Go: "go1.26"},
 		Began: time.Date(2026, 12, 3, 4, 5, 6, 7000, time.UTC),
@@ -49,7 +49,7 @@
 			{Dimension: "changes", Size: 10, Run: 2, Source: Process, Value: 0, Measure: InForceP99},
 		},
 		Ratios: []Ratio{{Measure: Heap, Size: 10, Hollow: 2, Process: 3, Ratio: 1.5}},
-		Laws: []Extrapolate{{Fit: fit, Target: 20000, AtTarget: 5e6, Low: 4e6, High: 6e6, Beyond: 125, Budget: 1e8, Reaches: 3e5},
+		Laws: []Extrapolate{{Fit: fit, Target: 20000, AtTarget: 5e6, Low: 4e6, High: 6e6, Beyond: 125, Limit: 1e8, Reaches: 3e5},
 			{Fit: none}},
 		NotMeasured: NotMeasured, Stopped: "context canceled"}
 }
--- a/internal/scaletest/plot.go
+++ b/internal/scaletest/plot.go
@@ -20,7 +20,7 @@
 	panelHeight           = 7 * vg.Centimeter
 	panelGap              = 3 * vg.Millimeter
 	curvePoints           = 64
-	budgetWidth           = vg.Length(1.5)
+	limitWidth            = vg.Length(1.5)
 	axisMargin            = 1.3 // times the largest value, below it the smallest
 	largestTargetDrawn    = 1e9
 	smallestDrawn         = 1e-9
@@ -28,7 +28,7 @@
 )
 
 var (
-	budgetColor = color.RGBA{R: 200, A: 255}
+	limitColor  = color.RGBA{R: 200, A: 255}
 	targetColor = color.Gray{Y: 120}
 )
 
@@ -143,14 +143,14 @@
 
 // addBudget draws the budget, up to the target, and a line at that.
 func addBudget(p *plot.Plot, law Extrapolate) error {
-	if law.Budget <= 0 {
+	if law.Limit <= 0 {
 		return nil
 	}
-	across, err := plotter.NewLine(plotter.XYs{{X: float64(law.From), Y: law.Budget}, {X: law.lastDrawn(), Y: law.Budget}})
+	across, err := plotter.NewLine(plotter.XYs{{X: float64(law.From), Y: law.Limit}, {X: law.lastDrawn(), Y: law.Limit}})
 	if err != nil {
 		return err
 	}
-	across.Color, across.Width = budgetColor, budgetWidth
+	across.Color, across.Width = limitColor, limitWidth
 	p.Add(across)
 	p.Legend.Add("budget", across)
 	if law.Target <= 0 {
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -20,35 +20,35 @@
 
 // Measures of real processes beside those that a hollow node has too.
 var (
-	PeakResident    = Measure{"peak resident memory", Bytes}            // the most that the process ever held
-	StartTime       = Measure{"start", Milliseconds}                    // until the node has the list and takes clients
-	ServersListed   = Measure{"servers listed", Count}                  // that the node has once it started
-	ListTaken       = Measure{"list taken from the service", Count}     // 1, or 0 where it came from the node's file
-	ChangeBytes     = Measure{"list change", Bytes}                     // on the wire, for each change
-	ElsewhereCPU    = Measure{"list change elsewhere CPU", Nanoseconds} // of servers that the node's routes don't need
-	ElsewhereBytes  = Measure{"list change elsewhere", Bytes}           // on the wire, for each change
-	RequestCPU      = Measure{"request CPU", Nanoseconds}               // of the node, for each request
-	DirectP50       = Measure{"request without a node, p50", Nanoseconds}
-	DirectP99       = Measure{"request without a node, p99", Nanoseconds}
-	ThroughP50      = Measure{"request through a node, p50", Nanoseconds}
-	ThroughP99      = Measure{"request through a node, p99", Nanoseconds}
-	AddedP50        = Measure{"added to a request, p50", Nanoseconds} // difference of the two medians
-	AddedP99        = Measure{"added to a request, p99", Nanoseconds} // difference of the two 99th percentiles
-	RequestsFailed  = Measure{"requests that failed", Count}
-	RequestsSent    = Measure{"requests through a node", Count}
-	RegisterRate    = Measure{"registrations a second", PerSecond} // by all writers
-	RenewRate       = Measure{"renewals a second", PerSecond}      // by all writers
-	RenewCPU        = Measure{"renewal CPU", Nanoseconds}          // of all replicas, for each renewal
-	WatcherToldP50  = Measure{"watcher told p50", Milliseconds}    // from before the write to the answer read
-	WatcherToldP99  = Measure{"watcher told p99", Milliseconds}    //
-	WatcherToldLast = Measure{"watcher told, last", Milliseconds}  //
-	WatcherCPU      = Measure{"watcher told CPU", Nanoseconds}     // of all replicas, for each watcher and change
-	LeaderResident  = Measure{"leader's resident memory", Bytes}   //
+	PeakResident        = Measure{"peak resident memory", Bytes}            // the most that the process ever held
+	StartTime           = Measure{"start", Milliseconds}                    // until the node has the list and takes clients
+	ServersListed       = Measure{"servers listed", Count}                  // that the node has once it started
+	ListReceived        = Measure{"list taken from the service", Count}     // 1, or 0 where it came from the node's file
+	ChangeBytes         = Measure{"list change", Bytes}                     // on the wire, for each change
+	ElsewhereCPU        = Measure{"list change elsewhere CPU", Nanoseconds} // of servers that the node's routes don't need
+	ElsewhereBytes      = Measure{"list change elsewhere", Bytes}           // on the wire, for each change
+	RequestCPU          = Measure{"request CPU", Nanoseconds}               // of the node, for each request
+	DirectP50           = Measure{"request without a node, p50", Nanoseconds}
+	DirectP99           = Measure{"request without a node, p99", Nanoseconds}
+	ThroughP50          = Measure{"request through a node, p50", Nanoseconds}
+	ThroughP99          = Measure{"request through a node, p99", Nanoseconds}
+	AddedP50            = Measure{"added to a request, p50", Nanoseconds} // difference of the two medians
+	AddedP99            = Measure{"added to a request, p99", Nanoseconds} // difference of the two 99th percentiles
+	RequestsFailed      = Measure{"requests that failed", Count}
+	RequestsSent        = Measure{"requests through a node", Count}
+	RegisterRate        = Measure{"registrations a second", PerSecond} // by all writers
+	RenewRate           = Measure{"renewals a second", PerSecond}      // by all writers
+	RenewCPU            = Measure{"renewal CPU", Nanoseconds}          // of all replicas, for each renewal
+	WatcherNotifiedP50  = Measure{"watcher told p50", Milliseconds}    // from before the write to the answer read
+	WatcherNotifiedP99  = Measure{"watcher told p99", Milliseconds}    //
+	WatcherNotifiedLast = Measure{"watcher told, last", Milliseconds}  //
+	WatcherCPU          = Measure{"watcher told CPU", Nanoseconds}     // of all replicas, for each watcher and change
+	LeaderResident      = Measure{"leader's resident memory", Bytes}   //
 )
 
 // realMeasures are those that a hollow node doesn't have, in the order of tables.
 func realMeasures() []Measure {
-	return []Measure{PeakResident, StartTime, ServersListed, ListTaken, ChangeBytes, ElsewhereCPU, ElsewhereBytes, RequestCPU, DirectP50, DirectP99, ThroughP50, ThroughP99, AddedP50, AddedP99, RequestsFailed, RequestsSent, RegisterRate, RenewRate, RenewCPU, WatcherToldP50, WatcherToldP99, WatcherToldLast, WatcherCPU, LeaderResident}
+	return []Measure{PeakResident, StartTime, ServersListed, ListReceived, ChangeBytes, ElsewhereCPU, ElsewhereBytes, RequestCPU, DirectP50, DirectP99, ThroughP50, ThroughP99, AddedP50, AddedP99, RequestsFailed, RequestsSent, RegisterRate, RenewRate, RenewCPU, WatcherNotifiedP50, WatcherNotifiedP99, WatcherNotifiedLast, WatcherCPU, LeaderResident}
 }
 
 // ProcessSpec says how real processes are measured. Zero values are replaced by what suits the target.
@@ -113,24 +113,24 @@
 // ProcessDimension is a dimension that is measured on the programs as they ship, each in a process of its own.
 type ProcessDimension struct {
 	Name     Dimension
-	Least    int
-	Most     int
+	MinSize  int
+	MaxSize  int
 	replicas int // of the list service; 0 for one
-	measure  func(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error
+	measure  func(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error
 }
 
 // ProcessDimensions are all there are.
 func ProcessDimensions() []ProcessDimension {
 	return []ProcessDimension{
-		{Name: "real-servers", Least: 1, Most: 200_000, measure: measureRealServers},
-		{Name: "real-scoped", Least: 1, Most: mostScoped, measure: measureRealScoped},
-		{Name: "real-day", Least: 1, Most: mostScoped, measure: measureRealDay},
-		{Name: "real-requests", Least: 1, Most: 150_000, measure: measureRealRequests},
-		{Name: "real-tenants", Least: 1, Most: mostTenants, measure: measureRealTenants},
-		{Name: "real-registry", Least: 1, Most: mostListed, measure: measureRealInstances},
-		{Name: "real-registry-3", Least: 1, Most: mostListed, replicas: 3, measure: measureRealInstances},
-		{Name: "real-watchers", Least: 1, Most: mostWatchers, measure: measureRealWatchers},
-		{Name: "real-watchers-3", Least: 1, Most: mostWatchers, replicas: 3, measure: measureRealWatchers},
+		{Name: "real-servers", MinSize: 1, MaxSize: 200_000, measure: measureRealServers},
+		{Name: "real-scoped", MinSize: 1, MaxSize: maxScopedServers, measure: measureRealScoped},
+		{Name: "real-day", MinSize: 1, MaxSize: maxScopedServers, measure: measureRealDay},
+		{Name: "real-requests", MinSize: 1, MaxSize: 150_000, measure: measureRealRequests},
+		{Name: "real-tenants", MinSize: 1, MaxSize: maxTenants, measure: measureRealTenants},
+		{Name: "real-registry", MinSize: 1, MaxSize: maxInstances, measure: measureRealInstances},
+		{Name: "real-registry-3", MinSize: 1, MaxSize: maxInstances, replicas: 3, measure: measureRealInstances},
+		{Name: "real-watchers", MinSize: 1, MaxSize: maxWatchers, measure: measureRealWatchers},
+		{Name: "real-watchers-3", MinSize: 1, MaxSize: maxWatchers, replicas: 3, measure: measureRealWatchers},
 	}
 }
 
@@ -159,8 +159,8 @@
 	if err := spec.Check(); err != nil {
 		return nil, err
 	}
-	if size < d.Least || size > d.Most {
-		return nil, fmt.Errorf("%s: size: want %d to %d, got %d", d.Name, d.Least, d.Most, size)
+	if size < d.MinSize || size > d.MaxSize {
+		return nil, fmt.Errorf("%s: size: want %d to %d, got %d", d.Name, d.MinSize, d.MaxSize, size)
 	}
 	dir, err := os.MkdirTemp("", "sloerail-scale-")
 	if err != nil {
--- a/internal/scaletest/process_list.go
+++ b/internal/scaletest/process_list.go
@@ -38,7 +38,7 @@
 func (c *listCounter) close()                { _ = c.server.Close() }
 
 // serve has a handler answer at an address of the rig's.
-func (c *listCounter) serve(r *testcluster.Rig, h http.Handler) error {
+func (c *listCounter) serve(r *testcluster.Cluster, h http.Handler) error {
 	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", r.Host(), listServicePort))
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 func routeService(i int) string { return fmt.Sprintf("service-%04d", i) }
 
 // startList serves a list of n servers; address says where each of them is.
-func startList(r *testcluster.Rig, n int, address func(i int) string) (*listService, error) {
+func startList(r *testcluster.Cluster, n int, address func(i int) string) (*listService, error) {
 	s := &listService{list: emulator.NewList(), changed: make(chan struct{})}
 	for i := range n {
 		s.list.Set(emulator.Entry{ID: serverName(i), HostPort: address(i), Locality: zoneOf(i), Flavor: serviceOf(i),
@@ -80,7 +80,7 @@
 func (s *listService) whole() emulator.Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.list.Whole()
+	return s.list.Snapshot()
 }
 
 // change changes one server's phase, and tells all watches.
@@ -121,7 +121,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !watch {
-		return s.list.Whole(), nil, true
+		return s.list.Snapshot(), nil, true
 	}
 	answer, news := s.list.Since(index)
 	return answer, s.changed, news
--- a/internal/scaletest/process_registry.go
+++ b/internal/scaletest/process_registry.go
@@ -20,10 +20,10 @@
 	watchedInstances = 2000
 	watchedChanges   = 20
 	fewWatchers      = 50
-	mostRenewals     = 1000             // that are timed
+	maxRenewals      = 1000             // that are timed
 	instanceLease    = 10 * time.Minute // none runs out during a run
 	watchFor         = 30 * time.Second
-	longestTold      = time.Minute
+	maxNotifyTime    = time.Minute
 )
 
 // registryRun is a list service of real replicas under measurement.
@@ -32,7 +32,7 @@
 	leader string
 }
 
-func startRegistry(ctx context.Context, r *testcluster.Rig, replicas int) (*registryRun, error) {
+func startRegistry(ctx context.Context, r *testcluster.Cluster, replicas int) (*registryRun, error) {
 	g, err := r.NewRegistry(replicas)
 	if err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 }
 
 // measureRealInstances measures the list service with so many instances and a few watchers.
-func measureRealInstances(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealInstances(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	g, err := startRegistry(ctx, r, spec.Replicas)
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 	if err != nil {
 		return err
 	}
-	renewals := min(size, mostRenewals)
+	renewals := min(size, maxRenewals)
 	if rate, err = g.renewAll(ctx, renewals); err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 }
 
 // measureRealWatchers measures the list service with a common number of instances and so many watchers.
-func measureRealWatchers(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealWatchers(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	g, err := startRegistry(ctx, r, spec.Replicas)
 	if err != nil {
 		return err
@@ -209,7 +209,7 @@
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer stop()
-	w := &watchers{late: hdrhistogram.New(1, longestTold.Microseconds(), histogramDigit)}
+	w := &watchers{late: hdrhistogram.New(1, maxNotifyTime.Microseconds(), histogramDigit)}
 	for i := range n {
 		all.Go(func() { w.follow(under, registry.NewClient([]string{g.Listen(g.Names[i%len(g.Names)])})) })
 	}
@@ -242,7 +242,7 @@
 	rec.Record(WatcherCPU, float64(after-before)/float64(n*watchedChanges))
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for m, quantile := range map[Measure]float64{WatcherToldP50: 50, WatcherToldP99: 99, WatcherToldLast: 100} {
+	for m, quantile := range map[Measure]float64{WatcherNotifiedP50: 50, WatcherNotifiedP99: 99, WatcherNotifiedLast: 100} {
 		rec.Record(m, float64(w.late.ValueAtQuantile(quantile))/1000)
 	}
 	return nil
--- a/internal/scaletest/process_requests.go
+++ b/internal/scaletest/process_requests.go
@@ -26,7 +26,7 @@
 )
 
 // startServers starts the servers that requests end at; they answer at once.
-func startServers(r *testcluster.Rig) (addresses []string, end func(), err error) {
+func startServers(r *testcluster.Cluster) (addresses []string, end func(), err error) {
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		_, _ = io.Copy(io.Discard, req.Body)
 		w.Header().Set("X-Load", "latency_ms=1.0,util=0.02,qps=30")
@@ -112,7 +112,7 @@
 // measureRealRequests measures what a node that knows so many servers adds to a request: the same clients ask the same
 // servers straight and through the node, one request after the other in turns, so that whatever else the machine
 // does is in both.
-func measureRealRequests(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealRequests(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	addresses, end, err := startServers(r)
 	if err != nil {
 		return err
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	if err := sleep(ctx, min(settleTime, spec.Window)); err != nil {
+	if err := sleep(ctx, min(startupDelay, spec.Window)); err != nil {
 		return err
 	}
 	direct, through := newWay(at), newWay(func(int) string { return n.Listen })
--- a/internal/scaletest/process_scoped.go
+++ b/internal/scaletest/process_scoped.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	defaultSubset = 20      // servers of each service that a node connects to
-	mostScoped    = 150_000 // instances that the list service takes
+	defaultSubset    = 20      // servers of each service that a node connects to
+	maxScopedServers = 150_000 // instances that the list service takes
 )
 
 // registryList is a list service of real replicas, called through a proxy that counts what it answers.
@@ -28,7 +28,7 @@
 	client *registry.Client
 }
 
-func startRegistryList(ctx context.Context, r *testcluster.Rig, replicas, n int) (*registryList, error) {
+func startRegistryList(ctx context.Context, r *testcluster.Cluster, replicas, n int) (*registryList, error) {
 	run, err := startRegistry(ctx, r, replicas)
 	if err != nil {
 		return nil, err
@@ -80,7 +80,7 @@
 }
 
 // startScopedNode starts the list service, then the node, which has to list what its scope has.
-func startScopedNode(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) (*scopedNode, error) {
+func startScopedNode(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) (*scopedNode, error) {
 	list, err := startRegistryList(ctx, r, spec.Replicas, size)
 	if err != nil {
 		return nil, err
@@ -104,13 +104,13 @@
 	}
 	rec.Record(ListBytes, float64(list.bytes.Load()))
 	if err == nil {
-		err = sleep(ctx, min(settleTime, spec.Window))
+		err = sleep(ctx, min(startupDelay, spec.Window))
 	}
 	return &scopedNode{n, list}, err
 }
 
 // measureRealScoped measures a node with a scope, by the servers that there are in all.
-func measureRealScoped(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealScoped(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	n, err := startScopedNode(ctx, r, spec, size, rec)
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 
 // measureRealDay measures a node with a scope while servers anywhere drain and come back at the rate of the target's
 // day.
-func measureRealDay(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealDay(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	n, err := startScopedNode(ctx, r, spec, size, rec)
 	if err != nil {
 		return err
--- a/internal/scaletest/process_servers.go
+++ b/internal/scaletest/process_servers.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	realNodeMemoryMB = 1024             // so that the collector isn't what is measured
-	takeListIn       = 15 * time.Second // or the node is held not to take it
-	settleTime       = 3 * time.Second  // after a start, before anything is watched
-	lookEvery        = 20 * time.Millisecond
-	manyTenants      = 10
-	quotaOfAll       = 1e9 // requests a second: no bucket refuses
-	listedFigure     = "app_registry_entries"
-	takenFigure      = "app_cfg_accepted_total"
-	nodeDeadline     = 2 * time.Second
-	nodeAim          = time.Second
-	readyTime        = 60 * time.Second
-	nodeDescripts    = 4096
+	realNodeMemoryMB     = 1024             // so that the collector isn't what is measured
+	takeListIn           = 15 * time.Second // or the node is held not to take it
+	startupDelay         = 3 * time.Second  // after a start, before anything is watched
+	lookEvery            = 20 * time.Millisecond
+	manyTenants          = 10
+	quotaOfAll           = 1e9 // requests a second: no bucket refuses
+	listedFigure         = "app_registry_entries"
+	configAcceptedMetric = "app_cfg_accepted_total"
+	nodeDeadline         = 2 * time.Second
+	nodeLatencyObjective = time.Second
+	readyTime            = 60 * time.Second
+	nodeDescripts        = 4096
 )
 
 // nodesBefore is how many nodes stand before one server, where each node reaches the servers of its routes alone and
@@ -37,8 +37,8 @@
 func nodeSettings(spec ProcessSpec, services, tenants int) map[string]any {
 	var classes []emulator.Class
 	for i := range spec.Routes {
-		classes = append(classes, emulator.Class{Name: routeName(i), Aim: nodeAim, Deadline: nodeDeadline,
-			Worth: 1, Repeat: emulator.Free})
+		classes = append(classes, emulator.Class{Name: routeName(i), LatencyObjective: nodeLatencyObjective, Deadline: nodeDeadline,
+			PriorityWeight: 1, RetrySafety: emulator.Idempotent})
 	}
 	var all []emulator.Tenant
 	for i := range tenants {
@@ -57,27 +57,27 @@
 
 // startNode starts a node that takes its list from a service. Where that list is beyond what it takes, the list
 // stands in its file.
-func startNode(ctx context.Context, r *testcluster.Rig, list *listService, settings map[string]any, rec *Recorder) (*testcluster.Node, error) {
+func startNode(ctx context.Context, r *testcluster.Cluster, list *listService, settings map[string]any, rec *Recorder) (*testcluster.Node, error) {
 	spec := testcluster.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB, Sockets: nodeDescripts,
 		Settings: settings}
 	want := len(list.whole().Members)
 	n, listed, err := startAndRecord(ctx, r, spec, want, rec)
 	if err != nil || listed == want {
-		rec.Record(ListTaken, 1)
+		rec.Record(ListReceived, 1)
 		return n, err
 	}
 	n.Process().Kill()
 	rec.forget(ServersListed, StartTime, StartCPU)
-	spec.Name, spec.Known = "node-with-list", list.whole()
+	spec.Name, spec.InitialList = "node-with-list", list.whole()
 	if n, listed, err = startAndRecord(ctx, r, spec, want, rec); err == nil && listed < want {
 		err = fmt.Errorf("a node takes %d servers of %d, from the service or from its file", listed, want)
 	}
-	rec.Record(ListTaken, 0)
+	rec.Record(ListReceived, 0)
 	return n, err
 }
 
 // startAndRecord starts a node, and notes what that took.
-func startAndRecord(ctx context.Context, r *testcluster.Rig, spec testcluster.NodeSpec, want int, rec *Recorder) (*testcluster.Node, int, error) {
+func startAndRecord(ctx context.Context, r *testcluster.Cluster, spec testcluster.NodeSpec, want int, rec *Recorder) (*testcluster.Node, int, error) {
 	n, err := r.Node(spec)
 	if err != nil {
 		return nil, 0, err
@@ -119,7 +119,7 @@
 }
 
 // measureRealServers measures a node at rest, and at changes of its list, with so many servers known.
-func measureRealServers(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealServers(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	list, err := startList(r, size, func(i int) string { return fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255) })
 	if err != nil {
 		return err
@@ -132,7 +132,7 @@
 	}
 	rec.Record(ListBytes, float64(list.bytes.Load()-before))
 	runtime.GC() // of the list service, which shares this machine
-	if err := sleep(ctx, min(settleTime, spec.Window)); err != nil {
+	if err := sleep(ctx, min(startupDelay, spec.Window)); err != nil {
 		return err
 	}
 	if err := watchRest(ctx, spec, n, list.counted(), rec); err != nil {
@@ -216,7 +216,7 @@
 }
 
 // measureRealTenants measures a node at rest whose settings name so many tenants, and its taking of them anew.
-func measureRealTenants(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealTenants(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	list, err := startList(r, spec.Routes, func(int) string { return "10.0.0.1:9000" })
 	if err != nil {
 		return err
@@ -232,7 +232,7 @@
 	if err != nil {
 		return err
 	}
-	if err := sleep(ctx, min(settleTime, spec.Window)); err != nil {
+	if err := sleep(ctx, min(startupDelay, spec.Window)); err != nil {
 		return err
 	}
 	if err := watchRest(ctx, spec, n, list.counted(), rec); err != nil {
@@ -243,7 +243,7 @@
 	if err != nil {
 		return err
 	}
-	taken, err := figure(ctx, n.Control(), takenFigure)
+	taken, err := figure(ctx, n.Control(), configAcceptedMetric)
 	if err != nil {
 		return err
 	}
@@ -251,7 +251,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
 	err = testcluster.Await(ctx, "the settings to be taken", func() bool {
-		now, err := figure(ctx, n.Control(), takenFigure)
+		now, err := figure(ctx, n.Control(), configAcceptedMetric)
 		return err == nil && now > taken
 	})
 	if err != nil {
--- a/internal/scaletest/process_test.go
+++ b/internal/scaletest/process_test.go
@@ -92,7 +92,7 @@
 		t.Errorf("the zero value: %v", err)
 	}
 	for _, d := range ProcessDimensions() {
-		for _, size := range []int{d.Least - 1, d.Most + 1} {
+		for _, size := range []int{d.MinSize - 1, d.MaxSize + 1} {
 			_, err := d.Measure(t.Context(), ProcessSpec{}, size, 1)
 			if err == nil || !strings.Contains(err.Error(), fmt.Sprint("got ", size)) {
 				t.Errorf("%s: size %d: got %v, want it refused", d.Name, size, err)
@@ -154,8 +154,8 @@
 func TestRealNodeTakesItsListAndChanges(t *testing.T) {
 	const servers = 2 * defaultRoutes * serversEach
 	got := measured(t, "real-servers", ProcessSpec{Window: 400 * time.Millisecond, Changes: 10}, servers)
-	if got[ServersListed.Name] != servers || got[ListTaken.Name] != 1 {
-		t.Errorf("%v servers listed of %d, from the service: %v", got[ServersListed.Name], servers, got[ListTaken.Name])
+	if got[ServersListed.Name] != servers || got[ListReceived.Name] != 1 {
+		t.Errorf("%v servers listed of %d, from the service: %v", got[ServersListed.Name], servers, got[ListReceived.Name])
 	}
 	for _, m := range []Measure{StartCPU, ListChangeCPU, ElsewhereCPU, Resident, ListBytes, ChangeBytes} {
 		if !(got[m.Name] > 0) {
@@ -186,13 +186,13 @@
 
 func TestRealRegistryTellsAllWatchers(t *testing.T) {
 	got := measured(t, "real-registry-3", ProcessSpec{Window: 100 * time.Millisecond}, 100)
-	for _, m := range []Measure{RegisterRate, RenewRate, RenewCPU, ListBytes, WatcherToldP99, WatcherCPU, LeaderResident} {
+	for _, m := range []Measure{RegisterRate, RenewRate, RenewCPU, ListBytes, WatcherNotifiedP99, WatcherCPU, LeaderResident} {
 		if !(got[m.Name] > 0) {
 			t.Errorf("%s: %v", m.Name, got[m.Name])
 		}
 	}
-	if got[WatcherToldLast.Name] < got[WatcherToldP50.Name] {
-		t.Errorf("the last was told after %v ms, half of them after %v", got[WatcherToldLast.Name], got[WatcherToldP50.Name])
+	if got[WatcherNotifiedLast.Name] < got[WatcherNotifiedP50.Name] {
+		t.Errorf("the last was told after %v ms, half of them after %v", got[WatcherNotifiedLast.Name], got[WatcherNotifiedP50.Name])
 	}
 }
 
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -27,7 +27,7 @@
 	Low      float64 `json:"low,omitempty"` // and High: 95% of measurements there, if the law holds
 	High     float64 `json:"high,omitempty"`
 	Beyond   float64 `json:"beyond,omitempty"`  // times the largest size measured
-	Budget   float64 `json:"budget,omitempty"`  // 0 for none
+	Limit    float64 `json:"budget,omitempty"`  // 0 for none
 	Reaches  float64 `json:"reaches,omitempty"` // the size at which the law comes to the budget; 0 for never
 }
 
@@ -59,7 +59,7 @@
 }
 
 // noLaw are measures of which none is looked for: a reciprocal of another, and counts of what should be none.
-var noLaw = []Measure{DecisionRate, Refused, ChangeRate, ChangesRefused, ChangesMissed, ServersRemoved, ServersListed, ListTaken,
+var noLaw = []Measure{DecisionRate, Refused, ChangeRate, ChangesRefused, ChangesMissed, ServersRemoved, ServersListed, ListReceived,
 	RequestsSent, RequestsFailed}
 
 // observed are the values of a measure, of one source.
@@ -116,7 +116,7 @@
 
 // Laws are those of each measure, of each source, and what they say of a target; a target of 0 is none. The measurements
 // are of one dimension.
-func Laws(all []Measurement, target float64, budgets []Budget) (laws []Extrapolate) {
+func Laws(all []Measurement, target float64, budgets []Limit) (laws []Extrapolate) {
 	type series struct {
 		Measure
 		Source
@@ -133,27 +133,27 @@
 	return laws
 }
 
-func extrapolate(m Measure, source Source, o observations, target float64, budgets []Budget) Extrapolate {
+func extrapolate(m Measure, source Source, o observations, target float64, budgets []Limit) Extrapolate {
 	f := fitLaw(o)
 	f.Measure, f.Source = m, source
-	e := Extrapolate{Fit: f, Target: target, Budget: budgetOf(m, budgets)}
+	e := Extrapolate{Fit: f, Target: target, Limit: budgetOf(m, budgets)}
 	if f.Law == "" || e.Target == 0 {
 		return e
 	}
 	e.AtTarget = f.At(e.Target)
 	e.Low, e.High = f.Between(e.Target)
 	e.Beyond = e.Target / float64(f.To)
-	if e.Budget > 0 {
-		e.Reaches, _ = f.Reaches(e.Budget)
+	if e.Limit > 0 {
+		e.Reaches, _ = f.Reaches(e.Limit)
 	}
 	return e
 }
 
 // budgetOf is that of a measure; 0 for none.
-func budgetOf(m Measure, budgets []Budget) float64 {
+func budgetOf(m Measure, budgets []Limit) float64 {
 	for _, b := range budgets {
 		if b.Measure == m.Name {
-			return b.Most
+			return b.Max
 		}
 	}
 	return 0
--- a/internal/scaletest/requests.go
+++ b/internal/scaletest/requests.go
@@ -20,8 +20,8 @@
 	reportRate = 100.0                 // requests a second that it takes, as it reports
 
 	timingFor   = 400 * time.Millisecond // that steps are timed for,
-	leastTimed  = 200                    // unless they are fewer then,
-	mostTimed   = 50_000                 // or already more
+	minTimed    = 200                    // unless they are fewer then,
+	maxTimed    = 50_000                 // or already more
 	timingCheck = 16                     // steps between looks at whether the run was called off
 
 	longestStep       = time.Minute // that a histogram holds
@@ -47,7 +47,7 @@
 	inFlight       []policy.Outcome // oldest first
 }
 
-func newRequests(n *node.Hollow, held Held, rng *rand.Rand) *requests {
+func newRequests(n *node.Hollow, held FixedSizes, rng *rand.Rand) *requests {
 	return &requests{node: n, rng: rng, every: time.Duration(float64(time.Second) / held.Requests),
 		depth: max(1, int(held.Requests*answerTime.Seconds())), tenants: held.Tenants, classes: emulator.Classes()}
 }
@@ -99,7 +99,7 @@
 	t.each = newHistogram()
 	cpu, began := ownCPU(), time.Now()
 	defer func() { t.cpu = ownCPU() - cpu }()
-	for at := began; t.steps < least || at.Sub(began) < timingFor && t.steps < mostTimed; {
+	for at := began; t.steps < least || at.Sub(began) < timingFor && t.steps < maxTimed; {
 		if t.steps%timingCheck == 0 && ctx.Err() != nil {
 			return t, ctx.Err()
 		}
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -16,14 +16,14 @@
 // Options bound a run, beside what its scenario says.
 type Options struct {
 	For      time.Duration  // the whole run takes no longer; 0 for what the scenario says
-	Most     int            // larger sizes are left out; 0 for none
+	MaxSize  int            // larger sizes are left out; 0 for none
 	Progress func(Progress) // is told of each point before it begins, and of the end; nil for nobody
-	Beside   Beside         // measures the same point otherwise; nil for nothing
+	Compare  Comparison     // measures the same point otherwise; nil for nothing
 }
 
-// Beside measures a size in one run by other means than hollow nodes, real processes say. Its values stand beside those
+// Comparison measures a size in one run by other means than hollow nodes, real processes say. Its values stand beside those
 // of the hollow nodes that have the same measure.
-type Beside func(ctx context.Context, s Scenario, size, run int) ([]Measurement, error)
+type Comparison func(ctx context.Context, s Scenario, size, run int) ([]Measurement, error)
 
 // Progress is how far a run has come.
 type Progress struct {
@@ -82,7 +82,7 @@
 	}
 	var sizes []int
 	for _, size := range s.Sizes {
-		if o.Most == 0 || size <= o.Most {
+		if o.MaxSize == 0 || size <= o.MaxSize {
 			sizes = append(sizes, size)
 		}
 	}
@@ -126,8 +126,8 @@
 			if err != nil {
 				return all, fmt.Errorf("%s %d, run %d: %w", s.Dimension, size, run, err)
 			}
-			if o.Beside != nil {
-				beside, err := o.Beside(ctx, *s, size, run)
+			if o.Compare != nil {
+				beside, err := o.Compare(ctx, *s, size, run)
 				if err != nil {
 					return all, fmt.Errorf("%s %d, run %d, beside: %w", s.Dimension, size, run, err)
 				}
@@ -160,7 +160,7 @@
 		return d.Measure(ctx, ProcessSpec{Seed: s.Seed + uint64(run), Window: s.Span.Duration}, size, run)
 	}
 	held := s.At(size)
-	p := &point{scenario: *s, held: held, fleet: newFleet(held, dir, s.Seed, run), run: run, dir: dir,
+	p := &point{scenario: *s, fixed: held, fleet: newFleet(held, dir, s.Seed, run), run: run, dir: dir,
 		record: NewRecorder(string(s.Dimension), size, run, Hollow)}
 	if err := measureFuncs[s.Dimension](ctx, p); err != nil {
 		return nil, err
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -23,8 +23,8 @@
 func small(d Dimension, sizes ...int) Scenario {
 	return Scenario{Name: "small", Dimension: d, Sizes: sizes, Runs: 1, Seed: 1, For: simulation.Duration{Duration: time.Minute},
 		Span: simulation.Duration{Duration: 500 * time.Millisecond}, Target: 1000,
-		Held:    Held{Servers: 20, Tenants: 10, Nodes: 3, Requests: 200, Changes: 240},
-		Budgets: []Budget{{Heap.Name, 1 << 20}, {InForceP99.Name, 5000}}}
+		Fixed:   FixedSizes{Servers: 20, Tenants: 10, Nodes: 3, Requests: 200, Changes: 240},
+		Budgets: []Limit{{Heap.Name, 1 << 20}, {InForceP99.Name, 5000}}}
 }
 
 func TestRunMeasuresEachPoint(t *testing.T) {
@@ -33,7 +33,7 @@
 		Tenants: {DecisionCPU, ConfigCPU, Heap, ConfigBytes},
 	} {
 		s := small(d, 10, 20, 40, 80, 160)
-		r, err := Run(t.Context(), s, Options{Most: 40})
+		r, err := Run(t.Context(), s, Options{MaxSize: 40})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 }
 
 func TestWatchersTakeEveryChange(t *testing.T) {
-	r, err := Run(t.Context(), small(Nodes, 1, 3, 4, 5, 6), Options{Most: 3})
+	r, err := Run(t.Context(), small(Nodes, 1, 3, 4, 5, 6), Options{MaxSize: 3})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -69,8 +69,8 @@
 
 func TestNodesOutliveTheListServiceAndTakeWhatChangesThen(t *testing.T) {
 	s := small(Nodes, 2, 3, 4, 5, 6)
-	s.Fault, s.Away.Duration, s.Span.Duration = ReplicasAway, 300*time.Millisecond, 2500*time.Millisecond
-	r, err := Run(t.Context(), s, Options{Most: 2})
+	s.Fault, s.Outage.Duration, s.Span.Duration = ReplicasAway, 300*time.Millisecond, 2500*time.Millisecond
+	r, err := Run(t.Context(), s, Options{MaxSize: 2})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -122,7 +122,7 @@
 		beside.Record(ConfigBytes, 1e9)
 		return beside.Measurements(), nil
 	}
-	r, err := Run(t.Context(), small(Servers, 10, 20, 40, 80, 160), Options{Most: 20, Beside: atSmallest})
+	r, err := Run(t.Context(), small(Servers, 10, 20, 40, 80, 160), Options{MaxSize: 20, Compare: atSmallest})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 		t.Errorf("ratios %+v", r.Ratios)
 	}
 	failing := func(context.Context, Scenario, int, int) ([]Measurement, error) { return nil, errors.New("no process") }
-	if _, err := Run(t.Context(), small(Servers, 10, 20, 40, 80, 160), Options{Beside: failing}); err == nil ||
+	if _, err := Run(t.Context(), small(Servers, 10, 20, 40, 80, 160), Options{Compare: failing}); err == nil ||
 		!strings.Contains(err.Error(), "no process") {
 		t.Errorf("a failure beside: %v", err)
 	}
@@ -138,7 +138,7 @@
 
 func TestSeedMakesTheFleet(t *testing.T) {
 	list := func(seed uint64, run int) string {
-		f := newFleet(Held{Servers: 50, Tenants: 2, Nodes: 1}, t.TempDir(), seed, run)
+		f := newFleet(FixedSizes{Servers: 50, Tenants: 2, Nodes: 1}, t.TempDir(), seed, run)
 		return string(encodeList(1, true, f.servers()...))
 	}
 	first, again := list(1, 1), list(1, 1)
@@ -200,7 +200,7 @@
 }
 
 func TestNoChangeIsMadeInASpanThatIsOver(t *testing.T) {
-	w := &watched{point: &point{held: Held{Changes: 60}}}
+	w := &watched{point: &point{fixed: FixedSizes{Changes: 60}}}
 	err := w.changeFor(t.Context(), -time.Second, func(time.Time) { t.Error("a change was due") })
 	if err != nil || w.changes != 0 {
 		t.Errorf("%d changes, %v", w.changes, err)
@@ -248,8 +248,8 @@
 }
 
 func TestListChangesDrainAndBringBack(t *testing.T) {
-	held := Held{Servers: 10, Tenants: 1, Nodes: 1, Requests: 1}
-	p := &point{held: held, fleet: newFleet(held, t.TempDir(), 1, 1), record: NewRecorder(string(Servers), 10, 1, Hollow)}
+	held := FixedSizes{Servers: 10, Tenants: 1, Nodes: 1, Requests: 1}
+	p := &point{fixed: held, fleet: newFleet(held, t.TempDir(), 1, 1), record: NewRecorder(string(Servers), 10, 1, Hollow)}
 	n, err := p.newStepped()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scaletest/scenario.go
+++ b/internal/scaletest/scenario.go
@@ -30,17 +30,17 @@
 var measuredDimensions = append([]Dimension{Servers, Tenants, Nodes, Changes}, realDimensions()...)
 
 const (
-	leastSizes = 5 // a slope is claimed of no fewer
-	mostSizes  = 16
-	mostRuns   = 20
-	longest    = time.Hour // that a whole scenario may take
-
-	mostHeldRequests = 100_000   // a second at one node
-	mostTenants      = 1_000_000 // a bound on what a scenario may ask for, beside the machine's memory
-	mostServers      = 1_000_000
-	mostWatchers     = 4000   // that one replica holds, and this process has sockets for
-	mostListed       = 10_000 // that the list service takes
-	mostRate         = 60_000 // changes a minute
+	minSizes = 5 // a slope is claimed of no fewer
+	maxSizes = 16
+	maxRuns  = 20
+	longest  = time.Hour // that a whole scenario may take
+
+	maxFixedRequests = 100_000   // a second at one node
+	maxTenants       = 1_000_000 // a bound on what a scenario may ask for, beside the machine's memory
+	maxServers       = 1_000_000
+	maxWatchers      = 4000   // that one replica holds, and this process has sockets for
+	maxInstances     = 10_000 // that the list service takes
+	maxRequestRate   = 60_000 // changes a minute
 )
 
 // Scenario says what is measured and at which sizes.
@@ -53,16 +53,16 @@
 	Seed      uint64              `toml:"seed" json:"seed"`
 	For       simulation.Duration `toml:"for" json:"for"`   // the whole scenario takes no longer
 	Span      simulation.Duration `toml:"span" json:"span"` // of one point, where time has to pass
-	Held      Held                `toml:"held" json:"held"`
+	Fixed     FixedSizes          `toml:"held" json:"held"`
 	Replicas  int                 `toml:"replicas" json:"replicas"` // of the list service; 0 for 1
 	Fault     Fault               `toml:"fault" json:"fault"`       // of the list service; empty for none
-	Away      simulation.Duration `toml:"away" json:"away"`         // how long replicas are away
+	Outage    simulation.Duration `toml:"away" json:"away"`         // how long replicas are away
 	Target    float64             `toml:"target" json:"target"`     // the size that the laws are reckoned for
-	Budgets   []Budget            `toml:"budgets" json:"budgets"`
+	Budgets   []Limit             `toml:"budgets" json:"budgets"`
 }
 
-// Held are the sizes that don't grow. The one that does is ignored.
-type Held struct {
+// FixedSizes are the sizes that don't grow. The one that does is ignored.
+type FixedSizes struct {
 	Servers  int     `toml:"servers" json:"servers"`
 	Tenants  int     `toml:"tenants" json:"tenants"`
 	Nodes    int     `toml:"nodes" json:"nodes"`       // among whom quotas are divided; running ones where they watch
@@ -70,10 +70,10 @@
 	Changes  float64 `toml:"changes" json:"changes"`   // of the list, a minute
 }
 
-// Budget is what a measure may come to at the target.
-type Budget struct {
+// Limit is what a measure may come to at the target.
+type Limit struct {
 	Measure string  `toml:"measure" json:"measure"`
-	Most    float64 `toml:"most" json:"most"`
+	Max     float64 `toml:"most" json:"most"`
 }
 
 //go:embed scenarios/*.toml
@@ -128,8 +128,8 @@
 	switch {
 	case s.Name == "":
 		return errors.New("name: missing")
-	case s.Runs < 1 || s.Runs > mostRuns:
-		return fmt.Errorf("runs: want 1 to %d, got %d", mostRuns, s.Runs)
+	case s.Runs < 1 || s.Runs > maxRuns:
+		return fmt.Errorf("runs: want 1 to %d, got %d", maxRuns, s.Runs)
 	case s.For.Duration <= 0 || s.For.Duration > longest:
 		return fmt.Errorf("for: want more than 0 and up to %v, got %v", longest, s.For)
 	case s.timed() && (s.Span.Duration <= 0 || s.Span.Duration > s.For.Duration):
@@ -137,8 +137,8 @@
 	case math.IsNaN(s.Target) || math.IsInf(s.Target, 0) || s.Target < 0:
 		return fmt.Errorf("target: want 0 or more, got %v", s.Target)
 	}
-	if n := s.Replicas; n < 0 || n > mostReplicas || n > 0 && n%2 == 0 {
-		return fmt.Errorf("replicas: want an odd number up to %d, got %d", mostReplicas, n)
+	if n := s.Replicas; n < 0 || n > maxReplicas || n > 0 && n%2 == 0 {
+		return fmt.Errorf("replicas: want an odd number up to %d, got %d", maxReplicas, n)
 	}
 	if err := s.checkFault(); err != nil {
 		return err
@@ -146,7 +146,7 @@
 	if _, isReal := realDimension(s.Dimension); isReal {
 		return s.checkBudgets()
 	}
-	if err := s.Held.check(s.Dimension); err != nil {
+	if err := s.Fixed.check(s.Dimension); err != nil {
 		return fmt.Errorf("held.%w", err)
 	}
 	return s.checkBudgets()
@@ -157,8 +157,8 @@
 		if !slices.ContainsFunc(Measures(), func(m Measure) bool { return m.Name == b.Measure }) {
 			return fmt.Errorf("budgets[%d].measure: there is no measure %q", i, b.Measure)
 		}
-		if !(b.Most > 0) || math.IsInf(b.Most, 0) {
-			return fmt.Errorf("budgets[%d].most: want more than 0, got %v", i, b.Most)
+		if !(b.Max > 0) || math.IsInf(b.Max, 0) {
+			return fmt.Errorf("budgets[%d].most: want more than 0, got %v", i, b.Max)
 		}
 	}
 	return nil
@@ -171,12 +171,12 @@
 }
 
 func (s *Scenario) checkSizes() error {
-	if len(s.Sizes) < leastSizes || len(s.Sizes) > mostSizes {
-		return fmt.Errorf("sizes: want %d to %d, got %d", leastSizes, mostSizes, len(s.Sizes))
+	if len(s.Sizes) < minSizes || len(s.Sizes) > maxSizes {
+		return fmt.Errorf("sizes: want %d to %d, got %d", minSizes, maxSizes, len(s.Sizes))
 	}
-	most := map[Dimension]int{Servers: mostServers, Tenants: mostTenants, Nodes: mostWatchers, Changes: mostRate}[s.Dimension]
+	most := map[Dimension]int{Servers: maxServers, Tenants: maxTenants, Nodes: maxWatchers, Changes: maxRequestRate}[s.Dimension]
 	if d, isReal := realDimension(s.Dimension); isReal {
-		most = d.Most
+		most = d.MaxSize
 	}
 	for i, n := range s.Sizes {
 		switch {
@@ -192,30 +192,30 @@
 }
 
 // check says which held size makes no sense, leaving out the one that grows.
-func (h Held) check(grows Dimension) error {
+func (h FixedSizes) check(grows Dimension) error {
 	watched := grows == Nodes || grows == Changes
-	listed := mostServers
+	listed := maxServers
 	if watched {
-		listed = mostListed
+		listed = maxInstances
 	}
 	switch {
 	case grows != Servers && (h.Servers < 1 || h.Servers > listed):
 		return fmt.Errorf("servers: want 1 to %d, got %d", listed, h.Servers)
-	case grows != Tenants && (h.Tenants < 1 || h.Tenants > mostTenants):
-		return fmt.Errorf("tenants: want 1 to %d, got %d", mostTenants, h.Tenants)
-	case grows != Nodes && (h.Nodes < 1 || watched && h.Nodes > mostWatchers):
-		return fmt.Errorf("nodes: want 1 or more, and at most %d where they watch, got %d", mostWatchers, h.Nodes)
-	case grows == Nodes && !(h.Changes > 0 && h.Changes <= mostRate):
-		return fmt.Errorf("changes: want more than 0 and at most %d a minute, got %v", mostRate, h.Changes)
-	case !watched && !(h.Requests > 0 && h.Requests <= mostHeldRequests):
-		return fmt.Errorf("requests: want more than 0 and at most %d a second, got %v", mostHeldRequests, h.Requests)
+	case grows != Tenants && (h.Tenants < 1 || h.Tenants > maxTenants):
+		return fmt.Errorf("tenants: want 1 to %d, got %d", maxTenants, h.Tenants)
+	case grows != Nodes && (h.Nodes < 1 || watched && h.Nodes > maxWatchers):
+		return fmt.Errorf("nodes: want 1 or more, and at most %d where they watch, got %d", maxWatchers, h.Nodes)
+	case grows == Nodes && !(h.Changes > 0 && h.Changes <= maxRequestRate):
+		return fmt.Errorf("changes: want more than 0 and at most %d a minute, got %v", maxRequestRate, h.Changes)
+	case !watched && !(h.Requests > 0 && h.Requests <= maxFixedRequests):
+		return fmt.Errorf("requests: want more than 0 and at most %d a second, got %v", maxFixedRequests, h.Requests)
 	}
 	return nil
 }
 
 // At is the scenario's held sizes with the one that grows set.
-func (s *Scenario) At(size int) Held {
-	h := s.Held
+func (s *Scenario) At(size int) FixedSizes {
+	h := s.Fixed
 	switch s.Dimension {
 	case Servers:
 		h.Servers = size
--- a/internal/scaletest/slope_test.go
+++ b/internal/scaletest/slope_test.go
@@ -25,8 +25,8 @@
 
 func newSlopeNode(t *testing.T, servers int) *slopeNode {
 	t.Helper()
-	held := Held{Servers: servers, Tenants: 100, Nodes: 10, Requests: 190}
-	n := &slopeNode{point: &point{held: held, fleet: newFleet(held, t.TempDir(), 1, 1),
+	held := FixedSizes{Servers: servers, Tenants: 100, Nodes: 10, Requests: 190}
+	n := &slopeNode{point: &point{fixed: held, fleet: newFleet(held, t.TempDir(), 1, 1),
 		record: NewRecorder(string(Servers), servers, 1, Hollow)}}
 	var err error
 	if n.steppedNode, err = n.point.newStepped(); err != nil {
@@ -50,7 +50,7 @@
 	}
 	least(&n.decision, slopeSteps, func(int) { n.requests.next() })
 	n.requests.finish()
-	changes := n.point.listChanges(n.steppedNode, leastChanges)
+	changes := n.point.listChanges(n.steppedNode, minChanges)
 	least(&n.list, len(changes), func(i int) {
 		if err := n.TakeList(changes[i]); err != nil {
 			t.Error(err)
--- a/internal/scaletest/stepped.go
+++ b/internal/scaletest/stepped.go
@@ -11,7 +11,7 @@
 
 const (
 	noDiscovery     = "127.0.0.1:9" // of a node that is stepped: its list client is never run
-	leastChanges    = 20            // of the list that are timed, at any size
+	minChanges      = 20            // of the list that are timed, at any size
 	preparedChanges = 400           // that are made ready beforehand, and come in turn
 	warmUpFor       = 2             // times the decisions that every server's kind needs to be known
 )
@@ -19,7 +19,7 @@
 // point is one size in one run, under way.
 type point struct {
 	scenario Scenario
-	held     Held
+	fixed    FixedSizes
 	fleet    *fleet
 	record   *Recorder
 	run      int
@@ -77,11 +77,11 @@
 		r.next()
 		return nil
 	}
-	for range warmUpFor * leastTimed {
+	for range warmUpFor * minTimed {
 		r.next()
 	}
 	r.asked, r.refused = 0, 0
-	t, err := timeSteps(ctx, leastTimed, step)
+	t, err := timeSteps(ctx, minTimed, step)
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 func (p *point) recordListChanges(ctx context.Context, s *steppedNode) error {
 	changes := p.listChanges(s, preparedChanges)
 	next := 0
-	t, err := timeSteps(ctx, leastChanges, func() error {
+	t, err := timeSteps(ctx, minChanges, func() error {
 		change := changes[next%len(changes)]
 		next++
 		return s.TakeList(change)
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	r := newRequests(s.Hollow, p.held, p.fleet.rng)
+	r := newRequests(s.Hollow, p.fixed, p.fleet.rng)
 	if err := p.recordDecisions(ctx, r); err != nil {
 		return err
 	}
@@ -148,8 +148,8 @@
 	if err != nil {
 		return err
 	}
-	r := newRequests(s.Hollow, p.held, p.fleet.rng)
-	for i := range p.held.Tenants {
+	r := newRequests(s.Hollow, p.fixed, p.fleet.rng)
+	for i := range p.fixed.Tenants {
 		if i%timingCheck == 0 && ctx.Err() != nil {
 			return ctx.Err()
 		}
--- a/internal/scaletest/watchers.go
+++ b/internal/scaletest/watchers.go
@@ -21,7 +21,7 @@
 	writers        = 8                // that register and change servers at a time
 	lease          = 10 * time.Minute // of each server: longer than a point takes
 	registerWithin = time.Minute      // all servers
-	settleFor      = time.Second      // after all nodes have the list, before anything is measured
+	settleDelay    = time.Second      // after all nodes have the list, before anything is measured
 	overheadFor    = time.Second      // of changes with no node, whose processor time is the measuring's own
 	latestChange   = 30 * time.Second // after the last change, until what isn't in force counts as missed
 	replicaName    = "r0"
@@ -36,7 +36,7 @@
 		return err
 	}
 	defer w.close()
-	tracker := newChangeTracker(p.held.Nodes, p.held.Servers)
+	tracker := newChangeTracker(p.fixed.Nodes, p.fixed.Servers)
 	overhead, err := w.overhead(ctx)
 	if err != nil {
 		return err
@@ -50,7 +50,7 @@
 	if err := tracker.awaitLists(ctx); err != nil {
 		return err
 	}
-	if err := sleep(ctx, settleFor); err != nil {
+	if err := sleep(ctx, settleDelay); err != nil {
 		return err
 	}
 	p.record.Record(Heap, (heapInUse()-before)/float64(len(nodes)))
@@ -68,7 +68,7 @@
 // watched is a list service under change.
 type watched struct {
 	*point
-	rig     *testcluster.Rig
+	rig     *testcluster.Cluster
 	service *testcluster.Registry
 	clients []*registry.Client // of the writers
 	entries []registry.Endpoint
@@ -164,7 +164,7 @@
 // changeFor changes the list for a while, at the held rate. before is told of each change when it is due: one that has to
 // wait for those before it is late, and that counts.
 func (w *watched) changeFor(ctx context.Context, span time.Duration, before func(due time.Time)) error {
-	every := time.Duration(float64(time.Minute) / w.held.Changes)
+	every := time.Duration(float64(time.Minute) / w.fixed.Changes)
 	began, first := time.Now(), w.changes
 	due := make(chan int, int(max(0, span)/every)+1) // all of the span, so that nobody waits for the writers
 	var all sync.WaitGroup
@@ -223,7 +223,7 @@
 
 // startNodes starts the hollow nodes; stop ends them.
 func (w *watched) startNodes(ctx context.Context, tracker *changeTracker) (nodes []*node.Hollow, stop func(), err error) {
-	for i := range w.held.Nodes {
+	for i := range w.fixed.Nodes {
 		path, _, err := w.fleet.configuration(i, strings.Join(w.service.Addresses(), ","))
 		if err != nil {
 			return nil, nil, err
@@ -253,15 +253,15 @@
 	}, nil
 }
 
-// spent is what was used up to a time.
-type spent struct {
+// resourceUsage is what was used up to a time.
+type resourceUsage struct {
 	at      time.Time
 	own     time.Duration // processor time
 	replica usage
 	traffic node.Traffic // of all nodes
 }
 
-func (w *watched) usage(nodes []*node.Hollow) (u spent, err error) {
+func (w *watched) usage(nodes []*node.Hollow) (u resourceUsage, err error) {
 	u.traffic = trafficOf(nodes)
 	u.at, u.own = time.Now(), ownCPU()
 	u.replica, err = usageOf(w.service.Process(replicaName).PID())
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -28,7 +28,7 @@
 
 // unreachable tells whether nothing passes between a zone and a server.
 func (w *World) unreachable(zone string, b *server) bool {
-	return b.silent || slices.ContainsFunc(w.partitions, func(f Fault) bool { return f.Separates(zone, b.Spec.Zone) })
+	return b.connectTimeout || slices.ContainsFunc(w.partitions, func(f Fault) bool { return f.Separates(zone, b.Spec.Zone) })
 }
 
 func (w *World) send(n *node, a policy.Action) {
@@ -60,7 +60,7 @@
 	switch {
 	case f.finished, w.unreachable(n.zone, b):
 		return
-	case b.lost:
+	case b.vanished:
 		w.in(way, func() { w.finish(f, policy.ConnectFailed, nil) })
 		return
 	}
@@ -81,7 +81,7 @@
 
 // reply carries an answer to its node.
 func (w *World) reply(n *node, f *attempt, way time.Duration, code policy.Code) {
-	if f.server.mute || w.unreachable(n.zone, f.server) {
+	if f.server.responseLost || w.unreachable(n.zone, f.server) {
 		return
 	}
 	row := w.loadReport(f.server)
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -53,10 +53,10 @@
 	}
 	for _, b := range servers {
 		switch f.Kind {
-		case Silent:
-			b.silent = on
-		case Mute:
-			b.mute = on
+		case ConnectTimeout:
+			b.connectTimeout = on
+		case ResponseLost:
+			b.responseLost = on
 		default:
 			f.ApplyTo(&b.Fault, on)
 		}
--- a/internal/simulation/form_test.go
+++ b/internal/simulation/form_test.go
@@ -15,10 +15,10 @@
 // goldenScenario has every key and every kind of fault.
 func goldenScenario() Scenario {
 	reports := false
-	s := Scenario{Name: "golden", What: "every key", For: Duration{90 * time.Second}, Rate: 12.5, Work: 1.25, Places: true, Quota: 400,
+	s := Scenario{Name: "golden", What: "every key", For: Duration{90 * time.Second}, Rate: 12.5, Work: 1.25, Topology: true, Quota: 400,
 		Reports: &reports, Zones: []Zone{{"a", "east", 6, 2}, {"b", "west", 3, 1}},
 		Bound: []Bound{{Class: "bill-charge", Regions: []string{"east"}, Zones: []string{"a"}}}}
-	for i, kind := range []FaultKind{Lost, Cold, Silent, Mute, Partition, Errors, Slow, Vanish, Drain, Nodes, Load} {
+	for i, kind := range []FaultKind{Lost, Cold, ConnectTimeout, ResponseLost, Partition, Errors, Slow, Vanish, Drain, Nodes, Load} {
 		s.Faults = append(s.Faults, Fault{At: Duration{time.Duration(i) * time.Second}, For: Duration{1500 * time.Millisecond}, Kind: kind,
 			Zone: "a", Fraction: 0.5, Factor: 2.5, Every: Duration{10 * time.Second}, Count: 3})
 	}
@@ -46,7 +46,7 @@
 
 // goldenOutcome has every key.
 func goldenOutcome() Outcome {
-	sum := Sum{Asked: 10, InTime: 7, Late: 1, Failed: 2, Value: 12.5, ServedValue: 8.75}
+	sum := Sum{Requests: 10, InTime: 7, Late: 1, Failed: 2, Value: 12.5, ServedValue: 8.75}
 	return Outcome{
 		Seconds: []Second{
 			{Sum: sum, Attempts: 12, Crossing: 3, Choked: 1, Busy: 0.75, To: map[string]map[string]int{"a": {"a": 9, "b": 3}},
--- a/internal/simulation/lab_test.go
+++ b/internal/simulation/lab_test.go
@@ -25,7 +25,7 @@
 	}
 	for _, r := range rows {
 		if !r.Reached() {
-			t.Errorf("%s: %v, want %v to %v; rules broken: %d", r.Name, r.Places, r.Min, r.Max, r.Broken)
+			t.Errorf("%s: %v, want %v to %v; rules broken: %d", r.Name, r.WithTopology, r.Min, r.Max, r.Broken)
 		}
 	}
 }
@@ -102,7 +102,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for name, places := range map[string]bool{"places": true, "none": false} {
 		b.Run(name, func(b *testing.B) {
-			s := Scenario{For: Duration{time.Second}, Rate: 1, Work: 1, Places: places}
+			s := Scenario{For: Duration{time.Second}, Rate: 1, Work: 1, Topology: places}
 			for i := range 60 {
 				s.Zones = append(s.Zones, Zone{Name: string(rune('A' + i)), Region: string(rune('a' + i%6)), Servers: 3, Nodes: 5})
 			}
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -61,9 +61,9 @@
 	for _, t := range w.Tenants() {
 		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Quota: t.Share * w.QuotaFor(n), Share: t.Share})
 	}
-	repeats := map[emulator.Repeat]policy.RetrySafety{emulator.Free: policy.Idempotent, emulator.Guarded: policy.IdempotencyKeyed}
+	repeats := map[emulator.RetrySafety]policy.RetrySafety{emulator.Idempotent: policy.Idempotent, emulator.IdempotencyKeyed: policy.IdempotencyKeyed}
 	for _, c := range w.classes {
-		k := policy.Class{Name: c.Name, LatencyObjective: c.Aim, Deadline: c.Deadline, RetrySafety: repeats[c.Repeat], DedupWindow: c.Window, PriorityWeight: c.Worth}
+		k := policy.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, RetrySafety: repeats[c.RetrySafety], DedupWindow: c.DedupWindow, PriorityWeight: c.PriorityWeight}
 		for _, b := range w.Bound {
 			if b.Class == c.Name {
 				k.Regions, k.Zones = b.Regions, b.Zones
@@ -71,7 +71,7 @@
 		}
 		s.Classes = append(s.Classes, k)
 	}
-	if w.Places {
+	if w.Topology {
 		s.Topology = &policy.Topology{RegionOfZone: make(map[string]string), SameRegionCost: 1, OtherRegionCost: 3}
 		for _, z := range w.Zones {
 			s.Topology.RegionOfZone[z.Name] = z.Region
@@ -130,18 +130,18 @@
 	}
 	o := &request{try: t, node: n, generator: g}
 	n.requests[t.ID] = o
-	w.Checker.Took(w.now, t)
+	w.Checker.RequestAccepted(w.now, t)
 	w.in(t.Expires, func() {
 		if !o.answered {
 			o.answered = true
 			w.deliver(n, policy.ClientCancelled{ID: t.ID})
-			w.Checker.Silent(w.now, t.ID)
+			w.Checker.WatchSilent(w.now, t.ID)
 			w.endTry(g, t, 0, 0)
 			w.forget(o)
 		}
 	})
 	w.deliver(n, policy.Request{ID: t.ID, Class: t.Class.Name, Tenant: t.Tenant, Key: t.Key, Timeout: t.Expires - 10*time.Millisecond,
-		ClientRetry: t.Number > 0, Write: t.Class.Repeat != emulator.Free})
+		ClientRetry: t.Number > 0, Write: t.Class.RetrySafety != emulator.Idempotent})
 }
 
 // answer gives a try its final answer.
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -28,7 +28,7 @@
 
 // Sum is what became of requests, with their retries folded in.
 type Sum struct {
-	Asked       int     `json:"asked"`
+	Requests    int     `json:"asked"`
 	InTime      int     `json:"in_time"`
 	Late        int     `json:"late"`
 	Failed      int     `json:"failed"`
@@ -63,7 +63,7 @@
 		classValues: make(map[string]float64)}
 	o.origin = origin
 	for _, c := range classes {
-		o.classValues[c.Name] = c.Worth
+		o.classValues[c.Name] = c.PriorityWeight
 	}
 	for _, b := range boxes {
 		o.Cores[b.Zone] += float64(b.Cores) * b.Speed
@@ -86,7 +86,7 @@
 }
 
 func (s *Sum) add(t *emulator.Try, worth float64, change emulator.Sums) {
-	s.Asked += change.Asked
+	s.Requests += change.Asked
 	s.InTime += change.InTime
 	s.Late += change.Late
 	s.Failed += change.Unserved
@@ -149,7 +149,7 @@
 	first, last := int(from/time.Second), int(math.Ceil(to.Seconds()))
 	for i := max(0, first); i < min(last, len(o.Seconds)); i++ {
 		s := o.Seconds[i]
-		all.Asked, all.InTime, all.Late, all.Failed = all.Asked+s.Asked, all.InTime+s.InTime, all.Late+s.Late, all.Failed+s.Failed
+		all.Requests, all.InTime, all.Late, all.Failed = all.Requests+s.Requests, all.InTime+s.InTime, all.Late+s.Late, all.Failed+s.Failed
 		all.Value, all.ServedValue = all.Value+s.Value, all.ServedValue+s.ServedValue
 		all.Choked, all.Busy = max(all.Choked, s.Choked), s.Busy
 		all.Attempts, all.Crossing = all.Attempts+s.Attempts, all.Crossing+s.Crossing
@@ -174,7 +174,7 @@
 func (o *Outcome) Table(every int) (lines []string) {
 	for i := 0; i < len(o.Seconds); i += every {
 		s := o.Between(time.Duration(i)*time.Second, time.Duration(i+every)*time.Second)
-		line := fmt.Sprintf("%4d s  asked %6d  in time %.3f  crossing %.3f  choked %d busy %.2f ", i, s.Asked, s.Share(),
+		line := fmt.Sprintf("%4d s  asked %6d  in time %.3f  crossing %.3f  choked %d busy %.2f ", i, s.Requests, s.Share(),
 			float64(s.Crossing)/float64(max(1, s.Attempts)), s.Choked, s.Busy)
 		for _, from := range slices.Sorted(maps.Keys(s.To)) {
 			for _, to := range slices.Sorted(maps.Keys(s.To[from])) {
--- a/internal/simulation/pair.go
+++ b/internal/simulation/pair.go
@@ -16,7 +16,7 @@
 
 // Weights of G, as the operators weigh theirs; what they give to the worst-served tenant goes to the whole run.
 const (
-	wholeWeight = 0.45
+	fullWeight  = 0.45
 	worstWeight = 0.35 // the worst 10 s
 	classWeight = 0.20 // the worst-served class
 	worstWindow = 10 * time.Second
@@ -26,7 +26,7 @@
 // worst 10 s and in its worst-served class.
 func (o *Outcome) G() float64 {
 	n := len(o.Seconds)
-	for n > 0 && o.Seconds[n-1].Asked == 0 {
+	for n > 0 && o.Seconds[n-1].Requests == 0 {
 		n--
 	}
 	end := time.Duration(n) * time.Second
@@ -38,7 +38,7 @@
 	for _, c := range o.Classes {
 		class = min(class, c.Share())
 	}
-	return wholeWeight*o.Between(0, end).Share() + worstWeight*worst + classWeight*class
+	return fullWeight*o.Between(0, end).Share() + worstWeight*worst + classWeight*class
 }
 
 // Pair is what two programs made of the same scenarios and seeds.
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -30,17 +30,17 @@
 
 // Scenario is a world and what goes wrong in it. Figures that are absent are the operators' middle ones.
 type Scenario struct {
-	Name    string   `toml:"name"`
-	What    string   `toml:"what"`
-	For     Duration `toml:"for"`
-	Rate    float64  `toml:"rate"`    // first tries a second near each node
-	Work    float64  `toml:"work"`    // scale of the work of the classes; 1 unless given
-	Places  bool     `toml:"places"`  // the nodes are told the regions, and judge places
-	Quota   float64  `toml:"quota"`   // requests a second of all tenants; ten times the rate unless given
-	Reports *bool    `toml:"reports"` // servers tell their load; true unless given
-	Zones   []Zone   `toml:"zones"`
-	Faults  []Fault  `toml:"faults"`
-	Bound   []Bound  `toml:"bound"`
+	Name     string   `toml:"name"`
+	What     string   `toml:"what"`
+	For      Duration `toml:"for"`
+	Rate     float64  `toml:"rate"`    // first tries a second near each node
+	Work     float64  `toml:"work"`    // scale of the work of the classes; 1 unless given
+	Topology bool     `toml:"places"`  // the nodes are told the regions, and judge places
+	Quota    float64  `toml:"quota"`   // requests a second of all tenants; ten times the rate unless given
+	Reports  *bool    `toml:"reports"` // servers tell their load; true unless given
+	Zones    []Zone   `toml:"zones"`
+	Faults   []Fault  `toml:"faults"`
+	Bound    []Bound  `toml:"bound"`
 }
 
 // Zone is a zone with what stands in it.
@@ -76,20 +76,20 @@
 
 // The faults.
 const (
-	Lost      FaultKind = "lost"   // the servers are gone: connections are refused; they return warm
-	Cold      FaultKind = "cold"   // the same, and they return as new processes, cold
-	Silent    FaultKind = "silent" // nothing reaches the servers: connections don't come up
-	Mute      FaultKind = "mute"   // requests reach them, and no answer comes back
-	Partition FaultKind = "apart"  // the zone is cut off from the others, both ways
-	Errors    FaultKind = "errors" // a part of the requests fails fast
-	Slow      FaultKind = "slow"   // servers take several times as long
-	Vanish    FaultKind = "vanish" // the list lacks the servers, which run on
-	Drain     FaultKind = "drain"  // the list drains the servers and then lacks them; they return cold
-	Nodes     FaultKind = "nodes"  // the nodes of the zone are gone
-	Load      FaultKind = "load"   // the clients of the zone, or all, ask several times as much
+	Lost           FaultKind = "lost"   // the servers are gone: connections are refused; they return warm
+	Cold           FaultKind = "cold"   // the same, and they return as new processes, cold
+	ConnectTimeout FaultKind = "silent" // nothing reaches the servers: connections don't come up
+	ResponseLost   FaultKind = "mute"   // requests reach them, and no answer comes back
+	Partition      FaultKind = "apart"  // the zone is cut off from the others, both ways
+	Errors         FaultKind = "errors" // a part of the requests fails fast
+	Slow           FaultKind = "slow"   // servers take several times as long
+	Vanish         FaultKind = "vanish" // the list lacks the servers, which run on
+	Drain          FaultKind = "drain"  // the list drains the servers and then lacks them; they return cold
+	Nodes          FaultKind = "nodes"  // the nodes of the zone are gone
+	Load           FaultKind = "load"   // the clients of the zone, or all, ask several times as much
 )
 
-var faultKinds = []FaultKind{Lost, Cold, Silent, Mute, Partition, Errors, Slow, Vanish, Drain, Nodes, Load}
+var faultKinds = []FaultKind{Lost, Cold, ConnectTimeout, ResponseLost, Partition, Errors, Slow, Vanish, Drain, Nodes, Load}
 
 //go:embed scenarios/*.toml
 var shipped embed.FS
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -11,14 +11,14 @@
 
 type server struct {
 	*emulator.Server
-	attempts map[string]*attempt // by job
-	seed     uint64
-	epoch    int // of its process
-	lost     bool
-	silent   bool
-	mute     bool
-	phase    string
-	reports  []timedReport
+	attempts       map[string]*attempt // by job
+	seed           uint64
+	epoch          int // of its process
+	vanished       bool
+	connectTimeout bool
+	responseLost   bool
+	phase          string
+	reports        []timedReport
 }
 
 type timedReport struct {
@@ -99,7 +99,7 @@
 			var news []policy.Endpoint
 			for _, b := range servers {
 				news = append(news, b.member())
-				w.Checker.Told(w.now, n.name, b.Spec.ID, b.phase)
+				w.Checker.ChangeNotified(w.now, n.name, b.Spec.ID, b.phase)
 			}
 			w.deliver(n, policy.EndpointList{Kind: policy.ListUpdate, Endpoints: news})
 		})
@@ -134,7 +134,7 @@
 
 // kill ends a server's process, with all that it has in work, or starts one.
 func (w *World) kill(b *server, on, cold bool) {
-	b.lost = on
+	b.vanished = on
 	if !on {
 		if cold {
 			w.restart(b, w.now)
--- a/internal/simulation/world.go
+++ b/internal/simulation/world.go
@@ -105,7 +105,7 @@
 	s := w.outcome.second(w.now)
 	var cores, held int
 	for _, b := range w.servers {
-		if b.lost || b.silent {
+		if b.vanished || b.connectTimeout {
 			continue
 		}
 		cores, held = cores+b.Spec.Cores, held+min(b.InProgress(), b.Spec.Cores)
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -123,7 +123,7 @@
 
 func (r Run) failed(from, to time.Duration) float64 {
 	s := r.Between(from, to)
-	return float64(s.Failed) / float64(max(1, s.Asked))
+	return float64(s.Failed) / float64(max(1, s.Requests))
 }
 
 // nodesAndServers is how many nodes there are and servers are affected, in all.
@@ -200,7 +200,7 @@
 	s := r.Between(from, to)
 	room, best := r.Cores["c"]*(to-from).Seconds(), 0.0
 	classes := emulator.Classes()
-	slices.SortFunc(classes, func(a, b emulator.Class) int { return int(b.Worth - a.Worth) })
+	slices.SortFunc(classes, func(a, b emulator.Class) int { return int(b.PriorityWeight - a.PriorityWeight) })
 	for _, c := range classes {
 		asked := 0.0
 		for _, by := range s.Work {
@@ -208,7 +208,7 @@
 		}
 		fits := min(asked, room)
 		room -= fits
-		best += fits * c.Worth
+		best += fits * c.PriorityWeight
 	}
 	return s.ServedValue / best
 }
@@ -216,13 +216,13 @@
 // Row is a measure over several seeds, with places judged and with servers judged one by one.
 type Row struct {
 	Measure
-	Places, Alone []float64 // by seed
-	Broken        int       // rules, over all runs with places
+	WithTopology, WithoutTopology []float64 // by seed
+	Broken                        int       // rules, over all runs with places
 }
 
 // Reached tells whether the mean is where it has to be, and no rule was broken.
 func (r Row) Reached() bool {
-	m, _, _ := Spread(r.Places)
+	m, _, _ := Spread(r.WithTopology)
 	return m >= r.Min && m <= r.Max && r.Broken == 0
 }
 
@@ -278,9 +278,9 @@
 					r.Baseline = runs[held].Outcome
 				}
 				if v := m.Of(r); places {
-					row.Places, row.Broken = append(row.Places, v), row.Broken+r.Broken
+					row.WithTopology, row.Broken = append(row.WithTopology, v), row.Broken+r.Broken
 				} else {
-					row.Alone = append(row.Alone, v)
+					row.WithoutTopology = append(row.WithoutTopology, v)
 				}
 			}
 		}
@@ -324,7 +324,7 @@
 	if err != nil {
 		return Run{}, err
 	}
-	s.Places = places
+	s.Topology = places
 	w, err := New(s, seed)
 	if err != nil {
 		return Run{}, fmt.Errorf("scenario %q: %w", name, err)
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -15,7 +15,7 @@
 	w.mu.Lock()
 	spec.Until += w.now()
 	l := &LoadGenerator{w: w, clients: emulator.NewClients(name, spec, w.now(), w.seed), done: make(chan struct{}),
-		wake: make(chan struct{}, 1)}
+		wakeup: make(chan struct{}, 1)}
 	w.mu.Unlock()
 	for _, n := range nodes {
 		l.backends = append(l.backends, &backend{node: n, healthy: true})
@@ -34,7 +34,7 @@
 	zone        string // of the nodes that they ask first
 	clients     *emulator.Clients
 	backends    []*backend
-	wake        chan struct{}
+	wakeup      chan struct{}
 	done        chan struct{}
 	nextBackend int
 
@@ -105,7 +105,7 @@
 		}
 		select {
 		case <-timer.C:
-		case <-l.wake:
+		case <-l.wakeup:
 		case <-w.ctx.Done():
 			return
 		}
@@ -159,7 +159,7 @@
 	status, retryAfter, err := d.exchange(t, func() {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		w.Judge.Took(w.now(), t)
+		w.Checker.RequestAccepted(w.now(), t)
 	})
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -168,13 +168,13 @@
 	now := w.now()
 	switch {
 	case err == nil:
-		w.Judge.Answer(now, t.ID, status)
+		w.Checker.Answer(now, t.ID, status)
 	case errors.Is(err, errNoConnection) || errors.Is(err, errEndedUnanswered):
-		w.Judge.TurnedBack(now, t.ID, fmt.Errorf("%s: %w", d.node.Spec.Name, err), d.node.killedSince(began))
+		w.Checker.TurnedBack(now, t.ID, fmt.Errorf("%s: %w", d.node.Spec.Name, err), d.node.killedSince(began))
 	case isTimeout(err):
-		w.Judge.Silent(now, t.ID)
+		w.Checker.WatchSilent(now, t.ID)
 	case w.ctx.Err() == nil:
-		w.Judge.Broke(now, t.ID, d.node.killedSince(began))
+		w.Checker.Broke(now, t.ID, d.node.killedSince(began))
 	}
 	before := *l.clients.Sums[t.Class.Name]
 	l.clients.Ended(now, t, status, retryAfter)
@@ -182,7 +182,7 @@
 		w.outcome.Ended(t, before, *l.clients.Sums[t.Class.Name])
 	}
 	select {
-	case l.wake <- struct{}{}:
+	case l.wakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/testcluster/demo.go
+++ b/internal/testcluster/demo.go
@@ -80,7 +80,7 @@
 	demoRate    = 60 // requests a second: about half of what the servers can do
 )
 
-func (p *demoRun) start(ctx context.Context, r *Rig) error {
+func (p *demoRun) start(ctx context.Context, r *Cluster) error {
 	var servers []emulator.ServerSpec
 	for i := range demoServers {
 		spec := emulator.DefaultServer(fmt.Sprintf("s-%d", i), demoZones[i%len(demoZones)])
@@ -180,7 +180,7 @@
 			t.AppendRow(table.Row{name, s.Asked, fmt.Sprintf("%.1f%%", 100*float64(s.InTime)/float64(max(1, s.Asked))), s.Late,
 				s.Unserved})
 		}
-		broken, count = p.world.Judge.Violations()
+		broken, count = p.world.Checker.Violations()
 		broken = slices.Clone(broken)
 	})
 	t.Render()
--- a/internal/testcluster/discovery_test.go
+++ b/internal/testcluster/discovery_test.go
@@ -22,8 +22,8 @@
 	t.Helper()
 	stops := make(map[string]func())
 	var all sync.WaitGroup
-	for id, b := range w.boxes {
-		at, err := w.serve(node, id, w.boxHandler(node, b.Spec.Zone, b))
+	for id, b := range w.servers {
+		at, err := w.serve(node, id, w.serverHandler(node, b.Spec.Zone, b))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Spec.Known = nil // all that it knows it has from the list service
+	n.Spec.InitialList = nil // all that it knows it has from the list service
 	n.Spec.Discovery = strings.Join(g.Addresses(), ",")
 	n.Spec.ListFile = n.dir + "/list"
 	drop := listServers(t, w, g, "n0")
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -24,9 +24,9 @@
 
 // Fleet is nodes that are members of one fleet; gossip passes between each two over a link of the rig.
 type Fleet struct {
-	Nodes map[string]*Node
-	Names []string // in order
-	rig   *Rig
+	Nodes   map[string]*Node
+	Names   []string // in order
+	cluster *Cluster
 }
 
 // FleetSpec says what fleet to make.
@@ -41,23 +41,23 @@
 	Classes []emulator.Class
 	Tenants []emulator.Tenant
 
-	Places    map[string]any // the section of that name in the nodes' files; nil for none
-	EaseLists bool
-	Ask       bool // the list is asked for, where it is pushed otherwise
+	Topology      map[string]any // the section of that name in the nodes' files; nil for none
+	RetainMissing bool
+	PollList      bool // the list is asked for, where it is pushed otherwise
 }
 
 // NewFleet makes the nodes of a fleet in this world; Start starts them.
 func (w *World) NewFleet(spec FleetSpec) (*Fleet, error) {
-	f := &Fleet{Nodes: make(map[string]*Node), rig: w.rig}
+	f := &Fleet{Nodes: make(map[string]*Node), cluster: w.cluster}
 	hosts := make(map[string]string) // who sends from where
 	var all []*Node
 	for i := range spec.Nodes {
 		name, zone := fmt.Sprintf("n%02d", i), spec.Zones[i%len(spec.Zones)]
 		settings := Settings(i, spec.Nodes, zone, spec.Classes, spec.Tenants, spec.Quota)
-		if spec.Ask {
+		if spec.PollList {
 			settings["registryMode"] = "subscribe"
 		}
-		n, err := w.AddNode(NodeSpec{Name: name, Sockets: spec.Sockets, Places: spec.Places, EaseLists: spec.EaseLists,
+		n, err := w.AddNode(NodeSpec{Name: name, Sockets: spec.Sockets, Topology: spec.Topology, RetainMissing: spec.RetainMissing,
 			Settings: settings})
 		if err != nil {
 			return nil, err
@@ -68,7 +68,7 @@
 	}
 	join := []string{}
 	for i, n := range all {
-		at, err := w.rig.RelayGossip(n.Spec.Name, n.Gossip(), func(host string) string { return hosts[host] })
+		at, err := w.cluster.RelayGossip(n.Spec.Name, n.Gossip(), func(host string) string { return hosts[host] })
 		if err != nil {
 			return nil, err
 		}
@@ -158,9 +158,9 @@
 	return took, first
 }
 
-// Told counts how often a node's processes told in their logs that members are now in a state, by member. Of
+// StateReports counts how often a node's processes told in their logs that members are now in a state, by member. Of
 // equal lines within ten seconds one is told.
-func (f *Fleet) Told(name, state string) map[string]int {
+func (f *Fleet) StateReports(name, state string) map[string]int {
 	told := make(map[string]int)
 	for _, p := range f.Nodes[name].Processes() {
 		for line := range strings.Lines(p.Log()) {
@@ -176,7 +176,7 @@
 // Deaths counts what all nodes told of deaths so far.
 func (f *Fleet) Deaths() (sum int) {
 	for _, name := range f.Names {
-		for _, n := range f.Told(name, "dead") {
+		for _, n := range f.StateReports(name, "dead") {
 			sum += n
 		}
 	}
@@ -199,9 +199,9 @@
 	for _, a := range f.Names {
 		for _, b := range f.Names {
 			if a != b {
-				faults := f.rig.Link(a, b)
+				faults := f.cluster.Link(a, b)
 				faults.Cut = side[a] != side[b]
-				f.rig.SetLink(a, b, faults)
+				f.cluster.SetLink(a, b, faults)
 			}
 		}
 	}
@@ -212,9 +212,9 @@
 	for _, a := range f.Names {
 		for _, b := range f.Names {
 			if a != b {
-				faults := f.rig.Link(a, b)
+				faults := f.cluster.Link(a, b)
 				faults.Loss = part
-				f.rig.SetLink(a, b, faults)
+				f.cluster.SetLink(a, b, faults)
 			}
 		}
 	}
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -171,8 +171,8 @@
 		{"one that reaches one peer alone stays, or comes back", 7 * 6, func() {
 			for _, name := range others {
 				cut := Faults{Cut: name != "n00"}
-				x.rig.SetLink("n03", name, cut)
-				x.rig.SetLink(name, "n03", cut)
+				x.cluster.SetLink("n03", name, cut)
+				x.cluster.SetLink(name, "n03", cut)
 			}
 			if err := wait(x.ctx, 3*time.Second); err != nil { // as long as a death would take, and more
 				x.Fatal(err)
@@ -182,8 +182,8 @@
 		}},
 		{"whole states in pieces over a slow link", 0, func() {
 			for _, name := range others {
-				x.rig.SetLink("n03", name, Faults{Latency: 20 * time.Millisecond, Jitter: 30 * time.Millisecond, Bandwidth: 40_000})
-				x.rig.SetLink(name, "n03", Faults{Reorder: 0.3, Duplicate: 0.3, Bandwidth: 40_000})
+				x.cluster.SetLink("n03", name, Faults{Latency: 20 * time.Millisecond, Jitter: 30 * time.Millisecond, Bandwidth: 40_000})
+				x.cluster.SetLink(name, "n03", Faults{Reorder: 0.3, Duplicate: 0.3, Bandwidth: 40_000})
 			}
 			x.Nodes["n03"].Process().Signal(syscall.SIGTERM)
 			if err := x.Nodes["n03"].Process().Wait(within(t, x.ctx)); err != nil {
@@ -193,8 +193,8 @@
 			x.agree(x.Names...)
 			x.Split()
 			for _, name := range others {
-				x.rig.SetLink("n03", name, Faults{})
-				x.rig.SetLink(name, "n03", Faults{})
+				x.cluster.SetLink("n03", name, Faults{})
+				x.cluster.SetLink(name, "n03", Faults{})
 			}
 		}},
 		{"rolling restart: all leave, and none dies", 0, func() {
@@ -252,7 +252,7 @@
 	t.Parallel()
 	x := newTrial(t, 5, FleetSpec{}, 60)
 	s := Draw(*seed, 8, 8*time.Second, x.Names, Pause, Replace, Restart, Part, PartOne, Lossy)
-	if err := x.rig.Play(within(t, x.ctx), s, x.Nodes); err != nil {
+	if err := x.cluster.Play(within(t, x.ctx), s, x.Nodes); err != nil {
 		t.Errorf("%v\nschedule: %s", err, s)
 	}
 	x.agree(x.Names...)
@@ -294,7 +294,7 @@
 
 func (x *trial) oneWay(from string, cut bool) {
 	for _, to := range x.Without(from) {
-		x.rig.SetLink(from, to, Faults{Cut: cut})
+		x.cluster.SetLink(from, to, Faults{Cut: cut})
 	}
 }
 
--- a/internal/testcluster/form_test.go
+++ b/internal/testcluster/form_test.go
@@ -69,7 +69,7 @@
 	n := Node{Listen: "127.0.0.9:8080", dir: t.TempDir(), Spec: NodeSpec{
 		Name: "n0", Discovery: "127.0.0.8:8500", ListFile: "/tmp/list", Settings: map[string]any{"position": 0},
 		Cores: 1.5, MemoryMB: 512, Sockets: 1024, Fleet: map[string]any{"bind": "127.0.0.9:7946"},
-		Places: map[string]any{"regions": map[string]any{"r": []string{"a"}}}, Scope: map[string]any{"service": "s"}, EaseLists: true,
+		Topology: map[string]any{"regions": map[string]any{"r": []string{"a"}}}, Scope: map[string]any{"service": "s"}, RetainMissing: true,
 	}}
 	path, err := n.configure()
 	if err != nil {
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -49,7 +49,7 @@
 }
 
 // SetLink sets what is wrong with the path from one party to another, in that direction.
-func (r *Rig) SetLink(from, to string, f Faults) {
+func (r *Cluster) SetLink(from, to string, f Faults) {
 	l := r.links
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,7 +57,7 @@
 }
 
 // Link tells what is wrong with the path from one party to another.
-func (r *Rig) Link(from, to string) Faults { return r.links.at(pair{from, to}) }
+func (r *Cluster) Link(from, to string) Faults { return r.links.at(pair{from, to}) }
 
 func (l *links) at(p pair) Faults {
 	l.mu.Lock()
@@ -122,7 +122,7 @@
 
 // RelayTCP carries streams from one party to the address of another, and returns where the first has to
 // call for that.
-func (r *Rig) RelayTCP(from, to, address string) (at string, err error) {
+func (r *Cluster) RelayTCP(from, to, address string) (at string, err error) {
 	ln, err := net.Listen("tcp", r.anyPort())
 	if err != nil {
 		return "", err
@@ -214,7 +214,7 @@
 			_ = to.Close()
 			return
 		}
-		time.Sleep(l.delay(f) + f.takes(n))
+		time.Sleep(l.delay(f) + f.deliveryDelay(n))
 		if !l.waitWhileCut(p) {
 			return
 		}
@@ -237,8 +237,8 @@
 	}
 }
 
-// takes is how long n bytes take at the path's bandwidth.
-func (f Faults) takes(n int) time.Duration {
+// deliveryDelay is how long n bytes take at the path's bandwidth.
+func (f Faults) deliveryDelay(n int) time.Duration {
 	if f.Bandwidth <= 0 {
 		return 0
 	}
@@ -247,7 +247,7 @@
 
 // RelayGossip stands where others reach a party by datagrams and streams, and passes both on to where it
 // is bound. Callers are told apart by their host, which names knows: a party has to send from its own.
-func (r *Rig) RelayGossip(to, bound string, names func(host string) string) (at string, err error) {
+func (r *Cluster) RelayGossip(to, bound string, names func(host string) string) (at string, err error) {
 	host := r.Host()
 	at = net.JoinHostPort(host, fmt.Sprint(gossipPort))
 	target, err := net.ResolveUDPAddr("udp", bound)
@@ -282,7 +282,7 @@
 }
 
 // RelayStreams is RelayGossip for a party that is reached by streams alone.
-func (r *Rig) RelayStreams(to, bound string, names func(host string) string) (at string, err error) {
+func (r *Cluster) RelayStreams(to, bound string, names func(host string) string) (at string, err error) {
 	ln, err := net.Listen("tcp", r.anyPort())
 	if err != nil {
 		return "", err
--- a/internal/testcluster/list.go
+++ b/internal/testcluster/list.go
@@ -22,7 +22,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, spec := range servers {
-		b := w.boxes[spec.ID]
+		b := w.servers[spec.ID]
 		b.Draining = phase == emulator.Draining
 		w.list.Set(w.entry(b, phase))
 	}
@@ -42,7 +42,7 @@
 // Phase changes what the list says of a server, and tells all watches.
 func (w *World) Phase(id, phase string) {
 	var spec emulator.ServerSpec
-	w.Look(func() { spec = w.boxes[id].Spec })
+	w.Look(func() { spec = w.servers[id].Spec })
 	w.updateList([]emulator.ServerSpec{spec}, phase)
 }
 
@@ -77,7 +77,7 @@
 		for told := false; !told; {
 			w.mu.Lock()
 			if a, told = w.list.Since(index); !watch {
-				a, told = w.list.Whole(), true
+				a, told = w.list.Snapshot(), true
 			}
 			changed := w.changed
 			w.mu.Unlock()
@@ -99,7 +99,7 @@
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		for _, e := range a.Members {
-			w.Judge.Told(w.now(), node, e.ID, e.Phase)
+			w.Checker.ChangeNotified(w.now(), node, e.ID, e.Phase)
 		}
 	})
 }
--- a/internal/testcluster/measure_test.go
+++ b/internal/testcluster/measure_test.go
@@ -284,7 +284,7 @@
 	}
 	for _, asked := range []bool{true, false} {
 		t.Run(fmt.Sprintf("asked %v", asked), func(t *testing.T) {
-			x := newTrial(t, 6, FleetSpec{Ask: asked}, 120)
+			x := newTrial(t, 6, FleetSpec{PollList: asked}, 120)
 			load := x.loads[0]
 			served := func() float64 {
 				before, end := load.Sums(), time.Now().Add(*awayFor)
@@ -294,8 +294,8 @@
 			}
 			link := func(f Faults) {
 				for _, name := range x.Names {
-					x.w.rig.SetLink(name, "list", f)
-					x.w.rig.SetLink("list", name, f)
+					x.w.cluster.SetLink(name, "list", f)
+					x.w.cluster.SetLink("list", name, f)
 				}
 			}
 			x.w.Phase("s-00", emulator.Draining)
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -25,19 +25,19 @@
 
 // NodeSpec says how a node is configured. Zero values are replaced by what suits a test.
 type NodeSpec struct {
-	Name      string
-	Discovery string         // the addresses of the list service, as this node reaches it
-	ListFile  string         // where it keeps the list; empty for nowhere
-	Known     any            // the list that it starts with, in discovery's form
-	Settings  map[string]any // as a node finds them in its file
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Fleet     map[string]any // the section of that name; nil for none
-	Places    map[string]any // the same
-	Scope     map[string]any // the same
-	EaseLists bool
-	Env       []string
+	Name          string
+	Discovery     string         // the addresses of the list service, as this node reaches it
+	ListFile      string         // where it keeps the list; empty for nowhere
+	InitialList   any            // the list that it starts with, in discovery's form
+	Settings      map[string]any // as a node finds them in its file
+	Cores         float64
+	MemoryMB      int
+	Sockets       int
+	Fleet         map[string]any // the section of that name; nil for none
+	Topology      map[string]any // the same
+	Scope         map[string]any // the same
+	RetainMissing bool
+	Env           []string
 }
 
 // zone is the one that the node's settings name.
@@ -45,11 +45,11 @@
 
 // Node is one node: the processes that follow each other under its name and addresses.
 type Node struct {
-	Spec   NodeSpec
-	Host   string
-	Listen string // where clients reach it
-	rig    *Rig
-	dir    string
+	Spec    NodeSpec
+	Host    string
+	Listen  string // where clients reach it
+	cluster *Cluster
+	dir     string
 
 	faultLock sync.Mutex // held by a schedule's fault of its processes
 
@@ -61,7 +61,7 @@
 }
 
 // Node makes a node, which Start starts.
-func (r *Rig) Node(spec NodeSpec) (*Node, error) {
+func (r *Cluster) Node(spec NodeSpec) (*Node, error) {
 	if spec.Cores == 0 {
 		spec.Cores = 1
 	}
@@ -76,7 +76,7 @@
 		return nil, err
 	}
 	host := r.Host()
-	return &Node{Spec: spec, Host: host, rig: r, dir: dir, Listen: fmt.Sprintf("%s:%d", host, clientPort)}, nil
+	return &Node{Spec: spec, Host: host, cluster: r, dir: dir, Listen: fmt.Sprintf("%s:%d", host, clientPort)}, nil
 }
 
 // Gossip is where the node's processes are bound for gossip.
@@ -88,24 +88,24 @@
 	file := map[string]any{
 		"name": s.Name, "listen": n.Listen, "discovery": s.Discovery, "seed": "1f",
 		"limits": map[string]any{"cores": s.Cores, "memory_mb": s.MemoryMB, "sockets": s.Sockets},
-		"known":  s.Known, "settings": s.Settings,
+		"known":  s.InitialList, "settings": s.Settings,
 	}
 	if s.Fleet != nil {
 		file["fleet"] = s.Fleet
 	}
-	if s.Places != nil {
-		file["places"] = s.Places
+	if s.Topology != nil {
+		file["places"] = s.Topology
 	}
 	if s.Scope != nil {
 		file["scope"] = s.Scope
 	}
-	if s.EaseLists {
+	if s.RetainMissing {
 		file["ease_lists"] = true
 	}
 	if s.ListFile != "" {
 		file["list_file"] = s.ListFile
 	}
-	if s.Known == nil {
+	if s.InitialList == nil {
 		file["known"] = map[string]any{"revision": 0, "complete": true, "members": []any{}}
 	}
 	raw, err := json.Marshal(file)
@@ -130,7 +130,7 @@
 	defer n.mu.Unlock()
 	control := fmt.Sprintf("%s:%d", n.Host, controlPort+len(n.calls))
 	env := append([]string{"ROUTER_CONFIG=" + path, "TMPDIR=" + n.dir, "ROUTER_CONTROL=" + control}, n.Spec.Env...)
-	p, err := n.rig.Start(n.Spec.Name, program, nil, env)
+	p, err := n.cluster.Start(n.Spec.Name, program, nil, env)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -26,7 +26,7 @@
 }
 
 // Start runs a program with these environment variables, beside those of the rig's own process, until Close.
-func (r *Rig) Start(name, program string, args, env []string) (*Process, error) {
+func (r *Cluster) Start(name, program string, args, env []string) (*Process, error) {
 	r.mu.Lock()
 	n := len(r.procs)
 	r.mu.Unlock()
@@ -89,8 +89,8 @@
 	}
 }
 
-// Starve gives the process a part of the time only, in slices, until the returned function is called.
-func (p *Process) Starve(part float64, slice time.Duration) (end func()) {
+// ThrottleCPU gives the process a part of the time only, in slices, until the returned function is called.
+func (p *Process) ThrottleCPU(part float64, slice time.Duration) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/testcluster/registry.go
+++ b/internal/testcluster/registry.go
@@ -20,8 +20,8 @@
 
 // Registry is the replicas of a list service; what they tell each other passes over links of the rig.
 type Registry struct {
-	Names []string
-	rig   *Rig
+	Names   []string
+	cluster *Cluster
 
 	mu       sync.Mutex
 	replicas map[string]*replica
@@ -34,8 +34,8 @@
 }
 
 // NewRegistry makes so many replicas, which Start starts.
-func (r *Rig) NewRegistry(n int) (*Registry, error) {
-	g := &Registry{rig: r, replicas: make(map[string]*replica)}
+func (r *Cluster) NewRegistry(n int) (*Registry, error) {
+	g := &Registry{cluster: r, replicas: make(map[string]*replica)}
 	names, hosts := make(map[string]string), make([]string, n) // names by host
 	for i := range n {
 		name := fmt.Sprint("r", i)
@@ -77,7 +77,7 @@
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		return err
 	}
-	r.proc, err = g.rig.Start("registry-"+name, program, append([]string{"registry", "serve", "--config", file}, r.args...), nil)
+	r.proc, err = g.cluster.Start("registry-"+name, program, append([]string{"registry", "serve", "--config", file}, r.args...), nil)
 	return err
 }
 
@@ -132,8 +132,8 @@
 func (g *Registry) Cut(name string, on bool) {
 	for _, other := range g.Names {
 		if other != name {
-			g.rig.SetLink(name, other, Faults{Cut: on})
-			g.rig.SetLink(other, name, Faults{Cut: on})
+			g.cluster.SetLink(name, other, Faults{Cut: on})
+			g.cluster.SetLink(other, name, Faults{Cut: on})
 		}
 	}
 }
--- a/internal/testcluster/registry_test.go
+++ b/internal/testcluster/registry_test.go
@@ -142,7 +142,7 @@
 }
 
 // startRegistry starts so many replicas, and waits until one leads.
-func startRegistry(t *testing.T, r *Rig, ctx context.Context, n int) (g *Registry, leader string) {
+func startRegistry(t *testing.T, r *Cluster, ctx context.Context, n int) (g *Registry, leader string) {
 	t.Helper()
 	g, err := r.NewRegistry(n)
 	if err != nil {
--- a/internal/testcluster/rig.go
+++ b/internal/testcluster/rig.go
@@ -28,8 +28,8 @@
 	pollEvery = 10 * time.Millisecond // between looks at a condition
 )
 
-// Rig starts processes and carries what passes between them. Its methods may be called from any goroutine.
-type Rig struct {
+// Cluster starts processes and carries what passes between them. Its methods may be called from any goroutine.
+type Cluster struct {
 	dir    string
 	guard  net.Listener
 	block  int
@@ -50,8 +50,8 @@
 }
 
 // New makes a rig that keeps its files in dir. The seed drives the links' chances.
-func New(dir string, seed uint64) (*Rig, error) {
-	r := &Rig{dir: dir, host: firstHost, starts: make(chan start), ended: make(chan struct{})}
+func New(dir string, seed uint64) (*Cluster, error) {
+	r := &Cluster{dir: dir, host: firstHost, starts: make(chan start), ended: make(chan struct{})}
 	first := os.Getpid()
 	for i := range blocks {
 		r.block = 1 + (first+i)%blocks
@@ -71,7 +71,7 @@
 
 // starter starts all processes from one thread that stays: the kernel's word that a child is to die with its
 // parent is about the thread that started it.
-func (r *Rig) starter() {
+func (r *Cluster) starter() {
 	runtime.LockOSThread()
 	for {
 		select {
@@ -84,7 +84,7 @@
 }
 
 // Host returns a loopback address that is this rig's alone.
-func (r *Rig) Host() string {
+func (r *Cluster) Host() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.host > lastHost {
@@ -95,23 +95,23 @@
 }
 
 // anyPort is where relays and stand-ins listen: nobody else uses the rig's first address.
-func (r *Rig) anyPort() string { return fmt.Sprintf("127.77.%d.1:0", r.block) }
+func (r *Cluster) anyPort() string { return fmt.Sprintf("127.77.%d.1:0", r.block) }
 
 // Dir makes a folder of the rig's.
-func (r *Rig) Dir(name string) (string, error) {
+func (r *Cluster) Dir(name string) (string, error) {
 	path := filepath.Join(r.dir, name)
 	return path, os.MkdirAll(path, 0o700)
 }
 
 // onClose has Close call end, the last first.
-func (r *Rig) onClose(end func()) {
+func (r *Cluster) onClose(end func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.ends = append(r.ends, end)
 }
 
 // Close kills what runs, and ends the links. It may be called more than once.
-func (r *Rig) Close() {
+func (r *Cluster) Close() {
 	r.once.Do(func() {
 		r.mu.Lock()
 		procs, ends := r.procs, r.ends
--- a/internal/testcluster/rig_test.go
+++ b/internal/testcluster/rig_test.go
@@ -28,7 +28,7 @@
 	os.Exit(status)
 }
 
-func newRig(t *testing.T) (*Rig, context.Context) {
+func newRig(t *testing.T) (*Cluster, context.Context) {
 	t.Helper()
 	r, err := New(t.TempDir(), *seed)
 	if err != nil {
@@ -58,12 +58,12 @@
 func quick() []emulator.Class {
 	const ms = time.Millisecond
 	return []emulator.Class{
-		{Name: "read", Share: 2, MinWork: 4 * ms, MaxWork: 12 * ms, Aim: 1500 * ms, Deadline: 1500 * ms, Worth: 1,
-			Repeat: emulator.Free},
-		{Name: "order", Share: 1, MinWork: 4 * ms, MaxWork: 12 * ms, Aim: 1500 * ms, Deadline: 1500 * ms, Worth: 2,
-			Repeat: emulator.Guarded, Window: 12 * time.Second},
-		{Name: "charge", Share: 1, MinWork: 4 * ms, MaxWork: 12 * ms, Aim: 1500 * ms, Deadline: 1500 * ms, Worth: 5,
-			Repeat: emulator.Never},
+		{Name: "read", Share: 2, MinWork: 4 * ms, MaxWork: 12 * ms, LatencyObjective: 1500 * ms, Deadline: 1500 * ms, PriorityWeight: 1,
+			RetrySafety: emulator.Idempotent},
+		{Name: "order", Share: 1, MinWork: 4 * ms, MaxWork: 12 * ms, LatencyObjective: 1500 * ms, Deadline: 1500 * ms, PriorityWeight: 2,
+			RetrySafety: emulator.IdempotencyKeyed, DedupWindow: 12 * time.Second},
+		{Name: "charge", Share: 1, MinWork: 4 * ms, MaxWork: 12 * ms, LatencyObjective: 1500 * ms, Deadline: 1500 * ms, PriorityWeight: 5,
+			RetrySafety: emulator.NonIdempotent},
 	}
 }
 
@@ -93,11 +93,11 @@
 func (w *World) clean(t *testing.T) {
 	t.Helper()
 	w.Look(func() {
-		if all, n := w.Judge.Violations(); n > 0 {
+		if all, n := w.Checker.Violations(); n > 0 {
 			t.Errorf("%d rules broken: %q", n, all)
 		}
-		if len(w.Judge.TurnedWhy) > 0 {
-			t.Errorf("%d requests turned back: %q", w.Judge.Turned, w.Judge.TurnedWhy)
+		if len(w.Checker.TurnedWhy) > 0 {
+			t.Errorf("%d requests turned back: %q", w.Checker.TurnedAway, w.Checker.TurnedWhy)
 		}
 		if w.skipped > 0 {
 			t.Errorf("the clients could not send %d tries", w.skipped)
@@ -135,7 +135,7 @@
 			t.Fatal(err)
 		}
 		if *starve > 0 {
-			defer n.Process().Starve(*starve, 100*time.Millisecond)()
+			defer n.Process().ThrottleCPU(*starve, 100*time.Millisecond)()
 		}
 		// Stops of the new process land anywhere in its start; those of the old one anywhere in its end.
 		stutter := func(p *Process, times int) {
--- a/internal/testcluster/scenario.go
+++ b/internal/testcluster/scenario.go
@@ -28,7 +28,7 @@
 
 // PlayScenario plays a scenario of the lab with real nodes in real time, and returns what came of it. Its zones have
 // to hold equally many nodes.
-func (r *Rig) PlayScenario(ctx context.Context, s simulation.Scenario, seed uint64) (*simulation.Outcome, error) {
+func (r *Cluster) PlayScenario(ctx context.Context, s simulation.Scenario, seed uint64) (*simulation.Outcome, error) {
 	p := &scenarioRun{Scenario: s, servers: s.ServerSpecs(seed), loads: make(map[string][]*LoadGenerator), near: make(map[string][]*Node)}
 	p.world = r.NewWorld(seed, p.servers...)
 	if err := p.start(ctx); err != nil {
@@ -56,7 +56,7 @@
 }
 
 func (p *scenarioRun) start(ctx context.Context) error {
-	spec := FleetSpec{Classes: emulator.Classes(), Tenants: p.Tenants(), EaseLists: true}
+	spec := FleetSpec{Classes: emulator.Classes(), Tenants: p.Tenants(), RetainMissing: true}
 	regions, only := make(map[string][]string), make(map[string][]string)
 	for _, z := range p.Zones {
 		if z.Nodes != p.Zones[0].Nodes {
@@ -70,8 +70,8 @@
 		only[b.Class] = b.Regions
 	}
 	spec.Quota = p.QuotaFor(spec.Nodes)
-	if p.Places {
-		spec.Places = map[string]any{"regions": regions, "only": only}
+	if p.Topology {
+		spec.Topology = map[string]any{"regions": regions, "only": only}
 	}
 	var err error
 	if p.fleet, err = p.world.NewFleet(spec); err != nil {
@@ -143,9 +143,9 @@
 		if f.Kind == simulation.Cold && !on {
 			p.restart(affected)
 		}
-	case simulation.Silent:
+	case simulation.ConnectTimeout:
 		p.setLinks(hit, Faults{Cut: on}, Faults{Cut: on})
-	case simulation.Mute:
+	case simulation.ResponseLost:
 		p.setLinks(hit, Faults{}, Faults{Cut: on})
 	case simulation.Partition:
 		parted := func(zone string, b emulator.ServerSpec) bool { return f.Separates(zone, b.Zone) }
@@ -170,7 +170,7 @@
 	defer p.world.mu.Unlock()
 	p.world.outcome.Mark(p.world.now(), "", f.Describe(on))
 	for _, spec := range affected {
-		b := p.world.boxes[spec.ID]
+		b := p.world.servers[spec.ID]
 		if on {
 			p.world.outcome.Interrupted += len(b.waits)
 		}
@@ -193,8 +193,8 @@
 		for _, n := range nodes {
 			for _, b := range p.servers {
 				if hit(zone, b) {
-					p.world.rig.SetLink(n.Spec.Name, b.ID, there)
-					p.world.rig.SetLink(b.ID, n.Spec.Name, back)
+					p.world.cluster.SetLink(n.Spec.Name, b.ID, there)
+					p.world.cluster.SetLink(b.ID, n.Spec.Name, back)
 				}
 			}
 		}
@@ -205,7 +205,7 @@
 func (p *scenarioRun) restart(servers []emulator.ServerSpec) {
 	p.world.Look(func() {
 		for _, spec := range servers {
-			b := p.world.boxes[spec.ID]
+			b := p.world.servers[spec.ID]
 			b.Server = emulator.NewServer(spec, p.world.now(), p.world.seed+uint64(len(spec.ID)))
 		}
 	})
@@ -261,7 +261,7 @@
 			}
 		}
 	}
-	broken, n := p.world.Judge.Violations()
+	broken, n := p.world.Checker.Violations()
 	o.Broken, o.BrokenRules = n, append([]string{}, broken...)
 	return o
 }
--- a/internal/testcluster/schedule.go
+++ b/internal/testcluster/schedule.go
@@ -89,7 +89,7 @@
 
 // Play carries a schedule out on these nodes, and returns once its last fault is over. A fault at a node that
 // is not there any more is an error; the others go on.
-func (r *Rig) Play(ctx context.Context, s Schedule, nodes map[string]*Node) error {
+func (r *Cluster) Play(ctx context.Context, s Schedule, nodes map[string]*Node) error {
 	start := time.Now()
 	failed := make(chan error, len(s))
 	for _, step := range s {
@@ -115,7 +115,7 @@
 	}
 }
 
-func (r *Rig) step(ctx context.Context, start time.Time, step Step, nodes map[string]*Node) error {
+func (r *Cluster) step(ctx context.Context, start time.Time, step Step, nodes map[string]*Node) error {
 	if err := wait(ctx, time.Until(start.Add(step.At))); err != nil {
 		return err
 	}
@@ -145,7 +145,7 @@
 	return nil
 }
 
-func (r *Rig) process(ctx context.Context, step Step, n *Node) error {
+func (r *Cluster) process(ctx context.Context, step Step, n *Node) error {
 	n.faultLock.Lock() // one fault of its processes at a time
 	defer n.faultLock.Unlock()
 	switch step.Do {
@@ -173,7 +173,7 @@
 }
 
 // between sets or ends a fault of the paths between two sets of parties.
-func (r *Rig) between(step Step, among []string, on bool) {
+func (r *Cluster) between(step Step, among []string, on bool) {
 	for _, a := range step.Whom {
 		for _, b := range among {
 			if a == b {
@@ -187,7 +187,7 @@
 	}
 }
 
-func (r *Rig) change(from, to string, step Step, on bool) {
+func (r *Cluster) change(from, to string, step Step, on bool) {
 	l := r.links
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/testcluster/scope_test.go
+++ b/internal/testcluster/scope_test.go
@@ -47,10 +47,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Spec.Known, n.Spec.Discovery, n.Spec.ListFile = nil, strings.Join(g.Addresses(), ","), n.dir+"/list"
+	n.Spec.InitialList, n.Spec.Discovery, n.Spec.ListFile = nil, strings.Join(g.Addresses(), ","), n.dir+"/list"
 	x.node = n
-	for id, b := range x.w.boxes {
-		if x.at[id], err = x.w.serve("n0", id, x.counted(id, x.w.boxHandler("n0", "a", b))); err != nil {
+	for id, b := range x.w.servers {
+		if x.at[id], err = x.w.serve("n0", id, x.counted(id, x.w.serverHandler("n0", "a", b))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -171,7 +171,7 @@
 	if during := x.followed("in the drain of " + old); !slices.Contains(during, old) || len(during) < 4 {
 		x.t.Errorf("while %s drains, the node has %v", old, during)
 	}
-	x.w.Look(func() { x.w.Judge.Told(x.w.now(), "n0", old, emulator.Draining) })
+	x.w.Look(func() { x.w.Checker.ChangeNotified(x.w.now(), "n0", old, emulator.Draining) })
 	x.write(http.MethodDelete, old, nil)
 	x.followed("after the end of " + old)
 	x.register(next, "a")
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -11,20 +11,20 @@
 
 type server struct {
 	*emulator.Server
-	wake  chan struct{}
-	waits map[string]chan emulator.Done // by request
+	wakeup chan struct{}
+	waits  map[string]chan emulator.Done // by request
 }
 
 func (w *World) addServer(spec emulator.ServerSpec, started emulator.Time) {
-	b := &server{Server: emulator.NewServer(spec, started, w.seed+uint64(len(w.boxes))), wake: make(chan struct{}, 1),
+	b := &server{Server: emulator.NewServer(spec, started, w.seed+uint64(len(w.servers))), wakeup: make(chan struct{}, 1),
 		waits: make(map[string]chan emulator.Done)}
-	w.boxes[spec.ID] = b
+	w.servers[spec.ID] = b
 	w.list.Set(w.entry(b, emulator.Up))
 	w.parts.Go(func() { w.runServer(b) })
 }
 
 // Server is one of the servers; read and change it within Look.
-func (w *World) Server(id string) *emulator.Server { return w.boxes[id].Server }
+func (w *World) Server(id string) *emulator.Server { return w.servers[id].Server }
 
 // Sent counts the attempts of a node that have reached servers of a zone.
 func (w *World) Sent(node, zone string) int {
@@ -37,7 +37,7 @@
 func (w *World) EachInZone(zone string, do func(b *emulator.Server)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, b := range w.boxes {
+	for _, b := range w.servers {
 		if b.Spec.Zone == zone {
 			do(b.Server)
 		}
@@ -63,15 +63,15 @@
 		}
 		select {
 		case <-timer.C:
-		case <-b.wake:
+		case <-b.wakeup:
 		case <-w.ctx.Done():
 			return
 		}
 	}
 }
 
-// boxHandler is a server as one node sees it.
-func (w *World) boxHandler(node, zone string, b *server) http.Handler {
+// serverHandler is a server as one node sees it.
+func (w *World) serverHandler(node, zone string, b *server) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Request-Id")
 		if id == "" {
@@ -107,7 +107,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.now()
-	w.Judge.Arrived(now, node, job.ID, b.Server)
+	w.Checker.Arrived(now, node, job.ID, b.Server)
 	w.sent[[2]string{node, b.Spec.Zone}]++
 	if w.outcome != nil {
 		w.outcome.Sent(now, class, zone, b.Spec.Zone)
@@ -116,7 +116,7 @@
 	if verdict == emulator.Accepted {
 		b.waits[job.ID] = done
 	} else { // the answer is on its way: whoever sends again has it
-		w.Judge.Over(job.ID, b.Spec.ID, verdict == emulator.Rejected)
+		w.Checker.Over(job.ID, b.Spec.ID, verdict == emulator.Rejected)
 	}
 	return verdict, b.Load(now), done
 }
@@ -124,7 +124,7 @@
 // awaitDone answers a request once its server has finished it.
 func (w *World) awaitDone(rw http.ResponseWriter, r *http.Request, b *server, id string, done <-chan emulator.Done) {
 	select {
-	case b.wake <- struct{}{}:
+	case b.wakeup <- struct{}{}:
 	default:
 	}
 	select {
@@ -141,5 +141,5 @@
 func (w *World) attemptOver(b *server, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.Judge.Over(id, b.Spec.ID, false)
+	w.Checker.Over(id, b.Spec.ID, false)
 }
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -10,9 +10,9 @@
 	quota float64) map[string]any {
 	var services, customers []map[string]any
 	for _, k := range classes {
-		services = append(services, map[string]any{"name": k.Name, "aim": k.Aim.Milliseconds(),
-			"deadline": k.Deadline.Milliseconds(), "value": k.Worth, "repeat": string(k.Repeat), "group": "cell",
-			"window": k.Window.Milliseconds()})
+		services = append(services, map[string]any{"name": k.Name, "aim": k.LatencyObjective.Milliseconds(),
+			"deadline": k.Deadline.Milliseconds(), "value": k.PriorityWeight, "repeat": string(k.RetrySafety), "group": "cell",
+			"window": k.DedupWindow.Milliseconds()})
 	}
 	for _, t := range tenants {
 		customers = append(customers, map[string]any{"name": t.Name, "fraction": t.Share, "quotaRps": t.Share * quota})
--- a/internal/testcluster/wire.go
+++ b/internal/testcluster/wire.go
@@ -23,22 +23,22 @@
 	used bool
 }
 
-// exchange sends t to the node and reads the answer; took is called once its last byte is written. A request
+// exchange sends t to the node and reads the answer; written is called once its last byte is written. A request
 // that crosses with the end of a kept connection is sent once more, on a new one.
-func (d *backend) exchange(t *emulator.Try, took func()) (status int, retryAfter time.Duration, err error) {
+func (d *backend) exchange(t *emulator.Try, written func()) (status int, retryAfter time.Duration, err error) {
 	end := time.Now().Add(t.Expires)
 	for _, fresh := range []bool{false, true} {
 		c, err := d.connect(end, fresh)
 		if err != nil {
 			return 0, 0, fmt.Errorf("%w: %w", errNoConnection, err)
 		}
-		kept := c.used
-		status, retryAfter, err = d.ask(c, t, end, took)
+		reused := c.used
+		status, retryAfter, err = d.exchangeOn(c, t, end, written)
 		if err == nil {
 			return status, retryAfter, nil
 		}
 		_ = c.Close()
-		if !kept || !errors.Is(err, errEndedUnanswered) {
+		if !reused || !errors.Is(err, errEndedUnanswered) {
 			return 0, 0, err
 		}
 	}
@@ -64,12 +64,12 @@
 	return &clientConn{Conn: conn, r: bufio.NewReader(conn)}, nil
 }
 
-func (d *backend) ask(c *clientConn, t *emulator.Try, end time.Time, took func()) (int, time.Duration, error) {
+func (d *backend) exchangeOn(c *clientConn, t *emulator.Try, end time.Time, written func()) (int, time.Duration, error) {
 	if err := c.SetDeadline(end); err != nil {
 		return 0, 0, err
 	}
 	method, more := http.MethodPost, "Content-Length: 0\r\n"
-	if t.Class.Repeat == emulator.Free {
+	if t.Class.RetrySafety == emulator.Idempotent {
 		method, more = http.MethodGet, ""
 	}
 	if t.Key != "" {
@@ -84,7 +84,7 @@
 	if err != nil {
 		return 0, 0, endedUnanswered(err)
 	}
-	took()
+	written()
 	if _, err := c.r.Peek(1); err != nil {
 		return 0, 0, endedUnanswered(err)
 	}
--- a/internal/testcluster/world.go
+++ b/internal/testcluster/world.go
@@ -22,15 +22,15 @@
 // World is what nodes live among, on sockets: servers, the list of them, clients behind a front, and the
 // checker. Its parts are the emulator's; the world gives them the time and carries bytes.
 type World struct {
-	Judge *emulator.Checker // hold the lock of Look while reading
+	Checker *emulator.Checker // hold the lock of Look while reading
 
-	rig   *Rig
-	start time.Time
-	seed  uint64
+	cluster *Cluster
+	start   time.Time
+	seed    uint64
 
 	mu        sync.Mutex
 	list      *emulator.List
-	boxes     map[string]*server
+	servers   map[string]*server
 	changed   chan struct{} // closed when the list changes
 	open      int
 	skipped   int                 // tries not sent for want of the driver's own room
@@ -44,9 +44,9 @@
 }
 
 // NewWorld makes a world with these servers, all of them warm and in the list.
-func (r *Rig) NewWorld(seed uint64, specs ...emulator.ServerSpec) *World {
-	w := &World{Judge: emulator.NewChecker(emulator.DefaultRules()), rig: r, start: time.Now().Add(-time.Hour),
-		seed: seed, list: emulator.NewList(), boxes: make(map[string]*server), changed: make(chan struct{}),
+func (r *Cluster) NewWorld(seed uint64, specs ...emulator.ServerSpec) *World {
+	w := &World{Checker: emulator.NewChecker(emulator.DefaultRules()), cluster: r, start: time.Now().Add(-time.Hour),
+		seed: seed, list: emulator.NewList(), servers: make(map[string]*server), changed: make(chan struct{}),
 		sent: make(map[[2]string]int)}
 	w.ctx, w.end = context.WithCancel(context.Background())
 	for _, spec := range specs {
@@ -77,13 +77,13 @@
 func (w *World) AddNode(spec NodeSpec) (*Node, error) {
 	addrs := make(map[string]string)
 	w.mu.Lock()
-	servers := make([]*server, 0, len(w.boxes))
-	for _, b := range w.boxes {
+	servers := make([]*server, 0, len(w.servers))
+	for _, b := range w.servers {
 		servers = append(servers, b)
 	}
 	w.mu.Unlock()
 	for _, b := range servers {
-		at, err := w.serve(spec.Name, b.Spec.ID, w.boxHandler(spec.Name, spec.zone(), b))
+		at, err := w.serve(spec.Name, b.Spec.ID, w.serverHandler(spec.Name, spec.zone(), b))
 		if err != nil {
 			return nil, err
 		}
@@ -95,9 +95,9 @@
 	}
 	spec.Discovery = at
 	w.mu.Lock()
-	spec.Known = withAddresses(w.list.Whole(), addrs)
+	spec.InitialList = withAddresses(w.list.Snapshot(), addrs)
 	w.mu.Unlock()
-	n, err := w.rig.Node(spec)
+	n, err := w.cluster.Node(spec)
 	if err != nil {
 		return nil, err
 	}
@@ -106,12 +106,12 @@
 
 // serve answers one node on a path of its own.
 func (w *World) serve(node, party string, h http.Handler) (at string, err error) {
-	ln, err := net.Listen("tcp", w.rig.anyPort())
+	ln, err := net.Listen("tcp", w.cluster.anyPort())
 	if err != nil {
 		return "", err
 	}
 	s := &http.Server{Handler: h}
 	w.parts.Go(func() { _ = s.Serve(ln) })
 	context.AfterFunc(w.ctx, func() { _ = s.Close() })
-	return w.rig.RelayTCP(node, party, ln.Addr().String())
+	return w.cluster.RelayTCP(node, party, ln.Addr().String())
 }
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -17,8 +17,8 @@
 func zones(t *testing.T) *trial {
 	t.Helper()
 	names := []string{"a", "b", "c"}
-	x := startTrial(t, FleetSpec{Nodes: 6, Zones: names, EaseLists: true,
-		Places: map[string]any{"regions": map[string]any{"north": []string{"a", "b"}, "south": []string{"c"}}}}, boxes(12, names...))
+	x := startTrial(t, FleetSpec{Nodes: 6, Zones: names, RetainMissing: true,
+		Topology: map[string]any{"regions": map[string]any{"north": []string{"a", "b"}, "south": []string{"c"}}}}, boxes(12, names...))
 	for i, zone := range names {
 		x.loads = append(x.loads, x.w.Clients("c"+zone, emulator.ClientSpec{Rate: 60, Classes: quick(), Tenants: tenants, Tries: 3,
 			Wait: 50 * time.Millisecond, Open: 0.6, Until: time.Hour}, x.Nodes[x.Names[i]], x.Nodes[x.Names[i+3]]))
@@ -96,8 +96,8 @@
 			for _, name := range x.Names {
 				if i%3 == 0 {
 					box := fmt.Sprintf("s-%02d", i)
-					x.w.rig.SetLink(name, box, Faults{Cut: on})
-					x.w.rig.SetLink(box, name, Faults{Cut: on})
+					x.w.cluster.SetLink(name, box, Faults{Cut: on})
+					x.w.cluster.SetLink(box, name, Faults{Cut: on})
 				}
 			}
 		}
