--- a/internal/registry/http_list.go
+++ b/internal/registry/http_list.go
@@ -46,7 +46,7 @@
 func (s *Server) handleList(w http.ResponseWriter, req *http.Request) {
 	call, err := parseListCall(req)
 	if err != nil {
-		s.badRequest(w, err)
+		badRequest(w, err)
 		return
 	}
 	switch {
@@ -158,11 +158,9 @@
 
 // respondUnknownServices responds 404, which a caller doesn't take for an empty list.
 func (s *Server) respondUnknownServices(w http.ResponseWriter, err error) {
-	if !s.checkAge(w) {
-		return
+	if s.checkAge(w) {
+		http.Error(w, err.Error(), http.StatusNotFound)
 	}
-	s.counters.invalidCalls.Add(1)
-	http.Error(w, err.Error(), http.StatusNotFound)
 }
 
 func (s *Server) sendList(w http.ResponseWriter, raw []byte, epoch int64) {
--- a/internal/registry/http_replicas.go
+++ b/internal/registry/http_replicas.go
@@ -51,7 +51,7 @@
 	case http.MethodPut:
 		var body replicaBody
 		if body, err = readReplica(req, id); err != nil {
-			s.badRequest(w, err)
+			badRequest(w, err)
 			return
 		}
 		err = s.replica.AddReplica(id, body.RaftAddress, body.APIAddress)
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -18,7 +18,7 @@
 		return
 	}
 	if err != nil {
-		s.badRequest(w, err)
+		badRequest(w, err)
 		return
 	}
 	if !s.acquire(w, s.writes) {
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -46,7 +46,6 @@
 	watches                      atomic.Int64 // that wait now
 	lists, writes                atomic.Uint64
 	callsRejected, callsTooStale atomic.Uint64
-	invalidCalls                 atomic.Uint64
 }
 
 // limiter bounds what is in progress at a time.
@@ -154,8 +153,7 @@
 	http.Error(w, errorText(err), http.StatusServiceUnavailable)
 }
 
-func (s *Server) badRequest(w http.ResponseWriter, err error) {
-	s.counters.invalidCalls.Add(1)
+func badRequest(w http.ResponseWriter, err error) {
 	http.Error(w, err.Error(), http.StatusBadRequest)
 }
 
