--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -81,6 +81,7 @@
 	r.cancel()
 	err := r.raft.Shutdown().Error()
 	r.background.Wait()
+	r.store.close()
 	return errors.Join(err, r.closeTransport(), r.log.Close())
 }
 
--- a/internal/registry/watchable_store.go
+++ b/internal/registry/watchable_store.go
@@ -92,6 +92,15 @@
 	w.scoped.notify()
 }
 
+// close cancels a pending notification. Raft has been shut down, so that no other follows.
+func (w *watchableStore) close() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.notification != nil {
+		w.notification.Stop()
+	}
+}
+
 // nextChange returns a channel that is closed at the next notification.
 func (w *watchableStore) nextChange() <-chan struct{} {
 	w.mu.Lock()
