--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -23,6 +23,6 @@
 //	Replica         raft, its log, and the goroutines of the leader and the follower
 //	Server          limits and counters of the HTTP side
 //
-// A lease expires in lessor.expire. A follower learns how far it lags in Replica.pollLeader. Calls are refused for a
-// stale list in Server.checkAge, and for lack of capacity in limiter.tryAcquire.
+// A lease expires in lessor.expire. A follower learns how far it lags in Replica.pollLeader. Calls are rejected for a
+// stale list in Server.checkAge, and for lack of capacity in Server.acquire.
 package registry
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// progressPollInterval is how often a follower asks the leader for its progress. It is also how fresh a follower's
+// progressPollInterval is how often a follower polls the leader's progress. It is also how fresh a follower's
 // list is.
 const progressPollInterval = 250 * time.Millisecond
 
@@ -51,18 +51,18 @@
 	}
 }
 
-// pollLeader asks the leader for its progress. Without a leader there is nobody to ask.
+// pollLeader fetches the leader's progress. Without a leader it does nothing.
 func (r *Replica) pollLeader(ctx context.Context, client *http.Client) error {
 	var notLeader *NotLeaderError
 	if !errors.As(r.notLeaderError(), &notLeader) || notLeader.LeaderAddress == "" {
 		return nil
 	}
-	asked := time.Now()
+	polledAt := time.Now()
 	progress, err := fetchProgress(ctx, client, notLeader.LeaderAddress)
 	if err != nil {
 		return err
 	}
-	r.freshness.leaderAnswered(progress.Index, asked.Add(-time.Duration(progress.AgeMs)*time.Millisecond))
+	r.freshness.progressReceived(progress.Index, polledAt.Add(-time.Duration(progress.AgeMs)*time.Millisecond))
 	return nil
 }
 
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// maxPendingProgress bounds the answers of the leader that a follower hasn't caught up with.
+// maxPendingProgress bounds the polls of the leader that a follower hasn't caught up with.
 const maxPendingProgress = 64
 
 // freshness knows how old this replica's list may be. Its methods may be called from any goroutine and don't block.
 //
-// A leader's list is as fresh as its last tick that a quorum has: one that is cut off commits none. A follower asks
-// its leader which command that has applied, and is as fresh as the answer once it has applied the same one. The time of
-// the last contact would not do, as it says nothing of how far the follower lags.
+// A leader's list is as fresh as the last tick that it committed: one that is cut off commits none. A follower polls
+// which command its leader has applied, and is as fresh as that poll once it has applied the same one. The time of the
+// last contact would not do, as it says nothing of how far the follower lags.
 type freshness struct {
 	mu           sync.Mutex
 	appliedIndex uint64
@@ -34,8 +34,8 @@
 	f.tickedAt = began
 }
 
-// leaderAnswered records how far the leader was as of a time.
-func (f *freshness) leaderAnswered(index uint64, asOf time.Time) {
+// progressReceived records the command that the leader had applied as of a time.
+func (f *freshness) progressReceived(index uint64, asOf time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.pending = append(f.pending, leaderProgress{index: index, asOf: asOf})
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -9,17 +9,17 @@
 	f := new(freshness)
 	f.applied(7)
 	if _, known := f.age(false); known {
-		t.Error("the age is known before the leader has answered")
+		t.Error("the age is known before the leader was polled")
 	}
-	f.leaderAnswered(9, time.Now().Add(-time.Second))
+	f.progressReceived(9, time.Now().Add(-time.Second))
 	if _, known := f.age(false); known {
 		t.Error("the age is known, and command 9 isn't applied")
 	}
 	f.applied(9)
 	if age, known := f.age(false); !known || age < time.Second || age > time.Minute {
-		t.Errorf("age %v, known %v, want that of the leader's answer", age, known)
+		t.Errorf("age %v, known %v, want that of the poll", age, known)
 	}
-	f.leaderAnswered(20, time.Now())
+	f.progressReceived(20, time.Now())
 	if age, _ := f.age(false); age < time.Second {
 		t.Errorf("age %v, and command 20 isn't applied", age)
 	}
@@ -35,20 +35,20 @@
 		t.Errorf("age %v, known %v, want that of the tick", age, known)
 	}
 	if _, known := f.age(false); known {
-		t.Error("as a follower it has no answer of a leader")
+		t.Error("as a follower it has not polled a leader")
 	}
 }
 
 func TestPendingProgressIsBounded(t *testing.T) {
 	f := new(freshness)
 	for index := range uint64(2 * maxPendingProgress) {
-		f.leaderAnswered(index+1, time.Now())
+		f.progressReceived(index+1, time.Now())
 	}
 	if len(f.pending) != maxPendingProgress {
-		t.Errorf("%d answers are pending, want %d", len(f.pending), maxPendingProgress)
+		t.Errorf("%d polls are pending, want %d", len(f.pending), maxPendingProgress)
 	}
 	f.applied(2 * maxPendingProgress)
 	if _, known := f.age(false); !known || len(f.pending) != 0 {
-		t.Errorf("caught up, and %d answers are pending", len(f.pending))
+		t.Errorf("caught up, and %d polls are pending", len(f.pending))
 	}
 }
