--- a/policy/load_test.go
+++ b/policy/load_reports_test.go
@@ -63,7 +63,7 @@
 		t.Errorf("the window is %v while servers are full, want less than %v", full, first)
 	}
 	for range 60 {
-		b.capacityWanted = true
+		b.window.capacityWanted = true
 		hears(b, s, 1, report(100, 0.3, 10))
 	}
 	if b.concurrencyWindow() <= full {
@@ -91,8 +91,8 @@
 	if n := send("once"); n == 0 {
 		t.Error("the dearest class found no room beyond the window")
 	}
-	if most := maxOvercommitReported*b.concurrencyWindow() + 1; float64(b.inFlight) > most {
-		t.Errorf("%d attempts are out, want at most %v", b.inFlight, most)
+	if most := maxOvercommitReported*b.concurrencyWindow() + 1; float64(b.window.inFlight) > most {
+		t.Errorf("%d attempts are out, want at most %v", b.window.inFlight, most)
 	}
 }
 
@@ -110,10 +110,10 @@
 		t.Fatal("choked servers are not rested")
 	}
 	b.now += maxEjectionTime
-	if s := b.pickProbation(&request{class: b.classOrder[0], usefulUntil: b.now + time.Second}); s != first {
+	if s := b.pickProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != first {
 		t.Errorf("tried out %+v, want the first of the walk", s)
 	}
-	if s := b.pickProbation(&request{class: b.classOrder[0], usefulUntil: b.now + time.Second}); s != nil {
+	if s := b.pickProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != nil {
 		t.Errorf("%s is tried out, though servers before it have room", s.ID)
 	}
 }
@@ -127,7 +127,7 @@
 	nan, inf := math.NaN(), math.Inf(1)
 	for _, row := range [][]float64{nil, {1}, report(nan, 1, 1), report(100, nan, 10), report(100, 0.5, nan),
 		report(100, 0.5, inf), report(100, inf, 10), report(-1, 0.5, 10), report(100, 0, 0), report(100, 40, 10)} {
-		b.capacityWanted = true
+		b.window.capacityWanted = true
 		hears(b, s, 1, row)
 		if b.effectiveLimit(s) != limit || b.concurrencyWindow() != window {
 			t.Errorf("%v moved the limit from %v to %v, the window from %v to %v", row, limit, b.effectiveLimit(s), window, b.concurrencyWindow())
@@ -142,15 +142,15 @@
 	for range 500 {
 		b.adjustRateMultiplier(false)
 	}
-	if b.rateMultiplier != 1 {
-		t.Errorf("the pace is %v, want 1", b.rateMultiplier)
+	if b.rateMultiplier.value != 1 {
+		t.Errorf("the pace is %v, want 1", b.rateMultiplier.value)
 	}
 	b = start(t, site(40), members(12))
 	for range 500 {
 		b.adjustRateMultiplier(false)
 	}
-	if b.rateMultiplier != minRateMultiplier {
-		t.Errorf("without reports the pace is %v, want %v", b.rateMultiplier, minRateMultiplier)
+	if b.rateMultiplier.value != minRateMultiplier {
+		t.Errorf("without reports the pace is %v, want %v", b.rateMultiplier.value, minRateMultiplier)
 	}
 }
 
@@ -210,8 +210,8 @@
 	b := fleet(t, 40, members(12))
 	s := b.order()[0]
 	hears(b, s, 5, report(50, 0.5, 10))
-	short := &request{class: b.classOrder[0], usefulUntil: b.now + 200*ms}
-	long := &request{class: b.classOrder[0], usefulUntil: b.now + 2000*ms}
+	short := &request{class: b.classes.ordered[0], usefulUntil: b.now + 200*ms}
+	long := &request{class: b.classes.ordered[0], usefulUntil: b.now + 2000*ms}
 	if !b.answersInTime(short, s) {
 		t.Fatal("a fast server is not used")
 	}
@@ -240,7 +240,7 @@
 	b.order()[1].StartedAt = b.now
 	hears(b, b.order()[0], 20, report(900, 1, 3))
 	hears(b, b.order()[1], 20, report(100, 1, 3))
-	if trust := b.concurrencyWindow() / b.warmWeight() * 12 / was; trust < 0.99 {
+	if trust := b.concurrencyWindow() / b.warmedUpWeight() * 12 / was; trust < 0.99 {
 		t.Errorf("the window fell to %v of what it was", trust)
 	}
 }
@@ -274,7 +274,7 @@
 	hears(b, b.order()[0], 5, report(100, 0.5, 10))
 	was := b.concurrencyWindow()
 	for i := range 60 {
-		b.capacityWanted = true
+		b.window.capacityWanted = true
 		hears(b, b.order()[0], 1, report(100, []float64{0.4, 1}[i%2], 10))
 	}
 	if b.concurrencyWindow() < was {
@@ -326,8 +326,8 @@
 func TestChoiceTakesAsLongAsThereAreServers(t *testing.T) {
 	takes := func(servers int) time.Duration {
 		b := fleet(t, 300, members(servers))
-		b.inFlight = 1e6 // so that none has room, and each is looked at
-		r := &request{Request: ask("r", "free"), class: b.classes["free"], maxAttempts: 1}
+		b.window.inFlight = 1e6 // so that none has room, and each is looked at
+		r := &request{Request: ask("r", "free"), class: b.classes.byName["free"], maxAttempts: 1}
 		r.deadline, r.usefulUntil = b.now+time.Hour, b.now+time.Hour
 		best := time.Hour
 		for range 200 {
