--- a/internal/registry/golden_http_test.go
+++ b/internal/registry/golden_http_test.go
@@ -18,6 +18,8 @@
 
 	"github.com/google/go-cmp/cmp"
 	"github.com/hashicorp/raft"
+
+	"sloerail/internal/golden"
 )
 
 // varying are the parts of responses that differ from run to run.
@@ -125,10 +127,7 @@
 	}
 	transcript(t, &b, "GET", control.URL, "/healthcheck", "", nil)
 	transcript(t, &b, "GET", control.URL, "/stats", "", nil)
-	now := masked(b.String())
-	if diff := cmp.Diff(string(golden(t, "answers.txt", []byte(now))), now); diff != "" {
-		t.Error("responses differ (-golden +now):", diff)
-	}
+	golden.Check(t, "answers.txt", []byte(masked(b.String())))
 }
 
 // TestGoldenRejections has the responses of a replica without a leader, and of one without capacity.
@@ -168,10 +167,7 @@
 		result := Result{Code: code, Instance: Instance{Version: 7}}
 		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.respondWrite(w, req, "s0", result, code.Err()) }))
 	}
-	now := masked(b.String())
-	if diff := cmp.Diff(string(golden(t, "refusals.txt", []byte(now))), now); diff != "" {
-		t.Error("responses differ (-golden +now):", diff)
-	}
+	golden.Check(t, "refusals.txt", []byte(masked(b.String())))
 }
 
 // recorded returns a handler's response to a write.
@@ -209,33 +205,18 @@
 	}))
 	defer server.Close()
 	client := NewClient([]string{strings.TrimPrefix(server.URL, "http://")})
-	agent := &Agent{Client: client, Endpoint: goldenEntry("s0", "pay"), TTL: 300 * time.Millisecond}
+	agent := &Agent{Client: client, Endpoint: goldenEndpoint("s0", "pay"), TTL: 300 * time.Millisecond}
 	if err := agent.Run(ctx, time.Millisecond); err != nil {
 		t.Fatal(err)
 	}
 	if err := client.Do(t.Context(), http.MethodDelete, instancesPath+"/s0", nil, nil, 7); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(string(golden(t, "agent-calls.txt", []byte(b.String()))), b.String()); diff != "" {
-		t.Error("an agent's calls differ (-golden +now):", diff)
-	}
+	golden.Check(t, "agent-calls.txt", []byte(b.String()))
 }
 
 // TestGoldenConfig reads a replica's file with all keys.
 func TestGoldenConfig(t *testing.T) {
-	golden(t, "replica.toml", []byte(`id = "r1"
-listen = "10.2.0.2:8500"
-raft = "10.2.0.2:8501"
-bind = "0.0.0.0:8501"
-control = "10.2.0.2:8502"
-folder = "/var/lib/sloerail"
-watches = 512
-
-[peers]
-r0 = "10.2.0.1:8501"
-r1 = "10.2.0.2:8501"
-r2 = "10.2.0.3:8501"
-`))
 	got, err := LoadConfig(filepath.Join("testdata", "replica.toml"))
 	want := Config{ID: "r1", ListenAddress: "10.2.0.2:8500", RaftAddress: "10.2.0.2:8501", RaftBindAddress: "0.0.0.0:8501", AdminAddress: "10.2.0.2:8502",
 		DataDir: "/var/lib/sloerail", MaxWatches: 512,
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -8,7 +8,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"io/fs"
 	"maps"
 	"os"
 	"path/filepath"
@@ -20,34 +19,15 @@
 	"github.com/fxamacker/cbor/v2"
 	"github.com/google/go-cmp/cmp"
 	"github.com/hashicorp/raft"
+
+	"sloerail/internal/golden"
 )
 
 // The files in testdata are stored and sent forms as an earlier release wrote them. Replicas, agents and nodes of
 // that release run beside newer ones, so the forms must not change: these tests read the files, and write them again
-// byte for byte where the form is deterministic. A file that is missing is written, and the test fails once; a file
-// that is there is never overwritten.
-
-// golden returns a file of testdata. A missing one is written with what the code gives now.
-func golden(t *testing.T, name string, now []byte) []byte {
-	t.Helper()
-	path := filepath.Join("testdata", name)
-	raw, err := os.ReadFile(path)
-	if errors.Is(err, fs.ErrNotExist) {
-		if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.WriteFile(path, now, 0o644); err != nil {
-			t.Fatal(err)
-		}
-		t.Fatalf("%s was missing, and is written: run the test again", path)
-	}
-	if err != nil {
-		t.Fatal(err)
-	}
-	return raw
-}
+// byte for byte where the form is deterministic.
 
-func goldenEntry(id, service string) Endpoint {
+func goldenEndpoint(id, service string) Endpoint {
 	return Endpoint{ID: id, Address: "10.1.0.18:9000", Zone: "cairo-1", Kind: "big-box", Cell: 3, Phase: PhaseUp, Size: 1.5,
 		StartTimeMs: 1_700_000_000_123, Service: service}
 }
@@ -63,13 +43,13 @@
 	{"lead", Command{Kind: RestartLeases}},
 	{"set-peer-r0", Command{Kind: SetReplicaAddress, ID: "r0", Endpoint: Endpoint{Address: "10.2.0.1:8500"}}},
 	{"set-peer-r1", Command{Kind: SetReplicaAddress, ID: "r1", Endpoint: Endpoint{Address: "10.2.0.2:8500"}}},
-	{"register", Command{Kind: RegisterInstance, ID: "s0", Endpoint: goldenEntry("s0", ""), TTL: DefaultTTL}},
-	{"register-service", Command{Kind: RegisterInstance, RequestID: "q1", ID: "s1", Endpoint: goldenEntry("s1", "pay"), TTL: MaxTTL}},
-	{"register-service-2", Command{Kind: RegisterInstance, RequestID: "q2", ID: "s2", Endpoint: goldenEntry("s2", "pay"), TTL: MaxTTL}},
-	{"register-service-3", Command{Kind: RegisterInstance, ID: "s3", Endpoint: goldenEntry("s3", "pay"), TTL: MaxTTL}},
-	{"register-if-match", Command{Kind: RegisterInstance, RequestID: "q3", ID: "s3", IfMatch: 1<<32 + 4, Endpoint: goldenEntry("s3", "mail"),
+	{"register", Command{Kind: RegisterInstance, ID: "s0", Endpoint: goldenEndpoint("s0", ""), TTL: DefaultTTL}},
+	{"register-service", Command{Kind: RegisterInstance, RequestID: "q1", ID: "s1", Endpoint: goldenEndpoint("s1", "pay"), TTL: MaxTTL}},
+	{"register-service-2", Command{Kind: RegisterInstance, RequestID: "q2", ID: "s2", Endpoint: goldenEndpoint("s2", "pay"), TTL: MaxTTL}},
+	{"register-service-3", Command{Kind: RegisterInstance, ID: "s3", Endpoint: goldenEndpoint("s3", "pay"), TTL: MaxTTL}},
+	{"register-if-match", Command{Kind: RegisterInstance, RequestID: "q3", ID: "s3", IfMatch: 1<<32 + 4, Endpoint: goldenEndpoint("s3", "mail"),
 		TTL: time.Minute}},
-	{"register-mismatch", Command{Kind: RegisterInstance, RequestID: "q4", ID: "s3", IfMatch: 7, Endpoint: goldenEntry("s3", "mail"),
+	{"register-mismatch", Command{Kind: RegisterInstance, RequestID: "q4", ID: "s3", IfMatch: 7, Endpoint: goldenEndpoint("s3", "mail"),
 		TTL: time.Minute}},
 	{"renew", Command{Kind: RenewLease, ID: "s1"}},
 	{"set-phase", Command{Kind: SetInstancePhase, RequestID: "q5", ID: "s1", Phase: PhaseDraining}},
@@ -105,11 +85,8 @@
 		}
 		fmt.Fprintf(&now, "%s %x\n", n.name, raw)
 	}
-	want := string(golden(t, "commands.cbor.hex", []byte(now.String())))
-	if diff := cmp.Diff(want, now.String()); diff != "" {
-		t.Error("commands are written otherwise (-golden +now):", diff)
-	}
-	lines := strings.Split(strings.TrimSpace(want), "\n")
+	golden.Check(t, "commands.cbor.hex", []byte(now.String()))
+	lines := strings.Split(strings.TrimSpace(string(golden.Read(t, "commands.cbor.hex"))), "\n")
 	if len(lines) != len(all) {
 		t.Fatalf("%d commands in the file, want %d", len(lines), len(all))
 	}
@@ -133,7 +110,7 @@
 	if err := s.WriteSnapshot(&now); err != nil {
 		t.Fatal(err)
 	}
-	raw := golden(t, "snapshot", now.Bytes())
+	raw := golden.Read(t, "snapshot")
 	restored, err := ReadSnapshot(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
@@ -157,10 +134,8 @@
 	if len(s.instances) != 1 || len(s.replicaAddresses) != 1 {
 		t.Fatalf("%d instances and %d peers: the order of their keys isn't given", len(s.instances), len(s.replicaAddresses))
 	}
-	raw := golden(t, "snapshot-one", now.Bytes())
-	if !bytes.Equal(raw, now.Bytes()) {
-		t.Errorf("a snapshot is written otherwise:\ngolden %x\nnow    %x", raw, now.Bytes())
-	}
+	golden.Check(t, "snapshot-one", now.Bytes())
+	raw := golden.Read(t, "snapshot-one")
 	restored, err := ReadSnapshot(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
@@ -229,13 +204,8 @@
 
 // TestGoldenFolder opens a copy of a replica's folder: a snapshot, and commands after it.
 func TestGoldenFolder(t *testing.T) {
-	const name = "folder.tar.gz"
-	if _, err := os.Stat(filepath.Join("testdata", name)); errors.Is(err, fs.ErrNotExist) {
-		golden(t, name, writeFolder(t))
-	}
-	raw := golden(t, name, nil)
 	folder := t.TempDir()
-	unpack(t, raw, folder)
+	unpack(t, golden.Read(t, "folder.tar.gz"), folder)
 	r := openLeader(t, folder)
 	defer func() {
 		if err := r.Close(); err != nil {
@@ -245,9 +215,9 @@
 	var list EndpointList
 	var peers map[string]string
 	r.store.view(func(s *Store) { list, peers = s.FullList(), maps.Clone(s.replicaAddresses) })
-	s1, s3 := goldenEntry("s1", "pay"), goldenEntry("s3", "pay")
+	s1, s3 := goldenEndpoint("s1", "pay"), goldenEndpoint("s3", "pay")
 	s1.Phase = PhaseDraining
-	want := EndpointList{Revision: 1<<32 + 7, Complete: true, Endpoints: []Endpoint{goldenEntry("s0", ""), s1, s3}}
+	want := EndpointList{Revision: 1<<32 + 7, Complete: true, Endpoints: []Endpoint{goldenEndpoint("s0", ""), s1, s3}}
 	if diff := cmp.Diff(want, list); diff != "" {
 		t.Error("the list differs (-want +got):", diff)
 	}
@@ -263,44 +233,6 @@
 	}
 }
 
-// writeFolder makes an archive of a replica's folder that has a snapshot and commands after it.
-func writeFolder(t *testing.T) []byte {
-	folder := t.TempDir()
-	r := openLeader(t, folder)
-	propose(t, r,
-		Command{Kind: SetReplicaAddress, ID: "r1", Endpoint: Endpoint{Address: "10.2.0.2:8500"}},
-		Command{Kind: RegisterInstance, Endpoint: goldenEntry("s0", ""), TTL: MaxTTL},
-		Command{Kind: RegisterInstance, RequestID: "q1", Endpoint: goldenEntry("s1", "pay"), TTL: MaxTTL},
-		Command{Kind: RegisterInstance, Endpoint: goldenEntry("s2", "pay"), TTL: MaxTTL},
-		Command{Kind: RenewLease, ID: "s0"})
-	if err := r.raft.Snapshot().Error(); err != nil {
-		t.Fatal(err)
-	}
-	propose(t, r,
-		Command{Kind: RegisterInstance, Endpoint: goldenEntry("s3", "pay"), TTL: MaxTTL},
-		Command{Kind: SetInstancePhase, RequestID: "q5", ID: "s1", Phase: PhaseDraining},
-		Command{Kind: SetInstancePhase, ID: "s2", Phase: PhaseDraining},
-		Command{Kind: DeregisterInstance, RequestID: "q6", ID: "s2"})
-	if err := r.Close(); err != nil {
-		t.Fatal(err)
-	}
-	return pack(t, folder)
-}
-
-func pack(t *testing.T, folder string) []byte {
-	t.Helper()
-	var b bytes.Buffer
-	zip := gzip.NewWriter(&b)
-	archive := tar.NewWriter(zip)
-	if err := archive.AddFS(os.DirFS(folder)); err != nil {
-		t.Fatal(err)
-	}
-	if err := errors.Join(archive.Close(), zip.Close()); err != nil {
-		t.Fatal(err)
-	}
-	return b.Bytes()
-}
-
 func unpack(t *testing.T, raw []byte, folder string) {
 	t.Helper()
 	zip, err := gzip.NewReader(bytes.NewReader(raw))
