--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -41,7 +41,7 @@
 }
 
 // delegate is what memberlist calls, mostly with its own lock held: nothing here waits or calls back.
-type delegate struct{ f *Fleet }
+type delegate struct{ f *Agent }
 
 // NodeMeta tells what this node says of itself.
 func (d delegate) NodeMeta(limit int) []byte {
@@ -61,8 +61,8 @@
 
 // NotifyPingComplete hears that a member answers a probe.
 func (d delegate) NotifyPingComplete(n *memberlist.Node, took time.Duration, _ []byte) {
-	if d.f.config.Probed != nil {
-		d.f.config.Probed(took)
+	if d.f.config.OnProbe != nil {
+		d.f.config.OnProbe(took)
 	}
 	d.f.stats.path.probed(true)
 	d.f.changeState(n.Name, Suspect, Alive)
@@ -155,7 +155,7 @@
 }
 
 // markLeaving hears that a member's process goes, which may come after its end is known.
-func (f *Fleet) markLeaving(name string, incarnation uint64) {
+func (f *Agent) markLeaving(name string, incarnation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[name]
@@ -170,7 +170,7 @@
 }
 
 // supersede makes way for a later process of this name.
-func (f *Fleet) supersede(incarnation uint64) {
+func (f *Agent) supersede(incarnation uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.superseded || f.list == nil || incarnation <= f.incarnation {
@@ -185,7 +185,7 @@
 }
 
 // parseLogLine takes in what memberlist tells in its log alone.
-func (f *Fleet) parseLogLine(line string) {
+func (f *Agent) parseLogLine(line string) {
 	if name, ok := between(line, "Suspect ", " has failed, no acks received"); ok {
 		f.changeState(name, Alive, Suspect)
 	}
--- a/internal/membership/member.go
+++ b/internal/membership/member.go
@@ -54,15 +54,15 @@
 type Config struct {
 	Name, Zone, Version string
 
-	Bind      string        // host:port for datagrams and streams
-	Advertise string        // where others reach that; empty for Bind
-	Join      []string      // host:port of some members; others are learned
-	Label     string        // of the fleet; members of another are not heard
-	KeyFile   string        // base64 keys of 16, 24 or 32 bytes, a line each, the first to write with; empty: in clear
-	Allow     []string      // CIDRs that members may have; empty for any
-	Probe     time.Duration // between probes; 0 for the default
+	Bind          string        // host:port for datagrams and streams
+	Advertise     string        // where others reach that; empty for Bind
+	Join          []string      // host:port of some members; others are learned
+	Label         string        // of the fleet; members of another are not heard
+	KeyFile       string        // base64 keys of 16, 24 or 32 bytes, a line each, the first to write with; empty: in clear
+	AllowedCIDRs  []string      // CIDRs that members may have; empty for any
+	ProbeInterval time.Duration // between probes; 0 for the default
 
-	Probed func(took time.Duration) // is told each round trip of a probe; nil for nobody
+	OnProbe func(took time.Duration) // is told each round trip of a probe; nil for nobody
 
 	transport func() (memberlist.NodeAwareTransport, error) // nil for sockets
 	now       func() time.Time                              // nil for the machine's
@@ -72,7 +72,7 @@
 func (c Config) Equal(o Config) bool {
 	return c.Name == o.Name && c.Zone == o.Zone && c.Bind == o.Bind && c.Advertise == o.Advertise &&
 		slices.Equal(c.Join, o.Join) && c.Label == o.Label && c.KeyFile == o.KeyFile &&
-		slices.Equal(c.Allow, o.Allow) && c.Probe == o.Probe
+		slices.Equal(c.AllowedCIDRs, o.AllowedCIDRs) && c.ProbeInterval == o.ProbeInterval
 }
 
 // ErrConfig is what each error of Check is.
@@ -88,8 +88,8 @@
 	return r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9' || strings.ContainsRune("._-", r)
 }
 
-// Check says which field can't be used.
-func (c Config) Check() error {
+// Validate says which field can't be used.
+func (c Config) Validate() error {
 	if c.Name == "" || len(c.Name) > 128 {
 		return wrong("name", "want 1 to 128 bytes, got %d", len(c.Name))
 	}
@@ -110,11 +110,11 @@
 	if len(c.Label) > maxLabel || strings.ContainsFunc(c.Label, func(r rune) bool { return !inLabel(r) }) {
 		return wrong("label", "want up to 64 letters, digits, dots, dashes and underlines, got %q", c.Label)
 	}
-	if _, err := memberlist.ParseCIDRs(c.Allow); err != nil {
+	if _, err := memberlist.ParseCIDRs(c.AllowedCIDRs); err != nil {
 		return wrong("allow", "%v", err)
 	}
-	if c.Probe != 0 && (c.Probe < 50*time.Millisecond || c.Probe > time.Minute) {
-		return wrong("probe_ms", "want 50 ms to a minute, got %v", c.Probe)
+	if c.ProbeInterval != 0 && (c.ProbeInterval < 50*time.Millisecond || c.ProbeInterval > time.Minute) {
+		return wrong("probe_ms", "want 50 ms to a minute, got %v", c.ProbeInterval)
 	}
 	_, err := c.keys()
 	return err
@@ -157,9 +157,9 @@
 	return ring, nil
 }
 
-// Fleet is this node's part in the fleet. Make one with New, run it with Run; its other methods may be called
+// Agent is this node's part in the fleet. Make one with New, run it with Run; its other methods may be called
 // from any goroutine, at any time.
-type Fleet struct {
+type Agent struct {
 	config   Config
 	log      *logAdapter
 	requests chan role // what this process is to be; the newest counts
@@ -188,14 +188,14 @@
 )
 
 // New makes a node's part in a fleet. Nothing is opened before Run.
-func New(c Config) (*Fleet, error) {
-	if err := c.Check(); err != nil {
+func New(c Config) (*Agent, error) {
+	if err := c.Validate(); err != nil {
 		return nil, err
 	}
 	if c.now == nil {
 		c.now = time.Now
 	}
-	f := &Fleet{config: c, requests: make(chan role, 1), members: make(map[string]*Member)}
+	f := &Agent{config: c, requests: make(chan role, 1), members: make(map[string]*Member)}
 	f.log = newLogAdapter(slog.Default(), c.now, f.parseLogLine)
 	f.incarnation = uint64(max(1, c.now().UnixMilli()))
 	return f, nil
@@ -203,7 +203,7 @@
 
 // Run takes part until ctx ends, and then says so to the others. Whatever is wrong with the fleet is told in
 // the log, and tried again: service doesn't depend on it.
-func (f *Fleet) Run(ctx context.Context) {
+func (f *Agent) Run(ctx context.Context) {
 	want := roleMember
 	for ctx.Err() == nil {
 		if want != roleMember {
@@ -229,7 +229,7 @@
 
 // participate is the member's life: it looks for the others until ctx ends, or this process is not to be the member
 // any more. The later process of a name tells the earlier to go.
-func (f *Fleet) participate(ctx context.Context, list *memberlist.Memberlist) (want role) {
+func (f *Agent) participate(ctx context.Context, list *memberlist.Memberlist) (want role) {
 	f.set(list)
 	defer func() {
 		f.set(nil)
@@ -261,19 +261,19 @@
 	}
 }
 
-func (f *Fleet) set(list *memberlist.Memberlist) {
+func (f *Agent) set(list *memberlist.Memberlist) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.list, f.leaving = list, false
 }
 
 // open binds, and becomes a member that knows nobody.
-func (f *Fleet) open() (*memberlist.Memberlist, error) {
+func (f *Agent) open() (*memberlist.Memberlist, error) {
 	keys, err := f.config.keys()
 	if err != nil {
 		return nil, err
 	}
-	allow, err := memberlist.ParseCIDRs(f.config.Allow)
+	allow, err := memberlist.ParseCIDRs(f.config.AllowedCIDRs)
 	if err != nil {
 		return nil, err
 	}
@@ -288,7 +288,7 @@
 	c := memberlist.DefaultLANConfig()
 	c.Name, c.Transport, c.Label, c.Keyring, c.CIDRsAllowed = f.config.Name, t, f.config.Label, keys, allow
 	c.BindAddr, c.BindPort = hostOf(f.config.Bind), 0
-	c.ProbeInterval = cmp.Or(f.config.Probe, defaultProbe)
+	c.ProbeInterval = cmp.Or(f.config.ProbeInterval, defaultProbe)
 	c.ProbeTimeout = c.ProbeInterval / 2
 	c.SuspicionMult, c.SuspicionMaxTimeoutMult = suspicionMultiplier, suspicionMaxMultiplier
 	c.GossipInterval, c.GossipNodes, c.RetransmitMult = gossipInterval, gossipFanout, retransmitMultiplier
@@ -309,7 +309,7 @@
 // rejoin calls one member that was lost, or one of those to join by that is not there yet: after a split, or
 // where two parts of a fleet start apart, nobody else would bring them together. And it exchanges whole states
 // after changes: some word of theirs may have reached all but a few.
-func (f *Fleet) rejoin(list *memberlist.Memberlist) {
+func (f *Agent) rejoin(list *memberlist.Memberlist) {
 	self := list.LocalNode().FullAddress().Addr
 	there, lost := f.presentAndLost(self)
 	for _, at := range f.config.Join {
@@ -330,7 +330,7 @@
 }
 
 // presentAndLost are the addresses of the others who are there, and of those who fell silent.
-func (f *Fleet) presentAndLost(self string) (there, lost []string) {
+func (f *Agent) presentAndLost(self string) (there, lost []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, m := range f.members {
@@ -348,7 +348,7 @@
 }
 
 // exchangeDue tells whether an exchange is due after changes, and books it.
-func (f *Fleet) exchangeDue(others int) bool {
+func (f *Agent) exchangeDue(others int) bool {
 	span := minExchangeInterval + time.Duration(others)*exchangeIntervalPerMember
 	span = span/2 + rand.N(span)
 	now := f.config.now()
@@ -366,7 +366,7 @@
 }
 
 // leave says that this node goes, which is not the same as to fall silent.
-func (f *Fleet) leave(list *memberlist.Memberlist) {
+func (f *Agent) leave(list *memberlist.Memberlist) {
 	f.mu.Lock()
 	f.leaving = true
 	bye := directMessage{kindLeaving, f.incarnation, f.config.Name}.encode()
@@ -389,12 +389,12 @@
 }
 
 // Yield leaves the name to another process of this node, with no word to the others. Resume takes it back.
-func (f *Fleet) Yield() { f.request(roleStandby) }
+func (f *Agent) Yield() { f.request(roleStandby) }
 
 // Resume makes this process the member again.
-func (f *Fleet) Resume() { f.request(roleMember) }
+func (f *Agent) Resume() { f.request(roleMember) }
 
-func (f *Fleet) request(w role) {
+func (f *Agent) request(w role) {
 	for {
 		select {
 		case f.requests <- w:
@@ -410,11 +410,11 @@
 
 // Stats are the figures of this process's membership.
 type Stats struct {
-	Sent, Received uint64 // bytes of datagrams and streams
-	Views          uint64 // changes of the view
-	Refuted        uint64 // suspicions of this node that it answered
-	Conflicts      uint64 // times that another process bore this node's name
-	Quieted        uint64 // log lines that were counted and not written
+	SentBytes, ReceivedBytes uint64 // bytes of datagrams and streams
+	ViewChanges              uint64 // changes of the view
+	RefutedSuspicions        uint64 // suspicions of this node that it answered
+	NameConflicts            uint64 // times that another process bore this node's name
+	SuppressedLogLines       uint64 // log lines that were counted and not written
 }
 
 type stats struct {
@@ -423,10 +423,10 @@
 }
 
 // Stats returns the figures so far.
-func (f *Fleet) Stats() Stats {
+func (f *Agent) Stats() Stats {
 	f.mu.Lock()
 	views := f.version
 	f.mu.Unlock()
-	return Stats{Sent: f.stats.sent.Load(), Received: f.stats.received.Load(), Views: views,
-		Refuted: f.stats.refuted.Load(), Conflicts: f.stats.conflicts.Load(), Quieted: f.log.suppressedCount()}
+	return Stats{SentBytes: f.stats.sent.Load(), ReceivedBytes: f.stats.received.Load(), ViewChanges: views,
+		RefutedSuspicions: f.stats.refuted.Load(), NameConflicts: f.stats.conflicts.Load(), SuppressedLogLines: f.log.suppressedCount()}
 }
--- a/internal/membership/member_test.go
+++ b/internal/membership/member_test.go
@@ -33,7 +33,7 @@
 // virtual is a fleet in one process and virtual time.
 type virtual struct {
 	net   *memNet
-	all   []*Fleet
+	all   []*Agent
 	stops []func()
 	ends  sync.WaitGroup
 	seen  []deaths
@@ -53,8 +53,8 @@
 	return v
 }
 
-func (v *virtual) start(i int) *Fleet {
-	var f *Fleet
+func (v *virtual) start(i int) *Agent {
+	var f *Agent
 	c := Config{Name: fmt.Sprintf("n%04d", i), Zone: fmt.Sprint("z", i%3), Version: "test", Bind: memAddress(i),
 		Join: []string{memAddress(0), memAddress(1), memAddress(2)}}
 	c.transport = func() (memberlist.NodeAwareTransport, error) {
@@ -118,7 +118,7 @@
 }
 
 // heard counts the members that one hears.
-func (v *virtual) heard(i int) int { return v.all[i].View().Heard() }
+func (v *virtual) heard(i int) int { return v.all[i].View().PresentCount() }
 
 // agreed waits until all of these hear so many, and tells how long that took.
 func (v *virtual) agreed(t *testing.T, most time.Duration, n int, who ...int) time.Duration {
@@ -167,7 +167,7 @@
 		time.Sleep(20*time.Second + 2*time.Duration(n)*exchangesAfterChange*exchangeIntervalPerMember) // what the start has to tell is over
 		sent := func() (sum uint64) {
 			for _, f := range v.all {
-				sum += f.Stats().Sent
+				sum += f.Stats().SentBytes
 			}
 			return sum
 		}
@@ -248,8 +248,8 @@
 		}
 		v.start(3)
 		v.agreed(t, 10*time.Second, 7, upTo(7)...)
-		if after := v.all[0].View(); after.Number <= before.Number {
-			t.Errorf("view %d after view %d", after.Number, before.Number)
+		if after := v.all[0].View(); after.Revision <= before.Revision {
+			t.Errorf("view %d after view %d", after.Revision, before.Revision)
 		}
 	})
 }
@@ -258,7 +258,7 @@
 func TestLaterProcessOfANameIsTheMember(t *testing.T) {
 	withFleet(t, 5, func(t *testing.T, v *virtual) {
 		time.Sleep(time.Second)
-		var later *Fleet
+		var later *Agent
 		c := v.all[2].config
 		c.Bind = memAddress(77)
 		c.transport = func() (memberlist.NodeAwareTransport, error) {
@@ -272,7 +272,7 @@
 		defer stop()
 		v.ends.Go(func() { later.Run(ctx) })
 		time.Sleep(30 * time.Second)
-		if !v.all[2].View().Superseded || v.all[2].Stats().Conflicts != 1 {
+		if !v.all[2].View().Superseded || v.all[2].Stats().NameConflicts != 1 {
 			t.Errorf("the earlier process was not told: %+v", v.all[2].Stats())
 		}
 		if later.View().Superseded {
@@ -314,8 +314,8 @@
 
 // What can't be used is named by its field.
 func TestConfigNamesTheField(t *testing.T) {
-	good := Config{Name: "n", Bind: "10.0.0.1:7946", Join: []string{"10.0.0.2:7946"}, Allow: []string{"10.0.0.0/8"}}
-	if err := good.Check(); err != nil {
+	good := Config{Name: "n", Bind: "10.0.0.1:7946", Join: []string{"10.0.0.2:7946"}, AllowedCIDRs: []string{"10.0.0.0/8"}}
+	if err := good.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	key := t.TempDir() + "/keys"
@@ -328,13 +328,13 @@
 		"fleet.join":      func(c *Config) { c.Join = []string{"seed:7946"} },
 		"fleet.advertise": func(c *Config) { c.Bind = "0.0.0.0:7946" },
 		"fleet.label":     func(c *Config) { c.Label = "a b" },
-		"fleet.allow":     func(c *Config) { c.Allow = []string{"10.0.0.0"} },
-		"fleet.probe_ms":  func(c *Config) { c.Probe = time.Millisecond },
+		"fleet.allow":     func(c *Config) { c.AllowedCIDRs = []string{"10.0.0.0"} },
+		"fleet.probe_ms":  func(c *Config) { c.ProbeInterval = time.Millisecond },
 		"keys:2":          func(c *Config) { c.KeyFile = key },
 	} {
 		c := good
 		change(&c)
-		if err := c.Check(); !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), want) {
+		if err := c.Validate(); !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), want) {
 			t.Errorf("want %s, got %v", want, err)
 		}
 	}
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// Sockets is how many descriptors membership takes at most: two to listen, what others may open, and what
+// MaxDescriptors is how many descriptors membership takes at most: two to listen, what others may open, and what
 // this member opens itself.
-const Sockets = 2 + streamsMost + 4
+const MaxDescriptors = 2 + streamsMost + 4
 
 const (
 	datagramMost = 64 << 10
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -42,14 +42,14 @@
 
 // View is the fleet as one node sees it at a moment. Its number only grows while the node's process lives.
 type View struct {
-	Number     uint64
+	Revision   uint64
 	Self       string
 	Superseded bool // another process bears this node's name, and is the member
 	Members    []Member
 }
 
-// Heard counts the members that are there, this node among them.
-func (v View) Heard() (n int) {
+// PresentCount counts the members that are there, this node among them.
+func (v View) PresentCount() (n int) {
 	for _, m := range v.Members {
 		if m.State == Alive || m.State == Suspect {
 			n++
@@ -58,8 +58,8 @@
 	return n
 }
 
-// Near counts those of them that are in this node's zone, itself among them.
-func (v View) Near() (n int) {
+// PresentInZone counts those of them that are in this node's zone, itself among them.
+func (v View) PresentInZone() (n int) {
 	own := slices.IndexFunc(v.Members, func(m Member) bool { return m.Name == v.Self })
 	if own < 0 {
 		return 0
@@ -73,14 +73,14 @@
 }
 
 // View is the fleet as this node sees it now.
-func (f *Fleet) View() View {
+func (f *Agent) View() View {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.view()
 }
 
-func (f *Fleet) view() View {
-	v := View{Number: f.version, Self: f.config.Name, Superseded: f.superseded}
+func (f *Agent) view() View {
+	v := View{Revision: f.version, Self: f.config.Name, Superseded: f.superseded}
 	for _, m := range f.members {
 		v.Members = append(v.Members, *m)
 	}
@@ -90,7 +90,7 @@
 
 // Subscribe returns a channel on which the newest view waits after each change. One that nobody reads is
 // replaced by a newer; nobody is waited for.
-func (f *Fleet) Subscribe() <-chan View {
+func (f *Agent) Subscribe() <-chan View {
 	told := make(chan View, 1)
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +102,7 @@
 }
 
 // publish notes a change of the view. The lock is held.
-func (f *Fleet) publish() {
+func (f *Agent) publish() {
 	f.version++
 	f.removeExpired()
 	for _, told := range f.subscribers {
@@ -115,7 +115,7 @@
 }
 
 // removeExpired drops those who are long gone, and the longest gone where there are too many.
-func (f *Fleet) removeExpired() {
+func (f *Agent) removeExpired() {
 	now := f.config.now()
 	for name, m := range f.members {
 		gone := now.Sub(m.Since)
@@ -135,7 +135,7 @@
 }
 
 // update notes what a member is now, where that is news.
-func (f *Fleet) update(n *memberlist.Node, s State) {
+func (f *Agent) update(n *memberlist.Node, s State) {
 	meta, err := decodeMetadata(n.Meta)
 	if err != nil {
 		f.log.logLimited(slog.LevelWarn, "fleet: a member of another version tells what can't be read", "member", n.Name, "err", err)
@@ -172,7 +172,7 @@
 }
 
 // changeState changes the state of a member that is there.
-func (f *Fleet) changeState(name string, from, to State) {
+func (f *Agent) changeState(name string, from, to State) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	m := f.members[name]
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -164,11 +164,11 @@
 		{Name: "n", Bind: "0.0.0.0:7946"},
 		{Name: "n", Bind: "10.0.0.1:7946", Join: []string{"seed:7946"}},
 		{Name: "n", Bind: "10.0.0.1:7946", Label: "a b"},
-		{Name: "n", Bind: "10.0.0.1:7946", Allow: []string{"10.0.0.0"}},
-		{Name: "n", Bind: "10.0.0.1:7946", Probe: 1},
+		{Name: "n", Bind: "10.0.0.1:7946", AllowedCIDRs: []string{"10.0.0.0"}},
+		{Name: "n", Bind: "10.0.0.1:7946", ProbeInterval: 1},
 		{Name: "n", Bind: "10.0.0.1:7946", KeyFile: filepath.Join("testdata", "bad-keys")},
 	} {
-		field, _, _ := strings.Cut(fmt.Sprint(c.Check()), ":")
+		field, _, _ := strings.Cut(fmt.Sprint(c.Validate()), ":")
 		lines = append(lines, "field "+field)
 	}
 	compareGolden(t, "names.txt", lines)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -239,7 +239,7 @@
 		n += controlSockets
 	}
 	if c.Fleet != nil {
-		n += gossip.Sockets
+		n += gossip.MaxDescriptors
 	}
 	return n
 }
@@ -252,7 +252,7 @@
 		n += controlSockets / 2
 	}
 	if c.Fleet != nil { // one of the two is the member
-		n += gossip.Sockets / 2
+		n += gossip.MaxDescriptors / 2
 	}
 	return n
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -33,8 +33,8 @@
 		return nil, err
 	}
 	m := &gossip.Config{Name: c.Name, Zone: c.Settings.Zone, Version: Version(), Bind: s.Bind, Advertise: s.Advertise,
-		Join: s.Join, Label: s.Label, KeyFile: s.KeyFile, Allow: s.Allow, Probe: millis(s.ProbeMs)}
-	return m, m.Check()
+		Join: s.Join, Label: s.Label, KeyFile: s.KeyFile, AllowedCIDRs: s.Allow, ProbeInterval: millis(s.ProbeMs)}
+	return m, m.Validate()
 }
 
 // fleetSeen is how many nodes this one hears, and how many of them in its own zone, on its way to the loop.
@@ -53,7 +53,7 @@
 	for {
 		select {
 		case v := <-views:
-			l.send(fleetSeen{v.Heard(), v.Near()})
+			l.send(fleetSeen{v.PresentCount(), v.PresentInZone()})
 		case <-ctx.Done():
 			return
 		}
@@ -62,7 +62,7 @@
 
 // membership is this process's part in the fleet, for operators. The zero value is a node of no fleet.
 type membership struct {
-	*gossip.Fleet
+	*gossip.Agent
 	loop *loop
 }
 
@@ -98,9 +98,9 @@
 func (m membership) serve(w http.ResponseWriter, _ *http.Request) {
 	v, s, now := m.View(), m.Stats(), time.Now()
 	f, _ := ask(m.loop, func(reply chan<- fleetState) any { return fleetAsked{reply} })
-	out := FleetView{Node: v.Self, View: v.Number, Agreed: f.agreed, Heard: v.Heard(), CutOff: f.cutOff,
-		Superseded: v.Superseded, SentBytes: s.Sent, HeardBytes: s.Received, Refuted: s.Refuted,
-		Conflicts: s.Conflicts, LinesQuiet: s.Quieted, Members: []FleetMember{}, GeneratedAt: now}
+	out := FleetView{Node: v.Self, View: v.Revision, Agreed: f.agreed, Heard: v.PresentCount(), CutOff: f.cutOff,
+		Superseded: v.Superseded, SentBytes: s.SentBytes, HeardBytes: s.ReceivedBytes, Refuted: s.RefutedSuspicions,
+		Conflicts: s.NameConflicts, LinesQuiet: s.SuppressedLogLines, Members: []FleetMember{}, GeneratedAt: now}
 	for _, one := range v.Members {
 		out.Members = append(out.Members, FleetMember{one.Name, one.Address, one.Zone, one.Version, one.Incarnation,
 			one.State, now.Sub(one.Since).Milliseconds()})
@@ -125,12 +125,12 @@
 		})
 	}
 	for name, of := range map[string]func(gossip.Stats) uint64{
-		"app_fleet_sent_bytes_total":         func(s gossip.Stats) uint64 { return s.Sent },
-		"app_fleet_received_bytes_total":     func(s gossip.Stats) uint64 { return s.Received },
-		"app_fleet_view_changes_total":       func(s gossip.Stats) uint64 { return s.Views },
-		"app_fleet_suspicions_refuted_total": func(s gossip.Stats) uint64 { return s.Refuted },
-		"app_fleet_name_conflicts_total":     func(s gossip.Stats) uint64 { return s.Conflicts },
-		"app_fleet_log_lines_quieted_total":  func(s gossip.Stats) uint64 { return s.Quieted },
+		"app_fleet_sent_bytes_total":         func(s gossip.Stats) uint64 { return s.SentBytes },
+		"app_fleet_received_bytes_total":     func(s gossip.Stats) uint64 { return s.ReceivedBytes },
+		"app_fleet_view_changes_total":       func(s gossip.Stats) uint64 { return s.ViewChanges },
+		"app_fleet_suspicions_refuted_total": func(s gossip.Stats) uint64 { return s.RefutedSuspicions },
+		"app_fleet_name_conflicts_total":     func(s gossip.Stats) uint64 { return s.NameConflicts },
+		"app_fleet_log_lines_quieted_total":  func(s gossip.Stats) uint64 { return s.SuppressedLogLines },
 	} {
 		f.set.NewGauge(name, func() float64 { return float64(of(m.Stats())) })
 	}
@@ -156,7 +156,7 @@
 		return nil, nil
 	}
 	trips := l.fig.set.NewHistogram("app_fleet_probe_seconds")
-	c.Fleet.Probed = func(took time.Duration) { trips.Update(took.Seconds()) }
+	c.Fleet.OnProbe = func(took time.Duration) { trips.Update(took.Seconds()) }
 	f, err := gossip.New(*c.Fleet)
 	if err != nil {
 		return nil, err
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -296,7 +296,7 @@
 func TestOperatorsFormsStay(t *testing.T) {
 	c := testConfig(t, knownList("127.0.0.1:9"))
 	c.Fleet = &gossip.Config{Name: "n0", Zone: "a", Version: "1", Bind: replaceable(t, knownList("127.0.0.1:9")).Listen, Label: "l"}
-	if err := c.Fleet.Check(); err != nil {
+	if err := c.Fleet.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	c.Settings.Topology = &policy.Topology{RegionOfZone: map[string]string{"a": "east", "b": "west"},
@@ -304,7 +304,7 @@
 	at := Listeners{Clients: listen(t), Control: listen(t)}
 	ctl := at.Control.Addr().String()
 	startNodeAt(t, c, at, nil)
-	c.Fleet.Probed(time.Millisecond)
+	c.Fleet.OnProbe(time.Millisecond)
 	await(t, "the figures of places", func() bool {
 		_, there := stats(t, ctl)[`app_place_servers{zone="a"}`]
 		return there
