--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -215,7 +215,7 @@
 		}
 		list, err := f.open()
 		if err != nil {
-			f.log.logLimited(slog.LevelWarn, "fleet: not a member yet", "err", err)
+			f.log.logLimited(slog.LevelWarn, "fleet: membership not started, retrying", "error", err)
 			select {
 			case want = <-f.requests:
 			case <-time.After(bindRetry):
@@ -234,10 +234,10 @@
 	defer func() {
 		f.set(nil)
 		if err := list.Shutdown(); err != nil {
-			f.log.logLimited(slog.LevelWarn, "fleet: ending", "err", err)
+			f.log.logLimited(slog.LevelWarn, "fleet: memberlist shutdown failed", "error", err)
 		}
 	}()
-	slog.Info("fleet: a member", "name", f.config.Name, "address", list.LocalNode().FullAddress().Addr, "label", f.config.Label)
+	slog.Info("fleet: membership started", "node", f.config.Name, "address", list.LocalNode().FullAddress().Addr, "label", f.config.Label)
 	next := time.NewTimer(0)
 	defer next.Stop()
 	for {
@@ -248,7 +248,7 @@
 		case want := <-f.requests:
 			switch want {
 			case roleStandby:
-				slog.Info("fleet: another process of this node is the member")
+				slog.Info("fleet: standing by for another process of this node", "node", f.config.Name)
 				return want
 			case roleLeft:
 				f.leave(list)
@@ -325,7 +325,7 @@
 	}
 	at := lost[rand.IntN(len(lost))]
 	if _, err := list.Join([]string{at}); err != nil {
-		f.log.logLimited(slog.LevelInfo, "fleet: no answer from a lost member", "address", at, "err", err, "heard", len(there)+1)
+		f.log.logLimited(slog.LevelInfo, "fleet: join failed, retrying", "address", at, "error", err, "present", len(there)+1)
 	}
 }
 
@@ -381,10 +381,10 @@
 		}
 	}
 	if err := list.UpdateNode(leaveTimeout); err != nil {
-		slog.Info("fleet: not all may have heard that this node goes", "err", err)
+		slog.Info("fleet: leave announcement may be incomplete", "node", f.config.Name, "error", err)
 	}
 	if err := list.Leave(leaveTimeout); err != nil {
-		slog.Info("fleet: not all may have heard that this node has gone", "err", err)
+		slog.Info("fleet: leave may be incomplete", "node", f.config.Name, "error", err)
 	}
 }
 
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -387,3 +387,15 @@
 		t.Errorf("%d lines after the span", n)
 	}
 }
+
+// On-call pages and the tests with real processes search the log for this line's beginning.
+func TestMemberStateChangeHasAStableLogLine(t *testing.T) {
+	var out strings.Builder
+	now := func() time.Time { return time.Unix(0, 0) }
+	l := newLogAdapter(slog.New(slog.NewTextHandler(&out, nil)), now, func(string) {})
+	l.member(&Member{Name: "n1", State: Suspect}, Member{Name: "n1", State: Dead, Zone: "a", Incarnation: 7})
+	const want = `level=INFO msg="fleet: member state changed" state=dead node=n1 address="" zone=a previous_state=suspect incarnation=7`
+	if !strings.Contains(out.String(), want) {
+		t.Errorf("log line is %q, want %q in it", out.String(), want)
+	}
+}
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -179,8 +179,8 @@
 	f.superseded = true
 	f.stats.conflicts.Add(1)
 	f.publish()
-	slog.Error("fleet: another process bears this node's name and is later: this one is no member any more",
-		"name", f.config.Name, "incarnation", f.incarnation, "later", incarnation)
+	slog.Error("fleet: superseded by a later process with this node's name, leaving",
+		"node", f.config.Name, "incarnation", f.incarnation, "later_incarnation", incarnation)
 	f.request(roleLeft) // so that the name is free for the other
 }
 
--- a/internal/membership/logging.go
+++ b/internal/membership/logging.go
@@ -65,8 +65,8 @@
 		before = was.State
 	}
 	if l.allow("member/" + is.Name + "/" + string(is.State)) {
-		l.logger.Info("fleet: a member is now "+string(is.State), "member", is.Name, "address", is.Address, "zone", is.Zone,
-			"before", before, "incarnation", is.Incarnation, "version", is.Version)
+		l.logger.Info("fleet: member state changed", "state", is.State, "node", is.Name,
+			"address", is.Address, "zone", is.Zone, "previous_state", before, "incarnation", is.Incarnation, "version", is.Version)
 	}
 }
 
@@ -87,7 +87,7 @@
 	line = strings.TrimPrefix(line, "memberlist: ")
 	l.onLine(line)
 	if level > slog.LevelInfo && l.allow(kindOf(line)) {
-		l.logger.Log(context.Background(), level, "fleet: "+line)
+		l.logger.Log(context.Background(), level, "fleet: memberlist reported a problem", "line", line)
 	}
 	return len(p), nil
 }
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -138,7 +138,7 @@
 func (f *Agent) update(n *memberlist.Node, s State) {
 	meta, err := decodeMetadata(n.Meta)
 	if err != nil {
-		f.log.logLimited(slog.LevelWarn, "fleet: a member of another version tells what can't be read", "member", n.Name, "err", err)
+		f.log.logLimited(slog.LevelWarn, "fleet: member metadata unreadable", "node", n.Name, "error", err)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -164,7 +164,7 @@
 	told := make(map[string]int)
 	for _, p := range f.Nodes[name].Processes() {
 		for line := range strings.Lines(p.Log()) {
-			if _, rest, ok := strings.Cut(line, "a member is now "+state+"\" member="); ok {
+			if _, rest, ok := strings.Cut(line, "member state changed\" state="+state+" node="); ok {
 				member, _, _ := strings.Cut(rest, " ")
 				told[member]++
 			}
