--- /dev/null
+++ b/internal/membership/config.go
@@ -0,0 +1,146 @@
+package membership
+
+import (
+	"encoding/base64"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"slices"
+	"strings"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+const (
+	maxNameBytes  = 128
+	maxLabelBytes = 64
+
+	defaultProbeInterval = 200 * time.Millisecond
+	minProbeInterval     = 50 * time.Millisecond
+	maxProbeInterval     = time.Minute
+)
+
+// Config says who a node is in its fleet and how it is reached.
+type Config struct {
+	Name, Zone, Version string
+
+	Bind          string        // host:port for datagrams and streams
+	Advertise     string        // host:port under which others reach Bind; empty for Bind itself
+	Join          []string      // host:port of the seeds; the other members are learned from them
+	Label         string        // of the fleet; packets with another label are dropped
+	KeyFile       string        // base64 keys of 16, 24 or 32 bytes, one a line, the first encrypts; empty: no encryption
+	AllowedCIDRs  []string      // networks that members may be in; empty for any
+	ProbeInterval time.Duration // between the probes that this node sends; 0 for 200 ms
+
+	// OnProbe gets the round-trip time of each answered probe. It is called from memberlist's probe goroutine
+	// and must not block. May be nil.
+	OnProbe func(roundTrip time.Duration)
+
+	newTransport func() (memberlist.NodeAwareTransport, error) // nil for sockets
+	now          func() time.Time                              // nil for time.Now
+}
+
+// Equal reports whether two configurations ask for the same membership. OnProbe and Version don't count.
+func (c Config) Equal(o Config) bool {
+	return c.Name == o.Name && c.Zone == o.Zone && c.Bind == o.Bind && c.Advertise == o.Advertise &&
+		slices.Equal(c.Join, o.Join) && c.Label == o.Label && c.KeyFile == o.KeyFile &&
+		slices.Equal(c.AllowedCIDRs, o.AllowedCIDRs) && c.ProbeInterval == o.ProbeInterval
+}
+
+// ErrConfig is what each error of Validate is.
+var ErrConfig = errors.New("fleet")
+
+func configErrorf(field, format string, args ...any) error {
+	return fmt.Errorf("%w.%s: %w", ErrConfig, field, fmt.Errorf(format, args...))
+}
+
+// Validate returns an error for the first field whose value can't be used. It reads the key file.
+func (c Config) Validate() error {
+	if c.Name == "" || len(c.Name) > maxNameBytes {
+		return configErrorf("name", "want 1 to %d bytes, got %d", maxNameBytes, len(c.Name))
+	}
+	if err := c.validateAddresses(); err != nil {
+		return err
+	}
+	if len(c.Label) > maxLabelBytes || strings.ContainsFunc(c.Label, isOutsideLabel) {
+		return configErrorf("label", "want up to %d letters, digits, dots, dashes and underlines, got %q", maxLabelBytes, c.Label)
+	}
+	if _, err := memberlist.ParseCIDRs(c.AllowedCIDRs); err != nil {
+		return configErrorf("allow", "%w", err)
+	}
+	if c.ProbeInterval != 0 && (c.ProbeInterval < minProbeInterval || c.ProbeInterval > maxProbeInterval) {
+		return configErrorf("probe_ms", "want 50 ms to a minute, got %v", c.ProbeInterval)
+	}
+	_, err := c.keyring()
+	return err
+}
+
+func (c Config) validateAddresses() error {
+	bindIP, _, err := parseAddress(c.Bind)
+	if err != nil {
+		return configErrorf("bind", "%w", err)
+	}
+	if c.Advertise != "" {
+		if _, _, err := parseAddress(c.Advertise); err != nil {
+			return configErrorf("advertise", "%w", err)
+		}
+	}
+	for _, seed := range c.Join {
+		if _, _, err := parseAddress(seed); err != nil {
+			return configErrorf("join", "%w", err)
+		}
+	}
+	if bindIP.IsUnspecified() && c.Advertise == "" {
+		return configErrorf("advertise", "missing, for bind names no single address")
+	}
+	return nil
+}
+
+func isOutsideLabel(r rune) bool {
+	isLetterOrDigit := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
+	return !isLetterOrDigit && !strings.ContainsRune("._-", r)
+}
+
+// parseAddress parses "IP:port". Host names are not resolved: gossip must not depend on DNS.
+func parseAddress(address string) (net.IP, int, error) {
+	addr, err := net.ResolveUDPAddr("udp", address)
+	if err != nil || addr.IP == nil || addr.Port == 0 || net.ParseIP(hostOf(address)) == nil {
+		return nil, 0, fmt.Errorf("want an IP address and a port, got %q", address)
+	}
+	return addr.IP, addr.Port, nil
+}
+
+// hostOf returns the host of "host:port", or nothing if address has another form.
+func hostOf(address string) string {
+	host, _, err := net.SplitHostPort(address)
+	if err != nil {
+		return ""
+	}
+	return host
+}
+
+// keyring reads the key file; nil without one.
+func (c Config) keyring() (*memberlist.Keyring, error) {
+	if c.KeyFile == "" {
+		return nil, nil
+	}
+	raw, err := os.ReadFile(c.KeyFile)
+	if err != nil {
+		return nil, configErrorf("key_file", "%w", err)
+	}
+	var keys [][]byte
+	for i, line := range strings.Split(strings.TrimSpace(string(raw)), "\n") {
+		key, err := base64.StdEncoding.DecodeString(strings.TrimSpace(line))
+		if err != nil || memberlist.ValidateKey(key) != nil {
+			return nil, configErrorf("key_file", "%s:%d: want a base64 key of 16, 24 or 32 bytes", c.KeyFile, i+1)
+		}
+		keys = append(keys, key)
+	}
+	ring, err := memberlist.NewKeyring(keys, keys[0])
+	if err != nil {
+		return nil, configErrorf("key_file", "%w", err)
+	}
+	return ring, nil
+}
--- /dev/null
+++ b/internal/membership/logging_test.go
@@ -0,0 +1,66 @@
+package membership
+
+import (
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+)
+
+// newTestLog returns a log whose lines go to out, with a clock that stands at now.
+func newTestLog(out *strings.Builder, now *time.Time) *limitedLog {
+	return newLimitedLog(slog.New(slog.NewTextHandler(out, nil)), func() time.Time { return *now })
+}
+
+// Lines that differ in names and numbers alone are of one kind, and that kind is written once in logInterval.
+func TestLogLinesOfOneKindAreRateLimited(t *testing.T) {
+	var out strings.Builder
+	now := time.Unix(0, 0)
+	l := newTestLog(&out, &now)
+	w := &memberlistLog{to: l, onEvent: func(logEvent, string) {}}
+	write := func(i int) {
+		t.Helper()
+		_, err := fmt.Fprintf(w,
+			"[ERR] memberlist: Decrypt packet failed: No installed keys could decrypt the message from=10.0.0.%d:7946", i)
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	for i := range 1000 {
+		write(i)
+	}
+	if n := strings.Count(out.String(), "\n"); n != 1 || l.suppressedLines() != 999 {
+		t.Errorf("%d lines, %d suppressed", n, l.suppressedLines())
+	}
+	now = now.Add(logInterval)
+	write(1)
+	if n := strings.Count(out.String(), "\n"); n != 2 {
+		t.Errorf("%d lines after the interval", n)
+	}
+}
+
+// The number of kinds that are told apart is bounded.
+func TestLogKindsAreBounded(t *testing.T) {
+	var out strings.Builder
+	now := time.Unix(0, 0)
+	l := newTestLog(&out, &now)
+	for i := range 2 * maxLogKinds {
+		l.log(slog.LevelWarn, fmt.Sprint("kind ", i))
+	}
+	if n := strings.Count(out.String(), "\n"); n != maxLogKinds+1 {
+		t.Errorf("%d lines of %d kinds, want %d", n, 2*maxLogKinds, maxLogKinds+1)
+	}
+}
+
+// On-call pages and the tests with real processes search the log for this line's beginning.
+func TestMemberStateChangeHasAStableLogLine(t *testing.T) {
+	var out strings.Builder
+	now := time.Unix(0, 0)
+	l := newTestLog(&out, &now)
+	l.memberChanged(Member{Name: "n1", State: Suspect}, Member{Name: "n1", State: Dead, Zone: "a", Incarnation: 7})
+	const want = `level=INFO msg="fleet: member state changed" state=dead node=n1 address="" zone=a previous_state=suspect incarnation=7`
+	if !strings.Contains(out.String(), want) {
+		t.Errorf("log line is %q, want %q in it", out.String(), want)
+	}
+}
--- /dev/null
+++ b/internal/membership/member_table_test.go
@@ -0,0 +1,177 @@
+package membership
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// newTestTable returns a table with a clock that the test moves, and the transitions that it reported.
+func newTestTable(now *time.Time) (*memberTable, *[]string) {
+	transitions := new([]string)
+	t := newMemberTable("self", func() time.Time { return *now }, func(before, after Member) {
+		*transitions = append(*transitions, fmt.Sprintf("%s %s>%s", after.Name, before.State, after.State))
+	})
+	return t, transitions
+}
+
+func TestMemberTableUpdate(t *testing.T) {
+	alive := Member{Name: "n1", Address: "10.0.0.1:1", Incarnation: 1, State: Alive}
+	with := func(change func(*Member)) Member {
+		m := alive
+		change(&m)
+		return m
+	}
+	for _, c := range []struct {
+		name         string
+		update       Member
+		wantState    State
+		transitioned bool
+		published    bool
+	}{
+		{"the same", alive, Alive, false, false},
+		{"another zone", with(func(m *Member) { m.Zone = "b" }), Alive, false, true},
+		{"a later incarnation", with(func(m *Member) { m.Incarnation = 2 }), Alive, true, true},
+		{"a death", with(func(m *Member) { m.State = Dead }), Dead, true, true},
+		{"a leave", with(func(m *Member) { m.leaving = true }), Left, true, true},
+		{"a death of one that leaves", with(func(m *Member) { m.State, m.leaving = Dead, true }), Left, true, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			now := time.Unix(1000, 0)
+			table, transitions := newTestTable(&now)
+			table.update(alive)
+			before := table.view()
+			now = now.Add(time.Second)
+			if got := table.update(c.update); got != c.transitioned {
+				t.Errorf("transitioned %v, want %v", got, c.transitioned)
+			}
+			after := table.view()
+			if published := after.Revision > before.Revision; published != c.published {
+				t.Errorf("published %v, want %v", published, c.published)
+			}
+			if m := after.Members[0]; m.State != c.wantState || m.Since.Equal(now) != c.transitioned {
+				t.Errorf("member is %+v, want state %s", m, c.wantState)
+			}
+			if reported := len(*transitions) == 2; reported != c.transitioned {
+				t.Errorf("transitions %v", *transitions)
+			}
+		})
+	}
+}
+
+// An announcement counts for its own incarnation, before and after the member was found dead.
+func TestMemberTableAnnounceLeave(t *testing.T) {
+	now := time.Unix(1000, 0)
+	table, _ := newTestTable(&now)
+	dead := Member{Name: "n1", Incarnation: 2, State: Dead}
+	table.update(dead)
+	table.announceLeave("n1", 1)
+	if s := table.view().Members[0].State; s != Dead {
+		t.Errorf("state %s after an announcement of another incarnation", s)
+	}
+	table.announceLeave("n1", 2)
+	if s := table.view().Members[0].State; s != Left {
+		t.Errorf("state %s after a late announcement", s)
+	}
+
+	table.update(Member{Name: "n2", Incarnation: 1, State: Alive})
+	table.announceLeave("n2", 1)
+	if s := table.view().Members[1].State; s != Alive {
+		t.Errorf("state %s before the leave itself", s)
+	}
+	table.update(Member{Name: "n2", Incarnation: 1, State: Dead})
+	if s := table.view().Members[1].State; s != Left {
+		t.Errorf("state %s after an early announcement", s)
+	}
+	table.update(Member{Name: "n2", Incarnation: 2, State: Alive})
+	if s := table.view().Members[1].State; s != Alive {
+		t.Errorf("state %s of a later incarnation", s)
+	}
+}
+
+func TestMemberTableTransitionNeedsTheFromState(t *testing.T) {
+	now := time.Unix(1000, 0)
+	table, _ := newTestTable(&now)
+	table.update(Member{Name: "n1", State: Dead})
+	table.transition("n1", Alive, Suspect)
+	table.transition("n2", Alive, Suspect)
+	if v := table.view(); len(v.Members) != 1 || v.Members[0].State != Dead {
+		t.Errorf("%+v", v)
+	}
+}
+
+func TestMemberTableDropsAbsentMembers(t *testing.T) {
+	start := time.Unix(1000, 0)
+	for _, c := range []struct {
+		state State
+		after time.Duration
+		want  int
+	}{
+		{Left, leftRetention, 1},
+		{Left, leftRetention + time.Second, 0},
+		{Dead, deadRetention, 1},
+		{Dead, deadRetention + time.Second, 0},
+		{Alive, 2 * deadRetention, 1},
+	} {
+		now := start
+		table, _ := newTestTable(&now)
+		table.update(Member{Name: "n1", State: c.state})
+		now = now.Add(c.after)
+		table.update(Member{Name: "n2", State: Alive}) // expiry happens at changes
+		if got := len(table.view().Members) - 1; got != c.want {
+			t.Errorf("%s for %v: %d members, want %d", c.state, c.after, got, c.want)
+		}
+	}
+}
+
+// Above maxMembers no absent member is added, and present ones push out those absent for longest.
+func TestMemberTableIsBounded(t *testing.T) {
+	now := time.Unix(1000, 0)
+	table, _ := newTestTable(&now)
+	for i := range maxMembers {
+		now = now.Add(time.Millisecond)
+		state := Alive
+		if i == 7 || i == 9 {
+			state = Dead
+		}
+		table.members[nodeName(i)] = Member{Name: nodeName(i), State: state, Since: now}
+	}
+	if table.update(Member{Name: "dead", State: Dead}) {
+		t.Error("a dead member was added to a full table")
+	}
+	table.update(Member{Name: "alive", State: Alive})
+	if len(table.members) != maxMembers {
+		t.Errorf("%d members, want %d", len(table.members), maxMembers)
+	}
+	if _, ok := table.members[nodeName(7)]; ok {
+		t.Error("the member that is dead for longest is still there")
+	}
+	if _, ok := table.members[nodeName(9)]; !ok {
+		t.Error("the member that died later is gone")
+	}
+}
+
+// A subscriber that reads nothing finds the newest view, and one that comes late the present one.
+func TestMemberTableSubscribersGetTheNewestView(t *testing.T) {
+	now := time.Unix(1000, 0)
+	table, _ := newTestTable(&now)
+	early := table.subscribe()
+	select {
+	case v := <-early:
+		t.Errorf("view %+v before the first change", v)
+	default:
+	}
+	for i := range 5 {
+		table.update(Member{Name: nodeName(i), State: Alive})
+	}
+	for name, views := range map[string]<-chan View{"early": early, "late": table.subscribe()} {
+		select {
+		case v := <-views:
+			if v.Revision != 5 || len(v.Members) != 5 {
+				t.Errorf("%s subscriber got %+v", name, v)
+			}
+		default:
+			t.Errorf("%s subscriber got no view", name)
+		}
+	}
+}
--- /dev/null
+++ b/internal/membership/memberlist_log_test.go
@@ -0,0 +1,82 @@
+package membership
+
+import (
+	"strings"
+	"testing"
+	"time"
+)
+
+func TestMemberlistLinesKeepTheirLevel(t *testing.T) {
+	for _, c := range []struct {
+		line, want string
+	}{
+		{"[DEBUG] memberlist: Initiating push/pull sync", ""},
+		{"[INFO] memberlist: Marking n1 as failed", ""},
+		{"[WARN] memberlist: Was able to connect", `level=WARN msg="fleet: memberlist reported a problem" line="Was able to connect"`},
+		{"[ERR] memberlist: Decrypt failed", `level=WARN msg="fleet: memberlist reported a problem" line="Decrypt failed"`},
+		{"no level", `level=WARN msg="fleet: memberlist reported a problem" line="no level"`},
+	} {
+		var out strings.Builder
+		now := time.Unix(0, 0)
+		w := &memberlistLog{to: newTestLog(&out, &now), onEvent: func(logEvent, string) {}}
+		w.logger().Print(c.line)
+		if got := out.String(); c.want == "" && got != "" || !strings.Contains(got, c.want) {
+			t.Errorf("%q is logged as %q, want %q", c.line, got, c.want)
+		}
+	}
+}
+
+func TestParseLogEvent(t *testing.T) {
+	for _, c := range []struct {
+		line  string
+		event logEvent
+		node  string
+	}{
+		{"Suspect n1 has failed, no acks received", memberSuspected, "n1"},
+		{"Failed UDP ping: n1 (timeout reached)", probeUnanswered, ""},
+		{"Refuting a suspect message (from: n1)", suspicionRefuted, ""},
+		{"Refuting a dead message (from: n1)", noLogEvent, ""},
+		{"Suspect n1 has", noLogEvent, ""},
+		{"", noLogEvent, ""},
+	} {
+		if event, node := parseLogEvent(c.line); event != c.event || node != c.node {
+			t.Errorf("%q is event %d of %q, want %d of %q", c.line, event, node, c.event, c.node)
+		}
+	}
+}
+
+func (l *probeLoss) lossRate() float64 {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.rate
+}
+
+// memberlist's log still has the lines that parseLogEvent reads.
+func TestMemberlistStillLogsEvents(t *testing.T) {
+	withFleet(t, 7, func(t *testing.T, v *virtualFleet) {
+		const victim = 6
+		v.kill(victim)
+		v.awaitPresent(t, 15*time.Second, victim, indexes(victim)...)
+		var suspected, lossy bool
+		for i := range victim {
+			suspected = suspected || v.suspected(i, nodeName(victim))
+			lossy = lossy || v.agents[i].network.probeLoss.lossRate() > 0
+		}
+		if !suspected {
+			t.Error("no member suspected a killed member before it was dead")
+		}
+		if !lossy {
+			t.Error("no direct probe of a killed member counts as lost")
+		}
+
+		v.network.setLoss(0.5) // members come to suspect others that answer
+		time.Sleep(30 * time.Second)
+		var refuted uint64
+		for i := range victim {
+			refuted += v.agents[i].Stats().RefutedSuspicions
+		}
+		if refuted == 0 {
+			t.Error("no suspicion was refuted at a loss of 0.5")
+		}
+	})
+}
--- a/internal/membership/memnet_test.go
+++ b/internal/membership/memnet_test.go
@@ -11,9 +11,9 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// memNet is a network in memory, for virtual time: datagrams take a while and may be lost, streams may not
-// come up, and sides may be cut off from each other.
-type memNet struct {
+// memNetwork is a network in memory, for virtual time: datagrams take memLatency and may be lost, streams may fail
+// to connect, and sides are partitioned from each other.
+type memNetwork struct {
 	mu    sync.Mutex
 	rng   *rand.Rand
 	loss  float64
@@ -23,14 +23,14 @@
 
 const memLatency = time.Millisecond
 
-func newMemNet(seed uint64) *memNet {
-	return &memNet{rng: rand.New(rand.NewPCG(seed, 7)), nodes: make(map[string]*memTransport), side: make(map[string]int)}
+func newMemNetwork(seed uint64) *memNetwork {
+	return &memNetwork{rng: rand.New(rand.NewPCG(seed, 7)), nodes: make(map[string]*memTransport), side: make(map[string]int)}
 }
 
 func memAddress(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/250, 1+i%250) }
 
-// reaches tells whether something gets from one address to another.
-func (n *memNet) reaches(from, to string) *memTransport {
+// route returns the transport that something from one address to another reaches, nil if it is lost.
+func (n *memNetwork) route(from, to string) *memTransport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.side[from] != n.side[to] || n.rng.Float64() < n.loss {
@@ -39,54 +39,78 @@
 	return n.nodes[to]
 }
 
-func (n *memNet) set(do func()) {
+// setLoss sets the fraction of datagrams and of stream connects that is lost.
+func (n *memNetwork) setLoss(loss float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	do()
+	n.loss = loss
+}
+
+// setSide puts members on a side; nothing passes between two sides.
+func (n *memNetwork) setSide(side int, members ...int) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for _, i := range members {
+		n.side[memAddress(i)] = side
+	}
+}
+
+func (n *memNetwork) add(t *memTransport) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.nodes[t.address] = t
+}
+
+// remove takes t away unless another transport has its address by now.
+func (n *memNetwork) remove(t *memTransport) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if n.nodes[t.address] == t {
+		delete(n.nodes, t.address)
+	}
 }
 
 // memTransport is one member's end.
 type memTransport struct {
-	net     *memNet
-	at      string
-	stats   *stats
+	network *memNetwork
+	address string
+	stats   *networkStats
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	ended   chan struct{}
+	closing chan struct{}
 	once    sync.Once
 }
 
-// transport makes the end at an address.
-func (n *memNet) transport(at string, s *stats) *memTransport {
-	t := &memTransport{net: n, at: at, stats: s, packets: make(chan *memberlist.Packet, 256),
-		streams: make(chan net.Conn, 64), ended: make(chan struct{})}
-	n.set(func() { n.nodes[at] = t })
+func (n *memNetwork) newTransport(address string, stats *networkStats) *memTransport {
+	t := &memTransport{network: n, address: address, stats: stats, packets: make(chan *memberlist.Packet, 256),
+		streams: make(chan net.Conn, 64), closing: make(chan struct{})}
+	n.add(t)
 	return t
 }
 
 func (t *memTransport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	ip, port, err := splitAddress(t.at)
+	ip, port, err := parseAddress(t.address)
 	return ip.To4(), port, err
 }
 
-func (t *memTransport) WriteTo(b []byte, addr string) (time.Time, error) {
-	t.stats.path.send(b, func(b []byte) { t.write(b, addr) })
+func (t *memTransport) WriteTo(b []byte, address string) (time.Time, error) {
+	t.stats.probeLoss.send(b, func(b []byte) { t.write(b, address) })
 	return time.Now(), nil
 }
 
-func (t *memTransport) write(b []byte, addr string) {
-	t.stats.sent.Add(uint64(len(b)))
-	to := t.net.reaches(t.at, addr)
+func (t *memTransport) write(b []byte, address string) {
+	t.stats.sentBytes.Add(uint64(len(b)))
+	to := t.network.route(t.address, address)
 	if to == nil {
 		return
 	}
-	from, _ := net.ResolveUDPAddr("udp", t.at)
+	from, _ := net.ResolveUDPAddr("udp", t.address) // memAddress made it
 	p := &memberlist.Packet{Buf: append([]byte(nil), b...), From: from}
 	time.AfterFunc(memLatency, func() {
 		p.Timestamp = time.Now()
 		select {
 		case to.packets <- p:
-		case <-to.ended:
+		case <-to.closing:
 		default: // a full socket buffer
 		}
 	})
@@ -99,26 +123,26 @@
 func (t *memTransport) PacketCh() <-chan *memberlist.Packet { return t.packets }
 func (t *memTransport) StreamCh() <-chan net.Conn           { return t.streams }
 
-var errNoWay = errors.New("no way there")
+var errUnreachable = errors.New("address is unreachable")
 
-func (t *memTransport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
-	to := t.net.reaches(t.at, addr)
-	if to == nil || t.net.reaches(addr, t.at) == nil {
+func (t *memTransport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
+	to := t.network.route(t.address, address)
+	if to == nil || t.network.route(address, t.address) == nil {
 		time.Sleep(timeout)
-		return nil, errNoWay
+		return nil, errUnreachable
 	}
 	select {
-	case <-to.ended:
-		return nil, errNoWay
+	case <-to.closing:
+		return nil, errUnreachable
 	default:
 	}
 	time.Sleep(2 * memLatency)
-	mine, theirs := net.Pipe()
+	near, far := net.Pipe()
 	select {
-	case to.streams <- countedConn{theirs, to.stats}:
-		return countedConn{mine, t.stats}, nil
+	case to.streams <- countedConn{far, to.stats}:
+		return countedConn{near, t.stats}, nil
 	default:
-		return nil, errNoWay
+		return nil, errUnreachable
 	}
 }
 
@@ -128,12 +152,8 @@
 
 func (t *memTransport) Shutdown() error {
 	t.once.Do(func() {
-		close(t.ended)
-		t.net.set(func() {
-			if t.net.nodes[t.at] == t {
-				delete(t.net.nodes, t.at)
-			}
-		})
+		close(t.closing)
+		t.network.remove(t)
 	})
 	return nil
 }
--- /dev/null
+++ b/internal/membership/protocol.go
@@ -0,0 +1,81 @@
+package membership
+
+import (
+	"cmp"
+	"errors"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+// Parameters of SWIM and Lifeguard. Together they let a probe bear a round trip, a pause of a third of a second and
+// lost datagrams, and have a failure known within two seconds.
+const (
+	directProbeDivisor = 2 // the direct probe takes this part of a probe interval, indirect probes the rest
+
+	gossipInterval     = 100 * time.Millisecond // while there are updates to send
+	gossipFanout       = 3                      // members that get them each time
+	gossipToDeadPeriod = time.Minute            // in which a dead member still gets them, so that it can refute
+
+	suspicionMultiplier           = 4 // minimum of the timeout: this times log10(members), in probe intervals
+	suspicionMaxTimeoutMultiplier = 5 // maximum of the timeout, while nobody confirms: this times the minimum
+	retransmitMultiplier          = 6 // an update is sent this times log10(members) times
+
+	pushPullInterval    = 2 * time.Minute // longer in large fleets; exchangeSchedule adds exchanges after changes
+	streamTimeout       = time.Second     // to connect, and for each read and write
+	deadNodeReclaimTime = time.Second     // after a death, until its name may be used at another address
+)
+
+// startMemberlist binds the addresses and becomes a member that doesn't know the others yet.
+func (a *Agent) startMemberlist() (*memberlist.Memberlist, error) {
+	config, err := a.memberlistConfig()
+	if err != nil {
+		return nil, err
+	}
+	transport, err := a.config.newTransport()
+	if err != nil {
+		return nil, err
+	}
+	config.Transport = transport
+	list, err := memberlist.Create(config)
+	if err != nil {
+		return nil, errors.Join(err, transport.Shutdown())
+	}
+	return list, nil
+}
+
+// memberlistConfig returns memberlist's configuration without a transport.
+func (a *Agent) memberlistConfig() (*memberlist.Config, error) {
+	keyring, err := a.config.keyring()
+	if err != nil {
+		return nil, err
+	}
+	allowed, err := memberlist.ParseCIDRs(a.config.AllowedCIDRs)
+	if err != nil {
+		return nil, configErrorf("allow", "%w", err)
+	}
+	c := memberlist.DefaultLANConfig()
+	c.Name = a.config.Name
+	c.Label = a.config.Label
+	c.Keyring = keyring
+	c.CIDRsAllowed = allowed
+	c.BindAddr, c.BindPort = hostOf(a.config.Bind), 0 // the transport binds
+
+	c.ProbeInterval = cmp.Or(a.config.ProbeInterval, defaultProbeInterval)
+	c.ProbeTimeout = c.ProbeInterval / directProbeDivisor
+	c.SuspicionMult = suspicionMultiplier
+	c.SuspicionMaxTimeoutMult = suspicionMaxTimeoutMultiplier
+	c.GossipInterval = gossipInterval
+	c.GossipNodes = gossipFanout
+	c.GossipToTheDeadTime = gossipToDeadPeriod
+	c.RetransmitMult = retransmitMultiplier
+	c.PushPullInterval = pushPullInterval
+	c.TCPTimeout = streamTimeout
+	c.DeadNodeReclaimTime = deadNodeReclaimTime
+	c.EnableCompression = false // its CPU time costs more than the bytes that it saves inside a fleet's network
+
+	c.Logger = (&memberlistLog{to: a.log, onEvent: a.handleLogEvent}).logger()
+	d := delegate{a}
+	c.Delegate, c.Events, c.Alive, c.Conflict, c.Ping = d, d, d, d, d
+	return c, nil
+}
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -31,11 +31,11 @@
 // wireMessages are the user messages between members.
 var wireMessages = []struct {
 	name    string
-	message directMessage
+	message userMessage
 }{
-	{"superseded", directMessage{kindSuperseded, 1767225600000, "node-1"}},
-	{"superseded-no-name", directMessage{kindSuperseded, 1, ""}},
-	{"leaving", directMessage{kindLeaving, 1<<64 - 1, "node-1"}},
+	{"superseded", userMessage{kindSuperseded, 1767225600000, "node-1"}},
+	{"superseded-no-name", userMessage{kindSuperseded, 1, ""}},
+	{"leaving", userMessage{kindLeaving, 1<<64 - 1, "node-1"}},
 }
 
 // compareGolden compares lines of "name value" with a file in testdata.
@@ -99,12 +99,12 @@
 // A node whose zone and version don't fit into the limit leaves both out. Nodes add nothing to push/pull states,
 // acknowledgements or gossip.
 func TestDelegatePayloadsMatchGoldenFile(t *testing.T) {
-	f, err := New(Config{Name: "node-1", Zone: strings.Repeat("z", 300), Version: strings.Repeat("v", 300), Bind: "10.0.0.1:7946"})
+	a, err := New(Config{Name: "node-1", Zone: strings.Repeat("z", 300), Version: strings.Repeat("v", 300), Bind: "10.0.0.1:7946"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.incarnation, f.leaving = 1767225600000, true
-	d := delegate{f}
+	a.incarnation, a.leaving = 1767225600000, true
+	d := delegate{a}
 	var lines []string
 	for _, c := range []struct {
 		name    string
@@ -127,24 +127,24 @@
 // A received user message from the golden file has its effect.
 func TestGoldenUserMessagesAreUnderstood(t *testing.T) {
 	golden := readGolden(t, "messages.hex")
-	f, err := New(Config{Name: "self", Bind: "10.0.0.1:7946"})
+	a, err := New(Config{Name: "self", Bind: "10.0.0.1:7946"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.incarnation = 5
-	f.list = new(memberlist.Memberlist)
-	f.members["node-1"] = &Member{Name: "node-1", State: Dead, Incarnation: 1<<64 - 1, Since: time.Now()}
-	d := delegate{f}
+	a.incarnation = 5
+	a.list = new(memberlist.Memberlist)
+	a.members.members["node-1"] = Member{Name: "node-1", State: Dead, Incarnation: 1<<64 - 1, Since: time.Now()}
+	d := delegate{a}
 	d.NotifyMsg(golden["superseded-no-name"])
-	if f.View().Superseded {
+	if a.View().Superseded {
 		t.Error("superseded by an earlier incarnation")
 	}
 	d.NotifyMsg(golden["leaving"])
-	if got := f.View().Members[0].State; got != Left {
+	if got := a.View().Members[0].State; got != Left {
 		t.Errorf("state after the leaving message is %q, want %q", got, Left)
 	}
 	d.NotifyMsg(golden["superseded"])
-	if !f.View().Superseded {
+	if !a.View().Superseded {
 		t.Error("not superseded by a later incarnation")
 	}
 }
