--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -14,6 +14,7 @@
 const (
 	bindRetryDelay = 50 * time.Millisecond  // the other process of a hot restart may still be bound
 	leaveTimeout   = 500 * time.Millisecond // for each of the two announcements
+	updateTimeout  = 500 * time.Millisecond // bounds the goroutine that announces a new incarnation
 )
 
 // Agent is one process's part in the gossip of its fleet. Make it with New and run it with Run. The other methods may
@@ -32,6 +33,7 @@
 	list        *memberlist.Memberlist // nil unless this process is the node's member
 	incarnation uint64
 	leaving     bool
+	background  sync.WaitGroup // goroutines that use list; none starts while list is nil
 }
 
 // role is what this process is for its node.
@@ -126,11 +128,13 @@
 	a.list, a.leaving = list, false
 }
 
+// shutdown ends list and the goroutines that use it.
 func (a *Agent) shutdown(list *memberlist.Memberlist) {
 	a.setMemberlist(nil)
 	if err := list.Shutdown(); err != nil {
 		a.log.log(slog.LevelWarn, "fleet: memberlist shutdown failed", "error", err)
 	}
+	a.background.Wait()
 }
 
 // leave announces that this node leaves, so that the others don't take its end for a failure.
--- a/internal/membership/name_conflict.go
+++ b/internal/membership/name_conflict.go
@@ -27,9 +27,9 @@
 	}
 	a.incarnation = m.Incarnation + 1
 	list := a.list
-	go func() {
-		_ = list.UpdateNode(0)
-	}()
+	a.background.Go(func() {
+		_ = list.UpdateNode(updateTimeout) // the timeout ends only the wait: memberlist goes on sending the update
+	})
 	return nil
 }
 
@@ -60,9 +60,9 @@
 		return
 	}
 	message := userMessage{kindSuperseded, laterIncarnation, earlier.Name}.encode()
-	go func() {
+	a.background.Go(func() {
 		_ = list.SendBestEffort(&earlier, message) // the next conflict repeats it
-	}()
+	})
 }
 
 // supersede makes this process leave for a later one with its name.
