--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -193,6 +193,9 @@
 
 // Metadata and user messages of the next version change nothing but the presence of the member.
 func TestMessagesOfOtherVersionsAreIgnored(t *testing.T) {
+	if _, err := decodeMetadata([]byte{metadataVersion + 1, 0xa0}); err == nil {
+		t.Error("metadata of another version was read")
+	}
 	a, err := New(Config{Name: "n", Bind: "10.0.0.1:7946"})
 	if err != nil {
 		t.Fatal(err)
