--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -45,7 +45,7 @@
 	roleLeft                // not the member, and the fleet was told that the node leaves
 )
 
-// New makes a process's part in its fleet. Nothing is bound before Run.
+// New makes a process's part in its fleet. Nothing is bound before Run. The error is a *ConfigError.
 func New(c Config) (*Agent, error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -49,14 +49,23 @@
 		slices.Equal(c.AllowedCIDRs, o.AllowedCIDRs) && c.ProbeInterval == o.ProbeInterval
 }
 
-// ErrConfig is what each error of Validate is.
-var ErrConfig = errors.New("fleet")
+// ConfigError is the error of Config.Validate.
+type ConfigError struct {
+	Field string // key in the "fleet" section of the node's configuration file
+	Err   error  // what is wrong with its value
+}
+
+// Error returns the field's path in the configuration file and the reason.
+func (e *ConfigError) Error() string { return "fleet." + e.Field + ": " + e.Err.Error() }
+
+// Unwrap returns the reason.
+func (e *ConfigError) Unwrap() error { return e.Err }
 
 func configErrorf(field, format string, args ...any) error {
-	return fmt.Errorf("%w.%s: %w", ErrConfig, field, fmt.Errorf(format, args...))
+	return &ConfigError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-// Validate returns an error for the first field whose value can't be used. It reads the key file.
+// Validate returns a *ConfigError for the first field whose value can't be used. It reads the key file.
 func (c Config) Validate() error {
 	if c.Name == "" || len(c.Name) > maxNameBytes {
 		return configErrorf("name", "want 1 to %d bytes, got %d", maxNameBytes, len(c.Name))
@@ -121,6 +130,8 @@
 	return host
 }
 
+var errBadKey = errors.New("want a base64 key of 16, 24 or 32 bytes")
+
 // keyring reads the key file; nil without one.
 func (c Config) keyring() (*memberlist.Keyring, error) {
 	if c.KeyFile == "" {
@@ -134,7 +145,7 @@
 	for i, line := range strings.Split(strings.TrimSpace(string(raw)), "\n") {
 		key, err := base64.StdEncoding.DecodeString(strings.TrimSpace(line))
 		if err != nil || memberlist.ValidateKey(key) != nil {
-			return nil, configErrorf("key_file", "%s:%d: want a base64 key of 16, 24 or 32 bytes", c.KeyFile, i+1)
+			return nil, configErrorf("key_file", "%s:%d: %w", c.KeyFile, i+1, errBadKey)
 		}
 		keys = append(keys, key)
 	}
--- a/internal/membership/config_test.go
+++ b/internal/membership/config_test.go
@@ -18,23 +18,36 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		text   string
-		change func(*Config)
+		field, text string
+		change      func(*Config)
 	}{
-		{"fleet.name", func(c *Config) { c.Name = "" }},
-		{"fleet.bind", func(c *Config) { c.Bind = "10.0.0.1" }},
-		{"fleet.join", func(c *Config) { c.Join = []string{"seed:7946"} }},
-		{"fleet.advertise", func(c *Config) { c.Bind = "0.0.0.0:7946" }},
-		{"fleet.label", func(c *Config) { c.Label = "a b" }},
-		{"fleet.allow", func(c *Config) { c.AllowedCIDRs = []string{"10.0.0.0"} }},
-		{"fleet.probe_ms", func(c *Config) { c.ProbeInterval = time.Millisecond }},
-		{"keys:2", func(c *Config) { c.KeyFile = keys }},
+		{"name", "fleet.name", func(c *Config) { c.Name = "" }},
+		{"bind", "fleet.bind", func(c *Config) { c.Bind = "10.0.0.1" }},
+		{"join", "fleet.join", func(c *Config) { c.Join = []string{"seed:7946"} }},
+		{"advertise", "fleet.advertise", func(c *Config) { c.Bind = "0.0.0.0:7946" }},
+		{"label", "fleet.label", func(c *Config) { c.Label = "a b" }},
+		{"allow", "fleet.allow", func(c *Config) { c.AllowedCIDRs = []string{"10.0.0.0"} }},
+		{"probe_ms", "fleet.probe_ms", func(c *Config) { c.ProbeInterval = time.Millisecond }},
+		{"key_file", "keys:2", func(c *Config) { c.KeyFile = keys }},
 	} {
 		config := good
 		c.change(&config)
 		err := config.Validate()
-		if !errors.Is(err, ErrConfig) || !strings.Contains(err.Error(), c.text) {
+		if configErr, ok := errors.AsType[*ConfigError](err); !ok || configErr.Field != c.field {
+			t.Errorf("error %v, want a ConfigError for field %s", err, c.field)
+		} else if !strings.Contains(err.Error(), c.text) {
 			t.Errorf("error %v, want %s in it", err, c.text)
 		}
 	}
 }
+
+func TestValidateWrapsTheReason(t *testing.T) {
+	c := Config{Name: "n", Bind: "10.0.0.1:7946", KeyFile: t.TempDir() + "/none"}
+	if err := c.Validate(); !errors.Is(err, os.ErrNotExist) {
+		t.Errorf("error %v for a missing key file", err)
+	}
+	c.KeyFile = "testdata/bad-keys"
+	if err := c.Validate(); !errors.Is(err, errBadKey) {
+		t.Errorf("error %v for a bad key", err)
+	}
+}
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -45,12 +45,22 @@
 	return m.encode()
 }
 
+var errNoMetadata = errors.New("member sent no metadata")
+
+// versionError is the error for metadata of a version that this program doesn't know.
+type versionError struct{ version byte }
+
+func (e *versionError) Error() string {
+	return fmt.Sprintf("metadata has version %d, want %d", e.version, metadataVersion)
+}
+
+// decodeMetadata returns errNoMetadata, a *versionError or an error of CBOR.
 func decodeMetadata(raw []byte) (m metadata, err error) {
 	if len(raw) == 0 {
-		return m, errors.New("member sent no metadata")
+		return m, errNoMetadata
 	}
 	if raw[0] != metadataVersion {
-		return m, fmt.Errorf("metadata has version %d, want %d", raw[0], metadataVersion)
+		return m, &versionError{raw[0]}
 	}
 	if err := cbor.Unmarshal(raw[1:], &m); err != nil {
 		return m, fmt.Errorf("decode metadata: %w", err)
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"flag"
 	"fmt"
 	"os"
@@ -173,3 +174,16 @@
 	}
 	compareGolden(t, "names.txt", lines)
 }
+
+func TestDecodeMetadataErrors(t *testing.T) {
+	if _, err := decodeMetadata(nil); !errors.Is(err, errNoMetadata) {
+		t.Errorf("error %v for no metadata", err)
+	}
+	_, err := decodeMetadata([]byte{metadataVersion + 1, 0xa0})
+	if version, ok := errors.AsType[*versionError](err); !ok || version.version != metadataVersion+1 {
+		t.Errorf("error %v for another version", err)
+	}
+	if _, err := decodeMetadata([]byte{metadataVersion, 0xff}); err == nil {
+		t.Error("bad CBOR was read")
+	}
+}
