--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -42,7 +42,7 @@
 const (
 	roleMember  role = iota // the node's member
 	roleStandby             // not the member: another process of the node is, under the same name
-	roleLeft                // not the member, and the fleet was told that the node leaves
+	roleLeft                // not the member, and the node announced that it leaves
 )
 
 // New makes a process's part in its fleet. Nothing is bound before Run. The error is a *ConfigError.
--- a/internal/membership/memberlist_log.go
+++ b/internal/membership/memberlist_log.go
@@ -47,22 +47,22 @@
 	return len(p), nil
 }
 
-const maxKindWords = 5
+const maxKindFields = 5
 
-// kindOfLine returns the first words of a line that are no names, addresses or numbers.
+// kindOfLine returns the first fields of a line that are no names, addresses or numbers.
 func kindOfLine(line string) string {
-	var words []string
-	for word := range strings.FieldsSeq(line) {
-		hasDigit := strings.ContainsAny(word, "0123456789")
-		isValue := hasDigit || strings.ContainsAny(word, ".:='[]") && !strings.HasSuffix(word, ":")
+	var kind []string
+	for field := range strings.FieldsSeq(line) {
+		hasDigit := strings.ContainsAny(field, "0123456789")
+		isValue := hasDigit || strings.ContainsAny(field, ".:='[]") && !strings.HasSuffix(field, ":")
 		if !isValue {
-			words = append(words, word)
+			kind = append(kind, field)
 		}
-		if len(words) == maxKindWords {
+		if len(kind) == maxKindFields {
 			break
 		}
 	}
-	return strings.Join(words, " ")
+	return strings.Join(kind, " ")
 }
 
 // logEvent is an event that memberlist reports in its log alone: v0.7.0 has no callback for any of them.
