--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -17,11 +17,11 @@
 	maxInboundStreams  = 12                    // open at a time; more are closed at once, and their senders try again
 	maxOutboundStreams = 4                     // that memberlist opens at a time
 	acceptRetryDelay   = 50 * time.Millisecond // leaves descriptors that run short to clients
-	listeners          = 2                     // one for datagrams, one for streams
+	listenerCount      = 2                     // one for datagrams, one for streams
 )
 
 // MaxDescriptors is how many file descriptors membership uses at most.
-const MaxDescriptors = listeners + maxInboundStreams + maxOutboundStreams
+const MaxDescriptors = listenerCount + maxInboundStreams + maxOutboundStreams
 
 // transport implements memberlist.NodeAwareTransport. It differs from memberlist's own in three ways: outbound streams
 // leave from the bound address, so that others can tell who connects; a datagram takes the memory that it needs, not
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -4,18 +4,16 @@
 	"encoding/hex"
 	"encoding/json"
 	"errors"
-	"flag"
 	"fmt"
-	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"github.com/hashicorp/memberlist"
-)
 
-var updateGolden = flag.Bool("update-golden", false, "write the golden files in testdata instead of comparing with them")
+	"sloerail/internal/golden"
+)
 
 // wireMetadata are the forms that a node's metadata can take. Other versions of the program read and write them.
 var wireMetadata = []struct {
@@ -39,38 +37,23 @@
 	{"leaving", userMessage{kindLeaving, 1<<64 - 1, "node-1"}},
 }
 
-// compareGolden compares lines of "name value" with a file in testdata.
-func compareGolden(t *testing.T, file string, lines []string) {
+// checkGolden compares lines with a golden file.
+func checkGolden(t *testing.T, file string, lines []string) {
 	t.Helper()
-	path := filepath.Join("testdata", file)
-	got := strings.Join(lines, "\n") + "\n"
-	if *updateGolden {
-		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
-			t.Fatal(err)
-		}
-	}
-	want, err := os.ReadFile(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if got != string(want) {
-		t.Errorf("%s:\ngot\n%swant\n%s", path, got, want)
-	}
+	golden.Check(t, file, []byte(strings.Join(lines, "\n")+"\n"))
 }
 
-// readGolden returns the values of a file in testdata by name.
+// readGolden returns the values of a golden file by name.
 func readGolden(t *testing.T, file string) map[string][]byte {
 	t.Helper()
-	raw, err := os.ReadFile(filepath.Join("testdata", file))
-	if err != nil {
-		t.Fatal(err)
-	}
 	values := make(map[string][]byte)
-	for line := range strings.Lines(string(raw)) {
-		name, value, _ := strings.Cut(strings.TrimSpace(line), " ")
-		if values[name], err = hex.DecodeString(value); err != nil {
+	for line := range strings.Lines(string(golden.Read(t, file))) {
+		name, encoded, _ := strings.Cut(strings.TrimSpace(line), " ")
+		value, err := hex.DecodeString(encoded)
+		if err != nil {
 			t.Fatalf("%s: %s: %v", file, name, err)
 		}
+		values[name] = value
 	}
 	return values
 }
@@ -80,10 +63,10 @@
 	for _, c := range wireMetadata {
 		lines = append(lines, fmt.Sprintf("%s %x", c.name, c.metadata.encode()))
 	}
-	compareGolden(t, "metadata.hex", lines)
-	golden := readGolden(t, "metadata.hex")
+	checkGolden(t, "metadata.hex", lines)
+	written := readGolden(t, "metadata.hex")
 	for _, c := range wireMetadata {
-		if got, err := decodeMetadata(golden[c.name]); err != nil || got != c.metadata {
+		if got, err := decodeMetadata(written[c.name]); err != nil || got != c.metadata {
 			t.Errorf("%s: decoded %+v, %v, want %+v", c.name, got, err, c.metadata)
 		}
 	}
@@ -94,7 +77,7 @@
 	for _, c := range wireMessages {
 		lines = append(lines, fmt.Sprintf("%s %x", c.name, c.message.encode()))
 	}
-	compareGolden(t, "messages.hex", lines)
+	checkGolden(t, "messages.hex", lines)
 }
 
 // A node whose zone and version don't fit into the limit leaves both out. Nodes add nothing to push/pull states,
@@ -122,12 +105,12 @@
 	if b := d.GetBroadcasts(2, 1400); b != nil {
 		t.Errorf("broadcasts %x, want none", b)
 	}
-	compareGolden(t, "payloads.hex", lines)
+	checkGolden(t, "payloads.hex", lines)
 }
 
 // A received user message from the golden file has its effect.
 func TestGoldenUserMessagesAreUnderstood(t *testing.T) {
-	golden := readGolden(t, "messages.hex")
+	written := readGolden(t, "messages.hex")
 	a, err := New(Config{Name: "self", Bind: "10.0.0.1:7946"})
 	if err != nil {
 		t.Fatal(err)
@@ -136,15 +119,15 @@
 	a.list = new(memberlist.Memberlist)
 	a.members.members["node-1"] = Member{Name: "node-1", State: Dead, Incarnation: 1<<64 - 1, Since: time.Now()}
 	d := delegate{a}
-	d.NotifyMsg(golden["superseded-no-name"])
+	d.NotifyMsg(written["superseded-no-name"])
 	if a.View().Superseded {
 		t.Error("superseded by an earlier incarnation")
 	}
-	d.NotifyMsg(golden["leaving"])
+	d.NotifyMsg(written["leaving"])
 	if got := a.View().Members[0].State; got != Left {
 		t.Errorf("state after the leaving message is %q, want %q", got, Left)
 	}
-	d.NotifyMsg(golden["superseded"])
+	d.NotifyMsg(written["superseded"])
 	if !a.View().Superseded {
 		t.Error("not superseded by a later incarnation")
 	}
@@ -172,7 +155,7 @@
 		field, _, _ := strings.Cut(fmt.Sprint(c.Validate()), ":")
 		lines = append(lines, "field "+field)
 	}
-	compareGolden(t, "names.txt", lines)
+	checkGolden(t, "names.txt", lines)
 }
 
 func TestDecodeMetadataErrors(t *testing.T) {
