--- /dev/null
+++ b/internal/registry/server.go
@@ -0,0 +1,165 @@
+package registry
+
+import (
+	"encoding/json"
+	"log/slog"
+	"net/http"
+	"runtime"
+	"strings"
+	"sync/atomic"
+	"time"
+)
+
+const (
+	maxWatchWait      = time.Minute // the platform's bound on how long a watch waits
+	maxListResponses  = 256         // lists that are sent at a time
+	maxWrites         = 64          // commands in flight, beside the lists so that registration has its own capacity
+	defaultMaxWatches = 4096
+	defaultMaxAge     = 2 * time.Second
+
+	readTimeout  = 5 * time.Second
+	writeTimeout = 10 * time.Second // for a caller to read a list
+
+	retryAfterSeconds = "1"
+)
+
+// ServerConfig bounds what a replica serves.
+type ServerConfig struct {
+	MaxWatches int           // that wait at a time; 0 for 4,096
+	MaxAge     time.Duration // of a list; 0 for 2 s
+}
+
+// Server answers the HTTP calls of nodes, agents and operators.
+type Server struct {
+	replica *Replica
+	config  ServerConfig
+
+	watches       limiter // that wait
+	listResponses limiter
+	writes        limiter
+	scopedLists   limiter // that are computed, at most one for each core
+	counters      counters
+}
+
+// counters are what a Server has done since its start.
+type counters struct {
+	watches                      atomic.Int64 // that wait now
+	lists, writes                atomic.Uint64
+	callsRejected, callsTooStale atomic.Uint64
+}
+
+// limiter bounds what is in progress at a time.
+type limiter chan struct{}
+
+func newLimiter(limit int) limiter { return make(limiter, limit) }
+
+// tryAcquire doesn't block. Where it returns true, release has to follow.
+func (l limiter) tryAcquire() bool {
+	select {
+	case l <- struct{}{}:
+		return true
+	default:
+		return false
+	}
+}
+
+// acquire blocks until there is capacity. release has to follow.
+func (l limiter) acquire() { l <- struct{}{} }
+
+func (l limiter) release() { <-l }
+
+// NewServer returns the HTTP side of a replica.
+func NewServer(r *Replica, c ServerConfig) *Server {
+	if c.MaxAge == 0 {
+		c.MaxAge = defaultMaxAge
+	}
+	if c.MaxWatches == 0 {
+		c.MaxWatches = defaultMaxWatches
+	}
+	return &Server{replica: r, config: c, watches: newLimiter(c.MaxWatches), listResponses: newLimiter(maxListResponses),
+		writes: newLimiter(maxWrites), scopedLists: newLimiter(runtime.GOMAXPROCS(0))}
+}
+
+// HTTPServer returns an HTTP server for an address, with the limits that drop slow callers.
+func (s *Server) HTTPServer(address string) *http.Server {
+	return &http.Server{Addr: address, Handler: s, MaxHeaderBytes: maxBodyBytes, ReadHeaderTimeout: readTimeout,
+		IdleTimeout: 2 * maxWatchWait, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
+}
+
+// ServeHTTP answers one call.
+func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	path, isGet := req.URL.Path, req.Method == http.MethodGet
+	instance, isInstance := strings.CutPrefix(path, instancesPath+"/")
+	replica, isReplica := strings.CutPrefix(path, replicasPath+"/")
+	switch {
+	case path == instancesPath && isGet:
+		s.handleList(w, req)
+	case path == statusPath && isGet:
+		s.handleStatus(w)
+	case path == progressPath && isGet:
+		s.handleProgress(w)
+	case isInstance:
+		setReadDeadline(w)
+		s.handleInstance(w, req, instance)
+	case isReplica:
+		setReadDeadline(w)
+		s.handleReplica(w, req, replica)
+	default:
+		http.NotFound(w, req)
+	}
+}
+
+// setReadDeadline bounds how long a caller may take to send its body.
+func setReadDeadline(w http.ResponseWriter) {
+	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
+		slog.Debug("registry: set a read deadline", "error", err)
+	}
+}
+
+// setWriteDeadline bounds how long a caller may take to read the response.
+func setWriteDeadline(w http.ResponseWriter) {
+	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
+		slog.Debug("registry: set a write deadline", "error", err)
+	}
+}
+
+// acquire takes a place in a limiter, or rejects the call.
+func (s *Server) acquire(w http.ResponseWriter, l limiter) bool {
+	if l.tryAcquire() {
+		return true
+	}
+	s.counters.callsRejected.Add(1)
+	unavailable(w, ErrTooManyCalls)
+	return false
+}
+
+// checkAge rejects the call where this replica's list may be too old to serve.
+func (s *Server) checkAge(w http.ResponseWriter) bool {
+	age, known := s.replica.Age()
+	if !s.isFresh(age, known) {
+		s.counters.callsTooStale.Add(1)
+		unavailable(w, ErrStale)
+		return false
+	}
+	w.Header().Set(ageHeader, formatInt(age.Milliseconds()))
+	return true
+}
+
+func (s *Server) isFresh(age time.Duration, known bool) bool { return known && age <= s.config.MaxAge }
+
+// unavailable responds 503: another replica, or this one later, can serve the call.
+func unavailable(w http.ResponseWriter, err error) {
+	w.Header().Set("Retry-After", retryAfterSeconds)
+	http.Error(w, errorText(err), http.StatusServiceUnavailable)
+}
+
+func badRequest(w http.ResponseWriter, err error) {
+	http.Error(w, err.Error(), http.StatusBadRequest)
+}
+
+func respondJSON(w http.ResponseWriter, body any) {
+	w.Header().Set("Content-Type", "application/json")
+	if err := json.NewEncoder(w).Encode(body); err != nil {
+		slog.Debug("registry: send a response", "error", err)
+	}
+}
--- a/internal/scaletest/stepped.go
+++ b/internal/scaletest/stepped.go
@@ -11,7 +11,7 @@
 
 const (
 	noDiscovery     = "127.0.0.1:9" // of a node that is stepped: its list client is never run
-	leastChanges    = 20            // of the list that are timed, at any size
+	minChanges      = 20            // of the list that are timed, at any size
 	preparedChanges = 400           // that are made ready beforehand, and come in turn
 	warmUpFor       = 2             // times the decisions that every server's kind needs to be known
 )
@@ -19,7 +19,7 @@
 // point is one size in one run, under way.
 type point struct {
 	scenario Scenario
-	held     Held
+	fixed    FixedSizes
 	fleet    *fleet
 	record   *Recorder
 	run      int
@@ -30,7 +30,7 @@
 type steppedNode struct {
 	*node.Hollow
 	path     string // of its configuration
-	entries  []registry.Entry
+	entries  []registry.Endpoint
 	revision int64
 	began    float64 // the heap before there was anything of the node
 }
@@ -77,11 +77,11 @@
 		r.next()
 		return nil
 	}
-	for range warmUpFor * leastTimed {
+	for range warmUpFor * minTimed {
 		r.next()
 	}
 	r.asked, r.refused = 0, 0
-	t, err := timeSteps(ctx, leastTimed, step)
+	t, err := timeSteps(ctx, minTimed, step)
 	if err != nil {
 		return err
 	}
@@ -98,7 +98,7 @@
 	changes := make([][]byte, 0, count)
 	for len(changes) < count {
 		entry := s.entries[p.fleet.rng.IntN(len(s.entries))]
-		for _, phase := range []string{registry.Draining, registry.Up} {
+		for _, phase := range []string{registry.PhaseDraining, registry.PhaseUp} {
 			entry.Phase = phase
 			s.revision++
 			changes = append(changes, encodeList(s.revision, false, entry))
@@ -111,7 +111,7 @@
 func (p *point) recordListChanges(ctx context.Context, s *steppedNode) error {
 	changes := p.listChanges(s, preparedChanges)
 	next := 0
-	t, err := timeSteps(ctx, leastChanges, func() error {
+	t, err := timeSteps(ctx, minChanges, func() error {
 		change := changes[next%len(changes)]
 		next++
 		return s.TakeList(change)
@@ -130,7 +130,7 @@
 	if err != nil {
 		return err
 	}
-	r := newRequests(s.Hollow, p.held, p.fleet.rng)
+	r := newRequests(s.Hollow, p.fixed, p.fleet.rng)
 	if err := p.recordDecisions(ctx, r); err != nil {
 		return err
 	}
@@ -148,8 +148,8 @@
 	if err != nil {
 		return err
 	}
-	r := newRequests(s.Hollow, p.held, p.fleet.rng)
-	for i := range p.held.Tenants {
+	r := newRequests(s.Hollow, p.fixed, p.fleet.rng)
+	for i := range p.fixed.Tenants {
 		if i%timingCheck == 0 && ctx.Err() != nil {
 			return ctx.Err()
 		}
--- a/internal/testcluster/measure_test.go
+++ b/internal/testcluster/measure_test.go
@@ -214,7 +214,7 @@
 		all.Go(func() {
 			c, at := registry.NewClient([]string{g.Listen(g.Names[i%len(g.Names)])}), int64(-1)
 			for first := true; under.Err() == nil; first = false {
-				var l registry.List
+				var l registry.EndpointList
 				if c.Watch(under, fmt.Sprintf("/registry/instances?index=%d&wait=30000", at), 30*time.Second, &l) != nil {
 					continue
 				}
@@ -223,8 +223,8 @@
 				if first {
 					ready++
 				}
-				for _, e := range l.Members {
-					if from, ok := sent[e.UpSince]; ok && !first {
+				for _, e := range l.Endpoints {
+					if from, ok := sent[e.StartTimeMs]; ok && !first {
 						late = append(late, time.Since(from))
 					}
 				}
@@ -284,7 +284,7 @@
 	}
 	for _, asked := range []bool{true, false} {
 		t.Run(fmt.Sprintf("asked %v", asked), func(t *testing.T) {
-			x := newTrial(t, 6, FleetSpec{Ask: asked}, 120)
+			x := newTrial(t, 6, FleetSpec{PollList: asked}, 120)
 			load := x.loads[0]
 			served := func() float64 {
 				before, end := load.Sums(), time.Now().Add(*awayFor)
@@ -294,8 +294,8 @@
 			}
 			link := func(f Faults) {
 				for _, name := range x.Names {
-					x.w.rig.SetLink(name, "list", f)
-					x.w.rig.SetLink("list", name, f)
+					x.w.cluster.SetLink(name, "list", f)
+					x.w.cluster.SetLink("list", name, f)
 				}
 			}
 			x.w.Phase("s-00", emulator.Draining)
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -53,7 +53,7 @@
 	}
 	b.emit(Action{Kind: Send, ID: r.ID, Server: s.ID, AttemptDeadline: r.usefulUntil})
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, probation: isProbe,
-		warmingUp: b.paceBoundByWarmup(s), uncounted: r.Incomplete})
+		warmingUp: b.isPacedByWarmup(s), uncounted: r.Incomplete})
 	r.pendingAttempts++
 	s.lastSentAt = b.now
 	s.warmupBudget.tokens--
@@ -68,7 +68,7 @@
 func (b *Balancer) countInFlight(a *attempt, by int) {
 	a.uncounted = by < 0
 	if a.server.inFlight += by; !a.warmingUp {
-		b.inFlight += by
+		b.window.inFlight += by
 	}
 }
 
@@ -139,7 +139,7 @@
 func (b *Balancer) observeResponse(a *attempt, c *class, e Outcome) {
 	s := a.server
 	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled { // a server that is full has work
-		b.recordEvidence(a, b.failureLevel(s, c, e.Code, e.Latency.Seconds()))
+		b.recordEvidence(a, c.failureLevel(s.Kind, e.Code, e.Latency.Seconds()))
 	}
 	weight := b.failureWeight(s, e.Code)
 	b.updateConcurrencyLimit(s, c, e.Code, e.Latency, weight)
@@ -148,8 +148,7 @@
 	}
 	b.onLoadReport(s, e.LoadReport)
 	if e.Code == OK && b.warmFraction(s) >= 1 {
-		b.completionRate, b.completionRateAt = b.currentCompletionRate()+1/completionRateTime.Seconds(), b.now
-		b.peakRate()
+		b.slowStart.recordCompletion(b.now)
 	}
 	if e.Code == OK {
 		c.observeLatency(e.Latency)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -3,8 +3,6 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"reflect"
-	"slices"
 	"time"
 )
 
@@ -26,38 +24,15 @@
 	requests       map[string]*request // open ones, by their ids
 	queue          requestQueue        // of requests that wait for a usable server
 
-	loadByKind      map[string]*serverLoad // what the warm servers of a kind report on average
-	typicalLoad     serverLoad             // and all warm servers
-	inFlight        int                    // attempts out at warm servers
-	siblingInFlight int                    // and those of the node's other process
-	// where latency, busy part and rate stand in a report; -1 where they don't
-	reportColumns    [3]int
-	utilization      float64 // how busy warm servers are by their last reports
-	lastReportAt     Time    // when the last of those came
-	capacityWanted   bool    // a choice found no room since then
-	windowScale      float64 // scale of this node's window
-	listFailures     int     // calls for the list that failed in a row
-	servers          map[string]*server
-	serverPool                       // all servers in service,
-	serversByZone    map[string]int  // how many of them are in each zone,
-	pooledClasses    map[*class]bool // and the classes whose pools they are also in
-	changedServers   []*server       // servers that may stand otherwise in the order, or not at all
-	orderStale       bool            // the order has to be made anew as a whole
-	unavailable      int             // listed servers that drain or are ejected
-	ejectedServers   []*server       // those of the order
-	connectionFaults fixedPoint      // sum of the parts of broken connections over the order
-	warmUnmonitored  [2]int          // warm servers that are in no judged place: far, and near
-	warmupQueue      serverQueue     // servers that will be warm
-	evidenceQueue    serverQueue     // servers whose evidence will be too old
-	completionRate   float64         // answers of warm servers a second, as of doneAt
-	completionRateAt Time
-	peakServerRate   float64 // answers a second by a warm server at most of late, as of carriedAt
-	peakServerRateAt Time
-	zones            []*zoneHealth // in order of their zones; none where the settings name none
-	zonesDegraded    bool          // one of them has less than its whole share,
-	compareFrom      Time          // and since when they are compared
-	retainFor        time.Duration // that servers are kept which a list takes away in a mass
-	nearbyNodes      float64       // nodes near this one, itself included; 0 where not known
+	servers   map[string]*server // listed, by ID
+	packing   packingOrder
+	list      endpointList
+	loads     loadReports
+	window    concurrencyWindow
+	share     capacityShare
+	slowStart slowStart
+	outliers  outlierDetector
+	zones     zoneFailover
 }
 
 // Timer tokens. Those of the classes follow from firstClassTimerToken on, in the order in which the settings
@@ -79,10 +54,11 @@
 	b := &Balancer{
 		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classes: newClassRegistry(),
 		rateLimiter: rateLimiter{buckets: newBucketTable()}, rateMultiplier: rateMultiplier{value: 1},
-		windowScale: initialWindowScale,
-		servers:     make(map[string]*server), requests: make(map[string]*request),
-		loadByKind: make(map[string]*serverLoad),
+		window:  concurrencyWindow{scale: initialWindowScale},
+		servers: make(map[string]*server), requests: make(map[string]*request),
+		loads: loadReports{byKind: make(map[string]*serverLoad)},
 	}
+	b.zones.servers, b.zones.rng, b.zones.logf = &b.packing.pool, b.rng, b.logf
 	b.applySettings(set)
 	return b, nil
 }
@@ -128,19 +104,14 @@
 
 // applySettings hands new settings to each mechanism.
 func (b *Balancer) applySettings(set Settings) {
-	if !reflect.DeepEqual(set.Topology, b.settings.Topology) { // they are judged anew
-		b.zones = nil
-	}
-	b.settings, b.orderStale = set, true
+	b.zones.configure(set.Topology, set.Zone)
+	b.slowStart.configure(&set.Rules)
+	b.list.configure(set.Rules.DrainGrace)
+	b.loads.configure(set.ReportFields)
+	b.settings, b.packing.stale = set, true
 	b.retryBudget.configure(set.Rules.RetryBudget)
 	b.settings.NodeCount = b.fleetSize.configure(set.NodeCount)
-	if b.retainFor = maxRetainTime; set.Rules.DrainGrace > 0 {
-		b.retainFor = min(maxRetainTime, set.Rules.DrainGrace/2)
-	}
-	for i, name := range []string{reportLatency, reportUtil, reportRate} {
-		b.reportColumns[i] = slices.Index(set.ReportFields, name)
-	}
-	b.classes.configure(set.Classes, &b.serverPool)
+	b.classes.configure(set.Classes, &b.packing.pool)
 	b.loadShedder.configure(set.Classes)
 	b.rateLimiter.configure(set.Limits, set.Tenants, b.settings.NodeCount)
 }
@@ -170,7 +141,7 @@
 }
 
 // Servers returns how many servers are listed, and how many of them are unavailable: draining or ejected.
-func (b *Balancer) Servers() (listed, unavailable int) { return len(b.servers), b.unavailable }
+func (b *Balancer) Servers() (listed, unavailable int) { return len(b.servers), b.list.unavailable }
 
 // TailLatency returns the longest of the classes' tail latencies.
 func (b *Balancer) TailLatency() (longest time.Duration) {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -105,21 +105,21 @@
 		Buckets: b.rateLimiter.snapshot(clock),
 		Classes: make(map[string]ClassSnapshot), Servers: make(map[string]ServerSnapshot),
 		LoadByKind:       make(map[string]LoadSnapshot),
-		TypicalLoad:      b.typicalLoad.snapshot(),
+		TypicalLoad:      b.loads.typicalLoad.snapshot(),
 		AcceptedAt:       convertTimes(b.retryBudget.acceptedAt, clock.toSnapshot),
 		RetriesAt:        convertTimes(b.retryBudget.retriesAt, clock.toSnapshot),
 		RateMultiplier:   b.rateMultiplier.value,
-		WindowScale:      b.windowScale,
-		Utilization:      b.utilization,
+		WindowScale:      b.window.scale,
+		Utilization:      b.window.utilization,
 		BadRatio:         b.rateMultiplier.badRatio,
-		CompletionRate:   b.completionRate,
-		ReportedAt:       clock.toSnapshot(b.lastReportAt),
-		CompletionRateAt: clock.toSnapshot(b.completionRateAt),
+		CompletionRate:   b.slowStart.completionRate,
+		ReportedAt:       clock.toSnapshot(b.window.reportedAt),
+		CompletionRateAt: clock.toSnapshot(b.slowStart.completionRateAt),
 	}
 	for _, c := range b.classes.ordered {
 		snapshot.Classes[c.Name] = ClassSnapshot{TailLatency: c.tailLatency, FirstTryTimeout: c.firstTryTimeout}
 	}
-	for kind, load := range b.loadByKind {
+	for kind, load := range b.loads.byKind {
 		snapshot.LoadByKind[kind] = load.snapshot()
 	}
 	for id, s := range b.servers {
@@ -136,11 +136,11 @@
 	b.retryBudget.acceptedAt = convertTimes(snapshot.AcceptedAt, clock.fromSnapshot)
 	b.retryBudget.retriesAt = convertTimes(snapshot.RetriesAt, clock.fromSnapshot)
 	b.rateMultiplier.value, b.rateMultiplier.badRatio = snapshot.RateMultiplier, snapshot.BadRatio
-	b.typicalLoad = snapshot.TypicalLoad.restore()
-	b.windowScale, b.utilization = snapshot.WindowScale, snapshot.Utilization
-	b.lastReportAt = clock.fromSnapshot(snapshot.ReportedAt)
-	b.completionRate = snapshot.CompletionRate
-	b.completionRateAt = clock.fromSnapshot(snapshot.CompletionRateAt)
+	b.loads.typicalLoad = snapshot.TypicalLoad.restore()
+	b.window.scale, b.window.utilization = snapshot.WindowScale, snapshot.Utilization
+	b.window.reportedAt = clock.fromSnapshot(snapshot.ReportedAt)
+	b.slowStart.completionRate = snapshot.CompletionRate
+	b.slowStart.completionRateAt = clock.fromSnapshot(snapshot.CompletionRateAt)
 	for _, c := range b.classes.ordered {
 		if known, found := snapshot.Classes[c.Name]; found {
 			c.tailLatency, c.firstTryTimeout = known.TailLatency, known.FirstTryTimeout
@@ -148,15 +148,15 @@
 	}
 	for kind, load := range snapshot.LoadByKind {
 		restored := load.restore()
-		b.loadByKind[kind] = &restored
+		b.loads.byKind[kind] = &restored
 	}
 	for id, known := range snapshot.Servers {
 		if s := b.servers[id]; s != nil {
 			s.restore(clock, known)
 		}
 	}
-	b.rebuildOrder(nil)
-	b.orderStale = true // the next list sets the limits that the other process had not set yet
+	b.rebuildOrder()
+	b.packing.stale = true // the next list sets the limits that the other process had not set yet
 }
 
 // snapshot returns the successor's half of the tokens of each bucket.
