--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -46,7 +46,7 @@
 	}
 	b.emit(Action{Kind: Send, ID: r.ID, Server: s.ID, AttemptDeadline: r.usefulUntil})
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, probation: trial,
-		warmingUp: b.isPacedByWarmup(s), uncounted: r.Incomplete})
+		warmingUp: b.isLimitedByWarmup(s), uncounted: r.Incomplete})
 	r.pendingAttempts++
 	s.lastSentAt = b.now
 	s.warmupBudget.tokens--
--- a/policy/capacity_share.go
+++ b/policy/capacity_share.go
@@ -2,7 +2,7 @@
 
 // capacityShare is how much of the servers' capacity falls to this node, in even parts: 1 is one part of as
 // many as there are nodes. The nodes near a server fill it between them; each of the others may take one
-// part of it beside.
+// part in addition.
 type capacityShare struct {
 	nodeCount   float64
 	nearbyNodes float64 // nodes near this one, itself included; 0 before the first update
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -43,7 +43,7 @@
 	return b.now >= s.busyUntil && s.isUnderLimit(b.effectiveLimit(s), b.now)
 }
 
-// isUnderLimit reports whether a limit leaves room for an attempt. A limit under one is spread over time:
+// isUnderLimit reports whether a limit allows another attempt. A limit under one is spread over time:
 // an attempt is followed by a pause that makes the mean in flight that of the limit.
 func (s *server) isUnderLimit(limit float64, now Time) bool {
 	if limit >= 1 {
@@ -80,7 +80,7 @@
 	s.concurrencyLimit = max(lowest, s.concurrencyLimit+step*min(1, s.concurrencyLimit))
 }
 
-// scaleLimitByFailure learns from an outcome what load reports don't tell.
+// scaleLimitByFailure accounts for failures, which load reports don't show.
 func (s *server) scaleLimitByFailure(code Code, latency time.Duration, failureWeight float64, now Time) {
 	switch code {
 	case OK:
--- /dev/null
+++ b/policy/concurrency_window_test.go
@@ -0,0 +1,105 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+// The window shrinks while servers are busier than the target. It grows while they are less busy and the node has
+// found no capacity; without need it stays.
+func TestWindowFollowsUtilization(t *testing.T) {
+	b := startLargeFleet(t, 40, members(40))
+	s, first := b.order()[0], b.concurrencyWindow()
+	reportLoad(b, s, 30, report(100, 0.3, 10))
+	if b.concurrencyWindow() != first {
+		t.Errorf("the window went from %v to %v though it was never full", first, b.concurrencyWindow())
+	}
+	reportLoad(b, s, 30, report(100, 1, 30))
+	full := b.concurrencyWindow()
+	if full >= first {
+		t.Errorf("the window is %v while servers are full, want less than %v", full, first)
+	}
+	for range 60 {
+		b.window.capacityWanted = true
+		reportLoad(b, s, 1, report(100, 0.3, 10))
+	}
+	if b.concurrencyWindow() <= full {
+		t.Errorf("the window stays at %v though it was full and servers are idle", b.concurrencyWindow())
+	}
+}
+
+// However many servers there are, a node has no more attempts in flight than its window, but for the class of the
+// highest priority.
+func TestAttemptsInFlightStayWithinTheWindow(t *testing.T) {
+	set := site(40)
+	set.ReportFields = []string{"latency_ms", "util", "qps"}
+	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
+	set.Tenants[0].Quota = 1e6
+	b := start(t, set, members(40))
+	send := func(class string) (n int) {
+		for i := range 100 {
+			n += len(of(b.Handle(b.now, ask(fmt.Sprint(class, i), class)), Send))
+		}
+		return n
+	}
+	if n := send("free"); float64(n) >= b.concurrencyWindow()+1 || n < 2 {
+		t.Errorf("%d attempts are in flight, the window is %v", n, b.concurrencyWindow())
+	}
+	if n := send("once"); n == 0 {
+		t.Error("the class of the highest priority got nothing beyond the window")
+	}
+	if limit := maxReportedOvercommit*b.concurrencyWindow() + 1; float64(b.window.inFlight) > limit {
+		t.Errorf("%d attempts are in flight, want at most %v", b.window.inFlight, limit)
+	}
+}
+
+// An overloaded server, or one that is warming up, is busy whatever the node does. That says nothing of the others.
+func TestWindowIgnoresOverloadedAndWarmingUpServers(t *testing.T) {
+	b := startLargeFleet(t, 40, members(12))
+	for _, s := range b.order() {
+		reportLoad(b, s, 3, report(100, 0.5, 10))
+	}
+	was := b.concurrencyWindow()
+	b.order()[1].StartedAt = b.now
+	reportLoad(b, b.order()[0], 20, report(900, 1, 3))
+	reportLoad(b, b.order()[1], 20, report(100, 1, 3))
+	if scale := b.concurrencyWindow() / b.warmedUpWeight() * 12 / was; scale < 0.99 {
+		t.Errorf("the window fell to %v of what it was", scale)
+	}
+}
+
+// Servers below the target are at times full and at times idle: their mean utilization counts. Single reports would
+// move the window down more than up.
+func TestWindowFollowsMeanUtilization(t *testing.T) {
+	b := startLargeFleet(t, 40, members(12))
+	reportLoad(b, b.order()[0], 5, report(100, 0.5, 10))
+	was := b.concurrencyWindow()
+	for i := range 60 {
+		b.window.capacityWanted = true
+		reportLoad(b, b.order()[0], 1, report(100, []float64{0.4, 1}[i%2], 10))
+	}
+	if b.concurrencyWindow() < was {
+		t.Errorf("the window fell from %v to %v at servers that are 0.7 busy", was, b.concurrencyWindow())
+	}
+}
+
+// The window is the node's part of what all nodes may have in flight, and at least one attempt.
+func TestWindowIsAPartOfTheServers(t *testing.T) {
+	for _, c := range []struct {
+		scale, weight float64
+		nodes         int
+		want          float64
+	}{
+		{1, 40, 40, initialReportedLimit},
+		{1, 40, 10, 4 * initialReportedLimit},
+		{0.5, 40, 40, initialReportedLimit / 2},
+		{1, 0, 40, 1},
+		{1, 1, 1000, 1},
+	} {
+		w := concurrencyWindow{scale: c.scale}
+		if got := w.size(c.weight, c.nodes); math.Abs(got-c.want) > 1e-9 {
+			t.Errorf("scale %v, %v servers, %d nodes: a window of %v, want %v", c.scale, c.weight, c.nodes, got, c.want)
+		}
+	}
+}
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -111,7 +111,7 @@
 }
 
 // newServer makes a server that nothing is known of. It begins with a random part of a token, so that nodes
-// that hear of a starting server together don't all send to it at once.
+// that are notified of a starting server together don't all send to it at once.
 func (b *Balancer) newServer() *server {
 	return &server{
 		meanLatency:  b.settings.Classes[0].LatencyObjective.Seconds() / 4,
--- /dev/null
+++ b/policy/endpoint_list_test.go
@@ -0,0 +1,158 @@
+package policy
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// vanished is a list in which n of the servers of zone a are missing, or have another availability.
+func vanished(all []Endpoint, kind ListKind, n int, availability Availability) EndpointList {
+	list := EndpointList{Kind: kind}
+	for i, endpoint := range all {
+		switch {
+		case kind == ListUpdate && i < n:
+			endpoint.Availability = availability
+			list.Endpoints = append(list.Endpoints, endpoint)
+		case kind == ListReplace && i >= n:
+			list.Endpoints = append(list.Endpoints, endpoint)
+		}
+	}
+	return list
+}
+
+// countInZone counts the listed servers of a zone.
+func countInZone(b *Balancer, zone string) (n int) {
+	for _, s := range b.servers {
+		if s.Zone == zone {
+			n++
+		}
+	}
+	return n
+}
+
+// Servers that a list takes away in a mass are retained for half of the drain grace. Their zone recovers by a small
+// share if they are listed again after that.
+func TestServersThatVanishInAMassAreRetained(t *testing.T) {
+	all := endpointsInZones(4, "a", "b")
+	grace := site(1).Rules.DrainGrace
+	for name, c := range map[string]struct {
+		retains  bool
+		list     EndpointList
+		retained int
+		recovers bool
+	}{
+		"a zone in an update":      {true, vanished(all, ListUpdate, 4, Removed), 4, true},
+		"a zone in a whole list":   {true, vanished(all, ListReplace, 4, Running), 4, true},
+		"a smaller part of a zone": {true, vanished(all, ListUpdate, 2, Removed), 2, false},
+		"not configured":           {false, vanished(all, ListUpdate, 4, Removed), 0, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			set := twoRegions(1)
+			set.RetainMissing = c.retains
+			b := start(t, set, all)
+			b.servers["a0"].concurrencyLimit = 7
+			b.Handle(ms, c.list)
+			if got := countInZone(b, "a"); got != c.retained {
+				t.Errorf("%d servers of the zone are listed, want %d", got, c.retained)
+			}
+			b.Handle(ms+grace/2, Timer{Token: retainTimerToken})
+			b.Handle(time.Second+grace, EndpointList{Kind: ListReplace, Endpoints: all})
+			if got := b.zones.find("a").recovering; got != c.recovers {
+				t.Errorf("the zone recovers: %v, want %v", got, c.recovers)
+			}
+		})
+	}
+}
+
+// What is known of a retained server holds if it is listed again in time.
+func TestRetainedServersThatReturnInTimeAreUnchanged(t *testing.T) {
+	all := endpointsInZones(4, "a", "b")
+	set := twoRegions(1)
+	set.RetainMissing = true
+	b := start(t, set, all)
+	b.servers["a0"].concurrencyLimit = 7
+	b.Handle(ms, vanished(all, ListUpdate, 4, Removed))
+	b.Handle(2*ms, EndpointList{Kind: ListReplace, Endpoints: all})
+	b.Handle(ms+set.Rules.DrainGrace, Timer{Token: retainTimerToken})
+	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zones.find("a").recovering {
+		t.Error("a server that is listed again in time has changed")
+	}
+}
+
+// A drain is meant, so draining servers get no work, and aren't retained when they are removed.
+func TestDrainingServersAreNotRetained(t *testing.T) {
+	all := endpointsInZones(4, "a", "b")
+	set := twoRegions(1)
+	set.RetainMissing = true
+	b := start(t, set, all)
+	b.Handle(3*time.Second, vanished(all, ListUpdate, 4, Draining))
+	for _, s := range b.order() {
+		if s.Zone == "a" {
+			t.Errorf("%s drains and is still in use", s.ID)
+		}
+	}
+	if b.Handle(4*time.Second, vanished(all, ListUpdate, 4, Removed)); len(b.servers) != 4 {
+		t.Errorf("%d servers after draining ones are removed, want 4", len(b.servers))
+	}
+}
+
+// The discovery service serves all nodes. When many start together their first subscriptions are spread, and those
+// that go on failing become fewer, but not so few that a drain is missed for long.
+func TestListSubscriptionsAreSpreadAndBackOff(t *testing.T) {
+	set := site(40)
+	set.SubscribeList = true
+	wait := func(actions []Action) time.Duration {
+		t.Helper()
+		timers := of(actions, SetTimer)
+		if len(of(actions, WatchList)) != 0 || len(timers) != 1 || timers[0].Token != listTimerToken {
+			t.Fatalf("want a timer for the list alone, got %+v", actions)
+		}
+		return timers[0].Wait
+	}
+	var first, meanFailed, later time.Duration
+	seen := make(map[time.Duration]bool)
+	for seed := range uint64(200) {
+		b, err := New(set, 0, seed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		w := wait(b.Handle(0, EndpointList{Kind: ListCached, Endpoints: members(4)}))
+		first, seen[w] = max(first, w), true
+		meanFailed += wait(b.Handle(0, EndpointList{Kind: ListUnavailable})) / 200
+		for range 10 {
+			later = max(later, wait(b.Handle(0, EndpointList{Kind: ListUnavailable})))
+		}
+		b.Handle(0, EndpointList{Kind: ListUpdate})
+		if w := wait(b.Handle(0, EndpointList{Kind: ListUnavailable})); w > listBackoffBase*3/2 {
+			t.Fatalf("after a list the next failure waits %v", w)
+		}
+	}
+	if first > set.Rules.DrainGrace || len(seen) < 100 {
+		t.Errorf("the first subscriptions wait up to %v and %d of 200 waits differ", first, len(seen))
+	}
+	if later < 2*meanFailed || later > listBackoffMax*3/2 {
+		t.Errorf("the first failure waits %v, later ones up to %v", meanFailed, later)
+	}
+}
+
+// The mean wait doubles up to the maximum, which a quarter of the poll interval may lower.
+func TestListBackoffIsBounded(t *testing.T) {
+	for _, c := range []struct {
+		pollInterval time.Duration
+		failures     int
+		mean         time.Duration
+	}{
+		{0, 0, listBackoffBase},
+		{0, 1, 2 * listBackoffBase},
+		{0, 100, listBackoffMax},
+		{time.Second, 100, 250 * ms},
+	} {
+		l := endpointList{failures: c.failures}
+		got := l.nextBackoff(c.pollInterval, rand.New(rand.NewPCG(1, 1)))
+		if got < c.mean/2 || got > c.mean*3/2 || l.failures != c.failures+1 {
+			t.Errorf("after %d failures, polled every %v: a wait of %v, want %v on average", c.failures,
+				c.pollInterval, got, c.mean)
+		}
+	}
+}
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -39,7 +39,7 @@
 func (b *Balancer) SetSiblingInFlight(out map[string]int) {
 	b.window.siblingInFlight = 0
 	for id, s := range b.servers {
-		if s.siblingInFlight = max(0, out[id]); !b.isPacedByWarmup(s) {
+		if s.siblingInFlight = max(0, out[id]); !b.isLimitedByWarmup(s) {
 			b.window.siblingInFlight += s.siblingInFlight
 		}
 	}
--- a/policy/load_reports.go
+++ b/policy/load_reports.go
@@ -14,14 +14,15 @@
 	reportGain = 0.5
 	// kindLoadGain is the weight of one report in the average of the warmed-up servers of its kind.
 	kindLoadGain = 0.05
-	// minTellingUtilization is the utilization below which a report says little of what its server can serve.
-	minTellingUtilization = 0.3
-	// maxTellingUtilization is the utilization above which a report shows queueing rather than the server.
-	maxTellingUtilization = 0.8
+	// minInformativeUtilization is the utilization below which a report says little of what its server can
+	// serve.
+	minInformativeUtilization = 0.3
+	// maxInformativeUtilization is the utilization above which a report shows queueing rather than the server.
+	maxInformativeUtilization = 0.8
 	// maxPlausibleUtilization and maxPlausibleRate bound the values of reports that are taken as valid.
 	maxPlausibleUtilization = 1.5
 	maxPlausibleRate        = 1e6
-	// maxKinds bounds how many kinds of servers are told apart; servers of others count as typical ones.
+	// maxKinds bounds how many kinds of servers are distinguished; servers of others count as typical ones.
 	maxKinds = 64
 	// maxKindRateFactor bounds the service rate of a server, in multiples of that of its kind.
 	maxKindRateFactor = 1.5
@@ -85,9 +86,9 @@
 	return r, valid
 }
 
-// record takes over the latency that a server reports and, where the report tells it, its service rate.
+// record takes over the latency that a server reports and, where the report shows it, its service rate.
 func (l *loadReports) record(s *server, report loadReport, warmedUp bool, now Time) {
-	if report.utilization >= minTellingUtilization && report.utilization <= maxTellingUtilization {
+	if report.utilization >= minInformativeUtilization && report.utilization <= maxInformativeUtilization {
 		sample := serverLoad{rate: report.rate / report.utilization, latency: report.latency}
 		l.recordServiceRate(s, sample, warmedUp)
 	}
@@ -137,7 +138,7 @@
 }
 
 // usesLoadReports reports whether limits rest on load reports. Each of many nodes sees too few responses of
-// a server to learn its limit from, while a report tells what it can serve, whichever nodes use it.
+// a server to derive its limit from, while a report shows what it can serve, whichever nodes use it.
 func (b *Balancer) usesLoadReports() bool { return b.isLargeFleet() && b.loads.areComplete() }
 
 // onLoadReport updates the limit of a server by the report in its OK response, ejects it if it is
--- a/policy/overcommit.go
+++ b/policy/overcommit.go
@@ -4,11 +4,11 @@
 // capacity, the least loaded one is overcommitted up to a bound that depends on the priority of the class.
 
 const (
-	// maxOvercommitLearned bounds the overcommit for the highest priority where limits are learned from
+	// maxLearnedOvercommit bounds the overcommit for the highest priority where limits are learned from
 	// responses.
-	maxOvercommitLearned = 2.0
-	// maxOvercommitReported is that bound where limits rest on load reports, which are closer to the capacity.
-	maxOvercommitReported = 1.5
+	maxLearnedOvercommit = 2.0
+	// maxReportedOvercommit is that bound where limits rest on load reports, which are closer to the capacity.
+	maxReportedOvercommit = 1.5
 	// minOvercommit is the bound for a class of the lowest priority, while the highest isn't short of capacity.
 	minOvercommit = 0.8
 )
@@ -16,9 +16,9 @@
 // maxOvercommit is the bound of the overcommit for a class. The lower its priority weight, the sooner its
 // requests are given up when capacity is short; beyond the bound, responses would only be late.
 func (b *Balancer) maxOvercommit(c *class) float64 {
-	highest := maxOvercommitLearned
+	highest := maxLearnedOvercommit
 	if b.usesLoadReports() {
-		highest = maxOvercommitReported
+		highest = maxReportedOvercommit
 	}
 	if b.maxPriorityWeight <= 0 { // the site states no priorities
 		return highest
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -11,59 +11,59 @@
 	"pgregory.net/rapid"
 )
 
-// sumsWorld plays random lists, outcomes and settings at one node, and holds what the node keeps up by difference
-// against the same made anew.
-type sumsWorld struct {
-	b    *Balancer
-	set  Settings
-	now  Time
-	list map[string]Endpoint
-	sent int
-	open []Outcome // of attempts that are answered later
-	good bool      // all answers are good, so that trials succeed
+// orderSimulation hands random lists, outcomes and settings to one node. What the node updates incrementally is
+// compared with the same computed from scratch.
+type orderSimulation struct {
+	b          *Balancer
+	set        Settings
+	now        Time
+	list       map[string]Endpoint
+	sent       int
+	unanswered []Outcome // outcomes that come later
+	allSucceed bool      // no attempt fails, so that probation succeeds
 }
 
-func newSumsWorld(t *rapid.T) *sumsWorld {
+func newOrderSimulation(t *rapid.T) *orderSimulation {
 	set := site(rapid.SampledFrom([]int{1, 3, 7, 300}).Draw(t, "nodes"))
 	set.NodeIndex = rapid.IntRange(0, set.NodeCount-1).Draw(t, "node")
-	set.RetainMissing = rapid.Bool().Draw(t, "eases")
+	set.RetainMissing = rapid.Bool().Draw(t, "retains")
 	set.Classes[1].Kinds = []string{"k1"}
 	set.Classes[2].Zones = []string{"b", "c"}
 	if rapid.Bool().Draw(t, "reports") {
 		set.ReportFields = []string{reportLatency, reportUtil, reportRate}
 	}
-	if rapid.Bool().Draw(t, "places") {
-		set.Topology = near(1).Topology
+	if rapid.Bool().Draw(t, "topology") {
+		set.Topology = twoRegions(1).Topology
 		set.Classes[3].Regions = []string{"north"}
 	}
-	w := &sumsWorld{set: set, list: make(map[string]Endpoint)}
+	w := &orderSimulation{set: set, list: make(map[string]Endpoint)}
 	w.b, _ = New(set, 0, 1)
 	w.event(EndpointList{Kind: ListCached})
 	return w
 }
 
-// event hands an event in and answers most of the attempts that it sends at once, with each code in turn.
-func (w *sumsWorld) event(ev Event) {
+// event hands an event in and ends most of the attempts that it sends at once, with each code in turn.
+func (w *orderSimulation) event(ev Event) {
 	for _, a := range slices.Clone(w.b.Handle(w.now, ev)) {
 		if a.Kind != Send {
 			continue
 		}
 		w.sent++
-		answer := Outcome{ID: a.ID, Server: a.Server, Attempt: len(w.b.requests[a.ID].attempts) - 1, Latency: 20 * ms,
+		outcome := Outcome{ID: a.ID, Server: a.Server, Attempt: len(w.b.requests[a.ID].attempts) - 1, Latency: 20 * ms,
 			LoadReport: report(20, 0.5, 10)}
-		if !w.good {
-			answer.Code = Code(w.sent % int(Cancelled))
+		if !w.allSucceed {
+			outcome.Code = Code(w.sent % int(Cancelled))
 		}
-		if answer.RequestEnded = answer.Code == OK; w.sent%5 == 0 {
-			w.open = append(w.open, answer)
+		if outcome.RequestEnded = outcome.Code == OK; w.sent%5 == 0 {
+			w.unanswered = append(w.unanswered, outcome)
 			continue
 		}
-		w.event(answer)
+		w.event(outcome)
 	}
 }
 
 // change draws a new state of a few servers.
-func (w *sumsWorld) change(t *rapid.T) (changed []Endpoint) {
+func (w *orderSimulation) change(t *rapid.T) (changed []Endpoint) {
 	for range rapid.IntRange(1, 4).Draw(t, "changed") {
 		m := Endpoint{ID: fmt.Sprintf("s%02d", rapid.IntRange(0, 39).Draw(t, "server")),
 			Zone:         rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
@@ -84,11 +84,11 @@
 	return changed
 }
 
-// step plays one event, and tells whether the order was brought in line with the list by it, and no request was
-// released and ended after that, whose class need not be reckoned with any more.
-func (w *sumsWorld) step(t *rapid.T) (aligned bool) {
+// step hands one event in. It reports whether the order was brought in line with the list by it, and no queued request
+// ended after that, whose class may not be in use any more.
+func (w *orderSimulation) step(t *rapid.T) (aligned bool) {
 	w.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * ms
-	event, inHand := rapid.IntRange(0, 11).Draw(t, "event"), len(w.b.requests)
+	event, requests := rapid.IntRange(0, 11).Draw(t, "event"), len(w.b.requests)
 	switch event {
 	case 0, 1, 2:
 		w.event(EndpointList{Kind: ListUpdate, Endpoints: w.change(t)})
@@ -100,38 +100,38 @@
 		}
 		w.event(EndpointList{Kind: ListReplace, Endpoints: all})
 	case 4:
-		w.event(FleetSize{ReachableNodes: rapid.IntRange(1, 9).Draw(t, "heard"), ReachableInZone: rapid.IntRange(0, 1).Draw(t, "near")})
+		w.event(FleetSize{ReachableNodes: rapid.IntRange(1, 9).Draw(t, "reachable"), ReachableInZone: rapid.IntRange(0, 1).Draw(t, "in zone")})
 		w.event(Timer{Token: fleetSizeTimerToken})
 	case 5:
-		w.set.Rules.SlowStartDuration = time.Duration(rapid.IntRange(0, 12).Draw(t, "cold for")) * time.Second
+		w.set.Rules.SlowStartDuration = time.Duration(rapid.IntRange(0, 12).Draw(t, "slow start")) * time.Second
 		w.set.Classes = slices.Clone(w.set.Classes)
-		w.set.Classes[1].Kinds = []string{rapid.SampledFrom([]string{"k0", "k1"}).Draw(t, "bound to")}
-		w.set.Classes[0].RetrySafety = rapid.SampledFrom([]RetrySafety{NonIdempotent, Idempotent}).Draw(t, "repeat")
+		w.set.Classes[1].Kinds = []string{rapid.SampledFrom([]string{"k0", "k1"}).Draw(t, "restricted to")}
+		w.set.Classes[0].RetrySafety = rapid.SampledFrom([]RetrySafety{NonIdempotent, Idempotent}).Draw(t, "retry safety")
 		w.event(w.set)
 	case 6:
 		w.event(Timer{Token: retainTimerToken})
 	case 7:
 		w.b.Restore(w.now, w.b.Snapshot(w.now))
 	case 8:
-		for _, answer := range w.open {
-			w.event(answer)
+		for _, outcome := range w.unanswered {
+			w.event(outcome)
 		}
-		w.open = nil
+		w.unanswered = nil
 	case 9:
 		if b := w.b; b.packing.pool.length > 0 {
 			b.eject(b.order()[rapid.IntRange(0, b.packing.pool.length-1).Draw(t, "ejected")])
 		}
 	default:
-		w.good = rapid.Bool().Draw(t, "good")
+		w.allSucceed = rapid.Bool().Draw(t, "succeeds")
 		for i := range rapid.IntRange(1, 12).Draw(t, "requests") {
 			w.event(ask(fmt.Sprint("r", w.now, i), w.set.Classes[i%len(w.set.Classes)].Name))
 		}
 	}
-	return (event <= 3 || event == 5) && len(w.b.requests) == inHand
+	return (event <= 3 || event == 5) && len(w.b.requests) == requests
 }
 
-// orderAnew is the packing order as the list alone makes it.
-func orderAnew(b *Balancer) (order []*server) {
+// rebuiltOrder is the packing order by the list alone.
+func rebuiltOrder(b *Balancer) (order []*server) {
 	byCost := make(map[float64][]*server)
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
 		if s := b.servers[id]; s.Availability == Running {
@@ -150,53 +150,52 @@
 	return order
 }
 
-// checkOrder holds the packing order against the one made anew.
+// checkOrder compares the packing order with the rebuilt one.
 func checkOrder(t *rapid.T, b *Balancer, order []*server) {
 	if !slices.Equal(b.order(), order) || b.packing.pool.length != len(order) {
-		t.Fatalf("the order of %d servers isn't the one made anew of %d", b.packing.pool.length, len(order))
+		t.Fatalf("the order of %d servers isn't the rebuilt one of %d", b.packing.pool.length, len(order))
 	}
 	zones := make(map[string]int)
 	for i, s := range order {
 		zones[s.Zone]++
 		if i > 0 && (!order[i-1].isBefore(s) || s.isBefore(order[i-1])) {
-			t.Fatalf("%s isn't held to stand before %s", order[i-1].ID, s.ID)
+			t.Fatalf("%s doesn't compare as before %s", order[i-1].ID, s.ID)
 		}
 	}
 	for zone, n := range b.packing.serversByZone {
 		if n != zones[zone] {
-			t.Fatalf("%d servers in zone %s, anew %d", n, zone, zones[zone])
+			t.Fatalf("%d servers in zone %s, rebuilt %d", n, zone, zones[zone])
 		}
 	}
 }
 
-// checkPools holds the pools of all classes against the servers of the order that each may be sent to.
+// checkPools compares the pools of all classes with the servers of the order that each may use.
 func checkPools(t *rapid.T, b *Balancer, order []*server) {
 	for c := range b.classesInUse() {
-		open := slices.Clone(order)
-		open = slices.DeleteFunc(open, func(s *server) bool { return !c.permits(s) })
-		if !slices.Equal(c.eligible.order(), open) || c.eligible.length != len(open) {
-			t.Fatalf("%s is open to %d servers, made anew to %d", c.Name, c.eligible.length, len(open))
+		eligible := slices.DeleteFunc(slices.Clone(order), func(s *server) bool { return !c.permits(s) })
+		if !slices.Equal(c.eligible.order(), eligible) || c.eligible.length != len(eligible) {
+			t.Fatalf("%s may use %d servers, rebuilt %d", c.Name, c.eligible.length, len(eligible))
 		}
-		if b.classes[c.Name] != c { // of former settings: the ejected aren't counted
+		if b.classes[c.Name] != c { // of former settings: the ejected servers aren't counted
 			continue
 		}
-		if ejected := countOf(open, func(s *server) bool { return s.outlier.ejected }); c.eligible.ejected != ejected {
-			t.Fatalf("%s counts %d ejected servers, made anew %d", c.Name, c.eligible.ejected, ejected)
+		if ejected := countOf(eligible, func(s *server) bool { return s.outlier.ejected }); c.eligible.ejected != ejected {
+			t.Fatalf("%s counts %d ejected servers, rebuilt %d", c.Name, c.eligible.ejected, ejected)
 		}
 	}
 }
 
-// checkFresh holds what a change of the list sets at each server of the order against the same made anew.
-func checkFresh(t *rapid.T, b *Balancer, order []*server) {
+// checkAddedServers compares what a change of the list sets at each server of the order with the same rebuilt.
+func checkAddedServers(t *rapid.T, b *Balancer, order []*server) {
 	for _, s := range order {
-		safest := NonIdempotent
+		retrySafety := NonIdempotent
 		for c := range b.classesInUse() {
 			if c.permits(s) {
-				safest = max(safest, c.RetrySafety)
+				retrySafety = max(retrySafety, c.RetrySafety)
 			}
 		}
-		if s.retrySafety != safest || s.concurrencyLimit == 0 {
-			t.Fatalf("%s: safest class %v, anew %v; threshold %v", s.ID, s.retrySafety, safest, s.concurrencyLimit)
+		if s.retrySafety != retrySafety || s.concurrencyLimit == 0 {
+			t.Fatalf("%s: retry safety %v, rebuilt %v; limit %v", s.ID, s.retrySafety, retrySafety, s.concurrencyLimit)
 		}
 	}
 }
@@ -210,7 +209,7 @@
 	return n
 }
 
-// checkSums holds the sums over the order against ones made anew.
+// checkSums compares the sums over the order with the same computed from scratch.
 func checkSums(t *rapid.T, b *Balancer, order []*server) {
 	weight, faults := 0.0, fixedPoint(0)
 	for _, s := range order {
@@ -220,64 +219,64 @@
 		faults += toFixedPoint(s.connectionFaultRatio)
 	}
 	if got := b.warmedUpWeight(); math.Abs(got-weight) > 1e-9*weight {
-		t.Fatalf("the warm servers weigh %v, anew %v", got, weight)
+		t.Fatalf("the weight of warmed-up servers is %v, rebuilt %v", got, weight)
 	}
 	if n := countOf(order, func(s *server) bool { return b.warmFraction(s) >= 1 }); b.warmedUpServers() != n {
-		t.Fatalf("%d servers are warm, anew %d", b.warmedUpServers(), n)
+		t.Fatalf("%d servers have warmed up, rebuilt %d", b.warmedUpServers(), n)
 	}
 	if b.outliers.connectionFaults != faults {
-		t.Fatalf("the faults sum up to %v, anew %v", b.outliers.connectionFaults, faults)
+		t.Fatalf("the connection faults sum up to %v, rebuilt %v", b.outliers.connectionFaults, faults)
 	}
 	if n := countOf(order, func(s *server) bool { return s.outlier.ejected }); len(b.outliers.ejected) != n {
-		t.Fatalf("%d servers are ejected, anew %d", len(b.outliers.ejected), n)
+		t.Fatalf("%d servers are ejected, rebuilt %d", len(b.outliers.ejected), n)
 	}
 	listed := slices.Collect(maps.Values(b.servers))
-	avoided := countOf(listed, func(s *server) bool { return s.outlier.ejected || s.Availability != Running })
-	if b.list.unavailable != avoided {
-		t.Fatalf("%d servers are avoided, anew %d", b.list.unavailable, avoided)
+	unavailable := countOf(listed, func(s *server) bool { return s.outlier.ejected || s.Availability != Running })
+	if b.list.unavailable != unavailable {
+		t.Fatalf("%d servers are unavailable, rebuilt %d", b.list.unavailable, unavailable)
 	}
 }
 
-// checkEvidence holds the evidence against places, in all and by kinds of servers, against the same made anew.
+// checkEvidence compares the evidence against zones, in all and by kinds of servers, with the same from scratch.
 func checkEvidence(t *rapid.T, b *Balancer, order []*server) {
-	type kindOf struct {
-		place *zoneHealth
-		kind  string
+	type kindInZone struct {
+		zone *zoneHealth
+		kind string
 	}
-	anew, kept := make(map[kindOf]evidenceSum), make(map[kindOf]evidenceSum)
+	rebuilt, counted := make(map[kindInZone]evidenceSum), make(map[kindInZone]evidenceSum)
 	for _, s := range order {
 		if s.zone != nil && b.now-s.zoneEvidenceAt <= evidenceTTL {
-			of := anew[kindOf{s.zone, s.Kind}]
-			anew[kindOf{s.zone, s.Kind}] = evidenceSum{of.sum + toFixedPoint(s.zoneEvidence), of.servers + 1}
+			of := rebuilt[kindInZone{s.zone, s.Kind}]
+			rebuilt[kindInZone{s.zone, s.Kind}] = evidenceSum{of.sum + toFixedPoint(s.zoneEvidence), of.servers + 1}
 		}
 	}
 	b.zones.expireEvidence(b.now)
 	for _, p := range b.zones.all {
 		sum := fixedPoint(0)
 		for kind, of := range p.evidenceByKind {
-			kept[kindOf{p, kind}] = *of
+			counted[kindInZone{p, kind}] = *of
 			sum += of.sum
 		}
 		if sum != p.evidence {
 			t.Fatalf("evidence against %s: %v, by kinds %v", p.name, p.evidence, sum)
 		}
 	}
-	if !maps.Equal(kept, anew) {
-		t.Fatalf("evidence %v, anew %v", kept, anew)
+	if !maps.Equal(counted, rebuilt) {
+		t.Fatalf("evidence %v, rebuilt %v", counted, rebuilt)
 	}
 }
 
-// What is kept up by difference is what it would be if it were made anew, whatever happens.
-func TestSumsAreThoseMadeAnew(t *testing.T) {
+// What is updated incrementally equals what a rebuild makes, whatever happens.
+func TestIncrementalStateEqualsARebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newSumsWorld(t)
+		w := newOrderSimulation(t)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			aligned := w.step(t)
-			order := orderAnew(w.b)
+			order := rebuiltOrder(w.b)
 			checkOrder(t, w.b, order)
 			checkPools(t, w.b, order)
 			if aligned {
-				checkFresh(t, w.b, order)
+				checkAddedServers(t, w.b, order)
 			}
 			checkSums(t, w.b, order)
 			checkEvidence(t, w.b, order)
@@ -285,16 +284,16 @@
 	})
 }
 
-// A server's trials are for the freest class that is in use: with the last request of a class of former settings
-// that class goes, and one change of the list has the next one tried.
-func TestTrialsFollowTheClassesInUse(t *testing.T) {
+// Probation of a server is for the class in use that is safest to retry. A class of former settings is in use until its
+// last request has ended and the list has changed.
+func TestProbationFollowsTheClassesInUse(t *testing.T) {
 	set := site(1)
 	b := start(t, set, members(4))
 	first := sentTo(t, b.Handle(ms, ask("open", "free")))
 	strict := site(1)
 	strict.Classes[0].RetrySafety = NonIdempotent
 	b.Handle(2*ms, strict)
-	b.Handle(3*ms, strict) // the former settings are strict by now, and the open request is older
+	b.Handle(3*ms, strict) // the former settings are strict too by now, and the open request is older
 	list := members(4)
 	change := func(i int) *server {
 		list[i].Weight++
@@ -302,13 +301,13 @@
 		return b.servers[list[i].ID]
 	}
 	if s := change(2); s.retrySafety != Idempotent {
-		t.Errorf("while a free request is open, its servers' trials are for class %v", s.retrySafety)
+		t.Errorf("while an idempotent request is open, probation is for %v", s.retrySafety)
 	}
 	b.Handle(b.now+ms, outcome("open", 0, first, OK, ms))
 	change(2)
 	for _, s := range b.order() {
 		if s.retrySafety != IdempotencyKeyed {
-			t.Errorf("once it is over, the trials of %s are for class %v, want %v", s.ID, s.retrySafety, IdempotencyKeyed)
+			t.Errorf("once it has ended, probation of %s is for %v, want %v", s.ID, s.retrySafety, IdempotencyKeyed)
 		}
 	}
 }
@@ -321,3 +320,54 @@
 	b.slowStart.promote(b.now)
 	return b.slowStart.warmedUp
 }
+
+// Servers are in the order of the cost of crossing to them; a cost that the settings name goes before the usual one.
+func TestPackingOrderFollowsCrossingCost(t *testing.T) {
+	for want, costs := range map[string]map[string]map[string]float64{
+		"abc": nil, "acb": {"a": {"c": 0.5}}, "a(bc)": {"a": {"c": 1}},
+	} {
+		set := twoRegions(1)
+		set.Topology.ZoneCosts = costs
+		b := start(t, set, endpointsInZones(1, "c", "b", "a"))
+		got := ""
+		for _, s := range b.order() {
+			got += s.Zone
+		}
+		if want == "a(bc)" { // of one cost: by id
+			want = "abc"
+		}
+		if got != want {
+			t.Errorf("costs %v: the order is %s, want %s", costs, got, want)
+		}
+	}
+}
+
+// A pool is in the order of costs and IDs; a walk of a segment begins at the given server and wraps around.
+func TestPoolIsInPackingOrder(t *testing.T) {
+	var p serverPool
+	servers := make(map[string]*server)
+	for id, cost := range map[string]float64{"d": 0, "a": 1, "c": 0, "b": 1, "e": 0} {
+		servers[id] = &server{Endpoint: Endpoint{ID: id}}
+		servers[id].segment = p.insert(servers[id], cost)
+	}
+	walk := func() (ids string) {
+		for s := range p.all {
+			ids += s.ID
+		}
+		return ids
+	}
+	if got := walk(); got != "cdeab" {
+		t.Errorf("the order is %s, want cdeab", got)
+	}
+	if p.rotate(0, "d"); walk() != "decab" {
+		t.Errorf("the order is %s from d on, want decab", walk())
+	}
+	if !servers["e"].isBefore(servers["c"]) || servers["a"].isBefore(servers["c"]) {
+		t.Error("servers don't compare in the order of the walk")
+	}
+	p.remove(servers["d"], 0)
+	p.remove(&server{Endpoint: Endpoint{ID: "e"}}, 0) // another server of the same ID
+	if got := walk(); got != "ecab" || p.length != 4 {
+		t.Errorf("the order is %s of %d servers without d, want ecab", got, p.length)
+	}
+}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -517,7 +517,7 @@
 		t.Errorf("the dearest class is not sent, though servers are little over the threshold")
 	}
 	for _, s := range b.order() {
-		s.inFlight = int(maxOvercommitLearned * 10)
+		s.inFlight = int(maxLearnedOvercommit * 10)
 	}
 	if sent := of(b.Handle(ms, ask("late", "once")), Send); len(sent) != 0 {
 		t.Errorf("the dearest class is sent to servers that are far over the threshold")
@@ -773,7 +773,7 @@
 	if acts := b.Handle(ms, ask("x", "once")); len(of(acts, Send)) != 1 {
 		t.Errorf("the dearest class gives way: %+v", acts)
 	}
-	told := fleet(t, 40, members(4))
+	told := startLargeFleet(t, 40, members(4))
 	told.highPriorityShortage, told.maxPriorityWeight = 1, 5
 	if told.shouldShed(told.classes["free"]) {
 		t.Error("a class gives way though reports tell of room")
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -22,23 +22,23 @@
 	if s := b.pickWarmingUp(r); s != nil {
 		return s, true
 	}
-	var least *server
+	var fallback *server
 	for s := range r.class.eligible.all {
 		if !b.isUsable(r, s) {
 			continue
 		}
-		if (windowOvercommit < min(1, maxOvercommit) || b.isPacedByWarmup(s)) && b.hasCapacity(s) {
+		if (windowOvercommit < min(1, maxOvercommit) || b.isLimitedByWarmup(s)) && b.hasCapacity(s) {
 			return s, true
 		}
-		if least == nil || b.isLessOvercommitted(s, least) {
-			least = s
+		if fallback == nil || b.isLessOvercommitted(s, fallback) {
+			fallback = s
 		}
 	}
 	b.window.capacityWanted = true
-	if least != nil && max(windowOvercommit, b.serverOvercommit(least)) > maxOvercommit {
-		return nil, !least.limitReached
+	if fallback != nil && max(windowOvercommit, b.serverOvercommit(fallback)) > maxOvercommit {
+		return nil, !fallback.limitReached
 	}
-	return least, least != nil && !least.limitReached
+	return fallback, fallback != nil && !fallback.limitReached
 }
 
 // isLessOvercommitted reports whether a server is to be preferred to one that comes before it in the walk.
--- /dev/null
+++ b/policy/server_selection_test.go
@@ -0,0 +1,92 @@
+package policy
+
+import (
+	"slices"
+	"testing"
+	"time"
+)
+
+// A response that comes too late is of no use: a server that is warming up or overloaded gets only requests with
+// time left. An old report of its latency is forgotten.
+func TestSlowServersGetOnlyRequestsWithTimeLeft(t *testing.T) {
+	b := startLargeFleet(t, 40, members(12))
+	s := b.order()[0]
+	reportLoad(b, s, 5, report(50, 0.5, 10))
+	short := &request{class: b.classOrder[0], usefulUntil: b.now + 200*ms}
+	long := &request{class: b.classOrder[0], usefulUntil: b.now + 2000*ms}
+	if !b.answersInTime(short, s) {
+		t.Fatal("a fast server is not used")
+	}
+	reportLoad(b, s, 1, report(400, 0.9, 10))
+	if b.answersInTime(short, s) || !b.answersInTime(long, s) {
+		t.Errorf("a slow server: %v for a request that is useful for 200 ms, %v for 2 s", b.answersInTime(short, s), b.answersInTime(long, s))
+	}
+	b.now += 10 * reportDecayTime
+	short.usefulUntil = b.now + 200*ms
+	if !b.answersInTime(short, s) {
+		t.Error("a server is not used for ever after one slow report")
+	}
+	s.StartedAt = b.now
+	if b.answersInTime(short, s) {
+		t.Error("a server that has just started is taken for a fast one")
+	}
+}
+
+// A choice looks at each server a fixed number of times. If it summed over all servers at each of them, a node with
+// many servers would be too slow.
+func TestChoiceTimeGrowsLinearlyWithServers(t *testing.T) {
+	takes := func(servers int) time.Duration {
+		b := startLargeFleet(t, 300, members(servers))
+		b.window.inFlight = 1e6 // so that none has capacity, and each is looked at
+		r := &request{Request: ask("r", "free"), class: b.classes["free"], maxAttempts: 1}
+		r.deadline, r.usefulUntil = b.now+time.Hour, b.now+time.Hour
+		best := time.Hour
+		for range 200 {
+			began := time.Now()
+			b.dispatch(r)
+			best = min(best, time.Since(began))
+			if len(r.attempts) > 0 {
+				t.Fatal("a server had capacity")
+			}
+		}
+		return best
+	}
+	if few, many := takes(50), takes(800); many > 64*few {
+		t.Errorf("16 times the servers take %d times as long: %v and %v", many/few, few, many)
+	}
+}
+
+// A request that may have run goes only where a repeat does no harm.
+func TestWhereARequestMayRunAgain(t *testing.T) {
+	ranOn := &server{Endpoint: Endpoint{Zone: "a", Cell: 1}}
+	sameCell, sameZone := &server{Endpoint: Endpoint{Zone: "b", Cell: 1}}, &server{Endpoint: Endpoint{Zone: "a", Cell: 2}}
+	elsewhere := &server{Endpoint: Endpoint{Zone: "b", Cell: 2}}
+	keyed := func(scope DedupScope) Class {
+		return Class{RetrySafety: IdempotencyKeyed, DedupScope: scope, DedupWindow: time.Second}
+	}
+	for name, c := range map[string]struct {
+		class   Class
+		now     Time
+		allowed []*server
+	}{
+		"idempotent":      {Class{RetrySafety: Idempotent}, time.Hour, []*server{sameCell, sameZone, elsewhere}},
+		"non-idempotent":  {Class{RetrySafety: NonIdempotent}, 0, nil},
+		"keyed, in cell":  {keyed(DedupPerCell), 0, []*server{sameCell}},
+		"keyed, in zone":  {keyed(DedupPerZone), 0, []*server{sameZone}},
+		"keyed, anywhere": {keyed(DedupEverywhere), 0, []*server{sameCell, sameZone, elsewhere}},
+		"keyed, too late": {keyed(DedupEverywhere), time.Second, nil},
+		"restricted":      {Class{RetrySafety: Idempotent, Zones: []string{"a"}}, 0, []*server{sameZone}},
+	} {
+		r := &request{class: &class{Class: c.class}, attempts: []attempt{{server: ranOn}}}
+		r.updateMayHaveRun()
+		var allowed []*server
+		for _, s := range []*server{ranOn, sameCell, sameZone, elsewhere} {
+			if r.mayRunOn(s, c.now) {
+				allowed = append(allowed, s)
+			}
+		}
+		if !slices.Equal(allowed, c.allowed) {
+			t.Errorf("%s: may run on %v, want %v", name, allowed, c.allowed)
+		}
+	}
+}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -34,9 +34,9 @@
 	minCapacity float64       // part of its capacity that a server has when it starts
 	duration    time.Duration // in which it reaches its whole capacity
 
-	warmedUp        int             // servers in service that have warmed up
-	warmedUpOutside warmedUpServers // those of them in zones that aren't monitored
-	queue           serverQueue     // the other servers in service, by when they will have warmed up
+	warmedUp            int             // servers in service that have warmed up
+	warmedUpUnmonitored warmedUpServers // those of them in zones that aren't monitored
+	queue               serverQueue     // the other servers in service, by when they will have warmed up
 
 	completionRate   float64 // OK responses of warmed-up servers to this node, a second, as of completionRateAt
 	completionRateAt Time
@@ -84,7 +84,7 @@
 
 // reset empties the counts of servers.
 func (w *slowStart) reset(zones []*zoneHealth) {
-	w.warmedUp, w.warmedUpOutside, w.queue = 0, warmedUpServers{}, nil
+	w.warmedUp, w.warmedUpUnmonitored, w.queue = 0, warmedUpServers{}, nil
 	for _, z := range zones {
 		z.warmedUp = 0
 	}
@@ -125,9 +125,9 @@
 	case zone != nil && zone.monitored:
 		zone.warmedUp += change
 	case zone != nil && zone.crossingCost == 0:
-		w.warmedUpOutside.near += change
+		w.warmedUpUnmonitored.near += change
 	default:
-		w.warmedUpOutside.far += change
+		w.warmedUpUnmonitored.far += change
 	}
 }
 
@@ -143,7 +143,7 @@
 // outsideEvacuated counts the warmed-up servers in service whose zones aren't evacuated.
 func (w *slowStart) outsideEvacuated(zones []*zoneHealth, now Time) warmedUpServers {
 	w.promote(now)
-	servers := w.warmedUpOutside
+	servers := w.warmedUpUnmonitored
 	for _, z := range zones {
 		switch {
 		case z.isEvacuated():
@@ -182,9 +182,9 @@
 // warmFraction is the part of its capacity that a server has reached by now.
 func (b *Balancer) warmFraction(s *server) float64 { return b.slowStart.warmFraction(s, b.now) }
 
-// isPacedByWarmup reports whether the warm-up budget alone paces what a server gets, and not the node's
+// isLimitedByWarmup reports whether the warm-up budget alone paces what a server gets, and not the node's
 // window.
-func (b *Balancer) isPacedByWarmup(s *server) bool {
+func (b *Balancer) isLimitedByWarmup(s *server) bool {
 	return b.usesLoadReports() && b.warmFraction(s) < 1
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// coldFleet plays many nodes before a few servers in virtual time, without sockets, and keeps its own books of what
-// all of them together send to servers that are cold.
-type coldFleet struct {
-	rng     *rand.Rand
-	set     Settings
-	now     Time
-	queue   eventQueue
-	order   int
-	nodes   []*Balancer
-	life    []int // of each node: what was meant for a former process of it is lost
-	heard   int   // nodes that membership tells of; 0 for no membership
-	servers map[string]*coldServer
-	asked   int
-	served  int
+// slowStartFleet simulates many nodes and a few servers in virtual time, without sockets. It counts on its own what all
+// nodes together send to servers that are warming up.
+type slowStartFleet struct {
+	rng        *rand.Rand
+	set        Settings
+	now        Time
+	queue      eventQueue
+	sequence   int
+	nodes      []*Balancer
+	generation []int // of each node: events for an earlier process of it are lost
+	reachable  int   // nodes by membership; 0 for no membership
+	servers    map[string]*slowStartServer
+	requests   int
+	served     int
 }
 
-// coldServer works on as many requests at once as it has cores, and slower while it is cold.
-type coldServer struct {
+// slowStartServer works on as many requests at once as it has cores, and more slowly while it is warming up.
+type slowStartServer struct {
 	Endpoint
-	capacity float64 // requests a second when warm
-	free     []Time  // when each of its cores is
-	sent     []Time  // requests that were sent to it while it was cold
+	capacity           float64 // requests a second once it has warmed up
+	coresFreeAt        []Time
+	sentWhileWarmingUp []Time // when each request was
 }
 
 type fleetEvent struct {
@@ -56,17 +56,18 @@
 	return last
 }
 
-func (f *coldFleet) after(wait time.Duration, do func()) {
-	f.order++
-	heap.Push(&f.queue, fleetEvent{f.now + wait, f.order, do})
+func (f *slowStartFleet) after(wait time.Duration, do func()) {
+	f.sequence++
+	heap.Push(&f.queue, fleetEvent{f.now + wait, f.sequence, do})
 }
 
-// newColdFleet starts nodes that hear of each other where heard says so. The settings may tell another number.
-func newColdFleet(seed uint64, set Settings, nodes, heard int, servers []Endpoint, capacity float64) *coldFleet {
-	f := &coldFleet{rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Hour, heard: heard,
-		nodes: make([]*Balancer, nodes), life: make([]int, nodes), servers: make(map[string]*coldServer)}
+// newSlowStartFleet starts nodes. Membership tells them of as many as are reachable, if any; the settings may have
+// another number.
+func newSlowStartFleet(seed uint64, set Settings, nodes, reachable int, servers []Endpoint, capacity float64) *slowStartFleet {
+	f := &slowStartFleet{rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Hour, reachable: reachable,
+		nodes: make([]*Balancer, nodes), generation: make([]int, nodes), servers: make(map[string]*slowStartServer)}
 	for _, m := range servers {
-		f.servers[m.ID] = &coldServer{Endpoint: m, capacity: capacity, free: make([]Time, 2)}
+		f.servers[m.ID] = &slowStartServer{Endpoint: m, capacity: capacity, coresFreeAt: make([]Time, 2)}
 	}
 	for n := range nodes {
 		f.startNode(n)
@@ -74,25 +75,25 @@
 	return f
 }
 
-func (f *coldFleet) list() (all []Endpoint) {
+func (f *slowStartFleet) list() (all []Endpoint) {
 	for i := range len(f.servers) {
 		all = append(all, f.servers[fmt.Sprintf("s%02d", i)].Endpoint)
 	}
 	return all
 }
 
-func (f *coldFleet) startNode(n int) {
+func (f *slowStartFleet) startNode(n int) {
 	set := f.set
 	set.NodeIndex = n % set.NodeCount
 	f.nodes[n], _ = New(set, f.now, f.rng.Uint64())
-	f.life[n]++
+	f.generation[n]++
 	f.event(n, EndpointList{Kind: ListCached, Endpoints: f.list()})
-	if f.heard > 0 {
-		f.event(n, FleetSize{ReachableNodes: f.heard})
+	if f.reachable > 0 {
+		f.event(n, FleetSize{ReachableNodes: f.reachable})
 	}
 }
 
-func (f *coldFleet) event(n int, ev Event) {
+func (f *slowStartFleet) event(n int, ev Event) {
 	for _, a := range append([]Action(nil), f.nodes[n].Handle(f.now, ev)...) {
 		switch a.Kind {
 		case Send:
@@ -103,18 +104,18 @@
 	}
 }
 
-// toNode hands an event in later, if that process of the node still runs then.
-func (f *coldFleet) toNode(n int, wait time.Duration, ev Event) {
-	life := f.life[n]
+// toNode hands an event to a node later, if the same process of it still runs then.
+func (f *slowStartFleet) toNode(n int, wait time.Duration, ev Event) {
+	generation := f.generation[n]
 	f.after(wait, func() {
-		if f.life[n] == life {
+		if f.generation[n] == generation {
 			f.event(n, ev)
 		}
 	})
 }
 
-// part is what a server can do now of what it can when warm.
-func (f *coldFleet) part(s *coldServer, at Time) float64 {
+// capacityPart is the part of its capacity that a server has reached.
+func (f *slowStartFleet) capacityPart(s *slowStartServer, at Time) float64 {
 	age := at - s.StartedAt
 	if s.StartedAt == 0 || age >= f.set.Rules.SlowStartDuration {
 		return 1
@@ -122,21 +123,21 @@
 	return f.set.Rules.SlowStartMinCapacity + (1-f.set.Rules.SlowStartMinCapacity)*age.Seconds()/f.set.Rules.SlowStartDuration.Seconds()
 }
 
-func (f *coldFleet) send(n int, a Action) {
+func (f *slowStartFleet) send(n int, a Action) {
 	s := f.servers[a.Server]
-	part := f.part(s, f.now)
+	part := f.capacityPart(s, f.now)
 	if part < 1 {
-		s.sent = append(s.sent, f.now)
+		s.sentWhileWarmingUp = append(s.sentWhileWarmingUp, f.now)
 	}
 	core := 0
-	for i := range s.free {
-		if s.free[i] < s.free[core] {
+	for i := range s.coresFreeAt {
+		if s.coresFreeAt[i] < s.coresFreeAt[core] {
 			core = i
 		}
 	}
-	work := f.rng.ExpFloat64() * float64(len(s.free)) / (s.capacity * part)
-	s.free[core] = max(s.free[core], f.now) + seconds(work)
-	took, code := s.free[core]-f.now, OK
+	work := f.rng.ExpFloat64() * float64(len(s.coresFreeAt)) / (s.capacity * part)
+	s.coresFreeAt[core] = max(s.coresFreeAt[core], f.now) + seconds(work)
+	took, code := s.coresFreeAt[core]-f.now, OK
 	if until := a.AttemptDeadline - f.now; took > until {
 		took, code = until, TimedOut
 	} else {
@@ -147,16 +148,16 @@
 		Latency: took, RequestEnded: code == OK, LoadReport: row})
 }
 
-// ask has requests come at all nodes together at a rate for a time.
-func (f *coldFleet) ask(rate float64, span time.Duration) {
+// sendRequests sends all nodes together requests at a rate, for a time.
+func (f *slowStartFleet) sendRequests(rate float64, span time.Duration) {
 	end := f.now + span
 	var next func()
 	next = func() {
 		if f.now >= end {
 			return
 		}
-		f.asked++
-		f.event(f.rng.IntN(len(f.nodes)), Request{ID: fmt.Sprint("r", f.asked), Class: "free", Tenant: "t",
+		f.requests++
+		f.event(f.rng.IntN(len(f.nodes)), Request{ID: fmt.Sprint("r", f.requests), Class: "free", Tenant: "t",
 			Timeout: 2 * time.Second})
 		f.after(seconds(f.rng.ExpFloat64()/rate), next)
 	}
@@ -164,7 +165,7 @@
 	f.run(span)
 }
 
-func (f *coldFleet) run(span time.Duration) {
+func (f *slowStartFleet) run(span time.Duration) {
 	end := f.now + span
 	for len(f.queue) > 0 && f.queue[0].at <= end {
 		e := heap.Pop(&f.queue).(fleetEvent)
@@ -174,8 +175,8 @@
 	f.now = end
 }
 
-// restartServers has all nodes hear that servers have started anew.
-func (f *coldFleet) restartServers(ids ...string) {
+// restartServers tells all nodes, at different times, that servers have started again.
+func (f *slowStartFleet) restartServers(ids ...string) {
 	var changed []Endpoint
 	for _, id := range ids {
 		f.servers[id].StartedAt = f.now
@@ -186,100 +187,100 @@
 	}
 }
 
-// worstPart is the most that came to a cold server within the time in which it falls, in parts of what it bears then:
-// the budget of N calls, and what is put down to chance.
-func (f *coldFleet) worstPart() (worst float64, sent int) {
+// worstPart is the most that was sent to a server that is warming up within the overload duration, as a part of what
+// it bears then: N requests by the overload multiple, and what chance adds to that.
+func (f *slowStartFleet) worstPart() (worst float64, sent int) {
 	span := f.set.Rules.OverloadDuration
 	for _, s := range f.servers {
-		sent += len(s.sent)
+		sent += len(s.sentWhileWarmingUp)
 		first := 0
-		for i, at := range s.sent {
-			for s.sent[first] < at-span {
+		for i, at := range s.sentWhileWarmingUp {
+			for s.sentWhileWarmingUp[first] < at-span {
 				first++
 			}
-			n := f.set.Rules.OverloadMultiple * s.capacity * f.part(s, s.sent[first]) * span.Seconds()
+			n := f.set.Rules.OverloadMultiple * s.capacity * f.capacityPart(s, s.sentWhileWarmingUp[first]) * span.Seconds()
 			worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 		}
 	}
 	return worst, sent
 }
 
-// coldCase is a way in which the nodes of a fleet know how many they are, and what comes to them.
-type coldCase struct {
-	name        string
-	told, heard int     // nodes by the settings, and by membership (0: there is none)
-	capacity    float64 // requests a second of a warm server
-	restarting  bool    // a third of the nodes start anew while servers are cold
-	idle, burst float64 // load once servers are cold, and after that, in parts of the capacity of the warm ones
+// slowStartCase is what the nodes of a fleet know of their number, and the load on them.
+type slowStartCase struct {
+	name                  string
+	configured, reachable int     // nodes by the settings, and by membership (0: there is none)
+	capacity              float64 // requests a second of a server that has warmed up
+	restarting            bool    // a third of the nodes restart while servers are warming up
+	loadBefore, loadAfter float64 // load after servers restarted, and later, as a part of the capacity of the others
 }
 
 const (
-	coldNodes = 30
-	warmLeft  = 8 // of the servers, while the others are cold
+	slowStartNodes      = 30
+	warmedUpServersLeft = 8 // while the other servers are warming up
 )
 
-var coldCases = []coldCase{
-	{name: "told by the settings", capacity: 10, told: coldNodes, idle: 0.7, burst: 1.2},
-	{name: "larger servers", capacity: 20, told: coldNodes, idle: 0.7, burst: 1.2},
-	{name: "a burst after a quiet time", capacity: 10, told: coldNodes, idle: 0.05, burst: 2},
-	{name: "membership says more", capacity: 10, told: 5, heard: coldNodes, idle: 0.05, burst: 2},
-	{name: "membership says fewer", capacity: 10, told: 60, heard: coldNodes, idle: 0.05, burst: 2},
-	{name: "a third restarts", capacity: 10, told: coldNodes, heard: coldNodes, restarting: true, idle: 0.3, burst: 2},
+var slowStartCases = []slowStartCase{
+	{name: "configured number", capacity: 10, configured: slowStartNodes, loadBefore: 0.7, loadAfter: 1.2},
+	{name: "larger servers", capacity: 20, configured: slowStartNodes, loadBefore: 0.7, loadAfter: 1.2},
+	{name: "a burst after a quiet time", capacity: 10, configured: slowStartNodes, loadBefore: 0.05, loadAfter: 2},
+	{name: "more by membership", capacity: 10, configured: 5, reachable: slowStartNodes, loadBefore: 0.05, loadAfter: 2},
+	{name: "fewer by membership", capacity: 10, configured: 60, reachable: slowStartNodes, loadBefore: 0.05, loadAfter: 2},
+	{name: "a third of the nodes restarts", capacity: 10, configured: slowStartNodes, reachable: slowStartNodes, restarting: true, loadBefore: 0.3, loadAfter: 2},
 }
 
-func (c coldCase) play(seed uint64, reports bool) *coldFleet {
-	set := site(c.told)
+func (c slowStartCase) play(seed uint64, reports bool) *slowStartFleet {
+	set := site(c.configured)
 	set.Classes = []Class{{Name: "free", LatencyObjective: time.Second, Deadline: 2 * time.Second, RetrySafety: Idempotent, PriorityWeight: 1}}
 	set.Tenants = []Tenant{{Name: "t", Quota: 1e6}}
 	set.Rules.SlowStartDuration, set.Rules.OverloadMultiple = 20*time.Second, 2
 	if reports {
 		set.ReportFields = []string{reportLatency, reportUtil, reportRate}
 	}
-	f := newColdFleet(seed, set, coldNodes, c.heard, members(12), c.capacity)
-	f.ask(0.7*warmLeft*c.capacity, 5*time.Second)
+	f := newSlowStartFleet(seed, set, slowStartNodes, c.reachable, members(12), c.capacity)
+	f.sendRequests(0.7*warmedUpServersLeft*c.capacity, 5*time.Second)
 	f.restartServers("s00", "s03", "s06", "s09")
-	f.ask(c.idle*warmLeft*c.capacity, 3*time.Second)
+	f.sendRequests(c.loadBefore*warmedUpServersLeft*c.capacity, 3*time.Second)
 	if c.restarting {
-		for n := 0; n < coldNodes; n += 3 {
+		for n := 0; n < slowStartNodes; n += 3 {
 			f.startNode(n)
 		}
 	}
-	f.ask(c.burst*warmLeft*c.capacity, 6*time.Second)
+	f.sendRequests(c.loadAfter*warmedUpServersLeft*c.capacity, 6*time.Second)
 	return f
 }
 
-// What all nodes together send to a cold server stays within what the settings allow it, N, and 2 x root of N + 2
-// more, also where nodes are many and servers small, when a burst comes after a quiet time, and when nodes start anew.
-func TestColdServersBearTheSumOfAllNodes(t *testing.T) {
-	for _, c := range coldCases {
+// All nodes together send a server that is warming up at most N + 2*sqrt(N) + 2 requests, of the N that the settings
+// allow, also where servers are small, after a burst, and when nodes restart.
+func TestAllNodesTogetherStayWithinTheOverloadBound(t *testing.T) {
+	for _, c := range slowStartCases {
 		for _, reports := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reports %v", c.name, reports), func(t *testing.T) {
 				t.Parallel()
 				least, worst, sent := math.Inf(1), 0.0, 0
 				for seed := range uint64(10) {
-					part, cold := c.play(seed, reports).worstPart()
+					part, warmingUp := c.play(seed, reports).worstPart()
 					if part > 1 {
-						t.Errorf("seed %d: %.2f times the bound is sent to a cold server", seed, part)
+						t.Errorf("seed %d: %.2f times the bound is sent to a server", seed, part)
 					}
-					least, worst, sent = min(least, part), max(worst, part), sent+cold
+					least, worst, sent = min(least, part), max(worst, part), sent+warmingUp
 				}
 				if sent == 0 {
-					t.Error("nothing was sent to cold servers")
+					t.Error("nothing was sent to servers that are warming up")
 				}
-				t.Logf("%d sent to cold servers; in the worst window of each of ten seeds %.2f to %.2f of the bound", sent, least, worst)
+				t.Logf("%d sent to servers that are warming up; in the worst window of each of ten seeds %.2f to %.2f of the bound", sent, least, worst)
 			})
 		}
 	}
 }
 
-// What cold servers may take follows what warm ones were seen to carry, not what is answered while others fail: then
-// it would be least when the cold ones are needed most.
-func TestColdBudgetOutlivesTheLossOfWarmServers(t *testing.T) {
+// The warm-up budget follows the peak rate of servers that have warmed up, not the rate while those fail: it would be
+// lowest when the servers that are warming up are needed.
+func TestWarmupBudgetOutlivesTheLossOfOtherServers(t *testing.T) {
 	set := site(1)
 	set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = 0.5, time.Hour
 	list := members(12)
-	const cold = 4
-	for i := range cold {
+	const warmingUp = 4
+	for i := range warmingUp {
 		list[i].StartedAt = 1
 	}
 	b := start(t, set, list)
@@ -287,67 +288,138 @@
 	for i := range 10 * perSecond {
 		b.now += time.Second / perSecond
 		r := &request{class: b.classOrder[0]}
-		b.observeOutcome(r, &attempt{server: b.servers[fmt.Sprintf("s%02d", cold+i%8)]}, Outcome{Code: OK, Latency: 20 * ms})
+		b.observeOutcome(r, &attempt{server: b.servers[fmt.Sprintf("s%02d", warmingUp+i%8)]}, Outcome{Code: OK, Latency: 20 * ms})
 	}
 	if got := b.slowStart.peakRate(b.now); math.Abs(got-perSecond/8) > 1 {
-		t.Fatalf("a warm server is held to carry %v, want about %v", got, perSecond/8)
+		t.Fatalf("the peak rate is %v, want about %v", got, perSecond/8)
 	}
 	before := b.slowStart.peakRate(b.now)
-	rate := func() float64 { // of a server half warm, by all nodes: this is the only one
+	rate := func() float64 { // of requests to a server that has half warmed up
 		s := b.servers["s00"]
 		s.StartedAt, s.warmupBudget = b.now, warmupBudget{refilledAt: b.now - 10*ms}
 		b.hasWarmupBudget(s)
 		return s.warmupBudget.tokens / 0.01
 	}
 	allowed := rate()
-	for i := cold; i < 9; i++ {
+	for i := warmingUp; i < 9; i++ {
 		b.Handle(b.now, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{{ID: fmt.Sprintf("s%02d", i), Availability: Removed}}})
 	}
 	b.now += 10 * time.Second
 	if got := b.slowStart.peakRate(b.now); got < 0.8*before {
-		t.Errorf("10 s after most warm servers are gone and nothing is answered, a warm one is held to carry %v of %v", got, before)
+		t.Errorf("10 s after the loss of most other servers, without responses, the peak rate is %v, before %v", got, before)
 	}
 	if got := rate(); got < 0.8*allowed {
-		t.Errorf("a cold server may get %v requests a second then, %v before", got, allowed)
+		t.Errorf("a server may get %v requests a second then, %v before", got, allowed)
 	}
 	b.now += 10 * peakRateDecayTime
 	if got := b.slowStart.peakRate(b.now); got > 0.01*before {
-		t.Errorf("what a warm server carried long ago still counts %v of %v", got, before)
+		t.Errorf("long after that the peak rate is %v, before %v", got, before)
 	}
 }
 
-// A cold server's part goes to it before the walk, which would hardly ever meet it behind servers with room: by
-// first tries of what is worth less than the dearest, and by those too once they are short of room.
-func TestColdServersGetTheirPartBeforeTheWalk(t *testing.T) {
+// A server that is warming up gets its part before the walk, which would hardly ever reach it behind servers with
+// capacity. First attempts of all but the class of the highest priority go there, and of that too once it is short of
+// capacity.
+func TestWarmingUpServersAreChosenBeforeTheWalk(t *testing.T) {
 	set := site(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
-	list := append(members(6), Endpoint{ID: "z-cold", Zone: "a", StartedAt: 1, Weight: 1},
+	list := append(members(6), Endpoint{ID: "z-near", Zone: "a", StartedAt: 1, Weight: 1},
 		Endpoint{ID: "z-far", Zone: "b", StartedAt: 1, Weight: 1})
 	fresh := func() *Balancer {
 		b := start(t, set, list)
-		for _, id := range []string{"z-cold", "z-far"} {
+		for _, id := range []string{"z-near", "z-far"} {
 			b.servers[id].warmupBudget.tokens = 1
 		}
 		return b
 	}
-	if got := sentTo(t, fresh().Handle(ms, ask("cheap", "free"))); got != "z-cold" {
-		t.Errorf("a cheap request goes to %s, want the cold server of the own zone", got)
+	if got := sentTo(t, fresh().Handle(ms, ask("low", "free"))); got != "z-near" {
+		t.Errorf("a request of low priority goes to %s, want the server of the own zone that is warming up", got)
 	}
-	if got := sentTo(t, fresh().Handle(ms, ask("dear", "once"))); got != "s00" {
-		t.Errorf("a dear request goes to %s, want a warm server", got)
+	if got := sentTo(t, fresh().Handle(ms, ask("high", "once"))); got != "s00" {
+		t.Errorf("a request of high priority goes to %s, want a server that has warmed up", got)
 	}
 	b := fresh()
 	b.highPriorityShortage = 2 * maxShortageForSlowStart
-	if got := sentTo(t, b.Handle(ms, ask("dear", "once"))); got != "z-cold" {
-		t.Errorf("a dear request goes to %s while room is short, want the cold server", got)
+	if got := sentTo(t, b.Handle(ms, ask("high", "once"))); got != "z-near" {
+		t.Errorf("a request of high priority goes to %s while capacity is short, want the server that is warming up", got)
 	}
 	b = fresh()
-	if b.servers["z-cold"].warmupBudget.tokens = 0; sentTo(t, b.Handle(ms, ask("cheap", "free"))) != "s00" {
-		t.Error("a cold server is sent more than its part")
+	if b.servers["z-near"].warmupBudget.tokens = 0; sentTo(t, b.Handle(ms, ask("low", "free"))) != "s00" {
+		t.Error("a server that is warming up is sent more than its part")
 	}
 	first := sentTo(t, b.Handle(ms, ask("again", "free")))
-	b.servers["z-cold"].warmupBudget.tokens = 1
-	if got := sentTo(t, b.Handle(2*ms, outcome("again", 0, first, Overloaded, ms))); got == "z-cold" {
-		t.Errorf("a further attempt goes to %s, want a warm server", got)
+	b.servers["z-near"].warmupBudget.tokens = 1
+	if got := sentTo(t, b.Handle(2*ms, outcome("again", 0, first, Overloaded, ms))); got == "z-near" {
+		t.Errorf("a retry goes to %s, want a server that has warmed up", got)
+	}
+}
+
+// While most servers are warming up, the mean rate over all of them says little of what one can take: those that have
+// warmed up are full and the others idle. A server gets the part of its kind's service rate that its age allows.
+func TestWarmupBudgetFollowsTheServiceRateOfTheKind(t *testing.T) {
+	list := members(12)
+	for i := range list {
+		list[i].Kind = "k"
+		if i > 0 {
+			list[i].StartedAt = 1
+		}
+	}
+	const nodes, rate, span = 40, 40.0, 60
+	b := startLargeFleet(t, nodes, list)
+	reportLoad(b, b.servers["s00"], 10, report(100, 0.5, rate/2))
+	warmingUp := b.servers["s01"]
+	sends := 0
+	for range span * 10 {
+		b.now += 5 * ms
+		if b.hasWarmupBudget(warmingUp) {
+			warmingUp.warmupBudget.tokens--
+			sends++
+		}
+	}
+	got, present := float64(sends)*nodes/(span*0.05), rate*b.warmFraction(warmingUp)
+	if got < 0.5*present || got > b.settings.Rules.OverloadMultiple*present {
+		t.Errorf("all nodes send %v a second to a server that takes %v", got, present)
+	}
+}
+
+// A server reaches its capacity evenly over the duration, and is counted as warmed up from then on.
+func TestWarmFraction(t *testing.T) {
+	w := slowStart{minCapacity: 0.2, duration: 10 * time.Second}
+	s := &server{Endpoint: Endpoint{StartedAt: time.Hour}, segment: &segment{}}
+	w.add(s, time.Hour)
+	for _, c := range []struct {
+		age      time.Duration
+		fraction float64
+		warmedUp int
+	}{{0, 0.2, 0}, {5 * time.Second, 0.6, 0}, {10*time.Second - 1, 1, 0}, {10 * time.Second, 1, 1}} {
+		now := time.Hour + c.age
+		if got := w.warmFraction(s, now); math.Abs(got-c.fraction) > 1e-6 {
+			t.Errorf("a fraction of %v at the age of %v, want %v", got, c.age, c.fraction)
+		}
+		if w.promote(now); w.warmedUp != c.warmedUp {
+			t.Errorf("%d servers have warmed up after %v, want %d", w.warmedUp, c.age, c.warmedUp)
+		}
+	}
+	if got := w.warmFraction(&server{}, time.Hour); got != 1 {
+		t.Errorf("a server that started long ago has a fraction of %v", got)
+	}
+	if w.remove(s); w.warmedUp != 0 {
+		t.Errorf("%d servers have warmed up after the only one left", w.warmedUp)
+	}
+}
+
+// The budget fills at its rate, up to its bound.
+func TestWarmupBudgetFills(t *testing.T) {
+	w := warmupBudget{refilledAt: time.Hour}
+	for _, c := range []struct {
+		after time.Duration
+		may   bool
+	}{{400 * ms, false}, {500 * ms, true}, {time.Minute, true}} {
+		if got := w.refill(time.Hour+c.after, 2, 3); got != c.may {
+			t.Errorf("after %v a request may be sent: %v, with %v tokens", c.after, got, w.tokens)
+		}
+	}
+	if w.tokens != 3 {
+		t.Errorf("%v tokens in the end, want the bound of 3", w.tokens)
 	}
 }
--- a/policy/zone_evidence.go
+++ b/policy/zone_evidence.go
@@ -28,7 +28,7 @@
 	exploreFraction = 0.5
 	// minComparedResponses is how many responses of other zones count as enough for their failure ratio.
 	minComparedResponses = 4.0
-	// priorResponses is the weight, in responses, of the sought failure ratio beside a zone's own responses.
+	// priorResponses is the weight, in responses, of the sought failure ratio against a zone's own responses.
 	priorResponses = 12.0
 	// betterZoneEvidence is the evidence that other zones are better without which none is evacuated.
 	betterZoneEvidence = 7.0
@@ -62,7 +62,7 @@
 	queued   bool // for its expiry
 }
 
-// failureLevel tells how far an outcome is evidence that the server's zone has failed. A response that is
+// failureLevel is how far an outcome is evidence that the server's zone has failed. A response that is
 // far slower than is typical counts as a failure; the typical latency follows slowly, so that a fleet that
 // became slow as a whole becomes typical.
 func (c *classStats) failureLevel(kind string, code Code, latency float64) float64 {
@@ -162,7 +162,7 @@
 }
 
 // weighEvidence decides what the evidence of its servers means for a zone. Where it has servers of several
-// kinds, the evidence has to hold without any one of them too.
+// kinds, the evidence has to suffice without any one of them too.
 func (f *zoneFailover) weighEvidence(z *zoneHealth, failed bool, now Time) {
 	f.expireEvidence(now)
 	sum := z.evidence.float()
--- a/policy/zone_failover_test.go
+++ b/policy/zone_failover_test.go
@@ -2,19 +2,21 @@
 
 import (
 	"fmt"
+	"math"
+	"math/rand/v2"
 	"testing"
 	"time"
 )
 
-// near is a site of two regions: zones a and b in the north, c in the south.
-func near(nodes int) Settings {
+// twoRegions is a site of two regions: zones a and b in the north, c in the south.
+func twoRegions(nodes int) Settings {
 	set := site(nodes)
 	set.Topology = &Topology{RegionOfZone: map[string]string{"a": "north", "b": "north", "c": "south"}, SameRegionCost: 1, OtherRegionCost: 3}
 	return set
 }
 
-// zoned is n servers in each of the zones.
-func zoned(n int, zones ...string) (list []Endpoint) {
+// endpointsInZones is n servers in each of the zones.
+func endpointsInZones(n int, zones ...string) (list []Endpoint) {
 	for _, z := range zones {
 		for i := range n {
 			list = append(list, Endpoint{ID: fmt.Sprint(z, i), Zone: z, Kind: "k", Weight: 1})
@@ -23,132 +25,151 @@
 	return list
 }
 
-// Servers that a list takes away in a mass are kept for half of the grace, drained ones and few ones are not; named
-// again they are as before, and one that was let go brings its place back by a small share.
-func TestListsAreEasedIn(t *testing.T) {
-	all := zoned(4, "a", "b")
-	gone := func(kind ListKind, n int, as Availability) EndpointList {
-		e := EndpointList{Kind: kind}
-		for i, m := range all {
-			if m.Availability = as; (i < n) == (kind == ListUpdate) {
-				e.Endpoints = append(e.Endpoints, m)
-			}
-		}
-		if kind == ListReplace {
-			for i := range e.Endpoints {
-				e.Endpoints[i].Availability = Running
-			}
-		}
-		return e
-	}
-	grace := site(1).Rules.DrainGrace
+// Evidence of one server, or of one kind of servers where there are several, evacuates no zone.
+func TestEvacuationNeedsEvidenceOfSeveralServersAndKinds(t *testing.T) {
 	for name, c := range map[string]struct {
-		eases bool
-		news  EndpointList
-		kept  int
-		back  bool
+		fails     func(i int) bool
+		evacuated bool
 	}{
-		"a zone in a change":       {true, gone(ListUpdate, 4, Removed), 4, true},
-		"a zone in a whole list":   {true, gone(ListReplace, 4, Running), 4, true},
-		"a smaller part of a zone": {true, gone(ListUpdate, 2, Removed), 2, false},
-		"not asked for":            {false, gone(ListUpdate, 4, Removed), 0, false},
+		"one server":  {func(i int) bool { return i == 0 }, false},
+		"one kind":    {func(i int) bool { return i%2 == 0 }, false},
+		"all of them": {func(int) bool { return true }, true},
+		"all but one": {func(i int) bool { return i > 0 }, true},
 	} {
-		set := near(1)
-		set.RetainMissing = c.eases
-		b := start(t, set, all)
-		b.servers["a0"].concurrencyLimit = 7
-		b.Handle(ms, c.news)
-		left := 0
-		for id := range b.servers {
-			if id[0] == 'a' {
-				left++
+		t.Run(name, func(t *testing.T) {
+			list := endpointsInZones(6, "a", "b")
+			for i := range list {
+				list[i].Kind = []string{"big", "small"}[i%2]
 			}
-		}
-		if left != c.kept {
-			t.Errorf("%s: %d servers of the zone are kept, want %d", name, left, c.kept)
-		}
-		b.Handle(ms+grace/2, Timer{Token: retainTimerToken})
-		b.Handle(time.Second+grace, EndpointList{Kind: ListReplace, Endpoints: all})
-		if got := b.zones.find("a").recovering; got != c.back {
-			t.Errorf("%s: the place returns by shares: %v, want %v", name, got, c.back)
-		}
+			b := start(t, twoRegions(1), list)
+			for range 40 {
+				b.now += 50 * ms
+				for i := range 6 {
+					level := noFailure
+					if c.fails(i) {
+						level = plainFailure
+					}
+					b.recordEvidence(&attempt{server: b.servers[fmt.Sprint("a", i)], sentAt: b.now}, level)
+					b.recordEvidence(&attempt{server: b.servers[fmt.Sprint("b", i)], sentAt: b.now}, noFailure)
+				}
+			}
+			if got := b.zones.find("a").isEvacuated(); got != c.evacuated {
+				t.Errorf("the failing zone is evacuated: %v, want %v", got, c.evacuated)
+			}
+			if got := b.zones.find("b").trafficShare; got != 1 {
+				t.Errorf("the other zone has a share of %v", got)
+			}
+		})
+	}
+}
+
+// zoneFailoverOf is the component alone, with zones that are well.
+func zoneFailoverOf(zones ...string) *zoneFailover {
+	f := &zoneFailover{servers: &serverPool{}, rng: rand.New(rand.NewPCG(1, 1)), logf: func(string, ...any) {}}
+	f.configure(twoRegions(1).Topology, zones[0])
+	for _, zone := range zones {
+		f.find(zone)
 	}
-	set := near(1)
-	set.RetainMissing = true
-	b := start(t, set, all)
-	b.servers["a0"].concurrencyLimit = 7
-	b.Handle(ms, gone(ListUpdate, 4, Removed))
-	b.Handle(2*ms, EndpointList{Kind: ListReplace, Endpoints: all})
-	b.Handle(ms+grace, Timer{Token: retainTimerToken})
-	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zones.find("a").recovering {
-		t.Error("named again in time, a server is not as before")
+	return f
+}
+
+// An evacuated zone recovers once enough probes in a row have succeeded, and its share then grows to 1.
+func TestZoneRecoversAfterSuccessfulProbes(t *testing.T) {
+	f := zoneFailoverOf("a", "b")
+	z, now := f.find("a"), time.Hour
+	f.evacuate(z, evacuateEvidence, now)
+	if !z.isEvacuated() || z.trafficShare != 0 {
+		t.Fatalf("evacuated: %v, with a share of %v", z.isEvacuated(), z.trafficShare)
 	}
-	b.Handle(3*time.Second, gone(ListUpdate, 4, Draining))
-	for _, s := range b.order() {
-		if s.Zone == "a" {
-			t.Errorf("%s drains and is still in use", s.ID)
-		}
+	now = z.evacuatedUntil
+	for range zoneProbesNeeded - 1 {
+		f.recordProbe(z, false, now)
 	}
-	if b.Handle(4*time.Second, gone(ListUpdate, 4, Removed)); len(b.servers) != 4 {
-		t.Errorf("%d servers after drained ones are gone, want 4", len(b.servers))
+	f.recordProbe(z, true, now) // a failure: all of them are needed again
+	if now = z.evacuatedUntil; !z.isEvacuated() || z.probeSuccesses != 0 {
+		t.Fatalf("after a failed probe: evacuated %v, %d successes", z.isEvacuated(), z.probeSuccesses)
+	}
+	for range zoneProbesNeeded {
+		f.recordProbe(z, false, now)
+	}
+	if z.isEvacuated() || z.trafficShare != initialRecoveryShare {
+		t.Fatalf("after the probes: evacuated %v, with a share of %v", z.isEvacuated(), z.trafficShare)
+	}
+	f.growShare(z, now+z.growthTime)
+	if want := initialRecoveryShare * math.E; math.Abs(z.trafficShare-want) > 1e-9 {
+		t.Errorf("a share of %v after the growth time, want %v", z.trafficShare, want)
+	}
+	if f.growShare(z, now+10*z.growthTime); z.trafficShare != 1 || z.recovering {
+		t.Errorf("a share of %v in the end, still recovering: %v", z.trafficShare, z.recovering)
 	}
 }
 
-// Servers are walked in order of what crossing costs, and a cost that the settings name goes before the usual one.
-func TestPlacesAreWalkedByCost(t *testing.T) {
-	for want, costs := range map[string]map[string]map[string]float64{
-		"abc": nil, "acb": {"a": {"c": 0.5}}, "a(bc)": {"a": {"c": 1}},
-	} {
-		set := near(1)
-		set.Topology.ZoneCosts = costs
-		b := start(t, set, zoned(1, "c", "b", "a"))
-		got := ""
-		for _, s := range b.order() {
-			got += s.Zone
-		}
-		if want == "a(bc)" { // of one cost: by id
-			want = "abc"
-		}
-		if got != want {
-			t.Errorf("costs %v: walked %s, want %s", costs, got, want)
+// Each evacuation soon after another one takes longer, up to a bound.
+func TestEvacuationsTakeLongerInARow(t *testing.T) {
+	f := zoneFailoverOf("a", "b")
+	z, now := f.find("a"), time.Hour
+	for i, mean := range []time.Duration{2 * time.Second, 8 * time.Second, 32 * time.Second, time.Minute, time.Minute} {
+		f.evacuate(z, evacuateEvidence, now)
+		if got := z.evacuatedUntil - now; got < mean*4/5 || got > mean*6/5 {
+			t.Errorf("evacuation %d takes %v, want %v on average", i+1, got, mean)
 		}
+		f.startRecovery(z, now)
 	}
 }
 
-// Evidence of one server, or of one kind of several, convicts no place.
-func TestOneServerOrKindIsNoBadPlace(t *testing.T) {
+// A zone with a part of its share is closed to the rest of the requests and to all retries, but not where a class
+// has no other zone.
+func TestZonesAreClosedToTheRestOfTheRequests(t *testing.T) {
+	b := start(t, twoRegions(1), endpointsInZones(2, "a", "b"))
+	onlyA := &class{Class: Class{Zones: []string{"a"}}, eligible: &serverPool{}}
+	for _, s := range b.order() {
+		if s.Zone == "a" {
+			onlyA.eligible.insert(s, 0)
+		}
+	}
 	for name, c := range map[string]struct {
-		ill  func(i int) bool
-		left bool
+		class                *class
+		isRetry              bool
+		minClosed, maxClosed int
 	}{
-		"one server":  {func(i int) bool { return i == 0 }, false},
-		"one kind":    {func(i int) bool { return i%2 == 0 }, false},
-		"all of them": {func(int) bool { return true }, true},
-		"all but one": {func(i int) bool { return i > 0 }, true},
+		"first attempts": {b.classOrder[0], false, 400, 600},
+		"retries":        {b.classOrder[0], true, 1000, 1000},
+		"no other zone":  {onlyA, true, 0, 0},
 	} {
-		list := zoned(6, "a", "b")
-		for i := range list {
-			list[i].Kind = []string{"big", "small"}[i%2]
-		}
-		b := start(t, near(1), list)
-		for range 40 {
-			b.now += 50 * ms
-			for i := range 6 {
-				for _, zone := range []string{"a", "b"} {
-					s := b.servers[fmt.Sprint(zone, i)]
-					ill := 0.0
-					if zone == "a" && c.ill(i) {
-						ill = 1
-					}
-					b.recordEvidence(&attempt{server: s, sentAt: b.now}, ill)
-				}
+		closed := 0
+		for range 1000 {
+			b.zones.degraded, b.zones.find("a").trafficShare = true, 0.5
+			b.zones.chooseZones(c.class, c.isRetry, b.now)
+			if b.zones.find("a").closed {
+				closed++
 			}
 		}
-		if got := b.zones.find("a").isEvacuated(); got != c.left {
-			t.Errorf("%s: left %v, want %v", name, got, c.left)
+		if closed < c.minClosed || closed > c.maxClosed {
+			t.Errorf("%s: closed to %d of 1000, want %d to %d", name, closed, c.minClosed, c.maxClosed)
+		}
+	}
+}
+
+func TestOutcomesAsEvidence(t *testing.T) {
+	c := new(classStats)
+	for range minTypicalSamples {
+		if got := c.failureLevel("k", OK, 0.1); got != noFailure {
+			t.Fatalf("a response as usual is a failure of level %v", got)
 		}
-		if b.zones.find("b").trafficShare != 1 {
-			t.Errorf("%s: the other place has a share of %v", name, b.zones.find("b").trafficShare)
+	}
+	for _, outcome := range []struct {
+		code    Code
+		latency float64
+		want    float64
+	}{
+		{OK, 0.2, noFailure},
+		{OK, 1, plainFailure}, // far slower than is typical
+		{ServerError, 0.1, plainFailure},
+		{TimedOut, 1, plainFailure},
+		{ConnectFailed, 0.001, connectFailure},
+	} {
+		if got := c.failureLevel("k", outcome.code, outcome.latency); got != outcome.want {
+			t.Errorf("code %v after %v s: level %v, want %v", outcome.code, outcome.latency, got, outcome.want)
 		}
 	}
 }
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -49,7 +49,7 @@
 	evacuatedUntil  Time    // when probes begin; 0 while it isn't evacuated
 	lastProbeAt     Time    // when a request last probed it
 	probeSuccesses  int     // in a row
-	serversVanished bool    // the list took its servers away in a mass
+	serversVanished bool    // a list lacked most of its servers at once, and they were dropped
 
 	recovering       bool          // its share grows again
 	growthTime       time.Duration // in which the share grows e-fold
