--- a/policy/recorded_events_test.go
+++ b/policy/recorded_events_test.go
@@ -21,10 +21,9 @@
 	"time"
 )
 
-// Recorded events and the actions that they led to. The files keep what a change of names or of structure must not
-// alter: each event is replayed as it was recorded, whatever the actions are, and the actions are compared with those
-// of the recording. `go test ./policy -run TestRecorded -record` writes the files anew; that is only right together
-// with an intended change of what the package decides.
+// The recorded events and actions pin what the package decides, whatever its names and structure are. Each event is
+// replayed as it was recorded, and the actions are compared with the recorded ones. The files are only rewritten, by
+// `go test ./policy -run TestRecorded -record`, together with an intended change of the decisions.
 
 const (
 	recordedEventsFile  = "testdata/recorded_events.jsonl.gz"
@@ -41,24 +40,24 @@
 
 // recordedEvent is one call of a Balancer: the field that is set says which. Its keys are those of the files.
 type recordedEvent struct {
-	At        int64             `json:"t"`
-	Process   int               `json:"p,omitempty"`
-	New       *recordedNew      `json:"new,omitempty"`
-	Settings  *recordedSettings `json:"settings,omitempty"`
-	List      *recordedList     `json:"list,omitempty"`
-	Request   *recordedRequest  `json:"request,omitempty"`
-	Complete  string            `json:"complete,omitempty"`
-	FirstByte *recordedOutcome  `json:"first_byte,omitempty"`
-	Outcome   *recordedOutcome  `json:"outcome,omitempty"`
-	Cancelled string            `json:"client_gone,omitempty"`
-	HandOver  *recordedHandOver `json:"hand_over,omitempty"`
-	Fleet     *recordedFleet    `json:"fleet,omitempty"`
-	Timer     *uint64           `json:"timer,omitempty"`
-	Probe     *recordedOutcome  `json:"probe,omitempty"`
-	Peer      *string           `json:"peer,omitempty"`
-	Restore   *recordedRestore  `json:"restore,omitempty"`
-	Other     *recordedOther    `json:"other,omitempty"`
-	Observe   bool              `json:"observe,omitempty"` // what can be asked of the state
+	At              int64               `json:"t"`
+	Process         int                 `json:"p,omitempty"`
+	New             *recordedNew        `json:"new,omitempty"`
+	Settings        *recordedSettings   `json:"settings,omitempty"`
+	List            *recordedList       `json:"list,omitempty"`
+	Request         *recordedRequest    `json:"request,omitempty"`
+	RequestComplete string              `json:"complete,omitempty"`
+	FirstByte       *recordedOutcome    `json:"first_byte,omitempty"`
+	Outcome         *recordedOutcome    `json:"outcome,omitempty"`
+	ClientCancelled string              `json:"client_gone,omitempty"`
+	HandedOver      *recordedHandedOver `json:"hand_over,omitempty"`
+	FleetSize       *recordedFleetSize  `json:"fleet,omitempty"`
+	Timer           *uint64             `json:"timer,omitempty"`
+	Probe           *recordedOutcome    `json:"probe,omitempty"`
+	Peer            *string             `json:"peer,omitempty"`
+	Restore         *recordedRestore    `json:"restore,omitempty"`
+	SiblingInFlight *recordedInFlight   `json:"other,omitempty"`
+	Observe         bool                `json:"observe,omitempty"` // what can be asked of the state
 }
 
 type recordedNew struct {
@@ -72,104 +71,104 @@
 	At   int64 `json:"at"`
 }
 
-// recordedOther is how many attempts the node's other process has out at each server.
-type recordedOther struct {
-	InFlight map[string]int `json:"in_flight"`
+// recordedInFlight is how many attempts the node's other process has out at each server.
+type recordedInFlight struct {
+	ByServer map[string]int `json:"in_flight"`
 }
 
 type recordedRequest struct {
-	ID        string `json:"id"`
-	Class     string `json:"class"`
-	Tenant    string `json:"tenant"`
-	Key       string `json:"key,omitempty"`
-	ExpiresIn int64  `json:"expires_in"`
-	Hint      int64  `json:"hint,omitempty"`
-	Retry     bool   `json:"retry,omitempty"`
-	Write     bool   `json:"write,omitempty"`
-	Former    bool   `json:"former,omitempty"`
-	Partial   bool   `json:"partial,omitempty"`
+	ID            string `json:"id"`
+	Class         string `json:"class"`
+	Tenant        string `json:"tenant"`
+	Key           string `json:"key,omitempty"`
+	Timeout       int64  `json:"expires_in"`
+	EstimatedWork int64  `json:"hint,omitempty"`
+	ClientRetry   bool   `json:"retry,omitempty"`
+	Write         bool   `json:"write,omitempty"`
+	FormerClass   bool   `json:"former,omitempty"`
+	Incomplete    bool   `json:"partial,omitempty"`
 }
 
 // recordedOutcome is also that of a probe, and a first byte.
 type recordedOutcome struct {
-	ID      string    `json:"id,omitempty"`
-	Server  string    `json:"server"`
-	Attempt int       `json:"attempt,omitempty"`
-	Code    uint8     `json:"code,omitempty"`
-	Latency int64     `json:"latency,omitempty"`
-	Ended   bool      `json:"ended,omitempty"`
-	Spent   bool      `json:"spent,omitempty"`
-	Report  []float64 `json:"report,omitempty"`
+	ID           string    `json:"id,omitempty"`
+	Server       string    `json:"server"`
+	Attempt      int       `json:"attempt,omitempty"`
+	Code         uint8     `json:"code,omitempty"`
+	Latency      int64     `json:"latency,omitempty"`
+	RequestEnded bool      `json:"ended,omitempty"`
+	BodyConsumed bool      `json:"spent,omitempty"`
+	LoadReport   []float64 `json:"report,omitempty"`
 }
 
-type recordedHandOver struct {
-	On     bool `json:"on,omitempty"`
-	Served bool `json:"served,omitempty"`
+type recordedHandedOver struct {
+	Active          bool `json:"on,omitempty"`
+	SuccessorServed bool `json:"served,omitempty"`
 }
 
-type recordedFleet struct {
-	Heard int `json:"heard"`
-	Near  int `json:"near,omitempty"`
+type recordedFleetSize struct {
+	ReachableNodes  int `json:"heard"`
+	ReachableInZone int `json:"near,omitempty"`
 }
 
 type recordedList struct {
-	Kind    uint8            `json:"kind"`
-	Members []recordedMember `json:"members,omitempty"`
+	Kind      uint8              `json:"kind"`
+	Endpoints []recordedEndpoint `json:"members,omitempty"`
 }
 
-type recordedMember struct {
-	Server       string  `json:"server"`
+type recordedEndpoint struct {
+	ID           string  `json:"server"`
 	Zone         string  `json:"zone,omitempty"`
 	Kind         string  `json:"kind,omitempty"`
 	Cell         int64   `json:"cell,omitempty"`
 	Weight       float64 `json:"weight,omitempty"`
-	OnlineSince  int64   `json:"online_since,omitempty"`
+	StartedAt    int64   `json:"online_since,omitempty"`
 	Availability uint8   `json:"availability,omitempty"`
 }
 
 type recordedSettings struct {
-	Node         int              `json:"node"`
-	Nodes        int              `json:"nodes"`
-	Zone         string           `json:"zone"`
-	Classes      []recordedClass  `json:"classes"`
-	Tenants      []recordedTenant `json:"tenants,omitempty"`
-	Places       *recordedPlaces  `json:"places,omitempty"`
-	Limits       recordedLimits   `json:"limits"`
-	Cancel       bool             `json:"cancel,omitempty"`
-	Probe        bool             `json:"probe,omitempty"`
-	Peers        bool             `json:"peers,omitempty"`
-	RetryAfter   bool             `json:"retry_after,omitempty"`
-	MaxAttempts  int              `json:"max_attempts,omitempty"`
-	MaxWait      int64            `json:"max_retry_after,omitempty"`
-	ConnIdle     int64            `json:"conn_idle,omitempty"`
-	AnswerGrace  int64            `json:"answer_grace,omitempty"`
-	DrainGrace   int64            `json:"drain_grace,omitempty"`
-	ColdShare    float64          `json:"cold_share,omitempty"`
-	ColdFor      int64            `json:"cold_for,omitempty"`
-	FallMultiple float64          `json:"fall_multiple,omitempty"`
-	FallFor      int64            `json:"fall_for,omitempty"`
-	AskWithin    int64            `json:"ask_within,omitempty"`
-	Budget       *recordedBudget  `json:"budget,omitempty"`
-	Subscribe    bool             `json:"subscribe,omitempty"`
-	EaseLists    bool             `json:"ease_lists,omitempty"`
-	WorthByWork  bool             `json:"worth_by_work,omitempty"`
-	Report       []string         `json:"report,omitempty"`
+	NodeIndex            int                  `json:"node"`
+	NodeCount            int                  `json:"nodes"`
+	Zone                 string               `json:"zone"`
+	Classes              []recordedClass      `json:"classes"`
+	Tenants              []recordedTenant     `json:"tenants,omitempty"`
+	Topology             *recordedTopology    `json:"places,omitempty"`
+	Limits               recordedLimits       `json:"limits"`
+	Cancel               bool                 `json:"cancel,omitempty"`
+	Probe                bool                 `json:"probe,omitempty"`
+	Peers                bool                 `json:"peers,omitempty"`
+	RetryAfter           bool                 `json:"retry_after,omitempty"`
+	MaxAttempts          int                  `json:"max_attempts,omitempty"`
+	MaxRetryAfter        int64                `json:"max_retry_after,omitempty"`
+	IdleTimeout          int64                `json:"conn_idle,omitempty"`
+	AnswerGrace          int64                `json:"answer_grace,omitempty"`
+	DrainGrace           int64                `json:"drain_grace,omitempty"`
+	SlowStartMinCapacity float64              `json:"cold_share,omitempty"`
+	SlowStartDuration    int64                `json:"cold_for,omitempty"`
+	OverloadMultiple     float64              `json:"fall_multiple,omitempty"`
+	OverloadDuration     int64                `json:"fall_for,omitempty"`
+	PollInterval         int64                `json:"ask_within,omitempty"`
+	RetryBudget          *recordedRetryBudget `json:"budget,omitempty"`
+	SubscribeList        bool                 `json:"subscribe,omitempty"`
+	RetainMissing        bool                 `json:"ease_lists,omitempty"`
+	WeightByWork         bool                 `json:"worth_by_work,omitempty"`
+	ReportFields         []string             `json:"report,omitempty"`
 }
 
 type recordedClass struct {
-	Name       string   `json:"name"`
-	Aim        int64    `json:"aim,omitempty"`
-	AimStretch float64  `json:"aim_stretch,omitempty"`
-	Deadline   int64    `json:"deadline,omitempty"`
-	Repeat     uint8    `json:"repeat,omitempty"`
-	Group      uint8    `json:"group,omitempty"`
-	Window     int64    `json:"window,omitempty"`
-	LateWorth  float64  `json:"late_worth,omitempty"`
-	Worth      float64  `json:"worth,omitempty"`
-	Stream     bool     `json:"stream,omitempty"`
-	Kinds      []string `json:"kinds,omitempty"`
-	Zones      []string `json:"zones,omitempty"`
-	Regions    []string `json:"regions,omitempty"`
+	Name             string   `json:"name"`
+	LatencyObjective int64    `json:"aim,omitempty"`
+	ObjectivePerWork float64  `json:"aim_stretch,omitempty"`
+	Deadline         int64    `json:"deadline,omitempty"`
+	RetrySafety      uint8    `json:"repeat,omitempty"`
+	DedupScope       uint8    `json:"group,omitempty"`
+	DedupWindow      int64    `json:"window,omitempty"`
+	LateWeight       float64  `json:"late_worth,omitempty"`
+	PriorityWeight   float64  `json:"worth,omitempty"`
+	Streaming        bool     `json:"stream,omitempty"`
+	Kinds            []string `json:"kinds,omitempty"`
+	Zones            []string `json:"zones,omitempty"`
+	Regions          []string `json:"regions,omitempty"`
 }
 
 type recordedTenant struct {
@@ -190,17 +189,17 @@
 	Max      float64                  `json:"max,omitempty"`
 }
 
-type recordedBudget struct {
-	Least float64 `json:"least"`
-	Share float64 `json:"share"`
-	Span  int64   `json:"span"`
+type recordedRetryBudget struct {
+	MinRetries float64 `json:"least"`
+	RetryRatio float64 `json:"share"`
+	Window     int64   `json:"span"`
 }
 
-type recordedPlaces struct {
-	Region      map[string]string             `json:"region,omitempty"`
-	SameRegion  float64                       `json:"same_region,omitempty"`
-	OtherRegion float64                       `json:"other_region,omitempty"`
-	Costs       map[string]map[string]float64 `json:"costs,omitempty"`
+type recordedTopology struct {
+	RegionOfZone    map[string]string             `json:"region,omitempty"`
+	SameRegionCost  float64                       `json:"same_region,omitempty"`
+	OtherRegionCost float64                       `json:"other_region,omitempty"`
+	ZoneCosts       map[string]map[string]float64 `json:"costs,omitempty"`
 }
 
 func (l recordedLimit) limit() Limit {
@@ -209,18 +208,18 @@
 
 func (s *recordedSettings) settings() Settings {
 	set := Settings{
-		NodeIndex: s.Node, NodeCount: s.Nodes, Zone: s.Zone,
+		NodeIndex: s.NodeIndex, NodeCount: s.NodeCount, Zone: s.Zone,
 		Allowed: Allowed{Cancel: s.Cancel, Probe: s.Probe, Peers: s.Peers, RetryAfter: s.RetryAfter,
-			MaxAttempts: s.MaxAttempts, MaxRetryAfter: time.Duration(s.MaxWait), IdleTimeout: time.Duration(s.ConnIdle)},
+			MaxAttempts: s.MaxAttempts, MaxRetryAfter: time.Duration(s.MaxRetryAfter), IdleTimeout: time.Duration(s.IdleTimeout)},
 		Rules: Rules{AnswerGrace: time.Duration(s.AnswerGrace), DrainGrace: time.Duration(s.DrainGrace),
-			SlowStartMinCapacity: s.ColdShare, SlowStartDuration: time.Duration(s.ColdFor), OverloadMultiple: s.FallMultiple,
-			OverloadDuration: time.Duration(s.FallFor), PollInterval: time.Duration(s.AskWithin)},
-		SubscribeList: s.Subscribe, RetainMissing: s.EaseLists, WeightByWork: s.WorthByWork, ReportFields: s.Report,
+			SlowStartMinCapacity: s.SlowStartMinCapacity, SlowStartDuration: time.Duration(s.SlowStartDuration), OverloadMultiple: s.OverloadMultiple,
+			OverloadDuration: time.Duration(s.OverloadDuration), PollInterval: time.Duration(s.PollInterval)},
+		SubscribeList: s.SubscribeList, RetainMissing: s.RetainMissing, WeightByWork: s.WeightByWork, ReportFields: s.ReportFields,
 	}
 	for _, c := range s.Classes {
-		set.Classes = append(set.Classes, Class{Name: c.Name, LatencyObjective: time.Duration(c.Aim), ObjectivePerWork: c.AimStretch,
-			Deadline: time.Duration(c.Deadline), RetrySafety: RetrySafety(c.Repeat), DedupScope: DedupScope(c.Group),
-			DedupWindow: time.Duration(c.Window), LateWeight: c.LateWorth, PriorityWeight: c.Worth, Streaming: c.Stream,
+		set.Classes = append(set.Classes, Class{Name: c.Name, LatencyObjective: time.Duration(c.LatencyObjective), ObjectivePerWork: c.ObjectivePerWork,
+			Deadline: time.Duration(c.Deadline), RetrySafety: RetrySafety(c.RetrySafety), DedupScope: DedupScope(c.DedupScope),
+			DedupWindow: time.Duration(c.DedupWindow), LateWeight: c.LateWeight, PriorityWeight: c.PriorityWeight, Streaming: c.Streaming,
 			Kinds: c.Kinds, Zones: c.Zones, Regions: c.Regions})
 	}
 	for _, t := range s.Tenants {
@@ -228,11 +227,11 @@
 		tenant.Name, tenant.Quota, tenant.Share = t.Name, t.Quota, t.Share
 		set.Tenants = append(set.Tenants, tenant)
 	}
-	if p := s.Places; p != nil {
-		set.Topology = &Topology{RegionOfZone: p.Region, SameRegionCost: p.SameRegion, OtherRegionCost: p.OtherRegion, ZoneCosts: p.Costs}
+	if p := s.Topology; p != nil {
+		set.Topology = &Topology{RegionOfZone: p.RegionOfZone, SameRegionCost: p.SameRegionCost, OtherRegionCost: p.OtherRegionCost, ZoneCosts: p.ZoneCosts}
 	}
-	if b := s.Budget; b != nil {
-		set.Rules.RetryBudget = &RetryBudget{MinRetries: b.Least, RetryRatio: b.Share, Window: time.Duration(b.Span)}
+	if b := s.RetryBudget; b != nil {
+		set.Rules.RetryBudget = &RetryBudget{MinRetries: b.MinRetries, RetryRatio: b.RetryRatio, Window: time.Duration(b.Window)}
 	}
 	set.Limits.Max = s.Limits.Max
 	if l := s.Limits.Default; l != nil {
@@ -250,9 +249,9 @@
 
 func (l *recordedList) list() EndpointList {
 	list := EndpointList{Kind: ListKind(l.Kind)}
-	for _, m := range l.Members {
-		list.Endpoints = append(list.Endpoints, Endpoint{ID: m.Server, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
-			Weight: m.Weight, StartedAt: Time(m.OnlineSince), Availability: Availability(m.Availability)})
+	for _, m := range l.Endpoints {
+		list.Endpoints = append(list.Endpoints, Endpoint{ID: m.ID, Zone: m.Zone, Kind: m.Kind, Cell: m.Cell,
+			Weight: m.Weight, StartedAt: Time(m.StartedAt), Availability: Availability(m.Availability)})
 	}
 	return list
 }
@@ -266,28 +265,28 @@
 		return e.List.list()
 	case e.Request != nil:
 		r := e.Request
-		return Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Timeout: time.Duration(r.ExpiresIn),
-			EstimatedWork: time.Duration(r.Hint), ClientRetry: r.Retry, Write: r.Write, FormerClass: r.Former, Incomplete: r.Partial}
-	case e.Complete != "":
-		return RequestComplete{ID: e.Complete}
+		return Request{ID: r.ID, Class: r.Class, Tenant: r.Tenant, Key: r.Key, Timeout: time.Duration(r.Timeout),
+			EstimatedWork: time.Duration(r.EstimatedWork), ClientRetry: r.ClientRetry, Write: r.Write, FormerClass: r.FormerClass, Incomplete: r.Incomplete}
+	case e.RequestComplete != "":
+		return RequestComplete{ID: e.RequestComplete}
 	case e.FirstByte != nil:
 		f := e.FirstByte
 		return FirstByte{ID: f.ID, Server: f.Server, Attempt: f.Attempt, Latency: time.Duration(f.Latency)}
 	case e.Outcome != nil:
 		o := e.Outcome
 		return Outcome{ID: o.ID, Server: o.Server, Attempt: o.Attempt, Code: Code(o.Code),
-			Latency: time.Duration(o.Latency), RequestEnded: o.Ended, BodyConsumed: o.Spent, LoadReport: o.Report}
-	case e.Cancelled != "":
-		return ClientCancelled{ID: e.Cancelled}
-	case e.HandOver != nil:
-		return HandedOver{Active: e.HandOver.On, SuccessorServed: e.HandOver.Served}
-	case e.Fleet != nil:
-		return FleetSize{ReachableNodes: e.Fleet.Heard, ReachableInZone: e.Fleet.Near}
+			Latency: time.Duration(o.Latency), RequestEnded: o.RequestEnded, BodyConsumed: o.BodyConsumed, LoadReport: o.LoadReport}
+	case e.ClientCancelled != "":
+		return ClientCancelled{ID: e.ClientCancelled}
+	case e.HandedOver != nil:
+		return HandedOver{Active: e.HandedOver.Active, SuccessorServed: e.HandedOver.SuccessorServed}
+	case e.FleetSize != nil:
+		return FleetSize{ReachableNodes: e.FleetSize.ReachableNodes, ReachableInZone: e.FleetSize.ReachableInZone}
 	case e.Timer != nil:
 		return Timer{Token: *e.Timer}
 	case e.Probe != nil:
 		p := e.Probe
-		return ProbeResult{Server: p.Server, Code: Code(p.Code), Latency: time.Duration(p.Latency), LoadReport: p.Report}
+		return ProbeResult{Server: p.Server, Code: Code(p.Code), Latency: time.Duration(p.Latency), LoadReport: p.LoadReport}
 	case e.Peer != nil:
 		return PeerMessage{Body: *e.Peer}
 	}
@@ -313,8 +312,8 @@
 	case e.Restore != nil:
 		result, err := restore(b, now, p.processes[e.Restore.From], Time(e.Restore.At))
 		return nil, result, err
-	case e.Other != nil:
-		b.SetSiblingInFlight(e.Other.InFlight)
+	case e.SiblingInFlight != nil:
+		b.SetSiblingInFlight(e.SiblingInFlight.ByServer)
 		return nil, "", nil
 	case e.Observe:
 		return nil, observed(b, now), nil
--- a/policy/recorded_scenarios_test.go
+++ b/policy/recorded_scenarios_test.go
@@ -12,34 +12,35 @@
 
 var record = flag.Bool("record", false, "write the recorded events and actions anew")
 
-// recorder plays servers and clients to the processes of one node, and writes down what it hands to them.
+// recorder simulates the servers and clients of the processes of one node, and records the events that it hands to
+// them.
 type recorder struct {
-	t        *testing.T
-	scenario scenario
-	rng      *rand.Rand
-	now      Time
-	queue    recorderQueue
-	order    int
-	replayer replayer
-	offsets  []Time // of the processes' clocks
-	serving  int    // the process that clients reach
-	settings recordedSettings
-	servers  []*recordedServer
-	requests map[string]*recordedPlay
-	asked    int
-	events   []recordedEvent
-}
-
-// recordedServer is a server as the recorder plays it.
-type recordedServer struct {
-	recordedMember
-	base  time.Duration // of an answer without load
+	t            *testing.T
+	scenario     scenario
+	rng          *rand.Rand
+	now          Time
+	queue        recorderQueue
+	order        int
+	replayer     replayer
+	clockOffsets []Time // of the processes' clocks
+	serving      int    // the process that clients reach
+	settings     recordedSettings
+	servers      []*simulatedServer
+	requests     map[string]*simulatedRequest
+	requestCount int
+	events       []recordedEvent
+}
+
+// simulatedServer is a server in the simulation of the recorder.
+type simulatedServer struct {
+	recordedEndpoint
+	base  time.Duration // latency without load
 	cores int
 	busy  int
 	extra int           // attempts of other nodes
 	fault recorderFault // how it fails
 	part  float64       // and in what part of the attempts
-	slow  float64       // times its usual latency; 0 for 1
+	slow  float64       // factor of its latency; 0 for 1
 }
 
 type recorderFault uint8
@@ -55,10 +56,10 @@
 	mixed
 )
 
-type recordedPlay struct {
+type simulatedRequest struct {
 	recordedRequest
 	process  int
-	attempts []bool // whether they are over
+	attempts []bool // whether each has finished
 	whole    Time   // when its last byte comes
 	answered bool
 }
@@ -93,7 +94,7 @@
 
 // call makes one call of a process and acts on what it answers.
 func (r *recorder) call(process int, e recordedEvent) {
-	e.Process, e.At = process, int64(r.now+r.offset(process))
+	e.Process, e.At = process, int64(r.now+r.clockOffset(process))
 	r.events = append(r.events, e)
 	actions, _, err := r.replayer.apply(&e)
 	if err != nil {
@@ -104,9 +105,9 @@
 	}
 }
 
-func (r *recorder) offset(process int) Time {
-	if process < len(r.offsets) {
-		return r.offsets[process]
+func (r *recorder) clockOffset(process int) Time {
+	if process < len(r.clockOffsets) {
+		return r.clockOffsets[process]
 	}
 	return 0
 }
@@ -135,25 +136,25 @@
 	}
 }
 
-// refused has some clients come again.
+// refused lets some clients retry.
 func (r *recorder) refused(a Action) {
 	p := r.requests[a.ID]
 	p.answered = true
-	if r.rng.IntN(3) > 0 || p.Retry {
+	if r.rng.IntN(3) > 0 || p.ClientRetry {
 		return
 	}
 	r.after(max(a.Wait, 30*ms), func() {
 		again := p.recordedRequest
 		again.ID += "b"
-		again.Retry, again.Partial = true, false
-		again.ExpiresIn = max(int64(50*ms), again.ExpiresIn-int64(a.Wait)-int64(100*ms))
+		again.ClientRetry, again.Incomplete = true, false
+		again.Timeout = max(int64(50*ms), again.Timeout-int64(a.Wait)-int64(100*ms))
 		r.request(again)
 	})
 }
 
-func (r *recorder) server(id string) *recordedServer {
+func (r *recorder) server(id string) *simulatedServer {
 	for _, s := range r.servers {
-		if s.Server == id {
+		if s.ID == id {
 			return s
 		}
 	}
@@ -170,13 +171,13 @@
 	if p.whole > r.now {
 		took += p.whole - r.now
 	}
-	until := a.AttemptDeadline - r.offset(process)
+	until := a.AttemptDeadline - r.clockOffset(process)
 	if r.now+took > until && p.whole <= r.now {
 		code, took = TimedOut, max(0, until-r.now)
 	}
 	took = took.Truncate(recorderStep)
-	o := recordedOutcome{Server: a.Server, Attempt: n, Code: uint8(code), Latency: int64(took), Ended: code == OK,
-		Spent: code != OK && r.rng.IntN(30) == 0}
+	o := recordedOutcome{Server: a.Server, Attempt: n, Code: uint8(code), Latency: int64(took), RequestEnded: code == OK,
+		BodyConsumed: code != OK && r.rng.IntN(30) == 0}
 	if code == OK && r.settings.streams(p.Class) {
 		r.after(took/2, func() {
 			if !p.attempts[n] {
@@ -186,7 +187,7 @@
 	}
 	r.after(took, func() {
 		if code == OK {
-			o.Report = r.report(s, took)
+			o.LoadReport = r.report(s, took)
 		}
 		s.busy--
 		r.outcome(process, a.ID, o)
@@ -194,7 +195,7 @@
 }
 
 func (s *recordedSettings) streams(class string) bool {
-	return slices.ContainsFunc(s.Classes, func(c recordedClass) bool { return c.Name == class && c.Stream })
+	return slices.ContainsFunc(s.Classes, func(c recordedClass) bool { return c.Name == class && c.Streaming })
 }
 
 func (r *recorder) outcome(process int, id string, o recordedOutcome) {
@@ -203,13 +204,13 @@
 		return
 	}
 	p.attempts[o.Attempt] = true
-	p.answered = p.answered || o.Ended
+	p.answered = p.answered || o.RequestEnded
 	o.ID = id
 	r.call(process, recordedEvent{Outcome: &o})
 }
 
-// answer is how and when a server ends an attempt.
-func (r *recorder) answer(s *recordedServer) (Code, time.Duration) {
+// answer is how a server ends an attempt, and after which time.
+func (r *recorder) answer(s *simulatedServer) (Code, time.Duration) {
 	load := float64(s.busy+s.extra) / float64(s.cores)
 	latency := float64(s.base) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) * max(1, s.slow) / r.warmth(s)
 	if r.rng.IntN(200) == 0 {
@@ -241,33 +242,33 @@
 	return OK, max(ms, time.Duration(latency))
 }
 
-func (r *recorder) warmth(s *recordedServer) float64 {
-	age := r.now - Time(s.OnlineSince) + r.offsets[0]
-	if s.OnlineSince == 0 || age >= Time(r.settings.ColdFor) {
+func (r *recorder) warmth(s *simulatedServer) float64 {
+	age := r.now - Time(s.StartedAt) + r.clockOffsets[0]
+	if s.StartedAt == 0 || age >= Time(r.settings.SlowStartDuration) {
 		return 1
 	}
-	return max(0.1, r.settings.ColdShare+(1-r.settings.ColdShare)*age.Seconds()/Time(r.settings.ColdFor).Seconds())
+	return max(0.1, r.settings.SlowStartMinCapacity+(1-r.settings.SlowStartMinCapacity)*age.Seconds()/Time(r.settings.SlowStartDuration).Seconds())
 }
 
 // report is what a server says of its load, in the order of the settings.
-func (r *recorder) report(s *recordedServer, took time.Duration) []float64 {
-	if len(r.settings.Report) == 0 || r.rng.IntN(10) == 0 {
+func (r *recorder) report(s *simulatedServer, took time.Duration) []float64 {
+	if len(r.settings.ReportFields) == 0 || r.rng.IntN(10) == 0 {
 		return nil
 	}
 	if r.rng.IntN(50) == 0 {
 		return []float64{1}
 	}
-	if r.rng.IntN(60) == 0 { // idle, as it says
-		return make([]float64, len(r.settings.Report))
+	if r.rng.IntN(60) == 0 { // an idle server
+		return make([]float64, len(r.settings.ReportFields))
 	}
 	util := min(1.4, float64(s.busy+s.extra)/float64(s.cores))
 	rate := util * float64(s.cores) / (s.base.Seconds() * max(1, s.slow)) * r.warmth(s)
 	row := []float64{float64(took.Microseconds()) / 1000, float64(int(util*1000)) / 1000, float64(int(rate*10)) / 10}
-	return append(row, make([]float64, len(r.settings.Report)-3)...)
+	return append(row, make([]float64, len(r.settings.ReportFields)-3)...)
 }
 
-// list tells a process of all servers, or of changed ones.
-func (r *recorder) list(process int, kind ListKind, changed ...*recordedServer) {
+// list hands a process the list of all servers, or an update of changed ones.
+func (r *recorder) list(process int, kind ListKind, changed ...*simulatedServer) {
 	list := &recordedList{Kind: uint8(kind)}
 	if kind == ListReplace || kind == ListCached {
 		changed = r.servers
@@ -276,18 +277,18 @@
 		if s.Availability == uint8(Removed) && kind != ListUpdate {
 			continue
 		}
-		m := s.recordedMember
-		if m.OnlineSince > 0 {
-			m.OnlineSince += int64(r.offset(process) - r.offset(0))
+		m := s.recordedEndpoint
+		if m.StartedAt > 0 {
+			m.StartedAt += int64(r.clockOffset(process) - r.clockOffset(0))
 		}
-		list.Members = append(list.Members, m)
+		list.Endpoints = append(list.Endpoints, m)
 	}
 	r.call(process, recordedEvent{List: list})
 }
 
-// change alters servers and tells of it.
-func (r *recorder) change(do func(s *recordedServer), ids ...string) {
-	var changed []*recordedServer
+// change changes servers, and hands the serving process an update.
+func (r *recorder) change(do func(s *simulatedServer), ids ...string) {
+	var changed []*simulatedServer
 	for _, id := range ids {
 		s := r.server(id)
 		do(s)
@@ -296,19 +297,19 @@
 	r.list(r.serving, ListUpdate, changed...)
 }
 
-func drains(s *recordedServer)  { s.Availability = uint8(Draining) }
-func removes(s *recordedServer) { s.Availability = uint8(Removed) }
-func returns(s *recordedServer) { s.Availability = uint8(Running) }
+func drains(s *simulatedServer)  { s.Availability = uint8(Draining) }
+func removes(s *simulatedServer) { s.Availability = uint8(Removed) }
+func returns(s *simulatedServer) { s.Availability = uint8(Running) }
 
-// restarts has servers come up anew, cold.
-func (r *recorder) restarts(ids ...string) {
-	r.change(func(s *recordedServer) {
-		s.Availability, s.OnlineSince = uint8(Running), int64(r.now+r.offset(0))
+// restart lets servers start again, with their warm-up before them.
+func (r *recorder) restart(ids ...string) {
+	r.change(func(s *simulatedServer) {
+		s.Availability, s.StartedAt = uint8(Running), int64(r.now+r.clockOffset(0))
 	}, ids...)
 }
 
-// harm has the servers for which the predicate holds fail in a part of their answers.
-func (r *recorder) harm(fault recorderFault, part float64, which func(s *recordedServer) bool) {
+// setFault lets the servers for which the predicate holds fail in a part of their attempts.
+func (r *recorder) setFault(fault recorderFault, part float64, which func(s *simulatedServer) bool) {
 	for _, s := range r.servers {
 		if which(s) {
 			s.fault, s.part = fault, part
@@ -316,7 +317,7 @@
 	}
 }
 
-func (r *recorder) slow(times float64, which func(s *recordedServer) bool) {
+func (r *recorder) setSlowdown(times float64, which func(s *simulatedServer) bool) {
 	for _, s := range r.servers {
 		if which(s) {
 			s.slow = times
@@ -324,25 +325,25 @@
 	}
 }
 
-func every(*recordedServer) bool { return true }
+func every(*simulatedServer) bool { return true }
 
-func inZone(zone string) func(s *recordedServer) bool {
-	return func(s *recordedServer) bool { return s.Zone == zone }
+func inZone(zone string) func(s *simulatedServer) bool {
+	return func(s *simulatedServer) bool { return s.Zone == zone }
 }
 
-func named(ids ...string) func(s *recordedServer) bool {
-	return func(s *recordedServer) bool { return slices.Contains(ids, s.Server) }
+func named(ids ...string) func(s *simulatedServer) bool {
+	return func(s *simulatedServer) bool { return slices.Contains(ids, s.ID) }
 }
 
 // start makes a process of the node.
 func (r *recorder) start(offset Time) int {
 	process := len(r.replayer.processes)
-	r.offsets = append(r.offsets, offset)
+	r.clockOffsets = append(r.clockOffsets, offset)
 	r.call(process, recordedEvent{New: &recordedNew{Seed: r.scenario.seed + uint64(process), Settings: r.settings}})
 	return process
 }
 
-// configure tells the serving process of other settings.
+// configure hands the serving process other settings.
 func (r *recorder) configure(change func(s *recordedSettings)) {
 	r.settings.Classes = slices.Clone(r.settings.Classes)
 	change(&r.settings)
@@ -350,18 +351,18 @@
 	r.call(r.serving, recordedEvent{Settings: &settings})
 }
 
-// replaceProcess has a second process take over from the serving one.
+// replaceProcess lets a new process take over from the serving one.
 func (r *recorder) replaceProcess() {
 	old := r.serving
-	r.call(old, recordedEvent{HandOver: &recordedHandOver{On: true}})
-	r.serving = r.start(r.offset(old) + time.Hour)
+	r.call(old, recordedEvent{HandedOver: &recordedHandedOver{Active: true}})
+	r.serving = r.start(r.clockOffset(old) + time.Hour)
 	r.list(r.serving, ListCached)
-	r.call(r.serving, recordedEvent{Restore: &recordedRestore{From: old, At: int64(r.now + r.offset(old))}})
-	r.share()
+	r.call(r.serving, recordedEvent{Restore: &recordedRestore{From: old, At: int64(r.now + r.clockOffset(old))}})
+	r.shareInFlight()
 }
 
-// share tells each process of the attempts of the other one.
-func (r *recorder) share() {
+// shareInFlight hands each process the attempts in flight of the others.
+func (r *recorder) shareInFlight() {
 	for process := range r.replayer.processes {
 		other := make(map[string]int)
 		for i, b := range r.replayer.processes {
@@ -371,41 +372,41 @@
 				}
 			}
 		}
-		r.call(process, recordedEvent{Other: &recordedOther{InFlight: other}})
+		r.call(process, recordedEvent{SiblingInFlight: &recordedInFlight{ByServer: other}})
 	}
 }
 
-// request has a client ask.
+// request hands a client's request to the serving process, and lets some clients cancel it.
 func (r *recorder) request(q recordedRequest) {
-	p := &recordedPlay{recordedRequest: q, process: r.serving}
+	p := &simulatedRequest{recordedRequest: q, process: r.serving}
 	r.requests[q.ID] = p
 	process := r.serving
-	if q.Partial {
+	if q.Incomplete {
 		wait := time.Duration(5+r.rng.IntN(60)) * ms
 		p.whole = r.now + wait
-		r.after(wait, func() { r.call(process, recordedEvent{Complete: q.ID}) })
+		r.after(wait, func() { r.call(process, recordedEvent{RequestComplete: q.ID}) })
 	}
 	r.call(process, recordedEvent{Request: &q})
 	if r.rng.IntN(100) == 0 {
 		r.call(process, recordedEvent{Request: &q}) // twice
 	}
-	leaves := time.Duration(q.ExpiresIn)
+	leaves := time.Duration(q.Timeout)
 	if r.rng.IntN(20) == 0 {
 		leaves = time.Duration(r.rng.IntN(30)) * ms
 	}
 	r.after(leaves, func() {
 		if !p.answered {
 			p.answered = true
-			r.call(process, recordedEvent{Cancelled: q.ID})
+			r.call(process, recordedEvent{ClientCancelled: q.ID})
 		}
 	})
 }
 
-// arrive draws a request of the settings' classes and tenants.
+// arrive draws a request of a random class and tenant.
 func (r *recorder) arrive() {
-	r.asked++
+	r.requestCount++
 	class := r.settings.Classes[r.rng.IntN(len(r.settings.Classes))]
-	q := recordedRequest{ID: fmt.Sprint("r", r.asked), Class: class.Name, Tenant: "unknown", ExpiresIn: class.Deadline / 2}
+	q := recordedRequest{ID: fmt.Sprint("r", r.requestCount), Class: class.Name, Tenant: "unknown", Timeout: class.Deadline / 2}
 	if n := len(r.settings.Tenants); n > 0 && r.rng.IntN(8) > 0 {
 		q.Tenant = r.settings.Tenants[r.rng.IntN(n)].Name
 	}
@@ -413,31 +414,31 @@
 	case 0:
 		q.Class = "stranger"
 	case 1:
-		q.ExpiresIn = int64(time.Duration(20+r.rng.IntN(100)) * ms)
+		q.Timeout = int64(time.Duration(20+r.rng.IntN(100)) * ms)
 	case 2:
-		q.Former = true
+		q.FormerClass = true
 	case 3:
-		q.Retry = true
+		q.ClientRetry = true
 	case 4:
 		q.Key, q.Write = fmt.Sprint("k", r.rng.IntN(9)), true
 	}
-	q.Partial = r.scenario.partial > 0 && r.rng.IntN(r.scenario.partial) == 0
-	if class.AimStretch > 0 {
-		q.Hint = int64(r.rng.IntN(200)) * int64(ms)
+	q.Incomplete = r.scenario.incompleteOneIn > 0 && r.rng.IntN(r.scenario.incompleteOneIn) == 0
+	if class.ObjectivePerWork > 0 {
+		q.EstimatedWork = int64(r.rng.IntN(200)) * int64(ms)
 	}
 	r.request(q)
 }
 
-// play runs the scenario from its start to its end.
+// play runs the scenario.
 func (r *recorder) play() recording {
 	s := r.scenario
 	r.serving = r.start(0)
-	if s.begin != nil {
-		s.begin(r)
+	if s.start != nil {
+		s.start(r)
 	} else {
 		r.list(0, ListCached)
 	}
-	end := r.now + s.lasts
+	end := r.now + s.duration
 	for _, step := range s.steps {
 		r.after(step.at, func() { step.do(r) })
 	}
@@ -447,15 +448,15 @@
 			return
 		}
 		r.arrive()
-		wait := float64(s.between)
-		if s.busyFrom > 0 && r.now-recorderStart >= s.busyFrom && r.now-recorderStart < s.busyTo {
-			wait /= s.busyTimes
+		wait := float64(s.meanInterval)
+		if s.burstStart > 0 && r.now-recorderStart >= s.burstStart && r.now-recorderStart < s.burstEnd {
+			wait /= s.burstFactor
 		}
 		r.after(max(recorderStep, time.Duration(r.rng.ExpFloat64()*wait)), next)
 	}
-	r.after(s.between, next)
-	for process := range 2 { // what can be asked of each process, now and then
-		for at := time.Second; at < s.lasts; at += 1300 * ms {
+	r.after(s.meanInterval, next)
+	for process := range 2 { // what can be read from each process, at intervals
+		for at := time.Second; at < s.duration; at += 1300 * ms {
 			r.after(at, func() {
 				if process < len(r.replayer.processes) {
 					r.call(process, recordedEvent{Observe: true})
@@ -473,33 +474,33 @@
 
 const (
 	recorderStart = 10 * time.Minute
-	recorderStep  = 100 * time.Microsecond // moments are whole multiples of it, which keeps the files small
+	recorderStep  = 100 * time.Microsecond // all times are multiples of it, which keeps the files small
 )
 
 func recordAll(t *testing.T) (all []recording) {
 	t.Helper()
 	for _, s := range recordedScenarios() {
 		r := &recorder{t: t, scenario: s, rng: rand.New(rand.NewPCG(s.seed, 3)), now: recorderStart,
-			settings: s.settings, servers: s.servers, requests: make(map[string]*recordedPlay)}
+			settings: s.settings, servers: s.servers, requests: make(map[string]*simulatedRequest)}
 		all = append(all, r.play())
 		t.Logf("%s: %d events", s.name, len(r.events))
 	}
-	return append(all, recordSenselessSettings())
+	return append(all, recordInvalidSettings())
 }
 
 // scenario is a deployment, and what happens to it.
 type scenario struct {
-	name             string
-	seed             uint64
-	settings         recordedSettings
-	servers          []*recordedServer
-	lasts            time.Duration
-	between          time.Duration // between requests, on average
-	busyFrom, busyTo time.Duration // when they come busyTimes as often
-	busyTimes        float64
-	partial          int               // one request in so many isn't whole at first; 0 for none
-	begin            func(r *recorder) // instead of a restored list
-	steps            []scenarioStep
+	name                 string
+	seed                 uint64
+	settings             recordedSettings
+	servers              []*simulatedServer
+	duration             time.Duration
+	meanInterval         time.Duration // between requests, on average
+	burstStart, burstEnd time.Duration // when there are burstFactor times as many
+	burstFactor          float64
+	incompleteOneIn      int               // one request in so many is incomplete at first; 0 for none
+	start                func(r *recorder) // instead of a restored list
+	steps                []scenarioStep
 }
 
 type scenarioStep struct {
@@ -509,38 +510,38 @@
 
 func scenarioSettings(nodes int) recordedSettings {
 	return recordedSettings{
-		Nodes: nodes, Node: nodes / 3, Zone: "a",
+		NodeCount: nodes, NodeIndex: nodes / 3, Zone: "a",
 		Classes: []recordedClass{
-			{Name: "free", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(Idempotent), Worth: 3},
-			{Name: "once", Aim: int64(250 * ms), Deadline: int64(1200 * ms), LateWorth: 0.2, Worth: 1},
-			{Name: "all", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(IdempotencyKeyed), Group: uint8(DedupEverywhere), Window: int64(300 * ms), Worth: 2},
-			{Name: "zone", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(IdempotencyKeyed), Group: uint8(DedupPerZone), Window: int64(300 * ms), Worth: 0.5},
-			{Name: "cell", Aim: int64(250 * ms), Deadline: int64(1200 * ms), Repeat: uint8(IdempotencyKeyed), Group: uint8(DedupPerCell), Window: int64(300 * ms), Worth: 1},
-			{Name: "stream", Aim: int64(300 * ms), Deadline: int64(1500 * ms), Repeat: uint8(Idempotent), Stream: true, Worth: 1},
-			{Name: "bulk", AimStretch: 2, Deadline: int64(2 * time.Second), LateWorth: 0.5, Worth: 0.2},
+			{Name: "free", LatencyObjective: int64(250 * ms), Deadline: int64(1200 * ms), RetrySafety: uint8(Idempotent), PriorityWeight: 3},
+			{Name: "once", LatencyObjective: int64(250 * ms), Deadline: int64(1200 * ms), LateWeight: 0.2, PriorityWeight: 1},
+			{Name: "all", LatencyObjective: int64(250 * ms), Deadline: int64(1200 * ms), RetrySafety: uint8(IdempotencyKeyed), DedupScope: uint8(DedupEverywhere), DedupWindow: int64(300 * ms), PriorityWeight: 2},
+			{Name: "zone", LatencyObjective: int64(250 * ms), Deadline: int64(1200 * ms), RetrySafety: uint8(IdempotencyKeyed), DedupScope: uint8(DedupPerZone), DedupWindow: int64(300 * ms), PriorityWeight: 0.5},
+			{Name: "cell", LatencyObjective: int64(250 * ms), Deadline: int64(1200 * ms), RetrySafety: uint8(IdempotencyKeyed), DedupScope: uint8(DedupPerCell), DedupWindow: int64(300 * ms), PriorityWeight: 1},
+			{Name: "stream", LatencyObjective: int64(300 * ms), Deadline: int64(1500 * ms), RetrySafety: uint8(Idempotent), Streaming: true, PriorityWeight: 1},
+			{Name: "bulk", ObjectivePerWork: 2, Deadline: int64(2 * time.Second), LateWeight: 0.5, PriorityWeight: 0.2},
 		},
 		Tenants: []recordedTenant{{Name: "t", Quota: 1e5, Share: 0.7}, {Name: "u", Quota: 5e4, Share: 0.3}},
-		Cancel:  true, Probe: true, Peers: true, RetryAfter: true, MaxAttempts: 4, MaxWait: int64(10 * time.Second),
-		AnswerGrace: int64(100 * ms), DrainGrace: int64(2 * time.Second), ColdShare: 0.2, ColdFor: int64(8 * time.Second),
-		FallMultiple: 3, FallFor: int64(2 * time.Second), AskWithin: int64(4 * time.Second),
+		Cancel:  true, Probe: true, Peers: true, RetryAfter: true, MaxAttempts: 4, MaxRetryAfter: int64(10 * time.Second),
+		AnswerGrace: int64(100 * ms), DrainGrace: int64(2 * time.Second), SlowStartMinCapacity: 0.2, SlowStartDuration: int64(8 * time.Second),
+		OverloadMultiple: 3, OverloadDuration: int64(2 * time.Second), PollInterval: int64(4 * time.Second),
 	}
 }
 
-func scenarioServers(n, cores int, base time.Duration, zones ...string) (all []*recordedServer) {
+func scenarioServers(n, cores int, base time.Duration, zones ...string) (all []*simulatedServer) {
 	for i := range n {
 		zone := zones[i%len(zones)]
-		all = append(all, &recordedServer{cores: cores, base: base, recordedMember: recordedMember{
-			Server: fmt.Sprintf("%s%02d", zone, i/len(zones)), Zone: zone, Kind: fmt.Sprint("k", i/2%2), Cell: int64(i % 3), Weight: 1}})
+		all = append(all, &simulatedServer{cores: cores, base: base, recordedEndpoint: recordedEndpoint{
+			ID: fmt.Sprintf("%s%02d", zone, i/len(zones)), Zone: zone, Kind: fmt.Sprint("k", i/2%2), Cell: int64(i % 3), Weight: 1}})
 	}
 	return all
 }
 
-func scenarioPlaces() *recordedPlaces {
-	return &recordedPlaces{Region: map[string]string{"a": "north", "b": "north", "c": "south"}, SameRegion: 1, OtherRegion: 3,
-		Costs: map[string]map[string]float64{"a": {"d": 2}}}
+func scenarioTopology() *recordedTopology {
+	return &recordedTopology{RegionOfZone: map[string]string{"a": "north", "b": "north", "c": "south"}, SameRegionCost: 1, OtherRegionCost: 3,
+		ZoneCosts: map[string]map[string]float64{"a": {"d": 2}}}
 }
 
-var reportNames = []string{"latency_ms", "util", "qps", "inflight"}
+var recordedReportFields = []string{"latency_ms", "util", "qps", "inflight"}
 
 func at(when time.Duration, do func(r *recorder)) scenarioStep { return scenarioStep{when, do} }
 
@@ -556,7 +557,7 @@
 	}
 
 	add(scenario{name: "buckets and class limits", settings: scenarioSettings(2), servers: scenarioServers(4, 8, 20*ms, "a"),
-		lasts: 8 * second, between: 8 * ms, busyFrom: 3 * second, busyTo: 4 * second, busyTimes: 4, partial: 10,
+		duration: 8 * second, meanInterval: 8 * ms, burstStart: 3 * second, burstEnd: 4 * second, burstFactor: 4, incompleteOneIn: 10,
 		steps: []scenarioStep{
 			at(5*second, func(r *recorder) {
 				r.configure(func(s *recordedSettings) {
@@ -575,23 +576,23 @@
 		s.Tenants = []recordedTenant{{Name: "t", Quota: 60, Share: 0.5}, {Name: "u", Quota: 20, Share: 0.3}, {Name: "nothing", Quota: 0}}
 		s.Limits = recordedLimits{PerClass: map[string]recordedLimit{"once": {PerWindow: 30, Window: int64(10 * second), Burst: 5},
 			"stream": {PerWindow: 10, Window: 0, Burst: 3}}, Max: 40}
-		s.Budget = &recordedBudget{Least: 2, Share: 0.05, Span: int64(5 * second)}
+		s.RetryBudget = &recordedRetryBudget{MinRetries: 2, RetryRatio: 0.05, Window: int64(5 * second)}
 	})
 
 	add(scenario{name: "default limit", settings: scenarioSettings(1), servers: scenarioServers(2, 4, 20*ms, "a"),
-		lasts: 3 * second, between: 10 * ms}, func(s *recordedSettings) {
+		duration: 3 * second, meanInterval: 10 * ms}, func(s *recordedSettings) {
 		s.Limits.Default = &recordedLimit{PerWindow: 25, Window: int64(second), Burst: 5}
 		s.Tenants = s.Tenants[:1]
 		s.Tenants[0].Quota = 40
 		s.Classes[2].Regions = []string{"north"}
 	})
 
-	add(scenario{name: "many tenants", settings: scenarioSettings(1), lasts: 72 * second, between: 500 * ms,
-		begin: func(r *recorder) {
+	add(scenario{name: "many tenants", settings: scenarioSettings(1), duration: 72 * second, meanInterval: 500 * ms,
+		start: func(r *recorder) {
 			r.list(0, ListCached)
 			tenant := func(i int) {
-				r.asked++
-				r.request(recordedRequest{ID: fmt.Sprint("r", r.asked), Class: "free", Tenant: fmt.Sprint("n", i), ExpiresIn: int64(30 * ms)})
+				r.requestCount++
+				r.request(recordedRequest{ID: fmt.Sprint("r", r.requestCount), Class: "free", Tenant: fmt.Sprint("n", i), Timeout: int64(30 * ms)})
 			}
 			for i := range 4300 {
 				r.after(time.Duration(i)*ms/2, func() { tenant(i) })
@@ -605,21 +606,21 @@
 	})
 
 	add(scenario{name: "few nodes without room", settings: scenarioSettings(3), servers: scenarioServers(4, 2, 60*ms, "a", "b"),
-		lasts: 7 * second, between: 12 * ms, busyFrom: 2 * second, busyTo: 4 * second, busyTimes: 3, partial: 30,
+		duration: 7 * second, meanInterval: 12 * ms, burstStart: 2 * second, burstEnd: 4 * second, burstFactor: 3, incompleteOneIn: 30,
 		steps: []scenarioStep{
-			at(3*second, func(r *recorder) { r.slow(4, every) }),
-			at(5*second, func(r *recorder) { r.slow(1, every) }),
+			at(3*second, func(r *recorder) { r.setSlowdown(4, every) }),
+			at(5*second, func(r *recorder) { r.setSlowdown(1, every) }),
 		}}, nil)
 
 	add(scenario{name: "many nodes without reports", settings: scenarioSettings(60), servers: scenarioServers(12, 2, 50*ms, "a", "b"),
-		lasts: 12 * second, between: 15 * ms, busyFrom: 4 * second, busyTo: 7 * second, busyTimes: 3,
+		duration: 12 * second, meanInterval: 15 * ms, burstStart: 4 * second, burstEnd: 7 * second, burstFactor: 3,
 		steps: []scenarioStep{
-			at(5*second, func(r *recorder) { r.harm(full, 0.6, every) }),
-			at(8*second, func(r *recorder) { r.harm(mixed, 0.1, every) }),
+			at(5*second, func(r *recorder) { r.setFault(full, 0.6, every) }),
+			at(8*second, func(r *recorder) { r.setFault(mixed, 0.1, every) }),
 		}}, nil)
 
 	add(scenario{name: "many nodes with reports", settings: scenarioSettings(60), servers: scenarioServers(12, 4, 40*ms, "a", "b"),
-		lasts: 14 * second, between: 14 * ms, busyFrom: 5 * second, busyTo: 8 * second, busyTimes: 3, partial: 40,
+		duration: 14 * second, meanInterval: 14 * ms, burstStart: 5 * second, burstEnd: 8 * second, burstFactor: 3, incompleteOneIn: 40,
 		steps: []scenarioStep{
 			at(2*second, func(r *recorder) {
 				for _, s := range r.servers {
@@ -627,25 +628,25 @@
 				}
 			}),
 			at(4*second, func(r *recorder) {
-				r.slow(6, named("a00", "b01"))
+				r.setSlowdown(6, named("a00", "b01"))
 				r.server("a00").extra, r.server("b01").extra = 4, 4
 			}),
-			at(6*second, func(r *recorder) { r.restarts("a02", "b03", "a04") }),
-			at(7*second, func(r *recorder) { r.harm(mixed, 0.5, named("a03", "b02")) }),
-			at(9*second, func(r *recorder) { r.slow(1, every) }),
-			at(10*second, func(r *recorder) { r.harm(noFault, 0, every) }),
-		}}, func(s *recordedSettings) { s.Report = reportNames })
+			at(6*second, func(r *recorder) { r.restart("a02", "b03", "a04") }),
+			at(7*second, func(r *recorder) { r.setFault(mixed, 0.5, named("a03", "b02")) }),
+			at(9*second, func(r *recorder) { r.setSlowdown(1, every) }),
+			at(10*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+		}}, func(s *recordedSettings) { s.ReportFields = recordedReportFields })
 
 	add(scenario{name: "reports without worth", settings: scenarioSettings(9), servers: scenarioServers(5, 2, 50*ms, "a"),
-		lasts: 5 * second, between: 12 * ms}, func(s *recordedSettings) {
-		s.Report = reportNames
+		duration: 5 * second, meanInterval: 12 * ms}, func(s *recordedSettings) {
+		s.ReportFields = recordedReportFields
 		for i := range s.Classes {
-			s.Classes[i].Worth = 0
+			s.Classes[i].PriorityWeight = 0
 		}
 	})
 
 	add(scenario{name: "packing and placement", settings: scenarioSettings(4), servers: scenarioServers(12, 3, 30*ms, "a", "b", "c"),
-		lasts: 6 * second, between: 10 * ms, partial: 15,
+		duration: 6 * second, meanInterval: 10 * ms, incompleteOneIn: 15,
 		steps: []scenarioStep{
 			at(2*second, func(r *recorder) { r.change(drains, "a00", "b01") }),
 			at(2500*ms, func(r *recorder) { r.change(returns, "a00", "b01") }),
@@ -656,19 +657,19 @@
 					s.Zone = "b"
 				})
 			}),
-			at(4*second, func(r *recorder) { r.restarts("a00") }),
+			at(4*second, func(r *recorder) { r.restart("a00") }),
 		}}, func(s *recordedSettings) {
 		s.Classes[0].Zones = []string{"b", "c"}
 		s.Classes[1].Kinds = []string{"k0"}
 		s.Classes[2].Regions = []string{"north"}
 		s.Classes[3].Regions = []string{"north"}
-		s.Places = scenarioPlaces()
+		s.Topology = scenarioTopology()
 		s.MaxAttempts = 2
 	})
 
-	add(scenario{name: "queued requests", settings: scenarioSettings(1), lasts: 4 * second, between: 15 * ms, partial: 10,
+	add(scenario{name: "queued requests", settings: scenarioSettings(1), duration: 4 * second, meanInterval: 15 * ms, incompleteOneIn: 10,
 		servers: scenarioServers(3, 2, 60*ms, "a"),
-		begin:   func(r *recorder) { r.call(0, recordedEvent{List: &recordedList{Kind: uint8(ListCached)}}) },
+		start:   func(r *recorder) { r.call(0, recordedEvent{List: &recordedList{Kind: uint8(ListCached)}}) },
 		steps: []scenarioStep{
 			at(second, func(r *recorder) { r.list(0, ListReplace) }),
 			at(2*second, func(r *recorder) { r.change(removes, "a00", "a01", "a02") }),
@@ -676,70 +677,70 @@
 		}}, func(s *recordedSettings) { s.Cancel, s.MaxAttempts = false, 0 })
 
 	add(scenario{name: "retries within a budget", settings: scenarioSettings(2), servers: scenarioServers(8, 4, 25*ms, "a", "b"),
-		lasts: 9 * second, between: 10 * ms, partial: 20,
+		duration: 9 * second, meanInterval: 10 * ms, incompleteOneIn: 20,
 		steps: []scenarioStep{
-			at(second, func(r *recorder) { r.harm(mixed, 0.3, every) }),
-			at(5*second, func(r *recorder) { r.harm(resetting, 0.5, every) }),
-			at(7*second, func(r *recorder) { r.harm(noFault, 0, every) }),
+			at(second, func(r *recorder) { r.setFault(mixed, 0.3, every) }),
+			at(5*second, func(r *recorder) { r.setFault(resetting, 0.5, every) }),
+			at(7*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
 		}}, func(s *recordedSettings) {
-		s.Budget = &recordedBudget{Least: 3, Share: 0.1, Span: int64(4 * second)}
+		s.RetryBudget = &recordedRetryBudget{MinRetries: 3, RetryRatio: 0.1, Window: int64(4 * second)}
 		for i := range s.Classes {
-			s.Classes[i].Window, s.Classes[i].LateWorth = int64(120*ms), 0.1
+			s.Classes[i].DedupWindow, s.Classes[i].LateWeight = int64(120*ms), 0.1
 		}
 	})
 
 	add(scenario{name: "ejection and probation", settings: scenarioSettings(2), servers: scenarioServers(8, 4, 25*ms, "a"),
-		lasts: 16 * second, between: 14 * ms,
+		duration: 16 * second, meanInterval: 14 * ms,
 		steps: []scenarioStep{
-			at(second, func(r *recorder) { r.harm(failing, 1, named("a00")) }),
-			at(1500*ms, func(r *recorder) { r.harm(hanging, 1, named("a03")) }),
-			at(2*second, func(r *recorder) { r.harm(full, 0.8, named("a05")) }),
+			at(second, func(r *recorder) { r.setFault(failing, 1, named("a00")) }),
+			at(1500*ms, func(r *recorder) { r.setFault(hanging, 1, named("a03")) }),
+			at(2*second, func(r *recorder) { r.setFault(full, 0.8, named("a05")) }),
 			at(5*second, func(r *recorder) { r.change(drains, "a03") }),
-			at(6*second, func(r *recorder) { r.harm(failing, 0.5, named("a00")) }),
+			at(6*second, func(r *recorder) { r.setFault(failing, 0.5, named("a00")) }),
 			at(7*second, func(r *recorder) { r.change(returns, "a03") }),
-			at(8*second, func(r *recorder) { r.harm(noFault, 0, named("a00", "a03")) }),
+			at(8*second, func(r *recorder) { r.setFault(noFault, 0, named("a00", "a03")) }),
 			at(9*second, func(r *recorder) { r.change(removes, "a05") }),
-			at(10*second, func(r *recorder) { r.harm(unreachable, 1, named("a01", "a02", "a04", "a06")) }),
-			at(12*second, func(r *recorder) { r.harm(noFault, 0, every) }),
+			at(10*second, func(r *recorder) { r.setFault(unreachable, 1, named("a01", "a02", "a04", "a06")) }),
+			at(12*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
 		}}, func(s *recordedSettings) { s.Classes[1].Kinds = []string{"k0"} })
 
 	add(scenario{name: "warming servers", settings: scenarioSettings(2), servers: scenarioServers(9, 4, 30*ms, "a"),
-		lasts: 12 * second, between: 9 * ms, busyFrom: 5 * second, busyTo: 7 * second, busyTimes: 3,
+		duration: 12 * second, meanInterval: 9 * ms, burstStart: 5 * second, burstEnd: 7 * second, burstFactor: 3,
 		steps: []scenarioStep{
-			at(2*second, func(r *recorder) { r.restarts("a01", "a04", "a07") }),
+			at(2*second, func(r *recorder) { r.restart("a01", "a04", "a07") }),
 			at(4*second, func(r *recorder) { r.change(removes, "a00", "a02") }),
-			at(6*second, func(r *recorder) { r.restarts("a00") }),
+			at(6*second, func(r *recorder) { r.restart("a00") }),
 		}}, nil)
 
 	for i, fault := range []recorderFault{unreachable, hanging, failing} {
 		add(scenario{name: fmt.Sprint("a zone fails and recovers ", i), settings: scenarioSettings([]int{3, 12, 1}[i]),
-			servers: scenarioServers(15, 6, 25*ms, "a", "b", "c"), lasts: 30 * second, between: 26 * ms,
+			servers: scenarioServers(15, 6, 25*ms, "a", "b", "c"), duration: 30 * second, meanInterval: 26 * ms,
 			steps: []scenarioStep{
-				at(2*second, func(r *recorder) { r.harm(fault, 0.8, inZone("a")) }),
-				at(9*second, func(r *recorder) { r.harm(noFault, 0, every) }),
-				at(20*second, func(r *recorder) { r.slow(8, inZone("b")) }),
-				at(22*second, func(r *recorder) { r.harm(fault, 1, inZone("a")) }),
-				at(25*second, func(r *recorder) { r.harm(noFault, 0, every) }),
+				at(2*second, func(r *recorder) { r.setFault(fault, 0.8, inZone("a")) }),
+				at(9*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+				at(20*second, func(r *recorder) { r.setSlowdown(8, inZone("b")) }),
+				at(22*second, func(r *recorder) { r.setFault(fault, 1, inZone("a")) }),
+				at(25*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
 			}}, func(s *recordedSettings) {
-			s.Places = scenarioPlaces()
+			s.Topology = scenarioTopology()
 			if i == 1 {
-				s.Report = reportNames
+				s.ReportFields = recordedReportFields
 			}
 		})
 	}
 
 	add(scenario{name: "a zone returns and fails again", settings: scenarioSettings(1), servers: scenarioServers(8, 6, 20*ms, "a", "d"),
-		lasts: 40 * second, between: 32 * ms,
+		duration: 40 * second, meanInterval: 32 * ms,
 		steps: []scenarioStep{
-			at(second, func(r *recorder) { r.harm(unreachable, 1, inZone("a")) }),
-			at(5*second, func(r *recorder) { r.harm(noFault, 0, every) }),
-			at(9*second, func(r *recorder) { r.harm(unreachable, 0.3, inZone("a")) }),
-			at(11*second, func(r *recorder) { r.harm(unreachable, 1, inZone("a")) }),
-			at(14*second, func(r *recorder) { r.harm(noFault, 0, every) }),
-		}}, func(s *recordedSettings) { s.Places = scenarioPlaces() })
+			at(second, func(r *recorder) { r.setFault(unreachable, 1, inZone("a")) }),
+			at(5*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(9*second, func(r *recorder) { r.setFault(unreachable, 0.3, inZone("a")) }),
+			at(11*second, func(r *recorder) { r.setFault(unreachable, 1, inZone("a")) }),
+			at(14*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+		}}, func(s *recordedSettings) { s.Topology = scenarioTopology() })
 
 	add(scenario{name: "endpoint lists", settings: scenarioSettings(5), servers: scenarioServers(12, 4, 25*ms, "a", "b"),
-		lasts: 14 * second, between: 14 * ms,
+		duration: 14 * second, meanInterval: 14 * ms,
 		steps: []scenarioStep{
 			at(second, func(r *recorder) { r.list(0, ListUnavailable) }),
 			at(1100*ms, func(r *recorder) { r.list(0, ListUnavailable) }),
@@ -750,7 +751,7 @@
 			at(8*second, func(r *recorder) {
 				r.change(drains, "b00")
 				r.change(removes, "b00")
-				r.change(func(s *recordedServer) { s.Zone, s.Kind = "b", "k2" }, "a05")
+				r.change(func(s *simulatedServer) { s.Zone, s.Kind = "b", "k2" }, "a05")
 			}),
 			at(9*second, func(r *recorder) {
 				for _, s := range r.servers[4:] {
@@ -764,28 +765,30 @@
 				}
 				r.list(0, ListCached)
 			}),
-		}}, func(s *recordedSettings) { s.EaseLists, s.Subscribe, s.Places = true, true, scenarioPlaces() })
+		}}, func(s *recordedSettings) {
+		s.RetainMissing, s.SubscribeList, s.Topology = true, true, scenarioTopology()
+	})
 
 	add(scenario{name: "settings under way", settings: scenarioSettings(2), servers: scenarioServers(8, 3, 40*ms, "a", "b"),
-		lasts: 8 * second, between: 9 * ms, partial: 10,
+		duration: 8 * second, meanInterval: 9 * ms, incompleteOneIn: 10,
 		steps: []scenarioStep{
 			at(2*second, func(r *recorder) {
 				r.configure(func(s *recordedSettings) {
-					s.Subscribe, s.MaxAttempts, s.Places = true, 2, scenarioPlaces()
-					s.Classes[0].Deadline, s.Classes[0].Aim = int64(800*ms), int64(100*ms)
-					s.Classes = append(s.Classes[1:], recordedClass{Name: "new", Deadline: int64(second), Worth: 9, Zones: []string{"a"}})
+					s.SubscribeList, s.MaxAttempts, s.Topology = true, 2, scenarioTopology()
+					s.Classes[0].Deadline, s.Classes[0].LatencyObjective = int64(800*ms), int64(100*ms)
+					s.Classes = append(s.Classes[1:], recordedClass{Name: "new", Deadline: int64(second), PriorityWeight: 9, Zones: []string{"a"}})
 				})
 			}),
 			at(2500*ms, func(r *recorder) { r.list(0, ListCached) }),
 			at(4*second, func(r *recorder) {
 				r.configure(func(s *recordedSettings) {
-					s.Nodes, s.Report, s.Places = 8, reportNames, nil
+					s.NodeCount, s.ReportFields, s.Topology = 8, recordedReportFields, nil
 					s.DrainGrace = 0
-					s.Budget = &recordedBudget{Least: 1, Share: 0.5, Span: int64(second)}
+					s.RetryBudget = &recordedRetryBudget{MinRetries: 1, RetryRatio: 0.5, Window: int64(second)}
 				})
 			}),
 			at(6*second, func(r *recorder) {
-				r.configure(func(s *recordedSettings) { s.Nodes, s.Node, s.Report, s.Budget = 1, 0, nil, nil })
+				r.configure(func(s *recordedSettings) { s.NodeCount, s.NodeIndex, s.ReportFields, s.RetryBudget = 1, 0, nil, nil })
 			}),
 			at(7*second, func(r *recorder) {
 				empty := ""
@@ -793,58 +796,60 @@
 				r.call(0, recordedEvent{Probe: &recordedOutcome{Server: "a00"}})
 				r.call(0, recordedEvent{Outcome: &recordedOutcome{ID: "nobody", Server: "nowhere"}})
 				r.call(0, recordedEvent{FirstByte: &recordedOutcome{ID: "nobody", Server: "nowhere"}})
-				r.call(0, recordedEvent{Complete: "nobody"})
-				r.call(0, recordedEvent{Cancelled: "nobody"})
+				r.call(0, recordedEvent{RequestComplete: "nobody"})
+				r.call(0, recordedEvent{ClientCancelled: "nobody"})
 				token := uint64(7)
 				r.call(0, recordedEvent{Timer: &token})
 			}),
 		}}, nil)
 
 	fleet := func(when time.Duration, heard, near int) scenarioStep {
-		return at(when, func(r *recorder) { r.call(0, recordedEvent{Fleet: &recordedFleet{Heard: heard, Near: near}}) })
+		return at(when, func(r *recorder) {
+			r.call(0, recordedEvent{FleetSize: &recordedFleetSize{ReachableNodes: heard, ReachableInZone: near}})
+		})
 	}
 	add(scenario{name: "fleet sizes", settings: scenarioSettings(7), servers: scenarioServers(6, 4, 30*ms, "a", "b"),
-		lasts: 260 * second, between: 300 * ms,
+		duration: 260 * second, meanInterval: 300 * ms,
 		steps: []scenarioStep{fleet(second, 1, 1), fleet(2*second, 7, 3), fleet(5*second, 9, 4), fleet(20*second, 7, 3),
 			fleet(40*second, 6, 2), fleet(50*second, 8, 3), fleet(100*second, 3, 3), fleet(120*second, 6, 0), fleet(130*second, 8, 3),
 			fleet(140*second, 7, 2), fleet(150*second, 5, 2), fleet(230*second, 5, 1)}},
 		func(s *recordedSettings) {
 			s.Tenants = []recordedTenant{{Name: "t", Quota: 14}, {Name: "u", Quota: 4}}
-			s.Places = scenarioPlaces()
+			s.Topology = scenarioTopology()
 		})
 
-	for i, reports := range [][]string{nil, reportNames} {
+	for i, reports := range [][]string{nil, recordedReportFields} {
 		handOver := func(on, served bool) func(r *recorder) {
 			return func(r *recorder) {
-				r.call(r.serving, recordedEvent{HandOver: &recordedHandOver{On: on, Served: served}})
+				r.call(r.serving, recordedEvent{HandedOver: &recordedHandedOver{Active: on, SuccessorServed: served}})
 			}
 		}
 		add(scenario{name: fmt.Sprint("replacement ", i), settings: scenarioSettings([]int{2, 20}[i]),
-			servers: scenarioServers(9, 3, 40*ms, "a", "b"), lasts: 12 * second, between: 11 * ms, partial: 25,
+			servers: scenarioServers(9, 3, 40*ms, "a", "b"), duration: 12 * second, meanInterval: 11 * ms, incompleteOneIn: 25,
 			steps: []scenarioStep{
-				at(second, func(r *recorder) { r.harm(mixed, 0.25, named("a01", "b01")) }),
-				at(2*second, func(r *recorder) { r.restarts("a02", "b02") }),
+				at(second, func(r *recorder) { r.setFault(mixed, 0.25, named("a01", "b01")) }),
+				at(2*second, func(r *recorder) { r.restart("a02", "b02") }),
 				at(3*second, handOver(true, false)), at(3500*ms, handOver(false, false)),
 				at(4*second, handOver(true, false)), at(4500*ms, handOver(false, true)),
 				at(6*second, (*recorder).replaceProcess),
-				at(6200*ms, (*recorder).share),
-				at(6600*ms, (*recorder).share),
-				at(8*second, (*recorder).share),
-				at(6300*ms, func(r *recorder) { // the former process still gets a few
+				at(6200*ms, (*recorder).shareInFlight),
+				at(6600*ms, (*recorder).shareInFlight),
+				at(8*second, (*recorder).shareInFlight),
+				at(6300*ms, func(r *recorder) { // the former process still gets a few requests
 					for i := range 9 {
-						q := recordedRequest{ID: fmt.Sprint("former", i), Class: "once", Tenant: "former", ExpiresIn: int64(600 * ms)}
-						r.requests[q.ID] = &recordedPlay{recordedRequest: q}
+						q := recordedRequest{ID: fmt.Sprint("former", i), Class: "once", Tenant: "former", Timeout: int64(600 * ms)}
+						r.requests[q.ID] = &simulatedRequest{recordedRequest: q}
 						r.call(0, recordedEvent{Request: &q})
 					}
 				}),
 				at(9*second, func(r *recorder) {
 					r.arrive()
-					r.server("b00").OnlineSince = int64(r.now)
+					r.server("b00").StartedAt = int64(r.now)
 					r.replaceProcess()
 				}),
-				at(9300*ms, (*recorder).share),
+				at(9300*ms, (*recorder).shareInFlight),
 			}}, func(s *recordedSettings) {
-			s.Report = reports
+			s.ReportFields = reports
 			s.Tenants = []recordedTenant{{Name: "t", Quota: 120}, {Name: "u", Quota: 20}}
 			s.Limits.PerClass = map[string]recordedLimit{"once": {PerWindow: 30, Window: int64(10 * second), Burst: 5},
 				"cell": {PerWindow: 3, Window: int64(10 * second), Burst: 4}}
@@ -856,28 +861,28 @@
 	return all
 }
 
-// recordSenselessSettings has settings that New turns down.
-func recordSenselessSettings() recording {
+// recordInvalidSettings makes processes with settings that New rejects.
+func recordInvalidSettings() recording {
 	r := recording{Name: "senseless settings"}
 	for _, change := range []func(s *recordedSettings){
 		func(s *recordedSettings) { s.Classes = nil },
-		func(s *recordedSettings) { s.Node = s.Nodes },
-		func(s *recordedSettings) { s.Nodes = 0 },
+		func(s *recordedSettings) { s.NodeIndex = s.NodeCount },
+		func(s *recordedSettings) { s.NodeCount = 0 },
 		func(s *recordedSettings) { s.Classes[0].Deadline = 0 },
-		func(s *recordedSettings) { s.Classes[0].Aim = -1 },
+		func(s *recordedSettings) { s.Classes[0].LatencyObjective = -1 },
 		func(s *recordedSettings) { s.Classes[1].Name = s.Classes[0].Name },
 		func(s *recordedSettings) { s.Tenants[0].Quota = -1 },
 		func(s *recordedSettings) { s.Tenants[0].Share = -1 },
 		func(s *recordedSettings) { s.DrainGrace = -1 },
-		func(s *recordedSettings) { s.ColdShare = 2 },
-		func(s *recordedSettings) { s.Budget = &recordedBudget{} },
-		func(s *recordedSettings) { s.Budget = &recordedBudget{Least: -1, Span: 1} },
-		func(s *recordedSettings) { s.Places = &recordedPlaces{SameRegion: -1} },
+		func(s *recordedSettings) { s.SlowStartMinCapacity = 2 },
+		func(s *recordedSettings) { s.RetryBudget = &recordedRetryBudget{} },
+		func(s *recordedSettings) { s.RetryBudget = &recordedRetryBudget{MinRetries: -1, Window: 1} },
+		func(s *recordedSettings) { s.Topology = &recordedTopology{SameRegionCost: -1} },
 		func(s *recordedSettings) {
-			s.Places = &recordedPlaces{Costs: map[string]map[string]float64{"a": {"b": -1}}}
+			s.Topology = &recordedTopology{ZoneCosts: map[string]map[string]float64{"a": {"b": -1}}}
 		},
 		func(s *recordedSettings) { s.MaxAttempts = -1 },
-		func(s *recordedSettings) { s.ConnIdle = -1 },
+		func(s *recordedSettings) { s.IdleTimeout = -1 },
 		func(*recordedSettings) {},
 	} {
 		settings := scenarioSettings(2)
