--- a/policy/zone_evidence.go
+++ b/policy/zone_evidence.go
@@ -22,9 +22,9 @@
 	evidenceTTL = 10 * time.Second
 	// evacuateEvidence is the evidence at which a zone is evacuated: that of two servers at least.
 	evacuateEvidence = 8.0
-	// suspectEvidence is the evidence at which a zone is suspect, and part of its requests explores other zones.
+	// suspectEvidence is the evidence at which a zone is suspect.
 	suspectEvidence = evacuateEvidence / 2
-	// exploreFraction is that part.
+	// exploreFraction is the part of a suspect zone's requests that goes to others.
 	exploreFraction = 0.5
 	// minComparedResponses is how many responses of other zones count as enough for their failure ratio.
 	minComparedResponses = 4.0
@@ -40,11 +40,14 @@
 	minTypicalSamples = 10
 )
 
-// Levels of a failure, in multiples of the evidence of a plain one.
+// failureLevel is how far an outcome is evidence that the server's zone has failed, in multiples of that of a
+// plain failure.
+type failureLevel float64
+
 const (
-	noFailure      = 0.0
-	plainFailure   = 1.0
-	connectFailure = 2.0 // no connection came up, which hardly happens by chance
+	noFailure      failureLevel = 0
+	plainFailure   failureLevel = 1
+	connectFailure failureLevel = 2 // no connection came up, which hardly happens by chance
 )
 
 // evidenceSum sums the evidence of several servers.
@@ -62,10 +65,10 @@
 	queued   bool // for its expiry
 }
 
-// failureLevel is how far an outcome is evidence that the server's zone has failed. A response that is
-// far slower than is typical counts as a failure; the typical latency follows slowly, so that a fleet that
-// became slow as a whole becomes typical.
-func (c *classStats) failureLevel(kind string, code Code, latency float64) float64 {
+// failureLevel classifies an outcome. A response that is far slower than is typical of the class and the kind of
+// servers counts as a failure; the typical latency follows slowly, so that a fleet that became slow as a whole
+// becomes typical. The latency is in seconds.
+func (c *classStats) failureLevel(kind string, code Code, latency float64) failureLevel {
 	if code == ConnectFailed {
 		return connectFailure
 	} else if code != OK {
@@ -97,14 +100,14 @@
 
 // recordEvidence takes the outcome of an attempt, or that there is none for long, as evidence on the zone
 // of its server.
-func (b *Balancer) recordEvidence(a *attempt, failureLevel float64) {
-	b.zones.record(a, failureLevel, b.now)
+func (b *Balancer) recordEvidence(a *attempt, level failureLevel) {
+	b.zones.record(a, level, b.now)
 }
 
 // record updates the evidence of an attempt's server, and what follows for its zone. While zones are
 // compared, attempts that were sent before that don't count, since not all zones had a part of the requests
 // then.
-func (f *zoneFailover) record(a *attempt, failureLevel float64, now Time) {
+func (f *zoneFailover) record(a *attempt, level failureLevel, now Time) {
 	s, z := a.server, a.server.zone
 	if z == nil || f.degraded && a.sentAt < f.compareFrom {
 		return
@@ -113,28 +116,28 @@
 	if f.degraded {
 		ratio := f.compare(z, now).failureRatio
 		expected = min(1-excessFailureRatio-baseFailureRatio, max(baseFailureRatio, ratio))
-		z.record(failureLevel > 0)
+		z.record(level != noFailure)
 	}
 	if now-s.zoneEvidenceAt > evidenceTTL {
 		s.zoneEvidence = 0
 	}
-	evidence := s.zoneEvidence + evidenceOf(failureLevel, expected)
+	evidence := s.zoneEvidence + evidenceOf(level, expected)
 	s.zoneEvidence, s.zoneEvidenceAt = max(-maxContraryEvidence, min(maxServerEvidence, evidence)), now
 	f.countEvidence(s, now)
 	if z.isEvacuated() {
-		f.recordProbe(z, failureLevel > 0, now)
-	} else if failureLevel > 0 || z.trafficShare < 1 {
-		f.weighEvidence(z, failureLevel > 0, now)
+		f.recordProbe(z, level != noFailure, now)
+	} else if level != noFailure || z.trafficShare < 1 {
+		f.weighEvidence(z, level != noFailure, now)
 	}
 }
 
 // evidenceOf is the log likelihood ratio of an outcome, in nats: of a zone with excessFailureRatio more
 // failures than the expected ratio against one with that ratio.
-func evidenceOf(failureLevel, expectedRatio float64) float64 {
-	if failureLevel == noFailure {
+func evidenceOf(level failureLevel, expectedRatio float64) float64 {
+	if level == noFailure {
 		return math.Log((1 - expectedRatio - excessFailureRatio) / (1 - expectedRatio))
 	}
-	return failureLevel * math.Log((expectedRatio+excessFailureRatio)/expectedRatio)
+	return float64(level) * math.Log((expectedRatio+excessFailureRatio)/expectedRatio)
 }
 
 // zoneComparison is what other zones show in comparison with one.
--- a/policy/zone_failover_test.go
+++ b/policy/zone_failover_test.go
@@ -160,7 +160,7 @@
 	for _, outcome := range []struct {
 		code    Code
 		latency float64
-		want    float64
+		want    failureLevel
 	}{
 		{OK, 0.2, noFailure},
 		{OK, 1, plainFailure}, // far slower than is typical
