--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -128,7 +128,7 @@
 	}
 	b.onLoadReport(s, e.LoadReport)
 	if e.Code == OK && b.warmFraction(s) >= 1 {
-		b.slowStart.recordCompletion(b.now)
+		b.completions.record(b.now, b.slowStart.warmedUpServers(b.now))
 	}
 	if e.Code == OK {
 		c.observeLatency(e.Latency)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -26,14 +26,15 @@
 	bucketRejected    bool               // a bucket refused since the last choice
 	servers           map[string]*server // listed, by ID
 
-	packing   packingOrder
-	list      endpointList
-	loads     loadReports
-	window    concurrencyWindow
-	share     capacityShare
-	slowStart slowStart
-	outliers  outlierDetector
-	zones     zoneFailover
+	packing     packingOrder
+	list        endpointList
+	loads       loadReports
+	window      concurrencyWindow
+	share       capacityShare
+	slowStart   slowStart
+	completions completionRate
+	outliers    outlierDetector
+	zones       zoneFailover
 
 	requests             map[string]*request
 	queued               []*request  // waiting for a usable server, oldest first
--- /dev/null
+++ b/policy/completion_rate_test.go
@@ -0,0 +1,31 @@
+package policy
+
+import (
+	"math"
+	"testing"
+	"time"
+)
+
+// The rate settles at that of the responses. The peak for one server outlives it, and is forgotten slowly.
+func TestCompletionRate(t *testing.T) {
+	const perSecond, servers = 50, 5
+	var c completionRate
+	now := time.Hour
+	for range 20 * perSecond {
+		now += time.Second / perSecond
+		c.record(now, servers)
+	}
+	if got := c.current(now); math.Abs(got-perSecond) > 1 {
+		t.Errorf("a rate of %v, want about %v", got, perSecond)
+	}
+	for _, step := range []struct {
+		after time.Duration
+		part  float64 // of the peak that is left
+	}{{0, 1}, {5 * time.Second, math.Exp(-5.0 / 60)}, {10 * time.Minute, 0}} {
+		now += step.after
+		want := step.part * perSecond / servers
+		if got := c.serverPeak(now, servers); math.Abs(got-want) > 0.05*want+0.01 {
+			t.Errorf("a peak of %v %v later, want about %v", got, step.after, want)
+		}
+	}
+}
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -221,8 +221,8 @@
 	if got := b.warmedUpWeight(); math.Abs(got-weight) > 1e-9*weight {
 		t.Fatalf("the weight of warmed-up servers is %v, rebuilt %v", got, weight)
 	}
-	if n := countOf(order, func(s *server) bool { return b.warmFraction(s) >= 1 }); b.warmedUpServers() != n {
-		t.Fatalf("%d servers have warmed up, rebuilt %d", b.warmedUpServers(), n)
+	if n := countOf(order, func(s *server) bool { return b.warmFraction(s) >= 1 }); b.slowStart.warmedUpServers(b.now) != n {
+		t.Fatalf("%d servers have warmed up, rebuilt %d", b.slowStart.warmedUpServers(b.now), n)
 	}
 	if b.outliers.connectionFaults != faults {
 		t.Fatalf("the connection faults sum up to %v, rebuilt %v", b.outliers.connectionFaults, faults)
@@ -315,12 +315,6 @@
 // order returns the servers in service in packing order.
 func (b *Balancer) order() []*server { return b.packing.pool.order() }
 
-// warmedUpServers counts the servers in service that have warmed up by now.
-func (b *Balancer) warmedUpServers() int {
-	b.slowStart.promote(b.now)
-	return b.slowStart.warmedUp
-}
-
 // Servers are in the order of the cost of crossing to them; a cost that the settings name goes before the usual one.
 func TestPackingOrderFollowsCrossingCost(t *testing.T) {
 	for want, costs := range map[string]map[string]map[string]float64{
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -433,7 +433,7 @@
 		set := site(1)
 		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
 		b := start(t, set, members(1))
-		b.slowStart.completionRate, b.slowStart.completionRateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		b.completions.rate, b.completions.at, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
 		s := b.order()[0]
 		s.StartedAt = b.now
 		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -1,9 +1,6 @@
 package policy
 
-import (
-	"math"
-	"time"
-)
+import "time"
 
 const (
 	// warmupMargin is the part of the overload bound that all nodes together aim at. The rest absorbs requests
@@ -21,31 +18,21 @@
 	// maxShortageForSlowStart is the shortage of the highest-priority class up to which its requests avoid
 	// servers that are warming up.
 	maxShortageForSlowStart = 0.05
-	// peakRateDecayTime is the time constant with which the peak rate of a server is forgotten.
-	peakRateDecayTime = time.Minute
-	// completionRateTime is the time constant of the completion rate: long enough for some responses at a node
-	// with little traffic.
-	completionRateTime = 3 * time.Second
 )
 
 // slowStart bounds what servers get while they warm up after their start. It owns the counts of the servers
-// that have warmed up, the queue of those that haven't, and the completion rate that the budgets rest on.
+// that have warmed up and the queue of those that haven't.
 type slowStart struct {
 	minCapacity float64       // part of its capacity that a server has when it starts
 	duration    time.Duration // in which it reaches its whole capacity
 
-	warmedUp            int             // servers in service that have warmed up
-	warmedUpUnmonitored warmedUpServers // those of them in zones that aren't monitored
-	queue               serverQueue     // the other servers in service, by when they will have warmed up
-
-	completionRate   float64 // OK responses of warmed-up servers to this node, a second, as of completionRateAt
-	completionRateAt Time
-	peakServerRate   float64 // peak of that rate for one server, decayed as of peakServerRateAt
-	peakServerRateAt Time
+	warmedUp            int               // servers in service that have warmed up
+	warmedUpUnmonitored serversByDistance // those of them in zones that aren't monitored
+	queue               serverQueue       // the other servers in service, by when they will have warmed up
 }
 
-// warmedUpServers counts servers that have warmed up by whether crossing to them costs nothing.
-type warmedUpServers struct{ near, far int }
+// serversByDistance counts servers by whether crossing to them costs nothing.
+type serversByDistance struct{ near, far int }
 
 // warmupContribution is what a server in service adds to the counts of slowStart.
 type warmupContribution struct {
@@ -84,7 +71,7 @@
 
 // reset empties the counts of servers.
 func (w *slowStart) reset(zones []*zoneHealth) {
-	w.warmedUp, w.warmedUpUnmonitored, w.queue = 0, warmedUpServers{}, nil
+	w.warmedUp, w.warmedUpUnmonitored, w.queue = 0, serversByDistance{}, nil
 	for _, z := range zones {
 		z.warmedUp = 0
 	}
@@ -141,7 +128,7 @@
 }
 
 // outsideEvacuated counts the warmed-up servers in service whose zones aren't evacuated.
-func (w *slowStart) outsideEvacuated(zones []*zoneHealth, now Time) warmedUpServers {
+func (w *slowStart) outsideEvacuated(zones []*zoneHealth, now Time) serversByDistance {
 	w.promote(now)
 	servers := w.warmedUpUnmonitored
 	for _, z := range zones {
@@ -156,32 +143,20 @@
 	return servers
 }
 
-// recordCompletion counts an OK response of a server that has warmed up.
-func (w *slowStart) recordCompletion(now Time) {
-	w.completionRate, w.completionRateAt = w.currentCompletionRate(now)+1/completionRateTime.Seconds(), now
-	w.peakRate(now)
-}
-
-// currentCompletionRate is how many OK responses a second came lately from servers that have warmed up.
-func (w *slowStart) currentCompletionRate(now Time) float64 {
-	return w.completionRate * math.Exp(-(now-w.completionRateAt).Seconds()/completionRateTime.Seconds())
-}
-
-// peakRate is the most requests a second that a warmed-up server lately completed for this node. The peak
-// counts because the present rate falls while servers fail, which would starve those that come back of
-// requests.
-func (w *slowStart) peakRate(now Time) float64 {
+// warmedUpServers counts the servers in service that have warmed up by now.
+func (w *slowStart) warmedUpServers(now Time) int {
 	w.promote(now)
-	present := w.currentCompletionRate(now) / max(1, float64(w.warmedUp))
-	w.peakServerRate = max(present,
-		w.peakServerRate*math.Exp(-(now-w.peakServerRateAt).Seconds()/peakRateDecayTime.Seconds()))
-	w.peakServerRateAt = now
-	return w.peakServerRate
+	return w.warmedUp
 }
 
 // warmFraction is the part of its capacity that a server has reached by now.
 func (b *Balancer) warmFraction(s *server) float64 { return b.slowStart.warmFraction(s, b.now) }
 
+// serverPeakRate is the most requests a second that one warmed-up server lately completed for this node.
+func (b *Balancer) serverPeakRate() float64 {
+	return b.completions.serverPeak(b.now, b.slowStart.warmedUpServers(b.now))
+}
+
 // isLimitedByWarmup reports whether the warm-up budget alone paces what a server gets, and not the node's
 // window.
 func (b *Balancer) isLimitedByWarmup(s *server) bool {
@@ -199,7 +174,7 @@
 		return fraction >= 1
 	}
 	rules, nodes := &b.settings.Rules, float64(b.settings.NodeCount)
-	mean := b.slowStart.peakRate(b.now)
+	mean := b.serverPeakRate()
 	if kind := b.loads.byKind[s.Kind]; kind != nil {
 		mean = kind.rate / nodes
 		fraction = max(fraction, min(1, targetUtilization*s.reportedRate/kind.rate))
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -290,10 +290,10 @@
 		r := &request{class: b.classOrder[0]}
 		b.observeOutcome(r, &attempt{server: b.servers[fmt.Sprintf("s%02d", warmingUp+i%8)]}, Outcome{Code: OK, Latency: 20 * ms})
 	}
-	if got := b.slowStart.peakRate(b.now); math.Abs(got-perSecond/8) > 1 {
+	if got := b.serverPeakRate(); math.Abs(got-perSecond/8) > 1 {
 		t.Fatalf("the peak rate is %v, want about %v", got, perSecond/8)
 	}
-	before := b.slowStart.peakRate(b.now)
+	before := b.serverPeakRate()
 	rate := func() float64 { // of requests to a server that has half warmed up
 		s := b.servers["s00"]
 		s.StartedAt, s.warmupBudget = b.now, warmupBudget{refilledAt: b.now - 10*ms}
@@ -305,14 +305,14 @@
 		b.Handle(b.now, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{{ID: fmt.Sprintf("s%02d", i), Availability: Removed}}})
 	}
 	b.now += 10 * time.Second
-	if got := b.slowStart.peakRate(b.now); got < 0.8*before {
+	if got := b.serverPeakRate(); got < 0.8*before {
 		t.Errorf("10 s after the loss of most other servers, without responses, the peak rate is %v, before %v", got, before)
 	}
 	if got := rate(); got < 0.8*allowed {
 		t.Errorf("a server may get %v requests a second then, %v before", got, allowed)
 	}
 	b.now += 10 * peakRateDecayTime
-	if got := b.slowStart.peakRate(b.now); got > 0.01*before {
+	if got := b.serverPeakRate(); got > 0.01*before {
 		t.Errorf("long after that the peak rate is %v, before %v", got, before)
 	}
 }
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -103,9 +103,9 @@
 		AcceptedAt: convertTimes(b.acceptedAt, b.toSnapshotTime), RetriesAt: convertTimes(b.retriesAt,
 			b.toSnapshotTime),
 		RateMultiplier: b.rateMultiplier, WindowScale: b.window.scale, Utilization: b.window.utilization,
-		BadRatio: b.badRatio, CompletionRate: b.slowStart.completionRate,
+		BadRatio: b.badRatio, CompletionRate: b.completions.rate,
 		ReportedAt:       b.toSnapshotTime(b.window.reportedAt),
-		CompletionRateAt: b.toSnapshotTime(b.slowStart.completionRateAt),
+		CompletionRateAt: b.toSnapshotTime(b.completions.at),
 	}
 	for key, v := range b.buckets {
 		k.Buckets = append(k.Buckets, BucketSnapshot{key.tenant, key.class, v.tokens / 2,
@@ -140,9 +140,9 @@
 	b.acceptedAt, b.retriesAt = convertTimes(k.AcceptedAt, b.fromSnapshotTime), convertTimes(k.RetriesAt,
 		b.fromSnapshotTime)
 	b.rateMultiplier, b.window.scale, b.window.utilization = k.RateMultiplier, k.WindowScale, k.Utilization
-	b.badRatio, b.slowStart.completionRate = k.BadRatio, k.CompletionRate
+	b.badRatio, b.completions.rate = k.BadRatio, k.CompletionRate
 	b.window.reportedAt = b.fromSnapshotTime(k.ReportedAt)
-	b.slowStart.completionRateAt = b.fromSnapshotTime(k.CompletionRateAt)
+	b.completions.at = b.fromSnapshotTime(k.CompletionRateAt)
 	for _, v := range k.Buckets {
 		bucket := b.bucketOf(bucketKey{v.Tenant, v.Class}, 0)
 		bucket.tokens, bucket.refilledAt = v.Tokens, b.fromSnapshotTime(v.RefilledAt)
--- a/policy/zone_evidence.go
+++ b/policy/zone_evidence.go
@@ -65,9 +65,9 @@
 	queued   bool // for its expiry
 }
 
-// failureLevel classifies an outcome. A response that is far slower than is typical of the class and the kind of
-// servers counts as a failure; the typical latency follows slowly, so that a fleet that became slow as a whole
-// becomes typical. The latency is in seconds.
+// failureLevel classifies an outcome. A response that is far slower than is typical of the class and the
+// kind of servers counts as a failure; the typical latency follows slowly, so that a fleet that became slow
+// as a whole becomes typical. The latency is in seconds.
 func (c *classStats) failureLevel(kind string, code Code, latency float64) failureLevel {
 	if code == ConnectFailed {
 		return connectFailure
