--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -64,12 +64,12 @@
 	case float64(s.totalInFlight()+1) >= b.effectiveLimit(s): // a good response, and the limit was reached
 		step = limitIncrease
 	}
-	updateRatio(&b.badRatio, badRatioGain, step < 0)
+	b.rateMultiplier.recordResponse(step < 0)
 	if b.usesLoadReports() {
 		s.scaleLimitByFailure(code, latency, failureWeight, b.now)
 		return
 	}
-	updateRatio(&b.lostRatio, lostRatioGain, code == TimedOut || code == Overloaded)
+	b.rateMultiplier.recordLoss(code == TimedOut || code == Overloaded)
 	s.moveLimit(step, minLimitFraction*b.initialLimit())
 }
 
--- /dev/null
+++ b/policy/load_shedding_test.go
@@ -0,0 +1,64 @@
+package policy
+
+import (
+	"math"
+	"math/rand/v2"
+	"testing"
+)
+
+// While the highest priority finds no capacity, lower ones are shed, the lower the more. The highest never is, and
+// none is where servers report their load.
+func TestLowPrioritiesAreShedForTheHighest(t *testing.T) {
+	set := site(1)
+	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 5, 3
+	b := start(t, set, members(4))
+	shedPart := func(class string) (part float64) {
+		const requests = 2000
+		for range requests {
+			if b.shouldShed(b.classes.byName[class]) {
+				part += 1.0 / requests
+			}
+		}
+		return part
+	}
+	if got := shedPart("free"); got != 0 {
+		t.Errorf("%v of the lowest priority are shed while the highest finds capacity", got)
+	}
+	b.loadShedder.highPriorityShortage = 0.15
+	lowest, middle, highest := shedPart("free"), shedPart("all"), shedPart("once")
+	if math.Abs(lowest-0.48) > 0.05 || math.Abs(middle-0.24) > 0.05 || highest != 0 {
+		t.Errorf("%v of the lowest, %v of the middle and %v of the highest priority are shed, want 0.48, 0.24 and 0",
+			lowest, middle, highest)
+	}
+	b.loadShedder.highPriorityShortage = 1
+	if got := shedPart("free"); math.Abs(got-maxShedProbability) > 0.05 {
+		t.Errorf("%v of the lowest priority are shed while the highest finds no capacity, want %v", got, maxShedProbability)
+	}
+	if acts := b.Handle(ms, ask("x", "once")); len(of(acts, Send)) != 1 {
+		t.Errorf("the highest priority is shed: %+v", acts)
+	}
+	reporting := startLargeFleet(t, 40, members(4))
+	reporting.loadShedder.highPriorityShortage, reporting.loadShedder.maxPriorityWeight = 1, 5
+	if reporting.shouldShed(reporting.classes.byName["free"]) {
+		t.Error("a class is shed though servers report their load")
+	}
+}
+
+func TestLoadShedderFollowsTheShortageOfTheHighestPriority(t *testing.T) {
+	var shedder loadShedder
+	shedder.configure([]Class{{PriorityWeight: 1}, {PriorityWeight: 4}})
+	shedder.recordDispatch(1, false)
+	if shedder.highPriorityShortage != 0 {
+		t.Errorf("a low priority without a server makes a shortage of %v", shedder.highPriorityShortage)
+	}
+	shedder.recordDispatch(4, false)
+	if shedder.highPriorityShortage != shortageGain {
+		t.Errorf("one request without a server makes a shortage of %v, want %v", shedder.highPriorityShortage, shortageGain)
+	}
+	rng := rand.New(rand.NewPCG(1, 1))
+	for range 100 {
+		if shedder.shouldShed(rng, 4) {
+			t.Fatal("the highest priority is shed")
+		}
+	}
+}
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -152,7 +152,7 @@
 // for each class, so that the few servers of a restricted one aren't all ejected while the fleet as a whole
 // looks well.
 func (b *Balancer) mayEject(s *server) bool {
-	for _, c := range b.classOrder {
+	for _, c := range b.classes.ordered {
 		if c.permits(s) && float64(c.eligible.ejected+1) > maxEjectedFraction*float64(c.eligible.length) {
 			return false
 		}
@@ -170,7 +170,7 @@
 	change := b.outliers.countEjected(s)
 	if change != 0 && s.segment != nil { // one that left service has been taken off the pools' counts
 		b.packing.pool.ejected += change
-		for _, c := range b.classOrder {
+		for _, c := range b.classes.ordered {
 			if c.isRestricted() && c.permits(s) {
 				c.eligible.ejected += change
 			}
--- a/policy/overcommit.go
+++ b/policy/overcommit.go
@@ -20,11 +20,11 @@
 	if b.usesLoadReports() {
 		highest = maxReportedOvercommit
 	}
-	if b.maxPriorityWeight <= 0 { // the site states no priorities
+	if b.loadShedder.maxPriorityWeight <= 0 { // the site states no priorities
 		return highest
 	}
-	lowest := max(0, minOvercommit-shortageFactor*b.highPriorityShortage)
-	return lowest + (highest-lowest)*c.PriorityWeight/b.maxPriorityWeight
+	lowest := max(0, minOvercommit-shortageFactor*b.loadShedder.highPriorityShortage)
+	return lowest + (highest-lowest)*c.PriorityWeight/b.loadShedder.maxPriorityWeight
 }
 
 // serverOvercommit is the overcommit of a server with one more attempt. A limit under one is spread over
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -176,7 +176,7 @@
 		if !slices.Equal(c.eligible.order(), eligible) || c.eligible.length != len(eligible) {
 			t.Fatalf("%s may use %d servers, rebuilt %d", c.Name, c.eligible.length, len(eligible))
 		}
-		if b.classes[c.Name] != c { // of former settings: the ejected servers aren't counted
+		if b.classes.byName[c.Name] != c { // of former settings: the ejected servers aren't counted
 			continue
 		}
 		if ejected := countOf(eligible, func(s *server) bool { return s.outlier.ejected }); c.eligible.ejected != ejected {
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -12,8 +12,8 @@
 	b := startLargeFleet(t, 40, members(12))
 	s := b.order()[0]
 	reportLoad(b, s, 5, report(50, 0.5, 10))
-	short := &request{class: b.classOrder[0], usefulUntil: b.now + 200*ms}
-	long := &request{class: b.classOrder[0], usefulUntil: b.now + 2000*ms}
+	short := &request{class: b.classes.ordered[0], usefulUntil: b.now + 200*ms}
+	long := &request{class: b.classes.ordered[0], usefulUntil: b.now + 2000*ms}
 	if !b.answersInTime(short, s) {
 		t.Fatal("a fast server is not used")
 	}
@@ -38,7 +38,7 @@
 	takes := func(servers int) time.Duration {
 		b := startLargeFleet(t, 300, members(servers))
 		b.window.inFlight = 1e6 // so that none has capacity, and each is looked at
-		r := &request{Request: ask("r", "free"), class: b.classes["free"], maxAttempts: 1}
+		r := &request{Request: ask("r", "free"), class: b.classes.byName["free"], maxAttempts: 1}
 		r.deadline, r.usefulUntil = b.now+time.Hour, b.now+time.Hour
 		best := time.Hour
 		for range 200 {
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -193,7 +193,8 @@
 // be missed when they fail. Retries and, unless it is short of capacity, the highest-priority class keep to
 // servers that have warmed up.
 func (b *Balancer) pickWarmingUp(r *request) (best *server) {
-	avoids := r.class.PriorityWeight >= b.maxPriorityWeight && b.highPriorityShortage < maxShortageForSlowStart
+	avoids := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
+		b.loadShedder.highPriorityShortage < maxShortageForSlowStart
 	b.slowStart.promote(b.now)
 	if b.usesLoadReports() || avoids || len(r.attempts) > 0 {
 		return nil
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -287,7 +287,7 @@
 	const perSecond = 80
 	for i := range 10 * perSecond {
 		b.now += time.Second / perSecond
-		r := &request{class: b.classOrder[0]}
+		r := &request{class: b.classes.ordered[0]}
 		b.observeOutcome(r, &attempt{server: b.servers[fmt.Sprintf("s%02d", warmingUp+i%8)]}, Outcome{Code: OK, Latency: 20 * ms})
 	}
 	if got := b.serverPeakRate(); math.Abs(got-perSecond/8) > 1 {
@@ -339,7 +339,7 @@
 		t.Errorf("a request of high priority goes to %s, want a server that has warmed up", got)
 	}
 	b := fresh()
-	b.highPriorityShortage = 2 * maxShortageForSlowStart
+	b.loadShedder.highPriorityShortage = 2 * maxShortageForSlowStart
 	if got := sentTo(t, b.Handle(ms, ask("high", "once"))); got != "z-near" {
 		t.Errorf("a request of high priority goes to %s while capacity is short, want the server that is warming up", got)
 	}
--- /dev/null
+++ b/policy/token_buckets_test.go
@@ -0,0 +1,203 @@
+package policy
+
+import (
+	"fmt"
+	"runtime"
+	"testing"
+	"time"
+
+	"pgregory.net/rapid"
+)
+
+// allBuckets is a model of the buckets of a node that drops none.
+type allBuckets map[bucketKey]*bucket
+
+func (n allBuckets) admits(b *Balancer, tenant, class string) bool {
+	limit, key, limited := b.rateLimiter.resolve(tenant, class)
+	if !limited {
+		return true
+	}
+	limit.PerWindow *= b.rateMultiplier.value
+	k := n[key]
+	if k == nil {
+		k = &bucket{tokens: limit.Burst, refilledAt: b.now}
+		n[key] = k
+	}
+	k.refill(b.now, limit.perSecond(), limit.Burst)
+	if k.tokens <= 0 {
+		return false
+	}
+	k.tokens--
+	return true
+}
+
+// Dropping full buckets changes no decision, whatever the rate multiplier.
+func TestDroppedBucketsChangeNoDecision(t *testing.T) {
+	dropped := 0
+	rapid.Check(t, func(t *rapid.T) {
+		set := site(rapid.IntRange(1, 5).Draw(t, "nodes"))
+		set.Tenants = nil
+		for i := range 12 {
+			quota := rapid.SampledFrom([]float64{0, 0.1, 1, 3.7, 20, 300}).Draw(t, "quota")
+			set.Tenants = append(set.Tenants, Tenant{Name: fmt.Sprint("t", i), Quota: quota})
+		}
+		set.Limits.PerClass = map[string]Limit{"once": {
+			PerWindow: float64(rapid.IntRange(-1, 8).Draw(t, "per window")), Window: 3 * time.Second,
+			Burst: int64(rapid.IntRange(0, 5).Draw(t, "burst"))}}
+		set.Limits.Max = float64(rapid.SampledFrom([]int{0, 4}).Draw(t, "max"))
+		b, err := New(set, 0, 1)
+		if err != nil {
+			t.Fatal(err)
+		}
+		model := make(allBuckets)
+		for range rapid.IntRange(1, 200).Draw(t, "requests") {
+			b.now += time.Duration(rapid.SampledFrom([]int{0, 1, 30, 999, 5000, 60000}).Draw(t, "wait")) * ms
+			b.rateMultiplier.value = rapid.SampledFrom([]float64{minRateMultiplier, 0.5, 1, maxRateMultiplier}).Draw(t, "multiplier")
+			tenant := fmt.Sprint("t", rapid.IntRange(0, 12).Draw(t, "tenant")) // the last has no quota
+			class := rapid.SampledFrom([]string{"free", "once"}).Draw(t, "class")
+			want := model.admits(b, tenant, class)
+			if got, _ := b.admit(tenant, class); got != want {
+				t.Fatalf("%s, %s at %v: admitted %v, by a node that drops no bucket %v", tenant, class, b.now, got, want)
+			}
+		}
+		if len(b.rateLimiter.buckets.byKey) != len(b.rateLimiter.buckets.ring) {
+			t.Fatalf("%d buckets, %d in the ring", len(b.rateLimiter.buckets.byKey), len(b.rateLimiter.buckets.ring))
+		}
+		dropped += len(model) - len(b.rateLimiter.buckets.byKey)
+	})
+	if dropped == 0 {
+		t.Error("no bucket was dropped")
+	}
+}
+
+// A bucket that was dropped counts as handed over: the successor makes a full one, and the process that handed over
+// uses half of one at most.
+func TestDroppedBucketIsHandedOverByHalf(t *testing.T) {
+	b := start(t, site(1), members(2))
+	limit := b.rateLimiter.tenantLimits["u"]
+	for now := Time(0); now < time.Minute; now += time.Second {
+		tenant := "t"
+		if now == 0 {
+			tenant = "u"
+		}
+		b.now = now
+		b.admit(tenant, "free")
+	}
+	if b.rateLimiter.buckets.byKey[bucketKey{tenant: "u"}] != nil {
+		t.Fatal("a full bucket was not dropped within a minute")
+	}
+	b.Handle(time.Minute, HandedOver{Active: true})
+	admitted := int64(0)
+	for range 2 * limit.Burst {
+		if ok, _ := b.admit("u", "free"); ok {
+			admitted++
+		}
+	}
+	if want := limit.Burst - limit.Burst/2; admitted != want {
+		t.Errorf("after the hand-over %d of a burst of %d are admitted, want %d", admitted, limit.Burst, want)
+	}
+}
+
+// seenOnce has each of n tenants make one request, a millisecond apart. It returns how many are admitted, how many
+// buckets there are then and some requests later, and the bytes of heap in use.
+func seenOnce(tb testing.TB, n int) (admitted, atOnce, later int, heapBytes uint64) {
+	set := site(1)
+	set.Tenants, set.Limits.Default = nil, &Limit{PerWindow: 10, Window: time.Second, Burst: 5}
+	b, err := New(set, 0, 1)
+	if err != nil {
+		tb.Fatal(err)
+	}
+	heap := func() uint64 {
+		var m runtime.MemStats
+		runtime.GC()
+		runtime.ReadMemStats(&m)
+		return m.HeapAlloc
+	}
+	before := heap()
+	for i := range n {
+		b.now += ms
+		if ok, _ := b.admit(fmt.Sprintf("tenant-%d", i), "free"); ok {
+			admitted++
+		}
+	}
+	atOnce = len(b.rateLimiter.buckets.byKey)
+	for range 2 * atOnce {
+		b.now += ms
+		b.admit("tenant-0", "free")
+	}
+	after := heap()
+	later = len(b.rateLimiter.buckets.byKey)
+	return admitted, atOnce, later, after - min(before, after)
+}
+
+// The number of buckets follows the tenants that send requests now, not those ever seen.
+func TestBucketsOfTenantsSeenOnceAreDropped(t *testing.T) {
+	const tenants = 50000
+	admitted, atOnce, later, _ := seenOnce(t, tenants)
+	if atOnce > maxBuckets || later > 10 {
+		t.Errorf("of %d tenants seen once there are %d buckets at once, %d later", tenants, atOnce, later)
+	}
+	if admitted < tenants {
+		t.Errorf("the first request of %d of %d tenants is rejected", tenants-admitted, tenants)
+	}
+}
+
+// Tenants with a quota have buckets of their own, however many there are; of the others, those beyond maxBuckets
+// share one.
+func TestTenantsWithQuotasShareNoBucket(t *testing.T) {
+	const tenants = 3 * maxBuckets
+	set := site(1)
+	set.Tenants = nil
+	for i := range tenants {
+		set.Tenants = append(set.Tenants, Tenant{Name: fmt.Sprint("quota", i), Quota: 1})
+	}
+	b := start(t, set, members(1))
+	for _, c := range []struct {
+		name string
+		want func(admitted int) bool
+	}{
+		{"quota", func(admitted int) bool { return admitted == tenants }},
+		{"free", func(admitted int) bool { return admitted < maxBuckets }},
+	} {
+		admitted := 0
+		for i := range tenants {
+			if ok, _ := b.admit(fmt.Sprint(c.name, i), "free"); ok {
+				admitted++
+			}
+		}
+		if !c.want(admitted) {
+			t.Errorf("%d of %d first requests of tenants called %s are admitted", admitted, tenants, c.name)
+		}
+	}
+	if limit := tenants + 1; len(b.rateLimiter.buckets.byKey) > limit {
+		t.Errorf("%d buckets, want at most %d", len(b.rateLimiter.buckets.byKey), limit)
+	}
+}
+
+// BenchmarkTenantsSeenOnce reports the memory that 800,000 tenants leave behind.
+func BenchmarkTenantsSeenOnce(b *testing.B) {
+	for b.Loop() {
+		admitted, atOnce, later, heapBytes := seenOnce(b, 800000)
+		b.ReportMetric(float64(admitted), "admitted")
+		b.ReportMetric(float64(atOnce), "buckets-at-the-end")
+		b.ReportMetric(float64(later), "buckets-later")
+		b.ReportMetric(float64(heapBytes), "bytes-held")
+	}
+}
+
+func TestBucketRefillsInWholeTokens(t *testing.T) {
+	const ms = time.Millisecond
+	k := bucket{tokens: 0, refilledAt: 0}
+	k.refill(599*ms, 1.667, 100)
+	if k.tokens != 0 || k.refilledAt != 0 {
+		t.Fatalf("under one token: got %+v, want nothing added and the refill time kept", k)
+	}
+	k.refill(1100*ms, 1.667, 100) // 1.83 tokens: one is added, the fraction is lost
+	if k.tokens != 1 || k.refilledAt != 1100*ms {
+		t.Fatalf("1.83 tokens: got %+v, want one token and the refill time reset", k)
+	}
+	k.refill(time.Hour, 1.667, 100)
+	if k.tokens != 100 {
+		t.Fatalf("after an hour: got %d tokens, want the burst of 100", k.tokens)
+	}
+}
--- a/policy/zone_failover_test.go
+++ b/policy/zone_failover_test.go
@@ -132,8 +132,8 @@
 		isRetry              bool
 		minClosed, maxClosed int
 	}{
-		"first attempts": {b.classOrder[0], false, 400, 600},
-		"retries":        {b.classOrder[0], true, 1000, 1000},
+		"first attempts": {b.classes.ordered[0], false, 400, 600},
+		"retries":        {b.classes.ordered[0], true, 1000, 1000},
 		"no other zone":  {onlyA, true, 0, 0},
 	} {
 		closed := 0
