--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -53,7 +53,7 @@
 	}
 	b.emit(Action{Kind: Send, ID: r.ID, Server: s.ID, AttemptDeadline: r.usefulUntil})
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, probation: isProbe,
-		warmingUp: b.isPacedByWarmup(s), uncounted: r.Incomplete})
+		warmingUp: b.isLimitedByWarmup(s), uncounted: r.Incomplete})
 	r.pendingAttempts++
 	s.lastSentAt = b.now
 	s.warmupBudget.tokens--
@@ -148,7 +148,7 @@
 	}
 	b.onLoadReport(s, e.LoadReport)
 	if e.Code == OK && b.warmFraction(s) >= 1 {
-		b.slowStart.recordCompletion(b.now)
+		b.completions.record(b.now, b.slowStart.warmedUpServers(b.now))
 	}
 	if e.Code == OK {
 		c.observeLatency(e.Latency)
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -32,7 +32,7 @@
 func (b *Balancer) SetSiblingInFlight(inFlight map[string]int) {
 	b.window.siblingInFlight = 0
 	for id, s := range b.servers {
-		if s.siblingInFlight = max(0, inFlight[id]); !b.isPacedByWarmup(s) {
+		if s.siblingInFlight = max(0, inFlight[id]); !b.isLimitedByWarmup(s) {
 			b.window.siblingInFlight += s.siblingInFlight
 		}
 	}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -112,9 +112,9 @@
 		WindowScale:      b.window.scale,
 		Utilization:      b.window.utilization,
 		BadRatio:         b.rateMultiplier.badRatio,
-		CompletionRate:   b.slowStart.completionRate,
+		CompletionRate:   b.completions.rate,
 		ReportedAt:       clock.toSnapshot(b.window.reportedAt),
-		CompletionRateAt: clock.toSnapshot(b.slowStart.completionRateAt),
+		CompletionRateAt: clock.toSnapshot(b.completions.at),
 	}
 	for _, c := range b.classes.ordered {
 		snapshot.Classes[c.Name] = ClassSnapshot{TailLatency: c.tailLatency, FirstTryTimeout: c.firstTryTimeout}
@@ -139,8 +139,8 @@
 	b.loads.typicalLoad = snapshot.TypicalLoad.restore()
 	b.window.scale, b.window.utilization = snapshot.WindowScale, snapshot.Utilization
 	b.window.reportedAt = clock.fromSnapshot(snapshot.ReportedAt)
-	b.slowStart.completionRate = snapshot.CompletionRate
-	b.slowStart.completionRateAt = clock.fromSnapshot(snapshot.CompletionRateAt)
+	b.completions.rate = snapshot.CompletionRate
+	b.completions.at = clock.fromSnapshot(snapshot.CompletionRateAt)
 	for _, c := range b.classes.ordered {
 		if known, found := snapshot.Classes[c.Name]; found {
 			c.tailLatency, c.firstTryTimeout = known.TailLatency, known.FirstTryTimeout
