--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -231,7 +231,7 @@
 		n += controlSockets
 	}
 	if c.Fleet != nil {
-		n += gossip.Sockets
+		n += gossip.MaxDescriptors
 	}
 	return n
 }
@@ -244,7 +244,7 @@
 		n += controlSockets / 2
 	}
 	if c.Fleet != nil { // one of the two is the member
-		n += gossip.Sockets / 2
+		n += gossip.MaxDescriptors / 2
 	}
 	return n
 }
--- /dev/null
+++ b/internal/registry/service_index.go
@@ -0,0 +1,114 @@
+package registry
+
+import (
+	"fmt"
+	"slices"
+)
+
+// serviceIndexes are the parts of a Store by service, for scoped lists. They are derived from the instances and the
+// history, and not in snapshots.
+type serviceIndexes map[string]*serviceIndex
+
+// serviceIndex has the slots of one service and its part of the history.
+type serviceIndex struct {
+	slots   slotTable
+	changes []change // those in the history that touch the service, oldest first; elements are never overwritten
+	changed int64    // the last revision that touched the service, or a later one
+	view    *serviceView
+}
+
+// allocateSlot gives the lowest free slot of a service to an instance. Without a service the slot is always 0.
+func (s serviceIndexes) allocateSlot(service, id string) int {
+	if service == "" {
+		return 0
+	}
+	index := s[service]
+	if index == nil {
+		index = new(serviceIndex)
+		s[service] = index
+	}
+	return index.slots.allocate(id)
+}
+
+// releaseSlot frees the slot of an instance that leaves its service.
+func (s serviceIndexes) releaseSlot(service string, slot int) {
+	if service != "" {
+		s[service].slots.release(slot)
+	}
+}
+
+// record adds a change to the services that it touches.
+func (s serviceIndexes) record(c change) {
+	for _, service := range c.touchedServices() {
+		index := s[service]
+		index.changes = append(index.changes, c)
+		index.changed = c.Revision
+		index.view = nil
+	}
+}
+
+// compact drops the changes up to a revision, which the history has dropped. A service with neither instances nor
+// changes is unknown from then on.
+func (s serviceIndexes) compact(dropped []change, revision int64) {
+	for _, c := range dropped {
+		for _, service := range c.touchedServices() {
+			if index := s[service]; index != nil && index.compact(revision) {
+				delete(s, service)
+			}
+		}
+	}
+}
+
+// compact drops the changes up to a revision; empty is true if nothing is known of the service any more.
+func (index *serviceIndex) compact(revision int64) (empty bool) {
+	if remaining := changesSince(index.changes, revision); len(remaining) < len(index.changes) {
+		index.changes = slices.Clone(remaining)
+	}
+	return len(index.changes) == 0 && index.slots.empty()
+}
+
+// restoreServiceIndexes builds the indexes of a state that was read from a snapshot.
+func restoreServiceIndexes(instances map[string]Instance, h history) (serviceIndexes, error) {
+	indexes := make(serviceIndexes)
+	for id, instance := range instances {
+		if instance.Endpoint.Service == "" {
+			continue
+		}
+		if err := indexes.restoreInstance(id, instance, h.compactedRevision); err != nil {
+			return nil, err
+		}
+	}
+	for _, index := range indexes {
+		index.slots.rebuildFree()
+	}
+	for _, c := range h.changes {
+		for _, service := range c.touchedServices() {
+			indexes.ensure(service, h.compactedRevision)
+		}
+		indexes.record(c)
+	}
+	return indexes, nil
+}
+
+func (s serviceIndexes) restoreInstance(id string, instance Instance, compactedRevision int64) error {
+	service, slot := instance.Endpoint.Service, instance.Slot
+	if slot < 0 || slot >= maxInstances {
+		return fmt.Errorf("instance %q: slot %d is out of range", id, slot)
+	}
+	index := s.ensure(service, compactedRevision)
+	if other := index.slots.restore(id, slot); other != "" {
+		return fmt.Errorf("instances %q and %q: both have slot %d of %q", min(id, other), max(id, other), slot, service)
+	}
+	index.changed = max(index.changed, instance.Version)
+	return nil
+}
+
+// ensure returns the index of a service, a new one that last changed at the given revision where there is none.
+func (s serviceIndexes) ensure(service string, changed int64) *serviceIndex {
+	index := s[service]
+	if index == nil {
+		index = &serviceIndex{changed: changed}
+		s[service] = index
+	}
+	return index
+}
--- a/internal/scaletest/process_scoped.go
+++ b/internal/scaletest/process_scoped.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	defaultSubset = 20      // servers of each service that a node connects to
-	mostScoped    = 150_000 // instances that the list service takes
+	defaultSubset    = 20      // servers of each service that a node connects to
+	maxScopedServers = 150_000 // instances that the list service takes
 )
 
 // registryList is a list service of real replicas, called through a proxy that counts what it answers.
@@ -28,7 +28,7 @@
 	client *registry.Client
 }
 
-func startRegistryList(ctx context.Context, r *testcluster.Rig, replicas, n int) (*registryList, error) {
+func startRegistryList(ctx context.Context, r *testcluster.Cluster, replicas, n int) (*registryList, error) {
 	run, err := startRegistry(ctx, r, replicas)
 	if err != nil {
 		return nil, err
@@ -42,7 +42,7 @@
 	})); err != nil {
 		return nil, err
 	}
-	_, err = run.writeAll(ctx, n, func(c *registry.Client, i int) error { return l.write(ctx, c, i, registry.Up) })
+	_, err = run.writeAll(ctx, n, func(c *registry.Client, i int) error { return l.write(ctx, c, i, registry.PhaseUp) })
 	return l, err
 }
 
@@ -80,7 +80,7 @@
 }
 
 // startScopedNode starts the list service, then the node, which has to list what its scope has.
-func startScopedNode(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) (*scopedNode, error) {
+func startScopedNode(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) (*scopedNode, error) {
 	list, err := startRegistryList(ctx, r, spec.Replicas, size)
 	if err != nil {
 		return nil, err
@@ -90,13 +90,13 @@
 	for i := range min(spec.Routes, serviceCount(size)) {
 		services = append(services, routeService(i))
 	}
-	var scoped registry.List
+	var scoped registry.EndpointList
 	path := fmt.Sprintf("/registry/instances?service=%s&subset=%d&position=%v&nodes=%v&zone=%v", strings.Join(services, ","),
 		defaultSubset, settings["position"], settings["groupSize"], settings["zone"])
 	if err := list.client.Do(ctx, http.MethodGet, path, nil, &scoped, 0); err != nil {
 		return nil, err
 	}
-	want := len(scoped.Members)
+	want := len(scoped.Endpoints)
 	n, listed, err := startAndRecord(ctx, r, testcluster.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB,
 		Sockets: nodeDescripts, Settings: settings, Scope: map[string]any{"services": services, "subset": defaultSubset}}, want, rec)
 	if err == nil && listed != want {
@@ -104,13 +104,13 @@
 	}
 	rec.Record(ListBytes, float64(list.bytes.Load()))
 	if err == nil {
-		err = sleep(ctx, min(settleTime, spec.Window))
+		err = sleep(ctx, min(startupDelay, spec.Window))
 	}
 	return &scopedNode{n, list}, err
 }
 
 // measureRealScoped measures a node with a scope, by the servers that there are in all.
-func measureRealScoped(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealScoped(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	n, err := startScopedNode(ctx, r, spec, size, rec)
 	if err != nil {
 		return err
@@ -129,7 +129,7 @@
 
 // measureRealDay measures a node with a scope while servers anywhere drain and come back at the rate of the target's
 // day.
-func measureRealDay(ctx context.Context, r *testcluster.Rig, spec ProcessSpec, size int, rec *Recorder) error {
+func measureRealDay(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	n, err := startScopedNode(ctx, r, spec, size, rec)
 	if err != nil {
 		return err
@@ -153,14 +153,14 @@
 // changeAll has servers drawn from all of them drain, and each come back with the next change, until ctx ends.
 func (l *registryList) changeAll(ctx context.Context, seed uint64, n int, rate float64) error {
 	rng := rand.New(rand.NewPCG(seed, 0xda))
-	for server, phase := 0, registry.Up; ; {
+	for server, phase := 0, registry.PhaseUp; ; {
 		if sleep(ctx, time.Duration(rng.ExpFloat64()/rate*float64(time.Second))) != nil {
 			return nil
 		}
-		if phase == registry.Up {
-			server, phase = rng.IntN(n), registry.Draining
+		if phase == registry.PhaseUp {
+			server, phase = rng.IntN(n), registry.PhaseDraining
 		} else {
-			phase = registry.Up
+			phase = registry.PhaseUp
 		}
 		if err := l.change(ctx, server, phase); err != nil && ctx.Err() == nil {
 			return err
--- a/internal/testcluster/discovery_test.go
+++ b/internal/testcluster/discovery_test.go
@@ -22,13 +22,13 @@
 	t.Helper()
 	stops := make(map[string]func())
 	var all sync.WaitGroup
-	for id, b := range w.boxes {
-		at, err := w.serve(node, id, w.boxHandler(node, b.Spec.Zone, b))
+	for id, b := range w.servers {
+		at, err := w.serve(node, id, w.serverHandler(node, b.Spec.Zone, b))
 		if err != nil {
 			t.Fatal(err)
 		}
-		a := registry.Agent{Client: registry.NewClient(g.Addresses()), Lease: 2 * time.Second, Entry: registry.Entry{ID: id,
-			HostPort: at, Locality: b.Spec.Zone, Flavor: b.Spec.Kind, Cell: b.Spec.Cell, Phase: registry.Up, Size: 1}}
+		a := registry.Agent{Client: registry.NewClient(g.Addresses()), TTL: 2 * time.Second, Endpoint: registry.Endpoint{ID: id,
+			Address: at, Zone: b.Spec.Zone, Kind: b.Spec.Kind, Cell: b.Spec.Cell, Phase: registry.PhaseUp, Size: 1}}
 		ctx, stop := context.WithCancel(w.ctx)
 		stops[id] = sync.OnceFunc(stop)
 		all.Go(func() { _ = a.Run(ctx, 300*time.Millisecond) })
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Spec.Known = nil // all that it knows it has from the list service
+	n.Spec.InitialList = nil // all that it knows it has from the list service
 	n.Spec.Discovery = strings.Join(g.Addresses(), ",")
 	n.Spec.ListFile = n.dir + "/list"
 	drop := listServers(t, w, g, "n0")
--- a/internal/testcluster/registry.go
+++ b/internal/testcluster/registry.go
@@ -20,8 +20,8 @@
 
 // Registry is the replicas of a list service; what they tell each other passes over links of the rig.
 type Registry struct {
-	Names []string
-	rig   *Rig
+	Names   []string
+	cluster *Cluster
 
 	mu       sync.Mutex
 	replicas map[string]*replica
@@ -34,8 +34,8 @@
 }
 
 // NewRegistry makes so many replicas, which Start starts.
-func (r *Rig) NewRegistry(n int) (*Registry, error) {
-	g := &Registry{rig: r, replicas: make(map[string]*replica)}
+func (r *Cluster) NewRegistry(n int) (*Registry, error) {
+	g := &Registry{cluster: r, replicas: make(map[string]*replica)}
 	names, hosts := make(map[string]string), make([]string, n) // names by host
 	for i := range n {
 		name := fmt.Sprint("r", i)
@@ -48,13 +48,13 @@
 		if err != nil {
 			return nil, err
 		}
-		c := registry.Config{ID: name, Listen: fmt.Sprintf("%s:%d", hosts[i], listPort),
-			Bind: fmt.Sprintf("%s:%d", hosts[i], raftPort), Folder: filepath.Join(dir, "data"), Peers: peers}
+		c := registry.Config{ID: name, ListenAddress: fmt.Sprintf("%s:%d", hosts[i], listPort),
+			RaftBindAddress: fmt.Sprintf("%s:%d", hosts[i], raftPort), DataDir: filepath.Join(dir, "data"), InitialReplicas: peers}
 		// The relay reads names from here on.
-		if c.Raft, err = r.RelayStreams(name, c.Bind, func(host string) string { return names[host] }); err != nil {
+		if c.RaftAddress, err = r.RelayStreams(name, c.RaftBindAddress, func(host string) string { return names[host] }); err != nil {
 			return nil, err
 		}
-		peers[name] = c.Raft
+		peers[name] = c.RaftAddress
 		g.replicas[name] = &replica{config: c}
 	}
 	return g, nil
@@ -73,11 +73,11 @@
 	if err != nil {
 		return err
 	}
-	file := r.config.Folder + ".toml"
+	file := r.config.DataDir + ".toml"
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		return err
 	}
-	r.proc, err = g.rig.Start("registry-"+name, program, append([]string{"registry", "serve", "--config", file}, r.args...), nil)
+	r.proc, err = g.cluster.Start("registry-"+name, program, append([]string{"registry", "serve", "--config", file}, r.args...), nil)
 	return err
 }
 
@@ -89,10 +89,10 @@
 }
 
 // Listen is where a replica answers calls, and Folder where it keeps the list.
-func (g *Registry) Listen(name string) string { return g.replicas[name].config.Listen }
+func (g *Registry) Listen(name string) string { return g.replicas[name].config.ListenAddress }
 
 // Folder is where a replica keeps the list.
-func (g *Registry) Folder(name string) string { return g.replicas[name].config.Folder }
+func (g *Registry) Folder(name string) string { return g.replicas[name].config.DataDir }
 
 // Addresses are where all replicas answer calls.
 func (g *Registry) Addresses() (all []string) {
@@ -132,8 +132,8 @@
 func (g *Registry) Cut(name string, on bool) {
 	for _, other := range g.Names {
 		if other != name {
-			g.rig.SetLink(name, other, Faults{Cut: on})
-			g.rig.SetLink(other, name, Faults{Cut: on})
+			g.cluster.SetLink(name, other, Faults{Cut: on})
+			g.cluster.SetLink(other, name, Faults{Cut: on})
 		}
 	}
 }
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -3,90 +3,69 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"reflect"
-	"slices"
 	"time"
 )
 
-// Balancer is one node's decisions. It isn't safe for concurrent use. Make one with New.
+// Balancer decides for one node: it joins the mechanisms, each of which owns its state in a file of its own.
+// It isn't safe for concurrent use. Make one with New.
 type Balancer struct {
-	settings          Settings
-	now               Time
-	rng               *rand.Rand
-	actions           []Action
-	classes           map[string]*class
-	formerClasses     map[string]*class      // as they were before the last settings
-	classStats        map[string]*classStats // of all classes ever named,
-	classesByTimer    []*classStats          // and in the order of their timers
-	tenantLimits      map[string]Limit
-	classOrder        []*class // in the order of the settings
-	defaultLimit      *Limit   // for tenants without a quota; nil: no limit
-	buckets           map[bucketKey]*bucket
-	bucketScan        bucketScan
-	rateMultiplier    float64                // scale of all bucket rates
-	maxPriorityWeight float64                // the most that a class is worth
-	loadByKind        map[string]*serverLoad // what the warm servers of a kind report on average
-	typicalLoad       serverLoad             // and all warm servers
-	inFlight          int                    // attempts out at warm servers
-	siblingInFlight   int                    // and those of the node's other process
-	// where latency, busy part and rate stand in a report; -1 where they don't
-	reportColumns        [3]int
-	utilization          float64 // how busy warm servers are by their last reports
-	lastReportAt         Time    // when the last of those came
-	capacityWanted       bool    // a choice found no room since then
-	windowScale          float64 // scale of this node's window
-	bucketRejected       bool    // a bucket refused since the last choice
-	listFailures         int     // calls for the list that failed in a row
-	servers              map[string]*server
-	serverPool                           // all servers in service,
-	serversByZone        map[string]int  // how many of them are in each zone,
-	pooledClasses        map[*class]bool // and the classes whose pools they are also in
-	changedServers       []*server       // servers that may stand otherwise in the order, or not at all
-	orderStale           bool            // the order has to be made anew as a whole
-	unavailable          int             // listed servers that drain or are ejected
-	ejectedServers       []*server       // those of the order
-	connectionFaults     fixedPoint      // sum of the parts of broken connections over the order
-	warmUnmonitored      [2]int          // warm servers that are in no judged place: far, and near
-	warmupQueue          serverQueue     // servers that will be warm
-	evidenceQueue        serverQueue     // servers whose evidence will be too old
-	requests             map[string]*request
-	queued               []*request  // waiting for a usable server, oldest first
-	queueTimerSet        bool        // the hold timer is set
-	retryBudget          RetryBudget // of attempts beyond the first of each request
-	acceptedAt           []Time      // requests taken in the span of the budget of attempts, oldest first
-	retriesAt            []Time      // attempts beyond a request's first in it
-	completionRate       float64     // answers of warm servers a second, as of doneAt
-	completionRateAt     Time
-	peakServerRate       float64 // answers a second by a warm server at most of late, as of carriedAt
-	peakServerRateAt     Time
-	handedOver           bool // another process of this node has taken over
-	fleetSize            fleetSize
-	badRatio             float64       // part of bad answers lately,
-	lostRatio            float64       // and of time-outs and full answers, where nothing is reported
-	highPriorityShortage float64       // part of the dearest requests lately that found no room
-	zones                []*zoneHealth // in order of their zones; none where the settings name none
-	zonesDegraded        bool          // one of them has less than its whole share,
-	compareFrom          Time          // and since when they are compared
-	retainFor            time.Duration // that servers are kept which a list takes away in a mass
-	nearbyNodes          float64       // nodes near this one, itself included; 0 where not known
+	settings Settings // in force; NodeCount is the number of nodes that quotas are divided by
+	now      Time     // of the event in hand
+	rng      *rand.Rand
+	actions  []Action // of the event in hand
+
+	classes        classRegistry
+	rateLimiter    rateLimiter
+	rateMultiplier rateMultiplier
+	loadShedder    loadShedder
+	retryBudget    retryBudget
+	fleetSize      fleetSize
+	handedOver     bool                // another process of this node has taken over
+	requests       map[string]*request // open ones, by their ids
+	queue          requestQueue        // of requests that wait for a usable server
+
+	servers     map[string]*server // listed ones, by their IDs
+	packing     packingOrder
+	list        endpointList
+	loads       loadReports
+	window      concurrencyWindow
+	share       capacityShare
+	slowStart   slowStart
+	completions completionRate
+	outliers    outlierDetector
+	zones       zoneFailover
 }
 
-// New returns a node's decisions for the given settings. The seed drives its random choices.
+// Timer tokens. Those of the classes follow from firstClassTimerToken on, in the order in which the settings
+// first named them.
+const (
+	queueTimerToken      = 1
+	listTimerToken       = 2
+	fleetSizeTimerToken  = 3
+	retainTimerToken     = 4
+	firstClassTimerToken = 8
+)
+
+// New returns a balancer for one node. The seed drives its random choices: the same events then give the same
+// actions. The error names a setting that makes no sense.
 func New(set Settings, now Time, seed uint64) (*Balancer, error) {
 	if err := validate(set); err != nil {
 		return nil, err
 	}
 	b := &Balancer{
-		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classStats: make(map[string]*classStats),
-		buckets: make(map[bucketKey]*bucket), rateMultiplier: 1, windowScale: initialWindowScale,
+		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classes: newClassRegistry(),
+		rateLimiter: rateLimiter{buckets: newBucketTable()}, rateMultiplier: rateMultiplier{value: 1},
 		servers: make(map[string]*server), requests: make(map[string]*request),
-		loadByKind: make(map[string]*serverLoad),
+		loads:  loadReports{byKind: make(map[string]*serverLoad)},
+		window: concurrencyWindow{scale: initialWindowScale},
 	}
+	b.zones.servers, b.zones.rng, b.zones.logf = &b.packing.pool, b.rng, b.logf
 	b.applySettings(set)
 	return b, nil
 }
 
-// Handle takes one event and returns the actions it calls for. The next call reuses the slice.
+// Handle takes one event and returns the actions that it calls for, in order. The next call reuses the slice.
+// A time before that of the last event counts as that.
 func (b *Balancer) Handle(now Time, ev Event) []Action {
 	b.now, b.actions = max(now, b.now), b.actions[:0]
 	switch e := ev.(type) {
@@ -99,9 +78,7 @@
 	case RequestComplete:
 		b.onRequestComplete(e)
 	case ClientCancelled:
-		if r := b.requests[e.ID]; r != nil {
-			b.finish(r)
-		}
+		b.onClientCancelled(e)
 	case Timer:
 		b.onTimer(e.Token)
 	case EndpointList:
@@ -116,80 +93,60 @@
 	return b.actions
 }
 
-// onSettings goes on by other settings with all that was learned. Open requests keep their class.
+// onSettings goes on by other settings. What was measured stays, and open requests keep their class.
 func (b *Balancer) onSettings(set Settings) {
-	asks := set.SubscribeList && !b.settings.SubscribeList
+	subscribes := set.SubscribeList && !b.settings.SubscribeList
 	b.applySettings(set)
 	b.refreshOrder()
-	if asks {
+	if subscribes {
 		b.subscribeList()
 	}
 }
 
-// applySettings takes over settings. What was learned stays.
+// applySettings hands new settings to each mechanism.
 func (b *Balancer) applySettings(set Settings) {
-	if !reflect.DeepEqual(set.Topology, b.settings.Topology) { // they are judged anew
-		b.zones = nil
-	}
-	b.settings, b.retryBudget, b.orderStale = set, defaultRetryBudget, true
+	b.settings, b.packing.stale = set, true
+	b.zones.configure(set.Topology, set.Zone)
+	b.slowStart.configure(&set.Rules)
+	b.list.configure(set.Rules.DrainGrace)
+	b.loads.configure(set.ReportFields)
+	b.retryBudget.configure(set.Rules.RetryBudget)
 	b.settings.NodeCount = b.fleetSize.configure(set.NodeCount)
-	if b.retainFor = maxRetainTime; set.Rules.DrainGrace > 0 {
-		b.retainFor = min(maxRetainTime, set.Rules.DrainGrace/2)
-	}
-	if set.Rules.RetryBudget != nil {
-		b.retryBudget = *set.Rules.RetryBudget
-	}
-	for i, name := range []string{reportLatency, reportUtil, reportRate} {
-		b.reportColumns[i] = slices.Index(set.ReportFields, name)
-	}
-	b.formerClasses, b.classes, b.classOrder, b.maxPriorityWeight = b.classes, make(map[string]*class), nil, 0
-	for _, c := range set.Classes {
-		if c.LatencyObjective == 0 {
-			c.LatencyObjective = c.Deadline
-		}
-		b.classOrder = append(b.classOrder, &class{Class: c, eligible: &b.serverPool,
-			classStats: b.classStatsOf(c)})
-		b.classes[c.Name] = b.classOrder[len(b.classOrder)-1]
-		b.maxPriorityWeight = max(b.maxPriorityWeight, c.PriorityWeight)
-	}
-	b.divideQuotas()
+	b.classes.configure(set.Classes, &b.packing.pool)
+	b.loadShedder.configure(set.Classes)
+	b.rateLimiter.configure(set.Limits, set.Tenants, b.settings.NodeCount)
 }
 
+// emit adds an action to those of the event in hand.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// logf has a line written to the log.
+// logf emits a line for the log.
 func (b *Balancer) logf(format string, args ...any) {
 	b.emit(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
-const (
-	// of timers; the classes' follow
-	queueTimerToken, listTimerToken, fleetSizeTimerToken, retainTimerToken, firstClassTimerToken = 1, 2, 3, 4, 8
-)
-
+// onTimer hands a timer to the mechanism that set it.
 func (b *Balancer) onTimer(token uint64) {
 	switch {
 	case token == queueTimerToken:
-		b.queueTimerSet = false
-		b.dispatchQueued()
+		b.onQueueTimer()
 	case token == listTimerToken:
 		b.subscribeList()
 	case token == fleetSizeTimerToken:
-		b.settleFleetSize()
+		b.onFleetSizeTimer()
 	case token == retainTimerToken:
 		b.releaseRetained()
-	case token >= firstClassTimerToken && token < firstClassTimerToken+uint64(len(b.classesByTimer)):
-		b.checkSlowAttempts(b.classesByTimer[token-firstClassTimerToken])
+	case token >= firstClassTimerToken && token < firstClassTimerToken+uint64(len(b.classes.statsByTimer)):
+		b.checkSlowAttempts(b.classes.statsByTimer[token-firstClassTimerToken])
 	}
 }
 
-// Servers counts those in the list, and of them those that get no work now: they drain, or are ejected
-// and at most tried out.
-func (b *Balancer) Servers() (listed, avoided int) { return len(b.servers), b.unavailable }
+// Servers returns how many servers are listed, and how many of them are unavailable: draining or ejected.
+func (b *Balancer) Servers() (listed, unavailable int) { return len(b.servers), b.list.unavailable }
 
-// TailLatency is how long slow answers take, in the slowest class.
+// TailLatency returns the longest of the classes' tail latencies.
 func (b *Balancer) TailLatency() (longest time.Duration) {
-	for _, c := range b.classOrder {
+	for _, c := range b.classes.ordered {
 		longest = max(longest, c.tailLatency)
 	}
 	return longest
@@ -198,10 +155,10 @@
 // seconds turns a number of seconds into a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// updateRatio moves the part of hits lately by one more.
-func updateRatio(part *float64, gain float64, hit bool) {
-	*part -= gain * *part
+// updateRatio moves an exponential average of the part of hits by one more event. The gain is its weight.
+func updateRatio(ratio *float64, gain float64, hit bool) {
+	*ratio -= gain * *ratio
 	if hit {
-		*part += gain
+		*ratio += gain
 	}
 }
--- /dev/null
+++ b/policy/rate_multiplier_test.go
@@ -0,0 +1,107 @@
+package policy
+
+import (
+	"testing"
+)
+
+func TestRateMultiplierFollowsCapacity(t *testing.T) {
+	b := start(t, site(1), members(2))
+	for range 100 {
+		b.adjustRateMultiplier(false)
+	}
+	if b.rateMultiplier.value >= 0.5 || b.rateMultiplier.value < minRateMultiplier {
+		t.Errorf("after 100 choices without capacity the multiplier is %v", b.rateMultiplier.value)
+	}
+	was := b.rateMultiplier.value
+	b.adjustRateMultiplier(true)
+	if b.rateMultiplier.value != was {
+		t.Error("the multiplier rose though no bucket rejected a request")
+	}
+	b.rateMultiplier.bucketRejected = true
+	b.adjustRateMultiplier(true)
+	if b.rateMultiplier.value <= was {
+		t.Error("the multiplier did not rise though a bucket rejected a request and there was capacity")
+	}
+}
+
+// A request that is queued for long counts once as one that found no capacity, not at each poll.
+func TestQueuedRequestMovesTheRateMultiplierOnce(t *testing.T) {
+	b := start(t, site(1), members(1))
+	s := b.order()[0]
+	s.concurrencyLimit, s.limitReached, s.inFlight = 1, true, 3
+	b.Handle(ms, ask("x", "free"))
+	was := b.rateMultiplier.value
+	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
+		b.Handle(now, Timer{Token: queueTimerToken})
+	}
+	if len(b.queue.requests) != 1 || was >= 1 || b.rateMultiplier.value != was {
+		t.Errorf("%d queued, the multiplier went from %v to %v", len(b.queue.requests), was, b.rateMultiplier.value)
+	}
+}
+
+// Traffic far beyond the quotas is admitted only while few responses are bad: other nodes may lack the capacity.
+func TestRateMultiplierIsCautiousWhileResponsesAreBad(t *testing.T) {
+	b := start(t, site(1), members(2))
+	grow := func() {
+		for range 200 {
+			b.rateMultiplier.bucketRejected = true
+			b.adjustRateMultiplier(true)
+		}
+	}
+	grow()
+	if b.rateMultiplier.value != maxRateMultiplier {
+		t.Errorf("with good responses the multiplier is %v, want %v", b.rateMultiplier.value, maxRateMultiplier)
+	}
+	for range 20 {
+		b.updateConcurrencyLimit(b.order()[0], b.classes.ordered[0], TimedOut, ms, 1)
+	}
+	grow()
+	if b.rateMultiplier.value > cautiousRateMultiplier*(1+rateIncreaseStep) {
+		t.Errorf("with bad responses the multiplier is %v, want about %v", b.rateMultiplier.value, cautiousRateMultiplier)
+	}
+}
+
+// Nodes that divide a quota admit no more than that, whatever the capacity.
+func TestRateMultiplierIsAtMostOneWithMembership(t *testing.T) {
+	b, err := New(site(1), 0, 1)
+	if err != nil {
+		t.Fatal(err)
+	}
+	b.rateMultiplier.value = maxRateMultiplier
+	b.Handle(1, FleetSize{ReachableNodes: 1})
+	b.rateMultiplier.bucketRejected = true
+	b.adjustRateMultiplier(true)
+	if b.rateMultiplier.value != 1 {
+		t.Errorf("multiplier %v", b.rateMultiplier.value)
+	}
+}
+
+func TestRateMultiplierStepsByCapacity(t *testing.T) {
+	up, down := 1+rateIncreaseStep, 1-rateDecreaseStep
+	for _, c := range []struct {
+		name          string
+		multiplier    rateMultiplier
+		conditions    rateConditions
+		foundCapacity bool
+		want          float64
+	}{
+		{"no capacity lowers it", rateMultiplier{value: 2}, rateConditions{}, false, 2 * down},
+		{"not below its minimum", rateMultiplier{value: minRateMultiplier}, rateConditions{}, false, minRateMultiplier},
+		{"not below one where servers report load", rateMultiplier{value: 1}, rateConditions{usesLoadReports: true}, false, 1},
+		{"capacity alone changes nothing", rateMultiplier{value: 1}, rateConditions{}, true, 1},
+		{"a rejection raises it", rateMultiplier{value: 1, bucketRejected: true}, rateConditions{}, true, up},
+		{"not beyond one with membership", rateMultiplier{value: 1, bucketRejected: true},
+			rateConditions{hasMembership: true}, true, 1},
+		{"bad responses lower a high one", rateMultiplier{value: 2, badRatio: 2 * maxBadRatio, bucketRejected: true},
+			rateConditions{}, true, 2 * down},
+		{"lost attempts lower it in a large fleet", rateMultiplier{value: 1, lostRatio: 2 * maxBadRatio},
+			rateConditions{minLimitsOverload: true}, true, down},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			c.multiplier.adjust(c.foundCapacity, c.conditions)
+			if c.multiplier.value != c.want || c.multiplier.bucketRejected {
+				t.Errorf("got %+v, want the value %v", c.multiplier, c.want)
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/retry_budget_test.go
@@ -0,0 +1,96 @@
+package policy
+
+import (
+	"fmt"
+	"slices"
+	"testing"
+	"time"
+)
+
+// The budget counts every request that is received, rejected ones too, and each retry itself.
+func TestRetryBudgetCountsExactly(t *testing.T) {
+	set := site(1)
+	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0.5, Window: time.Second}
+	b := start(t, set, members(9))
+	retries := func(now Time, from, n int) (sent int) {
+		for i := range n {
+			id := fmt.Sprint(from + i)
+			for _, a := range of(slices.Clone(b.Handle(now, ask(id, "free"))), Send) {
+				sent += len(of(b.Handle(now, outcome(id, 0, a.Server, ServerError, ms)), Send))
+			}
+		}
+		return sent
+	}
+	if got := retries(ms, 0, 4); got > 4 { // two, and half of four
+		t.Errorf("%d retries for 4 requests, at most 4 allowed", got)
+	}
+	b.retryBudget.retriesAt, b.retryBudget.acceptedAt = nil, []Time{0, 1, 2, 3}
+	b.now = 500 * ms
+	for n := range 10 {
+		if may := b.mayRetry(); may != (n < 3) { // on the safe side of the exact 4
+			t.Fatalf("after %d retries: may retry %v", n, may)
+		}
+		if !b.mayRetry() {
+			break
+		}
+		b.retryBudget.retriesAt = append(b.retryBudget.retriesAt, b.now)
+	}
+	b.now = time.Second + 4 // the requests have left the window, the retries have not
+	if b.mayRetry() {
+		t.Error("more than the minimum is allowed for requests that have left the window")
+	}
+	b.now = 2 * time.Second
+	if !b.mayRetry() || len(b.retryBudget.retriesAt)+len(b.retryBudget.acceptedAt) != 0 {
+		t.Error("the window was not emptied")
+	}
+}
+
+// Requests without a retry leave nothing behind once the window of the budget has passed.
+func TestRetryBudgetForgetsRequestsAfterItsWindow(t *testing.T) {
+	b := start(t, site(1), members(4))
+	const perSecond = 50
+	for i := range 60 * perSecond {
+		now := time.Duration(i) * time.Second / perSecond
+		id := fmt.Sprint(i)
+		s := sentTo(t, b.Handle(now, ask(id, "free")))
+		b.Handle(now+ms, outcome(id, 0, s, OK, ms))
+	}
+	if limit := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.retryBudget.acceptedAt) > limit {
+		t.Errorf("the budget counts %d requests, at most %d came within its window", len(b.retryBudget.acceptedAt), limit)
+	}
+}
+
+func TestRetryBudgetAllowsAPartOfTheRequests(t *testing.T) {
+	for _, c := range []struct {
+		name              string
+		limits            RetryBudget
+		requests, retries int
+		now               Time
+		want              bool
+	}{
+		{"fewer than the minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 0, 0, true},
+		{"not the whole minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 1, 0, false},
+		{"a part of the requests", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 1, 0, true},
+		{"no more than that part", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 2, 0, false},
+		{"requests leave the window", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 0, time.Second, false},
+		{"retries leave it later", RetryBudget{MinRetries: 1.5, Window: time.Second}, 0, 1, time.Second, false},
+		{"and then are forgotten", RetryBudget{MinRetries: 1.5, Window: time.Second}, 0, 1, time.Second + 1, true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			var budget retryBudget
+			budget.configure(&c.limits)
+			for range c.requests {
+				budget.recordRequest(0)
+			}
+			for range c.retries {
+				budget.recordRetry(0)
+			}
+			if got := budget.allows(c.now); got != c.want {
+				t.Errorf("allows another retry: %v, want %v", got, c.want)
+			}
+			if budget.exhaust(c.now); budget.allows(c.now) {
+				t.Error("an exhausted budget allows a retry")
+			}
+		})
+	}
+}
--- /dev/null
+++ b/policy/zone_failover_test.go
@@ -0,0 +1,175 @@
+package policy
+
+import (
+	"fmt"
+	"math"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// twoRegions is a site of two regions: zones a and b in the north, c in the south.
+func twoRegions(nodes int) Settings {
+	set := site(nodes)
+	set.Topology = &Topology{RegionOfZone: map[string]string{"a": "north", "b": "north", "c": "south"}, SameRegionCost: 1, OtherRegionCost: 3}
+	return set
+}
+
+// endpointsInZones is n servers in each of the zones.
+func endpointsInZones(n int, zones ...string) (list []Endpoint) {
+	for _, z := range zones {
+		for i := range n {
+			list = append(list, Endpoint{ID: fmt.Sprint(z, i), Zone: z, Kind: "k", Weight: 1})
+		}
+	}
+	return list
+}
+
+// Evidence of one server, or of one kind of servers where there are several, evacuates no zone.
+func TestEvacuationNeedsEvidenceOfSeveralServersAndKinds(t *testing.T) {
+	for name, c := range map[string]struct {
+		fails     func(i int) bool
+		evacuated bool
+	}{
+		"one server":  {func(i int) bool { return i == 0 }, false},
+		"one kind":    {func(i int) bool { return i%2 == 0 }, false},
+		"all of them": {func(int) bool { return true }, true},
+		"all but one": {func(i int) bool { return i > 0 }, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			list := endpointsInZones(6, "a", "b")
+			for i := range list {
+				list[i].Kind = []string{"big", "small"}[i%2]
+			}
+			b := start(t, twoRegions(1), list)
+			for range 40 {
+				b.now += 50 * ms
+				for i := range 6 {
+					level := noFailure
+					if c.fails(i) {
+						level = plainFailure
+					}
+					b.recordEvidence(&attempt{server: b.servers[fmt.Sprint("a", i)], sentAt: b.now}, level)
+					b.recordEvidence(&attempt{server: b.servers[fmt.Sprint("b", i)], sentAt: b.now}, noFailure)
+				}
+			}
+			if got := b.zones.find("a").isEvacuated(); got != c.evacuated {
+				t.Errorf("the failing zone is evacuated: %v, want %v", got, c.evacuated)
+			}
+			if got := b.zones.find("b").trafficShare; got != 1 {
+				t.Errorf("the other zone has a share of %v", got)
+			}
+		})
+	}
+}
+
+// zoneFailoverOf is the component alone, with zones that are well.
+func zoneFailoverOf(zones ...string) *zoneFailover {
+	f := &zoneFailover{servers: &serverPool{}, rng: rand.New(rand.NewPCG(1, 1)), logf: func(string, ...any) {}}
+	f.configure(twoRegions(1).Topology, zones[0])
+	for _, zone := range zones {
+		f.find(zone)
+	}
+	return f
+}
+
+// An evacuated zone recovers once enough probes in a row have succeeded, and its share then grows to 1.
+func TestZoneRecoversAfterSuccessfulProbes(t *testing.T) {
+	f := zoneFailoverOf("a", "b")
+	z, now := f.find("a"), time.Hour
+	f.evacuate(z, evacuateEvidence, now)
+	if !z.isEvacuated() || z.trafficShare != 0 {
+		t.Fatalf("evacuated: %v, with a share of %v", z.isEvacuated(), z.trafficShare)
+	}
+	now = z.evacuatedUntil
+	for range zoneProbesNeeded - 1 {
+		f.recordProbe(z, false, now)
+	}
+	f.recordProbe(z, true, now) // a failure: all of them are needed again
+	if now = z.evacuatedUntil; !z.isEvacuated() || z.probeSuccesses != 0 {
+		t.Fatalf("after a failed probe: evacuated %v, %d successes", z.isEvacuated(), z.probeSuccesses)
+	}
+	for range zoneProbesNeeded {
+		f.recordProbe(z, false, now)
+	}
+	if z.isEvacuated() || z.trafficShare != initialRecoveryShare {
+		t.Fatalf("after the probes: evacuated %v, with a share of %v", z.isEvacuated(), z.trafficShare)
+	}
+	f.growShare(z, now+z.growthTime)
+	if want := initialRecoveryShare * math.E; math.Abs(z.trafficShare-want) > 1e-9 {
+		t.Errorf("a share of %v after the growth time, want %v", z.trafficShare, want)
+	}
+	if f.growShare(z, now+10*z.growthTime); z.trafficShare != 1 || z.recovering {
+		t.Errorf("a share of %v in the end, still recovering: %v", z.trafficShare, z.recovering)
+	}
+}
+
+// Each evacuation soon after another one takes longer, up to a bound.
+func TestEvacuationsTakeLongerInARow(t *testing.T) {
+	f := zoneFailoverOf("a", "b")
+	z, now := f.find("a"), time.Hour
+	for i, mean := range []time.Duration{2 * time.Second, 8 * time.Second, 32 * time.Second, time.Minute, time.Minute} {
+		f.evacuate(z, evacuateEvidence, now)
+		if got := z.evacuatedUntil - now; got < mean*4/5 || got > mean*6/5 {
+			t.Errorf("evacuation %d takes %v, want %v on average", i+1, got, mean)
+		}
+		f.startRecovery(z, now)
+	}
+}
+
+// A zone with a part of its share is closed to the rest of the requests and to all retries, but not where a class
+// has no other zone.
+func TestZonesAreClosedToTheRestOfTheRequests(t *testing.T) {
+	b := start(t, twoRegions(1), endpointsInZones(2, "a", "b"))
+	onlyA := &class{Class: Class{Zones: []string{"a"}}, eligible: &serverPool{}}
+	for _, s := range b.order() {
+		if s.Zone == "a" {
+			onlyA.eligible.insert(s, 0)
+		}
+	}
+	for name, c := range map[string]struct {
+		class                *class
+		isRetry              bool
+		minClosed, maxClosed int
+	}{
+		"first attempts": {b.classes.ordered[0], false, 400, 600},
+		"retries":        {b.classes.ordered[0], true, 1000, 1000},
+		"no other zone":  {onlyA, true, 0, 0},
+	} {
+		closed := 0
+		for range 1000 {
+			b.zones.degraded, b.zones.find("a").trafficShare = true, 0.5
+			b.zones.chooseZones(c.class, c.isRetry, b.now)
+			if b.zones.find("a").closed {
+				closed++
+			}
+		}
+		if closed < c.minClosed || closed > c.maxClosed {
+			t.Errorf("%s: closed to %d of 1000, want %d to %d", name, closed, c.minClosed, c.maxClosed)
+		}
+	}
+}
+
+func TestOutcomesAsEvidence(t *testing.T) {
+	c := new(classStats)
+	for range minTypicalSamples {
+		if got := c.failureLevel("k", OK, 0.1); got != noFailure {
+			t.Fatalf("a response as usual is a failure of level %v", got)
+		}
+	}
+	for _, outcome := range []struct {
+		code    Code
+		latency float64
+		want    failureLevel
+	}{
+		{OK, 0.2, noFailure},
+		{OK, 1, plainFailure}, // far slower than is typical
+		{ServerError, 0.1, plainFailure},
+		{TimedOut, 1, plainFailure},
+		{ConnectFailed, 0.001, connectFailure},
+	} {
+		if got := c.failureLevel("k", outcome.code, outcome.latency); got != outcome.want {
+			t.Errorf("code %v after %v s: level %v, want %v", outcome.code, outcome.latency, got, outcome.want)
+		}
+	}
+}
