--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -29,7 +29,7 @@
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
 	defer signal.Stop(changed)
-	c, err := node.LoadConfig(os.Getenv)
+	c, err := node.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -27,7 +27,7 @@
 	Discovery string // of the list service; commas part the addresses of its replicas
 	ListFile  string // where the list is kept for a start with no list service; empty for none
 	Control   string // the operators' address; empty for none
-	Scratch   string // a folder that all processes of this node share; empty for none
+	SharedDir string // a folder that all processes of this node share; empty for none
 	Seed      uint64
 	Cores     float64
 	MemoryMB  int64
@@ -41,16 +41,16 @@
 	MaxOpen        int           // unanswered requests; 0: no limit
 	ConnectTimeout time.Duration // for a new connection to a server
 
-	shape any      // the keys of the file
-	dial  dialFunc // nil for the machine's network
+	keys any      // the keys of the file
+	Dial DialFunc // nil for the machine's network
 }
 
-type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// dialer opens connections that come up within a time. TCP's own keep-alive notices nothing here.
-func (c Config) dialer(timeout time.Duration) dialFunc {
-	if c.dial != nil {
-		return c.dial
+// Dialer opens connections that come up within a time. TCP's own keep-alive notices nothing here.
+func (c Config) Dialer(timeout time.Duration) DialFunc {
+	if c.Dial != nil {
+		return c.Dial
 	}
 	return (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext
 }
@@ -63,25 +63,25 @@
 // discoveryConfig is that of the client of the list service.
 func (c Config) discoveryConfig() discovery.ClientConfig {
 	return discovery.ClientConfig{Target: c.discoveryTarget(), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
-		Dial: c.dialer(discovery.MaxQueueTime)}
+		Dial: c.Dialer(discovery.MaxQueueTime)}
 }
 
-// minSockets is what a node can work with at all: a few for itself, and some for each side.
-const minSockets = 64
+// MinSockets is what a node can work with at all: a few for itself, and some for each side.
+const MinSockets = 64
 
 // defaultConnectTimeout stands in where the settings name none.
 const defaultConnectTimeout = 250 * time.Millisecond
 
-// LoadConfig reads the file that ROUTER_CONFIG names. The other variables, where set, go before what
+// Load reads the file that ROUTER_CONFIG names. The other variables, where set, go before what
 // the file says. Errors name the field.
-func LoadConfig(getenv func(string) string) (Config, error) {
-	c, err := readConfig(getenv, nil)
+func Load(getenv func(string) string) (Config, error) {
+	c, err := readFile(getenv, nil)
 	if err != nil {
 		return Config{}, err
 	}
 	for name, field := range map[string]*string{
 		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery,
-		"ROUTER_CONTROL": &c.Control, "TMPDIR": &c.Scratch,
+		"ROUTER_CONTROL": &c.Control, "TMPDIR": &c.SharedDir,
 	} {
 		if v := getenv(name); v != "" {
 			*field = v
@@ -104,8 +104,8 @@
 	return c, nil
 }
 
-// readConfig reads the file that ROUTER_CONFIG names. It has to have the keys that the one before had.
-func readConfig(getenv func(string) string, before any) (Config, error) {
+// readFile reads the file that ROUTER_CONFIG names. It has to have the keys that the one before had.
+func readFile(getenv func(string) string, before any) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
 		return Config{}, errors.New("ROUTER_CONFIG: not set")
@@ -114,22 +114,22 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	keys, err := shape(raw)
+	keys, err := keysOf(raw)
 	if err == nil {
-		err = sameShape("", before, keys)
+		err = checkKeys("", before, keys)
 	}
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := parseConfig(raw)
+	c, err := Parse(raw)
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	c.shape = keys
+	c.keys = keys
 	return c, nil
 }
 
-func parseConfig(raw []byte) (Config, error) {
+func Parse(raw []byte) (Config, error) {
 	var f struct {
 		Name      string `json:"name"`
 		Listen    string `json:"listen"`
@@ -161,8 +161,8 @@
 		return Config{}, fmt.Errorf("limits.cores: want more than 0, got %v", l.Cores)
 	case !(l.MemoryMB >= 1) || l.MemoryMB > math.MaxInt32:
 		return Config{}, fmt.Errorf("limits.memory_mb: want 1 or more, got %v", l.MemoryMB)
-	case l.Sockets < minSockets:
-		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", minSockets, l.Sockets)
+	case l.Sockets < MinSockets:
+		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", MinSockets, l.Sockets)
 	}
 	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, ListFile: f.ListFile, Control: f.Control, Seed: seed,
 		Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), Sockets: f.Limits.Sockets}
@@ -179,7 +179,7 @@
 	}
 	c.Settings.RetainMissing = f.Ease
 	if len(f.Places) > 0 {
-		if err := parsePlaces(f.Places, &c.Settings); err != nil {
+		if err := parseZones(f.Places, &c.Settings); err != nil {
 			return Config{}, err
 		}
 	}
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -26,7 +26,7 @@
 }
 
 func TestLoadsConfig(t *testing.T) {
-	c, err := LoadConfig(configFile(t, goodConfig))
+	c, err := Load(configFile(t, goodConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -38,7 +38,7 @@
 }
 
 func TestBadConfigNamesTheField(t *testing.T) {
-	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
+	if _, err := Load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
 		t.Errorf("no file: %v", err)
 	}
 	for _, c := range []struct{ old, new, want string }{
@@ -67,7 +67,7 @@
 		{`"seed"`, `"ease_lists":3,"seed"`, "ease_lists"},
 		{`{`, ``, ""},
 	} {
-		_, err := LoadConfig(configFile(t, strings.Replace(goodConfig, c.old, c.new, 1)))
+		_, err := Load(configFile(t, strings.Replace(goodConfig, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: got %v, want one line that names %q", c.new, c.old, err, c.want)
 		}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -167,8 +167,8 @@
 	return m, nil
 }
 
-// sameFleet tells whether a changed configuration asks for another membership, which needs a new process.
-func sameFleet(a, b *gossip.Config) error {
+// checkSameFleet tells whether a changed configuration asks for another membership, which needs a new process.
+func checkSameFleet(a, b *gossip.Config) error {
 	if (a == nil) != (b == nil) || a != nil && !a.Equal(*b) {
 		return errors.New("fleet: what has changed there takes a new process")
 	}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -45,8 +45,8 @@
 // to seen, unless that is nil, by the goroutine that took it.
 func NewHollow(c Config, seen func(policy.EndpointList)) (*Hollow, error) {
 	h := &Hollow{config: c, traffic: new(traffic)}
-	dial := c.dialer(discovery.MaxQueueTime)
-	c.dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
+	dial := c.Dialer(discovery.MaxQueueTime)
+	c.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
 		if err != nil {
 			return nil, err
@@ -115,7 +115,7 @@
 
 // Reconfigure goes on by another configuration.
 func (h *Hollow) Reconfigure(c Config) {
-	h.loop.handle(retuned{c})
+	h.loop.handle(configChanged{c})
 	h.config = c
 }
 
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -27,7 +27,7 @@
 	if err := os.WriteFile(path, []byte(raw), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := LoadConfig(func(name string) string {
+	c, err := Load(func(name string) string {
 		if name == "ROUTER_CONFIG" {
 			return path
 		}
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -27,7 +27,7 @@
 	}
 	c.Listen = ln.Addr().String()
 	ln.Close()
-	c.Scratch = t.TempDir()
+	c.SharedDir = t.TempDir()
 	return c
 }
 
@@ -204,7 +204,7 @@
 		"stale":       func(t *testing.T, c Config) { stale(t, c.identity().SocketPath()) },
 		"silent end":  speak(""),
 		"rubbish":     speak("\n{\"Version\":99"),
-		"not a place": func(t *testing.T, c Config) { os.Remove(c.Scratch) },
+		"not a place": func(t *testing.T, c Config) { os.Remove(c.SharedDir) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -242,8 +242,8 @@
 func TestHandoverInADeepFolder(t *testing.T) {
 	t.Parallel()
 	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
-	c.Scratch = filepath.Join(c.Scratch, strings.Repeat("d", 120))
-	if err := os.Mkdir(c.Scratch, 0o700); err != nil {
+	c.SharedDir = filepath.Join(c.SharedDir, strings.Repeat("d", 120))
+	if err := os.Mkdir(c.SharedDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	startProcess(t, c)
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -35,7 +35,7 @@
 		case !errors.Is(err, os.ErrNotExist):
 			slog.Warn("hot restart: no hand-over, starting without former state", "error", err)
 		}
-	} else if c.Scratch == "" {
+	} else if c.SharedDir == "" {
 		slog.Info("hot restart: TMPDIR is not set, this process can't hand over")
 	}
 	if at.Clients == nil {
@@ -74,5 +74,5 @@
 
 // identity says which node this process is one of.
 func (c Config) identity() hotrestart.Identity {
-	return hotrestart.Identity{Name: c.Name, Address: c.Listen, Dir: c.Scratch}
+	return hotrestart.Identity{Name: c.Name, Address: c.Listen, Dir: c.SharedDir}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -253,8 +253,8 @@
 		l.end(e)
 	case discovery.Update:
 		l.applyUpdate(e)
-	case retuned:
-		l.retune(e.Config)
+	case configChanged:
+		l.applyConfig(e.Config)
 	case snapshotRequest:
 		left := hotrestart.State{Policy: l.module.Snapshot(l.clock.now()), InFlight: l.module.InFlight()}
 		left.SetEndpointList(maps.Values(l.endpoints))
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -87,7 +87,7 @@
 		case err := <-failed:
 			return fmt.Errorf("serving: %w", err)
 		case change := <-changes:
-			l.change(change)
+			l.handleChange(change)
 		case <-ctx.Done():
 		}
 	}
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -52,7 +52,7 @@
 func TestSilentPeersLeaveClientsAlone(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
-		c.Sockets = minSockets
+		c.Sockets = MinSockets
 		node, _ := startNode(t, c)
 		client := keptClient(t)
 		ask := func(id string) *http.Response {
@@ -66,7 +66,7 @@
 		}
 		ask("first")
 		var held []net.Conn
-		for range (minSockets-ownSockets)*2/3 + 5 {
+		for range (MinSockets-ownSockets)*2/3 + 5 {
 			peer := nodetest.Dial(t, node)
 			defer peer.Close()
 			held = append(held, peer)
--- a/internal/node/places.go
+++ b/internal/node/places.go
@@ -14,13 +14,13 @@
 )
 
 const (
-	placesPath      = "/places"
-	sameRegionCost  = 1.0 // where the section names none
-	otherRegionCost = 3.0
+	placesPath             = "/places"
+	defaultSameRegionCost  = 1.0 // where the section names none
+	defaultOtherRegionCost = 3.0
 )
 
-// placesSection is the part of the configuration that has the module judge zones. Without it there is none of it.
-type placesSection struct {
+// zonesSection is the part of the configuration that has the module judge zones. Without it there is none of it.
+type zonesSection struct {
 	Regions     map[string][]string           `json:"regions"` // the zones of each
 	SameRegion  *float64                      `json:"same_region"`
 	OtherRegion *float64                      `json:"other_region"`
@@ -28,14 +28,14 @@
 	Only        map[string][]string           `json:"only"`  // the regions that a class is bound to
 }
 
-// parsePlaces reads the section strictly, into the settings: a class whose binding is misspelt would leave its region.
-func parsePlaces(raw json.RawMessage, set *policy.Settings) error {
-	var s placesSection
+// parseZones reads the section strictly, into the settings: a class whose binding is misspelt would leave its region.
+func parseZones(raw json.RawMessage, set *policy.Settings) error {
+	var s zonesSection
 	if err := decode.Section("places", raw, &s); err != nil {
 		return err
 	}
-	p := &policy.Topology{RegionOfZone: make(map[string]string), ZoneCosts: s.Costs, SameRegionCost: orUsual(s.SameRegion, sameRegionCost),
-		OtherRegionCost: orUsual(s.OtherRegion, otherRegionCost)}
+	p := &policy.Topology{RegionOfZone: make(map[string]string), ZoneCosts: s.Costs, SameRegionCost: orDefault(s.SameRegion, defaultSameRegionCost),
+		OtherRegionCost: orDefault(s.OtherRegion, defaultOtherRegionCost)}
 	for region, zones := range s.Regions {
 		for _, zone := range zones {
 			if was, ok := p.RegionOfZone[zone]; ok {
@@ -45,7 +45,7 @@
 		}
 	}
 	for class, regions := range s.Only {
-		if err := bind(set.Classes, class, regions, s.Regions); err != nil {
+		if err := bindClass(set.Classes, class, regions, s.Regions); err != nil {
 			return err
 		}
 	}
@@ -53,16 +53,16 @@
 	return nil
 }
 
-// orUsual is a figure, or the usual one where the file has none.
-func orUsual(v *float64, usual float64) float64 {
+// orDefault is a figure, or the usual one where the file has none.
+func orDefault(v *float64, usual float64) float64 {
 	if v == nil {
 		return usual
 	}
 	return *v
 }
 
-// bind holds a class to regions. The classes are the settings' own, read just before.
-func bind(classes []policy.Class, name string, regions []string, known map[string][]string) error {
+// bindClass holds a class to regions. The classes are the settings' own, read just before.
+func bindClass(classes []policy.Class, name string, regions []string, known map[string][]string) error {
 	i := slices.IndexFunc(classes, func(c policy.Class) bool { return c.Name == name })
 	if i < 0 {
 		return fmt.Errorf("places.only: there is no class %q", name)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -23,8 +23,8 @@
 	Err    error // nothing is taken from such a file
 }
 
-// retuned is a changed configuration on its way to the loop.
-type retuned struct{ Config }
+// configChanged is a changed configuration on its way to the loop.
+type configChanged struct{ Config }
 
 // terms are the settings that clients' requests are read by.
 type terms struct {
@@ -81,20 +81,20 @@
 	return longest
 }
 
-// change passes on what came of reading the configuration anew.
-func (l *loop) change(c Change) {
+// handleChange passes on what came of reading the configuration anew.
+func (l *loop) handleChange(c Change) {
 	if c.Err != nil {
 		slog.Error("the changed configuration is not used", "err", c.Err)
 		l.fig.invalid.Inc()
 		return
 	}
-	l.send(retuned{c.Config})
+	l.send(configChanged{c.Config})
 }
 
-// retune goes on by another configuration, all of it at once. Open requests keep their class.
-func (l *loop) retune(c Config) {
+// applyConfig goes on by another configuration, all of it at once. Open requests keep their class.
+func (l *loop) applyConfig(c Config) {
 	l.allowed, l.maxOpen = c.Settings.Allowed, c.MaxOpen
-	l.up.retune(c)
+	l.up.applyConfig(c)
 	var names []string
 	for _, class := range c.Settings.Classes {
 		l.fig.class(class.Name)
@@ -113,14 +113,14 @@
 // Reload reads the file that ROUTER_CONFIG names anew, after a change of it. The other variables tell
 // only what was so at the start. Nothing is taken from a file that lacks what the one before had.
 func Reload(getenv func(string) string, before Config) (Config, error) {
-	c, err := readConfig(getenv, before.shape)
+	c, err := readFile(getenv, before.keys)
 	if err != nil {
 		return Config{}, err
 	}
 	if err := decode.CheckAddresses(c.Discovery); err != nil {
 		return Config{}, fmt.Errorf("configuration: discovery: %w", err)
 	}
-	if n := c.Settings.Allowed.MaxAttempts; n <= 0 && has(c.shape, "settings", "limits", "maxAttempts") {
+	if n := c.Settings.Allowed.MaxAttempts; n <= 0 && hasKey(c.keys, "settings", "limits", "maxAttempts") {
 		return Config{}, fmt.Errorf("configuration: settings.limits.maxAttempts: want a positive number, got %d", n)
 	}
 	for _, class := range c.Settings.Classes {
@@ -128,24 +128,24 @@
 			return Config{}, errors.New("configuration: settings.services: one has no name")
 		}
 	}
-	c.Name, c.dial = before.Name, before.dial
+	c.Name, c.Dial = before.Name, before.Dial
 	if c.Fleet != nil {
 		c.Fleet.Name = c.Name
 	}
-	if err := sameFleet(before.Fleet, c.Fleet); err != nil {
+	if err := checkSameFleet(before.Fleet, c.Fleet); err != nil {
 		slog.Warn("the configuration is taken but for a part", "err", err)
 		c.Fleet = before.Fleet
 	}
 	return c, nil
 }
 
-// mayLack are the keys that a configuration may be without, as the wire page has it, and what only some
+// optionalKeys are the keys that a configuration may be without, as the wire page has it, and what only some
 // entries need.
-var mayLack = []string{"control", "aimStretch", "warmKeys", "passesDeadline", "servedOn", "localitiesOnly",
+var optionalKeys = []string{"control", "aimStretch", "warmKeys", "passesDeadline", "servedOn", "localitiesOnly",
 	"group", "window", "fleet", "places", "ease_lists", "list_file", "scope", "minExtra", "budgetShare", "ratioSpan"}
 
-// shape is what keys a configuration has: the members of a list of servers are discovery's.
-func shape(raw []byte) (any, error) {
+// keysOf is what keys a configuration has: the members of a list of servers are discovery's.
+func keysOf(raw []byte) (any, error) {
 	var all map[string]any
 	if err := json.Unmarshal(raw, &all); err != nil {
 		return nil, err
@@ -156,8 +156,8 @@
 	return all, nil
 }
 
-// has tells whether a configuration has a key; the path leads there.
-func has(shape any, path ...string) bool {
+// hasKey tells whether a configuration has a key; the path leads there.
+func hasKey(shape any, path ...string) bool {
 	for _, key := range path {
 		keys, _ := shape.(map[string]any)
 		shape = keys[key]
@@ -165,8 +165,8 @@
 	return shape != nil
 }
 
-// sameShape says which key of a configuration the next one lacks.
-func sameShape(path string, before, now any) error {
+// checkKeys says which key of a configuration the next one lacks.
+func checkKeys(path string, before, now any) error {
 	switch was := before.(type) {
 	case map[string]any:
 		is, ok := now.(map[string]any)
@@ -178,13 +178,13 @@
 			if path == "" {
 				at = key
 			}
-			if v == nil || slices.Contains(mayLack, key) {
+			if v == nil || slices.Contains(optionalKeys, key) {
 				continue
 			}
 			if is[key] == nil {
 				return fmt.Errorf("%s: missing", at)
 			}
-			if err := sameShape(at, v, is[key]); err != nil {
+			if err := checkKeys(at, v, is[key]); err != nil {
 				return err
 			}
 		}
@@ -195,7 +195,7 @@
 		}
 		common := commonKeys(was)
 		for i, entry := range is {
-			if err := sameShape(path+"["+strconv.Itoa(i)+"]", common, entry); err != nil {
+			if err := checkKeys(path+"["+strconv.Itoa(i)+"]", common, entry); err != nil {
 				return err
 			}
 		}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -25,11 +25,11 @@
 		}
 	}
 	write(text)
-	c, err := LoadConfig(getenv)
+	c, err := Load(getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.dial = nodetest.Dialer(t)
+	c.Dial = nodetest.Dialer(t)
 	return c, func(text string) (Config, error) {
 		write(text)
 		return Reload(getenv, c)
--- a/internal/node/scope_config_test.go
+++ b/internal/node/scope_config_test.go
@@ -14,12 +14,12 @@
 		`{"services":["a"]}`:                 "service=a",
 	} {
 		text := strings.Replace(goodConfig, `"seed"`, `"scope":`+section+`,"seed"`, 1)
-		c, err := LoadConfig(configFile(t, text))
+		c, err := Load(configFile(t, text))
 		if err != nil || c.Scope != want {
 			t.Errorf("%s: %q, %v, want %q", section, c.Scope, err, want)
 		}
 	}
-	if c, err := LoadConfig(configFile(t, goodConfig)); err != nil || c.Scope != "" {
+	if c, err := Load(configFile(t, goodConfig)); err != nil || c.Scope != "" {
 		t.Errorf("without the section: %q, %v", c.Scope, err)
 	}
 }
@@ -49,7 +49,7 @@
 		`{"services":[` + strings.Join(long, ",") + `]}`: "scope.services: want 8192 bytes at most",
 	} {
 		text := strings.Replace(goodConfig, `"seed"`, `"scope":`+section+`,"seed"`, 1)
-		_, err := LoadConfig(configFile(t, text))
+		_, err := Load(configFile(t, text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.80s: got %v, want one line that names %q", section, err, want)
 		}
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -182,9 +182,9 @@
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 		c := testConfig(t, nodetest.KnownList(addr))
-		c.Sockets = minSockets
+		c.Sockets = MinSockets
 		node, _ := startNode(t, c)
-		side := (minSockets - ownSockets) / 2
+		side := (MinSockets - ownSockets) / 2
 		var held []net.Conn
 		defer func() {
 			for _, c := range held {
@@ -425,7 +425,7 @@
 	nodetest.Receive(t, "a request", got)
 	late := newTestClient(t, node)
 	nodetest.Await(t, "the connection over the limit", func() bool { return s.peers.count() == 3 })
-	total.Store(minSockets)
+	total.Store(MinSockets)
 	late.send("GET", "read", "late", "")
 	letGo()
 	if resp := late.answered(); resp.StatusCode != http.StatusOK {
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -75,11 +75,11 @@
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`, known, testSettings)
-	c, err := parseConfig([]byte(raw))
+	c, err := Parse([]byte(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.dial = nodetest.Dialer(t)
+	c.Dial = nodetest.Dialer(t)
 	return c
 }
 
@@ -156,7 +156,7 @@
 
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
-	s.loop.up.sockets.total.Store(minSockets)
+	s.loop.up.sockets.total.Store(MinSockets)
 	ended := make(chan error, 1)
 	go func() { ended <- s.accept(ln) }()
 	t.Cleanup(func() {
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -54,7 +54,7 @@
 	down := make(chan struct{}) // closed once the service takes connections
 	l := newLeavingTest(t, subscribe, func(c *Config) {
 		c.Settings.Rules.PollInterval = o.within
-		c.dial = refuseUntil(c, down, refused)
+		c.Dial = refuseUntil(c, down, refused)
 		if o.fails != nil {
 			close(down)
 		}
@@ -91,8 +91,8 @@
 }
 
 // refuseUntil dials as c does, and for the list service to where nobody listens until up is closed.
-func refuseUntil(c *Config, up <-chan struct{}, refused chan<- time.Time) dialFunc {
-	dial, service := c.dialer(time.Second), c.Discovery
+func refuseUntil(c *Config, up <-chan struct{}, refused chan<- time.Time) DialFunc {
+	dial, service := c.Dialer(time.Second), c.Discovery
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr != service {
 			return dial(ctx, network, addr)
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -45,7 +45,7 @@
 // or a request with an Idempotency-Key, again on its own when a reused connection breaks, and each such
 // copy would be an attempt that the module never decided on.
 type upstream struct {
-	dialer  dialFunc
+	dialer  DialFunc
 	idleFor time.Duration // an idle connection is dropped after this
 	report  []string      // names of the figures of a load report, in order
 	eases   bool          // the module may send for a moment to what the list lacks
@@ -105,19 +105,19 @@
 
 func newUpstream(c Config, shared *sockets, fig *figures) *upstream {
 	u := &upstream{relayed: fig.relayed, pools: make(map[string]*pool), sockets: shared, waits: socketWait}
-	u.retune(c)
+	u.applyConfig(c)
 	return u
 }
 
-// retune takes over what a configuration says of connections and reports.
-func (u *upstream) retune(c Config) {
+// applyConfig takes over what a configuration says of connections and reports.
+func (u *upstream) applyConfig(c Config) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	idle := c.Settings.Allowed.IdleTimeout
 	if idle == 0 {
 		idle = defaultConnIdle
 	}
-	u.dialer = c.dialer(c.ConnectTimeout)
+	u.dialer = c.Dialer(c.ConnectTimeout)
 	u.idleFor = idle / 2 // what is written just as the server closes would end as a reset
 	u.report, u.eases = c.Settings.ReportFields, c.Settings.RetainMissing
 }
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -102,4 +102,4 @@
 }
 
 // load reads a node's configuration as the node's program does.
-func load(path string) (node.Config, error) { return node.LoadConfig(fromFile(path)) }
+func load(path string) (node.Config, error) { return node.Load(fromFile(path)) }
