--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -55,17 +55,6 @@
 	return (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext
 }
 
-// discoveryTarget is what the configuration says of the list service.
-func (c Config) discoveryTarget() discovery.Target {
-	return discovery.NewTarget(c.Discovery, c.Scope, c.Settings)
-}
-
-// discoveryConfig is that of the client of the list service.
-func (c Config) discoveryConfig() discovery.ClientConfig {
-	return discovery.ClientConfig{Target: c.discoveryTarget(), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
-		Dial: c.Dialer(discovery.MaxQueueTime)}
-}
-
 // MinSockets is what a node can work with at all: a few for itself, and some for each side.
 const MinSockets = 64
 
@@ -224,29 +213,4 @@
 	return nil
 }
 
-// ownSockets is how many descriptors belong to neither side.
-func (c Config) ownSockets() int {
-	n := ownSockets
-	if c.Control != "" {
-		n += controlSockets
-	}
-	if c.Fleet != nil {
-		n += gossip.MaxDescriptors
-	}
-	return n
-}
-
-// ownSocketsShared is the same for each of two processes that share the node's descriptors for a while. What is set
-// aside for moments when counts are off, and for many callers at the second address, is set aside once.
-func (c Config) ownSocketsShared() int {
-	n := ownSocketsWhileShared
-	if c.Control != "" {
-		n += controlSockets / 2
-	}
-	if c.Fleet != nil { // one of the two is the member
-		n += gossip.MaxDescriptors / 2
-	}
-	return n
-}
-
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -75,7 +75,7 @@
 	if resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: c.identity().SocketPath(), Net: "unix"})
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: identityOf(c).SocketPath(), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -54,7 +54,7 @@
 	} else {
 		close(h.server.soleListener)
 	}
-	id := h.config.identity()
+	id := identityOf(h.config)
 	if id.SocketPath() == "" {
 		return
 	}
@@ -119,10 +119,10 @@
 // releaseSockets cuts this process down to what it holds, and returns what is left for its successor.
 func (h *hotRestart) releaseSockets() int {
 	clients := h.server.peers.count()
-	spare := max(1, min(maxSpareConns, (h.config.Sockets-h.config.ownSockets())/spareFraction))
+	spare := max(1, min(maxSpareConns, (h.config.Sockets-reservedSockets(h.config))/spareFraction))
 	servers := h.upstream.shrink(min(clients, maxSpareServerConns), spare)
 	h.clients.setLimit(clients + spare)
-	held := h.config.ownSocketsShared() + clients + spare + servers
+	held := reservedSocketsWhileShared(h.config) + clients + spare + servers
 	total := h.totalSockets()
 	return max(total/minSuccessorFraction, total-held)
 }
@@ -133,9 +133,9 @@
 	// and say nothing leave the servers' side its descriptors. While two processes share them, none is set aside for
 	// clients over the limit: they wait to be accepted for what the other process releases.
 	h.mu.Lock()
-	sockets, own, over := h.sockets, h.config.ownSockets(), ownSockets/2
+	sockets, own, over := h.sockets, reservedSockets(h.config), ownSockets/2
 	if h.server.sharingSockets.Load() {
-		own, over = h.config.ownSocketsShared(), 0
+		own, over = reservedSocketsWhileShared(h.config), 0
 	}
 	h.mu.Unlock()
 	h.upstream.sockets.total.Store(int64(max(leastPart, sockets-own)))
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -38,10 +38,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, _ := os.Stat(c.identity().SocketPath())
+	before, _ := os.Stat(identityOf(c).SocketPath())
 	_, stop = startNodeAt(t, c, at, nil)
 	nodetest.Await(t, "its place for a successor", func() bool {
-		now, err := os.Stat(c.identity().SocketPath())
+		now, err := os.Stat(identityOf(c).SocketPath())
 		return err == nil && !os.SameFile(before, now)
 	})
 	return at, stop
@@ -172,7 +172,7 @@
 		t.Fatalf("no hand-over: %v", err)
 	}
 	defer at.close()
-	if got := at.predecessor.State.Sockets; got < c.Sockets/4 || got > c.Sockets-c.ownSocketsShared() {
+	if got := at.predecessor.State.Sockets; got < c.Sockets/4 || got > c.Sockets-reservedSocketsWhileShared(c) {
 		t.Errorf("%d descriptors of %d for the successor", got, c.Sockets)
 	}
 }
@@ -182,7 +182,7 @@
 	t.Parallel()
 	speak := func(say string) func(t *testing.T, c Config) {
 		return func(t *testing.T, c Config) {
-			l, err := net.Listen("unix", c.identity().SocketPath())
+			l, err := net.Listen("unix", identityOf(c).SocketPath())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -201,7 +201,7 @@
 	}
 	for name, prepare := range map[string]func(t *testing.T, c Config){
 		"nobody":      func(*testing.T, Config) {},
-		"stale":       func(t *testing.T, c Config) { stale(t, c.identity().SocketPath()) },
+		"stale":       func(t *testing.T, c Config) { stale(t, identityOf(c).SocketPath()) },
 		"silent end":  speak(""),
 		"rubbish":     speak("\n{\"Version\":99"),
 		"not a place": func(t *testing.T, c Config) { os.Remove(c.SharedDir) },
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -26,8 +26,8 @@
 func Listen(ctx context.Context, c Config) (Listeners, error) {
 	var at Listeners
 	var err error
-	if c.identity().SocketPath() != "" {
-		at.predecessor, err = hotrestart.TakeOver(c.identity())
+	if identityOf(c).SocketPath() != "" {
+		at.predecessor, err = hotrestart.TakeOver(identityOf(c))
 		switch {
 		case err == nil:
 			at.Clients = at.predecessor.Clients
@@ -72,7 +72,7 @@
 	return lc.Listen(ctx, "tcp", addr)
 }
 
-// identity says which node this process is one of.
-func (c Config) identity() hotrestart.Identity {
+// identityOf says which node this process is one of.
+func identityOf(c Config) hotrestart.Identity {
 	return hotrestart.Identity{Name: c.Name, Address: c.Listen, Dir: c.SharedDir}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -137,9 +137,9 @@
 	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, fig: fig,
 		events: make(chan any, eventBuffer), done: make(chan struct{}), ready: make(chan struct{}),
 		requests: make(map[string]*request), endpoints: make(map[string]discovery.Endpoint)}
-	l.target = c.discoveryTarget()
+	l.target = discoveryTarget(c)
 	l.terms.Store(newTerms(c.Settings.Classes))
-	l.disc = discovery.NewClient(c.discoveryConfig(), func(u discovery.Update) { l.send(u) })
+	l.disc = discovery.NewClient(discoveryConfig(c), func(u discovery.Update) { l.send(u) })
 	return l, nil
 }
 
@@ -393,26 +393,6 @@
 	l.drop(e.r)
 }
 
-func (l *loop) applyUpdate(n discovery.Update) {
-	if n.Kind != policy.ListUnavailable {
-		l.up.update(n)
-	}
-	if n.Kind == policy.ListReplace || n.Kind == policy.ListCached {
-		clear(l.endpoints)
-	}
-	for _, m := range n.Endpoints {
-		if l.endpoints[m.ID] = m; m.Availability == policy.Removed {
-			delete(l.endpoints, m.ID)
-		}
-	}
-	members := make([]policy.Endpoint, len(n.Endpoints))
-	for i, m := range n.Endpoints {
-		members[i] = m.Endpoint
-		members[i].StartedAt = l.clock.unix(m.StartedAtMillis)
-	}
-	l.tell(policy.EndpointList{Kind: n.Kind, Endpoints: members})
-}
-
 // spent tells whether a request can't be written again.
 func (r *request) spent() bool { return r.rest != nil && r.rest.begun.Load() }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -4,7 +4,6 @@
 	"context"
 	"fmt"
 	"log/slog"
-	"runtime/debug"
 	"sync"
 	"time"
 
@@ -14,14 +13,10 @@
 )
 
 const (
-	ownSockets            = 32                     // descriptors for the log, discovery, the runtime and the like
-	ownSocketsWhileShared = 18                     // the same while two processes share the node's: 14 are in use
-	acceptFor             = 500 * time.Millisecond // after the signal to stop, while clients still come
-	longestDrain          = 3 * time.Second        // no client waits longer once a node is told to stop
-	stopPoll              = 20 * time.Millisecond  // between looks at whether a replaced process has clients left
-	lastAnswers           = 100 * time.Millisecond // for what is failed then to reach its clients
-	// heapFraction of the memory limit is the heap's: stacks and sockets take the rest.
-	heapFraction = 0.75
+	acceptFor    = 500 * time.Millisecond // after the signal to stop, while clients still come
+	longestDrain = 3 * time.Second        // no client waits longer once a node is told to stop
+	stopPoll     = 20 * time.Millisecond  // between looks at whether a replaced process has clients left
+	lastAnswers  = 100 * time.Millisecond // for what is failed then to reach its clients
 )
 
 // Run serves clients until ctx ends. Then it goes on accepting for a moment, answers what it has taken,
@@ -126,11 +121,6 @@
 	return longest
 }
 
-// limitMemory sets the part of the memory limit that this process may use.
-func limitMemory(c Config, part float64) {
-	debug.SetMemoryLimit(int64(part * heapFraction * float64(c.MemoryMB) * (1 << 20)))
-}
-
 // longestWait is how long a client of a stopping node may wait.
 func longestWait(classes []policy.Class) time.Duration {
 	var longest time.Duration
