--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -13,6 +13,7 @@
 	"syscall"
 
 	"sloerail/internal/node"
+	"sloerail/internal/node/config"
 )
 
 func main() {
@@ -29,7 +30,7 @@
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
 	defer signal.Stop(changed)
-	c, err := node.Load(os.Getenv)
+	c, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -76,14 +77,14 @@
 
 // follow reads the configuration anew at each signal, until ctx ends. A file has to hold what the last one
 // that was taken held.
-func follow(ctx context.Context, c node.Config, changed <-chan os.Signal, changes chan<- node.Change) {
+func follow(ctx context.Context, c config.Config, changed <-chan os.Signal, changes chan<- node.Change) {
 	for {
 		select {
 		case <-changed:
 		case <-ctx.Done():
 			return
 		}
-		next, err := node.Reload(os.Getenv, c)
+		next, err := config.Reload(os.Getenv, c)
 		if err == nil {
 			c = next
 		}
--- a/cmd/sloerail/main.go
+++ b/cmd/sloerail/main.go
@@ -12,7 +12,7 @@
 
 	"github.com/spf13/cobra"
 
-	"sloerail/internal/node"
+	"sloerail/internal/node/config"
 )
 
 // errUse is for a call that makes no sense.
@@ -28,7 +28,7 @@
 	root := &cobra.Command{
 		Use:           "sloerail",
 		Short:         "Look after a fleet of request-routing nodes",
-		Version:       node.Version(),
+		Version:       config.Version(),
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
@@ -42,7 +42,7 @@
 	return &cobra.Command{
 		Use: "version", Short: "Print the version of this build", Args: args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			_, err := fmt.Fprintln(cmd.OutOrStdout(), node.Version())
+			_, err := fmt.Fprintln(cmd.OutOrStdout(), config.Version())
 			return err
 		},
 	}
--- a/internal/node/config.go
+++ b/internal/node/config/config.go
@@ -1,6 +1,5 @@
-// Package node puts the decision module on real sockets. It decides nothing: events go in to a
-// policy.Balancer, and the actions that come out are carried out.
-package node
+// Package config reads a node's configuration file, checks it, and says what a reload of it may change.
+package config
 
 import (
 	"context"
--- a/internal/node/config_test.go
+++ b/internal/node/config/config_test.go
@@ -1,4 +1,4 @@
-package node
+package config
 
 import (
 	"os"
@@ -10,13 +10,10 @@
 	"sloerail/internal/node/nodetest"
 )
 
-const goodConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
-	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":KNOWN,"settings":SETTINGS}`
-
 func configFile(t *testing.T, text string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	text = strings.NewReplacer("KNOWN", nodetest.KnownList("127.0.0.1:9"), "SETTINGS", testSettings).Replace(text)
+	text = strings.NewReplacer("KNOWN", nodetest.KnownList("127.0.0.1:9"), "SETTINGS", nodetest.Settings).Replace(text)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -26,7 +23,7 @@
 }
 
 func TestLoadsConfig(t *testing.T) {
-	c, err := Load(configFile(t, goodConfig))
+	c, err := Load(configFile(t, nodetest.ConfigText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -54,9 +51,9 @@
 		{`,"settings":SETTINGS`, ``, "settings: missing"},
 		{`SETTINGS`, `[]`, "settings"},
 		{`SETTINGS`, `{"groupSize":1}`, "classes"},
-		{`SETTINGS`, strings.Replace(testSettings, `"deadline":9000`, `"deadline":"x"`, 1), "services[0].deadline"},
-		{`SETTINGS`, strings.Replace(testSettings, `"maxOpen":100`, `"maxOpen":-1`, 1), "maxOpen"},
-		{`SETTINGS`, strings.Replace(testSettings, `"connectTimeout":2000`, `"connectTimeout":-1`, 1), "connectTimeout"},
+		{`SETTINGS`, strings.Replace(nodetest.Settings, `"deadline":9000`, `"deadline":"x"`, 1), "services[0].deadline"},
+		{`SETTINGS`, strings.Replace(nodetest.Settings, `"maxOpen":100`, `"maxOpen":-1`, 1), "maxOpen"},
+		{`SETTINGS`, strings.Replace(nodetest.Settings, `"connectTimeout":2000`, `"connectTimeout":-1`, 1), "connectTimeout"},
 		{`"seed"`, `"places":{"regionz":{}},"seed"`, "regionz"},
 		{`"seed"`, `"places":{"regions":{"n":["a"],"s":["a"]}},"seed"`, `zone "a" is in n and s`},
 		{`"seed"`, `"places":{"regions":{"n":["a"]},"only":{"none":["n"]}},"seed"`, `no class "none"`},
@@ -67,7 +64,7 @@
 		{`"seed"`, `"ease_lists":3,"seed"`, "ease_lists"},
 		{`{`, ``, ""},
 	} {
-		_, err := Load(configFile(t, strings.Replace(goodConfig, c.old, c.new, 1)))
+		_, err := Load(configFile(t, strings.Replace(nodetest.ConfigText, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: got %v, want one line that names %q", c.new, c.old, err, c.want)
 		}
--- a/internal/node/config_reload.go
+++ b/internal/node/config/reload.go
@@ -1,4 +1,4 @@
-package node
+package config
 
 import (
 	"encoding/json"
--- a/internal/node/scope_config_test.go
+++ b/internal/node/config/scope_test.go
@@ -1,4 +1,4 @@
-package node
+package config
 
 import (
 	"fmt"
@@ -13,13 +13,13 @@
 		`{"services":["b","a"],"subset":20}`: "nodes=1&position=0&service=a&service=b&subset=20&zone=a",
 		`{"services":["a"]}`:                 "service=a",
 	} {
-		text := strings.Replace(goodConfig, `"seed"`, `"scope":`+section+`,"seed"`, 1)
+		text := strings.Replace(nodetest.ConfigText, `"seed"`, `"scope":`+section+`,"seed"`, 1)
 		c, err := Load(configFile(t, text))
 		if err != nil || c.Scope != want {
 			t.Errorf("%s: %q, %v, want %q", section, c.Scope, err, want)
 		}
 	}
-	if c, err := Load(configFile(t, goodConfig)); err != nil || c.Scope != "" {
+	if c, err := Load(configFile(t, nodetest.ConfigText)); err != nil || c.Scope != "" {
 		t.Errorf("without the section: %q, %v", c.Scope, err)
 	}
 }
@@ -48,7 +48,7 @@
 		`{"services":[` + strings.Join(many, ",") + `]}`: "scope.services: want 256 at most",
 		`{"services":[` + strings.Join(long, ",") + `]}`: "scope.services: want 8192 bytes at most",
 	} {
-		text := strings.Replace(goodConfig, `"seed"`, `"scope":`+section+`,"seed"`, 1)
+		text := strings.Replace(nodetest.ConfigText, `"seed"`, `"scope":`+section+`,"seed"`, 1)
 		_, err := Load(configFile(t, text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%.80s: got %v, want one line that names %q", section, err, want)
@@ -58,7 +58,7 @@
 
 // The section may come, change and go with a SIGHUP.
 func TestScopeIsReloaded(t *testing.T) {
-	plain := fileText(nodetest.KnownList("127.0.0.1:9"), testSettings)
+	plain := nodetest.FillConfig(nodetest.KnownList("127.0.0.1:9"), nodetest.Settings)
 	with := strings.Replace(plain, `"seed"`, `"scope":{"services":["a"]},"seed"`, 1)
 	c, reload := loadFile(t, with)
 	if c.Scope != "service=a" {
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -12,6 +12,7 @@
 	"net"
 	"net/http"
 	"os"
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
@@ -95,7 +96,7 @@
 // clients.
 type leavingTest struct {
 	*testing.T
-	Config
+	config.Config
 	leaving, staying arrivals
 	first            string // the address of the one that leaves
 	calls            <-chan listCall
@@ -104,7 +105,7 @@
 	asked            int
 }
 
-func newLeavingTest(t *testing.T, subscribe bool, adjust ...func(*Config)) *leavingTest {
+func newLeavingTest(t *testing.T, subscribe bool, adjust ...func(*config.Config)) *leavingTest {
 	t.Helper()
 	l := &leavingTest{T: t, changes: make(chan Change, 1)}
 	l.first = nodetest.HTTPServer(t, l.leaving.ServeHTTP)
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -1,17 +1,18 @@
 package node
 
 import (
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
 	"sloerail/policy"
 )
 
 // discoveryTarget is what the configuration says of the list service.
-func discoveryTarget(c Config) discovery.Target {
+func discoveryTarget(c config.Config) discovery.Target {
 	return discovery.NewTarget(c.Discovery, c.Scope, c.Settings)
 }
 
 // discoveryConfig is that of the client of the list service.
-func discoveryConfig(c Config) discovery.ClientConfig {
+func discoveryConfig(c config.Config) discovery.ClientConfig {
 	return discovery.ClientConfig{Target: discoveryTarget(c), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
 		Dial: c.Dialer(discovery.MaxQueueTime)}
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -9,6 +9,8 @@
 	"time"
 
 	gossip "sloerail/internal/membership"
+
+	"sloerail/internal/node/config"
 )
 
 const fleetPath = "/fleet"
@@ -127,7 +129,7 @@
 }
 
 // join makes the node a member where its configuration says so; nil where it doesn't.
-func (l *loop) join(c Config) (*membership, error) {
+func (l *loop) join(c config.Config) (*membership, error) {
 	if c.Fleet == nil {
 		return nil, nil
 	}
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -135,7 +135,7 @@
 		t.Fatal(err)
 	}
 	c.Settings.Topology = &policy.Topology{RegionOfZone: map[string]string{"a": "east", "b": "west"},
-		SameRegionCost: defaultSameRegionCost, OtherRegionCost: defaultOtherRegionCost}
+		SameRegionCost: 1, OtherRegionCost: 3}
 	at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 	ctl := at.Control.Addr().String()
 	startNodeAt(t, c, at, nil)
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -7,6 +7,7 @@
 	"sync/atomic"
 	"time"
 
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
 	"sloerail/policy"
 )
@@ -18,7 +19,7 @@
 // order. Between steps its clock can be set forward.
 type Hollow struct {
 	loop    *loop
-	config  Config // a node keeps it for its replacement
+	config  config.Config // a node keeps it for its replacement
 	traffic *traffic
 }
 
@@ -43,7 +44,7 @@
 
 // NewHollow makes a hollow node of a configuration as LoadConfig reads it. Each list that the module has taken is told
 // to seen, unless that is nil, by the goroutine that took it.
-func NewHollow(c Config, seen func(policy.EndpointList)) (*Hollow, error) {
+func NewHollow(c config.Config, seen func(policy.EndpointList)) (*Hollow, error) {
 	h := &Hollow{config: c, traffic: new(traffic)}
 	dial := c.Dialer(discovery.MaxQueueTime)
 	c.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -114,7 +115,7 @@
 }
 
 // Reconfigure goes on by another configuration.
-func (h *Hollow) Reconfigure(c Config) {
+func (h *Hollow) Reconfigure(c config.Config) {
 	h.loop.handle(configChanged{c})
 	h.config = c
 }
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -11,13 +11,14 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/config"
 	"sloerail/policy"
 )
 
 const hollowList = `{"revision":%d,"complete":%v,"members":[{"id":"%s","host_port":"127.0.0.1:1","phase":"up","size":1}]}`
 
 // hollowConfig reads a configuration as a node's program does.
-func hollowConfig(t *testing.T, discovery string, quota float64) Config {
+func hollowConfig(t *testing.T, discovery string, quota float64) config.Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
 	raw := fmt.Sprintf(`{"name":"hollow","listen":"127.0.0.1:0","discovery":%q,"seed":"1",
@@ -27,7 +28,7 @@
 	if err := os.WriteFile(path, []byte(raw), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	c, err := Load(func(name string) string {
+	c, err := config.Load(func(name string) string {
 		if name == "ROUTER_CONFIG" {
 			return path
 		}
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -8,6 +8,8 @@
 	"syscall"
 
 	"sloerail/internal/node/hotrestart"
+
+	"sloerail/internal/node/config"
 )
 
 const (
@@ -26,7 +28,7 @@
 // hotRestart is this process's part in hand-overs: it shares the node's descriptors and memory with the process before
 // it, and with the one that takes over from it.
 type hotRestart struct {
-	config   Config
+	config   config.Config
 	server   *server
 	upstream *upstream
 	clients  *connLimiter
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -15,10 +15,12 @@
 	"sloerail/internal/node/nodetest"
 
 	"sloerail/internal/node/hotrestart"
+
+	"sloerail/internal/node/config"
 )
 
 // restartableConfig is the configuration of a node that can be replaced: it has an address and a folder.
-func restartableConfig(t *testing.T, known string) Config {
+func restartableConfig(t *testing.T, known string) config.Config {
 	t.Helper()
 	c := testConfig(t, known)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -32,7 +34,7 @@
 }
 
 // startProcess starts what would be a process of the node, and waits until it can be replaced.
-func startProcess(t *testing.T, c Config) (at Listeners, stop func() error) {
+func startProcess(t *testing.T, c config.Config) (at Listeners, stop func() error) {
 	t.Helper()
 	at, err := Listen(t.Context(), c)
 	if err != nil {
@@ -180,8 +182,8 @@
 // Without a usable hand-over a process starts as an ordinary one, beside another or not.
 func TestUnusableHandoverIsAnOrdinaryStart(t *testing.T) {
 	t.Parallel()
-	speak := func(say string) func(t *testing.T, c Config) {
-		return func(t *testing.T, c Config) {
+	speak := func(say string) func(t *testing.T, c config.Config) {
+		return func(t *testing.T, c config.Config) {
 			l, err := net.Listen("unix", identityOf(c).SocketPath())
 			if err != nil {
 				t.Fatal(err)
@@ -199,12 +201,12 @@
 			}()
 		}
 	}
-	for name, prepare := range map[string]func(t *testing.T, c Config){
-		"nobody":      func(*testing.T, Config) {},
-		"stale":       func(t *testing.T, c Config) { stale(t, identityOf(c).SocketPath()) },
+	for name, prepare := range map[string]func(t *testing.T, c config.Config){
+		"nobody":      func(*testing.T, config.Config) {},
+		"stale":       func(t *testing.T, c config.Config) { stale(t, identityOf(c).SocketPath()) },
 		"silent end":  speak(""),
 		"rubbish":     speak("\n{\"Version\":99"),
-		"not a place": func(t *testing.T, c Config) { os.Remove(c.SharedDir) },
+		"not a place": func(t *testing.T, c config.Config) { os.Remove(c.SharedDir) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -12,6 +12,8 @@
 	"golang.org/x/sys/unix"
 
 	"sloerail/internal/node/hotrestart"
+
+	"sloerail/internal/node/config"
 )
 
 // Listeners are where a node is reached, and the process that it takes over from.
@@ -23,7 +25,7 @@
 
 // Listen makes the node's listeners. The clients' comes from the process that serves there now, where one does and
 // hands over; else it is an ordinary one.
-func Listen(ctx context.Context, c Config) (Listeners, error) {
+func Listen(ctx context.Context, c config.Config) (Listeners, error) {
 	var at Listeners
 	var err error
 	if identityOf(c).SocketPath() != "" {
@@ -73,6 +75,6 @@
 }
 
 // identityOf says which node this process is one of.
-func identityOf(c Config) hotrestart.Identity {
+func identityOf(c config.Config) hotrestart.Identity {
 	return hotrestart.Identity{Name: c.Name, Address: c.Listen, Dir: c.SharedDir}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -10,6 +10,7 @@
 	"sync/atomic"
 	"time"
 
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/hotrestart"
 	"sloerail/policy"
@@ -129,7 +130,7 @@
 	finish struct{} // fail what is still open and refuse what comes, for the node stops
 )
 
-func newLoop(c Config, ck clock, up *upstream, fig *figures) (*loop, error) {
+func newLoop(c config.Config, ck clock, up *upstream, fig *figures) (*loop, error) {
 	balancer, err := policy.New(c.Settings, ck.now(), c.Seed)
 	if err != nil {
 		return nil, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -7,6 +7,7 @@
 	"sync"
 	"time"
 
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/hotrestart"
 	"sloerail/policy"
@@ -21,7 +22,7 @@
 
 // Run serves clients until ctx ends. Then it goes on accepting for a moment, answers what it has taken,
 // and returns.
-func Run(ctx context.Context, c Config, at Listeners, changes <-chan Change) error {
+func Run(ctx context.Context, c config.Config, at Listeners, changes <-chan Change) error {
 	ck := clock{start: time.Now()}
 	shared, held := new(sockets), c.Sockets
 	if at.predecessor != nil {
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -12,6 +12,8 @@
 	"time"
 
 	"sloerail/internal/node/nodetest"
+
+	"sloerail/internal/node/config"
 )
 
 // Who connects and sends no whole request is rid of, with or without an answer, in 3 s.
@@ -52,7 +54,7 @@
 func TestSilentPeersLeaveClientsAlone(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
-		c.Sockets = MinSockets
+		c.Sockets = config.MinSockets
 		node, _ := startNode(t, c)
 		client := keptClient(t)
 		ask := func(id string) *http.Response {
@@ -66,7 +68,7 @@
 		}
 		ask("first")
 		var held []net.Conn
-		for range (MinSockets-ownSockets)*2/3 + 5 {
+		for range (config.MinSockets-ownSockets)*2/3 + 5 {
 			peer := nodetest.Dial(t, node)
 			defer peer.Close()
 			held = append(held, peer)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -5,6 +5,7 @@
 	"net/http"
 	"time"
 
+	"sloerail/internal/node/config"
 	"sloerail/policy"
 )
 
@@ -13,12 +14,12 @@
 
 // Change is what came of reading the configuration anew.
 type Change struct {
-	Config Config
+	Config config.Config
 	Err    error // nothing is taken from such a file
 }
 
 // configChanged is a changed configuration on its way to the loop.
-type configChanged struct{ Config }
+type configChanged struct{ config.Config }
 
 // terms are the settings that clients' requests are read by.
 type terms struct {
@@ -86,7 +87,7 @@
 }
 
 // applyConfig goes on by another configuration, all of it at once. Open requests keep their class.
-func (l *loop) applyConfig(c Config) {
+func (l *loop) applyConfig(c config.Config) {
 	l.allowed, l.maxOpen = c.Settings.Allowed, c.MaxOpen
 	l.up.applyConfig(c)
 	var names []string
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -4,83 +4,31 @@
 	"fmt"
 	"net/http"
 	"os"
-	"path/filepath"
 	"strings"
 	"sync/atomic"
 	"testing"
 	"time"
 
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
 // loadFile loads a configuration from a file of its own, whose later texts reload reads.
-func loadFile(t *testing.T, text string) (c Config, reload func(text string) (Config, error)) {
+func loadFile(t *testing.T, text string) (c config.Config, reload func(text string) (config.Config, error)) {
 	t.Helper()
-	path := filepath.Join(t.TempDir(), "config.json")
+	path := nodetest.WriteFile(t, text)
 	getenv := func(name string) string { return map[string]string{"ROUTER_CONFIG": path}[name] }
-	write := func(text string) {
-		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write(text)
-	c, err := Load(getenv)
+	c, err := config.Load(getenv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	c.Dial = nodetest.Dialer(t)
-	return c, func(text string) (Config, error) {
-		write(text)
-		return Reload(getenv, c)
-	}
-}
-
-func fileText(known, settings string) string {
-	return strings.NewReplacer("KNOWN", known, "SETTINGS", settings).Replace(goodConfig)
-}
-
-// A broken file is turned down, by the name of the field where there is one.
-func TestReloadTurnsDownBrokenFiles(t *testing.T) {
-	good := fileText(nodetest.KnownList("127.0.0.1:9"), testSettings)
-	_, reload := loadFile(t, good)
-	if _, err := reload(good); err != nil {
-		t.Fatalf("the same file again: %v", err)
-	}
-	for name, c := range map[string]struct{ old, new, want string }{
-		"empty":              {good, "", "JSON"},
-		"cut short":          {good, good[:len(good)/2], "unexpected end of JSON"},
-		"not an object":      {good, "[]", ""},
-		"no discovery":       {`"discovery":"127.0.0.1:8500",`, "", "discovery"},
-		"bad discovery":      {`127.0.0.1:8500`, "nowhere", "discovery"},
-		"no limits":          {`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", "limits"},
-		"no classes":         {`"services":`, `"sservices":`, "settings.services: missing"},
-		"no tenants":         {`"tenants":`, `"ttenants":`, "settings.tenants: missing"},
-		"no rules":           {`"guarantees":`, `"gguarantees":`, "settings.guarantees: missing"},
-		"a rule missing":     {`"drainGrace":500,`, "", "settings.guarantees.drainGrace: missing"},
-		"null for a key":     {`"retryAfter":true`, `"retryAfter":null`, "settings.limits.retryAfter: missing"},
-		"no name":            {`"name":"pay",`, "", "name"},
-		"empty name":         {`"name":"pay"`, `"name":""`, "name"},
-		"named twice":        {`"name":"pay"`, `"name":"read"`, "named twice"},
-		"no effect":          {`"aim":4000,"deadline":9000,"repeat":"single_shot"`, `"aim":4000,"deadline":9000`, "settings.services[1].repeat: missing"},
-		"no deadline":        {`"aim":4000,"deadline":9000,"repeat":"free"`, `"aim":4000,"repeat":"free"`, "deadline"},
-		"deadline of 0":      {`"deadline":9000,"repeat":"free"`, `"deadline":0,"repeat":"free"`, "deadline"},
-		"negative deadline":  {`"deadline":9000,"repeat":"free"`, `"deadline":-5,"repeat":"free"`, "deadline"},
-		"deadline in words":  {`"deadline":9000,"repeat":"free"`, `"deadline":"9000","repeat":"free"`, "settings.services[0].deadline"},
-		"unknown effect":     {`"repeat":"free"`, `"repeat":"often"`, "settings.services[0].repeat"},
-		"no attempts":        {`"maxAttempts":3,`, "", "settings.limits.maxAttempts"},
-		"attempts of 0":      {`"maxAttempts":3`, `"maxAttempts":0`, "settings.limits.maxAttempts"},
-		"negative attempts":  {`"maxAttempts":3`, `"maxAttempts":-1`, "attempts"},
-		"half an attempt":    {`"maxAttempts":3`, `"maxAttempts":1.5`, "settings.limits.maxAttempts"},
-		"attempts in words":  {`"maxAttempts":3`, `"maxAttempts":"3"`, "settings.limits.maxAttempts"},
-		"settings no object": {testSettings, `7`, "settings"},
-	} {
-		if !strings.Contains(good, c.old) {
-			t.Fatalf("%s: the file has no %q", name, c.old)
-		}
-		if _, err := reload(strings.Replace(good, c.old, c.new, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got %v, want it to name %q", name, err, c.want)
+	return c, func(text string) (config.Config, error) {
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
 		}
+		return config.Reload(getenv, c)
 	}
 }
 
@@ -106,7 +54,7 @@
 			}
 		})
 		known := nodetest.KnownList(server, server, server)
-		c, reload := loadFile(t, fileText(known, testSettings))
+		c, reload := loadFile(t, nodetest.FillConfig(known, nodetest.Settings))
 		changes := make(chan Change)
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
@@ -135,12 +83,12 @@
 			t.Errorf("%d attempts before, want 3", n)
 		}
 		wants(400, ask("GET", "order", "o1"), "a class to come")
-		change(fileText(known, strings.Replace(laterSettings, `"maxAttempts":1,`, "", 1)))
+		change(nodetest.FillConfig(known, strings.Replace(laterSettings, `"maxAttempts":1,`, "", 1)))
 		awaitStats(t, ctl, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 0})
 		wants(400, ask("GET", "order", "o2"), "a class of a broken file")
 
 		began := time.Now()
-		change(fileText(known, laterSettings))
+		change(nodetest.FillConfig(known, laterSettings))
 		awaitStats(t, ctl, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 1,
 			`app_fulfilled_total{priority="order"}`: 0, `app_fulfilled_total{priority="read"}`: 3})
 		wants(200, ask("GET", "order", "o3"), "the new class")
@@ -191,15 +139,15 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		known := nodetest.KnownList(server)
-		c, reload := loadFile(t, fileText(known, testSettings))
+		c, reload := loadFile(t, nodetest.FillConfig(known, nodetest.Settings))
 		changes := make(chan Change)
 		node, stop := startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, changes)
 		for i := range 50 {
-			text := fileText(known, []string{testSettings, laterSettings, ""}[i%3])
+			text := nodetest.FillConfig(known, []string{nodetest.Settings, laterSettings, ""}[i%3])
 			next, err := reload(text)
 			changes <- Change{next, err}
 		}
-		next, err := reload(fileText(known, laterSettings))
+		next, err := reload(nodetest.FillConfig(known, laterSettings))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/resources.go
+++ b/internal/node/resources.go
@@ -4,6 +4,8 @@
 	"runtime/debug"
 
 	gossip "sloerail/internal/membership"
+
+	"sloerail/internal/node/config"
 )
 
 const (
@@ -14,7 +16,7 @@
 )
 
 // reservedSockets is how many descriptors belong to neither side.
-func reservedSockets(c Config) int {
+func reservedSockets(c config.Config) int {
 	n := ownSockets
 	if c.Control != "" {
 		n += controlSockets
@@ -27,7 +29,7 @@
 
 // reservedSocketsWhileShared is the same for each of two processes that share the node's descriptors for a while. What is set
 // aside for moments when counts are off, and for many callers at the second address, is set aside once.
-func reservedSocketsWhileShared(c Config) int {
+func reservedSocketsWhileShared(c config.Config) int {
 	n := ownSocketsWhileShared
 	if c.Control != "" {
 		n += controlSockets / 2
@@ -39,6 +41,6 @@
 }
 
 // limitMemory sets the part of the memory limit that this process may use.
-func limitMemory(c Config, part float64) {
+func limitMemory(c config.Config, part float64) {
 	debug.SetMemoryLimit(int64(part * heapFraction * float64(c.MemoryMB) * (1 << 20)))
 }
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
@@ -182,9 +183,9 @@
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 		c := testConfig(t, nodetest.KnownList(addr))
-		c.Sockets = MinSockets
+		c.Sockets = config.MinSockets
 		node, _ := startNode(t, c)
-		side := (MinSockets - ownSockets) / 2
+		side := (config.MinSockets - ownSockets) / 2
 		var held []net.Conn
 		defer func() {
 			for _, c := range held {
@@ -308,7 +309,7 @@
 }
 
 // brief configures a node whose clients wait 1.5 s at most.
-func brief(t *testing.T) Config {
+func brief(t *testing.T) config.Config {
 	c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].LatencyObjective, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 1500*time.Millisecond
@@ -425,7 +426,7 @@
 	nodetest.Receive(t, "a request", got)
 	late := newTestClient(t, node)
 	nodetest.Await(t, "the connection over the limit", func() bool { return s.peers.count() == 3 })
-	total.Store(MinSockets)
+	total.Store(config.MinSockets)
 	late.send("GET", "read", "late", "")
 	letGo()
 	if resp := late.answered(); resp.StatusCode != http.StatusOK {
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -14,6 +14,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
@@ -62,20 +63,11 @@
 	}
 }
 
-const testSettings = `{"position":0,"groupSize":1,"zone":"a",
-	"services":[{"name":"read","aim":4000,"deadline":9000,"repeat":"free"},
-		{"name":"pay","aim":4000,"deadline":9000,"repeat":"single_shot"},
-		{"name":"undo","aim":4000,"deadline":9000,"repeat":"guarded","group":"all","window":4000}],
-	"tenants":[{"name":"t","quotaRps":1000},{"name":"tiny","quotaRps":0.001}],
-	"limits":{"cancelling":true,"connIdle":60000,"connectTimeout":2000,"maxAttempts":3,"maxOpen":100,
-		"retryAfter":true,"secondCopies":true},
-	"guarantees":{"drainGrace":500,"cold":1,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}`
-
-func testConfig(t testing.TB, known string) Config {
+func testConfig(t testing.TB, known string) config.Config {
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
-		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`, known, testSettings)
-	c, err := Parse([]byte(raw))
+		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`, known, nodetest.Settings)
+	c, err := config.Parse([]byte(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,7 +128,7 @@
 
 // startNode runs a whole node, and returns its address and a function that stops it as SIGTERM does
 // and returns what Run did.
-func startNode(t testing.TB, c Config) (addr string, stop func() error) {
+func startNode(t testing.TB, c config.Config) (addr string, stop func() error) {
 	t.Helper()
 	return startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, nil)
 }
@@ -156,7 +148,7 @@
 
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
-	s.loop.up.sockets.total.Store(MinSockets)
+	s.loop.up.sockets.total.Store(config.MinSockets)
 	ended := make(chan error, 1)
 	go func() { ended <- s.accept(ln) }()
 	t.Cleanup(func() {
@@ -169,7 +161,7 @@
 	return ln.Addr().String()
 }
 
-func startNodeAt(t testing.TB, c Config, at Listeners, changes <-chan Change) (addr string, stop func() error) {
+func startNodeAt(t testing.TB, c config.Config, at Listeners, changes <-chan Change) (addr string, stop func() error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -12,6 +12,8 @@
 	"sloerail/internal/node/nodetest"
 
 	"sloerail/internal/node/discovery"
+
+	"sloerail/internal/node/config"
 )
 
 // The ways in which a call to the list service ends without a list.
@@ -52,7 +54,7 @@
 func (o outage) keepsDrains(t *testing.T, subscribe bool) {
 	refused := make(chan time.Time, 1000)
 	down := make(chan struct{}) // closed once the service takes connections
-	l := newLeavingTest(t, subscribe, func(c *Config) {
+	l := newLeavingTest(t, subscribe, func(c *config.Config) {
 		c.Settings.Rules.PollInterval = o.within
 		c.Dial = refuseUntil(c, down, refused)
 		if o.fails != nil {
@@ -91,7 +93,7 @@
 }
 
 // refuseUntil dials as c does, and for the list service to where nobody listens until up is closed.
-func refuseUntil(c *Config, up <-chan struct{}, refused chan<- time.Time) DialFunc {
+func refuseUntil(c *config.Config, up <-chan struct{}, refused chan<- time.Time) config.DialFunc {
 	dial, service := c.Dialer(time.Second), c.Discovery
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr != service {
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -20,6 +20,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"golang.org/x/sys/unix"
 
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
 	"sloerail/policy"
 )
@@ -45,7 +46,7 @@
 // or a request with an Idempotency-Key, again on its own when a reused connection breaks, and each such
 // copy would be an attempt that the module never decided on.
 type upstream struct {
-	dialer  DialFunc
+	dialer  config.DialFunc
 	idleFor time.Duration // an idle connection is dropped after this
 	report  []string      // names of the figures of a load report, in order
 	eases   bool          // the module may send for a moment to what the list lacks
@@ -103,14 +104,14 @@
 	return c.raw.Control(c.look) == nil && c.quiet
 }
 
-func newUpstream(c Config, shared *sockets, fig *figures) *upstream {
+func newUpstream(c config.Config, shared *sockets, fig *figures) *upstream {
 	u := &upstream{relayed: fig.relayed, pools: make(map[string]*pool), sockets: shared, waits: socketWait}
 	u.applyConfig(c)
 	return u
 }
 
 // applyConfig takes over what a configuration says of connections and reports.
-func (u *upstream) applyConfig(c Config) {
+func (u *upstream) applyConfig(c config.Config) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	idle := c.Settings.Allowed.IdleTimeout
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 
 	"sloerail/internal/emulator"
-	"sloerail/internal/node"
+	"sloerail/internal/node/config"
 	"sloerail/internal/registry"
 	"sloerail/internal/testcluster"
 )
@@ -102,4 +102,4 @@
 }
 
 // load reads a node's configuration as the node's program does.
-func load(path string) (node.Config, error) { return node.Load(fromFile(path)) }
+func load(path string) (config.Config, error) { return config.Load(fromFile(path)) }
--- a/internal/scaletest/stepped.go
+++ b/internal/scaletest/stepped.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"sloerail/internal/node"
+	"sloerail/internal/node/config"
 	"sloerail/internal/registry"
 )
 
@@ -172,11 +173,11 @@
 		return err
 	}
 	cpu := ownCPU()
-	config, err := node.Reload(fromFile(s.path), before)
+	next, err := config.Reload(fromFile(s.path), before)
 	if err != nil {
 		return err
 	}
-	s.Reconfigure(config)
+	s.Reconfigure(next)
 	p.record.Record(ConfigCPU, float64(ownCPU()-cpu))
 	s.Advance(time.Millisecond)
 	return nil
