--- /dev/null
+++ b/internal/node/config/file.go
@@ -0,0 +1,173 @@
+package config
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"math"
+	"os"
+	"strconv"
+	"time"
+
+	"sloerail/internal/node/decode"
+	"sloerail/internal/node/discovery"
+	"sloerail/internal/simwire"
+	"sloerail/policy"
+)
+
+const (
+	// MinSockets is what a node can work with at all: a few descriptors for itself, and some for clients and servers.
+	MinSockets = 64
+
+	maxCores              = 1024
+	defaultConnectTimeout = 250 * time.Millisecond
+)
+
+// file is the configuration file. Sections are read by the parts that they are for.
+type file struct {
+	Name          string          `json:"name"`
+	Listen        string          `json:"listen"`
+	Discovery     string          `json:"discovery"`
+	ListFile      string          `json:"list_file"`
+	Control       string          `json:"control"`
+	Seed          string          `json:"seed"` // up to 16 hexadecimal digits
+	Limits        fileLimits      `json:"limits"`
+	Known         json.RawMessage `json:"known"`
+	Settings      json.RawMessage `json:"settings"`
+	Fleet         json.RawMessage `json:"fleet"`
+	Zones         json.RawMessage `json:"places"`
+	Scope         json.RawMessage `json:"scope"`
+	RetainMissing bool            `json:"ease_lists"`
+}
+
+type fileLimits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB float64 `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
+
+// nodeSettings are those of the settings that bind the node and not policy.
+type nodeSettings struct {
+	Limits struct {
+		MaxOpen          float64 `json:"maxOpen"`
+		ConnectTimeoutMs float64 `json:"connectTimeout"`
+	} `json:"limits"`
+}
+
+// readFile reads the file that ROUTER_CONFIG names. It has to have the keys that the one before had.
+func readFile(getenv func(string) string, keysBefore any) (Config, error) {
+	path := getenv("ROUTER_CONFIG")
+	if path == "" {
+		return Config{}, errors.New("ROUTER_CONFIG: not set")
+	}
+	raw, err := os.ReadFile(path)
+	if err != nil {
+		return Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
+	}
+	keys, err := keysOf(raw)
+	if err == nil {
+		err = checkKeys("", keysBefore, keys)
+	}
+	if err != nil {
+		return Config{}, fmt.Errorf("configuration: %w", err)
+	}
+	c, err := Parse(raw)
+	if err != nil {
+		return Config{}, fmt.Errorf("configuration: %w", err)
+	}
+	c.keys = keys
+	return c, nil
+}
+
+// Parse reads the text of a configuration file.
+func Parse(raw []byte) (Config, error) {
+	var f file
+	if err := decode.JSON(raw, &f); err != nil {
+		return Config{}, err
+	}
+	seed, err := strconv.ParseUint(f.Seed, 16, 64)
+	if err != nil {
+		return Config{}, decode.Errorf("seed", "want up to 16 hexadecimal digits, got %q", f.Seed)
+	}
+	if err := f.Limits.check(); err != nil {
+		return Config{}, err
+	}
+	if len(f.Known) == 0 {
+		return Config{}, decode.Errorf("known", "missing")
+	}
+	if len(f.Settings) == 0 {
+		return Config{}, decode.Errorf("settings", "missing")
+	}
+	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, ListFile: f.ListFile, Control: f.Control, Seed: seed,
+		Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), Sockets: f.Limits.Sockets}
+	if c.Known, err = discovery.ParseList(f.Known); err != nil {
+		return Config{}, fmt.Errorf("known: %w", err)
+	}
+	if err := c.parseSettings(f); err != nil {
+		return Config{}, err
+	}
+	return c, c.parseSections(f)
+}
+
+func (l fileLimits) check() error {
+	switch {
+	case !(l.Cores > 0) || l.Cores > maxCores:
+		return decode.Errorf("limits.cores", "want more than 0, got %v", l.Cores)
+	case !(l.MemoryMB >= 1) || l.MemoryMB > math.MaxInt32:
+		return decode.Errorf("limits.memory_mb", "want 1 or more, got %v", l.MemoryMB)
+	case l.Sockets < MinSockets:
+		return decode.Errorf("limits.sockets", "want %d or more, got %d", MinSockets, l.Sockets)
+	}
+	return nil
+}
+
+// parseSettings reads the settings, and the section of zones, which is a part of policy's settings.
+func (c *Config) parseSettings(f file) (err error) {
+	if c.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
+		return fmt.Errorf("settings.%w", err)
+	}
+	c.Settings.RetainMissing = f.RetainMissing
+	if len(f.Zones) > 0 {
+		if err := parseZones(f.Zones, &c.Settings); err != nil {
+			return err
+		}
+	}
+	if _, err := policy.New(c.Settings, 0, 0); err != nil { // policy checks its settings
+		return fmt.Errorf("settings: %w", err)
+	}
+	return c.parseNodeSettings(f.Settings)
+}
+
+// parseNodeSettings reads those settings that policy leaves to the node.
+func (c *Config) parseNodeSettings(settings []byte) error {
+	var s nodeSettings
+	if err := decode.JSON(settings, &s); err != nil {
+		return fmt.Errorf("settings.%w", err)
+	}
+	switch l := s.Limits; {
+	case l.MaxOpen < 0 || l.MaxOpen > math.MaxInt32:
+		return decode.Errorf("settings.limits.maxOpen", "want 0 or more, got %v", l.MaxOpen)
+	case l.ConnectTimeoutMs < 0 || l.ConnectTimeoutMs > math.MaxInt32:
+		return decode.Errorf("settings.limits.connectTimeout", "want 0 or more, got %v", l.ConnectTimeoutMs)
+	}
+	c.MaxOpen, c.ConnectTimeout = int(s.Limits.MaxOpen), millis(s.Limits.ConnectTimeoutMs)
+	if c.ConnectTimeout == 0 {
+		c.ConnectTimeout = defaultConnectTimeout
+	}
+	return nil
+}
+
+// parseSections reads the sections of the list service's scope and of the fleet, where there are any.
+func (c *Config) parseSections(f file) (err error) {
+	if len(f.Scope) > 0 {
+		if c.Scope, err = discovery.ParseScope(f.Scope, c.Settings); err != nil {
+			return err
+		}
+	}
+	if len(f.Fleet) > 0 {
+		c.Fleet, err = parseFleet(f.Fleet, *c)
+	}
+	return err
+}
+
+func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/node/config/fleet.go
+++ b/internal/node/config/fleet.go
@@ -2,14 +2,12 @@
 
 import (
 	"encoding/json"
-	"errors"
-	"runtime/debug"
 
-	gossip "sloerail/internal/membership"
+	"sloerail/internal/membership"
 	"sloerail/internal/node/decode"
 )
 
-// fleetSection is the part of the configuration that makes the node a member. Without it there is none of it.
+// fleetSection is the section "fleet", which makes the node a member of a fleet.
 type fleetSection struct {
 	Bind      string   `json:"bind"`
 	Advertise string   `json:"advertise"`
@@ -20,39 +18,21 @@
 	ProbeMs   float64  `json:"probe_ms"`
 }
 
-// parseFleet reads the section strictly: a key that is misspelt would leave the fleet open, say.
-func parseFleet(raw json.RawMessage, c Config) (*gossip.Config, error) {
+// parseFleet reads the section. An unknown key is an error: a misspelt one could leave the fleet open to anyone.
+func parseFleet(raw json.RawMessage, c Config) (*membership.Config, error) {
 	var s fleetSection
 	if err := decode.Section("fleet", raw, &s); err != nil {
 		return nil, err
 	}
-	m := &gossip.Config{Name: c.Name, Zone: c.Settings.Zone, Version: Version(), Bind: s.Bind, Advertise: s.Advertise,
+	fleet := &membership.Config{Name: c.Name, Zone: c.Settings.Zone, Version: Version(), Bind: s.Bind, Advertise: s.Advertise,
 		Join: s.Join, Label: s.Label, KeyFile: s.KeyFile, AllowedCIDRs: s.Allow, ProbeInterval: millis(s.ProbeMs)}
-	return m, m.Validate()
+	return fleet, fleet.Validate()
 }
 
-// checkSameFleet tells whether a changed configuration asks for another membership, which needs a new process.
-func checkSameFleet(a, b *gossip.Config) error {
-	if (a == nil) != (b == nil) || a != nil && !a.Equal(*b) {
-		return errors.New("fleet: what has changed there takes a new process")
+// sameFleet reports whether two configurations ask for the same membership. Another one needs a new process.
+func sameFleet(a, b *membership.Config) bool {
+	if a == nil || b == nil {
+		return a == b
 	}
-	return nil
-}
-
-// Version is that of this build: what the tool chain knows of its source.
-func Version() string {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return "unknown"
-	}
-	version, changed := "unknown", ""
-	for _, s := range info.Settings {
-		switch {
-		case s.Key == "vcs.revision" && len(s.Value) >= 12:
-			version = s.Value[:12]
-		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = "+"
-		}
-	}
-	return version + changed
+	return a.Equal(*b)
 }
--- a/internal/node/config/reload_test.go
+++ b/internal/node/config/reload_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// A broken file is turned down, by the name of the field where there is one.
-func TestReloadTurnsDownBrokenFiles(t *testing.T) {
+// A broken file is rejected, with the name of the field where there is one.
+func TestReloadRejectsBrokenFiles(t *testing.T) {
 	good := nodetest.FillConfig(nodetest.KnownList("127.0.0.1:9"), nodetest.Settings)
 	_, reload := loadFile(t, good)
 	if _, err := reload(good); err != nil {
