--- /dev/null
+++ b/internal/node/actions.go
@@ -0,0 +1,113 @@
+package node
+
+import (
+	"container/heap"
+	"context"
+	"log/slog"
+	"net/http"
+	"time"
+
+	"sloerail/policy"
+)
+
+// decide gives the balancer an event and executes its actions, in order. Attempts that were not sent come back to it as
+// outcomes, once all actions are done.
+func (l *loop) decide(ev policy.Event) {
+	for {
+		for _, a := range l.balancer.Handle(l.clock.now(), ev) {
+			l.execute(a)
+		}
+		if len(l.unsent) == 0 {
+			break
+		}
+		outcome := l.unsent[0]
+		l.unsent = l.unsent[1:]
+		if r := l.requests[outcome.ID]; r != nil {
+			r.pending--
+			outcome.RequestEnded = r.ended
+			defer l.forget(r)
+		}
+		ev = outcome
+	}
+	listed, avoided := l.balancer.Servers()
+	l.fig.listed.Store(int64(listed))
+	l.fig.avoided.Store(int64(avoided))
+}
+
+// execute carries one action out.
+func (l *loop) execute(a policy.Action) {
+	switch a.Kind {
+	case policy.Send:
+		l.sendAttempt(a)
+	case policy.Reject, policy.Fail, policy.Cancel, policy.SetAttemptDeadline:
+		if r := l.requests[a.ID]; r != nil {
+			l.executeOn(r, a)
+		}
+	case policy.SetTimer:
+		heap.Push(&l.timers, &timer{due: l.clock.now() + a.Wait, token: a.Token})
+	case policy.WatchList:
+		l.listClient.SetWatching(a.Enabled)
+	case policy.Log:
+		slog.Info(a.Text)
+	default: // probes and messages between nodes are not allowed by the settings of a real node
+		slog.Error("unknown action of the balancer", "action", a.Kind)
+	}
+}
+
+// executeOn executes an action on an open request.
+func (l *loop) executeOn(r *request, a policy.Action) {
+	switch a.Kind {
+	case policy.Reject:
+		l.reject(r, a.Wait)
+	case policy.Fail:
+		l.answer(r, answer{status: http.StatusBadGateway})
+		l.forget(r)
+	case policy.Cancel:
+		if a.Attempt < len(r.attempts) {
+			r.attempts[a.Attempt].flight.stop(context.Canceled)
+		}
+	case policy.SetAttemptDeadline:
+		if a.Attempt < len(r.attempts) {
+			r.attempts[a.Attempt].flight.bound(l.clock.at(min(a.AttemptDeadline, r.deadline)))
+		}
+	}
+}
+
+// sendAttempt sends a request to a server, unless it is too late for that, or there were too many attempts. An attempt
+// that is not sent becomes an outcome.
+func (l *loop) sendAttempt(a policy.Action) {
+	r, now := l.requests[a.ID], l.clock.now()
+	if r == nil {
+		slog.Error("the balancer sends a request that is not open")
+		return
+	}
+	n := len(r.attempts)
+	r.pending++
+	if r.ended || now >= r.deadline || n >= max(1, l.allowed.MaxAttempts) || r.bodyConsumed() {
+		r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, flight: new(flight)})
+		l.unsent = append(l.unsent, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotAttempted})
+		return
+	}
+	until := r.deadline
+	if a.AttemptDeadline > 0 {
+		until = min(until, a.AttemptDeadline)
+	}
+	f := &flight{due: l.clock.at(until)}
+	r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, flight: f})
+	to := outgoing{exchange: r.exchange, waits: until - now, flight: f,
+		begin: func(a answer) { l.send(answerBegun{r, n, a}) }, left: func() { l.send(uploaded{r.exchange, errClient}) }}
+	if r.req.Incomplete {
+		to.waits = r.clientWaits - r.margin()
+	}
+	l.running.Go(func() { l.send(attemptEnded{r, n, l.up.attempt(a.Server, to)}) })
+}
+
+// reject answers a request that was not admitted, with a Retry-After if the settings allow that.
+func (l *loop) reject(r *request, wait time.Duration) {
+	a := answer{status: http.StatusServiceUnavailable}
+	if wait > 0 && l.allowed.RetryAfter {
+		a = answer{status: http.StatusTooManyRequests, retryAfter: wait}
+	}
+	l.answer(r, a)
+	l.forget(r)
+}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -40,7 +40,7 @@
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 		l.fig.set.WritePrometheus(w)
 	})
-	mux.HandleFunc(http.MethodGet+" "+placesPath, l.servePlaces)
+	mux.HandleFunc(http.MethodGet+" "+placesPath, l.serveZones)
 	if fleet != nil {
 		mux.HandleFunc(http.MethodGet+" "+fleetPath, fleet.serve)
 	}
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -348,7 +348,7 @@
 	failed.send("POST", "pay", "failed", "sum")
 	nodetest.Receive(t, "the attempt", got)
 	drain()
-	l.send(finish{})
+	l.send(failUnanswered{})
 	if resp := failed.answered(); resp.StatusCode != http.StatusBadGateway || !resp.Close {
 		t.Errorf("the last of what was open: status %d, ends its connection: %v", resp.StatusCode, resp.Close)
 	}
@@ -535,7 +535,7 @@
 	close(up)
 	close(fails)
 	close(m.idle)
-	l.send(fleetSeen{})
+	l.send(fleetSizeChanged{})
 	stays := newTestClient(t, node)
 	stays.send("GET", "read", "stays", "")
 	if resp := stays.answered(); resp.StatusCode != http.StatusOK {
@@ -643,8 +643,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.send(discovery.Update{Kind: policy.ListUpdate, Endpoints: list.Endpoints})
-			if _, ok := ask(l, func(reply chan<- time.Duration) any { return tailRequest{reply} }); !ok { // the list is in
+			l.send(endpointUpdate{discovery.Update{Kind: policy.ListUpdate, Endpoints: list.Endpoints}})
+			if _, ok := ask(l, func(reply chan<- time.Duration) event { return tailRequest{reply} }); !ok { // the list is in
 				t.Fatal("the loop has ended")
 			}
 			close(up)
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -35,5 +35,5 @@
 		members[i] = m.Endpoint
 		members[i].StartedAt = l.clock.unix(m.StartedAtMillis)
 	}
-	l.tell(policy.EndpointList{Kind: n.Kind, Endpoints: members})
+	l.decide(policy.EndpointList{Kind: n.Kind, Endpoints: members})
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -15,23 +15,18 @@
 
 const fleetPath = "/fleet"
 
-// fleetSeen is how many nodes this one hears, and how many of them in its own zone, on its way to the loop.
-type fleetSeen struct{ heard, near int }
-
-// fleetAsked asks what the module makes of it.
-type fleetAsked struct{ reply chan<- fleetState }
-
+// fleetState is what the balancer makes of the fleet.
 type fleetState struct {
 	agreed, heard int
 	cutOff        bool
 }
 
-// follow passes on what the fleet looks like, until ctx ends.
-func (l *loop) follow(ctx context.Context, views <-chan gossip.View) {
+// followFleet passes on what the fleet looks like, until ctx ends.
+func (l *loop) followFleet(ctx context.Context, views <-chan gossip.View) {
 	for {
 		select {
 		case v := <-views:
-			l.send(fleetSeen{v.PresentCount(), v.PresentInZone()})
+			l.send(fleetSizeChanged{v.PresentCount(), v.PresentInZone()})
 		case <-ctx.Done():
 			return
 		}
@@ -75,7 +70,7 @@
 // serve answers with the view of this node.
 func (m membership) serve(w http.ResponseWriter, _ *http.Request) {
 	v, s, now := m.View(), m.Stats(), time.Now()
-	f, _ := ask(m.loop, func(reply chan<- fleetState) any { return fleetAsked{reply} })
+	f, _ := ask(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
 	out := FleetView{Node: v.Self, View: v.Revision, Agreed: f.agreed, Heard: v.PresentCount(), CutOff: f.cutOff,
 		Superseded: v.Superseded, SentBytes: s.SentBytes, HeardBytes: s.ReceivedBytes, Refuted: s.RefutedSuspicions,
 		Conflicts: s.NameConflicts, LinesQuiet: s.SuppressedLogLines, Members: []FleetMember{}, GeneratedAt: now}
@@ -122,7 +117,7 @@
 		},
 	} {
 		f.set.NewGauge(name, func() float64 {
-			s, _ := ask(m.loop, func(reply chan<- fleetState) any { return fleetAsked{reply} })
+			s, _ := ask(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
 			return of(s)
 		})
 	}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	if seen != nil {
-		l.module = listObserver{l.module, seen}
+		l.balancer = listObserver{l.balancer, seen}
 	}
 	h.loop = l
 	return h, nil
@@ -68,13 +68,13 @@
 
 // listObserver tells of each list that the module has taken.
 type listObserver struct {
-	module
+	balancer
 	seen func(policy.EndpointList)
 }
 
 // Handle hands the event on.
 func (o listObserver) Handle(now policy.Time, ev policy.Event) []policy.Action {
-	actions := o.module.Handle(now, ev)
+	actions := o.balancer.Handle(now, ev)
 	if list, ok := ev.(policy.EndpointList); ok {
 		o.seen(list)
 	}
@@ -89,9 +89,9 @@
 	}
 	var parts sync.WaitGroup
 	defer parts.Wait()
-	parts.Go(func() { h.loop.disc.Run(ctx) })
+	parts.Go(func() { h.loop.listClient.Run(ctx) })
 	if fleet != nil {
-		parts.Go(func() { h.loop.follow(ctx, fleet.Subscribe()) })
+		parts.Go(func() { h.loop.followFleet(ctx, fleet.Subscribe()) })
 		parts.Go(func() { fleet.Run(ctx) })
 	}
 	h.loop.run(ctx, h.config.Known.Endpoints, nil)
@@ -100,7 +100,7 @@
 
 // Restore takes the list of the configuration, as a node does at its start.
 func (h *Hollow) Restore() {
-	h.loop.handle(discovery.Update{Kind: policy.ListCached, Endpoints: h.config.Known.Endpoints})
+	h.loop.handle(endpointUpdate{discovery.Update{Kind: policy.ListCached, Endpoints: h.config.Known.Endpoints}})
 }
 
 // TakeList reads an answer of the list service and takes it.
@@ -109,8 +109,8 @@
 	if err != nil {
 		return err
 	}
-	h.loop.disc.Apply(l)
-	h.loop.handleMore()
+	h.loop.listClient.Apply(l)
+	h.loop.handleQueued()
 	return nil
 }
 
@@ -135,25 +135,25 @@
 
 // handle gives the module an event of a request, and carries out all but what needs a client or a server.
 func (h *Hollow) handle(ev policy.Event) (server string, sent bool) {
-	for _, a := range h.loop.module.Handle(h.loop.clock.now(), ev) {
+	for _, a := range h.loop.balancer.Handle(h.loop.clock.now(), ev) {
 		if a.Kind == policy.Send {
 			server, sent = a.Server, true
 			continue
 		}
-		h.loop.carryOut(a)
+		h.loop.execute(a)
 	}
 	return server, sent
 }
 
 // Servers counts those in the list.
 func (h *Hollow) Servers() int {
-	listed, _ := h.loop.module.Servers()
+	listed, _ := h.loop.balancer.Servers()
 	return listed
 }
 
 // Avoided counts those of them that get no work now.
 func (h *Hollow) Avoided() int {
-	_, avoided := h.loop.module.Servers()
+	_, avoided := h.loop.balancer.Servers()
 	return avoided
 }
 
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -72,7 +72,7 @@
 
 // Snapshot implements hotrestart.Process.
 func (h *hotRestart) Snapshot() (hotrestart.State, error) {
-	state, ok := ask(h.server.loop, func(reply chan<- hotrestart.State) any { return snapshotRequest{reply} })
+	state, ok := ask(h.server.loop, func(reply chan<- hotrestart.State) event { return snapshotRequest{reply} })
 	if !ok {
 		return hotrestart.State{}, errors.New("the node has ended")
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -1,11 +1,7 @@
 package node
 
 import (
-	"container/heap"
 	"context"
-	"log/slog"
-	"maps"
-	"net/http"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -17,172 +13,95 @@
 )
 
 const (
-	// eventBuffer lets handlers and attempts hand in an event while the loop is busy with others.
-	eventBuffer = 1024
-	// timeOrigin is what the clock shows at the start. Servers that started before the node did have
-	// a time above 0 all the same: 0 means long ago, and would count a cold server as warm.
-	timeOrigin = 24 * time.Hour
-	// answerMargin is how long before the client stops waiting the module's time is up, so that its
-	// answer still arrives; half of it later the backstop answers. Of short deadlines it is a part.
-	answerMargin     = 20 * time.Millisecond
-	answerMarginPart = 5
-	longestUpload    = 15 * time.Minute // the least pace borne ends it far sooner
-	reportFresh      = time.Second      // after the first byte, a report in an answer is old news
-	sweepEvery       = time.Second      // idle connections to servers
+	// eventBufferSize lets others hand in events while the loop is busy.
+	eventBufferSize = 1024
+	// maxEventBatch bounds the events that are handled before timers get their turn.
+	maxEventBatch = 64
+	// sweepInterval is the time between two looks for idle connections to servers that are to be closed.
+	sweepInterval = time.Second
 )
 
-// clock turns the machine's clocks into policy.Time. The wall clock is read once, at the start.
-type clock struct{ start time.Time }
-
-func (c clock) now() policy.Time { return timeOrigin + time.Since(c.start) }
-
-func (c clock) at(t policy.Time) time.Time { return c.start.Add(t - timeOrigin) }
-
-// unix converts a server's start from Unix milliseconds; 0 stays 0, and so does what lies before the
-// origin, which is just as long ago.
-func (c clock) unix(ms int64) policy.Time {
-	if ms == 0 {
-		return 0
-	}
-	most := timeOrigin.Milliseconds() // nor may a start far ahead overflow
-	ago := min(max(c.start.UnixMilli()-ms, -most), most)
-	return timeOrigin - time.Duration(ago)*time.Millisecond
-}
-
-// module is the policy.Balancer.
-type module interface {
+// balancer decides: it is the policy.Balancer, or a test's. The loop's goroutine alone calls it.
+type balancer interface {
+	// Handle takes an event and returns what to do, in order.
 	Handle(now policy.Time, ev policy.Event) []policy.Action
+	// Servers counts the listed servers, and those of them that get no work now.
 	Servers() (listed, avoided int)
+	// TailLatency is how long slow answers took lately.
 	TailLatency() time.Duration
+	// Snapshot is the state to hand over to another process, and Restore takes it.
 	Snapshot(now policy.Time) policy.Snapshot
 	Restore(now policy.Time, k policy.Snapshot)
+	// InFlight is this process's attempts by server, and SetSiblingInFlight takes the other process's.
 	InFlight() map[string]int
 	SetSiblingInFlight(out map[string]int)
+	// FleetSize is the number of nodes that quotas are divided by, that of nodes heard, and whether this one is cut off.
 	FleetSize() (agreed, heard int, cutOff bool)
+	// Zones is the state of each zone; nil where the configuration names none.
 	Zones(now policy.Time) []policy.ZoneState
 }
 
-// loop owns the module, the open requests and the timers, in one goroutine. All else sends it events;
-// it waits for nothing but the next of them.
+// loop owns the balancer, the open requests and the timers, in one goroutine. All else sends it events; it waits for
+// nothing but the next of them.
 type loop struct {
-	clock   clock
-	module  module
-	allowed policy.Allowed
-	target  discovery.Target // discovery as last configured
-	terms   atomic.Pointer[terms]
-	maxOpen int
-	up      *upstream
-	fig     *figures
-	disc    *discovery.Client
-
-	events    chan any
-	done      chan struct{} // closed when the loop has ended
-	ready     chan struct{} // closed when the known list is in
-	requests  map[string]*request
-	owed      int  // requests without their answer
-	finished  bool // there is no time left for any
-	timers    timers
-	endpoints map[string]discovery.Endpoint // the list as last told
-	skipped   []policy.Outcome              // of attempts that were not made; told once all actions are done
-	attempts  sync.WaitGroup
+	events chan event
+	done   chan struct{}         // closed when the loop has ended
+	ready  chan struct{}         // closed when the known list is in
+	terms  atomic.Pointer[terms] // clients' goroutines read it
+	up     *upstream
+	fig    *figures
+
+	// The loop's goroutine alone uses what follows.
+	clock      clock
+	balancer   balancer
+	allowed    policy.Allowed
+	maxOpen    int // requests without their answer; 0 for no limit
+	listClient *discovery.Client
+	listTarget discovery.Target // the list service as last configured
+	requests   map[string]*request
+	unanswered int  // requests without their answer
+	finished   bool // there is no time left for any
+	timers     timers
+	endpoints  map[string]discovery.Endpoint // the list as last received
+	unsent     []policy.Outcome              // of attempts that were not made, for when all actions are done
+	running    sync.WaitGroup                // the attempts under way
 }
 
-// request is kept until it is answered and all its attempts are over.
-type request struct {
-	*exchange
-	deadline policy.Time
-	backstop *timer
-	ended    bool
-	attempts []attempt
-	pending  int
-}
-
-type attempt struct {
-	server string
-	sent   policy.Time // or when the request was whole, if that was later
-	began  policy.Time // when its answer began, of one that is passed on as it comes
-	flight *flight
-}
-
-// The events of the loop, beside news.
-type (
-	arrival   struct{ x *exchange }
-	departure struct{ x *exchange }
-	ending    struct { // of an attempt
-		r *request
-		n int
-		result
-	}
-	snapshotRequest     struct{ reply chan<- hotrestart.State } // another process takes over
-	successorGone       struct{ served bool }                   // and is gone again
-	tailRequest         struct{ reply chan<- time.Duration }
-	inFlightRequest     struct{ reply chan<- map[string]int } // this process's attempts, by server
-	predecessorInFlight struct{ inFlight map[string]int }     // and the other's
-	begun               struct {                              // an answer that is passed on as it comes
-		r *request
-		n int
-		answer
-	}
-	uploaded struct { // the rest of a request: whole, or why its connection waits for an answer to end by
-		x   *exchange
-		err error
-	}
-	finish struct{} // fail what is still open and refuse what comes, for the node stops
-)
-
 func newLoop(c config.Config, ck clock, up *upstream, fig *figures) (*loop, error) {
 	balancer, err := policy.New(c.Settings, ck.now(), c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, fig: fig,
-		events: make(chan any, eventBuffer), done: make(chan struct{}), ready: make(chan struct{}),
+	l := &loop{clock: ck, balancer: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, fig: fig,
+		events: make(chan event, eventBufferSize), done: make(chan struct{}), ready: make(chan struct{}),
 		requests: make(map[string]*request), endpoints: make(map[string]discovery.Endpoint)}
-	l.target = discoveryTarget(c)
+	l.listTarget = discoveryTarget(c)
 	l.terms.Store(newTerms(c.Settings.Classes))
-	l.disc = discovery.NewClient(discoveryConfig(c), func(u discovery.Update) { l.send(u) })
+	l.listClient = discovery.NewClient(discoveryConfig(c), func(u discovery.Update) { l.send(endpointUpdate{u}) })
 	return l, nil
 }
 
-// ask has the loop answer an event that is made for the reply; not ok once it has ended.
-func ask[T any](l *loop, event func(reply chan<- T) any) (v T, ok bool) {
-	reply := make(chan T, 1)
-	l.send(event(reply))
-	select {
-	case v = <-reply:
-		return v, true
-	case <-l.done:
-		return v, false
-	}
-}
-
-// inFlight is this process's attempts, by server; nil once the loop has ended.
-func (l *loop) inFlight() map[string]int {
-	out, _ := ask(l, func(reply chan<- map[string]int) any { return inFlightRequest{reply} })
-	return out
-}
-
-// send hands the loop an event. After the loop's end there is nobody to tell.
-func (l *loop) send(ev any) {
+// send hands the loop an event. After the loop's end it does nothing.
+func (l *loop) send(ev event) {
 	select {
 	case l.events <- ev:
 	case <-l.done:
 	}
 }
 
-// run handles events until ctx ends; then it calls off what is out and waits for it. The list as last
-// held comes before all else, as the module expects, and then what another process left.
-func (l *loop) run(ctx context.Context, known []discovery.Endpoint, left *hotrestart.State) {
-	defer l.attempts.Wait()
-	defer l.callOff()
+// run handles events until ctx ends; then it cancels the attempts under way and waits for them. The known list comes
+// before all else, as the balancer expects, and then the state of a predecessor, if there is one.
+func (l *loop) run(ctx context.Context, known []discovery.Endpoint, predecessor *hotrestart.State) {
+	defer l.running.Wait()
+	defer l.cancelAttempts()
 	defer close(l.done)
-	l.handle(discovery.Update{Kind: policy.ListCached, Endpoints: known})
-	if left != nil {
-		l.module.Restore(l.clock.now(), left.Policy)
-		l.module.SetSiblingInFlight(left.InFlight)
+	l.handle(endpointUpdate{discovery.Update{Kind: policy.ListCached, Endpoints: known}})
+	if predecessor != nil {
+		l.balancer.Restore(l.clock.now(), predecessor.Policy)
+		l.balancer.SetSiblingInFlight(predecessor.InFlight)
 	}
 	close(l.ready)
-	sweep := time.NewTicker(sweepEvery)
+	sweep := time.NewTicker(sweepInterval)
 	defer sweep.Stop()
 	wake := time.NewTimer(0)
 	defer wake.Stop()
@@ -195,12 +114,12 @@
 		select {
 		case ev := <-l.events:
 			l.handle(ev)
-			l.handleMore()
+			l.handleQueued()
 		case <-wake.C:
 			armed = 0
 		case now := <-sweep.C:
 			l.up.sweep(now)
-			l.showPlaces(l.clock.now())
+			l.updateZoneMetrics(l.clock.now())
 		case <-ctx.Done():
 			return
 		}
@@ -208,12 +127,12 @@
 	}
 }
 
-// eventsAtOnce are handled before timers and all else get their turn.
-const eventsAtOnce = 64
+// handle handles one event.
+func (l *loop) handle(ev event) { ev.handle(l) }
 
-// handleMore handles what else has come already: to wait for several things at once costs more.
-func (l *loop) handleMore() {
-	for range eventsAtOnce {
+// handleQueued handles what else has come already, which costs less than a select over all that the loop waits for.
+func (l *loop) handleQueued() {
+	for range maxEventBatch {
 		select {
 		case ev := <-l.events:
 			l.handle(ev)
@@ -223,334 +142,8 @@
 	}
 }
 
-// fire handles the timers that are due.
-func (l *loop) fire() {
-	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].due <= now; {
-		t := heap.Pop(&l.timers).(*timer)
-		if r := t.backstop; r == nil {
-			l.tell(policy.Timer{Token: t.token})
-		} else {
-			l.fail(r, http.StatusGatewayTimeout) // the module has said nothing
-		}
-	}
-}
-
-func (l *loop) handle(ev any) {
-	switch e := ev.(type) {
-	case arrival:
-		l.arrive(e.x)
-	case departure:
-		// Another request may bear the id by now.
-		if r := l.requests[e.x.req.ID]; r != nil && r.exchange == e.x {
-			l.leave(r)
-		}
-	case begun:
-		l.begin(e)
-	case uploaded:
-		if r := l.requests[e.x.req.ID]; r != nil && r.exchange == e.x && !r.ended {
-			l.whole(r, e.err)
-		}
-	case ending:
-		l.end(e)
-	case discovery.Update:
-		l.applyUpdate(e)
-	case configChanged:
-		l.applyConfig(e.Config)
-	case snapshotRequest:
-		left := hotrestart.State{Policy: l.module.Snapshot(l.clock.now()), InFlight: l.module.InFlight()}
-		left.SetEndpointList(maps.Values(l.endpoints))
-		e.reply <- left
-		l.tell(policy.HandedOver{Active: true})
-	case inFlightRequest:
-		e.reply <- l.module.InFlight()
-	case predecessorInFlight:
-		l.module.SetSiblingInFlight(e.inFlight)
-	case fleetSeen:
-		l.tell(policy.FleetSize{ReachableNodes: e.heard, ReachableInZone: e.near})
-	case fleetAsked:
-		var f fleetState
-		f.agreed, f.heard, f.cutOff = l.module.FleetSize()
-		e.reply <- f
-	case placesAsked:
-		e.reply <- l.module.Zones(l.clock.now())
-	case tailRequest:
-		e.reply <- l.module.TailLatency()
-	case successorGone:
-		l.tell(policy.HandedOver{SuccessorServed: e.served})
-	case finish:
-		l.finished = true
-		for _, r := range l.requests {
-			if !r.ended {
-				l.fail(r, http.StatusBadGateway)
-			}
-		}
-	}
-}
-
-func (l *loop) arrive(x *exchange) {
-	if x.left.Load() { // while it waited for the loop
-		return
-	}
-	if l.requests[x.req.ID] != nil { // the module would wait for the first, and never answer this one
-		x.reply <- answer{status: http.StatusConflict}
-		return
-	}
-	if l.finished || l.maxOpen > 0 && l.owed >= l.maxOpen {
-		x.reply <- answer{status: http.StatusServiceUnavailable}
-		return
-	}
-	r := &request{exchange: x}
-	l.requests[x.req.ID] = r
-	l.owed++
-	r.backstop = &timer{backstop: r}
-	req := x.req
-	req.FormerClass = req.FormerClass || x.terms != l.terms.Load() // changed while it came in
-	if req.Incomplete {
-		r.timeFrom(l.clock.now() + longestUpload)
-		req.Timeout = x.clientWaits - r.margin()
-	} else {
-		r.timeFrom(x.came)
-		req.Timeout = max(0, r.deadline-l.clock.now())
-	}
-	heap.Push(&l.timers, r.backstop)
-	l.tell(req)
-}
-
-func (r *request) margin() time.Duration { return min(answerMargin, r.clientWaits/answerMarginPart) }
-
-// timeFrom sets the deadlines of a request by when its last byte came.
-func (r *request) timeFrom(came policy.Time) {
-	end := came + r.clientWaits
-	r.deadline, r.backstop.due = end-r.margin(), end-r.margin()/2
-}
-
-// whole starts the time of a request that was sent on while it came in, or ends one that broke off.
-func (l *loop) whole(r *request, err error) {
-	if err != nil {
-		status, _ := uploadStatus(err)
-		l.fail(r, status)
-		return
-	}
-	now := l.clock.now()
-	r.timeFrom(now)
-	heap.Fix(&l.timers, r.backstop.at)
-	r.attempts[len(r.attempts)-1].sent = now
-	l.tell(policy.RequestComplete{ID: r.req.ID})
-}
-
-// leave ends a request whose client has gone.
-func (l *loop) leave(r *request) {
-	if r.ended { // its answer has begun, and nobody takes it
-		r.callOff()
-		return
-	}
-	l.settle(r)
-	l.tell(policy.ClientCancelled{ID: r.req.ID})
-	l.drop(r)
-}
-
-// callOff ends what is out for r.
-func (r *request) callOff() {
-	for _, a := range r.attempts {
-		a.flight.stop(context.Canceled)
-	}
-}
-
-// callOff ends all that is out.
-func (l *loop) callOff() {
-	for _, r := range l.requests {
-		r.callOff()
-	}
-}
-
-// begin gives the client an answer that is still coming. No deadline ends that from now on.
-func (l *loop) begin(e begun) {
-	a := &e.r.attempts[e.n]
-	if e.r.ended {
-		a.flight.stop(context.Canceled)
-		return
-	}
-	a.flight.bound(time.Time{})
-	a.began = l.clock.now()
-	l.answer(e.r, e.answer)
-	l.tell(policy.FirstByte{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Latency: a.began - a.sent})
-}
-
-func (l *loop) end(e ending) {
-	a := &e.r.attempts[e.n]
-	e.r.pending--
-	over := l.clock.now()
-	if a.began > 0 { // how long the client took to read it says nothing of the server
-		if over-a.began > reportFresh {
-			e.report = nil
-		}
-		over = a.began
-	}
-	if e.code == policy.OK && !e.r.ended {
-		l.answer(e.r, e.result.answer)
-	}
-	l.tell(policy.Outcome{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Code: e.code,
-		Latency: over - a.sent, RequestEnded: e.r.ended, BodyConsumed: e.r.spent(), LoadReport: e.report})
-	l.drop(e.r)
-}
-
-// spent tells whether a request can't be written again.
-func (r *request) spent() bool { return r.rest != nil && r.rest.begun.Load() }
-
-// tell gives the module an event and carries out what it wants done, in order.
-func (l *loop) tell(ev policy.Event) {
-	for {
-		for _, a := range l.module.Handle(l.clock.now(), ev) {
-			l.carryOut(a)
-		}
-		if len(l.skipped) == 0 {
-			break
-		}
-		o := l.skipped[0]
-		l.skipped = l.skipped[1:]
-		if r := l.requests[o.ID]; r != nil {
-			r.pending--
-			o.RequestEnded = r.ended
-			defer l.drop(r)
-		}
-		ev = o
-	}
-	listed, avoided := l.module.Servers()
-	l.fig.listed.Store(int64(listed))
-	l.fig.avoided.Store(int64(avoided))
-}
-
-func (l *loop) carryOut(a policy.Action) {
-	switch a.Kind {
-	case policy.Send:
-		l.attempt(a)
-	case policy.Reject:
-		if r := l.requests[a.ID]; r != nil {
-			l.refuse(r, a.Wait)
-		}
-	case policy.Fail:
-		if r := l.requests[a.ID]; r != nil {
-			l.answer(r, answer{status: http.StatusBadGateway})
-			l.drop(r)
-		}
-	case policy.Cancel:
-		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].flight.stop(context.Canceled)
-		}
-	case policy.SetAttemptDeadline:
-		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].flight.bound(l.clock.at(min(a.AttemptDeadline, r.deadline)))
-		}
-	case policy.SetTimer:
-		heap.Push(&l.timers, &timer{due: l.clock.now() + a.Wait, token: a.Token})
-	case policy.WatchList:
-		l.disc.SetWatching(a.Enabled)
-	case policy.Log:
-		slog.Info(a.Text)
-	default: // probes and peer messages are not allowed here, and the module asks for none
-		slog.Error("the module wants what this node can't do", "action", a.Kind)
-	}
-}
-
-// attempt sends a request out, unless it is too late or too often for that: then it is skipped.
-func (l *loop) attempt(a policy.Action) {
-	r, now := l.requests[a.ID], l.clock.now()
-	if r == nil {
-		slog.Error("the module sends a request that is not open")
-		return
-	}
-	n := len(r.attempts)
-	r.pending++
-	if r.ended || now >= r.deadline || n >= max(1, l.allowed.MaxAttempts) || r.spent() {
-		r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: new(flight)})
-		l.skipped = append(l.skipped, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotAttempted})
-		return
-	}
-	until := r.deadline
-	if a.AttemptDeadline > 0 {
-		until = min(until, a.AttemptDeadline)
-	}
-	f := &flight{due: l.clock.at(until)}
-	r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: f})
-	to := outgoing{exchange: r.exchange, waits: until - now, flight: f,
-		begin: func(a answer) { l.send(begun{r, n, a}) }, left: func() { l.send(uploaded{r.exchange, errClient}) }}
-	if r.req.Incomplete {
-		to.waits = r.clientWaits - r.margin()
-	}
-	l.attempts.Go(func() { l.send(ending{r, n, l.up.attempt(a.Server, to)}) })
-}
-
-func (l *loop) refuse(r *request, wait time.Duration) {
-	a := answer{status: http.StatusServiceUnavailable}
-	if wait > 0 && l.allowed.RetryAfter {
-		a = answer{status: http.StatusTooManyRequests, retryAfter: wait}
-	}
-	l.answer(r, a)
-	l.drop(r)
-}
-
-// answer gives the client its one answer; whatever comes later is not passed on.
-func (l *loop) answer(r *request, a answer) {
-	if !r.ended {
-		l.settle(r)
-		r.reply <- a
-	}
-}
-
-// fail gives the client its one answer where the module has none in time, and tells it so.
-func (l *loop) fail(r *request, status int) {
-	l.answer(r, answer{status: status})
-	l.tell(policy.ClientCancelled{ID: r.req.ID})
-	l.drop(r)
-}
-
-// settle marks r as answered, or given up by its client: the first to do so wins. What waits for its connection
-// then is not written, which calls nothing off that a server has begun.
-func (l *loop) settle(r *request) {
-	r.ended = true
-	for _, a := range r.attempts {
-		a.flight.ground()
-	}
-	l.owed--
-	if r.backstop.at >= 0 { // else it would keep the request until a deadline that may be far off
-		heap.Remove(&l.timers, r.backstop.at)
-	}
-}
-
-// drop forgets a request that is answered and has no attempt out.
-func (l *loop) drop(r *request) {
-	if r.ended && r.pending == 0 && l.requests[r.req.ID] == r {
-		delete(l.requests, r.req.ID)
-	}
-}
-
-// timer is one of the module's, or a request's backstop.
-type timer struct {
-	due      policy.Time
-	token    uint64
-	backstop *request
-	at       int // its place among the timers; -1 once it is out
-}
-
-type timers []*timer
-
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].due < t[j].due }
-
-func (t timers) Swap(i, j int) {
-	t[i], t[j] = t[j], t[i]
-	t[i].at, t[j].at = i, j
-}
-
-func (t *timers) Push(x any) {
-	x.(*timer).at = len(*t)
-	*t = append(*t, x.(*timer))
-}
-
-func (t *timers) Pop() any {
-	last := len(*t) - 1
-	x := (*t)[last]
-	x.at, (*t)[last] = -1, nil
-	*t = (*t)[:last]
-	return x
+// inFlight is this process's attempts, by server; nil once the loop has ended.
+func (l *loop) inFlight() map[string]int {
+	attempts, _ := ask(l, func(reply chan<- map[string]int) event { return inFlightRequest{reply} })
+	return attempts
 }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -80,7 +80,7 @@
 		t.Fatal(err)
 	}
 	s := &script{answer: answer}
-	l.module = s
+	l.balancer = s
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { l.run(ctx, c.Known.Endpoints, nil); close(ended) }()
@@ -260,7 +260,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 		x := l.arriveNow("r1", nodetest.Timeout)
-		l.send(finish{})
+		l.send(failUnanswered{})
 		if a := nodetest.Receive(t, "the answer", x.reply); a.status != http.StatusBadGateway {
 			t.Errorf("status %d", a.status)
 		}
@@ -277,7 +277,7 @@
 func TestEndedRequestsAreForgotten(t *testing.T) {
 	l := &loop{clock: clock{start: time.Now()}, requests: make(map[string]*request),
 		endpoints: make(map[string]discovery.Endpoint), fig: newFigures(nil)}
-	l.module = &script{answer: func(_ policy.Time, ev policy.Event) []policy.Action {
+	l.balancer = &script{answer: func(_ policy.Time, ev policy.Event) []policy.Action {
 		if e, ok := ev.(policy.Request); ok {
 			return []policy.Action{{Kind: policy.Reject, ID: e.ID}}
 		}
@@ -286,8 +286,8 @@
 	for i := range 50 {
 		l.handle(arrival{testExchange(http.MethodGet, fmt.Sprint(i), "")})
 	}
-	if len(l.requests) != 0 || len(l.timers) != 0 || l.owed != 0 {
-		t.Errorf("%d requests, %d timers, %d answers owed", len(l.requests), len(l.timers), l.owed)
+	if len(l.requests) != 0 || len(l.timers) != 0 || l.unanswered != 0 {
+		t.Errorf("%d requests, %d timers, %d answers owed", len(l.requests), len(l.timers), l.unanswered)
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -56,7 +56,7 @@
 		limitMemory(c, sharedMemoryFraction)
 	}
 	parts.Go(func() { l.run(running, c.Known.Endpoints, left) })
-	parts.Go(func() { l.disc.Run(running) })
+	parts.Go(func() { l.listClient.Run(running) })
 
 	failed := make(chan error, 1)
 	clients := newConnLimiter(at.Clients, held)
@@ -65,7 +65,7 @@
 	parts.Go(func() { failed <- s.accept(clients) })
 	parts.Go(func() { h.run(running, at.predecessor) })
 	if fleet != nil {
-		parts.Go(func() { l.follow(running, fleet.Subscribe()) })
+		parts.Go(func() { l.followFleet(running, fleet.Subscribe()) })
 		parts.Go(func() {
 			select {
 			case <-s.soleListener: // until then another process is the member
@@ -104,7 +104,7 @@
 		time.Sleep(min(stopPoll, time.Until(last)))
 	}
 	s.draining.Store(true)
-	late := time.AfterFunc(time.Until(end), func() { s.loop.send(finish{}) })
+	late := time.AfterFunc(time.Until(end), func() { s.loop.send(failUnanswered{}) })
 	defer late.Stop()
 	err := h.clients.Close()
 	s.shutdown(end.Add(lastAnswers))
@@ -116,7 +116,7 @@
 // or finds none.
 func (s *server) lastAnswer(terms *terms) time.Duration {
 	longest := terms.longestOf(longestAnswer)
-	if tail, ok := ask(s.loop, func(reply chan<- time.Duration) any { return tailRequest{reply} }); ok {
+	if tail, ok := ask(s.loop, func(reply chan<- time.Duration) event { return tailRequest{reply} }); ok {
 		return min(longest, tail)
 	}
 	return longest
--- a/internal/node/places.go
+++ b/internal/node/places.go
@@ -14,9 +14,6 @@
 	placesPath = "/places"
 )
 
-// placesAsked asks what the module makes of the places.
-type placesAsked struct{ reply chan<- []policy.ZoneState }
-
 // PlaceView is one place in the answer at /places.
 type PlaceView struct {
 	Zone      string  `json:"zone"`
@@ -32,9 +29,9 @@
 	Why       string  `json:"why,omitempty"` // it was left last
 }
 
-// servePlaces answers with what the node makes of each place; 404 where its configuration names none.
-func (l *loop) servePlaces(w http.ResponseWriter, r *http.Request) {
-	states, _ := ask(l, func(reply chan<- []policy.ZoneState) any { return placesAsked{reply} })
+// serveZones answers with what the node makes of each place; 404 where its configuration names none.
+func (l *loop) serveZones(w http.ResponseWriter, r *http.Request) {
+	states, _ := ask(l, func(reply chan<- []policy.ZoneState) event { return zonesRequest{reply} })
 	if states == nil {
 		http.NotFound(w, r)
 		return
@@ -50,9 +47,9 @@
 	}
 }
 
-// showPlaces brings the figures of places up to date; there are none where the configuration names none.
-func (l *loop) showPlaces(now policy.Time) {
-	for _, s := range l.module.Zones(now) {
+// updateZoneMetrics brings the figures of places up to date; there are none where the configuration names none.
+func (l *loop) updateZoneMetrics(now policy.Time) {
+	for _, s := range l.balancer.Zones(now) {
 		zone := "{zone=" + strconv.Quote(s.Zone) + "}"
 		l.fig.set.GetOrCreateGauge("app_place_share"+zone, nil).Set(s.TrafficShare)
 		l.fig.set.GetOrCreateGauge("app_place_servers"+zone, nil).Set(float64(s.Servers))
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -18,9 +18,6 @@
 	Err    error // nothing is taken from such a file
 }
 
-// configChanged is a changed configuration on its way to the loop.
-type configChanged struct{ config.Config }
-
 // terms are the settings that clients' requests are read by.
 type terms struct {
 	classes map[string]policy.Class
@@ -96,11 +93,11 @@
 		names = append(names, class.Name)
 	}
 	l.terms.Store(l.terms.Load().after(c.Settings.Classes, time.Now()))
-	if to := discoveryTarget(c); to != l.target {
-		l.target = to
-		l.disc.Retarget(to)
+	if to := discoveryTarget(c); to != l.listTarget {
+		l.listTarget = to
+		l.listClient.Retarget(to)
 	}
-	l.tell(c.Settings)
+	l.decide(c.Settings)
 	l.fig.accepted.Inc()
 	slog.Info("configuration taken", "classes", names, "attempts", c.Settings.Allowed.MaxAttempts, "discovery", c.Discovery)
 }
