--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -55,7 +55,7 @@
 
 // run serves until ctx ends.
 func (c *control) run(ctx context.Context, listener net.Listener) {
-	stop := context.AfterFunc(ctx, func() { c.http.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = c.http.Close() }) // which ends Serve
 	defer stop()
 	err := c.http.Serve(netutil.LimitListener(listener, controlSockets))
 	if !errors.Is(err, http.ErrServerClosed) {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -6,34 +6,34 @@
 	"sloerail/policy"
 )
 
-// discoveryTarget is what the configuration says of the list service.
+// discoveryTarget is the list service that a configuration names.
 func discoveryTarget(c config.Config) discovery.Target {
 	return discovery.NewTarget(c.Discovery, c.Scope, c.Settings)
 }
 
-// discoveryConfig is that of the client of the list service.
+// discoveryConfig is the configuration of the list service's client.
 func discoveryConfig(c config.Config) discovery.ClientConfig {
 	return discovery.ClientConfig{Target: discoveryTarget(c), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
 		Dial: c.Dialer(discovery.MaxQueueTime)}
 }
 
-// applyUpdate takes a change of the endpoint list.
-func (l *loop) applyUpdate(n discovery.Update) {
-	if n.Kind != policy.ListUnavailable {
-		l.up.update(n)
+// applyUpdate takes a change of the endpoint list. The balancer gets the servers' start times by the node's clock.
+func (l *loop) applyUpdate(update discovery.Update) {
+	if update.Kind != policy.ListUnavailable {
+		l.up.update(update)
 	}
-	if n.Kind == policy.ListReplace || n.Kind == policy.ListCached {
+	if update.Kind == policy.ListReplace || update.Kind == policy.ListCached {
 		clear(l.endpoints)
 	}
-	for _, m := range n.Endpoints {
-		if l.endpoints[m.ID] = m; m.Availability == policy.Removed {
-			delete(l.endpoints, m.ID)
+	endpoints := make([]policy.Endpoint, len(update.Endpoints))
+	for i, e := range update.Endpoints {
+		if e.Availability == policy.Removed {
+			delete(l.endpoints, e.ID)
+		} else {
+			l.endpoints[e.ID] = e
 		}
+		endpoints[i] = e.Endpoint
+		endpoints[i].StartedAt = l.clock.unix(e.StartedAtMillis)
 	}
-	members := make([]policy.Endpoint, len(n.Endpoints))
-	for i, m := range n.Endpoints {
-		members[i] = m.Endpoint
-		members[i].StartedAt = l.clock.unix(m.StartedAtMillis)
-	}
-	l.decide(policy.EndpointList{Kind: n.Kind, Endpoints: members})
+	l.decide(policy.EndpointList{Kind: update.Kind, Endpoints: endpoints})
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -39,6 +39,16 @@
 	loop *loop
 }
 
+// runAsMember takes part in the fleet until ctx ends, from when this process is the only one of the node that accepts
+// clients: until then another one is the member.
+func (m *membership) runAsMember(ctx, running context.Context, soleListener <-chan struct{}) {
+	select {
+	case <-soleListener:
+		m.Run(ctx)
+	case <-running.Done():
+	}
+}
+
 // FleetView is the answer at /fleet: the fleet as one node sees it, and what that node makes of it.
 type FleetView struct {
 	Node        string        `json:"node"`
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -3,81 +3,77 @@
 import (
 	"context"
 	"fmt"
-	"log/slog"
 	"sync"
 	"time"
 
 	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/hotrestart"
-	"sloerail/policy"
 )
 
-const (
-	acceptFor    = 500 * time.Millisecond // after the signal to stop, while clients still come
-	longestDrain = 3 * time.Second        // no client waits longer once a node is told to stop
-	stopPoll     = 20 * time.Millisecond  // between looks at whether a replaced process has clients left
-	lastAnswers  = 100 * time.Millisecond // for what is failed then to reach its clients
-)
-
-// Run serves clients until ctx ends. Then it goes on accepting for a moment, answers what it has taken,
-// and returns.
+// Run serves clients until ctx ends. Then it drains, and returns once all that it started has ended. Reloaded
+// configurations come by changes.
 func Run(ctx context.Context, c config.Config, at Listeners, changes <-chan Change) error {
-	ck := clock{start: time.Now()}
-	shared, held := new(sockets), c.Sockets
-	if at.predecessor != nil {
-		held, c.Known = at.predecessor.State.Sockets, discovery.List{Revision: discovery.UnknownRevision, Endpoints: at.predecessor.State.EndpointList()}
-	} else {
-		c.Known = discovery.RestoreList(c.ListFile, c.Known)
-	}
+	started := clock{start: time.Now()}
+	held, state := at.restore(&c)
 	limitMemory(c, 1)
 	fig := newFigures(c.Settings.Classes)
-	up := newUpstream(c, shared, fig)
+	up := newUpstream(c, new(sockets), fig)
 	defer up.close()
-	l, err := newLoop(c, ck, up, fig)
+	l, err := newLoop(c, started, up, fig)
 	if err != nil {
 		return err
 	}
 	s := newServer(l)
-	s.isSuccessor = at.predecessor != nil
+	s.isSuccessor = state != nil
 	s.sharingSockets.Store(s.isSuccessor)
 	fleet, err := l.join(c)
 	if err != nil {
 		return err
 	}
+	if state != nil {
+		limitMemory(c, sharedMemoryFraction)
+	}
 
 	running, stop := context.WithCancel(context.Background())
 	var parts sync.WaitGroup
 	defer parts.Wait()
 	defer stop()
-	var left *hotrestart.State
-	if at.predecessor != nil {
-		left = &at.predecessor.State
-		limitMemory(c, sharedMemoryFraction)
-	}
-	parts.Go(func() { l.run(running, c.Known.Endpoints, left) })
+	parts.Go(func() { l.run(running, c.Known.Endpoints, state) })
 	parts.Go(func() { l.listClient.Run(running) })
-
-	failed := make(chan error, 1)
 	clients := newConnLimiter(at.Clients, held)
-	h := &hotRestart{config: c, server: s, upstream: up, clients: clients, fleet: fleet, sockets: held}
-	h.shareSockets()
+	restart := &hotRestart{config: c, server: s, upstream: up, clients: clients, fleet: fleet, sockets: held}
+	restart.shareSockets()
+	failed := make(chan error, 1)
 	parts.Go(func() { failed <- s.accept(clients) })
-	parts.Go(func() { h.run(running, at.predecessor) })
+	parts.Go(func() { restart.run(running, at.predecessor) })
 	if fleet != nil {
 		parts.Go(func() { l.followFleet(running, fleet.Subscribe()) })
-		parts.Go(func() {
-			select {
-			case <-s.soleListener: // until then another process is the member
-				fleet.Run(ctx)
-			case <-running.Done():
-			}
-		})
+		parts.Go(func() { fleet.runAsMember(ctx, running, s.soleListener) })
 	}
 	if at.Control != nil {
-		ctl := newControl(l, s.taking, fleet)
-		parts.Go(func() { ctl.run(running, at.Control) })
+		parts.Go(func() { newControl(l, s.taking, fleet).run(running, at.Control) })
+	}
+	if err := l.serveUntil(ctx, failed, changes); err != nil {
+		return err
+	}
+	return s.drain(restart)
+}
+
+// restore puts the list to start with into the configuration. It returns the descriptors that the process may hold, and
+// the state of its predecessor; nil if there is none.
+func (at Listeners) restore(c *config.Config) (sockets int, state *hotrestart.State) {
+	if at.predecessor == nil {
+		c.Known = discovery.RestoreList(c.ListFile, c.Known)
+		return c.Sockets, nil
 	}
+	state = &at.predecessor.State
+	c.Known = discovery.List{Revision: discovery.UnknownRevision, Endpoints: state.EndpointList()}
+	return state.Sockets, state
+}
+
+// serveUntil takes changes of the configuration until ctx ends, or accepting clients fails.
+func (l *loop) serveUntil(ctx context.Context, failed <-chan error, changes <-chan Change) error {
 	for ctx.Err() == nil {
 		select {
 		case err := <-failed:
@@ -87,59 +83,5 @@
 		case <-ctx.Done():
 		}
 	}
-	return s.drain(h)
-}
-
-// drain ends the service. Connections go on coming for a while after the signal, and what sits in
-// them unread counts as taken, so the listener stays open until then. Clients go on using those they
-// have: ending them early would only move their load to the other nodes while this one is gone, so they
-// are served for as long as what comes can be answered before the node is killed.
-func (s *server) drain(h *hotRestart) error {
-	s.stopping.Store(true)
-	terms := s.loop.terms.Load()
-	end := time.Now().Add(acceptFor + terms.longestOf(longestWait))
-	last := time.Now().Add(max(acceptFor, time.Until(end)-s.lastAnswer(terms)))
-	slog.Info("stopping", "serves", time.Until(last).Round(time.Millisecond), "ends", time.Until(end).Round(time.Millisecond))
-	for time.Now().Before(last) && !(s.superseded.Load() && s.peers.count() == 0) {
-		time.Sleep(min(stopPoll, time.Until(last)))
-	}
-	s.draining.Store(true)
-	late := time.AfterFunc(time.Until(end), func() { s.loop.send(failUnanswered{}) })
-	defer late.Stop()
-	err := h.clients.Close()
-	s.shutdown(end.Add(lastAnswers))
-	return err
-}
-
-// lastAnswer is how long what comes last is given: what slow answers took lately, which nearly all
-// make, and no more than an answer is worth anything. Whoever is turned away earlier burdens other nodes,
-// or finds none.
-func (s *server) lastAnswer(terms *terms) time.Duration {
-	longest := terms.longestOf(longestAnswer)
-	if tail, ok := ask(s.loop, func(reply chan<- time.Duration) event { return tailRequest{reply} }); ok {
-		return min(longest, tail)
-	}
-	return longest
-}
-
-// longestWait is how long a client of a stopping node may wait.
-func longestWait(classes []policy.Class) time.Duration {
-	var longest time.Duration
-	for _, class := range classes {
-		longest = max(longest, class.Deadline)
-	}
-	return min(longest, longestDrain)
-}
-
-// longestAnswer is how long an answer takes that is worth something to its client.
-func longestAnswer(classes []policy.Class) time.Duration {
-	var longest time.Duration
-	for _, class := range classes {
-		if class.LatencyObjective > 0 && class.LateWeight <= 0 {
-			longest = max(longest, class.LatencyObjective)
-		} else {
-			longest = max(longest, class.Deadline)
-		}
-	}
-	return longest
+	return nil
 }
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,21 +9,21 @@
 	"sloerail/policy"
 )
 
-// formerFor is how long after a change clients may still speak as before it.
-const formerFor = 1200 * time.Millisecond
+// formerClassTime is how long after a change of the configuration requests in the former form of their class are taken.
+const formerClassTime = 1200 * time.Millisecond
 
-// Change is what came of reading the configuration anew.
+// Change is the outcome of reading the configuration again.
 type Change struct {
 	Config config.Config
-	Err    error // nothing is taken from such a file
+	Err    error // the file is rejected as a whole
 }
 
-// terms are the settings that clients' requests are read by.
+// terms are the classes that clients' requests are read by. They are not changed: a changed configuration makes new ones.
 type terms struct {
 	classes map[string]policy.Class
 	all     []policy.Class
-	former  *terms // as they were, until
-	until   time.Time
+	former  *terms    // those before the last change, which hold too
+	until   time.Time // then
 }
 
 func newTerms(classes []policy.Class) *terms {
@@ -37,11 +37,11 @@
 // after are the terms that follow t.
 func (t *terms) after(classes []policy.Class, now time.Time) *terms {
 	next := newTerms(classes)
-	next.former, next.until = &terms{classes: t.classes, all: t.all}, now.Add(formerFor)
+	next.former, next.until = &terms{classes: t.classes, all: t.all}, now.Add(formerClassTime)
 	return next
 }
 
-// class is that of a request. Just after a change it may be in its class's former form.
+// class is that of a request, and whether that is in the former form of its class.
 func (t *terms) class(name, method string, keyed bool) (c policy.Class, former, ok bool) {
 	if t.former != nil && time.Now().Before(t.until) {
 		if c, ok := t.former.classes[name]; ok && fits(c, method, keyed) {
@@ -52,7 +52,7 @@
 	return c, false, ok
 }
 
-// fits tells whether a request has the form of a class: the method and the key follow from its effect.
+// fits reports whether a request has the form of a class: the method and the key follow from its effect.
 func fits(c policy.Class, method string, keyed bool) bool {
 	return method == methodOf(c) && (c.RetrySafety == policy.IdempotencyKeyed) == keyed
 }
@@ -73,17 +73,17 @@
 	return longest
 }
 
-// handleChange passes on what came of reading the configuration anew.
+// handleChange passes a changed configuration on to the loop.
 func (l *loop) handleChange(c Change) {
 	if c.Err != nil {
-		slog.Error("the changed configuration is not used", "err", c.Err)
+		slog.Error("the changed configuration is not used", "error", c.Err)
 		l.fig.invalid.Inc()
 		return
 	}
 	l.send(configChanged{c.Config})
 }
 
-// applyConfig goes on by another configuration, all of it at once. Open requests keep their class.
+// applyConfig goes over to another configuration, all of it at once. Open requests keep their class.
 func (l *loop) applyConfig(c config.Config) {
 	l.allowed, l.maxOpen = c.Settings.Allowed, c.MaxOpen
 	l.up.applyConfig(c)
@@ -93,9 +93,9 @@
 		names = append(names, class.Name)
 	}
 	l.terms.Store(l.terms.Load().after(c.Settings.Classes, time.Now()))
-	if to := discoveryTarget(c); to != l.listTarget {
-		l.listTarget = to
-		l.listClient.Retarget(to)
+	if target := discoveryTarget(c); target != l.listTarget {
+		l.listTarget = target
+		l.listClient.Retarget(target)
 	}
 	l.decide(c.Settings)
 	l.fig.accepted.Inc()
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -94,7 +94,7 @@
 		wants(200, ask("GET", "order", "o3"), "the new class")
 		wants(200, ask("POST", "read", "r1"), "the class with a new effect")
 		nodetest.Await(t, "the dropped class's end", func() bool { return ask("POST", "pay", fmt.Sprint("p", time.Now().UnixNano())) == 400 })
-		if took := time.Since(began); took > formerFor+time.Second/2 {
+		if took := time.Since(began); took > formerClassTime+time.Second/2 {
 			t.Errorf("the dropped class was served for %v", took)
 		}
 		wants(405, ask("GET", "read", "r2"), "the former form of a class")
@@ -124,8 +124,8 @@
 		{now, "GET", "c", true, true, policy.Idempotent},
 		{now, "POST", "c", false, true, policy.NonIdempotent},
 		{now, "POST", "gone", true, true, policy.NonIdempotent},
-		{now.Add(-2 * formerFor), "GET", "c", false, true, policy.NonIdempotent},
-		{now.Add(-2 * formerFor), "POST", "gone", false, false, policy.NonIdempotent},
+		{now.Add(-2 * formerClassTime), "GET", "c", false, true, policy.NonIdempotent},
+		{now.Add(-2 * formerClassTime), "POST", "gone", false, false, policy.NonIdempotent},
 	} {
 		got, former, ok := newTerms([]policy.Class{free, gone}).after([]policy.Class{once}, c.changed).class(c.class, c.method, false)
 		if former != c.former || ok != c.ok || got.RetrySafety != c.wantsRepeat {
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -151,7 +151,7 @@
 		over = a.answeredAt
 	}
 	if e.code == policy.OK && !e.r.ended {
-		l.answer(e.r, e.result.answer)
+		l.answer(e.r, e.answer)
 	}
 	l.decide(policy.Outcome{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Code: e.code,
 		Latency: over - a.sentAt, RequestEnded: e.r.ended, BodyConsumed: e.r.bodyConsumed(), LoadReport: e.report})
