--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	controlSockets = 16          // descriptors set aside for callers at the second address
-	callTimeout    = time.Second // for a call and for its answer: a caller waits no longer
-	healthPath     = "/healthcheck"
-	statsPath      = "/stats"
+	adminSockets     = 16          // descriptors set aside for callers at the second address
+	adminCallTimeout = time.Second // for a call and for its answer: a caller waits no longer
+	healthPath       = "/healthcheck"
+	statsPath        = "/stats"
 )
 
-// control answers operators at an address of their own, one call a connection. Callers that finish no
+// adminServer answers operators at an address of their own, one call a connection. Callers that finish no
 // call give way to others, and none of them takes anything from the clients.
-type control struct {
+type adminServer struct {
 	http  http.Server
-	peers *peers
+	conns *peers
 }
 
-// newControl makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
+// newAdminServer makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
 // node of none.
-func newControl(l *loop, taking func() bool, fleet *membership) *control {
-	c := &control{peers: newPeers(func() int { return controlSockets / 2 }, new(atomic.Int64), func() {})}
+func newAdminServer(l *loop, taking func() bool, fleet *membership) *adminServer {
+	c := &adminServer{conns: newPeers(func() int { return adminSockets / 2 }, new(atomic.Int64), func() {})}
 	mux := http.NewServeMux()
 	mux.HandleFunc(http.MethodGet+" "+healthPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !taking() {
@@ -40,13 +40,13 @@
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 		l.fig.set.WritePrometheus(w)
 	})
-	mux.HandleFunc(http.MethodGet+" "+placesPath, l.serveZones)
+	mux.HandleFunc(http.MethodGet+" "+zonesPath, l.serveZones)
 	if fleet != nil {
 		mux.HandleFunc(http.MethodGet+" "+fleetPath, fleet.serve)
 	}
 	c.http = http.Server{
-		Handler: mux, MaxHeaderBytes: maxHeader, ReadTimeout: callTimeout, WriteTimeout: 2 * callTimeout,
-		DisableGeneralOptionsHandler: true, ConnContext: c.peers.admit, ConnState: c.peers.follow,
+		Handler: mux, MaxHeaderBytes: maxHeader, ReadTimeout: adminCallTimeout, WriteTimeout: 2 * adminCallTimeout,
+		DisableGeneralOptionsHandler: true, ConnContext: c.conns.admit, ConnState: c.conns.follow,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	c.http.SetKeepAlivesEnabled(false)
@@ -54,11 +54,11 @@
 }
 
 // run serves until ctx ends.
-func (c *control) run(ctx context.Context, listener net.Listener) {
+func (c *adminServer) run(ctx context.Context, listener net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = c.http.Close() }) // which ends Serve
 	defer stop()
-	err := c.http.Serve(netutil.LimitListener(listener, controlSockets))
+	err := c.http.Serve(netutil.LimitListener(listener, adminSockets))
 	if !errors.Is(err, http.ErrServerClosed) {
-		slog.Error("the second address is lost", "err", err)
+		slog.Error("the operators' address is lost", "error", err)
 	}
 }
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -182,7 +182,7 @@
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		ctl := at.Control.Addr().String()
 		startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), at, nil)
-		for i := range controlSockets - 4 {
+		for i := range adminSockets - 4 {
 			conn := nodetest.Dial(t, ctl)
 			defer conn.Close()
 			if i%2 == 0 {
@@ -190,7 +190,7 @@
 			}
 		}
 		client := onceClient(t)
-		client.Timeout = callTimeout
+		client.Timeout = adminCallTimeout
 		resp, err := client.Get("http://" + ctl + statsPath)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -187,7 +187,7 @@
 func TestBrokenWatchKeepsDrains(t *testing.T) {
 	breaks := map[string]http.HandlerFunc{
 		"reset":   resetCall,
-		"refused": turnAway,
+		"refused": rejectCall,
 		"rubbish": func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, `{"revision":8,"members":[{}]}`)
 		},
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -136,7 +136,7 @@
 
 func (e fleetStateRequest) handle(l *loop) {
 	var state fleetState
-	state.agreed, state.heard, state.cutOff = l.balancer.FleetSize()
+	state.quotaNodes, state.reachable, state.cutOff = l.balancer.FleetSize()
 	e.reply <- state
 }
 
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -17,8 +17,8 @@
 
 // fleetState is what the balancer makes of the fleet.
 type fleetState struct {
-	agreed, heard int
-	cutOff        bool
+	quotaNodes, reachable int
+	cutOff                bool
 }
 
 // followFleet passes on what the fleet looks like, until ctx ends.
@@ -81,7 +81,7 @@
 func (m membership) serve(w http.ResponseWriter, _ *http.Request) {
 	v, s, now := m.View(), m.Stats(), time.Now()
 	f, _ := ask(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
-	out := FleetView{Node: v.Self, View: v.Revision, Agreed: f.agreed, Heard: v.PresentCount(), CutOff: f.cutOff,
+	out := FleetView{Node: v.Self, View: v.Revision, Agreed: f.quotaNodes, Heard: v.PresentCount(), CutOff: f.cutOff,
 		Superseded: v.Superseded, SentBytes: s.SentBytes, HeardBytes: s.ReceivedBytes, Refuted: s.RefutedSuspicions,
 		Conflicts: s.NameConflicts, LinesQuiet: s.SuppressedLogLines, Members: []FleetMember{}, GeneratedAt: now}
 	for _, one := range v.Members {
@@ -90,7 +90,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(out); err != nil {
-		slog.Debug("the answer at "+fleetPath, "err", err)
+		slog.Debug("answering "+fleetPath+" failed", "error", err)
 	}
 }
 
@@ -118,7 +118,7 @@
 		f.set.NewGauge(name, func() float64 { return float64(of(m.Stats())) })
 	}
 	for name, of := range map[string]func(fleetState) float64{
-		"app_fleet_agreed": func(s fleetState) float64 { return float64(s.agreed) },
+		"app_fleet_agreed": func(s fleetState) float64 { return float64(s.quotaNodes) },
 		"app_fleet_cut_off": func(s fleetState) float64 {
 			if s.cutOff {
 				return 1
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -169,7 +169,7 @@
 	describe(resp, "")
 
 	l, _ := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-	refusing := newControl(l, func() bool { return false }, nil)
+	refusing := newAdminServer(l, func() bool { return false }, nil)
 	ln := nodetest.Listener(t)
 	go func() { _ = refusing.http.Serve(ln) }()
 	t.Cleanup(func() { refusing.http.Close() })
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -19,7 +19,7 @@
 // order. Between steps its clock can be set forward.
 type Hollow struct {
 	loop    *loop
-	config  config.Config // a node keeps it for its replacement
+	config  config.Config // a node keeps it for its successor
 	traffic *traffic
 }
 
@@ -42,8 +42,8 @@
 // traffic counts under way.
 type traffic struct{ sent, received, calls, answers atomic.Uint64 }
 
-// NewHollow makes a hollow node of a configuration as LoadConfig reads it. Each list that the module has taken is told
-// to seen, unless that is nil, by the goroutine that took it.
+// NewHollow makes a hollow node of a configuration as config.Load reads it. It calls seen, unless that is nil, with each
+// list that the balancer has taken, in the goroutine that took it.
 func NewHollow(c config.Config, seen func(policy.EndpointList)) (*Hollow, error) {
 	h := &Hollow{config: c, traffic: new(traffic)}
 	dial := c.Dialer(discovery.MaxQueueTime)
@@ -66,7 +66,7 @@
 	return h, nil
 }
 
-// listObserver tells of each list that the module has taken.
+// listObserver calls seen with each list that the balancer has taken.
 type listObserver struct {
 	balancer
 	seen func(policy.EndpointList)
@@ -114,7 +114,7 @@
 	return nil
 }
 
-// Reconfigure goes on by another configuration.
+// Reconfigure goes over to another configuration.
 func (h *Hollow) Reconfigure(c config.Config) {
 	h.loop.handle(configChanged{c})
 	h.config = c
@@ -126,14 +126,13 @@
 	h.loop.fire()
 }
 
-// Decide has the module decide on a request; sent is false where it goes to no server.
+// Decide has the balancer decide on a request; sent is false where it goes to no server.
 func (h *Hollow) Decide(r policy.Request) (server string, sent bool) { return h.handle(r) }
 
-// End tells the module how the attempt of a request ended. It names the server that the request then goes to, if it
-// is sent again.
+// End reports the outcome of an attempt. It returns the server that the request then goes to, if it is retried.
 func (h *Hollow) End(o policy.Outcome) (server string, sent bool) { return h.handle(o) }
 
-// handle gives the module an event of a request, and carries out all but what needs a client or a server.
+// handle gives the balancer an event of a request, and executes all actions but those that need a client or a server.
 func (h *Hollow) handle(ev policy.Event) (server string, sent bool) {
 	for _, a := range h.loop.balancer.Handle(h.loop.clock.now(), ev) {
 		if a.Kind == policy.Send {
@@ -151,7 +150,7 @@
 	return listed
 }
 
-// Avoided counts those of them that get no work now.
+// Avoided counts those of them that get no work now, ejected or draining.
 func (h *Hollow) Avoided() int {
 	_, avoided := h.loop.balancer.Servers()
 	return avoided
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -51,7 +51,7 @@
 
 // Under load a node is replaced, and replaced again at once: each request gets its answer, on new
 // connections and on those that clients keep.
-func TestReplacementTurnsNobodyBack(t *testing.T) {
+func TestHotRestartRejectsNobody(t *testing.T) {
 	t.Parallel()
 	var runs sync.Map
 	server := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -113,7 +113,7 @@
 }
 
 // What a tenant has used up at the old process it can't have again at the new one.
-func TestReplacementKeepsBuckets(t *testing.T) {
+func TestHotRestartKeepsBuckets(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := restartableConfig(t, nodetest.KnownList(server))
@@ -134,7 +134,7 @@
 }
 
 // A successor that goes away leaves the node to the process before it, at whatever point it does.
-func TestPredecessorServesOn(t *testing.T) {
+func TestPredecessorResumes(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := restartableConfig(t, nodetest.KnownList(server))
@@ -165,7 +165,7 @@
 }
 
 // The two processes together hold no more descriptors than one may.
-func TestReplacementSharesDescriptors(t *testing.T) {
+func TestHotRestartSharesDescriptors(t *testing.T) {
 	t.Parallel()
 	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	startProcess(t, c)
@@ -180,7 +180,7 @@
 }
 
 // Without a usable hand-over a process starts as an ordinary one, beside another or not.
-func TestUnusableHandoverIsAnOrdinaryStart(t *testing.T) {
+func TestUnusableHandOverIsAnOrdinaryStart(t *testing.T) {
 	t.Parallel()
 	speak := func(say string) func(t *testing.T, c config.Config) {
 		return func(t *testing.T, c config.Config) {
@@ -241,7 +241,7 @@
 }
 
 // The folder's path may be longer than a Unix socket's address.
-func TestHandoverInADeepFolder(t *testing.T) {
+func TestHandOverInADeepFolder(t *testing.T) {
 	t.Parallel()
 	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	c.SharedDir = filepath.Join(c.SharedDir, strings.Repeat("d", 120))
--- a/internal/node/places.go
+++ b/internal/node/places.go
@@ -10,26 +10,24 @@
 	"sloerail/policy"
 )
 
-const (
-	placesPath = "/places"
-)
+const zonesPath = "/places"
 
-// PlaceView is one place in the answer at /places.
+// PlaceView is one zone in the answer at /places.
 type PlaceView struct {
 	Zone      string  `json:"zone"`
 	Region    string  `json:"region"`
 	State     string  `json:"state"` // well, suspect, left, returning
-	Cost      float64 `json:"cost"`  // of crossing to it
-	Share     float64 `json:"share"` // of the requests that would go there by order and room
+	Cost      float64 `json:"cost"`  // of sending a request to it
+	Share     float64 `json:"share"` // of the requests that would go there by preference and capacity
 	Servers   int     `json:"servers"`
-	Left      int     `json:"left_lately"`
-	Ill       float64 `json:"ill"`   // answers lately, older ones counted less,
-	Heard     float64 `json:"heard"` // and all of them
+	Left      int     `json:"left_lately"` // how often it was evacuated lately
+	Ill       float64 `json:"ill"`         // failures lately, older ones counted less
+	Heard     float64 `json:"heard"`       // all responses, counted in the same way
 	TriedInMs int64   `json:"tried_in_ms,omitempty"`
-	Why       string  `json:"why,omitempty"` // it was left last
+	Why       string  `json:"why,omitempty"` // it was evacuated last
 }
 
-// serveZones answers with what the node makes of each place; 404 where its configuration names none.
+// serveZones answers with the state of each zone; 404 where the configuration names none.
 func (l *loop) serveZones(w http.ResponseWriter, r *http.Request) {
 	states, _ := ask(l, func(reply chan<- []policy.ZoneState) event { return zonesRequest{reply} })
 	if states == nil {
@@ -43,11 +41,11 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(all); err != nil {
-		slog.Debug("the answer at "+placesPath, "err", err)
+		slog.Debug("answering "+zonesPath+" failed", "error", err)
 	}
 }
 
-// updateZoneMetrics brings the figures of places up to date; there are none where the configuration names none.
+// updateZoneMetrics brings the gauges of zones up to date; there are none where the configuration names none.
 func (l *loop) updateZoneMetrics(now policy.Time) {
 	for _, s := range l.balancer.Zones(now) {
 		zone := "{zone=" + strconv.Quote(s.Zone) + "}"
@@ -56,7 +54,7 @@
 		l.fig.set.GetOrCreateGauge("app_place_left_lately"+zone, nil).Set(float64(s.Evacuations))
 		away := time.Duration(0)
 		if s.State == "left" {
-			away = s.RetryIn + time.Millisecond // 0 is for a place that isn't left
+			away = s.RetryIn + time.Millisecond // 0 is for a zone that isn't evacuated
 		}
 		l.fig.set.GetOrCreateGauge("app_place_away_seconds"+zone, nil).Set(away.Seconds())
 	}
--- a/internal/node/resources.go
+++ b/internal/node/resources.go
@@ -19,7 +19,7 @@
 func reservedSockets(c config.Config) int {
 	n := ownSockets
 	if c.Control != "" {
-		n += controlSockets
+		n += adminSockets
 	}
 	if c.Fleet != nil {
 		n += gossip.MaxDescriptors
@@ -32,7 +32,7 @@
 func reservedSocketsWhileShared(c config.Config) int {
 	n := ownSocketsWhileShared
 	if c.Control != "" {
-		n += controlSockets / 2
+		n += adminSockets / 2
 	}
 	if c.Fleet != nil { // one of the two is the member
 		n += gossip.MaxDescriptors / 2
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -18,7 +18,7 @@
 
 // The ways in which a call to the list service ends without a list.
 
-func turnAway(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
+func rejectCall(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 
 func resetCall(w http.ResponseWriter, _ *http.Request) {
 	c, _, err := http.NewResponseController(w).Hijack()
@@ -77,7 +77,7 @@
 		close(down)
 	}
 	for range o.busy {
-		nodetest.Receive(t, "a call that is turned away", l.calls).serve <- turnAway
+		nodetest.Receive(t, "a call that is turned away", l.calls).serve <- rejectCall
 	}
 	told := discovery.MaxNotificationDelay
 	if o.within > 0 {
@@ -112,11 +112,11 @@
 
 // Whatever became of the calls meanwhile, a change counts as told 6 s after the list service had it and could be
 // reached, sooner where the settings bound that. Only the least grace of any site is left beyond.
-func TestChangeIsHeardInTimeAfterAnyOutage(t *testing.T) {
+func TestChangesArriveInTimeAfterAnyOutage(t *testing.T) {
 	for name, o := range map[string]outage{
 		"refused":            {calls: 5, busy: 2},
 		"reset":              {fails: resetCall, calls: 5, busy: 2},
-		"turned away":        {fails: turnAway, calls: 5, busy: 2},
+		"turned away":        {fails: rejectCall, calls: 5, busy: 2},
 		"silent":             {fails: staySilent, calls: 2, busy: 2},
 		"silent, then busy":  {fails: staySilent, calls: 2, busy: 1, queued: discovery.MaxQueueTime},
 		"half answered":      {fails: answerHalf, calls: 2, busy: 2},
@@ -133,7 +133,7 @@
 }
 
 // The same holds when the service was away for many minutes: no pause grows with them.
-func TestChangeIsHeardInTimeAfterLongOutage(t *testing.T) {
+func TestChangesArriveInTimeAfterLongOutage(t *testing.T) {
 	for name, o := range map[string]outage{
 		"refused": {calls: 900, busy: 2},
 		"silent":  {fails: staySilent, calls: 300, busy: 2},
