--- a/policy/admission.go
+++ b/policy/admission.go
@@ -61,10 +61,10 @@
 	if !l.handedOver {
 		l.dropRefilled(now)
 	}
-	if _, hasQuota := l.tenantLimits[tenant]; !hasQuota {
-		key = l.buckets.shareWhenFull(key)
+	bucket := l.buckets.byKey[key]
+	if bucket == nil {
+		bucket = l.bucket(now, l.newBucketKey(key), limit.Burst)
 	}
-	bucket := l.bucket(now, key, limit.Burst)
 	if !l.handedOver {
 		bucket.refill(now, limit.perSecond(), limit.Burst)
 	}
@@ -104,9 +104,29 @@
 	return l.buckets.add(&bucket{key: key, tokens: tokens, refilledAt: now})
 }
 
-// dropRefilled drops buckets that time alone has filled.
+// newBucketKey is the key of the bucket to make for a tenant that has none: its own, or the shared one where
+// the tenant has no quota and there are too many buckets.
+func (l *rateLimiter) newBucketKey(key bucketKey) bucketKey {
+	if _, hasQuota := l.tenantLimits[key.tenant]; !hasQuota && l.buckets.isFull() {
+		return sharedBucketKey
+	}
+	return key
+}
+
+// dropRefilled examines the next few buckets, and drops those that time alone has filled.
 func (l *rateLimiter) dropRefilled(now Time) {
-	l.buckets.sweep(func(b *bucket) bool { return l.isRefilled(now, b) })
+	for range bucketsPerSweep {
+		bucket := l.buckets.current()
+		if bucket == nil {
+			return
+		}
+		if l.isRefilled(now, bucket) {
+			l.buckets.dropCurrent()
+		} else {
+			l.buckets.advance()
+		}
+	}
+	l.buckets.shrink()
 }
 
 // isRefilled reports whether the time since a bucket's last refill fills it from empty, even at the lowest
--- a/policy/class.go
+++ b/policy/class.go
@@ -73,8 +73,10 @@
 // find returns the class of a request by the settings in force, or by the former ones where they applied
 // when its head came; nil for a name that neither has.
 func (c *classRegistry) find(e Request) *class {
-	if former := c.former[e.Class]; e.FormerClass && former != nil {
-		return former
+	if e.FormerClass {
+		if former := c.former[e.Class]; former != nil {
+			return former
+		}
 	}
 	return c.byName[e.Class]
 }
--- a/policy/token_buckets.go
+++ b/policy/token_buckets.go
@@ -57,40 +57,35 @@
 	return b
 }
 
-// shareWhenFull returns the key itself, or that of the shared bucket where the table is full and has no
-// bucket of the key.
-func (t *bucketTable) shareWhenFull(key bucketKey) bucketKey {
-	if t.byKey[key] == nil && len(t.byKey) >= maxBuckets {
-		return sharedBucketKey
-	}
-	return key
-}
+// isFull reports whether there are maxBuckets or more.
+func (t *bucketTable) isFull() bool { return len(t.byKey) >= maxBuckets }
 
-// sweep examines the next few buckets and drops those that isRefilled names.
-func (t *bucketTable) sweep(isRefilled func(*bucket) bool) {
-	for range bucketsPerSweep {
-		if len(t.ring) == 0 {
-			return
-		}
-		if t.next >= len(t.ring) {
-			t.next = 0
-		}
-		if isRefilled(t.ring[t.next]) {
-			t.dropNext()
-		} else {
-			t.next++
-		}
+// current returns the next bucket of the sweep; nil if there is none.
+func (t *bucketTable) current() *bucket {
+	if len(t.ring) == 0 {
+		return nil
 	}
-	if t.peakCount >= minBucketsToShrink && bucketShrinkRatio*len(t.byKey) < t.peakCount {
-		t.peakCount = len(t.byKey)
-		t.byKey, t.ring = maps.Collect(maps.All(t.byKey)), slices.Clone(t.ring)
+	if t.next >= len(t.ring) {
+		t.next = 0
 	}
+	return t.ring[t.next]
 }
 
-// dropNext drops the bucket at next, and puts the last one of the ring in its place.
-func (t *bucketTable) dropNext() {
+// advance leaves the current bucket and goes on to the next one.
+func (t *bucketTable) advance() { t.next++ }
+
+// dropCurrent drops the current bucket; the last one of the ring takes its place.
+func (t *bucketTable) dropCurrent() {
 	last := len(t.ring) - 1
 	delete(t.byKey, t.ring[t.next].key)
 	t.ring[t.next], t.ring[last] = t.ring[last], nil
 	t.ring = t.ring[:last]
 }
+
+// shrink returns the memory of dropped buckets once few are left.
+func (t *bucketTable) shrink() {
+	if t.peakCount >= minBucketsToShrink && bucketShrinkRatio*len(t.byKey) < t.peakCount {
+		t.peakCount = len(t.byKey)
+		t.byKey, t.ring = maps.Collect(maps.All(t.byKey)), slices.Clone(t.ring)
+	}
+}
