--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -24,15 +24,16 @@
 	requests       map[string]*request // open ones, by their ids
 	queue          requestQueue        // of requests that wait for a usable server
 
-	servers   map[string]*server // listed, by ID
-	packing   packingOrder
-	list      endpointList
-	loads     loadReports
-	window    concurrencyWindow
-	share     capacityShare
-	slowStart slowStart
-	outliers  outlierDetector
-	zones     zoneFailover
+	servers     map[string]*server // listed ones, by their IDs
+	packing     packingOrder
+	list        endpointList
+	loads       loadReports
+	window      concurrencyWindow
+	share       capacityShare
+	slowStart   slowStart
+	completions completionRate
+	outliers    outlierDetector
+	zones       zoneFailover
 }
 
 // Timer tokens. Those of the classes follow from firstClassTimerToken on, in the order in which the settings
@@ -54,9 +55,9 @@
 	b := &Balancer{
 		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classes: newClassRegistry(),
 		rateLimiter: rateLimiter{buckets: newBucketTable()}, rateMultiplier: rateMultiplier{value: 1},
-		window:  concurrencyWindow{scale: initialWindowScale},
 		servers: make(map[string]*server), requests: make(map[string]*request),
-		loads: loadReports{byKind: make(map[string]*serverLoad)},
+		loads:  loadReports{byKind: make(map[string]*serverLoad)},
+		window: concurrencyWindow{scale: initialWindowScale},
 	}
 	b.zones.servers, b.zones.rng, b.zones.logf = &b.packing.pool, b.rng, b.logf
 	b.applySettings(set)
@@ -104,11 +105,11 @@
 
 // applySettings hands new settings to each mechanism.
 func (b *Balancer) applySettings(set Settings) {
+	b.settings, b.packing.stale = set, true
 	b.zones.configure(set.Topology, set.Zone)
 	b.slowStart.configure(&set.Rules)
 	b.list.configure(set.Rules.DrainGrace)
 	b.loads.configure(set.ReportFields)
-	b.settings, b.packing.stale = set, true
 	b.retryBudget.configure(set.Rules.RetryBudget)
 	b.settings.NodeCount = b.fleetSize.configure(set.NodeCount)
 	b.classes.configure(set.Classes, &b.packing.pool)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -16,8 +16,9 @@
 //     of an evacuated zone (zone_failover.go).
 //   - pickServer in server_selection.go walks the servers in packing order (packing_order.go,
 //     server_pool.go): the first with capacity gets the attempt. concurrency_limit.go says what each server
-//     has capacity for, concurrency_window.go what this node may have in flight in all, overcommit.go how far
-//     a class may go beyond the limits, slow_start.go what a server gets that is warming up.
+//     has capacity for, concurrency_window.go what this node may have in flight in all and
+//     capacity_share.go its part of a server, overcommit.go how far a class may go beyond the limits,
+//     slow_start.go what a server gets that is warming up, by the rate in completion_rate.go.
 //   - sendAttempt in attempts.go emits the Send action, and slow_attempts.go watches the attempt. Without a
 //     server, the request waits in request_queue.go.
 //   - onOutcome in attempts.go ends the attempt. observeResponse feeds the outcome to what is measured of its
