--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -25,12 +25,12 @@
 }
 
 func TestEmptyBucketRejectsWithRetryAfter(t *testing.T) {
-	b := start(t, site(1), members(4))
+	b := startBalancer(t, testSettings(1), testEndpoints(4))
 	b.settings.Allowed.RetryAfter = true
 	for i := 0; ; i++ {
-		r := ask(fmt.Sprint(i), "free")
+		r := newRequest(fmt.Sprint(i), "free")
 		r.Tenant = "u"
-		if rejects := of(b.Handle(ms, r), Reject); len(rejects) == 1 {
+		if rejects := actionsOf(b.Handle(ms, r), Reject); len(rejects) == 1 {
 			if i != 8 { // 10 a second / ln 2, half a second of burst
 				t.Errorf("rejected after %d, want 8", i)
 			}
@@ -43,17 +43,17 @@
 }
 
 func TestClassLimitHasItsOwnBucketAndMaximum(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Limits = RateLimits{PerClass: map[string]Limit{"free": {PerWindow: 50, Window: time.Second, Burst: 50}}, Max: 2}
-	b := start(t, set, members(8))
+	b := startBalancer(t, set, testEndpoints(8))
 	rejected := 0
 	for i := range 5 {
-		rejected += len(of(b.Handle(ms, ask(fmt.Sprint("f", i), "free")), Reject))
+		rejected += len(actionsOf(b.Handle(ms, newRequest(fmt.Sprint("f", i), "free")), Reject))
 	}
 	if rejected != 3 {
 		t.Errorf("rejected %d of 5, want 3: the maximum bounds the burst to 2", rejected)
 	}
-	if len(of(b.Handle(ms, ask("x", "once")), Reject)) != 0 {
+	if len(actionsOf(b.Handle(ms, newRequest("x", "once")), Reject)) != 0 {
 		t.Error("another class was rejected by the bucket of the class limit")
 	}
 }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -29,12 +29,12 @@
 		{class: "zone", code: ServerError, after: 301 * ms, wantAction: Fail},
 		{class: "cell", code: ServerError, after: 301 * ms, wantAction: Fail},
 	} {
-		list := members(8)
-		b := start(t, site(1), list)
-		first := sentTo(t, b.Handle(ms, ask("x", c.class)))
+		list := testEndpoints(8)
+		b := startBalancer(t, testSettings(1), list)
+		first := sentTo(t, b.Handle(ms, newRequest("x", c.class)))
 		acts := b.Handle(2*ms+c.after, outcome("x", 0, first, c.code, c.after))
 		if !c.resent {
-			if len(of(acts, Send)) != 0 || len(of(acts, c.wantAction)) != 1 {
+			if len(actionsOf(acts, Send)) != 0 || len(actionsOf(acts, c.wantAction)) != 1 {
 				t.Errorf("%s after %v at %v: got %+v", c.class, c.code, c.after, acts)
 			}
 			continue
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -25,7 +25,7 @@
 }
 
 func (s benchSite) settings() Settings {
-	set := site(s.nodes)
+	set := testSettings(s.nodes)
 	set.Tenants = []Tenant{{Name: "t", Quota: 1e9}}
 	if s.reports {
 		set.ReportFields = []string{reportLatency, reportUtil, reportRate}
@@ -38,8 +38,8 @@
 	return set
 }
 
-// benchMembers are n servers, of which one in a hundred is warming up during the benchmark.
-func benchMembers(n int, now Time) []Endpoint {
+// benchEndpoints are n servers, of which one in a hundred is warming up during the benchmark.
+func benchEndpoints(n int, now Time) []Endpoint {
 	list := make([]Endpoint, 0, n)
 	for i := range n {
 		m := Endpoint{ID: fmt.Sprintf("s%06d", i), Zone: []string{"a", "b"}[i%2], Kind: fmt.Sprint("k", i%3),
@@ -60,7 +60,7 @@
 	if err != nil {
 		tb.Fatal(err)
 	}
-	b.Handle(benchStart, EndpointList{Kind: ListCached, Endpoints: benchMembers(servers, benchStart)})
+	b.Handle(benchStart, EndpointList{Kind: ListCached, Endpoints: benchEndpoints(servers, benchStart)})
 	return b
 }
 
@@ -106,7 +106,7 @@
 func BenchmarkListChange(b *testing.B) {
 	forEachBenchSite(b, func(b *testing.B, s benchSite, servers int) {
 		balancer := benchBalancer(b, s, servers)
-		list := benchMembers(servers, benchStart)
+		list := benchEndpoints(servers, benchStart)
 		now, i := benchStart, 0
 		for b.Loop() {
 			now += ms
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -9,10 +9,10 @@
 // An attempt that timed out still waits or runs at its server, though it isn't in flight any more. Until it is likely
 // done, the server gets nothing, or the next attempts of all nodes would overload it.
 func TestServerGetsNothingForAWhileAfterATimeout(t *testing.T) {
-	b := startLargeFleet(t, 40, members(12))
+	b := startLargeFleet(t, 40, testEndpoints(12))
 	first := b.order()[0]
 	b.now += 5 * seconds(first.meanLatency)
-	if s := sentTo(t, b.Handle(b.now, ask("a", "free"))); s != first.ID {
+	if s := sentTo(t, b.Handle(b.now, newRequest("a", "free"))); s != first.ID {
 		t.Fatalf("sent to %s, want %s", s, first.ID)
 	}
 	b.Handle(b.now+250*ms, outcome("a", 0, first.ID, TimedOut, 250*ms))
--- a/policy/concurrency_window_test.go
+++ b/policy/concurrency_window_test.go
@@ -9,7 +9,7 @@
 // The window shrinks while servers are busier than the target. It grows while they are less busy and the node has
 // found no capacity; without need it stays.
 func TestWindowFollowsUtilization(t *testing.T) {
-	b := startLargeFleet(t, 40, members(40))
+	b := startLargeFleet(t, 40, testEndpoints(40))
 	s, first := b.order()[0], b.concurrencyWindow()
 	reportLoad(b, s, 30, report(100, 0.3, 10))
 	if b.concurrencyWindow() != first {
@@ -32,14 +32,14 @@
 // However many servers there are, a node has no more attempts in flight than its window, but for the class of the
 // highest priority.
 func TestAttemptsInFlightStayWithinTheWindow(t *testing.T) {
-	set := site(40)
+	set := testSettings(40)
 	set.ReportFields = []string{"latency_ms", "util", "qps"}
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
 	set.Tenants[0].Quota = 1e6
-	b := start(t, set, members(40))
+	b := startBalancer(t, set, testEndpoints(40))
 	send := func(class string) (n int) {
 		for i := range 100 {
-			n += len(of(b.Handle(b.now, ask(fmt.Sprint(class, i), class)), Send))
+			n += len(actionsOf(b.Handle(b.now, newRequest(fmt.Sprint(class, i), class)), Send))
 		}
 		return n
 	}
@@ -56,7 +56,7 @@
 
 // An overloaded server, or one that is warming up, is busy whatever the node does. That says nothing of the others.
 func TestWindowIgnoresOverloadedAndWarmingUpServers(t *testing.T) {
-	b := startLargeFleet(t, 40, members(12))
+	b := startLargeFleet(t, 40, testEndpoints(12))
 	for _, s := range b.order() {
 		reportLoad(b, s, 3, report(100, 0.5, 10))
 	}
@@ -72,7 +72,7 @@
 // Servers below the target are at times full and at times idle: their mean utilization counts. Single reports would
 // move the window down more than up.
 func TestWindowFollowsMeanUtilization(t *testing.T) {
-	b := startLargeFleet(t, 40, members(12))
+	b := startLargeFleet(t, 40, testEndpoints(12))
 	reportLoad(b, b.order()[0], 5, report(100, 0.5, 10))
 	was := b.concurrencyWindow()
 	for i := range 60 {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -35,7 +35,7 @@
 // share if they are listed again after that.
 func TestServersThatVanishInAMassAreRetained(t *testing.T) {
 	all := endpointsInZones(4, "a", "b")
-	grace := site(1).Rules.DrainGrace
+	grace := testSettings(1).Rules.DrainGrace
 	for name, c := range map[string]struct {
 		retains  bool
 		list     EndpointList
@@ -50,7 +50,7 @@
 		t.Run(name, func(t *testing.T) {
 			set := twoRegions(1)
 			set.RetainMissing = c.retains
-			b := start(t, set, all)
+			b := startBalancer(t, set, all)
 			b.servers["a0"].concurrencyLimit = 7
 			b.Handle(ms, c.list)
 			if got := countInZone(b, "a"); got != c.retained {
@@ -70,7 +70,7 @@
 	all := endpointsInZones(4, "a", "b")
 	set := twoRegions(1)
 	set.RetainMissing = true
-	b := start(t, set, all)
+	b := startBalancer(t, set, all)
 	b.servers["a0"].concurrencyLimit = 7
 	b.Handle(ms, vanished(all, ListUpdate, 4, Removed))
 	b.Handle(2*ms, EndpointList{Kind: ListReplace, Endpoints: all})
@@ -85,7 +85,7 @@
 	all := endpointsInZones(4, "a", "b")
 	set := twoRegions(1)
 	set.RetainMissing = true
-	b := start(t, set, all)
+	b := startBalancer(t, set, all)
 	b.Handle(3*time.Second, vanished(all, ListUpdate, 4, Draining))
 	for _, s := range b.order() {
 		if s.Zone == "a" {
@@ -100,12 +100,12 @@
 // The discovery service serves all nodes. When many start together their first subscriptions are spread, and those
 // that go on failing become fewer, but not so few that a drain is missed for long.
 func TestListSubscriptionsAreSpreadAndBackOff(t *testing.T) {
-	set := site(40)
+	set := testSettings(40)
 	set.SubscribeList = true
 	wait := func(actions []Action) time.Duration {
 		t.Helper()
-		timers := of(actions, SetTimer)
-		if len(of(actions, WatchList)) != 0 || len(timers) != 1 || timers[0].Token != listTimerToken {
+		timers := actionsOf(actions, SetTimer)
+		if len(actionsOf(actions, WatchList)) != 0 || len(timers) != 1 || timers[0].Token != listTimerToken {
 			t.Fatalf("want a timer for the list alone, got %+v", actions)
 		}
 		return timers[0].Wait
@@ -117,7 +117,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := wait(b.Handle(0, EndpointList{Kind: ListCached, Endpoints: members(4)}))
+		w := wait(b.Handle(0, EndpointList{Kind: ListCached, Endpoints: testEndpoints(4)}))
 		first, seen[w] = max(first, w), true
 		meanFailed += wait(b.Handle(0, EndpointList{Kind: ListUnavailable})) / 200
 		for range 10 {
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -24,7 +24,7 @@
 // The number of nodes that quotas are divided by grows at once, shrinks late, and stays where a node reaches half of
 // the fleet or less.
 func TestQuotaNodesShrinkLateAndGrowAtOnce(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.NodeCount = 7
 	for _, step := range []struct {
 		name        string
@@ -112,7 +112,7 @@
 func fleetOf(n int) (nodes []*Balancer, timers [][]Time) {
 	nodes, timers = make([]*Balancer, n), make([][]Time, n)
 	for i := range nodes {
-		set := site(n)
+		set := testSettings(n)
 		set.NodeIndex = i
 		nodes[i], _ = New(set, 0, uint64(i))
 		observeFleet(nodes[i], &timers[i], 0, n)
@@ -131,7 +131,7 @@
 
 // New settings leave the number that membership found, unless they state another one.
 func TestQuotaNodesOutliveEqualSettings(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	b, err := New(set, 0, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -9,16 +9,16 @@
 // Of what a node may use once, the successor gets all that is left, and the process that handed over uses nothing
 // more of it until it takes the node back.
 func TestHandedOverProcessUsesNoSharedBudget(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: time.Second}
-	list := append(members(2), Endpoint{ID: "young", Zone: "a", StartedAt: 9 * time.Second, Weight: 1})
-	old := start(t, set, list)
+	list := append(testEndpoints(2), Endpoint{ID: "young", Zone: "a", StartedAt: 9 * time.Second, Weight: 1})
+	old := startBalancer(t, set, list)
 	now := 10 * time.Second
 	retried := func(b *Balancer, id string) bool {
 		t.Helper()
-		first := sentTo(t, b.Handle(now, ask(id, "free")))
+		first := sentTo(t, b.Handle(now, newRequest(id, "free")))
 		acts := b.Handle(now, Outcome{ID: id, Server: first, Code: Overloaded})
-		return len(of(acts, Send)) > 0
+		return len(actionsOf(acts, Send)) > 0
 	}
 	if !retried(old, "a") {
 		t.Fatal("no retry before the hand-over")
@@ -33,7 +33,7 @@
 	if retried(old, "b") {
 		t.Error("a process that handed over made a retry")
 	}
-	old.Handle(now, ask("c", "free"))
+	old.Handle(now, newRequest("c", "free"))
 	if got := old.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != tokens-2 {
 		t.Errorf("%d tokens after two requests, want %d: no refill", got, tokens-2)
 	}
@@ -48,10 +48,10 @@
 
 // While one process replaces another, a server's limit holds for the attempts of both.
 func TestLimitsHoldOverBothProcesses(t *testing.T) {
-	old, successor := start(t, site(1), members(2)), start(t, site(1), members(2))
+	old, successor := startBalancer(t, testSettings(1), testEndpoints(2)), startBalancer(t, testSettings(1), testEndpoints(2))
 	full := int(old.servers["s00"].concurrencyLimit)
 	for i := range full {
-		sentTo(t, old.Handle(ms, ask(fmt.Sprint("o", i), "free")))
+		sentTo(t, old.Handle(ms, newRequest(fmt.Sprint("o", i), "free")))
 	}
 	inFlight := old.InFlight()
 	if inFlight["s00"] != full || len(inFlight) != 1 {
@@ -59,11 +59,11 @@
 	}
 	inFlight["unknown"] = 5 // a server that this process doesn't know
 	successor.SetSiblingInFlight(inFlight)
-	if first := sentTo(t, successor.Handle(ms, ask("a", "free"))); first == "s00" {
+	if first := sentTo(t, successor.Handle(ms, newRequest("a", "free"))); first == "s00" {
 		t.Error("the first server is filled again")
 	}
 	successor.SetSiblingInFlight(nil)
-	if next := sentTo(t, successor.Handle(ms, ask("b", "free"))); next != "s00" {
+	if next := sentTo(t, successor.Handle(ms, newRequest("b", "free"))); next != "s00" {
 		t.Errorf("sent to %s, though the other process has nothing in flight any more", next)
 	}
 }
--- a/policy/load_reports_test.go
+++ b/policy/load_reports_test.go
@@ -8,9 +8,9 @@
 // startLargeFleet is a node of many, at a site whose servers report their load.
 func startLargeFleet(t *testing.T, nodes int, list []Endpoint) *Balancer {
 	t.Helper()
-	set := site(nodes)
+	set := testSettings(nodes)
 	set.ReportFields = []string{"latency_ms", "util", "qps"}
-	return start(t, set, list)
+	return startBalancer(t, set, list)
 }
 
 func report(latency, util, rate float64) []float64 { return []float64{latency, util, rate} }
@@ -25,7 +25,7 @@
 
 // Limits follow the service rate that servers report. Latency doesn't count for them: it grows with the load.
 func TestLimitsFollowReportedServiceRates(t *testing.T) {
-	list := members(12)
+	list := testEndpoints(12)
 	for i := range list {
 		list[i].Kind = []string{"big", "small"}[i%2]
 	}
@@ -46,7 +46,7 @@
 
 // Reports with missing or implausible values are ignored, and so are those of idle servers.
 func TestImplausibleReportsAreIgnored(t *testing.T) {
-	b := startLargeFleet(t, 40, members(12))
+	b := startLargeFleet(t, 40, testEndpoints(12))
 	s := b.order()[0]
 	reportLoad(b, s, 3, report(100, 0.5, 10))
 	limit, window := b.effectiveLimit(s), b.concurrencyWindow()
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -9,9 +9,9 @@
 // While the highest priority finds no capacity, lower ones are shed, the lower the more. The highest never is, and
 // none is where servers report their load.
 func TestLowPrioritiesAreShedForTheHighest(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 5, 3
-	b := start(t, set, members(4))
+	b := startBalancer(t, set, testEndpoints(4))
 	shedPart := func(class string) (part float64) {
 		const requests = 2000
 		for range requests {
@@ -34,10 +34,10 @@
 	if got := shedPart("free"); math.Abs(got-maxShedProbability) > 0.05 {
 		t.Errorf("%v of the lowest priority are shed while the highest finds no capacity, want %v", got, maxShedProbability)
 	}
-	if acts := b.Handle(ms, ask("x", "once")); len(of(acts, Send)) != 1 {
+	if acts := b.Handle(ms, newRequest("x", "once")); len(actionsOf(acts, Send)) != 1 {
 		t.Errorf("the highest priority is shed: %+v", acts)
 	}
-	reporting := startLargeFleet(t, 40, members(4))
+	reporting := startLargeFleet(t, 40, testEndpoints(4))
 	reporting.loadShedder.highPriorityShortage, reporting.loadShedder.maxPriorityWeight = 1, 5
 	if reporting.shouldShed(reporting.classes.byName["free"]) {
 		t.Error("a class is shed though servers report their load")
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -8,7 +8,7 @@
 // A server that is busy and far slower than its kind recovers only while it gets no work, which probation requests
 // of many nodes would undo. So none goes to a server that comes after one with capacity.
 func TestOverloadedServerIsEjectedAndRests(t *testing.T) {
-	b := startLargeFleet(t, 40, members(12))
+	b := startLargeFleet(t, 40, testEndpoints(12))
 	for _, s := range b.order() {
 		reportLoad(b, s, 3, report(100, 0.5, 10))
 	}
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -24,7 +24,7 @@
 }
 
 func newOrderSimulation(t *rapid.T) *orderSimulation {
-	set := site(rapid.SampledFrom([]int{1, 3, 7, 300}).Draw(t, "nodes"))
+	set := testSettings(rapid.SampledFrom([]int{1, 3, 7, 300}).Draw(t, "nodes"))
 	set.NodeIndex = rapid.IntRange(0, set.NodeCount-1).Draw(t, "node")
 	set.RetainMissing = rapid.Bool().Draw(t, "retains")
 	set.Classes[1].Kinds = []string{"k1"}
@@ -124,7 +124,7 @@
 	default:
 		w.allSucceed = rapid.Bool().Draw(t, "succeeds")
 		for i := range rapid.IntRange(1, 12).Draw(t, "requests") {
-			w.event(ask(fmt.Sprint("r", w.now, i), w.set.Classes[i%len(w.set.Classes)].Name))
+			w.event(newRequest(fmt.Sprint("r", w.now, i), w.set.Classes[i%len(w.set.Classes)].Name))
 		}
 	}
 	return (event <= 3 || event == 5) && len(w.b.requests) == requests
@@ -287,14 +287,14 @@
 // Probation of a server is for the class in use that is safest to retry. A class of former settings is in use until its
 // last request has ended and the list has changed.
 func TestProbationFollowsTheClassesInUse(t *testing.T) {
-	set := site(1)
-	b := start(t, set, members(4))
-	first := sentTo(t, b.Handle(ms, ask("open", "free")))
-	strict := site(1)
+	set := testSettings(1)
+	b := startBalancer(t, set, testEndpoints(4))
+	first := sentTo(t, b.Handle(ms, newRequest("open", "free")))
+	strict := testSettings(1)
 	strict.Classes[0].RetrySafety = NonIdempotent
 	b.Handle(2*ms, strict)
 	b.Handle(3*ms, strict) // the former settings are strict too by now, and the open request is older
-	list := members(4)
+	list := testEndpoints(4)
 	change := func(i int) *server {
 		list[i].Weight++
 		b.Handle(b.now+ms, EndpointList{Kind: ListUpdate, Endpoints: list[i : i+1]})
@@ -322,7 +322,7 @@
 	} {
 		set := twoRegions(1)
 		set.Topology.ZoneCosts = costs
-		b := start(t, set, endpointsInZones(1, "c", "b", "a"))
+		b := startBalancer(t, set, endpointsInZones(1, "c", "b", "a"))
 		got := ""
 		for _, s := range b.order() {
 			got += s.Zone
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -53,7 +53,7 @@
 
 func newWorld(t *testing.T, seed uint64) *world {
 	rng := rand.New(rand.NewPCG(seed, 1))
-	set := site([]int{1, 3, 12, 60}[seed%4])
+	set := testSettings([]int{1, 3, 12, 60}[seed%4])
 	set.NodeIndex = rng.IntN(set.NodeCount)
 	set.SubscribeList = seed%5 == 0
 	set.Allowed.Probe, set.ReportFields = seed%2 == 0, []string{"inflight"}
@@ -86,17 +86,17 @@
 	}
 	w := &world{t: t, rng: rng, set: set, b: b, list: map[string]Endpoint{}, drainingSince: map[string]Time{}, open: map[string]*play{},
 		faulty: []int{8, 20, 60}[seed/3%3], slowest: []int{300, 50}[seed/2%2], every: []int{1, 8}[seed/4%2]}
-	for _, m := range members(1 + rng.IntN(9)) {
+	for _, m := range testEndpoints(1 + rng.IntN(9)) {
 		if rng.IntN(4) == 0 {
 			m.StartedAt = 1
 		}
 		w.list[m.ID] = m
 	}
-	w.event(EndpointList{Kind: ListCached, Endpoints: w.members()})
+	w.event(EndpointList{Kind: ListCached, Endpoints: w.endpoints()})
 	return w
 }
 
-func (w *world) members() []Endpoint {
+func (w *world) endpoints() []Endpoint {
 	var listed []Endpoint
 	for i := range 10 {
 		if m, ok := w.list[fmt.Sprintf("s%02d", i)]; ok {
@@ -331,7 +331,7 @@
 	m, listed := w.list[id]
 	switch {
 	case !listed:
-		m = members(10)[w.rng.IntN(10)]
+		m = testEndpoints(10)[w.rng.IntN(10)]
 		m.StartedAt = w.now
 		w.list[m.ID] = m
 		delete(w.drainingSince, m.ID)
@@ -351,7 +351,7 @@
 		w.event(EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{m}})
 		return
 	}
-	w.event(EndpointList{Kind: ListReplace, Endpoints: w.members()})
+	w.event(EndpointList{Kind: ListReplace, Endpoints: w.endpoints()})
 }
 
 func TestRandomEventsKeepTheRules(t *testing.T) {
--- a/policy/rate_multiplier_fleet_test.go
+++ b/policy/rate_multiplier_fleet_test.go
@@ -8,14 +8,14 @@
 // With load reports, overcommit gives up the classes of the lowest priority when capacity is short. The rates of the
 // buckets stay, since they would reject all classes alike.
 func TestRateMultiplierIsNotLoweredWithLoadReports(t *testing.T) {
-	b := startLargeFleet(t, 40, members(12))
+	b := startLargeFleet(t, 40, testEndpoints(12))
 	for range 500 {
 		b.adjustRateMultiplier(false)
 	}
 	if b.rateMultiplier.value != 1 {
 		t.Errorf("the multiplier is %v, want 1", b.rateMultiplier.value)
 	}
-	b = start(t, site(40), members(12))
+	b = startBalancer(t, testSettings(40), testEndpoints(12))
 	for range 500 {
 		b.adjustRateMultiplier(false)
 	}
@@ -32,9 +32,9 @@
 		nodes   int
 		follows bool
 	}{{300, true}, {8, false}} {
-		set := site(c.nodes)
+		set := testSettings(c.nodes)
 		set.Tenants = []Tenant{{Name: "t", Quota: 10 * float64(c.nodes)}}
-		b := start(t, set, members(200))
+		b := startBalancer(t, set, testEndpoints(200))
 		now, n := Time(0), 0
 		admitted := func(code Code) (part float64) {
 			const asked = 300
@@ -42,7 +42,7 @@
 				now += 20 * ms
 				n++
 				id := fmt.Sprint("r", n)
-				for _, a := range of(b.Handle(now, ask(id, "free")), Send) {
+				for _, a := range actionsOf(b.Handle(now, newRequest(id, "free")), Send) {
 					part += 1.0 / asked
 					end := outcome(id, 0, a.Server, code, 40*ms)
 					end.RequestEnded = true
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -5,7 +5,7 @@
 )
 
 func TestRateMultiplierFollowsCapacity(t *testing.T) {
-	b := start(t, site(1), members(2))
+	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	for range 100 {
 		b.adjustRateMultiplier(false)
 	}
@@ -26,10 +26,10 @@
 
 // A request that is queued for long counts once as one that found no capacity, not at each poll.
 func TestQueuedRequestMovesTheRateMultiplierOnce(t *testing.T) {
-	b := start(t, site(1), members(1))
+	b := startBalancer(t, testSettings(1), testEndpoints(1))
 	s := b.order()[0]
 	s.concurrencyLimit, s.limitReached, s.inFlight = 1, true, 3
-	b.Handle(ms, ask("x", "free"))
+	b.Handle(ms, newRequest("x", "free"))
 	was := b.rateMultiplier.value
 	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
 		b.Handle(now, Timer{Token: queueTimerToken})
@@ -41,7 +41,7 @@
 
 // Traffic far beyond the quotas is admitted only while few responses are bad: other nodes may lack the capacity.
 func TestRateMultiplierIsCautiousWhileResponsesAreBad(t *testing.T) {
-	b := start(t, site(1), members(2))
+	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	grow := func() {
 		for range 200 {
 			b.rateMultiplier.bucketRejected = true
@@ -63,7 +63,7 @@
 
 // Nodes that divide a quota admit no more than that, whatever the capacity.
 func TestRateMultiplierIsAtMostOneWithMembership(t *testing.T) {
-	b, err := New(site(1), 0, 1)
+	b, err := New(testSettings(1), 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -9,14 +9,14 @@
 
 // The budget counts every request that is received, rejected ones too, and each retry itself.
 func TestRetryBudgetCountsExactly(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0.5, Window: time.Second}
-	b := start(t, set, members(9))
+	b := startBalancer(t, set, testEndpoints(9))
 	retries := func(now Time, from, n int) (sent int) {
 		for i := range n {
 			id := fmt.Sprint(from + i)
-			for _, a := range of(slices.Clone(b.Handle(now, ask(id, "free"))), Send) {
-				sent += len(of(b.Handle(now, outcome(id, 0, a.Server, ServerError, ms)), Send))
+			for _, a := range actionsOf(slices.Clone(b.Handle(now, newRequest(id, "free"))), Send) {
+				sent += len(actionsOf(b.Handle(now, outcome(id, 0, a.Server, ServerError, ms)), Send))
 			}
 		}
 		return sent
@@ -47,12 +47,12 @@
 
 // Requests without a retry leave nothing behind once the window of the budget has passed.
 func TestRetryBudgetForgetsRequestsAfterItsWindow(t *testing.T) {
-	b := start(t, site(1), members(4))
+	b := startBalancer(t, testSettings(1), testEndpoints(4))
 	const perSecond = 50
 	for i := range 60 * perSecond {
 		now := time.Duration(i) * time.Second / perSecond
 		id := fmt.Sprint(i)
-		s := sentTo(t, b.Handle(now, ask(id, "free")))
+		s := sentTo(t, b.Handle(now, newRequest(id, "free")))
 		b.Handle(now+ms, outcome(id, 0, s, OK, ms))
 	}
 	if limit := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.retryBudget.acceptedAt) > limit {
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -9,7 +9,7 @@
 // A response that comes too late is of no use: a server that is warming up or overloaded gets only requests with
 // time left. An old report of its latency is forgotten.
 func TestSlowServersGetOnlyRequestsWithTimeLeft(t *testing.T) {
-	b := startLargeFleet(t, 40, members(12))
+	b := startLargeFleet(t, 40, testEndpoints(12))
 	s := b.order()[0]
 	reportLoad(b, s, 5, report(50, 0.5, 10))
 	short := &request{class: b.classes.ordered[0], usefulUntil: b.now + 200*ms}
@@ -36,9 +36,9 @@
 // many servers would be too slow.
 func TestChoiceTimeGrowsLinearlyWithServers(t *testing.T) {
 	takes := func(servers int) time.Duration {
-		b := startLargeFleet(t, 300, members(servers))
+		b := startLargeFleet(t, 300, testEndpoints(servers))
 		b.window.inFlight = 1e6 // so that none has capacity, and each is looked at
-		r := &request{Request: ask("r", "free"), class: b.classes.byName["free"], maxAttempts: 1}
+		r := &request{Request: newRequest("r", "free"), class: b.classes.byName["free"], maxAttempts: 1}
 		r.deadline, r.usefulUntil = b.now+time.Hour, b.now+time.Hour
 		best := time.Hour
 		for range 200 {
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -229,14 +229,14 @@
 }
 
 func (c slowStartCase) play(seed uint64, reports bool) *slowStartFleet {
-	set := site(c.configured)
+	set := testSettings(c.configured)
 	set.Classes = []Class{{Name: "free", LatencyObjective: time.Second, Deadline: 2 * time.Second, RetrySafety: Idempotent, PriorityWeight: 1}}
 	set.Tenants = []Tenant{{Name: "t", Quota: 1e6}}
 	set.Rules.SlowStartDuration, set.Rules.OverloadMultiple = 20*time.Second, 2
 	if reports {
 		set.ReportFields = []string{reportLatency, reportUtil, reportRate}
 	}
-	f := newSlowStartFleet(seed, set, slowStartNodes, c.reachable, members(12), c.capacity)
+	f := newSlowStartFleet(seed, set, slowStartNodes, c.reachable, testEndpoints(12), c.capacity)
 	f.sendRequests(0.7*warmedUpServersLeft*c.capacity, 5*time.Second)
 	f.restartServers("s00", "s03", "s06", "s09")
 	f.sendRequests(c.loadBefore*warmedUpServersLeft*c.capacity, 3*time.Second)
@@ -276,14 +276,14 @@
 // The warm-up budget follows the peak rate of servers that have warmed up, not the rate while those fail: it would be
 // lowest when the servers that are warming up are needed.
 func TestWarmupBudgetOutlivesTheLossOfOtherServers(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = 0.5, time.Hour
-	list := members(12)
+	list := testEndpoints(12)
 	const warmingUp = 4
 	for i := range warmingUp {
 		list[i].StartedAt = 1
 	}
-	b := start(t, set, list)
+	b := startBalancer(t, set, list)
 	const perSecond = 80
 	for i := range 10 * perSecond {
 		b.now += time.Second / perSecond
@@ -321,33 +321,33 @@
 // capacity. First attempts of all but the class of the highest priority go there, and of that too once it is short of
 // capacity.
 func TestWarmingUpServersAreChosenBeforeTheWalk(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
-	list := append(members(6), Endpoint{ID: "z-near", Zone: "a", StartedAt: 1, Weight: 1},
+	list := append(testEndpoints(6), Endpoint{ID: "z-near", Zone: "a", StartedAt: 1, Weight: 1},
 		Endpoint{ID: "z-far", Zone: "b", StartedAt: 1, Weight: 1})
 	fresh := func() *Balancer {
-		b := start(t, set, list)
+		b := startBalancer(t, set, list)
 		for _, id := range []string{"z-near", "z-far"} {
 			b.servers[id].warmupBudget.tokens = 1
 		}
 		return b
 	}
-	if got := sentTo(t, fresh().Handle(ms, ask("low", "free"))); got != "z-near" {
+	if got := sentTo(t, fresh().Handle(ms, newRequest("low", "free"))); got != "z-near" {
 		t.Errorf("a request of low priority goes to %s, want the server of the own zone that is warming up", got)
 	}
-	if got := sentTo(t, fresh().Handle(ms, ask("high", "once"))); got != "s00" {
+	if got := sentTo(t, fresh().Handle(ms, newRequest("high", "once"))); got != "s00" {
 		t.Errorf("a request of high priority goes to %s, want a server that has warmed up", got)
 	}
 	b := fresh()
 	b.loadShedder.highPriorityShortage = 2 * maxShortageForSlowStart
-	if got := sentTo(t, b.Handle(ms, ask("high", "once"))); got != "z-near" {
+	if got := sentTo(t, b.Handle(ms, newRequest("high", "once"))); got != "z-near" {
 		t.Errorf("a request of high priority goes to %s while capacity is short, want the server that is warming up", got)
 	}
 	b = fresh()
-	if b.servers["z-near"].warmupBudget.tokens = 0; sentTo(t, b.Handle(ms, ask("low", "free"))) != "s00" {
+	if b.servers["z-near"].warmupBudget.tokens = 0; sentTo(t, b.Handle(ms, newRequest("low", "free"))) != "s00" {
 		t.Error("a server that is warming up is sent more than its part")
 	}
-	first := sentTo(t, b.Handle(ms, ask("again", "free")))
+	first := sentTo(t, b.Handle(ms, newRequest("again", "free")))
 	b.servers["z-near"].warmupBudget.tokens = 1
 	if got := sentTo(t, b.Handle(2*ms, outcome("again", 0, first, Overloaded, ms))); got == "z-near" {
 		t.Errorf("a retry goes to %s, want a server that has warmed up", got)
@@ -357,7 +357,7 @@
 // While most servers are warming up, the mean rate over all of them says little of what one can take: those that have
 // warmed up are full and the others idle. A server gets the part of its kind's service rate that its age allows.
 func TestWarmupBudgetFollowsTheServiceRateOfTheKind(t *testing.T) {
-	list := members(12)
+	list := testEndpoints(12)
 	for i := range list {
 		list[i].Kind = "k"
 		if i > 0 {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -89,12 +89,12 @@
 
 // A process restores what another one measured, by a clock of its own.
 func TestSnapshotIsRestoredOnAnotherClock(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: 10 * time.Second}
-	list := append(members(3), Endpoint{ID: "young", Zone: "a", StartedAt: 8 * time.Second, Weight: 1})
-	old := start(t, set, list)
+	list := append(testEndpoints(3), Endpoint{ID: "young", Zone: "a", StartedAt: 8 * time.Second, Weight: 1})
+	old := startBalancer(t, set, list)
 	now := 10 * time.Second
-	first := sentTo(t, old.Handle(now, ask("a", "free")))
+	first := sentTo(t, old.Handle(now, newRequest("a", "free")))
 	old.Handle(now, Outcome{ID: "a", Server: first, Code: Overloaded})
 	old.servers["s01"].concurrencyLimit, old.servers["young"].warmupBudget.tokens = 7, 0.25
 	old.servers["s02"].outlier = outlierState{failureScore: 0.4, ejected: true, ejectedUntil: 12 * time.Second, ejections: 2}
@@ -130,7 +130,7 @@
 	for i := range list { // a server that started again is another
 		list[i].StartedAt = now + ahead
 	}
-	fresh := start(t, set, list)
+	fresh := startBalancer(t, set, list)
 	fresh.Restore(now+ahead, snapshot)
 	if got := fresh.servers["s01"].concurrencyLimit; got == 7 {
 		t.Error("a new process of a server inherits the limit of its former one")
--- a/policy/token_buckets_test.go
+++ b/policy/token_buckets_test.go
@@ -35,7 +35,7 @@
 func TestDroppedBucketsChangeNoDecision(t *testing.T) {
 	dropped := 0
 	rapid.Check(t, func(t *rapid.T) {
-		set := site(rapid.IntRange(1, 5).Draw(t, "nodes"))
+		set := testSettings(rapid.IntRange(1, 5).Draw(t, "nodes"))
 		set.Tenants = nil
 		for i := range 12 {
 			quota := rapid.SampledFrom([]float64{0, 0.1, 1, 3.7, 20, 300}).Draw(t, "quota")
@@ -73,7 +73,7 @@
 // A bucket that was dropped counts as handed over: the successor makes a full one, and the process that handed over
 // uses half of one at most.
 func TestDroppedBucketIsHandedOverByHalf(t *testing.T) {
-	b := start(t, site(1), members(2))
+	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	limit := b.rateLimiter.tenantLimits["u"]
 	for now := Time(0); now < time.Minute; now += time.Second {
 		tenant := "t"
@@ -101,7 +101,7 @@
 // seenOnce has each of n tenants make one request, a millisecond apart. It returns how many are admitted, how many
 // buckets there are then and some requests later, and the bytes of heap in use.
 func seenOnce(tb testing.TB, n int) (admitted, atOnce, later int, heapBytes uint64) {
-	set := site(1)
+	set := testSettings(1)
 	set.Tenants, set.Limits.Default = nil, &Limit{PerWindow: 10, Window: time.Second, Burst: 5}
 	b, err := New(set, 0, 1)
 	if err != nil {
@@ -146,12 +146,12 @@
 // share one.
 func TestTenantsWithQuotasShareNoBucket(t *testing.T) {
 	const tenants = 3 * maxBuckets
-	set := site(1)
+	set := testSettings(1)
 	set.Tenants = nil
 	for i := range tenants {
 		set.Tenants = append(set.Tenants, Tenant{Name: fmt.Sprint("quota", i), Quota: 1})
 	}
-	b := start(t, set, members(1))
+	b := startBalancer(t, set, testEndpoints(1))
 	for _, c := range []struct {
 		name string
 		want func(admitted int) bool
--- a/policy/validation_test.go
+++ b/policy/validation_test.go
@@ -38,7 +38,7 @@
 		{"max retry-after", func(s *Settings) { s.Allowed.MaxRetryAfter = -1 }},
 		{"idle", func(s *Settings) { s.Allowed.IdleTimeout = -1 }},
 	} {
-		set := site(2)
+		set := testSettings(2)
 		c.spoil(&set)
 		if _, err := New(set, 0, 1); err == nil || !strings.Contains(err.Error(), c.names) {
 			t.Errorf("got %v, want an error that names %q", err, c.names)
--- a/policy/zone_failover_test.go
+++ b/policy/zone_failover_test.go
@@ -10,7 +10,7 @@
 
 // twoRegions is a site of two regions: zones a and b in the north, c in the south.
 func twoRegions(nodes int) Settings {
-	set := site(nodes)
+	set := testSettings(nodes)
 	set.Topology = &Topology{RegionOfZone: map[string]string{"a": "north", "b": "north", "c": "south"}, SameRegionCost: 1, OtherRegionCost: 3}
 	return set
 }
@@ -41,7 +41,7 @@
 			for i := range list {
 				list[i].Kind = []string{"big", "small"}[i%2]
 			}
-			b := start(t, twoRegions(1), list)
+			b := startBalancer(t, twoRegions(1), list)
 			for range 40 {
 				b.now += 50 * ms
 				for i := range 6 {
@@ -120,7 +120,7 @@
 // A zone with a part of its share is closed to the rest of the requests and to all retries, but not where a class
 // has no other zone.
 func TestZonesAreClosedToTheRestOfTheRequests(t *testing.T) {
-	b := start(t, twoRegions(1), endpointsInZones(2, "a", "b"))
+	b := startBalancer(t, twoRegions(1), endpointsInZones(2, "a", "b"))
 	onlyA := &class{Class: Class{Zones: []string{"a"}}, eligible: &serverPool{}}
 	for _, s := range b.order() {
 		if s.Zone == "a" {
