--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -2,8 +2,6 @@
 
 import (
 	"fmt"
-	"math"
-	"reflect"
 	"slices"
 	"testing"
 	"time"
@@ -109,205 +107,10 @@
 	}
 }
 
-func TestOwnZoneFillsInIDOrderBeforeOthers(t *testing.T) {
-	b := startBalancer(t, testSettings(1), testEndpoints(4))
-	for _, s := range b.order() {
-		s.concurrencyLimit = 1
-	}
-	var got []string
-	for i := range 4 {
-		got = append(got, sentTo(t, b.Handle(ms, newRequest(fmt.Sprint(i), "free"))))
-	}
-	if want := []string{"s00", "s02", "s01", "s03"}; !reflect.DeepEqual(got, want) {
-		t.Errorf("with a limit of one: sent to %v, want %v", got, want)
-	}
-}
-
 func outcome(id string, attempt int, server string, code Code, latency time.Duration) Outcome {
 	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency, RequestEnded: code == OK}
 }
 
-// A probe that was cancelled must not block later probes.
-func TestCancelledProbeIsFollowedByAnother(t *testing.T) {
-	b := startBalancer(t, testSettings(1), testEndpoints(6))
-	s := b.servers["s00"]
-	b.eject(s)
-	now := s.outlier.ejectedUntil
-	if got := sentTo(t, b.Handle(now, newRequest("x", "free"))); got != "s00" {
-		t.Fatalf("the probe went to %s", got)
-	}
-	b.Handle(now+100*ms, outcome("x", 0, "s00", Cancelled, 100*ms))
-	if s.outlier.probationInFlight {
-		t.Error("the probe still counts as in flight")
-	}
-	now = s.outlier.ejectedUntil
-	if got := sentTo(t, b.Handle(now, newRequest("y", "free"))); got != "s00" {
-		t.Errorf("the next probe went to %s, want s00", got)
-	}
-}
-
-// A hung server that is full rejects probes at once: that must not invite the next one.
-func TestOverloadedProbeDelaysTheNext(t *testing.T) {
-	b := startBalancer(t, testSettings(1), testEndpoints(6))
-	s := b.servers["s00"]
-	b.eject(s)
-	now := s.outlier.ejectedUntil
-	b.Handle(now, newRequest("x", "free"))
-	b.Handle(now+ms, outcome("x", 0, "s00", Overloaded, ms))
-	if got := sentTo(t, b.Handle(now+2*ms, newRequest("y", "free"))); got == "s00" {
-		t.Error("probed again at once")
-	}
-}
-
-// A slow request at a server that responds to others is no sign of a hang.
-func TestTimeoutAtARespondingServerIsNoFailure(t *testing.T) {
-	b := startBalancer(t, testSettings(1), testEndpoints(6))
-	s := b.servers["s00"]
-	b.Handle(ms, newRequest("x", "once"))
-	s.lastResponseAt = 100 * ms
-	b.Handle(600*ms, outcome("x", 0, "s00", TimedOut, 600*ms))
-	if s.outlier.failureScore != 0 {
-		t.Errorf("score %v, want 0", s.outlier.failureScore)
-	}
-}
-
-// Nodes begin their walks at different servers.
-func TestNodesOfALargeFleetBeginAtDifferentServers(t *testing.T) {
-	firsts := map[string]bool{}
-	for n := range 6 {
-		set := testSettings(6)
-		set.NodeIndex = n
-		b := startBalancer(t, set, testEndpoints(24))
-		firsts[b.order()[0].ID] = true
-	}
-	if len(firsts) < 5 {
-		t.Errorf("6 nodes begin at only %d servers", len(firsts))
-	}
-}
-
-// A server that is warming up gets a small part of what others get, over all nodes.
-func TestWarmingUpServerGetsItsPartOfAllNodes(t *testing.T) {
-	list := testEndpoints(8)
-	list[0].StartedAt = 1000 * ms
-	const nodes = 8
-	sends, rate := 0, 0
-	for n := range nodes {
-		set := testSettings(nodes)
-		set.NodeIndex = n
-		b := startBalancer(t, set, list)
-		for i := range 3000 {
-			now := 1000*ms + time.Duration(i)*ms
-			id := fmt.Sprint(i)
-			for _, a := range actionsOf(b.Handle(now, newRequest(id, "free")), Send) {
-				rate++
-				if a.Server == "s00" {
-					sends++
-				}
-				b.Handle(now, outcome(id, 0, a.Server, OK, ms))
-			}
-		}
-	}
-	if limit := rate / len(list) / 2; sends > limit || sends == 0 {
-		t.Errorf("%d of %d went to the server that is warming up, want some but at most %d", sends, rate, limit)
-	}
-}
-
-// The rate to a server that is warming up leaves one multiple of its capacity as a margin, whatever the overload multiple.
-func TestWarmupRateLeavesOneMultipleAsMargin(t *testing.T) {
-	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
-		set := testSettings(1)
-		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
-		b := startBalancer(t, set, testEndpoints(1))
-		b.completions.rate, b.completions.at, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
-		s := b.order()[0]
-		s.StartedAt = b.now
-		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
-		b.hasWarmupBudget(s)
-		if got, rate := s.warmupBudget.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
-			t.Errorf("multiple %v: %v requests in 10 ms, want %v", multiple, got, rate)
-		}
-	}
-}
-
-// The initial limits of a small fleet's nodes sum to the same at each server: whole limits of each node would
-// overload the first one.
-func TestSmallFleetSharesTheInitialLimit(t *testing.T) {
-	for nodes := 1; nodes <= maxSmallFleet; nodes++ {
-		b := startBalancer(t, testSettings(nodes), testEndpoints(4))
-		if all := b.order()[0].concurrencyLimit * float64(nodes); math.Abs(all-initialFleetLimit) > 1e-9 {
-			t.Errorf("%d nodes: %v attempts in all, want %v", nodes, all, initialFleetLimit)
-		}
-	}
-}
-
-// A failed call for the list, or a lost subscription, is repeated soon, and not by all nodes at once.
-func TestListRetriesOfNodesAreSpread(t *testing.T) {
-	waits := map[time.Duration]bool{}
-	for n := range 8 {
-		set := testSettings(8)
-		set.NodeIndex, set.SubscribeList = n, true
-		b, err := New(set, 0, 7)
-		if err != nil {
-			t.Fatal(err)
-		}
-		first := actionsOf(b.Handle(0, EndpointList{Kind: ListCached}), SetTimer) // not all nodes at once
-		if len(first) != 1 || len(actionsOf(b.Handle(first[0].Wait, Timer{Token: first[0].Token}), WatchList)) != 1 {
-			t.Fatal("no subscription at the start")
-		}
-		timers := actionsOf(b.Handle(2*time.Second, EndpointList{Kind: ListUnavailable}), SetTimer)
-		if len(timers) != 1 || timers[0].Wait < listBackoffBase/2 || timers[0].Wait > listBackoffBase*3/2 {
-			t.Fatalf("after a failed call: %+v", timers)
-		}
-		waits[timers[0].Wait] = true
-		if len(actionsOf(b.Handle(3*time.Second, Timer{Token: timers[0].Token}), WatchList)) != 1 {
-			t.Error("the list isn't called for again")
-		}
-	}
-	if len(waits) < 8 {
-		t.Errorf("8 nodes wait only %d different times", len(waits))
-	}
-}
-
-// A response after half of its objective has waited for about as long as it was served: a limit that still grew
-// would do so until servers are overloaded.
-func TestSlowResponsesLowerTheConcurrencyLimit(t *testing.T) {
-	b := startBalancer(t, testSettings(1), testEndpoints(2))
-	s, c := b.order()[0], b.classes.ordered[0]
-	for _, v := range []struct {
-		part float64 // of the objective
-		grow bool
-	}{{0.3, true}, {0.5, false}, {0.9, false}} {
-		s.concurrencyLimit, s.inFlight = 10, 10
-		b.updateConcurrencyLimit(s, c, OK, seconds(v.part*c.LatencyObjective.Seconds()), 1)
-		if grew := s.concurrencyLimit > 10; grew != v.grow || s.concurrencyLimit == 10 {
-			t.Errorf("a response after %v of its objective moves the limit from 10 to %v", v.part, s.concurrencyLimit)
-		}
-	}
-}
-
-// Where no server has capacity, the one with the least overcommit still gets a little of the highest priority, and
-// the lowest is queued.
-func TestHighestPriorityIsSentBeyondTheLimit(t *testing.T) {
-	set := testSettings(1)
-	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
-	b := startBalancer(t, set, testEndpoints(2))
-	for _, s := range b.order() {
-		s.concurrencyLimit, s.limitReached, s.inFlight = 10, true, 12
-	}
-	if sent := actionsOf(b.Handle(ms, newRequest("low", "free")), Send); len(sent) != 0 {
-		t.Errorf("the lowest priority is sent beyond the limit: %+v", sent)
-	}
-	if sent := actionsOf(b.Handle(ms, newRequest("high", "once")), Send); len(sent) != 1 {
-		t.Errorf("the highest priority is not sent, though servers are little beyond the limit")
-	}
-	for _, s := range b.order() {
-		s.inFlight = int(maxLearnedOvercommit * 10)
-	}
-	if sent := actionsOf(b.Handle(ms, newRequest("late", "once")), Send); len(sent) != 0 {
-		t.Errorf("the highest priority is sent to servers far beyond the limit")
-	}
-}
-
 // New settings leave what was measured, and open requests, as they were. A request of the former settings is
 // handled by those.
 func TestNewSettingsKeepMeasurementsAndOpenRequests(t *testing.T) {
@@ -350,7 +153,7 @@
 	if !again("was", sentTo(t, b.Handle(2*ms, was))) {
 		t.Error("a request of its class's former settings is not repeated")
 	}
-	if again("gone", sentTo(t, b.Handle(2*ms, newRequest("gone", "once")))) {
+	if again("dropped", sentTo(t, b.Handle(2*ms, newRequest("dropped", "once")))) {
 		t.Error("a request of a dropped class is repeated")
 	}
 	if !again("new", sentTo(t, b.Handle(2*ms, newRequest("new", "new")))) {
@@ -361,58 +164,5 @@
 	}
 }
 
-// Connection faults at all servers alike lower no limit and eject none. A server that fails alone, or far more
-// often than the others, is ejected as soon as without them.
-func TestFaultsAtAllServersEjectNone(t *testing.T) {
-	drive := func(part func(s *server) float64) *Balancer {
-		b := startBalancer(t, testSettings(1), testEndpoints(10))
-		for _, s := range b.order() {
-			s.concurrencyLimit = 10
-		}
-		for i := range 2000 {
-			s := b.order()[i%len(b.order())]
-			b.now += ms
-			code := OK
-			if b.rng.Float64() < part(s) {
-				code = Reset
-			}
-			s.inFlight = 9 // it is at its limit
-			weight := b.failureWeight(s, code)
-			b.updateConcurrencyLimit(s, b.classes.ordered[0], code, ms, weight)
-			b.updateOutlierState(&attempt{server: s, sentAt: b.now}, code, weight)
-		}
-		return b
-	}
-	for name, part := range map[string]float64{"few": 0.05, "many": 0.15} {
-		b := drive(func(*server) float64 { return part })
-		if b.packing.pool.ejected > 1 {
-			t.Errorf("%s resets everywhere: %d of 10 servers are ejected", name, b.packing.pool.ejected)
-		}
-		for _, s := range b.order() {
-			if s.concurrencyLimit < 8 {
-				t.Errorf("%s resets everywhere: limit %.1f of 10", name, s.concurrencyLimit)
-			}
-		}
-	}
-	b := drive(func(s *server) float64 {
-		if s.ID == "s03" {
-			return 0.9
-		}
-		return 0.05
-	})
-	if !b.servers["s03"].outlier.ejected {
-		t.Error("a server that alone resets nearly all is not ejected")
-	}
-	for _, code := range []Code{Reset, ConnectFailed, ServerError} {
-		b := startBalancer(t, testSettings(1), testEndpoints(10))
-		if got := b.failureWeight(b.order()[0], code); got != 1 {
-			t.Errorf("a lone fault (%v) counts %v", code, got)
-		}
-	}
-	if b := startBalancer(t, testSettings(1), testEndpoints(1)); b.failureWeight(b.order()[0], Reset) != 1 {
-		t.Error("the faults of the only server don't count in full")
-	}
-}
-
 // order is the pool's servers in packing order.
 func (p *serverPool) order() []*server { return slices.Collect(p.all) }
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -156,3 +156,31 @@
 		}
 	}
 }
+
+// A failed call for the list, or a lost subscription, is repeated soon, and not by all nodes at once.
+func TestListRetriesOfNodesAreSpread(t *testing.T) {
+	waits := map[time.Duration]bool{}
+	for n := range 8 {
+		set := testSettings(8)
+		set.NodeIndex, set.SubscribeList = n, true
+		b, err := New(set, 0, 7)
+		if err != nil {
+			t.Fatal(err)
+		}
+		first := actionsOf(b.Handle(0, EndpointList{Kind: ListCached}), SetTimer) // not all nodes at once
+		if len(first) != 1 || len(actionsOf(b.Handle(first[0].Wait, Timer{Token: first[0].Token}), WatchList)) != 1 {
+			t.Fatal("no subscription at the start")
+		}
+		timers := actionsOf(b.Handle(2*time.Second, EndpointList{Kind: ListUnavailable}), SetTimer)
+		if len(timers) != 1 || timers[0].Wait < listBackoffBase/2 || timers[0].Wait > listBackoffBase*3/2 {
+			t.Fatalf("after a failed call: %+v", timers)
+		}
+		waits[timers[0].Wait] = true
+		if len(actionsOf(b.Handle(3*time.Second, Timer{Token: timers[0].Token}), WatchList)) != 1 {
+			t.Error("the list isn't called for again")
+		}
+	}
+	if len(waits) < 8 {
+		t.Errorf("8 nodes wait only %d different times", len(waits))
+	}
+}
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -90,3 +90,100 @@
 		t.Errorf("ejected are %v, want the last server alone", d.ejected)
 	}
 }
+
+// A probe that was cancelled must not block later probes.
+func TestCancelledProbeIsFollowedByAnother(t *testing.T) {
+	b := startBalancer(t, testSettings(1), testEndpoints(6))
+	s := b.servers["s00"]
+	b.eject(s)
+	now := s.outlier.ejectedUntil
+	if got := sentTo(t, b.Handle(now, newRequest("x", "free"))); got != "s00" {
+		t.Fatalf("the probe went to %s", got)
+	}
+	b.Handle(now+100*ms, outcome("x", 0, "s00", Cancelled, 100*ms))
+	if s.outlier.probationInFlight {
+		t.Error("the probe still counts as in flight")
+	}
+	now = s.outlier.ejectedUntil
+	if got := sentTo(t, b.Handle(now, newRequest("y", "free"))); got != "s00" {
+		t.Errorf("the next probe went to %s, want s00", got)
+	}
+}
+
+// A hung server that is full rejects probes at once: that must not invite the next one.
+func TestOverloadedProbeDelaysTheNext(t *testing.T) {
+	b := startBalancer(t, testSettings(1), testEndpoints(6))
+	s := b.servers["s00"]
+	b.eject(s)
+	now := s.outlier.ejectedUntil
+	b.Handle(now, newRequest("x", "free"))
+	b.Handle(now+ms, outcome("x", 0, "s00", Overloaded, ms))
+	if got := sentTo(t, b.Handle(now+2*ms, newRequest("y", "free"))); got == "s00" {
+		t.Error("probed again at once")
+	}
+}
+
+// A slow request at a server that responds to others is no sign of a hang.
+func TestTimeoutAtARespondingServerIsNoFailure(t *testing.T) {
+	b := startBalancer(t, testSettings(1), testEndpoints(6))
+	s := b.servers["s00"]
+	b.Handle(ms, newRequest("x", "once"))
+	s.lastResponseAt = 100 * ms
+	b.Handle(600*ms, outcome("x", 0, "s00", TimedOut, 600*ms))
+	if s.outlier.failureScore != 0 {
+		t.Errorf("score %v, want 0", s.outlier.failureScore)
+	}
+}
+
+// Connection faults at all servers alike lower no limit and eject none. A server that fails alone, or far more
+// often than the others, is ejected as soon as without them.
+func TestFaultsAtAllServersEjectNone(t *testing.T) {
+	drive := func(part func(s *server) float64) *Balancer {
+		b := startBalancer(t, testSettings(1), testEndpoints(10))
+		for _, s := range b.order() {
+			s.concurrencyLimit = 10
+		}
+		for i := range 2000 {
+			s := b.order()[i%len(b.order())]
+			b.now += ms
+			code := OK
+			if b.rng.Float64() < part(s) {
+				code = Reset
+			}
+			s.inFlight = 9 // it is at its limit
+			weight := b.failureWeight(s, code)
+			b.updateConcurrencyLimit(s, b.classes.ordered[0], code, ms, weight)
+			b.updateOutlierState(&attempt{server: s, sentAt: b.now}, code, weight)
+		}
+		return b
+	}
+	for name, part := range map[string]float64{"few": 0.05, "many": 0.15} {
+		b := drive(func(*server) float64 { return part })
+		if b.packing.pool.ejected > 1 {
+			t.Errorf("%s resets everywhere: %d of 10 servers are ejected", name, b.packing.pool.ejected)
+		}
+		for _, s := range b.order() {
+			if s.concurrencyLimit < 8 {
+				t.Errorf("%s resets everywhere: limit %.1f of 10", name, s.concurrencyLimit)
+			}
+		}
+	}
+	b := drive(func(s *server) float64 {
+		if s.ID == "s03" {
+			return 0.9
+		}
+		return 0.05
+	})
+	if !b.servers["s03"].outlier.ejected {
+		t.Error("a server that alone resets nearly all is not ejected")
+	}
+	for _, code := range []Code{Reset, ConnectFailed, ServerError} {
+		b := startBalancer(t, testSettings(1), testEndpoints(10))
+		if got := b.failureWeight(b.order()[0], code); got != 1 {
+			t.Errorf("a lone fault (%v) counts %v", code, got)
+		}
+	}
+	if b := startBalancer(t, testSettings(1), testEndpoints(1)); b.failureWeight(b.order()[0], Reset) != 1 {
+		t.Error("the faults of the only server don't count in full")
+	}
+}
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -365,3 +365,17 @@
 		t.Errorf("the order is %s of %d servers without d, want ecab", got, p.length)
 	}
 }
+
+// Nodes begin their walks at different servers.
+func TestNodesOfALargeFleetBeginAtDifferentServers(t *testing.T) {
+	firsts := map[string]bool{}
+	for n := range 6 {
+		set := testSettings(6)
+		set.NodeIndex = n
+		b := startBalancer(t, set, testEndpoints(24))
+		firsts[b.order()[0].ID] = true
+	}
+	if len(firsts) < 5 {
+		t.Errorf("6 nodes begin at only %d servers", len(firsts))
+	}
+}
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"fmt"
 	"testing"
 )
 
@@ -105,3 +106,64 @@
 		})
 	}
 }
+
+// With load reports, overcommit gives up the classes of the lowest priority when capacity is short. The rates of the
+// buckets stay, since they would reject all classes alike.
+func TestRateMultiplierIsNotLoweredWithLoadReports(t *testing.T) {
+	b := startLargeFleet(t, 40, testEndpoints(12))
+	for range 500 {
+		b.adjustRateMultiplier(false)
+	}
+	if b.rateMultiplier.value != 1 {
+		t.Errorf("the multiplier is %v, want 1", b.rateMultiplier.value)
+	}
+	b = startBalancer(t, testSettings(40), testEndpoints(12))
+	for range 500 {
+		b.adjustRateMultiplier(false)
+	}
+	if b.rateMultiplier.value != minRateMultiplier {
+		t.Errorf("without reports the multiplier is %v, want %v", b.rateMultiplier.value, minRateMultiplier)
+	}
+}
+
+// In a large fleet without load reports, the limits of the nodes can't be so low that all of them together don't
+// overload a server. Lost attempts lower the admitted rate there until responses come again; a few nodes rely on their
+// limits.
+func TestRateMultiplierFollowsLostAttemptsInLargeFleets(t *testing.T) {
+	for _, c := range []struct {
+		nodes   int
+		follows bool
+	}{{300, true}, {8, false}} {
+		set := testSettings(c.nodes)
+		set.Tenants = []Tenant{{Name: "t", Quota: 10 * float64(c.nodes)}}
+		b := startBalancer(t, set, testEndpoints(200))
+		now, n := Time(0), 0
+		admitted := func(code Code) (part float64) {
+			const requests = 300
+			for range requests {
+				now += 20 * ms
+				n++
+				id := fmt.Sprint("r", n)
+				for _, a := range actionsOf(b.Handle(now, newRequest(id, "free")), Send) {
+					part += 1.0 / requests
+					end := outcome(id, 0, a.Server, code, 40*ms)
+					end.RequestEnded = true
+					b.Handle(now+ms, end)
+				}
+			}
+			return part
+		}
+		admitted(OK)
+		usual := admitted(OK)
+		admitted(TimedOut)
+		if got := admitted(TimedOut); (got < 0.6*usual) != c.follows {
+			t.Errorf("%d nodes: %.2f of the requests are admitted while attempts time out, %.2f before", c.nodes, got, usual)
+		}
+		for range 5 { // the multiplier stays cautious until few of the last hundreds of responses are bad
+			admitted(OK)
+		}
+		if got := admitted(OK); got < 0.9*usual {
+			t.Errorf("%d nodes: %.2f of the requests are admitted after that, %.2f before", c.nodes, got, usual)
+		}
+	}
+}
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -1,6 +1,8 @@
 package policy
 
 import (
+	"fmt"
+	"reflect"
 	"slices"
 	"testing"
 	"time"
@@ -90,3 +92,17 @@
 		}
 	}
 }
+
+func TestOwnZoneFillsInIDOrderBeforeOthers(t *testing.T) {
+	b := startBalancer(t, testSettings(1), testEndpoints(4))
+	for _, s := range b.order() {
+		s.concurrencyLimit = 1
+	}
+	var got []string
+	for i := range 4 {
+		got = append(got, sentTo(t, b.Handle(ms, newRequest(fmt.Sprint(i), "free"))))
+	}
+	if want := []string{"s00", "s02", "s01", "s03"}; !reflect.DeepEqual(got, want) {
+		t.Errorf("with a limit of one: sent to %v, want %v", got, want)
+	}
+}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -137,15 +137,15 @@
 	}
 	work := f.rng.ExpFloat64() * float64(len(s.coresFreeAt)) / (s.capacity * part)
 	s.coresFreeAt[core] = max(s.coresFreeAt[core], f.now) + seconds(work)
-	took, code := s.coresFreeAt[core]-f.now, OK
-	if until := a.AttemptDeadline - f.now; took > until {
-		took, code = until, TimedOut
+	latency, code := s.coresFreeAt[core]-f.now, OK
+	if until := a.AttemptDeadline - f.now; latency > until {
+		latency, code = until, TimedOut
 	} else {
 		f.served++
 	}
-	row := report(took.Seconds()*1000, 0.9, s.capacity*part*0.9)
-	f.toNode(n, took, Outcome{ID: a.ID, Attempt: len(f.nodes[n].requests[a.ID].attempts) - 1, Server: a.Server, Code: code,
-		Latency: took, RequestEnded: code == OK, LoadReport: row})
+	row := report(latency.Seconds()*1000, 0.9, s.capacity*part*0.9)
+	f.toNode(n, latency, Outcome{ID: a.ID, Attempt: len(f.nodes[n].requests[a.ID].attempts) - 1, Server: a.Server, Code: code,
+		Latency: latency, RequestEnded: code == OK, LoadReport: row})
 }
 
 // sendRequests sends all nodes together requests at a rate, for a time.
@@ -423,3 +423,47 @@
 		t.Errorf("%v tokens in the end, want the bound of 3", w.tokens)
 	}
 }
+
+// A server that is warming up gets a small part of what others get, over all nodes.
+func TestWarmingUpServerGetsItsPartOfAllNodes(t *testing.T) {
+	list := testEndpoints(8)
+	list[0].StartedAt = 1000 * ms
+	const nodes = 8
+	sends, rate := 0, 0
+	for n := range nodes {
+		set := testSettings(nodes)
+		set.NodeIndex = n
+		b := startBalancer(t, set, list)
+		for i := range 3000 {
+			now := 1000*ms + time.Duration(i)*ms
+			id := fmt.Sprint(i)
+			for _, a := range actionsOf(b.Handle(now, newRequest(id, "free")), Send) {
+				rate++
+				if a.Server == "s00" {
+					sends++
+				}
+				b.Handle(now, outcome(id, 0, a.Server, OK, ms))
+			}
+		}
+	}
+	if limit := rate / len(list) / 2; sends > limit || sends == 0 {
+		t.Errorf("%d of %d went to the server that is warming up, want some but at most %d", sends, rate, limit)
+	}
+}
+
+// The rate to a server that is warming up leaves one multiple of its capacity as a margin, whatever the overload multiple.
+func TestWarmupRateLeavesOneMultipleAsMargin(t *testing.T) {
+	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
+		set := testSettings(1)
+		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
+		b := startBalancer(t, set, testEndpoints(1))
+		b.completions.rate, b.completions.at, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		s := b.order()[0]
+		s.StartedAt = b.now
+		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
+		b.hasWarmupBudget(s)
+		if got, rate := s.warmupBudget.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
+			t.Errorf("multiple %v: %v requests in 10 ms, want %v", multiple, got, rate)
+		}
+	}
+}
