--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -166,7 +166,7 @@
 	b.finish(r)
 }
 
-// reject ends a request. Its client is told to wait for retryAfter; 0 for no such word.
+// reject ends a request, with a Retry-After of the given wait; 0 for none.
 func (b *Balancer) reject(r *request, retryAfter time.Duration) {
 	b.emit(Action{Kind: Reject, ID: r.ID, Wait: retryAfter})
 	b.finish(r)
--- a/policy/events.go
+++ b/policy/events.go
@@ -4,9 +4,22 @@
 	"time"
 )
 
-// Event is anything that a node reacts to: Request, RequestComplete, FirstByte, Outcome, ClientCancelled,
-// EndpointList, Settings, FleetSize, HandedOver or Timer. Others change nothing.
-type Event any
+// Event is something that happened at a node; the types below and Settings are all there are. ProbeResult and
+// PeerMessage change nothing yet.
+type Event interface{ isEvent() }
+
+func (Request) isEvent()         {}
+func (RequestComplete) isEvent() {}
+func (FirstByte) isEvent()       {}
+func (Outcome) isEvent()         {}
+func (ClientCancelled) isEvent() {}
+func (EndpointList) isEvent()    {}
+func (Settings) isEvent()        {}
+func (FleetSize) isEvent()       {}
+func (HandedOver) isEvent()      {}
+func (Timer) isEvent()           {}
+func (ProbeResult) isEvent()     {}
+func (PeerMessage) isEvent()     {}
 
 // Availability is what the list says of a server's process.
 type Availability uint8
