--- a/policy/admission.go
+++ b/policy/admission.go
@@ -9,10 +9,10 @@
 	// quotaWindow is the window of the limits that are made from quotas. It is also the Retry-After of a quota
 	// of zero.
 	quotaWindow = time.Second
-	// quotaBurst is how much of a quota's rate its bucket holds: the longest burst within the quota.
+	// quotaBurst is the time for which a quota's rate fills its bucket: the longest burst within the quota.
 	quotaBurst = 500 * time.Millisecond
-	// minBurst is the least burst of a quota, in tokens, so that a very small quota still admits a few
-	// requests at once.
+	// minBurst is the smallest burst of a quota, in tokens: a very small quota still admits a few requests at
+	// once.
 	minBurst = 3
 	// refillCompensation makes up for the fractions of tokens that a refill in whole tokens loses: with a
 	// refill rate r, Poisson arrivals at a rate a are admitted at 1/(1/r + 1/a) where a is far above r, and
@@ -52,7 +52,9 @@
 
 // admit takes a token for a request of the tenant and the class, or says how long its client should wait.
 // The multiplier scales the refill rate.
-func (l *rateLimiter) admit(now Time, tenant, class string, multiplier float64) (bool, time.Duration) {
+func (l *rateLimiter) admit(now Time, tenant, class string, multiplier float64) (
+	admitted bool, retryAfter time.Duration,
+) {
 	limit, key, limited := l.resolve(tenant, class)
 	if !limited {
 		return true, 0
@@ -192,10 +194,10 @@
 }
 
 // admit takes a token for a request, or says how long its client should wait.
-func (b *Balancer) admit(tenant, class string) (bool, time.Duration) {
-	admitted, retryAfter := b.rateLimiter.admit(b.now, tenant, class, b.rateMultiplier.value)
+func (b *Balancer) admit(tenant, class string) (admitted bool, retryAfter time.Duration) {
+	admitted, retryAfter = b.rateLimiter.admit(b.now, tenant, class, b.rateMultiplier.value)
 	if !admitted {
-		b.rateMultiplier.bucketRejected = true
+		b.rateMultiplier.recordRejection()
 	}
 	return admitted, retryAfter
 }
--- a/policy/rate_multiplier.go
+++ b/policy/rate_multiplier.go
@@ -62,6 +62,9 @@
 	m.bucketRejected = false
 }
 
+// recordRejection notes that a bucket rejected a request.
+func (m *rateMultiplier) recordRejection() { m.bucketRejected = true }
+
 // recordResponse follows the part of bad responses.
 func (m *rateMultiplier) recordResponse(bad bool) { updateRatio(&m.badRatio, badRatioGain, bad) }
 
