--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -29,7 +29,7 @@
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
 	defer signal.Stop(changed)
-	c, err := node.LoadConfig(os.Getenv)
+	c, err := node.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -41,11 +41,11 @@
 	defer endProfile()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	at, err := node.Listen(c)
+	at, err := node.Listen(ctx, c)
 	if err != nil {
 		return err
 	}
-	slog.Info("listening", "name", c.Name, "address", at.Clients.Addr(), "servers", len(c.Known.Members),
+	slog.Info("listening", "name", c.Name, "address", at.Clients.Addr(), "servers", len(c.Known.Endpoints),
 		"cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets, "max_open", c.MaxOpen)
 	changes := make(chan node.Change)
 	go follow(ctx, c, changed, changes)
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -3,7 +3,6 @@
 package node
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
 	"errors"
@@ -12,10 +11,11 @@
 	"net"
 	"os"
 	"strconv"
-	"strings"
 	"time"
 
 	gossip "sloerail/internal/membership"
+	"sloerail/internal/node/decode"
+	"sloerail/internal/node/discovery"
 	"sloerail/internal/simwire"
 	"sloerail/policy"
 )
@@ -27,12 +27,12 @@
 	Discovery string // of the list service; commas part the addresses of its replicas
 	ListFile  string // where the list is kept for a start with no list service; empty for none
 	Control   string // the operators' address; empty for none
-	Scratch   string // a folder that all processes of this node share; empty for none
+	SharedDir string // a folder that all processes of this node share; empty for none
 	Seed      uint64
 	Cores     float64
 	MemoryMB  int64
 	Sockets   int
-	Known     list // the servers as this node last had them, perhaps stale
+	Known     discovery.List // the servers as this node last had them, perhaps stale
 	Settings  policy.Settings
 	Scope     string         // what the section "scope" adds to calls for the list; empty for the whole list
 	Fleet     *gossip.Config // this node's part in a fleet; nil for none
@@ -41,36 +41,47 @@
 	MaxOpen        int           // unanswered requests; 0: no limit
 	ConnectTimeout time.Duration // for a new connection to a server
 
-	shape any      // the keys of the file
-	dial  dialFunc // nil for the machine's network
+	keys any      // the keys of the file
+	Dial DialFunc // nil for the machine's network
 }
 
-type dialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
+type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// dialer opens connections that come up within a time. TCP's own keep-alive notices nothing here.
-func (c Config) dialer(timeout time.Duration) dialFunc {
-	if c.dial != nil {
-		return c.dial
+// Dialer opens connections that come up within a time. TCP's own keep-alive notices nothing here.
+func (c Config) Dialer(timeout time.Duration) DialFunc {
+	if c.Dial != nil {
+		return c.Dial
 	}
 	return (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext
 }
 
-// leastSockets is what a node can work with at all: a few for itself, and some for each side.
-const leastSockets = 64
+// discoveryTarget is what the configuration says of the list service.
+func (c Config) discoveryTarget() discovery.Target {
+	return discovery.NewTarget(c.Discovery, c.Scope, c.Settings)
+}
+
+// discoveryConfig is that of the client of the list service.
+func (c Config) discoveryConfig() discovery.ClientConfig {
+	return discovery.ClientConfig{Target: c.discoveryTarget(), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
+		Dial: c.Dialer(discovery.MaxQueueTime)}
+}
+
+// MinSockets is what a node can work with at all: a few for itself, and some for each side.
+const MinSockets = 64
 
 // defaultConnectTimeout stands in where the settings name none.
 const defaultConnectTimeout = 250 * time.Millisecond
 
-// LoadConfig reads the file that ROUTER_CONFIG names. The other variables, where set, go before what
+// Load reads the file that ROUTER_CONFIG names. The other variables, where set, go before what
 // the file says. Errors name the field.
-func LoadConfig(getenv func(string) string) (Config, error) {
-	c, err := readConfig(getenv, nil)
+func Load(getenv func(string) string) (Config, error) {
+	c, err := readFile(getenv, nil)
 	if err != nil {
 		return Config{}, err
 	}
 	for name, field := range map[string]*string{
 		"ROUTER_NAME": &c.Name, "ROUTER_LISTEN": &c.Listen, "ROUTER_DISCOVERY": &c.Discovery,
-		"ROUTER_CONTROL": &c.Control, "TMPDIR": &c.Scratch,
+		"ROUTER_CONTROL": &c.Control, "TMPDIR": &c.SharedDir,
 	} {
 		if v := getenv(name); v != "" {
 			*field = v
@@ -79,22 +90,22 @@
 	if c.Fleet != nil {
 		c.Fleet.Name = c.Name
 	}
-	if err := checkAddress(c.Listen); err != nil {
+	if err := decode.CheckAddress(c.Listen); err != nil {
 		return Config{}, fmt.Errorf("configuration: listen: %w", err)
 	}
-	if err := checkAddresses(c.Discovery); err != nil {
+	if err := decode.CheckAddresses(c.Discovery); err != nil {
 		return Config{}, fmt.Errorf("configuration: discovery: %w", err)
 	}
 	if c.Control != "" {
-		if err := checkAddress(c.Control); err != nil {
+		if err := decode.CheckAddress(c.Control); err != nil {
 			return Config{}, fmt.Errorf("configuration: control: %w", err)
 		}
 	}
 	return c, nil
 }
 
-// readConfig reads the file that ROUTER_CONFIG names. It has to have the keys that the one before had.
-func readConfig(getenv func(string) string, before any) (Config, error) {
+// readFile reads the file that ROUTER_CONFIG names. It has to have the keys that the one before had.
+func readFile(getenv func(string) string, before any) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
 		return Config{}, errors.New("ROUTER_CONFIG: not set")
@@ -103,22 +114,22 @@
 	if err != nil {
 		return Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	keys, err := shape(raw)
+	keys, err := keysOf(raw)
 	if err == nil {
-		err = sameShape("", before, keys)
+		err = checkKeys("", before, keys)
 	}
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	c, err := parseConfig(raw)
+	c, err := Parse(raw)
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	c.shape = keys
+	c.keys = keys
 	return c, nil
 }
 
-func parseConfig(raw []byte) (Config, error) {
+func Parse(raw []byte) (Config, error) {
 	var f struct {
 		Name      string `json:"name"`
 		Listen    string `json:"listen"`
@@ -138,7 +149,7 @@
 		Scope    json.RawMessage `json:"scope"`
 		Ease     bool            `json:"ease_lists"`
 	}
-	if err := unmarshal(raw, &f); err != nil {
+	if err := decode.JSON(raw, &f); err != nil {
 		return Config{}, err
 	}
 	seed, err := strconv.ParseUint(f.Seed, 16, 64)
@@ -150,8 +161,8 @@
 		return Config{}, fmt.Errorf("limits.cores: want more than 0, got %v", l.Cores)
 	case !(l.MemoryMB >= 1) || l.MemoryMB > math.MaxInt32:
 		return Config{}, fmt.Errorf("limits.memory_mb: want 1 or more, got %v", l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", leastSockets, l.Sockets)
+	case l.Sockets < MinSockets:
+		return Config{}, fmt.Errorf("limits.sockets: want %d or more, got %d", MinSockets, l.Sockets)
 	}
 	c := Config{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, ListFile: f.ListFile, Control: f.Control, Seed: seed,
 		Cores: f.Limits.Cores, MemoryMB: int64(f.Limits.MemoryMB), Sockets: f.Limits.Sockets}
@@ -160,7 +171,7 @@
 			return Config{}, fmt.Errorf("%s: missing", name)
 		}
 	}
-	if c.Known, err = parseList(f.Known); err != nil {
+	if c.Known, err = discovery.ParseList(f.Known); err != nil {
 		return Config{}, fmt.Errorf("known: %w", err)
 	}
 	if c.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
@@ -168,7 +179,7 @@
 	}
 	c.Settings.RetainMissing = f.Ease
 	if len(f.Places) > 0 {
-		if err := parsePlaces(f.Places, &c.Settings); err != nil {
+		if err := parseZones(f.Places, &c.Settings); err != nil {
 			return Config{}, err
 		}
 	}
@@ -179,7 +190,7 @@
 		return Config{}, err
 	}
 	if len(f.Scope) > 0 {
-		if c.Scope, err = parseScope(f.Scope, c.Settings); err != nil {
+		if c.Scope, err = discovery.ParseScope(f.Scope, c.Settings); err != nil {
 			return Config{}, err
 		}
 	}
@@ -197,7 +208,7 @@
 			ConnectTimeout float64 `json:"connectTimeout"`
 		} `json:"limits"`
 	}
-	if err := unmarshal(settings, &s); err != nil {
+	if err := decode.JSON(settings, &s); err != nil {
 		return fmt.Errorf("settings.%w", err)
 	}
 	switch l := s.Limits; {
@@ -213,25 +224,6 @@
 	return nil
 }
 
-// unmarshal names the field that can't be read as the configuration and the protocol name it.
-func unmarshal(raw []byte, to any) error {
-	err := json.Unmarshal(raw, to)
-	if bad := (*json.UnmarshalTypeError)(nil); errors.As(err, &bad) && bad.Field != "" {
-		return fmt.Errorf("%s: want %s, got %s", bad.Field, bad.Type, bad.Value)
-	}
-	return err
-}
-
-// strictly reads a section of the configuration that holds no keys but its own.
-func strictly(section string, raw json.RawMessage, to any) error {
-	d := json.NewDecoder(bytes.NewReader(raw))
-	d.DisallowUnknownFields()
-	if err := d.Decode(to); err != nil {
-		return fmt.Errorf("%s: %w", section, err)
-	}
-	return nil
-}
-
 // ownSockets is how many descriptors belong to neither side.
 func (c Config) ownSockets() int {
 	n := ownSockets
@@ -244,10 +236,10 @@
 	return n
 }
 
-// ownBeside is the same for each of two processes that share the node's descriptors for a while. What is set
+// ownSocketsShared is the same for each of two processes that share the node's descriptors for a while. What is set
 // aside for moments when counts are off, and for many callers at the second address, is set aside once.
-func (c Config) ownBeside() int {
-	n := leanSockets
+func (c Config) ownSocketsShared() int {
+	n := ownSocketsWhileShared
 	if c.Control != "" {
 		n += controlSockets / 2
 	}
@@ -257,25 +249,4 @@
 	return n
 }
 
-func checkAddress(addr string) error {
-	host, port, err := net.SplitHostPort(addr)
-	if err != nil {
-		return fmt.Errorf("want host:port, got %q", addr)
-	}
-	if _, err := strconv.ParseUint(port, 10, 16); err != nil || host == "" {
-		return fmt.Errorf("want host:port, got %q", addr)
-	}
-	return nil
-}
-
-// checkAddresses checks addresses that commas part.
-func checkAddresses(addrs string) error {
-	for addr := range strings.SplitSeq(addrs, ",") {
-		if err := checkAddress(addr); err != nil {
-			return err
-		}
-	}
-	return nil
-}
-
 func millis(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"sloerail/internal/node/nodetest"
 )
 
 const goodConfig = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
@@ -14,7 +16,7 @@
 func configFile(t *testing.T, text string) func(string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
-	text = strings.NewReplacer("KNOWN", knownList("127.0.0.1:9"), "SETTINGS", testSettings).Replace(text)
+	text = strings.NewReplacer("KNOWN", nodetest.KnownList("127.0.0.1:9"), "SETTINGS", testSettings).Replace(text)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -24,19 +26,19 @@
 }
 
 func TestLoadsConfig(t *testing.T) {
-	c, err := LoadConfig(configFile(t, goodConfig))
+	c, err := Load(configFile(t, goodConfig))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if c.Name != "n3" || c.Listen != "127.0.0.1:1" || c.Discovery != "127.0.0.1:8500" || c.Seed != 0x8c1f30d27a5be964 ||
 		c.MemoryMB != 192 || c.Sockets != 1024 || c.MaxOpen != 100 || c.ConnectTimeout != 2*time.Second ||
-		len(c.Known.Members) != 1 || c.Known.Revision != 7 || c.Settings.Zone != "a" {
+		len(c.Known.Endpoints) != 1 || c.Known.Revision != 7 || c.Settings.Zone != "a" {
 		t.Errorf("got %+v", c)
 	}
 }
 
 func TestBadConfigNamesTheField(t *testing.T) {
-	if _, err := LoadConfig(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
+	if _, err := Load(func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), "ROUTER_CONFIG") {
 		t.Errorf("no file: %v", err)
 	}
 	for _, c := range []struct{ old, new, want string }{
@@ -65,7 +67,7 @@
 		{`"seed"`, `"ease_lists":3,"seed"`, "ease_lists"},
 		{`{`, ``, ""},
 	} {
-		_, err := LoadConfig(configFile(t, strings.Replace(goodConfig, c.old, c.new, 1)))
+		_, err := Load(configFile(t, strings.Replace(goodConfig, c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%s for %s: got %v, want one line that names %q", c.new, c.old, err, c.want)
 		}
--- a/internal/node/handover_test.go
+++ b/internal/node/hot_restart_test.go
@@ -12,11 +12,13 @@
 	"testing"
 	"time"
 
-	"golang.org/x/sys/unix"
+	"sloerail/internal/node/nodetest"
+
+	"sloerail/internal/node/hotrestart"
 )
 
-// replaceable is the configuration of a node that can be replaced: it has an address and a folder.
-func replaceable(t *testing.T, known string) Config {
+// restartableConfig is the configuration of a node that can be replaced: it has an address and a folder.
+func restartableConfig(t *testing.T, known string) Config {
 	t.Helper()
 	c := testConfig(t, known)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,21 +27,21 @@
 	}
 	c.Listen = ln.Addr().String()
 	ln.Close()
-	c.Scratch = t.TempDir()
+	c.SharedDir = t.TempDir()
 	return c
 }
 
 // startProcess starts what would be a process of the node, and waits until it can be replaced.
 func startProcess(t *testing.T, c Config) (at Listeners, stop func() error) {
 	t.Helper()
-	at, err := Listen(c)
+	at, err := Listen(t.Context(), c)
 	if err != nil {
 		t.Fatal(err)
 	}
-	before, _ := os.Stat(handoverPath(c))
+	before, _ := os.Stat(c.identity().SocketPath())
 	_, stop = startNodeAt(t, c, at, nil)
-	await(t, "its place for a successor", func() bool {
-		now, err := os.Stat(handoverPath(c))
+	nodetest.Await(t, "its place for a successor", func() bool {
+		now, err := os.Stat(c.identity().SocketPath())
 		return err == nil && !os.SameFile(before, now)
 	})
 	return at, stop
@@ -50,12 +52,12 @@
 func TestReplacementTurnsNobodyBack(t *testing.T) {
 	t.Parallel()
 	var runs sync.Map
-	server := httpServer(t, func(_ http.ResponseWriter, r *http.Request) {
+	server := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		if _, again := runs.LoadOrStore(r.Header.Get("X-Request-Id"), true); again {
 			t.Errorf("%s ran twice", r.Header.Get("X-Request-Id"))
 		}
 	})
-	c := replaceable(t, knownList(server))
+	c := restartableConfig(t, nodetest.KnownList(server))
 	_, stopFirst := startProcess(t, c)
 
 	var served atomic.Int64
@@ -87,15 +89,15 @@
 	more := func() {
 		t.Helper()
 		from := served.Load()
-		await(t, "further answers", func() bool { return served.Load() > from+20 })
+		nodetest.Await(t, "further answers", func() bool { return served.Load() > from+20 })
 	}
 	more()
 	second, stopSecond := startProcess(t, c)
-	if second.heir == nil {
+	if second.predecessor == nil {
 		t.Fatal("the second process is an ordinary one")
 	}
 	third, _ := startProcess(t, c)
-	if third.heir == nil {
+	if third.predecessor == nil {
 		t.Fatal("the third process is an ordinary one")
 	}
 	for _, stop := range []func() error{stopFirst, stopSecond} {
@@ -111,8 +113,8 @@
 // What a tenant has used up at the old process it can't have again at the new one.
 func TestReplacementKeepsBuckets(t *testing.T) {
 	t.Parallel()
-	server := httpServer(t, func(http.ResponseWriter, *http.Request) {})
-	c := replaceable(t, knownList(server))
+	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	ask := func(id string) int {
 		resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", id, "", "X-Tenant", "tiny"))
@@ -132,23 +134,27 @@
 // A successor that goes away leaves the node to the process before it, at whatever point it does.
 func TestPredecessorServesOn(t *testing.T) {
 	t.Parallel()
-	server := httpServer(t, func(http.ResponseWriter, *http.Request) {})
-	c := replaceable(t, knownList(server))
+	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	for _, served := range []bool{false, true} {
-		at, err := Listen(c)
-		if err != nil || at.heir == nil {
+		at, err := Listen(t.Context(), c)
+		if err != nil || at.predecessor == nil {
 			t.Fatalf("no hand-over: %v", err)
 		}
 		if served {
-			if _, err := at.heir.conn.Write([]byte{serving}); err != nil {
-				t.Fatal(err)
-			}
-			if err := at.heir.tells.Decode(&at.heir.inheritance); err != nil { // so the word was heard
-				t.Fatal(err)
-			}
+			following := make(chan struct{})
+			first := sync.OnceFunc(func() { close(following) })
+			go at.predecessor.Follow(func() {}, func(_ hotrestart.Progress, ended bool) {
+				if !ended {
+					first()
+				}
+			})
+			nodetest.Receive(t, "the predecessor's progress", following)
+		}
+		if err := at.close(); err != nil {
+			t.Error(err)
 		}
-		at.close()
 		resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", fmt.Sprint("r", served), ""))
 		if resp.StatusCode != http.StatusOK {
 			t.Errorf("served %v: status %d", served, resp.StatusCode)
@@ -159,14 +165,14 @@
 // The two processes together hold no more descriptors than one may.
 func TestReplacementSharesDescriptors(t *testing.T) {
 	t.Parallel()
-	c := replaceable(t, knownList("127.0.0.1:9"))
+	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	startProcess(t, c)
-	at, err := Listen(c)
-	if err != nil || at.heir == nil {
+	at, err := Listen(t.Context(), c)
+	if err != nil || at.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
 	defer at.close()
-	if got := at.heir.Sockets; got < c.Sockets/4 || got > c.Sockets-c.ownBeside() {
+	if got := at.predecessor.State.Sockets; got < c.Sockets/4 || got > c.Sockets-c.ownSocketsShared() {
 		t.Errorf("%d descriptors of %d for the successor", got, c.Sockets)
 	}
 }
@@ -176,7 +182,7 @@
 	t.Parallel()
 	speak := func(say string) func(t *testing.T, c Config) {
 		return func(t *testing.T, c Config) {
-			l, err := net.Listen("unix", handoverPath(c))
+			l, err := net.Listen("unix", c.identity().SocketPath())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -195,24 +201,24 @@
 	}
 	for name, prepare := range map[string]func(t *testing.T, c Config){
 		"nobody":      func(*testing.T, Config) {},
-		"stale":       func(t *testing.T, c Config) { stale(t, handoverPath(c)) },
+		"stale":       func(t *testing.T, c Config) { stale(t, c.identity().SocketPath()) },
 		"silent end":  speak(""),
 		"rubbish":     speak("\n{\"Version\":99"),
-		"not a place": func(t *testing.T, c Config) { os.Remove(c.Scratch) },
+		"not a place": func(t *testing.T, c Config) { os.Remove(c.SharedDir) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := httpServer(t, func(http.ResponseWriter, *http.Request) {})
-			c := replaceable(t, knownList(server))
+			server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
+			c := restartableConfig(t, nodetest.KnownList(server))
 			prepare(t, c)
-			at, err := Listen(c)
-			if err != nil || at.heir != nil {
-				t.Fatalf("heir %v, %v", at.heir, err)
+			at, err := Listen(t.Context(), c)
+			if err != nil || at.predecessor != nil {
+				t.Fatalf("heir %v, %v", at.predecessor, err)
 			}
 			addr, _ := startNodeAt(t, c, at, nil)
 			if resp, _ := do(t, clientRequest(t, addr, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d", resp.StatusCode)
 			}
-			beside, err := listenShared(c.Listen)
+			beside, err := listenShared(t.Context(), c.Listen)
 			if err != nil {
 				t.Fatalf("a second process can't listen: %v", err)
 			}
@@ -235,45 +241,15 @@
 // The folder's path may be longer than a Unix socket's address.
 func TestHandoverInADeepFolder(t *testing.T) {
 	t.Parallel()
-	c := replaceable(t, knownList("127.0.0.1:9"))
-	c.Scratch = filepath.Join(c.Scratch, strings.Repeat("d", 120))
-	if err := os.Mkdir(c.Scratch, 0o700); err != nil {
+	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
+	c.SharedDir = filepath.Join(c.SharedDir, strings.Repeat("d", 120))
+	if err := os.Mkdir(c.SharedDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	startProcess(t, c)
-	at, err := Listen(c)
-	if err != nil || at.heir == nil {
+	at, err := Listen(t.Context(), c)
+	if err != nil || at.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
 	at.close()
 }
-
-// What comes in place of the listening socket is named, and no descriptor of it stays open.
-func TestWrongRightsAreNamed(t *testing.T) {
-	t.Parallel()
-	var pipe [2]int
-	if err := unix.Pipe2(pipe[:], unix.O_NONBLOCK|unix.O_CLOEXEC); err != nil {
-		t.Fatal(err)
-	}
-	defer unix.Close(pipe[0])
-	again, err := unix.Dup(pipe[1])
-	if err != nil {
-		t.Fatal(err)
-	}
-	two := unix.UnixRights(pipe[1], again)
-	for name, c := range map[string]struct {
-		rights []byte
-		want   string
-	}{
-		"nothing": {nil, "got 0"}, "cut short": {two[:4], "listening socket: "}, "two sockets": {two, "got 2"},
-	} {
-		l, err := listenerFrom(c.rights)
-		if l != nil || err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "%!") {
-			t.Errorf("%s: listener %v, error %v", name, l, err)
-		}
-	}
-	// Only where both of its other ends are closed does a pipe end.
-	if n, err := unix.Read(pipe[0], make([]byte, 1)); n != 0 || err != nil {
-		t.Errorf("a descriptor that came unasked is still open: %d, %v", n, err)
-	}
-}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -6,11 +6,12 @@
 	"log/slog"
 	"maps"
 	"net/http"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
 
+	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/hotrestart"
 	"sloerail/policy"
 )
 
@@ -66,23 +67,23 @@
 	clock   clock
 	module  module
 	allowed policy.Allowed
-	target  target // discovery as last configured
+	target  discovery.Target // discovery as last configured
 	terms   atomic.Pointer[terms]
 	maxOpen int
 	up      *upstream
 	fig     *figures
-	disc    *discovery
+	disc    *discovery.Client
 
-	events   chan any
-	done     chan struct{} // closed when the loop has ended
-	ready    chan struct{} // closed when the known list is in
-	requests map[string]*request
-	owed     int  // requests without their answer
-	finished bool // there is no time left for any
-	timers   timers
-	members  map[string]member // the list as last told
-	skipped  []policy.Outcome  // of attempts that were not made; told once all actions are done
-	attempts sync.WaitGroup
+	events    chan any
+	done      chan struct{} // closed when the loop has ended
+	ready     chan struct{} // closed when the known list is in
+	requests  map[string]*request
+	owed      int  // requests without their answer
+	finished  bool // there is no time left for any
+	timers    timers
+	endpoints map[string]discovery.Endpoint // the list as last told
+	skipped   []policy.Outcome              // of attempts that were not made; told once all actions are done
+	attempts  sync.WaitGroup
 }
 
 // request is kept until it is answered and all its attempts are over.
@@ -111,12 +112,12 @@
 		n int
 		result
 	}
-	ceded     struct{ reply chan<- inheritance } // another process takes over
-	takenBack struct{ served bool }              // and is gone again
-	tailAsked struct{ reply chan<- time.Duration }
-	outAsked  struct{ reply chan<- map[string]int } // this process's attempts, by server
-	outBeside struct{ out map[string]int }          // and the other's
-	begun     struct {                              // an answer that is passed on as it comes
+	snapshotRequest     struct{ reply chan<- hotrestart.State } // another process takes over
+	successorGone       struct{ served bool }                   // and is gone again
+	tailRequest         struct{ reply chan<- time.Duration }
+	inFlightRequest     struct{ reply chan<- map[string]int } // this process's attempts, by server
+	predecessorInFlight struct{ inFlight map[string]int }     // and the other's
+	begun               struct {                              // an answer that is passed on as it comes
 		r *request
 		n int
 		answer
@@ -135,10 +136,10 @@
 	}
 	l := &loop{clock: ck, module: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, fig: fig,
 		events: make(chan any, eventBuffer), done: make(chan struct{}), ready: make(chan struct{}),
-		requests: make(map[string]*request), members: make(map[string]member)}
-	l.target = newTarget(c)
+		requests: make(map[string]*request), endpoints: make(map[string]discovery.Endpoint)}
+	l.target = c.discoveryTarget()
 	l.terms.Store(newTerms(c.Settings.Classes))
-	l.disc = newDiscovery(c, l.send)
+	l.disc = discovery.NewClient(c.discoveryConfig(), func(u discovery.Update) { l.send(u) })
 	return l, nil
 }
 
@@ -154,9 +155,9 @@
 	}
 }
 
-// out is this process's attempts, by server; nil once the loop has ended.
-func (l *loop) out() map[string]int {
-	out, _ := ask(l, func(reply chan<- map[string]int) any { return outAsked{reply} })
+// inFlight is this process's attempts, by server; nil once the loop has ended.
+func (l *loop) inFlight() map[string]int {
+	out, _ := ask(l, func(reply chan<- map[string]int) any { return inFlightRequest{reply} })
 	return out
 }
 
@@ -170,14 +171,14 @@
 
 // run handles events until ctx ends; then it calls off what is out and waits for it. The list as last
 // held comes before all else, as the module expects, and then what another process left.
-func (l *loop) run(ctx context.Context, known []member, left *inheritance) {
+func (l *loop) run(ctx context.Context, known []discovery.Endpoint, left *hotrestart.State) {
 	defer l.attempts.Wait()
 	defer l.callOff()
 	defer close(l.done)
-	l.handle(news{policy.ListCached, known})
+	l.handle(discovery.Update{Kind: policy.ListCached, Endpoints: known})
 	if left != nil {
-		l.module.Restore(l.clock.now(), left.Knowledge)
-		l.module.SetSiblingInFlight(left.Out)
+		l.module.Restore(l.clock.now(), left.Policy)
+		l.module.SetSiblingInFlight(left.InFlight)
 	}
 	close(l.ready)
 	sweep := time.NewTicker(sweepEvery)
@@ -250,18 +251,19 @@
 		}
 	case ending:
 		l.end(e)
-	case news:
-		l.listed(e)
-	case retuned:
-		l.retune(e.Config)
-	case ceded:
-		e.reply <- inheritance{Members: slices.Collect(maps.Values(l.members)),
-			Knowledge: l.module.Snapshot(l.clock.now()), Out: l.module.InFlight()}
+	case discovery.Update:
+		l.applyUpdate(e)
+	case configChanged:
+		l.applyConfig(e.Config)
+	case snapshotRequest:
+		left := hotrestart.State{Policy: l.module.Snapshot(l.clock.now()), InFlight: l.module.InFlight()}
+		left.SetEndpointList(maps.Values(l.endpoints))
+		e.reply <- left
 		l.tell(policy.HandedOver{Active: true})
-	case outAsked:
+	case inFlightRequest:
 		e.reply <- l.module.InFlight()
-	case outBeside:
-		l.module.SetSiblingInFlight(e.out)
+	case predecessorInFlight:
+		l.module.SetSiblingInFlight(e.inFlight)
 	case fleetSeen:
 		l.tell(policy.FleetSize{ReachableNodes: e.heard, ReachableInZone: e.near})
 	case fleetAsked:
@@ -270,9 +272,9 @@
 		e.reply <- f
 	case placesAsked:
 		e.reply <- l.module.Zones(l.clock.now())
-	case tailAsked:
+	case tailRequest:
 		e.reply <- l.module.TailLatency()
-	case takenBack:
+	case successorGone:
 		l.tell(policy.HandedOver{SuccessorServed: e.served})
 	case finish:
 		l.finished = true
@@ -391,24 +393,24 @@
 	l.drop(e.r)
 }
 
-func (l *loop) listed(n news) {
-	if n.kind != policy.ListUnavailable {
+func (l *loop) applyUpdate(n discovery.Update) {
+	if n.Kind != policy.ListUnavailable {
 		l.up.update(n)
 	}
-	if n.kind == policy.ListReplace || n.kind == policy.ListCached {
-		clear(l.members)
+	if n.Kind == policy.ListReplace || n.Kind == policy.ListCached {
+		clear(l.endpoints)
 	}
-	for _, m := range n.members {
-		if l.members[m.ID] = m; m.Availability == policy.Removed {
-			delete(l.members, m.ID)
+	for _, m := range n.Endpoints {
+		if l.endpoints[m.ID] = m; m.Availability == policy.Removed {
+			delete(l.endpoints, m.ID)
 		}
 	}
-	members := make([]policy.Endpoint, len(n.members))
-	for i, m := range n.members {
+	members := make([]policy.Endpoint, len(n.Endpoints))
+	for i, m := range n.Endpoints {
 		members[i] = m.Endpoint
-		members[i].StartedAt = l.clock.unix(m.UpSince)
+		members[i].StartedAt = l.clock.unix(m.StartedAtMillis)
 	}
-	l.tell(policy.EndpointList{Kind: n.kind, Endpoints: members})
+	l.tell(policy.EndpointList{Kind: n.Kind, Endpoints: members})
 }
 
 // spent tells whether a request can't be written again.
@@ -461,7 +463,7 @@
 	case policy.SetTimer:
 		heap.Push(&l.timers, &timer{due: l.clock.now() + a.Wait, token: a.Token})
 	case policy.WatchList:
-		l.disc.ask(a.Enabled)
+		l.disc.SetWatching(a.Enabled)
 	case policy.Log:
 		slog.Info(a.Text)
 	default: // probes and peer messages are not allowed here, and the module asks for none
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -8,16 +8,20 @@
 	"sync"
 	"time"
 
+	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/hotrestart"
 	"sloerail/policy"
 )
 
 const (
-	ownSockets   = 32                     // descriptors for the log, discovery, the runtime and the like
-	leanSockets  = 18                     // the same while two processes share the node's: 14 are in use
-	acceptFor    = 500 * time.Millisecond // after the signal to stop, while clients still come
-	longestDrain = 3 * time.Second        // no client waits longer once a node is told to stop
-	stopPoll     = 20 * time.Millisecond  // between looks at whether a replaced process has clients left
-	lastAnswers  = 100 * time.Millisecond // for what is failed then to reach its clients
+	ownSockets            = 32                     // descriptors for the log, discovery, the runtime and the like
+	ownSocketsWhileShared = 18                     // the same while two processes share the node's: 14 are in use
+	acceptFor             = 500 * time.Millisecond // after the signal to stop, while clients still come
+	longestDrain          = 3 * time.Second        // no client waits longer once a node is told to stop
+	stopPoll              = 20 * time.Millisecond  // between looks at whether a replaced process has clients left
+	lastAnswers           = 100 * time.Millisecond // for what is failed then to reach its clients
+	// heapFraction of the memory limit is the heap's: stacks and sockets take the rest.
+	heapFraction = 0.75
 )
 
 // Run serves clients until ctx ends. Then it goes on accepting for a moment, answers what it has taken,
@@ -25,10 +29,10 @@
 func Run(ctx context.Context, c Config, at Listeners, changes <-chan Change) error {
 	ck := clock{start: time.Now()}
 	shared, held := new(sockets), c.Sockets
-	if at.heir != nil {
-		held, c.Known = at.heir.Sockets, list{Revision: wholeList, Members: at.heir.Members}
+	if at.predecessor != nil {
+		held, c.Known = at.predecessor.State.Sockets, discovery.List{Revision: discovery.UnknownRevision, Endpoints: at.predecessor.State.EndpointList()}
 	} else {
-		c.Known = knownBest(c)
+		c.Known = discovery.RestoreList(c.ListFile, c.Known)
 	}
 	limitMemory(c, 1)
 	fig := newFigures(c.Settings.Classes)
@@ -39,8 +43,8 @@
 		return err
 	}
 	s := newServer(l)
-	s.heir = at.heir != nil
-	s.sharing.Store(s.heir)
+	s.isSuccessor = at.predecessor != nil
+	s.sharingSockets.Store(s.isSuccessor)
 	fleet, err := l.join(c)
 	if err != nil {
 		return err
@@ -50,25 +54,25 @@
 	var parts sync.WaitGroup
 	defer parts.Wait()
 	defer stop()
-	var left *inheritance
-	if at.heir != nil {
-		left = &at.heir.inheritance
-		limitMemory(c, 0.5)
+	var left *hotrestart.State
+	if at.predecessor != nil {
+		left = &at.predecessor.State
+		limitMemory(c, sharedMemoryFraction)
 	}
-	parts.Go(func() { l.run(running, c.Known.Members, left) })
-	parts.Go(func() { l.disc.run(running) })
+	parts.Go(func() { l.run(running, c.Known.Endpoints, left) })
+	parts.Go(func() { l.disc.Run(running) })
 
 	failed := make(chan error, 1)
-	clients := newGate(at.Clients, held)
-	h := &handover{c: c, path: handoverPath(c), s: s, up: up, gate: clients, fleet: fleet, share: held}
-	h.resize()
+	clients := newConnLimiter(at.Clients, held)
+	h := &hotRestart{config: c, server: s, upstream: up, clients: clients, fleet: fleet, sockets: held}
+	h.shareSockets()
 	parts.Go(func() { failed <- s.accept(clients) })
-	parts.Go(func() { h.start(running, at.heir) })
+	parts.Go(func() { h.run(running, at.predecessor) })
 	if fleet != nil {
 		parts.Go(func() { l.follow(running, fleet.Subscribe()) })
 		parts.Go(func() {
 			select {
-			case <-s.first: // until then another process is the member
+			case <-s.soleListener: // until then another process is the member
 				fleet.Run(ctx)
 			case <-running.Done():
 			}
@@ -83,7 +87,7 @@
 		case err := <-failed:
 			return fmt.Errorf("serving: %w", err)
 		case change := <-changes:
-			l.change(change)
+			l.handleChange(change)
 		case <-ctx.Done():
 		}
 	}
@@ -94,7 +98,7 @@
 // them unread counts as taken, so the listener stays open until then. Clients go on using those they
 // have: ending them early would only move their load to the other nodes while this one is gone, so they
 // are served for as long as what comes can be answered before the node is killed.
-func (s *server) drain(h *handover) error {
+func (s *server) drain(h *hotRestart) error {
 	s.stopping.Store(true)
 	terms := s.loop.terms.Load()
 	end := time.Now().Add(acceptFor + terms.longestOf(longestWait))
@@ -106,7 +110,7 @@
 	s.draining.Store(true)
 	late := time.AfterFunc(time.Until(end), func() { s.loop.send(finish{}) })
 	defer late.Stop()
-	err := h.gate.Close()
+	err := h.clients.Close()
 	s.shutdown(end.Add(lastAnswers))
 	return err
 }
@@ -116,7 +120,7 @@
 // or finds none.
 func (s *server) lastAnswer(terms *terms) time.Duration {
 	longest := terms.longestOf(longestAnswer)
-	if tail, ok := ask(s.loop, func(reply chan<- time.Duration) any { return tailAsked{reply} }); ok {
+	if tail, ok := ask(s.loop, func(reply chan<- time.Duration) any { return tailRequest{reply} }); ok {
 		return min(longest, tail)
 	}
 	return longest
@@ -124,7 +128,7 @@
 
 // limitMemory sets the part of the memory limit that this process may use.
 func limitMemory(c Config, part float64) {
-	debug.SetMemoryLimit(int64(part * heapPart * float64(c.MemoryMB) * (1 << 20)))
+	debug.SetMemoryLimit(int64(part * heapFraction * float64(c.MemoryMB) * (1 << 20)))
 }
 
 // longestWait is how long a client of a stopping node may wait.
--- a/internal/node/memnet_test.go
+++ b/internal/node/nodetest/memnet.go
@@ -1,4 +1,4 @@
-package node
+package nodetest
 
 import (
 	"context"
@@ -13,9 +13,9 @@
 	"time"
 )
 
-// bubble runs a test in virtual time, over a network in memory: waits cost nothing, and how busy the machine
+// Bubble runs a test in virtual time, over a network in memory: waits cost nothing, and how busy the machine
 // is makes no difference.
-func bubble(t *testing.T, test func(t *testing.T)) {
+func Bubble(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		n := &memNet{listeners: make(map[string]*memListener), port: 10_000}
@@ -27,18 +27,18 @@
 
 var memNets sync.Map // *memNet by the test in its bubble
 
-// dialer is that of the test's network.
-func dialer(t testing.TB) dialFunc {
+// Dialer is that of the test's network.
+func Dialer(t testing.TB) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	if n, ok := memNets.Load(t); ok {
 		return n.(*memNet).dial
 	}
 	return nil
 }
 
-// dial connects to addr on the test's network.
-func dial(t testing.TB, addr string) memOrTCP {
+// Dial connects to addr on the test's network.
+func Dial(t testing.TB, addr string) Conn {
 	t.Helper()
-	connect := dialer(t)
+	connect := Dialer(t)
 	if connect == nil {
 		connect = (&net.Dialer{}).DialContext
 	}
@@ -46,10 +46,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return c.(memOrTCP)
+	return c.(Conn)
 }
 
-type memOrTCP interface {
+// Conn is a connection of the test's network.
+type Conn interface {
 	net.Conn
 	CloseWrite() error
 }
@@ -113,17 +114,17 @@
 	}
 }
 
-func (l *memListener) Close() error {
+func (l *memListener) Close() (err error) {
 	l.once.Do(func() {
 		l.net.mu.Lock()
 		delete(l.net.listeners, l.addr.String())
 		l.net.mu.Unlock()
 		close(l.closed)
 		for len(l.queue) > 0 {
-			(<-l.queue).Close()
+			err = errors.Join(err, (<-l.queue).Close())
 		}
 	})
-	return nil
+	return err
 }
 
 // streamSize is what a stream holds that is written and not yet read.
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -14,12 +14,11 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
 
-// long is more than any step of a test takes; nothing waits for it unless the test fails.
-const long = 30 * time.Second
-
 func TestMain(m *testing.M) {
 	if os.Getenv(benchPeer) != "" {
 		if err := playPeers(os.Stdin, os.Stdout); err != nil {
@@ -76,37 +75,27 @@
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`, known, testSettings)
-	c, err := parseConfig([]byte(raw))
+	c, err := Parse([]byte(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.dial = dialer(t)
+	c.Dial = nodetest.Dialer(t)
 	return c
 }
 
-// knownList is a complete list of the servers at the addresses, named s0, s1 and so on.
-func knownList(addrs ...string) string {
-	var entries []string
-	for i, a := range addrs {
-		entries = append(entries, fmt.Sprintf(
-			`{"id":"s%d","host_port":%q,"locality":"a","flavor":"k","cell":1,"phase":"up","size":1,"up_since_ms":0}`, i, a))
-	}
-	return fmt.Sprintf(`{"revision":7,"complete":true,"members":[%s]}`, strings.Join(entries, ","))
-}
-
-func members(t *testing.T, addrs ...string) []member {
+func members(t *testing.T, addrs ...string) []discovery.Endpoint {
 	t.Helper()
-	l, err := parseList([]byte(knownList(addrs...)))
+	l, err := discovery.ParseList([]byte(nodetest.KnownList(addrs...)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l.Members
+	return l.Endpoints
 }
 
 // rawServer runs a server of one's own at the level of the connection.
 func rawServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
-	ln := listen(t)
+	ln := nodetest.Listener(t)
 	go acceptRaw(ln, serve)
 	return ln.Addr().String()
 }
@@ -135,19 +124,10 @@
 	return err == nil
 }
 
-func httpServer(t *testing.T, h http.HandlerFunc) string {
-	t.Helper()
-	ln := listen(t)
-	s := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
-	go func() { _ = s.Serve(ln) }()
-	t.Cleanup(func() { s.Close() })
-	return ln.Addr().String()
-}
-
 func testExchange(method, id string, body string) *exchange {
 	x := &exchange{req: policy.Request{ID: id, Class: "read", Tenant: "t"}, method: method,
 		path: "/api?q=a%20b", host: "origin.svc", body: []byte(body),
-		came: timeOrigin, clientWaits: long, reply: make(chan answer, 1)}
+		came: timeOrigin, clientWaits: nodetest.Timeout, reply: make(chan answer, 1)}
 	if method == http.MethodPost {
 		x.key = "k-" + id
 	}
@@ -158,7 +138,7 @@
 // and returns what Run did.
 func startNode(t testing.TB, c Config) (addr string, stop func() error) {
 	t.Helper()
-	return startNodeAt(t, c, Listeners{Clients: listen(t)}, nil)
+	return startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, nil)
 }
 
 // testSockets are as many descriptors for connections.
@@ -168,35 +148,20 @@
 	return s
 }
 
-func listen(t testing.TB) net.Listener {
-	t.Helper()
-	if n, ok := memNets.Load(t); ok {
-		ln := n.(*memNet).listen()
-		t.Cleanup(func() { ln.Close() })
-		return ln
-	}
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	return ln
-}
-
 // serveAt has s take clients.
 func serveAt(t *testing.T, s *server) (addr string) {
 	t.Helper()
-	return serveOn(t, s, listen(t))
+	return serveOn(t, s, nodetest.Listener(t))
 }
 
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
-	s.loop.up.sockets.total.Store(leastSockets)
+	s.loop.up.sockets.total.Store(MinSockets)
 	ended := make(chan error, 1)
 	go func() { ended <- s.accept(ln) }()
 	t.Cleanup(func() {
 		ln.Close()
-		if err := receive(t, "the end of accepting", ended); err != nil {
+		if err := nodetest.Receive(t, "the end of accepting", ended); err != nil {
 			t.Error(err)
 		}
 		s.shutdown(time.Now())
@@ -219,7 +184,7 @@
 		select {
 		case err := <-ended:
 			return err
-		case <-time.After(long):
+		case <-time.After(nodetest.Timeout):
 			return fmt.Errorf("the node did not end")
 		}
 	}
@@ -229,7 +194,7 @@
 		}
 	})
 	addr = at.Clients.Addr().String()
-	await(t, "readiness", func() bool {
+	nodetest.Await(t, "readiness", func() bool {
 		resp, err := onceClient(t).Get("http://" + addr + readyPath)
 		if err != nil {
 			return false
@@ -240,26 +205,6 @@
 	return addr, stop
 }
 
-func await(t testing.TB, what string, ok func() bool) {
-	t.Helper()
-	for end := time.Now().Add(long); !ok(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
-		}
-	}
-}
-
-func receive[T any](t *testing.T, what string, from <-chan T) T {
-	t.Helper()
-	select {
-	case v := <-from:
-		return v
-	case <-time.After(long):
-		t.Fatalf("waited in vain for %s", what)
-		panic("unreachable")
-	}
-}
-
 // clientRequest is one as clients send it; headers are pairs, and an empty value takes one out.
 func clientRequest(t *testing.T, addr, method, class, id, body string, headers ...string) *http.Request {
 	t.Helper()
@@ -284,12 +229,12 @@
 
 // onceClient makes a connection for each request.
 func onceClient(t testing.TB) *http.Client {
-	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: dialer(t)}}
+	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: nodetest.Dialer(t)}}
 }
 
 // keptClient keeps the one connection that it has to a host.
 func keptClient(t testing.TB) *http.Client {
-	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DialContext: dialer(t)}}
+	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DialContext: nodetest.Dialer(t)}}
 	t.Cleanup(c.CloseIdleConnections)
 	return c
 }
--- a/internal/node/told_test.go
+++ b/internal/node/told_test.go
@@ -8,6 +8,10 @@
 	"net/http"
 	"testing"
 	"time"
+
+	"sloerail/internal/node/nodetest"
+
+	"sloerail/internal/node/discovery"
 )
 
 // The ways in which a call to the list service ends without a list.
@@ -50,7 +54,7 @@
 	down := make(chan struct{}) // closed once the service takes connections
 	l := newLeavingTest(t, subscribe, func(c *Config) {
 		c.Settings.Rules.PollInterval = o.within
-		c.dial = refuseUntil(c, down, refused)
+		c.Dial = refuseUntil(c, down, refused)
 		if o.fails != nil {
 			close(down)
 		}
@@ -58,28 +62,28 @@
 	var back time.Time
 	for range o.calls {
 		if o.fails == nil {
-			back = receive(t, "a refused connection", refused)
+			back = nodetest.Receive(t, "a refused connection", refused)
 			continue
 		}
-		c := receive(t, "a call that fails", l.calls)
+		c := nodetest.Receive(t, "a call that fails", l.calls)
 		back = c.at
 		failed := make(chan struct{})
 		c.serve <- func(w http.ResponseWriter, r *http.Request) { close(failed); o.fails(w, r) }
-		receive(t, "the failure", failed)
+		nodetest.Receive(t, "the failure", failed)
 	}
 	if o.fails == nil {
 		close(down)
 	}
 	for range o.busy {
-		receive(t, "a call that is turned away", l.calls).serve <- turnAway
+		nodetest.Receive(t, "a call that is turned away", l.calls).serve <- turnAway
 	}
-	told := toldWithin
+	told := discovery.MaxNotificationDelay
 	if o.within > 0 {
 		told = min(told, o.within)
 	}
 	further := l.calls
 	if o.queued > 0 {
-		turn, c := make(chan listCall, 1), receive(t, "a call that waits for its turn", l.calls)
+		turn, c := make(chan listCall, 1), nodetest.Receive(t, "a call that waits for its turn", l.calls)
 		time.AfterFunc(o.queued, func() { turn <- c })
 		further = turn
 	}
@@ -87,8 +91,8 @@
 }
 
 // refuseUntil dials as c does, and for the list service to where nobody listens until up is closed.
-func refuseUntil(c *Config, up <-chan struct{}, refused chan<- time.Time) dialFunc {
-	dial, service := c.dialer(time.Second), c.Discovery
+func refuseUntil(c *Config, up <-chan struct{}, refused chan<- time.Time) DialFunc {
+	dial, service := c.Dialer(time.Second), c.Discovery
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr != service {
 			return dial(ctx, network, addr)
@@ -112,7 +116,7 @@
 		"reset":              {fails: resetCall, calls: 5, busy: 2},
 		"turned away":        {fails: turnAway, calls: 5, busy: 2},
 		"silent":             {fails: staySilent, calls: 2, busy: 2},
-		"silent, then busy":  {fails: staySilent, calls: 2, busy: 1, queued: queueTime},
+		"silent, then busy":  {fails: staySilent, calls: 2, busy: 1, queued: discovery.MaxQueueTime},
 		"half answered":      {fails: answerHalf, calls: 2, busy: 2},
 		"silent, bound 2 s":  {fails: staySilent, calls: 2, busy: 1, within: 2 * time.Second},
 		"refused, bound 2 s": {calls: 5, busy: 1, within: 2 * time.Second},
@@ -134,7 +138,7 @@
 	} {
 		for _, subscribe := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/asked %v", name, subscribe), func(t *testing.T) {
-				bubble(t, func(t *testing.T) { o.keepsDrains(t, subscribe) })
+				nodetest.Bubble(t, func(t *testing.T) { o.keepsDrains(t, subscribe) })
 			})
 		}
 	}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -20,6 +20,7 @@
 	"github.com/VictoriaMetrics/metrics"
 	"golang.org/x/sys/unix"
 
+	"sloerail/internal/node/discovery"
 	"sloerail/policy"
 )
 
@@ -44,7 +45,7 @@
 // or a request with an Idempotency-Key, again on its own when a reused connection breaks, and each such
 // copy would be an attempt that the module never decided on.
 type upstream struct {
-	dialer  dialFunc
+	dialer  DialFunc
 	idleFor time.Duration // an idle connection is dropped after this
 	report  []string      // names of the figures of a load report, in order
 	eases   bool          // the module may send for a moment to what the list lacks
@@ -104,19 +105,19 @@
 
 func newUpstream(c Config, shared *sockets, fig *figures) *upstream {
 	u := &upstream{relayed: fig.relayed, pools: make(map[string]*pool), sockets: shared, waits: socketWait}
-	u.retune(c)
+	u.applyConfig(c)
 	return u
 }
 
-// retune takes over what a configuration says of connections and reports.
-func (u *upstream) retune(c Config) {
+// applyConfig takes over what a configuration says of connections and reports.
+func (u *upstream) applyConfig(c Config) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	idle := c.Settings.Allowed.IdleTimeout
 	if idle == 0 {
 		idle = defaultConnIdle
 	}
-	u.dialer = c.dialer(c.ConnectTimeout)
+	u.dialer = c.Dialer(c.ConnectTimeout)
 	u.idleFor = idle / 2 // what is written just as the server closes would end as a reset
 	u.report, u.eases = c.Settings.ReportFields, c.Settings.RetainMissing
 }
@@ -144,19 +145,19 @@
 
 // update follows the list. A server that moved or started anew gets a new pool: what was open to its
 // former process is of no use.
-func (u *upstream) update(n news) {
+func (u *upstream) update(n discovery.Update) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	listed := make(map[string]bool, len(n.members))
-	for _, m := range n.members {
+	listed := make(map[string]bool, len(n.Endpoints))
+	for _, m := range n.Endpoints {
 		p := u.pools[m.ID]
 		listed[m.ID] = true
 		switch {
 		case m.Availability == policy.Removed:
 			u.miss(m.ID)
-		case p == nil || p.addr != m.Addr || p.upSince != m.UpSince:
+		case p == nil || p.addr != m.Address || p.upSince != m.StartedAtMillis:
 			u.forget(m.ID)
-			u.pools[m.ID] = &pool{addr: m.Addr, upSince: m.UpSince}
+			u.pools[m.ID] = &pool{addr: m.Address, upSince: m.StartedAtMillis}
 		default:
 			p.gone = time.Time{}
 		}
@@ -164,7 +165,7 @@
 			p.leaving = m.Availability == policy.Draining
 		}
 	}
-	if n.kind == policy.ListUpdate {
+	if n.Kind == policy.ListUpdate {
 		return
 	}
 	for id := range u.pools {
