--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -11,6 +11,7 @@
 	"time"
 
 	gossip "sloerail/internal/membership"
+	"sloerail/internal/node/decode"
 )
 
 const fleetPath = "/fleet"
@@ -29,7 +30,7 @@
 // parseFleet reads the section strictly: a key that is misspelt would leave the fleet open, say.
 func parseFleet(raw json.RawMessage, c Config) (*gossip.Config, error) {
 	var s fleetSection
-	if err := strictly("fleet", raw, &s); err != nil {
+	if err := decode.Section("fleet", raw, &s); err != nil {
 		return nil, err
 	}
 	m := &gossip.Config{Name: c.Name, Zone: c.Settings.Zone, Version: Version(), Bind: s.Bind, Advertise: s.Advertise,
@@ -166,8 +167,8 @@
 	return m, nil
 }
 
-// sameFleet tells whether a changed configuration asks for another membership, which needs a new process.
-func sameFleet(a, b *gossip.Config) error {
+// checkSameFleet tells whether a changed configuration asks for another membership, which needs a new process.
+func checkSameFleet(a, b *gossip.Config) error {
 	if (a == nil) != (b == nil) || a != nil && !a.Equal(*b) {
 		return errors.New("fleet: what has changed there takes a new process")
 	}
