--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -12,6 +12,7 @@
 		t.Error("the age is known before the leader was polled")
 	}
 	f.progressReceived(9, time.Now().Add(-time.Second))
+	f.applied(8)
 	if _, known := f.age(false); known {
 		t.Error("the age is known, and command 9 isn't applied")
 	}
--- a/internal/registry/lessor_test.go
+++ b/internal/registry/lessor_test.go
@@ -94,6 +94,33 @@
 	}
 }
 
+// After a restart neither earlier expirations nor a suspension count.
+func TestRestartGrantsAllLeasesAnew(t *testing.T) {
+	l := new(lessor)
+	instances := grantLeases(l, minMassExpirations, time.Second)
+	instances["last"] = Instance{Endpoint: testEndpoint("last"), TTL: 2 * time.Second, Deadline: 2 * time.Second}
+	l.advance(time.Second)
+	if ids := expireAll(l, instances); len(ids) != minMassExpirations {
+		t.Fatalf("%v expired, want %d", ids, minMassExpirations)
+	}
+	l.advance(time.Second)
+	if ids := expireAll(l, instances); len(ids) != 0 || !l.suspended {
+		t.Fatalf("%v expired, suspended %v: the last one completes a mass", ids, l.suspended)
+	}
+	l.restart(instances)
+	if l.suspended {
+		t.Error("still suspended after a restart")
+	}
+	l.advance(2*time.Second - 1)
+	if ids := expireAll(l, instances); len(ids) != 0 {
+		t.Errorf("%v expired before its new deadline", ids)
+	}
+	l.advance(1)
+	if ids := expireAll(l, instances); !slices.Equal(ids, []string{"last"}) {
+		t.Errorf("%v expired, want the last one: earlier expirations are to count no more", ids)
+	}
+}
+
 func TestOneClockStepIsBounded(t *testing.T) {
 	l := new(lessor)
 	l.advance(time.Hour)
