--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -64,7 +64,7 @@
 func TestQuotaPartsStayWithinTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, timers := fleetOf(rapid.IntRange(2, 9).Draw(t, "nodes"))
-		whole := time.Duration(0) // when the fleet was last whole
+		connectedAt := time.Duration(0) // when all nodes last reached each other
 		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now := time.Duration(step+1) * 7 * time.Second
 			side := make([]int, len(nodes))
@@ -74,13 +74,13 @@
 				sizes[side[i]]++
 			}
 			if len(sizes) == 1 {
-				whole = now
+				connectedAt = now
 			}
 			for i, b := range nodes {
 				observeFleet(b, &timers[i], now, sizes[side[i]])
 			}
-			if sum := parts(nodes); now-whole < fleetShrinkDelay && sum > 1+1e-9 {
-				t.Fatalf("the parts sum to %.3f of the quota at %v, whole at %v, sides %v", sum, now, whole, side)
+			if sum := parts(nodes); now-connectedAt < fleetShrinkDelay && sum > 1+1e-9 {
+				t.Fatalf("the parts sum to %.3f of the quota at %v, all connected at %v, sides %v", sum, now, connectedAt, side)
 			}
 		}
 	})
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -154,16 +154,16 @@
 			return part
 		}
 		admitted(OK)
-		usual := admitted(OK)
+		before := admitted(OK)
 		admitted(TimedOut)
-		if got := admitted(TimedOut); (got < 0.6*usual) != c.follows {
-			t.Errorf("%d nodes: %.2f of the requests are admitted while attempts time out, %.2f before", c.nodes, got, usual)
+		if got := admitted(TimedOut); (got < 0.6*before) != c.follows {
+			t.Errorf("%d nodes: %.2f of the requests are admitted while attempts time out, %.2f before", c.nodes, got, before)
 		}
 		for range 5 { // the multiplier stays cautious until few of the last hundreds of responses are bad
 			admitted(OK)
 		}
-		if got := admitted(OK); got < 0.9*usual {
-			t.Errorf("%d nodes: %.2f of the requests are admitted after that, %.2f before", c.nodes, got, usual)
+		if got := admitted(OK); got < 0.9*before {
+			t.Errorf("%d nodes: %.2f of the requests are admitted after that, %.2f before", c.nodes, got, before)
 		}
 	}
 }
--- a/policy/recorded_events_test.go
+++ b/policy/recorded_events_test.go
@@ -348,8 +348,8 @@
 func observed(b *Balancer, now Time) string {
 	var text strings.Builder
 	listed, unavailable := b.Servers()
-	agreed, heard, cutOff := b.FleetSize()
-	fmt.Fprint(&text, listed, unavailable, int64(b.TailLatency()), agreed, heard, cutOff)
+	quotaNodes, reachable, partitioned := b.FleetSize()
+	fmt.Fprint(&text, listed, unavailable, int64(b.TailLatency()), quotaNodes, reachable, partitioned)
 	out := b.InFlight()
 	for _, id := range slices.Sorted(maps.Keys(out)) {
 		fmt.Fprint(&text, " ", id, out[id])
--- a/policy/recorded_scenarios_test.go
+++ b/policy/recorded_scenarios_test.go
@@ -34,13 +34,13 @@
 // simulatedServer is a server in the simulation of the recorder.
 type simulatedServer struct {
 	recordedEndpoint
-	base  time.Duration // latency without load
-	cores int
-	busy  int
-	extra int           // attempts of other nodes
-	fault recorderFault // how it fails
-	part  float64       // and in what part of the attempts
-	slow  float64       // factor of its latency; 0 for 1
+	base           time.Duration // latency without load
+	cores          int
+	busy           int
+	otherNodesBusy int           // attempts of other nodes
+	fault          recorderFault // how it fails
+	part           float64       // and in what part of the attempts
+	slow           float64       // factor of its latency; 0 for 1
 }
 
 type recorderFault uint8
@@ -58,10 +58,10 @@
 
 type simulatedRequest struct {
 	recordedRequest
-	process  int
-	attempts []bool // whether each has finished
-	whole    Time   // when its last byte comes
-	answered bool
+	process    int
+	attempts   []bool // whether each has finished
+	completeAt Time   // when its last byte comes
+	answered   bool
 }
 
 type recorderTask struct {
@@ -167,27 +167,27 @@
 	n := len(p.attempts)
 	p.attempts = append(p.attempts, false)
 	s.busy++
-	code, took := r.answer(s)
-	if p.whole > r.now {
-		took += p.whole - r.now
+	code, latency := r.answer(s)
+	if p.completeAt > r.now {
+		latency += p.completeAt - r.now
 	}
 	until := a.AttemptDeadline - r.clockOffset(process)
-	if r.now+took > until && p.whole <= r.now {
-		code, took = TimedOut, max(0, until-r.now)
+	if r.now+latency > until && p.completeAt <= r.now {
+		code, latency = TimedOut, max(0, until-r.now)
 	}
-	took = took.Truncate(recorderStep)
-	o := recordedOutcome{Server: a.Server, Attempt: n, Code: uint8(code), Latency: int64(took), RequestEnded: code == OK,
+	latency = latency.Truncate(recorderStep)
+	o := recordedOutcome{Server: a.Server, Attempt: n, Code: uint8(code), Latency: int64(latency), RequestEnded: code == OK,
 		BodyConsumed: code != OK && r.rng.IntN(30) == 0}
 	if code == OK && r.settings.streams(p.Class) {
-		r.after(took/2, func() {
+		r.after(latency/2, func() {
 			if !p.attempts[n] {
-				r.call(process, recordedEvent{FirstByte: &recordedOutcome{ID: a.ID, Server: a.Server, Attempt: n, Latency: int64(took / 2)}})
+				r.call(process, recordedEvent{FirstByte: &recordedOutcome{ID: a.ID, Server: a.Server, Attempt: n, Latency: int64(latency / 2)}})
 			}
 		})
 	}
-	r.after(took, func() {
+	r.after(latency, func() {
 		if code == OK {
-			o.LoadReport = r.report(s, took)
+			o.LoadReport = r.report(s, latency)
 		}
 		s.busy--
 		r.outcome(process, a.ID, o)
@@ -211,8 +211,8 @@
 
 // answer is how a server ends an attempt, and after which time.
 func (r *recorder) answer(s *simulatedServer) (Code, time.Duration) {
-	load := float64(s.busy+s.extra) / float64(s.cores)
-	latency := float64(s.base) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) * max(1, s.slow) / r.warmth(s)
+	load := float64(s.busy+s.otherNodesBusy) / float64(s.cores)
+	latency := float64(s.base) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) * max(1, s.slow) / r.warmFraction(s)
 	if r.rng.IntN(200) == 0 {
 		return NotAttempted, ms
 	}
@@ -242,7 +242,7 @@
 	return OK, max(ms, time.Duration(latency))
 }
 
-func (r *recorder) warmth(s *simulatedServer) float64 {
+func (r *recorder) warmFraction(s *simulatedServer) float64 {
 	age := r.now - Time(s.StartedAt) + r.clockOffsets[0]
 	if s.StartedAt == 0 || age >= Time(r.settings.SlowStartDuration) {
 		return 1
@@ -251,7 +251,7 @@
 }
 
 // report is what a server says of its load, in the order of the settings.
-func (r *recorder) report(s *simulatedServer, took time.Duration) []float64 {
+func (r *recorder) report(s *simulatedServer, latency time.Duration) []float64 {
 	if len(r.settings.ReportFields) == 0 || r.rng.IntN(10) == 0 {
 		return nil
 	}
@@ -261,9 +261,9 @@
 	if r.rng.IntN(60) == 0 { // an idle server
 		return make([]float64, len(r.settings.ReportFields))
 	}
-	util := min(1.4, float64(s.busy+s.extra)/float64(s.cores))
-	rate := util * float64(s.cores) / (s.base.Seconds() * max(1, s.slow)) * r.warmth(s)
-	row := []float64{float64(took.Microseconds()) / 1000, float64(int(util*1000)) / 1000, float64(int(rate*10)) / 10}
+	util := min(1.4, float64(s.busy+s.otherNodesBusy)/float64(s.cores))
+	rate := util * float64(s.cores) / (s.base.Seconds() * max(1, s.slow)) * r.warmFraction(s)
+	row := []float64{float64(latency.Microseconds()) / 1000, float64(int(util*1000)) / 1000, float64(int(rate*10)) / 10}
 	return append(row, make([]float64, len(r.settings.ReportFields)-3)...)
 }
 
@@ -383,7 +383,7 @@
 	process := r.serving
 	if q.Incomplete {
 		wait := time.Duration(5+r.rng.IntN(60)) * ms
-		p.whole = r.now + wait
+		p.completeAt = r.now + wait
 		r.after(wait, func() { r.call(process, recordedEvent{RequestComplete: q.ID}) })
 	}
 	r.call(process, recordedEvent{Request: &q})
@@ -624,12 +624,12 @@
 		steps: []scenarioStep{
 			at(2*second, func(r *recorder) {
 				for _, s := range r.servers {
-					s.extra = 1 + r.rng.IntN(4)
+					s.otherNodesBusy = 1 + r.rng.IntN(4)
 				}
 			}),
 			at(4*second, func(r *recorder) {
 				r.setSlowdown(6, named("a00", "b01"))
-				r.server("a00").extra, r.server("b01").extra = 4, 4
+				r.server("a00").otherNodesBusy, r.server("b01").otherNodesBusy = 4, 4
 			}),
 			at(6*second, func(r *recorder) { r.restart("a02", "b03", "a04") }),
 			at(7*second, func(r *recorder) { r.setFault(mixed, 0.5, named("a03", "b02")) }),
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -37,7 +37,7 @@
 // A choice looks at each server a fixed number of times. If it summed over all servers at each of them, a node with
 // many servers would be too slow.
 func TestChoiceTimeGrowsLinearlyWithServers(t *testing.T) {
-	takes := func(servers int) time.Duration {
+	choiceTime := func(servers int) time.Duration {
 		b := startLargeFleet(t, 300, testEndpoints(servers))
 		b.window.inFlight = 1e6 // so that none has capacity, and each is looked at
 		r := &request{Request: newRequest("r", "free"), class: b.classes.byName["free"], maxAttempts: 1}
@@ -53,7 +53,7 @@
 		}
 		return best
 	}
-	if few, many := takes(50), takes(800); many > 64*few {
+	if few, many := choiceTime(50), choiceTime(800); many > 64*few {
 		t.Errorf("16 times the servers take %d times as long: %v and %v", many/few, few, many)
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -256,18 +256,18 @@
 		for _, reports := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reports %v", c.name, reports), func(t *testing.T) {
 				t.Parallel()
-				least, worst, sent := math.Inf(1), 0.0, 0
+				lowest, worst, sent := math.Inf(1), 0.0, 0
 				for seed := range uint64(10) {
 					part, warmingUp := c.play(seed, reports).worstPart()
 					if part > 1 {
 						t.Errorf("seed %d: %.2f times the bound is sent to a server", seed, part)
 					}
-					least, worst, sent = min(least, part), max(worst, part), sent+warmingUp
+					lowest, worst, sent = min(lowest, part), max(worst, part), sent+warmingUp
 				}
 				if sent == 0 {
 					t.Error("nothing was sent to servers that are warming up")
 				}
-				t.Logf("%d sent to servers that are warming up; in the worst window of each of ten seeds %.2f to %.2f of the bound", sent, least, worst)
+				t.Logf("%d sent to servers that are warming up; in the worst window of each of ten seeds %.2f to %.2f of the bound", sent, lowest, worst)
 			})
 		}
 	}
