--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -9,10 +9,10 @@
 // An attempt that timed out still waits or runs at its server, though it isn't in flight any more. Until it is likely
 // done, the server gets nothing, or the next attempts of all nodes would overload it.
 func TestServerGetsNothingForAWhileAfterATimeout(t *testing.T) {
-	b := startLargeFleet(t, 40, members(12))
+	b := startLargeFleet(t, 40, testEndpoints(12))
 	first := b.order()[0]
 	b.now += 5 * seconds(first.meanLatency)
-	if s := sentTo(t, b.Handle(b.now, ask("a", "free"))); s != first.ID {
+	if s := sentTo(t, b.Handle(b.now, newRequest("a", "free"))); s != first.ID {
 		t.Fatalf("sent to %s, want %s", s, first.ID)
 	}
 	b.Handle(b.now+250*ms, outcome("a", 0, first.ID, TimedOut, 250*ms))
@@ -62,3 +62,31 @@
 		}
 	}
 }
+
+// The initial limits of a small fleet's nodes sum to the same at each server: whole limits of each node would
+// overload the first one.
+func TestSmallFleetSharesTheInitialLimit(t *testing.T) {
+	for nodes := 1; nodes <= maxSmallFleet; nodes++ {
+		b := startBalancer(t, testSettings(nodes), testEndpoints(4))
+		if all := b.order()[0].concurrencyLimit * float64(nodes); math.Abs(all-initialFleetLimit) > 1e-9 {
+			t.Errorf("%d nodes: %v attempts in all, want %v", nodes, all, initialFleetLimit)
+		}
+	}
+}
+
+// A response after half of its objective has waited for about as long as it was served: a limit that still grew
+// would do so until servers are overloaded.
+func TestSlowResponsesLowerTheConcurrencyLimit(t *testing.T) {
+	b := startBalancer(t, testSettings(1), testEndpoints(2))
+	s, c := b.order()[0], b.classes.ordered[0]
+	for _, v := range []struct {
+		part float64 // of the objective
+		grow bool
+	}{{0.3, true}, {0.5, false}, {0.9, false}} {
+		s.concurrencyLimit, s.inFlight = 10, 10
+		b.updateConcurrencyLimit(s, c, OK, seconds(v.part*c.LatencyObjective.Seconds()), 1)
+		if grew := s.concurrencyLimit > 10; grew != v.grow || s.concurrencyLimit == 10 {
+			t.Errorf("a response after %v of its objective moves the limit from 10 to %v", v.part, s.concurrencyLimit)
+		}
+	}
+}
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -24,7 +24,7 @@
 // The number of nodes that quotas are divided by grows at once, shrinks late, and stays where a node reaches half of
 // the fleet or less.
 func TestQuotaNodesShrinkLateAndGrowAtOnce(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.NodeCount = 7
 	for _, step := range []struct {
 		name        string
@@ -35,8 +35,8 @@
 		{"at its own start", []int{1}, 7, true},
 		{"all there", []int{1, 7}, 7, false},
 		{"one more than the settings say", []int{8}, 8, false},
-		{"one gone for a while", []int{7, 6, 6, 6}, 7, false},
-		{"one gone for long", []int{7, 6, 6, 6, 6, 6, 6, 6, 6}, 6, false},
+		{"one unreachable for a while", []int{7, 6, 6, 6}, 7, false},
+		{"one unreachable for long", []int{7, 6, 6, 6, 6, 6, 6, 6, 6}, 6, false},
 		{"one comes back in time", []int{7, 6, 6, 6, 6, 7, 6, 6, 6}, 7, false},
 		{"fewer and fewer: the most that were there count", []int{7, 6, 6, 5, 5, 5, 5, 5, 5}, 6, false},
 		{"three of seven", []int{7, 3, 3, 3, 3, 3, 3, 3, 3, 3}, 7, true},
@@ -64,7 +64,7 @@
 func TestQuotaPartsStayWithinTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, timers := fleetOf(rapid.IntRange(2, 9).Draw(t, "nodes"))
-		whole := time.Duration(0) // when the fleet was last whole
+		connectedAt := time.Duration(0) // when all nodes last reached each other
 		for step := range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now := time.Duration(step+1) * 7 * time.Second
 			side := make([]int, len(nodes))
@@ -74,13 +74,13 @@
 				sizes[side[i]]++
 			}
 			if len(sizes) == 1 {
-				whole = now
+				connectedAt = now
 			}
 			for i, b := range nodes {
 				observeFleet(b, &timers[i], now, sizes[side[i]])
 			}
-			if sum := parts(nodes); now-whole < fleetShrinkDelay && sum > 1+1e-9 {
-				t.Fatalf("the parts sum to %.3f of the quota at %v, whole at %v, sides %v", sum, now, whole, side)
+			if sum := parts(nodes); now-connectedAt < fleetShrinkDelay && sum > 1+1e-9 {
+				t.Fatalf("the parts sum to %.3f of the quota at %v, all connected at %v, sides %v", sum, now, connectedAt, side)
 			}
 		}
 	})
@@ -112,7 +112,7 @@
 func fleetOf(n int) (nodes []*Balancer, timers [][]Time) {
 	nodes, timers = make([]*Balancer, n), make([][]Time, n)
 	for i := range nodes {
-		set := site(n)
+		set := testSettings(n)
 		set.NodeIndex = i
 		nodes[i], _ = New(set, 0, uint64(i))
 		observeFleet(nodes[i], &timers[i], 0, n)
@@ -131,7 +131,7 @@
 
 // New settings leave the number that membership found, unless they state another one.
 func TestQuotaNodesOutliveEqualSettings(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	b, err := New(set, 0, 1)
 	if err != nil {
 		t.Fatal(err)
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -1,11 +1,12 @@
 package policy
 
 import (
+	"fmt"
 	"testing"
 )
 
 func TestRateMultiplierFollowsCapacity(t *testing.T) {
-	b := start(t, site(1), members(2))
+	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	for range 100 {
 		b.adjustRateMultiplier(false)
 	}
@@ -26,10 +27,10 @@
 
 // A request that is queued for long counts once as one that found no capacity, not at each poll.
 func TestQueuedRequestMovesTheRateMultiplierOnce(t *testing.T) {
-	b := start(t, site(1), members(1))
+	b := startBalancer(t, testSettings(1), testEndpoints(1))
 	s := b.order()[0]
 	s.concurrencyLimit, s.limitReached, s.inFlight = 1, true, 3
-	b.Handle(ms, ask("x", "free"))
+	b.Handle(ms, newRequest("x", "free"))
 	was := b.rateMultiplier.value
 	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
 		b.Handle(now, Timer{Token: queueTimerToken})
@@ -41,7 +42,7 @@
 
 // Traffic far beyond the quotas is admitted only while few responses are bad: other nodes may lack the capacity.
 func TestRateMultiplierIsCautiousWhileResponsesAreBad(t *testing.T) {
-	b := start(t, site(1), members(2))
+	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	grow := func() {
 		for range 200 {
 			b.rateMultiplier.bucketRejected = true
@@ -63,7 +64,7 @@
 
 // Nodes that divide a quota admit no more than that, whatever the capacity.
 func TestRateMultiplierIsAtMostOneWithMembership(t *testing.T) {
-	b, err := New(site(1), 0, 1)
+	b, err := New(testSettings(1), 0, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -105,3 +106,64 @@
 		})
 	}
 }
+
+// With load reports, overcommit gives up the classes of the lowest priority when capacity is short. The rates of the
+// buckets stay, since they would reject all classes alike.
+func TestRateMultiplierIsNotLoweredWithLoadReports(t *testing.T) {
+	b := startLargeFleet(t, 40, testEndpoints(12))
+	for range 500 {
+		b.adjustRateMultiplier(false)
+	}
+	if b.rateMultiplier.value != 1 {
+		t.Errorf("the multiplier is %v, want 1", b.rateMultiplier.value)
+	}
+	b = startBalancer(t, testSettings(40), testEndpoints(12))
+	for range 500 {
+		b.adjustRateMultiplier(false)
+	}
+	if b.rateMultiplier.value != minRateMultiplier {
+		t.Errorf("without reports the multiplier is %v, want %v", b.rateMultiplier.value, minRateMultiplier)
+	}
+}
+
+// In a large fleet without load reports, the limits of the nodes can't be so low that all of them together don't
+// overload a server. Lost attempts lower the admitted rate there until responses come again; a few nodes rely on their
+// limits.
+func TestRateMultiplierFollowsLostAttemptsInLargeFleets(t *testing.T) {
+	for _, c := range []struct {
+		nodes   int
+		follows bool
+	}{{300, true}, {8, false}} {
+		set := testSettings(c.nodes)
+		set.Tenants = []Tenant{{Name: "t", Quota: 10 * float64(c.nodes)}}
+		b := startBalancer(t, set, testEndpoints(200))
+		now, n := Time(0), 0
+		admitted := func(code Code) (part float64) {
+			const requests = 300
+			for range requests {
+				now += 20 * ms
+				n++
+				id := fmt.Sprint("r", n)
+				for _, a := range actionsOf(b.Handle(now, newRequest(id, "free")), Send) {
+					part += 1.0 / requests
+					end := outcome(id, 0, a.Server, code, 40*ms)
+					end.RequestEnded = true
+					b.Handle(now+ms, end)
+				}
+			}
+			return part
+		}
+		admitted(OK)
+		before := admitted(OK)
+		admitted(TimedOut)
+		if got := admitted(TimedOut); (got < 0.6*before) != c.follows {
+			t.Errorf("%d nodes: %.2f of the requests are admitted while attempts time out, %.2f before", c.nodes, got, before)
+		}
+		for range 5 { // the multiplier stays cautious until few of the last hundreds of responses are bad
+			admitted(OK)
+		}
+		if got := admitted(OK); got < 0.9*before {
+			t.Errorf("%d nodes: %.2f of the requests are admitted after that, %.2f before", c.nodes, got, before)
+		}
+	}
+}
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -1,6 +1,8 @@
 package policy
 
 import (
+	"fmt"
+	"reflect"
 	"slices"
 	"testing"
 	"time"
@@ -9,7 +11,7 @@
 // A response that comes too late is of no use: a server that is warming up or overloaded gets only requests with
 // time left. An old report of its latency is forgotten.
 func TestSlowServersGetOnlyRequestsWithTimeLeft(t *testing.T) {
-	b := startLargeFleet(t, 40, members(12))
+	b := startLargeFleet(t, 40, testEndpoints(12))
 	s := b.order()[0]
 	reportLoad(b, s, 5, report(50, 0.5, 10))
 	short := &request{class: b.classes.ordered[0], usefulUntil: b.now + 200*ms}
@@ -35,10 +37,10 @@
 // A choice looks at each server a fixed number of times. If it summed over all servers at each of them, a node with
 // many servers would be too slow.
 func TestChoiceTimeGrowsLinearlyWithServers(t *testing.T) {
-	takes := func(servers int) time.Duration {
-		b := startLargeFleet(t, 300, members(servers))
+	choiceTime := func(servers int) time.Duration {
+		b := startLargeFleet(t, 300, testEndpoints(servers))
 		b.window.inFlight = 1e6 // so that none has capacity, and each is looked at
-		r := &request{Request: ask("r", "free"), class: b.classes.byName["free"], maxAttempts: 1}
+		r := &request{Request: newRequest("r", "free"), class: b.classes.byName["free"], maxAttempts: 1}
 		r.deadline, r.usefulUntil = b.now+time.Hour, b.now+time.Hour
 		best := time.Hour
 		for range 200 {
@@ -51,7 +53,7 @@
 		}
 		return best
 	}
-	if few, many := takes(50), takes(800); many > 64*few {
+	if few, many := choiceTime(50), choiceTime(800); many > 64*few {
 		t.Errorf("16 times the servers take %d times as long: %v and %v", many/few, few, many)
 	}
 }
@@ -90,3 +92,17 @@
 		}
 	}
 }
+
+func TestOwnZoneFillsInIDOrderBeforeOthers(t *testing.T) {
+	b := startBalancer(t, testSettings(1), testEndpoints(4))
+	for _, s := range b.order() {
+		s.concurrencyLimit = 1
+	}
+	var got []string
+	for i := range 4 {
+		got = append(got, sentTo(t, b.Handle(ms, newRequest(fmt.Sprint(i), "free"))))
+	}
+	if want := []string{"s00", "s02", "s01", "s03"}; !reflect.DeepEqual(got, want) {
+		t.Errorf("with a limit of one: sent to %v, want %v", got, want)
+	}
+}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -137,15 +137,15 @@
 	}
 	work := f.rng.ExpFloat64() * float64(len(s.coresFreeAt)) / (s.capacity * part)
 	s.coresFreeAt[core] = max(s.coresFreeAt[core], f.now) + seconds(work)
-	took, code := s.coresFreeAt[core]-f.now, OK
-	if until := a.AttemptDeadline - f.now; took > until {
-		took, code = until, TimedOut
+	latency, code := s.coresFreeAt[core]-f.now, OK
+	if until := a.AttemptDeadline - f.now; latency > until {
+		latency, code = until, TimedOut
 	} else {
 		f.served++
 	}
-	row := report(took.Seconds()*1000, 0.9, s.capacity*part*0.9)
-	f.toNode(n, took, Outcome{ID: a.ID, Attempt: len(f.nodes[n].requests[a.ID].attempts) - 1, Server: a.Server, Code: code,
-		Latency: took, RequestEnded: code == OK, LoadReport: row})
+	row := report(latency.Seconds()*1000, 0.9, s.capacity*part*0.9)
+	f.toNode(n, latency, Outcome{ID: a.ID, Attempt: len(f.nodes[n].requests[a.ID].attempts) - 1, Server: a.Server, Code: code,
+		Latency: latency, RequestEnded: code == OK, LoadReport: row})
 }
 
 // sendRequests sends all nodes together requests at a rate, for a time.
@@ -229,14 +229,14 @@
 }
 
 func (c slowStartCase) play(seed uint64, reports bool) *slowStartFleet {
-	set := site(c.configured)
+	set := testSettings(c.configured)
 	set.Classes = []Class{{Name: "free", LatencyObjective: time.Second, Deadline: 2 * time.Second, RetrySafety: Idempotent, PriorityWeight: 1}}
 	set.Tenants = []Tenant{{Name: "t", Quota: 1e6}}
 	set.Rules.SlowStartDuration, set.Rules.OverloadMultiple = 20*time.Second, 2
 	if reports {
 		set.ReportFields = []string{reportLatency, reportUtil, reportRate}
 	}
-	f := newSlowStartFleet(seed, set, slowStartNodes, c.reachable, members(12), c.capacity)
+	f := newSlowStartFleet(seed, set, slowStartNodes, c.reachable, testEndpoints(12), c.capacity)
 	f.sendRequests(0.7*warmedUpServersLeft*c.capacity, 5*time.Second)
 	f.restartServers("s00", "s03", "s06", "s09")
 	f.sendRequests(c.loadBefore*warmedUpServersLeft*c.capacity, 3*time.Second)
@@ -256,18 +256,18 @@
 		for _, reports := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%s, reports %v", c.name, reports), func(t *testing.T) {
 				t.Parallel()
-				least, worst, sent := math.Inf(1), 0.0, 0
+				lowest, worst, sent := math.Inf(1), 0.0, 0
 				for seed := range uint64(10) {
 					part, warmingUp := c.play(seed, reports).worstPart()
 					if part > 1 {
 						t.Errorf("seed %d: %.2f times the bound is sent to a server", seed, part)
 					}
-					least, worst, sent = min(least, part), max(worst, part), sent+warmingUp
+					lowest, worst, sent = min(lowest, part), max(worst, part), sent+warmingUp
 				}
 				if sent == 0 {
 					t.Error("nothing was sent to servers that are warming up")
 				}
-				t.Logf("%d sent to servers that are warming up; in the worst window of each of ten seeds %.2f to %.2f of the bound", sent, least, worst)
+				t.Logf("%d sent to servers that are warming up; in the worst window of each of ten seeds %.2f to %.2f of the bound", sent, lowest, worst)
 			})
 		}
 	}
@@ -276,14 +276,14 @@
 // The warm-up budget follows the peak rate of servers that have warmed up, not the rate while those fail: it would be
 // lowest when the servers that are warming up are needed.
 func TestWarmupBudgetOutlivesTheLossOfOtherServers(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = 0.5, time.Hour
-	list := members(12)
+	list := testEndpoints(12)
 	const warmingUp = 4
 	for i := range warmingUp {
 		list[i].StartedAt = 1
 	}
-	b := start(t, set, list)
+	b := startBalancer(t, set, list)
 	const perSecond = 80
 	for i := range 10 * perSecond {
 		b.now += time.Second / perSecond
@@ -321,33 +321,33 @@
 // capacity. First attempts of all but the class of the highest priority go there, and of that too once it is short of
 // capacity.
 func TestWarmingUpServersAreChosenBeforeTheWalk(t *testing.T) {
-	set := site(1)
+	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
-	list := append(members(6), Endpoint{ID: "z-near", Zone: "a", StartedAt: 1, Weight: 1},
+	list := append(testEndpoints(6), Endpoint{ID: "z-near", Zone: "a", StartedAt: 1, Weight: 1},
 		Endpoint{ID: "z-far", Zone: "b", StartedAt: 1, Weight: 1})
 	fresh := func() *Balancer {
-		b := start(t, set, list)
+		b := startBalancer(t, set, list)
 		for _, id := range []string{"z-near", "z-far"} {
 			b.servers[id].warmupBudget.tokens = 1
 		}
 		return b
 	}
-	if got := sentTo(t, fresh().Handle(ms, ask("low", "free"))); got != "z-near" {
+	if got := sentTo(t, fresh().Handle(ms, newRequest("low", "free"))); got != "z-near" {
 		t.Errorf("a request of low priority goes to %s, want the server of the own zone that is warming up", got)
 	}
-	if got := sentTo(t, fresh().Handle(ms, ask("high", "once"))); got != "s00" {
+	if got := sentTo(t, fresh().Handle(ms, newRequest("high", "once"))); got != "s00" {
 		t.Errorf("a request of high priority goes to %s, want a server that has warmed up", got)
 	}
 	b := fresh()
 	b.loadShedder.highPriorityShortage = 2 * maxShortageForSlowStart
-	if got := sentTo(t, b.Handle(ms, ask("high", "once"))); got != "z-near" {
+	if got := sentTo(t, b.Handle(ms, newRequest("high", "once"))); got != "z-near" {
 		t.Errorf("a request of high priority goes to %s while capacity is short, want the server that is warming up", got)
 	}
 	b = fresh()
-	if b.servers["z-near"].warmupBudget.tokens = 0; sentTo(t, b.Handle(ms, ask("low", "free"))) != "s00" {
+	if b.servers["z-near"].warmupBudget.tokens = 0; sentTo(t, b.Handle(ms, newRequest("low", "free"))) != "s00" {
 		t.Error("a server that is warming up is sent more than its part")
 	}
-	first := sentTo(t, b.Handle(ms, ask("again", "free")))
+	first := sentTo(t, b.Handle(ms, newRequest("again", "free")))
 	b.servers["z-near"].warmupBudget.tokens = 1
 	if got := sentTo(t, b.Handle(2*ms, outcome("again", 0, first, Overloaded, ms))); got == "z-near" {
 		t.Errorf("a retry goes to %s, want a server that has warmed up", got)
@@ -357,7 +357,7 @@
 // While most servers are warming up, the mean rate over all of them says little of what one can take: those that have
 // warmed up are full and the others idle. A server gets the part of its kind's service rate that its age allows.
 func TestWarmupBudgetFollowsTheServiceRateOfTheKind(t *testing.T) {
-	list := members(12)
+	list := testEndpoints(12)
 	for i := range list {
 		list[i].Kind = "k"
 		if i > 0 {
@@ -423,3 +423,47 @@
 		t.Errorf("%v tokens in the end, want the bound of 3", w.tokens)
 	}
 }
+
+// A server that is warming up gets a small part of what others get, over all nodes.
+func TestWarmingUpServerGetsItsPartOfAllNodes(t *testing.T) {
+	list := testEndpoints(8)
+	list[0].StartedAt = 1000 * ms
+	const nodes = 8
+	sends, rate := 0, 0
+	for n := range nodes {
+		set := testSettings(nodes)
+		set.NodeIndex = n
+		b := startBalancer(t, set, list)
+		for i := range 3000 {
+			now := 1000*ms + time.Duration(i)*ms
+			id := fmt.Sprint(i)
+			for _, a := range actionsOf(b.Handle(now, newRequest(id, "free")), Send) {
+				rate++
+				if a.Server == "s00" {
+					sends++
+				}
+				b.Handle(now, outcome(id, 0, a.Server, OK, ms))
+			}
+		}
+	}
+	if limit := rate / len(list) / 2; sends > limit || sends == 0 {
+		t.Errorf("%d of %d went to the server that is warming up, want some but at most %d", sends, rate, limit)
+	}
+}
+
+// The rate to a server that is warming up leaves one multiple of its capacity as a margin, whatever the overload multiple.
+func TestWarmupRateLeavesOneMultipleAsMargin(t *testing.T) {
+	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
+		set := testSettings(1)
+		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
+		b := startBalancer(t, set, testEndpoints(1))
+		b.completions.rate, b.completions.at, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		s := b.order()[0]
+		s.StartedAt = b.now
+		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
+		b.hasWarmupBudget(s)
+		if got, rate := s.warmupBudget.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
+			t.Errorf("multiple %v: %v requests in 10 ms, want %v", multiple, got, rate)
+		}
+	}
+}
