--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -3,6 +3,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"log/slog"
 	"math"
@@ -26,7 +27,7 @@
 }
 
 func run() error {
-	// SIGHUP would end the process if it came before there is anybody to hear it.
+	// SIGHUP would end the process if it came before the handler is installed.
 	changed := make(chan os.Signal, 1)
 	signal.Notify(changed, syscall.SIGHUP)
 	defer signal.Stop(changed)
@@ -42,7 +43,7 @@
 	defer endProfile()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	at, err := node.Listen(ctx, c)
+	at, err := node.Listen(context.WithoutCancel(ctx), c) // Run handles a stop, also one that comes now
 	if err != nil {
 		return err
 	}
@@ -53,8 +54,7 @@
 	return node.Run(ctx, c, at, changes)
 }
 
-// profile writes where the processor time goes to a file, for as long as the process runs; to none where no
-// path is given. A profile costs a few parts in a hundred of the time that it measures.
+// profile writes a CPU profile to the file at path, until end is called; an empty path is for none.
 func profile(path string) (end func(), err error) {
 	if path == "" {
 		return func() {}, nil
@@ -64,19 +64,18 @@
 		return nil, fmt.Errorf("WAYHOLD_PROFILE: %w", err)
 	}
 	if err := pprof.StartCPUProfile(f); err != nil {
-		f.Close()
-		return nil, fmt.Errorf("WAYHOLD_PROFILE: %w", err)
+		return nil, fmt.Errorf("WAYHOLD_PROFILE: %w", errors.Join(err, f.Close()))
 	}
 	return func() {
 		pprof.StopCPUProfile()
 		if err := f.Close(); err != nil {
-			slog.Error("the profile", "err", err)
+			slog.Error("closing the profile failed", "error", err)
 		}
 	}, nil
 }
 
-// follow reads the configuration anew at each signal, until ctx ends. A file has to hold what the last one
-// that was taken held.
+// follow reads the configuration again at each signal, until ctx ends. A file has to have the keys of the last one that
+// was taken.
 func follow(ctx context.Context, c config.Config, changed <-chan os.Signal, changes chan<- node.Change) {
 	for {
 		select {
