--- a/internal/node/hotrestart/serve.go
+++ b/internal/node/hotrestart/serve.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
 	"log/slog"
@@ -66,7 +65,7 @@
 	if err == nil {
 		served, err = followSuccessor(process, conn)
 	}
-	err = errors.Join(err, conn.Close())
+	_ = conn.Close() // followSuccessor may have closed it
 	if ctx.Err() != nil {
 		return
 	}
@@ -122,18 +121,23 @@
 	if err := conn.SetDeadline(time.Time{}); err != nil {
 		return true, err
 	}
-	gone := make(chan error, 1)
-	go func() { // ends with the connection
-		_, err := conn.Read(word)
-		gone <- err
+	var readErr error
+	gone := make(chan struct{})
+	go func() {
+		defer close(gone)
+		_, readErr = conn.Read(word) // a successor sends no more: it returns when that is gone
+	}()
+	defer func() {
+		_ = conn.Close() // ends the read
+		<-gone
 	}()
 	ticker := time.NewTicker(ProgressInterval)
 	defer ticker.Stop()
 	messages := json.NewEncoder(conn)
 	for {
 		select {
-		case err := <-gone:
-			return true, err
+		case <-gone:
+			return true, readErr
 		case <-ticker.C:
 			progress := process.Progress()
 			if err := messages.Encode(State{Sockets: progress.Sockets, InFlight: progress.InFlight}); err != nil {
