--- a/internal/node/clock.go
+++ b/internal/node/clock.go
@@ -23,7 +23,7 @@
 	if ms == 0 {
 		return 0
 	}
-	most := timeOrigin.Milliseconds() // nor may a start far ahead overflow
-	ago := min(max(c.start.UnixMilli()-ms, -most), most)
+	limit := timeOrigin.Milliseconds() // nor may a start far ahead overflow
+	ago := min(max(c.start.UnixMilli()-ms, -limit), limit)
 	return timeOrigin - time.Duration(ago)*time.Millisecond
 }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -42,7 +42,7 @@
 // useful for.
 func (s *server) lastAnswerTime(terms *terms) time.Duration {
 	longest := terms.longestOf(longestAnswer)
-	if tail, ok := ask(s.loop, func(reply chan<- time.Duration) event { return tailRequest{reply} }); ok {
+	if tail, ok := query(s.loop, func(reply chan<- time.Duration) event { return tailRequest{reply} }); ok {
 		return min(longest, tail)
 	}
 	return longest
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -644,7 +644,7 @@
 				t.Fatal(err)
 			}
 			l.send(endpointUpdate{discovery.Update{Kind: policy.ListUpdate, Endpoints: list.Endpoints}})
-			if _, ok := ask(l, func(reply chan<- time.Duration) event { return tailRequest{reply} }); !ok { // the list is in
+			if _, ok := query(l, func(reply chan<- time.Duration) event { return tailRequest{reply} }); !ok { // the list is in
 				t.Fatal("the loop has ended")
 			}
 			close(up)
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -72,8 +72,8 @@
 	zonesRequest struct{ reply chan<- []policy.ZoneState }
 )
 
-// ask sends the loop a request that is made for the reply, and waits for the answer; not ok once the loop has ended.
-func ask[T any](l *loop, request func(reply chan<- T) event) (v T, ok bool) {
+// query sends the loop a request that is made for the reply, and waits for the answer; not ok once the loop has ended.
+func query[T any](l *loop, request func(reply chan<- T) event) (v T, ok bool) {
 	reply := make(chan T, 1)
 	l.send(request(reply))
 	select {
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -80,7 +80,7 @@
 // serve answers with the view of this node.
 func (m membership) serve(w http.ResponseWriter, _ *http.Request) {
 	v, s, now := m.View(), m.Stats(), time.Now()
-	f, _ := ask(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
+	f, _ := query(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
 	out := FleetView{Node: v.Self, View: v.Revision, Agreed: f.quotaNodes, Heard: v.PresentCount(), CutOff: f.cutOff,
 		Superseded: v.Superseded, SentBytes: s.SentBytes, HeardBytes: s.ReceivedBytes, Refuted: s.RefutedSuspicions,
 		Conflicts: s.NameConflicts, LinesQuiet: s.SuppressedLogLines, Members: []FleetMember{}, GeneratedAt: now}
@@ -127,7 +127,7 @@
 		},
 	} {
 		f.set.NewGauge(name, func() float64 {
-			s, _ := ask(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
+			s, _ := query(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
 			return of(s)
 		})
 	}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -166,13 +166,13 @@
 // after a write brings an answer.
 type trafficConn struct {
 	net.Conn
-	traffic *traffic
-	asked   atomic.Bool
+	traffic     *traffic
+	callPending atomic.Bool
 }
 
 // Write writes a call.
 func (c *trafficConn) Write(b []byte) (int, error) {
-	if !c.asked.Swap(true) {
+	if !c.callPending.Swap(true) {
 		c.traffic.calls.Add(1)
 	}
 	n, err := c.Conn.Write(b)
@@ -183,7 +183,7 @@
 // Read reads an answer.
 func (c *trafficConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.traffic.received.Add(uint64(n)); n > 0 && c.asked.Swap(false) {
+	if c.traffic.received.Add(uint64(n)); n > 0 && c.callPending.Swap(false) {
 		c.traffic.answers.Add(1)
 	}
 	return n, err
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -72,7 +72,7 @@
 
 // Snapshot implements hotrestart.Process.
 func (h *hotRestart) Snapshot() (hotrestart.State, error) {
-	state, ok := ask(h.server.loop, func(reply chan<- hotrestart.State) event { return snapshotRequest{reply} })
+	state, ok := query(h.server.loop, func(reply chan<- hotrestart.State) event { return snapshotRequest{reply} })
 	if !ok {
 		return hotrestart.State{}, errors.New("the node has ended")
 	}
@@ -124,9 +124,9 @@
 	spare := max(1, min(maxSpareConns, (h.config.Sockets-reservedSockets(h.config))/spareFraction))
 	servers := h.upstream.shrink(min(clients, maxSpareServerConns), spare)
 	h.clients.setLimit(clients + spare)
-	held := reservedSocketsWhileShared(h.config) + clients + spare + servers
+	inUse := reservedSocketsWhileShared(h.config) + clients + spare + servers
 	total := h.totalSockets()
-	return max(total/minSuccessorFraction, total-held)
+	return max(total/minSuccessorFraction, total-inUse)
 }
 
 // shareSockets shares the descriptors that this process may hold out between the clients' and the servers' side.
--- a/internal/node/hotrestart/serve.go
+++ b/internal/node/hotrestart/serve.go
@@ -122,21 +122,21 @@
 		return true, err
 	}
 	var readErr error
-	gone := make(chan struct{})
+	ended := make(chan struct{})
 	go func() {
-		defer close(gone)
+		defer close(ended)
 		_, readErr = conn.Read(word) // a successor sends no more: it returns when that is gone
 	}()
 	defer func() {
 		_ = conn.Close() // ends the read
-		<-gone
+		<-ended
 	}()
 	ticker := time.NewTicker(ProgressInterval)
 	defer ticker.Stop()
 	messages := json.NewEncoder(conn)
 	for {
 		select {
-		case <-gone:
+		case <-ended:
 			return true, readErr
 		case <-ticker.C:
 			progress := process.Progress()
--- a/internal/node/hotrestart/socket.go
+++ b/internal/node/hotrestart/socket.go
@@ -51,12 +51,12 @@
 // listenForSuccessor makes the socket at which a successor calls. It takes the former one's place only once it is
 // there.
 func listenForSuccessor(path string) (*net.UnixListener, error) {
-	fresh := path + "." + strconv.Itoa(os.Getpid())
-	addr, done, err := unixAddr(fresh)
+	temporary := path + "." + strconv.Itoa(os.Getpid())
+	addr, done, err := unixAddr(temporary)
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Remove(fresh); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, errors.Join(err, done())
 	}
 	listener, err := net.ListenUnix("unix", addr)
@@ -66,10 +66,10 @@
 	listener.SetUnlinkOnClose(false) // by then the path may be a successor's
 	err = done()
 	if err == nil {
-		err = os.Chmod(fresh, socketMode)
+		err = os.Chmod(temporary, socketMode)
 	}
 	if err == nil {
-		err = os.Rename(fresh, path)
+		err = os.Rename(temporary, path)
 	}
 	if err != nil {
 		return nil, errors.Join(err, listener.Close())
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -144,6 +144,6 @@
 
 // inFlight is this process's attempts, by server; nil once the loop has ended.
 func (l *loop) inFlight() map[string]int {
-	attempts, _ := ask(l, func(reply chan<- map[string]int) event { return inFlightRequest{reply} })
+	attempts, _ := query(l, func(reply chan<- map[string]int) event { return inFlightRequest{reply} })
 	return attempts
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -15,7 +15,7 @@
 // configurations come by changes.
 func Run(ctx context.Context, c config.Config, at Listeners, changes <-chan Change) error {
 	started := clock{start: time.Now()}
-	held, state := at.restore(&c)
+	maxSockets, state := at.restore(&c)
 	limitMemory(c, 1)
 	fig := newFigures(c.Settings.Classes)
 	up := newUpstream(c, new(sockets), fig)
@@ -41,8 +41,8 @@
 	defer stop()
 	parts.Go(func() { l.run(running, c.Known.Endpoints, state) })
 	parts.Go(func() { l.listClient.Run(running) })
-	clients := newConnLimiter(at.Clients, held)
-	restart := &hotRestart{config: c, server: s, upstream: up, clients: clients, fleet: fleet, sockets: held}
+	clients := newConnLimiter(at.Clients, maxSockets)
+	restart := &hotRestart{config: c, server: s, upstream: up, clients: clients, fleet: fleet, sockets: maxSockets}
 	restart.shareSockets()
 	failed := make(chan error, 1)
 	parts.Go(func() { failed <- s.accept(clients) })
--- a/internal/node/nodetest/memnet.go
+++ b/internal/node/nodetest/memnet.go
@@ -134,7 +134,7 @@
 type stream struct {
 	mu            sync.Mutex
 	change        *sync.Cond
-	held          []byte
+	buffered      []byte
 	ended         bool // nothing more is written
 	broken        bool // nothing more is read
 	readTo, write deadline
@@ -162,9 +162,9 @@
 			return 0, net.ErrClosed
 		case s.readTo.passed():
 			return 0, os.ErrDeadlineExceeded
-		case len(s.held) > 0:
-			n := copy(p, s.held)
-			s.held = s.held[n:]
+		case len(s.buffered) > 0:
+			n := copy(p, s.buffered)
+			s.buffered = s.buffered[n:]
 			s.change.Broadcast()
 			return n, nil
 		case s.ended:
@@ -186,8 +186,8 @@
 		case s.write.passed():
 			return n, os.ErrDeadlineExceeded
 		}
-		part := p[n:min(len(p), n+streamSize-len(s.held))]
-		s.held = append(s.held, part...)
+		part := p[n:min(len(p), n+streamSize-len(s.buffered))]
+		s.buffered = append(s.buffered, part...)
 		s.change.Broadcast()
 		if n += len(part); n == len(p) {
 			return n, nil
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -29,7 +29,7 @@
 
 // serveZones answers with the state of each zone; 404 where the configuration names none.
 func (l *loop) serveZones(w http.ResponseWriter, r *http.Request) {
-	states, _ := ask(l, func(reply chan<- []policy.ZoneState) event { return zonesRequest{reply} })
+	states, _ := query(l, func(reply chan<- []policy.ZoneState) event { return zonesRequest{reply} })
 	if states == nil {
 		http.NotFound(w, r)
 		return
