--- a/cmd/sloerail-simadapter/main.go
+++ b/cmd/sloerail-simadapter/main.go
@@ -1,5 +1,5 @@
-// Command sloerail-simadapter hosts instances of the decision module on the simulator's wire: it reads batches
-// on standard input, routes events to instances, and writes their actions on standard output.
+// Command sloerail-simadapter runs instances of the decision module for the operators' simulator: it reads batches of
+// lines on standard input, routes events to instances, and writes their actions on standard output.
 package main
 
 import (
@@ -16,11 +16,19 @@
 	"sloerail/policy"
 )
 
-// bufferSize of standard input and output, in bytes; batches can run to megabytes.
-const bufferSize = 1 << 20
+const (
+	// bufferBytes is the size of the buffers of standard input and output: batches can run to megabytes.
+	bufferBytes = 1 << 20
 
-// gcPercent trades memory for CPU: the live heap is small and CPU per request is tight.
-const gcPercent = 800
+	// gcPercent trades memory for CPU: the live heap is small, and CPU per request is limited.
+	gcPercent = 800
+)
+
+// Errors of the order of lines.
+var (
+	errInputEnded = errors.New("input ended inside a batch")
+	errNesting    = errors.New("message outside of a batch, or a batch inside another")
+)
 
 func main() {
 	debug.SetGCPercent(gcPercent)
@@ -30,106 +38,119 @@
 	}
 }
 
-// host holds the instances of one process.
-type host struct {
-	dec   simwire.Decoder
-	nodes map[int]*policy.Balancer
-	now   policy.Time
-	open  bool // inside a batch
-	out   []byte
+// adapter holds the instances of one process. It is for one goroutine.
+type adapter struct {
+	decoder   simwire.Decoder
+	balancers map[int]*policy.Balancer // by node
+	now       policy.Time              // of the batch
+	inBatch   bool
+	reply     []byte // to the batch so far
 }
 
-// serve runs until the end of input. Errors name the line.
+// serve answers batches until the end of input. Errors name the line.
 func serve(in io.Reader, out io.Writer) error {
-	h := host{nodes: make(map[int]*policy.Balancer)}
-	r := bufio.NewReaderSize(in, bufferSize)
-	w := bufio.NewWriterSize(out, bufferSize)
-	var long []byte
-	for n := 1; ; n++ {
-		line, err := readLine(r, &long)
+	a := adapter{balancers: make(map[int]*policy.Balancer)}
+	lines := lineReader{buffered: bufio.NewReaderSize(in, bufferBytes)}
+	w := bufio.NewWriterSize(out, bufferBytes)
+	for number := 1; ; number++ {
+		line, err := lines.next()
 		if errors.Is(err, io.EOF) {
-			if len(line) == 0 && !h.open {
+			if len(line) == 0 && !a.inBatch {
 				return nil
 			}
-			return fmt.Errorf("line %d: input ended inside a batch", n)
+			return fmt.Errorf("line %d: %w", number, errInputEnded)
 		}
 		if err != nil {
-			return fmt.Errorf("line %d: reading: %w", n, err)
+			return fmt.Errorf("line %d: reading: %w", number, err)
 		}
-		done, err := h.line(line)
+		batchEnded, err := a.handleLine(line)
 		if err != nil {
-			return fmt.Errorf("line %d: %w", n, err)
+			return fmt.Errorf("line %d: %w", number, err)
 		}
-		if !done {
+		if !batchEnded {
 			continue
 		}
-		if _, err := w.Write(h.out); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
+		if err := writeReply(w, a.reply); err != nil {
+			return err
 		}
-		if err := w.Flush(); err != nil {
-			return fmt.Errorf("writing a reply: %w", err)
-		}
-		h.out = h.out[:0]
+		a.reply = a.reply[:0]
 	}
 }
 
-// readLine returns the next line without its end; long holds lines that outgrow the buffer.
-func readLine(r *bufio.Reader, long *[]byte) ([]byte, error) {
-	line, err := r.ReadSlice('\n')
+func writeReply(w *bufio.Writer, reply []byte) error {
+	_, err := w.Write(reply)
+	if err == nil {
+		err = w.Flush()
+	}
+	if err != nil {
+		return fmt.Errorf("writing a reply: %w", err)
+	}
+	return nil
+}
+
+// lineReader reads lines of any length.
+type lineReader struct {
+	buffered *bufio.Reader
+	long     []byte // reused for lines that are longer than the buffer
+}
+
+// next returns the next line without its end; it is valid until the next call.
+func (r *lineReader) next() ([]byte, error) {
+	line, err := r.buffered.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
-		*long = append((*long)[:0], line...)
+		r.long = append(r.long[:0], line...)
 		for errors.Is(err, bufio.ErrBufferFull) {
-			line, err = r.ReadSlice('\n')
-			*long = append(*long, line...)
+			line, err = r.buffered.ReadSlice('\n')
+			r.long = append(r.long, line...)
 		}
-		line = *long
+		line = r.long
 	}
 	return bytes.TrimRight(line, "\r\n"), err
 }
 
-// line carries out one line and reports whether it closed a batch.
-func (h *host) line(raw []byte) (bool, error) {
-	l, err := h.dec.Decode(raw)
+// handleLine carries out one line and reports whether it ended a batch.
+func (a *adapter) handleLine(raw []byte) (batchEnded bool, err error) {
+	line, err := a.decoder.Decode(raw)
 	if err != nil {
 		return false, err
 	}
-	if (l.Kind == simwire.Mark) == h.open {
-		return false, fmt.Errorf("message outside of a batch, or a batch inside another")
+	if (line.Kind == simwire.BatchStart) == a.inBatch {
+		return false, errNesting
 	}
-	switch l.Kind {
-	case simwire.Mark:
-		h.now, h.open = l.Now, true
-	case simwire.EndBatch:
-		h.open, h.out = false, simwire.AppendYield(h.out)
+	switch line.Kind {
+	case simwire.BatchStart:
+		a.now, a.inBatch = line.Now, true
+	case simwire.BatchEnd:
+		a.inBatch, a.reply = false, simwire.AppendReplyEnd(a.reply)
 		return true, nil
 	case simwire.Configure:
-		b, err := policy.New(l.Settings, h.now, l.Seed)
+		balancer, err := policy.New(line.Settings, a.now, line.Seed)
 		if err != nil {
 			return false, fmt.Errorf("configure: conf: %w", err)
 		}
-		h.nodes[l.Node] = b
+		a.balancers[line.Node] = balancer
 	case simwire.Shutdown:
-		delete(h.nodes, l.Node)
+		delete(a.balancers, line.Node)
 	case simwire.Event:
-		// Nothing arrives for a node that was shut down; if it does, nobody is there to hear it.
-		if b := h.nodes[l.Node]; b != nil {
-			h.deliver(l.Node, b, l.Event)
+		// An event for a node that was shut down, or that has failed, is dropped.
+		if balancer := a.balancers[line.Node]; balancer != nil {
+			a.deliver(line.Node, balancer, line.Event)
 		}
 	}
 	return false, nil
 }
 
-// deliver hands one event to an instance; a panic in it is reported, not passed on.
-func (h *host) deliver(node int, b *policy.Balancer, ev policy.Event) {
+// deliver hands one event to an instance. A panic ends that instance alone, and is reported in the reply.
+func (a *adapter) deliver(node int, balancer *policy.Balancer, event policy.Event) {
 	defer func() {
-		if p := recover(); p != nil {
-			text := strings.ReplaceAll(fmt.Sprint(p), "\n", " ")
+		if cause := recover(); cause != nil {
+			text := strings.ReplaceAll(fmt.Sprint(cause), "\n", " ")
 			fmt.Fprintf(os.Stderr, "instance %d: %s\n%s", node, text, debug.Stack())
-			h.out = simwire.AppendBroken(h.out, node, text)
-			delete(h.nodes, node)
+			a.reply = simwire.AppendFailure(a.reply, node, text)
+			delete(a.balancers, node)
 		}
 	}()
-	for _, a := range b.Handle(h.now, ev) {
-		h.out = simwire.AppendAction(h.out, node, a)
+	for _, action := range balancer.Handle(a.now, event) {
+		a.reply = simwire.AppendAction(a.reply, node, action)
 	}
 }
--- a/cmd/sloerail-simadapter/main_test.go
+++ b/cmd/sloerail-simadapter/main_test.go
@@ -17,7 +17,7 @@
 
 func lines(l ...string) string { return strings.Join(l, "\n") + "\n" }
 
-func TestServesABatch(t *testing.T) {
+func TestAnswersABatchWithItsActions(t *testing.T) {
 	in := lines(`["mark",0]`, `["eob"]`, `["mark",5]`, list, configure("3"), `["peersKnown",3,"restored",1,0]`,
 		`["ingress",3,"r1","x",null,null,300]`, `["eob"]`)
 	var out bytes.Buffer
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestRestartInOneBatchForgets(t *testing.T) {
+func TestRestartWithinABatchForgetsRequests(t *testing.T) {
 	in := lines(`["mark",0]`, list, configure("3"), `["peersKnown",3,"restored",1,0]`,
 		`["ingress",3,"r1","x",null,null,300]`, `["shutdown",3]`, `["lapsed",3,"r1"]`, configure("3"),
 		`["peersKnown",3,"restored",1,0]`, `["completed",3,"r1",0,"s1","err",1,false]`, `["eob"]`)
@@ -84,18 +84,18 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), `"handOff"`); n != 1 {
-		t.Errorf("%d sends, want 1: the new life knows no r1\n%s", n, out.String())
+		t.Errorf("%d sends, want 1: the new instance knows no r1\n%s", n, out.String())
 	}
 }
 
 // A crash in one instance is reported with its text; the others go on.
-func TestPanicIsReported(t *testing.T) {
-	h := host{nodes: map[int]*policy.Balancer{3: nil}}
-	h.deliver(3, nil, policy.Timer{})
-	if got := string(h.out); !strings.HasPrefix(got, `["broken",3,"`) || !strings.Contains(got, "nil pointer") {
+func TestPanicEndsItsInstanceAndIsReported(t *testing.T) {
+	a := adapter{balancers: map[int]*policy.Balancer{3: nil}}
+	a.deliver(3, nil, policy.Timer{})
+	if got := string(a.reply); !strings.HasPrefix(got, `["broken",3,"`) || !strings.Contains(got, "nil pointer") {
 		t.Errorf("got %s", got)
 	}
-	if _, kept := h.nodes[3]; kept {
+	if _, present := a.balancers[3]; present {
 		t.Error("the broken instance is still there")
 	}
 }
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -8,67 +8,62 @@
 	"sloerail/policy"
 )
 
-// names of the actions on the wire, by kind.
-var actionNames = [...]string{
-	policy.Send: "handOff", policy.Reject: "notNow", policy.Fail: "abort", policy.Cancel: "stopAttempt",
-	policy.SetTimer: "wakeMe", policy.Probe: "poll", policy.SendPeerMessage: "announce", policy.CloseIdle: "freeLinks",
-	policy.Log: "sayLog", policy.WatchList: "listen", policy.FetchList: "readList",
-}
-
 // AppendAction appends the line for one action of an instance.
-func AppendAction(b []byte, node int, a policy.Action) []byte {
+func AppendAction(b []byte, node int, action policy.Action) []byte {
 	b = append(b, `["`...)
-	b = append(b, actionNames[a.Kind]...)
+	b = append(b, actionNames[action.Kind]...)
 	b = append(b, `",`...)
 	b = strconv.AppendInt(b, int64(node), 10)
-	switch a.Kind {
+	switch action.Kind {
 	case policy.Send:
-		b = appendString(appendString(b, a.ID), a.Server)
-		if a.AttemptDeadline > 0 {
-			b = appendMs(b, a.AttemptDeadline)
+		b = appendString(appendString(b, action.ID), action.Server)
+		if action.AttemptDeadline > 0 {
+			b = appendMilliseconds(b, action.AttemptDeadline)
 		}
 	case policy.Reject:
-		b = appendString(b, a.ID)
-		if a.Wait > 0 {
-			b = appendMs(b, a.Wait)
+		b = appendString(b, action.ID)
+		if action.Wait > 0 {
+			b = appendMilliseconds(b, action.Wait)
 		}
 	case policy.Fail:
-		b = appendString(b, a.ID)
+		b = appendString(b, action.ID)
 	case policy.Cancel:
-		b = strconv.AppendInt(append(appendString(b, a.ID), ','), int64(a.Attempt), 10)
+		b = strconv.AppendInt(append(appendString(b, action.ID), ','), int64(action.Attempt), 10)
 	case policy.SetTimer:
-		b = strconv.AppendUint(append(appendMs(b, a.Wait), ','), a.Token, 10)
+		b = strconv.AppendUint(append(appendMilliseconds(b, action.Wait), ','), action.Token, 10)
 	case policy.Probe, policy.CloseIdle:
-		b = appendString(b, a.Server)
+		b = appendString(b, action.Server)
 	case policy.SendPeerMessage:
-		b = appendString(strconv.AppendInt(append(b, ','), int64(a.Peer), 10), a.Text)
+		b = appendString(strconv.AppendInt(append(b, ','), int64(action.Peer), 10), action.Text)
 	case policy.Log:
-		b = appendString(b, a.Text)
+		b = appendString(b, action.Text)
 	case policy.WatchList:
-		b = strconv.AppendBool(append(b, ','), a.Enabled)
+		b = strconv.AppendBool(append(b, ','), action.Enabled)
 	}
 	return append(b, "]\n"...)
 }
 
-// AppendBroken appends the line that reports a crash of an instance's decisions.
-func AppendBroken(b []byte, node int, text string) []byte {
-	b = strconv.AppendInt(append(b, `["broken",`...), int64(node), 10)
+// AppendFailure appends the line that reports a crash of an instance's decisions.
+func AppendFailure(b []byte, node int, text string) []byte {
+	b = strconv.AppendInt(append(b, `["`+lineInstanceFailed+`",`...), int64(node), 10)
 	return append(appendString(b, text), "]\n"...)
 }
 
-// AppendYield appends the line that closes a reply.
-func AppendYield(b []byte) []byte { return append(b, "[\"yield\"]\n"...) }
+// AppendReplyEnd appends the line that closes the reply to a batch.
+func AppendReplyEnd(b []byte) []byte { return append(b, `["`+lineReplyEnd+`"]`+"\n"...) }
 
-func appendMs(b []byte, d time.Duration) []byte {
+// appendMilliseconds appends a time in milliseconds, cut to whole microseconds.
+func appendMilliseconds(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(append(b, ','), float64(d/time.Microsecond)/1e3, 'f', -1, 64)
 }
 
+// appendString appends a comma and a JSON string.
 func appendString(b []byte, s string) []byte {
 	b = append(b, ',')
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < 0x20 || c == '"' || c == '\\' || c >= 0x7f {
-			q, _ := json.Marshal(s) // a string always encodes
-			return append(b, q...)
+			quoted, _ := json.Marshal(s) // a string always encodes
+			return append(b, quoted...)
 		}
 	}
 	b = append(append(b, '"'), s...)
--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func budgetAlone(b policy.RetryBudget) policy.Settings {
+func onlyRetryBudget(b policy.RetryBudget) policy.Settings {
 	return policy.Settings{Rules: policy.Rules{RetryBudget: &b}}
 }
 
@@ -51,16 +51,16 @@
 		{ID: "s3", Weight: 1, Availability: policy.Removed},
 	}
 	all := []Line{
-		{Kind: Mark, Now: 8412*ms + 250*time.Microsecond},
-		{Kind: Stored},
-		{Kind: Stored},
+		{Kind: BatchStart, Now: 8412*ms + 250*time.Microsecond},
+		{Kind: ListStored},
+		{Kind: ListStored},
 		{Kind: Configure, Node: 3, Seed: 7},
 		{Kind: Configure, Node: 3, Seed: 1<<64 - 1, Settings: everySetting()},
 		{Kind: Configure, Node: 4, Seed: 1},
 		{Kind: Configure, Node: 4, Seed: 1},
-		{Kind: Configure, Node: 4, Seed: 1, Settings: budgetAlone(policy.RetryBudget{MinRetries: 5})},
-		{Kind: Configure, Node: 4, Seed: 1, Settings: budgetAlone(policy.RetryBudget{RetryRatio: 0.5})},
-		{Kind: Configure, Node: 4, Seed: 1, Settings: budgetAlone(policy.RetryBudget{Window: 6 * time.Second})},
+		{Kind: Configure, Node: 4, Seed: 1, Settings: onlyRetryBudget(policy.RetryBudget{MinRetries: 5})},
+		{Kind: Configure, Node: 4, Seed: 1, Settings: onlyRetryBudget(policy.RetryBudget{RetryRatio: 0.5})},
+		{Kind: Configure, Node: 4, Seed: 1, Settings: onlyRetryBudget(policy.RetryBudget{Window: 6 * time.Second})},
 	}
 	outcome := func(code policy.Code) policy.Event {
 		return policy.Outcome{ID: "id", Server: "s1", Code: code, Latency: ms}
@@ -85,7 +85,7 @@
 	} {
 		all = append(all, Line{Kind: Event, Node: 3, Event: event})
 	}
-	return append(all, Line{Kind: Shutdown, Node: 3}, Line{Kind: EndBatch})
+	return append(all, Line{Kind: Shutdown, Node: 3}, Line{Kind: BatchEnd})
 }
 
 // TestEveryMessageIsFrozen reads lines that hold every message, every key of the settings and every word.
@@ -138,7 +138,7 @@
 	} {
 		out = AppendAction(out, 3, a)
 	}
-	out = AppendYield(AppendBroken(out, 3, `a "b"`))
+	out = AppendReplyEnd(AppendFailure(out, 3, `a "b"`))
 	golden.Check(t, "actions.golden", out)
 	for kind, name := range actionNames {
 		if !bytes.Contains(out, []byte(`["`+name+`",`)) && name != "" { // a kind without a name is never written here
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -1,6 +1,7 @@
 package simwire
 
 import (
+	"errors"
 	"reflect"
 	"strings"
 	"testing"
@@ -34,8 +35,8 @@
 		line string
 		want Line
 	}{
-		{`["mark",8412.25]`, Line{Kind: Mark, Now: 8412*ms + 250*time.Microsecond}},
-		{`["eob"]`, Line{Kind: EndBatch}},
+		{`["mark",8412.25]`, Line{Kind: BatchStart, Now: 8412*ms + 250*time.Microsecond}},
+		{`["eob"]`, Line{Kind: BatchEnd}},
 		{`["shutdown",3]`, Line{Kind: Shutdown, Node: 3}},
 		{`["reminder",3,9223372036854775808]`, Line{Kind: Event, Node: 3, Event: policy.Timer{Token: 1 << 63}}},
 		{`["lapsed",5,"id"]`, Line{Kind: Event, Node: 5, Event: policy.ClientCancelled{ID: "id"}}},
@@ -67,7 +68,7 @@
 func TestDecodesEveryCode(t *testing.T) {
 	notRun := map[string]bool{"busy": true, "econnrefused": true, "skipped": true}
 	var d Decoder
-	for word := range codes {
+	for word := range outcomeCodes {
 		l := decode(t, &d, `["completed",1,"id",0,"s","`+word+`",1,false]`)
 		if got := l.Event.(policy.Outcome).Code.ProvesNotRun(); got != notRun[word] {
 			t.Errorf("%s: NotRun %v", word, got)
@@ -147,6 +148,23 @@
 	}
 }
 
+func TestErrorsTellConditionsApart(t *testing.T) {
+	var d Decoder
+	if _, err := d.Decode([]byte(`{`)); !errors.Is(err, ErrNotJSON) {
+		t.Errorf("got %v, want ErrNotJSON", err)
+	}
+	_, err := d.Decode([]byte(`["surprise",1]`))
+	var message *MessageError
+	if !errors.Is(err, ErrUnknownMessage) || !errors.As(err, &message) || message.Message != "surprise" {
+		t.Errorf("got %v, want ErrUnknownMessage of surprise", err)
+	}
+	_, err = d.Decode([]byte(`["configure",1,2,{"services":[{"repeat":"odd"}]}]`))
+	var field *FieldError
+	if !errors.As(err, &field) || field.Field != "services[0].repeat" {
+		t.Errorf("got %v, want an error of services[0].repeat", err)
+	}
+}
+
 // A list that takes a number anew must not change what instances already hold.
 func TestListsAreNotOverwritten(t *testing.T) {
 	var d Decoder
@@ -182,7 +200,7 @@
 			t.Errorf("got %swant %s", got, c.want)
 		}
 	}
-	if got := string(AppendYield(AppendBroken(nil, 3, `a "b"`))); got != "[\"broken\",3,\"a \\\"b\\\"\"]\n[\"yield\"]\n" {
+	if got := string(AppendReplyEnd(AppendFailure(nil, 3, `a "b"`))); got != "[\"broken\",3,\"a \\\"b\\\"\"]\n[\"yield\"]\n" {
 		t.Errorf("got %s", got)
 	}
 }
