--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -48,68 +48,68 @@
 
 // ClientSpec is how clients come.
 type ClientSpec struct {
-	Rate    float64 // first tries a second
-	Classes []Class
-	Tenants []Tenant
-	Work    float64       // scale of the work of the classes; 0 counts as 1
-	Tries   int           // beyond the first
-	Wait    time.Duration // before a further one, where the answer says nothing of that
-	Open    float64       // part of the deadline that one try is open
-	Until   Time          // no first tries later
-}
-
-// Try is one request on the wire.
-type Try struct {
+	Rate            float64 // first tries a second
+	Classes         []Class
+	Tenants         []Tenant
+	WorkScale       float64       // scale of the work of the classes; 0 counts as 1
+	MaxRetries      int           // beyond the first
+	RetryDelay      time.Duration // before a further one, where the answer says nothing of that
+	TimeoutFraction float64       // part of the deadline that one try is open
+	Until           Time          // no first tries later
+}
+
+// ClientAttempt is one request on the wire.
+type ClientAttempt struct {
 	ID       string
 	Number   int // 0 for the first
 	Class    *Class
 	Tenant   string
 	Key      string
 	Work     time.Duration
-	Expires  time.Duration // that this try is open
-	At       Time
+	Timeout  time.Duration // that this try is open
+	SendAt   Time
 	request  *request
 	answered bool
 }
 
-// First is when the request was first asked.
-func (t *Try) First() Time { return t.request.first }
+// RequestStart is when the request was first asked.
+func (t *ClientAttempt) RequestStart() Time { return t.request.startedAt }
 
 type request struct {
-	first  Time
-	tries  int
-	served Time // -1 for not
+	startedAt Time
+	retries   int
+	servedAt  Time // -1 for not
 }
 
 // Clients are open: arrivals don't wait for answers.
 type Clients struct {
-	spec  ClientSpec
-	rng   *rand.Rand
-	next  Time
-	due   priority.Queue[*Try]
-	name  string
-	count int
-	Sums  map[string]*Sums // by class
+	spec        ClientSpec
+	rng         *rand.Rand
+	nextArrival Time
+	retries     priority.Queue[*ClientAttempt]
+	name        string
+	lastID      int
+	Stats       map[string]*ClientStats // by class
 }
 
-// Sums count what became of first tries, with their retries folded in.
-type Sums struct{ Asked, InTime, Late, Unserved, Refusals int }
+// ClientStats count what became of first tries, with their retries folded in.
+type ClientStats struct{ Requests, InTime, Late, Failed, Rejections int }
 
 // NewClients makes clients that come from a time on. The name begins their ids, so that those of several
 // are told apart.
 func NewClients(name string, spec ClientSpec, from Time, seed uint64) *Clients {
-	c := &Clients{spec: spec, rng: rand.New(rand.NewPCG(seed, 0xc1)), next: from, name: name,
-		Sums: make(map[string]*Sums)}
-	if c.spec.Work == 0 {
-		c.spec.Work = 1
+	c := &Clients{spec: spec, rng: rand.New(rand.NewPCG(seed, 0xc1)), nextArrival: from, name: name,
+		Stats: make(map[string]*ClientStats)}
+	if c.spec.WorkScale == 0 {
+		c.spec.WorkScale = 1
 	}
-	if c.spec.Open == 0 {
-		c.spec.Open = 0.55
+	if c.spec.TimeoutFraction == 0 {
+		c.spec.TimeoutFraction = 0.55
 	}
 	for _, k := range spec.Classes {
-		c.Sums[k.Name] = &Sums{}
+		c.Stats[k.Name] = &ClientStats{}
 	}
-	c.next += c.interArrival()
+	c.nextArrival += c.interArrival()
 	return c
 }
 
@@ -120,58 +120,58 @@
 // Next is when the next try is to be sent; ok is false once there are none.
 func (c *Clients) Next() (at Time, ok bool) {
 	switch {
-	case len(c.due) > 0 && (c.next > c.spec.Until || c.due[0].At <= c.next):
-		return c.due[0].At, true
-	case c.next <= c.spec.Until:
-		return c.next, true
+	case len(c.retries) > 0 && (c.nextArrival > c.spec.Until || c.retries[0].SendAt <= c.nextArrival):
+		return c.retries[0].SendAt, true
+	case c.nextArrival <= c.spec.Until:
+		return c.nextArrival, true
 	}
 	return 0, false
 }
 
-// Stop ends the arrivals; what is under way goes on.
-func (c *Clients) Stop() { c.spec.Until = c.next - 1 }
+// StopArrivals ends the arrivals; what is under way goes on.
+func (c *Clients) StopArrivals() { c.spec.Until = c.nextArrival - 1 }
 
-// Take returns the tries that are due by now, for the driver to send.
-func (c *Clients) Take(now Time) []*Try {
-	var all []*Try
+// TakeDue returns the tries that are due by now, for the driver to send.
+func (c *Clients) TakeDue(now Time) []*ClientAttempt {
+	var all []*ClientAttempt
 	for at, ok := c.Next(); ok && at <= now; at, ok = c.Next() {
-		if len(c.due) > 0 && c.due[0].At == at {
-			all = append(all, c.due.Take())
+		if len(c.retries) > 0 && c.retries[0].SendAt == at {
+			all = append(all, c.retries.Take())
 			continue
 		}
 		all = append(all, c.newTry(at))
-		c.next = at + c.interArrival()
+		c.nextArrival = at + c.interArrival()
 	}
 	return all
 }
 
 // newTry makes the first try of a request.
-func (c *Clients) newTry(at Time) *Try {
+func (c *Clients) newTry(at Time) *ClientAttempt {
 	k := &c.spec.Classes[weightedChoice(c.rng, len(c.spec.Classes), func(i int) float64 { return c.spec.Classes[i].Share })]
-	t := &Try{Class: k, At: at, request: &request{first: at, served: -1}}
+	t := &ClientAttempt{Class: k, SendAt: at, request: &request{startedAt: at, servedAt: -1}}
 	if len(c.spec.Tenants) > 0 {
 		t.Tenant = c.spec.Tenants[weightedChoice(c.rng, len(c.spec.Tenants),
 			func(i int) float64 { return c.spec.Tenants[i].Share })].Name
 	}
-	t.Work = time.Duration(c.spec.Work * float64(k.MinWork+time.Duration(c.rng.Int64N(int64(k.MaxWork-k.MinWork)+1))))
-	t.ID = c.id()
+	t.Work = time.Duration(c.spec.WorkScale * float64(k.MinWork+time.Duration(c.rng.Int64N(int64(k.MaxWork-k.MinWork)+1))))
+	t.ID = c.nextID()
 	if k.RetrySafety == IdempotencyKeyed {
 		t.Key = "k-" + t.ID
 	}
-	t.Expires = c.open(t)
-	c.Sums[k.Name].Asked++
+	t.Timeout = c.timeout(t)
+	c.Stats[k.Name].Requests++
 	return t
 }
 
-func (c *Clients) id() string {
-	c.count++
-	return fmt.Sprintf("%s-%08x", c.name, c.count)
+func (c *Clients) nextID() string {
+	c.lastID++
+	return fmt.Sprintf("%s-%08x", c.name, c.lastID)
 }
 
-// open is how long a try waits: a part of the deadline, and never beyond the end of it.
-func (c *Clients) open(t *Try) time.Duration {
-	part := time.Duration(c.spec.Open * float64(t.Class.Deadline))
-	return min(part, t.request.first+t.Class.Deadline-t.At)
+// timeout is how long a try waits: a part of the deadline, and never beyond the end of it.
+func (c *Clients) timeout(t *ClientAttempt) time.Duration {
+	part := time.Duration(c.spec.TimeoutFraction * float64(t.Class.Deadline))
+	return min(part, t.request.startedAt+t.Class.Deadline-t.SendAt)
 }
 
 func weightedChoice(rng *rand.Rand, n int, share func(int) float64) int {
@@ -188,44 +188,44 @@
 	return n - 1
 }
 
-// Ended tells the clients what became of a try: the status of its answer, or 0 for none before its time was
+// AttemptEnded tells the clients what became of a try: the status of its answer, or 0 for none before its time was
 // up or its connection broke. retryAfter is what the answer said, 0 for nothing. The first word counts.
-func (c *Clients) Ended(now Time, t *Try, status int, retryAfter time.Duration) {
+func (c *Clients) AttemptEnded(now Time, t *ClientAttempt, status int, retryAfter time.Duration) {
 	if t.answered {
 		return
 	}
 	t.answered = true
-	r, sums := t.request, c.Sums[t.Class.Name]
+	r, sums := t.request, c.Stats[t.Class.Name]
 	switch status {
 	case http.StatusOK:
-		r.served = now
-		if now-r.first <= t.Class.LatencyObjective {
+		r.servedAt = now
+		if now-r.startedAt <= t.Class.LatencyObjective {
 			sums.InTime++
 		} else {
 			sums.Late++
 		}
 		return
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		sums.Refusals++
+		sums.Rejections++
 	}
-	again := now + max(c.spec.Wait, retryAfter)
+	again := now + max(c.spec.RetryDelay, retryAfter)
 	// What may have run and must not run twice is the client's to settle, not to send again.
 	harmless := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || t.Class.RetrySafety != NonIdempotent
-	if !harmless || r.tries >= c.spec.Tries || again >= r.first+t.Class.Deadline {
-		sums.Unserved++
+	if !harmless || r.retries >= c.spec.MaxRetries || again >= r.startedAt+t.Class.Deadline {
+		sums.Failed++
 		return
 	}
-	r.tries++
+	r.retries++
 	next := *t
-	next.At, next.Number, next.answered, next.ID = again, r.tries, false, c.id()
-	next.Expires = c.open(&next)
-	c.due.Add(&next)
+	next.SendAt, next.Number, next.answered, next.ID = again, r.retries, false, c.nextID()
+	next.Timeout = c.timeout(&next)
+	c.retries.Add(&next)
 }
 
 // Before orders tries by time, and then by their ids, so that a seed gives the same order each time.
-func (t *Try) Before(other *Try) bool {
-	if t.At != other.At {
-		return t.At < other.At
+func (t *ClientAttempt) Before(other *ClientAttempt) bool {
+	if t.SendAt != other.SendAt {
+		return t.SendAt < other.SendAt
 	}
 	return t.ID < other.ID
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -11,8 +11,8 @@
 
 const ms = time.Millisecond
 
-func try(id string, repeat RetrySafety) *Try {
-	return &Try{ID: id, Class: &Class{Name: string(repeat), RetrySafety: repeat, DedupWindow: 12 * time.Second}, Expires: time.Second,
+func try(id string, repeat RetrySafety) *ClientAttempt {
+	return &ClientAttempt{ID: id, Class: &Class{Name: string(repeat), RetrySafety: repeat, DedupWindow: 12 * time.Second}, Timeout: time.Second,
 		Work: 100 * ms}
 }
 
@@ -29,69 +29,69 @@
 	}{
 		{"an answer in time", func(j *Checker) {
 			j.RequestAccepted(0, try("x", NonIdempotent))
-			j.Arrived(0, "n", "x", a)
-			j.Over("x", "a", false)
-			j.Answer(time.Second, "x", 200)
+			j.AttemptArrived(0, "n", "x", a)
+			j.AttemptEnded("x", "a", false)
+			j.ResponseReceived(time.Second, "x", 200)
 		}, ""},
-		{"a late answer", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.Answer(1100*ms, "x", 503) }, "late"},
+		{"a late answer", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.ResponseReceived(1100*ms, "x", 503) }, "late"},
 		{"two answers", func(j *Checker) {
 			j.RequestAccepted(0, try("x", Idempotent))
-			j.Answer(1, "x", 503)
-			j.Answer(2, "x", 503)
+			j.ResponseReceived(1, "x", 503)
+			j.ResponseReceived(2, "x", 503)
 		}, "second final answer"},
-		{"an answer out of nothing", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.Answer(1, "x", 200) }, "no server served"},
-		{"a connection cut off", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.Broke(1, "x", false) }, "no answer"},
-		{"a connection of a killed node", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.Broke(1, "x", true) }, ""},
+		{"an answer out of nothing", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.ResponseReceived(1, "x", 200) }, "no server served"},
+		{"a connection cut off", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.ConnectionBroken(1, "x", false) }, "no answer"},
+		{"a connection of a killed node", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.ConnectionBroken(1, "x", true) }, ""},
 		{"a second copy of what must not run twice", func(j *Checker) {
 			j.RequestAccepted(0, try("x", NonIdempotent))
-			j.Arrived(1, "n", "x", a)
-			j.Over("x", "a", false)
-			j.Arrived(2, "n", "x", b)
+			j.AttemptArrived(1, "n", "x", a)
+			j.AttemptEnded("x", "a", false)
+			j.AttemptArrived(2, "n", "x", b)
 		}, "second copy"},
 		{"another try after it was turned away", func(j *Checker) {
 			j.RequestAccepted(0, try("x", NonIdempotent))
-			j.Arrived(1, "n", "x", a)
-			j.Over("x", "a", true)
-			j.Arrived(2, "n", "x", b)
+			j.AttemptArrived(1, "n", "x", a)
+			j.AttemptEnded("x", "a", true)
+			j.AttemptArrived(2, "n", "x", b)
 		}, ""},
 		{"a repeat in another cell", func(j *Checker) {
 			j.RequestAccepted(0, try("x", IdempotencyKeyed))
-			j.Arrived(1, "n", "x", a)
-			j.Over("x", "a", false)
-			j.Arrived(2, "n", "x", b)
+			j.AttemptArrived(1, "n", "x", a)
+			j.AttemptEnded("x", "a", false)
+			j.AttemptArrived(2, "n", "x", b)
 		}, "outside of the group"},
 		{"a repeat in the same cell", func(j *Checker) {
 			j.RequestAccepted(0, try("x", IdempotencyKeyed))
-			j.Arrived(1, "n", "x", a)
-			j.Over("x", "a", false)
-			j.Arrived(2, "n", "x", a)
+			j.AttemptArrived(1, "n", "x", a)
+			j.AttemptEnded("x", "a", false)
+			j.AttemptArrived(2, "n", "x", a)
 		}, ""},
 		{"two attempts out", func(j *Checker) {
 			j.RequestAccepted(0, try("x", Idempotent))
-			j.Arrived(1, "n", "x", a)
-			j.Arrived(2, "n", "x", b)
+			j.AttemptArrived(1, "n", "x", a)
+			j.AttemptArrived(2, "n", "x", b)
 		}, "is out"},
 		{"refused after it may have run", func(j *Checker) {
 			j.RequestAccepted(0, try("x", NonIdempotent))
-			j.Arrived(1, "n", "x", a)
-			j.Over("x", "a", false)
-			j.Answer(2, "x", 503)
+			j.AttemptArrived(1, "n", "x", a)
+			j.AttemptEnded("x", "a", false)
+			j.ResponseReceived(2, "x", 503)
 		}, "refused though"},
 		{"a draining server", func(j *Checker) {
 			j.ChangeNotified(0, "n", "a", Draining)
 			j.RequestAccepted(time.Second, try("x", Idempotent))
-			j.Arrived(2*time.Second, "n", "x", a)
+			j.AttemptArrived(2*time.Second, "n", "x", a)
 		}, "which drains"},
 		{"a draining server, told to another node", func(j *Checker) {
 			j.ChangeNotified(0, "m", "a", Draining)
 			j.RequestAccepted(time.Second, try("x", Idempotent))
-			j.Arrived(2*time.Second, "n", "x", a)
+			j.AttemptArrived(2*time.Second, "n", "x", a)
 		}, ""},
 		{"a cold server", func(j *Checker) {
 			for i := range 200 {
 				id := fmt.Sprint("x", i)
 				j.RequestAccepted(time.Second, try(id, Idempotent))
-				j.Arrived(time.Second+Time(i)*ms, fmt.Sprint("n", i%3), id, cold)
+				j.AttemptArrived(time.Second+Time(i)*ms, fmt.Sprint("n", i%3), id, cold)
 			}
 		}, "the cold cold was sent"},
 	} {
@@ -113,7 +113,7 @@
 		var now Time
 		var work time.Duration
 		taken, done := 0, make(map[string]bool)
-		finish := func(all []Done) {
+		finish := func(all []CompletedJob) {
 			for _, d := range all {
 				if done[d.ID] {
 					t.Fatalf("%s is done twice", d.ID)
@@ -169,7 +169,7 @@
 	for i, key := range []string{"k", "k", "l"} {
 		b.Offer(Time(i)*time.Second, Job{ID: fmt.Sprint(i), Key: key, Work: ms})
 		for _, d := range b.Advance(Time(i)*time.Second + 100*ms) {
-			effects = append(effects, d.Effect)
+			effects = append(effects, d.Executed)
 		}
 	}
 	if fmt.Sprint(effects) != "[true false true]" {
@@ -181,13 +181,13 @@
 // have run and must not run twice isn't sent again.
 func TestClients(t *testing.T) {
 	play := func() string {
-		c := NewClients("c", ClientSpec{Rate: 50, Classes: Classes(), Tries: 3, Wait: 50 * ms, Until: 10 * time.Second}, 0, 7)
+		c := NewClients("c", ClientSpec{Rate: 50, Classes: Classes(), MaxRetries: 3, RetryDelay: 50 * ms, Until: 10 * time.Second}, 0, 7)
 		var log strings.Builder
 		unsafe := make(map[*request]bool)
 		for at, ok := c.Next(); ok; at, ok = c.Next() {
-			for _, try := range c.Take(at) {
-				fmt.Fprintln(&log, try.ID, try.Number, try.Class.Name, try.At, try.Expires, try.Work)
-				if try.At+try.Expires > try.request.first+try.Class.Deadline {
+			for _, try := range c.TakeDue(at) {
+				fmt.Fprintln(&log, try.ID, try.Number, try.Class.Name, try.SendAt, try.Timeout, try.Work)
+				if try.SendAt+try.Timeout > try.request.startedAt+try.Class.Deadline {
 					t.Fatalf("%s waits beyond its deadline", try.ID)
 				}
 				if unsafe[try.request] {
@@ -197,7 +197,7 @@
 				if (status == 502 || status == 0) && try.Class.RetrySafety == NonIdempotent {
 					unsafe[try.request] = true
 				}
-				c.Ended(try.At+ms, try, status, 0)
+				c.AttemptEnded(try.SendAt+ms, try, status, 0)
 			}
 		}
 		return log.String()
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -24,8 +24,8 @@
 	Removed  = "removed"
 )
 
-// Answer is what a call for the list is told.
-type Answer struct {
+// ListResponse is what a call for the list is told.
+type ListResponse struct {
 	Revision int64   `json:"revision"`
 	Complete bool    `json:"complete"`
 	Members  []Entry `json:"members"`
@@ -59,8 +59,8 @@
 	}
 }
 
-// Phase changes what the list says of a server that is in it.
-func (l *List) Phase(id, phase string) {
+// SetPhase changes what the list says of a server that is in it.
+func (l *List) SetPhase(id, phase string) {
 	if e, ok := l.entries[id]; ok {
 		e.Phase = phase
 		l.Set(e)
@@ -68,8 +68,8 @@
 }
 
 // Snapshot is the list as it is.
-func (l *List) Snapshot() Answer {
-	a := Answer{Revision: l.revision, Complete: true, Members: []Entry{}}
+func (l *List) Snapshot() ListResponse {
+	a := ListResponse{Revision: l.revision, Complete: true, Members: []Entry{}}
 	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
 		a.Members = append(a.Members, l.entries[id])
 	}
@@ -78,9 +78,9 @@
 
 // Since is what changed after a revision; ok is false where nothing did. A revision that the list never had,
 // or whose changes it no longer has, is answered with the whole.
-func (l *List) Since(revision int64) (a Answer, ok bool) {
+func (l *List) Since(revision int64) (a ListResponse, ok bool) {
 	if revision == l.revision {
-		return Answer{Revision: l.revision, Members: []Entry{}}, false
+		return ListResponse{Revision: l.revision, Members: []Entry{}}, false
 	}
 	if revision > l.revision || len(l.changes) == 0 || revision < l.changes[0].revision-1 {
 		return l.Snapshot(), true
@@ -91,7 +91,7 @@
 			newest[c.entry.ID] = c.entry
 		}
 	}
-	a = Answer{Revision: l.revision, Members: []Entry{}}
+	a = ListResponse{Revision: l.revision, Members: []Entry{}}
 	for _, id := range slices.Sorted(maps.Keys(newest)) {
 		a.Members = append(a.Members, newest[id])
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -42,8 +42,8 @@
 
 // ServerFault is what is wrong with a server that runs.
 type ServerFault struct {
-	Errors float64 // part of its requests that fail fast
-	Slow   float64 // times its usual time for the work; 0 counts as 1
+	ErrorFraction float64 // part of its requests that fail fast
+	Slowdown      float64 // times its usual time for the work; 0 counts as 1
 }
 
 // Job is one attempt that a server is offered.
@@ -62,15 +62,15 @@
 	Failed                  // fast; it may have run
 )
 
-// Done is a job that a server has finished.
-type Done struct {
+// CompletedJob is a job that a server has finished.
+type CompletedJob struct {
 	Job
-	At     Time
-	Effect bool // false for a repeat that was dropped
+	At       Time
+	Executed bool // false for a repeat that was dropped
 }
 
-// Report is a server's load report.
-type Report struct{ LatencyMs, Util, QPS float64 }
+// LoadReport is a server's load report.
+type LoadReport struct{ LatencyMs, Util, QPS float64 }
 
 // Server is one process that serves requests.
 type Server struct {
@@ -87,7 +87,7 @@
 	slowed          bool
 	idleSince       Time // since when a slowed server is mostly idle; -1 for not
 
-	report            Report
+	report            LoadReport
 	reportedAt        Time
 	busy, serviceTime time.Duration // since the last report
 	served            int
@@ -114,8 +114,8 @@
 // coreSpeed is how many times faster than one core of speed 1 a core of the server is now.
 func (s *Server) coreSpeed(now Time) float64 {
 	v := s.Spec.Speed * s.Capacity(now)
-	if s.Fault.Slow > 1 {
-		v /= s.Fault.Slow
+	if s.Fault.Slowdown > 1 {
+		v /= s.Fault.Slowdown
 	}
 	if s.slowed {
 		v /= s.Spec.OverloadSlowdown
@@ -129,7 +129,7 @@
 	switch {
 	case s.Draining, len(s.running)+len(s.waiting) >= s.Spec.MaxRequests:
 		return Rejected
-	case s.rng.Float64() < s.Fault.Errors:
+	case s.rng.Float64() < s.Fault.ErrorFraction:
 		return Failed
 	}
 	s.waiting = append(s.waiting, j)
@@ -158,14 +158,14 @@
 
 // Advance returns what is done by now, in order. A cancel stops nothing: who hung up has no answer, and the
 // work is done all the same.
-func (s *Server) Advance(now Time) []Done {
-	var all []Done
+func (s *Server) Advance(now Time) []CompletedJob {
+	var all []CompletedJob
 	for len(s.running) > 0 && s.running[0].ends <= now {
 		r := s.running.Take()
 		s.busy += r.ends - max(r.began, s.reportedAt) // what lies before is in a report already
 		s.serviceTime += r.ends - r.began
 		s.served++
-		all = append(all, Done{Job: r.Job, At: r.ends, Effect: s.firstOfKey(r)})
+		all = append(all, CompletedJob{Job: r.Job, At: r.ends, Executed: s.firstOfKey(r)})
 		s.startWaiting(r.ends)
 		s.updateOverload(r.ends)
 	}
@@ -222,14 +222,14 @@
 // InProgress is how many jobs the server has in work and waiting.
 func (s *Server) InProgress() int { return len(s.running) + len(s.waiting) }
 
-// Load is the server's load report as it was last made.
-func (s *Server) Load(now Time) Report {
+// LoadReport is the server's load report as it was last made.
+func (s *Server) LoadReport(now Time) LoadReport {
 	if span := now - s.reportedAt; span >= s.Spec.ReportInterval {
 		busy := s.busy
 		for _, r := range s.running {
 			busy += now - max(r.began, s.reportedAt)
 		}
-		s.report = Report{Util: min(1, busy.Seconds()/span.Seconds()/float64(s.Spec.Cores)),
+		s.report = LoadReport{Util: min(1, busy.Seconds()/span.Seconds()/float64(s.Spec.Cores)),
 			QPS: float64(s.served) / span.Seconds(), LatencyMs: s.report.LatencyMs}
 		if s.served > 0 {
 			s.report.LatencyMs = float64(s.serviceTime.Milliseconds()) / float64(s.served)
--- a/internal/scaletest/process_list.go
+++ b/internal/scaletest/process_list.go
@@ -77,7 +77,7 @@
 }
 
 // whole is the list as it is.
-func (s *listService) whole() emulator.Answer {
+func (s *listService) whole() emulator.ListResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list.Snapshot()
@@ -87,7 +87,7 @@
 func (s *listService) change(_ context.Context, server int, phase string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.list.Phase(serverName(server), phase)
+	s.list.SetPhase(serverName(server), phase)
 	close(s.changed)
 	s.changed = make(chan struct{})
 	return nil
@@ -117,7 +117,7 @@
 	}
 }
 
-func (s *listService) since(index int64, watch bool) (emulator.Answer, <-chan struct{}, bool) {
+func (s *listService) since(index int64, watch bool) (emulator.ListResponse, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !watch {
@@ -127,7 +127,7 @@
 	return answer, s.changed, news
 }
 
-func (s *listService) write(w http.ResponseWriter, answer emulator.Answer) {
+func (s *listService) write(w http.ResponseWriter, answer emulator.ListResponse) {
 	body, err := json.Marshal(answer)
 	if err != nil { // plain fields always can be written
 		panic(err)
--- a/internal/scaletest/process_test.go
+++ b/internal/scaletest/process_test.go
@@ -123,7 +123,7 @@
 		t.Fatal(err)
 	}
 	defer s.close()
-	get := func(query string) (a emulator.Answer) {
+	get := func(query string) (a emulator.ListResponse) {
 		t.Helper()
 		resp, err := http.Get("http://" + s.address + "/registry/instances" + query)
 		if err != nil {
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -42,9 +42,9 @@
 	o.attempt = f
 	w.outcome.Sent(w.now, o.try.Class.Name, n.zone, b.Spec.Zone)
 	way := latencyBetween(n.zone, b.Spec.Zone)
-	until := max(w.now, min(a.AttemptDeadline, o.try.At+o.try.Expires))
+	until := max(w.now, min(a.AttemptDeadline, o.try.SendAt+o.try.Timeout))
 	if a.AttemptDeadline == 0 {
-		until = o.try.At + o.try.Expires
+		until = o.try.SendAt + o.try.Timeout
 	}
 	w.at(until, func() { w.finish(f, policy.TimedOut, nil) })
 	if w.unreachable(n.zone, b) {
@@ -65,13 +65,13 @@
 		return
 	}
 	t := f.request.try
-	w.Checker.Arrived(w.now, n.name, t.ID, b.Server)
+	w.Checker.AttemptArrived(w.now, n.name, t.ID, b.Server)
 	switch b.Offer(w.now, emulator.Job{ID: f.job, Key: t.Key, Work: t.Work}) {
 	case emulator.Rejected:
-		w.Checker.Over(t.ID, b.Spec.ID, true)
+		w.Checker.AttemptEnded(t.ID, b.Spec.ID, true)
 		w.reply(n, f, way, policy.Overloaded)
 	case emulator.Failed:
-		w.Checker.Over(t.ID, b.Spec.ID, false)
+		w.Checker.AttemptEnded(t.ID, b.Spec.ID, false)
 		w.reply(n, f, way, policy.ServerError)
 	default:
 		b.attempts[f.job] = f
@@ -97,7 +97,7 @@
 	o := f.request
 	o.attempt = nil
 	if code == policy.TimedOut || code == policy.Cancelled { // what was sent may yet run
-		w.Checker.Over(o.try.ID, f.server.Spec.ID, false)
+		w.Checker.AttemptEnded(o.try.ID, f.server.Spec.ID, false)
 	}
 	ended := o.answered
 	if code == policy.OK && !ended {
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -42,7 +42,7 @@
 	spec := c.spec
 	spec.Rate *= times
 	if c.generator != nil {
-		c.generator.clients.Stop()
+		c.generator.clients.StopArrivals()
 	}
 	w.sequence++
 	c.generator = &generator{front: c, clients: emulator.NewClients(fmt.Sprintf("%s%x", c.zone, w.sequence), spec, w.now, seed)}
@@ -62,7 +62,7 @@
 			return // one came to be due earlier
 		}
 		g.nextDue = 0
-		for _, t := range g.clients.Take(w.now) {
+		for _, t := range g.clients.TakeDue(w.now) {
 			w.dispatch(g, t)
 		}
 		w.scheduleClients(g)
@@ -80,10 +80,10 @@
 	return nil
 }
 
-func (w *World) endTry(g *generator, t *emulator.Try, status int, wait time.Duration) {
-	before := *g.clients.Sums[t.Class.Name]
-	g.clients.Ended(w.now, t, status, wait)
-	w.outcome.Ended(t, before, *g.clients.Sums[t.Class.Name])
+func (w *World) endTry(g *generator, t *emulator.ClientAttempt, status int, wait time.Duration) {
+	before := *g.clients.Stats[t.Class.Name]
+	g.clients.AttemptEnded(w.now, t, status, wait)
+	w.outcome.Ended(t, before, *g.clients.Stats[t.Class.Name])
 	w.scheduleClients(g)
 }
 
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -21,7 +21,7 @@
 
 // request is a client's try at a node, until it is answered and its attempts are over.
 type request struct {
-	try          *emulator.Try
+	try          *emulator.ClientAttempt
 	generator    *generator
 	node         *node
 	attemptCount int
@@ -115,7 +115,7 @@
 }
 
 // dispatch hands a try to a node near its client, or to any while none there is up.
-func (w *World) dispatch(g *generator, t *emulator.Try) {
+func (w *World) dispatch(g *generator, t *emulator.ClientAttempt) {
 	if t.Number == 0 {
 		w.outcome.Ask(g.zone, t)
 	}
@@ -125,22 +125,22 @@
 	}
 	if n == nil || n.down {
 		w.in(sameZoneLatency, func() { w.endTry(g, t, 0, 0) })
-		w.Checker.TurnedBack(w.now, t.ID, fmt.Errorf("%s: no node", g.zone), true)
+		w.Checker.ConnectionFailed(w.now, t.ID, fmt.Errorf("%s: no node", g.zone), true)
 		return
 	}
 	o := &request{try: t, node: n, generator: g}
 	n.requests[t.ID] = o
 	w.Checker.RequestAccepted(w.now, t)
-	w.in(t.Expires, func() {
+	w.in(t.Timeout, func() {
 		if !o.answered {
 			o.answered = true
 			w.deliver(n, policy.ClientCancelled{ID: t.ID})
-			w.Checker.WatchSilent(w.now, t.ID)
+			w.Checker.RequestTimedOut(w.now, t.ID)
 			w.endTry(g, t, 0, 0)
 			w.forget(o)
 		}
 	})
-	w.deliver(n, policy.Request{ID: t.ID, Class: t.Class.Name, Tenant: t.Tenant, Key: t.Key, Timeout: t.Expires - 10*time.Millisecond,
+	w.deliver(n, policy.Request{ID: t.ID, Class: t.Class.Name, Tenant: t.Tenant, Key: t.Key, Timeout: t.Timeout - 10*time.Millisecond,
 		ClientRetry: t.Number > 0, Write: t.Class.RetrySafety != emulator.Idempotent})
 }
 
@@ -151,7 +151,7 @@
 		return
 	}
 	o.answered = true
-	w.Checker.Answer(w.now, id, status)
+	w.Checker.ResponseReceived(w.now, id, status)
 	w.endTry(o.generator, o.try, status, wait)
 	w.forget(o)
 }
@@ -188,7 +188,7 @@
 		for _, id := range slices.Sorted(maps.Keys(n.requests)) {
 			o := n.requests[id]
 			o.answered = true
-			w.Checker.Broke(w.now, o.try.ID, true)
+			w.Checker.ConnectionBroken(w.now, o.try.ID, true)
 			w.endTry(o.generator, o.try, 0, 0)
 		}
 		clear(n.requests)
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -81,22 +81,22 @@
 }
 
 // valueOf is the value of a try: its class's, for each unit of work.
-func (o *Outcome) valueOf(t *emulator.Try) float64 {
+func (o *Outcome) valueOf(t *emulator.ClientAttempt) float64 {
 	return o.classValues[t.Class.Name] * t.Work.Seconds()
 }
 
-func (s *Sum) add(t *emulator.Try, worth float64, change emulator.Sums) {
-	s.Requests += change.Asked
+func (s *Sum) add(t *emulator.ClientAttempt, worth float64, change emulator.ClientStats) {
+	s.Requests += change.Requests
 	s.InTime += change.InTime
 	s.Late += change.Late
-	s.Failed += change.Unserved
-	s.Value += worth * float64(change.Asked)
+	s.Failed += change.Failed
+	s.Value += worth * float64(change.Requests)
 	s.ServedValue += worth * float64(change.InTime)
 }
 
-func (o *Outcome) record(t *emulator.Try, change emulator.Sums) {
+func (o *Outcome) record(t *emulator.ClientAttempt, change emulator.ClientStats) {
 	worth := o.valueOf(t)
-	o.second(t.First()).add(t, worth, change)
+	o.second(t.RequestStart()).add(t, worth, change)
 	sum := o.Classes[t.Class.Name]
 	sum.add(t, worth, change)
 	o.Classes[t.Class.Name] = sum
@@ -107,9 +107,9 @@
 }
 
 // Ask books the first try of a request near a zone.
-func (o *Outcome) Ask(zone string, t *emulator.Try) {
-	o.record(t, emulator.Sums{Asked: 1})
-	add(o.second(t.First()).Work, zone, t.Class.Name, t.Work.Seconds())
+func (o *Outcome) Ask(zone string, t *emulator.ClientAttempt) {
+	o.record(t, emulator.ClientStats{Requests: 1})
+	add(o.second(t.RequestStart()).Work, zone, t.Class.Name, t.Work.Seconds())
 }
 
 // add adds to a sum of sums.
@@ -121,9 +121,9 @@
 }
 
 // Ended books what a try came to, by what its class had come to before and after.
-func (o *Outcome) Ended(t *emulator.Try, before, after emulator.Sums) {
-	o.record(t, emulator.Sums{InTime: after.InTime - before.InTime, Late: after.Late - before.Late,
-		Unserved: after.Unserved - before.Unserved})
+func (o *Outcome) Ended(t *emulator.ClientAttempt, before, after emulator.ClientStats) {
+	o.record(t, emulator.ClientStats{InTime: after.InTime - before.InTime, Late: after.Late - before.Late,
+		Failed: after.Failed - before.Failed})
 }
 
 // Sent books an attempt from a zone to another.
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -236,12 +236,12 @@
 func (f Fault) ApplyTo(b *emulator.ServerFault, on bool) {
 	switch f.Kind {
 	case Errors:
-		if b.Errors = 0; on {
-			b.Errors = f.fraction()
+		if b.ErrorFraction = 0; on {
+			b.ErrorFraction = f.fraction()
 		}
 	case Slow:
-		if b.Slow = 0; on {
-			b.Slow = f.Factor
+		if b.Slowdown = 0; on {
+			b.Slowdown = f.Factor
 		}
 	}
 }
@@ -258,8 +258,8 @@
 
 // Clients are those near so many nodes, who ask until a time.
 func (s Scenario) Clients(nodes int, until time.Duration) emulator.ClientSpec {
-	return emulator.ClientSpec{Rate: s.Rate * float64(nodes), Classes: emulator.Classes(), Work: s.Work, Tenants: s.Tenants(),
-		Tries: 3, Wait: 100 * time.Millisecond, Until: until}
+	return emulator.ClientSpec{Rate: s.Rate * float64(nodes), Classes: emulator.Classes(), WorkScale: s.Work, Tenants: s.Tenants(),
+		MaxRetries: 3, RetryDelay: 100 * time.Millisecond, Until: until}
 }
 
 // QuotaFor is the quota of all tenants over so many nodes.
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -23,7 +23,7 @@
 
 type timedReport struct {
 	at   time.Duration
-	load emulator.Report
+	load emulator.LoadReport
 }
 
 func (w *World) addServers(specs []emulator.ServerSpec, seed uint64) {
@@ -49,7 +49,7 @@
 			f := b.attempts[d.ID]
 			delete(b.attempts, d.ID)
 			if f != nil && !f.finished {
-				w.Checker.Over(f.request.try.ID, b.Spec.ID, false)
+				w.Checker.AttemptEnded(f.request.try.ID, b.Spec.ID, false)
 				w.reply(f.request.node, f, latencyBetween(f.request.node.zone, b.Spec.Zone), policy.OK)
 			}
 		}
@@ -62,7 +62,7 @@
 	if w.Reports != nil && !*w.Reports {
 		return nil
 	}
-	now := b.Load(w.now)
+	now := b.LoadReport(w.now)
 	if n := len(b.reports); n == 0 || b.reports[n-1].load != now {
 		b.reports = append(b.reports, timedReport{w.now, now})
 	}
@@ -143,7 +143,7 @@
 	}
 	for _, job := range slices.Sorted(maps.Keys(b.attempts)) { // in one order, for a seed's run to be one
 		f := b.attempts[job]
-		w.Checker.Over(f.request.try.ID, b.Spec.ID, false)
+		w.Checker.AttemptEnded(f.request.try.ID, b.Spec.ID, false)
 		w.in(latencyBetween(f.request.node.zone, b.Spec.Zone), func() { w.finish(f, policy.Reset, nil) })
 	}
 	w.restart(b, b.Started())
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -60,15 +60,15 @@
 }
 
 // Sums tells what became of the requests so far, in all.
-func (l *LoadGenerator) Sums() (all emulator.Sums) {
+func (l *LoadGenerator) Sums() (all emulator.ClientStats) {
 	l.w.mu.Lock()
 	defer l.w.mu.Unlock()
-	for _, s := range l.clients.Sums {
-		all.Asked += s.Asked
+	for _, s := range l.clients.Stats {
+		all.Requests += s.Requests
 		all.InTime += s.InTime
 		all.Late += s.Late
-		all.Unserved += s.Unserved
-		all.Refusals += s.Refusals
+		all.Failed += s.Failed
+		all.Rejections += s.Rejections
 	}
 	return all
 }
@@ -80,10 +80,10 @@
 	defer timer.Stop()
 	for {
 		w.mu.Lock()
-		for _, t := range l.clients.Take(w.now()) {
+		for _, t := range l.clients.TakeDue(w.now()) {
 			if w.open >= maxOpenTries {
 				w.skipped++
-				l.clients.Ended(w.now(), t, 0, 0)
+				l.clients.AttemptEnded(w.now(), t, 0, 0)
 				continue
 			}
 			w.open++
@@ -153,7 +153,7 @@
 }
 
 // send sends one try and tells the clients and the checker what came of it.
-func (l *LoadGenerator) send(t *emulator.Try, d *backend) {
+func (l *LoadGenerator) send(t *emulator.ClientAttempt, d *backend) {
 	w := l.w
 	began := time.Now()
 	status, retryAfter, err := d.exchange(t, func() {
@@ -168,18 +168,18 @@
 	now := w.now()
 	switch {
 	case err == nil:
-		w.Checker.Answer(now, t.ID, status)
+		w.Checker.ResponseReceived(now, t.ID, status)
 	case errors.Is(err, errNoConnection) || errors.Is(err, errEndedUnanswered):
-		w.Checker.TurnedBack(now, t.ID, fmt.Errorf("%s: %w", d.node.Spec.Name, err), d.node.killedSince(began))
+		w.Checker.ConnectionFailed(now, t.ID, fmt.Errorf("%s: %w", d.node.Spec.Name, err), d.node.killedSince(began))
 	case isTimeout(err):
-		w.Checker.WatchSilent(now, t.ID)
+		w.Checker.RequestTimedOut(now, t.ID)
 	case w.ctx.Err() == nil:
-		w.Checker.Broke(now, t.ID, d.node.killedSince(began))
+		w.Checker.ConnectionBroken(now, t.ID, d.node.killedSince(began))
 	}
-	before := *l.clients.Sums[t.Class.Name]
-	l.clients.Ended(now, t, status, retryAfter)
+	before := *l.clients.Stats[t.Class.Name]
+	l.clients.AttemptEnded(now, t, status, retryAfter)
 	if w.outcome != nil {
-		w.outcome.Ended(t, before, *l.clients.Sums[t.Class.Name])
+		w.outcome.Ended(t, before, *l.clients.Stats[t.Class.Name])
 	}
 	select {
 	case l.wakeup <- struct{}{}:
--- a/internal/testcluster/cluster_test.go
+++ b/internal/testcluster/cluster_test.go
@@ -96,8 +96,8 @@
 		if all, n := w.Checker.Violations(); n > 0 {
 			t.Errorf("%d rules broken: %q", n, all)
 		}
-		if len(w.Checker.TurnedWhy) > 0 {
-			t.Errorf("%d requests turned back: %q", w.Checker.TurnedAway, w.Checker.TurnedWhy)
+		if len(w.Checker.ConnectionErrors) > 0 {
+			t.Errorf("%d requests turned back: %q", w.Checker.ConnectionFailures, w.Checker.ConnectionErrors)
 		}
 		if w.skipped > 0 {
 			t.Errorf("the clients could not send %d tries", w.skipped)
@@ -117,7 +117,7 @@
 		t.Fatal(err)
 	}
 	startReady(t, ctx, n)
-	load := w.Clients("c", emulator.ClientSpec{Rate: 150, Classes: quick(), Tenants: tenants, Open: 1,
+	load := w.Clients("c", emulator.ClientSpec{Rate: 150, Classes: quick(), Tenants: tenants, TimeoutFraction: 1,
 		Until: time.Hour}, n)
 	held := make(chan int, 1)
 	watched, over := context.WithCancel(ctx)
@@ -154,7 +154,7 @@
 			t.Fatalf("replacement %d: the old process: %v", i, err)
 		}
 	}
-	w.Look(func() { load.clients.Stop() })
+	w.Look(func() { load.clients.StopArrivals() })
 	if err := load.Wait(within(t, ctx)); err != nil {
 		t.Fatal(err)
 	}
@@ -168,7 +168,7 @@
 	if n := load.NotReady(); n > 0 {
 		t.Errorf("the front was told %d times that the node takes no clients", n)
 	}
-	if sums.Refusals > 0 || sums.Unserved > 0 || sums.InTime == 0 {
+	if sums.Rejections > 0 || sums.Failed > 0 || sums.InTime == 0 {
 		t.Errorf("requests that a place was free for were not served: %+v", sums)
 	}
 }
--- a/internal/testcluster/demo.go
+++ b/internal/testcluster/demo.go
@@ -103,8 +103,8 @@
 		nodes = append(nodes, p.fleet.Nodes[name])
 	}
 	p.began = time.Now()
-	p.load = p.world.Clients("c", emulator.ClientSpec{Rate: demoRate, Classes: emulator.Classes(), Tenants: tenants, Tries: 3,
-		Wait: 50 * time.Millisecond, Until: p.For}, nodes...)
+	p.load = p.world.Clients("c", emulator.ClientSpec{Rate: demoRate, Classes: emulator.Classes(), Tenants: tenants, MaxRetries: 3,
+		RetryDelay: 50 * time.Millisecond, Until: p.For}, nodes...)
 	return nil
 }
 
@@ -127,7 +127,7 @@
 		do   func() error
 	}{
 		{p.For / 4, victim + " is killed", func() error { p.fleet.Nodes[victim].Kill(); return nil }},
-		{p.For / 3, ill + " fails seven of ten", box(emulator.ServerFault{Errors: 0.7})},
+		{p.For / 3, ill + " fails seven of ten", box(emulator.ServerFault{ErrorFraction: 0.7})},
 		{p.For / 2, victim + " is back", func() error { return p.fleet.Start(ctx, victim) }},
 		{p.For * 2 / 3, ill + " is well again", box(emulator.ServerFault{})},
 	}
@@ -166,7 +166,7 @@
 		}
 	}
 	s := p.load.Sums()
-	p.printf("asked %d, served in time %d, late %d, refused tries %d;%s", s.Asked, s.InTime, s.Late, s.Refusals, heard)
+	p.printf("asked %d, served in time %d, late %d, refused tries %d;%s", s.Requests, s.InTime, s.Late, s.Rejections, heard)
 }
 
 // printResult shows what came of each class, and says which rules were broken.
@@ -175,10 +175,10 @@
 	var broken []string
 	var count int
 	p.world.Look(func() {
-		for _, name := range slices.Sorted(maps.Keys(p.load.clients.Sums)) {
-			s := p.load.clients.Sums[name]
-			t.AppendRow(table.Row{name, s.Asked, fmt.Sprintf("%.1f%%", 100*float64(s.InTime)/float64(max(1, s.Asked))), s.Late,
-				s.Unserved})
+		for _, name := range slices.Sorted(maps.Keys(p.load.clients.Stats)) {
+			s := p.load.clients.Stats[name]
+			t.AppendRow(table.Row{name, s.Requests, fmt.Sprintf("%.1f%%", 100*float64(s.InTime)/float64(max(1, s.Requests))), s.Late,
+				s.Failed})
 		}
 		broken, count = p.world.Checker.Violations()
 		broken = slices.Clone(broken)
--- a/internal/testcluster/discovery_test.go
+++ b/internal/testcluster/discovery_test.go
@@ -76,8 +76,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	load := w.Clients("c", emulator.ClientSpec{Rate: 80, Classes: quick(), Tenants: tenants, Tries: 2,
-		Wait: 100 * time.Millisecond, Open: 0.6, Until: time.Hour}, n)
+	load := w.Clients("c", emulator.ClientSpec{Rate: 80, Classes: quick(), Tenants: tenants, MaxRetries: 2,
+		RetryDelay: 100 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, n)
 	kill := func(names ...string) {
 		for _, name := range names {
 			g.Process(name).Kill()
@@ -112,7 +112,7 @@
 	entries(4)
 	drop("s-03")
 	entries(3)
-	w.Look(func() { load.clients.Stop() })
+	w.Look(func() { load.clients.StopArrivals() })
 	if err := load.Wait(within(t, ctx)); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -36,7 +36,7 @@
 			all = append(all, x.Nodes[name])
 		}
 		x.loads = append(x.loads, x.w.Clients("c", emulator.ClientSpec{Rate: rate, Classes: quick(), Tenants: tenants,
-			Tries: 3, Wait: 50 * time.Millisecond, Open: 0.6, Until: time.Hour}, all...))
+			MaxRetries: 3, RetryDelay: 50 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, all...))
 	}
 	return x
 }
@@ -86,7 +86,7 @@
 func (x *trial) finish() {
 	x.Helper()
 	for _, l := range x.loads {
-		x.w.Look(func() { l.clients.Stop() })
+		x.w.Look(func() { l.clients.StopArrivals() })
 		if err := l.Wait(within(x.T, x.ctx)); err != nil {
 			x.Fatal(err)
 		}
--- a/internal/testcluster/list.go
+++ b/internal/testcluster/list.go
@@ -54,7 +54,7 @@
 	return slices.Clone(w.listCalls[i:])
 }
 
-func withAddresses(a emulator.Answer, addrs map[string]string) emulator.Answer {
+func withAddresses(a emulator.ListResponse, addrs map[string]string) emulator.ListResponse {
 	for i := range a.Members {
 		a.Members[i].HostPort = addrs[a.Members[i].ID]
 	}
@@ -73,7 +73,7 @@
 			w.listCalls = slices.Clone(w.listCalls[maxCalls/2:])
 		}
 		w.mu.Unlock()
-		var a emulator.Answer
+		var a emulator.ListResponse
 		for told := false; !told; {
 			w.mu.Lock()
 			if a, told = w.list.Since(index); !watch {
--- a/internal/testcluster/measure_test.go
+++ b/internal/testcluster/measure_test.go
@@ -290,7 +290,7 @@
 				before, end := load.Sums(), time.Now().Add(*awayFor)
 				_ = wait(x.ctx, time.Until(end))
 				after := load.Sums()
-				return float64(after.InTime-before.InTime) / float64(after.Asked-before.Asked)
+				return float64(after.InTime-before.InTime) / float64(after.Requests-before.Requests)
 			}
 			link := func(f Faults) {
 				for _, name := range x.Names {
--- a/internal/testcluster/scope_test.go
+++ b/internal/testcluster/scope_test.go
@@ -144,8 +144,8 @@
 	if len(first) != 3 {
 		t.Fatalf("a subset of 3 has %v", first)
 	}
-	load := x.w.Clients("c", emulator.ClientSpec{Rate: 80, Classes: quick(), Tenants: tenants, Tries: 2,
-		Wait: 100 * time.Millisecond, Open: 0.6, Until: time.Hour}, x.node)
+	load := x.w.Clients("c", emulator.ClientSpec{Rate: 80, Classes: quick(), Tenants: tenants, MaxRetries: 2,
+		RetryDelay: 100 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, x.node)
 	x.replace(first[0], "s-10")
 	leader, err := x.g.AwaitLeader(within(t, x.ctx))
 	if err != nil {
@@ -183,11 +183,11 @@
 // finish ends the load, and holds what was served and sent to what is promised.
 func (x *scopedTrial) finish(load *LoadGenerator) {
 	x.t.Helper()
-	err := Await(within(x.t, x.ctx), "enough requests", func() bool { return load.Sums().Asked >= 240 })
+	err := Await(within(x.t, x.ctx), "enough requests", func() bool { return load.Sums().Requests >= 240 })
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	x.w.Look(func() { load.clients.Stop() })
+	x.w.Look(func() { load.clients.StopArrivals() })
 	if err := load.Wait(within(x.t, x.ctx)); err != nil {
 		x.t.Fatal(err)
 	}
@@ -200,7 +200,7 @@
 		}
 	}
 	sums := load.Sums()
-	if sums.InTime < sums.Asked/2 {
+	if sums.InTime < sums.Requests/2 {
 		x.t.Errorf("clients: %+v", sums)
 	}
 	x.t.Logf("clients: %+v; sent to %v; in scope at any time: %v", sums, x.sent, slices.Sorted(maps.Keys(x.inScope)))
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -12,12 +12,12 @@
 type server struct {
 	*emulator.Server
 	wakeup chan struct{}
-	waits  map[string]chan emulator.Done // by request
+	waits  map[string]chan emulator.CompletedJob // by request
 }
 
 func (w *World) addServer(spec emulator.ServerSpec, started emulator.Time) {
 	b := &server{Server: emulator.NewServer(spec, started, w.seed+uint64(len(w.servers))), wakeup: make(chan struct{}, 1),
-		waits: make(map[string]chan emulator.Done)}
+		waits: make(map[string]chan emulator.CompletedJob)}
 	w.servers[spec.ID] = b
 	w.list.Set(w.entry(b, emulator.Up))
 	w.parts.Go(func() { w.runServer(b) })
@@ -102,12 +102,12 @@
 }
 
 // offer hands a server an attempt that has come, and books it. What is done with it comes on the channel.
-func (w *World) offer(node, zone, class string, b *server, job emulator.Job) (emulator.Verdict, emulator.Report, <-chan emulator.Done) {
-	done := make(chan emulator.Done, 1)
+func (w *World) offer(node, zone, class string, b *server, job emulator.Job) (emulator.Verdict, emulator.LoadReport, <-chan emulator.CompletedJob) {
+	done := make(chan emulator.CompletedJob, 1)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	now := w.now()
-	w.Checker.Arrived(now, node, job.ID, b.Server)
+	w.Checker.AttemptArrived(now, node, job.ID, b.Server)
 	w.sent[[2]string{node, b.Spec.Zone}]++
 	if w.outcome != nil {
 		w.outcome.Sent(now, class, zone, b.Spec.Zone)
@@ -116,13 +116,13 @@
 	if verdict == emulator.Accepted {
 		b.waits[job.ID] = done
 	} else { // the answer is on its way: whoever sends again has it
-		w.Checker.Over(job.ID, b.Spec.ID, verdict == emulator.Rejected)
+		w.Checker.AttemptEnded(job.ID, b.Spec.ID, verdict == emulator.Rejected)
 	}
-	return verdict, b.Load(now), done
+	return verdict, b.LoadReport(now), done
 }
 
 // awaitDone answers a request once its server has finished it.
-func (w *World) awaitDone(rw http.ResponseWriter, r *http.Request, b *server, id string, done <-chan emulator.Done) {
+func (w *World) awaitDone(rw http.ResponseWriter, r *http.Request, b *server, id string, done <-chan emulator.CompletedJob) {
 	select {
 	case b.wakeup <- struct{}{}:
 	default:
@@ -141,5 +141,5 @@
 func (w *World) attemptOver(b *server, id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.Checker.Over(id, b.Spec.ID, false)
+	w.Checker.AttemptEnded(id, b.Spec.ID, false)
 }
--- a/internal/testcluster/wire.go
+++ b/internal/testcluster/wire.go
@@ -25,8 +25,8 @@
 
 // exchange sends t to the node and reads the answer; written is called once its last byte is written. A request
 // that crosses with the end of a kept connection is sent once more, on a new one.
-func (d *backend) exchange(t *emulator.Try, written func()) (status int, retryAfter time.Duration, err error) {
-	end := time.Now().Add(t.Expires)
+func (d *backend) exchange(t *emulator.ClientAttempt, written func()) (status int, retryAfter time.Duration, err error) {
+	end := time.Now().Add(t.Timeout)
 	for _, fresh := range []bool{false, true} {
 		c, err := d.connect(end, fresh)
 		if err != nil {
@@ -64,7 +64,7 @@
 	return &clientConn{Conn: conn, r: bufio.NewReader(conn)}, nil
 }
 
-func (d *backend) exchangeOn(c *clientConn, t *emulator.Try, end time.Time, written func()) (int, time.Duration, error) {
+func (d *backend) exchangeOn(c *clientConn, t *emulator.ClientAttempt, end time.Time, written func()) (int, time.Duration, error) {
 	if err := c.SetDeadline(end); err != nil {
 		return 0, 0, err
 	}
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -20,8 +20,8 @@
 	x := startTrial(t, FleetSpec{Nodes: 6, Zones: names, RetainMissing: true,
 		Topology: map[string]any{"regions": map[string]any{"north": []string{"a", "b"}, "south": []string{"c"}}}}, boxes(12, names...))
 	for i, zone := range names {
-		x.loads = append(x.loads, x.w.Clients("c"+zone, emulator.ClientSpec{Rate: 60, Classes: quick(), Tenants: tenants, Tries: 3,
-			Wait: 50 * time.Millisecond, Open: 0.6, Until: time.Hour}, x.Nodes[x.Names[i]], x.Nodes[x.Names[i+3]]))
+		x.loads = append(x.loads, x.w.Clients("c"+zone, emulator.ClientSpec{Rate: 60, Classes: quick(), Tenants: tenants, MaxRetries: 3,
+			RetryDelay: 50 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, x.Nodes[x.Names[i]], x.Nodes[x.Names[i+3]]))
 	}
 	return x
 }
@@ -107,7 +107,7 @@
 		on, off func()
 		back    string // how it is to be held again: the second return takes four times as long
 	}{
-		{"half of the requests fail", func() { fault(emulator.ServerFault{Errors: 0.5}) }, func() { fault(emulator.ServerFault{}) }, "well"},
+		{"half of the requests fail", func() { fault(emulator.ServerFault{ErrorFraction: 0.5}) }, func() { fault(emulator.ServerFault{}) }, "well"},
 		{"nothing passes, and nothing is told", func() { cut(true) }, func() { cut(false) }, "returning"},
 	} {
 		trouble.on()
