--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -9,94 +9,76 @@
 	"sloerail/internal/priority"
 )
 
-// RetrySafety says how often a request of a class may run.
-type RetrySafety string
-
-// The words that settings have for it.
-const (
-	Idempotent       RetrySafety = "free"
-	IdempotencyKeyed RetrySafety = "guarded"
-	NonIdempotent    RetrySafety = "single_shot"
-)
+// defaultTimeoutFraction is the timeout of an attempt where a ClientSpec has none.
+const defaultTimeoutFraction = 0.55
 
-// Class is a class of requests as clients send them.
-type Class struct {
-	Name                       string
-	Share                      float64
-	MinWork, MaxWork           time.Duration // of work
-	LatencyObjective, Deadline time.Duration
-	PriorityWeight             float64
-	RetrySafety                RetrySafety
-	DedupWindow                time.Duration // for Guarded
-}
-
-// Classes are those of the operators' pages.
-func Classes() []Class {
-	const ms = time.Millisecond
-	return []Class{
-		{"meter-read", 0.51, 230 * ms, 410 * ms, 1500 * ms, 3000 * ms, 1, Idempotent, 0},
-		{"service-order", 0.26, 150 * ms, 270 * ms, 750 * ms, 2500 * ms, 2, IdempotencyKeyed, 12 * time.Second},
-		{"bill-charge", 0.23, 340 * ms, 610 * ms, 2500 * ms, 6000 * ms, 5, NonIdempotent, 0},
-	}
-}
-
-// Tenant is a customer with its share of the traffic.
-type Tenant struct {
-	Name  string
-	Share float64
-}
-
-// ClientSpec is how clients come.
+// ClientSpec says how clients behave.
 type ClientSpec struct {
-	Rate            float64 // first tries a second
+	Rate            float64 // requests a second, on average
 	Classes         []Class
 	Tenants         []Tenant
-	WorkScale       float64       // scale of the work of the classes; 0 counts as 1
-	MaxRetries      int           // beyond the first
-	RetryDelay      time.Duration // before a further one, where the answer says nothing of that
-	TimeoutFraction float64       // part of the deadline that one try is open
-	Until           Time          // no first tries later
+	WorkScale       float64       // multiplies the work of the classes; 0 counts as 1
+	MaxRetries      int           // for a request
+	RetryDelay      time.Duration // before a retry, unless the response says a longer one
+	TimeoutFraction float64       // of the class's deadline: how long an attempt waits; 0 stands for a default
+	Until           Time          // requests begin no later
 }
 
-// ClientAttempt is one request on the wire.
+// ClientAttempt is one HTTP request of a client: the first for what it asks, or a retry.
 type ClientAttempt struct {
-	ID       string
-	Number   int // 0 for the first
-	Class    *Class
-	Tenant   string
-	Key      string
-	Work     time.Duration
-	Timeout  time.Duration // that this try is open
-	SendAt   Time
-	request  *request
-	answered bool
-}
+	ID      string
+	Number  int // 0 for the first
+	Class   *Class
+	Tenant  string
+	Key     string        // the idempotency key, the same for retries; empty for none
+	Work    time.Duration // of a core of speed 1
+	Timeout time.Duration // the client waits no longer
+	SendAt  Time
 
-// RequestStart is when the request was first asked.
-func (t *ClientAttempt) RequestStart() Time { return t.request.startedAt }
+	request *request
+	ended   bool
+}
 
+// request is what the first attempt of a request and its retries share.
 type request struct {
 	startedAt Time
 	retries   int
-	servedAt  Time // -1 for not
 }
 
-// Clients are open: arrivals don't wait for answers.
+// RequestStart is when the first attempt of the request was due.
+func (a *ClientAttempt) RequestStart() Time { return a.request.startedAt }
+
+// Before orders attempts by time, and then by their IDs, so that a seed gives the same order each time.
+func (a *ClientAttempt) Before(other *ClientAttempt) bool {
+	if a.SendAt != other.SendAt {
+		return a.SendAt < other.SendAt
+	}
+	return a.ID < other.ID
+}
+
+// Clients generate an open load: requests arrive at their rate, however long responses take.
 type Clients struct {
+	Stats map[string]*ClientStats // by class
+
 	spec        ClientSpec
 	rng         *rand.Rand
 	nextArrival Time
 	retries     priority.Queue[*ClientAttempt]
 	name        string
 	lastID      int
-	Stats       map[string]*ClientStats // by class
 }
 
-// ClientStats count what became of first tries, with their retries folded in.
-type ClientStats struct{ Requests, InTime, Late, Failed, Rejections int }
+// ClientStats count requests by how they ended, with their retries counted in.
+type ClientStats struct {
+	Requests   int
+	InTime     int // served within the class's latency objective
+	Late       int // served after it
+	Failed     int
+	Rejections int // attempts that were answered 429 or 503
+}
 
-// NewClients makes clients that come from a time on. The name begins their ids, so that those of several
-// are told apart.
+// NewClients makes clients whose requests begin after a time. The name begins their attempts' IDs, so that those of
+// several Clients differ.
 func NewClients(name string, spec ClientSpec, from Time, seed uint64) *Clients {
 	c := &Clients{spec: spec, rng: rand.New(rand.NewPCG(seed, 0xc1)), nextArrival: from, name: name,
 		Stats: make(map[string]*ClientStats)}
@@ -104,10 +86,10 @@
 		c.spec.WorkScale = 1
 	}
 	if c.spec.TimeoutFraction == 0 {
-		c.spec.TimeoutFraction = 0.55
+		c.spec.TimeoutFraction = defaultTimeoutFraction
 	}
-	for _, k := range spec.Classes {
-		c.Stats[k.Name] = &ClientStats{}
+	for _, class := range spec.Classes {
+		c.Stats[class.Name] = &ClientStats{}
 	}
 	c.nextArrival += c.interArrival()
 	return c
@@ -117,7 +99,7 @@
 	return time.Duration(c.rng.ExpFloat64() / c.spec.Rate * float64(time.Second))
 }
 
-// Next is when the next try is to be sent; ok is false once there are none.
+// Next is when the next attempt is due; ok is false while none is.
 func (c *Clients) Next() (at Time, ok bool) {
 	switch {
 	case len(c.retries) > 0 && (c.nextArrival > c.spec.Until || c.retries[0].SendAt <= c.nextArrival):
@@ -128,39 +110,40 @@
 	return 0, false
 }
 
-// StopArrivals ends the arrivals; what is under way goes on.
+// StopArrivals ends the arrival of requests; those that have begun go on.
 func (c *Clients) StopArrivals() { c.spec.Until = c.nextArrival - 1 }
 
-// TakeDue returns the tries that are due by now, for the driver to send.
+// TakeDue returns the attempts that are due by now, for the driver to send.
 func (c *Clients) TakeDue(now Time) []*ClientAttempt {
-	var all []*ClientAttempt
+	var due []*ClientAttempt
 	for at, ok := c.Next(); ok && at <= now; at, ok = c.Next() {
 		if len(c.retries) > 0 && c.retries[0].SendAt == at {
-			all = append(all, c.retries.Take())
+			due = append(due, c.retries.Take())
 			continue
 		}
-		all = append(all, c.newTry(at))
+		due = append(due, c.newRequest(at))
 		c.nextArrival = at + c.interArrival()
 	}
-	return all
+	return due
 }
 
-// newTry makes the first try of a request.
-func (c *Clients) newTry(at Time) *ClientAttempt {
-	k := &c.spec.Classes[weightedChoice(c.rng, len(c.spec.Classes), func(i int) float64 { return c.spec.Classes[i].Share })]
-	t := &ClientAttempt{Class: k, SendAt: at, request: &request{startedAt: at, servedAt: -1}}
-	if len(c.spec.Tenants) > 0 {
-		t.Tenant = c.spec.Tenants[weightedChoice(c.rng, len(c.spec.Tenants),
-			func(i int) float64 { return c.spec.Tenants[i].Share })].Name
+// newRequest makes the first attempt of a request.
+func (c *Clients) newRequest(at Time) *ClientAttempt {
+	classes, tenants := c.spec.Classes, c.spec.Tenants
+	class := &classes[weightedChoice(c.rng, len(classes), func(i int) float64 { return classes[i].Share })]
+	attempt := &ClientAttempt{Class: class, SendAt: at, request: &request{startedAt: at}}
+	if len(tenants) > 0 {
+		attempt.Tenant = tenants[weightedChoice(c.rng, len(tenants), func(i int) float64 { return tenants[i].Share })].Name
 	}
-	t.Work = time.Duration(c.spec.WorkScale * float64(k.MinWork+time.Duration(c.rng.Int64N(int64(k.MaxWork-k.MinWork)+1))))
-	t.ID = c.nextID()
-	if k.RetrySafety == IdempotencyKeyed {
-		t.Key = "k-" + t.ID
+	work := class.MinWork + time.Duration(c.rng.Int64N(int64(class.MaxWork-class.MinWork)+1))
+	attempt.Work = time.Duration(c.spec.WorkScale * float64(work))
+	attempt.ID = c.nextID()
+	if class.RetrySafety == IdempotencyKeyed {
+		attempt.Key = "k-" + attempt.ID
 	}
-	t.Timeout = c.timeout(t)
-	c.Stats[k.Name].Requests++
-	return t
+	attempt.Timeout = c.timeout(attempt)
+	c.Stats[class.Name].Requests++
+	return attempt
 }
 
 func (c *Clients) nextID() string {
@@ -168,64 +151,60 @@
 	return fmt.Sprintf("%s-%08x", c.name, c.lastID)
 }
 
-// timeout is how long a try waits: a part of the deadline, and never beyond the end of it.
-func (c *Clients) timeout(t *ClientAttempt) time.Duration {
-	part := time.Duration(c.spec.TimeoutFraction * float64(t.Class.Deadline))
-	return min(part, t.request.startedAt+t.Class.Deadline-t.SendAt)
+// timeout is how long an attempt waits: a fraction of its class's deadline, and never beyond the deadline.
+func (c *Clients) timeout(a *ClientAttempt) time.Duration {
+	timeout := time.Duration(c.spec.TimeoutFraction * float64(a.Class.Deadline))
+	return min(timeout, a.request.startedAt+a.Class.Deadline-a.SendAt)
 }
 
-func weightedChoice(rng *rand.Rand, n int, share func(int) float64) int {
+// weightedChoice draws one of n indices, each with a chance in proportion to its weight.
+func weightedChoice(rng *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
-		sum += share(i)
+		sum += weight(i)
 	}
-	at := rng.Float64() * sum
+	point := rng.Float64() * sum
 	for i := range n - 1 {
-		if at -= share(i); at < 0 {
+		if point -= weight(i); point < 0 {
 			return i
 		}
 	}
 	return n - 1
 }
 
-// AttemptEnded tells the clients what became of a try: the status of its answer, or 0 for none before its time was
-// up or its connection broke. retryAfter is what the answer said, 0 for nothing. The first word counts.
-func (c *Clients) AttemptEnded(now Time, t *ClientAttempt, status int, retryAfter time.Duration) {
-	if t.answered {
+// AttemptEnded takes the response to an attempt: its status, or 0 for none before its timeout or the end of its
+// connection, and its Retry-After, or 0 for none. Further calls for the same attempt have no effect.
+func (c *Clients) AttemptEnded(now Time, a *ClientAttempt, status int, retryAfter time.Duration) {
+	if a.ended {
 		return
 	}
-	t.answered = true
-	r, sums := t.request, c.Stats[t.Class.Name]
-	switch status {
-	case http.StatusOK:
-		r.servedAt = now
-		if now-r.startedAt <= t.Class.LatencyObjective {
-			sums.InTime++
-		} else {
-			sums.Late++
-		}
+	a.ended = true
+	stats := c.Stats[a.Class.Name]
+	rejected := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
+	switch {
+	case status == http.StatusOK && now-a.request.startedAt <= a.Class.LatencyObjective:
+		stats.InTime++
 		return
-	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		sums.Rejections++
+	case status == http.StatusOK:
+		stats.Late++
+		return
+	case rejected:
+		stats.Rejections++
 	}
-	again := now + max(c.spec.RetryDelay, retryAfter)
-	// What may have run and must not run twice is the client's to settle, not to send again.
-	harmless := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable || t.Class.RetrySafety != NonIdempotent
-	if !harmless || r.retries >= c.spec.MaxRetries || again >= r.startedAt+t.Class.Deadline {
-		sums.Failed++
+	retryAt := now + max(c.spec.RetryDelay, retryAfter)
+	// What may have run and must not run twice isn't sent again.
+	safe := rejected || a.Class.RetrySafety != NonIdempotent
+	if !safe || a.request.retries >= c.spec.MaxRetries || retryAt >= a.request.startedAt+a.Class.Deadline {
+		stats.Failed++
 		return
 	}
-	r.retries++
-	next := *t
-	next.SendAt, next.Number, next.answered, next.ID = again, r.retries, false, c.nextID()
-	next.Timeout = c.timeout(&next)
-	c.retries.Add(&next)
+	c.addRetry(a, retryAt)
 }
 
-// Before orders tries by time, and then by their ids, so that a seed gives the same order each time.
-func (t *ClientAttempt) Before(other *ClientAttempt) bool {
-	if t.SendAt != other.SendAt {
-		return t.SendAt < other.SendAt
-	}
-	return t.ID < other.ID
+func (c *Clients) addRetry(of *ClientAttempt, at Time) {
+	of.request.retries++
+	retry := *of
+	retry.SendAt, retry.Number, retry.ended, retry.ID = at, of.request.retries, false, c.nextID()
+	retry.Timeout = c.timeout(&retry)
+	c.retries.Add(&retry)
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -11,108 +11,120 @@
 
 const ms = time.Millisecond
 
-func try(id string, repeat RetrySafety) *ClientAttempt {
-	return &ClientAttempt{ID: id, Class: &Class{Name: string(repeat), RetrySafety: repeat, DedupWindow: 12 * time.Second}, Timeout: time.Second,
+func clientAttempt(id string, safety RetrySafety) *ClientAttempt {
+	return &ClientAttempt{ID: id, Class: &Class{Name: string(safety), RetrySafety: safety, DedupWindow: 12 * time.Second}, Timeout: time.Second,
 		Work: 100 * ms}
 }
 
-// Each rule's violation is found, and what is allowed isn't taken for one.
+// Each rule's violation is found, and what is allowed isn't reported.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	warm := func(id string) *Server { return NewServer(DefaultServer(id, "a"), 0, 1) }
-	cold := NewServer(DefaultServer("cold", "a"), time.Second, 1)
+	starting := NewServer(DefaultServer("cold", "a"), time.Second, 1)
 	a, b := warm("a"), warm("b")
 	b.Spec.Cell = 1
 	for _, c := range []struct {
 		name string
-		do   func(j *Checker)
+		do   func(c *Checker)
 		want string // empty for nothing
 	}{
-		{"an answer in time", func(j *Checker) {
-			j.RequestAccepted(0, try("x", NonIdempotent))
-			j.AttemptArrived(0, "n", "x", a)
-			j.AttemptEnded("x", "a", false)
-			j.ResponseReceived(time.Second, "x", 200)
+		{"an answer in time", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", NonIdempotent))
+			c.AttemptArrived(0, "n", "x", a)
+			c.AttemptEnded("x", "a", false)
+			c.ResponseReceived(time.Second, "x", 200)
 		}, ""},
-		{"a late answer", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.ResponseReceived(1100*ms, "x", 503) }, "late"},
-		{"two answers", func(j *Checker) {
-			j.RequestAccepted(0, try("x", Idempotent))
-			j.ResponseReceived(1, "x", 503)
-			j.ResponseReceived(2, "x", 503)
+		{"a late answer", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", Idempotent))
+			c.ResponseReceived(1100*ms, "x", 503)
+		}, "late"},
+		{"two answers", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", Idempotent))
+			c.ResponseReceived(1, "x", 503)
+			c.ResponseReceived(2, "x", 503)
 		}, "second final answer"},
-		{"an answer out of nothing", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.ResponseReceived(1, "x", 200) }, "no server served"},
-		{"a connection cut off", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.ConnectionBroken(1, "x", false) }, "no answer"},
-		{"a connection of a killed node", func(j *Checker) { j.RequestAccepted(0, try("x", Idempotent)); j.ConnectionBroken(1, "x", true) }, ""},
-		{"a second copy of what must not run twice", func(j *Checker) {
-			j.RequestAccepted(0, try("x", NonIdempotent))
-			j.AttemptArrived(1, "n", "x", a)
-			j.AttemptEnded("x", "a", false)
-			j.AttemptArrived(2, "n", "x", b)
+		{"an answer out of nothing", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", Idempotent))
+			c.ResponseReceived(1, "x", 200)
+		}, "no server served"},
+		{"a connection cut off", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", Idempotent))
+			c.ConnectionBroken(1, "x", false)
+		}, "no answer"},
+		{"a connection of a killed node", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", Idempotent))
+			c.ConnectionBroken(1, "x", true)
+		}, ""},
+		{"a second copy of what must not run twice", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", NonIdempotent))
+			c.AttemptArrived(1, "n", "x", a)
+			c.AttemptEnded("x", "a", false)
+			c.AttemptArrived(2, "n", "x", b)
 		}, "second copy"},
-		{"another try after it was turned away", func(j *Checker) {
-			j.RequestAccepted(0, try("x", NonIdempotent))
-			j.AttemptArrived(1, "n", "x", a)
-			j.AttemptEnded("x", "a", true)
-			j.AttemptArrived(2, "n", "x", b)
+		{"another try after it was turned away", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", NonIdempotent))
+			c.AttemptArrived(1, "n", "x", a)
+			c.AttemptEnded("x", "a", true)
+			c.AttemptArrived(2, "n", "x", b)
 		}, ""},
-		{"a repeat in another cell", func(j *Checker) {
-			j.RequestAccepted(0, try("x", IdempotencyKeyed))
-			j.AttemptArrived(1, "n", "x", a)
-			j.AttemptEnded("x", "a", false)
-			j.AttemptArrived(2, "n", "x", b)
+		{"a repeat in another cell", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", IdempotencyKeyed))
+			c.AttemptArrived(1, "n", "x", a)
+			c.AttemptEnded("x", "a", false)
+			c.AttemptArrived(2, "n", "x", b)
 		}, "outside of the group"},
-		{"a repeat in the same cell", func(j *Checker) {
-			j.RequestAccepted(0, try("x", IdempotencyKeyed))
-			j.AttemptArrived(1, "n", "x", a)
-			j.AttemptEnded("x", "a", false)
-			j.AttemptArrived(2, "n", "x", a)
+		{"a repeat in the same cell", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", IdempotencyKeyed))
+			c.AttemptArrived(1, "n", "x", a)
+			c.AttemptEnded("x", "a", false)
+			c.AttemptArrived(2, "n", "x", a)
 		}, ""},
-		{"two attempts out", func(j *Checker) {
-			j.RequestAccepted(0, try("x", Idempotent))
-			j.AttemptArrived(1, "n", "x", a)
-			j.AttemptArrived(2, "n", "x", b)
+		{"two attempts out", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", Idempotent))
+			c.AttemptArrived(1, "n", "x", a)
+			c.AttemptArrived(2, "n", "x", b)
 		}, "is out"},
-		{"refused after it may have run", func(j *Checker) {
-			j.RequestAccepted(0, try("x", NonIdempotent))
-			j.AttemptArrived(1, "n", "x", a)
-			j.AttemptEnded("x", "a", false)
-			j.ResponseReceived(2, "x", 503)
+		{"refused after it may have run", func(c *Checker) {
+			c.RequestAccepted(0, clientAttempt("x", NonIdempotent))
+			c.AttemptArrived(1, "n", "x", a)
+			c.AttemptEnded("x", "a", false)
+			c.ResponseReceived(2, "x", 503)
 		}, "refused though"},
-		{"a draining server", func(j *Checker) {
-			j.ChangeNotified(0, "n", "a", Draining)
-			j.RequestAccepted(time.Second, try("x", Idempotent))
-			j.AttemptArrived(2*time.Second, "n", "x", a)
+		{"a draining server", func(c *Checker) {
+			c.ChangeNotified(0, "n", "a", Draining)
+			c.RequestAccepted(time.Second, clientAttempt("x", Idempotent))
+			c.AttemptArrived(2*time.Second, "n", "x", a)
 		}, "which drains"},
-		{"a draining server, told to another node", func(j *Checker) {
-			j.ChangeNotified(0, "m", "a", Draining)
-			j.RequestAccepted(time.Second, try("x", Idempotent))
-			j.AttemptArrived(2*time.Second, "n", "x", a)
+		{"a draining server, told to another node", func(c *Checker) {
+			c.ChangeNotified(0, "m", "a", Draining)
+			c.RequestAccepted(time.Second, clientAttempt("x", Idempotent))
+			c.AttemptArrived(2*time.Second, "n", "x", a)
 		}, ""},
-		{"a cold server", func(j *Checker) {
+		{"a cold server", func(c *Checker) {
 			for i := range 200 {
 				id := fmt.Sprint("x", i)
-				j.RequestAccepted(time.Second, try(id, Idempotent))
-				j.AttemptArrived(time.Second+Time(i)*ms, fmt.Sprint("n", i%3), id, cold)
+				c.RequestAccepted(time.Second, clientAttempt(id, Idempotent))
+				c.AttemptArrived(time.Second+Time(i)*ms, fmt.Sprint("n", i%3), id, starting)
 			}
 		}, "the cold cold was sent"},
 	} {
-		j := NewChecker(DefaultRules())
-		c.do(j)
-		all, n := j.Violations()
+		checker := NewChecker(DefaultRules())
+		c.do(checker)
+		all, n := checker.Violations()
 		if got := strings.Join(all, "; "); (c.want == "") != (n == 0) || !strings.Contains(got, c.want) {
 			t.Errorf("%s: %d violations: %s", c.name, n, got)
 		}
 	}
 }
 
-// What a server takes it finishes, once, and never faster than its cores can.
-func TestServerFinishesWhatItTakes(t *testing.T) {
+// A server completes what it accepts, once, and never faster than its cores can.
+func TestServerCompletesEachAcceptedJobOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := DefaultServer("s", "a")
-		spec.Cores, spec.MaxRequests = rapid.IntRange(1, 4).Draw(t, "cores"), rapid.IntRange(1, 20).Draw(t, "room")
+		spec.Cores, spec.MaxRequests = rapid.IntRange(1, 4).Draw(t, "cores"), rapid.IntRange(1, 20).Draw(t, "max requests")
 		b := NewServer(spec, Time(rapid.IntRange(0, 3).Draw(t, "started"))*time.Second, 1)
 		var now Time
 		var work time.Duration
-		taken, done := 0, make(map[string]bool)
+		accepted, done := 0, make(map[string]bool)
 		finish := func(all []CompletedJob) {
 			for _, d := range all {
 				if done[d.ID] {
@@ -126,10 +138,10 @@
 			finish(b.Advance(now))
 			j := Job{ID: fmt.Sprint("j", i), Work: Time(rapid.IntRange(1, 500).Draw(t, "work")) * ms}
 			if b.Offer(now, j) == Accepted {
-				taken, work = taken+1, work+j.Work
+				accepted, work = accepted+1, work+j.Work
 			}
 			if b.InProgress() > spec.MaxRequests {
-				t.Fatalf("%d held, room for %d", b.InProgress(), spec.MaxRequests)
+				t.Fatalf("%d in progress, want %d at most", b.InProgress(), spec.MaxRequests)
 			}
 		}
 		end := now
@@ -137,8 +149,8 @@
 			end = at
 			finish(b.Advance(at))
 		}
-		if least := time.Duration(float64(work) / spec.Speed / float64(spec.Cores)); len(done) != taken || end+ms < least {
-			t.Fatalf("%d of %d done by %v, and the work takes %v", len(done), taken, end, least)
+		if shortest := time.Duration(float64(work) / spec.Speed / float64(spec.Cores)); len(done) != accepted || end+ms < shortest {
+			t.Fatalf("%d of %d done by %v, and the work takes %v", len(done), accepted, end, shortest)
 		}
 	})
 }
@@ -163,7 +175,7 @@
 }
 
 // A repeat of a key has no effect for a time; a new key has.
-func TestServerDropsRepeats(t *testing.T) {
+func TestServerDropsRepeatsOfAKey(t *testing.T) {
 	b := NewServer(DefaultServer("s", "a"), 0, 1)
 	var effects []bool
 	for i, key := range []string{"k", "k", "l"} {
@@ -177,9 +189,9 @@
 	}
 }
 
-// A seed gives the same clients each time; each request is asked for no longer than its deadline, and what may
+// A seed gives the same clients each time; each request is retried no longer than its deadline, and what may
 // have run and must not run twice isn't sent again.
-func TestClients(t *testing.T) {
+func TestClientsFollowTheirSeedAndDeadlines(t *testing.T) {
 	play := func() string {
 		c := NewClients("c", ClientSpec{Rate: 50, Classes: Classes(), MaxRetries: 3, RetryDelay: 50 * ms, Until: 10 * time.Second}, 0, 7)
 		var log strings.Builder
@@ -207,7 +219,7 @@
 	}
 }
 
-// Who follows the list by changes has what is there.
+// A client that follows the list by its changes comes to the same list.
 func TestListChangesAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l, seen, at := NewList(), make(map[string]string), int64(-1)
@@ -224,8 +236,8 @@
 						delete(seen, e.ID)
 					}
 				}
-				if whole := l.Snapshot(); len(whole.Members) != len(seen) {
-					t.Fatalf("seen %v, and there are %v", seen, whole.Members)
+				if complete := l.Snapshot(); len(complete.Members) != len(seen) {
+					t.Fatalf("seen %v, and there are %v", seen, complete.Members)
 				}
 			}
 		}
--- a/internal/emulator/form_test.go
+++ b/internal/emulator/form_test.go
@@ -36,7 +36,7 @@
 }
 
 // Settings hold these words.
-func TestRepeatWordsAreFrozen(t *testing.T) {
+func TestRetrySafetyWordsAreFrozen(t *testing.T) {
 	for got, want := range map[RetrySafety]string{Idempotent: "free", IdempotencyKeyed: "guarded", NonIdempotent: "single_shot"} {
 		if string(got) != want {
 			t.Errorf("got %q, want %q", got, want)
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// Entry is one server of the list, in discovery's form.
+// Entry is one server of the list, in the form of the platform's list service.
 type Entry struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"`
-	Flavor   string  `json:"flavor"`
+	Locality string  `json:"locality"` // the zone
+	Flavor   string  `json:"flavor"`   // the kind of server
 	Cell     int64   `json:"cell"`
 	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
-	UpSince  int64   `json:"up_since_ms"`
+	Size     float64 `json:"size"`        // the weight
+	UpSince  int64   `json:"up_since_ms"` // Unix time of its start; 0 for unknown
 }
 
 // Phases of an entry.
@@ -24,14 +24,15 @@
 	Removed  = "removed"
 )
 
-// ListResponse is what a call for the list is told.
+// ListResponse is the response to a watch or poll, in the form of the platform's list service.
 type ListResponse struct {
 	Revision int64   `json:"revision"`
-	Complete bool    `json:"complete"`
+	Complete bool    `json:"complete"` // else the members are those that have changed
 	Members  []Entry `json:"members"`
 }
 
-const maxChanges = 1024 // older watches get the whole list
+// maxChanges bounds the changes that are retained; a watch from an older revision gets the complete list.
+const maxChanges = 1024
 
 // List is a stand-in for the platform's list service.
 type List struct {
@@ -48,7 +49,7 @@
 // NewList makes an empty list.
 func NewList() *List { return &List{entries: make(map[string]Entry)} }
 
-// Set adds or changes an entry; one that is removed leaves the list.
+// Set adds or changes an entry; one whose phase is Removed leaves the list.
 func (l *List) Set(e Entry) {
 	l.revision++
 	if l.entries[e.ID] = e; e.Phase == Removed {
@@ -59,7 +60,7 @@
 	}
 }
 
-// SetPhase changes what the list says of a server that is in it.
+// SetPhase changes the phase of a server that is in the list.
 func (l *List) SetPhase(id, phase string) {
 	if e, ok := l.entries[id]; ok {
 		e.Phase = phase
@@ -67,18 +68,14 @@
 	}
 }
 
-// Snapshot is the list as it is.
+// Snapshot returns the complete list.
 func (l *List) Snapshot() ListResponse {
-	a := ListResponse{Revision: l.revision, Complete: true, Members: []Entry{}}
-	for _, id := range slices.Sorted(maps.Keys(l.entries)) {
-		a.Members = append(a.Members, l.entries[id])
-	}
-	return a
+	return ListResponse{Revision: l.revision, Complete: true, Members: inOrder(l.entries)}
 }
 
-// Since is what changed after a revision; ok is false where nothing did. A revision that the list never had,
-// or whose changes it no longer has, is answered with the whole.
-func (l *List) Since(revision int64) (a ListResponse, ok bool) {
+// Since returns the entries that have changed after a revision; ok is false where none has. A revision that the list
+// never had, or whose changes are no longer retained, gets the complete list.
+func (l *List) Since(revision int64) (response ListResponse, ok bool) {
 	if revision == l.revision {
 		return ListResponse{Revision: l.revision, Members: []Entry{}}, false
 	}
@@ -91,9 +88,14 @@
 			newest[c.entry.ID] = c.entry
 		}
 	}
-	a = ListResponse{Revision: l.revision, Members: []Entry{}}
-	for _, id := range slices.Sorted(maps.Keys(newest)) {
-		a.Members = append(a.Members, newest[id])
+	return ListResponse{Revision: l.revision, Members: inOrder(newest)}, true
+}
+
+// inOrder returns entries in the order of their IDs; never nil, because nil is null in JSON.
+func inOrder(entries map[string]Entry) []Entry {
+	ordered := make([]Entry, 0, len(entries))
+	for _, id := range slices.Sorted(maps.Keys(entries)) {
+		ordered = append(ordered, entries[id])
 	}
-	return a, true
+	return ordered
 }
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -135,7 +135,7 @@
 		if !o.answered {
 			o.answered = true
 			w.deliver(n, policy.ClientCancelled{ID: t.ID})
-			w.Checker.RequestTimedOut(w.now, t.ID)
+			w.Checker.RequestTimedOut(t.ID)
 			w.endTry(g, t, 0, 0)
 			w.forget(o)
 		}
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -172,7 +172,7 @@
 	case errors.Is(err, errNoConnection) || errors.Is(err, errEndedUnanswered):
 		w.Checker.ConnectionFailed(now, t.ID, fmt.Errorf("%s: %w", d.node.Spec.Name, err), d.node.killedSince(began))
 	case isTimeout(err):
-		w.Checker.RequestTimedOut(now, t.ID)
+		w.Checker.RequestTimedOut(t.ID)
 	case w.ctx.Err() == nil:
 		w.Checker.ConnectionBroken(now, t.ID, d.node.killedSince(began))
 	}
