--- a/cmd/sloerail/demo.go
+++ b/cmd/sloerail/demo.go
@@ -10,7 +10,7 @@
 )
 
 func newDemo() *cobra.Command {
-	d := testcluster.DemoSpec{For: 20 * time.Second, Nodes: 3, Seed: 1}
+	d := testcluster.DemoSpec{Duration: 20 * time.Second, Nodes: 3, Seed: 1}
 	cmd := &cobra.Command{
 		Use:   "demo",
 		Short: "Play a fleet through the death of a node on this machine, with nothing else needed",
@@ -26,7 +26,7 @@
 		},
 	}
 	f := cmd.Flags()
-	f.DurationVar(&d.For, "for", d.For, "how long clients come")
+	f.DurationVar(&d.Duration, "for", d.Duration, "how long clients come")
 	f.IntVar(&d.Nodes, "nodes", d.Nodes, "nodes of the fleet")
 	f.Uint64Var(&d.Seed, "seed", d.Seed, "of what is drawn")
 	return cmd
--- a/internal/scaletest/process_list.go
+++ b/internal/scaletest/process_list.go
@@ -39,7 +39,7 @@
 
 // serve has a handler answer at an address of the rig's.
 func (c *listCounter) serve(r *testcluster.Cluster, h http.Handler) error {
-	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", r.Host(), listServicePort))
+	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", r.NewAddress(), listServicePort))
 	if err != nil {
 		return err
 	}
--- a/internal/scaletest/process_registry.go
+++ b/internal/scaletest/process_registry.go
@@ -71,7 +71,7 @@
 	began := time.Now()
 	for w := range registryWriters {
 		all.Go(func() {
-			c := registry.NewClient([]string{g.Listen(g.leader)})
+			c := registry.NewClient([]string{g.Address(g.leader)})
 			for i := w; i < n && errs[w] == nil && ctx.Err() == nil; i += registryWriters {
 				errs[w] = write(c, i)
 			}
@@ -140,7 +140,7 @@
 
 // measureWholeList notes how large the list is as a node is given it.
 func measureWholeList(ctx context.Context, g *registryRun, rec *Recorder) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+g.Listen(g.leader)+"/registry/instances", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+g.Address(g.leader)+"/registry/instances", nil)
 	if err != nil {
 		return err
 	}
@@ -211,7 +211,7 @@
 	defer stop()
 	w := &watchers{late: hdrhistogram.New(1, maxNotifyTime.Microseconds(), histogramDigit)}
 	for i := range n {
-		all.Go(func() { w.follow(under, registry.NewClient([]string{g.Listen(g.Names[i%len(g.Names)])})) })
+		all.Go(func() { w.follow(under, registry.NewClient([]string{g.Address(g.Names[i%len(g.Names)])})) })
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTime)
 	defer cancel()
@@ -221,7 +221,7 @@
 	if err := testcluster.Await(ctx, "all watchers", count(&w.ready, n)); err != nil {
 		return err
 	}
-	c := registry.NewClient([]string{g.Listen(g.leader)})
+	c := registry.NewClient([]string{g.Address(g.leader)})
 	before, err := cpuOfAll(g.pids()...)
 	if err != nil {
 		return err
--- a/internal/scaletest/process_requests.go
+++ b/internal/scaletest/process_requests.go
@@ -32,7 +32,7 @@
 		w.Header().Set("X-Load", "latency_ms=1.0,util=0.02,qps=30")
 		_, _ = io.WriteString(w, answerBody)
 	})}
-	host := r.Host()
+	host := r.NewAddress()
 	for i := range requestServers {
 		ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", host, 9000+i))
 		if err != nil {
--- a/internal/scaletest/process_scoped.go
+++ b/internal/scaletest/process_scoped.go
@@ -33,8 +33,8 @@
 	if err != nil {
 		return nil, err
 	}
-	l := &registryList{run: run, client: registry.NewClient([]string{run.Listen(run.leader)})}
-	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: run.Listen(run.leader)})
+	l := &registryList{run: run, client: registry.NewClient([]string{run.Address(run.leader)})}
+	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: run.Address(run.leader)})
 	proxy.ErrorLog = log.New(io.Discard, "", 0) // of nodes that hang up at their end
 	if err := l.serve(r, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		proxy.ServeHTTP(&countingWriter{w, l.counted()}, req)
--- a/internal/testcluster/clients.go
+++ b/internal/testcluster/clients.go
@@ -10,27 +10,27 @@
 	"sloerail/internal/emulator"
 )
 
-// Clients sends what these clients ask to the nodes of a front, and returns once the last try has ended.
-func (w *World) Clients(name string, spec emulator.ClientSpec, nodes ...*Node) *LoadGenerator {
-	w.mu.Lock()
-	spec.Until += w.now()
-	l := &LoadGenerator{w: w, clients: emulator.NewClients(name, spec, w.now(), w.seed), done: make(chan struct{}),
+// StartClients sends what these clients ask to the nodes of a front, and returns once the last try has ended.
+func (e *Environment) StartClients(name string, spec emulator.ClientSpec, nodes ...*Node) *LoadGenerator {
+	e.mu.Lock()
+	spec.Until += e.now()
+	l := &LoadGenerator{env: e, clients: emulator.NewClients(name, spec, e.now(), e.seed), done: make(chan struct{}),
 		wakeup: make(chan struct{}, 1)}
-	w.mu.Unlock()
+	e.mu.Unlock()
 	for _, n := range nodes {
 		l.backends = append(l.backends, &backend{node: n, healthy: true})
 	}
 	l.zone = nodes[0].Spec.zone()
 	for _, d := range l.backends {
-		w.parts.Go(func() { l.checkHealth(d) })
+		e.background.Go(func() { l.checkHealth(d) })
 	}
-	w.parts.Go(l.run)
+	e.background.Go(l.run)
 	return l
 }
 
 // LoadGenerator is clients at work.
 type LoadGenerator struct {
-	w           *World
+	env         *Environment
 	zone        string // of the nodes that they ask first
 	clients     *emulator.Clients
 	backends    []*backend
@@ -38,8 +38,8 @@
 	done        chan struct{}
 	nextBackend int
 
-	open     int // tries
-	notReady int // answers to the front that a node doesn't take clients
+	openAttempts  int // tries
+	notReadyCount int // answers to the front that a node doesn't take clients
 }
 
 // Wait waits until the clients' time is over and their last try has ended.
@@ -52,17 +52,17 @@
 	}
 }
 
-// NotReady is how often a node told the front that it takes no clients.
-func (l *LoadGenerator) NotReady() int {
-	l.w.mu.Lock()
-	defer l.w.mu.Unlock()
-	return l.notReady
+// NotReadyCount is how often a node told the front that it takes no clients.
+func (l *LoadGenerator) NotReadyCount() int {
+	l.env.mu.Lock()
+	defer l.env.mu.Unlock()
+	return l.notReadyCount
 }
 
-// Sums tells what became of the requests so far, in all.
-func (l *LoadGenerator) Sums() (all emulator.ClientStats) {
-	l.w.mu.Lock()
-	defer l.w.mu.Unlock()
+// Stats tells what became of the requests so far, in all.
+func (l *LoadGenerator) Stats() (all emulator.ClientStats) {
+	l.env.mu.Lock()
+	defer l.env.mu.Unlock()
 	for _, s := range l.clients.Stats {
 		all.Requests += s.Requests
 		all.InTime += s.InTime
@@ -75,38 +75,38 @@
 
 func (l *LoadGenerator) run() {
 	defer close(l.done)
-	w := l.w
+	env := l.env
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		w.mu.Lock()
-		for _, t := range l.clients.TakeDue(w.now()) {
-			if w.open >= maxOpenTries {
-				w.skipped++
-				l.clients.AttemptEnded(w.now(), t, 0, 0)
+		env.mu.Lock()
+		for _, t := range l.clients.TakeDue(env.now()) {
+			if env.openAttempts >= maxOpenAttempts {
+				env.skippedAttempts++
+				l.clients.AttemptEnded(env.now(), t, 0, 0)
 				continue
 			}
-			w.open++
-			l.open++
-			if w.outcome != nil && t.Number == 0 {
-				w.outcome.Ask(l.zone, t)
+			env.openAttempts++
+			l.openAttempts++
+			if env.outcome != nil && t.Number == 0 {
+				env.outcome.Ask(l.zone, t)
 			}
 			d := l.pickBackend()
-			w.trying.Go(func() { l.send(t, d) })
+			env.sending.Go(func() { l.send(t, d) })
 		}
 		at, ok := l.clients.Next()
-		open := l.open
-		w.mu.Unlock()
+		open := l.openAttempts
+		env.mu.Unlock()
 		if !ok && open == 0 {
 			return
 		}
 		if ok {
-			timer.Reset(at - w.now())
+			timer.Reset(at - env.now())
 		}
 		select {
 		case <-timer.C:
 		case <-l.wakeup:
-		case <-w.ctx.Done():
+		case <-env.ctx.Done():
 			return
 		}
 	}
@@ -135,51 +135,51 @@
 // checkHealth asks a node whether it takes clients, as a front does.
 func (l *LoadGenerator) checkHealth(d *backend) {
 	fails := 0
-	for wait(l.w.ctx, healthInterval) == nil {
-		err := Get(l.w.ctx, d.node.Listen, "/health/ready", nil)
+	for wait(l.env.ctx, healthCheckInterval) == nil {
+		err := Get(l.env.ctx, d.node.Listen, "/health/ready", nil)
 		if fails++; err == nil {
 			fails = 0
 		}
 		var status statusError
 		if errors.As(err, &status) {
-			l.w.mu.Lock()
-			l.notReady++
-			l.w.mu.Unlock()
+			l.env.mu.Lock()
+			l.notReadyCount++
+			l.env.mu.Unlock()
 		}
-		l.w.mu.Lock()
-		d.healthy = fails < unhealthyAfter
-		l.w.mu.Unlock()
+		l.env.mu.Lock()
+		d.healthy = fails < unhealthyThreshold
+		l.env.mu.Unlock()
 	}
 }
 
 // send sends one try and tells the clients and the checker what came of it.
 func (l *LoadGenerator) send(t *emulator.ClientAttempt, d *backend) {
-	w := l.w
+	env := l.env
 	began := time.Now()
 	status, retryAfter, err := d.exchange(t, func() {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		w.Checker.RequestAccepted(w.now(), t)
+		env.mu.Lock()
+		defer env.mu.Unlock()
+		env.Checker.RequestAccepted(env.now(), t)
 	})
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.open--
-	l.open--
-	now := w.now()
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	env.openAttempts--
+	l.openAttempts--
+	now := env.now()
 	switch {
 	case err == nil:
-		w.Checker.ResponseReceived(now, t.ID, status)
+		env.Checker.ResponseReceived(now, t.ID, status)
 	case errors.Is(err, errNoConnection) || errors.Is(err, errEndedUnanswered):
-		w.Checker.ConnectionFailed(now, t.ID, fmt.Errorf("%s: %w", d.node.Spec.Name, err), d.node.killedSince(began))
+		env.Checker.ConnectionFailed(now, t.ID, fmt.Errorf("%s: %w", d.node.Spec.Name, err), d.node.killedSince(began))
 	case isTimeout(err):
-		w.Checker.RequestTimedOut(t.ID)
-	case w.ctx.Err() == nil:
-		w.Checker.ConnectionBroken(now, t.ID, d.node.killedSince(began))
+		env.Checker.RequestTimedOut(t.ID)
+	case env.ctx.Err() == nil:
+		env.Checker.ConnectionBroken(now, t.ID, d.node.killedSince(began))
 	}
 	before := *l.clients.Stats[t.Class.Name]
 	l.clients.AttemptEnded(now, t, status, retryAfter)
-	if w.outcome != nil {
-		w.outcome.Ended(t, before, *l.clients.Stats[t.Class.Name])
+	if env.outcome != nil {
+		env.outcome.Ended(t, before, *l.clients.Stats[t.Class.Name])
 	}
 	select {
 	case l.wakeup <- struct{}{}:
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -21,40 +21,40 @@
 )
 
 const (
-	blocks    = 254                   // of loopback addresses: 127.77.N.0/24
-	guardPort = 7001                  // at the first address of a block: who listens there owns it
-	firstHost = 2                     // of a block
-	lastHost  = 254                   //
-	pollEvery = 10 * time.Millisecond // between looks at a condition
+	addressBlocks = 254                   // of loopback addresses: 127.77.N.0/24
+	guardPort     = 7001                  // at the first address of a block: who listens there owns it
+	firstHost     = 2                     // of a block
+	lastHost      = 254                   //
+	pollInterval  = 10 * time.Millisecond // between looks at a condition
 )
 
 // Cluster starts processes and carries what passes between them. Its methods may be called from any goroutine.
 type Cluster struct {
-	dir    string
-	guard  net.Listener
-	block  int
-	links  *links
-	starts chan start
-	ended  chan struct{} // closed by Close
-
-	mu    sync.Mutex
-	host  int
-	procs []*Process
-	ends  []func()
-	once  sync.Once
+	dir           string
+	guard         net.Listener
+	block         int
+	links         *links
+	startRequests chan startRequest
+	closed        chan struct{} // closed by Close
+
+	mu        sync.Mutex
+	host      int
+	procs     []*Process
+	closers   []func()
+	closeOnce sync.Once
 }
 
-type start struct {
+type startRequest struct {
 	cmd   *exec.Cmd
 	reply chan error
 }
 
 // New makes a rig that keeps its files in dir. The seed drives the links' chances.
 func New(dir string, seed uint64) (*Cluster, error) {
-	r := &Cluster{dir: dir, host: firstHost, starts: make(chan start), ended: make(chan struct{})}
+	r := &Cluster{dir: dir, host: firstHost, startRequests: make(chan startRequest), closed: make(chan struct{})}
 	first := os.Getpid()
-	for i := range blocks {
-		r.block = 1 + (first+i)%blocks
+	for i := range addressBlocks {
+		r.block = 1 + (first+i)%addressBlocks
 		guard, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.1:%d", r.block, guardPort))
 		if err == nil {
 			r.guard = guard
@@ -71,66 +71,66 @@
 
 // starter starts all processes from one thread that stays: the kernel's word that a child is to die with its
 // parent is about the thread that started it.
-func (r *Cluster) starter() {
+func (c *Cluster) starter() {
 	runtime.LockOSThread()
 	for {
 		select {
-		case s := <-r.starts:
+		case s := <-c.startRequests:
 			s.reply <- s.cmd.Start()
-		case <-r.ended:
+		case <-c.closed:
 			return
 		}
 	}
 }
 
-// Host returns a loopback address that is this rig's alone.
-func (r *Cluster) Host() string {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.host > lastHost {
+// NewAddress returns a loopback address that is this rig's alone.
+func (c *Cluster) NewAddress() string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.host > lastHost {
 		panic("rig: a block has 253 addresses")
 	}
-	r.host++
-	return fmt.Sprintf("127.77.%d.%d", r.block, r.host-1)
+	c.host++
+	return fmt.Sprintf("127.77.%d.%d", c.block, c.host-1)
 }
 
-// anyPort is where relays and stand-ins listen: nobody else uses the rig's first address.
-func (r *Cluster) anyPort() string { return fmt.Sprintf("127.77.%d.1:0", r.block) }
+// anyPortAddress is where relays and stand-ins listen: nobody else uses the rig's first address.
+func (c *Cluster) anyPortAddress() string { return fmt.Sprintf("127.77.%d.1:0", c.block) }
 
 // Dir makes a folder of the rig's.
-func (r *Cluster) Dir(name string) (string, error) {
-	path := filepath.Join(r.dir, name)
+func (c *Cluster) Dir(name string) (string, error) {
+	path := filepath.Join(c.dir, name)
 	return path, os.MkdirAll(path, 0o700)
 }
 
 // onClose has Close call end, the last first.
-func (r *Cluster) onClose(end func()) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.ends = append(r.ends, end)
+func (c *Cluster) onClose(end func()) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.closers = append(c.closers, end)
 }
 
 // Close kills what runs, and ends the links. It may be called more than once.
-func (r *Cluster) Close() {
-	r.once.Do(func() {
-		r.mu.Lock()
-		procs, ends := r.procs, r.ends
-		r.mu.Unlock()
+func (c *Cluster) Close() {
+	c.closeOnce.Do(func() {
+		c.mu.Lock()
+		procs, ends := c.procs, c.closers
+		c.mu.Unlock()
 		for _, p := range procs {
 			p.Kill()
 		}
 		for i := len(ends) - 1; i >= 0; i-- {
 			ends[i]()
 		}
-		r.links.close()
-		close(r.ended)
-		_ = r.guard.Close()
+		c.links.close()
+		close(c.closed)
+		_ = c.guard.Close()
 	})
 }
 
 // Await looks at a condition until it holds or ctx ends, whose error then names what was awaited.
 func Await(ctx context.Context, what string, holds func() bool) error {
-	tick := time.NewTicker(pollEvery)
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for !holds() {
 		select {
--- a/internal/testcluster/cluster_test.go
+++ b/internal/testcluster/cluster_test.go
@@ -15,12 +15,12 @@
 
 var (
 	replacements = flag.Int("replacements", 30, "how often TestReplacementWhileShortOfCPU replaces its node")
-	starve       = flag.Float64("starve", 0, "part of the time that each process gets, in slices of 100 ms; 0 for all of it")
+	starveCPU    = flag.Float64("starve", 0, "part of the time that each process gets, in slices of 100 ms; 0 for all of it")
 	seed         = flag.Uint64("seed", 1, "of the faults that are drawn")
 )
 
-// long is more than any step takes, on a loaded machine too.
-const long = 60 * time.Second
+// stepTimeout is more than any step takes, on a loaded machine too.
+const stepTimeout = 60 * time.Second
 
 func TestMain(m *testing.M) {
 	status := m.Run()
@@ -28,7 +28,7 @@
 	os.Exit(status)
 }
 
-func newRig(t *testing.T) (*Cluster, context.Context) {
+func newCluster(t *testing.T) (*Cluster, context.Context) {
 	t.Helper()
 	r, err := New(t.TempDir(), *seed)
 	if err != nil {
@@ -49,13 +49,13 @@
 
 func within(t *testing.T, ctx context.Context) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(ctx, long)
+	ctx, cancel := context.WithTimeout(ctx, stepTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
 
-// quick are classes whose time is short, so that a process is soon through with its clients.
-func quick() []emulator.Class {
+// shortClasses are classes whose time is short, so that a process is soon through with its clients.
+func shortClasses() []emulator.Class {
 	const ms = time.Millisecond
 	return []emulator.Class{
 		{Name: "read", Share: 2, MinWork: 4 * ms, MaxWork: 12 * ms, LatencyObjective: 1500 * ms, Deadline: 1500 * ms, PriorityWeight: 1,
@@ -69,7 +69,7 @@
 
 var tenants = []emulator.Tenant{{Name: "east", Share: 0.6}, {Name: "west", Share: 0.4}}
 
-func boxes(n int, zones ...string) (all []emulator.ServerSpec) {
+func serverSpecs(n int, zones ...string) (all []emulator.ServerSpec) {
 	for i := range n {
 		spec := emulator.DefaultServer(fmt.Sprintf("s-%02d", i), zones[i%len(zones)])
 		spec.Cell = int64(i % len(zones)) // numbered through all zones
@@ -89,18 +89,18 @@
 	}
 }
 
-// clean fails the test where a rule was broken or a request turned back.
-func (w *World) clean(t *testing.T) {
+// requireNoViolations fails the test where a rule was broken or a request turned back.
+func (e *Environment) requireNoViolations(t *testing.T) {
 	t.Helper()
-	w.Look(func() {
-		if all, n := w.Checker.Violations(); n > 0 {
+	e.WithLock(func() {
+		if all, n := e.Checker.Violations(); n > 0 {
 			t.Errorf("%d rules broken: %q", n, all)
 		}
-		if len(w.Checker.ConnectionErrors) > 0 {
-			t.Errorf("%d requests turned back: %q", w.Checker.ConnectionFailures, w.Checker.ConnectionErrors)
+		if len(e.Checker.ConnectionErrors) > 0 {
+			t.Errorf("%d requests turned back: %q", e.Checker.ConnectionFailures, e.Checker.ConnectionErrors)
 		}
-		if w.skipped > 0 {
-			t.Errorf("the clients could not send %d tries", w.skipped)
+		if e.skippedAttempts > 0 {
+			t.Errorf("the clients could not send %d tries", e.skippedAttempts)
 		}
 	})
 }
@@ -109,15 +109,15 @@
 // between bind, accept, its first yes and its end. No request is turned back, refused for want of a
 // descriptor, or lost.
 func TestReplacementWhileShortOfCPU(t *testing.T) {
-	r, ctx := newRig(t)
-	w := r.NewWorld(*seed, boxes(3, "a")...)
+	r, ctx := newCluster(t)
+	w := r.NewEnvironment(*seed, serverSpecs(3, "a")...)
 	n, err := w.AddNode(NodeSpec{Name: "n0", Sockets: 96, MemoryMB: 64,
-		Settings: Settings(0, 1, "a", quick(), tenants, 2000)})
+		Settings: Settings(0, 1, "a", shortClasses(), tenants, 2000)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	startReady(t, ctx, n)
-	load := w.Clients("c", emulator.ClientSpec{Rate: 150, Classes: quick(), Tenants: tenants, TimeoutFraction: 1,
+	load := w.StartClients("c", emulator.ClientSpec{Rate: 150, Classes: shortClasses(), Tenants: tenants, TimeoutFraction: 1,
 		Until: time.Hour}, n)
 	held := make(chan int, 1)
 	watched, over := context.WithCancel(ctx)
@@ -134,8 +134,8 @@
 		if _, err := n.Start(); err != nil {
 			t.Fatal(err)
 		}
-		if *starve > 0 {
-			defer n.Process().ThrottleCPU(*starve, 100*time.Millisecond)()
+		if *starveCPU > 0 {
+			defer n.Process().ThrottleCPU(*starveCPU, 100*time.Millisecond)()
 		}
 		// Stops of the new process land anywhere in its start; those of the old one anywhere in its end.
 		stutter := func(p *Process, times int) {
@@ -154,18 +154,18 @@
 			t.Fatalf("replacement %d: the old process: %v", i, err)
 		}
 	}
-	w.Look(func() { load.clients.StopArrivals() })
+	w.WithLock(func() { load.clients.StopArrivals() })
 	if err := load.Wait(within(t, ctx)); err != nil {
 		t.Fatal(err)
 	}
-	w.clean(t)
+	w.requireNoViolations(t)
 	over()
-	sums, most := load.Sums(), <-held
+	sums, most := load.Stats(), <-held
 	t.Logf("%d replacements, %+v, at most %d descriptors", *replacements, sums, most)
 	if most > n.Spec.Sockets {
 		t.Errorf("the processes held %d descriptors of %d", most, n.Spec.Sockets)
 	}
-	if n := load.NotReady(); n > 0 {
+	if n := load.NotReadyCount(); n > 0 {
 		t.Errorf("the front was told %d times that the node takes no clients", n)
 	}
 	if sums.Rejections > 0 || sums.Failed > 0 || sums.InTime == 0 {
--- a/internal/testcluster/demo.go
+++ b/internal/testcluster/demo.go
@@ -17,16 +17,16 @@
 
 // DemoSpec says what Demo plays.
 type DemoSpec struct {
-	For   time.Duration
-	Nodes int
-	Seed  uint64
+	Duration time.Duration
+	Nodes    int
+	Seed     uint64
 }
 
 // Check says what can't be played.
 func (d DemoSpec) Check() error {
 	switch {
-	case d.For < 3*time.Second || d.For > 10*time.Minute:
-		return fmt.Errorf("for: want 3 s to 10 min, got %v", d.For)
+	case d.Duration < 3*time.Second || d.Duration > 10*time.Minute:
+		return fmt.Errorf("for: want 3 s to 10 min, got %v", d.Duration)
 	case d.Nodes < 2 || d.Nodes > 15:
 		return fmt.Errorf("nodes: want 2 to 15, got %d", d.Nodes)
 	}
@@ -67,7 +67,7 @@
 type demoRun struct {
 	DemoSpec
 	out   *output.Printer
-	world *World
+	env   *Environment
 	fleet *Fleet
 	load  *LoadGenerator
 	began time.Time
@@ -88,9 +88,9 @@
 		servers = append(servers, spec)
 	}
 	tenants := []emulator.Tenant{{Name: "east", Share: 0.6}, {Name: "west", Share: 0.4}}
-	p.world = r.NewWorld(p.Seed, servers...)
+	p.env = r.NewEnvironment(p.Seed, servers...)
 	var err error
-	p.fleet, err = p.world.NewFleet(FleetSpec{Nodes: p.Nodes, Zones: demoZones, Classes: emulator.Classes(), Tenants: tenants,
+	p.fleet, err = p.env.NewFleet(FleetSpec{Nodes: p.Nodes, Zones: demoZones, Classes: emulator.Classes(), Tenants: tenants,
 		Quota: 4 * demoRate})
 	if err != nil {
 		return err
@@ -103,8 +103,8 @@
 		nodes = append(nodes, p.fleet.Nodes[name])
 	}
 	p.began = time.Now()
-	p.load = p.world.Clients("c", emulator.ClientSpec{Rate: demoRate, Classes: emulator.Classes(), Tenants: tenants, MaxRetries: 3,
-		RetryDelay: 50 * time.Millisecond, Until: p.For}, nodes...)
+	p.load = p.env.StartClients("c", emulator.ClientSpec{Rate: demoRate, Classes: emulator.Classes(), Tenants: tenants, MaxRetries: 3,
+		RetryDelay: 50 * time.Millisecond, Until: p.Duration}, nodes...)
 	return nil
 }
 
@@ -117,7 +117,7 @@
 	victim, ill := p.fleet.Names[1], "s-4"
 	box := func(f emulator.ServerFault) func() error {
 		return func() error {
-			p.world.Look(func() { p.world.Server(ill).Fault = f })
+			p.env.WithLock(func() { p.env.Server(ill).Fault = f })
 			return nil
 		}
 	}
@@ -126,15 +126,15 @@
 		what string
 		do   func() error
 	}{
-		{p.For / 4, victim + " is killed", func() error { p.fleet.Nodes[victim].Kill(); return nil }},
-		{p.For / 3, ill + " fails seven of ten", box(emulator.ServerFault{ErrorFraction: 0.7})},
-		{p.For / 2, victim + " is back", func() error { return p.fleet.Start(ctx, victim) }},
-		{p.For * 2 / 3, ill + " is well again", box(emulator.ServerFault{})},
+		{p.Duration / 4, victim + " is killed", func() error { p.fleet.Nodes[victim].Kill(); return nil }},
+		{p.Duration / 3, ill + " fails seven of ten", box(emulator.ServerFault{ErrorFraction: 0.7})},
+		{p.Duration / 2, victim + " is back", func() error { return p.fleet.Start(ctx, victim) }},
+		{p.Duration * 2 / 3, ill + " is well again", box(emulator.ServerFault{})},
 	}
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	for len(faults) > 0 || time.Since(p.began) < p.For {
-		next := p.For
+	for len(faults) > 0 || time.Since(p.began) < p.Duration {
+		next := p.Duration
 		if len(faults) > 0 {
 			next = faults[0].at
 		}
@@ -165,7 +165,7 @@
 			heard += " " + name + " is away"
 		}
 	}
-	s := p.load.Sums()
+	s := p.load.Stats()
 	p.printf("asked %d, served in time %d, late %d, refused tries %d;%s", s.Requests, s.InTime, s.Late, s.Rejections, heard)
 }
 
@@ -174,13 +174,13 @@
 	t := output.NewTable(p.out, "class", "asked", "served in time", "late", "not served")
 	var broken []string
 	var count int
-	p.world.Look(func() {
+	p.env.WithLock(func() {
 		for _, name := range slices.Sorted(maps.Keys(p.load.clients.Stats)) {
 			s := p.load.clients.Stats[name]
 			t.AppendRow(table.Row{name, s.Requests, fmt.Sprintf("%.1f%%", 100*float64(s.InTime)/float64(max(1, s.Requests))), s.Late,
 				s.Failed})
 		}
-		broken, count = p.world.Checker.Violations()
+		broken, count = p.env.Checker.Violations()
 		broken = slices.Clone(broken)
 	})
 	t.Render()
--- a/internal/testcluster/discovery_test.go
+++ b/internal/testcluster/discovery_test.go
@@ -16,14 +16,14 @@
 	"sloerail/internal/registry"
 )
 
-// listServers puts the servers of a world into a list service, each by an agent, until the returned function ends
+// mirrorRegistry puts the servers of a world into a list service, each by an agent, until the returned function ends
 // one or all. The node reaches them at the addresses that the list has.
-func listServers(t *testing.T, w *World, g *Registry, node string) (drop func(id string)) {
+func mirrorRegistry(t *testing.T, w *Environment, g *Registry, node string) (drop func(id string)) {
 	t.Helper()
 	stops := make(map[string]func())
 	var all sync.WaitGroup
 	for id, b := range w.servers {
-		at, err := w.serve(node, id, w.serverHandler(node, b.Spec.Zone, b))
+		at, err := w.listenFor(node, id, w.serverHandler(node, b.Spec.Zone, b))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -47,17 +47,17 @@
 // afterwards is heard of.
 func TestNodeSurvivesItsListService(t *testing.T) {
 	t.Parallel()
-	r, ctx := newRig(t)
+	r, ctx := newCluster(t)
 	g, _ := startRegistry(t, r, ctx, 3)
-	w := r.NewWorld(*seed, boxes(4, "a")...)
-	n, err := w.AddNode(NodeSpec{Name: "n0", Settings: Settings(0, 1, "a", quick(), tenants, 4000)})
+	w := r.NewEnvironment(*seed, serverSpecs(4, "a")...)
+	n, err := w.AddNode(NodeSpec{Name: "n0", Settings: Settings(0, 1, "a", shortClasses(), tenants, 4000)})
 	if err != nil {
 		t.Fatal(err)
 	}
 	n.Spec.InitialList = nil // all that it knows it has from the list service
 	n.Spec.Discovery = strings.Join(g.Addresses(), ",")
 	n.Spec.ListFile = n.dir + "/list"
-	drop := listServers(t, w, g, "n0")
+	drop := mirrorRegistry(t, w, g, "n0")
 	startReady(t, ctx, n)
 	entries := func(want int) {
 		t.Helper()
@@ -76,7 +76,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	load := w.Clients("c", emulator.ClientSpec{Rate: 80, Classes: quick(), Tenants: tenants, MaxRetries: 2,
+	load := w.StartClients("c", emulator.ClientSpec{Rate: 80, Classes: shortClasses(), Tenants: tenants, MaxRetries: 2,
 		RetryDelay: 100 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, n)
 	kill := func(names ...string) {
 		for _, name := range names {
@@ -92,13 +92,13 @@
 		t.Fatal(err)
 	}
 	kill(g.Names...)
-	before := load.Sums()
+	before := load.Stats()
 	_ = wait(ctx, 3*time.Second) // longer than a lease
 	n.Kill()                     // and the node itself, with nobody to ask
 	startReady(t, ctx, n)
 	entries(4)
 	_ = wait(ctx, time.Second)
-	if after := load.Sums(); after.InTime-before.InTime < 200 {
+	if after := load.Stats(); after.InTime-before.InTime < 200 {
 		t.Errorf("%d served while the list service was away for 4 s, at 80 a second", after.InTime-before.InTime)
 	}
 	for _, name := range g.Names {
@@ -112,23 +112,23 @@
 	entries(4)
 	drop("s-03")
 	entries(3)
-	w.Look(func() { load.clients.StopArrivals() })
+	w.WithLock(func() { load.clients.StopArrivals() })
 	if err := load.Wait(within(t, ctx)); err != nil {
 		t.Fatal(err)
 	}
-	w.clean(t)
-	t.Logf("clients: %+v", load.Sums())
+	w.requireNoViolations(t)
+	t.Logf("clients: %+v", load.Stats())
 }
 
 // stats is a node's figures as text; empty where it gives none.
 func stats(ctx context.Context, n *Node) string {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/stats", nil)
 	if err != nil {
 		return ""
 	}
-	resp, err := caller.Do(req)
+	resp, err := controlClient.Do(req)
 	if err != nil {
 		return ""
 	}
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -47,8 +47,8 @@
 }
 
 // NewFleet makes the nodes of a fleet in this world; Start starts them.
-func (w *World) NewFleet(spec FleetSpec) (*Fleet, error) {
-	f := &Fleet{Nodes: make(map[string]*Node), cluster: w.cluster}
+func (e *Environment) NewFleet(spec FleetSpec) (*Fleet, error) {
+	f := &Fleet{Nodes: make(map[string]*Node), cluster: e.cluster}
 	hosts := make(map[string]string) // who sends from where
 	var all []*Node
 	for i := range spec.Nodes {
@@ -57,7 +57,7 @@
 		if spec.PollList {
 			settings["registryMode"] = "subscribe"
 		}
-		n, err := w.AddNode(NodeSpec{Name: name, Sockets: spec.Sockets, Topology: spec.Topology, RetainMissing: spec.RetainMissing,
+		n, err := e.AddNode(NodeSpec{Name: name, Sockets: spec.Sockets, Topology: spec.Topology, RetainMissing: spec.RetainMissing,
 			Settings: settings})
 		if err != nil {
 			return nil, err
@@ -68,7 +68,7 @@
 	}
 	join := []string{}
 	for i, n := range all {
-		at, err := w.cluster.RelayGossip(n.Spec.Name, n.Gossip(), func(host string) string { return hosts[host] })
+		at, err := e.cluster.RelayGossip(n.Spec.Name, n.Gossip(), func(host string) string { return hosts[host] })
 		if err != nil {
 			return nil, err
 		}
@@ -105,9 +105,9 @@
 	return v, err
 }
 
-// AwaitAgree waits until each of these nodes hears all of these, suspects none, and hears nobody else; it
+// AwaitMembership waits until each of these nodes hears all of these, suspects none, and hears nobody else; it
 // returns how long that took.
-func (f *Fleet) AwaitAgree(ctx context.Context, names ...string) (time.Duration, error) {
+func (f *Fleet) AwaitMembership(ctx context.Context, names ...string) (time.Duration, error) {
 	began := time.Now()
 	want := slices.Sorted(slices.Values(names))
 	for _, name := range want {
@@ -173,8 +173,8 @@
 	return told
 }
 
-// Deaths counts what all nodes told of deaths so far.
-func (f *Fleet) Deaths() (sum int) {
+// DeathReports counts what all nodes told of deaths so far.
+func (f *Fleet) DeathReports() (sum int) {
 	for _, name := range f.Names {
 		for _, n := range f.StateReports(name, "dead") {
 			sum += n
@@ -183,13 +183,13 @@
 	return sum
 }
 
-// Without are all nodes of the fleet but these.
-func (f *Fleet) Without(names ...string) []string {
+// Others are all nodes of the fleet but these.
+func (f *Fleet) Others(names ...string) []string {
 	return slices.DeleteFunc(slices.Clone(f.Names), func(n string) bool { return slices.Contains(names, n) })
 }
 
-// Split cuts the gossip between the sides, or heals it where there is one side alone.
-func (f *Fleet) Split(sides ...[]string) {
+// Partition cuts the gossip between the sides, or heals it where there is one side alone.
+func (f *Fleet) Partition(sides ...[]string) {
 	side := make(map[string]int)
 	for i, names := range sides {
 		for _, n := range names {
@@ -199,22 +199,22 @@
 	for _, a := range f.Names {
 		for _, b := range f.Names {
 			if a != b {
-				faults := f.cluster.Link(a, b)
+				faults := f.cluster.LinkFaults(a, b)
 				faults.Cut = side[a] != side[b]
-				f.cluster.SetLink(a, b, faults)
+				f.cluster.SetLinkFaults(a, b, faults)
 			}
 		}
 	}
 }
 
-// Lose has a part of all gossip lost.
-func (f *Fleet) Lose(part float64) {
+// SetLoss has a part of all gossip lost.
+func (f *Fleet) SetLoss(part float64) {
 	for _, a := range f.Names {
 		for _, b := range f.Names {
 			if a != b {
-				faults := f.cluster.Link(a, b)
+				faults := f.cluster.LinkFaults(a, b)
 				faults.Loss = part
-				f.cluster.SetLink(a, b, faults)
+				f.cluster.SetLinkFaults(a, b, faults)
 			}
 		}
 	}
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -17,36 +17,36 @@
 	"sloerail/internal/emulator"
 )
 
-// trial is a fleet under load, and what its steps are held to.
-type trial struct {
+// fleetHarness is a fleet under load, and what its steps are held to.
+type fleetHarness struct {
 	*testing.T
 	*Fleet
-	w     *World
+	w     *Environment
 	ctx   context.Context
 	loads []*LoadGenerator
 }
 
-func newTrial(t *testing.T, n int, spec FleetSpec, rate float64) *trial {
+func newFleetHarness(t *testing.T, n int, spec FleetSpec, rate float64) *fleetHarness {
 	t.Helper()
 	spec.Nodes, spec.Zones = n, []string{"a", "b"}
-	x := startTrial(t, spec, boxes(6, spec.Zones...))
+	x := startFleetHarness(t, spec, serverSpecs(6, spec.Zones...))
 	if rate > 0 {
 		var all []*Node
 		for _, name := range x.Names {
 			all = append(all, x.Nodes[name])
 		}
-		x.loads = append(x.loads, x.w.Clients("c", emulator.ClientSpec{Rate: rate, Classes: quick(), Tenants: tenants,
+		x.loads = append(x.loads, x.w.StartClients("c", emulator.ClientSpec{Rate: rate, Classes: shortClasses(), Tenants: tenants,
 			MaxRetries: 3, RetryDelay: 50 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, all...))
 	}
 	return x
 }
 
-// startTrial starts a fleet among these servers, with nobody asking yet.
-func startTrial(t *testing.T, spec FleetSpec, boxes []emulator.ServerSpec) *trial {
+// startFleetHarness starts a fleet among these servers, with nobody asking yet.
+func startFleetHarness(t *testing.T, spec FleetSpec, boxes []emulator.ServerSpec) *fleetHarness {
 	t.Helper()
-	r, ctx := newRig(t)
-	w := r.NewWorld(*seed, boxes...)
-	spec.Classes, spec.Tenants = quick(), tenants
+	r, ctx := newCluster(t)
+	w := r.NewEnvironment(*seed, boxes...)
+	spec.Classes, spec.Tenants = shortClasses(), tenants
 	if spec.Quota == 0 {
 		spec.Quota = 4000
 	}
@@ -54,26 +54,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &trial{T: t, Fleet: f, w: w, ctx: ctx}
+	x := &fleetHarness{T: t, Fleet: f, w: w, ctx: ctx}
 	if err := f.Start(within(t, ctx), f.Names...); err != nil {
 		t.Fatal(err)
 	}
-	x.agree(f.Names...)
+	x.awaitMembership(f.Names...)
 	return x
 }
 
-// agree waits until these nodes hear each other and nobody else.
-func (x *trial) agree(names ...string) time.Duration {
+// awaitMembership waits until these nodes hear each other and nobody else.
+func (x *fleetHarness) awaitMembership(names ...string) time.Duration {
 	x.Helper()
-	took, err := x.AwaitAgree(within(x.T, x.ctx), names...)
+	took, err := x.AwaitMembership(within(x.T, x.ctx), names...)
 	if err != nil {
 		x.Fatal(err)
 	}
 	return took
 }
 
-// await waits until these nodes hold a member for that.
-func (x *trial) await(member, state string, names ...string) []time.Duration {
+// awaitState waits until these nodes hold a member for that.
+func (x *fleetHarness) awaitState(member, state string, names ...string) []time.Duration {
 	x.Helper()
 	took, err := x.AwaitState(within(x.T, x.ctx), member, state, names...)
 	if err != nil {
@@ -83,21 +83,21 @@
 }
 
 // finish ends the load, and holds the nodes to the rules.
-func (x *trial) finish() {
+func (x *fleetHarness) finish() {
 	x.Helper()
 	for _, l := range x.loads {
-		x.w.Look(func() { l.clients.StopArrivals() })
+		x.w.WithLock(func() { l.clients.StopArrivals() })
 		if err := l.Wait(within(x.T, x.ctx)); err != nil {
 			x.Fatal(err)
 		}
-		x.Logf("clients: %+v", l.Sums())
+		x.Logf("clients: %+v", l.Stats())
 	}
-	x.w.clean(x.T)
+	x.w.requireNoViolations(x.T)
 }
 
-func (x *trial) pause(name string, d time.Duration) { x.Nodes[name].Process().Pause(x.ctx, d) }
+func (x *fleetHarness) pause(name string, d time.Duration) { x.Nodes[name].Process().Pause(x.ctx, d) }
 
-func (x *trial) restart(name string) {
+func (x *fleetHarness) restart(name string) {
 	x.Helper()
 	if err := x.Start(within(x.T, x.ctx), name); err != nil {
 		x.Fatal(err)
@@ -105,9 +105,9 @@
 }
 
 // One fleet of seven lives through one fault after the other, under load.
-func TestFleetThroughTroubles(t *testing.T) { //nolint:gocyclo // a table of steps, each of which is a short function
-	x := newTrial(t, 7, FleetSpec{}, 120)
-	others := x.Without("n03")
+func TestFleetSurvivesFaults(t *testing.T) { //nolint:gocyclo // a table of steps, each of which is a short function
+	x := newFleetHarness(t, 7, FleetSpec{}, 120)
+	others := x.Others("n03")
 	for _, step := range []struct {
 		name   string
 		deaths int // told in all, at most
@@ -115,25 +115,25 @@
 	}{
 		{"a short pause is no death", 0, func() {
 			x.pause("n03", 500*time.Millisecond)
-			x.agree(x.Names...)
+			x.awaitMembership(x.Names...)
 		}},
 		{"one of seven killed, and back", 6, func() {
 			x.Nodes["n03"].Kill()
-			x.Logf("known dead after %v", x.await("n03", "dead", others...))
+			x.Logf("known dead after %v", x.awaitState("n03", "dead", others...))
 			x.restart("n03")
-			x.agree(x.Names...)
+			x.awaitMembership(x.Names...)
 		}},
 		{"a long pause: each tells one death at most, and takes it back", 12, func() {
 			x.pause("n03", 3*time.Second)
-			x.Logf("agreed %v after the pause", x.agree(x.Names...))
+			x.Logf("agreed %v after the pause", x.awaitMembership(x.Names...))
 		}},
 		{"four of seven killed at once", 4 * 3, func() {
 			gone := []string{"n02", "n03", "n04", "n05"}
 			for _, name := range gone {
 				x.Nodes[name].Kill()
 			}
-			left := x.Without(gone...)
-			x.agree(left...)
+			left := x.Others(gone...)
+			x.awaitMembership(left...)
 			for _, name := range left {
 				if v, err := x.View(x.ctx, name); err != nil || !v.CutOff || v.Agreed != 7 {
 					x.Errorf("%s, one of three of seven: cut off %v, quotas by %d, %v", name, v.CutOff, v.Agreed, err)
@@ -142,71 +142,71 @@
 			for _, name := range gone {
 				x.restart(name)
 			}
-			x.agree(x.Names...)
+			x.awaitMembership(x.Names...)
 		}},
 		{"split 4 and 3, then 2, 2 and 3, then healed", 3 * 7 * 6, func() {
 			a, b, c := x.Names[:2], x.Names[2:4], x.Names[4:]
 			four := slices.Concat(a, b)
-			x.Split(four, c)
-			x.agree(four...)
-			x.agree(c...)
+			x.Partition(four, c)
+			x.awaitMembership(four...)
+			x.awaitMembership(c...)
 			for _, name := range x.Names {
 				v, err := x.View(x.ctx, name)
 				if cut := slices.Contains(c, name); err != nil || v.CutOff != cut || v.Agreed != 7 {
 					x.Errorf("%s: cut off %v, quotas by %d, %v", name, v.CutOff, v.Agreed, err)
 				}
 			}
-			x.Split(a, b, c)
-			x.agree(a...)
-			x.agree(b...)
-			x.Split()
-			x.Logf("healed after %v", x.agree(x.Names...))
+			x.Partition(a, b, c)
+			x.awaitMembership(a...)
+			x.awaitMembership(b...)
+			x.Partition()
+			x.Logf("healed after %v", x.awaitMembership(x.Names...))
 		}},
 		{"one that can hear and not send", 2 * 7 * 6, func() {
-			x.oneWay("n03", true)
-			x.await("n03", "dead", others...)
-			x.oneWay("n03", false)
-			x.Logf("healed after %v", x.agree(x.Names...))
+			x.setOneWayCut("n03", true)
+			x.awaitState("n03", "dead", others...)
+			x.setOneWayCut("n03", false)
+			x.Logf("healed after %v", x.awaitMembership(x.Names...))
 		}},
 		{"one that reaches one peer alone stays, or comes back", 7 * 6, func() {
 			for _, name := range others {
 				cut := Faults{Cut: name != "n00"}
-				x.cluster.SetLink("n03", name, cut)
-				x.cluster.SetLink(name, "n03", cut)
+				x.cluster.SetLinkFaults("n03", name, cut)
+				x.cluster.SetLinkFaults(name, "n03", cut)
 			}
 			if err := wait(x.ctx, 3*time.Second); err != nil { // as long as a death would take, and more
 				x.Fatal(err)
 			}
-			x.Split()
-			x.agree(x.Names...)
+			x.Partition()
+			x.awaitMembership(x.Names...)
 		}},
 		{"whole states in pieces over a slow link", 0, func() {
 			for _, name := range others {
-				x.cluster.SetLink("n03", name, Faults{Latency: 20 * time.Millisecond, Jitter: 30 * time.Millisecond, Bandwidth: 40_000})
-				x.cluster.SetLink(name, "n03", Faults{Reorder: 0.3, Duplicate: 0.3, Bandwidth: 40_000})
+				x.cluster.SetLinkFaults("n03", name, Faults{Latency: 20 * time.Millisecond, Jitter: 30 * time.Millisecond, Bandwidth: 40_000})
+				x.cluster.SetLinkFaults(name, "n03", Faults{Reorder: 0.3, Duplicate: 0.3, Bandwidth: 40_000})
 			}
 			x.Nodes["n03"].Process().Signal(syscall.SIGTERM)
 			if err := x.Nodes["n03"].Process().Wait(within(t, x.ctx)); err != nil {
 				x.Error(err)
 			}
 			x.restart("n03")
-			x.agree(x.Names...)
-			x.Split()
+			x.awaitMembership(x.Names...)
+			x.Partition()
 			for _, name := range others {
-				x.cluster.SetLink("n03", name, Faults{})
-				x.cluster.SetLink(name, "n03", Faults{})
+				x.cluster.SetLinkFaults("n03", name, Faults{})
+				x.cluster.SetLinkFaults(name, "n03", Faults{})
 			}
 		}},
 		{"rolling restart: all leave, and none dies", 0, func() {
 			for _, name := range x.Names {
 				p := x.Nodes[name].Process()
 				p.Signal(syscall.SIGTERM)
-				x.await(name, "left", x.Without(name)...)
+				x.awaitState(name, "left", x.Others(name)...)
 				if err := p.Wait(within(t, x.ctx)); err != nil {
 					x.Error(err)
 				}
 				x.restart(name)
-				x.agree(x.Names...)
+				x.awaitMembership(x.Names...)
 			}
 		}},
 		{"rolling replacement: one member throughout, with a later incarnation", 0, func() {
@@ -225,16 +225,16 @@
 				if err != nil {
 					x.Fatal(err)
 				}
-				x.agree(x.Names...)
+				x.awaitMembership(x.Names...)
 			}
 		}},
 	} {
 		x.T = t
 		t.Run(step.name, func(t *testing.T) {
 			x.T = t
-			before := x.Deaths()
+			before := x.DeathReports()
 			step.do()
-			if told := x.Deaths() - before; told > step.deaths {
+			if told := x.DeathReports() - before; told > step.deaths {
 				t.Errorf("%d deaths were told, want %d at most", told, step.deaths)
 			}
 		})
@@ -248,38 +248,38 @@
 
 // A fleet under load lives through a schedule of faults that a seed draws, however they fall together; then it
 // agrees again. A failure prints the schedule.
-func TestFleetUnderDrawnFaults(t *testing.T) {
+func TestFleetSurvivesRandomSchedule(t *testing.T) {
 	t.Parallel()
-	x := newTrial(t, 5, FleetSpec{}, 60)
-	s := Draw(*seed, 8, 8*time.Second, x.Names, Pause, Replace, Restart, Part, PartOne, Lossy)
-	if err := x.cluster.Play(within(t, x.ctx), s, x.Nodes); err != nil {
+	x := newFleetHarness(t, 5, FleetSpec{}, 60)
+	s := RandomSchedule(*seed, 8, 8*time.Second, x.Names, Pause, Replace, Restart, Partition, OneWayPartition, PacketLoss)
+	if err := x.cluster.PlaySchedule(within(t, x.ctx), s, x.Nodes); err != nil {
 		t.Errorf("%v\nschedule: %s", err, s)
 	}
-	x.agree(x.Names...)
+	x.awaitMembership(x.Names...)
 	x.finish()
 	if t.Failed() {
 		t.Logf("schedule: %s", s)
 	}
 }
 
-func TestSchedulesAreData(t *testing.T) {
-	s := Draw(7, 20, time.Minute, []string{"a", "b", "c"}, Kill, Part, Lossy)
-	back, err := Parse(s.String())
-	if err != nil || back.String() != s.String() || Draw(7, 20, time.Minute, []string{"a", "b", "c"}, Kill, Part, Lossy).String() != s.String() {
+func TestScheduleReadsBackAsPrinted(t *testing.T) {
+	s := RandomSchedule(7, 20, time.Minute, []string{"a", "b", "c"}, Kill, Partition, PacketLoss)
+	back, err := ParseSchedule(s.String())
+	if err != nil || back.String() != s.String() || RandomSchedule(7, 20, time.Minute, []string{"a", "b", "c"}, Kill, Partition, PacketLoss).String() != s.String() {
 		t.Errorf("%v: %s", err, back)
 	}
 	for text, want := range map[string]string{
 		`[{"Do":"burn","Whom":["a"]}]`: `step 0: unknown fault "burn"`, `[{"Do":"kill"}]`: "step 0: whom",
 		`[{"Do":"kill","Whom":["a"],"Loss":2}]`: "step 0: a figure", `{`: "schedule: ",
 	} {
-		if _, err := Parse(text); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := ParseSchedule(text); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: %v", text, err)
 		}
 	}
 }
 
 // incarnation is that of a member's process, as a node knows it.
-func (x *trial) incarnation(at, member string) uint64 {
+func (x *fleetHarness) incarnation(at, member string) uint64 {
 	v, err := x.View(x.ctx, at)
 	if err != nil {
 		return 0
@@ -292,9 +292,9 @@
 	return 0
 }
 
-func (x *trial) oneWay(from string, cut bool) {
-	for _, to := range x.Without(from) {
-		x.cluster.SetLink(from, to, Faults{Cut: cut})
+func (x *fleetHarness) setOneWayCut(from string, cut bool) {
+	for _, to := range x.Others(from) {
+		x.cluster.SetLinkFaults(from, to, Faults{Cut: cut})
 	}
 }
 
@@ -302,8 +302,8 @@
 // with another label or key change nothing and fill no log; the first that is there brings all together.
 func TestFleetWithoutSeedsAmongStrangers(t *testing.T) {
 	t.Parallel()
-	r, ctx := newRig(t)
-	w := r.NewWorld(*seed, boxes(3, "a")...)
+	r, ctx := newCluster(t)
+	w := r.NewEnvironment(*seed, serverSpecs(3, "a")...)
 	keys := func(name, key string) string {
 		path := filepath.Join(r.dir, name)
 		if err := os.WriteFile(path, []byte(base64.StdEncoding.EncodeToString([]byte(key))+"\n"), 0o600); err != nil {
@@ -311,44 +311,44 @@
 		}
 		return path
 	}
-	spec := FleetSpec{Nodes: 6, Zones: []string{"a"}, Classes: quick(), Tenants: tenants, Quota: 4000, Label: "delta",
+	spec := FleetSpec{Nodes: 6, Zones: []string{"a"}, Classes: shortClasses(), Tenants: tenants, Quota: 4000, Label: "delta",
 		KeyFile: keys("key", "sixteen bytes it")}
 	f, err := w.NewFleet(spec)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &trial{T: t, Fleet: f, w: w, ctx: ctx}
+	x := &fleetHarness{T: t, Fleet: f, w: w, ctx: ctx}
 	f.Nodes["n04"].Spec.Fleet["label"] = "omega" // strangers who call the same members
 	f.Nodes["n05"].Spec.Fleet["key_file"] = keys("other", "another key, too")
 	for _, a := range f.Names {
 		for _, b := range f.Names {
-			r.SetLink(a, b, Faults{Duplicate: 0.5, Replay: 1500 * time.Millisecond})
+			r.SetLinkFaults(a, b, Faults{Duplicate: 0.5, Replay: 1500 * time.Millisecond})
 		}
 	}
 	seeds, rest := f.Names[:3], f.Names[3:]
 	if err := f.Start(within(t, ctx), rest...); err != nil {
 		t.Fatal(err)
 	}
-	load := w.Clients("c", emulator.ClientSpec{Rate: 50, Classes: quick(), Tenants: tenants, Until: time.Hour}, f.Nodes["n03"])
+	load := w.StartClients("c", emulator.ClientSpec{Rate: 50, Classes: shortClasses(), Tenants: tenants, Until: time.Hour}, f.Nodes["n03"])
 	x.loads = []*LoadGenerator{load}
-	x.agree("n03")
+	x.awaitMembership("n03")
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		garbage(f.Nodes["n03"].Gossip(), *seed, stop)
+		sendGarbage(f.Nodes["n03"].Gossip(), *seed, stop)
 	}()
 	if err := f.Start(within(t, ctx), seeds...); err != nil {
 		t.Fatal(err)
 	}
-	fleet := f.Without("n04", "n05")
-	x.agree(fleet...)
-	x.agree("n04")
-	x.agree("n05")
+	fleet := f.Others("n04", "n05")
+	x.awaitMembership(fleet...)
+	x.awaitMembership("n04")
+	x.awaitMembership("n05")
 	f.Nodes["n00"].Kill() // what it said while it lived comes again, and brings nobody back to life
-	x.await("n00", "dead", f.Without("n00", "n04", "n05")...)
+	x.awaitState("n00", "dead", f.Others("n00", "n04", "n05")...)
 	x.restart("n00")
-	x.agree(fleet...)
+	x.awaitMembership(fleet...)
 	close(stop)
 	<-done
 	p := f.Nodes["n03"].Process()
@@ -362,8 +362,8 @@
 	x.finish()
 }
 
-// garbage sends a member what is no gossip, by datagrams and streams, at a bounded rate until stop.
-func garbage(at string, seed uint64, stop <-chan struct{}) {
+// sendGarbage sends a member what is no gossip, by datagrams and streams, at a bounded rate until stop.
+func sendGarbage(at string, seed uint64, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	conn, err := net.Dial("udp", at)
 	if err != nil {
--- a/internal/testcluster/form_test.go
+++ b/internal/testcluster/form_test.go
@@ -14,13 +14,13 @@
 // goldenSchedule has every kind of fault, and every key both present and left out.
 func goldenSchedule() Schedule {
 	return Schedule{
-		{At: 0, Do: Kill, Whom: []string{"n0"}},
-		{At: time.Second, Do: Pause, Whom: []string{"n0", "n1"}, For: 2500 * time.Millisecond},
-		{At: 2 * time.Second, Do: Replace, Whom: []string{"n1"}},
-		{At: 3 * time.Second, Do: Restart, Whom: []string{"n2"}, For: time.Second},
-		{At: 4 * time.Second, Do: Part, Whom: []string{"n0"}, Among: []string{"n1", "s-0"}, For: time.Second},
-		{At: 5 * time.Second, Do: PartOne, Whom: []string{"n0"}, Among: []string{"list"}, For: 1},
-		{At: 6*time.Second + 1, Do: Lossy, Whom: []string{"n0", "n1"}, For: time.Minute, Loss: 0.125},
+		{At: 0, Fault: Kill, Targets: []string{"n0"}},
+		{At: time.Second, Fault: Pause, Targets: []string{"n0", "n1"}, Duration: 2500 * time.Millisecond},
+		{At: 2 * time.Second, Fault: Replace, Targets: []string{"n1"}},
+		{At: 3 * time.Second, Fault: Restart, Targets: []string{"n2"}, Duration: time.Second},
+		{At: 4 * time.Second, Fault: Partition, Targets: []string{"n0"}, Others: []string{"n1", "s-0"}, Duration: time.Second},
+		{At: 5 * time.Second, Fault: OneWayPartition, Targets: []string{"n0"}, Others: []string{"list"}, Duration: 1},
+		{At: 6*time.Second + 1, Fault: PacketLoss, Targets: []string{"n0", "n1"}, Duration: time.Minute, Loss: 0.125},
 	}
 }
 
@@ -29,7 +29,7 @@
 	const file = "schedule.json"
 	golden.Check(t, file, []byte(goldenSchedule().String()+"\n"))
 	raw := golden.Read(t, file)
-	read, err := Parse(string(raw))
+	read, err := ParseSchedule(string(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,18 +39,18 @@
 	if got := read.String() + "\n"; got != string(raw) {
 		t.Errorf("written back as %s", got)
 	}
-	kinds := make(map[Kind]bool)
+	kinds := make(map[FaultKind]bool)
 	for _, step := range read {
-		kinds[step.Do] = true
+		kinds[step.Fault] = true
 	}
-	if want := []Kind{"kill", "pause", "replace", "restart", "part", "partOne", "lossy"}; len(kinds) != len(want) {
+	if want := []FaultKind{"kill", "pause", "replace", "restart", "part", "partOne", "lossy"}; len(kinds) != len(want) {
 		t.Errorf("kinds %v, want %v", kinds, want)
 	}
 }
 
 // A seed draws the same schedule in later versions.
 func TestDrawnScheduleIsFrozen(t *testing.T) {
-	s := Draw(39, 12, time.Minute, []string{"n0", "n1", "n2"}, Kill, Pause, Replace, Restart, Part, PartOne, Lossy)
+	s := RandomSchedule(39, 12, time.Minute, []string{"n0", "n1", "n2"}, Kill, Pause, Replace, Restart, Partition, OneWayPartition, PacketLoss)
 	golden.Check(t, "drawn.json", []byte(s.String()+"\n"))
 }
 
@@ -71,7 +71,7 @@
 		Cores: 1.5, MemoryMB: 512, Sockets: 1024, Fleet: map[string]any{"bind": "127.0.0.9:7946"},
 		Topology: map[string]any{"regions": map[string]any{"r": []string{"a"}}}, Scope: map[string]any{"service": "s"}, RetainMissing: true,
 	}}
-	path, err := n.configure()
+	path, err := n.writeConfig()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -11,12 +11,12 @@
 )
 
 const (
-	maxDatagram  = 64 << 10
-	maxQueued    = 4096                  // datagrams on their way in one direction; more are lost, as at a full queue
-	maxStreams   = 4096                  // at one relay
-	streamBlock  = 16 << 10              // bytes carried at a time
-	silenceLook  = 20 * time.Millisecond // between looks at whether a cut has healed
-	reorderAfter = 5 * time.Millisecond  // that a datagram is held back so that others overtake it
+	maxDatagramBytes   = 64 << 10
+	maxQueuedDatagrams = 4096                  // datagrams on their way in one direction; more are lost, as at a full queue
+	maxStreams         = 4096                  // at one relay
+	streamBufferBytes  = 16 << 10              // bytes carried at a time
+	cutPollInterval    = 20 * time.Millisecond // between looks at whether a cut has healed
+	reorderDelay       = 5 * time.Millisecond  // that a datagram is held back so that others overtake it
 )
 
 // Faults are what is wrong with one direction of a path. The zero value is a good one.
@@ -32,41 +32,41 @@
 	Reset     bool          // streams are reset at once, new ones too
 }
 
-type pair struct{ from, to string }
+type path struct{ from, to string }
 
 // links knows the faults of all directions, and the relays.
 type links struct {
-	mu     sync.Mutex
-	rng    *rand.Rand
-	faults map[pair]Faults
-	all    map[io.Closer]bool
-	closed bool
-	open   sync.WaitGroup
+	mu      sync.Mutex
+	rng     *rand.Rand
+	faults  map[path]Faults
+	closers map[io.Closer]bool
+	closed  bool
+	relays  sync.WaitGroup
 }
 
 func newLinks(seed uint64) *links {
-	return &links{rng: rand.New(rand.NewPCG(seed, 0x11)), faults: make(map[pair]Faults), all: make(map[io.Closer]bool)}
+	return &links{rng: rand.New(rand.NewPCG(seed, 0x11)), faults: make(map[path]Faults), closers: make(map[io.Closer]bool)}
 }
 
-// SetLink sets what is wrong with the path from one party to another, in that direction.
-func (r *Cluster) SetLink(from, to string, f Faults) {
-	l := r.links
+// SetLinkFaults sets what is wrong with the path from one party to another, in that direction.
+func (c *Cluster) SetLinkFaults(from, to string, f Faults) {
+	l := c.links
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.faults[pair{from, to}] = f
+	l.faults[path{from, to}] = f
 }
 
-// Link tells what is wrong with the path from one party to another.
-func (r *Cluster) Link(from, to string) Faults { return r.links.at(pair{from, to}) }
+// LinkFaults tells what is wrong with the path from one party to another.
+func (c *Cluster) LinkFaults(from, to string) Faults { return c.links.faultsOf(path{from, to}) }
 
-func (l *links) at(p pair) Faults {
+func (l *links) faultsOf(p path) Faults {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.faults[p]
 }
 
-// chance is true in a part of the cases.
-func (l *links) chance(part float64) bool {
+// occurs is true in a part of the cases.
+func (l *links) occurs(part float64) bool {
 	if part <= 0 {
 		return false
 	}
@@ -93,13 +93,13 @@
 		_ = c.Close()
 		return false
 	}
-	l.all[c] = true
+	l.closers[c] = true
 	return true
 }
 
 func (l *links) untrack(c io.Closer) {
 	l.mu.Lock()
-	delete(l.all, c)
+	delete(l.closers, c)
 	l.mu.Unlock()
 	_ = c.Close()
 }
@@ -107,11 +107,11 @@
 func (l *links) close() {
 	l.mu.Lock()
 	l.closed = true
-	for c := range l.all {
+	for c := range l.closers {
 		_ = c.Close()
 	}
 	l.mu.Unlock()
-	l.open.Wait()
+	l.relays.Wait()
 }
 
 func (l *links) isClosed() bool {
@@ -122,21 +122,21 @@
 
 // RelayTCP carries streams from one party to the address of another, and returns where the first has to
 // call for that.
-func (r *Cluster) RelayTCP(from, to, address string) (at string, err error) {
-	ln, err := net.Listen("tcp", r.anyPort())
+func (c *Cluster) RelayTCP(from, to, address string) (at string, err error) {
+	ln, err := net.Listen("tcp", c.anyPortAddress())
 	if err != nil {
 		return "", err
 	}
-	r.links.relay(ln, func(net.Addr) string { return from }, to, address)
+	c.links.relayStreams(ln, func(net.Addr) string { return from }, to, address)
 	return ln.Addr().String(), nil
 }
 
-// relay carries the streams that come at ln.
-func (l *links) relay(ln net.Listener, from func(net.Addr) string, to, address string) {
+// relayStreams carries the streams that come at ln.
+func (l *links) relayStreams(ln net.Listener, from func(net.Addr) string, to, address string) {
 	if !l.track(ln) {
 		return
 	}
-	l.open.Go(func() {
+	l.relays.Go(func() {
 		places := make(chan struct{}, maxStreams)
 		for {
 			conn, err := ln.Accept()
@@ -149,9 +149,9 @@
 				_ = conn.Close()
 				continue
 			}
-			l.open.Go(func() {
+			l.relays.Go(func() {
 				defer func() { <-places }()
-				l.relayStream(conn.(*net.TCPConn), pair{from(conn.RemoteAddr()), to}, address)
+				l.relayStream(conn.(*net.TCPConn), path{from(conn.RemoteAddr()), to}, address)
 			})
 		}
 	})
@@ -159,17 +159,17 @@
 
 // relayStream passes one stream on. Over a cut path its opening waits, silently; the caller's time limits see to
 // the rest.
-func (l *links) relayStream(in *net.TCPConn, p pair, address string) {
+func (l *links) relayStream(in *net.TCPConn, p path, address string) {
 	if !l.track(in) {
 		return
 	}
 	defer l.untrack(in)
-	f := l.at(p)
-	if f.Reset || l.chance(f.Loss) || l.chance(l.at(p.back()).Loss) {
+	f := l.faultsOf(p)
+	if f.Reset || l.occurs(f.Loss) || l.occurs(l.faultsOf(p.reverse()).Loss) {
 		_ = in.SetLinger(0)
 		return
 	}
-	if !l.waitWhileCut(p) || !l.waitWhileCut(p.back()) {
+	if !l.waitWhileCut(p) || !l.waitWhileCut(p.reverse()) {
 		return
 	}
 	conn, err := net.Dial("tcp", address)
@@ -184,29 +184,29 @@
 	defer l.untrack(out)
 	var both sync.WaitGroup
 	both.Go(func() { l.copyStream(out, in, p) })
-	both.Go(func() { l.copyStream(in, out, p.back()) })
+	both.Go(func() { l.copyStream(in, out, p.reverse()) })
 	both.Wait()
 }
 
-func (p pair) back() pair { return pair{p.to, p.from} }
+func (p path) reverse() path { return path{p.to, p.from} }
 
 // waitWhileCut waits until the path isn't cut; it tells whether there is still a rig.
-func (l *links) waitWhileCut(p pair) bool {
-	for l.at(p).Cut {
+func (l *links) waitWhileCut(p path) bool {
+	for l.faultsOf(p).Cut {
 		if l.isClosed() {
 			return false
 		}
-		time.Sleep(silenceLook)
+		time.Sleep(cutPollInterval)
 	}
 	return true
 }
 
 // copyStream copies one direction of a stream, with what is wrong with its path.
-func (l *links) copyStream(to, from *net.TCPConn, p pair) {
-	block := make([]byte, streamBlock)
+func (l *links) copyStream(to, from *net.TCPConn, p path) {
+	block := make([]byte, streamBufferBytes)
 	for {
 		n, err := from.Read(block)
-		f := l.at(p)
+		f := l.faultsOf(p)
 		if f.Reset {
 			_ = from.SetLinger(0)
 			_ = to.SetLinger(0)
@@ -247,8 +247,8 @@
 
 // RelayGossip stands where others reach a party by datagrams and streams, and passes both on to where it
 // is bound. Callers are told apart by their host, which names knows: a party has to send from its own.
-func (r *Cluster) RelayGossip(to, bound string, names func(host string) string) (at string, err error) {
-	host := r.Host()
+func (c *Cluster) RelayGossip(to, bound string, names func(host string) string) (at string, err error) {
+	host := c.NewAddress()
 	at = net.JoinHostPort(host, fmt.Sprint(gossipPort))
 	target, err := net.ResolveUDPAddr("udp", bound)
 	if err != nil {
@@ -269,8 +269,8 @@
 		return "", err
 	}
 	from := byHost(names)
-	r.links.relay(ln, from, to, bound)
-	r.links.datagrams(conn, from, to, target)
+	c.links.relayStreams(ln, from, to, bound)
+	c.links.relayDatagrams(conn, from, to, target)
 	return at, nil
 }
 
@@ -282,36 +282,36 @@
 }
 
 // RelayStreams is RelayGossip for a party that is reached by streams alone.
-func (r *Cluster) RelayStreams(to, bound string, names func(host string) string) (at string, err error) {
-	ln, err := net.Listen("tcp", r.anyPort())
+func (c *Cluster) RelayStreams(to, bound string, names func(host string) string) (at string, err error) {
+	ln, err := net.Listen("tcp", c.anyPortAddress())
 	if err != nil {
 		return "", err
 	}
-	r.links.relay(ln, byHost(names), to, bound)
+	c.links.relayStreams(ln, byHost(names), to, bound)
 	return ln.Addr().String(), nil
 }
 
-// datagrams passes on what comes at conn.
-func (l *links) datagrams(conn *net.UDPConn, from func(net.Addr) string, to string, target *net.UDPAddr) {
+// relayDatagrams passes on what comes at conn.
+func (l *links) relayDatagrams(conn *net.UDPConn, from func(net.Addr) string, to string, target *net.UDPAddr) {
 	if !l.track(conn) {
 		return
 	}
-	l.open.Go(func() {
-		block := make([]byte, maxDatagram)
-		places := make(chan struct{}, maxQueued)
+	l.relays.Go(func() {
+		block := make([]byte, maxDatagramBytes)
+		places := make(chan struct{}, maxQueuedDatagrams)
 		for {
 			size, addr, err := conn.ReadFromUDP(block)
 			if err != nil {
 				return
 			}
-			f := l.at(pair{from(addr), to})
-			if f.Cut || l.chance(f.Loss) {
+			f := l.faultsOf(path{from(addr), to})
+			if f.Cut || l.occurs(f.Loss) {
 				continue
 			}
 			for n := range l.copies(f) {
 				wait := l.delay(f) + time.Duration(n)*f.Replay
-				if l.chance(f.Reorder) {
-					wait += reorderAfter
+				if l.occurs(f.Reorder) {
+					wait += reorderDelay
 				}
 				if wait <= 0 {
 					_, _ = conn.WriteToUDP(block[:size], target)
@@ -333,7 +333,7 @@
 }
 
 func (l *links) copies(f Faults) int {
-	if l.chance(f.Duplicate) {
+	if l.occurs(f.Duplicate) {
 		return 2
 	}
 	return 1
--- a/internal/testcluster/list.go
+++ b/internal/testcluster/list.go
@@ -10,48 +10,48 @@
 	"sloerail/internal/emulator"
 )
 
-// Unlist takes the servers of a zone out of the list in one change, without a word of draining, or puts them back.
-func (w *World) Unlist(zone string, on bool) {
+// SetZoneRemoved takes the servers of a zone out of the list in one change, without a word of draining, or puts them back.
+func (e *Environment) SetZoneRemoved(zone string, on bool) {
 	var all []emulator.ServerSpec
-	w.EachInZone(zone, func(b *emulator.Server) { all = append(all, b.Spec) })
-	w.updateList(all, map[bool]string{true: emulator.Removed, false: emulator.Up}[on])
+	e.EachServerInZone(zone, func(b *emulator.Server) { all = append(all, b.Spec) })
+	e.updateList(all, map[bool]string{true: emulator.Removed, false: emulator.Up}[on])
 }
 
 // updateList changes what the list says of servers, all at once, and tells all watches.
-func (w *World) updateList(servers []emulator.ServerSpec, phase string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (e *Environment) updateList(servers []emulator.ServerSpec, phase string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
 	for _, spec := range servers {
-		b := w.servers[spec.ID]
+		b := e.servers[spec.ID]
 		b.Draining = phase == emulator.Draining
-		w.list.Set(w.entry(b, phase))
+		e.list.Set(e.entry(b, phase))
 	}
-	close(w.changed)
-	w.changed = make(chan struct{})
+	close(e.listChanged)
+	e.listChanged = make(chan struct{})
 }
 
 // entry is a server in the form of the list.
-func (w *World) entry(b *server, phase string) emulator.Entry {
-	e := emulator.Entry{ID: b.Spec.ID, Locality: b.Spec.Zone, Flavor: b.Spec.Kind, Cell: b.Spec.Cell, Phase: phase, Size: 1}
+func (e *Environment) entry(b *server, phase string) emulator.Entry {
+	entry := emulator.Entry{ID: b.Spec.ID, Locality: b.Spec.Zone, Flavor: b.Spec.Kind, Cell: b.Spec.Cell, Phase: phase, Size: 1}
 	if started := b.Started(); started > 0 {
-		e.UpSince = w.start.Add(started).UnixMilli()
+		entry.UpSince = e.start.Add(started).UnixMilli()
 	}
-	return e
+	return entry
 }
 
-// Phase changes what the list says of a server, and tells all watches.
-func (w *World) Phase(id, phase string) {
+// SetPhase changes what the list says of a server, and tells all watches.
+func (e *Environment) SetPhase(id, phase string) {
 	var spec emulator.ServerSpec
-	w.Look(func() { spec = w.servers[id].Spec })
-	w.updateList([]emulator.ServerSpec{spec}, phase)
+	e.WithLock(func() { spec = e.servers[id].Spec })
+	e.updateList([]emulator.ServerSpec{spec}, phase)
 }
 
 // ListCalls are when nodes called for the list since a time, in order.
-func (w *World) ListCalls(since time.Time) []time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	i, _ := slices.BinarySearchFunc(w.listCalls, since, time.Time.Compare)
-	return slices.Clone(w.listCalls[i:])
+func (e *Environment) ListCalls(since time.Time) []time.Time {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	i, _ := slices.BinarySearchFunc(e.listCalls, since, time.Time.Compare)
+	return slices.Clone(e.listCalls[i:])
 }
 
 func withAddresses(a emulator.ListResponse, addrs map[string]string) emulator.ListResponse {
@@ -62,25 +62,25 @@
 }
 
 // listHandler is the list service as one node sees it.
-func (w *World) listHandler(node string, addrs map[string]string) http.Handler {
+func (e *Environment) listHandler(node string, addrs map[string]string) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		index, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
 		watch := err == nil
 		ms, _ := strconv.ParseInt(r.URL.Query().Get("wait"), 10, 64)
-		until := time.After(min(maxWatch, time.Duration(ms)*time.Millisecond))
-		w.mu.Lock()
-		if w.listCalls = append(w.listCalls, time.Now()); len(w.listCalls) > maxCalls {
-			w.listCalls = slices.Clone(w.listCalls[maxCalls/2:])
+		until := time.After(min(maxWatchWait, time.Duration(ms)*time.Millisecond))
+		e.mu.Lock()
+		if e.listCalls = append(e.listCalls, time.Now()); len(e.listCalls) > maxListCalls {
+			e.listCalls = slices.Clone(e.listCalls[maxListCalls/2:])
 		}
-		w.mu.Unlock()
+		e.mu.Unlock()
 		var a emulator.ListResponse
 		for told := false; !told; {
-			w.mu.Lock()
-			if a, told = w.list.Since(index); !watch {
-				a, told = w.list.Snapshot(), true
+			e.mu.Lock()
+			if a, told = e.list.Since(index); !watch {
+				a, told = e.list.Snapshot(), true
 			}
-			changed := w.changed
-			w.mu.Unlock()
+			changed := e.listChanged
+			e.mu.Unlock()
 			if told {
 				break
 			}
@@ -96,10 +96,10 @@
 		if json.NewEncoder(rw).Encode(withAddresses(a, addrs)) != nil {
 			return
 		}
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		for _, e := range a.Members {
-			w.Checker.ChangeNotified(w.now(), node, e.ID, e.Phase)
+		e.mu.Lock()
+		defer e.mu.Unlock()
+		for _, entry := range a.Members {
+			e.Checker.ChangeNotified(e.now(), node, entry.ID, entry.Phase)
 		}
 	})
 }
--- a/internal/testcluster/measure_test.go
+++ b/internal/testcluster/measure_test.go
@@ -19,11 +19,11 @@
 
 // The measures of docs/membership.md. They take minutes, so each asks for its flag.
 var (
-	kills    = flag.Int("kills", 0, "kills in TestMeasureDeaths, for each part of loss; 0 to skip it")
-	members  = flag.Int("members", 15, "processes in the measures")
-	quietFor = flag.Duration("quiet", 0, "how long TestMeasureFalseDeaths looks on, for each trouble; 0 to skip it")
-	awayFor  = flag.Duration("away", 0, "how long TestMeasureListAway has no list service; 0 to skip it")
-	splitFor = flag.Duration("split", 0, "how long TestMeasureSplitQuota splits 7 nodes 4 to 3; 0 to skip it")
+	kills         = flag.Int("kills", 0, "kills in TestMeasureDeathDetection, for each part of loss; 0 to skip it")
+	members       = flag.Int("members", 15, "processes in the measures")
+	quietDuration = flag.Duration("quiet", 0, "how long TestMeasureFalseDeaths looks on, for each trouble; 0 to skip it")
+	listOutage    = flag.Duration("away", 0, "how long TestMeasureListOutage has no list service; 0 to skip it")
+	splitFor      = flag.Duration("split", 0, "how long TestMeasureSplitQuota splits 7 nodes 4 to 3; 0 to skip it")
 )
 
 func percentile(all []time.Duration, p float64) time.Duration {
@@ -32,32 +32,32 @@
 }
 
 // From the kill of a process to the death being known at each other, with datagrams and streams lost.
-func TestMeasureDeaths(t *testing.T) {
+func TestMeasureDeathDetection(t *testing.T) {
 	if *kills == 0 {
 		t.Skip("-kills")
 	}
 	for _, loss := range []float64{0, 0.1, 0.3} {
 		t.Run(fmt.Sprintf("loss %.0f%%", loss*100), func(t *testing.T) {
-			x := newTrial(t, *members, FleetSpec{}, 60)
-			x.Lose(loss)
+			x := newFleetHarness(t, *members, FleetSpec{}, 60)
+			x.SetLoss(loss)
 			rng := rand.New(rand.NewPCG(*seed, 3))
 			var took, healed []time.Duration
 			rightly := 0
 			for range *kills {
 				victim := x.Names[rng.IntN(len(x.Names))]
-				before := x.Deaths()
+				before := x.DeathReports()
 				x.Nodes[victim].Kill()
-				took = append(took, x.await(victim, "dead", x.Without(victim)...)...)
-				rightly += x.Deaths() - before
+				took = append(took, x.awaitState(victim, "dead", x.Others(victim)...)...)
+				rightly += x.DeathReports() - before
 				x.restart(victim)
-				x.agree(x.Names...)
+				x.awaitMembership(x.Names...)
 			}
 			for range *kills {
-				x.Split(x.Names[:len(x.Names)/2], x.Names[len(x.Names)/2:])
-				x.agree(x.Names[:len(x.Names)/2]...)
-				x.agree(x.Names[len(x.Names)/2:]...)
-				x.Split()
-				healed = append(healed, x.agree(x.Names...))
+				x.Partition(x.Names[:len(x.Names)/2], x.Names[len(x.Names)/2:])
+				x.awaitMembership(x.Names[:len(x.Names)/2]...)
+				x.awaitMembership(x.Names[len(x.Names)/2:]...)
+				x.Partition()
+				healed = append(healed, x.awaitMembership(x.Names...))
 			}
 			x.finish()
 			t.Logf("%d processes, %.0f%% lost, %d kills: known dead p50 %v p99 %v worst %v; %d splits healed p50 %v p99 %v",
@@ -72,7 +72,7 @@
 
 // Nobody is taken for dead while all live, whatever is lost and however processes stand still.
 func TestMeasureFalseDeaths(t *testing.T) {
-	if *quietFor == 0 {
+	if *quietDuration == 0 {
 		t.Skip("-quiet")
 	}
 	for _, trouble := range []struct {
@@ -81,9 +81,9 @@
 		pause bool
 	}{{"none", 0, false}, {"10% lost", 0.1, false}, {"30% lost", 0.3, false}, {"each stopped for 300 ms every 3 s", 0, true}} {
 		t.Run(trouble.name, func(t *testing.T) {
-			x := newTrial(t, *members, FleetSpec{}, 60)
-			x.Lose(trouble.loss)
-			end := time.Now().Add(*quietFor)
+			x := newFleetHarness(t, *members, FleetSpec{}, 60)
+			x.SetLoss(trouble.loss)
+			end := time.Now().Add(*quietDuration)
 			for time.Now().Before(end) {
 				if !trouble.pause {
 					_ = wait(x.ctx, time.Second)
@@ -93,11 +93,11 @@
 					x.pause(name, 300*time.Millisecond)
 				}
 			}
-			t.Logf("%d processes for %v: %d deaths told", *members, *quietFor, x.Deaths())
-			if n := x.Deaths(); n > 0 {
+			t.Logf("%d processes for %v: %d deaths told", *members, *quietDuration, x.DeathReports())
+			if n := x.DeathReports(); n > 0 {
 				t.Errorf("%d deaths told while all lived", n)
 			}
-			x.Lose(0)
+			x.SetLoss(0)
 			x.finish()
 		})
 	}
@@ -109,18 +109,18 @@
 		t.Skip("-split")
 	}
 	const quota = 280
-	x := newTrial(t, 7, FleetSpec{Quota: quota, Sockets: 512}, 0)
+	x := newFleetHarness(t, 7, FleetSpec{Quota: quota, Sockets: 512}, 0)
 	var all []*Node
 	for _, name := range x.Names {
 		all = append(all, x.Nodes[name])
 	}
 	// Without retries, for what a bucket passes of a flood is its own arithmetic: up to 1.4 times the quota.
-	load := x.w.Clients("c", emulator.ClientSpec{Rate: 2 * quota, Classes: quick(), Tenants: tenants, Until: time.Hour}, all...)
+	load := x.w.StartClients("c", emulator.ClientSpec{Rate: 2 * quota, Classes: shortClasses(), Tenants: tenants, Until: time.Hour}, all...)
 	x.loads = append(x.loads, load)
 	over := func(what string, span time.Duration) float64 {
-		before := load.Sums()
+		before := load.Stats()
 		_ = wait(x.ctx, span)
-		after := load.Sums()
+		after := load.Stats()
 		part := float64(after.InTime+after.Late-before.InTime-before.Late) / span.Seconds() / quota
 		t.Logf("%s: admitted %.3f of the quota over %v", what, part, span)
 		return part
@@ -128,12 +128,12 @@
 	_ = wait(x.ctx, 5*time.Second) // full buckets are spent
 	whole := over("whole", 15*time.Second)
 	four, three := x.Names[:4], x.Names[4:]
-	x.Split(four, three)
-	x.agree(four...)
-	x.agree(three...)
+	x.Partition(four, three)
+	x.awaitMembership(four...)
+	x.awaitMembership(three...)
 	split := over("split 4 to 3", *splitFor)
-	x.Split()
-	x.agree(x.Names...)
+	x.Partition()
+	x.awaitMembership(x.Names...)
 	healed := over("healed", 15*time.Second)
 	if split > whole*1.05 || healed > whole*1.05 || whole > 1.45 {
 		t.Errorf("whole %.3f, split %.3f, healed %.3f", whole, split, healed)
@@ -155,7 +155,7 @@
 }
 
 func measureRegistry(t *testing.T, replicas int) {
-	r, ctx := newRig(t)
+	r, ctx := newCluster(t)
 	g, leader := startRegistry(t, r, ctx, replicas)
 	write := func(c *registry.Client, id string, n int) error {
 		return c.Do(ctx, http.MethodPut, "/registry/instances/"+id, map[string]any{"host_port": "10.0.0.1:9000",
@@ -166,7 +166,7 @@
 	began := time.Now()
 	for w := range writers {
 		all.Go(func() {
-			c := registry.NewClient([]string{g.Listen(leader)})
+			c := registry.NewClient([]string{g.Address(leader)})
 			for i := w; i < servers; i += writers {
 				if err := write(c, fmt.Sprintf("server-%04d", i), 1); err != nil {
 					t.Error(err)
@@ -176,14 +176,14 @@
 	}
 	all.Wait()
 	rate := servers / time.Since(began).Seconds()
-	alone := syncs(t, r.dir)
-	late := tellWatchers(t, ctx, g, leader, write)
+	alone := syncsPerSecond(t, r.dir)
+	late := measureNotification(t, ctx, g, leader, write)
 	t.Logf("%d replicas: %.0f writes a second by %d writers (fsync alone %.0f); %d watchers told p50 %v p99 %v; memory %v", replicas,
-		rate, writers, alone, *watchersN, percentile(late, 0.5), percentile(late, 0.99), residents(g))
+		rate, writers, alone, *watchersN, percentile(late, 0.5), percentile(late, 0.99), residentMemory(g))
 }
 
-// syncs is how many writes of 4 KiB a second are kept by one file, one after the other.
-func syncs(t *testing.T, dir string) float64 {
+// syncsPerSecond is how many writes of 4 KiB a second are kept by one file, one after the other.
+func syncsPerSecond(t *testing.T, dir string) float64 {
 	f, err := os.CreateTemp(dir, "sync")
 	if err != nil {
 		t.Fatal(err)
@@ -202,8 +202,8 @@
 	return n / time.Since(began).Seconds()
 }
 
-// tellWatchers makes changes and returns how long each took to reach each watcher, from before the write on.
-func tellWatchers(t *testing.T, ctx context.Context, g *Registry, leader string,
+// measureNotification makes changes and returns how long each took to reach each watcher, from before the write on.
+func measureNotification(t *testing.T, ctx context.Context, g *Registry, leader string,
 	write func(*registry.Client, string, int) error) (late []time.Duration) {
 	under, stop := context.WithCancel(ctx)
 	var mu sync.Mutex
@@ -212,7 +212,7 @@
 	ready := 0
 	for i := range *watchersN {
 		all.Go(func() {
-			c, at := registry.NewClient([]string{g.Listen(g.Names[i%len(g.Names)])}), int64(-1)
+			c, at := registry.NewClient([]string{g.Address(g.Names[i%len(g.Names)])}), int64(-1)
 			for first := true; under.Err() == nil; first = false {
 				var l registry.EndpointList
 				if c.Watch(under, fmt.Sprintf("/registry/instances?index=%d&wait=30000", at), 30*time.Second, &l) != nil {
@@ -236,7 +236,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := registry.NewClient([]string{g.Listen(leader)})
+	c := registry.NewClient([]string{g.Address(leader)})
 	const changes = 20
 	for i := range changes {
 		mu.Lock()
@@ -254,14 +254,14 @@
 			t.Fatal(err)
 		}
 	}
-	t.Logf("memory while they watch: %v", residents(g))
+	t.Logf("memory while they watch: %v", residentMemory(g))
 	stop()
 	all.Wait()
 	return late
 }
 
-// residents is the memory of each replica, in MB.
-func residents(g *Registry) (all []string) {
+// residentMemory is the memory of each replica, in MB.
+func residentMemory(g *Registry) (all []string) {
 	for _, name := range g.Names {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.Process(name).PID()))
 		if err != nil {
@@ -278,30 +278,30 @@
 
 // The list service is away under traffic, after servers came and went: what six nodes serve meanwhile, and how
 // their calls are spread when it is back.
-func TestMeasureListAway(t *testing.T) {
-	if *awayFor == 0 {
+func TestMeasureListOutage(t *testing.T) {
+	if *listOutage == 0 {
 		t.Skip("-away")
 	}
 	for _, asked := range []bool{true, false} {
 		t.Run(fmt.Sprintf("asked %v", asked), func(t *testing.T) {
-			x := newTrial(t, 6, FleetSpec{PollList: asked}, 120)
+			x := newFleetHarness(t, 6, FleetSpec{PollList: asked}, 120)
 			load := x.loads[0]
 			served := func() float64 {
-				before, end := load.Sums(), time.Now().Add(*awayFor)
+				before, end := load.Stats(), time.Now().Add(*listOutage)
 				_ = wait(x.ctx, time.Until(end))
-				after := load.Sums()
+				after := load.Stats()
 				return float64(after.InTime-before.InTime) / float64(after.Requests-before.Requests)
 			}
 			link := func(f Faults) {
 				for _, name := range x.Names {
-					x.w.cluster.SetLink(name, "list", f)
-					x.w.cluster.SetLink("list", name, f)
+					x.w.cluster.SetLinkFaults(name, "list", f)
+					x.w.cluster.SetLinkFaults("list", name, f)
 				}
 			}
-			x.w.Phase("s-00", emulator.Draining)
+			x.w.SetPhase("s-00", emulator.Draining)
 			with := served()
-			x.w.Phase("s-00", emulator.Removed)
-			x.w.Phase("s-01", emulator.Draining)
+			x.w.SetPhase("s-00", emulator.Removed)
+			x.w.SetPhase("s-01", emulator.Draining)
 			_ = wait(x.ctx, 3*time.Second)
 			link(Faults{Reset: true})
 			without := served()
@@ -324,7 +324,7 @@
 			}
 			x.finish()
 			t.Logf("away for %v: served in time %.4f with the list service, %.4f without; %d calls in 10 s at its return, the sixth "+
-				"after %v, %d in 100 ms at most", *awayFor, with, without, len(calls), last, most)
+				"after %v, %d in 100 ms at most", *listOutage, with, without, len(calls), last, most)
 			if without < with-0.01 {
 				t.Errorf("%.4f served without the list service, %.4f with it", without, with)
 			}
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	clientPort   = 9000
-	controlPort  = 9100 // and those after it: each process of a node has a second address of its own
-	gossipPort   = 7946
-	callTime     = time.Second // for a call at the second address
-	nodeProgram  = "cmd/sloerail-node"
-	defaultLimit = 256 // descriptors
+	clientPort        = 9000
+	controlPort       = 9100 // and those after it: each process of a node has a second address of its own
+	gossipPort        = 7946
+	callTimeout       = time.Second // for a call at the second address
+	nodeProgram       = "cmd/sloerail-node"
+	defaultMaxSockets = 256 // descriptors
 )
 
 // NodeSpec says how a node is configured. Zero values are replaced by what suits a test.
@@ -53,15 +53,15 @@
 
 	faultLock sync.Mutex // held by a schedule's fault of its processes
 
-	mu    sync.Mutex
-	procs []*Process // newest last
-	calls []string   // their second addresses
-	died  time.Time  // when Kill last ended it,
-	down  bool       // and no other process has taken clients since
+	mu               sync.Mutex
+	procs            []*Process // newest last
+	controlAddresses []string   // their second addresses
+	killedAt         time.Time  // when Kill last ended it,
+	down             bool       // and no other process has taken clients since
 }
 
 // Node makes a node, which Start starts.
-func (r *Cluster) Node(spec NodeSpec) (*Node, error) {
+func (c *Cluster) Node(spec NodeSpec) (*Node, error) {
 	if spec.Cores == 0 {
 		spec.Cores = 1
 	}
@@ -69,21 +69,21 @@
 		spec.MemoryMB = 128
 	}
 	if spec.Sockets == 0 {
-		spec.Sockets = defaultLimit
+		spec.Sockets = defaultMaxSockets
 	}
-	dir, err := r.Dir(spec.Name)
+	dir, err := c.Dir(spec.Name)
 	if err != nil {
 		return nil, err
 	}
-	host := r.Host()
-	return &Node{Spec: spec, Host: host, cluster: r, dir: dir, Listen: fmt.Sprintf("%s:%d", host, clientPort)}, nil
+	host := c.NewAddress()
+	return &Node{Spec: spec, Host: host, cluster: c, dir: dir, Listen: fmt.Sprintf("%s:%d", host, clientPort)}, nil
 }
 
 // Gossip is where the node's processes are bound for gossip.
 func (n *Node) Gossip() string { return net.JoinHostPort(n.Host, fmt.Sprint(gossipPort)) }
 
-// configure writes the node's file as Spec has it now.
-func (n *Node) configure() (path string, err error) {
+// writeConfig writes the node's file as Spec has it now.
+func (n *Node) writeConfig() (path string, err error) {
 	s := n.Spec
 	file := map[string]any{
 		"name": s.Name, "listen": n.Listen, "discovery": s.Discovery, "seed": "1f",
@@ -118,7 +118,7 @@
 
 // Start starts a process of the node, beside the one that serves if there is one: then it is to take over.
 func (n *Node) Start() (*Process, error) {
-	path, err := n.configure()
+	path, err := n.writeConfig()
 	if err != nil {
 		return nil, err
 	}
@@ -128,13 +128,13 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	control := fmt.Sprintf("%s:%d", n.Host, controlPort+len(n.calls))
+	control := fmt.Sprintf("%s:%d", n.Host, controlPort+len(n.controlAddresses))
 	env := append([]string{"ROUTER_CONFIG=" + path, "TMPDIR=" + n.dir, "ROUTER_CONTROL=" + control}, n.Spec.Env...)
 	p, err := n.cluster.Start(n.Spec.Name, program, nil, env)
 	if err != nil {
 		return nil, err
 	}
-	n.procs, n.calls = append(n.procs, p), append(n.calls, control)
+	n.procs, n.controlAddresses = append(n.procs, p), append(n.controlAddresses, control)
 	return p, nil
 }
 
@@ -142,7 +142,7 @@
 func (n *Node) Kill() {
 	p := n.Process()
 	n.mu.Lock()
-	n.died, n.down = time.Now(), true
+	n.killedAt, n.down = time.Now(), true
 	n.mu.Unlock()
 	p.Kill()
 }
@@ -151,7 +151,7 @@
 func (n *Node) killedSince(t time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.down || n.died.After(t)
+	return n.down || n.killedAt.After(t)
 }
 
 // Descriptors is how many the node's processes hold together now.
@@ -188,7 +188,7 @@
 func (n *Node) Control() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.calls[len(n.calls)-1]
+	return n.controlAddresses[len(n.controlAddresses)-1]
 }
 
 // Ready waits until the newest process takes clients.
@@ -221,13 +221,13 @@
 
 // Get calls a node's second address. A JSON answer is read into to, unless that is nil.
 func Get(ctx context.Context, at, path string, to any) error {
-	ctx, cancel := context.WithTimeout(ctx, callTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+path, nil)
 	if err != nil {
 		return err
 	}
-	resp, err := caller.Do(req)
+	resp, err := controlClient.Do(req)
 	if err != nil {
 		return err
 	}
@@ -241,7 +241,7 @@
 	return json.NewDecoder(resp.Body).Decode(to)
 }
 
-var caller = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
+var controlClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
 // statusError is a call that was answered, and not with what was asked for.
 type statusError struct {
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const logTail = 64 << 10 // bytes of a log that are told for a failure
+const maxLogBytes = 64 << 10 // bytes of a log that are told for a failure
 
 // Process is one running program. Its methods may be called from any goroutine.
 type Process struct {
@@ -26,11 +26,11 @@
 }
 
 // Start runs a program with these environment variables, beside those of the rig's own process, until Close.
-func (r *Cluster) Start(name, program string, args, env []string) (*Process, error) {
-	r.mu.Lock()
-	n := len(r.procs)
-	r.mu.Unlock()
-	log, err := os.Create(filepath.Join(r.dir, fmt.Sprintf("%s-%d.log", name, n)))
+func (c *Cluster) Start(name, program string, args, env []string) (*Process, error) {
+	c.mu.Lock()
+	n := len(c.procs)
+	c.mu.Unlock()
+	log, err := os.Create(filepath.Join(c.dir, fmt.Sprintf("%s-%d.log", name, n)))
 	if err != nil {
 		return nil, err
 	}
@@ -41,17 +41,17 @@
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	reply := make(chan error, 1)
 	select {
-	case r.starts <- start{p.cmd, reply}:
-	case <-r.ended:
+	case c.startRequests <- startRequest{p.cmd, reply}:
+	case <-c.closed:
 		return nil, fmt.Errorf("starting %s: the rig is closed", name)
 	}
 	if err := <-reply; err != nil {
 		return nil, fmt.Errorf("starting %s: %w", name, err)
 	}
 	go p.wait()
-	r.mu.Lock()
-	r.procs = append(r.procs, p)
-	r.mu.Unlock()
+	c.mu.Lock()
+	c.procs = append(c.procs, p)
+	c.mu.Unlock()
 	return p, nil
 }
 
@@ -138,7 +138,7 @@
 	}
 	defer func() { _ = f.Close() }()
 	if size, err := f.Seek(0, io.SeekEnd); err == nil {
-		_, _ = f.Seek(max(0, size-logTail), io.SeekStart)
+		_, _ = f.Seek(max(0, size-maxLogBytes), io.SeekStart)
 	}
 	text, _ := io.ReadAll(f)
 	return string(text)
--- a/internal/testcluster/registry.go
+++ b/internal/testcluster/registry.go
@@ -28,34 +28,34 @@
 }
 
 type replica struct {
-	config registry.Config
-	args   []string // beside those that name the file
-	proc   *Process
+	config  registry.Config
+	args    []string // beside those that name the file
+	process *Process
 }
 
 // NewRegistry makes so many replicas, which Start starts.
-func (r *Cluster) NewRegistry(n int) (*Registry, error) {
-	g := &Registry{cluster: r, replicas: make(map[string]*replica)}
+func (c *Cluster) NewRegistry(n int) (*Registry, error) {
+	g := &Registry{cluster: c, replicas: make(map[string]*replica)}
 	names, hosts := make(map[string]string), make([]string, n) // names by host
 	for i := range n {
 		name := fmt.Sprint("r", i)
-		g.Names, hosts[i] = append(g.Names, name), r.Host()
+		g.Names, hosts[i] = append(g.Names, name), c.NewAddress()
 		names[hosts[i]] = name
 	}
 	peers := make(map[string]string)
 	for i, name := range g.Names {
-		dir, err := r.Dir("registry-" + name)
+		dir, err := c.Dir("registry-" + name)
 		if err != nil {
 			return nil, err
 		}
-		c := registry.Config{ID: name, ListenAddress: fmt.Sprintf("%s:%d", hosts[i], listPort),
+		config := registry.Config{ID: name, ListenAddress: fmt.Sprintf("%s:%d", hosts[i], listPort),
 			RaftBindAddress: fmt.Sprintf("%s:%d", hosts[i], raftPort), DataDir: filepath.Join(dir, "data"), InitialReplicas: peers}
 		// The relay reads names from here on.
-		if c.RaftAddress, err = r.RelayStreams(name, c.RaftBindAddress, func(host string) string { return names[host] }); err != nil {
+		if config.RaftAddress, err = c.RelayStreams(name, config.RaftBindAddress, func(host string) string { return names[host] }); err != nil {
 			return nil, err
 		}
-		peers[name] = c.RaftAddress
-		g.replicas[name] = &replica{config: c}
+		peers[name] = config.RaftAddress
+		g.replicas[name] = &replica{config: config}
 	}
 	return g, nil
 }
@@ -77,7 +77,7 @@
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		return err
 	}
-	r.proc, err = g.cluster.Start("registry-"+name, program, append([]string{"registry", "serve", "--config", file}, r.args...), nil)
+	r.process, err = g.cluster.Start("registry-"+name, program, append([]string{"registry", "serve", "--config", file}, r.args...), nil)
 	return err
 }
 
@@ -85,26 +85,26 @@
 func (g *Registry) Process(name string) *Process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.replicas[name].proc
+	return g.replicas[name].process
 }
 
-// Listen is where a replica answers calls, and Folder where it keeps the list.
-func (g *Registry) Listen(name string) string { return g.replicas[name].config.ListenAddress }
+// Address is where a replica answers calls.
+func (g *Registry) Address(name string) string { return g.replicas[name].config.ListenAddress }
 
-// Folder is where a replica keeps the list.
-func (g *Registry) Folder(name string) string { return g.replicas[name].config.DataDir }
+// DataDir is where a replica keeps the list.
+func (g *Registry) DataDir(name string) string { return g.replicas[name].config.DataDir }
 
 // Addresses are where all replicas answer calls.
 func (g *Registry) Addresses() (all []string) {
 	for _, name := range g.Names {
-		all = append(all, g.Listen(name))
+		all = append(all, g.Address(name))
 	}
 	return all
 }
 
 // Status asks a replica how it is.
 func (g *Registry) Status(ctx context.Context, name string) (s registry.Status, err error) {
-	err = Get(ctx, g.Listen(name), "/registry/status", &s)
+	err = Get(ctx, g.Address(name), "/registry/status", &s)
 	return s, err
 }
 
@@ -128,12 +128,12 @@
 	return leader, err
 }
 
-// Cut cuts a replica off from the others, or ends that.
-func (g *Registry) Cut(name string, on bool) {
+// SetIsolated cuts a replica off from the others, or ends that.
+func (g *Registry) SetIsolated(name string, on bool) {
 	for _, other := range g.Names {
 		if other != name {
-			g.cluster.SetLink(name, other, Faults{Cut: on})
-			g.cluster.SetLink(other, name, Faults{Cut: on})
+			g.cluster.SetLinkFaults(name, other, Faults{Cut: on})
+			g.cluster.SetLinkFaults(other, name, Faults{Cut: on})
 		}
 	}
 }
--- a/internal/testcluster/registry_test.go
+++ b/internal/testcluster/registry_test.go
@@ -19,21 +19,21 @@
 	"sloerail/internal/registry"
 )
 
-// put is one write to an instance: its first, or one that wants a version.
-type put struct {
+// registration is one write to an instance: its first, or one that wants a version.
+type registration struct {
 	id    string
 	match int64 // 0 for any
 }
 
-// came is what came of it: the version that it made, the other version that stood there, or nothing known.
-type came struct {
+// observation is what came of it: the version that it made, the other version that stood there, or nothing known.
+type observation struct {
 	version  int64
 	mismatch bool
 	unknown  bool
 }
 
-// held is what an instance's version may be: known, or anything above.
-type held struct {
+// heldEntry is what an instance's version may be: known, or anything above.
+type heldEntry struct {
 	version int64
 	known   bool
 }
@@ -44,7 +44,7 @@
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byID := make(map[string][]porcupine.Operation)
 		for _, op := range all {
-			id := op.Input.(put).id
+			id := op.Input.(registration).id
 			byID[id] = append(byID[id], op)
 		}
 		var parts [][]porcupine.Operation
@@ -53,22 +53,22 @@
 		}
 		return parts
 	},
-	Init: func() []any { return []any{held{known: true}} },
+	Init: func() []any { return []any{heldEntry{known: true}} },
 	Step: func(state, input, output any) []any {
-		s, in, out := state.(held), input.(put), output.(came)
+		s, in, out := state.(heldEntry), input.(registration), output.(observation)
 		may := in.match == 0 || s.known && s.version == in.match || !s.known && in.match > s.version
 		switch {
 		case out.unknown && may:
-			return []any{s, held{version: s.version}}
+			return []any{s, heldEntry{version: s.version}}
 		case out.unknown:
 			return []any{s}
 		case out.mismatch:
 			if out.version != in.match && (s.known && s.version == out.version || !s.known && out.version > s.version) {
-				return []any{held{out.version, true}}
+				return []any{heldEntry{out.version, true}}
 			}
 			return nil
 		case may && out.version > s.version:
-			return []any{held{out.version, true}}
+			return []any{heldEntry{out.version, true}}
 		}
 		return nil
 	},
@@ -90,7 +90,7 @@
 			rng := rand.New(rand.NewPCG(seed, uint64(w)))
 			c := registry.NewClient(g.Addresses())
 			for i := 0; ctx.Err() == nil; i++ {
-				in := put{id: fmt.Sprint("s-", rng.IntN(3))}
+				in := registration{id: fmt.Sprint("s-", rng.IntN(3))}
 				if rng.IntN(2) == 0 {
 					h.mu.Lock()
 					in.match = h.newest[in.id]
@@ -100,13 +100,13 @@
 				var a registry.WriteResponse
 				err := c.Do(ctx, http.MethodPut, "/registry/instances/"+in.id, map[string]any{"host_port": "10.0.0.1:9000",
 					"lease_ms": 600_000, "up_since_ms": w*1_000_000 + i + 1}, &a, in.match) // each entry is another
-				out := came{version: a.Version}
+				out := observation{version: a.Version}
 				var refused registry.StatusError
 				switch {
 				case errors.As(err, &refused) && refused.StatusCode == http.StatusPreconditionFailed:
 					continue // it took no effect, and tells no version here
 				case err != nil:
-					out = came{unknown: true}
+					out = observation{unknown: true}
 				}
 				op.Output, op.Return = out, int64(time.Since(start))
 				if out.unknown {
@@ -161,9 +161,9 @@
 
 // Three replicas live through the death of leaders, a leader that stands still, a split, and the end of all of
 // them: writes are in one order, none that was acknowledged is lost, and no watcher sees a revision go back.
-func TestRegistryThroughTroubles(t *testing.T) {
+func TestRegistryStaysLinearizableThroughFaults(t *testing.T) {
 	t.Parallel()
-	r, ctx := newRig(t)
+	r, ctx := newCluster(t)
 	g, _ := startRegistry(t, r, ctx, 3)
 	start := func(names ...string) {
 		t.Helper()
@@ -187,7 +187,7 @@
 	work.Go(func() { h.run(under, g, 3, *seed) })
 	watchers := make(chan error, len(g.Names))
 	for _, name := range g.Names {
-		go func() { watchers <- followList(under, g.Listen(name)) }()
+		go func() { watchers <- followList(under, g.Address(name)) }()
 	}
 	progress := func() {
 		t.Helper()
@@ -217,15 +217,15 @@
 	g.Process(name).Pause(ctx, 2*time.Second) // it comes back believing that it leads
 	progress()
 	name = leader()
-	g.Cut(name, true)
+	g.SetIsolated(name, true)
 	err := Await(within(t, ctx), "the cut-off leader to refuse its list", func() bool {
-		return Get(ctx, g.Listen(name), "/registry/instances", nil) != nil
+		return Get(ctx, g.Address(name), "/registry/instances", nil) != nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	progress()
-	g.Cut(name, false)
+	g.SetIsolated(name, false)
 	for _, name := range g.Names {
 		g.Process(name).Kill()
 	}
@@ -245,7 +245,7 @@
 // check holds the history to the promised order, and the list to what was acknowledged.
 func check(t *testing.T, ctx context.Context, g *Registry, h *writers) {
 	t.Helper()
-	if res := porcupine.CheckOperationsTimeout(versions.ToModel(), h.history, long); res != porcupine.Ok {
+	if res := porcupine.CheckOperationsTimeout(versions.ToModel(), h.history, stepTimeout); res != porcupine.Ok {
 		t.Errorf("%d writes are in no order: %v", len(h.history), res)
 	}
 	if _, err := g.AwaitLeader(within(t, ctx)); err != nil {
@@ -267,9 +267,9 @@
 
 // A replica whose folder was spoilt says so by name, and serves nothing of it; one that lost its folder is
 // given the list by the others.
-func TestRegistryFolders(t *testing.T) {
+func TestReplicaRefusesDamagedDataDirAndRefillsEmptyOne(t *testing.T) {
 	t.Parallel()
-	r, ctx := newRig(t)
+	r, ctx := newCluster(t)
 	g, leader := startRegistry(t, r, ctx, 3)
 	c := registry.NewClient(g.Addresses())
 	for i := range 20 {
@@ -286,7 +286,7 @@
 	}
 	p := g.Process(other)
 	p.Kill()
-	path := filepath.Join(g.Folder(other), "commands.db")
+	path := filepath.Join(g.DataDir(other), "commands.db")
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -302,7 +302,7 @@
 	if err := p.Wait(within(t, ctx)); err == nil || !strings.Contains(p.Log(), "commands.db: command") {
 		t.Errorf("a spoilt folder: %v\n%s", err, p.Log())
 	}
-	if err := os.RemoveAll(g.Folder(other)); err != nil {
+	if err := os.RemoveAll(g.DataDir(other)); err != nil {
 		t.Fatal(err)
 	}
 	if err := g.Start(other); err != nil {
@@ -310,7 +310,7 @@
 	}
 	err = Await(within(t, ctx), "the replica to have the list again", func() bool {
 		var l registry.EndpointList
-		return Get(ctx, g.Listen(other), "/registry/instances", &l) == nil && len(l.Endpoints) == 20
+		return Get(ctx, g.Address(other), "/registry/instances", &l) == nil && len(l.Endpoints) == 20
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -320,7 +320,7 @@
 // Replicas are replaced one by one under writes, as for an upgrade: one order of writes, and none lost.
 func TestRegistryUpgradedOneByOne(t *testing.T) {
 	t.Parallel()
-	r, ctx := newRig(t)
+	r, ctx := newCluster(t)
 	g, _ := startRegistry(t, r, ctx, 3)
 	h := &writers{newest: make(map[string]int64)}
 	under, stop := context.WithCancel(ctx)
@@ -339,7 +339,7 @@
 			t.Fatal(err)
 		}
 		err := Await(within(t, ctx), name+" to have its list", func() bool {
-			return Get(ctx, g.Listen(name), "/registry/instances", nil) == nil
+			return Get(ctx, g.Address(name), "/registry/instances", nil) == nil
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -354,7 +354,7 @@
 // that it has seen already, and each takes the whole list.
 func TestRegistryRestoredFromACopy(t *testing.T) {
 	t.Parallel()
-	r, ctx := newRig(t)
+	r, ctx := newCluster(t)
 	g, name := startRegistry(t, r, ctx, 1)
 	c := registry.NewClient(g.Addresses())
 	put := func(id string) {
@@ -382,7 +382,7 @@
 	copied := filepath.Join(t.TempDir(), "copy")
 	put("s-1")
 	restart(func() {
-		if err := os.CopyFS(copied, os.DirFS(g.Folder(name))); err != nil {
+		if err := os.CopyFS(copied, os.DirFS(g.DataDir(name))); err != nil {
 			t.Fatal(err)
 		}
 	})
@@ -393,10 +393,10 @@
 		t.Fatalf("%d instances, %v", len(last.Endpoints), err)
 	}
 	restart(func() {
-		if err := os.RemoveAll(g.Folder(name)); err != nil {
+		if err := os.RemoveAll(g.DataDir(name)); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.CopyFS(g.Folder(name), os.DirFS(copied)); err != nil {
+		if err := os.CopyFS(g.DataDir(name), os.DirFS(copied)); err != nil {
 			t.Fatal(err)
 		}
 		g.replicas[name].args = []string{"--new-epoch"}
--- a/internal/testcluster/scenario.go
+++ b/internal/testcluster/scenario.go
@@ -18,25 +18,25 @@
 // scenarioRun is a scenario under way, with real nodes.
 type scenarioRun struct {
 	simulation.Scenario
-	world   *World
-	fleet   *Fleet
-	servers []emulator.ServerSpec
-	loads   map[string][]*LoadGenerator // by zone
-	near    map[string][]*Node
-	from    emulator.Time
+	env         *Environment
+	fleet       *Fleet
+	servers     []emulator.ServerSpec
+	generators  map[string][]*LoadGenerator // by zone
+	nodesByZone map[string][]*Node
+	origin      emulator.Time
 }
 
 // PlayScenario plays a scenario of the lab with real nodes in real time, and returns what came of it. Its zones have
 // to hold equally many nodes.
-func (r *Cluster) PlayScenario(ctx context.Context, s simulation.Scenario, seed uint64) (*simulation.Outcome, error) {
-	p := &scenarioRun{Scenario: s, servers: s.ServerSpecs(seed), loads: make(map[string][]*LoadGenerator), near: make(map[string][]*Node)}
-	p.world = r.NewWorld(seed, p.servers...)
+func (c *Cluster) PlayScenario(ctx context.Context, s simulation.Scenario, seed uint64) (*simulation.Outcome, error) {
+	p := &scenarioRun{Scenario: s, servers: s.ServerSpecs(seed), generators: make(map[string][]*LoadGenerator), nodesByZone: make(map[string][]*Node)}
+	p.env = c.NewEnvironment(seed, p.servers...)
 	if err := p.start(ctx); err != nil {
 		return nil, err
 	}
-	p.world.Look(func() {
-		p.from = p.world.now()
-		p.world.outcome = simulation.NewOutcome(s, p.servers, emulator.Classes(), p.from)
+	p.env.WithLock(func() {
+		p.origin = p.env.now()
+		p.env.outcome = simulation.NewOutcome(s, p.servers, emulator.Classes(), p.origin)
 	})
 	began := time.Now()
 	for _, z := range s.Zones {
@@ -45,7 +45,7 @@
 	if err := p.play(ctx, began); err != nil {
 		return nil, err
 	}
-	for _, loads := range p.loads {
+	for _, loads := range p.generators {
 		for _, l := range loads {
 			if err := l.Wait(ctx); err != nil {
 				return nil, err
@@ -74,25 +74,25 @@
 		spec.Topology = map[string]any{"regions": regions, "only": only}
 	}
 	var err error
-	if p.fleet, err = p.world.NewFleet(spec); err != nil {
+	if p.fleet, err = p.env.NewFleet(spec); err != nil {
 		return err
 	}
 	for i, name := range p.fleet.Names {
 		zone := p.Zones[i%len(p.Zones)].Name
-		p.near[zone] = append(p.near[zone], p.fleet.Nodes[name])
+		p.nodesByZone[zone] = append(p.nodesByZone[zone], p.fleet.Nodes[name])
 	}
 	if err := p.fleet.Start(ctx, p.fleet.Names...); err != nil {
 		return err
 	}
-	_, err = p.fleet.AwaitAgree(ctx, p.fleet.Names...)
+	_, err = p.fleet.AwaitMembership(ctx, p.fleet.Names...)
 	return err
 }
 
 // addClients has clients near a zone ask so many times as much, for a time.
 func (p *scenarioRun) addClients(zone string, times float64, until time.Duration) {
-	spec := p.Clients(len(p.near[zone]), until)
+	spec := p.Clients(len(p.nodesByZone[zone]), until)
 	spec.Rate *= times
-	p.loads[zone] = append(p.loads[zone], p.world.Clients(fmt.Sprintf("%s%d", zone, len(p.loads[zone])), spec, p.near[zone]...))
+	p.generators[zone] = append(p.generators[zone], p.env.StartClients(fmt.Sprintf("%s%d", zone, len(p.generators[zone])), spec, p.nodesByZone[zone]...))
 }
 
 // play carries out the faults in order, and returns when the clients' time is over.
@@ -151,7 +151,7 @@
 		parted := func(zone string, b emulator.ServerSpec) bool { return f.Separates(zone, b.Zone) }
 		p.setLinks(parted, Faults{Cut: on}, Faults{Cut: on})
 	case simulation.Vanish:
-		p.world.updateList(affected, map[bool]string{true: emulator.Removed, false: emulator.Up}[on])
+		p.env.updateList(affected, map[bool]string{true: emulator.Removed, false: emulator.Up}[on])
 	case simulation.Drain:
 		return p.drain(ctx, affected, on)
 	case simulation.Nodes:
@@ -166,13 +166,13 @@
 
 // recordFault books that a fault begins or ends, and makes the servers that it strikes fail or slow.
 func (p *scenarioRun) recordFault(f simulation.Fault, affected []emulator.ServerSpec, on bool) {
-	p.world.mu.Lock()
-	defer p.world.mu.Unlock()
-	p.world.outcome.Mark(p.world.now(), "", f.Describe(on))
+	p.env.mu.Lock()
+	defer p.env.mu.Unlock()
+	p.env.outcome.Mark(p.env.now(), "", f.Describe(on))
 	for _, spec := range affected {
-		b := p.world.servers[spec.ID]
+		b := p.env.servers[spec.ID]
 		if on {
-			p.world.outcome.Interrupted += len(b.waits)
+			p.env.outcome.Interrupted += len(b.completions)
 		}
 		f.ApplyTo(&b.Fault, on)
 	}
@@ -189,12 +189,12 @@
 
 // setLinks sets what is wrong there and back between the nodes of zones and the servers that are hit.
 func (p *scenarioRun) setLinks(hit func(zone string, b emulator.ServerSpec) bool, there, back Faults) {
-	for zone, nodes := range p.near {
+	for zone, nodes := range p.nodesByZone {
 		for _, n := range nodes {
 			for _, b := range p.servers {
 				if hit(zone, b) {
-					p.world.cluster.SetLink(n.Spec.Name, b.ID, there)
-					p.world.cluster.SetLink(b.ID, n.Spec.Name, back)
+					p.env.cluster.SetLinkFaults(n.Spec.Name, b.ID, there)
+					p.env.cluster.SetLinkFaults(b.ID, n.Spec.Name, back)
 				}
 			}
 		}
@@ -203,13 +203,13 @@
 
 // restart has new, cold processes in the place of servers, and the list say so.
 func (p *scenarioRun) restart(servers []emulator.ServerSpec) {
-	p.world.Look(func() {
+	p.env.WithLock(func() {
 		for _, spec := range servers {
-			b := p.world.servers[spec.ID]
-			b.Server = emulator.NewServer(spec, p.world.now(), p.world.seed+uint64(len(spec.ID)))
+			b := p.env.servers[spec.ID]
+			b.Server = emulator.NewServer(spec, p.env.now(), p.env.seed+uint64(len(spec.ID)))
 		}
 	})
-	p.world.updateList(servers, emulator.Up)
+	p.env.updateList(servers, emulator.Up)
 }
 
 func (p *scenarioRun) drain(ctx context.Context, servers []emulator.ServerSpec, on bool) error {
@@ -217,18 +217,18 @@
 		p.restart(servers)
 		return nil
 	}
-	p.world.updateList(servers, emulator.Draining)
+	p.env.updateList(servers, emulator.Draining)
 	if err := wait(ctx, drainTime); err != nil {
 		return err
 	}
-	p.world.updateList(servers, emulator.Removed)
+	p.env.updateList(servers, emulator.Removed)
 	return nil
 }
 
 // setNodesDown kills the nodes of a zone, or starts them again.
 func (p *scenarioRun) setNodesDown(ctx context.Context, zone string, on bool) error {
 	var names []string
-	for _, n := range p.near[zone] {
+	for _, n := range p.nodesByZone[zone] {
 		if names = append(names, n.Spec.Name); on {
 			n.Kill()
 		}
@@ -239,29 +239,29 @@
 	return p.fleet.Start(ctx, names...)
 }
 
-// placeLogLine is a line of a node's log on a place.
-var placeLogLine = regexp.MustCompile(`^time=(\S+) .*msg="(place [^"]*)"`)
+// zoneLogLine is a line of a node's log on a place.
+var zoneLogLine = regexp.MustCompile(`^time=(\S+) .*msg="(place [^"]*)"`)
 
 // result reads what the nodes said of places, and what rules were broken.
 func (p *scenarioRun) result(began time.Time) *simulation.Outcome {
-	p.world.mu.Lock()
-	defer p.world.mu.Unlock()
-	o := p.world.outcome
-	p.world.outcome = nil
+	p.env.mu.Lock()
+	defer p.env.mu.Unlock()
+	o := p.env.outcome
+	p.env.outcome = nil
 	for _, name := range p.fleet.Names {
 		for _, proc := range p.fleet.Nodes[name].Processes() {
 			for line := range strings.Lines(proc.Log()) {
-				m := placeLogLine.FindStringSubmatch(line)
+				m := zoneLogLine.FindStringSubmatch(line)
 				if m == nil {
 					continue
 				}
 				if at, err := time.Parse(time.RFC3339, m[1]); err == nil {
-					o.Mark(p.from+at.Sub(began), name, m[2])
+					o.Mark(p.origin+at.Sub(began), name, m[2])
 				}
 			}
 		}
 	}
-	broken, n := p.world.Checker.Violations()
+	broken, n := p.env.Checker.Violations()
 	o.Broken, o.BrokenRules = n, append([]string{}, broken...)
 	return o
 }
--- a/internal/testcluster/scope_test.go
+++ b/internal/testcluster/scope_test.go
@@ -17,11 +17,11 @@
 	"sloerail/internal/registry"
 )
 
-// scopedTrial is a node that is told a subset of one service, by three replicas that list several.
-type scopedTrial struct {
+// scopedHarness is a node that is told a subset of one service, by three replicas that list several.
+type scopedHarness struct {
 	t    *testing.T
 	ctx  context.Context
-	w    *World
+	w    *Environment
 	g    *Registry
 	c    *registry.Client
 	node *Node
@@ -37,12 +37,12 @@
 // scopedList is the path of the list that the node is to have.
 const scopedList = "/registry/instances?service=a&subset=3&position=0&nodes=1&zone=a"
 
-func newScopedTrial(t *testing.T, servers int) *scopedTrial {
-	r, ctx := newRig(t)
+func newScopedHarness(t *testing.T, servers int) *scopedHarness {
+	r, ctx := newCluster(t)
 	g, _ := startRegistry(t, r, ctx, 3)
-	x := &scopedTrial{t: t, ctx: ctx, w: r.NewWorld(*seed, boxes(servers, "a")...), g: g, c: registry.NewClient(g.Addresses()),
+	x := &scopedHarness{t: t, ctx: ctx, w: r.NewEnvironment(*seed, serverSpecs(servers, "a")...), g: g, c: registry.NewClient(g.Addresses()),
 		at: make(map[string]string), sent: make(map[string]int), inScope: make(map[string]bool)}
-	n, err := x.w.AddNode(NodeSpec{Name: "n0", Settings: Settings(0, 1, "a", quick(), tenants, 4000),
+	n, err := x.w.AddNode(NodeSpec{Name: "n0", Settings: Settings(0, 1, "a", shortClasses(), tenants, 4000),
 		Scope: map[string]any{"services": []string{"a"}, "subset": 3}})
 	if err != nil {
 		t.Fatal(err)
@@ -50,7 +50,7 @@
 	n.Spec.InitialList, n.Spec.Discovery, n.Spec.ListFile = nil, strings.Join(g.Addresses(), ","), n.dir+"/list"
 	x.node = n
 	for id, b := range x.w.servers {
-		if x.at[id], err = x.w.serve("n0", id, x.counted(id, x.w.serverHandler("n0", "a", b))); err != nil {
+		if x.at[id], err = x.w.listenFor("n0", id, x.counted(id, x.w.serverHandler("n0", "a", b))); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -58,7 +58,7 @@
 }
 
 // counted counts the attempts that reach a server.
-func (x *scopedTrial) counted(id string, h http.Handler) http.Handler {
+func (x *scopedHarness) counted(id string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		x.mu.Lock()
 		x.sent[id]++
@@ -67,8 +67,8 @@
 	})
 }
 
-// write changes an instance in the list.
-func (x *scopedTrial) write(method, id string, body any) {
+// writeInstance changes an instance in the list.
+func (x *scopedHarness) writeInstance(method, id string, body any) {
 	x.t.Helper()
 	var a registry.WriteResponse
 	if err := x.c.Do(within(x.t, x.ctx), method, "/registry/instances/"+id, body, &a, 0); err != nil {
@@ -77,13 +77,13 @@
 	x.written = a.Revision
 }
 
-func (x *scopedTrial) register(id, service string) {
+func (x *scopedHarness) register(id, service string) {
 	x.t.Helper()
-	x.write(http.MethodPut, id, map[string]any{"host_port": x.at[id], "locality": "a", "service": service, "lease_ms": 600_000})
+	x.writeInstance(http.MethodPut, id, map[string]any{"host_port": x.at[id], "locality": "a", "service": service, "lease_ms": 600_000})
 }
 
-// followed waits until the node has what the list has in its scope, and returns that.
-func (x *scopedTrial) followed(what string) (ids []string) {
+// awaitFollowed waits until the node has what the list has in its scope, and returns that.
+func (x *scopedHarness) awaitFollowed(what string) (ids []string) {
 	x.t.Helper()
 	err := Await(within(x.t, x.ctx), "the node to have its scope "+what, func() bool {
 		var list registry.EndpointList
@@ -94,10 +94,10 @@
 		for _, e := range list.Endpoints {
 			ids = append(ids, e.ID+" "+e.Phase)
 		}
-		return slices.Equal(ids, x.held())
+		return slices.Equal(ids, x.subscribedServers())
 	})
 	if err != nil {
-		x.t.Fatal(err, x.held())
+		x.t.Fatal(err, x.subscribedServers())
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -108,8 +108,8 @@
 	return ids
 }
 
-// held is what the node has, by the file that it keeps the list in.
-func (x *scopedTrial) held() (servers []string) {
+// subscribedServers is what the node has, by the file that it keeps the list in.
+func (x *scopedHarness) subscribedServers() (servers []string) {
 	raw, err := os.ReadFile(x.node.Spec.ListFile)
 	if err != nil {
 		return nil
@@ -128,9 +128,9 @@
 // A node with a scope lives through the death of its list service's leader, the drain and end of servers of its
 // subset, their replacement, and changes elsewhere: requests are served, drains kept, and nothing is ever sent to a
 // server outside of its scope.
-func TestScopedNodeThroughTroubles(t *testing.T) {
+func TestScopedNodeSurvivesFaults(t *testing.T) {
 	t.Parallel()
-	x := newScopedTrial(t, 12)
+	x := newScopedHarness(t, 12)
 	for i := range 10 { // two more are there for replacements
 		x.register(fmt.Sprintf("s-%02d", i), []string{"a", "a", "b"}[i%3])
 	}
@@ -140,11 +140,11 @@
 	if err := x.node.Ready(within(t, x.ctx)); err != nil {
 		t.Fatal(err)
 	}
-	first := x.followed("at its start")
+	first := x.awaitFollowed("at its start")
 	if len(first) != 3 {
 		t.Fatalf("a subset of 3 has %v", first)
 	}
-	load := x.w.Clients("c", emulator.ClientSpec{Rate: 80, Classes: quick(), Tenants: tenants, MaxRetries: 2,
+	load := x.w.StartClients("c", emulator.ClientSpec{Rate: 80, Classes: shortClasses(), Tenants: tenants, MaxRetries: 2,
 		RetryDelay: 100 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, x.node)
 	x.replace(first[0], "s-10")
 	leader, err := x.g.AwaitLeader(within(t, x.ctx))
@@ -159,39 +159,39 @@
 	if err := x.g.Start(leader); err != nil {
 		t.Fatal(err)
 	}
-	x.write(http.MethodDelete, "s-02", nil) // of the other service
-	x.followed("after a change elsewhere")
+	x.writeInstance(http.MethodDelete, "s-02", nil) // of the other service
+	x.awaitFollowed("after a change elsewhere")
 	x.finish(load)
 }
 
 // replace drains a server of the node's subset, takes it out, and puts another in its place.
-func (x *scopedTrial) replace(old, next string) {
+func (x *scopedHarness) replace(old, next string) {
 	x.t.Helper()
-	x.write(http.MethodPut, old+"/phase", map[string]string{"phase": registry.PhaseDraining})
-	if during := x.followed("in the drain of " + old); !slices.Contains(during, old) || len(during) < 4 {
+	x.writeInstance(http.MethodPut, old+"/phase", map[string]string{"phase": registry.PhaseDraining})
+	if during := x.awaitFollowed("in the drain of " + old); !slices.Contains(during, old) || len(during) < 4 {
 		x.t.Errorf("while %s drains, the node has %v", old, during)
 	}
-	x.w.Look(func() { x.w.Checker.ChangeNotified(x.w.now(), "n0", old, emulator.Draining) })
-	x.write(http.MethodDelete, old, nil)
-	x.followed("after the end of " + old)
+	x.w.WithLock(func() { x.w.Checker.ChangeNotified(x.w.now(), "n0", old, emulator.Draining) })
+	x.writeInstance(http.MethodDelete, old, nil)
+	x.awaitFollowed("after the end of " + old)
 	x.register(next, "a")
-	if after := x.followed("with " + next); !slices.Contains(after, next) || len(after) != 3 {
+	if after := x.awaitFollowed("with " + next); !slices.Contains(after, next) || len(after) != 3 {
 		x.t.Errorf("with %s in the place of %s, the node has %v", next, old, after)
 	}
 }
 
 // finish ends the load, and holds what was served and sent to what is promised.
-func (x *scopedTrial) finish(load *LoadGenerator) {
+func (x *scopedHarness) finish(load *LoadGenerator) {
 	x.t.Helper()
-	err := Await(within(x.t, x.ctx), "enough requests", func() bool { return load.Sums().Requests >= 240 })
+	err := Await(within(x.t, x.ctx), "enough requests", func() bool { return load.Stats().Requests >= 240 })
 	if err != nil {
 		x.t.Fatal(err)
 	}
-	x.w.Look(func() { load.clients.StopArrivals() })
+	x.w.WithLock(func() { load.clients.StopArrivals() })
 	if err := load.Wait(within(x.t, x.ctx)); err != nil {
 		x.t.Fatal(err)
 	}
-	x.w.clean(x.t)
+	x.w.requireNoViolations(x.t)
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	for id, n := range x.sent {
@@ -199,7 +199,7 @@
 			x.t.Errorf("%d attempts went to %s, which was never in scope", n, id)
 		}
 	}
-	sums := load.Sums()
+	sums := load.Stats()
 	if sums.InTime < sums.Requests/2 {
 		x.t.Errorf("clients: %+v", sums)
 	}
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -11,33 +11,33 @@
 
 type server struct {
 	*emulator.Server
-	wakeup chan struct{}
-	waits  map[string]chan emulator.CompletedJob // by request
+	wakeup      chan struct{}
+	completions map[string]chan emulator.CompletedJob // by request
 }
 
-func (w *World) addServer(spec emulator.ServerSpec, started emulator.Time) {
-	b := &server{Server: emulator.NewServer(spec, started, w.seed+uint64(len(w.servers))), wakeup: make(chan struct{}, 1),
-		waits: make(map[string]chan emulator.CompletedJob)}
-	w.servers[spec.ID] = b
-	w.list.Set(w.entry(b, emulator.Up))
-	w.parts.Go(func() { w.runServer(b) })
+func (e *Environment) addServer(spec emulator.ServerSpec, started emulator.Time) {
+	b := &server{Server: emulator.NewServer(spec, started, e.seed+uint64(len(e.servers))), wakeup: make(chan struct{}, 1),
+		completions: make(map[string]chan emulator.CompletedJob)}
+	e.servers[spec.ID] = b
+	e.list.Set(e.entry(b, emulator.Up))
+	e.background.Go(func() { e.runServer(b) })
 }
 
 // Server is one of the servers; read and change it within Look.
-func (w *World) Server(id string) *emulator.Server { return w.servers[id].Server }
+func (e *Environment) Server(id string) *emulator.Server { return e.servers[id].Server }
 
-// Sent counts the attempts of a node that have reached servers of a zone.
-func (w *World) Sent(node, zone string) int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.sent[[2]string{node, zone}]
+// AttemptCount counts the attempts of a node that have reached servers of a zone.
+func (e *Environment) AttemptCount(node, zone string) int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return e.attemptCounts[[2]string{node, zone}]
 }
 
-// EachInZone does something to each server of a zone.
-func (w *World) EachInZone(zone string, do func(b *emulator.Server)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, b := range w.servers {
+// EachServerInZone does something to each server of a zone.
+func (e *Environment) EachServerInZone(zone string, do func(b *emulator.Server)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	for _, b := range e.servers {
 		if b.Spec.Zone == zone {
 			do(b.Server)
 		}
@@ -45,33 +45,33 @@
 }
 
 // runServer finishes a server's jobs when they are due.
-func (w *World) runServer(b *server) {
+func (e *Environment) runServer(b *server) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		w.mu.Lock()
-		for _, d := range b.Advance(w.now()) {
-			if reply := b.waits[d.ID]; reply != nil {
+		e.mu.Lock()
+		for _, d := range b.Advance(e.now()) {
+			if reply := b.completions[d.ID]; reply != nil {
 				reply <- d
-				delete(b.waits, d.ID)
+				delete(b.completions, d.ID)
 			}
 		}
 		at, ok := b.Next()
-		w.mu.Unlock()
+		e.mu.Unlock()
 		if ok {
-			timer.Reset(at - w.now())
+			timer.Reset(at - e.now())
 		}
 		select {
 		case <-timer.C:
 		case <-b.wakeup:
-		case <-w.ctx.Done():
+		case <-e.ctx.Done():
 			return
 		}
 	}
 }
 
 // serverHandler is a server as one node sees it.
-func (w *World) serverHandler(node, zone string, b *server) http.Handler {
+func (e *Environment) serverHandler(node, zone string, b *server) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Request-Id")
 		if id == "" {
@@ -87,7 +87,7 @@
 			return
 		}
 		job := emulator.Job{ID: id, Key: r.Header.Get("Idempotency-Key"), Work: work}
-		verdict, load, done := w.offer(node, zone, r.Header.Get("X-Class"), b, job)
+		verdict, load, done := e.offer(node, zone, r.Header.Get("X-Class"), b, job)
 		rw.Header().Set("X-Load", fmt.Sprintf("latency_ms=%.1f,util=%.3f,qps=%.1f", load.LatencyMs, load.Util, load.QPS))
 		switch verdict {
 		case emulator.Rejected:
@@ -96,50 +96,50 @@
 		case emulator.Failed:
 			rw.WriteHeader(http.StatusInternalServerError)
 		default:
-			w.awaitDone(rw, r, b, id, done)
+			e.awaitCompletion(rw, r, b, id, done)
 		}
 	})
 }
 
 // offer hands a server an attempt that has come, and books it. What is done with it comes on the channel.
-func (w *World) offer(node, zone, class string, b *server, job emulator.Job) (emulator.Verdict, emulator.LoadReport, <-chan emulator.CompletedJob) {
+func (e *Environment) offer(node, zone, class string, b *server, job emulator.Job) (emulator.Verdict, emulator.LoadReport, <-chan emulator.CompletedJob) {
 	done := make(chan emulator.CompletedJob, 1)
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	now := w.now()
-	w.Checker.AttemptArrived(now, node, job.ID, b.Server)
-	w.sent[[2]string{node, b.Spec.Zone}]++
-	if w.outcome != nil {
-		w.outcome.Sent(now, class, zone, b.Spec.Zone)
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	now := e.now()
+	e.Checker.AttemptArrived(now, node, job.ID, b.Server)
+	e.attemptCounts[[2]string{node, b.Spec.Zone}]++
+	if e.outcome != nil {
+		e.outcome.Sent(now, class, zone, b.Spec.Zone)
 	}
 	verdict := b.Offer(now, job)
 	if verdict == emulator.Accepted {
-		b.waits[job.ID] = done
+		b.completions[job.ID] = done
 	} else { // the answer is on its way: whoever sends again has it
-		w.Checker.AttemptEnded(job.ID, b.Spec.ID, verdict == emulator.Rejected)
+		e.Checker.AttemptEnded(job.ID, b.Spec.ID, verdict == emulator.Rejected)
 	}
 	return verdict, b.LoadReport(now), done
 }
 
-// awaitDone answers a request once its server has finished it.
-func (w *World) awaitDone(rw http.ResponseWriter, r *http.Request, b *server, id string, done <-chan emulator.CompletedJob) {
+// awaitCompletion answers a request once its server has finished it.
+func (e *Environment) awaitCompletion(rw http.ResponseWriter, r *http.Request, b *server, id string, done <-chan emulator.CompletedJob) {
 	select {
 	case b.wakeup <- struct{}{}:
 	default:
 	}
 	select {
 	case <-done:
-		w.attemptOver(b, id)
+		e.recordAttemptEnded(b, id)
 		_, _ = io.WriteString(rw, "served "+id)
 	case <-r.Context().Done():
-		w.attemptOver(b, id)
-	case <-w.ctx.Done():
+		e.recordAttemptEnded(b, id)
+	case <-e.ctx.Done():
 	}
 }
 
-// attemptOver books the end of an attempt that may have run.
-func (w *World) attemptOver(b *server, id string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.Checker.AttemptEnded(id, b.Spec.ID, false)
+// recordAttemptEnded books the end of an attempt that may have run.
+func (e *Environment) recordAttemptEnded(b *server, id string) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.Checker.AttemptEnded(id, b.Spec.ID, false)
 }
--- a/internal/testcluster/wire.go
+++ b/internal/testcluster/wire.go
@@ -19,8 +19,8 @@
 // clientConn is a client's connection to a node: one request at a time, as the protocol page has it.
 type clientConn struct {
 	net.Conn
-	r    *bufio.Reader
-	used bool
+	reader *bufio.Reader
+	used   bool
 }
 
 // exchange sends t to the node and reads the answer; written is called once its last byte is written. A request
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &clientConn{Conn: conn, r: bufio.NewReader(conn)}, nil
+	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
 func (d *backend) exchangeOn(c *clientConn, t *emulator.ClientAttempt, end time.Time, written func()) (int, time.Duration, error) {
@@ -85,10 +85,10 @@
 		return 0, 0, endedUnanswered(err)
 	}
 	written()
-	if _, err := c.r.Peek(1); err != nil {
+	if _, err := c.reader.Peek(1); err != nil {
 		return 0, 0, endedUnanswered(err)
 	}
-	resp, err := http.ReadResponse(c.r, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0, 0, err
 	}
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -13,21 +13,21 @@
 	"sloerail/internal/simulation"
 )
 
-// zones is a fleet of two nodes in each of three zones of two regions, with clients near their nodes.
-func zones(t *testing.T) *trial {
+// startZoneFleet is a fleet of two nodes in each of three zones of two regions, with clients near their nodes.
+func startZoneFleet(t *testing.T) *fleetHarness {
 	t.Helper()
 	names := []string{"a", "b", "c"}
-	x := startTrial(t, FleetSpec{Nodes: 6, Zones: names, RetainMissing: true,
-		Topology: map[string]any{"regions": map[string]any{"north": []string{"a", "b"}, "south": []string{"c"}}}}, boxes(12, names...))
+	x := startFleetHarness(t, FleetSpec{Nodes: 6, Zones: names, RetainMissing: true,
+		Topology: map[string]any{"regions": map[string]any{"north": []string{"a", "b"}, "south": []string{"c"}}}}, serverSpecs(12, names...))
 	for i, zone := range names {
-		x.loads = append(x.loads, x.w.Clients("c"+zone, emulator.ClientSpec{Rate: 60, Classes: quick(), Tenants: tenants, MaxRetries: 3,
+		x.loads = append(x.loads, x.w.StartClients("c"+zone, emulator.ClientSpec{Rate: 60, Classes: shortClasses(), Tenants: tenants, MaxRetries: 3,
 			RetryDelay: 50 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, x.Nodes[x.Names[i]], x.Nodes[x.Names[i+3]]))
 	}
 	return x
 }
 
-// place is what a node makes of a zone.
-func (x *trial) place(name, zone string) (v node.PlaceView) {
+// zoneView is what a node makes of a zone.
+func (x *fleetHarness) zoneView(name, zone string) (v node.PlaceView) {
 	var all []node.PlaceView
 	if err := Get(x.ctx, x.Nodes[name].Control(), "/places", &all); err != nil {
 		return v
@@ -40,27 +40,27 @@
 	return v
 }
 
-// awaitPlace waits until these nodes hold a zone for that, and returns how long that took.
-func (x *trial) awaitPlace(zone, state string, names ...string) time.Duration {
+// awaitZoneState waits until these nodes hold a zone for that, and returns how long that took.
+func (x *fleetHarness) awaitZoneState(zone, state string, names ...string) time.Duration {
 	x.Helper()
 	began := time.Now()
 	for _, name := range names {
 		err := Await(within(x.T, x.ctx), fmt.Sprintf("%s to hold zone %s for %s", name, zone, state), func() bool {
-			return x.place(name, zone).State == state
+			return x.zoneView(name, zone).State == state
 		})
 		if err != nil {
-			x.Fatalf("%v: it is %+v", err, x.place(name, zone))
+			x.Fatalf("%v: it is %+v", err, x.zoneView(name, zone))
 		}
 	}
 	return time.Since(began)
 }
 
-// served waits until so many more requests are served.
-func (x *trial) served(n int) {
+// requireServed waits until so many more requests are served.
+func (x *fleetHarness) requireServed(n int) {
 	x.Helper()
 	sum := func() (s int) {
 		for _, l := range x.loads {
-			s += l.Sums().InTime
+			s += l.Stats().InTime
 		}
 		return s
 	}
@@ -70,10 +70,10 @@
 	}
 }
 
-// crossing counts what the nodes of the first zone sent to the others.
-func (x *trial) crossing() (n int) {
+// crossZoneAttempts counts what the nodes of the first zone sent to the others.
+func (x *fleetHarness) crossZoneAttempts() (n int) {
 	for _, name := range []string{x.Names[0], x.Names[3]} {
-		n += x.w.Sent(name, "b") + x.w.Sent(name, "c")
+		n += x.w.AttemptCount(name, "b") + x.w.AttemptCount(name, "c")
 	}
 	return n
 }
@@ -82,22 +82,22 @@
 // the others, come back to it, and keep the servers of a zone that a list takes away for a moment by mistake.
 func TestFleetLeavesAZoneAndReturns(t *testing.T) {
 	t.Parallel()
-	x := zones(t)
+	x := startZoneFleet(t)
 	near := []string{x.Names[0], x.Names[3]}
-	x.served(600)
-	if n := x.crossing(); n > 0 {
+	x.requireServed(600)
+	if n := x.crossZoneAttempts(); n > 0 {
 		t.Errorf("%d attempts crossed at rest", n)
 	}
 	fault := func(f emulator.ServerFault) {
-		x.w.EachInZone("a", func(b *emulator.Server) { b.Fault = f })
+		x.w.EachServerInZone("a", func(b *emulator.Server) { b.Fault = f })
 	}
 	cut := func(on bool) {
 		for i := range 12 {
 			for _, name := range x.Names {
 				if i%3 == 0 {
 					box := fmt.Sprintf("s-%02d", i)
-					x.w.cluster.SetLink(name, box, Faults{Cut: on})
-					x.w.cluster.SetLink(box, name, Faults{Cut: on})
+					x.w.cluster.SetLinkFaults(name, box, Faults{Cut: on})
+					x.w.cluster.SetLinkFaults(box, name, Faults{Cut: on})
 				}
 			}
 		}
@@ -111,22 +111,22 @@
 		{"nothing passes, and nothing is told", func() { cut(true) }, func() { cut(false) }, "returning"},
 	} {
 		trouble.on()
-		left := x.awaitPlace("a", "left", near...)
-		before := x.crossing()
-		x.served(300)
-		if x.crossing() == before {
+		left := x.awaitZoneState("a", "left", near...)
+		before := x.crossZoneAttempts()
+		x.requireServed(300)
+		if x.crossZoneAttempts() == before {
 			t.Errorf("%s: left, and nothing goes to the other zones", trouble.name)
 		}
 		trouble.off()
-		back := x.awaitPlace("a", trouble.back, near...)
+		back := x.awaitZoneState("a", trouble.back, near...)
 		t.Logf("%s: left by both near nodes after %v, %s %v after its end", trouble.name, left, trouble.back, back)
 	}
-	before := x.crossing()
-	x.w.Unlist("a", true)
-	x.served(10) // some of the nodes know, and go on
-	x.w.Unlist("a", false)
-	x.served(300)
-	t.Logf("the list lacked the zone for a moment: %d of its requests crossed", x.crossing()-before)
+	before := x.crossZoneAttempts()
+	x.w.SetZoneRemoved("a", true)
+	x.requireServed(10) // some of the nodes know, and go on
+	x.w.SetZoneRemoved("a", false)
+	x.requireServed(300)
+	t.Logf("the list lacked the zone for a moment: %d of its requests crossed", x.crossZoneAttempts()-before)
 	x.finish()
 }
 
@@ -168,7 +168,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, ctx := newRig(t)
+	r, ctx := newCluster(t)
 	defer r.Close()
 	o, err := r.PlayScenario(ctx, s, *seed)
 	if err != nil {
