--- a/internal/cpuload/main.go
+++ b/internal/cpuload/main.go
@@ -12,33 +12,36 @@
 	"time"
 )
 
-// longest bounds the load, whatever was asked for.
-const longest = time.Hour
+const (
+	maxDuration          = time.Hour // whatever the flag says
+	maxGoroutinesPerCore = 16
+	stepsPerCheck        = 1 << 16 // computed between two looks at the clock
+)
 
 func main() {
-	span := flag.Duration("for", 30*time.Second, "how long to keep them busy; an hour at most")
-	share := flag.Int("times", 2, "spinning goroutines a core")
+	duration := flag.Duration("for", 30*time.Second, "how long to keep them busy; an hour at most")
+	perCore := flag.Int("times", 2, "spinning goroutines a core")
 	flag.Parse()
-	if *span <= 0 || *span > longest || *share < 1 || *share > 16 {
-		fmt.Fprintf(os.Stderr, "cpuload: want -for above 0 and up to %v, got %v, and -times 1 to 16, got %d\n", longest, *span, *share)
+	if *duration <= 0 || *duration > maxDuration || *perCore < 1 || *perCore > maxGoroutinesPerCore {
+		fmt.Fprintf(os.Stderr, "cpuload: want -for above 0 and up to %v, got %v, and -times 1 to %d, got %d\n",
+			maxDuration, *duration, maxGoroutinesPerCore, *perCore)
 		os.Exit(2)
 	}
-	// One goroutine holds one processor, so there are more of them than cores.
-	n := runtime.NumCPU() * *share
-	runtime.GOMAXPROCS(n)
-	end := time.Now().Add(*span)
-	var all sync.WaitGroup
-	for range n {
-		all.Go(func() {
-			for x := uint64(1); ; {
-				for range 1 << 16 {
-					x = x*6364136223846793005 + 1442695040888963407
-				}
-				if time.Now().After(end) {
-					return
-				}
-			}
-		})
+	goroutines := runtime.NumCPU() * *perCore
+	runtime.GOMAXPROCS(goroutines) // a spinning goroutine holds its processor
+	deadline := time.Now().Add(*duration)
+	var running sync.WaitGroup
+	for range goroutines {
+		running.Go(func() { spinUntil(deadline) })
+	}
+	running.Wait()
+}
+
+// spinUntil computes without a pause until the deadline.
+func spinUntil(deadline time.Time) {
+	for x := uint64(1); time.Now().Before(deadline); {
+		for range stepsPerCheck {
+			x = x*6364136223846793005 + 1442695040888963407
+		}
 	}
-	all.Wait()
 }
