--- /dev/null
+++ b/internal/testcluster/build.go
@@ -0,0 +1,74 @@
+package testcluster
+
+import (
+	"errors"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+)
+
+// errNoModule is for a caller that runs outside of this module.
+var errNoModule = errors.New("no go.mod")
+
+// built are the programs that Build has made in this process.
+var built = struct {
+	sync.Mutex
+	paths map[string]string // by package
+	dirs  []string
+}{paths: make(map[string]string)}
+
+// Build builds a package of this module, which the caller's working directory has to be in, and returns the program's
+// path. Each package is built once a process.
+func Build(pkg string) (string, error) {
+	built.Lock()
+	defer built.Unlock()
+	if path, ok := built.paths[pkg]; ok {
+		return path, nil
+	}
+	root, err := moduleRoot()
+	if err != nil {
+		return "", err
+	}
+	dir, err := os.MkdirTemp("", "sloerail-testcluster-")
+	if err != nil {
+		return "", err
+	}
+	path := filepath.Join(dir, filepath.Base(pkg))
+	cmd := exec.Command("go", "build", "-o", path, "./"+pkg)
+	cmd.Dir = root
+	if out, err := cmd.CombinedOutput(); err != nil {
+		_ = os.RemoveAll(dir)
+		return "", fmt.Errorf("building %s: %w\n%s", pkg, err, out)
+	}
+	built.paths[pkg] = path
+	built.dirs = append(built.dirs, dir)
+	return path, nil
+}
+
+// Clean removes the programs that Build has made.
+func Clean() {
+	built.Lock()
+	defer built.Unlock()
+	for _, dir := range built.dirs {
+		_ = os.RemoveAll(dir)
+	}
+	clear(built.paths)
+	built.dirs = nil
+}
+
+func moduleRoot() (string, error) {
+	workingDir, err := os.Getwd()
+	if err != nil {
+		return "", err
+	}
+	for dir := workingDir; ; dir = filepath.Dir(dir) {
+		if _, err := os.Stat(filepath.Join(dir, "go.mod")); err == nil {
+			return dir, nil
+		}
+		if dir == filepath.Dir(dir) {
+			return "", fmt.Errorf("%w in or above %s", errNoModule, workingDir)
+		}
+	}
+}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,10 +1,10 @@
 // Package testcluster runs several processes of the program on loopback, with faults between them, for tests and
 // commands. It is no part of a node.
 //
-// A Rig owns a block of loopback addresses and every process that it starts. Processes die with it, however
-// it ends: each leads a process group of its own, which Close kills, and the kernel kills the process itself
-// should the rig's own process die first. Paths between processes go through links (see Link), whose faults
-// are set under way, by hand or by a Schedule.
+// A Cluster owns a block of loopback addresses and every process that it starts. Processes don't outlive it, however
+// it ends: each leads a process group of its own, which Close kills, and the kernel kills the process itself if the
+// cluster's process dies first. What passes between processes goes through relays, whose faults are set by
+// SetLinkFaults or by a Schedule.
 package testcluster
 
 import (
@@ -22,26 +22,32 @@
 
 const (
 	addressBlocks = 254                   // of loopback addresses: 127.77.N.0/24
-	guardPort     = 7001                  // at the first address of a block: who listens there owns it
-	firstHost     = 2                     // of a block
-	lastHost      = 254                   //
-	pollInterval  = 10 * time.Millisecond // between looks at a condition
+	guardPort     = 7001                  // at the first address of a block: the cluster that listens there owns the block
+	firstHost     = 2                     // of a block: the last byte of its addresses for processes
+	lastHost      = 254                   // the same
+	pollInterval  = 10 * time.Millisecond // between checks of a condition
 )
 
-// Cluster starts processes and carries what passes between them. Its methods may be called from any goroutine.
+// ErrNoAddresses is for a machine on which every block of loopback addresses is in use.
+var ErrNoAddresses = errors.New("no block of loopback addresses is free")
+
+// errClosed is for a process that is started once its cluster is closed.
+var errClosed = errors.New("the cluster is closed")
+
+// Cluster starts processes and relays what passes between them. Its methods may be called from any goroutine.
 type Cluster struct {
 	dir           string
-	guard         net.Listener
+	guard         net.Listener // owns the block
 	block         int
 	links         *links
 	startRequests chan startRequest
-	closed        chan struct{} // closed by Close
+	closed        chan struct{} // by Close
+	closeOnce     sync.Once
 
 	mu        sync.Mutex
-	host      int
-	procs     []*Process
+	nextHost  int
+	processes []*Process
 	closers   []func()
-	closeOnce sync.Once
 }
 
 type startRequest struct {
@@ -49,78 +55,83 @@
 	reply chan error
 }
 
-// New makes a rig that keeps its files in dir. The seed drives the links' chances.
+// New makes a cluster that keeps its files in dir. The seed decides which datagrams and streams the links' faults hit.
 func New(dir string, seed uint64) (*Cluster, error) {
-	r := &Cluster{dir: dir, host: firstHost, startRequests: make(chan startRequest), closed: make(chan struct{})}
-	first := os.Getpid()
+	guard, block, err := ownBlock()
+	if err != nil {
+		return nil, err
+	}
+	c := &Cluster{dir: dir, guard: guard, block: block, links: newLinks(seed), nextHost: firstHost,
+		startRequests: make(chan startRequest), closed: make(chan struct{})}
+	go c.startProcesses()
+	return c, nil
+}
+
+// ownBlock finds a block of addresses that no other cluster on this machine owns.
+func ownBlock() (guard net.Listener, block int, err error) {
+	first := os.Getpid() // so that clusters of several processes rarely try the same block
 	for i := range addressBlocks {
-		r.block = 1 + (first+i)%addressBlocks
-		guard, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.1:%d", r.block, guardPort))
+		block = 1 + (first+i)%addressBlocks
+		guard, err = net.Listen("tcp", fmt.Sprintf("127.77.%d.1:%d", block, guardPort))
 		if err == nil {
-			r.guard = guard
-			break
+			return guard, block, nil
 		}
 	}
-	if r.guard == nil {
-		return nil, errors.New("rig: no block of loopback addresses is free")
-	}
-	r.links = newLinks(seed)
-	go r.starter()
-	return r, nil
+	return nil, 0, fmt.Errorf("test cluster: %w: %w", ErrNoAddresses, err)
 }
 
-// starter starts all processes from one thread that stays: the kernel's word that a child is to die with its
-// parent is about the thread that started it.
-func (c *Cluster) starter() {
+// startProcesses starts all processes from one locked thread, until Close: the kernel kills a child with the thread
+// that started it, not with its process.
+func (c *Cluster) startProcesses() {
 	runtime.LockOSThread()
 	for {
 		select {
-		case s := <-c.startRequests:
-			s.reply <- s.cmd.Start()
+		case request := <-c.startRequests:
+			request.reply <- request.cmd.Start()
 		case <-c.closed:
 			return
 		}
 	}
 }
 
-// NewAddress returns a loopback address that is this rig's alone.
+// NewAddress returns a loopback address that nobody else uses. It panics once the block has no more.
 func (c *Cluster) NewAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.host > lastHost {
-		panic("rig: a block has 253 addresses")
+	if c.nextHost > lastHost {
+		panic(fmt.Sprintf("test cluster: a block has %d addresses", lastHost-firstHost+1))
 	}
-	c.host++
-	return fmt.Sprintf("127.77.%d.%d", c.block, c.host-1)
+	c.nextHost++
+	return fmt.Sprintf("127.77.%d.%d", c.block, c.nextHost-1)
 }
 
-// anyPortAddress is where relays and stand-ins listen: nobody else uses the rig's first address.
+// anyPortAddress is where relays and emulated servers listen: no process uses the block's first address.
 func (c *Cluster) anyPortAddress() string { return fmt.Sprintf("127.77.%d.1:0", c.block) }
 
-// Dir makes a folder of the rig's.
+// Dir makes a folder among the cluster's files.
 func (c *Cluster) Dir(name string) (string, error) {
 	path := filepath.Join(c.dir, name)
 	return path, os.MkdirAll(path, 0o700)
 }
 
-// onClose has Close call end, the last first.
-func (c *Cluster) onClose(end func()) {
+// onClose has Close call a function, the last one first.
+func (c *Cluster) onClose(closer func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closers = append(c.closers, end)
+	c.closers = append(c.closers, closer)
 }
 
-// Close kills what runs, and ends the links. It may be called more than once.
+// Close kills the processes and ends the relays. It may be called more than once.
 func (c *Cluster) Close() {
 	c.closeOnce.Do(func() {
 		c.mu.Lock()
-		procs, ends := c.procs, c.closers
+		processes, closers := c.processes, c.closers
 		c.mu.Unlock()
-		for _, p := range procs {
+		for _, p := range processes {
 			p.Kill()
 		}
-		for i := len(ends) - 1; i >= 0; i-- {
-			ends[i]()
+		for i := len(closers) - 1; i >= 0; i-- {
+			closers[i]()
 		}
 		c.links.close()
 		close(c.closed)
@@ -128,7 +139,7 @@
 	})
 }
 
-// Await looks at a condition until it holds or ctx ends, whose error then names what was awaited.
+// Await checks a condition until it holds or the context ends; the error then names what was awaited.
 func Await(ctx context.Context, what string, holds func() bool) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
@@ -141,63 +152,3 @@
 	}
 	return nil
 }
-
-// Build builds a package of this module, in or above whose folder the caller runs, and returns the program's
-// path. Each package is built once a process; the tool chain's cache makes that cheap.
-func Build(pkg string) (string, error) {
-	built.Lock()
-	defer built.Unlock()
-	if path, ok := built.paths[pkg]; ok {
-		return path, nil
-	}
-	root, err := moduleRoot()
-	if err != nil {
-		return "", err
-	}
-	dir, err := os.MkdirTemp("", "sloerail-rig-")
-	if err != nil {
-		return "", err
-	}
-	path := filepath.Join(dir, filepath.Base(pkg))
-	cmd := exec.Command("go", "build", "-o", path, "./"+pkg)
-	cmd.Dir = root
-	if out, err := cmd.CombinedOutput(); err != nil {
-		_ = os.RemoveAll(dir)
-		return "", fmt.Errorf("building %s: %w\n%s", pkg, err, out)
-	}
-	built.paths[pkg] = path
-	built.dirs = append(built.dirs, dir)
-	return path, nil
-}
-
-var built = struct {
-	sync.Mutex
-	paths map[string]string
-	dirs  []string
-}{paths: make(map[string]string)}
-
-// Clean removes what Build made.
-func Clean() {
-	built.Lock()
-	defer built.Unlock()
-	for _, dir := range built.dirs {
-		_ = os.RemoveAll(dir)
-	}
-	clear(built.paths)
-	built.dirs = nil
-}
-
-func moduleRoot() (string, error) {
-	dir, err := os.Getwd()
-	if err != nil {
-		return "", err
-	}
-	for at := dir; ; at = filepath.Dir(at) {
-		if _, err := os.Stat(filepath.Join(at, "go.mod")); err == nil {
-			return at, nil
-		}
-		if at == filepath.Dir(at) {
-			return "", fmt.Errorf("no go.mod in or above %s", dir)
-		}
-	}
-}
--- a/internal/testcluster/cluster_test.go
+++ b/internal/testcluster/cluster_test.go
@@ -37,7 +37,7 @@
 	t.Cleanup(func() {
 		r.Close()
 		if t.Failed() {
-			for _, p := range r.procs {
+			for _, p := range r.processes {
 				t.Logf("log of %s (%d):\n%s", p.Name, p.PID(), p.Log())
 			}
 		}
@@ -54,7 +54,7 @@
 	return ctx
 }
 
-// shortClasses are classes whose time is short, so that a process is soon through with its clients.
+// shortClasses have short deadlines, so that a process that shuts down soon has no requests any more.
 func shortClasses() []emulator.Class {
 	const ms = time.Millisecond
 	return []emulator.Class{
@@ -78,7 +78,7 @@
 	return all
 }
 
-// startReady starts a process of a node and waits until it takes clients.
+// startReady starts a process of a node and waits until it is ready for clients.
 func startReady(t *testing.T, ctx context.Context, n *Node) {
 	t.Helper()
 	if _, err := n.Start(); err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// requireNoViolations fails the test where a rule was broken or a request turned back.
+// requireNoViolations fails the test where a rule was broken or a connection failed.
 func (e *Environment) requireNoViolations(t *testing.T) {
 	t.Helper()
 	e.WithLock(func() {
@@ -106,8 +106,8 @@
 }
 
 // A node is replaced again and again under load while its processes get no CPU for a while, at any point
-// between bind, accept, its first yes and its end. No request is turned back, refused for want of a
-// descriptor, or lost.
+// between bind, accept, readiness and its end. No connection fails, none is rejected for lack of a descriptor, and no
+// request is lost.
 func TestReplacementWhileShortOfCPU(t *testing.T) {
 	r, ctx := newCluster(t)
 	w := r.NewEnvironment(*seed, serverSpecs(3, "a")...)
@@ -123,7 +123,7 @@
 	watched, over := context.WithCancel(ctx)
 	go func() {
 		most := 0
-		for wait(watched, 2*time.Millisecond) == nil {
+		for sleep(watched, 2*time.Millisecond) == nil {
 			most = max(most, n.Descriptors())
 		}
 		held <- most
@@ -140,7 +140,7 @@
 		// Stops of the new process land anywhere in its start; those of the old one anywhere in its end.
 		stutter := func(p *Process, times int) {
 			for range times {
-				_ = wait(ctx, time.Duration(rng.IntN(12))*time.Millisecond)
+				_ = sleep(ctx, time.Duration(rng.IntN(12))*time.Millisecond)
 				p.Pause(ctx, time.Duration(10+rng.IntN(60))*time.Millisecond)
 			}
 		}
--- a/internal/testcluster/demo.go
+++ b/internal/testcluster/demo.go
@@ -15,14 +15,14 @@
 	"sloerail/internal/output"
 )
 
-// DemoSpec says what Demo plays.
+// DemoSpec says how long Demo plays, and with how many nodes.
 type DemoSpec struct {
 	Duration time.Duration
 	Nodes    int
 	Seed     uint64
 }
 
-// Check says what can't be played.
+// Check returns an error that names the field that is out of range.
 func (d DemoSpec) Check() error {
 	switch {
 	case d.Duration < 3*time.Second || d.Duration > 10*time.Minute:
@@ -33,9 +33,9 @@
 	return nil
 }
 
-// Demo plays the main job on loopback: a fleet of real nodes between stand-in clients and servers of three
-// zones, the death and return of a node and the fault of a server on the way. It writes what happens as it goes,
-// and a table at the end; the error says what was broken.
+// Demo plays a fleet of real nodes on loopback between emulated clients and servers of three zones, with the death and
+// return of a node and the fault of a server on the way. It writes what happens as it goes, and a table at the end; the
+// error says which rules were broken.
 func Demo(ctx context.Context, out io.Writer, d DemoSpec) (err error) {
 	dir, err := os.MkdirTemp("", "sloerail-demo-")
 	if err != nil {
@@ -77,7 +77,7 @@
 
 const (
 	demoServers = 9
-	demoRate    = 60 // requests a second: about half of what the servers can do
+	demoRate    = 60 // requests a second: about half of the servers' capacity
 )
 
 func (p *demoRun) start(ctx context.Context, r *Cluster) error {
@@ -112,43 +112,52 @@
 	p.out.Printf("%5.1f s  "+format+"\n", append([]any{time.Since(p.began).Seconds()}, args...)...)
 }
 
-// run plays the faults, and shows each second how it goes.
-func (p *demoRun) run(ctx context.Context) error {
-	victim, ill := p.fleet.Names[1], "s-4"
-	box := func(f emulator.ServerFault) func() error {
+// demoEvent is a fault or its end.
+type demoEvent struct {
+	at   time.Duration
+	what string
+	do   func() error
+}
+
+func (p *demoRun) events(ctx context.Context) []demoEvent {
+	const faultyServer = "s-4"
+	killed := p.fleet.Names[1]
+	setFault := func(f emulator.ServerFault) func() error {
 		return func() error {
-			p.env.WithLock(func() { p.env.Server(ill).Fault = f })
+			p.env.WithLock(func() { p.env.Server(faultyServer).Fault = f })
 			return nil
 		}
 	}
-	faults := []struct {
-		at   time.Duration
-		what string
-		do   func() error
-	}{
-		{p.Duration / 4, victim + " is killed", func() error { p.fleet.Nodes[victim].Kill(); return nil }},
-		{p.Duration / 3, ill + " fails seven of ten", box(emulator.ServerFault{ErrorFraction: 0.7})},
-		{p.Duration / 2, victim + " is back", func() error { return p.fleet.Start(ctx, victim) }},
-		{p.Duration * 2 / 3, ill + " is well again", box(emulator.ServerFault{})},
+	return []demoEvent{
+		{p.Duration / 4, killed + " is killed", func() error { p.fleet.Nodes[killed].Kill(); return nil }},
+		{p.Duration / 3, faultyServer + " fails seven of ten", setFault(emulator.ServerFault{ErrorFraction: 0.7})},
+		{p.Duration / 2, killed + " is back", func() error { return p.fleet.Start(ctx, killed) }},
+		{p.Duration * 2 / 3, faultyServer + " is well again", setFault(emulator.ServerFault{})},
 	}
+}
+
+// run plays the events, and prints the state of the fleet each second.
+func (p *demoRun) run(ctx context.Context) error {
+	events := p.events(ctx)
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
-	for len(faults) > 0 || time.Since(p.began) < p.Duration {
+	for len(events) > 0 || time.Since(p.began) < p.Duration {
 		next := p.Duration
-		if len(faults) > 0 {
-			next = faults[0].at
+		if len(events) > 0 {
+			next = events[0].at
 		}
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-time.After(time.Until(p.began.Add(next))):
-			if len(faults) > 0 {
-				p.printf("%s", faults[0].what)
-				if err := faults[0].do(); err != nil {
-					return err
-				}
-				faults = faults[1:]
+			if len(events) == 0 {
+				continue
+			}
+			p.printf("%s", events[0].what)
+			if err := events[0].do(); err != nil {
+				return err
 			}
+			events = events[1:]
 		case <-tick.C:
 			p.printStatus(ctx)
 		}
@@ -157,22 +166,22 @@
 }
 
 func (p *demoRun) printStatus(ctx context.Context) {
-	heard := ""
+	status := ""
 	for _, name := range p.fleet.Names {
 		if v, err := p.fleet.View(ctx, name); err == nil {
-			heard += fmt.Sprintf(" %s hears %d", name, v.Heard)
+			status += fmt.Sprintf(" %s hears %d", name, v.Heard)
 		} else {
-			heard += " " + name + " is away"
+			status += " " + name + " is away"
 		}
 	}
 	s := p.load.Stats()
-	p.printf("asked %d, served in time %d, late %d, refused tries %d;%s", s.Requests, s.InTime, s.Late, s.Rejections, heard)
+	p.printf("asked %d, served in time %d, late %d, refused tries %d;%s", s.Requests, s.InTime, s.Late, s.Rejections, status)
 }
 
-// printResult shows what came of each class, and says which rules were broken.
+// printResult prints the outcome by class, and the rules that were broken.
 func (p *demoRun) printResult() error {
 	t := output.NewTable(p.out, "class", "asked", "served in time", "late", "not served")
-	var broken []string
+	var violations []string
 	var count int
 	p.env.WithLock(func() {
 		for _, name := range slices.Sorted(maps.Keys(p.load.clients.Stats)) {
@@ -180,13 +189,13 @@
 			t.AppendRow(table.Row{name, s.Requests, fmt.Sprintf("%.1f%%", 100*float64(s.InTime)/float64(max(1, s.Requests))), s.Late,
 				s.Failed})
 		}
-		broken, count = p.env.Checker.Violations()
-		broken = slices.Clone(broken)
+		violations, count = p.env.Checker.Violations()
+		violations = slices.Clone(violations)
 	})
 	t.Render()
 	p.out.Printf("rules broken: %d\n", count)
-	for _, b := range broken {
-		p.out.Println(" ", b)
+	for _, violation := range violations {
+		p.out.Println(" ", violation)
 	}
 	if count > 0 {
 		return fmt.Errorf("%d rules were broken", count)
--- a/internal/testcluster/discovery_test.go
+++ b/internal/testcluster/discovery_test.go
@@ -16,8 +16,8 @@
 	"sloerail/internal/registry"
 )
 
-// mirrorRegistry puts the servers of a world into a list service, each by an agent, until the returned function ends
-// one or all. The node reaches them at the addresses that the list has.
+// mirrorRegistry registers the servers of an environment with a registry, each by an agent, until the returned function
+// ends one or all. The node reaches them at the addresses that the list has.
 func mirrorRegistry(t *testing.T, w *Environment, g *Registry, node string) (drop func(id string)) {
 	t.Helper()
 	stops := make(map[string]func())
@@ -42,9 +42,8 @@
 	return func(id string) { stops[id]() }
 }
 
-// A node lives by three replicas of the list service: it goes on when the one that it watches dies, when all
-// are away, and when it starts anew meanwhile; nobody is removed because the service was away, and what drains
-// afterwards is heard of.
+// A node with three replicas of the registry serves on when the one that it watches dies, when all are down, and when
+// the node restarts meanwhile; no server is removed because of the outage, and drains after it are noticed.
 func TestNodeSurvivesItsListService(t *testing.T) {
 	t.Parallel()
 	r, ctx := newCluster(t)
@@ -93,11 +92,11 @@
 	}
 	kill(g.Names...)
 	before := load.Stats()
-	_ = wait(ctx, 3*time.Second) // longer than a lease
-	n.Kill()                     // and the node itself, with nobody to ask
+	_ = sleep(ctx, 3*time.Second) // longer than a lease
+	n.Kill()                      // and the node itself, with nobody to ask
 	startReady(t, ctx, n)
 	entries(4)
-	_ = wait(ctx, time.Second)
+	_ = sleep(ctx, time.Second)
 	if after := load.Stats(); after.InTime-before.InTime < 200 {
 		t.Errorf("%d served while the list service was away for 4 s, at 80 a second", after.InTime-before.InTime)
 	}
@@ -120,7 +119,7 @@
 	t.Logf("clients: %+v", load.Stats())
 }
 
-// stats is a node's figures as text; empty where it gives none.
+// stats returns a node's metrics as text; empty where it gives none.
 func stats(ctx context.Context, n *Node) string {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/testcluster/environment.go
+++ b/internal/testcluster/environment.go
@@ -12,38 +12,38 @@
 )
 
 const (
-	healthCheckInterval = 100 * time.Millisecond // between looks of the front at a node
-	unhealthyThreshold  = 3                      // looks that fail in a row, and the front leaves a node
-	maxOpenAttempts     = 4096                   // tries open at a time; more are the driver's own fault and counted so
-	maxWatchWait        = time.Minute            // that a call for the list may wait
-	maxListCalls        = 1 << 16                // for the list whose times are kept
+	healthCheckInterval = 100 * time.Millisecond // between a load generator's health checks of a node
+	unhealthyThreshold  = 3                      // health checks that fail in a row, after which no attempts go to the node
+	maxOpenAttempts     = 4096                   // of all clients; more aren't sent, and are counted
+	maxWatchWait        = time.Minute            // of a call to the list service
+	maxListCalls        = 1 << 16                // whose times are retained
 )
 
-// Environment is what nodes live among, on sockets: servers, the list of them, clients behind a front, and the
-// checker. Its parts are the emulator's; the world gives them the time and carries bytes.
+// Environment is what surrounds nodes, on sockets: servers, the list service, clients and the checker. The emulator's
+// state machines do the work; the environment gives them the time and carries bytes. It ends with its cluster.
 type Environment struct {
-	Checker *emulator.Checker // hold the lock of Look while reading
+	Checker *emulator.Checker // guarded by WithLock
 
-	cluster *Cluster
-	start   time.Time
-	seed    uint64
+	cluster    *Cluster
+	start      time.Time // of its clock
+	seed       uint64
+	ctx        context.Context // ends with the environment
+	cancel     context.CancelFunc
+	sending    sync.WaitGroup // attempts of clients
+	background sync.WaitGroup // all other goroutines
 
 	mu              sync.Mutex
 	list            *emulator.List
 	servers         map[string]*server
-	listChanged     chan struct{} // closed when the list changes
+	listChanged     chan struct{} // closed, and replaced, at each change
 	openAttempts    int
-	skippedAttempts int                 // tries not sent for want of the driver's own room
-	attemptCounts   map[[2]string]int   // attempts, by node and zone
-	listCalls       []time.Time         // for the list; the last ones of many
+	skippedAttempts int                 // not sent because of maxOpenAttempts
+	attemptCounts   map[[2]string]int   // of attempts that reached servers, by node and zone of the server
+	listCalls       []time.Time         // the newest maxListCalls at most
 	outcome         *simulation.Outcome // of the scenario that is played; nil for none
-	sending         sync.WaitGroup
-	ctx             context.Context
-	cancel          context.CancelFunc
-	background      sync.WaitGroup
 }
 
-// NewEnvironment makes a world with these servers, all of them warm and in the list.
+// NewEnvironment makes an environment with these servers, all of them in the list and past their slow start.
 func (c *Cluster) NewEnvironment(seed uint64, specs ...emulator.ServerSpec) *Environment {
 	w := &Environment{Checker: emulator.NewChecker(emulator.DefaultRules()), cluster: c, start: time.Now().Add(-time.Hour),
 		seed: seed, list: emulator.NewList(), servers: make(map[string]*server), listChanged: make(chan struct{}),
@@ -62,49 +62,45 @@
 	e.background.Wait()
 }
 
-// now is the world's clock. It begins at an hour, so that no moment of a run is 0, which stands for long ago.
+// now is the environment's clock. It begins at an hour, because 0 stands for long ago.
 func (e *Environment) now() emulator.Time { return time.Since(e.start) }
 
-// WithLock calls do with the world's lock held: on servers, the list, the checker and sums.
+// WithLock calls do with the lock held that guards servers, the list, the checker and the counts.
 func (e *Environment) WithLock(do func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	do()
 }
 
-// AddNode makes a node of this world: it reaches each server and the list by paths of its own, and is told the
-// servers as they are now. Spec's discovery and known list are filled in.
+// AddNode makes a node in this environment. It reaches each server and the list service by a path of its own, and
+// starts with the list as it is now: Discovery and InitialList of the spec are filled in.
 func (e *Environment) AddNode(spec NodeSpec) (*Node, error) {
-	addrs := make(map[string]string)
+	addresses := make(map[string]string)
 	e.mu.Lock()
 	servers := make([]*server, 0, len(e.servers))
-	for _, b := range e.servers {
-		servers = append(servers, b)
+	for _, s := range e.servers {
+		servers = append(servers, s)
 	}
 	e.mu.Unlock()
-	for _, b := range servers {
-		at, err := e.listenFor(spec.Name, b.Spec.ID, e.serverHandler(spec.Name, spec.zone(), b))
+	for _, s := range servers {
+		address, err := e.listenFor(spec.Name, s.Spec.ID, e.serverHandler(spec.Name, spec.zone(), s))
 		if err != nil {
 			return nil, err
 		}
-		addrs[b.Spec.ID] = at
+		addresses[s.Spec.ID] = address
 	}
-	at, err := e.listenFor(spec.Name, "list", e.listHandler(spec.Name, addrs))
+	address, err := e.listenFor(spec.Name, "list", e.listHandler(spec.Name, addresses))
 	if err != nil {
 		return nil, err
 	}
-	spec.Discovery = at
+	spec.Discovery = address
 	e.mu.Lock()
-	spec.InitialList = withAddresses(e.list.Snapshot(), addrs)
+	spec.InitialList = withAddresses(e.list.Snapshot(), addresses)
 	e.mu.Unlock()
-	n, err := e.cluster.Node(spec)
-	if err != nil {
-		return nil, err
-	}
-	return n, nil
+	return e.cluster.Node(spec)
 }
 
-// listenFor answers one node on a path of its own.
+// listenFor serves a party's handler to one node, and returns the address of the relay between them.
 func (e *Environment) listenFor(node, party string, h http.Handler) (at string, err error) {
 	ln, err := net.Listen("tcp", e.cluster.anyPortAddress())
 	if err != nil {
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -12,7 +12,7 @@
 	"sloerail/internal/node"
 )
 
-// stateOf is what a node knows of a member; empty for nothing.
+// stateOf returns the state of a member in a view; empty for an unknown one.
 func stateOf(v node.FleetView, name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -22,17 +22,17 @@
 	return ""
 }
 
-// Fleet is nodes that are members of one fleet; gossip passes between each two over a link of the rig.
+// Fleet is nodes that are members of one fleet. Gossip between each two passes through a relay.
 type Fleet struct {
 	Nodes   map[string]*Node
 	Names   []string // in order
 	cluster *Cluster
 }
 
-// FleetSpec says what fleet to make.
+// FleetSpec describes a fleet.
 type FleetSpec struct {
 	Nodes   int
-	Zones   []string // that the nodes are in, in turn
+	Zones   []string // of the nodes, in turn
 	ProbeMs float64
 	Label   string
 	KeyFile string
@@ -43,14 +43,17 @@
 
 	Topology      map[string]any // the section of that name in the nodes' files; nil for none
 	RetainMissing bool
-	PollList      bool // the list is asked for, where it is pushed otherwise
+	PollList      bool // poll the list instead of watching it
 }
 
-// NewFleet makes the nodes of a fleet in this world; Start starts them.
+// seedNodes is how many nodes of a fleet the others join by.
+const seedNodes = 3
+
+// NewFleet makes the nodes of a fleet in this environment; Start starts them.
 func (e *Environment) NewFleet(spec FleetSpec) (*Fleet, error) {
 	f := &Fleet{Nodes: make(map[string]*Node), cluster: e.cluster}
-	hosts := make(map[string]string) // who sends from where
-	var all []*Node
+	nameOfHost := make(map[string]string)
+	var nodes []*Node
 	for i := range spec.Nodes {
 		name, zone := fmt.Sprintf("n%02d", i), spec.Zones[i%len(spec.Zones)]
 		settings := Settings(i, spec.Nodes, zone, spec.Classes, spec.Tenants, spec.Quota)
@@ -62,24 +65,24 @@
 		if err != nil {
 			return nil, err
 		}
-		all = append(all, n)
-		hosts[n.Host] = name
+		nodes = append(nodes, n)
+		nameOfHost[n.Host] = name
 		f.Nodes[name], f.Names = n, append(f.Names, name)
 	}
-	join := []string{}
-	for i, n := range all {
-		at, err := e.cluster.RelayGossip(n.Spec.Name, n.Gossip(), func(host string) string { return hosts[host] })
+	seeds := []string{}
+	for i, n := range nodes {
+		address, err := e.cluster.RelayGossip(n.Spec.Name, n.Gossip(), func(host string) string { return nameOfHost[host] })
 		if err != nil {
 			return nil, err
 		}
-		n.Spec.Fleet = map[string]any{"bind": n.Gossip(), "advertise": at, "label": spec.Label,
+		n.Spec.Fleet = map[string]any{"bind": n.Gossip(), "advertise": address, "label": spec.Label,
 			"key_file": spec.KeyFile, "probe_ms": spec.ProbeMs}
-		if i < 3 {
-			join = append(join, at)
+		if i < seedNodes {
+			seeds = append(seeds, address)
 		}
 	}
-	for _, n := range all {
-		n.Spec.Fleet["join"] = join
+	for _, n := range nodes {
+		n.Spec.Fleet["join"] = seeds
 	}
 	return f, nil
 }
@@ -99,81 +102,76 @@
 	return nil
 }
 
-// View is what a node says of the fleet.
+// View returns a node's view of the fleet.
 func (f *Fleet) View(ctx context.Context, name string) (v node.FleetView, err error) {
 	err = Get(ctx, f.Nodes[name].Control(), "/fleet", &v)
 	return v, err
 }
 
-// AwaitMembership waits until each of these nodes hears all of these, suspects none, and hears nobody else; it
+// AwaitMembership waits until each of these nodes has just these as its members that are present, and suspects none. It
 // returns how long that took.
 func (f *Fleet) AwaitMembership(ctx context.Context, names ...string) (time.Duration, error) {
 	began := time.Now()
 	want := slices.Sorted(slices.Values(names))
 	for _, name := range want {
-		var last []string
+		var present []string
 		err := Await(ctx, name+" to agree", func() bool {
-			v, err := f.View(ctx, name)
+			view, err := f.View(ctx, name)
 			if err == nil {
-				last = v.Present()
+				present = view.Present()
 			}
-			return err == nil && slices.Equal(last, want) &&
-				!slices.ContainsFunc(v.Members, func(m node.FleetMember) bool { return m.State == membership.Suspect })
+			return err == nil && slices.Equal(present, want) &&
+				!slices.ContainsFunc(view.Members, func(m node.FleetMember) bool { return m.State == membership.Suspect })
 		})
 		if err != nil {
-			return 0, fmt.Errorf("%w: it hears %v, want %v", err, last, want)
+			return 0, fmt.Errorf("%w: present are %v, want %v", err, present, want)
 		}
 	}
 	return time.Since(began), nil
 }
 
-// AwaitState waits until each of these nodes holds one for that, and returns how long that took for each.
-func (f *Fleet) AwaitState(ctx context.Context, who, state string, names ...string) ([]time.Duration, error) {
+// AwaitState waits until each of these nodes has a member in a state. It returns how long that took for each.
+func (f *Fleet) AwaitState(ctx context.Context, member, state string, names ...string) ([]time.Duration, error) {
 	began := time.Now()
-	took := make([]time.Duration, len(names))
-	failed := make(chan error, len(names))
-	for i, name := range names {
-		go func() {
-			last := ""
-			err := Await(ctx, name+" to hold "+who+" for "+state, func() bool {
-				v, err := f.View(ctx, name)
-				if err == nil {
-					last = stateOf(v, who)
-				}
-				took[i] = time.Since(began)
-				return err == nil && last == state
-			})
-			if err != nil {
-				err = fmt.Errorf("%w: it is %q", err, last)
-			}
-			failed <- err
-		}()
+	times := make([]time.Duration, len(names))
+	indices := make([]int, len(names))
+	for i := range indices {
+		indices[i] = i
 	}
-	var first error
-	for range names {
-		if err := <-failed; err != nil && first == nil {
-			first = err
+	err := forEach(indices, func(i int) error {
+		last := ""
+		err := Await(ctx, names[i]+" to hold "+member+" for "+state, func() bool {
+			view, err := f.View(ctx, names[i])
+			if err == nil {
+				last = stateOf(view, member)
+			}
+			times[i] = time.Since(began)
+			return err == nil && last == state
+		})
+		if err != nil {
+			return fmt.Errorf("%w: it is %q", err, last)
 		}
-	}
-	return took, first
+		return nil
+	})
+	return times, err
 }
 
-// StateReports counts how often a node's processes told in their logs that members are now in a state, by member. Of
-// equal lines within ten seconds one is told.
+// StateReports counts, by member, how often a node's processes have logged that it is now in a state. Of equal lines
+// within ten seconds the node logs one.
 func (f *Fleet) StateReports(name, state string) map[string]int {
-	told := make(map[string]int)
+	reports := make(map[string]int)
 	for _, p := range f.Nodes[name].Processes() {
 		for line := range strings.Lines(p.Log()) {
 			if _, rest, ok := strings.Cut(line, "member state changed\" state="+state+" node="); ok {
 				member, _, _ := strings.Cut(rest, " ")
-				told[member]++
+				reports[member]++
 			}
 		}
 	}
-	return told
+	return reports
 }
 
-// DeathReports counts what all nodes told of deaths so far.
+// DeathReports counts the deaths that all nodes have logged so far.
 func (f *Fleet) DeathReports() (sum int) {
 	for _, name := range f.Names {
 		for _, n := range f.StateReports(name, "dead") {
@@ -183,38 +181,32 @@
 	return sum
 }
 
-// Others are all nodes of the fleet but these.
+// Others returns all nodes of the fleet but these.
 func (f *Fleet) Others(names ...string) []string {
 	return slices.DeleteFunc(slices.Clone(f.Names), func(n string) bool { return slices.Contains(names, n) })
 }
 
-// Partition cuts the gossip between the sides, or heals it where there is one side alone.
+// Partition cuts the gossip between the sides. Nodes of no side are in the first, so that without sides it heals all.
 func (f *Fleet) Partition(sides ...[]string) {
-	side := make(map[string]int)
+	sideOf := make(map[string]int)
 	for i, names := range sides {
-		for _, n := range names {
-			side[n] = i
-		}
-	}
-	for _, a := range f.Names {
-		for _, b := range f.Names {
-			if a != b {
-				faults := f.cluster.LinkFaults(a, b)
-				faults.Cut = side[a] != side[b]
-				f.cluster.SetLinkFaults(a, b, faults)
-			}
+		for _, name := range names {
+			sideOf[name] = i
 		}
 	}
+	f.updateGossipFaults(func(from, to string, faults *Faults) { faults.Cut = sideOf[from] != sideOf[to] })
+}
+
+// SetLoss has a fraction of all gossip lost.
+func (f *Fleet) SetLoss(fraction float64) {
+	f.updateGossipFaults(func(_, _ string, faults *Faults) { faults.Loss = fraction })
 }
 
-// SetLoss has a part of all gossip lost.
-func (f *Fleet) SetLoss(part float64) {
-	for _, a := range f.Names {
-		for _, b := range f.Names {
-			if a != b {
-				faults := f.cluster.LinkFaults(a, b)
-				faults.Loss = part
-				f.cluster.SetLinkFaults(a, b, faults)
+func (f *Fleet) updateGossipFaults(change func(from, to string, faults *Faults)) {
+	for _, from := range f.Names {
+		for _, to := range f.Names {
+			if from != to {
+				f.cluster.links.update(path{from, to}, func(faults *Faults) { change(from, to, faults) })
 			}
 		}
 	}
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -17,7 +17,7 @@
 	"sloerail/internal/emulator"
 )
 
-// fleetHarness is a fleet under load, and what its steps are held to.
+// fleetHarness is a fleet under load, with the checks of its steps.
 type fleetHarness struct {
 	*testing.T
 	*Fleet
@@ -41,11 +41,11 @@
 	return x
 }
 
-// startFleetHarness starts a fleet among these servers, with nobody asking yet.
-func startFleetHarness(t *testing.T, spec FleetSpec, boxes []emulator.ServerSpec) *fleetHarness {
+// startFleetHarness starts a fleet with these servers, and no clients yet.
+func startFleetHarness(t *testing.T, spec FleetSpec, servers []emulator.ServerSpec) *fleetHarness {
 	t.Helper()
 	r, ctx := newCluster(t)
-	w := r.NewEnvironment(*seed, boxes...)
+	w := r.NewEnvironment(*seed, servers...)
 	spec.Classes, spec.Tenants = shortClasses(), tenants
 	if spec.Quota == 0 {
 		spec.Quota = 4000
@@ -62,7 +62,7 @@
 	return x
 }
 
-// awaitMembership waits until these nodes hear each other and nobody else.
+// awaitMembership waits until these nodes have each other as members, and nobody else.
 func (x *fleetHarness) awaitMembership(names ...string) time.Duration {
 	x.Helper()
 	took, err := x.AwaitMembership(within(x.T, x.ctx), names...)
@@ -72,7 +72,7 @@
 	return took
 }
 
-// awaitState waits until these nodes hold a member for that.
+// awaitState waits until these nodes have a member in a state.
 func (x *fleetHarness) awaitState(member, state string, names ...string) []time.Duration {
 	x.Helper()
 	took, err := x.AwaitState(within(x.T, x.ctx), member, state, names...)
@@ -82,7 +82,7 @@
 	return took
 }
 
-// finish ends the load, and holds the nodes to the rules.
+// finish ends the load, and requires that no rule was broken.
 func (x *fleetHarness) finish() {
 	x.Helper()
 	for _, l := range x.loads {
@@ -104,7 +104,7 @@
 	}
 }
 
-// One fleet of seven lives through one fault after the other, under load.
+// A fleet of seven under load recovers from one fault after the other.
 func TestFleetSurvivesFaults(t *testing.T) { //nolint:gocyclo // a table of steps, each of which is a short function
 	x := newFleetHarness(t, 7, FleetSpec{}, 120)
 	others := x.Others("n03")
@@ -174,7 +174,7 @@
 				x.cluster.SetLinkFaults("n03", name, cut)
 				x.cluster.SetLinkFaults(name, "n03", cut)
 			}
-			if err := wait(x.ctx, 3*time.Second); err != nil { // as long as a death would take, and more
+			if err := sleep(x.ctx, 3*time.Second); err != nil { // as long as a death would take, and more
 				x.Fatal(err)
 			}
 			x.Partition()
@@ -234,8 +234,8 @@
 			x.T = t
 			before := x.DeathReports()
 			step.do()
-			if told := x.DeathReports() - before; told > step.deaths {
-				t.Errorf("%d deaths were told, want %d at most", told, step.deaths)
+			if reported := x.DeathReports() - before; reported > step.deaths {
+				t.Errorf("%d deaths were reported, want %d at most", reported, step.deaths)
 			}
 		})
 		if t.Failed() {
@@ -246,8 +246,7 @@
 	x.finish()
 }
 
-// A fleet under load lives through a schedule of faults that a seed draws, however they fall together; then it
-// agrees again. A failure prints the schedule.
+// A fleet under load recovers from a random schedule of faults, which may overlap. A failure prints the schedule.
 func TestFleetSurvivesRandomSchedule(t *testing.T) {
 	t.Parallel()
 	x := newFleetHarness(t, 5, FleetSpec{}, 60)
@@ -278,7 +277,7 @@
 	}
 }
 
-// incarnation is that of a member's process, as a node knows it.
+// incarnation returns a member's incarnation in a node's view.
 func (x *fleetHarness) incarnation(at, member string) uint64 {
 	v, err := x.View(x.ctx, at)
 	if err != nil {
@@ -298,8 +297,8 @@
 	}
 }
 
-// With all members to join by dead, nodes start and serve alone; garbage, datagrams of long ago and members
-// with another label or key change nothing and fill no log; the first that is there brings all together.
+// With all seeds dead, nodes start and serve alone; garbage, old datagrams and members with another label or key change
+// nothing and fill no log; the first seed that is back joins all.
 func TestFleetWithoutSeedsAmongStrangers(t *testing.T) {
 	t.Parallel()
 	r, ctx := newCluster(t)
@@ -362,7 +361,7 @@
 	x.finish()
 }
 
-// sendGarbage sends a member what is no gossip, by datagrams and streams, at a bounded rate until stop.
+// sendGarbage sends random datagrams and streams to a member, at a bounded rate until stop.
 func sendGarbage(at string, seed uint64, stop <-chan struct{}) {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	conn, err := net.Dial("udp", at)
--- a/internal/testcluster/form_test.go
+++ b/internal/testcluster/form_test.go
@@ -11,7 +11,7 @@
 	"sloerail/internal/golden"
 )
 
-// goldenSchedule has every kind of fault, and every key both present and left out.
+// goldenSchedule has every kind of fault, and every key both present and absent.
 func goldenSchedule() Schedule {
 	return Schedule{
 		{At: 0, Fault: Kill, Targets: []string{"n0"}},
--- a/internal/testcluster/list.go
+++ b/internal/testcluster/list.go
@@ -1,6 +1,7 @@
 package testcluster
 
 import (
+	"context"
 	"encoding/json"
 	"net/http"
 	"slices"
@@ -10,43 +11,51 @@
 	"sloerail/internal/emulator"
 )
 
-// SetZoneRemoved takes the servers of a zone out of the list in one change, without a word of draining, or puts them back.
-func (e *Environment) SetZoneRemoved(zone string, on bool) {
-	var all []emulator.ServerSpec
-	e.EachServerInZone(zone, func(b *emulator.Server) { all = append(all, b.Spec) })
-	e.updateList(all, map[bool]string{true: emulator.Removed, false: emulator.Up}[on])
+// SetZoneRemoved removes the servers of a zone from the list in one change, without a drain, or puts them back.
+func (e *Environment) SetZoneRemoved(zone string, removed bool) {
+	var specs []emulator.ServerSpec
+	e.EachServerInZone(zone, func(s *emulator.Server) { specs = append(specs, s.Spec) })
+	e.updateList(specs, removedOrUp(removed))
 }
 
-// updateList changes what the list says of servers, all at once, and tells all watches.
+// removedOrUp is the phase of a server that is removed, or of one that isn't.
+func removedOrUp(removed bool) string {
+	if removed {
+		return emulator.Removed
+	}
+	return emulator.Up
+}
+
+// updateList changes the phase of servers in the list, all at once, and notifies all watches.
 func (e *Environment) updateList(servers []emulator.ServerSpec, phase string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, spec := range servers {
-		b := e.servers[spec.ID]
-		b.Draining = phase == emulator.Draining
-		e.list.Set(e.entry(b, phase))
+		s := e.servers[spec.ID]
+		s.Draining = phase == emulator.Draining
+		e.list.Set(e.entry(s, phase))
 	}
 	close(e.listChanged)
 	e.listChanged = make(chan struct{})
 }
 
-// entry is a server in the form of the list.
-func (e *Environment) entry(b *server, phase string) emulator.Entry {
-	entry := emulator.Entry{ID: b.Spec.ID, Locality: b.Spec.Zone, Flavor: b.Spec.Kind, Cell: b.Spec.Cell, Phase: phase, Size: 1}
-	if started := b.Started(); started > 0 {
+// entry returns a server in the form of the list, without its address.
+func (e *Environment) entry(s *server, phase string) emulator.Entry {
+	entry := emulator.Entry{ID: s.Spec.ID, Locality: s.Spec.Zone, Flavor: s.Spec.Kind, Cell: s.Spec.Cell, Phase: phase, Size: 1}
+	if started := s.Started(); started > 0 {
 		entry.UpSince = e.start.Add(started).UnixMilli()
 	}
 	return entry
 }
 
-// SetPhase changes what the list says of a server, and tells all watches.
+// SetPhase changes the phase of a server in the list, and notifies all watches.
 func (e *Environment) SetPhase(id, phase string) {
 	var spec emulator.ServerSpec
 	e.WithLock(func() { spec = e.servers[id].Spec })
 	e.updateList([]emulator.ServerSpec{spec}, phase)
 }
 
-// ListCalls are when nodes called for the list since a time, in order.
+// ListCalls returns when nodes called the list service since a time, in order.
 func (e *Environment) ListCalls(since time.Time) []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -54,52 +63,67 @@
 	return slices.Clone(e.listCalls[i:])
 }
 
-func withAddresses(a emulator.ListResponse, addrs map[string]string) emulator.ListResponse {
-	for i := range a.Members {
-		a.Members[i].HostPort = addrs[a.Members[i].ID]
+// withAddresses fills in the addresses at which one node reaches the servers.
+func withAddresses(list emulator.ListResponse, addresses map[string]string) emulator.ListResponse {
+	for i := range list.Members {
+		list.Members[i].HostPort = addresses[list.Members[i].ID]
 	}
-	return a
+	return list
 }
 
-// listHandler is the list service as one node sees it.
-func (e *Environment) listHandler(node string, addrs map[string]string) http.Handler {
-	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+// listHandler is the list service for one node.
+func (e *Environment) listHandler(node string, addresses map[string]string) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		e.recordListCall()
 		index, err := strconv.ParseInt(r.URL.Query().Get("index"), 10, 64)
-		watch := err == nil
-		ms, _ := strconv.ParseInt(r.URL.Query().Get("wait"), 10, 64)
-		until := time.After(min(maxWatchWait, time.Duration(ms)*time.Millisecond))
-		e.mu.Lock()
-		if e.listCalls = append(e.listCalls, time.Now()); len(e.listCalls) > maxListCalls {
-			e.listCalls = slices.Clone(e.listCalls[maxListCalls/2:])
-		}
-		e.mu.Unlock()
-		var a emulator.ListResponse
-		for told := false; !told; {
-			e.mu.Lock()
-			if a, told = e.list.Since(index); !watch {
-				a, told = e.list.Snapshot(), true
-			}
-			changed := e.listChanged
-			e.mu.Unlock()
-			if told {
-				break
-			}
-			select {
-			case <-changed:
-			case <-until:
-				told = true
-			case <-r.Context().Done():
-				return
+		var list emulator.ListResponse
+		if isPoll := err != nil; isPoll {
+			e.WithLock(func() { list = e.list.Snapshot() })
+		} else {
+			waitMs, _ := strconv.ParseInt(r.URL.Query().Get("wait"), 10, 64)
+			timeout := min(maxWatchWait, time.Duration(waitMs)*time.Millisecond)
+			if list, err = e.awaitListChange(r.Context(), index, timeout); err != nil {
+				return // the node has gone
 			}
 		}
-		rw.Header().Set("Content-Type", "application/json")
-		if json.NewEncoder(rw).Encode(withAddresses(a, addrs)) != nil {
+		w.Header().Set("Content-Type", "application/json")
+		if json.NewEncoder(w).Encode(withAddresses(list, addresses)) != nil {
 			return
 		}
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		for _, entry := range a.Members {
+		for _, entry := range list.Members {
 			e.Checker.ChangeNotified(e.now(), node, entry.ID, entry.Phase)
 		}
 	})
 }
+
+func (e *Environment) recordListCall() {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	if e.listCalls = append(e.listCalls, time.Now()); len(e.listCalls) > maxListCalls {
+		e.listCalls = slices.Clone(e.listCalls[maxListCalls/2:])
+	}
+}
+
+// awaitListChange returns what has changed since a revision, once something has; or no change, after the timeout.
+func (e *Environment) awaitListChange(ctx context.Context, revision int64, timeout time.Duration) (emulator.ListResponse, error) {
+	timer := time.NewTimer(timeout)
+	defer timer.Stop()
+	for {
+		e.mu.Lock()
+		list, changed := e.list.Since(revision)
+		nextChange := e.listChanged
+		e.mu.Unlock()
+		if changed {
+			return list, nil
+		}
+		select {
+		case <-nextChange:
+		case <-timer.C:
+			return list, nil
+		case <-ctx.Done():
+			return list, ctx.Err()
+		}
+	}
+}
--- a/internal/testcluster/load_generator.go
+++ b/internal/testcluster/load_generator.go
@@ -10,7 +10,32 @@
 	"sloerail/internal/emulator"
 )
 
-// StartClients sends what these clients ask to the nodes of a front, and returns once the last try has ended.
+// LoadGenerator sends the attempts of clients to nodes, as a load balancer in front of them does: to healthy nodes in
+// turn. Its fields from clients on are guarded by the environment's lock.
+type LoadGenerator struct {
+	env      *Environment
+	zone     string // of the clients: that of the first node
+	backends []*backend
+	wakeup   chan struct{}
+	done     chan struct{} // closed once run has ended
+
+	clients       *emulator.Clients
+	nextBackend   int
+	openAttempts  int
+	notReadyCount int
+}
+
+// backend is one node with its idle connections.
+type backend struct {
+	node    *Node
+	healthy bool // guarded by the environment's lock
+
+	mu   sync.Mutex
+	idle []*clientConn
+}
+
+// StartClients starts to send the load of spec, whose Until counts from now, to the nodes. The environment's end ends
+// it too.
 func (e *Environment) StartClients(name string, spec emulator.ClientSpec, nodes ...*Node) *LoadGenerator {
 	e.mu.Lock()
 	spec.Until += e.now()
@@ -21,28 +46,14 @@
 		l.backends = append(l.backends, &backend{node: n, healthy: true})
 	}
 	l.zone = nodes[0].Spec.zone()
-	for _, d := range l.backends {
-		e.background.Go(func() { l.checkHealth(d) })
+	for _, b := range l.backends {
+		e.background.Go(func() { l.checkHealth(b) })
 	}
 	e.background.Go(l.run)
 	return l
 }
 
-// LoadGenerator is clients at work.
-type LoadGenerator struct {
-	env         *Environment
-	zone        string // of the nodes that they ask first
-	clients     *emulator.Clients
-	backends    []*backend
-	wakeup      chan struct{}
-	done        chan struct{}
-	nextBackend int
-
-	openAttempts  int // tries
-	notReadyCount int // answers to the front that a node doesn't take clients
-}
-
-// Wait waits until the clients' time is over and their last try has ended.
+// Wait waits until the last attempt of the last request has ended.
 func (l *LoadGenerator) Wait(ctx context.Context) error {
 	select {
 	case <-l.done:
@@ -52,114 +63,109 @@
 	}
 }
 
-// NotReadyCount is how often a node told the front that it takes no clients.
+// NotReadyCount is how many health checks nodes have answered with a failure.
 func (l *LoadGenerator) NotReadyCount() int {
 	l.env.mu.Lock()
 	defer l.env.mu.Unlock()
 	return l.notReadyCount
 }
 
-// Stats tells what became of the requests so far, in all.
-func (l *LoadGenerator) Stats() (all emulator.ClientStats) {
+// Stats counts the requests of all classes so far.
+func (l *LoadGenerator) Stats() (total emulator.ClientStats) {
 	l.env.mu.Lock()
 	defer l.env.mu.Unlock()
 	for _, s := range l.clients.Stats {
-		all.Requests += s.Requests
-		all.InTime += s.InTime
-		all.Late += s.Late
-		all.Failed += s.Failed
-		all.Rejections += s.Rejections
+		total.Requests += s.Requests
+		total.InTime += s.InTime
+		total.Late += s.Late
+		total.Failed += s.Failed
+		total.Rejections += s.Rejections
 	}
-	return all
+	return total
 }
 
+// run sends attempts when they are due, until none is due or open any more.
 func (l *LoadGenerator) run() {
 	defer close(l.done)
-	env := l.env
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		env.mu.Lock()
-		for _, t := range l.clients.TakeDue(env.now()) {
-			if env.openAttempts >= maxOpenAttempts {
-				env.skippedAttempts++
-				l.clients.AttemptEnded(env.now(), t, 0, 0)
-				continue
-			}
-			env.openAttempts++
-			l.openAttempts++
-			if env.outcome != nil && t.Number == 0 {
-				env.outcome.Ask(l.zone, t)
-			}
-			d := l.pickBackend()
-			env.sending.Go(func() { l.send(t, d) })
-		}
-		at, ok := l.clients.Next()
-		open := l.openAttempts
-		env.mu.Unlock()
-		if !ok && open == 0 {
+		nextAt, more, open := l.sendDue()
+		if !more && open == 0 {
 			return
 		}
-		if ok {
-			timer.Reset(at - env.now())
+		if more {
+			timer.Reset(nextAt - l.env.now())
 		}
 		select {
 		case <-timer.C:
 		case <-l.wakeup:
-		case <-env.ctx.Done():
+		case <-l.env.ctx.Done():
 			return
 		}
 	}
 }
 
-// pickBackend takes the backends that are up in turn; the world's lock is held.
+// sendDue sends what is due, and returns when the next attempt is, if one is, and how many are open.
+func (l *LoadGenerator) sendDue() (nextAt emulator.Time, more bool, open int) {
+	env := l.env
+	env.mu.Lock()
+	defer env.mu.Unlock()
+	for _, attempt := range l.clients.TakeDue(env.now()) {
+		if env.openAttempts >= maxOpenAttempts {
+			env.skippedAttempts++
+			l.clients.AttemptEnded(env.now(), attempt, 0, 0)
+			continue
+		}
+		env.openAttempts++
+		l.openAttempts++
+		if env.outcome != nil && attempt.Number == 0 {
+			env.outcome.Ask(l.zone, attempt)
+		}
+		b := l.pickBackend()
+		env.sending.Go(func() { l.send(attempt, b) })
+	}
+	nextAt, more = l.clients.Next()
+	return nextAt, more, l.openAttempts
+}
+
+// pickBackend takes healthy backends in turn, or any where none is healthy. The environment's lock is held.
 func (l *LoadGenerator) pickBackend() *backend {
 	for range l.backends {
 		l.nextBackend++
-		if d := l.backends[l.nextBackend%len(l.backends)]; d.healthy {
-			return d
+		if b := l.backends[l.nextBackend%len(l.backends)]; b.healthy {
+			return b
 		}
 	}
 	return l.backends[l.nextBackend%len(l.backends)]
 }
 
-// backend is the way to one node, with the connections that are open and unused.
-type backend struct {
-	node    *Node
-	healthy bool // by the world's lock
-
-	mu   sync.Mutex
-	idle []*clientConn
-}
-
-// checkHealth asks a node whether it takes clients, as a front does.
-func (l *LoadGenerator) checkHealth(d *backend) {
-	fails := 0
-	for wait(l.env.ctx, healthCheckInterval) == nil {
-		err := Get(l.env.ctx, d.node.Listen, "/health/ready", nil)
-		if fails++; err == nil {
-			fails = 0
+// checkHealth asks a node whether it is ready for clients, until the environment ends.
+func (l *LoadGenerator) checkHealth(b *backend) {
+	failures := 0
+	for sleep(l.env.ctx, healthCheckInterval) == nil {
+		err := Get(l.env.ctx, b.node.Listen, "/health/ready", nil)
+		if failures++; err == nil {
+			failures = 0
 		}
-		var status statusError
+		var status *StatusError
+		l.env.mu.Lock()
 		if errors.As(err, &status) {
-			l.env.mu.Lock()
 			l.notReadyCount++
-			l.env.mu.Unlock()
 		}
-		l.env.mu.Lock()
-		d.healthy = fails < unhealthyThreshold
+		b.healthy = failures < unhealthyThreshold
 		l.env.mu.Unlock()
 	}
 }
 
-// send sends one try and tells the clients and the checker what came of it.
-func (l *LoadGenerator) send(t *emulator.ClientAttempt, d *backend) {
+// send sends one attempt, and reports its end to the clients and to the checker.
+func (l *LoadGenerator) send(attempt *emulator.ClientAttempt, b *backend) {
 	env := l.env
 	began := time.Now()
-	status, retryAfter, err := d.exchange(t, func() {
+	status, retryAfter, err := b.exchange(attempt, func() {
 		env.mu.Lock()
 		defer env.mu.Unlock()
-		env.Checker.RequestAccepted(env.now(), t)
+		env.Checker.RequestAccepted(env.now(), attempt)
 	})
 	env.mu.Lock()
 	defer env.mu.Unlock()
@@ -168,21 +174,27 @@
 	now := env.now()
 	switch {
 	case err == nil:
-		env.Checker.ResponseReceived(now, t.ID, status)
-	case errors.Is(err, errNoConnection) || errors.Is(err, errEndedUnanswered):
-		env.Checker.ConnectionFailed(now, t.ID, fmt.Errorf("%s: %w", d.node.Spec.Name, err), d.node.killedSince(began))
+		env.Checker.ResponseReceived(now, attempt.ID, status)
+	case errors.Is(err, errNoConnection) || errors.Is(err, errClosedUnanswered):
+		env.Checker.ConnectionFailed(now, attempt.ID, fmt.Errorf("%s: %w", b.node.Spec.Name, err), b.node.killedSince(began))
 	case isTimeout(err):
-		env.Checker.RequestTimedOut(t.ID)
+		env.Checker.RequestTimedOut(attempt.ID)
 	case env.ctx.Err() == nil:
-		env.Checker.ConnectionBroken(now, t.ID, d.node.killedSince(began))
+		env.Checker.ConnectionBroken(now, attempt.ID, b.node.killedSince(began))
 	}
-	before := *l.clients.Stats[t.Class.Name]
-	l.clients.AttemptEnded(now, t, status, retryAfter)
+	stats := l.clients.Stats[attempt.Class.Name]
+	before := *stats
+	l.clients.AttemptEnded(now, attempt, status, retryAfter)
 	if env.outcome != nil {
-		env.outcome.Ended(t, before, *l.clients.Stats[t.Class.Name])
+		env.outcome.Ended(attempt, before, *stats)
 	}
+	signal(l.wakeup)
+}
+
+// signal wakes the receiver of a channel with room for one; a signal that is there already is enough.
+func signal(wakeup chan<- struct{}) {
 	select {
-	case l.wakeup <- struct{}{}:
+	case wakeup <- struct{}{}:
 	default:
 	}
 }
--- a/internal/testcluster/measure_test.go
+++ b/internal/testcluster/measure_test.go
@@ -21,7 +21,7 @@
 var (
 	kills         = flag.Int("kills", 0, "kills in TestMeasureDeathDetection, for each part of loss; 0 to skip it")
 	members       = flag.Int("members", 15, "processes in the measures")
-	quietDuration = flag.Duration("quiet", 0, "how long TestMeasureFalseDeaths looks on, for each trouble; 0 to skip it")
+	quietDuration = flag.Duration("quiet", 0, "how long TestMeasureFalseDeaths looks on, for each fault; 0 to skip it")
 	listOutage    = flag.Duration("away", 0, "how long TestMeasureListOutage has no list service; 0 to skip it")
 	splitFor      = flag.Duration("split", 0, "how long TestMeasureSplitQuota splits 7 nodes 4 to 3; 0 to skip it")
 )
@@ -70,32 +70,32 @@
 	}
 }
 
-// Nobody is taken for dead while all live, whatever is lost and however processes stand still.
+// No live member is declared dead, whatever is lost and however long processes are paused.
 func TestMeasureFalseDeaths(t *testing.T) {
 	if *quietDuration == 0 {
 		t.Skip("-quiet")
 	}
-	for _, trouble := range []struct {
+	for _, fault := range []struct {
 		name  string
 		loss  float64
 		pause bool
 	}{{"none", 0, false}, {"10% lost", 0.1, false}, {"30% lost", 0.3, false}, {"each stopped for 300 ms every 3 s", 0, true}} {
-		t.Run(trouble.name, func(t *testing.T) {
+		t.Run(fault.name, func(t *testing.T) {
 			x := newFleetHarness(t, *members, FleetSpec{}, 60)
-			x.SetLoss(trouble.loss)
+			x.SetLoss(fault.loss)
 			end := time.Now().Add(*quietDuration)
 			for time.Now().Before(end) {
-				if !trouble.pause {
-					_ = wait(x.ctx, time.Second)
+				if !fault.pause {
+					_ = sleep(x.ctx, time.Second)
 					continue
 				}
 				for _, name := range x.Names {
 					x.pause(name, 300*time.Millisecond)
 				}
 			}
-			t.Logf("%d processes for %v: %d deaths told", *members, *quietDuration, x.DeathReports())
+			t.Logf("%d processes for %v: %d deaths reported", *members, *quietDuration, x.DeathReports())
 			if n := x.DeathReports(); n > 0 {
-				t.Errorf("%d deaths told while all lived", n)
+				t.Errorf("%d deaths reported while all lived", n)
 			}
 			x.SetLoss(0)
 			x.finish()
@@ -119,13 +119,13 @@
 	x.loads = append(x.loads, load)
 	over := func(what string, span time.Duration) float64 {
 		before := load.Stats()
-		_ = wait(x.ctx, span)
+		_ = sleep(x.ctx, span)
 		after := load.Stats()
 		part := float64(after.InTime+after.Late-before.InTime-before.Late) / span.Seconds() / quota
 		t.Logf("%s: admitted %.3f of the quota over %v", what, part, span)
 		return part
 	}
-	_ = wait(x.ctx, 5*time.Second) // full buckets are spent
+	_ = sleep(x.ctx, 5*time.Second) // full buckets are spent
 	whole := over("whole", 15*time.Second)
 	four, three := x.Names[:4], x.Names[4:]
 	x.Partition(four, three)
@@ -143,8 +143,8 @@
 
 var watchersN = flag.Int("watchers", 0, "watchers in TestMeasureRegistry; 0 to skip it")
 
-// The list service under load: how late watchers are told of a change, what a replica's memory is with as many
-// watchers and 2,000 servers, and how many writes a second three replicas and one keep.
+// The registry under load: the delay until watchers are notified, the memory of a replica with so many watchers and
+// 2,000 servers, and the writes a second of three replicas and of one.
 func TestMeasureRegistry(t *testing.T) {
 	if *watchersN == 0 {
 		t.Skip("-watchers")
@@ -182,7 +182,7 @@
 		rate, writers, alone, *watchersN, percentile(late, 0.5), percentile(late, 0.99), residentMemory(g))
 }
 
-// syncsPerSecond is how many writes of 4 KiB a second are kept by one file, one after the other.
+// syncsPerSecond measures how many writes of 4 KiB a second one file takes with an fsync after each.
 func syncsPerSecond(t *testing.T, dir string) float64 {
 	f, err := os.CreateTemp(dir, "sync")
 	if err != nil {
@@ -260,7 +260,7 @@
 	return late
 }
 
-// residentMemory is the memory of each replica, in MB.
+// residentMemory returns the resident memory of each replica, as the kernel prints it.
 func residentMemory(g *Registry) (all []string) {
 	for _, name := range g.Names {
 		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.Process(name).PID()))
@@ -276,8 +276,8 @@
 	return all
 }
 
-// The list service is away under traffic, after servers came and went: what six nodes serve meanwhile, and how
-// their calls are spread when it is back.
+// An outage of the list service under load, during which servers change: the fraction that six nodes serve, and how their
+// calls are spread once it is back.
 func TestMeasureListOutage(t *testing.T) {
 	if *listOutage == 0 {
 		t.Skip("-away")
@@ -288,7 +288,7 @@
 			load := x.loads[0]
 			served := func() float64 {
 				before, end := load.Stats(), time.Now().Add(*listOutage)
-				_ = wait(x.ctx, time.Until(end))
+				_ = sleep(x.ctx, time.Until(end))
 				after := load.Stats()
 				return float64(after.InTime-before.InTime) / float64(after.Requests-before.Requests)
 			}
@@ -302,12 +302,12 @@
 			with := served()
 			x.w.SetPhase("s-00", emulator.Removed)
 			x.w.SetPhase("s-01", emulator.Draining)
-			_ = wait(x.ctx, 3*time.Second)
+			_ = sleep(x.ctx, 3*time.Second)
 			link(Faults{Reset: true})
 			without := served()
 			back := time.Now()
 			link(Faults{})
-			_ = wait(x.ctx, 10*time.Second)
+			_ = sleep(x.ctx, 10*time.Second)
 			calls := x.w.ListCalls(back)
 			most, last := 0, time.Duration(0)
 			for i := range calls {
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -5,7 +5,6 @@
 	"encoding/json"
 	"fmt"
 	"net"
-	"net/http"
 	"os"
 	"path/filepath"
 	"slices"
@@ -16,31 +15,32 @@
 
 const (
 	clientPort        = 9000
-	controlPort       = 9100 // and those after it: each process of a node has a second address of its own
+	controlPort       = 9100 // and those after it: each process of a node has an administrative address of its own
 	gossipPort        = 7946
-	callTimeout       = time.Second // for a call at the second address
 	nodeProgram       = "cmd/sloerail-node"
+	defaultCores      = 1
+	defaultMemoryMB   = 128
 	defaultMaxSockets = 256 // descriptors
 )
 
 // NodeSpec says how a node is configured. Zero values are replaced by what suits a test.
 type NodeSpec struct {
 	Name          string
-	Discovery     string         // the addresses of the list service, as this node reaches it
-	ListFile      string         // where it keeps the list; empty for nowhere
-	InitialList   any            // the list that it starts with, in discovery's form
-	Settings      map[string]any // as a node finds them in its file
+	Discovery     string         // addresses of the list service, as this node reaches it
+	ListFile      string         // where it caches the list; empty for nowhere
+	InitialList   any            // that it starts with, in the list service's form; nil for an empty one
+	Settings      map[string]any // the section of that name in its file
 	Cores         float64
 	MemoryMB      int
-	Sockets       int
+	Sockets       int            // descriptors that it may have open
 	Fleet         map[string]any // the section of that name; nil for none
-	Topology      map[string]any // the same
-	Scope         map[string]any // the same
+	Topology      map[string]any // the section "places"; nil for none
+	Scope         map[string]any // the section of that name; nil for none
 	RetainMissing bool
-	Env           []string
+	Env           []string // beside that of the caller's process
 }
 
-// zone is the one that the node's settings name.
+// zone is the zone in the node's settings.
 func (s NodeSpec) zone() string { return fmt.Sprint(s.Settings["zone"]) }
 
 // Node is one node: the processes that follow each other under its name and addresses.
@@ -51,22 +51,22 @@
 	cluster *Cluster
 	dir     string
 
-	faultLock sync.Mutex // held by a schedule's fault of its processes
+	faultLock sync.Mutex // held by a schedule's fault of its processes: one at a time
 
 	mu               sync.Mutex
-	procs            []*Process // newest last
-	controlAddresses []string   // their second addresses
-	killedAt         time.Time  // when Kill last ended it,
-	down             bool       // and no other process has taken clients since
+	processes        []*Process // newest last
+	controlAddresses []string   // of the processes
+	killedAt         time.Time
+	down             bool // killed, and no other process has been ready since
 }
 
 // Node makes a node, which Start starts.
 func (c *Cluster) Node(spec NodeSpec) (*Node, error) {
 	if spec.Cores == 0 {
-		spec.Cores = 1
+		spec.Cores = defaultCores
 	}
 	if spec.MemoryMB == 0 {
-		spec.MemoryMB = 128
+		spec.MemoryMB = defaultMemoryMB
 	}
 	if spec.Sockets == 0 {
 		spec.Sockets = defaultMaxSockets
@@ -79,34 +79,30 @@
 	return &Node{Spec: spec, Host: host, cluster: c, dir: dir, Listen: fmt.Sprintf("%s:%d", host, clientPort)}, nil
 }
 
-// Gossip is where the node's processes are bound for gossip.
+// Gossip is the address that the node's processes bind for gossip.
 func (n *Node) Gossip() string { return net.JoinHostPort(n.Host, fmt.Sprint(gossipPort)) }
 
 // writeConfig writes the node's file as Spec has it now.
 func (n *Node) writeConfig() (path string, err error) {
-	s := n.Spec
+	spec := n.Spec
 	file := map[string]any{
-		"name": s.Name, "listen": n.Listen, "discovery": s.Discovery, "seed": "1f",
-		"limits": map[string]any{"cores": s.Cores, "memory_mb": s.MemoryMB, "sockets": s.Sockets},
-		"known":  s.InitialList, "settings": s.Settings,
+		"name": spec.Name, "listen": n.Listen, "discovery": spec.Discovery, "seed": "1f",
+		"limits": map[string]any{"cores": spec.Cores, "memory_mb": spec.MemoryMB, "sockets": spec.Sockets},
+		"known":  spec.InitialList, "settings": spec.Settings,
 	}
-	if s.Fleet != nil {
-		file["fleet"] = s.Fleet
-	}
-	if s.Topology != nil {
-		file["places"] = s.Topology
+	if spec.InitialList == nil {
+		file["known"] = map[string]any{"revision": 0, "complete": true, "members": []any{}}
 	}
-	if s.Scope != nil {
-		file["scope"] = s.Scope
+	for key, section := range map[string]map[string]any{"fleet": spec.Fleet, "places": spec.Topology, "scope": spec.Scope} {
+		if section != nil {
+			file[key] = section
+		}
 	}
-	if s.RetainMissing {
+	if spec.RetainMissing {
 		file["ease_lists"] = true
 	}
-	if s.ListFile != "" {
-		file["list_file"] = s.ListFile
-	}
-	if s.InitialList == nil {
-		file["known"] = map[string]any{"revision": 0, "complete": true, "members": []any{}}
+	if spec.ListFile != "" {
+		file["list_file"] = spec.ListFile
 	}
 	raw, err := json.Marshal(file)
 	if err != nil {
@@ -116,7 +112,7 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// Start starts a process of the node, beside the one that serves if there is one: then it is to take over.
+// Start starts a process of the node. If one serves already, the new one takes over from it.
 func (n *Node) Start() (*Process, error) {
 	path, err := n.writeConfig()
 	if err != nil {
@@ -134,11 +130,11 @@
 	if err != nil {
 		return nil, err
 	}
-	n.procs, n.controlAddresses = append(n.procs, p), append(n.controlAddresses, control)
+	n.processes, n.controlAddresses = append(n.processes, p), append(n.controlAddresses, control)
 	return p, nil
 }
 
-// Kill ends the node's newest process at once.
+// Kill kills the node's newest process.
 func (n *Node) Kill() {
 	p := n.Process()
 	n.mu.Lock()
@@ -147,55 +143,55 @@
 	p.Kill()
 }
 
-// killedSince tells whether Kill ended the node after a time, or before and nobody is there yet.
+// killedSince tells whether the node was down at some time since t because of Kill.
 func (n *Node) killedSince(t time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.down || n.killedAt.After(t)
 }
 
-// Descriptors is how many the node's processes hold together now.
+// Descriptors is how many descriptors the node's processes have open together.
 func (n *Node) Descriptors() (sum int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, p := range n.procs {
+	for _, p := range n.processes {
 		if p.Ended() {
 			continue
 		}
-		held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.PID()))
-		if err == nil { // else it has just ended
-			sum += len(held)
+		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.PID()))
+		if err == nil { // else the process has just ended
+			sum += len(open)
 		}
 	}
 	return sum
 }
 
-// Process is the newest process of the node, and Control its second address.
+// Process is the newest process of the node.
 func (n *Node) Process() *Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.procs[len(n.procs)-1]
+	return n.processes[len(n.processes)-1]
 }
 
-// Processes are all that the node has had, the newest last.
+// Processes are all processes that the node has had, the newest last.
 func (n *Node) Processes() []*Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return slices.Clone(n.procs)
+	return slices.Clone(n.processes)
 }
 
-// Control is the second address of the node's newest process.
+// Control is the administrative address of the node's newest process.
 func (n *Node) Control() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.controlAddresses[len(n.controlAddresses)-1]
 }
 
-// Ready waits until the newest process takes clients.
+// Ready waits until the newest process is ready for clients. It is an error for it to end before.
 func (n *Node) Ready(ctx context.Context) error {
-	p, at := n.Process(), n.Control()
+	p, address := n.Process(), n.Control()
 	err := Await(ctx, n.Spec.Name+" to take clients", func() bool {
-		return p.Ended() || Get(ctx, at, "/healthcheck", nil) == nil
+		return p.Ended() || Get(ctx, address, "/healthcheck", nil) == nil
 	})
 	n.mu.Lock()
 	n.down = n.down && err != nil
@@ -206,47 +202,15 @@
 	return err
 }
 
-// Replace starts another process of the node and tells the old one to stop once the new one takes clients.
-func (n *Node) Replace(ctx context.Context) (old *Process, err error) {
-	old = n.Process()
+// Replace starts another process of the node, and has the previous one shut down once the new one is ready.
+func (n *Node) Replace(ctx context.Context) (previous *Process, err error) {
+	previous = n.Process()
 	if _, err := n.Start(); err != nil {
-		return old, err
+		return previous, err
 	}
 	if err := n.Ready(ctx); err != nil {
-		return old, err
+		return previous, err
 	}
-	old.Signal(syscall.SIGTERM)
-	return old, nil
+	previous.Signal(syscall.SIGTERM)
+	return previous, nil
 }
-
-// Get calls a node's second address. A JSON answer is read into to, unless that is nil.
-func Get(ctx context.Context, at, path string, to any) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
-	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at+path, nil)
-	if err != nil {
-		return err
-	}
-	resp, err := controlClient.Do(req)
-	if err != nil {
-		return err
-	}
-	defer func() { _ = resp.Body.Close() }()
-	if resp.StatusCode/100 != 2 {
-		return statusError{at + path, resp.StatusCode}
-	}
-	if to == nil {
-		return nil
-	}
-	return json.NewDecoder(resp.Body).Decode(to)
-}
-
-var controlClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-
-// statusError is a call that was answered, and not with what was asked for.
-type statusError struct {
-	call   string
-	status int
-}
-
-func (e statusError) Error() string { return fmt.Sprintf("%s answered %d", e.call, e.status) }
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -12,29 +12,30 @@
 	"time"
 )
 
-const maxLogBytes = 64 << 10 // bytes of a log that are told for a failure
+// maxLogBytes bounds what Log returns: the end of it.
+const maxLogBytes = 64 << 10
 
 // Process is one running program. Its methods may be called from any goroutine.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
-	log  string // the file that its output goes to
-	done chan struct{}
+	log  string        // path of the file for its output
+	done chan struct{} // closed once it has ended
 
 	mu  sync.Mutex
-	err error // once done
+	err error // of its exit, once done
 }
 
-// Start runs a program with these environment variables, beside those of the rig's own process, until Close.
+// Start runs a program until Close, with these environment variables beside those of the caller's own process.
 func (c *Cluster) Start(name, program string, args, env []string) (*Process, error) {
 	c.mu.Lock()
-	n := len(c.procs)
+	number := len(c.processes)
 	c.mu.Unlock()
-	log, err := os.Create(filepath.Join(c.dir, fmt.Sprintf("%s-%d.log", name, n)))
+	log, err := os.Create(filepath.Join(c.dir, fmt.Sprintf("%s-%d.log", name, number)))
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = log.Close() }() // the child has its own
+	defer func() { _ = log.Close() }() // the child has its own descriptor
 	p := &Process{Name: name, cmd: exec.Command(program, args...), log: log.Name(), done: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), env...)
 	p.cmd.Stdout, p.cmd.Stderr = log, log
@@ -43,18 +44,19 @@
 	select {
 	case c.startRequests <- startRequest{p.cmd, reply}:
 	case <-c.closed:
-		return nil, fmt.Errorf("starting %s: the rig is closed", name)
+		return nil, fmt.Errorf("starting %s: %w", name, errClosed)
 	}
 	if err := <-reply; err != nil {
 		return nil, fmt.Errorf("starting %s: %w", name, err)
 	}
 	go p.wait()
 	c.mu.Lock()
-	c.procs = append(c.procs, p)
+	c.processes = append(c.processes, p)
 	c.mu.Unlock()
 	return p, nil
 }
 
+// wait collects the process's exit; Kill and Close end it.
 func (p *Process) wait() {
 	err := p.cmd.Wait()
 	p.mu.Lock()
@@ -66,10 +68,10 @@
 // Signal sends a signal to the process. One that has ended gets none.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Kill ends the process and all that it started, and waits for that.
+// Kill kills the process group, and waits for the process to end.
 func (p *Process) Kill() {
 	select {
-	case <-p.done: // its number may be another's by now
+	case <-p.done: // the kernel may have reused its PID
 		return
 	default:
 	}
@@ -77,7 +79,7 @@
 	<-p.done
 }
 
-// Pause stops the process for a time, as a machine does that is short of a core; the caller waits.
+// Pause stops the process for a time, as a lack of CPU does, and returns after it.
 func (p *Process) Pause(ctx context.Context, d time.Duration) {
 	p.Signal(syscall.SIGSTOP)
 	defer p.Signal(syscall.SIGCONT)
@@ -89,14 +91,14 @@
 	}
 }
 
-// ThrottleCPU gives the process a part of the time only, in slices, until the returned function is called.
-func (p *Process) ThrottleCPU(part float64, slice time.Duration) (end func()) {
+// ThrottleCPU lets the process run for a fraction of each slice only, until the returned function is called.
+func (p *Process) ThrottleCPU(fraction float64, slice time.Duration) (end func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for !p.Ended() && wait(ctx, time.Duration(part*float64(slice))) == nil {
-			p.Pause(ctx, time.Duration((1-part)*float64(slice)))
+		for !p.Ended() && sleep(ctx, time.Duration(fraction*float64(slice))) == nil {
+			p.Pause(ctx, time.Duration((1-fraction)*float64(slice)))
 		}
 	}()
 	return func() {
@@ -105,7 +107,7 @@
 	}
 }
 
-// Wait waits for the process to end, and returns how it did.
+// Wait waits for the process to end, and returns its exit's error.
 func (p *Process) Wait(ctx context.Context) error {
 	select {
 	case <-p.done:
@@ -117,7 +119,7 @@
 	}
 }
 
-// Ended tells whether the process is over.
+// Ended tells whether the process has ended.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.done:
@@ -127,10 +129,10 @@
 	}
 }
 
-// PID is the process's number.
+// PID is the process's ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Log is the end of what the process wrote.
+// Log returns the end of what the process wrote, or why that cannot be read.
 func (p *Process) Log() string {
 	f, err := os.Open(p.log)
 	if err != nil {
--- a/internal/testcluster/registry.go
+++ b/internal/testcluster/registry.go
@@ -18,7 +18,7 @@
 	cliProgram = "cmd/sloerail"
 )
 
-// Registry is the replicas of a list service; what they tell each other passes over links of the rig.
+// Registry is the replicas of a list service. Raft between them passes through relays.
 type Registry struct {
 	Names   []string
 	cluster *Cluster
@@ -29,38 +29,38 @@
 
 type replica struct {
 	config  registry.Config
-	args    []string // beside those that name the file
+	args    []string // beside those that name the configuration file
 	process *Process
 }
 
 // NewRegistry makes so many replicas, which Start starts.
-func (c *Cluster) NewRegistry(n int) (*Registry, error) {
+func (c *Cluster) NewRegistry(replicas int) (*Registry, error) {
 	g := &Registry{cluster: c, replicas: make(map[string]*replica)}
-	names, hosts := make(map[string]string), make([]string, n) // names by host
-	for i := range n {
+	nameOfHost, hosts := make(map[string]string), make([]string, replicas)
+	for i := range replicas {
 		name := fmt.Sprint("r", i)
 		g.Names, hosts[i] = append(g.Names, name), c.NewAddress()
-		names[hosts[i]] = name
+		nameOfHost[hosts[i]] = name
 	}
-	peers := make(map[string]string)
+	raftAddresses := make(map[string]string) // by name; shared by all configurations
 	for i, name := range g.Names {
 		dir, err := c.Dir("registry-" + name)
 		if err != nil {
 			return nil, err
 		}
 		config := registry.Config{ID: name, ListenAddress: fmt.Sprintf("%s:%d", hosts[i], listPort),
-			RaftBindAddress: fmt.Sprintf("%s:%d", hosts[i], raftPort), DataDir: filepath.Join(dir, "data"), InitialReplicas: peers}
-		// The relay reads names from here on.
-		if config.RaftAddress, err = c.RelayStreams(name, config.RaftBindAddress, func(host string) string { return names[host] }); err != nil {
+			RaftBindAddress: fmt.Sprintf("%s:%d", hosts[i], raftPort), DataDir: filepath.Join(dir, "data"), InitialReplicas: raftAddresses}
+		config.RaftAddress, err = c.RelayStreams(name, config.RaftBindAddress, func(host string) string { return nameOfHost[host] })
+		if err != nil {
 			return nil, err
 		}
-		peers[name] = config.RaftAddress
+		raftAddresses[name] = config.RaftAddress
 		g.replicas[name] = &replica{config: config}
 	}
 	return g, nil
 }
 
-// Start starts a replica, in the folder that it has.
+// Start starts a process of a replica, with the data that it has.
 func (g *Registry) Start(name string) error {
 	program, err := Build(cliProgram)
 	if err != nil {
@@ -88,13 +88,13 @@
 	return g.replicas[name].process
 }
 
-// Address is where a replica answers calls.
+// Address is where a replica serves HTTP.
 func (g *Registry) Address(name string) string { return g.replicas[name].config.ListenAddress }
 
-// DataDir is where a replica keeps the list.
+// DataDir is where a replica stores its data.
 func (g *Registry) DataDir(name string) string { return g.replicas[name].config.DataDir }
 
-// Addresses are where all replicas answer calls.
+// Addresses are those of all replicas.
 func (g *Registry) Addresses() (all []string) {
 	for _, name := range g.Names {
 		all = append(all, g.Address(name))
@@ -102,13 +102,13 @@
 	return all
 }
 
-// Status asks a replica how it is.
+// Status returns a replica's status.
 func (g *Registry) Status(ctx context.Context, name string) (s registry.Status, err error) {
 	err = Get(ctx, g.Address(name), "/registry/status", &s)
 	return s, err
 }
 
-// AwaitLeader waits until most replicas agree on one that can tell that its list is fresh, and names it.
+// AwaitLeader waits until a majority of replicas names the same leader, which names itself, and whose list is fresh.
 func (g *Registry) AwaitLeader(ctx context.Context) (leader string, err error) {
 	err = Await(ctx, "a leader", func() bool {
 		votes := make(map[string]int)
@@ -128,12 +128,12 @@
 	return leader, err
 }
 
-// SetIsolated cuts a replica off from the others, or ends that.
-func (g *Registry) SetIsolated(name string, on bool) {
+// SetIsolated partitions a replica from the others, or ends that.
+func (g *Registry) SetIsolated(name string, isolated bool) {
 	for _, other := range g.Names {
 		if other != name {
-			g.cluster.SetLinkFaults(name, other, Faults{Cut: on})
-			g.cluster.SetLinkFaults(other, name, Faults{Cut: on})
+			g.cluster.SetLinkFaults(name, other, Faults{Cut: isolated})
+			g.cluster.SetLinkFaults(other, name, Faults{Cut: isolated})
 		}
 	}
 }
--- a/internal/testcluster/registry_test.go
+++ b/internal/testcluster/registry_test.go
@@ -19,27 +19,27 @@
 	"sloerail/internal/registry"
 )
 
-// registration is one write to an instance: its first, or one that wants a version.
+// registration is one write to an instance, unconditional or conditional on a version.
 type registration struct {
 	id    string
 	match int64 // 0 for any
 }
 
-// observation is what came of it: the version that it made, the other version that stood there, or nothing known.
+// observation is the outcome of a write: the version that it made, the version that it conflicted with, or unknown.
 type observation struct {
 	version  int64
 	mismatch bool
 	unknown  bool
 }
 
-// heldEntry is what an instance's version may be: known, or anything above.
-type heldEntry struct {
+// storedVersion is an instance's version in the model: known, or any greater one.
+type storedVersion struct {
 	version int64
 	known   bool
 }
 
-// versions is the order that writes to an instance promise: each takes effect once, at a moment between its
-// call and its answer, if it was answered well; perhaps, if it wasn't.
+// versions is the linearizability model of writes to an instance: each takes effect once between its call and its
+// response if it succeeded; at most once if its outcome is unknown.
 var versions = porcupine.NondeterministicModel{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byID := make(map[string][]porcupine.Operation)
@@ -53,29 +53,29 @@
 		}
 		return parts
 	},
-	Init: func() []any { return []any{heldEntry{known: true}} },
+	Init: func() []any { return []any{storedVersion{known: true}} },
 	Step: func(state, input, output any) []any {
-		s, in, out := state.(heldEntry), input.(registration), output.(observation)
+		s, in, out := state.(storedVersion), input.(registration), output.(observation)
 		may := in.match == 0 || s.known && s.version == in.match || !s.known && in.match > s.version
 		switch {
 		case out.unknown && may:
-			return []any{s, heldEntry{version: s.version}}
+			return []any{s, storedVersion{version: s.version}}
 		case out.unknown:
 			return []any{s}
 		case out.mismatch:
 			if out.version != in.match && (s.known && s.version == out.version || !s.known && out.version > s.version) {
-				return []any{heldEntry{out.version, true}}
+				return []any{storedVersion{out.version, true}}
 			}
 			return nil
 		case may && out.version > s.version:
-			return []any{heldEntry{out.version, true}}
+			return []any{storedVersion{out.version, true}}
 		}
 		return nil
 	},
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// writers write to a few instances through all replicas until ctx ends, and keep the history.
+// writers write to a few instances through all replicas until ctx ends, and record the history.
 type writers struct {
 	mu      sync.Mutex
 	history []porcupine.Operation
@@ -117,14 +117,14 @@
 					h.newest[in.id] = max(h.newest[in.id], out.version)
 				}
 				h.mu.Unlock()
-				_ = wait(ctx, time.Duration(rng.IntN(30))*time.Millisecond)
+				_ = sleep(ctx, time.Duration(rng.IntN(30))*time.Millisecond)
 			}
 		})
 	}
 	all.Wait()
 }
 
-// follow watches one replica until ctx ends, and says where a revision went back within its epoch.
+// followList watches one replica until ctx ends, and returns an error where a revision went back within its epoch.
 func followList(ctx context.Context, at string) error {
 	c, seen := registry.NewClient([]string{at}), int64(-1)
 	for ctx.Err() == nil {
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// startRegistry starts so many replicas, and waits until one leads.
+// startRegistry starts so many replicas, and waits for a leader.
 func startRegistry(t *testing.T, r *Cluster, ctx context.Context, n int) (g *Registry, leader string) {
 	t.Helper()
 	g, err := r.NewRegistry(n)
@@ -159,8 +159,8 @@
 	return g, leader
 }
 
-// Three replicas live through the death of leaders, a leader that stands still, a split, and the end of all of
-// them: writes are in one order, none that was acknowledged is lost, and no watcher sees a revision go back.
+// Three replicas through the death of leaders, a paused leader, a partition and the end of all of them: writes are
+// linearizable, no acknowledged one is lost, and no watcher sees a revision go back.
 func TestRegistryStaysLinearizableThroughFaults(t *testing.T) {
 	t.Parallel()
 	r, ctx := newCluster(t)
@@ -242,7 +242,7 @@
 	check(t, ctx, g, h)
 }
 
-// check holds the history to the promised order, and the list to what was acknowledged.
+// check requires a linearizable history, and every acknowledged write in the list.
 func check(t *testing.T, ctx context.Context, g *Registry, h *writers) {
 	t.Helper()
 	if res := porcupine.CheckOperationsTimeout(versions.ToModel(), h.history, stepTimeout); res != porcupine.Ok {
@@ -265,8 +265,7 @@
 	t.Logf("%d writes", len(h.history))
 }
 
-// A replica whose folder was spoilt says so by name, and serves nothing of it; one that lost its folder is
-// given the list by the others.
+// A replica with damaged data names the file and serves nothing of it; one without data gets the list from the others.
 func TestReplicaRefusesDamagedDataDirAndRefillsEmptyOne(t *testing.T) {
 	t.Parallel()
 	r, ctx := newCluster(t)
@@ -350,8 +349,8 @@
 	check(t, ctx, g, h)
 }
 
-// A service that is given an older copy of its folder, and told so, begins a new epoch: no watcher sees a revision
-// that it has seen already, and each takes the whole list.
+// A registry that is restored from an older copy of its data begins a new epoch: no watcher sees a revision that it has
+// seen already, and each gets the complete list.
 func TestRegistryRestoredFromACopy(t *testing.T) {
 	t.Parallel()
 	r, ctx := newCluster(t)
--- a/internal/testcluster/scenario.go
+++ b/internal/testcluster/scenario.go
@@ -12,7 +12,7 @@
 	"sloerail/internal/simulation"
 )
 
-// drainTime is how long a server that drains stays in the list.
+// drainTime is how long a server that drains stays in the list until it is removed.
 const drainTime = 5 * time.Second
 
 // scenarioRun is a scenario under way, with real nodes.
@@ -23,11 +23,11 @@
 	servers     []emulator.ServerSpec
 	generators  map[string][]*LoadGenerator // by zone
 	nodesByZone map[string][]*Node
-	origin      emulator.Time
+	origin      emulator.Time // of the scenario, on the environment's clock
 }
 
-// PlayScenario plays a scenario of the lab with real nodes in real time, and returns what came of it. Its zones have
-// to hold equally many nodes.
+// PlayScenario plays a scenario with real nodes in real time, and returns its outcome. Its zones have to hold equally
+// many nodes.
 func (c *Cluster) PlayScenario(ctx context.Context, s simulation.Scenario, seed uint64) (*simulation.Outcome, error) {
 	p := &scenarioRun{Scenario: s, servers: s.ServerSpecs(seed), generators: make(map[string][]*LoadGenerator), nodesByZone: make(map[string][]*Node)}
 	p.env = c.NewEnvironment(seed, p.servers...)
@@ -88,70 +88,65 @@
 	return err
 }
 
-// addClients has clients near a zone ask so many times as much, for a time.
-func (p *scenarioRun) addClients(zone string, times float64, until time.Duration) {
-	spec := p.Clients(len(p.nodesByZone[zone]), until)
-	spec.Rate *= times
-	p.generators[zone] = append(p.generators[zone], p.env.StartClients(fmt.Sprintf("%s%d", zone, len(p.generators[zone])), spec, p.nodesByZone[zone]...))
+// addClients adds clients near a zone, with several times the scenario's rate, for a time.
+func (p *scenarioRun) addClients(zone string, rateFactor float64, duration time.Duration) {
+	nodes, generators := p.nodesByZone[zone], p.generators[zone]
+	spec := p.Clients(len(nodes), duration)
+	spec.Rate *= rateFactor
+	name := fmt.Sprintf("%s%d", zone, len(generators))
+	p.generators[zone] = append(generators, p.env.StartClients(name, spec, nodes...))
 }
 
-// play carries out the faults in order, and returns when the clients' time is over.
+// faultChange is the begin or the end of a fault.
+type faultChange struct {
+	at    time.Duration
+	fault simulation.Fault
+	on    bool
+}
+
+// play carries out the faults at their times, and returns when the scenario's time is over.
 func (p *scenarioRun) play(ctx context.Context, began time.Time) error {
-	type turn struct {
-		at time.Duration
-		f  simulation.Fault
-		on bool
-	}
-	var todo []turn
+	var changes []faultChange
 	for _, f := range p.Faults {
 		for _, at := range f.StartTimes() {
-			if todo = append(todo, turn{at, f, true}); f.For.Duration > 0 {
-				todo = append(todo, turn{at + f.For.Duration, f, false})
+			changes = append(changes, faultChange{at, f, true})
+			if f.For.Duration > 0 {
+				changes = append(changes, faultChange{at + f.For.Duration, f, false})
 			}
 		}
 	}
-	failed := make(chan error, len(todo))
-	for _, t := range todo {
-		go func() {
-			if err := wait(ctx, time.Until(began.Add(t.at))); err != nil {
-				failed <- err
-				return
-			}
-			failed <- p.applyFault(ctx, t.f, t.on)
-		}()
-	}
-	var first error
-	for range todo {
-		if err := <-failed; err != nil && first == nil {
-			first = err
+	err := forEach(changes, func(c faultChange) error {
+		if err := sleep(ctx, time.Until(began.Add(c.at))); err != nil {
+			return err
 		}
+		return p.applyFault(ctx, c.fault, c.on)
+	})
+	if err != nil {
+		return err
 	}
-	if first != nil {
-		return first
-	}
-	return wait(ctx, time.Until(began.Add(p.For.Duration)))
+	return sleep(ctx, time.Until(began.Add(p.For.Duration)))
 }
 
 // applyFault begins a fault, or ends it.
 func (p *scenarioRun) applyFault(ctx context.Context, f simulation.Fault, on bool) error {
 	affected := f.Affected(p.servers)
 	p.recordFault(f, affected, on)
-	hit := func(_ string, b emulator.ServerSpec) bool { return slices.Contains(affected, b) }
+	isAffected := func(_ string, s emulator.ServerSpec) bool { return slices.Contains(affected, s) }
 	switch f.Kind {
 	case simulation.Lost, simulation.Cold:
-		p.setLinks(hit, Faults{Reset: on}, Faults{Reset: on})
+		p.setLinks(isAffected, Faults{Reset: on}, Faults{Reset: on})
 		if f.Kind == simulation.Cold && !on {
 			p.restart(affected)
 		}
 	case simulation.ConnectTimeout:
-		p.setLinks(hit, Faults{Cut: on}, Faults{Cut: on})
+		p.setLinks(isAffected, Faults{Cut: on}, Faults{Cut: on})
 	case simulation.ResponseLost:
-		p.setLinks(hit, Faults{}, Faults{Cut: on})
+		p.setLinks(isAffected, Faults{}, Faults{Cut: on})
 	case simulation.Partition:
-		parted := func(zone string, b emulator.ServerSpec) bool { return f.Separates(zone, b.Zone) }
-		p.setLinks(parted, Faults{Cut: on}, Faults{Cut: on})
+		isSeparated := func(zone string, s emulator.ServerSpec) bool { return f.Separates(zone, s.Zone) }
+		p.setLinks(isSeparated, Faults{Cut: on}, Faults{Cut: on})
 	case simulation.Vanish:
-		p.env.updateList(affected, map[bool]string{true: emulator.Removed, false: emulator.Up}[on])
+		p.env.updateList(affected, removedOrUp(on))
 	case simulation.Drain:
 		return p.drain(ctx, affected, on)
 	case simulation.Nodes:
@@ -164,21 +159,21 @@
 	return nil
 }
 
-// recordFault books that a fault begins or ends, and makes the servers that it strikes fail or slow.
+// recordFault records the begin or end of a fault, and changes the faults of the emulated servers.
 func (p *scenarioRun) recordFault(f simulation.Fault, affected []emulator.ServerSpec, on bool) {
 	p.env.mu.Lock()
 	defer p.env.mu.Unlock()
 	p.env.outcome.Mark(p.env.now(), "", f.Describe(on))
 	for _, spec := range affected {
-		b := p.env.servers[spec.ID]
+		s := p.env.servers[spec.ID]
 		if on {
-			p.env.outcome.Interrupted += len(b.completions)
+			p.env.outcome.Interrupted += len(s.completions)
 		}
-		f.ApplyTo(&b.Fault, on)
+		f.ApplyTo(&s.Fault, on)
 	}
 }
 
-// addLoad has clients come beside those that ask anyway.
+// addLoad adds clients to those of the scenario for the time of a fault.
 func (p *scenarioRun) addLoad(f simulation.Fault) {
 	for _, z := range p.Zones {
 		if f.Zone == "" || f.Zone == z.Name {
@@ -187,38 +182,39 @@
 	}
 }
 
-// setLinks sets what is wrong there and back between the nodes of zones and the servers that are hit.
-func (p *scenarioRun) setLinks(hit func(zone string, b emulator.ServerSpec) bool, there, back Faults) {
+// setLinks sets the faults, there and back, between the nodes of each zone and the servers that are selected for it.
+func (p *scenarioRun) setLinks(selected func(zone string, s emulator.ServerSpec) bool, there, back Faults) {
 	for zone, nodes := range p.nodesByZone {
 		for _, n := range nodes {
-			for _, b := range p.servers {
-				if hit(zone, b) {
-					p.env.cluster.SetLinkFaults(n.Spec.Name, b.ID, there)
-					p.env.cluster.SetLinkFaults(b.ID, n.Spec.Name, back)
+			for _, s := range p.servers {
+				if selected(zone, s) {
+					p.env.cluster.SetLinkFaults(n.Spec.Name, s.ID, there)
+					p.env.cluster.SetLinkFaults(s.ID, n.Spec.Name, back)
 				}
 			}
 		}
 	}
 }
 
-// restart has new, cold processes in the place of servers, and the list say so.
+// restart replaces servers by new processes, in slow start, and notifies the list.
 func (p *scenarioRun) restart(servers []emulator.ServerSpec) {
 	p.env.WithLock(func() {
 		for _, spec := range servers {
-			b := p.env.servers[spec.ID]
-			b.Server = emulator.NewServer(spec, p.env.now(), p.env.seed+uint64(len(spec.ID)))
+			seed := p.env.seed + uint64(len(spec.ID))
+			p.env.servers[spec.ID].Server = emulator.NewServer(spec, p.env.now(), seed)
 		}
 	})
 	p.env.updateList(servers, emulator.Up)
 }
 
+// drain drains servers and removes them from the list, or puts new ones in their place.
 func (p *scenarioRun) drain(ctx context.Context, servers []emulator.ServerSpec, on bool) error {
 	if !on {
 		p.restart(servers)
 		return nil
 	}
 	p.env.updateList(servers, emulator.Draining)
-	if err := wait(ctx, drainTime); err != nil {
+	if err := sleep(ctx, drainTime); err != nil {
 		return err
 	}
 	p.env.updateList(servers, emulator.Removed)
@@ -239,29 +235,29 @@
 	return p.fleet.Start(ctx, names...)
 }
 
-// zoneLogLine is a line of a node's log on a place.
+// zoneLogLine is a line of a node's log on a zone.
 var zoneLogLine = regexp.MustCompile(`^time=(\S+) .*msg="(place [^"]*)"`)
 
-// result reads what the nodes said of places, and what rules were broken.
+// result completes the outcome by what the nodes logged on zones, and by the rules that were broken.
 func (p *scenarioRun) result(began time.Time) *simulation.Outcome {
 	p.env.mu.Lock()
 	defer p.env.mu.Unlock()
-	o := p.env.outcome
+	outcome := p.env.outcome
 	p.env.outcome = nil
 	for _, name := range p.fleet.Names {
-		for _, proc := range p.fleet.Nodes[name].Processes() {
-			for line := range strings.Lines(proc.Log()) {
-				m := zoneLogLine.FindStringSubmatch(line)
-				if m == nil {
+		for _, process := range p.fleet.Nodes[name].Processes() {
+			for line := range strings.Lines(process.Log()) {
+				match := zoneLogLine.FindStringSubmatch(line)
+				if match == nil {
 					continue
 				}
-				if at, err := time.Parse(time.RFC3339, m[1]); err == nil {
-					o.Mark(p.origin+at.Sub(began), name, m[2])
+				if at, err := time.Parse(time.RFC3339, match[1]); err == nil {
+					outcome.Mark(p.origin+at.Sub(began), name, match[2])
 				}
 			}
 		}
 	}
-	broken, n := p.env.Checker.Violations()
-	o.Broken, o.BrokenRules = n, append([]string{}, broken...)
-	return o
+	violations, count := p.env.Checker.Violations()
+	outcome.Broken, outcome.BrokenRules = count, append([]string{}, violations...)
+	return outcome
 }
--- a/internal/testcluster/schedule.go
+++ b/internal/testcluster/schedule.go
@@ -12,34 +12,40 @@
 // FaultKind names a fault of a schedule.
 type FaultKind string
 
-// The kinds of faults. Those of links name Whom and Among; those of processes name Whom.
+// The kinds of faults: of the Targets' processes,
 const (
-	Kill            FaultKind = "kill"    // the process at once
-	Pause           FaultKind = "pause"   // it for a time, by SIGSTOP
-	Replace         FaultKind = "replace" // it by another process of the node, under load
-	Restart         FaultKind = "restart" // kill, and start again after a time
-	Partition       FaultKind = "part"    // cut all paths between Whom and Among, both ways, for a time
-	OneWayPartition FaultKind = "partOne" // the same from Whom to Among only
-	PacketLoss      FaultKind = "lossy"   // lose a part of what passes between Whom and Among, for a time
+	Kill    FaultKind = "kill"    // end it at once
+	Pause   FaultKind = "pause"   // stop it for the Duration, by SIGSTOP
+	Replace FaultKind = "replace" // hand over to another process of the node, under load
+	Restart FaultKind = "restart" // kill it, and start another one after the Duration
 )
 
-// Step is one fault of a schedule. Its keys are fixed: a schedule that was printed earlier has to be replayed.
+// and of the paths between Targets and Others, for the Duration.
+const (
+	Partition       FaultKind = "part"    // cut both directions
+	OneWayPartition FaultKind = "partOne" // cut the direction from Targets to Others
+	PacketLoss      FaultKind = "lossy"   // lose a fraction of what passes, both ways
+)
+
+var faultKinds = []FaultKind{Kill, Pause, Replace, Restart, Partition, OneWayPartition, PacketLoss}
+
+// Step is one fault of a schedule. Its JSON keys are fixed, so that a schedule that was printed can be replayed.
 type Step struct {
-	At       time.Duration `json:"At"`
+	At       time.Duration `json:"At"` // from the schedule's start
 	Fault    FaultKind     `json:"Do"`
 	Targets  []string      `json:"Whom"`
-	Others   []string      `json:"Among,omitempty"` // the others of a path's fault; empty for all but Whom
+	Others   []string      `json:"Among,omitempty"` // of a path fault; empty for all nodes but Targets
 	Duration time.Duration `json:"For,omitempty"`
-	Loss     float64       `json:"Loss,omitempty"`
+	Loss     float64       `json:"Loss,omitempty"` // fraction, of PacketLoss
 }
 
-// Schedule is data: what goes wrong, when and with whom, in order of time.
+// Schedule is a list of faults in order of time.
 type Schedule []Step
 
-// String writes the schedule so that Parse reads it again: a failure that prints it can be replayed.
+// String returns the schedule as JSON that ParseSchedule reads: a failed test prints it, to be replayed.
 func (s Schedule) String() string {
 	raw, err := json.Marshal(s)
-	if err != nil { // durations and words always can be written
+	if err != nil { // none of its types can fail
 		panic(err)
 	}
 	return string(raw)
@@ -64,89 +70,102 @@
 	return s, nil
 }
 
-var faultKinds = []FaultKind{Kill, Pause, Replace, Restart, Partition, OneWayPartition, PacketLoss}
-
-// RandomSchedule makes a schedule of n faults of these kinds for these parties, spread over a span, from a seed.
-func RandomSchedule(seed uint64, n int, span time.Duration, parties []string, of ...FaultKind) Schedule {
+// RandomSchedule draws a schedule of n faults of these kinds for these parties, spread over a span, from a seed.
+func RandomSchedule(seed uint64, n int, span time.Duration, parties []string, kinds ...FaultKind) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x5c))
-	var s Schedule
+	var schedule Schedule
 	for range n {
-		whom := slices.Clone(parties)
-		rng.Shuffle(len(whom), func(i, j int) { whom[i], whom[j] = whom[j], whom[i] })
-		step := Step{At: time.Duration(rng.Int64N(int64(span))), Fault: of[rng.IntN(len(of))], Targets: whom[:1],
+		shuffled := slices.Clone(parties)
+		rng.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
+		step := Step{At: time.Duration(rng.Int64N(int64(span))), Fault: kinds[rng.IntN(len(kinds))], Targets: shuffled[:1],
 			Duration: time.Duration(rng.Int64N(int64(span / 4)))}
 		switch step.Fault {
 		case Partition, OneWayPartition:
-			step.Targets = whom[:1+rng.IntN(max(1, len(whom)-1))]
+			step.Targets = shuffled[:1+rng.IntN(max(1, len(shuffled)-1))]
 		case PacketLoss:
-			step.Targets, step.Loss = whom, rng.Float64()/2
+			step.Targets, step.Loss = shuffled, rng.Float64()/2
 		}
-		s = append(s, step)
+		schedule = append(schedule, step)
 	}
-	slices.SortStableFunc(s, func(a, b Step) int { return int(a.At - b.At) })
-	return s
+	slices.SortStableFunc(schedule, func(a, b Step) int { return int(a.At - b.At) })
+	return schedule
 }
 
-// PlaySchedule carries a schedule out on these nodes, and returns once its last fault is over. A fault at a node that
-// is not there any more is an error; the others go on.
-func (c *Cluster) PlaySchedule(ctx context.Context, s Schedule, nodes map[string]*Node) error {
+// PlaySchedule carries a schedule out on these nodes, and returns once its last fault has ended. The error is the
+// first one; the faults after it are carried out all the same.
+func (c *Cluster) PlaySchedule(ctx context.Context, schedule Schedule, nodes map[string]*Node) error {
 	start := time.Now()
-	failed := make(chan error, len(s))
-	for _, step := range s {
-		go func() { failed <- c.playStep(ctx, start, step, nodes) }()
+	return forEach(schedule, func(step Step) error {
+		if err := sleep(ctx, time.Until(start.Add(step.At))); err != nil {
+			return err
+		}
+		return c.playStep(ctx, step, nodes)
+	})
+}
+
+// forEach does something with all items at once, waits until all are done, and returns the first error.
+func forEach[T any](items []T, do func(T) error) error {
+	results := make(chan error, len(items))
+	for _, item := range items {
+		go func() { results <- do(item) }()
 	}
 	var first error
-	for range s {
-		if err := <-failed; err != nil && first == nil {
+	for range items {
+		if err := <-results; first == nil {
 			first = err
 		}
 	}
 	return first
 }
 
-func wait(ctx context.Context, d time.Duration) error {
-	t := time.NewTimer(d)
-	defer t.Stop()
+// sleep waits, or returns the context's error once that ends.
+func sleep(ctx context.Context, d time.Duration) error {
+	timer := time.NewTimer(d)
+	defer timer.Stop()
 	select {
-	case <-t.C:
+	case <-timer.C:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (c *Cluster) playStep(ctx context.Context, start time.Time, step Step, nodes map[string]*Node) error {
-	if err := wait(ctx, time.Until(start.Add(step.At))); err != nil {
-		return err
-	}
+func (c *Cluster) playStep(ctx context.Context, step Step, nodes map[string]*Node) error {
 	switch step.Fault {
 	case Partition, OneWayPartition, PacketLoss:
-		among := step.Others
-		if len(among) == 0 {
-			for name := range nodes {
-				if step.Fault == PacketLoss || !slices.Contains(step.Targets, name) {
-					among = append(among, name)
-				}
-			}
-		}
-		c.setPathFaults(step, among, true)
-		defer c.setPathFaults(step, among, false)
-		return wait(ctx, step.Duration)
+		others := step.others(nodes)
+		c.setPathFaults(step, others, true)
+		defer c.setPathFaults(step, others, false)
+		return sleep(ctx, step.Duration)
 	}
 	for _, name := range step.Targets {
-		n := nodes[name]
-		if n == nil {
+		node := nodes[name]
+		if node == nil {
 			return fmt.Errorf("schedule: %s: there is no node %q", step.Fault, name)
 		}
-		if err := c.playProcessFault(ctx, step, n); err != nil {
+		if err := playProcessFault(ctx, step, node); err != nil {
 			return fmt.Errorf("schedule: %s %s: %w", step.Fault, name, err)
 		}
 	}
 	return nil
 }
 
-func (c *Cluster) playProcessFault(ctx context.Context, step Step, n *Node) error {
-	n.faultLock.Lock() // one fault of its processes at a time
+// others returns the other ends of the paths that a step is about.
+func (s Step) others(nodes map[string]*Node) []string {
+	if len(s.Others) > 0 {
+		return s.Others
+	}
+	var others []string
+	for name := range nodes {
+		if s.Fault == PacketLoss || !slices.Contains(s.Targets, name) {
+			others = append(others, name)
+		}
+	}
+	return others
+}
+
+func playProcessFault(ctx context.Context, step Step, n *Node) error {
+	n.faultLock.Lock()
 	defer n.faultLock.Unlock()
 	switch step.Fault {
 	case Kill:
@@ -154,14 +173,14 @@
 	case Pause:
 		n.Process().Pause(ctx, step.Duration)
 	case Replace:
-		old, err := n.Replace(ctx)
+		previous, err := n.Replace(ctx)
 		if err != nil {
 			return err
 		}
-		return old.Wait(ctx)
+		return previous.Wait(ctx)
 	case Restart:
 		n.Kill()
-		if err := wait(ctx, step.Duration); err != nil {
+		if err := sleep(ctx, step.Duration); err != nil {
 			return err
 		}
 		if _, err := n.Start(); err != nil {
@@ -172,33 +191,27 @@
 	return nil
 }
 
-// setPathFaults sets or ends a fault of the paths between two sets of parties.
-func (c *Cluster) setPathFaults(step Step, among []string, on bool) {
-	for _, a := range step.Targets {
-		for _, b := range among {
-			if a == b {
+// setPathFaults begins or ends the fault of a step on the paths between its targets and others.
+func (c *Cluster) setPathFaults(step Step, others []string, on bool) {
+	change := func(faults *Faults) {
+		switch {
+		case step.Fault != PacketLoss:
+			faults.Cut = on
+		case on:
+			faults.Loss = step.Loss
+		default:
+			faults.Loss = 0
+		}
+	}
+	for _, target := range step.Targets {
+		for _, other := range others {
+			if target == other {
 				continue
 			}
-			c.setPathFault(a, b, step, on)
+			c.links.update(path{target, other}, change)
 			if step.Fault != OneWayPartition {
-				c.setPathFault(b, a, step, on)
+				c.links.update(path{other, target}, change)
 			}
 		}
 	}
 }
-
-func (c *Cluster) setPathFault(from, to string, step Step, on bool) {
-	l := c.links
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	f := l.faults[path{from, to}]
-	if step.Fault == PacketLoss {
-		f.Loss = 0
-		if on {
-			f.Loss = step.Loss
-		}
-	} else {
-		f.Cut = on
-	}
-	l.faults[path{from, to}] = f
-}
--- a/internal/testcluster/scope_test.go
+++ b/internal/testcluster/scope_test.go
@@ -17,7 +17,7 @@
 	"sloerail/internal/registry"
 )
 
-// scopedHarness is a node that is told a subset of one service, by three replicas that list several.
+// scopedHarness is a node that subscribes to a subset of one service, at three replicas that list several services.
 type scopedHarness struct {
 	t    *testing.T
 	ctx  context.Context
@@ -34,7 +34,7 @@
 	inScope map[string]bool
 }
 
-// scopedList is the path of the list that the node is to have.
+// scopedList is the path of the list that the node subscribes to.
 const scopedList = "/registry/instances?service=a&subset=3&position=0&nodes=1&zone=a"
 
 func newScopedHarness(t *testing.T, servers int) *scopedHarness {
@@ -82,7 +82,7 @@
 	x.writeInstance(http.MethodPut, id, map[string]any{"host_port": x.at[id], "locality": "a", "service": service, "lease_ms": 600_000})
 }
 
-// awaitFollowed waits until the node has what the list has in its scope, and returns that.
+// awaitFollowed waits until the node has the list of its scope, and returns the IDs in it.
 func (x *scopedHarness) awaitFollowed(what string) (ids []string) {
 	x.t.Helper()
 	err := Await(within(x.t, x.ctx), "the node to have its scope "+what, func() bool {
@@ -108,7 +108,7 @@
 	return ids
 }
 
-// subscribedServers is what the node has, by the file that it keeps the list in.
+// subscribedServers returns the node's list, from the file in which it caches it.
 func (x *scopedHarness) subscribedServers() (servers []string) {
 	raw, err := os.ReadFile(x.node.Spec.ListFile)
 	if err != nil {
@@ -125,9 +125,8 @@
 	return servers
 }
 
-// A node with a scope lives through the death of its list service's leader, the drain and end of servers of its
-// subset, their replacement, and changes elsewhere: requests are served, drains kept, and nothing is ever sent to a
-// server outside of its scope.
+// A node with a scope through the death of the registry's leader, the drain, end and replacement of servers of its subset,
+// and changes elsewhere: requests are served, drains are kept, and nothing is sent to a server outside of its scope.
 func TestScopedNodeSurvivesFaults(t *testing.T) {
 	t.Parallel()
 	x := newScopedHarness(t, 12)
@@ -164,7 +163,7 @@
 	x.finish(load)
 }
 
-// replace drains a server of the node's subset, takes it out, and puts another in its place.
+// replace drains and removes a server of the node's subset, and registers another in its place.
 func (x *scopedHarness) replace(old, next string) {
 	x.t.Helper()
 	x.writeInstance(http.MethodPut, old+"/phase", map[string]string{"phase": registry.PhaseDraining})
@@ -180,7 +179,7 @@
 	}
 }
 
-// finish ends the load, and holds what was served and sent to what is promised.
+// finish ends the load, and checks what was served and sent.
 func (x *scopedHarness) finish(load *LoadGenerator) {
 	x.t.Helper()
 	err := Await(within(x.t, x.ctx), "enough requests", func() bool { return load.Stats().Requests >= 240 })
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -9,21 +9,22 @@
 	"sloerail/internal/emulator"
 )
 
+// server is an emulated server that answers on sockets. The environment's lock guards it.
 type server struct {
 	*emulator.Server
 	wakeup      chan struct{}
-	completions map[string]chan emulator.CompletedJob // by request
+	completions map[string]chan emulator.CompletedJob // by request, for those that wait for a response
 }
 
 func (e *Environment) addServer(spec emulator.ServerSpec, started emulator.Time) {
-	b := &server{Server: emulator.NewServer(spec, started, e.seed+uint64(len(e.servers))), wakeup: make(chan struct{}, 1),
+	s := &server{Server: emulator.NewServer(spec, started, e.seed+uint64(len(e.servers))), wakeup: make(chan struct{}, 1),
 		completions: make(map[string]chan emulator.CompletedJob)}
-	e.servers[spec.ID] = b
-	e.list.Set(e.entry(b, emulator.Up))
-	e.background.Go(func() { e.runServer(b) })
+	e.servers[spec.ID] = s
+	e.list.Set(e.entry(s, emulator.Up))
+	e.background.Go(func() { e.runServer(s) })
 }
 
-// Server is one of the servers; read and change it within Look.
+// Server returns a server, to be read and changed within WithLock.
 func (e *Environment) Server(id string) *emulator.Server { return e.servers[id].Server }
 
 // AttemptCount counts the attempts of a node that have reached servers of a zone.
@@ -33,45 +34,45 @@
 	return e.attemptCounts[[2]string{node, zone}]
 }
 
-// EachServerInZone does something to each server of a zone.
-func (e *Environment) EachServerInZone(zone string, do func(b *emulator.Server)) {
+// EachServerInZone calls do for each server of a zone, with the lock of WithLock held.
+func (e *Environment) EachServerInZone(zone string, do func(s *emulator.Server)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	for _, b := range e.servers {
-		if b.Spec.Zone == zone {
-			do(b.Server)
+	for _, s := range e.servers {
+		if s.Spec.Zone == zone {
+			do(s.Server)
 		}
 	}
 }
 
-// runServer finishes a server's jobs when they are due.
-func (e *Environment) runServer(b *server) {
+// runServer completes a server's jobs when they are due, until the environment ends.
+func (e *Environment) runServer(s *server) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
 		e.mu.Lock()
-		for _, d := range b.Advance(e.now()) {
-			if reply := b.completions[d.ID]; reply != nil {
-				reply <- d
-				delete(b.completions, d.ID)
+		for _, job := range s.Advance(e.now()) {
+			if completion := s.completions[job.ID]; completion != nil {
+				completion <- job // has room for it
+				delete(s.completions, job.ID)
 			}
 		}
-		at, ok := b.Next()
+		at, ok := s.Next()
 		e.mu.Unlock()
 		if ok {
 			timer.Reset(at - e.now())
 		}
 		select {
 		case <-timer.C:
-		case <-b.wakeup:
+		case <-s.wakeup:
 		case <-e.ctx.Done():
 			return
 		}
 	}
 }
 
-// serverHandler is a server as one node sees it.
-func (e *Environment) serverHandler(node, zone string, b *server) http.Handler {
+// serverHandler is a server for one node.
+func (e *Environment) serverHandler(node, zone string, s *server) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Request-Id")
 		if id == "" {
@@ -87,7 +88,7 @@
 			return
 		}
 		job := emulator.Job{ID: id, Key: r.Header.Get("Idempotency-Key"), Work: work}
-		verdict, load, done := e.offer(node, zone, r.Header.Get("X-Class"), b, job)
+		verdict, load, done := e.offer(node, zone, r.Header.Get("X-Class"), s, job)
 		rw.Header().Set("X-Load", fmt.Sprintf("latency_ms=%.1f,util=%.3f,qps=%.1f", load.LatencyMs, load.Util, load.QPS))
 		switch verdict {
 		case emulator.Rejected:
@@ -96,50 +97,47 @@
 		case emulator.Failed:
 			rw.WriteHeader(http.StatusInternalServerError)
 		default:
-			e.awaitCompletion(rw, r, b, id, done)
+			e.awaitCompletion(rw, r, s, id, done)
 		}
 	})
 }
 
-// offer hands a server an attempt that has come, and books it. What is done with it comes on the channel.
-func (e *Environment) offer(node, zone, class string, b *server, job emulator.Job) (emulator.Verdict, emulator.LoadReport, <-chan emulator.CompletedJob) {
+// offer hands a server an attempt that has arrived, and records it. Its completion comes on the channel.
+func (e *Environment) offer(node, zone, class string, s *server, job emulator.Job) (emulator.Verdict, emulator.LoadReport, <-chan emulator.CompletedJob) {
 	done := make(chan emulator.CompletedJob, 1)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := e.now()
-	e.Checker.AttemptArrived(now, node, job.ID, b.Server)
-	e.attemptCounts[[2]string{node, b.Spec.Zone}]++
+	e.Checker.AttemptArrived(now, node, job.ID, s.Server)
+	e.attemptCounts[[2]string{node, s.Spec.Zone}]++
 	if e.outcome != nil {
-		e.outcome.Sent(now, class, zone, b.Spec.Zone)
+		e.outcome.Sent(now, class, zone, s.Spec.Zone)
 	}
-	verdict := b.Offer(now, job)
+	verdict := s.Offer(now, job)
 	if verdict == emulator.Accepted {
-		b.completions[job.ID] = done
-	} else { // the answer is on its way: whoever sends again has it
-		e.Checker.AttemptEnded(job.ID, b.Spec.ID, verdict == emulator.Rejected)
+		s.completions[job.ID] = done
+	} else { // recorded before the response leaves: a node that retries has received it
+		e.Checker.AttemptEnded(job.ID, s.Spec.ID, verdict == emulator.Rejected)
 	}
-	return verdict, b.LoadReport(now), done
+	return verdict, s.LoadReport(now), done
 }
 
-// awaitCompletion answers a request once its server has finished it.
-func (e *Environment) awaitCompletion(rw http.ResponseWriter, r *http.Request, b *server, id string, done <-chan emulator.CompletedJob) {
-	select {
-	case b.wakeup <- struct{}{}:
-	default:
-	}
+// awaitCompletion answers a request once its server has completed it.
+func (e *Environment) awaitCompletion(rw http.ResponseWriter, r *http.Request, s *server, id string, done <-chan emulator.CompletedJob) {
+	signal(s.wakeup)
 	select {
 	case <-done:
-		e.recordAttemptEnded(b, id)
-		_, _ = io.WriteString(rw, "served "+id)
+		e.recordAttemptEnded(s, id)
+		_, _ = io.WriteString(rw, servedBody(id))
 	case <-r.Context().Done():
-		e.recordAttemptEnded(b, id)
+		e.recordAttemptEnded(s, id)
 	case <-e.ctx.Done():
 	}
 }
 
-// recordAttemptEnded books the end of an attempt that may have run.
-func (e *Environment) recordAttemptEnded(b *server, id string) {
+// recordAttemptEnded records the end of an attempt that may have run.
+func (e *Environment) recordAttemptEnded(s *server, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.Checker.AttemptEnded(id, b.Spec.ID, false)
+	e.Checker.AttemptEnded(id, s.Spec.ID, false)
 }
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -1,21 +1,19 @@
 package testcluster
 
-import (
-	"sloerail/internal/emulator"
-)
+import "sloerail/internal/emulator"
 
-// Settings are those of a node in a fleet of so many, for these classes and tenants. The quota of a tenant is
-// its share of a rate of requests a second.
+// Settings are the settings of a node at a position in a fleet of so many nodes, with the keys of the operators'
+// pages. The quota, in requests a second, is that of all tenants over the fleet.
 func Settings(position, nodes int, zone string, classes []emulator.Class, tenants []emulator.Tenant,
 	quota float64) map[string]any {
 	var services, customers []map[string]any
-	for _, k := range classes {
-		services = append(services, map[string]any{"name": k.Name, "aim": k.LatencyObjective.Milliseconds(),
-			"deadline": k.Deadline.Milliseconds(), "value": k.PriorityWeight, "repeat": string(k.RetrySafety), "group": "cell",
-			"window": k.DedupWindow.Milliseconds()})
+	for _, class := range classes {
+		services = append(services, map[string]any{"name": class.Name, "aim": class.LatencyObjective.Milliseconds(),
+			"deadline": class.Deadline.Milliseconds(), "value": class.PriorityWeight, "repeat": string(class.RetrySafety), "group": "cell",
+			"window": class.DedupWindow.Milliseconds()})
 	}
-	for _, t := range tenants {
-		customers = append(customers, map[string]any{"name": t.Name, "fraction": t.Share, "quotaRps": t.Share * quota})
+	for _, tenant := range tenants {
+		customers = append(customers, map[string]any{"name": tenant.Name, "fraction": tenant.Share, "quotaRps": tenant.Share * quota})
 	}
 	return map[string]any{
 		"position": position, "groupSize": nodes, "zone": zone, "services": services, "tenants": customers,
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -26,7 +26,7 @@
 	return x
 }
 
-// zoneView is what a node makes of a zone.
+// zoneView returns a node's view of a zone.
 func (x *fleetHarness) zoneView(name, zone string) (v node.PlaceView) {
 	var all []node.PlaceView
 	if err := Get(x.ctx, x.Nodes[name].Control(), "/places", &all); err != nil {
@@ -40,7 +40,7 @@
 	return v
 }
 
-// awaitZoneState waits until these nodes hold a zone for that, and returns how long that took.
+// awaitZoneState waits until these nodes have a zone in a state, and returns how long that took.
 func (x *fleetHarness) awaitZoneState(zone, state string, names ...string) time.Duration {
 	x.Helper()
 	began := time.Now()
@@ -70,7 +70,7 @@
 	}
 }
 
-// crossZoneAttempts counts what the nodes of the first zone sent to the others.
+// crossZoneAttempts counts the attempts of the first zone's nodes at servers of the others.
 func (x *fleetHarness) crossZoneAttempts() (n int) {
 	for _, name := range []string{x.Names[0], x.Names[3]} {
 		n += x.w.AttemptCount(name, "b") + x.w.AttemptCount(name, "c")
@@ -78,8 +78,8 @@
 	return n
 }
 
-// Real nodes keep traffic near, leave a zone whose servers fall silent, fail or become slow, serve meanwhile from
-// the others, come back to it, and keep the servers of a zone that a list takes away for a moment by mistake.
+// Real nodes prefer their zone, evacuate one whose servers are silent or fail, serve meanwhile from the others, return to
+// it, and retain the servers of a zone that a list lacks for a moment.
 func TestFleetLeavesAZoneAndReturns(t *testing.T) {
 	t.Parallel()
 	x := startZoneFleet(t)
@@ -95,14 +95,14 @@
 		for i := range 12 {
 			for _, name := range x.Names {
 				if i%3 == 0 {
-					box := fmt.Sprintf("s-%02d", i)
-					x.w.cluster.SetLinkFaults(name, box, Faults{Cut: on})
-					x.w.cluster.SetLinkFaults(box, name, Faults{Cut: on})
+					server := fmt.Sprintf("s-%02d", i)
+					x.w.cluster.SetLinkFaults(name, server, Faults{Cut: on})
+					x.w.cluster.SetLinkFaults(server, name, Faults{Cut: on})
 				}
 			}
 		}
 	}
-	for _, trouble := range []struct {
+	for _, fault := range []struct {
 		name    string
 		on, off func()
 		back    string // how it is to be held again: the second return takes four times as long
@@ -110,16 +110,16 @@
 		{"half of the requests fail", func() { fault(emulator.ServerFault{ErrorFraction: 0.5}) }, func() { fault(emulator.ServerFault{}) }, "well"},
 		{"nothing passes, and nothing is told", func() { cut(true) }, func() { cut(false) }, "returning"},
 	} {
-		trouble.on()
+		fault.on()
 		left := x.awaitZoneState("a", "left", near...)
 		before := x.crossZoneAttempts()
 		x.requireServed(300)
 		if x.crossZoneAttempts() == before {
-			t.Errorf("%s: left, and nothing goes to the other zones", trouble.name)
+			t.Errorf("%s: left, and nothing goes to the other zones", fault.name)
 		}
-		trouble.off()
-		back := x.awaitZoneState("a", trouble.back, near...)
-		t.Logf("%s: left by both near nodes after %v, %s %v after its end", trouble.name, left, trouble.back, back)
+		fault.off()
+		back := x.awaitZoneState("a", fault.back, near...)
+		t.Logf("%s: left by both near nodes after %v, %s %v after its end", fault.name, left, fault.back, back)
 	}
 	before := x.crossZoneAttempts()
 	x.w.SetZoneRemoved("a", true)
