--- a/cmd/sloerail/experiment.go
+++ b/cmd/sloerail/experiment.go
@@ -110,7 +110,7 @@
 			if err != nil {
 				return err
 			}
-			rows, err := simulation.Zones(simulation.ZoneMeasures(), all, true)
+			rows, err := simulation.MeasureZones(simulation.ZoneMeasures(), all, true)
 			if err != nil {
 				return err
 			}
@@ -175,6 +175,6 @@
 }
 
 func meanAndRange(all []float64) string {
-	mean, least, most := simulation.Spread(all)
+	mean, least, most := simulation.MeanMinMax(all)
 	return fmt.Sprintf("%.3f (%.3f to %.3f)", mean, least, most)
 }
--- a/cmd/sloerail/simulate.go
+++ b/cmd/sloerail/simulate.go
@@ -52,7 +52,7 @@
 		if err != nil {
 			return err
 		}
-		p.Printf("%-16s %s\n", name, s.What)
+		p.Printf("%-16s %s\n", name, s.Description)
 	}
 	return p.Err()
 }
@@ -72,8 +72,8 @@
 	for _, line := range o.Table(max(1, every)) {
 		p.Println(line)
 	}
-	for _, m := range o.Marks {
-		p.Printf("%6.2f s  %s %s\n", m.At, m.Who, m.What)
+	for _, m := range o.Timeline {
+		p.Printf("%6.2f s  %s %s\n", m.At, m.Node, m.Text)
 	}
 	p.Printf("rules broken: %d\n", o.Broken)
 	for _, b := range o.BrokenRules {
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -27,11 +27,11 @@
 }
 
 // unreachable tells whether nothing passes between a zone and a server.
-func (w *World) unreachable(zone string, b *server) bool {
+func (w *Simulation) unreachable(zone string, b *server) bool {
 	return b.connectTimeout || slices.ContainsFunc(w.partitions, func(f Fault) bool { return f.Separates(zone, b.Spec.Zone) })
 }
 
-func (w *World) send(n *node, a policy.Action) {
+func (w *Simulation) sendAttempt(n *node, a policy.Action) {
 	o, b := n.requests[a.ID], w.serversByID[a.Server]
 	if o == nil || b == nil {
 		w.outcome.Errors++
@@ -40,31 +40,31 @@
 	f := &attempt{request: o, number: o.attemptCount, server: b, sent: w.now, job: fmt.Sprintf("%s/%d", a.ID, o.attemptCount)}
 	o.attemptCount++
 	o.attempt = f
-	w.outcome.Sent(w.now, o.try.Class.Name, n.zone, b.Spec.Zone)
+	w.outcome.RecordAttempt(w.now, o.client.Class.Name, n.zone, b.Spec.Zone)
 	way := latencyBetween(n.zone, b.Spec.Zone)
-	until := max(w.now, min(a.AttemptDeadline, o.try.SendAt+o.try.Timeout))
+	until := max(w.now, min(a.AttemptDeadline, o.client.SendAt+o.client.Timeout))
 	if a.AttemptDeadline == 0 {
-		until = o.try.SendAt + o.try.Timeout
+		until = o.client.SendAt + o.client.Timeout
 	}
 	w.at(until, func() { w.finish(f, policy.TimedOut, nil) })
 	if w.unreachable(n.zone, b) {
-		w.in(connectTimeout, func() { w.finish(f, policy.ConnectFailed, nil) })
+		w.after(connectTimeout, func() { w.finish(f, policy.ConnectFailed, nil) })
 		return
 	}
-	w.in(way, func() { w.arrive(n, f, way) })
+	w.after(way, func() { w.arrive(n, f, way) })
 }
 
 // arrive is when an attempt's last byte reaches its server.
-func (w *World) arrive(n *node, f *attempt, way time.Duration) {
+func (w *Simulation) arrive(n *node, f *attempt, way time.Duration) {
 	b := f.server
 	switch {
 	case f.finished, w.unreachable(n.zone, b):
 		return
-	case b.vanished:
-		w.in(way, func() { w.finish(f, policy.ConnectFailed, nil) })
+	case b.down:
+		w.after(way, func() { w.finish(f, policy.ConnectFailed, nil) })
 		return
 	}
-	t := f.request.try
+	t := f.request.client
 	w.Checker.AttemptArrived(w.now, n.name, t.ID, b.Server)
 	switch b.Offer(w.now, emulator.Job{ID: f.job, Key: t.Key, Work: t.Work}) {
 	case emulator.Rejected:
@@ -75,21 +75,21 @@
 		w.reply(n, f, way, policy.ServerError)
 	default:
 		b.attempts[f.job] = f
-		w.serve(b)
+		w.scheduleCompletions(b)
 	}
 }
 
 // reply carries an answer to its node.
-func (w *World) reply(n *node, f *attempt, way time.Duration, code policy.Code) {
+func (w *Simulation) reply(n *node, f *attempt, way time.Duration, code policy.Code) {
 	if f.server.responseLost || w.unreachable(n.zone, f.server) {
 		return
 	}
 	row := w.loadReport(f.server)
-	w.in(way, func() { w.finish(f, code, row) })
+	w.after(way, func() { w.finish(f, code, row) })
 }
 
 // finish is the end of an attempt at its node.
-func (w *World) finish(f *attempt, code policy.Code, row []float64) {
+func (w *Simulation) finish(f *attempt, code policy.Code, row []float64) {
 	if f.finished {
 		return
 	}
@@ -97,16 +97,16 @@
 	o := f.request
 	o.attempt = nil
 	if code == policy.TimedOut || code == policy.Cancelled { // what was sent may yet run
-		w.Checker.AttemptEnded(o.try.ID, f.server.Spec.ID, false)
+		w.Checker.AttemptEnded(o.client.ID, f.server.Spec.ID, false)
 	}
 	ended := o.answered
 	if code == policy.OK && !ended {
-		w.answer(o.node, o.try.ID, 200, 0)
+		w.respond(o.node, o.client.ID, 200, 0)
 	}
 	if o.node.down {
 		return
 	}
-	w.deliver(o.node, policy.Outcome{ID: o.try.ID, Server: f.server.Spec.ID, Attempt: f.number, Code: code, Latency: w.now - f.sent,
+	w.deliver(o.node, policy.Outcome{ID: o.client.ID, Server: f.server.Spec.ID, Attempt: f.number, Code: code, Latency: w.now - f.sent,
 		RequestEnded: ended || code == policy.OK, LoadReport: row})
-	w.forget(o)
+	w.releaseIfDone(o)
 }
--- a/internal/simulation/clients.go
+++ b/internal/simulation/clients.go
@@ -7,8 +7,8 @@
 	"sloerail/internal/emulator"
 )
 
-// front spreads the clients of a zone over the nodes near them.
-type front struct {
+// loadBalancer spreads the clients of a zone over the nodes near them.
+type loadBalancer struct {
 	zone      string
 	generator *generator // of the present rate
 	spec      emulator.ClientSpec
@@ -18,40 +18,40 @@
 
 // generator is clients that arrive at one rate.
 type generator struct {
-	*front
+	*loadBalancer
 	clients *emulator.Clients
 	nextDue time.Duration // of the event that takes their next tries; 0 for none
 }
 
-func (w *World) addFront(i int, z Zone, seed uint64) {
+func (w *Simulation) addLoadBalancer(i int, z Zone, seed uint64) {
 	if z.Nodes == 0 {
 		return
 	}
-	c := &front{zone: z.Name, spec: w.Clients(z.Nodes, origin+w.For.Duration)}
+	c := &loadBalancer{zone: z.Name, spec: w.Clients(z.Nodes, origin+w.Length.Duration)}
 	for _, n := range w.nodes {
 		if n.zone == z.Name {
 			c.nodes = append(c.nodes, n)
 		}
 	}
-	w.fronts = append(w.fronts, c)
+	w.loadBalancers = append(w.loadBalancers, c)
 	w.startClients(c, 1, seed*1000+uint64(i))
 }
 
 // startClients has the clients of a front ask so many times as much from now on.
-func (w *World) startClients(c *front, times float64, seed uint64) {
+func (w *Simulation) startClients(c *loadBalancer, times float64, seed uint64) {
 	spec := c.spec
 	spec.Rate *= times
 	if c.generator != nil {
 		c.generator.clients.StopArrivals()
 	}
 	w.sequence++
-	c.generator = &generator{front: c, clients: emulator.NewClients(fmt.Sprintf("%s%x", c.zone, w.sequence), spec, w.now, seed)}
+	c.generator = &generator{loadBalancer: c, clients: emulator.NewClients(fmt.Sprintf("%s%x", c.zone, w.sequence), spec, w.now, seed)}
 	w.generators = append(w.generators, c.generator)
 	w.scheduleClients(c.generator)
 }
 
 // scheduleClients takes the next tries of clients when they are due.
-func (w *World) scheduleClients(g *generator) {
+func (w *Simulation) scheduleClients(g *generator) {
 	at, ok := g.clients.Next()
 	if !ok || g.nextDue > 0 && g.nextDue <= at {
 		return
@@ -63,7 +63,7 @@
 		}
 		g.nextDue = 0
 		for _, t := range g.clients.TakeDue(w.now) {
-			w.dispatch(g, t)
+			w.dispatchAttempt(g, t)
 		}
 		w.scheduleClients(g)
 	})
@@ -80,20 +80,20 @@
 	return nil
 }
 
-func (w *World) endTry(g *generator, t *emulator.ClientAttempt, status int, wait time.Duration) {
+func (w *Simulation) endTry(g *generator, t *emulator.ClientAttempt, status int, wait time.Duration) {
 	before := *g.clients.Stats[t.Class.Name]
 	g.clients.AttemptEnded(w.now, t, status, wait)
-	w.outcome.Ended(t, before, *g.clients.Stats[t.Class.Name])
+	w.outcome.RecordAttemptEnded(t, before, *g.clients.Stats[t.Class.Name])
 	w.scheduleClients(g)
 }
 
-// changeLoad has the clients of a zone, or all, ask several times as much, or as at first.
-func (w *World) changeLoad(f Fault, on bool) {
+// setLoadFactor has the clients of a zone, or all, ask several times as much, or as at first.
+func (w *Simulation) setLoadFactor(f Fault, on bool) {
 	times := 1.0
 	if on {
 		times = f.Factor
 	}
-	for i, c := range w.fronts {
+	for i, c := range w.loadBalancers {
 		if f.Zone == "" || f.Zone == c.zone {
 			w.startClients(c, times, uint64(w.sequence+i))
 		}
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -7,48 +7,48 @@
 )
 
 // beginFault starts a fault, and sets the time of its end.
-func (w *World) beginFault(f Fault) {
-	w.outcome.Mark(w.now, "", f.Describe(true))
+func (w *Simulation) beginFault(f Fault) {
+	w.outcome.RecordTimeline(w.now, "", f.Describe(true))
 	struck := w.affected(f)
 	for _, b := range struck {
 		w.outcome.Interrupted += len(b.attempts)
 	}
 	w.applyFault(f, struck, true)
-	if f.For.Duration > 0 {
-		w.in(f.For.Duration, func() {
-			w.outcome.Mark(w.now, "", f.Describe(false))
+	if f.Length.Duration > 0 {
+		w.after(f.Length.Duration, func() {
+			w.outcome.RecordTimeline(w.now, "", f.Describe(false))
 			w.applyFault(f, struck, false)
 		})
 	}
 }
 
 // affected are the servers that a fault is about.
-func (w *World) affected(f Fault) (all []*server) {
+func (w *Simulation) affected(f Fault) (all []*server) {
 	for _, spec := range f.Affected(w.ServerSpecs(w.seed)) {
 		all = append(all, w.serversByID[spec.ID])
 	}
 	return all
 }
 
-func (w *World) applyFault(f Fault, servers []*server, on bool) {
+func (w *Simulation) applyFault(f Fault, servers []*server, on bool) {
 	switch f.Kind {
-	case Load:
-		w.changeLoad(f, on)
-	case Nodes:
+	case LoadIncrease:
+		w.setLoadFactor(f, on)
+	case NodesDown:
 		w.setNodesDown(f.Zone, on)
 	case Partition:
 		w.setPartition(f, on)
-	case Vanish:
+	case Unlisted:
 		w.setPhase(servers, on, emulator.Removed)
-		w.announce(0, servers)
+		w.notifyNodes(0, servers)
 	case Drain:
 		w.drain(servers, on)
-	case Lost, Cold:
+	case Crash, CrashRestart:
 		for _, b := range servers {
-			w.kill(b, on, f.Kind == Cold)
+			w.setDown(b, on, f.Kind == CrashRestart)
 		}
-		if f.Kind == Cold && !on {
-			w.announce(0, servers)
+		if f.Kind == CrashRestart && !on {
+			w.notifyNodes(0, servers)
 		}
 	}
 	for _, b := range servers {
@@ -64,7 +64,7 @@
 }
 
 // setPartition cuts zones off, or ends that.
-func (w *World) setPartition(f Fault, on bool) {
+func (w *Simulation) setPartition(f Fault, on bool) {
 	if on {
 		w.partitions = append(w.partitions, f)
 	} else if i := slices.Index(w.partitions, f); i >= 0 {
--- a/internal/simulation/form_test.go
+++ b/internal/simulation/form_test.go
@@ -15,12 +15,12 @@
 // goldenScenario has every key and every kind of fault.
 func goldenScenario() Scenario {
 	reports := false
-	s := Scenario{Name: "golden", What: "every key", For: Duration{90 * time.Second}, Rate: 12.5, Work: 1.25, Topology: true, Quota: 400,
+	s := Scenario{Name: "golden", Description: "every key", Length: Duration{90 * time.Second}, Rate: 12.5, WorkScale: 1.25, Topology: true, Quota: 400,
 		Reports: &reports, Zones: []Zone{{"a", "east", 6, 2}, {"b", "west", 3, 1}},
-		Bound: []Bound{{Class: "bill-charge", Regions: []string{"east"}, Zones: []string{"a"}}}}
-	for i, kind := range []FaultKind{Lost, Cold, ConnectTimeout, ResponseLost, Partition, Errors, Slow, Vanish, Drain, Nodes, Load} {
-		s.Faults = append(s.Faults, Fault{At: Duration{time.Duration(i) * time.Second}, For: Duration{1500 * time.Millisecond}, Kind: kind,
-			Zone: "a", Fraction: 0.5, Factor: 2.5, Every: Duration{10 * time.Second}, Count: 3})
+		Bindings: []ClassBinding{{Class: "bill-charge", Regions: []string{"east"}, Zones: []string{"a"}}}}
+	for i, kind := range []FaultKind{Crash, CrashRestart, ConnectTimeout, ResponseLost, Partition, Errors, Slow, Unlisted, Drain, NodesDown, LoadIncrease} {
+		s.Faults = append(s.Faults, Fault{At: Duration{time.Duration(i) * time.Second}, Length: Duration{1500 * time.Millisecond}, Kind: kind,
+			Zone: "a", Fraction: 0.5, Factor: 2.5, RepeatEvery: Duration{10 * time.Second}, Repeats: 3})
 	}
 	return s
 }
@@ -46,18 +46,18 @@
 
 // goldenOutcome has every key.
 func goldenOutcome() Outcome {
-	sum := Sum{Requests: 10, InTime: 7, Late: 1, Failed: 2, Value: 12.5, ServedValue: 8.75}
+	sum := Totals{Requests: 10, InTime: 7, Late: 1, Failed: 2, Value: 12.5, ServedValue: 8.75}
 	return Outcome{
 		Seconds: []Second{
-			{Sum: sum, Attempts: 12, Crossing: 3, Choked: 1, Busy: 0.75, To: map[string]map[string]int{"a": {"a": 9, "b": 3}},
+			{Totals: sum, Attempts: 12, CrossZone: 3, Overloaded: 1, Utilization: 0.75, AttemptsByZone: map[string]map[string]int{"a": {"a": 9, "b": 3}},
 				Work: map[string]map[string]float64{"a": {"meter-read": 1.5, "bill-charge": 0.5}}},
 			newSecond(),
 		},
-		Classes: map[string]Sum{"meter-read": sum},
-		Marks:   []Mark{{At: 1.25, Who: "n0", What: "place a is left: 5 of 6 ill"}},
-		Broken:  1, BrokenRules: []string{"1.000 s: c1: a second final answer, 200"}, Errors: 4,
-		Sends:       map[string]map[string]int{"meter-read": {"a": 9, "b": 3}},
-		Interrupted: 5, Cores: map[string]float64{"a": 75.6},
+		Classes:  map[string]Totals{"meter-read": sum},
+		Timeline: []TimelineEntry{{At: 1.25, Node: "n0", Text: "place a is left: 5 of 6 ill"}},
+		Broken:   1, BrokenRules: []string{"1.000 s: c1: a second final answer, 200"}, Errors: 4,
+		AttemptsByZone: map[string]map[string]int{"meter-read": {"a": 9, "b": 3}},
+		Interrupted:    5, Cores: map[string]float64{"a": 75.6},
 	}
 }
 
@@ -83,14 +83,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.For = Duration{4 * time.Second}
+	s.Length = Duration{4 * time.Second}
 	s.Faults[0].At = Duration{time.Second}
 	w, err := New(s, 39)
 	if err != nil {
 		t.Fatal(err)
 	}
 	o := w.Run()
-	o.Marks = slices.DeleteFunc(o.Marks, func(m Mark) bool { return m.Who != "" }) // what nodes log may change
+	o.Timeline = slices.DeleteFunc(o.Timeline, func(m TimelineEntry) bool { return m.Node != "" }) // what nodes log may change
 	raw, err := json.Marshal(o)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/simulation/lab_test.go
+++ b/internal/simulation/lab_test.go
@@ -12,14 +12,14 @@
 )
 
 // What docs/zones.md says of zones: a sample of its measures, on one seed. All of them take minutes.
-func TestZonesAreLeftAndComeBackTo(t *testing.T) {
+func TestZonesAreEvacuatedAndReturnedTo(t *testing.T) {
 	var few []Measure
 	for _, m := range ZoneMeasures() {
 		if slices.Contains([]string{"calm", "zone-lost", "zone-cold", "zone-errors", "zone-slow", "all-slow", "one-bad"}, m.Scenario) {
 			few = append(few, m)
 		}
 	}
-	rows, err := Zones(few, []uint64{2}, false)
+	rows, err := MeasureZones(few, []uint64{2}, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,7 +31,7 @@
 }
 
 // A seed gives the same run each time: a finding can be looked at again.
-func TestSameSeedSameRun(t *testing.T) {
+func TestSameSeedGivesTheSameOutcome(t *testing.T) {
 	for _, name := range []string{"zone-errors", "zone-lost", "zone-nodes"} {
 		var runs [2][]byte
 		for i := range runs {
@@ -55,28 +55,28 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.Work, s.For = 0.5, Duration{35 * time.Second}
+	s.WorkScale, s.Length = 0.5, Duration{35 * time.Second}
 	w, err := New(s, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := w.Run()
-	for zone, by := range out.Sends["bill-charge"] {
+	for zone, by := range out.AttemptsByZone["bill-charge"] {
 		if zone != "c" && by > 0 {
 			t.Errorf("%d attempts of the bound class went to zone %s", by, zone)
 		}
 	}
-	if out.Sends["bill-charge"]["c"] == 0 || out.Broken > 0 {
-		t.Errorf("sent %v, rules broken: %q", out.Sends, out.BrokenRules)
+	if out.AttemptsByZone["bill-charge"]["c"] == 0 || out.Broken > 0 {
+		t.Errorf("sent %v, rules broken: %q", out.AttemptsByZone, out.BrokenRules)
 	}
 	after := out.Between(32*time.Second, 35*time.Second)
-	if after.Share() < 0.9 {
-		t.Errorf("served %.2f of the worth once the region was back", after.Share())
+	if after.ServedFraction() < 0.9 {
+		t.Errorf("served %.2f of the worth once the region was back", after.ServedFraction())
 	}
 }
 
 // A scenario that makes no sense is named, not played.
-func TestScenariosThatMakeNoSense(t *testing.T) {
+func TestInvalidScenariosAreRejectedByName(t *testing.T) {
 	const zones = "for = \"3s\"\nrate = 5.0\nzones = [{name = \"a\", boxes = 1, nodes = 1}]\n"
 	for text, want := range map[string]string{
 		"rate = 1.0":                                  "nodes",
@@ -102,7 +102,7 @@
 func BenchmarkDecision(b *testing.B) {
 	for name, places := range map[string]bool{"places": true, "none": false} {
 		b.Run(name, func(b *testing.B) {
-			s := Scenario{For: Duration{time.Second}, Rate: 1, Work: 1, Topology: places}
+			s := Scenario{Length: Duration{time.Second}, Rate: 1, WorkScale: 1, Topology: places}
 			for i := range 60 {
 				s.Zones = append(s.Zones, Zone{Name: string(rune('A' + i)), Region: string(rune('a' + i%6)), Servers: 3, Nodes: 5})
 			}
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -12,22 +12,22 @@
 
 // Outcome is what came of a run.
 type Outcome struct {
-	Seconds     []Second                  `json:"seconds"` // by when requests were first asked, and attempts sent
-	Classes     map[string]Sum            `json:"classes"`
-	Marks       []Mark                    `json:"marks"` // faults, and what the nodes said
-	Broken      int                       `json:"broken"`
-	BrokenRules []string                  `json:"broken_rules"`
-	Errors      int                       `json:"errors"` // sends that make no sense
-	Sends       map[string]map[string]int `json:"sends"`  // attempts, by class and zone that they went to
-	Interrupted int                       `json:"struck"` // attempts under way at servers when a fault affected them
-	Cores       map[string]float64        `json:"cores"`  // of speed 1, by zone
+	Seconds        []Second                  `json:"seconds"` // by when requests were first asked, and attempts sent
+	Classes        map[string]Totals         `json:"classes"`
+	Timeline       []TimelineEntry           `json:"marks"` // faults, and what the nodes said
+	Broken         int                       `json:"broken"`
+	BrokenRules    []string                  `json:"broken_rules"`
+	Errors         int                       `json:"errors"` // sends that make no sense
+	AttemptsByZone map[string]map[string]int `json:"sends"`  // attempts, by class and zone that they went to
+	Interrupted    int                       `json:"struck"` // attempts under way at servers when a fault affected them
+	Cores          map[string]float64        `json:"cores"`  // of speed 1, by zone
 
 	origin      time.Duration // of the clock that its times are on
 	classValues map[string]float64
 }
 
-// Sum is what became of requests, with their retries folded in.
-type Sum struct {
+// Totals is what became of requests, with their retries folded in.
+type Totals struct {
 	Requests    int     `json:"asked"`
 	InTime      int     `json:"in_time"`
 	Late        int     `json:"late"`
@@ -38,28 +38,28 @@
 
 // Second is one of a run.
 type Second struct {
-	Sum
-	Attempts int                       `json:"attempts"`
-	Crossing int                       `json:"crossing"` // of them, to another zone
-	Choked   int                       `json:"choked"`   // servers that were crowded until they became slower, at its end
-	Busy     float64                   `json:"busy"`     // part of the cores of servers that are there, at its end
-	To       map[string]map[string]int `json:"to"`       // by the zone that they come from and go to
+	Totals
+	Attempts       int                       `json:"attempts"`
+	CrossZone      int                       `json:"crossing"` // of them, to another zone
+	Overloaded     int                       `json:"choked"`   // servers that were crowded until they became slower, at its end
+	Utilization    float64                   `json:"busy"`     // part of the cores of servers that are there, at its end
+	AttemptsByZone map[string]map[string]int `json:"to"`       // by the zone that they come from and go to
 
 	Work map[string]map[string]float64 `json:"work"` // asked for, in seconds of a core of speed 1, by zone and class
 }
 
-// Mark is something that happened.
-type Mark struct {
+// TimelineEntry is something that happened.
+type TimelineEntry struct {
 	At   float64 `json:"at"` // seconds
-	Who  string  `json:"who"`
-	What string  `json:"what"`
+	Node string  `json:"who"`
+	Text string  `json:"what"`
 }
 
-const maxMarks = 2000
+const maxTimelineEntries = 2000
 
 // NewOutcome makes an empty one, for whoever plays a scenario that begins at a time of its own clock.
 func NewOutcome(s Scenario, boxes []emulator.ServerSpec, classes []emulator.Class, origin time.Duration) *Outcome {
-	o := &Outcome{Classes: make(map[string]Sum), Cores: make(map[string]float64), Sends: make(map[string]map[string]int),
+	o := &Outcome{Classes: make(map[string]Totals), Cores: make(map[string]float64), AttemptsByZone: make(map[string]map[string]int),
 		classValues: make(map[string]float64)}
 	o.origin = origin
 	for _, c := range classes {
@@ -68,7 +68,7 @@
 	for _, b := range boxes {
 		o.Cores[b.Zone] += float64(b.Cores) * b.Speed
 	}
-	o.second(origin + s.For.Duration)
+	o.second(origin + s.Length.Duration)
 	return o
 }
 
@@ -85,7 +85,7 @@
 	return o.classValues[t.Class.Name] * t.Work.Seconds()
 }
 
-func (s *Sum) add(t *emulator.ClientAttempt, worth float64, change emulator.ClientStats) {
+func (s *Totals) add(t *emulator.ClientAttempt, worth float64, change emulator.ClientStats) {
 	s.Requests += change.Requests
 	s.InTime += change.InTime
 	s.Late += change.Late
@@ -103,11 +103,11 @@
 }
 
 func newSecond() Second {
-	return Second{To: make(map[string]map[string]int), Work: make(map[string]map[string]float64)}
+	return Second{AttemptsByZone: make(map[string]map[string]int), Work: make(map[string]map[string]float64)}
 }
 
-// Ask books the first try of a request near a zone.
-func (o *Outcome) Ask(zone string, t *emulator.ClientAttempt) {
+// RecordRequest books the first try of a request near a zone.
+func (o *Outcome) RecordRequest(zone string, t *emulator.ClientAttempt) {
 	o.record(t, emulator.ClientStats{Requests: 1})
 	add(o.second(t.RequestStart()).Work, zone, t.Class.Name, t.Work.Seconds())
 }
@@ -120,26 +120,26 @@
 	all[a][b] += v
 }
 
-// Ended books what a try came to, by what its class had come to before and after.
-func (o *Outcome) Ended(t *emulator.ClientAttempt, before, after emulator.ClientStats) {
+// RecordAttemptEnded books what a try came to, by what its class had come to before and after.
+func (o *Outcome) RecordAttemptEnded(t *emulator.ClientAttempt, before, after emulator.ClientStats) {
 	o.record(t, emulator.ClientStats{InTime: after.InTime - before.InTime, Late: after.Late - before.Late,
 		Failed: after.Failed - before.Failed})
 }
 
-// Sent books an attempt from a zone to another.
-func (o *Outcome) Sent(now time.Duration, class, from, to string) {
+// RecordAttempt books an attempt from a zone to another.
+func (o *Outcome) RecordAttempt(now time.Duration, class, from, to string) {
 	s := o.second(now)
-	add(s.To, from, to, 1)
-	add(o.Sends, class, to, 1)
+	add(s.AttemptsByZone, from, to, 1)
+	add(o.AttemptsByZone, class, to, 1)
 	if s.Attempts++; from != to {
-		s.Crossing++
+		s.CrossZone++
 	}
 }
 
-// Mark books that a fault begins or ends, or what a node said.
-func (o *Outcome) Mark(now time.Duration, who, what string) {
-	if len(o.Marks) < maxMarks {
-		o.Marks = append(o.Marks, Mark{(now - o.origin).Seconds(), who, what})
+// RecordTimeline books that a fault begins or ends, or what a node said.
+func (o *Outcome) RecordTimeline(now time.Duration, who, what string) {
+	if len(o.Timeline) < maxTimelineEntries {
+		o.Timeline = append(o.Timeline, TimelineEntry{(now - o.origin).Seconds(), who, what})
 	}
 }
 
@@ -151,11 +151,11 @@
 		s := o.Seconds[i]
 		all.Requests, all.InTime, all.Late, all.Failed = all.Requests+s.Requests, all.InTime+s.InTime, all.Late+s.Late, all.Failed+s.Failed
 		all.Value, all.ServedValue = all.Value+s.Value, all.ServedValue+s.ServedValue
-		all.Choked, all.Busy = max(all.Choked, s.Choked), s.Busy
-		all.Attempts, all.Crossing = all.Attempts+s.Attempts, all.Crossing+s.Crossing
-		for a, to := range s.To {
+		all.Overloaded, all.Utilization = max(all.Overloaded, s.Overloaded), s.Utilization
+		all.Attempts, all.CrossZone = all.Attempts+s.Attempts, all.CrossZone+s.CrossZone
+		for a, to := range s.AttemptsByZone {
 			for b, n := range to {
-				add(all.To, a, b, n)
+				add(all.AttemptsByZone, a, b, n)
 			}
 		}
 		for zone, by := range s.Work {
@@ -167,18 +167,20 @@
 	return all
 }
 
-// Share is the part of the value that was served in time.
-func (s Sum) Share() float64 { return s.ServedValue / max(s.Value, math.SmallestNonzeroFloat64) }
+// ServedFraction is the part of the value that was served in time.
+func (s Totals) ServedFraction() float64 {
+	return s.ServedValue / max(s.Value, math.SmallestNonzeroFloat64)
+}
 
 // Table is the run second by second, for people.
 func (o *Outcome) Table(every int) (lines []string) {
 	for i := 0; i < len(o.Seconds); i += every {
 		s := o.Between(time.Duration(i)*time.Second, time.Duration(i+every)*time.Second)
-		line := fmt.Sprintf("%4d s  asked %6d  in time %.3f  crossing %.3f  choked %d busy %.2f ", i, s.Requests, s.Share(),
-			float64(s.Crossing)/float64(max(1, s.Attempts)), s.Choked, s.Busy)
-		for _, from := range slices.Sorted(maps.Keys(s.To)) {
-			for _, to := range slices.Sorted(maps.Keys(s.To[from])) {
-				line += fmt.Sprintf(" %s>%s %d", from, to, s.To[from][to])
+		line := fmt.Sprintf("%4d s  asked %6d  in time %.3f  crossing %.3f  choked %d busy %.2f ", i, s.Requests, s.ServedFraction(),
+			float64(s.CrossZone)/float64(max(1, s.Attempts)), s.Overloaded, s.Utilization)
+		for _, from := range slices.Sorted(maps.Keys(s.AttemptsByZone)) {
+			for _, to := range slices.Sorted(maps.Keys(s.AttemptsByZone[from])) {
+				line += fmt.Sprintf(" %s>%s %d", from, to, s.AttemptsByZone[from][to])
 			}
 		}
 		lines = append(lines, line)
--- a/internal/simulation/pair.go
+++ b/internal/simulation/pair.go
@@ -32,13 +32,13 @@
 	end := time.Duration(n) * time.Second
 	worst := 1.0
 	for at := time.Duration(0); at+worstWindow <= end; at += time.Second {
-		worst = min(worst, o.Between(at, at+worstWindow).Share())
+		worst = min(worst, o.Between(at, at+worstWindow).ServedFraction())
 	}
 	class := 1.0
 	for _, c := range o.Classes {
-		class = min(class, c.Share())
+		class = min(class, c.ServedFraction())
 	}
-	return fullWeight*o.Between(0, end).Share() + worstWeight*worst + classWeight*class
+	return fullWeight*o.Between(0, end).ServedFraction() + worstWeight*worst + classWeight*class
 }
 
 // Pair is what two programs made of the same scenarios and seeds.
@@ -54,8 +54,8 @@
 	TheirBroken  int       `json:"rules_broken_theirs"`
 }
 
-// sum works out the statistics: Student's, over the differences by seed.
-func (p *Pair) sum() {
+// computeStatistics works out the statistics: Student's, over the differences by seed.
+func (p *Pair) computeStatistics() {
 	d := make([]float64, len(p.Ours))
 	for i := range d {
 		d[i] = p.Ours[i] - p.Theirs[i]
@@ -70,12 +70,12 @@
 	}
 }
 
-// simulateFor is how long one simulation of another program may take.
-const simulateFor = 5 * time.Minute
+// simulateTimeout is how long one simulation of another program may take.
+const simulateTimeout = 5 * time.Minute
 
 // simulate plays a scenario by a program's own command.
 func simulate(ctx context.Context, program, scenario string, seed uint64) (*Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, simulateFor)
+	ctx, cancel := context.WithTimeout(ctx, simulateTimeout)
 	defer cancel()
 	raw, err := exec.CommandContext(ctx, program, "simulate", scenario, "--json", "--seed", strconv.FormatUint(seed, 10)).Output()
 	if err != nil && (!rulesBroken(err) || len(raw) == 0) {
@@ -117,10 +117,10 @@
 	all := Pair{Scenario: "all"}
 	for i := range pairs {
 		p := &pairs[i]
-		p.sum()
+		p.computeStatistics()
 		all.Ours, all.Theirs = append(all.Ours, p.Ours...), append(all.Theirs, p.Theirs...)
 		all.OurBroken, all.TheirBroken = all.OurBroken+p.OurBroken, all.TheirBroken+p.TheirBroken
 	}
-	all.sum()
+	all.computeStatistics()
 	return append(pairs, all), nil
 }
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -15,10 +15,10 @@
 }
 
 // at schedules an event; one of the past runs next.
-func (w *World) at(t time.Duration, run func()) {
+func (w *Simulation) at(t time.Duration, run func()) {
 	w.sequence++
 	w.queue.Add(event{max(t, w.now), w.sequence, run})
 }
 
-// in schedules an event from now.
-func (w *World) in(d time.Duration, run func()) { w.at(w.now+d, run) }
+// after schedules an event from now.
+func (w *Simulation) after(d time.Duration, run func()) { w.at(w.now+d, run) }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -30,17 +30,17 @@
 
 // Scenario is a world and what goes wrong in it. Figures that are absent are the operators' middle ones.
 type Scenario struct {
-	Name     string   `toml:"name"`
-	What     string   `toml:"what"`
-	For      Duration `toml:"for"`
-	Rate     float64  `toml:"rate"`    // first tries a second near each node
-	Work     float64  `toml:"work"`    // scale of the work of the classes; 1 unless given
-	Topology bool     `toml:"places"`  // the nodes are told the regions, and judge places
-	Quota    float64  `toml:"quota"`   // requests a second of all tenants; ten times the rate unless given
-	Reports  *bool    `toml:"reports"` // servers tell their load; true unless given
-	Zones    []Zone   `toml:"zones"`
-	Faults   []Fault  `toml:"faults"`
-	Bound    []Bound  `toml:"bound"`
+	Name        string         `toml:"name"`
+	Description string         `toml:"what"`
+	Length      Duration       `toml:"for"`
+	Rate        float64        `toml:"rate"`    // first tries a second near each node
+	WorkScale   float64        `toml:"work"`    // scale of the work of the classes; 1 unless given
+	Topology    bool           `toml:"places"`  // the nodes are told the regions, and judge places
+	Quota       float64        `toml:"quota"`   // requests a second of all tenants; ten times the rate unless given
+	Reports     *bool          `toml:"reports"` // servers tell their load; true unless given
+	Zones       []Zone         `toml:"zones"`
+	Faults      []Fault        `toml:"faults"`
+	Bindings    []ClassBinding `toml:"bound"`
 }
 
 // Zone is a zone with what stands in it.
@@ -51,8 +51,8 @@
 	Nodes   int    `toml:"nodes"`
 }
 
-// Bound holds a class to regions or zones.
-type Bound struct {
+// ClassBinding holds a class to regions or zones.
+type ClassBinding struct {
 	Class   string   `toml:"class"`
 	Regions []string `toml:"regions"`
 	Zones   []string `toml:"zones"`
@@ -61,14 +61,14 @@
 // Fault is something that goes wrong for a time.
 type Fault struct {
 	At       Duration  `toml:"at"`
-	For      Duration  `toml:"for"`
+	Length   Duration  `toml:"for"`
 	Kind     FaultKind `toml:"do"`
 	Zone     string    `toml:"zone"`  // whose servers or nodes; empty for all zones
 	Fraction float64   `toml:"part"`  // of the requests that fail, or of the servers that are affected; 1 unless given
 	Factor   float64   `toml:"times"` // slower, or more load
 
-	Every Duration `toml:"every"` // it begins again after this
-	Count int      `toml:"count"` // so often in all; 1 unless given
+	RepeatEvery Duration `toml:"every"` // it begins again after this
+	Repeats     int      `toml:"count"` // so often in all; 1 unless given
 }
 
 // FaultKind names what goes wrong.
@@ -76,20 +76,20 @@
 
 // The faults.
 const (
-	Lost           FaultKind = "lost"   // the servers are gone: connections are refused; they return warm
-	Cold           FaultKind = "cold"   // the same, and they return as new processes, cold
+	Crash          FaultKind = "lost"   // the servers are gone: connections are refused; they return warm
+	CrashRestart   FaultKind = "cold"   // the same, and they return as new processes, cold
 	ConnectTimeout FaultKind = "silent" // nothing reaches the servers: connections don't come up
 	ResponseLost   FaultKind = "mute"   // requests reach them, and no answer comes back
 	Partition      FaultKind = "apart"  // the zone is cut off from the others, both ways
 	Errors         FaultKind = "errors" // a part of the requests fails fast
 	Slow           FaultKind = "slow"   // servers take several times as long
-	Vanish         FaultKind = "vanish" // the list lacks the servers, which run on
+	Unlisted       FaultKind = "vanish" // the list lacks the servers, which run on
 	Drain          FaultKind = "drain"  // the list drains the servers and then lacks them; they return cold
-	Nodes          FaultKind = "nodes"  // the nodes of the zone are gone
-	Load           FaultKind = "load"   // the clients of the zone, or all, ask several times as much
+	NodesDown      FaultKind = "nodes"  // the nodes of the zone are gone
+	LoadIncrease   FaultKind = "load"   // the clients of the zone, or all, ask several times as much
 )
 
-var faultKinds = []FaultKind{Lost, Cold, ConnectTimeout, ResponseLost, Partition, Errors, Slow, Vanish, Drain, Nodes, Load}
+var faultKinds = []FaultKind{Crash, CrashRestart, ConnectTimeout, ResponseLost, Partition, Errors, Slow, Unlisted, Drain, NodesDown, LoadIncrease}
 
 //go:embed scenarios/*.toml
 var shipped embed.FS
@@ -105,7 +105,7 @@
 
 // Parse reads a scenario strictly: a key that is misspelt would play another one.
 func Parse(raw []byte) (Scenario, error) {
-	s := Scenario{Work: 1}
+	s := Scenario{WorkScale: 1}
 	if err := scenario.Decode(raw, &s); err != nil {
 		return Scenario{}, err
 	}
@@ -124,12 +124,12 @@
 	switch {
 	case err != nil:
 		return err
-	case s.For.Duration <= 0 || s.For.Duration > maxDuration:
-		return fmt.Errorf("for: want up to %v, got %v", maxDuration, s.For)
+	case s.Length.Duration <= 0 || s.Length.Duration > maxDuration:
+		return fmt.Errorf("for: want up to %v, got %v", maxDuration, s.Length)
 	case !(s.Rate > 0) || s.Rate > 1e5:
 		return fmt.Errorf("rate: want more than 0, got %v", s.Rate)
-	case !(s.Work > 0) || s.Work > 1e3:
-		return fmt.Errorf("work: want more than 0, got %v", s.Work)
+	case !(s.WorkScale > 0) || s.WorkScale > 1e3:
+		return fmt.Errorf("work: want more than 0, got %v", s.WorkScale)
 	}
 	for i, f := range s.Faults {
 		if err := f.check(zones); err != nil {
@@ -173,17 +173,17 @@
 	switch {
 	case f.Fraction < 0 || f.Fraction > 1:
 		return fmt.Errorf("part: want 0 to 1, got %v", f.Fraction)
-	case f.Factor < 0 || (f.Kind == Slow || f.Kind == Load) && f.Factor == 0:
+	case f.Factor < 0 || (f.Kind == Slow || f.Kind == LoadIncrease) && f.Factor == 0:
 		return fmt.Errorf("times: want more than 0, got %v", f.Factor)
 	}
 	return nil
 }
 
 func (f Fault) checkTimes() error {
-	if f.At.Duration < 0 || f.For.Duration < 0 {
+	if f.At.Duration < 0 || f.Length.Duration < 0 {
 		return errors.New("at, for: want 0 or more")
 	}
-	if f.Every.Duration < 0 || f.Count < 0 || f.Count > 1 && f.Every.Duration <= f.For.Duration {
+	if f.RepeatEvery.Duration < 0 || f.Repeats < 0 || f.Repeats > 1 && f.RepeatEvery.Duration <= f.Length.Duration {
 		return errors.New("every, count: want a time longer than for, and 0 or more")
 	}
 	return nil
@@ -218,8 +218,8 @@
 
 // StartTimes are when a fault begins, counted from the scenario's begin.
 func (f Fault) StartTimes() (all []time.Duration) {
-	for i := range max(1, f.Count) {
-		all = append(all, f.At.Duration+time.Duration(i)*f.Every.Duration)
+	for i := range max(1, f.Repeats) {
+		all = append(all, f.At.Duration+time.Duration(i)*f.RepeatEvery.Duration)
 	}
 	return all
 }
@@ -258,7 +258,7 @@
 
 // Clients are those near so many nodes, who ask until a time.
 func (s Scenario) Clients(nodes int, until time.Duration) emulator.ClientSpec {
-	return emulator.ClientSpec{Rate: s.Rate * float64(nodes), Classes: emulator.Classes(), WorkScale: s.Work, Tenants: s.Tenants(),
+	return emulator.ClientSpec{Rate: s.Rate * float64(nodes), Classes: emulator.Classes(), WorkScale: s.WorkScale, Tenants: s.Tenants(),
 		MaxRetries: 3, RetryDelay: 100 * time.Millisecond, Until: until}
 }
 
--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -45,25 +45,25 @@
 		}},
 		{"zone lost: crossing attempts against the least possible", "zone-lost", 0, 1.15, func(r Run) float64 {
 			s := r.Between(20*time.Second, faultEnd)
-			return float64(s.Crossing) / float64(sum(s.To["a"]))
+			return float64(s.CrossZone) / float64(sum(s.AttemptsByZone["a"]))
 		}},
 		{"calm: attempts that cross", "calm", 0, 0, func(r Run) float64 {
-			return float64(r.Between(0, r.For.Duration).Crossing)
+			return float64(r.Between(0, r.Length.Duration).CrossZone)
 		}},
-		{"overflow: crossing attempts against what is beyond 0.8 of the own zone", "overflow", 0, 1.15, overflow},
+		{"overflow: crossing attempts against what is beyond 0.8 of the own zone", "overflow", 0, 1.15, overflowRatio},
 		{"return: growing took, against the law", "zone-lost", 0.8, 1.2, func(r Run) float64 { return r.growthRatio("a") }},
 		{"return: from the zone's return to the last whole share, s", "zone-lost", 0, most, func(r Run) float64 {
-			return r.lastMark("place a has its whole") - faultEnd.Seconds()
+			return r.lastLogged("place a has its whole") - faultEnd.Seconds()
 		}},
-		{"return: requests that failed", "zone-lost", 0, 0.005, func(r Run) float64 { return r.failed(faultEnd, faultEnd+15*time.Second) }},
-		{"return cold: requests that failed", "zone-cold", 0, 0.005, func(r Run) float64 { return r.failed(faultEnd, faultEnd+25*time.Second) }},
-		{"flapping: times left by one node in a minute", "zone-flap", 0, 3, func(r Run) float64 { return float64(r.maxTimesLeft()) }},
+		{"return: requests that failed", "zone-lost", 0, 0.005, func(r Run) float64 { return r.failedFraction(faultEnd, faultEnd+15*time.Second) }},
+		{"return cold: requests that failed", "zone-cold", 0, 0.005, func(r Run) float64 { return r.failedFraction(faultEnd, faultEnd+25*time.Second) }},
+		{"flapping: times left by one node in a minute", "zone-flap", 0, 3, func(r Run) float64 { return float64(r.maxEvacuations()) }},
 		{"flapping: served against a zone that stays away", "zone-flap", 0.95, most, func(r Run) float64 {
-			return r.share(faultAt, 75*time.Second) / r.Baseline.Between(faultAt, 75*time.Second).Share()
+			return r.servedFraction(faultAt, 75*time.Second) / r.Baseline.Between(faultAt, 75*time.Second).ServedFraction()
 		}},
-		{"region lost, room for half: worth served against the greatest possible", "region-lost", 0.9, most, regionLost},
+		{"region lost, room for half: worth served against the greatest possible", "region-lost", 0.9, most, regionLostRatio},
 		{"region lost: boxes elsewhere choked", "region-lost", 0, 0, func(r Run) float64 {
-			return float64(r.Between(faultAt, 35*time.Second).Choked)
+			return float64(r.Between(faultAt, 35*time.Second).Overloaded)
 		}},
 	}
 	for _, name := range []string{"zone-errors", "zone-slow", "zone-silent", "zone-mute"} {
@@ -79,12 +79,12 @@
 		all = append(all, stillSent(name, "z00", from), Measure{name + ": attempts of the other zones that cross", name, 0, 0.02,
 			func(r Run) float64 {
 				s := r.Between(faultAt, faultEnd)
-				return float64(s.Crossing-sum(s.To["z00"])+s.To["z00"]["z00"]) / float64(s.Attempts)
+				return float64(s.CrossZone-sum(s.AttemptsByZone["z00"])+s.AttemptsByZone["z00"]["z00"]) / float64(s.Attempts)
 			}})
 	}
 	for _, name := range []string{"all-slow", "all-errors", "one-bad"} {
 		all = append(all, Measure{name + ": places left meanwhile", name, 0, 0, func(r Run) float64 {
-			return float64(r.timesLeft(faultAt, faultEnd))
+			return float64(r.evacuations(faultAt, faultEnd))
 		}})
 	}
 	return all
@@ -94,14 +94,14 @@
 func stillSent(scenario, zone string, after time.Duration) Measure {
 	return Measure{fmt.Sprintf("%s: share of the zone's requests still sent there from %v on", scenario, after), scenario, 0, 0.05,
 		func(r Run) float64 {
-			to := r.Between(faultAt+after, faultEnd).To[zone]
+			to := r.Between(faultAt+after, faultEnd).AttemptsByZone[zone]
 			return float64(to[zone]) / float64(sum(to))
 		}}
 }
 
 // servedRatio is what is served from 2 s after the fault on, against before.
 func (r Run) servedRatio() float64 {
-	return r.share(faultAt+2*time.Second, faultEnd) / r.share(5*time.Second, faultAt-time.Second)
+	return r.servedFraction(faultAt+2*time.Second, faultEnd) / r.servedFraction(5*time.Second, faultAt-time.Second)
 }
 
 // BaselineOf names the scenario that the measures of another need beside it; empty for none.
@@ -119,9 +119,11 @@
 	return n
 }
 
-func (r Run) share(from, to time.Duration) float64 { return r.Between(from, to).Share() }
+func (r Run) servedFraction(from, to time.Duration) float64 {
+	return r.Between(from, to).ServedFraction()
+}
 
-func (r Run) failed(from, to time.Duration) float64 {
+func (r Run) failedFraction(from, to time.Duration) float64 {
 	s := r.Between(from, to)
 	return float64(s.Failed) / float64(max(1, s.Requests))
 }
@@ -134,33 +136,33 @@
 	return n + r.Zones[0].Servers
 }
 
-// lastMark is when a node last said something that begins so, in seconds.
-func (r Run) lastMark(prefix string) (at float64) {
-	for _, m := range r.Marks {
-		if strings.HasPrefix(m.What, prefix) {
+// lastLogged is when a node last said something that begins so, in seconds.
+func (r Run) lastLogged(prefix string) (at float64) {
+	for _, m := range r.Timeline {
+		if strings.HasPrefix(m.Text, prefix) {
 			at = m.At
 		}
 	}
 	return at
 }
 
-// timesLeft counts how often places were left between two times.
-func (r Run) timesLeft(from, to time.Duration) (n int) {
-	for _, m := range r.Marks {
-		if m.At >= from.Seconds() && m.At < to.Seconds() && strings.Contains(m.What, " is left: ") {
+// evacuations counts how often places were left between two times.
+func (r Run) evacuations(from, to time.Duration) (n int) {
+	for _, m := range r.Timeline {
+		if m.At >= from.Seconds() && m.At < to.Seconds() && strings.Contains(m.Text, " is left: ") {
 			n++
 		}
 	}
 	return n
 }
 
-// maxTimesLeft is how often the node that left most often did so.
-func (r Run) maxTimesLeft() (most int) {
+// maxEvacuations is how often the node that left most often did so.
+func (r Run) maxEvacuations() (most int) {
 	by := make(map[string]int)
-	for _, m := range r.Marks {
-		if strings.Contains(m.What, " is left: ") {
-			by[m.Who]++
-			most = max(most, by[m.Who])
+	for _, m := range r.Timeline {
+		if strings.Contains(m.Text, " is left: ") {
+			by[m.Node]++
+			most = max(most, by[m.Node])
 		}
 	}
 	return most
@@ -170,32 +172,32 @@
 // e-fold in 2 s.
 func (r Run) growthRatio(zone string) float64 {
 	began, took, n := make(map[string]float64), 0.0, 0
-	for _, m := range r.Marks {
+	for _, m := range r.Timeline {
 		switch {
-		case strings.HasPrefix(m.What, "place "+zone+" is well again"):
-			began[m.Who] = m.At
-		case strings.HasPrefix(m.What, "place "+zone+" has its whole") && began[m.Who] > 0:
-			took, n = took+m.At-began[m.Who], n+1
+		case strings.HasPrefix(m.Text, "place "+zone+" is well again"):
+			began[m.Node] = m.At
+		case strings.HasPrefix(m.Text, "place "+zone+" has its whole") && began[m.Node] > 0:
+			took, n = took+m.At-began[m.Node], n+1
 		}
 	}
 	return took / float64(max(1, n)) / (2 * math.Log(20))
 }
 
-// overflow sets what crossed against what the own zone has no room for, at 0.8 of its cores.
-func overflow(r Run) float64 {
+// overflowRatio sets what crossed against what the own zone has no room for, at 0.8 of its cores.
+func overflowRatio(r Run) float64 {
 	s := r.Between(20*time.Second, 35*time.Second)
 	asked := 0.0
 	for _, work := range s.Work["a"] {
 		asked += work
 	}
 	room := 0.8 * r.Cores["a"] * 15
-	least := max(0, 1-room/asked) * float64(sum(s.To["a"]))
-	return float64(s.Crossing) / least
+	least := max(0, 1-room/asked) * float64(sum(s.AttemptsByZone["a"]))
+	return float64(s.CrossZone) / least
 }
 
-// regionLost sets the value that was served against the greatest possible: the most valuable classes first, up to all
+// regionLostRatio sets the value that was served against the greatest possible: the most valuable classes first, up to all
 // cores of the zone that is left.
-func regionLost(r Run) float64 {
+func regionLostRatio(r Run) float64 {
 	from, to := faultAt+3*time.Second, 35*time.Second
 	s := r.Between(from, to)
 	room, best := r.Cores["c"]*(to-from).Seconds(), 0.0
@@ -222,21 +224,21 @@
 
 // Reached tells whether the mean is where it has to be, and no rule was broken.
 func (r Row) Reached() bool {
-	m, _, _ := Spread(r.WithTopology)
+	m, _, _ := MeanMinMax(r.WithTopology)
 	return m >= r.Min && m <= r.Max && r.Broken == 0
 }
 
-// Spread is the mean, the least and the most of some figures.
-func Spread(all []float64) (mean, least, most float64) {
+// MeanMinMax is the mean, the least and the most of some figures.
+func MeanMinMax(all []float64) (mean, least, most float64) {
 	for _, v := range all {
 		mean += v / float64(len(all))
 	}
 	return mean, slices.Min(all), slices.Max(all)
 }
 
-// Zones plays all scenarios that the measures need, once for each seed with places judged, and, where that is
+// MeasureZones plays all scenarios that the measures need, once for each seed with places judged, and, where that is
 // asked for, with servers judged alone; on all cores.
-func Zones(measures []Measure, seeds []uint64, alone bool) ([]Row, error) {
+func MeasureZones(measures []Measure, seeds []uint64, alone bool) ([]Row, error) {
 	ways := []bool{true, false}
 	if !alone {
 		ways = ways[:1]
--- a/internal/testcluster/load_generator.go
+++ b/internal/testcluster/load_generator.go
@@ -120,7 +120,7 @@
 		env.openAttempts++
 		l.openAttempts++
 		if env.outcome != nil && attempt.Number == 0 {
-			env.outcome.Ask(l.zone, attempt)
+			env.outcome.RecordRequest(l.zone, attempt)
 		}
 		b := l.pickBackend()
 		env.sending.Go(func() { l.send(attempt, b) })
@@ -186,7 +186,7 @@
 	before := *stats
 	l.clients.AttemptEnded(now, attempt, status, retryAfter)
 	if env.outcome != nil {
-		env.outcome.Ended(attempt, before, *stats)
+		env.outcome.RecordAttemptEnded(attempt, before, *stats)
 	}
 	signal(l.wakeup)
 }
--- a/internal/testcluster/scenario.go
+++ b/internal/testcluster/scenario.go
@@ -40,7 +40,7 @@
 	})
 	began := time.Now()
 	for _, z := range s.Zones {
-		p.addClients(z.Name, 1, s.For.Duration)
+		p.addClients(z.Name, 1, s.Length.Duration)
 	}
 	if err := p.play(ctx, began); err != nil {
 		return nil, err
@@ -66,7 +66,7 @@
 		spec.Zones = append(spec.Zones, z.Name)
 		regions[z.Region] = append(regions[z.Region], z.Name)
 	}
-	for _, b := range p.Bound {
+	for _, b := range p.Bindings {
 		only[b.Class] = b.Regions
 	}
 	spec.Quota = p.QuotaFor(spec.Nodes)
@@ -110,8 +110,8 @@
 	for _, f := range p.Faults {
 		for _, at := range f.StartTimes() {
 			changes = append(changes, faultChange{at, f, true})
-			if f.For.Duration > 0 {
-				changes = append(changes, faultChange{at + f.For.Duration, f, false})
+			if f.Length.Duration > 0 {
+				changes = append(changes, faultChange{at + f.Length.Duration, f, false})
 			}
 		}
 	}
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	return sleep(ctx, time.Until(began.Add(p.For.Duration)))
+	return sleep(ctx, time.Until(began.Add(p.Length.Duration)))
 }
 
 // applyFault begins a fault, or ends it.
@@ -133,9 +133,9 @@
 	p.recordFault(f, affected, on)
 	isAffected := func(_ string, s emulator.ServerSpec) bool { return slices.Contains(affected, s) }
 	switch f.Kind {
-	case simulation.Lost, simulation.Cold:
+	case simulation.Crash, simulation.CrashRestart:
 		p.setLinks(isAffected, Faults{Reset: on}, Faults{Reset: on})
-		if f.Kind == simulation.Cold && !on {
+		if f.Kind == simulation.CrashRestart && !on {
 			p.restart(affected)
 		}
 	case simulation.ConnectTimeout:
@@ -145,13 +145,13 @@
 	case simulation.Partition:
 		isSeparated := func(zone string, s emulator.ServerSpec) bool { return f.Separates(zone, s.Zone) }
 		p.setLinks(isSeparated, Faults{Cut: on}, Faults{Cut: on})
-	case simulation.Vanish:
+	case simulation.Unlisted:
 		p.env.updateList(affected, removedOrUp(on))
 	case simulation.Drain:
 		return p.drain(ctx, affected, on)
-	case simulation.Nodes:
+	case simulation.NodesDown:
 		return p.setNodesDown(ctx, f.Zone, on)
-	case simulation.Load:
+	case simulation.LoadIncrease:
 		if on {
 			p.addLoad(f)
 		}
@@ -163,7 +163,7 @@
 func (p *scenarioRun) recordFault(f simulation.Fault, affected []emulator.ServerSpec, on bool) {
 	p.env.mu.Lock()
 	defer p.env.mu.Unlock()
-	p.env.outcome.Mark(p.env.now(), "", f.Describe(on))
+	p.env.outcome.RecordTimeline(p.env.now(), "", f.Describe(on))
 	for _, spec := range affected {
 		s := p.env.servers[spec.ID]
 		if on {
@@ -177,7 +177,7 @@
 func (p *scenarioRun) addLoad(f simulation.Fault) {
 	for _, z := range p.Zones {
 		if f.Zone == "" || f.Zone == z.Name {
-			p.addClients(z.Name, f.Factor-1, f.For.Duration)
+			p.addClients(z.Name, f.Factor-1, f.Length.Duration)
 		}
 	}
 }
@@ -252,7 +252,7 @@
 					continue
 				}
 				if at, err := time.Parse(time.RFC3339, match[1]); err == nil {
-					outcome.Mark(p.origin+at.Sub(began), name, match[2])
+					outcome.RecordTimeline(p.origin+at.Sub(began), name, match[2])
 				}
 			}
 		}
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -156,8 +156,8 @@
 			for _, line := range run.Table(5) {
 				t.Log(line)
 			}
-			for _, mark := range run.Marks {
-				t.Logf("%6.2f s  %s %s", mark.At, mark.Who, mark.What)
+			for _, mark := range run.Timeline {
+				t.Logf("%6.2f s  %s %s", mark.At, mark.Node, mark.Text)
 			}
 		}
 	}
