--- /dev/null
+++ b/internal/registry/scoped_list_test.go
@@ -0,0 +1,231 @@
+package registry
+
+import (
+	"errors"
+	"fmt"
+	"maps"
+	"slices"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+	"pgregory.net/rapid"
+
+	"sloerail/internal/subset"
+)
+
+func registerInService(id, service string) Command {
+	c := registerCommandFor(id, 10*time.Second)
+	c.Endpoint.Service = service
+	return c
+}
+
+// drawServiceCommand returns any command on instances of a few services, also one that moves them to another.
+func drawServiceCommand(t *rapid.T) Command {
+	c := drawCommand(t)
+	c.ID = fmt.Sprint("s", rapid.IntRange(0, 11).Draw(t, "instance"))
+	c.Endpoint.ID = c.ID
+	c.Endpoint.Service = rapid.SampledFrom([]string{"", "a", "a", "a", "b"}).Draw(t, "service")
+	c.Endpoint.Zone = rapid.SampledFrom([]string{"z0", "z1"}).Draw(t, "zone")
+	if rapid.IntRange(0, 2).Draw(t, "is up") == 0 {
+		c.Phase = PhaseUp
+	}
+	if rapid.IntRange(0, 4).Draw(t, "changes the list") > 0 {
+		c.Kind = rapid.SampledFrom([]CommandKind{RegisterInstance, RegisterInstance, RegisterInstance, SetInstancePhase, DeregisterInstance}).Draw(t, "kind")
+		c.RequestID, c.IfMatch = "", 0
+	}
+	return c
+}
+
+// drawScope returns some of the services, with or without subsets.
+func drawScope(t *rapid.T) *Scope {
+	scope := &Scope{Services: rapid.SampledFrom([][]string{{"a"}, {"a", "b"}, {"b"}, {"a", "none"}}).Draw(t, "scope")}
+	if scope.SubsetSize = rapid.IntRange(0, 3).Draw(t, "size"); scope.SubsetSize > 0 {
+		scope.Client = subset.Client{Count: rapid.IntRange(1, 5).Draw(t, "nodes"), Zone: "z0"}
+		scope.Client.Position = rapid.IntRange(0, scope.Client.Count-1).Draw(t, "position")
+	}
+	return scope
+}
+
+// scopedWatcher applies the changes of a scope.
+type scopedWatcher struct {
+	scope *Scope
+	at    int64
+	seen  map[string]Endpoint
+}
+
+func newScopedWatcher(scope *Scope) *scopedWatcher {
+	return &scopedWatcher{scope: scope, at: -1, seen: make(map[string]Endpoint)}
+}
+
+// poll applies the changes since the watcher's revision.
+func (w *scopedWatcher) poll(s *Store) (l EndpointList, err error) {
+	view, err := s.scoped(w.scope, w.at)
+	if err != nil {
+		return EndpointList{}, err
+	}
+	l, _ = view.list()
+	if l.Complete {
+		clear(w.seen)
+	}
+	for _, e := range l.Endpoints {
+		if w.seen[e.ID] = e; e.Phase == PhaseRemoved {
+			delete(w.seen, e.ID)
+		}
+	}
+	w.at = l.Revision
+	return l, nil
+}
+
+// mustPoll polls, and returns the ids that the watcher then has.
+func (w *scopedWatcher) mustPoll(t *testing.T, s *Store) (EndpointList, []string) {
+	t.Helper()
+	l, err := w.poll(s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return l, slices.Sorted(maps.Keys(w.seen))
+}
+
+// checkSlots fails unless the slots of each service are unique, and a new instance has the lowest that was free.
+func checkSlots(t *rapid.T, before, after map[string]Instance) {
+	taken := make(map[string]map[int]string)
+	for id, i := range after {
+		service := i.Endpoint.Service
+		if taken[service] == nil {
+			taken[service] = make(map[int]string)
+		}
+		if other, ok := taken[service][i.Slot]; ok && service != "" {
+			t.Fatalf("%s and %s both have slot %d of %s", id, other, i.Slot, service)
+		}
+		taken[service][i.Slot] = id
+	}
+	for id, i := range after {
+		previous, existed := before[id]
+		stays := existed && previous.Endpoint.Service == i.Endpoint.Service
+		switch {
+		case i.Endpoint.Service == "" && i.Slot != 0:
+			t.Fatalf("%s has no service, and slot %d", id, i.Slot)
+		case stays && previous.Slot != i.Slot:
+			t.Fatalf("%s had slot %d, and now %d", id, previous.Slot, i.Slot)
+		case i.Endpoint.Service != "" && !stays:
+			checkNoLowerSlotIsFree(t, taken[i.Endpoint.Service], i)
+		}
+	}
+}
+
+func checkNoLowerSlotIsFree(t *rapid.T, taken map[int]string, i Instance) {
+	for slot := range i.Slot {
+		if _, ok := taken[slot]; !ok {
+			t.Fatalf("%s got slot %d of %s, and %d is free", i.Endpoint.ID, i.Slot, i.Endpoint.Service, slot)
+		}
+	}
+}
+
+// A watcher that applies the changes of a scope has, at each revision, what a full list of the scope has; slots are
+// unique, the lowest that is free, and stable; a snapshot restores all of this.
+func TestScopedWatchersHaveWhatAFullListHas(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		s := NewStore()
+		var watchers []*scopedWatcher
+		for range 4 {
+			watchers = append(watchers, newScopedWatcher(drawScope(t)))
+		}
+		for range rapid.IntRange(1, 80).Draw(t, "commands") {
+			before := maps.Clone(s.instances)
+			s.Apply(drawServiceCommand(t))
+			checkSlots(t, before, s.instances)
+			if rapid.IntRange(0, 9).Draw(t, "restored") == 0 {
+				s = restored(t, s)
+			}
+			if oldest := rapid.IntRange(0, 20).Draw(t, "compacts"); oldest > 0 && oldest <= len(s.history.changes)/2 {
+				s.compact(oldest, s.history.changes[oldest-1].Revision)
+			}
+			for _, w := range watchers {
+				if rapid.IntRange(0, 3).Draw(t, "polls") == 0 {
+					w.check(t, s)
+				}
+			}
+		}
+	})
+}
+
+// check polls, and fails unless the watcher then has what a full list has.
+func (w *scopedWatcher) check(t *rapid.T, s *Store) {
+	full := newScopedWatcher(w.scope)
+	_, err := full.poll(s)
+	if _, watchErr := w.poll(s); (err == nil) != (watchErr == nil) {
+		t.Fatalf("a full list: %v; a watcher: %v", err, watchErr)
+	}
+	var unknown *UnknownServicesError
+	if errors.As(err, &unknown) {
+		return
+	}
+	if diff := cmp.Diff(full.seen, w.seen); diff != "" || err != nil {
+		t.Fatalf("%v; scope %+v: a watcher differs from a full list (-list +watcher): %s", err, w.scope, diff)
+	}
+}
+
+// A watcher gets no changes outside its scope, also when there were more than the history holds.
+func TestChangesOutsideAScopeAreNotSent(t *testing.T) {
+	s := NewStore()
+	s.Apply(registerInService("a0", "a"))
+	s.Apply(registerInService("b0", "b"))
+	w := newScopedWatcher(&Scope{Services: []string{"a"}})
+	w.mustPoll(t, s)
+	for i := range maxHistoryChanges + 10 {
+		s.Apply(Command{Kind: SetInstancePhase, ID: "b0", Phase: []string{PhaseDraining, PhaseUp}[i%2]})
+	}
+	before := *w
+	if l, _ := w.mustPoll(t, s); l.Complete || len(l.Endpoints) != 0 || l.Revision != s.revision || before.at >= s.history.compactedRevision {
+		t.Errorf("got %+v at revision %d below the compacted %d", l, before.at, s.history.compactedRevision)
+	}
+	s.Apply(Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
+	if l, _ := before.mustPoll(t, s); !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Phase != PhaseDraining {
+		t.Errorf("a change in the scope after compaction is sent as %+v", l)
+	}
+}
+
+// A watcher gets the complete list in a new epoch, and where its revision was compacted: also if the service that changed
+// is unknown now, and at a replica that has read a snapshot since.
+func TestScopedListIsCompleteWhereHistoryWasCompacted(t *testing.T) {
+	for removed, want := range map[string][]string{"a1": {"a0", "b0"}, "b0": {"a0", "a1"}, "": {"a0", "a1", "b0"}} {
+		s := NewStore()
+		for id, service := range map[string]string{"a0": "a", "a1": "a", "b0": "b"} {
+			s.Apply(registerInService(id, service))
+		}
+		w := newScopedWatcher(&Scope{Services: []string{"a", "b"}})
+		w.mustPoll(t, s)
+		if removed == "" {
+			s.Apply(Command{Kind: BeginEpoch})
+		}
+		s.Apply(Command{Kind: DeregisterInstance, ID: removed})
+		s.compact(len(s.history.changes), s.revision)
+		if l, got := w.mustPoll(t, restored(t, s)); !l.Complete || !slices.Equal(got, want) {
+			t.Errorf("after %q was removed got %+v, and has %v", removed, l, got)
+		}
+	}
+}
+
+// Watchers whose subset has a server get its drain, and its replacement with it. The server that gets its slot is in the
+// subsets that it was in.
+func TestSubsetIncludesTheReplacementWhileAServerDrains(t *testing.T) {
+	s := NewStore()
+	for i := range 8 {
+		s.Apply(registerInService(fmt.Sprint("s", i), "a"))
+	}
+	w := newScopedWatcher(&Scope{Services: []string{"a"}, SubsetSize: 2, Client: subset.Client{Count: 4}})
+	_, first := w.mustPoll(t, s)
+	s.Apply(Command{Kind: SetInstancePhase, ID: first[0], Phase: PhaseDraining})
+	if _, during := w.mustPoll(t, s); w.seen[first[0]].Phase != PhaseDraining || len(first) != 2 || len(during) < 3 {
+		t.Errorf("at first %v; while one drains, the watcher has %v", first, w.seen)
+	}
+	s.Apply(Command{Kind: DeregisterInstance, ID: first[0]})
+	if _, after := w.mustPoll(t, s); len(after) != 2 || slices.Contains(after, first[0]) {
+		t.Errorf("after %s was removed, the watcher has %v", first[0], after)
+	}
+	s.Apply(registerInService("s9", "a"))
+	if _, last := w.mustPoll(t, s); !slices.Equal(last, slices.Sorted(slices.Values([]string{"s9", first[1]}))) {
+		t.Errorf("with s9 in the place of %s, the watcher has %v, and had %v", first[0], last, first)
+	}
+}
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -135,8 +135,8 @@
 		b.servers[id].outlier.failureScore = 0.6
 		b.recordFailure(b.servers[id], attemptFailureWeight)
 	}
-	if b.classOrder[0].eligible.ejected != 1 {
-		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.classOrder[0].eligible.ejected)
+	if b.classes.ordered[0].eligible.ejected != 1 {
+		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.classes.ordered[0].eligible.ejected)
 	}
 	for id := range open {
 		b.Handle(4*ms, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{{ID: id, Zone: "a", Kind: "k1", Availability: Draining}}})
@@ -167,7 +167,7 @@
 	if got := extras(ms, 0, 4); got > 4 { // two, and half of four
 		t.Errorf("%d further attempts for 4 requests, at most 4 allowed", got)
 	}
-	b.retriesAt, b.acceptedAt = nil, []Time{0, 1, 2, 3}
+	b.retryBudget.retriesAt, b.retryBudget.acceptedAt = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
 		if may := b.mayRetry(); may != (n < 3) { // on the safe side of the exact 4
@@ -176,14 +176,14 @@
 		if !b.mayRetry() {
 			break
 		}
-		b.retriesAt = append(b.retriesAt, b.now)
+		b.retryBudget.retriesAt = append(b.retryBudget.retriesAt, b.now)
 	}
 	b.now = time.Second + 4 // the requests have left the window, the attempts have not
 	if b.mayRetry() {
 		t.Error("more than the least is allowed for requests that have left the window")
 	}
 	b.now = 2 * time.Second
-	if !b.mayRetry() || len(b.retriesAt)+len(b.acceptedAt) != 0 {
+	if !b.mayRetry() || len(b.retryBudget.retriesAt)+len(b.retryBudget.acceptedAt) != 0 {
 		t.Error("the window was not emptied")
 	}
 }
@@ -334,17 +334,17 @@
 	for range 100 {
 		b.adjustRateMultiplier(false)
 	}
-	if b.rateMultiplier >= 0.5 || b.rateMultiplier < minRateMultiplier {
-		t.Errorf("after 100 choices without room the scale is %v", b.rateMultiplier)
+	if b.rateMultiplier.value >= 0.5 || b.rateMultiplier.value < minRateMultiplier {
+		t.Errorf("after 100 choices without room the scale is %v", b.rateMultiplier.value)
 	}
-	was := b.rateMultiplier
+	was := b.rateMultiplier.value
 	b.adjustRateMultiplier(true)
-	if b.rateMultiplier != was {
+	if b.rateMultiplier.value != was {
 		t.Error("the scale rose though no bucket refused")
 	}
-	b.bucketRejected = true
+	b.rateMultiplier.bucketRejected = true
 	b.adjustRateMultiplier(true)
-	if b.rateMultiplier <= was {
+	if b.rateMultiplier.value <= was {
 		t.Error("the scale did not rise though a bucket refused and there was room")
 	}
 }
@@ -355,12 +355,12 @@
 	s := b.order()[0]
 	s.concurrencyLimit, s.limitReached, s.inFlight = 1, true, 3
 	b.Handle(ms, ask("x", "free"))
-	was := b.rateMultiplier
+	was := b.rateMultiplier.value
 	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
 		b.Handle(now, Timer{Token: queueTimerToken})
 	}
-	if len(b.queued) != 1 || was >= 1 || b.rateMultiplier != was {
-		t.Errorf("%d held, the scale went from %v to %v", len(b.queued), was, b.rateMultiplier)
+	if len(b.queue.requests) != 1 || was >= 1 || b.rateMultiplier.value != was {
+		t.Errorf("%d held, the scale went from %v to %v", len(b.queue.requests), was, b.rateMultiplier.value)
 	}
 }
 
@@ -410,20 +410,20 @@
 	b := start(t, site(1), members(2))
 	grow := func() {
 		for range 200 {
-			b.bucketRejected = true
+			b.rateMultiplier.bucketRejected = true
 			b.adjustRateMultiplier(true)
 		}
 	}
 	grow()
-	if b.rateMultiplier != maxRateMultiplier {
-		t.Errorf("with good answers the scale is %v, want %v", b.rateMultiplier, maxRateMultiplier)
+	if b.rateMultiplier.value != maxRateMultiplier {
+		t.Errorf("with good answers the scale is %v, want %v", b.rateMultiplier.value, maxRateMultiplier)
 	}
 	for range 20 {
-		b.updateConcurrencyLimit(b.order()[0], b.classOrder[0], TimedOut, ms, 1)
+		b.updateConcurrencyLimit(b.order()[0], b.classes.ordered[0], TimedOut, ms, 1)
 	}
 	grow()
-	if b.rateMultiplier > cautiousRateMultiplier*(1+rateIncreaseStep) {
-		t.Errorf("with bad answers the scale is %v, want about %v", b.rateMultiplier, cautiousRateMultiplier)
+	if b.rateMultiplier.value > cautiousRateMultiplier*(1+rateIncreaseStep) {
+		t.Errorf("with bad answers the scale is %v, want about %v", b.rateMultiplier.value, cautiousRateMultiplier)
 	}
 }
 
@@ -433,7 +433,7 @@
 		set := site(1)
 		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
 		b := start(t, set, members(1))
-		b.completionRate, b.completionRateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		b.slowStart.completionRate, b.slowStart.completionRateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
 		s := b.order()[0]
 		s.StartedAt = b.now
 		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
@@ -488,7 +488,7 @@
 // for about as long as it was served, and a threshold that still grew would do so until servers choke.
 func TestWaitsAsLongAsTheWorkLowerTheThreshold(t *testing.T) {
 	b := start(t, site(1), members(2))
-	s, c := b.order()[0], b.classOrder[0]
+	s, c := b.order()[0], b.classes.ordered[0]
 	for _, v := range []struct {
 		part float64 // of the aim
 		grow bool
@@ -543,16 +543,16 @@
 	}
 	know := old.Snapshot(now)
 	old.Handle(now, HandedOver{Active: true})
-	tokens := old.buckets[bucketKey{tenant: "t"}].tokens
-	if sum := tokens + know.Buckets[0].Tokens; sum > old.tenantLimits["t"].Burst {
-		t.Errorf("%d tokens in both, one node may have %d", sum, old.tenantLimits["t"].Burst)
+	tokens := old.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens
+	if sum := tokens + know.Buckets[0].Tokens; sum > old.rateLimiter.tenantLimits["t"].Burst {
+		t.Errorf("%d tokens in both, one node may have %d", sum, old.rateLimiter.tenantLimits["t"].Burst)
 	}
 	now += 2 * time.Second // beyond the span
 	if retried(old, "b") {
 		t.Error("a ceded process made a further attempt")
 	}
 	old.Handle(now, ask("c", "free"))
-	if got := old.buckets[bucketKey{tenant: "t"}].tokens; got != tokens-2 {
+	if got := old.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != tokens-2 {
 		t.Errorf("%d tokens after two requests, want %d: no refill", got, tokens-2)
 	}
 	if old.hasWarmupBudget(old.servers["young"]) {
@@ -621,8 +621,8 @@
 	b := start(t, set, members(4))
 	first := sentTo(t, b.Handle(0, ask("open", "free")))
 	b.servers["s00"].concurrencyLimit = 9
-	b.buckets[bucketKey{tenant: "t"}].tokens = 5
-	b.classes["free"].tailLatency = 77 * ms
+	b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens = 5
+	b.classes.byName["free"].tailLatency = 77 * ms
 
 	next := site(1)
 	next.Classes[0].RetrySafety = NonIdempotent
@@ -633,10 +633,10 @@
 	if s := b.servers["s00"]; s.concurrencyLimit != 9 || s.inFlight+b.servers["s01"].inFlight+b.servers["s02"].inFlight != 1 {
 		t.Errorf("threshold %v", s.concurrencyLimit)
 	}
-	if got := b.buckets[bucketKey{tenant: "t"}].tokens; got != 5 {
+	if got := b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != 5 {
 		t.Errorf("%d tokens", got)
 	}
-	if got := b.classes["free"].tailLatency; got != 77*ms {
+	if got := b.classes.byName["free"].tailLatency; got != 77*ms {
 		t.Errorf("tail %v", got)
 	}
 	again := func(id, server string) bool {
@@ -684,15 +684,15 @@
 			}
 			s.inFlight = 9 // its threshold is felt
 			blame := b.failureWeight(s, code)
-			b.updateConcurrencyLimit(s, b.classOrder[0], code, ms, blame)
+			b.updateConcurrencyLimit(s, b.classes.ordered[0], code, ms, blame)
 			b.updateOutlierState(&attempt{server: s, sentAt: b.now}, code, blame)
 		}
 		return b
 	}
 	for name, part := range map[string]float64{"few": 0.05, "many": 0.15} {
 		b := drive(func(*server) float64 { return part })
-		if b.serverPool.ejected > 1 {
-			t.Errorf("%s resets everywhere: %d of 10 servers are ejected", name, b.serverPool.ejected)
+		if b.packing.pool.ejected > 1 {
+			t.Errorf("%s resets everywhere: %d of 10 servers are ejected", name, b.packing.pool.ejected)
 		}
 		for _, s := range b.order() {
 			if s.concurrencyLimit < 8 {
@@ -751,7 +751,7 @@
 	refused := func(class string) (part float64) {
 		const asked = 2000
 		for range asked {
-			if b.shouldShed(b.classes[class]) {
+			if b.shouldShed(b.classes.byName[class]) {
 				part += 1.0 / asked
 			}
 		}
@@ -760,13 +760,13 @@
 	if got := refused("free"); got != 0 {
 		t.Errorf("%v of the cheapest are given up while the dearest find room", got)
 	}
-	b.highPriorityShortage = 0.15
+	b.loadShedder.highPriorityShortage = 0.15
 	cheapest, middle, dearest := refused("free"), refused("all"), refused("once")
 	if math.Abs(cheapest-0.48) > 0.05 || math.Abs(middle-0.24) > 0.05 || dearest != 0 {
 		t.Errorf("%v of the cheapest, %v of the middle and %v of the dearest class are given up, want 0.48, 0.24 and 0",
 			cheapest, middle, dearest)
 	}
-	b.highPriorityShortage = 1
+	b.loadShedder.highPriorityShortage = 1
 	if got := refused("free"); math.Abs(got-maxShedProbability) > 0.05 {
 		t.Errorf("%v of the cheapest are given up while no dear one finds room, want %v", got, maxShedProbability)
 	}
@@ -774,8 +774,8 @@
 		t.Errorf("the dearest class gives way: %+v", acts)
 	}
 	told := fleet(t, 40, members(4))
-	told.highPriorityShortage, told.maxPriorityWeight = 1, 5
-	if told.shouldShed(told.classes["free"]) {
+	told.loadShedder.highPriorityShortage, told.loadShedder.maxPriorityWeight = 1, 5
+	if told.shouldShed(told.classes.byName["free"]) {
 		t.Error("a class gives way though reports tell of room")
 	}
 }
