--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	maxTransfer = 32 << 20 // bytes of a request's body
-	firstPart   = 16 << 10 // of a body known to be over maxBody is read before a server is asked for
-	answerStart = 4 << 10  // of an answer that says it is over maxBody has to come before it counts as begun
-	blockSize   = 16 << 10 // of what passes on
+	maxTransfer     = 32 << 20 // bytes of a request's body
+	firstPart       = 16 << 10 // of a body known to be over maxBody is read before a server is asked for
+	answerStart     = 4 << 10  // of an answer that says it is over maxBody has to come before it counts as begun
+	CopyBufferBytes = 16 << 10 // of what passes on
 
 	// A request may take wholeTimeout from its first byte, or from the connect. Its body may take longer
 	// while it comes at the pace of slowestBody, and bodySlack. Who sends half a request, or drips, is so
@@ -36,7 +36,7 @@
 	errTooLong  = errors.New("the body is over 32 MiB")
 )
 
-var blocks = sync.Pool{New: func() any { return new([blockSize]byte) }}
+var copyBuffers = sync.Pool{New: func() any { return new([CopyBufferBytes]byte) }}
 
 // upload is the body of a client's request, read at the client's pace. One goroutine reads at a time:
 // the connection's what is kept, then an attempt the rest.
@@ -223,8 +223,8 @@
 		return errTimeUp
 	}
 	defer func() { d.done <- err }()
-	block := blocks.Get().(*[blockSize]byte)
-	defer blocks.Put(block)
+	block := copyBuffers.Get().(*[CopyBufferBytes]byte)
+	defer copyBuffers.Put(block)
 	for piece := first; ; {
 		if err := c.SetWriteDeadline(time.Now().Add(blockTimeout)); err != nil {
 			return errors.Join(errClient, err)
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -45,7 +45,7 @@
 		_, _ = w.Write(body)
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
-	for _, size := range []int{0, 1, maxBody - 1, maxBody, maxBody + 1, 3 << 20} {
+	for _, size := range []int{0, 1, MaxBufferedBodyBytes - 1, MaxBufferedBodyBytes, MaxBufferedBodyBytes + 1, 3 << 20} {
 		want := noise(size)
 		for form, body := range map[string]io.Reader{
 			"length": bytes.NewReader(want), "chunks": unsized{bytes.NewReader(want)},
@@ -93,11 +93,11 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		next := make(chan struct{})
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Length", fmt.Sprint(answerStart+maxBody))
+			w.Header().Set("Content-Length", fmt.Sprint(answerStart+MaxBufferedBodyBytes))
 			_, _ = io.WriteString(w, strings.Repeat("a", answerStart))
 			w.(http.Flusher).Flush()
 			<-next
-			_, _ = io.WriteString(w, strings.Repeat("b", maxBody))
+			_, _ = io.WriteString(w, strings.Repeat("b", MaxBufferedBodyBytes))
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 		const wait = 300 * time.Millisecond
@@ -112,7 +112,7 @@
 		}
 		time.AfterFunc(2*wait, func() { close(next) }) // beyond the time that the client would wait for a first byte
 		rest, err := io.ReadAll(resp.Body)
-		if err != nil || len(rest) != maxBody || rest[0] != 'b' {
+		if err != nil || len(rest) != MaxBufferedBodyBytes || rest[0] != 'b' {
 			t.Errorf("%d bytes more, %v", len(rest), err)
 		}
 	})
@@ -123,7 +123,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		spoilt := rawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if swallow(r) {
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*maxBody)
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*MaxBufferedBodyBytes)
 			}
 		})
 		good := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "good") })
@@ -137,7 +137,7 @@
 // A client can tell that an answer broke off, whatever the framing and however old its HTTP.
 func TestClientCanTellABrokenAnswer(t *testing.T) {
 	t.Parallel()
-	part := strings.Repeat("x", maxBody+9)
+	part := strings.Repeat("x", MaxBufferedBodyBytes+9)
 	for name, head := range map[string]string{
 		"length": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(part), part),
 		"chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(part), part),
@@ -179,7 +179,7 @@
 			want, all int
 		}{
 			{"reset while it comes", func(c net.Conn, r *bufio.Reader) {
-				_, _ = io.CopyN(io.Discard, r, firstPart+maxBody)
+				_, _ = io.CopyN(io.Discard, r, firstPart+MaxBufferedBodyBytes)
 			}, http.StatusServiceUnavailable, 1},
 			{"full after the last byte", func(c net.Conn, r *bufio.Reader) {
 				if swallow(r) {
@@ -304,11 +304,11 @@
 			return
 		}
 		w.Header().Set("Content-Length", fmt.Sprint(len(long)))
-		for at := 0; at < len(long); at += blockSize {
-			if _, err := w.Write(long[at : at+blockSize]); err != nil {
+		for at := 0; at < len(long); at += CopyBufferBytes {
+			if _, err := w.Write(long[at : at+CopyBufferBytes]); err != nil {
 				return
 			}
-			given.Add(blockSize)
+			given.Add(CopyBufferBytes)
 		}
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
@@ -349,7 +349,7 @@
 // An answer that ends with its connection is whole, short or long.
 func TestAnswerByClosePasses(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		for _, size := range []int{5, 3 * maxBody} {
+		for _, size := range []int{5, 3 * MaxBufferedBodyBytes} {
 			want := noise(size)
 			server := rawServer(t, func(c net.Conn, r *bufio.Reader) {
 				if swallow(r) {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -45,7 +45,7 @@
 		mux.HandleFunc(http.MethodGet+" "+fleetPath, fleet.serve)
 	}
 	c.http = http.Server{
-		Handler: mux, MaxHeaderBytes: maxHeader, ReadTimeout: callTimeout, WriteTimeout: 2 * callTimeout,
+		Handler: mux, MaxHeaderBytes: MaxHeadBytes, ReadTimeout: callTimeout, WriteTimeout: 2 * callTimeout,
 		DisableGeneralOptionsHandler: true, ConnContext: c.peers.admit, ConnState: c.peers.follow,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -958,7 +958,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.CopyN(io.Discard, resp.Body, 4*maxBody); err != nil {
+	if _, err := io.CopyN(io.Discard, resp.Body, 4*MaxBufferedBodyBytes); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -96,22 +96,22 @@
 		wants  error
 	}{
 		"good":              {good, nil},
-		"length and chunks": {"POST /a HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\nbody", errFraming},
-		"a space in a name": {"POST /a HTTP/1.1\r\nContent-Length : 4\r\n\r\nbody", errHead},
-		"no name":           {"POST /a HTTP/1.1\r\nno field\r\n\r\nbody", errHead},
-		"a bare return":     {"POST /a HTTP/1.1\r\nX: a\rContent-Length: 4\r\n\r\nbody", errHead},
+		"length and chunks": {"POST /a HTTP/1.1\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\nbody", ErrAmbiguousFraming},
+		"a space in a name": {"POST /a HTTP/1.1\r\nContent-Length : 4\r\n\r\nbody", ErrMalformedHead},
+		"no name":           {"POST /a HTTP/1.1\r\nno field\r\n\r\nbody", ErrMalformedHead},
+		"a bare return":     {"POST /a HTTP/1.1\r\nX: a\rContent-Length: 4\r\n\r\nbody", ErrMalformedHead},
 		"cut short":         {"POST /a HTTP/1.1\r\nX: a\r\n", io.ErrUnexpectedEOF},
-		"too long":          {"POST /a HTTP/1.1\r\nX: " + strings.Repeat("x", maxHeader) + "\r\n\r\n", errLongHead},
-		"stray lines only":  {strings.Repeat("\r\n", maxHeader), errLongHead},
+		"too long":          {"POST /a HTTP/1.1\r\nX: " + strings.Repeat("x", MaxHeadBytes) + "\r\n\r\n", ErrHeadTooLong},
+		"stray lines only":  {strings.Repeat("\r\n", MaxHeadBytes), ErrHeadTooLong},
 	} {
 		for size := 1; size <= len(good); size += 1 + size/8 {
 			r := bufio.NewReaderSize(&pieces{good + c.second, size}, 16)
 			for n, want := range []error{nil, c.wants} {
-				var heads headReader
-				h, err := heads.read(r, maxHeader)
-				var f framing
+				var heads HeadReader
+				h, err := heads.Read(r, MaxHeadBytes)
+				var f Framing
 				if err == nil {
-					f, err = h.framing()
+					f, err = h.Framing()
 				}
 				if err != want {
 					t.Errorf("%s, in pieces of %d: head %d: %v, want %v", name, size, n, err, want)
@@ -119,7 +119,7 @@
 				if err != nil {
 					continue
 				}
-				if body, err := io.ReadAll(&sizedBody{r, f.length}); err != nil || string(body) != "body" {
+				if body, err := io.ReadAll(&SizedBody{r, f.Length}); err != nil || string(body) != "body" {
 					t.Errorf("%s, in pieces of %d: body %q, %v", name, size, body, err)
 				}
 			}
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -30,7 +30,7 @@
 
 // message is a client's request as it came: the head, and how its body is framed.
 type message struct {
-	framing
+	Framing
 	minor   int    // of HTTP/1
 	method  string // and what else of it is used; empty where it isn't there
 	path    string // and query
@@ -48,7 +48,7 @@
 	peer   *peer
 	heard  atomic.Int64 // when something last came, in Unix nanoseconds; 0 for never
 	r      *bufio.Reader
-	heads  headReader
+	heads  HeadReader
 	readTo time.Time     // the deadline for reading; zero for none
 	reply  chan answer   // from the loop, for the request in hand
 	done   chan bool     // from the writer, after each answer: whether the connection goes on
@@ -138,7 +138,7 @@
 	}()
 	c.readUntil(time.Now().Add(headerTimeout))
 	for first := true; ; first = false {
-		h, err := c.heads.read(c.r, maxHeader)
+		h, err := c.heads.Read(c.r, MaxHeadBytes)
 		if err != nil {
 			c.reject(err)
 			return
@@ -193,52 +193,52 @@
 // gets no answer.
 func (c *client) reject(err error) {
 	switch {
-	case err == errHead:
+	case err == ErrMalformedHead:
 		c.refuse(&fault{status: http.StatusBadRequest, text: "malformed request"}, true)
-	case err == errLongHead:
+	case err == ErrHeadTooLong:
 		c.refuse(&fault{status: http.StatusRequestHeaderFieldsTooLarge, text: "the head is over 16 KiB"}, true)
 	}
 }
 
 // parseRequest reads a head, or says what is wrong with it.
-func parseRequest(h *head) (m message, bad *fault) {
+func parseRequest(h *Head) (m message, bad *fault) {
 	bad = &fault{status: http.StatusBadRequest, text: "malformed request line"}
-	method, line, _ := strings.Cut(h.first, " ")
+	method, line, _ := strings.Cut(h.FirstLine, " ")
 	target, version, ok := strings.Cut(line, " ")
 	if !ok || !httpguts.ValidHeaderFieldName(method) || !strings.HasPrefix(version, "HTTP/") {
 		return m, bad
 	}
-	if m.minor, ok = proto(version); !ok {
+	if m.minor, ok = ParseVersion(version); !ok {
 		return m, &fault{status: http.StatusHTTPVersionNotSupported, text: "want HTTP/1.1"}
 	}
 	var err error
-	if m.framing, err = h.framing(); err != nil || m.chunked && m.minor == 0 {
-		return m, &fault{status: http.StatusBadRequest, text: errFraming.Error()}
+	if m.Framing, err = h.Framing(); err != nil || m.Chunked && m.minor == 0 {
+		return m, &fault{status: http.StatusBadRequest, text: ErrAmbiguousFraming.Error()}
 	}
-	if !m.chunked && m.length < 0 {
-		m.length = 0
+	if !m.Chunked && m.Length < 0 {
+		m.Length = 0
 	}
 	m.method = method
 	hosts := 0
-	for _, f := range h.fields {
-		if strings.EqualFold(f.name, "Host") {
+	for _, f := range h.Fields {
+		if strings.EqualFold(f.Name, "Host") {
 			hosts++
-		} else if strings.EqualFold(f.name, "Expect") {
-			if m.expects = strings.EqualFold(f.value, "100-continue"); !m.expects {
+		} else if strings.EqualFold(f.Name, "Expect") {
+			if m.expects = strings.EqualFold(f.Value, "100-continue"); !m.expects {
 				return m, &fault{status: http.StatusExpectationFailed, text: "Expect: want 100-continue"}
 			}
 		}
 	}
-	m.host = h.get("Host")
+	m.host = h.Get("Host")
 	if hosts > 1 || hosts == 0 && m.minor > 0 || !httpguts.ValidHostHeader(m.host) {
 		return m, &fault{status: http.StatusBadRequest, text: "Host: want exactly one"}
 	}
 	if !m.target(target) {
 		return m, bad
 	}
-	m.id, m.class, m.tenant = h.get("X-Request-Id"), h.get("X-Class"), h.get("X-Tenant")
-	m.deadline, m.key, m.warmKey = h.get("X-Deadline-Ms"), h.get("Idempotency-Key"), h.get("X-Key")
-	m.hint, m.retry, m.contentType = h.get("X-Cost-Hint"), h.get("X-Retry"), h.get("Content-Type")
+	m.id, m.class, m.tenant = h.Get("X-Request-Id"), h.Get("X-Class"), h.Get("X-Tenant")
+	m.deadline, m.key, m.warmKey = h.Get("X-Deadline-Ms"), h.Get("Idempotency-Key"), h.Get("X-Key")
+	m.hint, m.retry, m.contentType = h.Get("X-Cost-Hint"), h.Get("X-Retry"), h.Get("Content-Type")
 	return m, nil
 }
 
@@ -267,10 +267,10 @@
 
 // body reads the body of m from r.
 func (m *message) body(r *bufio.Reader) io.Reader {
-	if m.chunked {
-		return newChunkedBody(r)
+	if m.Chunked {
+		return NewChunkedBody(r)
 	}
-	return &sizedBody{r, m.length}
+	return &SizedBody{r, m.Length}
 }
 
 // handle serves one request, and waits for what comes next. It tells whether there is something.
@@ -282,7 +282,7 @@
 	// whoever leaves.
 	crowded := !s.stopping.Load() && s.peers.crowded(c.peer)
 	c.old = m.minor == 0
-	c.last = m.close || c.old && !m.keep || m.chunked || full || crowded
+	c.last = m.Close || c.old && !m.KeepAlive || m.Chunked || full || crowded
 	if path, _, _ := strings.Cut(m.path, "?"); path == readyPath &&
 		(m.method == http.MethodGet || m.method == http.MethodHead) {
 		return c.health(m)
@@ -297,7 +297,7 @@
 		if known && !bad.cut {
 			s.loop.fig.class(class.Name).count(bad.status)
 		}
-		c.refuse(bad, m.chunked || m.length > int64(c.r.Buffered()))
+		c.refuse(bad, m.Chunked || m.Length > int64(c.r.Buffered()))
 		return false
 	}
 	s.loop.fig.open.Add(1)
@@ -329,7 +329,7 @@
 	if !c.s.ready() {
 		a.status = http.StatusServiceUnavailable
 	}
-	c.last = c.last || m.length != 0 // nobody reads that body
+	c.last = c.last || m.Length != 0 // nobody reads that body
 	if err := c.send(a); err != nil || c.last {
 		return false
 	}
@@ -444,7 +444,7 @@
 	if a.length < 0 && c.old {
 		c.last = true // its end is the connection's
 	} else if a.length < 0 {
-		to = chunkWriter{c}
+		to = ChunkWriter{c}
 	}
 	c.outTo, c.sent = time.Time{}, fitsAlways+1
 	c.writeBy(writeTimeout)
@@ -453,7 +453,7 @@
 	}
 	err := a.rest.pass(to, c, a.body)
 	if err == nil && a.length < 0 && !c.old {
-		_, err = io.WriteString(c, lastChunk)
+		_, err = io.WriteString(c, LastChunk)
 	}
 	c.outTo = time.Time{}
 	switch {
@@ -487,7 +487,7 @@
 	c.sent += int64(len(b) + len(a.body))
 	c.writeBy(writeTimeout)
 	var err error
-	c.out, err = writeWhole(c, b, a.body)
+	c.out, err = WriteMessage(c, b, a.body)
 	return err
 }
 
@@ -507,13 +507,13 @@
 	b = append(b, http.StatusText(a.status)...)
 	b = append(b, "\r\nDate: "...)
 	b = append(b, dateText(time.Now())...)
-	b = appendField(b, "Content-Type", a.contentType)
-	b = appendField(b, "Allow", a.allow)
+	b = AppendField(b, "Content-Type", a.contentType)
+	b = AppendField(b, "Allow", a.allow)
 	if a.retryAfter > 0 {
-		b = appendField(b, "Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
+		b = AppendField(b, "Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
 	}
 	if a.length >= 0 || !c.old {
-		b = appendLength(b, a.length)
+		b = AppendBodyFraming(b, a.length)
 	}
 	switch {
 	case c.last:
@@ -577,8 +577,8 @@
 		return
 	}
 	c.readUntil(time.Now().Add(d))
-	block := blocks.Get().(*[blockSize]byte)
-	defer blocks.Put(block)
+	block := copyBuffers.Get().(*[CopyBufferBytes]byte)
+	defer copyBuffers.Put(block)
 	for {
 		if _, err := c.Conn.Read(block[:]); err != nil {
 			return
--- a/internal/node/message.go
+++ b/internal/node/message.go
@@ -16,34 +16,34 @@
 // for a body another takes for a request; so the odd ones are refused.
 
 var (
-	errHead     = errors.New("malformed head")
-	errLongHead = errors.New("the head is too long")
-	errFraming  = errors.New("the head leaves open where its body ends")
+	ErrMalformedHead    = errors.New("malformed head")
+	ErrHeadTooLong      = errors.New("the head is too long")
+	ErrAmbiguousFraming = errors.New("the head leaves open where its body ends")
 )
 
-// head is the first line and the fields of a message, as parts of one text.
-type head struct {
-	first  string
-	fields []field
+// Head is the first line and the fields of a message, as parts of one text.
+type Head struct {
+	FirstLine string
+	Fields    []Field
 }
 
-type field struct{ name, value string }
+type Field struct{ Name, Value string }
 
-// headReader reads heads one after the other, and keeps what it needs for that.
-type headReader struct {
+// HeadReader reads heads one after the other, and keeps what it needs for that.
+type HeadReader struct {
 	text []byte
-	head head
+	head Head
 }
 
-// read takes in a head up to its blank line. The fields stand until the next one is read. An error with
+// Read takes in a head up to its blank line. The fields stand until the next one is read. An error with
 // nothing read is the reader's own; io.ErrUnexpectedEOF is a head that broke off.
-func (h *headReader) read(r *bufio.Reader, most int) (*head, error) {
+func (h *HeadReader) Read(r *bufio.Reader, maxBytes int) (*Head, error) {
 	h.text = h.text[:0]
 	for start := 0; ; {
-		part, err := r.ReadSlice('\n')
-		h.text = append(h.text, part...)
-		if len(h.text) > most {
-			return nil, errLongHead
+		piece, err := r.ReadSlice('\n')
+		h.text = append(h.text, piece...)
+		if len(h.text) > maxBytes {
+			return nil, ErrHeadTooLong
 		}
 		if err == bufio.ErrBufferFull {
 			continue
@@ -59,17 +59,17 @@
 				return h.parse(string(h.text[:start]))
 			}
 			h.text = h.text[:0] // stray line ends before a message
-			if most -= len(line); most <= 0 {
-				return nil, errLongHead
+			if maxBytes -= len(line); maxBytes <= 0 {
+				return nil, ErrHeadTooLong
 			}
 		}
 		start = len(h.text)
 	}
 }
 
-func (h *headReader) parse(text string) (*head, error) {
-	h.head.first, text = cutLine(text)
-	h.head.fields = h.head.fields[:0]
+func (h *HeadReader) parse(text string) (*Head, error) {
+	h.head.FirstLine, text = cutLine(text)
+	h.head.Fields = h.head.Fields[:0]
 	for text != "" {
 		var line string
 		line, text = cutLine(text)
@@ -77,9 +77,9 @@
 		value = strings.Trim(value, " \t")
 		// A folded line has no name to begin with, or one with a space in it.
 		if !found || !httpguts.ValidHeaderFieldName(name) || !httpguts.ValidHeaderFieldValue(value) {
-			return nil, errHead
+			return nil, ErrMalformedHead
 		}
-		h.head.fields = append(h.head.fields, field{name, value})
+		h.head.Fields = append(h.head.Fields, Field{name, value})
 	}
 	return &h.head, nil
 }
@@ -87,23 +87,23 @@
 // blank tells whether a line, its end included, has nothing in it.
 func blank(line []byte) bool { return len(line) == 1 || len(line) == 2 && line[0] == '\r' }
 
-func cutLine(text string) (line, rest string) {
-	line, rest, _ = strings.Cut(text, "\n")
-	return strings.TrimSuffix(line, "\r"), rest
+func cutLine(text string) (line, remaining string) {
+	line, remaining, _ = strings.Cut(text, "\n")
+	return strings.TrimSuffix(line, "\r"), remaining
 }
 
-// get is the first value of a field; empty where there is none. Its name is given in any case.
-func (h *head) get(name string) string {
-	for i := range h.fields {
-		if len(h.fields[i].name) == len(name) && strings.EqualFold(h.fields[i].name, name) {
-			return h.fields[i].value
+// Get is the first value of a field; empty where there is none. Its name is given in any case.
+func (h *Head) Get(name string) string {
+	for i := range h.Fields {
+		if len(h.Fields[i].Name) == len(name) && strings.EqualFold(h.Fields[i].Name, name) {
+			return h.Fields[i].Value
 		}
 	}
 	return ""
 }
 
-// proto is an HTTP version that is spoken here: 1.0 or 1.1.
-func proto(text string) (minor int, ok bool) {
+// ParseVersion is an HTTP version that is spoken here: 1.0 or 1.1.
+func ParseVersion(text string) (minor int, ok bool) {
 	switch text {
 	case "HTTP/1.1":
 		return 1, true
@@ -113,38 +113,38 @@
 	return 0, false
 }
 
-// framing is what a head says of its body and of its connection.
-type framing struct {
-	length  int64 // -1 where it isn't told
-	chunked bool
-	close   bool // said to be the connection's last message
-	keep    bool // said to be not
+// Framing is what a head says of its body and of its connection.
+type Framing struct {
+	Length    int64 // -1 where it isn't told
+	Chunked   bool
+	Close     bool // said to be the connection's last message
+	KeepAlive bool // said to be not
 }
 
-// framing reads those fields. A length that is told twice, or beside chunks, is an error.
-func (h *head) framing() (f framing, err error) {
-	f.length = -1
+// Framing reads those fields. A length that is told twice, or beside chunks, is an error.
+func (h *Head) Framing() (f Framing, err error) {
+	f.Length = -1
 	codings := 0
-	for _, field := range h.fields {
+	for _, field := range h.Fields {
 		switch {
-		case strings.EqualFold(field.name, "Content-Length"):
-			n, err := strconv.ParseUint(field.value, 10, 63)
-			if err != nil || f.length >= 0 {
-				return f, errFraming
+		case strings.EqualFold(field.Name, "Content-Length"):
+			n, err := strconv.ParseUint(field.Value, 10, 63)
+			if err != nil || f.Length >= 0 {
+				return f, ErrAmbiguousFraming
 			}
-			f.length = int64(n)
-		case strings.EqualFold(field.name, "Transfer-Encoding"):
-			if codings++; !strings.EqualFold(field.value, "chunked") {
-				return f, errFraming
+			f.Length = int64(n)
+		case strings.EqualFold(field.Name, "Transfer-Encoding"):
+			if codings++; !strings.EqualFold(field.Value, "chunked") {
+				return f, ErrAmbiguousFraming
 			}
-		case strings.EqualFold(field.name, "Connection"):
-			f.close = f.close || hasToken(field.value, "close")
-			f.keep = f.keep || hasToken(field.value, "keep-alive")
+		case strings.EqualFold(field.Name, "Connection"):
+			f.Close = f.Close || hasToken(field.Value, "close")
+			f.KeepAlive = f.KeepAlive || hasToken(field.Value, "keep-alive")
 		}
 	}
-	f.chunked = codings > 0
-	if codings > 1 || f.chunked && f.length >= 0 {
-		return f, errFraming
+	f.Chunked = codings > 0
+	if codings > 1 || f.Chunked && f.Length >= 0 {
+		return f, ErrAmbiguousFraming
 	}
 	return f, nil
 }
@@ -162,12 +162,12 @@
 }
 
 const (
-	maxTrailer = 4 << 10  // bytes after the last chunk
-	copiedBody = 16 << 10 // bytes of a body that go into one write with its head
-	lastChunk  = "0\r\n\r\n"
+	maxTrailerBytes       = 4 << 10  // bytes after the last chunk
+	maxCoalescedBodyBytes = 16 << 10 // bytes of a body that go into one write with its head
+	LastChunk             = "0\r\n\r\n"
 )
 
-func appendField(b []byte, name, value string) []byte {
+func AppendField(b []byte, name, value string) []byte {
 	if value == "" {
 		return b
 	}
@@ -177,18 +177,18 @@
 	return append(b, value...)
 }
 
-// appendLength tells how a body is framed: by its length, or by chunks where that is below 0.
-func appendLength(b []byte, length int64) []byte {
+// AppendBodyFraming tells how a body is framed: by its length, or by chunks where that is below 0.
+func AppendBodyFraming(b []byte, length int64) []byte {
 	if length < 0 {
 		return append(b, "\r\nTransfer-Encoding: chunked"...)
 	}
 	return strconv.AppendInt(append(b, "\r\nContent-Length: "...), length, 10)
 }
 
-// writeWhole writes a message; a small body goes into one write with its head. It returns the head's buffer,
+// WriteMessage writes a message; a small body goes into one write with its head. It returns the head's buffer,
 // which may have grown.
-func writeWhole(w io.Writer, head, body []byte) ([]byte, error) {
-	if len(body) <= copiedBody {
+func WriteMessage(w io.Writer, head, body []byte) ([]byte, error) {
+	if len(body) <= maxCoalescedBodyBytes {
 		head, body = append(head, body...), nil
 	}
 	_, err := w.Write(head)
@@ -198,10 +198,10 @@
 	return head, err
 }
 
-// chunkWriter writes each piece as a chunk.
-type chunkWriter struct{ net.Conn }
+// ChunkWriter writes each piece as a chunk.
+type ChunkWriter struct{ net.Conn }
 
-func (w chunkWriter) Write(p []byte) (int, error) {
+func (w ChunkWriter) Write(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
 	}
@@ -213,22 +213,22 @@
 	return len(p), nil
 }
 
-// chunkedBody reads a body in chunks, and what follows the last of them.
-type chunkedBody struct {
-	r     *bufio.Reader
-	parts io.Reader
-	end   error
+// ChunkedBody reads a body in chunks, and what follows the last of them.
+type ChunkedBody struct {
+	r    *bufio.Reader
+	data io.Reader
+	end  error
 }
 
-func newChunkedBody(r *bufio.Reader) *chunkedBody {
-	return &chunkedBody{r: r, parts: httputil.NewChunkedReader(r)}
+func NewChunkedBody(r *bufio.Reader) *ChunkedBody {
+	return &ChunkedBody{r: r, data: httputil.NewChunkedReader(r)}
 }
 
-func (b *chunkedBody) Read(p []byte) (int, error) {
+func (b *ChunkedBody) Read(p []byte) (int, error) {
 	if b.end != nil {
 		return 0, b.end
 	}
-	n, err := b.parts.Read(p)
+	n, err := b.data.Read(p)
 	if err == io.EOF {
 		err = b.trailer()
 	}
@@ -237,11 +237,11 @@
 }
 
 // trailer reads on to the blank line that ends a body.
-func (b *chunkedBody) trailer() error {
-	for left, start := maxTrailer, true; ; {
+func (b *ChunkedBody) trailer() error {
+	for left, start := maxTrailerBytes, true; ; {
 		line, err := b.r.ReadSlice('\n')
 		if left -= len(line); left < 0 {
-			return errLongHead
+			return ErrHeadTooLong
 		}
 		switch {
 		case err == bufio.ErrBufferFull:
@@ -258,20 +258,20 @@
 	}
 }
 
-// sizedBody reads a body of a length that was told; one that ends before is broken.
-type sizedBody struct {
-	r    io.Reader
-	left int64
+// SizedBody reads a body of a length that was told; one that ends before is broken.
+type SizedBody struct {
+	Reader    io.Reader
+	Remaining int64
 }
 
-func (b *sizedBody) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (b *SizedBody) Read(p []byte) (int, error) {
+	if b.Remaining <= 0 {
 		return 0, io.EOF
 	}
-	n, err := b.r.Read(p[:min(int64(len(p)), b.left)])
-	b.left -= int64(n)
+	n, err := b.Reader.Read(p[:min(int64(len(p)), b.Remaining)])
+	b.Remaining -= int64(n)
 	switch {
-	case b.left == 0:
+	case b.Remaining == 0:
 		err = io.EOF
 	case err == io.EOF:
 		err = io.ErrUnexpectedEOF
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -13,7 +13,7 @@
 const (
 	maxID         = 128 // bytes; the protocol's own ids are far shorter
 	maxDeadlineMs = 3_600_000
-	maxHeader     = 16 << 10
+	MaxHeadBytes  = 16 << 10
 	headerTimeout = 2300 * time.Millisecond // for a request's header from its first byte, or from the connect
 	clientIdle    = 60 * time.Second
 	writeTimeout  = 5 * time.Second      // for an answer to a client that doesn't read
@@ -158,7 +158,7 @@
 			EstimatedWork: time.Duration(hint) * time.Microsecond, ClientRetry: r.retry == "1",
 			Incomplete: rest != nil, FormerClass: former},
 		method: method, path: r.path, host: r.host, key: r.key, contentType: r.contentType,
-		body: body, rest: rest, length: r.length, came: s.loop.clock.now(),
+		body: body, rest: rest, length: r.Length, came: s.loop.clock.now(),
 		clientWaits: time.Duration(waits) * time.Millisecond, terms: terms,
 		tally: s.loop.fig.class(class.Name), reply: c.reply, hungUp: c.hungUp,
 	}
@@ -170,14 +170,14 @@
 
 // takeBody reads a body up to what is kept; the rest is an attempt's to read.
 func (s *server) takeBody(c *client, r *message) (body []byte, rest *upload, err error) {
-	if r.length == 0 {
+	if r.Length == 0 {
 		return nil, nil, nil
 	}
-	if r.length > maxTransfer {
+	if r.Length > maxTransfer {
 		return nil, nil, errTooLong
 	}
-	if r.length > 0 && r.length <= maxBody && int64(c.r.Buffered()) >= r.length { // came with the head
-		body = make([]byte, r.length)
+	if r.Length > 0 && r.Length <= MaxBufferedBodyBytes && int64(c.r.Buffered()) >= r.Length { // came with the head
+		body = make([]byte, r.Length)
 		_, err = c.r.Read(body)
 		return body, nil, err
 	}
@@ -186,12 +186,12 @@
 	}
 	s.peers.reading(c.peer, true)
 	defer s.peers.reading(c.peer, false)
-	most := maxBody + 1
-	if r.length > maxBody {
+	most := MaxBufferedBodyBytes + 1
+	if r.Length > MaxBufferedBodyBytes {
 		most = firstPart
 	}
 	u := newUpload(c, r.body(c.r), s.peers.begunAt(c.peer))
-	body, whole, err := u.keep(most, r.length)
+	body, whole, err := u.keep(most, r.Length)
 	if whole || err != nil {
 		return body, nil, err
 	}
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -24,8 +24,8 @@
 	"sloerail/policy"
 )
 
-// maxBody is the most that a request or an answer may hold.
-const maxBody = 64 << 10
+// MaxBufferedBodyBytes is the most that a request or an answer may hold.
+const MaxBufferedBodyBytes = 64 << 10
 
 const (
 	defaultConnIdle = 60 * time.Second // a connection is kept unused where the settings name no limit
@@ -447,12 +447,12 @@
 		}
 	}
 	reusable := a.kept && r.buf.Buffered() == 0 && (x.rest == nil || x.rest.whole.Load())
-	res := result{code: policy.ServerError, report: loadReport(r.head.head.get("X-Load"), u.reportNames())}
+	res := result{code: policy.ServerError, report: loadReport(r.head.head.Get("X-Load"), u.reportNames())}
 	switch a.status {
 	case http.StatusOK:
 		res.code, res.answer = policy.OK, a.answer
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if r.head.head.get("X-Not-Run") == "1" { // without it, it may have run
+		if r.head.head.Get("X-Not-Run") == "1" { // without it, it may have run
 			res.code = policy.Overloaded
 		}
 	}
@@ -492,10 +492,10 @@
 	var err error
 	if x.unsized() {
 		if _, err = c.Write(*b); err == nil {
-			_, err = chunkWriter{c}.Write(x.body)
+			_, err = ChunkWriter{c}.Write(x.body)
 		}
 	} else {
-		*b, err = writeWhole(c, *b, x.body)
+		*b, err = WriteMessage(c, *b, x.body)
 	}
 	if err == nil && x.rest == nil {
 		s.finish()
@@ -518,13 +518,13 @@
 	go func() {
 		to := io.Writer(c.Conn)
 		if x.unsized() {
-			to = chunkWriter{c}
+			to = ChunkWriter{c}
 		}
-		block := blocks.Get().(*[blockSize]byte)
-		defer blocks.Put(block)
+		block := copyBuffers.Get().(*[CopyBufferBytes]byte)
+		defer copyBuffers.Put(block)
 		_, err := io.CopyBuffer(struct{ io.Writer }{to}, from, block[:])
 		if err == nil && x.unsized() {
-			_, err = io.WriteString(c, lastChunk)
+			_, err = io.WriteString(c, LastChunk)
 		}
 		switch {
 		case err == nil:
@@ -545,9 +545,9 @@
 	b = append(b, x.path...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, x.host...)
-	b = appendField(b, "X-Request-Id", x.req.ID)
-	b = appendField(b, "Idempotency-Key", x.key)
-	b = appendField(b, "Content-Type", x.contentType)
+	b = AppendField(b, "X-Request-Id", x.req.ID)
+	b = AppendField(b, "Idempotency-Key", x.key)
+	b = AppendField(b, "Content-Type", x.contentType)
 	b = append(b, "\r\nX-Deadline-Ms: "...)
 	b = strconv.AppendInt(b, max(1, x.waits.Milliseconds()), 10)
 	length := int64(len(x.body))
@@ -555,7 +555,7 @@
 		length = x.length
 	}
 	if length != 0 || x.method != http.MethodGet {
-		b = appendLength(b, length)
+		b = AppendBodyFraming(b, length)
 	}
 	b = append(b, "\r\n\r\n"...)
 	return b
@@ -564,7 +564,7 @@
 // reader reads a server's answers. An idle connection has none.
 type reader struct {
 	buf  *bufio.Reader
-	head headReader
+	head HeadReader
 }
 
 var readers = sync.Pool{New: func() any { return &reader{buf: bufio.NewReader(nil)} }}
@@ -583,37 +583,37 @@
 
 // answer reads the head of the final answer, and its body unless that is long and good.
 func (r *reader) answer() (a incoming, err error) {
-	var h *head
+	var h *Head
 	for a.status < http.StatusOK { // interim answers come before it
-		if h, err = r.head.read(r.buf, maxHeader); err != nil {
+		if h, err = r.head.Read(r.buf, MaxHeadBytes); err != nil {
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
 			return a, err
 		}
-		minor, status, err := statusLine(h.first)
+		minor, status, err := statusLine(h.FirstLine)
 		if err != nil {
 			return a, err
 		}
 		a.status, a.kept = status, minor == 1
 		if status == http.StatusSwitchingProtocols { // nobody asked for that
-			return a, errHead
+			return a, ErrMalformedHead
 		}
 	}
-	f, err := h.framing()
+	f, err := h.Framing()
 	if err != nil {
 		return a, err
 	}
-	a.contentType, a.length = h.get("Content-Type"), f.length
-	a.kept = (a.kept || f.keep) && !f.close
+	a.contentType, a.length = h.Get("Content-Type"), f.Length
+	a.kept = (a.kept || f.KeepAlive) && !f.Close
 	var body io.Reader
 	switch {
-	case a.status == http.StatusNoContent || a.status == http.StatusNotModified || f.length == 0:
+	case a.status == http.StatusNoContent || a.status == http.StatusNotModified || f.Length == 0:
 		return a, nil
-	case f.chunked:
-		body = newChunkedBody(r.buf)
-	case f.length > 0:
-		body = &sizedBody{r.buf, f.length}
+	case f.Chunked:
+		body = NewChunkedBody(r.buf)
+	case f.Length > 0:
+		body = &SizedBody{r.buf, f.Length}
 	default: // it ends with the connection
 		body, a.kept = r.buf, false
 	}
@@ -623,15 +623,15 @@
 // read takes in a body up to what is kept of a good answer.
 func (a *incoming) read(body io.Reader) (err error) {
 	switch {
-	case a.length > maxBody && a.status == http.StatusOK:
+	case a.length > MaxBufferedBodyBytes && a.status == http.StatusOK:
 		a.body = make([]byte, answerStart)
 		_, err = io.ReadFull(body, a.body)
-	case a.length >= 0 && a.length <= maxBody:
+	case a.length >= 0 && a.length <= MaxBufferedBodyBytes:
 		a.body = make([]byte, a.length)
 		_, err = io.ReadFull(body, a.body)
 		return err
 	default:
-		if a.body, err = io.ReadAll(io.LimitReader(body, maxBody+1)); err == nil && len(a.body) <= maxBody {
+		if a.body, err = io.ReadAll(io.LimitReader(body, MaxBufferedBodyBytes+1)); err == nil && len(a.body) <= MaxBufferedBodyBytes {
 			return nil
 		}
 	}
@@ -645,10 +645,10 @@
 func statusLine(line string) (minor, status int, err error) {
 	version, line, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(line, " ")
-	minor, ok := proto(version)
+	minor, ok := ParseVersion(version)
 	status, err = strconv.Atoi(code)
 	if !ok || err != nil || len(code) != 3 || status < 100 {
-		return 0, 0, errHead
+		return 0, 0, ErrMalformedHead
 	}
 	return minor, status, nil
 }
