--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -9,13 +9,14 @@
 	"sync"
 	"sync/atomic"
 	"time"
+
+	"sloerail/internal/node/http1"
 )
 
 const (
-	maxTransfer     = 32 << 20 // bytes of a request's body
-	firstPart       = 16 << 10 // of a body known to be over maxBody is read before a server is asked for
-	answerStart     = 4 << 10  // of an answer that says it is over maxBody has to come before it counts as begun
-	CopyBufferBytes = 16 << 10 // of what passes on
+	maxTransfer = 32 << 20 // bytes of a request's body
+	firstPart   = 16 << 10 // of a body known to be over maxBody is read before a server is asked for
+	answerStart = 4 << 10  // of an answer that says it is over maxBody has to come before it counts as begun
 
 	// A request may take wholeTimeout from its first byte, or from the connect. Its body may take longer
 	// while it comes at the pace of slowestBody, and bodySlack. Who sends half a request, or drips, is so
@@ -36,8 +37,6 @@
 	errTooLong  = errors.New("the body is over 32 MiB")
 )
 
-var copyBuffers = sync.Pool{New: func() any { return new([CopyBufferBytes]byte) }}
-
 // upload is the body of a client's request, read at the client's pace. One goroutine reads at a time:
 // the connection's what is kept, then an attempt the rest.
 type upload struct {
@@ -223,8 +222,8 @@
 		return errTimeUp
 	}
 	defer func() { d.done <- err }()
-	block := copyBuffers.Get().(*[CopyBufferBytes]byte)
-	defer copyBuffers.Put(block)
+	block := http1.GetCopyBuffer()
+	defer http1.PutCopyBuffer(block)
 	for piece := first; ; {
 		if err := c.SetWriteDeadline(time.Now().Add(blockTimeout)); err != nil {
 			return errors.Join(errClient, err)
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -18,6 +18,7 @@
 	"testing/iotest"
 	"time"
 
+	"sloerail/internal/node/http1"
 	"sloerail/internal/node/nodetest"
 )
 
@@ -45,7 +46,7 @@
 		_, _ = w.Write(body)
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
-	for _, size := range []int{0, 1, MaxBufferedBodyBytes - 1, MaxBufferedBodyBytes, MaxBufferedBodyBytes + 1, 3 << 20} {
+	for _, size := range []int{0, 1, http1.MaxBufferedBodyBytes - 1, http1.MaxBufferedBodyBytes, http1.MaxBufferedBodyBytes + 1, 3 << 20} {
 		want := noise(size)
 		for form, body := range map[string]io.Reader{
 			"length": bytes.NewReader(want), "chunks": unsized{bytes.NewReader(want)},
@@ -93,11 +94,11 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		next := make(chan struct{})
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Length", fmt.Sprint(answerStart+MaxBufferedBodyBytes))
+			w.Header().Set("Content-Length", fmt.Sprint(answerStart+http1.MaxBufferedBodyBytes))
 			_, _ = io.WriteString(w, strings.Repeat("a", answerStart))
 			w.(http.Flusher).Flush()
 			<-next
-			_, _ = io.WriteString(w, strings.Repeat("b", MaxBufferedBodyBytes))
+			_, _ = io.WriteString(w, strings.Repeat("b", http1.MaxBufferedBodyBytes))
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 		const wait = 300 * time.Millisecond
@@ -112,7 +113,7 @@
 		}
 		time.AfterFunc(2*wait, func() { close(next) }) // beyond the time that the client would wait for a first byte
 		rest, err := io.ReadAll(resp.Body)
-		if err != nil || len(rest) != MaxBufferedBodyBytes || rest[0] != 'b' {
+		if err != nil || len(rest) != http1.MaxBufferedBodyBytes || rest[0] != 'b' {
 			t.Errorf("%d bytes more, %v", len(rest), err)
 		}
 	})
@@ -123,7 +124,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		spoilt := rawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if swallow(r) {
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*MaxBufferedBodyBytes)
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*http1.MaxBufferedBodyBytes)
 			}
 		})
 		good := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "good") })
@@ -137,7 +138,7 @@
 // A client can tell that an answer broke off, whatever the framing and however old its HTTP.
 func TestClientCanTellABrokenAnswer(t *testing.T) {
 	t.Parallel()
-	part := strings.Repeat("x", MaxBufferedBodyBytes+9)
+	part := strings.Repeat("x", http1.MaxBufferedBodyBytes+9)
 	for name, head := range map[string]string{
 		"length": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(part), part),
 		"chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(part), part),
@@ -179,7 +180,7 @@
 			want, all int
 		}{
 			{"reset while it comes", func(c net.Conn, r *bufio.Reader) {
-				_, _ = io.CopyN(io.Discard, r, firstPart+MaxBufferedBodyBytes)
+				_, _ = io.CopyN(io.Discard, r, firstPart+http1.MaxBufferedBodyBytes)
 			}, http.StatusServiceUnavailable, 1},
 			{"full after the last byte", func(c net.Conn, r *bufio.Reader) {
 				if swallow(r) {
@@ -304,11 +305,11 @@
 			return
 		}
 		w.Header().Set("Content-Length", fmt.Sprint(len(long)))
-		for at := 0; at < len(long); at += CopyBufferBytes {
-			if _, err := w.Write(long[at : at+CopyBufferBytes]); err != nil {
+		for at := 0; at < len(long); at += http1.CopyBufferBytes {
+			if _, err := w.Write(long[at : at+http1.CopyBufferBytes]); err != nil {
 				return
 			}
-			given.Add(CopyBufferBytes)
+			given.Add(http1.CopyBufferBytes)
 		}
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
@@ -349,7 +350,7 @@
 // An answer that ends with its connection is whole, short or long.
 func TestAnswerByClosePasses(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		for _, size := range []int{5, 3 * MaxBufferedBodyBytes} {
+		for _, size := range []int{5, 3 * http1.MaxBufferedBodyBytes} {
 			want := noise(size)
 			server := rawServer(t, func(c net.Conn, r *bufio.Reader) {
 				if swallow(r) {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -10,6 +10,8 @@
 	"time"
 
 	"golang.org/x/net/netutil"
+
+	"sloerail/internal/node/http1"
 )
 
 const (
@@ -45,7 +47,7 @@
 		mux.HandleFunc(http.MethodGet+" "+fleetPath, fleet.serve)
 	}
 	c.http = http.Server{
-		Handler: mux, MaxHeaderBytes: MaxHeadBytes, ReadTimeout: callTimeout, WriteTimeout: 2 * callTimeout,
+		Handler: mux, MaxHeaderBytes: http1.MaxHeadBytes, ReadTimeout: callTimeout, WriteTimeout: 2 * callTimeout,
 		DisableGeneralOptionsHandler: true, ConnContext: c.peers.admit, ConnState: c.peers.follow,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -13,6 +13,7 @@
 	"net/http"
 	"os"
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/http1"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 	"strconv"
@@ -958,7 +959,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := io.CopyN(io.Discard, resp.Body, 4*MaxBufferedBodyBytes); err != nil {
+	if _, err := io.CopyN(io.Discard, resp.Body, 4*http1.MaxBufferedBodyBytes); err != nil {
 		t.Fatal(err)
 	}
 	c.Close()
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -19,6 +19,8 @@
 
 	"golang.org/x/net/http/httpguts"
 	"golang.org/x/sys/unix"
+
+	"sloerail/internal/node/http1"
 )
 
 const (
@@ -30,7 +32,7 @@
 
 // message is a client's request as it came: the head, and how its body is framed.
 type message struct {
-	Framing
+	http1.Framing
 	minor   int    // of HTTP/1
 	method  string // and what else of it is used; empty where it isn't there
 	path    string // and query
@@ -48,7 +50,7 @@
 	peer   *peer
 	heard  atomic.Int64 // when something last came, in Unix nanoseconds; 0 for never
 	r      *bufio.Reader
-	heads  HeadReader
+	heads  http1.HeadReader
 	readTo time.Time     // the deadline for reading; zero for none
 	reply  chan answer   // from the loop, for the request in hand
 	done   chan bool     // from the writer, after each answer: whether the connection goes on
@@ -138,7 +140,7 @@
 	}()
 	c.readUntil(time.Now().Add(headerTimeout))
 	for first := true; ; first = false {
-		h, err := c.heads.Read(c.r, MaxHeadBytes)
+		h, err := c.heads.Read(c.r, http1.MaxHeadBytes)
 		if err != nil {
 			c.reject(err)
 			return
@@ -193,27 +195,27 @@
 // gets no answer.
 func (c *client) reject(err error) {
 	switch {
-	case err == ErrMalformedHead:
+	case errors.Is(err, http1.ErrMalformedHead):
 		c.refuse(&fault{status: http.StatusBadRequest, text: "malformed request"}, true)
-	case err == ErrHeadTooLong:
+	case errors.Is(err, http1.ErrHeadTooLong):
 		c.refuse(&fault{status: http.StatusRequestHeaderFieldsTooLarge, text: "the head is over 16 KiB"}, true)
 	}
 }
 
 // parseRequest reads a head, or says what is wrong with it.
-func parseRequest(h *Head) (m message, bad *fault) {
+func parseRequest(h *http1.Head) (m message, bad *fault) {
 	bad = &fault{status: http.StatusBadRequest, text: "malformed request line"}
 	method, line, _ := strings.Cut(h.FirstLine, " ")
 	target, version, ok := strings.Cut(line, " ")
 	if !ok || !httpguts.ValidHeaderFieldName(method) || !strings.HasPrefix(version, "HTTP/") {
 		return m, bad
 	}
-	if m.minor, ok = ParseVersion(version); !ok {
+	if m.minor, ok = http1.ParseVersion(version); !ok {
 		return m, &fault{status: http.StatusHTTPVersionNotSupported, text: "want HTTP/1.1"}
 	}
 	var err error
 	if m.Framing, err = h.Framing(); err != nil || m.Chunked && m.minor == 0 {
-		return m, &fault{status: http.StatusBadRequest, text: ErrAmbiguousFraming.Error()}
+		return m, &fault{status: http.StatusBadRequest, text: http1.ErrAmbiguousFraming.Error()}
 	}
 	if !m.Chunked && m.Length < 0 {
 		m.Length = 0
@@ -268,9 +270,9 @@
 // body reads the body of m from r.
 func (m *message) body(r *bufio.Reader) io.Reader {
 	if m.Chunked {
-		return NewChunkedBody(r)
+		return http1.NewChunkedBody(r)
 	}
-	return &SizedBody{r, m.Length}
+	return &http1.SizedBody{Reader: r, Remaining: m.Length}
 }
 
 // handle serves one request, and waits for what comes next. It tells whether there is something.
@@ -444,7 +446,7 @@
 	if a.length < 0 && c.old {
 		c.last = true // its end is the connection's
 	} else if a.length < 0 {
-		to = ChunkWriter{c}
+		to = http1.ChunkWriter{Conn: c}
 	}
 	c.outTo, c.sent = time.Time{}, fitsAlways+1
 	c.writeBy(writeTimeout)
@@ -453,7 +455,7 @@
 	}
 	err := a.rest.pass(to, c, a.body)
 	if err == nil && a.length < 0 && !c.old {
-		_, err = io.WriteString(c, LastChunk)
+		_, err = io.WriteString(c, http1.LastChunk)
 	}
 	c.outTo = time.Time{}
 	switch {
@@ -487,7 +489,7 @@
 	c.sent += int64(len(b) + len(a.body))
 	c.writeBy(writeTimeout)
 	var err error
-	c.out, err = WriteMessage(c, b, a.body)
+	c.out, err = http1.WriteMessage(c, b, a.body)
 	return err
 }
 
@@ -507,13 +509,13 @@
 	b = append(b, http.StatusText(a.status)...)
 	b = append(b, "\r\nDate: "...)
 	b = append(b, dateText(time.Now())...)
-	b = AppendField(b, "Content-Type", a.contentType)
-	b = AppendField(b, "Allow", a.allow)
+	b = http1.AppendField(b, "Content-Type", a.contentType)
+	b = http1.AppendField(b, "Allow", a.allow)
 	if a.retryAfter > 0 {
-		b = AppendField(b, "Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
+		b = http1.AppendField(b, "Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', -1, 64))
 	}
 	if a.length >= 0 || !c.old {
-		b = AppendBodyFraming(b, a.length)
+		b = http1.AppendBodyFraming(b, a.length)
 	}
 	switch {
 	case c.last:
@@ -577,8 +579,8 @@
 		return
 	}
 	c.readUntil(time.Now().Add(d))
-	block := copyBuffers.Get().(*[CopyBufferBytes]byte)
-	defer copyBuffers.Put(block)
+	block := http1.GetCopyBuffer()
+	defer http1.PutCopyBuffer(block)
 	for {
 		if _, err := c.Conn.Read(block[:]); err != nil {
 			return
--- a/internal/node/message.go
+++ b/internal/node/http1/message.go
@@ -1,4 +1,7 @@
-package node
+// Package http1 reads and writes the parts of HTTP/1.1 messages that both sides of a node share: heads, the framing
+// of bodies, and chunks. Readers of HTTP/1.1 differ on odd heads, and what one takes for a body another takes for a
+// request (request smuggling); so odd heads are errors here.
+package http1
 
 import (
 	"bufio"
@@ -12,31 +15,32 @@
 	"golang.org/x/net/http/httpguts"
 )
 
-// How a message is read, on either side. Readers of HTTP/1.1 differ on odd heads, and what one takes
-// for a body another takes for a request; so the odd ones are refused.
-
 var (
-	ErrMalformedHead    = errors.New("malformed head")
-	ErrHeadTooLong      = errors.New("the head is too long")
+	// ErrMalformedHead is a first line or a field that is not HTTP/1.1.
+	ErrMalformedHead = errors.New("malformed head")
+	// ErrHeadTooLong is a head, or the trailer of a chunked body, over its limit.
+	ErrHeadTooLong = errors.New("the head is too long")
+	// ErrAmbiguousFraming is a head by which a body may end in more than one place.
 	ErrAmbiguousFraming = errors.New("the head leaves open where its body ends")
 )
 
-// Head is the first line and the fields of a message, as parts of one text.
+// Head is the first line and the fields of a message. Its strings are parts of one text.
 type Head struct {
 	FirstLine string
 	Fields    []Field
 }
 
+// Field is one header field.
 type Field struct{ Name, Value string }
 
-// HeadReader reads heads one after the other, and keeps what it needs for that.
+// HeadReader reads heads one after the other, and reuses its buffers for that.
 type HeadReader struct {
 	text []byte
 	head Head
 }
 
-// Read takes in a head up to its blank line. The fields stand until the next one is read. An error with
-// nothing read is the reader's own; io.ErrUnexpectedEOF is a head that broke off.
+// Read reads a head up to its blank line, of at most maxBytes. The head is valid until the next call. It returns
+// ErrMalformedHead, ErrHeadTooLong, io.ErrUnexpectedEOF for a head that breaks off, or the error of r.
 func (h *HeadReader) Read(r *bufio.Reader, maxBytes int) (*Head, error) {
 	h.text = h.text[:0]
 	for start := 0; ; {
@@ -84,7 +88,7 @@
 	return &h.head, nil
 }
 
-// blank tells whether a line, its end included, has nothing in it.
+// blank reports whether a line, its end included, has nothing in it.
 func blank(line []byte) bool { return len(line) == 1 || len(line) == 2 && line[0] == '\r' }
 
 func cutLine(text string) (line, remaining string) {
@@ -92,7 +96,7 @@
 	return strings.TrimSuffix(line, "\r"), remaining
 }
 
-// Get is the first value of a field; empty where there is none. Its name is given in any case.
+// Get returns the first value of a field, or "". The case of the name doesn't matter.
 func (h *Head) Get(name string) string {
 	for i := range h.Fields {
 		if len(h.Fields[i].Name) == len(name) && strings.EqualFold(h.Fields[i].Name, name) {
@@ -102,7 +106,7 @@
 	return ""
 }
 
-// ParseVersion is an HTTP version that is spoken here: 1.0 or 1.1.
+// ParseVersion returns the minor version of HTTP/1.0 and HTTP/1.1; ok is false for any other version.
 func ParseVersion(text string) (minor int, ok bool) {
 	switch text {
 	case "HTTP/1.1":
@@ -113,15 +117,15 @@
 	return 0, false
 }
 
-// Framing is what a head says of its body and of its connection.
+// Framing is what a head says of the message's body and of its connection.
 type Framing struct {
-	Length    int64 // -1 where it isn't told
+	Length    int64 // in bytes; -1 where the head has no Content-Length
 	Chunked   bool
-	Close     bool // said to be the connection's last message
-	KeepAlive bool // said to be not
+	Close     bool // Connection: close
+	KeepAlive bool // Connection: keep-alive
 }
 
-// Framing reads those fields. A length that is told twice, or beside chunks, is an error.
+// Framing reads the fields that frame the body. Two lengths, or a length beside chunks, are ErrAmbiguousFraming.
 func (h *Head) Framing() (f Framing, err error) {
 	f.Length = -1
 	codings := 0
@@ -162,11 +166,14 @@
 }
 
 const (
-	maxTrailerBytes       = 4 << 10  // bytes after the last chunk
-	maxCoalescedBodyBytes = 16 << 10 // bytes of a body that go into one write with its head
-	LastChunk             = "0\r\n\r\n"
+	maxTrailerBytes       = 4 << 10  // after the last chunk
+	maxCoalescedBodyBytes = 16 << 10 // of a body that goes into one write with its head
 )
 
+// LastChunk ends a chunked body that has no trailer.
+const LastChunk = "0\r\n\r\n"
+
+// AppendField appends the line end before a field and the field; nothing where the value is empty.
 func AppendField(b []byte, name, value string) []byte {
 	if value == "" {
 		return b
@@ -177,7 +184,7 @@
 	return append(b, value...)
 }
 
-// AppendBodyFraming tells how a body is framed: by its length, or by chunks where that is below 0.
+// AppendBodyFraming appends Content-Length, or Transfer-Encoding: chunked for a length below 0.
 func AppendBodyFraming(b []byte, length int64) []byte {
 	if length < 0 {
 		return append(b, "\r\nTransfer-Encoding: chunked"...)
@@ -186,7 +193,7 @@
 }
 
 // WriteMessage writes a message; a small body goes into one write with its head. It returns the head's buffer,
-// which may have grown.
+// which may have grown, for reuse.
 func WriteMessage(w io.Writer, head, body []byte) ([]byte, error) {
 	if len(body) <= maxCoalescedBodyBytes {
 		head, body = append(head, body...), nil
@@ -198,9 +205,10 @@
 	return head, err
 }
 
-// ChunkWriter writes each piece as a chunk.
+// ChunkWriter writes each piece as a chunk. LastChunk ends the body.
 type ChunkWriter struct{ net.Conn }
 
+// Write writes p as one chunk.
 func (w ChunkWriter) Write(p []byte) (int, error) {
 	if len(p) == 0 {
 		return 0, nil
@@ -213,17 +221,19 @@
 	return len(p), nil
 }
 
-// ChunkedBody reads a body in chunks, and what follows the last of them.
+// ChunkedBody reads a chunked body and its trailer, and nothing beyond.
 type ChunkedBody struct {
 	r    *bufio.Reader
 	data io.Reader
 	end  error
 }
 
+// NewChunkedBody reads a chunked body from r.
 func NewChunkedBody(r *bufio.Reader) *ChunkedBody {
 	return &ChunkedBody{r: r, data: httputil.NewChunkedReader(r)}
 }
 
+// Read reads the content of the chunks. It returns io.EOF only after a complete trailer.
 func (b *ChunkedBody) Read(p []byte) (int, error) {
 	if b.end != nil {
 		return 0, b.end
@@ -258,12 +268,13 @@
 	}
 }
 
-// SizedBody reads a body of a length that was told; one that ends before is broken.
+// SizedBody reads a body of a known length.
 type SizedBody struct {
 	Reader    io.Reader
 	Remaining int64
 }
 
+// Read returns io.ErrUnexpectedEOF where Reader ends before the body.
 func (b *SizedBody) Read(p []byte) (int, error) {
 	if b.Remaining <= 0 {
 		return 0, io.EOF
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -7,13 +7,13 @@
 	"sync/atomic"
 	"time"
 
+	"sloerail/internal/node/http1"
 	"sloerail/policy"
 )
 
 const (
 	maxID         = 128 // bytes; the protocol's own ids are far shorter
 	maxDeadlineMs = 3_600_000
-	MaxHeadBytes  = 16 << 10
 	headerTimeout = 2300 * time.Millisecond // for a request's header from its first byte, or from the connect
 	clientIdle    = 60 * time.Second
 	writeTimeout  = 5 * time.Second      // for an answer to a client that doesn't read
@@ -176,7 +176,7 @@
 	if r.Length > maxTransfer {
 		return nil, nil, errTooLong
 	}
-	if r.Length > 0 && r.Length <= MaxBufferedBodyBytes && int64(c.r.Buffered()) >= r.Length { // came with the head
+	if r.Length > 0 && r.Length <= http1.MaxBufferedBodyBytes && int64(c.r.Buffered()) >= r.Length { // came with the head
 		body = make([]byte, r.Length)
 		_, err = c.r.Read(body)
 		return body, nil, err
@@ -186,8 +186,8 @@
 	}
 	s.peers.reading(c.peer, true)
 	defer s.peers.reading(c.peer, false)
-	most := MaxBufferedBodyBytes + 1
-	if r.Length > MaxBufferedBodyBytes {
+	most := http1.MaxBufferedBodyBytes + 1
+	if r.Length > http1.MaxBufferedBodyBytes {
 		most = firstPart
 	}
 	u := newUpload(c, r.body(c.r), s.peers.begunAt(c.peer))
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -21,12 +21,10 @@
 	"golang.org/x/sys/unix"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/http1"
 	"sloerail/policy"
 )
 
-// MaxBufferedBodyBytes is the most that a request or an answer may hold.
-const MaxBufferedBodyBytes = 64 << 10
-
 const (
 	defaultConnIdle = 60 * time.Second // a connection is kept unused where the settings name no limit
 	lookEvery       = 5 * time.Second  // at an idle connection, for whether its server closed it
@@ -447,12 +445,12 @@
 		}
 	}
 	reusable := a.kept && r.buf.Buffered() == 0 && (x.rest == nil || x.rest.whole.Load())
-	res := result{code: policy.ServerError, report: loadReport(r.head.head.Get("X-Load"), u.reportNames())}
+	res := result{code: policy.ServerError, report: loadReport(a.head.Get("X-Load"), u.reportNames())}
 	switch a.status {
 	case http.StatusOK:
 		res.code, res.answer = policy.OK, a.answer
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if r.head.head.Get("X-Not-Run") == "1" { // without it, it may have run
+		if a.head.Get("X-Not-Run") == "1" { // without it, it may have run
 			res.code = policy.Overloaded
 		}
 	}
@@ -492,10 +490,10 @@
 	var err error
 	if x.unsized() {
 		if _, err = c.Write(*b); err == nil {
-			_, err = ChunkWriter{c}.Write(x.body)
+			_, err = http1.ChunkWriter{Conn: c}.Write(x.body)
 		}
 	} else {
-		*b, err = WriteMessage(c, *b, x.body)
+		*b, err = http1.WriteMessage(c, *b, x.body)
 	}
 	if err == nil && x.rest == nil {
 		s.finish()
@@ -518,13 +516,13 @@
 	go func() {
 		to := io.Writer(c.Conn)
 		if x.unsized() {
-			to = ChunkWriter{c}
+			to = http1.ChunkWriter{Conn: c}
 		}
-		block := copyBuffers.Get().(*[CopyBufferBytes]byte)
-		defer copyBuffers.Put(block)
+		block := http1.GetCopyBuffer()
+		defer http1.PutCopyBuffer(block)
 		_, err := io.CopyBuffer(struct{ io.Writer }{to}, from, block[:])
 		if err == nil && x.unsized() {
-			_, err = io.WriteString(c, LastChunk)
+			_, err = io.WriteString(c, http1.LastChunk)
 		}
 		switch {
 		case err == nil:
@@ -545,9 +543,9 @@
 	b = append(b, x.path...)
 	b = append(b, " HTTP/1.1\r\nHost: "...)
 	b = append(b, x.host...)
-	b = AppendField(b, "X-Request-Id", x.req.ID)
-	b = AppendField(b, "Idempotency-Key", x.key)
-	b = AppendField(b, "Content-Type", x.contentType)
+	b = http1.AppendField(b, "X-Request-Id", x.req.ID)
+	b = http1.AppendField(b, "Idempotency-Key", x.key)
+	b = http1.AppendField(b, "Content-Type", x.contentType)
 	b = append(b, "\r\nX-Deadline-Ms: "...)
 	b = strconv.AppendInt(b, max(1, x.waits.Milliseconds()), 10)
 	length := int64(len(x.body))
@@ -555,7 +553,7 @@
 		length = x.length
 	}
 	if length != 0 || x.method != http.MethodGet {
-		b = AppendBodyFraming(b, length)
+		b = http1.AppendBodyFraming(b, length)
 	}
 	b = append(b, "\r\n\r\n"...)
 	return b
@@ -564,7 +562,7 @@
 // reader reads a server's answers. An idle connection has none.
 type reader struct {
 	buf  *bufio.Reader
-	head HeadReader
+	head http1.HeadReader
 }
 
 var readers = sync.Pool{New: func() any { return &reader{buf: bufio.NewReader(nil)} }}
@@ -579,13 +577,14 @@
 	answer
 	rest io.Reader // what of the body is to be passed on as it comes; nil for nothing
 	kept bool      // its connection
+	head *http1.Head
 }
 
 // answer reads the head of the final answer, and its body unless that is long and good.
 func (r *reader) answer() (a incoming, err error) {
-	var h *Head
+	var h *http1.Head
 	for a.status < http.StatusOK { // interim answers come before it
-		if h, err = r.head.Read(r.buf, MaxHeadBytes); err != nil {
+		if h, err = r.head.Read(r.buf, http1.MaxHeadBytes); err != nil {
 			if err == io.EOF {
 				err = io.ErrUnexpectedEOF
 			}
@@ -597,9 +596,10 @@
 		}
 		a.status, a.kept = status, minor == 1
 		if status == http.StatusSwitchingProtocols { // nobody asked for that
-			return a, ErrMalformedHead
+			return a, http1.ErrMalformedHead
 		}
 	}
+	a.head = h
 	f, err := h.Framing()
 	if err != nil {
 		return a, err
@@ -611,9 +611,9 @@
 	case a.status == http.StatusNoContent || a.status == http.StatusNotModified || f.Length == 0:
 		return a, nil
 	case f.Chunked:
-		body = NewChunkedBody(r.buf)
+		body = http1.NewChunkedBody(r.buf)
 	case f.Length > 0:
-		body = &SizedBody{r.buf, f.Length}
+		body = &http1.SizedBody{Reader: r.buf, Remaining: f.Length}
 	default: // it ends with the connection
 		body, a.kept = r.buf, false
 	}
@@ -623,15 +623,15 @@
 // read takes in a body up to what is kept of a good answer.
 func (a *incoming) read(body io.Reader) (err error) {
 	switch {
-	case a.length > MaxBufferedBodyBytes && a.status == http.StatusOK:
+	case a.length > http1.MaxBufferedBodyBytes && a.status == http.StatusOK:
 		a.body = make([]byte, answerStart)
 		_, err = io.ReadFull(body, a.body)
-	case a.length >= 0 && a.length <= MaxBufferedBodyBytes:
+	case a.length >= 0 && a.length <= http1.MaxBufferedBodyBytes:
 		a.body = make([]byte, a.length)
 		_, err = io.ReadFull(body, a.body)
 		return err
 	default:
-		if a.body, err = io.ReadAll(io.LimitReader(body, MaxBufferedBodyBytes+1)); err == nil && len(a.body) <= MaxBufferedBodyBytes {
+		if a.body, err = io.ReadAll(io.LimitReader(body, http1.MaxBufferedBodyBytes+1)); err == nil && len(a.body) <= http1.MaxBufferedBodyBytes {
 			return nil
 		}
 	}
@@ -645,10 +645,10 @@
 func statusLine(line string) (minor, status int, err error) {
 	version, line, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(line, " ")
-	minor, ok := ParseVersion(version)
+	minor, ok := http1.ParseVersion(version)
 	status, err = strconv.Atoi(code)
 	if !ok || err != nil || len(code) != 3 || status < 100 {
-		return 0, 0, ErrMalformedHead
+		return 0, 0, http1.ErrMalformedHead
 	}
 	return minor, status, nil
 }
