--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -447,7 +447,7 @@
 	for _, p := range l.up.pools {
 		idle += len(p.idle)
 	}
-	return l.up.open == idle && l.fig.open.Load() == 0
+	return l.up.openConns == idle && l.fig.open.Load() == 0
 }
 
 // A request whose client has left while it waited is not sent on 0.1 s later, whatever it waited for, however the
@@ -488,7 +488,7 @@
 	dials, up := make(chan struct{}, 10), make(chan struct{})
 	if m.at == "a connection" {
 		l.up.mu.Lock()
-		l.up.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
+		l.up.dialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 			dials <- struct{}{}
 			<-up // it comes up late, whoever waits
 			return net.Dial(network, addr)
@@ -630,7 +630,7 @@
 			})
 			dials, up := make(chan struct{}, 10), make(chan struct{})
 			l.up.mu.Lock()
-			l.up.dialer = func(_ context.Context, network, addr string) (net.Conn, error) {
+			l.up.dialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
 				dials <- struct{}{}
 				<-up
 				return net.Dial(network, addr)
@@ -668,17 +668,17 @@
 	var got arrivals
 	addr := nodetest.HTTPServer(t, got.ServeHTTP)
 	u := testUpstream(t, addr)
-	if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.code != policy.OK {
-		t.Fatalf("first code %v", r.code)
+	if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.Code != policy.OK {
+		t.Fatalf("first code %v", r.Code)
 	}
 	if _, idle := u.counts("s0"); idle != 1 {
 		t.Fatalf("%d idle connections: nothing is tried", idle)
 	}
 	leaving := members(t, addr)
 	leaving[0].Availability = policy.Draining
-	u.update(discovery.Update{Kind: policy.ListUpdate, Endpoints: leaving})
-	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.code != policy.ConnectFailed {
-		t.Errorf("code %v, want %v: it never ran", r.code, policy.ConnectFailed)
+	u.UpdateEndpoints(discovery.Update{Kind: policy.ListUpdate, Endpoints: leaving})
+	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.Code != policy.ConnectFailed {
+		t.Errorf("code %v, want %v: it never ran", r.Code, policy.ConnectFailed)
 	}
 	if n := got.after(time.Time{}); n != 1 {
 		t.Errorf("the server got %d requests, want the one from before", n)
@@ -861,20 +861,20 @@
 				_, _ = r.ReadByte()
 			})
 			u := testUpstream(t, addr)
-			if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.code != policy.OK || string(r.answer.body) != "one" {
-				t.Fatalf("first: code %v, %q", r.code, r.answer.body)
+			if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.Code != policy.OK || string(r.Response.body) != "one" {
+				t.Fatalf("first: code %v, %q", r.Code, r.Response.body)
 			}
 			if u.sinceUsed(-nodetest.Timeout); !late { // just used, however long this test waits
 				close(second)
 				nodetest.Await(t, "the second answer", func() bool {
 					u.mu.Lock()
 					defer u.mu.Unlock()
-					return !u.pools["s0"].idle[0].open()
+					return !u.pools["s0"].idle[0].isUsable()
 				})
 				u.sinceUsed(time.Second)
 			}
-			if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.code != policy.OK || string(r.answer.body) != "two" {
-				t.Errorf("next: code %v, %q", r.code, r.answer.body)
+			if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.Code != policy.OK || string(r.Response.body) != "two" {
+				t.Errorf("next: code %v, %q", r.Code, r.Response.body)
 			}
 			if n := conns.Load(); n != 2 {
 				t.Errorf("%d connections, want 2", n)
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -453,13 +453,13 @@
 	if _, err := c.Write(c.head(a)); err != nil {
 		c.Close() // so that nothing is passed on behind half a head
 	}
-	err := a.rest.pass(to, c, a.body)
+	err := a.rest.CopyTo(to, c, a.body)
 	if err == nil && a.length < 0 && !c.old {
 		_, err = io.WriteString(c, http1.LastChunk)
 	}
 	c.outTo = time.Time{}
 	switch {
-	case err == nil || errors.Is(err, errClient):
+	case err == nil || errors.Is(err, ErrClientGone):
 		c.x.tally.count(a.status)
 	default:
 		c.x.tally.count(http.StatusBadGateway)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -280,7 +280,7 @@
 	c     Config
 	path  string
 	s     *server
-	up    *upstream
+	up    *Transport
 	gate  *gate
 	fleet *membership // nil for a node of no fleet
 
@@ -470,7 +470,7 @@
 func (h *handover) release() int {
 	clients := h.s.peers.count()
 	spare := max(1, min(spareConns, (h.c.Sockets-h.c.ownSockets())/sparePart))
-	servers := h.up.shrink(min(clients, spareServers), spare)
+	servers := h.up.LimitConnections(min(clients, spareServers), spare)
 	h.gate.resize(clients + spare)
 	held := h.c.ownBeside() + clients + spare + servers
 	total := h.total()
@@ -488,9 +488,9 @@
 		own, over = h.c.ownBeside(), 0
 	}
 	h.mu.Unlock()
-	h.up.sockets.total.Store(int64(max(leastPart, sockets-own)))
-	h.up.unbound()
-	h.gate.resize(h.up.sockets.mostClients() + over)
+	h.up.descriptors.total.Store(int64(max(minSideDivisor, sockets-own)))
+	h.up.LiftLimit()
+	h.gate.resize(h.up.descriptors.MaxClients() + over)
 }
 
 // grant takes what the process before this one has let go of.
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -69,7 +69,7 @@
 	target  discovery.Target // discovery as last configured
 	terms   atomic.Pointer[terms]
 	maxOpen int
-	up      *upstream
+	up      *Transport
 	fig     *figures
 	disc    *discovery.Client
 
@@ -99,7 +99,7 @@
 	server string
 	sent   policy.Time // or when the request was whole, if that was later
 	began  policy.Time // when its answer began, of one that is passed on as it comes
-	flight *flight
+	flight *Lifetime
 }
 
 // The events of the loop, beside news.
@@ -109,7 +109,7 @@
 	ending    struct { // of an attempt
 		r *request
 		n int
-		result
+		Result
 	}
 	ceded     struct{ reply chan<- inheritance } // another process takes over
 	takenBack struct{ served bool }              // and is gone again
@@ -128,7 +128,7 @@
 	finish struct{} // fail what is still open and refuse what comes, for the node stops
 )
 
-func newLoop(c Config, ck clock, up *upstream, fig *figures) (*loop, error) {
+func newLoop(c Config, ck clock, up *Transport, fig *figures) (*loop, error) {
 	balancer, err := policy.New(c.Settings, ck.now(), c.Seed)
 	if err != nil {
 		return nil, err
@@ -197,7 +197,7 @@
 		case <-wake.C:
 			armed = 0
 		case now := <-sweep.C:
-			l.up.sweep(now)
+			l.up.CloseExpired(now)
 			l.showPlaces(l.clock.now())
 		case <-ctx.Done():
 			return
@@ -350,7 +350,7 @@
 // callOff ends what is out for r.
 func (r *request) callOff() {
 	for _, a := range r.attempts {
-		a.flight.stop(context.Canceled)
+		a.flight.cancelWith(context.Canceled)
 	}
 }
 
@@ -365,10 +365,10 @@
 func (l *loop) begin(e begun) {
 	a := &e.r.attempts[e.n]
 	if e.r.ended {
-		a.flight.stop(context.Canceled)
+		a.flight.cancelWith(context.Canceled)
 		return
 	}
-	a.flight.bound(time.Time{})
+	a.flight.SetDeadline(time.Time{})
 	a.began = l.clock.now()
 	l.answer(e.r, e.answer)
 	l.tell(policy.FirstByte{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Latency: a.began - a.sent})
@@ -380,21 +380,21 @@
 	over := l.clock.now()
 	if a.began > 0 { // how long the client took to read it says nothing of the server
 		if over-a.began > reportFresh {
-			e.report = nil
+			e.LoadReport = nil
 		}
 		over = a.began
 	}
-	if e.code == policy.OK && !e.r.ended {
-		l.answer(e.r, e.result.answer)
+	if e.Code == policy.OK && !e.r.ended {
+		l.answer(e.r, e.Result.Response)
 	}
-	l.tell(policy.Outcome{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Code: e.code,
-		Latency: over - a.sent, RequestEnded: e.r.ended, BodyConsumed: e.r.spent(), LoadReport: e.report})
+	l.tell(policy.Outcome{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Code: e.Code,
+		Latency: over - a.sent, RequestEnded: e.r.ended, BodyConsumed: e.r.spent(), LoadReport: e.LoadReport})
 	l.drop(e.r)
 }
 
 func (l *loop) listed(n discovery.Update) {
 	if n.Kind != policy.ListUnavailable {
-		l.up.update(n)
+		l.up.UpdateEndpoints(n)
 	}
 	if n.Kind == policy.ListReplace || n.Kind == policy.ListCached {
 		clear(l.members)
@@ -453,11 +453,11 @@
 		}
 	case policy.Cancel:
 		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].flight.stop(context.Canceled)
+			r.attempts[a.Attempt].flight.cancelWith(context.Canceled)
 		}
 	case policy.SetAttemptDeadline:
 		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].flight.bound(l.clock.at(min(a.AttemptDeadline, r.deadline)))
+			r.attempts[a.Attempt].flight.SetDeadline(l.clock.at(min(a.AttemptDeadline, r.deadline)))
 		}
 	case policy.SetTimer:
 		heap.Push(&l.timers, &timer{due: l.clock.now() + a.Wait, token: a.Token})
@@ -480,7 +480,7 @@
 	n := len(r.attempts)
 	r.pending++
 	if r.ended || now >= r.deadline || n >= max(1, l.allowed.MaxAttempts) || r.spent() {
-		r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: new(flight)})
+		r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: new(Lifetime)})
 		l.skipped = append(l.skipped, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotAttempted})
 		return
 	}
@@ -488,14 +488,14 @@
 	if a.AttemptDeadline > 0 {
 		until = min(until, a.AttemptDeadline)
 	}
-	f := &flight{due: l.clock.at(until)}
+	f := &Lifetime{deadline: l.clock.at(until)}
 	r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: f})
-	to := outgoing{exchange: r.exchange, waits: until - now, flight: f,
-		begin: func(a answer) { l.send(begun{r, n, a}) }, left: func() { l.send(uploaded{r.exchange, errClient}) }}
+	to := Attempt{exchange: r.exchange, Timeout: until - now, Lifetime: f,
+		begin: func(a answer) { l.send(begun{r, n, a}) }, left: func() { l.send(uploaded{r.exchange, ErrClientGone}) }}
 	if r.req.Incomplete {
-		to.waits = r.clientWaits - r.margin()
+		to.Timeout = r.clientWaits - r.margin()
 	}
-	l.attempts.Go(func() { l.send(ending{r, n, l.up.attempt(a.Server, to)}) })
+	l.attempts.Go(func() { l.send(ending{r, n, l.up.Do(a.Server, to)}) })
 }
 
 func (l *loop) refuse(r *request, wait time.Duration) {
@@ -527,7 +527,7 @@
 func (l *loop) settle(r *request) {
 	r.ended = true
 	for _, a := range r.attempts {
-		a.flight.ground()
+		a.flight.CancelUnlessConnected()
 	}
 	l.owed--
 	if r.backstop.at >= 0 { // else it would keep the request until a deadline that may be far off
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -74,7 +74,7 @@
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList(addr))
 	fig := newFigures(c.Settings.Classes)
-	up := newUpstream(c, testSockets(200), fig)
+	up := NewTransport(c, testSockets(200), fig)
 	l, err := newLoop(c, clock{start: time.Now()}, up, fig)
 	if err != nil {
 		t.Fatal(err)
@@ -87,7 +87,7 @@
 	t.Cleanup(func() {
 		cancel()
 		nodetest.Receive(t, "the loop's end", ended)
-		up.close()
+		up.CloseIdle()
 	})
 	return l, s
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -25,7 +25,7 @@
 // and returns.
 func Run(ctx context.Context, c Config, at Listeners, changes <-chan Change) error {
 	ck := clock{start: time.Now()}
-	shared, held := new(sockets), c.Sockets
+	shared, held := new(Descriptors), c.Sockets
 	if at.heir != nil {
 		held, c.Known = at.heir.Sockets, discovery.List{Revision: discovery.UnknownRevision, Endpoints: at.heir.endpoints()}
 	} else {
@@ -33,8 +33,8 @@
 	}
 	limitMemory(c, 1)
 	fig := newFigures(c.Settings.Classes)
-	up := newUpstream(c, shared, fig)
-	defer up.close()
+	up := NewTransport(c, shared, fig)
+	defer up.CloseIdle()
 	l, err := newLoop(c, ck, up, fig)
 	if err != nil {
 		return err
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -54,8 +54,8 @@
 type answer struct {
 	status      int
 	body        []byte
-	rest        *download // what follows the body as it comes; nil for nothing
-	length      int64     // of both; -1 where it isn't told
+	rest        *ResponseStream // what follows the body as it comes; nil for nothing
+	length      int64           // of both; -1 where it isn't told
 	contentType string
 	retryAfter  time.Duration
 	allow       string // the methods that are, of one that isn't
@@ -76,7 +76,7 @@
 }
 
 func newServer(l *loop) *server {
-	return &server{loop: l, first: make(chan struct{}), peers: newPeers(l.up.sockets.forClients, &l.up.sockets.clients, l.up.yield)}
+	return &server{loop: l, first: make(chan struct{}), peers: newPeers(l.up.descriptors.ForClients, &l.up.descriptors.clients, l.up.CloseExcessIdle)}
 }
 
 // taking tells whether this process takes clients.
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -417,7 +417,7 @@
 	l, _ := startLoop(t, server, sendsOnce)
 	s := newServer(l)
 	node := serveAt(t, s)
-	total := &l.up.sockets.total
+	total := &l.up.descriptors.total
 	total.Store(4) // of which two are the clients'
 	for i := range 2 {
 		newTestClient(t, node).send("GET", "read", fmt.Sprint("r", i), "")
--- a/internal/node/socketqueue.go
+++ b/internal/node/socketqueue.go
@@ -5,63 +5,63 @@
 	"time"
 )
 
-// socketWait is how long an attempt waits for a descriptor. One that failed at once would have the module try other
+// descriptorWaitTimeout is how long an attempt waits for a descriptor. One that failed at once would have the module try other
 // servers in vain, all within a moment, and then turn the request back.
-const socketWait = 2 * handoverTell
+const descriptorWaitTimeout = 2 * handoverTell
 
-// socketQueue holds the attempts that wait for a descriptor, the one that came first at the front.
-type socketQueue struct{ turns []chan struct{} }
+// descriptorQueue holds the attempts that wait for a descriptor, the one that came first at the front.
+type descriptorQueue struct{ waiters []chan struct{} }
 
-func (q *socketQueue) join() chan struct{} {
+func (q *descriptorQueue) join() chan struct{} {
 	turn := make(chan struct{})
-	q.turns = append(q.turns, turn)
+	q.waiters = append(q.waiters, turn)
 	return turn
 }
 
 // leave gives a turn up. One that had come meanwhile and was not used goes to the next.
-func (q *socketQueue) leave(turn chan struct{}, used bool) {
-	if at := slices.Index(q.turns, turn); at >= 0 {
-		q.turns = slices.Delete(q.turns, at, at+1)
+func (q *descriptorQueue) leave(turn chan struct{}, used bool) {
+	if at := slices.Index(q.waiters, turn); at >= 0 {
+		q.waiters = slices.Delete(q.waiters, at, at+1)
 	} else if !used {
 		q.wake()
 	}
 }
 
 // wake has the first of them look again.
-func (q *socketQueue) wake() {
-	if len(q.turns) > 0 {
-		close(q.turns[0])
-		q.turns = q.turns[1:]
+func (q *descriptorQueue) wake() {
+	if len(q.waiters) > 0 {
+		close(q.waiters[0])
+		q.waiters = q.waiters[1:]
 	}
 }
 
-func (q *socketQueue) wakeAll() {
-	for len(q.turns) > 0 {
+func (q *descriptorQueue) wakeAll() {
+	for len(q.waiters) > 0 {
 		q.wake()
 	}
 }
 
-// awaitSocket reserves a connection to the server for f once a descriptor is free for it, until its time for that is over or
+// awaitDescriptor reserves a connection to the server for f once a descriptor is free for it, until its time for that is over or
 // f is called off.
-func (u *upstream) awaitSocket(f *flight, id string) (*pool, *conn, error) {
-	calledOff := f.ends()
-	timeout := time.NewTimer(u.waits)
+func (u *Transport) awaitDescriptor(f *Lifetime, id string) (*serverPool, *serverConn, error) {
+	cancelled := f.done()
+	timeout := time.NewTimer(u.descriptorWait)
 	defer timeout.Stop()
 	for {
 		u.mu.Lock()
-		turn := u.waiting.join()
+		turn := u.waiters.join()
 		u.mu.Unlock()
 		p, c, err := u.reserve(id) // what came free before the turn was noted has woken nobody
-		if err == errNoSockets {
+		if err == errNoDescriptor {
 			select {
 			case <-turn:
 				continue
-			case <-calledOff:
+			case <-cancelled:
 			case <-timeout.C:
 			}
 		}
 		u.mu.Lock()
-		u.waiting.leave(turn, err == nil)
+		u.waiters.leave(turn, err == nil)
 		u.mu.Unlock()
 		return p, c, err
 	}
--- a/internal/node/socketqueue_test.go
+++ b/internal/node/socketqueue_test.go
@@ -13,11 +13,11 @@
 func TestAttemptWaitsForADescriptor(t *testing.T) {
 	server, got, letGo := holdingServer(t)
 	u := testUpstream(t, server)
-	u.waits = nodetest.Timeout
-	u.sockets.total.Store(leastPart) // of which one is the servers'
-	u.sockets.clients.Store(10 * leastPart)
+	u.descriptorWait = nodetest.Timeout
+	u.descriptors.total.Store(minSideDivisor) // of which one is the servers'
+	u.descriptors.clients.Store(10 * minSideDivisor)
 	codes := make(chan policy.Code, 3)
-	attempt := func(id string) { codes <- ended(t, u, testExchange(http.MethodGet, id, "")).code }
+	attempt := func(id string) { codes <- ended(t, u, testExchange(http.MethodGet, id, "")).Code }
 	go attempt("r1")
 	nodetest.Receive(t, "the first attempt", got)
 	for _, id := range []string{"r2", "r3"} {
@@ -26,7 +26,7 @@
 	nodetest.Await(t, "both others to wait or to fail", func() bool {
 		u.mu.Lock()
 		defer u.mu.Unlock()
-		return len(u.waiting.turns) == 2 || len(codes) == 2
+		return len(u.waiters.waiters) == 2 || len(codes) == 2
 	})
 	letGo()
 	for range 3 {
@@ -34,8 +34,8 @@
 			t.Errorf("code %v", code)
 		}
 	}
-	if open, idle := u.counts("s0"); open != idle || len(u.waiting.turns) > 0 {
-		t.Errorf("%d connections are counted, %d are idle, %d attempts wait", open, idle, len(u.waiting.turns))
+	if open, idle := u.counts("s0"); open != idle || len(u.waiters.waiters) > 0 {
+		t.Errorf("%d connections are counted, %d are idle, %d attempts wait", open, idle, len(u.waiters.waiters))
 	}
 }
 
@@ -43,17 +43,17 @@
 func TestAttemptWaitsInVainForADescriptor(t *testing.T) {
 	server, got, letGo := holdingServer(t)
 	u := testUpstream(t, server)
-	u.sockets.total.Store(leastPart)
-	u.sockets.clients.Store(leastPart)
+	u.descriptors.total.Store(minSideDivisor)
+	u.descriptors.clients.Store(minSideDivisor)
 	go ended(t, u, testExchange(http.MethodGet, "r1", ""))
 	nodetest.Receive(t, "the first attempt", got)
-	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.code != policy.ConnectFailed {
-		t.Errorf("code %v, want %v", r.code, policy.ConnectFailed)
+	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.Code != policy.ConnectFailed {
+		t.Errorf("code %v, want %v", r.Code, policy.ConnectFailed)
 	}
 	letGo()
 	nodetest.Await(t, "rest", func() bool { open, idle := u.counts("s0"); return open == idle })
-	if len(u.waiting.turns) > 0 {
-		t.Errorf("%d attempts wait", len(u.waiting.turns))
+	if len(u.waiters.waiters) > 0 {
+		t.Errorf("%d attempts wait", len(u.waiters.waiters))
 	}
 }
 
@@ -62,15 +62,15 @@
 func TestServersKeepTheirDescriptors(t *testing.T) {
 	s := testSockets(30)
 	s.clients.Store(40)
-	if got := s.forServers(); got != s.least() {
-		t.Errorf("%d for servers beside 40 clients, want %d", got, s.least())
+	if got := s.ForServers(); got != s.MinPerSide() {
+		t.Errorf("%d for servers beside 40 clients, want %d", got, s.MinPerSide())
 	}
 	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
 	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: newGate(nodetest.Listener(t), 1), share: 60}
 	for _, sharing := range []bool{true, false} {
 		h.s.sharing.Store(sharing)
 		h.resize()
-		if most := l.up.sockets.mostClients(); (h.gate.most > most) == sharing {
+		if most := l.up.descriptors.MaxClients(); (h.gate.most > most) == sharing {
 			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.gate.most, most)
 		}
 	}
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -142,8 +142,8 @@
 }
 
 // testSockets are as many descriptors for connections.
-func testSockets(n int64) *sockets {
-	s := new(sockets)
+func testSockets(n int64) *Descriptors {
+	s := new(Descriptors)
 	s.total.Store(n)
 	return s
 }
@@ -156,7 +156,7 @@
 
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
-	s.loop.up.sockets.total.Store(leastSockets)
+	s.loop.up.descriptors.total.Store(leastSockets)
 	ended := make(chan error, 1)
 	go func() { ended <- s.accept(ln) }()
 	t.Cleanup(func() {
--- a/internal/node/upstream.go
+++ b/internal/node/upstream.go
@@ -26,124 +26,124 @@
 )
 
 const (
-	defaultConnIdle = 60 * time.Second // a connection is kept unused where the settings name no limit
-	lookEvery       = 5 * time.Second  // at an idle connection, for whether its server closed it
-	// answerRest is how long a connection rests after an answer: a server may answer twice, the second time some
+	defaultIdleTimeout = 60 * time.Second // a connection is kept unused where the settings name no limit
+	idleCheckInterval  = 5 * time.Second  // at an idle connection, for whether its server closed it
+	// minReuseDelay is how long a connection rests after an answer: a server may answer twice, the second time some
 	// milliseconds late, and nothing tells that from the answer to the next request.
-	answerRest = 10 * time.Millisecond
+	minReuseDelay = 10 * time.Millisecond
 )
 
 var (
-	errUnknown   = errors.New("not in the list")
-	errLeaving   = errors.New("the server was told to leave since it was chosen")
-	errNoSockets = errors.New("no descriptor is left for another connection")
+	errUnknownServer  = errors.New("not in the list")
+	errServerDraining = errors.New("the server was told to leave since it was chosen")
+	errNoDescriptor   = errors.New("no descriptor is left for another connection")
 )
 
-// upstream makes attempts at servers, over connections that it holds itself: http.Transport sends a GET,
+// Transport makes attempts at servers, over connections that it holds itself: http.Transport sends a GET,
 // or a request with an Idempotency-Key, again on its own when a reused connection breaks, and each such
 // copy would be an attempt that the module never decided on.
-type upstream struct {
-	dialer  dialFunc
-	idleFor time.Duration // an idle connection is dropped after this
-	report  []string      // names of the figures of a load report, in order
-	eases   bool          // the module may send for a moment to what the list lacks
-	relayed *metrics.Counter
-	sockets *sockets
-	waits   time.Duration // for a descriptor
-
-	mu      sync.Mutex
-	pools   map[string]*pool
-	open    int // connections, those being made among them
-	most    int // that may be open, besides what the clients leave; 0 for no such limit
-	waiting socketQueue
-}
-
-// pool holds the idle connections to one process of one server, the last used at the end.
-type pool struct {
-	addr    string
-	upSince int64
-	idle    []*conn
-	gone    time.Time // when the list lacked it, where the module may still send to it
-	leaving bool      // it drains, as the list says
-}
-
-// conn is a connection to a server. One attempt at a time has it.
-type conn struct {
+type Transport struct {
+	dialContext      dialFunc
+	idleTimeout      time.Duration // an idle connection is dropped after this
+	loadReportFields []string      // names of the figures of a load report, in order
+	retainMissing    bool          // the module may send for a moment to what the list lacks
+	requestsSent     *metrics.Counter
+	descriptors      *Descriptors
+	descriptorWait   time.Duration // for a descriptor
+
+	mu        sync.Mutex
+	pools     map[string]*serverPool
+	openConns int // connections, those being made among them
+	maxConns  int // that may be open, besides what the clients leave; 0 for no such limit
+	waiters   descriptorQueue
+}
+
+// serverPool holds the idle connections to one process of one server, the last used at the end.
+type serverPool struct {
+	address         string
+	startedAtMillis int64
+	idle            []*serverConn
+	missingSince    time.Time // when the list lacked it, where the module may still send to it
+	draining        bool      // it drains, as the list says
+}
+
+// serverConn is a connection to a server. One attempt at a time has it.
+type serverConn struct {
 	net.Conn
-	pool   *pool
-	used   time.Time
-	looked time.Time // when it was last known to be open
-	raw    syscall.RawConn
-	look   func(fd uintptr)
-	quiet  bool
+	pool          *serverPool
+	lastUsed      time.Time
+	lastChecked   time.Time // when it was last known to be open
+	rawConn       syscall.RawConn
+	readOne       func(fd uintptr)
+	nothingToRead bool
 }
 
-func newConn(c net.Conn, p *pool) *conn {
-	made := &conn{Conn: c, pool: p}
+func newServerConn(c net.Conn, p *serverPool) *serverConn {
+	made := &serverConn{Conn: c, pool: p}
 	if socket, ok := c.(syscall.Conn); ok {
-		made.raw, _ = socket.SyscallConn()
+		made.rawConn, _ = socket.SyscallConn()
 	}
-	made.look = func(fd uintptr) {
+	made.readOne = func(fd uintptr) {
 		var b [1]byte
 		_, err := unix.Read(int(fd), b[:])
-		made.quiet = err == unix.EAGAIN
+		made.nothingToRead = err == unix.EAGAIN
 	}
 	return made
 }
 
-// open tells whether a connection that is idle may be written to: the server has neither closed it nor said
+// isUsable tells whether a connection that is idle may be written to: the server has neither closed it nor said
 // anything unasked. It doesn't wait.
-func (c *conn) open() bool {
-	if c.raw == nil {
+func (c *serverConn) isUsable() bool {
+	if c.rawConn == nil {
 		return true
 	}
-	c.quiet = false
-	return c.raw.Control(c.look) == nil && c.quiet
+	c.nothingToRead = false
+	return c.rawConn.Control(c.readOne) == nil && c.nothingToRead
 }
 
-func newUpstream(c Config, shared *sockets, fig *figures) *upstream {
-	u := &upstream{relayed: fig.relayed, pools: make(map[string]*pool), sockets: shared, waits: socketWait}
-	u.retune(c)
+func NewTransport(c Config, shared *Descriptors, fig *figures) *Transport {
+	u := &Transport{requestsSent: fig.relayed, pools: make(map[string]*serverPool), descriptors: shared, descriptorWait: descriptorWaitTimeout}
+	u.Configure(c)
 	return u
 }
 
-// retune takes over what a configuration says of connections and reports.
-func (u *upstream) retune(c Config) {
+// Configure takes over what a configuration says of connections and reports.
+func (u *Transport) Configure(c Config) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	idle := c.Settings.Allowed.IdleTimeout
 	if idle == 0 {
-		idle = defaultConnIdle
+		idle = defaultIdleTimeout
 	}
-	u.dialer = c.dialer(c.ConnectTimeout)
-	u.idleFor = idle / 2 // what is written just as the server closes would end as a reset
-	u.report, u.eases = c.Settings.ReportFields, c.Settings.RetainMissing
+	u.dialContext = c.dialer(c.ConnectTimeout)
+	u.idleTimeout = idle / 2 // what is written just as the server closes would end as a reset
+	u.loadReportFields, u.retainMissing = c.Settings.ReportFields, c.Settings.RetainMissing
 }
 
-// reportNames are the figures of a load report.
-func (u *upstream) reportNames() []string {
+// reportFields are the figures of a load report.
+func (u *Transport) reportFields() []string {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.report
+	return u.loadReportFields
 }
 
 // dial opens a connection, until f ends.
-func (u *upstream) dial(f *flight, addr string) (net.Conn, error) {
+func (u *Transport) dial(f *Lifetime, addr string) (net.Conn, error) {
 	u.mu.Lock()
-	dialer := u.dialer
+	dialer := u.dialContext
 	u.mu.Unlock()
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	if due := f.dials(cancel); !due.IsZero() {
+	if due := f.startDial(cancel); !due.IsZero() {
 		ctx, cancel = context.WithDeadline(ctx, due)
 		defer cancel()
 	}
 	return dialer(ctx, "tcp", addr)
 }
 
-// update follows the list. A server that moved or started anew gets a new pool: what was open to its
+// UpdateEndpoints follows the list. A server that moved or started anew gets a new pool: what was open to its
 // former process is of no use.
-func (u *upstream) update(n discovery.Update) {
+func (u *Transport) UpdateEndpoints(n discovery.Update) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	listed := make(map[string]bool, len(n.Endpoints))
@@ -152,15 +152,15 @@
 		listed[m.ID] = true
 		switch {
 		case m.Availability == policy.Removed:
-			u.miss(m.ID)
-		case p == nil || p.addr != m.Address || p.upSince != m.StartedAtMillis:
-			u.forget(m.ID)
-			u.pools[m.ID] = &pool{addr: m.Address, upSince: m.StartedAtMillis}
+			u.markMissing(m.ID)
+		case p == nil || p.address != m.Address || p.startedAtMillis != m.StartedAtMillis:
+			u.removePool(m.ID)
+			u.pools[m.ID] = &serverPool{address: m.Address, startedAtMillis: m.StartedAtMillis}
 		default:
-			p.gone = time.Time{}
+			p.missingSince = time.Time{}
 		}
 		if p := u.pools[m.ID]; p != nil {
-			p.leaving = m.Availability == policy.Draining
+			p.draining = m.Availability == policy.Draining
 		}
 	}
 	if n.Kind == policy.ListUpdate {
@@ -168,99 +168,99 @@
 	}
 	for id := range u.pools {
 		if !listed[id] {
-			u.miss(id)
+			u.markMissing(id)
 		}
 	}
 }
 
-// goneFor is how long the way to a server is kept that the list lacks, where lists are eased: longer than the
+// missingRetention is how long the way to a server is kept that the list lacks, where lists are eased: longer than the
 // module does so at most.
-const goneFor = 10 * time.Second
+const missingRetention = 10 * time.Second
 
-// miss forgets a server that the list lacks, later where lists are eased.
-func (u *upstream) miss(id string) {
+// markMissing forgets a server that the list lacks, later where lists are eased.
+func (u *Transport) markMissing(id string) {
 	switch p := u.pools[id]; {
 	case p == nil:
-	case !u.eases:
-		u.forget(id)
-	case p.gone.IsZero():
-		p.gone = time.Now()
+	case !u.retainMissing:
+		u.removePool(id)
+	case p.missingSince.IsZero():
+		p.missingSince = time.Now()
 	}
 }
 
-func (u *upstream) forget(id string) {
+func (u *Transport) removePool(id string) {
 	if p := u.pools[id]; p != nil {
-		u.trim(p, len(p.idle))
+		u.closeOldest(p, len(p.idle))
 		delete(u.pools, id)
 	}
 }
 
-// trim closes the n connections of p that were idle longest.
-func (u *upstream) trim(p *pool, n int) {
+// closeOldest closes the n connections of p that were idle longest.
+func (u *Transport) closeOldest(p *serverPool, n int) {
 	for _, c := range p.idle[:n] {
 		c.Close()
 	}
-	p.idle = append([]*conn(nil), p.idle[n:]...)
-	u.count(-n)
+	p.idle = append([]*serverConn(nil), p.idle[n:]...)
+	u.addOpen(-n)
 }
 
-// sweep drops the connections that were idle for too long, and those that the server closed.
-func (u *upstream) sweep(now time.Time) {
+// CloseExpired drops the connections that were idle for too long, and those that the server closed.
+func (u *Transport) CloseExpired(now time.Time) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id, p := range u.pools {
-		if !p.gone.IsZero() && now.Sub(p.gone) >= goneFor {
-			u.forget(id)
+		if !p.missingSince.IsZero() && now.Sub(p.missingSince) >= missingRetention {
+			u.removePool(id)
 			continue
 		}
-		var kept []*conn
+		var kept []*serverConn
 		for _, c := range p.idle {
-			keep := now.Sub(c.used) < u.idleFor
-			if keep && now.Sub(c.looked) >= lookEvery {
-				c.looked, keep = now, c.open()
+			keep := now.Sub(c.lastUsed) < u.idleTimeout
+			if keep && now.Sub(c.lastChecked) >= idleCheckInterval {
+				c.lastChecked, keep = now, c.isUsable()
 			}
 			if keep {
 				kept = append(kept, c)
 				continue
 			}
 			c.Close()
-			u.count(-1)
+			u.addOpen(-1)
 		}
 		p.idle = kept
 	}
 }
 
-// close drops all idle connections; those in use end with their attempts.
-func (u *upstream) close() {
+// CloseIdle drops all idle connections; those in use end with their attempts.
+func (u *Transport) CloseIdle() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for id := range u.pools {
-		u.forget(id)
+		u.removePool(id)
 	}
 }
 
 // acquire takes an idle connection to the server, or makes one, for f.
-func (u *upstream) acquire(f *flight, id string) (*conn, error) {
+func (u *Transport) acquire(f *Lifetime, id string) (*serverConn, error) {
 	p, c, err := u.reserve(id)
-	if err == errNoSockets {
-		p, c, err = u.awaitSocket(f, id)
+	if err == errNoDescriptor {
+		p, c, err = u.awaitDescriptor(f, id)
 	}
 	if err != nil {
 		return nil, err
 	}
 	if c == nil {
-		conn, err := u.dial(f, p.addr)
+		conn, err := u.dial(f, p.address)
 		if err != nil {
-			u.unreserve()
+			u.releaseReservation()
 			return nil, err
 		}
-		c = newConn(conn, p)
-		if !u.wanted(id, p) {
+		c = newServerConn(conn, p)
+		if !u.isCurrent(id, p) {
 			u.release(c, id, false)
-			return nil, errLeaving
+			return nil, errServerDraining
 		}
 	}
-	if err := f.board(c.Conn); err != nil {
+	if err := f.attach(c.Conn); err != nil {
 		u.release(c, id, true) // nothing was written
 		return nil, err
 	}
@@ -268,201 +268,201 @@
 }
 
 // reserve returns an idle connection, or counts one that the caller is to make.
-func (u *upstream) reserve(id string) (*pool, *conn, error) {
+func (u *Transport) reserve(id string) (*serverPool, *serverConn, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	p := u.pools[id]
 	switch {
 	case p == nil:
-		return nil, nil, errUnknown
-	case p.leaving: // told since the module chose it
-		return nil, nil, errLeaving
+		return nil, nil, errUnknownServer
+	case p.draining: // told since the module chose it
+		return nil, nil, errServerDraining
 	}
 	now := time.Now()
 	for at := len(p.idle) - 1; at >= 0; at-- {
 		c := p.idle[at]
-		idle := now.Sub(c.used)
-		if idle < answerRest {
+		idle := now.Sub(c.lastUsed)
+		if idle < minReuseDelay {
 			continue
 		}
 		p.idle = slices.Delete(p.idle, at, at+1)
-		if idle < u.idleFor && c.open() {
+		if idle < u.idleTimeout && c.isUsable() {
 			return p, c, nil
 		}
 		c.Close()
-		u.count(-1)
+		u.addOpen(-1)
 	}
-	if u.open >= u.limit() && !u.evict() {
-		return nil, nil, errNoSockets
+	if u.openConns >= u.connLimit() && !u.evictOldest() {
+		return nil, nil, errNoDescriptor
 	}
-	u.count(1)
+	u.addOpen(1)
 	return p, nil, nil
 }
 
-// wanted tells whether the list still has the process that a connection was made for, to send to: making one may take
+// isCurrent tells whether the list still has the process that a connection was made for, to send to: making one may take
 // longer than the settings' grace.
-func (u *upstream) wanted(id string, p *pool) bool {
+func (u *Transport) isCurrent(id string, p *serverPool) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.pools[id] == p && !p.leaving
+	return u.pools[id] == p && !p.draining
 }
 
-func (u *upstream) unreserve() {
+func (u *Transport) releaseReservation() {
 	u.mu.Lock()
-	u.count(-1)
+	u.addOpen(-1)
 	u.mu.Unlock()
 }
 
-// count books connections that come or go.
-func (u *upstream) count(n int) {
-	u.open += n
-	u.sockets.servers.Store(int64(u.open))
+// addOpen books connections that come or go.
+func (u *Transport) addOpen(n int) {
+	u.openConns += n
+	u.descriptors.servers.Store(int64(u.openConns))
 	if n < 0 {
-		u.waiting.wake()
+		u.waiters.wake()
 	}
 }
 
-// limit is how many connections may be open now.
-func (u *upstream) limit() int {
-	if u.most > 0 {
-		return min(u.most, u.sockets.forServers())
+// connLimit is how many connections may be open now.
+func (u *Transport) connLimit() int {
+	if u.maxConns > 0 {
+		return min(u.maxConns, u.descriptors.ForServers())
 	}
-	return u.sockets.forServers()
+	return u.descriptors.ForServers()
 }
 
-// unbound ends the limit that shrink set.
-func (u *upstream) unbound() {
+// LiftLimit ends the limit that shrink set.
+func (u *Transport) LiftLimit() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	u.most = 0
-	u.waiting.wakeAll()
+	u.maxConns = 0
+	u.waiters.wakeAll()
 }
 
-// yield closes idle connections beyond the part that is the servers' in any case.
-func (u *upstream) yield() {
+// CloseExcessIdle closes idle connections beyond the part that is the servers' in any case.
+func (u *Transport) CloseExcessIdle() {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for u.open > u.sockets.least() && u.evict() {
+	for u.openConns > u.descriptors.MinPerSide() && u.evictOldest() {
 	}
 }
 
-// shrink closes idle connections while more than least are open, and allows but a few more than that.
-func (u *upstream) shrink(least, spare int) int {
+// LimitConnections closes idle connections while more than least are open, and allows but a few more than that.
+func (u *Transport) LimitConnections(least, spare int) int {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	for u.open > least && u.evict() {
+	for u.openConns > least && u.evictOldest() {
 	}
-	u.most = max(least, u.open) + spare
-	return u.most
+	u.maxConns = max(least, u.openConns) + spare
+	return u.maxConns
 }
 
-// evict closes the connection that was idle longest, if there is one.
-func (u *upstream) evict() bool {
-	var oldest *pool
+// evictOldest closes the connection that was idle longest, if there is one.
+func (u *Transport) evictOldest() bool {
+	var oldest *serverPool
 	for _, p := range u.pools {
-		if len(p.idle) > 0 && (oldest == nil || p.idle[0].used.Before(oldest.idle[0].used)) {
+		if len(p.idle) > 0 && (oldest == nil || p.idle[0].lastUsed.Before(oldest.idle[0].lastUsed)) {
 			oldest = p
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	u.trim(oldest, 1)
+	u.closeOldest(oldest, 1)
 	return true
 }
 
 // release puts a connection back if it can serve another request, else closes it.
-func (u *upstream) release(c *conn, id string, reusable bool) {
+func (u *Transport) release(c *serverConn, id string, reusable bool) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if reusable && u.pools[id] == c.pool {
-		c.used = time.Now()
-		c.looked = c.used
+		c.lastUsed = time.Now()
+		c.lastChecked = c.lastUsed
 		c.pool.idle = append(c.pool.idle, c)
-		u.waiting.wake() // it may be closed for another
+		u.waiters.wake() // it may be closed for another
 		return
 	}
 	c.Close()
-	u.count(-1)
+	u.addOpen(-1)
 }
 
-// result is how an attempt ended.
-type result struct {
-	code   policy.Code
-	answer answer // for OK
-	report []float64
+// Result is how an attempt ended.
+type Result struct {
+	Code       policy.Code
+	Response   answer // for OK
+	LoadReport []float64
 }
 
-// outgoing is one attempt's request.
-type outgoing struct {
+// Attempt is one attempt's request.
+type Attempt struct {
 	*exchange
-	waits  time.Duration // for the answer
-	flight *flight
-	begin  func(answer) // takes an answer that is passed on as it comes
-	left   func()       // hears that the client has gone
+	Timeout  time.Duration // for the answer
+	Lifetime *Lifetime
+	begin    func(answer) // takes an answer that is passed on as it comes
+	left     func()       // hears that the client has gone
 }
 
-// attempt sends x to the server once, and waits for the whole answer until its flight ends. That closes the
+// Do sends x to the server once, and waits for the whole answer until its flight ends. That closes the
 // connection, which is how a server learns that nobody waits.
-func (u *upstream) attempt(id string, x outgoing) result {
-	c, err := u.acquire(x.flight, id)
+func (u *Transport) Do(id string, x Attempt) Result {
+	c, err := u.acquire(x.Lifetime, id)
 	if err != nil {
-		return result{code: x.flight.broken(err, false)}
+		return Result{Code: x.Lifetime.failureCode(err, false)}
 	}
 	if x.clientLeft() {
-		x.flight.land()
+		x.Lifetime.detach()
 		u.release(c, id, true)
 		x.left()
-		return result{code: policy.Cancelled}
+		return Result{Code: policy.Cancelled}
 	}
-	r, reusable := u.exchange(c, x)
-	u.release(c, id, x.flight.land() && reusable)
+	r, reusable := u.roundTrip(c, x)
+	u.release(c, id, x.Lifetime.detach() && reusable)
 	return r
 }
 
-// exchange writes x to c and reads the answer. It tells whether c can serve another request then.
-func (u *upstream) exchange(c *conn, x outgoing) (result, bool) {
-	sent := &sending{relayed: u.relayed}
-	if err := sent.write(c, x); err != nil {
-		return result{code: x.flight.broken(err, false)}, false
+// roundTrip writes x to c and reads the answer. It tells whether c can serve another request then.
+func (u *Transport) roundTrip(c *serverConn, x Attempt) (Result, bool) {
+	sent := &requestWriter{requestsSent: u.requestsSent}
+	if err := sent.writeBuffered(c, x); err != nil {
+		return Result{Code: x.Lifetime.failureCode(err, false)}, false
 	}
 	if x.rest != nil {
-		defer sent.passOn(c, x)()
+		defer sent.streamBody(c, x)()
 	}
-	r := readers.Get().(*reader)
-	defer r.put()
+	r := responseReaders.Get().(*responseReader)
+	defer r.release()
 	r.buf.Reset(c)
-	a, err := r.answer()
+	a, err := r.readResponse()
 	if err != nil {
-		return result{code: x.flight.broken(err, sent.whole.Load())}, false
+		return Result{Code: x.Lifetime.failureCode(err, sent.complete.Load())}, false
 	}
-	if a.rest != nil {
-		if err := x.pass(c, a); err != nil {
-			if errors.Is(err, errClient) {
-				return result{code: policy.Cancelled}, false
+	if a.remaining != nil {
+		if err := x.streamResponse(c, a); err != nil {
+			if errors.Is(err, ErrClientGone) {
+				return Result{Code: policy.Cancelled}, false
 			}
-			return result{code: x.flight.broken(err, true)}, false
+			return Result{Code: x.Lifetime.failureCode(err, true)}, false
 		}
 	}
-	reusable := a.kept && r.buf.Buffered() == 0 && (x.rest == nil || x.rest.whole.Load())
-	res := result{code: policy.ServerError, report: loadReport(a.head.Get("X-Load"), u.reportNames())}
+	reusable := a.keepAlive && r.buf.Buffered() == 0 && (x.rest == nil || x.rest.whole.Load())
+	res := Result{Code: policy.ServerError, LoadReport: parseLoadReport(a.head.Get("X-Load"), u.reportFields())}
 	switch a.status {
 	case http.StatusOK:
-		res.code, res.answer = policy.OK, a.answer
+		res.Code, res.Response = policy.OK, a.answer
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if a.head.Get("X-Not-Run") == "1" { // without it, it may have run
-			res.code = policy.Overloaded
+			res.Code = policy.Overloaded
 		}
 	}
 	return res, reusable
 }
 
-// pass hands over an answer that is passed on as it comes, and waits until it is over.
-func (x outgoing) pass(c *conn, a incoming) error {
-	d := newDownload(a.rest, x.flight.stop)
+// streamResponse hands over an answer that is passed on as it comes, and waits until it is over.
+func (x Attempt) streamResponse(c *serverConn, a response) error {
+	d := newResponseStream(a.remaining, x.Lifetime.cancelWith)
 	first := a.answer
 	first.rest = d
-	over := x.flight.ends()
+	over := x.Lifetime.done()
 	x.begin(first)
 	select {
 	case err := <-d.done:
@@ -470,25 +470,25 @@
 	case <-over:
 		c.Close()
 		if d.abandon() {
-			return errTimeUp // or called off; the flight knows
+			return errAttemptTimeout // or called off; the flight knows
 		}
 		return <-d.done
 	}
 }
 
-// sending is a request on its way to a server.
-type sending struct {
-	relayed *metrics.Counter
-	whole   atomic.Bool // its last byte is written: the server may have begun it
+// requestWriter is a request on its way to a server.
+type requestWriter struct {
+	requestsSent *metrics.Counter
+	complete     atomic.Bool // its last byte is written: the server may have begun it
 }
 
-// write writes x: all of it, or as much as is kept.
-func (s *sending) write(c *conn, x outgoing) error {
-	b := requests.Get().(*[]byte)
-	defer requests.Put(b)
+// writeBuffered writes x: all of it, or as much as is kept.
+func (s *requestWriter) writeBuffered(c *serverConn, x Attempt) error {
+	b := requestBuffers.Get().(*[]byte)
+	defer requestBuffers.Put(b)
 	*b = x.appendHead((*b)[:0])
 	var err error
-	if x.unsized() {
+	if x.isChunked() {
 		if _, err = c.Write(*b); err == nil {
 			_, err = http1.ChunkWriter{Conn: c}.Write(x.body)
 		}
@@ -496,48 +496,48 @@
 		*b, err = http1.WriteMessage(c, *b, x.body)
 	}
 	if err == nil && x.rest == nil {
-		s.finish()
+		s.markComplete()
 	}
 	return err
 }
 
-func (s *sending) finish() {
-	s.whole.Store(true)
-	s.relayed.Inc()
+func (s *requestWriter) markComplete() {
+	s.complete.Store(true)
+	s.requestsSent.Inc()
 }
 
-// unsized tells whether x goes on in chunks.
-func (x outgoing) unsized() bool { return x.rest != nil && x.length < 0 }
+// isChunked tells whether x goes on in chunks.
+func (x Attempt) isChunked() bool { return x.rest != nil && x.length < 0 }
 
-// passOn writes the rest of x as it comes, while the answer is read. The returned function ends that: where
+// streamBody writes the rest of x as it comes, while the answer is read. The returned function ends that: where
 // nothing of the rest was taken by then, nothing will be.
-func (s *sending) passOn(c *conn, x outgoing) (end func()) {
-	from := &rest{upload: x.rest, silence: time.AfterFunc(peerSilence, func() { x.flight.stop(errTimeUp) })}
+func (s *requestWriter) streamBody(c *serverConn, x Attempt) (end func()) {
+	from := &bodyReader{upload: x.rest, stallTimer: time.AfterFunc(stallTimeout, func() { x.Lifetime.cancelWith(errAttemptTimeout) })}
 	go func() {
 		to := io.Writer(c.Conn)
-		if x.unsized() {
+		if x.isChunked() {
 			to = http1.ChunkWriter{Conn: c}
 		}
 		block := http1.GetCopyBuffer()
 		defer http1.PutCopyBuffer(block)
 		_, err := io.CopyBuffer(struct{ io.Writer }{to}, from, block[:])
-		if err == nil && x.unsized() {
+		if err == nil && x.isChunked() {
 			_, err = io.WriteString(c, http1.LastChunk)
 		}
 		switch {
 		case err == nil:
-			s.finish()
-		case from.failed: // where it is the server that takes no more, its answer may still come
-			x.flight.stop(errTimeUp)
+			s.markComplete()
+		case from.clientFailed: // where it is the server that takes no more, its answer may still come
+			x.Lifetime.cancelWith(errAttemptTimeout)
 		}
 	}()
-	return from.revoke
+	return from.close
 }
 
-var requests = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
+var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
 
 // appendHead writes the head of the copy of x that a server gets; nothing is added in the client's name.
-func (x outgoing) appendHead(b []byte) []byte {
+func (x Attempt) appendHead(b []byte) []byte {
 	b = append(b, x.method...)
 	b = append(b, ' ')
 	b = append(b, x.path...)
@@ -547,7 +547,7 @@
 	b = http1.AppendField(b, "Idempotency-Key", x.key)
 	b = http1.AppendField(b, "Content-Type", x.contentType)
 	b = append(b, "\r\nX-Deadline-Ms: "...)
-	b = strconv.AppendInt(b, max(1, x.waits.Milliseconds()), 10)
+	b = strconv.AppendInt(b, max(1, x.Timeout.Milliseconds()), 10)
 	length := int64(len(x.body))
 	if x.rest != nil {
 		length = x.length
@@ -559,29 +559,29 @@
 	return b
 }
 
-// reader reads a server's answers. An idle connection has none.
-type reader struct {
+// responseReader reads a server's answers. An idle connection has none.
+type responseReader struct {
 	buf  *bufio.Reader
 	head http1.HeadReader
 }
 
-var readers = sync.Pool{New: func() any { return &reader{buf: bufio.NewReader(nil)} }}
+var responseReaders = sync.Pool{New: func() any { return &responseReader{buf: bufio.NewReader(nil)} }}
 
-func (r *reader) put() {
+func (r *responseReader) release() {
 	r.buf.Reset(nil)
-	readers.Put(r)
+	responseReaders.Put(r)
 }
 
-// incoming is a server's answer.
-type incoming struct {
+// response is a server's answer.
+type response struct {
 	answer
-	rest io.Reader // what of the body is to be passed on as it comes; nil for nothing
-	kept bool      // its connection
-	head *http1.Head
+	remaining io.Reader // what of the body is to be passed on as it comes; nil for nothing
+	keepAlive bool      // its connection
+	head      *http1.Head
 }
 
-// answer reads the head of the final answer, and its body unless that is long and good.
-func (r *reader) answer() (a incoming, err error) {
+// readResponse reads the head of the final answer, and its body unless that is long and good.
+func (r *responseReader) readResponse() (a response, err error) {
 	var h *http1.Head
 	for a.status < http.StatusOK { // interim answers come before it
 		if h, err = r.head.Read(r.buf, http1.MaxHeadBytes); err != nil {
@@ -590,11 +590,11 @@
 			}
 			return a, err
 		}
-		minor, status, err := statusLine(h.FirstLine)
+		minor, status, err := parseStatusLine(h.FirstLine)
 		if err != nil {
 			return a, err
 		}
-		a.status, a.kept = status, minor == 1
+		a.status, a.keepAlive = status, minor == 1
 		if status == http.StatusSwitchingProtocols { // nobody asked for that
 			return a, http1.ErrMalformedHead
 		}
@@ -605,7 +605,7 @@
 		return a, err
 	}
 	a.contentType, a.length = h.Get("Content-Type"), f.Length
-	a.kept = (a.kept || f.KeepAlive) && !f.Close
+	a.keepAlive = (a.keepAlive || f.KeepAlive) && !f.Close
 	var body io.Reader
 	switch {
 	case a.status == http.StatusNoContent || a.status == http.StatusNotModified || f.Length == 0:
@@ -615,16 +615,16 @@
 	case f.Length > 0:
 		body = &http1.SizedBody{Reader: r.buf, Remaining: f.Length}
 	default: // it ends with the connection
-		body, a.kept = r.buf, false
+		body, a.keepAlive = r.buf, false
 	}
-	return a, a.read(body)
+	return a, a.readBody(body)
 }
 
-// read takes in a body up to what is kept of a good answer.
-func (a *incoming) read(body io.Reader) (err error) {
+// readBody takes in a body up to what is kept of a good answer.
+func (a *response) readBody(body io.Reader) (err error) {
 	switch {
 	case a.length > http1.MaxBufferedBodyBytes && a.status == http.StatusOK:
-		a.body = make([]byte, answerStart)
+		a.body = make([]byte, StreamStartBytes)
 		_, err = io.ReadFull(body, a.body)
 	case a.length >= 0 && a.length <= http1.MaxBufferedBodyBytes:
 		a.body = make([]byte, a.length)
@@ -635,14 +635,14 @@
 			return nil
 		}
 	}
-	if a.rest = body; a.status != http.StatusOK { // nobody wants it
-		a.rest, a.kept = nil, false
+	if a.remaining = body; a.status != http.StatusOK { // nobody wants it
+		a.remaining, a.keepAlive = nil, false
 	}
 	return err
 }
 
-// statusLine reads the first line of an answer.
-func statusLine(line string) (minor, status int, err error) {
+// parseStatusLine reads the first line of an answer.
+func parseStatusLine(line string) (minor, status int, err error) {
 	version, line, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(line, " ")
 	minor, ok := http1.ParseVersion(version)
@@ -653,105 +653,105 @@
 	return minor, status, nil
 }
 
-// flight is the time of one attempt: it ends when that is due, or is called off. Its methods may be called
+// Lifetime is the time of one attempt: it ends when that is due, or is called off. Its methods may be called
 // from any goroutine.
-type flight struct {
-	mu     sync.Mutex
-	due    time.Time // zero for none
-	cause  error     // why it was ended early
-	conn   net.Conn  // while the attempt has one
-	cancel func()    // of the dialling
-	over   chan struct{}
+type Lifetime struct {
+	mu         sync.Mutex
+	deadline   time.Time // zero for none
+	cause      error     // why it was ended early
+	conn       net.Conn  // while the attempt has one
+	cancelDial func()    // of the dialling
+	ended      chan struct{}
 }
 
-// bound sets when the attempt is to end; zero for never.
-func (f *flight) bound(due time.Time) {
+// SetDeadline sets when the attempt is to end; zero for never.
+func (f *Lifetime) SetDeadline(due time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.due = due; f.conn != nil && f.cause == nil {
+	if f.deadline = due; f.conn != nil && f.cause == nil {
 		_ = f.conn.SetDeadline(due)
 	}
 }
 
-// stop ends the attempt. The first cause stands.
-func (f *flight) stop(cause error) {
+// cancelWith ends the attempt. The first cause stands.
+func (f *Lifetime) cancelWith(cause error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.end(cause)
+	f.endLocked(cause)
 }
 
-// ground ends the attempt if it has no connection: nothing of it is written then.
-func (f *flight) ground() {
+// CancelUnlessConnected ends the attempt if it has no connection: nothing of it is written then.
+func (f *Lifetime) CancelUnlessConnected() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.conn == nil {
-		f.end(context.Canceled)
+		f.endLocked(context.Canceled)
 	}
 }
 
-func (f *flight) end(cause error) {
+func (f *Lifetime) endLocked(cause error) {
 	if f.cause != nil {
 		return
 	}
 	f.cause = cause
-	if f.cancel != nil {
-		f.cancel()
+	if f.cancelDial != nil {
+		f.cancelDial()
 	}
 	if f.conn != nil {
 		_ = f.conn.SetDeadline(time.Unix(1, 0))
 	}
-	if f.over != nil {
-		close(f.over)
+	if f.ended != nil {
+		close(f.ended)
 	}
 }
 
-// dials notes how to end the dialling, and returns when it is due to end.
-func (f *flight) dials(cancel func()) (due time.Time) {
+// startDial notes how to end the dialling, and returns when it is due to end.
+func (f *Lifetime) startDial(cancel func()) (due time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.cancel = cancel; f.cause != nil {
+	if f.cancelDial = cancel; f.cause != nil {
 		cancel()
 	}
-	return f.due
+	return f.deadline
 }
 
-// board takes the connection that the attempt goes over; one that has been stopped gets none.
-func (f *flight) board(c net.Conn) error {
+// attach takes the connection that the attempt goes over; one that has been stopped gets none.
+func (f *Lifetime) attach(c net.Conn) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cancel = nil
+	f.cancelDial = nil
 	if f.cause != nil {
 		return f.cause
 	}
 	f.conn = c
-	return c.SetDeadline(f.due)
+	return c.SetDeadline(f.deadline)
 }
 
-// land gives up the connection, and tells whether it may serve others: the flight was not stopped.
-func (f *flight) land() bool {
+// detach gives up the connection, and tells whether it may serve others: the flight was not stopped.
+func (f *Lifetime) detach() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conn = nil
 	return f.cause == nil
 }
 
-// ends returns what is closed once the attempt is stopped.
-func (f *flight) ends() <-chan struct{} {
+// done returns what is closed once the attempt is stopped.
+func (f *Lifetime) done() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.over = make(chan struct{}); f.cause != nil {
-		close(f.over)
+	if f.ended = make(chan struct{}); f.cause != nil {
+		close(f.ended)
 	}
-	return f.over
+	return f.ended
 }
 
-// broken names the outcome of an attempt that brought no answer. One whose last byte was never
+// failureCode names the outcome of an attempt that brought no answer. One whose last byte was never
 // written can't have run, also where its time is up; when unsure, it may have run.
-func (f *flight) broken(err error, mayRun bool) policy.Code {
+func (f *Lifetime) failureCode(err error, mayRun bool) policy.Code {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case f.cause != nil && f.cause != errTimeUp:
+	case f.cause != nil && f.cause != errAttemptTimeout:
 		return policy.Cancelled
 	case !mayRun:
 		return policy.ConnectFailed
@@ -761,20 +761,20 @@
 	return policy.Reset
 }
 
-// loadReport reads `name=value,name=value` into the order of names; nil where there is none.
-func loadReport(text string, names []string) []float64 {
+// parseLoadReport reads `name=value,name=value` into the order of names; nil where there is none.
+func parseLoadReport(text string, names []string) []float64 {
 	if text == "" || len(names) == 0 {
 		return nil
 	}
-	row := make([]float64, len(names))
+	values := make([]float64, len(names))
 	for i, name := range names {
-		row[i] = math.NaN() // absent
+		values[i] = math.NaN() // absent
 		for _, pair := range strings.Split(text, ",") {
 			k, v, _ := strings.Cut(strings.TrimSpace(pair), "=")
 			if n, err := strconv.ParseFloat(v, 64); k == name && err == nil {
-				row[i] = n
+				values[i] = n
 			}
 		}
 	}
-	return row
+	return values
 }
--- a/internal/node/upstream_test.go
+++ b/internal/node/upstream_test.go
@@ -18,36 +18,36 @@
 	"sloerail/policy"
 )
 
-func testUpstream(t *testing.T, addrs ...string) *upstream {
+func testUpstream(t *testing.T, addrs ...string) *Transport {
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList(addrs...))
-	u := newUpstream(c, testSockets(200), newFigures(c.Settings.Classes))
-	u.update(discovery.Update{Kind: policy.ListCached, Endpoints: c.Known.Endpoints})
-	t.Cleanup(u.close)
+	u := NewTransport(c, testSockets(200), newFigures(c.Settings.Classes))
+	u.UpdateEndpoints(discovery.Update{Kind: policy.ListCached, Endpoints: c.Known.Endpoints})
+	t.Cleanup(u.CloseIdle)
 	return u
 }
 
-func ended(t *testing.T, u *upstream, x *exchange) result {
+func ended(t *testing.T, u *Transport, x *exchange) Result {
 	t.Helper()
-	return u.attempt("s0", outgoing{exchange: x, waits: nodetest.Timeout, flight: &flight{due: time.Now().Add(nodetest.Timeout)}})
+	return u.Do("s0", Attempt{exchange: x, Timeout: nodetest.Timeout, Lifetime: &Lifetime{deadline: time.Now().Add(nodetest.Timeout)}})
 }
 
-func (u *upstream) counts(id string) (open, idle int) {
+func (u *Transport) counts(id string) (open, idle int) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if p := u.pools[id]; p != nil {
 		idle = len(p.idle)
 	}
-	return u.open, idle
+	return u.openConns, idle
 }
 
 // sinceUsed has all idle connections end their last answer so long ago.
-func (u *upstream) sinceUsed(ago time.Duration) {
+func (u *Transport) sinceUsed(ago time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	for _, p := range u.pools {
 		for _, c := range p.idle {
-			c.used = time.Now().Add(-ago)
+			c.lastUsed = time.Now().Add(-ago)
 		}
 	}
 }
@@ -79,11 +79,11 @@
 			}
 		})
 		r := ended(t, testUpstream(t, addr), testExchange(http.MethodGet, "r1", ""))
-		if r.code != c.want || sent.Load() != 1 {
-			t.Errorf("%.60q: code %v after %d requests, want %v after 1", c.answer, r.code, sent.Load(), c.want)
+		if r.Code != c.want || sent.Load() != 1 {
+			t.Errorf("%.60q: code %v after %d requests, want %v after 1", c.answer, r.Code, sent.Load(), c.want)
 		}
-		if c.want == policy.OK && string(r.answer.body) != "ok" {
-			t.Errorf("%.60q: body %q", c.answer, r.answer.body)
+		if c.want == policy.OK && string(r.Response.body) != "ok" {
+			t.Errorf("%.60q: body %q", c.answer, r.Response.body)
 		}
 	}
 }
@@ -96,8 +96,8 @@
 	addr := ln.Addr().String()
 	ln.Close()
 	u := testUpstream(t, addr)
-	if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.code != policy.ConnectFailed {
-		t.Errorf("code %v", r.code)
+	if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.Code != policy.ConnectFailed {
+		t.Errorf("code %v", r.Code)
 	}
 	if open, _ := u.counts("s0"); open != 0 {
 		t.Errorf("%d connections are still counted", open)
@@ -118,12 +118,12 @@
 			}
 		})
 		u := testUpstream(t, addr)
-		if r := ended(t, u, testExchange(method, "r1", "")); r.code != policy.OK {
-			t.Fatalf("%s: first code %v", method, r.code)
+		if r := ended(t, u, testExchange(method, "r1", "")); r.Code != policy.OK {
+			t.Fatalf("%s: first code %v", method, r.Code)
 		}
-		u.sinceUsed(answerRest)
-		if r := ended(t, u, testExchange(method, "r2", "")); r.code != policy.Reset {
-			t.Errorf("%s: code %v, want a reset", method, r.code)
+		u.sinceUsed(minReuseDelay)
+		if r := ended(t, u, testExchange(method, "r2", "")); r.Code != policy.Reset {
+			t.Errorf("%s: code %v, want a reset", method, r.Code)
 		}
 		if conns.Load() != 1 || requests.Load() != 2 {
 			t.Errorf("%s: %d connections, %d requests; want 1 and 2", method, conns.Load(), requests.Load())
@@ -160,20 +160,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		made := newConn(&halfConn{tcp, c.left}, p)
-		made.used = time.Now().Add(-answerRest)
-		p.idle, u.open = []*conn{made}, 1
+		made := newServerConn(&halfConn{tcp, c.left}, p)
+		made.lastUsed = time.Now().Add(-minReuseDelay)
+		p.idle, u.openConns = []*serverConn{made}, 1
 		x := testExchange(http.MethodPost, "r1", strings.Repeat("b", c.body))
-		if r := ended(t, u, x); r.code != policy.ConnectFailed {
-			t.Errorf("%+v: code %v, want could not connect", c, r.code)
+		if r := ended(t, u, x); r.Code != policy.ConnectFailed {
+			t.Errorf("%+v: code %v, want could not connect", c, r.Code)
 		}
 	}
 }
 
 func TestTimeOutAndCancelCloseTheConnection(t *testing.T) {
-	for want, end := range map[policy.Code]func(*flight){
-		policy.TimedOut:  func(f *flight) { f.bound(time.Now()) },
-		policy.Cancelled: func(f *flight) { f.stop(context.Canceled) },
+	for want, end := range map[policy.Code]func(*Lifetime){
+		policy.TimedOut:  func(f *Lifetime) { f.SetDeadline(time.Now()) },
+		policy.Cancelled: func(f *Lifetime) { f.cancelWith(context.Canceled) },
 	} {
 		got, closed := make(chan struct{}), make(chan struct{})
 		addr := rawServer(t, func(_ net.Conn, r *bufio.Reader) {
@@ -183,15 +183,15 @@
 			close(closed)
 		})
 		u := testUpstream(t, addr)
-		f := &flight{due: time.Now().Add(nodetest.Timeout)}
-		done := make(chan result, 1)
+		f := &Lifetime{deadline: time.Now().Add(nodetest.Timeout)}
+		done := make(chan Result, 1)
 		go func() {
-			done <- u.attempt("s0", outgoing{exchange: testExchange(http.MethodGet, "r1", ""), waits: nodetest.Timeout, flight: f})
+			done <- u.Do("s0", Attempt{exchange: testExchange(http.MethodGet, "r1", ""), Timeout: nodetest.Timeout, Lifetime: f})
 		}()
 		nodetest.Receive(t, "the request", got)
 		end(f)
-		if r := nodetest.Receive(t, "the outcome", done); r.code != want {
-			t.Errorf("code %v, want %v", r.code, want)
+		if r := nodetest.Receive(t, "the outcome", done); r.Code != want {
+			t.Errorf("code %v, want %v", r.Code, want)
 		}
 		nodetest.Receive(t, "the close", closed)
 		if open, idle := u.counts("s0"); open != 0 || idle != 0 {
@@ -211,8 +211,8 @@
 		got <- r
 	})
 	r := ended(t, testUpstream(t, addr), testExchange(http.MethodPost, "r1", "hello"))
-	if r.code != policy.OK {
-		t.Fatalf("code %v", r.code)
+	if r.Code != policy.OK {
+		t.Fatalf("code %v", r.Code)
 	}
 	req := <-got
 	if req.Method != "POST" || req.RequestURI != "/api?q=a%20b" || req.Host != "origin.svc" || body.Load() != "hello" {
@@ -235,21 +235,21 @@
 	u := testUpstream(t, addr)
 	for i := range 3 {
 		ended(t, u, testExchange(http.MethodGet, fmt.Sprint("r", i), ""))
-		u.sinceUsed(answerRest)
+		u.sinceUsed(minReuseDelay)
 	}
 	if n := conns.Load(); n != 1 {
 		t.Errorf("%d connections for three requests in turn", n)
 	}
-	u.sweep(time.Now().Add(u.idleFor - time.Second))
+	u.CloseExpired(time.Now().Add(u.idleTimeout - time.Second))
 	if _, idle := u.counts("s0"); idle != 1 {
 		t.Errorf("%d idle connections before their time is up, want 1", idle)
 	}
-	u.sweep(time.Now().Add(u.idleFor + time.Second))
+	u.CloseExpired(time.Now().Add(u.idleTimeout + time.Second))
 	if open, idle := u.counts("s0"); open != 0 || idle != 0 {
 		t.Errorf("%d open, %d idle after the sweep", open, idle)
 	}
-	if u.idleFor > 30*time.Second {
-		t.Errorf("idle connections are kept for %v, too near the settings' 60 s", u.idleFor)
+	if u.idleTimeout > 30*time.Second {
+		t.Errorf("idle connections are kept for %v, too near the settings' 60 s", u.idleTimeout)
 	}
 }
 
@@ -266,10 +266,10 @@
 		u.mu.Lock()
 		defer u.mu.Unlock()
 		idle := u.pools["s0"].idle
-		return len(idle) == 0 || !idle[0].open()
+		return len(idle) == 0 || !idle[0].isUsable()
 	})
-	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.code != policy.OK {
-		t.Errorf("code %v", r.code)
+	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.Code != policy.OK {
+		t.Errorf("code %v", r.Code)
 	}
 }
 
@@ -278,22 +278,22 @@
 	slow := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 	fast := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	u := testUpstream(t, fast, slow)
-	u.most = 1
-	if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.code != policy.OK {
-		t.Fatalf("code %v", r.code)
+	u.maxConns = 1
+	if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.Code != policy.OK {
+		t.Fatalf("code %v", r.Code)
 	}
 	// The idle connection to the first server makes room for one to the second.
-	done := make(chan result, 1)
+	done := make(chan Result, 1)
 	go func() {
-		done <- u.attempt("s1", outgoing{exchange: testExchange(http.MethodGet, "r2", ""), waits: nodetest.Timeout, flight: new(flight)})
+		done <- u.Do("s1", Attempt{exchange: testExchange(http.MethodGet, "r2", ""), Timeout: nodetest.Timeout, Lifetime: new(Lifetime)})
 	}()
 	nodetest.Await(t, "the eviction", func() bool { open, idle := u.counts("s0"); return open == 1 && idle == 0 })
-	if r := ended(t, u, testExchange(http.MethodGet, "r3", "")); r.code != policy.ConnectFailed {
-		t.Errorf("code %v beyond the limit, want could not connect", r.code)
+	if r := ended(t, u, testExchange(http.MethodGet, "r3", "")); r.Code != policy.ConnectFailed {
+		t.Errorf("code %v beyond the limit, want could not connect", r.Code)
 	}
 	close(hold)
-	if r := nodetest.Receive(t, "the slow answer", done); r.code != policy.OK {
-		t.Errorf("code %v", r.code)
+	if r := nodetest.Receive(t, "the slow answer", done); r.Code != policy.OK {
+		t.Errorf("code %v", r.Code)
 	}
 }
 
@@ -316,7 +316,7 @@
 	} {
 		u := testUpstream(t, addr)
 		ended(t, u, testExchange(http.MethodGet, "r1", ""))
-		u.update(c.n)
+		u.UpdateEndpoints(c.n)
 		if open, _ := u.counts("s0"); open != c.want {
 			t.Errorf("%s: %d open, want %d", name, open, c.want)
 		}
@@ -325,13 +325,13 @@
 
 func TestReadsLoadReports(t *testing.T) {
 	names := []string{"util", "queue"}
-	if got := loadReport("inflight=7, queue=2,util=0.61", names); got[0] != 0.61 || got[1] != 2 {
+	if got := parseLoadReport("inflight=7, queue=2,util=0.61", names); got[0] != 0.61 || got[1] != 2 {
 		t.Errorf("got %v", got)
 	}
-	if got := loadReport("util=x,,=", names); !math.IsNaN(got[0]) || !math.IsNaN(got[1]) {
+	if got := parseLoadReport("util=x,,=", names); !math.IsNaN(got[0]) || !math.IsNaN(got[1]) {
 		t.Errorf("got %v", got)
 	}
-	if got := loadReport("", names); got != nil {
+	if got := parseLoadReport("", names); got != nil {
 		t.Errorf("got %v", got)
 	}
 }
