--- /dev/null
+++ b/internal/node/attempt.go
@@ -0,0 +1,102 @@
+package node
+
+import (
+	"errors"
+	"time"
+
+	"sloerail/policy"
+)
+
+// Result is how an attempt ended.
+type Result struct {
+	Code       policy.Code
+	Response   Response  // for policy.OK
+	LoadReport []float64 // in the order of TransportConfig.LoadReportFields, NaN where absent; nil for no report
+}
+
+// Attempt is one request to one server.
+type Attempt struct {
+	Request  *Request
+	Timeout  time.Duration // that the server hears it has for the response
+	Lifetime *Lifetime
+	Observer Observer
+}
+
+// Observer connects an attempt to its client. The goroutine that runs Transport.Do calls it.
+type Observer interface {
+	// ClientGone reports whether the client has left. It doesn't block.
+	ClientGone() bool
+	// NotSent hears that nothing was sent, since the client had left.
+	NotSent()
+	// ResponseStarted takes a response whose body is streamed. Do returns once its Stream was copied, or is closed.
+	ResponseStarted(Response)
+}
+
+// Do makes one attempt at a server, and returns when it has the complete response, the response was streamed, or the
+// Lifetime has ended.
+func (t *Transport) Do(server string, a Attempt) Result {
+	c, err := t.acquire(a.Lifetime, server)
+	if err != nil {
+		return Result{Code: a.Lifetime.failureCode(err, false)}
+	}
+	if a.Observer.ClientGone() {
+		a.Lifetime.detach()
+		t.release(c, server, true)
+		a.Observer.NotSent()
+		return Result{Code: policy.Cancelled}
+	}
+	result, reusable := t.roundTrip(c, a)
+	t.release(c, server, a.Lifetime.detach() && reusable)
+	return result
+}
+
+// roundTrip writes the request to c and reads the response. It reports whether c can serve another request then.
+func (t *Transport) roundTrip(c *serverConn, a Attempt) (_ Result, reusable bool) {
+	w := &requestWriter{requestsSent: t.requestsSent}
+	if err := w.writeBuffered(c, a); err != nil {
+		return Result{Code: a.Lifetime.failureCode(err, false)}, false
+	}
+	if a.Request.Stream != nil {
+		defer w.streamBody(c, a)()
+	}
+	r := acquireResponseReader(c)
+	defer r.release()
+	resp, err := r.readResponse()
+	if err != nil {
+		return Result{Code: a.Lifetime.failureCode(err, w.complete.Load())}, false
+	}
+	if resp.remaining != nil {
+		err := streamResponse(c, a, resp)
+		if errors.Is(err, ErrClientGone) {
+			return Result{Code: policy.Cancelled}, false
+		}
+		if err != nil {
+			return Result{Code: a.Lifetime.failureCode(err, true)}, false
+		}
+	}
+	reusable = resp.keepAlive && r.buf.Buffered() == 0 && (a.Request.Stream == nil || a.Request.Stream.Complete())
+	result := Result{Code: resp.outcome(), LoadReport: resp.loadReport(t.loadReportFields())}
+	if result.Code == policy.OK {
+		result.Response = resp.Response
+	}
+	return result, reusable
+}
+
+// streamResponse hands over a response whose body is streamed, and waits until that has ended.
+func streamResponse(c *serverConn, a Attempt, resp response) error {
+	stream := newResponseStream(resp.remaining, a.Lifetime.cancelWith)
+	started := resp.Response
+	started.Stream = stream
+	cancelled := a.Lifetime.done()
+	a.Observer.ResponseStarted(started)
+	select {
+	case err := <-stream.done:
+		return err
+	case <-cancelled:
+		closeQuietly(c)
+		if stream.abandon() {
+			return errAttemptTimeout // whatever the cause was: the Lifetime has it
+		}
+		return <-stream.done
+	}
+}
--- /dev/null
+++ b/internal/node/attempts.go
@@ -0,0 +1,35 @@
+package node
+
+// newTransport makes the node's connections to servers.
+func newTransport(c Config, shared *Descriptors, fig *figures) *Transport {
+	return NewTransport(c.transportConfig(), shared, fig.relayed)
+}
+
+// transportConfig is the part of the configuration that is about connections to servers.
+func (c Config) transportConfig() TransportConfig {
+	return TransportConfig{Dial: c.dialer(c.ConnectTimeout), IdleTimeout: c.Settings.Allowed.IdleTimeout,
+		LoadReportFields: c.Settings.ReportFields, RetainMissing: c.Settings.RetainMissing}
+}
+
+// attemptObserver hands the loop what happens during an attempt.
+type attemptObserver struct {
+	loop    *loop
+	request *request
+	attempt int // its number
+}
+
+// ClientGone reports whether the client has left.
+func (o *attemptObserver) ClientGone() bool { return o.request.clientLeft() }
+
+// NotSent has the loop end a request whose client has left.
+func (o *attemptObserver) NotSent() { o.loop.send(uploaded{o.request.exchange, ErrClientGone}) }
+
+// ResponseStarted has the loop give the client a response that is still coming.
+func (o *attemptObserver) ResponseStarted(r Response) {
+	o.loop.send(begun{o.request, o.attempt, forwardedAnswer(r)})
+}
+
+// forwardedAnswer is what a client gets of a server's response.
+func forwardedAnswer(r Response) answer {
+	return answer{status: r.Status, contentType: r.ContentType, body: r.Body, rest: r.Stream, length: r.Length}
+}
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -105,8 +105,8 @@
 		}
 		defer ln.Close()
 		addrs = append(addrs, ln.Addr().String())
-		go acceptRaw(ln, func(c net.Conn, r *bufio.Reader) {
-			for swallow(r) {
+		go nodetest.AcceptRaw(ln, func(c net.Conn, r *bufio.Reader) {
+			for nodetest.ReadRequest(r) {
 				if _, err := io.WriteString(c, benchAnswer); err != nil {
 					return
 				}
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -9,14 +9,11 @@
 	"sync"
 	"sync/atomic"
 	"time"
-
-	"sloerail/internal/node/http1"
 )
 
 const (
-	maxTransfer      = 32 << 20 // bytes of a request's body
-	firstPart        = 16 << 10 // of a body known to be over maxBody is read before a server is asked for
-	StreamStartBytes = 4 << 10  // of an answer that says it is over maxBody has to come before it counts as begun
+	maxTransfer = 32 << 20 // bytes of a request's body
+	firstPart   = 16 << 10 // of a body known to be over maxBody is read before a server is asked for
 
 	// A request may take wholeTimeout from its first byte, or from the connect. Its body may take longer
 	// while it comes at the pace of slowestBody, and bodySlack. Who sends half a request, or drips, is so
@@ -25,16 +22,13 @@
 	bodySlack    = 600 * time.Millisecond
 	slowestBody  = 51_200 // bytes a second: four fifths of what clients may be counted on to send
 
-	stallTimeout       = 5 * time.Second  // of a server in the middle of a body, either way
-	clientWriteTimeout = 10 * time.Second // for a client to take one block
-	lingerFor          = 2 * time.Second  // after an early answer, for the client to stop sending and read it
-	clientBuffer       = 64 << 10         // bytes in the kernel for a slow client, so that its progress is seen
+	lingerFor    = 2 * time.Second // after an early answer, for the client to stop sending and read it
+	clientBuffer = 64 << 10        // bytes in the kernel for a slow client, so that its progress is seen
 )
 
 var (
-	errAttemptTimeout = errors.New("the attempt's time is up")
-	errAnswered       = errors.New("the client has its answer")
-	errTooLong        = errors.New("the body is over 32 MiB")
+	errAnswered = errors.New("the client has its answer")
+	errTooLong  = errors.New("the body is over 32 MiB")
 )
 
 // upload is the body of a client's request, read at the client's pace. One goroutine reads at a time:
@@ -129,58 +123,18 @@
 	}
 }
 
-// bodyReader is an attempt's view of an upload. The server has to keep taking what it brings.
-type bodyReader struct {
-	*upload
-	stallTimer   *time.Timer
-	clientFailed bool // the client's side did
-
-	mu     sync.Mutex
-	closed bool
-}
-
-func (r *bodyReader) Read(p []byte) (int, error) {
-	if !r.begin() {
-		return 0, errAnswered
-	}
-	n, err := r.upload.Read(p)
-	if err == nil {
-		r.mu.Lock()
-		defer r.mu.Unlock()
-		if !r.closed {
-			r.stallTimer.Reset(stallTimeout)
-		}
-		return n, nil
-	}
-	r.clientFailed = err != io.EOF
-	if r.ended != nil && !r.stopped.Load() {
-		if r.clientFailed {
-			r.ended(err)
-		} else {
-			r.ended(nil)
-		}
-	}
-	return n, err
-}
+// Begin hears that an attempt reads: the request can't be sent again from then on.
+func (u *upload) Begin() { u.begun.Store(true) }
 
-// begin begins to read, unless the attempt is over.
-func (r *bodyReader) begin() bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.stallTimer.Stop()
-	if !r.closed {
-		r.begun.Store(true)
+// End hears that an attempt can read nothing more.
+func (u *upload) End(err error) {
+	if u.ended != nil && !u.stopped.Load() {
+		u.ended(err)
 	}
-	return !r.closed
 }
 
-// close ends the attempt's reading; what it reads just now is the last.
-func (r *bodyReader) close() {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.closed = true
-	r.stallTimer.Stop()
-}
+// Complete reports whether all of the body was read.
+func (u *upload) Complete() bool { return u.whole.Load() }
 
 // uploadStatus is what a client gets whose body can't be taken.
 func uploadStatus(err error) (status int, problem string) {
@@ -193,62 +147,6 @@
 	return http.StatusBadRequest, "the body can't be read"
 }
 
-// ResponseStream is the part of a server's answer that is passed on as it comes.
-type ResponseStream struct {
-	body       io.Reader
-	stallTimer *time.Timer
-	state      atomic.Int32 // who has it: nobody, its client's connection, or nobody any more
-	done       chan error   // holds one: nil, or why the answer is not whole
-}
-
-const streamCopying, streamAbandoned = 1, 2
-
-// ErrClientGone marks a download that its client didn't take.
-var ErrClientGone = errors.New("the client has left")
-
-func newResponseStream(body io.Reader, cancel func(error)) *ResponseStream {
-	t := time.AfterFunc(stallTimeout, func() { cancel(errAttemptTimeout) })
-	t.Stop()
-	return &ResponseStream{body: body, stallTimer: t, done: make(chan error, 1)}
-}
-
-// abandon keeps a download that was not yet begun from being passed on, and tells whether it was so.
-func (d *ResponseStream) abandon() bool { return d.state.CompareAndSwap(0, streamAbandoned) }
-
-// CopyTo writes the rest of an answer to a client as it comes: a server may give the next piece only seconds
-// later.
-func (d *ResponseStream) CopyTo(to io.Writer, c net.Conn, first []byte) (err error) {
-	if !d.state.CompareAndSwap(0, streamCopying) {
-		return errAttemptTimeout
-	}
-	defer func() { d.done <- err }()
-	block := http1.GetCopyBuffer()
-	defer http1.PutCopyBuffer(block)
-	for piece := first; ; {
-		if err := c.SetWriteDeadline(time.Now().Add(clientWriteTimeout)); err != nil {
-			return errors.Join(ErrClientGone, err)
-		}
-		if _, err := to.Write(piece); err != nil {
-			return errors.Join(ErrClientGone, err)
-		}
-		d.stallTimer.Reset(stallTimeout)
-		n, err := d.body.Read(block[:])
-		d.stallTimer.Stop()
-		if piece = block[:n]; n > 0 {
-			if err != nil && err != io.EOF {
-				return err
-			}
-			continue
-		}
-		if err == io.EOF {
-			return nil
-		}
-		if err != nil {
-			return err
-		}
-	}
-}
-
 // under is the connection that a client's is made of.
 func under(c net.Conn) net.Conn {
 	for {
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -71,8 +71,8 @@
 // A small body or answer in single bytes is as good as one in a piece.
 func TestSingleBytesPass(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		server := rawServer(t, func(c net.Conn, r *bufio.Reader) {
-			if !swallow(r) {
+		server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
+			if !nodetest.ReadRequest(r) {
 				return
 			}
 			for _, b := range []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\ny\r\n2\r\nes\r\n0\r\n\r\n") {
@@ -122,8 +122,8 @@
 // An answer that says it is long and breaks off at once was never begun: another server is tried.
 func TestSpoiltLengthIsNotPassedOn(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		spoilt := rawServer(t, func(c net.Conn, r *bufio.Reader) {
-			if swallow(r) {
+		spoilt := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
+			if nodetest.ReadRequest(r) {
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*http1.MaxBufferedBodyBytes)
 			}
 		})
@@ -143,8 +143,8 @@
 		"length": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(part), part),
 		"chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(part), part),
 	} {
-		server := rawServer(t, func(c net.Conn, r *bufio.Reader) {
-			if swallow(r) {
+		server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
+			if nodetest.ReadRequest(r) {
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s", head)
 			}
 		})
@@ -183,13 +183,13 @@
 				_, _ = io.CopyN(io.Discard, r, firstPart+http1.MaxBufferedBodyBytes)
 			}, http.StatusServiceUnavailable, 1},
 			{"full after the last byte", func(c net.Conn, r *bufio.Reader) {
-				if swallow(r) {
+				if nodetest.ReadRequest(r) {
 					fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				}
 			}, http.StatusServiceUnavailable, 1},
 		} {
 			var conns atomic.Int32
-			server := rawServer(t, func(conn net.Conn, r *bufio.Reader) {
+			server := nodetest.RawServer(t, func(conn net.Conn, r *bufio.Reader) {
 				conns.Add(1)
 				c.first(conn, r)
 			})
@@ -352,8 +352,8 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		for _, size := range []int{5, 3 * http1.MaxBufferedBodyBytes} {
 			want := noise(size)
-			server := rawServer(t, func(c net.Conn, r *bufio.Reader) {
-				if swallow(r) {
+			server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
+				if nodetest.ReadRequest(r) {
 					_, _ = io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n")
 					_, _ = c.Write(want)
 				}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -6,7 +6,6 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"sync/atomic"
 	"time"
 
 	"golang.org/x/net/netutil"
@@ -31,7 +30,7 @@
 // newControl makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
 // node of none.
 func newControl(l *loop, taking func() bool, fleet *membership) *control {
-	c := &control{peers: newPeers(func() int { return controlSockets / 2 }, new(atomic.Int64), func() {})}
+	c := &control{peers: newPeers(func() int { return controlSockets / 2 }, func(int) {}, func() {})}
 	mux := http.NewServeMux()
 	mux.HandleFunc(http.MethodGet+" "+healthPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !taking() {
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -252,23 +252,6 @@
 	}
 }
 
-// holdingServer reads requests whole, tells of each, and holds its answer until the test lets go.
-func holdingServer(t *testing.T) (addr string, got <-chan string, letGo func()) {
-	t.Helper()
-	all, released := make(chan string, 100), make(chan struct{})
-	letGo = sync.OnceFunc(func() { close(released) })
-	addr = nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
-		_, _ = io.Copy(io.Discard, r.Body)
-		all <- r.Header.Get("X-Request-Id")
-		select {
-		case <-released:
-		case <-r.Context().Done():
-		}
-	})
-	t.Cleanup(letGo)
-	return addr, all, letGo
-}
-
 // testClient is one connection to a node, as a client has it.
 type testClient struct {
 	nodetest.Conn
@@ -321,7 +304,7 @@
 // when the request came: else the client goes on using a connection for which no time is left.
 func TestAnswersOfAStoppingNodeEndTheirConnections(t *testing.T) {
 	t.Parallel()
-	server, got, letGo := holdingServer(t)
+	server, got, letGo := nodetest.HoldingServer(t)
 	node, l, drain := stopping(t, server)
 	clients := []*testClient{newTestClient(t, node), newTestClient(t, node)}
 	for i, c := range clients {
@@ -342,7 +325,7 @@
 // is no time to send it on, and its connection would be cut with no answer.
 func TestRequestAfterTheLastOnesFailedIsRefused(t *testing.T) {
 	t.Parallel()
-	server, got, letGo := holdingServer(t)
+	server, got, letGo := nodetest.HoldingServer(t)
 	node, l, drain := stopping(t, server)
 	failed, late := newTestClient(t, node), newTestClient(t, node)
 	failed.send("POST", "pay", "failed", "sum")
@@ -377,7 +360,7 @@
 	}
 	defer conn.Close()
 	var counted atomic.Int64
-	all := newPeers(func() int { return 10 }, &counted, func() {})
+	all := newPeers(func() int { return 10 }, func(n int) { counted.Store(int64(n)) }, func() {})
 	p := all.enter(conn)
 	all.become(p, http.StateActive)
 	all.end()
@@ -441,13 +424,8 @@
 
 // atRest tells whether a loop has no request and its connections to servers are idle.
 func (l *loop) atRest() bool {
-	l.up.mu.Lock()
-	defer l.up.mu.Unlock()
-	idle := 0
-	for _, p := range l.up.pools {
-		idle += len(p.idle)
-	}
-	return l.up.openConns == idle && l.fig.open.Load() == 0
+	open, idle := l.up.ConnCounts()
+	return open == idle && l.fig.open.Load() == 0
 }
 
 // A request whose client has left while it waited is not sent on 0.1 s later, whatever it waited for, however the
@@ -487,13 +465,11 @@
 	l, module := startLoop(t, server, m.answer)
 	dials, up := make(chan struct{}, 10), make(chan struct{})
 	if m.at == "a connection" {
-		l.up.mu.Lock()
-		l.up.dialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
+		l.dialWith(t, func(_ context.Context, network, addr string) (net.Conn, error) {
 			dials <- struct{}{}
 			<-up // it comes up late, whoever waits
 			return net.Dial(network, addr)
-		}
-		l.up.mu.Unlock()
+		})
 	}
 	node := serveAt(t, newServer(l))
 	if m.at == "the loop" {
@@ -576,7 +552,7 @@
 			first.send("GET", "read", "r0", "")
 			first.answered()
 			nodetest.Await(t, "rest", l.atRest)
-			l.up.sinceUsed(time.Second)
+			time.Sleep(reuseDelay)
 			warm.Store(true)
 			c := newTestClient(t, node)
 			c.send("GET", "read", "r1", "")
@@ -629,13 +605,11 @@
 				return nil
 			})
 			dials, up := make(chan struct{}, 10), make(chan struct{})
-			l.up.mu.Lock()
-			l.up.dialContext = func(_ context.Context, network, addr string) (net.Conn, error) {
+			l.dialWith(t, func(_ context.Context, network, addr string) (net.Conn, error) {
 				dials <- struct{}{}
 				<-up
 				return net.Dial(network, addr)
-			}
-			l.up.mu.Unlock()
+			})
 			c := newTestClient(t, serveAt(t, newServer(l)))
 			c.send("POST", "pay", "r1", "sum")
 			nodetest.Receive(t, "the dialling", dials)
@@ -661,33 +635,6 @@
 	}
 }
 
-// An attempt whose turn comes only after its server was told to leave is not written, over a kept connection either:
-// the module's choice may have waited for a processor for as long as the settings' grace.
-func TestAttemptBehindTheListIsNotSentToALeavingServer(t *testing.T) {
-	t.Parallel()
-	var got arrivals
-	addr := nodetest.HTTPServer(t, got.ServeHTTP)
-	u := testUpstream(t, addr)
-	if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.Code != policy.OK {
-		t.Fatalf("first code %v", r.Code)
-	}
-	if _, idle := u.counts("s0"); idle != 1 {
-		t.Fatalf("%d idle connections: nothing is tried", idle)
-	}
-	leaving := members(t, addr)
-	leaving[0].Availability = policy.Draining
-	u.UpdateEndpoints(discovery.Update{Kind: policy.ListUpdate, Endpoints: leaving})
-	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.Code != policy.ConnectFailed {
-		t.Errorf("code %v, want %v: it never ran", r.Code, policy.ConnectFailed)
-	}
-	if n := got.after(time.Time{}); n != 1 {
-		t.Errorf("the server got %d requests, want the one from before", n)
-	}
-	if open, idle := u.counts("s0"); open != idle {
-		t.Errorf("%d connections are counted, %d are idle", open, idle)
-	}
-}
-
 // hookedReads is a listener whose connections call a function before each read, with what they have read until then,
 // and one behind each read.
 type hookedReads struct {
@@ -806,7 +753,7 @@
 		for _, behind := range []int{0, 3, 4000, 300_000} {
 			t.Run(fmt.Sprint(class, " ", behind), func(t *testing.T) {
 				t.Parallel()
-				server, got, letGo := holdingServer(t)
+				server, got, letGo := nodetest.HoldingServer(t)
 				node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 				c := newTestClient(t, node)
 				var text strings.Builder
@@ -835,54 +782,6 @@
 	}
 }
 
-// A server's second answer to a request, late by some milliseconds, is not taken for the answer to the next one: a
-// connection rests after each answer, and what says something meanwhile is not used again.
-func TestLateSecondAnswerIsNoAnswer(t *testing.T) {
-	for name, late := range map[string]bool{"at the next request": true, "while it rests": false} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			var conns atomic.Int32
-			second := make(chan struct{})
-			addr := rawServer(t, func(c net.Conn, r *bufio.Reader) {
-				say := func(body string) { fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n%s", body) }
-				if conns.Add(1) > 1 {
-					swallow(r)
-					say("two")
-					return
-				}
-				swallow(r)
-				say("one")
-				if late {
-					swallow(r)
-				} else {
-					<-second
-				}
-				say("one")
-				_, _ = r.ReadByte()
-			})
-			u := testUpstream(t, addr)
-			if r := ended(t, u, testExchange(http.MethodGet, "r1", "")); r.Code != policy.OK || string(r.Response.body) != "one" {
-				t.Fatalf("first: code %v, %q", r.Code, r.Response.body)
-			}
-			if u.sinceUsed(-nodetest.Timeout); !late { // just used, however long this test waits
-				close(second)
-				nodetest.Await(t, "the second answer", func() bool {
-					u.mu.Lock()
-					defer u.mu.Unlock()
-					return !u.pools["s0"].idle[0].isUsable()
-				})
-				u.sinceUsed(time.Second)
-			}
-			if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.Code != policy.OK || string(r.Response.body) != "two" {
-				t.Errorf("next: code %v, %q", r.Code, r.Response.body)
-			}
-			if n := conns.Load(); n != 2 {
-				t.Errorf("%d connections, want 2", n)
-			}
-		})
-	}
-}
-
 // openConns counts the connections that a server holds.
 type openConns struct{ n atomic.Int32 }
 
@@ -890,7 +789,7 @@
 	return func(c net.Conn, r *bufio.Reader) {
 		o.n.Add(1)
 		defer o.n.Add(-1)
-		if swallow(r) {
+		if nodetest.ReadRequest(r) {
 			f(c)
 		}
 	}
@@ -912,7 +811,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var conns openConns
-			addr := rawServer(t, conns.serve(func(c net.Conn) {
+			addr := nodetest.RawServer(t, conns.serve(func(c net.Conn) {
 				_, err := io.WriteString(c, a.first)
 				if a.again == "" {
 					_, _ = io.Copy(io.Discard, c) // until the node hangs up
@@ -946,7 +845,7 @@
 func TestFloodOfAnAnswerEndsWithItsClient(t *testing.T) {
 	t.Parallel()
 	var conns openConns
-	addr := rawServer(t, conns.serve(func(c net.Conn) {
+	addr := nodetest.RawServer(t, conns.serve(func(c net.Conn) {
 		_, err := io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\n")
 		for err == nil {
 			_, err = c.Write(make([]byte, 1<<14))
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -488,9 +488,9 @@
 		own, over = h.c.ownBeside(), 0
 	}
 	h.mu.Unlock()
-	h.up.descriptors.total.Store(int64(max(minSideDivisor, sockets-own)))
+	h.up.Descriptors().SetTotal(sockets - own)
 	h.up.LiftLimit()
-	h.gate.resize(h.up.descriptors.MaxClients() + over)
+	h.gate.resize(h.up.Descriptors().MaxClients() + over)
 }
 
 // grant takes what the process before this one has let go of.
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -54,7 +54,7 @@
 		return &trafficConn{Conn: conn, traffic: h.traffic}, nil
 	}
 	fig := newFigures(c.Settings.Classes)
-	l, err := newLoop(c, clock{start: time.Now()}, NewTransport(c, new(Descriptors), fig), fig)
+	l, err := newLoop(c, clock{start: time.Now()}, newTransport(c, new(Descriptors), fig), fig)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -350,7 +350,7 @@
 // callOff ends what is out for r.
 func (r *request) callOff() {
 	for _, a := range r.attempts {
-		a.flight.cancelWith(context.Canceled)
+		a.flight.Cancel()
 	}
 }
 
@@ -365,7 +365,7 @@
 func (l *loop) begin(e begun) {
 	a := &e.r.attempts[e.n]
 	if e.r.ended {
-		a.flight.cancelWith(context.Canceled)
+		a.flight.Cancel()
 		return
 	}
 	a.flight.SetDeadline(time.Time{})
@@ -385,7 +385,7 @@
 		over = a.began
 	}
 	if e.Code == policy.OK && !e.r.ended {
-		l.answer(e.r, e.Result.Response)
+		l.answer(e.r, forwardedAnswer(e.Response))
 	}
 	l.tell(policy.Outcome{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Code: e.Code,
 		Latency: over - a.sent, RequestEnded: e.r.ended, BodyConsumed: e.r.spent(), LoadReport: e.LoadReport})
@@ -453,7 +453,7 @@
 		}
 	case policy.Cancel:
 		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].flight.cancelWith(context.Canceled)
+			r.attempts[a.Attempt].flight.Cancel()
 		}
 	case policy.SetAttemptDeadline:
 		if r := l.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
@@ -480,7 +480,7 @@
 	n := len(r.attempts)
 	r.pending++
 	if r.ended || now >= r.deadline || n >= max(1, l.allowed.MaxAttempts) || r.spent() {
-		r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: new(Lifetime)})
+		r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: NewLifetime(time.Time{})})
 		l.skipped = append(l.skipped, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotAttempted})
 		return
 	}
@@ -488,10 +488,9 @@
 	if a.AttemptDeadline > 0 {
 		until = min(until, a.AttemptDeadline)
 	}
-	f := &Lifetime{deadline: l.clock.at(until)}
+	f := NewLifetime(l.clock.at(until))
 	r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: f})
-	to := Attempt{exchange: r.exchange, Timeout: until - now, Lifetime: f,
-		begin: func(a answer) { l.send(begun{r, n, a}) }, left: func() { l.send(uploaded{r.exchange, ErrClientGone}) }}
+	to := Attempt{Request: &r.forwarded, Timeout: until - now, Lifetime: f, Observer: &attemptObserver{l, r, n}}
 	if r.req.Incomplete {
 		to.Timeout = r.clientWaits - r.margin()
 	}
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -74,7 +74,7 @@
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList(addr))
 	fig := newFigures(c.Settings.Classes)
-	up := NewTransport(c, testSockets(200), fig)
+	up := newTransport(c, testDescriptors(200), fig)
 	l, err := newLoop(c, clock{start: time.Now()}, up, fig)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -33,7 +33,7 @@
 	}
 	limitMemory(c, 1)
 	fig := newFigures(c.Settings.Classes)
-	up := NewTransport(c, shared, fig)
+	up := newTransport(c, shared, fig)
 	defer up.CloseIdle()
 	l, err := newLoop(c, ck, up, fig)
 	if err != nil {
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -5,7 +5,6 @@
 	"net"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 )
 
@@ -24,8 +23,8 @@
 // way to new ones once their part of the descriptors is used up.
 type peers struct {
 	most    func() int
-	counted *atomic.Int64 // how many there are
-	yield   func()        // asks for descriptors that others can do without
+	counted func(n int) // hears how many there are
+	yield   func()      // asks for descriptors that others can do without
 
 	mu     sync.Mutex
 	open   map[net.Conn]*peer
@@ -43,7 +42,7 @@
 	shed  bool
 }
 
-func newPeers(most func() int, counted *atomic.Int64, yield func()) *peers {
+func newPeers(most func() int, counted func(int), yield func()) *peers {
 	return &peers{most: most, counted: counted, yield: yield, open: make(map[net.Conn]*peer)}
 }
 
@@ -57,7 +56,7 @@
 	}
 	p := &peer{conn: c, state: http.StateNew, since: now, begun: now, over: len(s.open) >= s.most() && !s.shed(now)}
 	s.open[c] = p
-	s.counted.Store(int64(len(s.open)))
+	s.counted(len(s.open))
 	return p
 }
 
@@ -111,7 +110,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.open, c)
-	s.counted.Store(int64(len(s.open)))
+	s.counted(len(s.open))
 }
 
 // admit and follow are enter, become and leave as net/http calls them.
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -7,7 +7,6 @@
 	"net/http"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
@@ -102,7 +101,7 @@
 		"all in use":        {[]*peer{at(time.Minute, http.StateActive), at(time.Minute, http.StateActive)}, -1},
 		"for a moment only": {[]*peer{at(time.Second, http.StateIdle), at(time.Millisecond, http.StateNew)}, -1},
 	} {
-		s := newPeers(func() int { return len(c.open) }, new(atomic.Int64), func() {})
+		s := newPeers(func() int { return len(c.open) }, func(int) {}, func() {})
 		var ends []net.Conn
 		for _, p := range c.open {
 			mine, theirs := net.Pipe()
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -94,7 +94,7 @@
 // retune goes on by another configuration, all of it at once. Open requests keep their class.
 func (l *loop) retune(c Config) {
 	l.allowed, l.maxOpen = c.Settings.Allowed, c.MaxOpen
-	l.up.Configure(c)
+	l.up.Configure(c.transportConfig())
 	var names []string
 	for _, class := range c.Settings.Classes {
 		l.fig.class(class.Name)
--- /dev/null
+++ b/internal/node/response.go
@@ -0,0 +1,125 @@
+package node
+
+import (
+	"bufio"
+	"errors"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"sync"
+
+	"sloerail/internal/node/http1"
+)
+
+// StreamStartBytes is how much of the body of a response that is longer than http1.MaxBufferedBodyBytes has to come
+// before it counts as begun.
+const StreamStartBytes = 4 << 10
+
+// Response is what a client gets of a server's response.
+type Response struct {
+	Status      int
+	ContentType string
+	Body        []byte
+	Stream      *ResponseStream // what follows Body as it comes; nil for nothing
+	Length      int64           // of the complete body in bytes; -1 where it is unknown
+}
+
+// response is a server's response as it is read.
+type response struct {
+	Response
+	remaining io.Reader // what of the body is to be streamed; nil for nothing
+	keepAlive bool      // the connection goes on
+	head      *http1.Head
+}
+
+// responseReader reads responses. An idle connection has none.
+type responseReader struct {
+	buf   *bufio.Reader
+	heads http1.HeadReader
+}
+
+var responseReaders = sync.Pool{New: func() any { return &responseReader{buf: bufio.NewReader(nil)} }}
+
+func acquireResponseReader(from io.Reader) *responseReader {
+	r := responseReaders.Get().(*responseReader)
+	r.buf.Reset(from)
+	return r
+}
+
+func (r *responseReader) release() {
+	r.buf.Reset(nil)
+	responseReaders.Put(r)
+}
+
+// readResponse reads the head of the final response, and its body unless that is to be streamed.
+func (r *responseReader) readResponse() (resp response, err error) {
+	for resp.Status < http.StatusOK { // interim responses come before it
+		if resp.head, err = r.heads.Read(r.buf, http1.MaxHeadBytes); err != nil {
+			if errors.Is(err, io.EOF) {
+				err = io.ErrUnexpectedEOF
+			}
+			return resp, err
+		}
+		minor, status, err := parseStatusLine(resp.head.FirstLine)
+		if err != nil {
+			return resp, err
+		}
+		resp.Status, resp.keepAlive = status, minor == 1
+		if status == http.StatusSwitchingProtocols { // nobody asked for that
+			return resp, http1.ErrMalformedHead
+		}
+	}
+	f, err := resp.head.Framing()
+	if err != nil {
+		return resp, err
+	}
+	resp.ContentType, resp.Length = resp.head.Get("Content-Type"), f.Length
+	resp.keepAlive = (resp.keepAlive || f.KeepAlive) && !f.Close
+	var body io.Reader
+	switch {
+	case resp.Status == http.StatusNoContent || resp.Status == http.StatusNotModified || f.Length == 0:
+		return resp, nil
+	case f.Chunked:
+		body = http1.NewChunkedBody(r.buf)
+	case f.Length > 0:
+		body = &http1.SizedBody{Reader: r.buf, Remaining: f.Length}
+	default: // it ends with the connection
+		body, resp.keepAlive = r.buf, false
+	}
+	return resp, resp.readBody(body)
+}
+
+// readBody buffers a body of up to http1.MaxBufferedBodyBytes, and the start of a longer one.
+func (resp *response) readBody(body io.Reader) (err error) {
+	switch {
+	case resp.Length > http1.MaxBufferedBodyBytes && resp.Status == http.StatusOK:
+		resp.Body = make([]byte, StreamStartBytes)
+		_, err = io.ReadFull(body, resp.Body)
+	case resp.Length >= 0 && resp.Length <= http1.MaxBufferedBodyBytes:
+		resp.Body = make([]byte, resp.Length)
+		_, err = io.ReadFull(body, resp.Body)
+		return err
+	default:
+		resp.Body, err = io.ReadAll(io.LimitReader(body, http1.MaxBufferedBodyBytes+1))
+		if err == nil && len(resp.Body) <= http1.MaxBufferedBodyBytes {
+			return nil
+		}
+	}
+	if resp.remaining = body; resp.Status != http.StatusOK { // no client gets the body of an error
+		resp.remaining, resp.keepAlive = nil, false
+	}
+	return err
+}
+
+// parseStatusLine reads the first line of a response.
+func parseStatusLine(line string) (minor, status int, err error) {
+	version, line, _ := strings.Cut(line, " ")
+	code, _, _ := strings.Cut(line, " ")
+	minor, ok := http1.ParseVersion(version)
+	status, err = strconv.Atoi(code)
+	if !ok || err != nil || len(code) != 3 || status < 100 {
+		return 0, 0, http1.ErrMalformedHead
+	}
+	return minor, status, nil
+}
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -24,14 +24,8 @@
 // exchange is one client request, which is not changed once the loop has it, but for whether its client has left.
 type exchange struct {
 	req         policy.Request
-	method      string
-	path        string // and query, as they came
-	host        string
-	key         string // for the servers to drop repeats by
-	contentType string
-	body        []byte      // as much of it as is kept
-	rest        *upload     // what an attempt reads beyond; nil where that is all
-	length      int64       // of the whole body; -1 where it isn't told
+	forwarded   Request     // what servers get of it
+	rest        *upload     // forwarded.Stream; nil where the body is complete
 	came        policy.Time // when its last byte had been read, but for one with a rest
 	clientWaits time.Duration
 	terms       *terms      // that it was read by
@@ -76,7 +70,7 @@
 }
 
 func newServer(l *loop) *server {
-	return &server{loop: l, first: make(chan struct{}), peers: newPeers(l.up.descriptors.ForClients, &l.up.descriptors.clients, l.up.CloseExcessIdle)}
+	return &server{loop: l, first: make(chan struct{}), peers: newPeers(l.up.Descriptors().ForClients, l.up.Descriptors().SetClients, l.up.CloseExcessIdle)}
 }
 
 // taking tells whether this process takes clients.
@@ -157,12 +151,14 @@
 		req: policy.Request{ID: id, Class: class.Name, Tenant: r.tenant, Key: r.warmKey,
 			EstimatedWork: time.Duration(hint) * time.Microsecond, ClientRetry: r.retry == "1",
 			Incomplete: rest != nil, FormerClass: former},
-		method: method, path: r.path, host: r.host, key: r.key, contentType: r.contentType,
-		body: body, rest: rest, length: r.Length, came: s.loop.clock.now(),
+		forwarded: Request{ID: id, Method: method, Path: r.path, Host: r.host, IdempotencyKey: r.key,
+			ContentType: r.contentType, Body: body, Length: r.Length},
+		rest: rest, came: s.loop.clock.now(),
 		clientWaits: time.Duration(waits) * time.Millisecond, terms: terms,
 		tally: s.loop.fig.class(class.Name), reply: c.reply, hungUp: c.hungUp,
 	}
 	if rest != nil {
+		x.forwarded.Stream = rest
 		rest.ended = func(err error) { s.loop.send(uploaded{x, err}) }
 	}
 	return x, nil
--- /dev/null
+++ b/internal/node/server_pool.go
@@ -0,0 +1,197 @@
+package node
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"slices"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// minReuseDelay is how long a connection is not used again after a response: a server may answer twice, the second time
+// some milliseconds late, and nothing tells that from the response to the next request.
+const minReuseDelay = 10 * time.Millisecond
+
+// serverPool holds the idle connections to one process of one server, the last used at the end.
+type serverPool struct {
+	address         string
+	startedAtMillis int64 // Unix time
+	idle            []*serverConn
+	missingSince    time.Time // when the endpoint list began to lack it; zero where it is listed
+	draining        bool
+}
+
+// serverConn is a connection to a server. One attempt at a time uses it.
+type serverConn struct {
+	net.Conn
+	pool          *serverPool
+	lastUsed      time.Time
+	lastChecked   time.Time // when it was last known to be open
+	rawConn       syscall.RawConn
+	readOne       func(fd uintptr) // sets nothingToRead; held so that a check allocates nothing
+	nothingToRead bool
+}
+
+func newServerConn(c net.Conn, p *serverPool) *serverConn {
+	made := &serverConn{Conn: c, pool: p}
+	if socket, ok := c.(syscall.Conn); ok {
+		if raw, err := socket.SyscallConn(); err == nil {
+			made.rawConn = raw
+		}
+	}
+	made.readOne = func(fd uintptr) {
+		var b [1]byte
+		_, err := unix.Read(int(fd), b[:])
+		made.nothingToRead = errors.Is(err, unix.EAGAIN)
+	}
+	return made
+}
+
+// isUsable reports whether an idle connection may be written to: the server has neither closed it nor sent anything
+// unasked. It doesn't block.
+func (c *serverConn) isUsable() bool {
+	if c.rawConn == nil {
+		return true
+	}
+	c.nothingToRead = false
+	return c.rawConn.Control(c.readOne) == nil && c.nothingToRead
+}
+
+// closeQuietly closes what is of no more use. The descriptor is released whatever Close returns, and nobody could act
+// on the error.
+func closeQuietly(c io.Closer) { _ = c.Close() }
+
+// acquire takes an idle connection to the server, or dials one, for the attempt that l bounds.
+func (t *Transport) acquire(l *Lifetime, id string) (*serverConn, error) {
+	p, c, err := t.reserve(id)
+	if errors.Is(err, errNoDescriptor) {
+		p, c, err = t.awaitDescriptor(l, id)
+	}
+	if err != nil {
+		return nil, err
+	}
+	if c == nil {
+		conn, err := t.dial(l, p.address)
+		if err != nil {
+			t.cancelReservation()
+			return nil, err
+		}
+		c = newServerConn(conn, p)
+		if !t.isCurrent(id, p) {
+			t.release(c, id, false)
+			return nil, errServerDraining
+		}
+	}
+	if err := l.attach(c.Conn); err != nil {
+		t.release(c, id, true) // nothing was written
+		return nil, err
+	}
+	return c, nil
+}
+
+// reserve returns an idle connection, or counts one that the caller is to dial.
+func (t *Transport) reserve(id string) (*serverPool, *serverConn, error) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	p := t.pools[id]
+	switch {
+	case p == nil:
+		return nil, nil, errUnknownServer
+	case p.draining: // since the balancer chose it
+		return nil, nil, errServerDraining
+	}
+	now := time.Now()
+	for i := len(p.idle) - 1; i >= 0; i-- {
+		c := p.idle[i]
+		idle := now.Sub(c.lastUsed)
+		if idle < minReuseDelay {
+			continue
+		}
+		p.idle = slices.Delete(p.idle, i, i+1)
+		if idle < t.idleTimeout() && c.isUsable() {
+			return p, c, nil
+		}
+		t.discard(c)
+	}
+	if t.openConns >= t.connLimit() && !t.evictOldest() {
+		return nil, nil, errNoDescriptor
+	}
+	t.addOpen(1)
+	return p, nil, nil
+}
+
+func (t *Transport) cancelReservation() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.addOpen(-1)
+}
+
+// dial opens a connection, until l ends.
+func (t *Transport) dial(l *Lifetime, address string) (net.Conn, error) {
+	t.mu.Lock()
+	dial := t.config.Dial
+	t.mu.Unlock()
+	ctx, cancel := context.WithCancel(context.Background())
+	defer cancel()
+	if deadline := l.startDial(cancel); !deadline.IsZero() {
+		ctx, cancel = context.WithDeadline(ctx, deadline)
+		defer cancel()
+	}
+	return dial(ctx, "tcp", address)
+}
+
+// isCurrent reports whether the endpoint list still has the process that a connection was dialed to, to send to: dialing
+// may take longer than the settings' grace for draining servers.
+func (t *Transport) isCurrent(id string, p *serverPool) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return t.pools[id] == p && !p.draining
+}
+
+// release puts a connection back if it can serve another request, else closes it.
+func (t *Transport) release(c *serverConn, id string, reusable bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if reusable && t.pools[id] == c.pool {
+		c.lastUsed = time.Now()
+		c.lastChecked = c.lastUsed
+		c.pool.idle = append(c.pool.idle, c)
+		t.waiters.wake() // it may be closed for another
+		return
+	}
+	t.discard(c)
+}
+
+// discard closes a connection that no pool holds. t.mu is held.
+func (t *Transport) discard(c *serverConn) {
+	closeQuietly(c)
+	t.addOpen(-1)
+}
+
+// closeOldest closes the n connections of p that were idle longest. t.mu is held.
+func (t *Transport) closeOldest(p *serverPool, n int) {
+	for _, c := range p.idle[:n] {
+		closeQuietly(c)
+	}
+	p.idle = append([]*serverConn(nil), p.idle[n:]...)
+	t.addOpen(-n)
+}
+
+// evictOldest closes the connection that was idle longest, and reports whether there was one. t.mu is held.
+func (t *Transport) evictOldest() bool {
+	var oldest *serverPool
+	for _, p := range t.pools {
+		if len(p.idle) > 0 && (oldest == nil || p.idle[0].lastUsed.Before(oldest.idle[0].lastUsed)) {
+			oldest = p
+		}
+	}
+	if oldest == nil {
+		return false
+	}
+	t.closeOldest(oldest, 1)
+	return true
+}
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -105,8 +105,8 @@
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
-		addr := rawServer(t, func(_ net.Conn, r *bufio.Reader) {
-			if swallow(r) {
+		addr := nodetest.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
+			if nodetest.ReadRequest(r) {
 				reached.Add(1)
 			}
 		})
@@ -413,22 +413,41 @@
 // A connection that came over the limit is served if it has a place by the time of its request, also once no further
 // descriptors are on their way from a process before this one.
 func TestPlaceThatCameFreeIsTaken(t *testing.T) {
-	server, got, letGo := holdingServer(t)
+	server, got, letGo := nodetest.HoldingServer(t)
 	l, _ := startLoop(t, server, sendsOnce)
 	s := newServer(l)
 	node := serveAt(t, s)
-	total := &l.up.descriptors.total
-	total.Store(4) // of which two are the clients'
+	descriptors := l.up.Descriptors()
+	descriptors.SetTotal(4) // of which two are the clients'
 	for i := range 2 {
 		newTestClient(t, node).send("GET", "read", fmt.Sprint("r", i), "")
 	}
 	nodetest.Receive(t, "a request", got)
 	late := newTestClient(t, node)
 	nodetest.Await(t, "the connection over the limit", func() bool { return s.peers.count() == 3 })
-	total.Store(leastSockets)
+	descriptors.SetTotal(leastSockets)
 	late.send("GET", "read", "late", "")
 	letGo()
 	if resp := late.answered(); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
+
+// Either side has its part of the descriptors, however many clients are in; while two processes share them, no
+// more clients than have a place are let in.
+func TestServersKeepTheirDescriptors(t *testing.T) {
+	s := testDescriptors(30)
+	s.SetClients(40)
+	if got := s.ForServers(); got != s.MinPerSide() {
+		t.Errorf("%d for servers beside 40 clients, want %d", got, s.MinPerSide())
+	}
+	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
+	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: newGate(nodetest.Listener(t), 1), share: 60}
+	for _, sharing := range []bool{true, false} {
+		h.s.sharing.Store(sharing)
+		h.resize()
+		if most := l.up.Descriptors().MaxClients(); (h.gate.most > most) == sharing {
+			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.gate.most, most)
+		}
+	}
+}
--- a/internal/node/socketqueue_test.go
+++ b/internal/node/socketqueue_test.go
@@ -11,13 +11,13 @@
 // An attempt that finds no descriptor waits for the one that another attempt is about to let go of. It is no failure of
 // the server.
 func TestAttemptWaitsForADescriptor(t *testing.T) {
-	server, got, letGo := holdingServer(t)
-	u := testUpstream(t, server)
+	server, got, letGo := nodetest.HoldingServer(t)
+	u := testTransport(t, server)
 	u.descriptorWait = nodetest.Timeout
-	u.descriptors.total.Store(minSideDivisor) // of which one is the servers'
-	u.descriptors.clients.Store(10 * minSideDivisor)
+	u.descriptors.SetTotal(minSideDivisor) // of which one is the servers'
+	u.descriptors.SetClients(10 * minSideDivisor)
 	codes := make(chan policy.Code, 3)
-	attempt := func(id string) { codes <- ended(t, u, testExchange(http.MethodGet, id, "")).Code }
+	attempt := func(id string) { codes <- doAttempt(t, u, testRequest(http.MethodGet, id, "")).Code }
 	go attempt("r1")
 	nodetest.Receive(t, "the first attempt", got)
 	for _, id := range []string{"r2", "r3"} {
@@ -41,13 +41,13 @@
 
 // One that waits in vain fails, and leaves nothing behind.
 func TestAttemptWaitsInVainForADescriptor(t *testing.T) {
-	server, got, letGo := holdingServer(t)
-	u := testUpstream(t, server)
-	u.descriptors.total.Store(minSideDivisor)
-	u.descriptors.clients.Store(minSideDivisor)
-	go ended(t, u, testExchange(http.MethodGet, "r1", ""))
+	server, got, letGo := nodetest.HoldingServer(t)
+	u := testTransport(t, server)
+	u.descriptors.SetTotal(minSideDivisor)
+	u.descriptors.SetClients(minSideDivisor)
+	go doAttempt(t, u, testRequest(http.MethodGet, "r1", ""))
 	nodetest.Receive(t, "the first attempt", got)
-	if r := ended(t, u, testExchange(http.MethodGet, "r2", "")); r.Code != policy.ConnectFailed {
+	if r := doAttempt(t, u, testRequest(http.MethodGet, "r2", "")); r.Code != policy.ConnectFailed {
 		t.Errorf("code %v, want %v", r.Code, policy.ConnectFailed)
 	}
 	letGo()
@@ -56,22 +56,3 @@
 		t.Errorf("%d attempts wait", len(u.waiters.waiters))
 	}
 }
-
-// Either side has its part of the descriptors, however many clients are in; while two processes share them, no
-// more clients than have a place are let in.
-func TestServersKeepTheirDescriptors(t *testing.T) {
-	s := testSockets(30)
-	s.clients.Store(40)
-	if got := s.ForServers(); got != s.MinPerSide() {
-		t.Errorf("%d for servers beside 40 clients, want %d", got, s.MinPerSide())
-	}
-	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
-	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: newGate(nodetest.Listener(t), 1), share: 60}
-	for _, sharing := range []bool{true, false} {
-		h.s.sharing.Store(sharing)
-		h.resize()
-		if most := l.up.descriptors.MaxClients(); (h.gate.most > most) == sharing {
-			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.gate.most, most)
-		}
-	}
-}
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -92,44 +91,12 @@
 	return l.Endpoints
 }
 
-// rawServer runs a server of one's own at the level of the connection.
-func rawServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) string {
-	t.Helper()
-	ln := nodetest.Listener(t)
-	go acceptRaw(ln, serve)
-	return ln.Addr().String()
-}
-
-// acceptRaw serves each connection that comes, until ln is closed.
-func acceptRaw(ln net.Listener, serve func(net.Conn, *bufio.Reader)) {
-	for {
-		c, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		go func() {
-			defer c.Close()
-			serve(c, bufio.NewReader(c))
-		}()
-	}
-}
-
-// swallow reads a request to its last byte.
-func swallow(r *bufio.Reader) bool {
-	req, err := http.ReadRequest(r)
-	if err != nil {
-		return false
-	}
-	_, err = io.Copy(io.Discard, req.Body)
-	return err == nil
-}
-
 func testExchange(method, id string, body string) *exchange {
-	x := &exchange{req: policy.Request{ID: id, Class: "read", Tenant: "t"}, method: method,
-		path: "/api?q=a%20b", host: "origin.svc", body: []byte(body),
-		came: timeOrigin, clientWaits: nodetest.Timeout, reply: make(chan answer, 1)}
+	x := &exchange{req: policy.Request{ID: id, Class: "read", Tenant: "t"},
+		forwarded: Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)},
+		came:      timeOrigin, clientWaits: nodetest.Timeout, reply: make(chan answer, 1)}
 	if method == http.MethodPost {
-		x.key = "k-" + id
+		x.forwarded.IdempotencyKey = "k-" + id
 	}
 	return x
 }
@@ -141,11 +108,22 @@
 	return startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, nil)
 }
 
-// testSockets are as many descriptors for connections.
-func testSockets(n int64) *Descriptors {
-	s := new(Descriptors)
-	s.total.Store(n)
-	return s
+// testDescriptors are as many descriptors for connections.
+func testDescriptors(n int) *Descriptors {
+	d := new(Descriptors)
+	d.SetTotal(n)
+	return d
+}
+
+// reuseDelay is longer than a connection to a server is left unused after a response.
+const reuseDelay = 20 * time.Millisecond
+
+// dialWith has the connections to servers made by a function, from now on.
+func (l *loop) dialWith(t *testing.T, dial dialFunc) {
+	t.Helper()
+	c := testConfig(t, nodetest.KnownList())
+	c.dial = dial
+	l.up.Configure(c.transportConfig())
 }
 
 // serveAt has s take clients.
@@ -156,7 +134,7 @@
 
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
-	s.loop.up.descriptors.total.Store(leastSockets)
+	s.loop.up.Descriptors().SetTotal(leastSockets)
 	ended := make(chan error, 1)
 	go func() { ended <- s.accept(ln) }()
 	t.Cleanup(func() {
