--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -1,13 +1,17 @@
 package node
 
+import (
+	"sloerail/internal/node/upstream"
+)
+
 // newTransport makes the node's connections to servers.
-func newTransport(c Config, shared *Descriptors, fig *figures) *Transport {
-	return NewTransport(c.transportConfig(), shared, fig.relayed)
+func newTransport(c Config, shared *upstream.Descriptors, fig *figures) *upstream.Transport {
+	return upstream.NewTransport(c.transportConfig(), shared, fig.relayed)
 }
 
 // transportConfig is the part of the configuration that is about connections to servers.
-func (c Config) transportConfig() TransportConfig {
-	return TransportConfig{Dial: c.dialer(c.ConnectTimeout), IdleTimeout: c.Settings.Allowed.IdleTimeout,
+func (c Config) transportConfig() upstream.TransportConfig {
+	return upstream.TransportConfig{Dial: c.dialer(c.ConnectTimeout), IdleTimeout: c.Settings.Allowed.IdleTimeout,
 		LoadReportFields: c.Settings.ReportFields, RetainMissing: c.Settings.RetainMissing}
 }
 
@@ -22,14 +26,16 @@
 func (o *attemptObserver) ClientGone() bool { return o.request.clientLeft() }
 
 // NotSent has the loop end a request whose client has left.
-func (o *attemptObserver) NotSent() { o.loop.send(uploaded{o.request.exchange, ErrClientGone}) }
+func (o *attemptObserver) NotSent() {
+	o.loop.send(uploaded{o.request.exchange, upstream.ErrClientGone})
+}
 
 // ResponseStarted has the loop give the client a response that is still coming.
-func (o *attemptObserver) ResponseStarted(r Response) {
+func (o *attemptObserver) ResponseStarted(r upstream.Response) {
 	o.loop.send(begun{o.request, o.attempt, forwardedAnswer(r)})
 }
 
 // forwardedAnswer is what a client gets of a server's response.
-func forwardedAnswer(r Response) answer {
+func forwardedAnswer(r upstream.Response) answer {
 	return answer{status: r.Status, contentType: r.ContentType, body: r.Body, rest: r.Stream, length: r.Length}
 }
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -20,6 +20,7 @@
 
 	"sloerail/internal/node/http1"
 	"sloerail/internal/node/nodetest"
+	"sloerail/internal/node/upstream"
 )
 
 // noise is n bytes that no two places share.
@@ -94,8 +95,8 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		next := make(chan struct{})
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Length", fmt.Sprint(StreamStartBytes+http1.MaxBufferedBodyBytes))
-			_, _ = io.WriteString(w, strings.Repeat("a", StreamStartBytes))
+			w.Header().Set("Content-Length", fmt.Sprint(upstream.StreamStartBytes+http1.MaxBufferedBodyBytes))
+			_, _ = io.WriteString(w, strings.Repeat("a", upstream.StreamStartBytes))
 			w.(http.Flusher).Flush()
 			<-next
 			_, _ = io.WriteString(w, strings.Repeat("b", http1.MaxBufferedBodyBytes))
@@ -107,7 +108,7 @@
 			t.Fatal(err)
 		}
 		defer resp.Body.Close()
-		first := make([]byte, StreamStartBytes)
+		first := make([]byte, upstream.StreamStartBytes)
 		if _, err := io.ReadFull(resp.Body, first); err != nil || first[0] != 'a' {
 			t.Fatalf("first bytes %q..., %v", first[:1], err)
 		}
--- a/internal/node/front.go
+++ b/internal/node/front.go
@@ -21,6 +21,7 @@
 	"golang.org/x/sys/unix"
 
 	"sloerail/internal/node/http1"
+	"sloerail/internal/node/upstream"
 )
 
 const (
@@ -459,7 +460,7 @@
 	}
 	c.outTo = time.Time{}
 	switch {
-	case err == nil || errors.Is(err, ErrClientGone):
+	case err == nil || errors.Is(err, upstream.ErrClientGone):
 		c.x.tally.count(a.status)
 	default:
 		c.x.tally.count(http.StatusBadGateway)
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -20,6 +20,7 @@
 	"golang.org/x/sys/unix"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -280,7 +281,7 @@
 	c     Config
 	path  string
 	s     *server
-	up    *Transport
+	up    *upstream.Transport
 	gate  *gate
 	fleet *membership // nil for a node of no fleet
 
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -54,7 +55,7 @@
 		return &trafficConn{Conn: conn, traffic: h.traffic}, nil
 	}
 	fig := newFigures(c.Settings.Classes)
-	l, err := newLoop(c, clock{start: time.Now()}, newTransport(c, new(Descriptors), fig), fig)
+	l, err := newLoop(c, clock{start: time.Now()}, newTransport(c, new(upstream.Descriptors), fig), fig)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -69,7 +70,7 @@
 	target  discovery.Target // discovery as last configured
 	terms   atomic.Pointer[terms]
 	maxOpen int
-	up      *Transport
+	up      *upstream.Transport
 	fig     *figures
 	disc    *discovery.Client
 
@@ -99,7 +100,7 @@
 	server string
 	sent   policy.Time // or when the request was whole, if that was later
 	began  policy.Time // when its answer began, of one that is passed on as it comes
-	flight *Lifetime
+	flight *upstream.Lifetime
 }
 
 // The events of the loop, beside news.
@@ -109,7 +110,7 @@
 	ending    struct { // of an attempt
 		r *request
 		n int
-		Result
+		upstream.Result
 	}
 	ceded     struct{ reply chan<- inheritance } // another process takes over
 	takenBack struct{ served bool }              // and is gone again
@@ -128,7 +129,7 @@
 	finish struct{} // fail what is still open and refuse what comes, for the node stops
 )
 
-func newLoop(c Config, ck clock, up *Transport, fig *figures) (*loop, error) {
+func newLoop(c Config, ck clock, up *upstream.Transport, fig *figures) (*loop, error) {
 	balancer, err := policy.New(c.Settings, ck.now(), c.Seed)
 	if err != nil {
 		return nil, err
@@ -480,7 +481,7 @@
 	n := len(r.attempts)
 	r.pending++
 	if r.ended || now >= r.deadline || n >= max(1, l.allowed.MaxAttempts) || r.spent() {
-		r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: NewLifetime(time.Time{})})
+		r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: upstream.NewLifetime(time.Time{})})
 		l.skipped = append(l.skipped, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotAttempted})
 		return
 	}
@@ -488,9 +489,9 @@
 	if a.AttemptDeadline > 0 {
 		until = min(until, a.AttemptDeadline)
 	}
-	f := NewLifetime(l.clock.at(until))
+	f := upstream.NewLifetime(l.clock.at(until))
 	r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: f})
-	to := Attempt{Request: &r.forwarded, Timeout: until - now, Lifetime: f, Observer: &attemptObserver{l, r, n}}
+	to := upstream.Attempt{Request: &r.forwarded, Timeout: until - now, Lifetime: f, Observer: &attemptObserver{l, r, n}}
 	if r.req.Incomplete {
 		to.Timeout = r.clientWaits - r.margin()
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -25,7 +26,7 @@
 // and returns.
 func Run(ctx context.Context, c Config, at Listeners, changes <-chan Change) error {
 	ck := clock{start: time.Now()}
-	shared, held := new(Descriptors), c.Sockets
+	shared, held := new(upstream.Descriptors), c.Sockets
 	if at.heir != nil {
 		held, c.Known = at.heir.Sockets, discovery.List{Revision: discovery.UnknownRevision, Endpoints: at.heir.endpoints()}
 	} else {
--- a/internal/node/server.go
+++ b/internal/node/server.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"sloerail/internal/node/http1"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -24,9 +25,9 @@
 // exchange is one client request, which is not changed once the loop has it, but for whether its client has left.
 type exchange struct {
 	req         policy.Request
-	forwarded   Request     // what servers get of it
-	rest        *upload     // forwarded.Stream; nil where the body is complete
-	came        policy.Time // when its last byte had been read, but for one with a rest
+	forwarded   upstream.Request // what servers get of it
+	rest        *upload          // forwarded.Stream; nil where the body is complete
+	came        policy.Time      // when its last byte had been read, but for one with a rest
 	clientWaits time.Duration
 	terms       *terms      // that it was read by
 	tally       *tally      // of its class
@@ -48,8 +49,8 @@
 type answer struct {
 	status      int
 	body        []byte
-	rest        *ResponseStream // what follows the body as it comes; nil for nothing
-	length      int64           // of both; -1 where it isn't told
+	rest        *upstream.ResponseStream // what follows the body as it comes; nil for nothing
+	length      int64                    // of both; -1 where it isn't told
 	contentType string
 	retryAfter  time.Duration
 	allow       string // the methods that are, of one that isn't
@@ -151,7 +152,7 @@
 		req: policy.Request{ID: id, Class: class.Name, Tenant: r.tenant, Key: r.warmKey,
 			EstimatedWork: time.Duration(hint) * time.Microsecond, ClientRetry: r.retry == "1",
 			Incomplete: rest != nil, FormerClass: former},
-		forwarded: Request{ID: id, Method: method, Path: r.path, Host: r.host, IdempotencyKey: r.key,
+		forwarded: upstream.Request{ID: id, Method: method, Path: r.path, Host: r.host, IdempotencyKey: r.key,
 			ContentType: r.contentType, Body: body, Length: r.Length},
 		rest: rest, came: s.loop.clock.now(),
 		clientWaits: time.Duration(waits) * time.Millisecond, terms: terms,
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -15,6 +15,7 @@
 
 	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/nodetest"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -93,7 +94,7 @@
 
 func testExchange(method, id string, body string) *exchange {
 	x := &exchange{req: policy.Request{ID: id, Class: "read", Tenant: "t"},
-		forwarded: Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)},
+		forwarded: upstream.Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)},
 		came:      timeOrigin, clientWaits: nodetest.Timeout, reply: make(chan answer, 1)}
 	if method == http.MethodPost {
 		x.forwarded.IdempotencyKey = "k-" + id
@@ -109,8 +110,8 @@
 }
 
 // testDescriptors are as many descriptors for connections.
-func testDescriptors(n int) *Descriptors {
-	d := new(Descriptors)
+func testDescriptors(n int) *upstream.Descriptors {
+	d := new(upstream.Descriptors)
 	d.SetTotal(n)
 	return d
 }
