--- a/internal/node/upstream/transport_test.go
+++ b/internal/node/upstream/transport_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -128,7 +129,9 @@
 		t.Fatal(err)
 	}
 	addr := ln.Addr().String()
-	ln.Close()
+	if err := ln.Close(); err != nil {
+		t.Fatal(err)
+	}
 	u := testTransport(t, addr)
 	if r := doAttempt(t, u, testRequest(http.MethodGet, "r1", "")); r.Code != policy.ConnectFailed {
 		t.Errorf("code %v", r.Code)
@@ -175,8 +178,7 @@
 	if len(p) > c.left {
 		n, _ := c.Conn.Write(p[:c.left])
 		c.left = 0
-		c.Conn.Close()
-		return n, net.ErrClosed
+		return n, errors.Join(net.ErrClosed, c.Conn.Close())
 	}
 	c.left -= len(p)
 	return c.Conn.Write(p)
@@ -406,7 +408,9 @@
 			var conns atomic.Int32
 			second := make(chan struct{})
 			addr := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
-				say := func(body string) { fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n%s", body) }
+				say := func(body string) { // the transport may have closed the connection by then
+					_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n%s", body)
+				}
 				if conns.Add(1) > 1 {
 					nodetest.ReadRequest(r)
 					say("two")
