--- a/internal/node/upstream/transport_test.go
+++ b/internal/node/upstream/transport_test.go
@@ -178,7 +178,7 @@
 	if len(p) > c.left {
 		n, _ := c.Conn.Write(p[:c.left])
 		c.left = 0
-		return n, errors.Join(net.ErrClosed, c.Conn.Close())
+		return n, errors.Join(net.ErrClosed, c.Close())
 	}
 	c.left -= len(p)
 	return c.Conn.Write(p)
