--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -23,11 +23,11 @@
 }
 
 // ClientGone reports whether the client has left.
-func (o *attemptObserver) ClientGone() bool { return o.request.clientLeft() }
+func (o *attemptObserver) ClientGone() bool { return o.request.ClientGone() }
 
 // NotSent has the loop end a request whose client has left.
 func (o *attemptObserver) NotSent() {
-	o.loop.send(uploaded{o.request.exchange, upstream.ErrClientGone})
+	o.loop.send(uploaded{o.request.Exchange, upstream.ErrClientGone})
 }
 
 // ResponseStarted has the loop give the client a response that is still coming.
@@ -36,6 +36,6 @@
 }
 
 // forwardedAnswer is what a client gets of a server's response.
-func forwardedAnswer(r upstream.Response) answer {
-	return answer{status: r.Status, contentType: r.ContentType, body: r.Body, rest: r.Stream, length: r.Length}
+func forwardedAnswer(r upstream.Response) Answer {
+	return Answer{Status: r.Status, ContentType: r.ContentType, Body: r.Body, Stream: r.Stream, Length: r.Length}
 }
--- a/internal/node/bulk.go
+++ b/internal/node/bulk.go
@@ -12,45 +12,45 @@
 )
 
 const (
-	maxTransfer = 32 << 20 // bytes of a request's body
-	firstPart   = 16 << 10 // of a body known to be over maxBody is read before a server is asked for
+	MaxBodyBytes     = 32 << 20 // bytes of a request's body
+	UploadStartBytes = 16 << 10 // of a body known to be over maxBody is read before a server is asked for
 
 	// A request may take wholeTimeout from its first byte, or from the connect. Its body may take longer
 	// while it comes at the pace of slowestBody, and bodySlack. Who sends half a request, or drips, is so
 	// ended within 3 s of the connect.
-	wholeTimeout = 2600 * time.Millisecond
-	bodySlack    = 600 * time.Millisecond
-	slowestBody  = 51_200 // bytes a second: four fifths of what clients may be counted on to send
+	requestTimeout        = 2600 * time.Millisecond
+	bodyGrace             = 600 * time.Millisecond
+	minBodyBytesPerSecond = 51_200 // bytes a second: four fifths of what clients may be counted on to send
 
-	lingerFor    = 2 * time.Second // after an early answer, for the client to stop sending and read it
-	clientBuffer = 64 << 10        // bytes in the kernel for a slow client, so that its progress is seen
+	earlyAnswerLinger     = 2 * time.Second // after an early answer, for the client to stop sending and read it
+	clientSendBufferBytes = 64 << 10        // bytes in the kernel for a slow client, so that its progress is seen
 )
 
 var (
-	errAnswered = errors.New("the client has its answer")
-	errTooLong  = errors.New("the body is over 32 MiB")
+	errAlreadyAnswered = errors.New("the client has its answer")
+	ErrBodyTooLong     = errors.New("the body is over 32 MiB")
 )
 
 // upload is the body of a client's request, read at the client's pace. One goroutine reads at a time:
 // the connection's what is kept, then an attempt the rest.
 type upload struct {
-	body    io.Reader
-	conn    *client
-	slack   time.Duration // of wholeTimeout, what the header has left
-	whole   atomic.Bool
-	begun   atomic.Bool // an attempt has read of the rest: it can't be written again
-	stopped atomic.Bool
-	over    chan struct{} // closed once nothing more of it is read
-	ended   func(error)   // called once, when an attempt has read the last byte, or can't
-
-	mu     sync.Mutex
-	got    int64
-	waited time.Duration // for the client; what a server takes is not the client's time
-	err    error         // that ended it
+	body         io.Reader
+	conn         *clientConn
+	headTimeLeft time.Duration // of wholeTimeout, what the header has left
+	complete     atomic.Bool
+	consumed     atomic.Bool // an attempt has read of the rest: it can't be written again
+	stopped      atomic.Bool
+	done         chan struct{} // closed once nothing more of it is read
+	onEnd        func(error)   // called once, when an attempt has read the last byte, or can't
+
+	mu         sync.Mutex
+	received   int64
+	clientTime time.Duration // for the client; what a server takes is not the client's time
+	err        error         // that ended it
 }
 
-func newUpload(c *client, body io.Reader, began time.Time) *upload {
-	return &upload{body: body, conn: c, slack: wholeTimeout - time.Since(began), over: make(chan struct{})}
+func newUpload(c *clientConn, body io.Reader, began time.Time) *upload {
+	return &upload{body: body, conn: c, headTimeLeft: requestTimeout - time.Since(began), done: make(chan struct{})}
 }
 
 func (u *upload) Read(p []byte) (int, error) {
@@ -60,19 +60,19 @@
 		return 0, u.err
 	}
 	from := time.Now()
-	left := max(u.slack, bodySlack+time.Duration(u.got)*time.Second/slowestBody) - u.waited
+	left := max(u.headTimeLeft, bodyGrace+time.Duration(u.received)*time.Second/minBodyBytesPerSecond) - u.clientTime
 	err := u.conn.SetReadDeadline(from.Add(left))
 	if err == nil && u.stopped.Load() { // after the deadline is set: stop sets its own
-		err = errAnswered
+		err = errAlreadyAnswered
 	}
 	n := 0
 	if err == nil {
 		n, err = u.body.Read(p)
 	}
-	u.got += int64(n)
-	u.waited += time.Since(from)
-	if u.got > maxTransfer {
-		n, err = 0, errTooLong
+	u.received += int64(n)
+	u.clientTime += time.Since(from)
+	if u.received > MaxBodyBytes {
+		n, err = 0, ErrBodyTooLong
 	}
 	if err != nil {
 		u.end(err)
@@ -84,23 +84,23 @@
 func (u *upload) end(err error) {
 	u.err = err
 	if err == io.EOF {
-		u.whole.Store(true)
-		u.conn.readUntil(time.Time{}) // the connection is read on, to see the client leave
+		u.complete.Store(true)
+		u.conn.boundRead(time.Time{}) // the connection is read on, to see the client leave
 	}
-	close(u.over)
+	close(u.done)
 }
 
-// keep reads up to most bytes, and tells whether that was all.
-func (u *upload) keep(most int, length int64) (body []byte, whole bool, err error) {
-	if length < 0 || length >= int64(most) {
-		length = min(int64(most), firstPart) - 1
+// buffer reads up to most bytes, and tells whether that was all.
+func (u *upload) buffer(maxBytes int, length int64) (body []byte, whole bool, err error) {
+	if length < 0 || length >= int64(maxBytes) {
+		length = min(int64(maxBytes), UploadStartBytes) - 1
 	}
 	body = make([]byte, 0, length+1)
-	for len(body) < most {
+	for len(body) < maxBytes {
 		if len(body) == cap(body) {
 			body = append(body, 0)[:len(body)]
 		}
-		n, err := u.Read(body[len(body):min(cap(body), most)])
+		n, err := u.Read(body[len(body):min(cap(body), maxBytes)])
 		body = body[:len(body)+n]
 		if err == io.EOF {
 			return body, true, nil
@@ -119,27 +119,27 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.err == nil {
-		u.end(errAnswered)
+		u.end(errAlreadyAnswered)
 	}
 }
 
 // Begin hears that an attempt reads: the request can't be sent again from then on.
-func (u *upload) Begin() { u.begun.Store(true) }
+func (u *upload) Begin() { u.consumed.Store(true) }
 
 // End hears that an attempt can read nothing more.
 func (u *upload) End(err error) {
-	if u.ended != nil && !u.stopped.Load() {
-		u.ended(err)
+	if u.onEnd != nil && !u.stopped.Load() {
+		u.onEnd(err)
 	}
 }
 
 // Complete reports whether all of the body was read.
-func (u *upload) Complete() bool { return u.whole.Load() }
+func (u *upload) Complete() bool { return u.complete.Load() }
 
-// uploadStatus is what a client gets whose body can't be taken.
-func uploadStatus(err error) (status int, problem string) {
+// BodyErrorStatus is what a client gets whose body can't be taken.
+func BodyErrorStatus(err error) (status int, problem string) {
 	switch {
-	case errors.Is(err, errTooLong):
+	case errors.Is(err, ErrBodyTooLong):
 		return http.StatusRequestEntityTooLarge, "the body is over 32 MiB"
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return http.StatusRequestTimeout, "the body comes too slowly"
@@ -147,8 +147,8 @@
 	return http.StatusBadRequest, "the body can't be read"
 }
 
-// under is the connection that a client's is made of.
-func under(c net.Conn) net.Conn {
+// underlyingConn is the connection that a client's is made of.
+func underlyingConn(c net.Conn) net.Conn {
 	for {
 		outer, ok := c.(interface{ NetConn() net.Conn })
 		if !ok {
@@ -158,8 +158,8 @@
 	}
 }
 
-// tcp is the socket under a client's connection; nil where there is none.
-func tcp(c net.Conn) *net.TCPConn {
-	socket, _ := under(c).(*net.TCPConn)
+// tcpConn is the socket under a client's connection; nil where there is none.
+func tcpConn(c net.Conn) *net.TCPConn {
+	socket, _ := underlyingConn(c).(*net.TCPConn)
 	return socket
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -24,13 +24,13 @@
 // call give way to others, and none of them takes anything from the clients.
 type control struct {
 	http  http.Server
-	peers *peers
+	peers *ClientConns
 }
 
 // newControl makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
 // node of none.
 func newControl(l *loop, taking func() bool, fleet *membership) *control {
-	c := &control{peers: newPeers(func() int { return controlSockets / 2 }, func(int) {}, func() {})}
+	c := &control{peers: NewClientConns(func() int { return controlSockets / 2 }, func(int) {}, func() {})}
 	mux := http.NewServeMux()
 	mux.HandleFunc(http.MethodGet+" "+healthPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !taking() {
@@ -47,7 +47,7 @@
 	}
 	c.http = http.Server{
 		Handler: mux, MaxHeaderBytes: http1.MaxHeadBytes, ReadTimeout: callTimeout, WriteTimeout: 2 * callTimeout,
-		DisableGeneralOptionsHandler: true, ConnContext: c.peers.admit, ConnState: c.peers.follow,
+		DisableGeneralOptionsHandler: true, ConnContext: c.peers.ConnContext, ConnState: c.peers.ConnState,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	c.http.SetKeepAlivesEnabled(false)
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -295,8 +295,8 @@
 	l, _ = startLoop(t, server, sendsOnce)
 	s := newServer(l)
 	return serveAt(t, s), l, func() {
-		s.stopping.Store(true)
-		s.draining.Store(true)
+		s.Stopping.Store(true)
+		s.Draining.Store(true)
 	}
 }
 
@@ -360,12 +360,12 @@
 	}
 	defer conn.Close()
 	var counted atomic.Int64
-	all := newPeers(func() int { return 10 }, func(n int) { counted.Store(int64(n)) }, func() {})
-	p := all.enter(conn)
-	all.become(p, http.StateActive)
-	all.end()
+	all := NewClientConns(func() int { return 10 }, func(n int) { counted.Store(int64(n)) }, func() {})
+	p := all.add(conn)
+	all.setState(p, http.StateActive)
+	all.closeIdle()
 	_ = conn.SetReadDeadline(time.Now().Add(nodetest.Timeout))
-	all.become(p, http.StateIdle) // its answer is written
+	all.setState(p, http.StateIdle) // its answer is written
 	began := time.Now()
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(began) > nodetest.Timeout/2 {
 		t.Errorf("read for %v: %v", time.Since(began), err)
@@ -672,9 +672,9 @@
 	head := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r2\r\nX-Class: read\r\n"
 	ended := make(chan struct{})
 	endThere := sync.OnceFunc(func() {
-		s.draining.Store(true)
+		s.Draining.Store(true)
 		s.closing.Store(true)
-		s.peers.end()
+		s.clientConns.closeIdle()
 		close(ended)
 	})
 	c := newTestClient(t, serveOn(t, s, hookedReads{nodetest.Listener(t), func(got string) {
@@ -702,12 +702,12 @@
 // A request that reaches a connection in the moment in which the node gives that up as idle is the client's to send
 // again: nothing of it reaches a server, and no answer begins.
 func TestRequestOnAConnectionGivenUpIsNotSentOn(t *testing.T) {
-	for name, giveUp := range map[string]func(*server){
-		"the node's end": func(s *server) { s.closing.Store(true); s.peers.end() },
-		"making room": func(s *server) {
-			s.peers.mu.Lock()
-			defer s.peers.mu.Unlock()
-			s.peers.shed(time.Now().Add(idleLeast))
+	for name, giveUp := range map[string]func(*Server){
+		"the node's end": func(s *Server) { s.closing.Store(true); s.clientConns.closeIdle() },
+		"making room": func(s *Server) {
+			s.clientConns.mu.Lock()
+			defer s.clientConns.mu.Unlock()
+			s.clientConns.evictQuietest(time.Now().Add(minIdleTime))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -726,9 +726,9 @@
 			c.send("POST", "pay", "r1", "sum")
 			c.answered()
 			nodetest.Await(t, "an idle connection", func() bool {
-				s.peers.mu.Lock()
-				defer s.peers.mu.Unlock()
-				for _, p := range s.peers.open {
+				s.clientConns.mu.Lock()
+				defer s.clientConns.mu.Unlock()
+				for _, p := range s.clientConns.conns {
 					return p.state == http.StateIdle
 				}
 				return false
@@ -738,7 +738,7 @@
 			if b, err := c.r.ReadByte(); err == nil {
 				t.Errorf("an answer begins with %q", b)
 			}
-			nodetest.Await(t, "rest", func() bool { return l.atRest() && s.peers.count() == 0 })
+			nodetest.Await(t, "rest", func() bool { return l.atRest() && s.clientConns.Count() == 0 })
 			if n := got.after(time.Time{}); n != 1 {
 				t.Errorf("the server got %d requests, want 1", n)
 			}
--- a/internal/node/gate.go
+++ b/internal/node/gate.go
@@ -9,46 +9,46 @@
 	"time"
 )
 
-// gate is the clients' listener: it lets in so many connections at a time, and none while it is shut. A
+// ConnectionLimiter is the clients' listener: it lets in so many connections at a time, and none while it is shut. A
 // shut gate leaves those that wait to the process that shares the socket.
-type gate struct {
+type ConnectionLimiter struct {
 	net.Listener
-	mu     sync.Mutex
-	change *sync.Cond
-	most   int
-	open   int
-	shut   bool
-	closed bool
+	mu      sync.Mutex
+	changed *sync.Cond
+	limit   int
+	open    int
+	paused  bool
+	closed  bool
 }
 
-func newGate(l net.Listener, most int) *gate {
-	g := &gate{Listener: l, most: most}
-	g.change = sync.NewCond(&g.mu)
+func NewConnectionLimiter(l net.Listener, limit int) *ConnectionLimiter {
+	g := &ConnectionLimiter{Listener: l, limit: limit}
+	g.changed = sync.NewCond(&g.mu)
 	return g
 }
 
 // Accept waits for a place and for a connection.
-func (g *gate) Accept() (net.Conn, error) {
+func (g *ConnectionLimiter) Accept() (net.Conn, error) {
 	for {
-		if err := g.enter(); err != nil {
+		if err := g.acquire(); err != nil {
 			return nil, err
 		}
 		c, err := g.Listener.Accept()
 		if err == nil {
-			return &gatedConn{Conn: c, gate: g}, nil
+			return &limitedConn{Conn: c, limiter: g}, nil
 		}
-		g.leave()
+		g.release()
 		if !errors.Is(err, os.ErrDeadlineExceeded) { // that is how setShut wakes it
 			return nil, err
 		}
 	}
 }
 
-func (g *gate) enter() error {
+func (g *ConnectionLimiter) acquire() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for !g.closed && (g.shut || g.open >= g.most) {
-		g.change.Wait()
+	for !g.closed && (g.paused || g.open >= g.limit) {
+		g.changed.Wait()
 	}
 	if g.closed {
 		return net.ErrClosed
@@ -57,59 +57,59 @@
 	return nil
 }
 
-func (g *gate) leave() {
+func (g *ConnectionLimiter) release() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.open--
-	g.change.Broadcast()
+	g.changed.Broadcast()
 }
 
-// resize sets how many connections may be open; those over it stay.
-func (g *gate) resize(most int) {
+// SetLimit sets how many connections may be open; those over it stay.
+func (g *ConnectionLimiter) SetLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.most = most
-	g.change.Broadcast()
+	g.limit = limit
+	g.changed.Broadcast()
 }
 
-// setShut shuts the gate or opens it again.
-func (g *gate) setShut(shut bool) error {
+// SetPaused shuts the gate or opens it again.
+func (g *ConnectionLimiter) SetPaused(paused bool) error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut = shut
-	g.change.Broadcast()
+	g.paused = paused
+	g.changed.Broadcast()
 	l, ok := g.Listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return errors.ErrUnsupported
 	}
-	if shut {
+	if paused {
 		return l.SetDeadline(time.Unix(1, 0))
 	}
 	return l.SetDeadline(time.Time{})
 }
 
 // Close ends the listening.
-func (g *gate) Close() error {
+func (g *ConnectionLimiter) Close() error {
 	g.mu.Lock()
 	g.closed = true
-	g.change.Broadcast()
+	g.changed.Broadcast()
 	g.mu.Unlock()
 	return g.Listener.Close()
 }
 
-type gatedConn struct {
+type limitedConn struct {
 	net.Conn
-	gate *gate
-	left atomic.Bool
+	limiter  *ConnectionLimiter
+	released atomic.Bool
 }
 
 // NetConn is the connection that c wraps.
-func (c *gatedConn) NetConn() net.Conn { return c.Conn }
+func (c *limitedConn) NetConn() net.Conn { return c.Conn }
 
-func (c *gatedConn) Close() error {
+func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
-	if c.left.CompareAndSwap(false, true) {
-		c.gate.leave()
+	if c.released.CompareAndSwap(false, true) {
+		c.limiter.release()
 	}
 	return err
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -280,9 +280,9 @@
 type handover struct {
 	c     Config
 	path  string
-	s     *server
+	s     *Server
 	up    *upstream.Transport
-	gate  *gate
+	gate  *ConnectionLimiter
 	fleet *membership // nil for a node of no fleet
 
 	mu    sync.Mutex
@@ -373,8 +373,8 @@
 	}
 	slog.Warn("the successor is gone: this process serves on", "err", err, "it had served", served)
 	h.s.superseded.Store(false)
-	h.s.draining.Store(h.s.stopping.Load())
-	if err := h.gate.setShut(false); err != nil {
+	h.s.Draining.Store(h.s.Stopping.Load())
+	if err := h.gate.SetPaused(false); err != nil {
 		slog.Error("the clients' listener", "err", err)
 	}
 	h.resize()
@@ -433,8 +433,8 @@
 	if h.fleet != nil {
 		h.fleet.Yield()
 	}
-	h.s.draining.Store(true) // clients come again, to the successor
-	if err := h.gate.setShut(true); err != nil {
+	h.s.Draining.Store(true) // clients come again, to the successor
+	if err := h.gate.SetPaused(true); err != nil {
 		return true, err
 	}
 	if err := conn.SetDeadline(time.Time{}); err != nil {
@@ -469,10 +469,10 @@
 
 // release cuts this process down to what it holds, and returns what is left for its successor.
 func (h *handover) release() int {
-	clients := h.s.peers.count()
+	clients := h.s.clientConns.Count()
 	spare := max(1, min(spareConns, (h.c.Sockets-h.c.ownSockets())/sparePart))
 	servers := h.up.LimitConnections(min(clients, spareServers), spare)
-	h.gate.resize(clients + spare)
+	h.gate.SetLimit(clients + spare)
 	held := h.c.ownBeside() + clients + spare + servers
 	total := h.total()
 	return max(total/4, total-held)
@@ -485,13 +485,13 @@
 	// is set aside for clients over the limit: they wait at the gate for what the other process lets go of.
 	h.mu.Lock()
 	sockets, own, over := h.share, h.c.ownSockets(), ownSockets/2
-	if h.s.sharing.Load() {
+	if h.s.AwaitingDescriptors.Load() {
 		own, over = h.c.ownBeside(), 0
 	}
 	h.mu.Unlock()
 	h.up.Descriptors().SetTotal(sockets - own)
 	h.up.LiftLimit()
-	h.gate.resize(h.up.Descriptors().MaxClients() + over)
+	h.gate.SetLimit(h.up.Descriptors().MaxClients() + over)
 }
 
 // grant takes what the process before this one has let go of.
@@ -504,7 +504,7 @@
 	}
 	h.mu.Lock()
 	h.share = sockets
-	h.s.sharing.Store(!whole)
+	h.s.AwaitingDescriptors.Store(!whole)
 	h.mu.Unlock()
 	if !h.s.superseded.Load() {
 		h.resize()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -88,7 +88,7 @@
 
 // request is kept until it is answered and all its attempts are over.
 type request struct {
-	*exchange
+	*Exchange
 	deadline policy.Time
 	backstop *timer
 	ended    bool
@@ -105,8 +105,8 @@
 
 // The events of the loop, beside news.
 type (
-	arrival   struct{ x *exchange }
-	departure struct{ x *exchange }
+	arrival   struct{ x *Exchange }
+	departure struct{ x *Exchange }
 	ending    struct { // of an attempt
 		r *request
 		n int
@@ -120,10 +120,10 @@
 	begun     struct {                              // an answer that is passed on as it comes
 		r *request
 		n int
-		answer
+		Answer
 	}
 	uploaded struct { // the rest of a request: whole, or why its connection waits for an answer to end by
-		x   *exchange
+		x   *Exchange
 		err error
 	}
 	finish struct{} // fail what is still open and refuse what comes, for the node stops
@@ -240,13 +240,13 @@
 		l.arrive(e.x)
 	case departure:
 		// Another request may bear the id by now.
-		if r := l.requests[e.x.req.ID]; r != nil && r.exchange == e.x {
+		if r := l.requests[e.x.Request.ID]; r != nil && r.Exchange == e.x {
 			l.leave(r)
 		}
 	case begun:
 		l.begin(e)
 	case uploaded:
-		if r := l.requests[e.x.req.ID]; r != nil && r.exchange == e.x && !r.ended {
+		if r := l.requests[e.x.Request.ID]; r != nil && r.Exchange == e.x && !r.ended {
 			l.whole(r, e.err)
 		}
 	case ending:
@@ -286,47 +286,47 @@
 	}
 }
 
-func (l *loop) arrive(x *exchange) {
-	if x.left.Load() { // while it waited for the loop
+func (l *loop) arrive(x *Exchange) {
+	if x.clientGone.Load() { // while it waited for the loop
 		return
 	}
-	if l.requests[x.req.ID] != nil { // the module would wait for the first, and never answer this one
-		x.reply <- answer{status: http.StatusConflict}
+	if l.requests[x.Request.ID] != nil { // the module would wait for the first, and never answer this one
+		x.reply <- Answer{Status: http.StatusConflict}
 		return
 	}
 	if l.finished || l.maxOpen > 0 && l.owed >= l.maxOpen {
-		x.reply <- answer{status: http.StatusServiceUnavailable}
+		x.reply <- Answer{Status: http.StatusServiceUnavailable}
 		return
 	}
-	r := &request{exchange: x}
-	l.requests[x.req.ID] = r
+	r := &request{Exchange: x}
+	l.requests[x.Request.ID] = r
 	l.owed++
 	r.backstop = &timer{backstop: r}
-	req := x.req
+	req := x.Request
 	req.FormerClass = req.FormerClass || x.terms != l.terms.Load() // changed while it came in
 	if req.Incomplete {
 		r.timeFrom(l.clock.now() + longestUpload)
-		req.Timeout = x.clientWaits - r.margin()
+		req.Timeout = x.Timeout - r.margin()
 	} else {
-		r.timeFrom(x.came)
+		r.timeFrom(x.ReceivedAt)
 		req.Timeout = max(0, r.deadline-l.clock.now())
 	}
 	heap.Push(&l.timers, r.backstop)
 	l.tell(req)
 }
 
-func (r *request) margin() time.Duration { return min(answerMargin, r.clientWaits/answerMarginPart) }
+func (r *request) margin() time.Duration { return min(answerMargin, r.Timeout/answerMarginPart) }
 
 // timeFrom sets the deadlines of a request by when its last byte came.
 func (r *request) timeFrom(came policy.Time) {
-	end := came + r.clientWaits
+	end := came + r.Timeout
 	r.deadline, r.backstop.due = end-r.margin(), end-r.margin()/2
 }
 
 // whole starts the time of a request that was sent on while it came in, or ends one that broke off.
 func (l *loop) whole(r *request, err error) {
 	if err != nil {
-		status, _ := uploadStatus(err)
+		status, _ := BodyErrorStatus(err)
 		l.fail(r, status)
 		return
 	}
@@ -334,7 +334,7 @@
 	r.timeFrom(now)
 	heap.Fix(&l.timers, r.backstop.at)
 	r.attempts[len(r.attempts)-1].sent = now
-	l.tell(policy.RequestComplete{ID: r.req.ID})
+	l.tell(policy.RequestComplete{ID: r.Request.ID})
 }
 
 // leave ends a request whose client has gone.
@@ -344,7 +344,7 @@
 		return
 	}
 	l.settle(r)
-	l.tell(policy.ClientCancelled{ID: r.req.ID})
+	l.tell(policy.ClientCancelled{ID: r.Request.ID})
 	l.drop(r)
 }
 
@@ -371,8 +371,8 @@
 	}
 	a.flight.SetDeadline(time.Time{})
 	a.began = l.clock.now()
-	l.answer(e.r, e.answer)
-	l.tell(policy.FirstByte{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Latency: a.began - a.sent})
+	l.answer(e.r, e.Answer)
+	l.tell(policy.FirstByte{ID: e.r.Request.ID, Server: a.server, Attempt: e.n, Latency: a.began - a.sent})
 }
 
 func (l *loop) end(e ending) {
@@ -388,7 +388,7 @@
 	if e.Code == policy.OK && !e.r.ended {
 		l.answer(e.r, forwardedAnswer(e.Response))
 	}
-	l.tell(policy.Outcome{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Code: e.Code,
+	l.tell(policy.Outcome{ID: e.r.Request.ID, Server: a.server, Attempt: e.n, Code: e.Code,
 		Latency: over - a.sent, RequestEnded: e.r.ended, BodyConsumed: e.r.spent(), LoadReport: e.LoadReport})
 	l.drop(e.r)
 }
@@ -414,7 +414,7 @@
 }
 
 // spent tells whether a request can't be written again.
-func (r *request) spent() bool { return r.rest != nil && r.rest.begun.Load() }
+func (r *request) spent() bool { return r.upload != nil && r.upload.consumed.Load() }
 
 // tell gives the module an event and carries out what it wants done, in order.
 func (l *loop) tell(ev policy.Event) {
@@ -449,7 +449,7 @@
 		}
 	case policy.Fail:
 		if r := l.requests[a.ID]; r != nil {
-			l.answer(r, answer{status: http.StatusBadGateway})
+			l.answer(r, Answer{Status: http.StatusBadGateway})
 			l.drop(r)
 		}
 	case policy.Cancel:
@@ -491,24 +491,24 @@
 	}
 	f := upstream.NewLifetime(l.clock.at(until))
 	r.attempts = append(r.attempts, attempt{server: a.Server, sent: now, flight: f})
-	to := upstream.Attempt{Request: &r.forwarded, Timeout: until - now, Lifetime: f, Observer: &attemptObserver{l, r, n}}
-	if r.req.Incomplete {
-		to.Timeout = r.clientWaits - r.margin()
+	to := upstream.Attempt{Request: &r.Forwarded, Timeout: until - now, Lifetime: f, Observer: &attemptObserver{l, r, n}}
+	if r.Request.Incomplete {
+		to.Timeout = r.Timeout - r.margin()
 	}
 	l.attempts.Go(func() { l.send(ending{r, n, l.up.Do(a.Server, to)}) })
 }
 
 func (l *loop) refuse(r *request, wait time.Duration) {
-	a := answer{status: http.StatusServiceUnavailable}
+	a := Answer{Status: http.StatusServiceUnavailable}
 	if wait > 0 && l.allowed.RetryAfter {
-		a = answer{status: http.StatusTooManyRequests, retryAfter: wait}
+		a = Answer{Status: http.StatusTooManyRequests, RetryAfter: wait}
 	}
 	l.answer(r, a)
 	l.drop(r)
 }
 
 // answer gives the client its one answer; whatever comes later is not passed on.
-func (l *loop) answer(r *request, a answer) {
+func (l *loop) answer(r *request, a Answer) {
 	if !r.ended {
 		l.settle(r)
 		r.reply <- a
@@ -517,8 +517,8 @@
 
 // fail gives the client its one answer where the module has none in time, and tells it so.
 func (l *loop) fail(r *request, status int) {
-	l.answer(r, answer{status: status})
-	l.tell(policy.ClientCancelled{ID: r.req.ID})
+	l.answer(r, Answer{Status: status})
+	l.tell(policy.ClientCancelled{ID: r.Request.ID})
 	l.drop(r)
 }
 
@@ -537,8 +537,8 @@
 
 // drop forgets a request that is answered and has no attempt out.
 func (l *loop) drop(r *request) {
-	if r.ended && r.pending == 0 && l.requests[r.req.ID] == r {
-		delete(l.requests, r.req.ID)
+	if r.ended && r.pending == 0 && l.requests[r.Request.ID] == r {
+		delete(l.requests, r.Request.ID)
 	}
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -42,7 +42,7 @@
 	}
 	s := newServer(l)
 	s.heir = at.heir != nil
-	s.sharing.Store(s.heir)
+	s.AwaitingDescriptors.Store(s.heir)
 	fleet, err := l.join(c)
 	if err != nil {
 		return err
@@ -61,10 +61,10 @@
 	parts.Go(func() { l.disc.Run(running) })
 
 	failed := make(chan error, 1)
-	clients := newGate(at.Clients, held)
+	clients := NewConnectionLimiter(at.Clients, held)
 	h := &handover{c: c, path: handoverPath(c), s: s, up: up, gate: clients, fleet: fleet, share: held}
 	h.resize()
-	parts.Go(func() { failed <- s.accept(clients) })
+	parts.Go(func() { failed <- s.Accept(clients) })
 	parts.Go(func() { h.start(running, at.heir) })
 	if fleet != nil {
 		parts.Go(func() { l.follow(running, fleet.Subscribe()) })
@@ -96,27 +96,27 @@
 // them unread counts as taken, so the listener stays open until then. Clients go on using those they
 // have: ending them early would only move their load to the other nodes while this one is gone, so they
 // are served for as long as what comes can be answered before the node is killed.
-func (s *server) drain(h *handover) error {
-	s.stopping.Store(true)
+func (s *Server) drain(h *handover) error {
+	s.Stopping.Store(true)
 	terms := s.loop.terms.Load()
 	end := time.Now().Add(acceptFor + terms.longestOf(longestWait))
 	last := time.Now().Add(max(acceptFor, time.Until(end)-s.lastAnswer(terms)))
 	slog.Info("stopping", "serves", time.Until(last).Round(time.Millisecond), "ends", time.Until(end).Round(time.Millisecond))
-	for time.Now().Before(last) && !(s.superseded.Load() && s.peers.count() == 0) {
+	for time.Now().Before(last) && !(s.superseded.Load() && s.clientConns.Count() == 0) {
 		time.Sleep(min(stopPoll, time.Until(last)))
 	}
-	s.draining.Store(true)
+	s.Draining.Store(true)
 	late := time.AfterFunc(time.Until(end), func() { s.loop.send(finish{}) })
 	defer late.Stop()
 	err := h.gate.Close()
-	s.shutdown(end.Add(lastAnswers))
+	s.Shutdown(end.Add(lastAnswers))
 	return err
 }
 
 // lastAnswer is how long what comes last is given: what slow answers took lately, which nearly all
 // make, and no more than an answer is worth anything. Whoever is turned away earlier burdens other nodes,
 // or finds none.
-func (s *server) lastAnswer(terms *terms) time.Duration {
+func (s *Server) lastAnswer(terms *terms) time.Duration {
 	longest := terms.longestOf(longestAnswer)
 	if tail, ok := ask(s.loop, func(reply chan<- time.Duration) any { return tailAsked{reply} }); ok {
 		return min(longest, tail)
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -90,35 +90,37 @@
 // quiet only for a moment, does not.
 func TestQuietPeersMakeRoom(t *testing.T) {
 	now := time.Now()
-	at := func(ago time.Duration, state http.ConnState) *peer { return &peer{state: state, since: now.Add(-ago)} }
+	at := func(ago time.Duration, state http.ConnState) *trackedConn {
+		return &trackedConn{state: state, since: now.Add(-ago)}
+	}
 	for name, c := range map[string]struct {
-		open []*peer
+		open []*trackedConn
 		shed int // the one that ends; -1 for none
 	}{
-		"longest":           {[]*peer{at(3*time.Second, http.StateIdle), at(4*time.Second, http.StateIdle)}, 1},
-		"silent":            {[]*peer{at(time.Second, http.StateIdle), at(time.Second, http.StateNew)}, 1},
-		"in use":            {[]*peer{at(time.Minute, http.StateActive), at(time.Second, http.StateNew)}, 1},
-		"all in use":        {[]*peer{at(time.Minute, http.StateActive), at(time.Minute, http.StateActive)}, -1},
-		"for a moment only": {[]*peer{at(time.Second, http.StateIdle), at(time.Millisecond, http.StateNew)}, -1},
+		"longest":           {[]*trackedConn{at(3*time.Second, http.StateIdle), at(4*time.Second, http.StateIdle)}, 1},
+		"silent":            {[]*trackedConn{at(time.Second, http.StateIdle), at(time.Second, http.StateNew)}, 1},
+		"in use":            {[]*trackedConn{at(time.Minute, http.StateActive), at(time.Second, http.StateNew)}, 1},
+		"all in use":        {[]*trackedConn{at(time.Minute, http.StateActive), at(time.Minute, http.StateActive)}, -1},
+		"for a moment only": {[]*trackedConn{at(time.Second, http.StateIdle), at(time.Millisecond, http.StateNew)}, -1},
 	} {
-		s := newPeers(func() int { return len(c.open) }, func(int) {}, func() {})
+		s := NewClientConns(func() int { return len(c.open) }, func(int) {}, func() {})
 		var ends []net.Conn
 		for _, p := range c.open {
 			mine, theirs := net.Pipe()
 			defer theirs.Close()
 			defer mine.Close()
-			s.open[mine] = p
+			s.conns[mine] = p
 			ends = append(ends, mine)
 		}
 		next, far := net.Pipe()
 		defer next.Close()
 		defer far.Close()
-		if over := s.enter(next).over; over != (c.shed < 0) {
+		if over := s.add(next).overLimit; over != (c.shed < 0) {
 			t.Errorf("%s: the next is over the limit: %v", name, over)
 		}
 		for i, end := range ends {
-			if s.open[end].shed != (i == c.shed) {
-				t.Errorf("%s: connection %d made room: %v", name, i, s.open[end].shed)
+			if s.conns[end].evicted != (i == c.shed) {
+				t.Errorf("%s: connection %d made room: %v", name, i, s.conns[end].evicted)
 			}
 		}
 		if c.shed >= 0 {
@@ -140,7 +142,7 @@
 			_, _ = io.WriteString(c, piece)
 			time.Sleep(100 * time.Millisecond)
 		}
-		_ = c.SetReadDeadline(time.Now().Add(2 * clientIdle))
+		_ = c.SetReadDeadline(time.Now().Add(2 * clientIdleTimeout))
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 200 ") {
 			t.Errorf("got %q, %v; want an answer and then the end", got, err)
 		}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -62,10 +62,10 @@
 
 // fits tells whether a request has the form of a class: the method and the key follow from its effect.
 func fits(c policy.Class, method string, keyed bool) bool {
-	return method == methodOf(c) && (c.RetrySafety == policy.IdempotencyKeyed) == keyed
+	return method == MethodFor(c) && (c.RetrySafety == policy.IdempotencyKeyed) == keyed
 }
 
-func methodOf(c policy.Class) string {
+func MethodFor(c policy.Class) string {
 	if c.RetrySafety == policy.Idempotent {
 		return http.MethodGet
 	}
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -45,7 +45,7 @@
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
-		big := strings.Repeat("x", maxID+1)
+		big := strings.Repeat("x", maxRequestIDBytes+1)
 		for name, c := range map[string]struct {
 			method, class, body string
 			headers             []string
@@ -234,8 +234,8 @@
 			{ready: true}, {draining: true}, {draining: true, superseded: true, ready: true}, // the node serves on
 		} {
 			draining := state.draining
-			s.stopping.Store(draining)
-			s.draining.Store(draining)
+			s.Stopping.Store(draining)
+			s.Draining.Store(draining)
 			s.superseded.Store(state.superseded)
 			req := clientRequest(t, node, "GET", "read", fmt.Sprintf("r%v%v", draining, state.superseded), "")
 			resp, err := client.Do(req)
@@ -246,7 +246,7 @@
 			if resp.StatusCode != 200 || resp.Close != draining {
 				t.Errorf("draining %v: %d, ends its connection: %v", draining, resp.StatusCode, resp.Close)
 			}
-			resp, err = onceClient(t).Get("http://" + node + readyPath)
+			resp, err = onceClient(t).Get("http://" + node + ReadyPath)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -332,7 +332,7 @@
 		}
 		ended, began := make(chan error, 1), time.Now()
 		go func() { ended <- stop() }()
-		probe, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+node+readyPath, nil)
+		probe, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+node+ReadyPath, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -424,7 +424,7 @@
 	}
 	nodetest.Receive(t, "a request", got)
 	late := newTestClient(t, node)
-	nodetest.Await(t, "the connection over the limit", func() bool { return s.peers.count() == 3 })
+	nodetest.Await(t, "the connection over the limit", func() bool { return s.clientConns.Count() == 3 })
 	descriptors.SetTotal(leastSockets)
 	late.send("GET", "read", "late", "")
 	letGo()
@@ -442,12 +442,12 @@
 		t.Errorf("%d for servers beside 40 clients, want %d", got, s.MinPerSide())
 	}
 	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
-	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: newGate(nodetest.Listener(t), 1), share: 60}
+	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: NewConnectionLimiter(nodetest.Listener(t), 1), share: 60}
 	for _, sharing := range []bool{true, false} {
-		h.s.sharing.Store(sharing)
+		h.s.AwaitingDescriptors.Store(sharing)
 		h.resize()
-		if most := l.up.Descriptors().MaxClients(); (h.gate.most > most) == sharing {
-			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.gate.most, most)
+		if most := l.up.Descriptors().MaxClients(); (h.gate.limit > most) == sharing {
+			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.gate.limit, most)
 		}
 	}
 }
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -92,12 +92,12 @@
 	return l.Endpoints
 }
 
-func testExchange(method, id string, body string) *exchange {
-	x := &exchange{req: policy.Request{ID: id, Class: "read", Tenant: "t"},
-		forwarded: upstream.Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)},
-		came:      timeOrigin, clientWaits: nodetest.Timeout, reply: make(chan answer, 1)}
+func testExchange(method, id string, body string) *Exchange {
+	x := &Exchange{Request: policy.Request{ID: id, Class: "read", Tenant: "t"},
+		Forwarded:  upstream.Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)},
+		ReceivedAt: timeOrigin, Timeout: nodetest.Timeout, reply: make(chan Answer, 1)}
 	if method == http.MethodPost {
-		x.forwarded.IdempotencyKey = "k-" + id
+		x.Forwarded.IdempotencyKey = "k-" + id
 	}
 	return x
 }
@@ -128,22 +128,22 @@
 }
 
 // serveAt has s take clients.
-func serveAt(t *testing.T, s *server) (addr string) {
+func serveAt(t *testing.T, s *Server) (addr string) {
 	t.Helper()
 	return serveOn(t, s, nodetest.Listener(t))
 }
 
-func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
+func serveOn(t *testing.T, s *Server, ln net.Listener) (addr string) {
 	t.Helper()
 	s.loop.up.Descriptors().SetTotal(leastSockets)
 	ended := make(chan error, 1)
-	go func() { ended <- s.accept(ln) }()
+	go func() { ended <- s.Accept(ln) }()
 	t.Cleanup(func() {
 		ln.Close()
 		if err := nodetest.Receive(t, "the end of accepting", ended); err != nil {
 			t.Error(err)
 		}
-		s.shutdown(time.Now())
+		s.Shutdown(time.Now())
 	})
 	return ln.Addr().String()
 }
@@ -174,7 +174,7 @@
 	})
 	addr = at.Clients.Addr().String()
 	nodetest.Await(t, "readiness", func() bool {
-		resp, err := onceClient(t).Get("http://" + addr + readyPath)
+		resp, err := onceClient(t).Get("http://" + addr + ReadyPath)
 		if err != nil {
 			return false
 		}
