--- /dev/null
+++ b/internal/node/client_conn.go
@@ -0,0 +1,275 @@
+package node
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"runtime/debug"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"sloerail/internal/node/http1"
+)
+
+const (
+	// headTimeout is for the head of a request from its first byte, or from the connect.
+	headTimeout = 2300 * time.Millisecond
+	// clientIdleTimeout is how long a connection may be without a request.
+	clientIdleTimeout = 60 * time.Second
+	// earlyAnswerLinger is how long a client may go on sending after an answer that came before its body's end.
+	earlyAnswerLinger = 2 * time.Second
+	// lastAnswerLinger is how long a client may take to read the last answer of a connection that it may not expect
+	// to end.
+	lastAnswerLinger = 500 * time.Millisecond
+)
+
+// clientConn is one connection on the clients' side. One goroutine reads it, request after request, and so
+// sees the client leave while an answer is awaited. Another writes the loop's answers.
+type clientConn struct {
+	net.Conn
+	server       *Server
+	tracked      *trackedConn
+	lastReceived atomic.Int64 // when something last came, in Unix nanoseconds; 0 for never
+	reader       *bufio.Reader
+	heads        http1.HeadReader
+	readDeadline time.Time     // the deadline for reading; zero for none
+	reply        chan Answer   // from the loop, for the request in hand
+	answered     chan bool     // from the writer, after each answer: whether the connection goes on
+	closed       chan struct{} // closed at the connection's end
+
+	// The request in hand; set before the loop has it, and read by the writer once the loop has answered.
+	exchange         *Exchange
+	closeAfterAnswer bool // the answer ends the connection
+	http10           bool // HTTP/1.0
+	answerPending    atomic.Bool
+	writeBuffer      []byte
+	writeDeadline    time.Time // the deadline for writing
+	bytesSent        int64     // bytes of answers, over the connection
+}
+
+var readBuffers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
+
+// newClientConn takes a connection in.
+func (s *Server) newClientConn(conn net.Conn) *clientConn {
+	c := &clientConn{Conn: conn, server: s, reader: readBuffers.Get().(*bufio.Reader), reply: make(chan Answer, 1),
+		answered: make(chan bool, 1), closed: make(chan struct{})}
+	c.tracked = s.clientConns.add(c)
+	c.reader.Reset(c)
+	return c
+}
+
+// serve reads the connection to its end.
+func (c *clientConn) serve() {
+	s := c.server
+	defer s.conns.Done()
+	var writer sync.WaitGroup
+	defer func() {
+		if problem := recover(); problem != nil { // costs this client, and not the node
+			slog.Error("serving a client", "problem", problem, "stack", string(debug.Stack()))
+		}
+		closeQuietly(c)
+		close(c.closed)
+		writer.Wait()
+		c.finishRequest()
+		s.clientConns.remove(c)
+		c.reader.Reset(nil)
+		readBuffers.Put(c.reader)
+	}()
+	c.boundRead(time.Now().Add(headTimeout))
+	for first := true; ; first = false {
+		h, err := c.heads.Read(c.reader, http1.MaxHeadBytes)
+		if err != nil {
+			c.rejectUnreadable(err)
+			return
+		}
+		if s.clientConns.setState(c.tracked, http.StateActive) { // it was to give way, and has come in time
+			c.boundRead(time.Time{})
+		}
+		m, bad := parseRequest(h)
+		if bad != nil {
+			c.sendError(bad, true)
+			return
+		}
+		if first {
+			writer.Go(c.writeAnswers)
+		}
+		if !c.handle(m) {
+			return
+		}
+		s.clientConns.startRequest(c.tracked)
+		c.boundHead()
+	}
+}
+
+// NetConn is the connection that c wraps.
+func (c *clientConn) NetConn() net.Conn { return c.Conn }
+
+// Read notes when something comes.
+func (c *clientConn) Read(p []byte) (int, error) {
+	n, err := c.Conn.Read(p)
+	if n > 0 {
+		c.lastReceived.Store(time.Now().UnixNano())
+	}
+	return n, err
+}
+
+// boundRead sets when reading ends; zero for never.
+func (c *clientConn) boundRead(to time.Time) {
+	c.readDeadline = to
+	_ = c.SetReadDeadline(to)
+}
+
+// boundHead bounds the reading of a further head, the first of which is there.
+func (c *clientConn) boundHead() {
+	if b, _ := c.reader.Peek(c.reader.Buffered()); !bytes.Contains(b, headEnd) { // it nearly always is there whole
+		c.boundRead(time.Now().Add(headTimeout))
+	}
+}
+
+var headEnd = []byte("\r\n\r\n")
+
+// rejectUnreadable ends a connection whose next request can't be read. Whoever sent nothing of one, or is too slow,
+// gets no answer.
+func (c *clientConn) rejectUnreadable(err error) {
+	switch {
+	case errors.Is(err, http1.ErrMalformedHead):
+		c.sendError(&requestError{status: http.StatusBadRequest, text: "malformed request"}, true)
+	case errors.Is(err, http1.ErrHeadTooLong):
+		c.sendError(&requestError{status: http.StatusRequestHeaderFieldsTooLarge, text: "the head is over 16 KiB"}, true)
+	}
+}
+
+// handle serves one request, and waits for the next. It reports whether there is one.
+func (c *clientConn) handle(m requestHead) bool {
+	s := c.server
+	// Over its share of the descriptors the node still answers, and gets the descriptor back.
+	full := !s.awaitCapacity(c.tracked)
+	c.http10 = m.minor == 0
+	c.closeAfterAnswer = full || c.isLastRequest(&m)
+	if m.isReadinessCheck() {
+		return c.answerReadiness(m)
+	}
+	if full {
+		c.rejectRequest(&m, &requestError{status: http.StatusServiceUnavailable, text: "too many connections"})
+		return false
+	}
+	x, problem := s.readRequest(c, &m)
+	if problem != nil {
+		c.rejectRequest(&m, problem)
+		return false
+	}
+	s.handler.AddOpenRequests(1)
+	c.answerPending.Store(true)
+	c.exchange = x
+	s.handler.HandleRequest(x)
+	if x.upload != nil && !c.awaitUpload(x.upload) {
+		return false
+	}
+	if !c.awaitNextRequest(x) {
+		return false
+	}
+	goesOn := <-c.answered
+	if !goesOn {
+		c.linger(lastAnswerLinger) // for what is behind the request
+	}
+	return goesOn
+}
+
+// isLastRequest reports whether the connection ends with the answer to m.
+func (c *clientConn) isLastRequest(m *requestHead) bool {
+	// A node that stops gets no new connections, and its clients are best kept: the other nodes have to bear
+	// whoever leaves.
+	crowded := !c.server.Stopping.Load() && c.server.clientConns.isCrowded(c.tracked)
+	return m.Close || c.http10 && !m.KeepAlive || m.Chunked || crowded
+}
+
+// rejectRequest answers a request that isn't handed on.
+func (c *clientConn) rejectRequest(m *requestHead, problem *requestError) {
+	handler := c.server.handler
+	class, _, known := handler.Terms().Class(m.class, m.method, m.idempotencyKey != "")
+	if known && !problem.incomplete {
+		handler.Tally(class.Name).Count(problem.status)
+	}
+	c.sendError(problem, m.Chunked || m.Length > int64(c.reader.Buffered()))
+}
+
+// awaitUpload waits until an attempt has read the body, and reports whether that is complete.
+func (c *clientConn) awaitUpload(u *upload) bool {
+	<-u.done
+	if u.complete.Load() {
+		return true
+	}
+	if <-c.answered { // the handler knows that the body is incomplete, and answers
+		c.linger(earlyAnswerLinger)
+	}
+	return false
+}
+
+// answerReadiness tells the front whether the node may be taken in.
+func (c *clientConn) answerReadiness(m requestHead) bool {
+	a := Answer{Status: http.StatusOK}
+	if !c.server.handler.Ready() {
+		a.Status = http.StatusServiceUnavailable
+	}
+	c.closeAfterAnswer = c.closeAfterAnswer || m.Length != 0 // nobody reads that body
+	if err := c.sendAnswer(a); err != nil || c.closeAfterAnswer {
+		return false
+	}
+	c.server.clientConns.setState(c.tracked, http.StateIdle)
+	return c.awaitNextRequest(nil)
+}
+
+// awaitNextRequest waits for the next request, and sees the client of x leave before it is answered. It tells whether
+// there is a next one.
+func (c *clientConn) awaitNextRequest(x *Exchange) bool {
+	if c.readDeadline.IsZero() {
+		c.boundRead(time.Now().Add(clientIdleTimeout / 2))
+	}
+	for c.reader.Buffered() == 0 {
+		_, err := c.reader.Peek(1)
+		switch {
+		case err == nil:
+			return true
+		case !errors.Is(err, os.ErrDeadlineExceeded):
+			if c.answerPending.Load() && x != nil {
+				x.clientGone.Store(true)
+				c.server.handler.HandleClientGone(x)
+			}
+			return false // to be answered now would be to be served, where only one side was closed
+		case c.server.clientConns.isExpired(c.tracked, time.Now()) || c.server.closing.Load() && !c.answerPending.Load():
+			return false
+		}
+		// The deadline was that of an earlier wait, or the request in hand takes long.
+		c.boundRead(time.Now().Add(clientIdleTimeout / 2))
+	}
+	return true
+}
+
+// finishRequest books the end of the request in hand, once.
+func (c *clientConn) finishRequest() {
+	if c.answerPending.CompareAndSwap(true, false) {
+		c.server.handler.AddOpenRequests(-1)
+	}
+}
+
+// linger reads for a while what a client still sends after its last answer: a close at once would reset the
+// connection, and the answer with it.
+func (c *clientConn) linger(d time.Duration) {
+	half, ok := underlyingConn(c).(interface{ CloseWrite() error })
+	if !ok || half.CloseWrite() != nil {
+		return
+	}
+	c.boundRead(time.Now().Add(d))
+	block := http1.GetCopyBuffer()
+	defer http1.PutCopyBuffer(block)
+	for {
+		if _, err := c.Conn.Read(block[:]); err != nil {
+			return
+		}
+	}
+}
--- a/internal/node/peers.go
+++ b/internal/node/client_conns.go
@@ -12,8 +12,8 @@
 	// minSilentTime is how long a connection may be without a byte of the request that it owes before it can
 	// lose its descriptor to another: a client has its request at hand, and a slow one sends piece by piece.
 	minSilentTime = 500 * time.Millisecond
-	// minIdleTime is the same for one that was answered, and the least that clients are owed.
-	minIdleTime = 2 * time.Second
+	// MinIdleTime is the same for one that was answered, and the least that clients are owed.
+	MinIdleTime = 2 * time.Second
 	// crowdedDivisor of the places may be taken before connections end with their first answer. Those that stay
 	// then are owed idleLeast each, and new clients come meanwhile.
 	crowdedDivisor = 4
@@ -185,7 +185,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.Close()
+		closeQuietly(c)
 	}
 }
 
@@ -203,7 +203,26 @@
 	case owes:
 		return span, span >= minSilentTime
 	}
-	return span, p.state == http.StateIdle && span >= minIdleTime
+	return span, p.state == http.StateIdle && span >= MinIdleTime
+}
+
+// EvictQuietest ends the connection that was quiet for longest, if one was for long enough by now.
+func (s *ClientConns) EvictQuietest(now time.Time) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.evictQuietest(now)
+}
+
+// CountIdle is how many connections have no request.
+func (s *ClientConns) CountIdle() (n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, c := range s.conns {
+		if c.state == http.StateIdle {
+			n++
+		}
+	}
+	return n
 }
 
 // evictQuietest ends the connection that was quiet for longest, if one was for long enough.
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -231,7 +231,7 @@
 	names := []string{`a"b`, `back\slash`, "two words", "brace}", "comma,equals=", "größe", "line\nbreak", "\x01"}
 	f := newFigures(nil)
 	for _, name := range names {
-		f.class(name).count(http.StatusOK)
+		f.class(name).Count(http.StatusOK)
 	}
 	var text strings.Builder
 	f.set.WritePrometheus(&text)
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -673,8 +673,7 @@
 	ended := make(chan struct{})
 	endThere := sync.OnceFunc(func() {
 		s.Draining.Store(true)
-		s.closing.Store(true)
-		s.clientConns.closeIdle()
+		s.CloseIdle()
 		close(ended)
 	})
 	c := newTestClient(t, serveOn(t, s, hookedReads{nodetest.Listener(t), func(got string) {
@@ -702,12 +701,10 @@
 // A request that reaches a connection in the moment in which the node gives that up as idle is the client's to send
 // again: nothing of it reaches a server, and no answer begins.
 func TestRequestOnAConnectionGivenUpIsNotSentOn(t *testing.T) {
-	for name, giveUp := range map[string]func(*Server){
-		"the node's end": func(s *Server) { s.closing.Store(true); s.clientConns.closeIdle() },
-		"making room": func(s *Server) {
-			s.clientConns.mu.Lock()
-			defer s.clientConns.mu.Unlock()
-			s.clientConns.evictQuietest(time.Now().Add(minIdleTime))
+	for name, giveUp := range map[string]func(*server){
+		"the node's end": func(s *server) { s.CloseIdle() },
+		"making room": func(s *server) {
+			s.ClientConns().EvictQuietest(time.Now().Add(MinIdleTime))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -725,20 +722,13 @@
 			}}))
 			c.send("POST", "pay", "r1", "sum")
 			c.answered()
-			nodetest.Await(t, "an idle connection", func() bool {
-				s.clientConns.mu.Lock()
-				defer s.clientConns.mu.Unlock()
-				for _, p := range s.clientConns.conns {
-					return p.state == http.StateIdle
-				}
-				return false
-			})
+			nodetest.Await(t, "an idle connection", func() bool { return s.ClientConns().CountIdle() == 1 })
 			giveUp(s)
 			nodetest.Receive(t, "the request that crosses", crossed)
 			if b, err := c.r.ReadByte(); err == nil {
 				t.Errorf("an answer begins with %q", b)
 			}
-			nodetest.Await(t, "rest", func() bool { return l.atRest() && s.clientConns.Count() == 0 })
+			nodetest.Await(t, "rest", func() bool { return l.atRest() && s.ClientConns().Count() == 0 })
 			if n := got.after(time.Time{}); n != 1 {
 				t.Errorf("the server got %d requests, want 1", n)
 			}
--- a/internal/node/server.go
+++ b/internal/node/exchange.go
@@ -3,7 +3,6 @@
 import (
 	"net/http"
 	"strconv"
-	"sync"
 	"sync/atomic"
 	"time"
 
@@ -13,13 +12,8 @@
 )
 
 const (
-	maxRequestIDBytes    = 128 // bytes; the protocol's own ids are far shorter
-	maxTimeoutMillis     = 3_600_000
-	headTimeout          = 2300 * time.Millisecond // for a request's header from its first byte, or from the connect
-	clientIdleTimeout    = 60 * time.Second
-	answerWriteTimeout   = 5 * time.Second      // for an answer to a client that doesn't read
-	capacityPollInterval = 5 * time.Millisecond // between looks for a place
-	ReadyPath            = "/health/ready"
+	maxRequestIDBytes = 128 // the protocol's own IDs are far shorter
+	maxTimeoutMillis  = 3_600_000
 )
 
 // Exchange is one client request, which is not changed once the loop has it, but for whether its client has left.
@@ -29,13 +23,19 @@
 	upload           *upload          // forwarded.Stream; nil where the body is complete
 	ReceivedAt       policy.Time      // when its last byte had been read, but for one with a rest
 	Timeout          time.Duration
-	terms            *terms      // that it was read by
-	tally            *tally      // of its class
-	reply            chan Answer // holds one, so the loop never waits for the client
+	Terms            Terms       // that it was read by
+	tally            Tally       // of its class
+	Reply            chan Answer // holds one, so the loop never waits for the client
 	clientGone       atomic.Bool // its client has gone
 	isClosedByClient func() bool // asks the client's socket for that; nil where there is none
 }
 
+// HasLeft reports whether the client is known to have left.
+func (x *Exchange) HasLeft() bool { return x.clientGone.Load() }
+
+// BodyConsumed reports whether an attempt has read of a streamed body: the request can't be sent again then.
+func (x *Exchange) BodyConsumed() bool { return x.upload != nil && x.upload.consumed.Load() }
+
 // ClientGone tells whether the client has gone, and asks its socket: nobody reads that while its body waits for a
 // server, with bytes of a further request read already, or where its reader has had no turn since.
 func (x *Exchange) ClientGone() bool {
@@ -56,58 +56,6 @@
 	AllowedMethod string // the methods that are, of one that isn't
 }
 
-// Server takes requests from clients, hands them to the loop, and writes the loop's answers.
-type Server struct {
-	loop                *loop
-	first               chan struct{} // closed once new clients come to this process alone
-	Stopping            atomic.Bool   // the front is told that the node isn't ready
-	Draining            atomic.Bool   // and answers end their connections
-	closing             atomic.Bool   // and connections end as soon as they have no request
-	superseded          atomic.Bool   // another process of this node serves
-	heir                bool          // another one served before this
-	AwaitingDescriptors atomic.Bool   // another one still holds descriptors that come to this one bit by bit
-	clientConns         *ClientConns
-	conns               sync.WaitGroup // connections
-}
-
-func newServer(l *loop) *Server {
-	return &Server{loop: l, first: make(chan struct{}), clientConns: NewClientConns(l.up.Descriptors().ForClients, l.up.Descriptors().SetClients, l.up.CloseExcessIdle)}
-}
-
-// taking tells whether this process takes clients.
-func (s *Server) taking() bool {
-	select {
-	case <-s.first: // and so the list is in
-		return !s.Stopping.Load()
-	default:
-		return false
-	}
-}
-
-// ready tells whether the node takes clients, in this process or in another of it.
-func (s *Server) ready() bool {
-	if s.Stopping.Load() {
-		return s.superseded.Load()
-	}
-	select {
-	case <-s.loop.ready:
-		return true
-	default:
-		return s.heir
-	}
-}
-
-// awaitCapacity tells whether a client has a place. One that came over the limit while descriptors come from the process
-// before this one waits for the next few of them.
-func (s *Server) awaitCapacity(p *trackedConn) bool {
-	for end := time.Now().Add(2 * handoverTell); p.overLimit && !s.clientConns.isAdmitted(p); time.Sleep(capacityPollInterval) {
-		if !s.AwaitingDescriptors.Load() || !time.Now().Before(end) {
-			return false
-		}
-	}
-	return true
-}
-
 // requestError is what is wrong with a request.
 type requestError struct {
 	status        int
@@ -122,12 +70,12 @@
 	if !isValidRequestID(id) {
 		return nil, &requestError{status: http.StatusBadRequest, text: "X-Request-Id: missing or malformed"}
 	}
-	terms := s.loop.terms.Load()
-	class, former, ok := terms.class(r.class, r.method, r.idempotencyKey != "")
+	terms := s.handler.Terms()
+	class, former, ok := terms.Class(r.class, r.method, r.idempotencyKey != "")
 	if !ok {
 		return nil, &requestError{status: http.StatusBadRequest, text: "X-Class: unknown"}
 	}
-	timeout, err := strconv.ParseUint(r.deadlineMillis, 10, 64)
+	timeout, err := strconv.ParseUint(r.timeoutMillis, 10, 64)
 	if err != nil || timeout == 0 || timeout > maxTimeoutMillis {
 		return nil, &requestError{status: http.StatusBadRequest, text: "X-Deadline-Ms: want whole milliseconds above 0"}
 	}
@@ -154,13 +102,13 @@
 			Incomplete: rest != nil, FormerClass: former},
 		Forwarded: upstream.Request{ID: id, Method: method, Path: r.path, Host: r.host, IdempotencyKey: r.idempotencyKey,
 			ContentType: r.contentType, Body: body, Length: r.Length},
-		upload: rest, ReceivedAt: s.loop.clock.now(),
-		Timeout: time.Duration(timeout) * time.Millisecond, terms: terms,
-		tally: s.loop.fig.class(class.Name), reply: c.reply, isClosedByClient: c.isClosedByClient,
+		upload: rest, ReceivedAt: s.handler.Now(),
+		Timeout: time.Duration(timeout) * time.Millisecond, Terms: terms,
+		tally: s.handler.Tally(class.Name), Reply: c.reply, isClosedByClient: c.isClosedByClient,
 	}
 	if rest != nil {
 		x.Forwarded.Stream = rest
-		rest.onEnd = func(err error) { s.loop.send(uploaded{x, err}) }
+		rest.onEnd = func(err error) { s.handler.HandleBodyEnd(x, err) }
 	}
 	return x, nil
 }
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -56,8 +56,8 @@
 	return t.(*tally)
 }
 
-// count books the end of a request by the status that its client got.
-func (t *tally) count(status int) {
+// Count books the end of a request by the status that its client got.
+func (t *tally) Count(status int) {
 	switch status {
 	case http.StatusOK:
 		t.fulfilled.Inc()
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -280,7 +280,7 @@
 type handover struct {
 	c     Config
 	path  string
-	s     *Server
+	s     *server
 	up    *upstream.Transport
 	gate  *ConnectionLimiter
 	fleet *membership // nil for a node of no fleet
@@ -469,7 +469,7 @@
 
 // release cuts this process down to what it holds, and returns what is left for its successor.
 func (h *handover) release() int {
-	clients := h.s.clientConns.Count()
+	clients := h.s.ClientConns().Count()
 	spare := max(1, min(spareConns, (h.c.Sockets-h.c.ownSockets())/sparePart))
 	servers := h.up.LimitConnections(min(clients, spareServers), spare)
 	h.gate.SetLimit(clients + spare)
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -287,15 +287,15 @@
 }
 
 func (l *loop) arrive(x *Exchange) {
-	if x.clientGone.Load() { // while it waited for the loop
+	if x.HasLeft() { // while it waited for the loop
 		return
 	}
 	if l.requests[x.Request.ID] != nil { // the module would wait for the first, and never answer this one
-		x.reply <- Answer{Status: http.StatusConflict}
+		x.Reply <- Answer{Status: http.StatusConflict}
 		return
 	}
 	if l.finished || l.maxOpen > 0 && l.owed >= l.maxOpen {
-		x.reply <- Answer{Status: http.StatusServiceUnavailable}
+		x.Reply <- Answer{Status: http.StatusServiceUnavailable}
 		return
 	}
 	r := &request{Exchange: x}
@@ -303,7 +303,7 @@
 	l.owed++
 	r.backstop = &timer{backstop: r}
 	req := x.Request
-	req.FormerClass = req.FormerClass || x.terms != l.terms.Load() // changed while it came in
+	req.FormerClass = req.FormerClass || x.Terms != l.terms.Load() // changed while it came in
 	if req.Incomplete {
 		r.timeFrom(l.clock.now() + longestUpload)
 		req.Timeout = x.Timeout - r.margin()
@@ -414,7 +414,7 @@
 }
 
 // spent tells whether a request can't be written again.
-func (r *request) spent() bool { return r.upload != nil && r.upload.consumed.Load() }
+func (r *request) spent() bool { return r.BodyConsumed() }
 
 // tell gives the module an event and carries out what it wants done, in order.
 func (l *loop) tell(ev policy.Event) {
@@ -511,7 +511,7 @@
 func (l *loop) answer(r *request, a Answer) {
 	if !r.ended {
 		l.settle(r)
-		r.reply <- a
+		r.Reply <- a
 	}
 }
 
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -128,7 +128,7 @@
 			return nil
 		})
 		x := l.arriveNow("r1", nodetest.Timeout)
-		if a := nodetest.Receive(t, "the answer", x.reply); a.Status != 200 || string(a.Body) != "yes" {
+		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != 200 || string(a.Body) != "yes" {
 			t.Errorf("answer %d %q", a.Status, a.Body)
 		}
 		s.has(t, "list 2", "request r1", "outcome r1 0 code 0 ended true", "timer 77")
@@ -185,13 +185,13 @@
 			return nil
 		})
 		x := l.arriveNow("r1", nodetest.Timeout)
-		if a := nodetest.Receive(t, "the answer", x.reply); a.Status != http.StatusBadGateway {
+		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusBadGateway {
 			t.Errorf("status %d, want the first answer", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotAttempted),
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
-		if len(arrived) != 0 || len(x.reply) != 0 {
-			t.Errorf("%d more attempts, %d more answers", len(arrived), len(x.reply))
+		if len(arrived) != 0 || len(x.Reply) != 0 {
+			t.Errorf("%d more attempts, %d more answers", len(arrived), len(x.Reply))
 		}
 	})
 }
@@ -200,7 +200,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 		x := l.arriveNow("r1", 200*time.Millisecond)
-		if a := nodetest.Receive(t, "the answer", x.reply); a.Status != http.StatusGatewayTimeout {
+		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusGatewayTimeout {
 			t.Errorf("status %d", a.Status)
 		}
 		if end := x.ReceivedAt + x.Timeout; l.clock.now() > end+nodetest.Timeout/2 {
@@ -231,7 +231,7 @@
 		if ms, err := strconv.Atoi(nodetest.Receive(t, "the attempt", told)); err != nil || ms > 2000 {
 			t.Errorf("the server is told of %d ms (%v), though the client waits for 2000", ms, err)
 		}
-		if a := nodetest.Receive(t, "the answer", x.reply); a.Status < 500 {
+		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status < 500 {
 			t.Errorf("status %d", a.Status)
 		}
 	})
@@ -241,13 +241,13 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 		l.arriveNow("r1", nodetest.Timeout)
-		if a := nodetest.Receive(t, "the answer", l.arriveNow("r1", nodetest.Timeout).reply); a.Status != http.StatusConflict {
+		if a := nodetest.Receive(t, "the answer", l.arriveNow("r1", nodetest.Timeout).Reply); a.Status != http.StatusConflict {
 			t.Errorf("duplicate: status %d", a.Status)
 		}
 		for i := 2; i <= l.maxOpen; i++ {
 			l.arriveNow(fmt.Sprint("r", i), nodetest.Timeout)
 		}
-		if a := nodetest.Receive(t, "the answer", l.arriveNow("more", nodetest.Timeout).reply); a.Status != http.StatusServiceUnavailable {
+		if a := nodetest.Receive(t, "the answer", l.arriveNow("more", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("surplus: status %d", a.Status)
 		}
 		if n := len(s.events()); n != 1+l.maxOpen {
@@ -261,12 +261,12 @@
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 		x := l.arriveNow("r1", nodetest.Timeout)
 		l.send(finish{})
-		if a := nodetest.Receive(t, "the answer", x.reply); a.Status != http.StatusBadGateway {
+		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusBadGateway {
 			t.Errorf("status %d", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
 		// The id is free again, so this is no duplicate; but no time is left for it.
-		if a := nodetest.Receive(t, "the answer", l.arriveNow("r1", nodetest.Timeout).reply); a.Status != http.StatusServiceUnavailable {
+		if a := nodetest.Receive(t, "the answer", l.arriveNow("r1", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("after the end: status %d", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -96,13 +96,13 @@
 // them unread counts as taken, so the listener stays open until then. Clients go on using those they
 // have: ending them early would only move their load to the other nodes while this one is gone, so they
 // are served for as long as what comes can be answered before the node is killed.
-func (s *Server) drain(h *handover) error {
+func (s *server) drain(h *handover) error {
 	s.Stopping.Store(true)
 	terms := s.loop.terms.Load()
 	end := time.Now().Add(acceptFor + terms.longestOf(longestWait))
 	last := time.Now().Add(max(acceptFor, time.Until(end)-s.lastAnswer(terms)))
 	slog.Info("stopping", "serves", time.Until(last).Round(time.Millisecond), "ends", time.Until(end).Round(time.Millisecond))
-	for time.Now().Before(last) && !(s.superseded.Load() && s.clientConns.Count() == 0) {
+	for time.Now().Before(last) && !(s.superseded.Load() && s.ClientConns().Count() == 0) {
 		time.Sleep(min(stopPoll, time.Until(last)))
 	}
 	s.Draining.Store(true)
@@ -116,7 +116,7 @@
 // lastAnswer is how long what comes last is given: what slow answers took lately, which nearly all
 // make, and no more than an answer is worth anything. Whoever is turned away earlier burdens other nodes,
 // or finds none.
-func (s *Server) lastAnswer(terms *terms) time.Duration {
+func (s *server) lastAnswer(terms *terms) time.Duration {
 	longest := terms.longestOf(longestAnswer)
 	if tail, ok := ask(s.loop, func(reply chan<- time.Duration) any { return tailAsked{reply} }); ok {
 		return min(longest, tail)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -49,10 +49,10 @@
 	return next
 }
 
-// class is that of a request. Just after a change it may be in its class's former form.
-func (t *terms) class(name, method string, keyed bool) (c policy.Class, former, ok bool) {
+// Class is that of a request. Just after a change it may be in its class's former form.
+func (t *terms) Class(name, method string, hasKey bool) (c policy.Class, former, ok bool) {
 	if t.former != nil && time.Now().Before(t.until) {
-		if c, ok := t.former.classes[name]; ok && fits(c, method, keyed) {
+		if c, ok := t.former.classes[name]; ok && fits(c, method, hasKey) {
 			return c, true, true
 		}
 	}
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -179,7 +179,7 @@
 		{now.Add(-2 * formerFor), "GET", "c", false, true, policy.NonIdempotent},
 		{now.Add(-2 * formerFor), "POST", "gone", false, false, policy.NonIdempotent},
 	} {
-		got, former, ok := newTerms([]policy.Class{free, gone}).after([]policy.Class{once}, c.changed).class(c.class, c.method, false)
+		got, former, ok := newTerms([]policy.Class{free, gone}).after([]policy.Class{once}, c.changed).Class(c.class, c.method, false)
 		if former != c.former || ok != c.ok || got.RetrySafety != c.wantsRepeat {
 			t.Errorf("%s %s, changed %v ago: former %v, ok %v, repeat %v", c.method, c.class, now.Sub(c.changed), former, ok, got.RetrySafety)
 		}
--- a/internal/node/bulk.go
+++ b/internal/node/request_body.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"io"
-	"net"
 	"net/http"
 	"os"
 	"sync"
@@ -22,8 +21,6 @@
 	bodyGrace             = 600 * time.Millisecond
 	minBodyBytesPerSecond = 51_200 // bytes a second: four fifths of what clients may be counted on to send
 
-	earlyAnswerLinger     = 2 * time.Second // after an early answer, for the client to stop sending and read it
-	clientSendBufferBytes = 64 << 10        // bytes in the kernel for a slow client, so that its progress is seen
 )
 
 var (
@@ -146,20 +143,3 @@
 	}
 	return http.StatusBadRequest, "the body can't be read"
 }
-
-// underlyingConn is the connection that a client's is made of.
-func underlyingConn(c net.Conn) net.Conn {
-	for {
-		outer, ok := c.(interface{ NetConn() net.Conn })
-		if !ok {
-			return c
-		}
-		c = outer.NetConn()
-	}
-}
-
-// tcpConn is the socket under a client's connection; nil where there is none.
-func tcpConn(c net.Conn) *net.TCPConn {
-	socket, _ := underlyingConn(c).(*net.TCPConn)
-	return socket
-}
--- /dev/null
+++ b/internal/node/request_head.go
@@ -0,0 +1,137 @@
+package node
+
+import (
+	"bufio"
+	"io"
+	"net/http"
+	"net/url"
+	"strings"
+
+	"golang.org/x/net/http/httpguts"
+
+	"sloerail/internal/node/http1"
+)
+
+// Header fields between clients and a node.
+const (
+	requestIDHeader      = "X-Request-Id"
+	classHeader          = "X-Class"
+	tenantHeader         = "X-Tenant"
+	timeoutHeader        = "X-Deadline-Ms" // whole milliseconds that the client waits
+	idempotencyKeyHeader = "Idempotency-Key"
+	warmKeyHeader        = "X-Key"       // requests of one key are best served by one server
+	costHintHeader       = "X-Cost-Hint" // estimated work in microseconds
+	retryHeader          = "X-Retry"     // "1" for a request that the client sends again
+)
+
+// requestHead is a client's request as it came: the head, and how its body is framed.
+type requestHead struct {
+	http1.Framing
+	minor           int    // of HTTP/1
+	method          string // and what else of it is used; empty where it isn't there
+	path            string // and query
+	host            string
+	expectsContinue bool // to be told to send the body
+
+	id, class, tenant, timeoutMillis, idempotencyKey, warmKey, costHint, retry, contentType string
+}
+
+// parseRequest reads a head, or says what is wrong with it.
+func parseRequest(h *http1.Head) (m requestHead, problem *requestError) {
+	target, problem := m.setRequestLine(h.FirstLine)
+	if problem != nil {
+		return m, problem
+	}
+	var err error
+	if m.Framing, err = h.Framing(); err != nil || m.Chunked && m.minor == 0 {
+		return m, &requestError{status: http.StatusBadRequest, text: http1.ErrAmbiguousFraming.Error()}
+	}
+	if !m.Chunked && m.Length < 0 {
+		m.Length = 0
+	}
+	if problem := m.setHostAndExpect(h); problem != nil {
+		return m, problem
+	}
+	if !m.setTarget(target) {
+		return m, malformedRequestLine()
+	}
+	m.id, m.class, m.tenant = h.Get(requestIDHeader), h.Get(classHeader), h.Get(tenantHeader)
+	m.timeoutMillis, m.idempotencyKey = h.Get(timeoutHeader), h.Get(idempotencyKeyHeader)
+	m.warmKey, m.costHint, m.retry = h.Get(warmKeyHeader), h.Get(costHintHeader), h.Get(retryHeader)
+	m.contentType = h.Get("Content-Type")
+	return m, nil
+}
+
+func malformedRequestLine() *requestError {
+	return &requestError{status: http.StatusBadRequest, text: "malformed request line"}
+}
+
+// setRequestLine takes the method and the version from the first line, and returns the target.
+func (m *requestHead) setRequestLine(line string) (target string, problem *requestError) {
+	method, line, _ := strings.Cut(line, " ")
+	target, version, ok := strings.Cut(line, " ")
+	if !ok || !httpguts.ValidHeaderFieldName(method) || !strings.HasPrefix(version, "HTTP/") {
+		return "", malformedRequestLine()
+	}
+	if m.minor, ok = http1.ParseVersion(version); !ok {
+		return "", &requestError{status: http.StatusHTTPVersionNotSupported, text: "want HTTP/1.1"}
+	}
+	m.method = method
+	return target, nil
+}
+
+// setHostAndExpect takes those two fields, of which only some values are valid.
+func (m *requestHead) setHostAndExpect(h *http1.Head) *requestError {
+	hosts := 0
+	for _, f := range h.Fields {
+		if strings.EqualFold(f.Name, "Host") {
+			hosts++
+		} else if strings.EqualFold(f.Name, "Expect") {
+			if m.expectsContinue = strings.EqualFold(f.Value, "100-continue"); !m.expectsContinue {
+				return &requestError{status: http.StatusExpectationFailed, text: "Expect: want 100-continue"}
+			}
+		}
+	}
+	m.host = h.Get("Host")
+	if hosts > 1 || hosts == 0 && m.minor > 0 || !httpguts.ValidHostHeader(m.host) {
+		return &requestError{status: http.StatusBadRequest, text: "Host: want exactly one"}
+	}
+	return nil
+}
+
+// isReadinessCheck reports whether the request asks for ReadyPath.
+func (m *requestHead) isReadinessCheck() bool {
+	path, _, _ := strings.Cut(m.path, "?")
+	return path == ReadyPath && (m.method == http.MethodGet || m.method == http.MethodHead)
+}
+
+// setTarget takes the path and the query, which servers get as they came, and reports whether the target is valid.
+func (m *requestHead) setTarget(target string) bool {
+	for i := 0; i < len(target); i++ {
+		if target[i] <= ' ' || target[i] > '~' {
+			return false
+		}
+	}
+	if strings.HasPrefix(target, "/") {
+		m.path = target
+		if !strings.Contains(target, "%") {
+			return true
+		}
+		_, err := url.ParseRequestURI(target)
+		return err == nil
+	}
+	u, err := url.ParseRequestURI(target) // a whole URL, as sent to a proxy
+	if err != nil || u.Host == "" {
+		return false
+	}
+	m.host, m.path = u.Host, u.RequestURI()
+	return true
+}
+
+// openBody reads the body from r.
+func (m *requestHead) openBody(r *bufio.Reader) io.Reader {
+	if m.Chunked {
+		return http1.NewChunkedBody(r)
+	}
+	return &http1.SizedBody{Reader: r, Remaining: m.Length}
+}
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -424,7 +424,7 @@
 	}
 	nodetest.Receive(t, "a request", got)
 	late := newTestClient(t, node)
-	nodetest.Await(t, "the connection over the limit", func() bool { return s.clientConns.Count() == 3 })
+	nodetest.Await(t, "the connection over the limit", func() bool { return s.ClientConns().Count() == 3 })
 	descriptors.SetTotal(leastSockets)
 	late.send("GET", "read", "late", "")
 	letGo()
--- /dev/null
+++ b/internal/node/service.go
@@ -0,0 +1,67 @@
+package node
+
+import (
+	"sync/atomic"
+
+	"sloerail/policy"
+)
+
+// server is the clients' side of a node: it joins a Server to the loop, and knows which process of the node serves.
+type server struct {
+	*Server
+	loop       *loop
+	first      chan struct{} // closed once new clients come to this process alone
+	superseded atomic.Bool   // another process of this node serves
+	heir       bool          // another one served before this
+}
+
+func newServer(l *loop) *server {
+	s := &server{loop: l, first: make(chan struct{})}
+	descriptors := l.up.Descriptors()
+	s.Server = NewServer(s, NewClientConns(descriptors.ForClients, descriptors.SetClients, l.up.CloseExcessIdle))
+	return s
+}
+
+// HandleRequest hands the loop a request.
+func (s *server) HandleRequest(x *Exchange) { s.loop.send(arrival{x}) }
+
+// HandleClientGone tells the loop that a client has left.
+func (s *server) HandleClientGone(x *Exchange) { s.loop.send(departure{x}) }
+
+// HandleBodyEnd tells the loop that a streamed body has ended.
+func (s *server) HandleBodyEnd(x *Exchange, err error) { s.loop.send(uploaded{x, err}) }
+
+// Now is the loop's time.
+func (s *server) Now() policy.Time { return s.loop.clock.now() }
+
+// Terms are those of the configuration as the loop has it.
+func (s *server) Terms() Terms { return s.loop.terms.Load() }
+
+// Tally counts the answers to requests of a class.
+func (s *server) Tally(class string) Tally { return s.loop.fig.class(class) }
+
+// AddOpenRequests counts requests that were taken or have ended.
+func (s *server) AddOpenRequests(n int) { s.loop.fig.open.Add(int64(n)) }
+
+// taking tells whether this process takes clients.
+func (s *server) taking() bool {
+	select {
+	case <-s.first: // and so the list is in
+		return !s.Stopping.Load()
+	default:
+		return false
+	}
+}
+
+// Ready reports whether the node takes clients, in this process or in another of it.
+func (s *server) Ready() bool {
+	if s.Stopping.Load() {
+		return s.superseded.Load()
+	}
+	select {
+	case <-s.loop.ready:
+		return true
+	default:
+		return s.heir
+	}
+}
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -95,7 +95,7 @@
 func testExchange(method, id string, body string) *Exchange {
 	x := &Exchange{Request: policy.Request{ID: id, Class: "read", Tenant: "t"},
 		Forwarded:  upstream.Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)},
-		ReceivedAt: timeOrigin, Timeout: nodetest.Timeout, reply: make(chan Answer, 1)}
+		ReceivedAt: timeOrigin, Timeout: nodetest.Timeout, Reply: make(chan Answer, 1)}
 	if method == http.MethodPost {
 		x.Forwarded.IdempotencyKey = "k-" + id
 	}
@@ -128,12 +128,12 @@
 }
 
 // serveAt has s take clients.
-func serveAt(t *testing.T, s *Server) (addr string) {
+func serveAt(t *testing.T, s *server) (addr string) {
 	t.Helper()
 	return serveOn(t, s, nodetest.Listener(t))
 }
 
-func serveOn(t *testing.T, s *Server, ln net.Listener) (addr string) {
+func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
 	s.loop.up.Descriptors().SetTotal(leastSockets)
 	ended := make(chan error, 1)
