--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -4,13 +4,11 @@
 	"bufio"
 	"bytes"
 	"crypto/sha256"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -337,17 +335,6 @@
 	}
 }
 
-// What a client gets whose body breaks off.
-func TestUploadStatus(t *testing.T) {
-	for err, want := range map[error]int{
-		ErrBodyTooLong: 413, io.ErrUnexpectedEOF: 400, &net.OpError{Err: os.ErrDeadlineExceeded}: 408, errors.New("x"): 400,
-	} {
-		if got, _ := BodyErrorStatus(err); got != want {
-			t.Errorf("%v: %d, want %d", err, got, want)
-		}
-	}
-}
-
 // An answer that ends with its connection is whole, short or long.
 func TestAnswerByClosePasses(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
--- a/internal/node/client_conn.go
+++ b/internal/node/client_conn.go
@@ -19,8 +19,8 @@
 const (
 	// headTimeout is for the head of a request from its first byte, or from the connect.
 	headTimeout = 2300 * time.Millisecond
-	// clientIdleTimeout is how long a connection may be without a request.
-	clientIdleTimeout = 60 * time.Second
+	// IdleTimeout is how long a connection may be without a request.
+	IdleTimeout = 60 * time.Second
 	// earlyAnswerLinger is how long a client may go on sending after an answer that came before its body's end.
 	earlyAnswerLinger = 2 * time.Second
 	// lastAnswerLinger is how long a client may take to read the last answer of a connection that it may not expect
@@ -228,7 +228,7 @@
 // there is a next one.
 func (c *clientConn) awaitNextRequest(x *Exchange) bool {
 	if c.readDeadline.IsZero() {
-		c.boundRead(time.Now().Add(clientIdleTimeout / 2))
+		c.boundRead(time.Now().Add(IdleTimeout / 2))
 	}
 	for c.reader.Buffered() == 0 {
 		_, err := c.reader.Peek(1)
@@ -245,7 +245,7 @@
 			return false
 		}
 		// The deadline was that of an earlier wait, or the request in hand takes long.
-		c.boundRead(time.Now().Add(clientIdleTimeout / 2))
+		c.boundRead(time.Now().Add(IdleTimeout / 2))
 	}
 	return true
 }
--- a/internal/node/client_conns.go
+++ b/internal/node/client_conns.go
@@ -102,7 +102,7 @@
 func (s *ClientConns) isExpired(p *trackedConn, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return p.evicted || p.state == http.StateIdle && now.Sub(p.since) >= clientIdleTimeout
+	return p.evicted || p.state == http.StateIdle && now.Sub(p.since) >= IdleTimeout
 }
 
 // remove forgets a connection that is closed.
--- a/internal/node/connection_limiter.go
+++ b/internal/node/connection_limiter.go
@@ -72,6 +72,13 @@
 	g.changed.Broadcast()
 }
 
+// Limit is how many connections may be open.
+func (g *ConnectionLimiter) Limit() int {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return g.limit
+}
+
 // SetPaused shuts the gate or opens it again.
 func (g *ConnectionLimiter) SetPaused(paused bool) error {
 	g.mu.Lock()
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -348,30 +348,6 @@
 	nodetest.Await(t, "rest", l.atRest)
 }
 
-// A connection whose answer crosses the node's end is not forgotten: it ends as well.
-func TestConnectionIdleJustAfterTheEndIsWoken(t *testing.T) {
-	t.Parallel()
-	ln := nodetest.Listener(t)
-	client := nodetest.Dial(t, ln.Addr().String())
-	defer client.Close()
-	conn, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer conn.Close()
-	var counted atomic.Int64
-	all := NewClientConns(func() int { return 10 }, func(n int) { counted.Store(int64(n)) }, func() {})
-	p := all.add(conn)
-	all.setState(p, http.StateActive)
-	all.closeIdle()
-	_ = conn.SetReadDeadline(time.Now().Add(nodetest.Timeout))
-	all.setState(p, http.StateIdle) // its answer is written
-	began := time.Now()
-	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(began) > nodetest.Timeout/2 {
-		t.Errorf("read for %v: %v", time.Since(began), err)
-	}
-}
-
 // leaver is a module that holds each request until it is given the sign, tries again what failed, and
 // sends nothing for a client that it knows to have left. Handling the request "busy" takes until idle is closed.
 type leaver struct {
--- a/internal/node/exchange.go
+++ b/internal/node/exchange.go
@@ -152,3 +152,11 @@
 	}
 	return id != "" && len(id) <= maxRequestIDBytes
 }
+
+// MethodFor is the method of the requests of a class: it follows from what a request may do.
+func MethodFor(c policy.Class) string {
+	if c.RetrySafety == policy.Idempotent {
+		return http.MethodGet
+	}
+	return http.MethodPost
+}
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -86,51 +86,6 @@
 	})
 }
 
-// At the limit, the connection that was without a request for longest makes room; one in use, or
-// quiet only for a moment, does not.
-func TestQuietPeersMakeRoom(t *testing.T) {
-	now := time.Now()
-	at := func(ago time.Duration, state http.ConnState) *trackedConn {
-		return &trackedConn{state: state, since: now.Add(-ago)}
-	}
-	for name, c := range map[string]struct {
-		open []*trackedConn
-		shed int // the one that ends; -1 for none
-	}{
-		"longest":           {[]*trackedConn{at(3*time.Second, http.StateIdle), at(4*time.Second, http.StateIdle)}, 1},
-		"silent":            {[]*trackedConn{at(time.Second, http.StateIdle), at(time.Second, http.StateNew)}, 1},
-		"in use":            {[]*trackedConn{at(time.Minute, http.StateActive), at(time.Second, http.StateNew)}, 1},
-		"all in use":        {[]*trackedConn{at(time.Minute, http.StateActive), at(time.Minute, http.StateActive)}, -1},
-		"for a moment only": {[]*trackedConn{at(time.Second, http.StateIdle), at(time.Millisecond, http.StateNew)}, -1},
-	} {
-		s := NewClientConns(func() int { return len(c.open) }, func(int) {}, func() {})
-		var ends []net.Conn
-		for _, p := range c.open {
-			mine, theirs := net.Pipe()
-			defer theirs.Close()
-			defer mine.Close()
-			s.conns[mine] = p
-			ends = append(ends, mine)
-		}
-		next, far := net.Pipe()
-		defer next.Close()
-		defer far.Close()
-		if over := s.add(next).overLimit; over != (c.shed < 0) {
-			t.Errorf("%s: the next is over the limit: %v", name, over)
-		}
-		for i, end := range ends {
-			if s.conns[end].evicted != (i == c.shed) {
-				t.Errorf("%s: connection %d made room: %v", name, i, s.conns[end].evicted)
-			}
-		}
-		if c.shed >= 0 {
-			if _, err := ends[c.shed].Read(make([]byte, 1)); err == nil {
-				t.Errorf("%s: the one that made room can still be read", name)
-			}
-		}
-	}
-}
-
 // An idle connection ends in time, also after a body that came in pieces and set deadlines of its own.
 func TestIdleConnectionsEnd(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
@@ -142,7 +97,7 @@
 			_, _ = io.WriteString(c, piece)
 			time.Sleep(100 * time.Millisecond)
 		}
-		_ = c.SetReadDeadline(time.Now().Add(2 * clientIdleTimeout))
+		_ = c.SetReadDeadline(time.Now().Add(2 * IdleTimeout))
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 200 ") {
 			t.Errorf("got %q, %v; want an answer and then the end", got, err)
 		}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"log/slog"
-	"net/http"
 	"slices"
 	"strconv"
 	"time"
@@ -65,13 +64,6 @@
 	return method == MethodFor(c) && (c.RetrySafety == policy.IdempotencyKeyed) == keyed
 }
 
-func MethodFor(c policy.Class) string {
-	if c.RetrySafety == policy.Idempotent {
-		return http.MethodGet
-	}
-	return http.MethodPost
-}
-
 // longestOf is the longest of the waits of all classes, those of just before a change included.
 func (t *terms) longestOf(wait func([]policy.Class) time.Duration) time.Duration {
 	longest := wait(t.all)
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -446,8 +446,8 @@
 	for _, sharing := range []bool{true, false} {
 		h.s.AwaitingDescriptors.Store(sharing)
 		h.resize()
-		if most := l.up.Descriptors().MaxClients(); (h.gate.limit > most) == sharing {
-			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.gate.limit, most)
+		if most := l.up.Descriptors().MaxClients(); (h.gate.Limit() > most) == sharing {
+			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.gate.Limit(), most)
 		}
 	}
 }
