--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -1,6 +1,7 @@
 package node
 
 import (
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/upstream"
 )
 
@@ -36,6 +37,6 @@
 }
 
 // forwardedAnswer is what a client gets of a server's response.
-func forwardedAnswer(r upstream.Response) Answer {
-	return Answer{Status: r.Status, ContentType: r.ContentType, Body: r.Body, Stream: r.Stream, Length: r.Length}
+func forwardedAnswer(r upstream.Response) downstream.Answer {
+	return downstream.Answer{Status: r.Status, ContentType: r.ContentType, Body: r.Body, Stream: r.Stream, Length: r.Length}
 }
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -16,6 +16,7 @@
 	"testing/iotest"
 	"time"
 
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/http1"
 	"sloerail/internal/node/nodetest"
 	"sloerail/internal/node/upstream"
@@ -179,7 +180,7 @@
 			want, all int
 		}{
 			{"reset while it comes", func(c net.Conn, r *bufio.Reader) {
-				_, _ = io.CopyN(io.Discard, r, UploadStartBytes+http1.MaxBufferedBodyBytes)
+				_, _ = io.CopyN(io.Discard, r, downstream.UploadStartBytes+http1.MaxBufferedBodyBytes)
 			}, http.StatusServiceUnavailable, 1},
 			{"full after the last byte", func(c net.Conn, r *bufio.Reader) {
 				if nodetest.ReadRequest(r) {
@@ -222,9 +223,9 @@
 		}
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
-	for _, length := range []int64{MaxBodyBytes + 1, -1} {
+	for _, length := range []int64{downstream.MaxBodyBytes + 1, -1} {
 		req := clientRequest(t, node, "POST", "pay", fmt.Sprint("r", length), "")
-		req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeros{}, MaxBodyBytes+1)), length
+		req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeros{}, downstream.MaxBodyBytes+1)), length
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatalf("length %d: %v", length, err)
@@ -282,7 +283,7 @@
 			defer conn.Close()
 			began := time.Now()
 			fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: silent\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
-				"X-Deadline-Ms: 8000\r\nContent-Length: %d\r\n\r\n%s", size, make([]byte, UploadStartBytes+1))
+				"X-Deadline-Ms: 8000\r\nContent-Length: %d\r\n\r\n%s", size, make([]byte, downstream.UploadStartBytes+1))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != http.StatusRequestTimeout || time.Since(began) > 3*time.Second {
 				t.Errorf("silent: %v, %v after %v", resp, err, time.Since(began))
@@ -366,7 +367,7 @@
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 		for _, c := range []struct{ class, length, first string }{
-			{"pay", "3", " 100 "}, {"pay", fmt.Sprint(MaxBodyBytes + 1), " 413 "}, {"unknown", "3", " 400 "},
+			{"pay", "3", " 100 "}, {"pay", fmt.Sprint(downstream.MaxBodyBytes + 1), " 413 "}, {"unknown", "3", " 400 "},
 		} {
 			conn := nodetest.Dial(t, node)
 			defer conn.Close()
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -10,6 +10,7 @@
 
 	"golang.org/x/net/netutil"
 
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/http1"
 )
 
@@ -24,13 +25,13 @@
 // call give way to others, and none of them takes anything from the clients.
 type control struct {
 	http  http.Server
-	peers *ClientConns
+	peers *downstream.ClientConns
 }
 
 // newControl makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
 // node of none.
 func newControl(l *loop, taking func() bool, fleet *membership) *control {
-	c := &control{peers: NewClientConns(func() int { return controlSockets / 2 }, func(int) {}, func() {})}
+	c := &control{peers: downstream.NewClientConns(func() int { return controlSockets / 2 }, func(int) {}, func() {})}
 	mux := http.NewServeMux()
 	mux.HandleFunc(http.MethodGet+" "+healthPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !taking() {
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
 )
 
@@ -155,7 +156,7 @@
 		}{
 			{"GET", ctl + healthPath, 200}, {"GET", ctl + statsPath, 200}, {"POST", ctl + statsPath, 405},
 			{"PUT", ctl + healthPath, 405}, {"GET", ctl + "/nothing", 404}, {"GET", ctl + "/api/x", 404},
-			{"GET", ctl + ReadyPath, 404}, {"GET", node + statsPath, 400}, {"GET", node + healthPath, 400},
+			{"GET", ctl + downstream.ReadyPath, 404}, {"GET", node + statsPath, 400}, {"GET", node + healthPath, 400},
 		} {
 			if got, _ := call(t, c.method, "http://"+c.url); got != c.want {
 				t.Errorf("%s %s: %d, want %d", c.method, c.url, got, c.want)
--- a/internal/node/client_conns.go
+++ b/internal/node/downstream/client_conns.go
@@ -1,4 +1,4 @@
-package node
+package downstream
 
 import (
 	"context"
--- a/internal/node/exchange.go
+++ b/internal/node/downstream/exchange.go
@@ -1,4 +1,4 @@
-package node
+package downstream
 
 import (
 	"net/http"
@@ -11,10 +11,11 @@
 	"sloerail/policy"
 )
 
-const (
-	maxRequestIDBytes = 128 // the protocol's own IDs are far shorter
-	maxTimeoutMillis  = 3_600_000
-)
+// MaxRequestIDBytes bounds the ID of a request; the protocol's own IDs are far shorter.
+const MaxRequestIDBytes = 128
+
+// maxTimeoutMillis bounds how long a client may say that it waits.
+const maxTimeoutMillis = 3_600_000
 
 // Exchange is one client request, which is not changed once the loop has it, but for whether its client has left.
 type Exchange struct {
@@ -150,7 +151,7 @@
 			return false
 		}
 	}
-	return id != "" && len(id) <= maxRequestIDBytes
+	return id != "" && len(id) <= MaxRequestIDBytes
 }
 
 // MethodFor is the method of the requests of a class: it follows from what a request may do.
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -13,6 +13,7 @@
 	"net/http"
 	"os"
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/http1"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
@@ -680,7 +681,7 @@
 	for name, giveUp := range map[string]func(*server){
 		"the node's end": func(s *server) { s.CloseIdle() },
 		"making room": func(s *server) {
-			s.ClientConns().EvictQuietest(time.Now().Add(MinIdleTime))
+			s.ClientConns().EvictQuietest(time.Now().Add(downstream.MinIdleTime))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -20,6 +20,7 @@
 	"golang.org/x/sys/unix"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
@@ -282,7 +283,7 @@
 	path  string
 	s     *server
 	up    *upstream.Transport
-	gate  *ConnectionLimiter
+	gate  *downstream.ConnectionLimiter
 	fleet *membership // nil for a node of no fleet
 
 	mu    sync.Mutex
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
@@ -88,7 +89,7 @@
 
 // request is kept until it is answered and all its attempts are over.
 type request struct {
-	*Exchange
+	*downstream.Exchange
 	deadline policy.Time
 	backstop *timer
 	ended    bool
@@ -105,8 +106,8 @@
 
 // The events of the loop, beside news.
 type (
-	arrival   struct{ x *Exchange }
-	departure struct{ x *Exchange }
+	arrival   struct{ x *downstream.Exchange }
+	departure struct{ x *downstream.Exchange }
 	ending    struct { // of an attempt
 		r *request
 		n int
@@ -120,10 +121,10 @@
 	begun     struct {                              // an answer that is passed on as it comes
 		r *request
 		n int
-		Answer
+		downstream.Answer
 	}
 	uploaded struct { // the rest of a request: whole, or why its connection waits for an answer to end by
-		x   *Exchange
+		x   *downstream.Exchange
 		err error
 	}
 	finish struct{} // fail what is still open and refuse what comes, for the node stops
@@ -286,16 +287,16 @@
 	}
 }
 
-func (l *loop) arrive(x *Exchange) {
+func (l *loop) arrive(x *downstream.Exchange) {
 	if x.HasLeft() { // while it waited for the loop
 		return
 	}
 	if l.requests[x.Request.ID] != nil { // the module would wait for the first, and never answer this one
-		x.Reply <- Answer{Status: http.StatusConflict}
+		x.Reply <- downstream.Answer{Status: http.StatusConflict}
 		return
 	}
 	if l.finished || l.maxOpen > 0 && l.owed >= l.maxOpen {
-		x.Reply <- Answer{Status: http.StatusServiceUnavailable}
+		x.Reply <- downstream.Answer{Status: http.StatusServiceUnavailable}
 		return
 	}
 	r := &request{Exchange: x}
@@ -326,7 +327,7 @@
 // whole starts the time of a request that was sent on while it came in, or ends one that broke off.
 func (l *loop) whole(r *request, err error) {
 	if err != nil {
-		status, _ := BodyErrorStatus(err)
+		status, _ := downstream.BodyErrorStatus(err)
 		l.fail(r, status)
 		return
 	}
@@ -449,7 +450,7 @@
 		}
 	case policy.Fail:
 		if r := l.requests[a.ID]; r != nil {
-			l.answer(r, Answer{Status: http.StatusBadGateway})
+			l.answer(r, downstream.Answer{Status: http.StatusBadGateway})
 			l.drop(r)
 		}
 	case policy.Cancel:
@@ -499,16 +500,16 @@
 }
 
 func (l *loop) refuse(r *request, wait time.Duration) {
-	a := Answer{Status: http.StatusServiceUnavailable}
+	a := downstream.Answer{Status: http.StatusServiceUnavailable}
 	if wait > 0 && l.allowed.RetryAfter {
-		a = Answer{Status: http.StatusTooManyRequests, RetryAfter: wait}
+		a = downstream.Answer{Status: http.StatusTooManyRequests, RetryAfter: wait}
 	}
 	l.answer(r, a)
 	l.drop(r)
 }
 
 // answer gives the client its one answer; whatever comes later is not passed on.
-func (l *loop) answer(r *request, a Answer) {
+func (l *loop) answer(r *request, a downstream.Answer) {
 	if !r.ended {
 		l.settle(r)
 		r.Reply <- a
@@ -517,7 +518,7 @@
 
 // fail gives the client its one answer where the module has none in time, and tells it so.
 func (l *loop) fail(r *request, status int) {
-	l.answer(r, Answer{Status: status})
+	l.answer(r, downstream.Answer{Status: status})
 	l.tell(policy.ClientCancelled{ID: r.Request.ID})
 	l.drop(r)
 }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
@@ -92,7 +93,7 @@
 	return l, s
 }
 
-func (l *loop) arriveNow(id string, waits time.Duration) *Exchange {
+func (l *loop) arriveNow(id string, waits time.Duration) *downstream.Exchange {
 	x := testExchange(http.MethodGet, id, "")
 	x.ReceivedAt, x.Timeout = l.clock.now(), waits
 	l.send(arrival{x})
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
@@ -61,7 +62,7 @@
 	parts.Go(func() { l.disc.Run(running) })
 
 	failed := make(chan error, 1)
-	clients := NewConnectionLimiter(at.Clients, held)
+	clients := downstream.NewConnectionLimiter(at.Clients, held)
 	h := &handover{c: c, path: handoverPath(c), s: s, up: up, gate: clients, fleet: fleet, share: held}
 	h.resize()
 	parts.Go(func() { failed <- s.Accept(clients) })
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
 )
 
@@ -97,7 +98,7 @@
 			_, _ = io.WriteString(c, piece)
 			time.Sleep(100 * time.Millisecond)
 		}
-		_ = c.SetReadDeadline(time.Now().Add(2 * IdleTimeout))
+		_ = c.SetReadDeadline(time.Now().Add(2 * downstream.IdleTimeout))
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 200 ") {
 			t.Errorf("got %q, %v; want an answer and then the end", got, err)
 		}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"sloerail/internal/node/decode"
+	"sloerail/internal/node/downstream"
 	"sloerail/policy"
 )
 
@@ -61,7 +62,7 @@
 
 // fits tells whether a request has the form of a class: the method and the key follow from its effect.
 func fits(c policy.Class, method string, keyed bool) bool {
-	return method == MethodFor(c) && (c.RetrySafety == policy.IdempotencyKeyed) == keyed
+	return method == downstream.MethodFor(c) && (c.RetrySafety == policy.IdempotencyKeyed) == keyed
 }
 
 // longestOf is the longest of the waits of all classes, those of just before a change included.
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
@@ -45,7 +46,7 @@
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
-		big := strings.Repeat("x", maxRequestIDBytes+1)
+		big := strings.Repeat("x", downstream.MaxRequestIDBytes+1)
 		for name, c := range map[string]struct {
 			method, class, body string
 			headers             []string
@@ -246,7 +247,7 @@
 			if resp.StatusCode != 200 || resp.Close != draining {
 				t.Errorf("draining %v: %d, ends its connection: %v", draining, resp.StatusCode, resp.Close)
 			}
-			resp, err = onceClient(t).Get("http://" + node + ReadyPath)
+			resp, err = onceClient(t).Get("http://" + node + downstream.ReadyPath)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -332,7 +333,7 @@
 		}
 		ended, began := make(chan error, 1), time.Now()
 		go func() { ended <- stop() }()
-		probe, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+node+ReadyPath, nil)
+		probe, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+node+downstream.ReadyPath, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -442,7 +443,7 @@
 		t.Errorf("%d for servers beside 40 clients, want %d", got, s.MinPerSide())
 	}
 	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
-	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: NewConnectionLimiter(nodetest.Listener(t), 1), share: 60}
+	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: downstream.NewConnectionLimiter(nodetest.Listener(t), 1), share: 60}
 	for _, sharing := range []bool{true, false} {
 		h.s.AwaitingDescriptors.Store(sharing)
 		h.resize()
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -3,12 +3,13 @@
 import (
 	"sync/atomic"
 
+	"sloerail/internal/node/downstream"
 	"sloerail/policy"
 )
 
 // server is the clients' side of a node: it joins a Server to the loop, and knows which process of the node serves.
 type server struct {
-	*Server
+	*downstream.Server
 	loop       *loop
 	first      chan struct{} // closed once new clients come to this process alone
 	superseded atomic.Bool   // another process of this node serves
@@ -18,27 +19,27 @@
 func newServer(l *loop) *server {
 	s := &server{loop: l, first: make(chan struct{})}
 	descriptors := l.up.Descriptors()
-	s.Server = NewServer(s, NewClientConns(descriptors.ForClients, descriptors.SetClients, l.up.CloseExcessIdle))
+	s.Server = downstream.NewServer(s, downstream.NewClientConns(descriptors.ForClients, descriptors.SetClients, l.up.CloseExcessIdle))
 	return s
 }
 
 // HandleRequest hands the loop a request.
-func (s *server) HandleRequest(x *Exchange) { s.loop.send(arrival{x}) }
+func (s *server) HandleRequest(x *downstream.Exchange) { s.loop.send(arrival{x}) }
 
 // HandleClientGone tells the loop that a client has left.
-func (s *server) HandleClientGone(x *Exchange) { s.loop.send(departure{x}) }
+func (s *server) HandleClientGone(x *downstream.Exchange) { s.loop.send(departure{x}) }
 
 // HandleBodyEnd tells the loop that a streamed body has ended.
-func (s *server) HandleBodyEnd(x *Exchange, err error) { s.loop.send(uploaded{x, err}) }
+func (s *server) HandleBodyEnd(x *downstream.Exchange, err error) { s.loop.send(uploaded{x, err}) }
 
 // Now is the loop's time.
 func (s *server) Now() policy.Time { return s.loop.clock.now() }
 
 // Terms are those of the configuration as the loop has it.
-func (s *server) Terms() Terms { return s.loop.terms.Load() }
+func (s *server) Terms() downstream.Terms { return s.loop.terms.Load() }
 
 // Tally counts the answers to requests of a class.
-func (s *server) Tally(class string) Tally { return s.loop.fig.class(class) }
+func (s *server) Tally(class string) downstream.Tally { return s.loop.fig.class(class) }
 
 // AddOpenRequests counts requests that were taken or have ended.
 func (s *server) AddOpenRequests(n int) { s.loop.fig.open.Add(int64(n)) }
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
 	"sloerail/internal/node/upstream"
 	"sloerail/policy"
@@ -92,10 +93,10 @@
 	return l.Endpoints
 }
 
-func testExchange(method, id string, body string) *Exchange {
-	x := &Exchange{Request: policy.Request{ID: id, Class: "read", Tenant: "t"},
+func testExchange(method, id string, body string) *downstream.Exchange {
+	x := &downstream.Exchange{Request: policy.Request{ID: id, Class: "read", Tenant: "t"},
 		Forwarded:  upstream.Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)},
-		ReceivedAt: timeOrigin, Timeout: nodetest.Timeout, Reply: make(chan Answer, 1)}
+		ReceivedAt: timeOrigin, Timeout: nodetest.Timeout, Reply: make(chan downstream.Answer, 1)}
 	if method == http.MethodPost {
 		x.Forwarded.IdempotencyKey = "k-" + id
 	}
@@ -174,7 +175,7 @@
 	})
 	addr = at.Clients.Addr().String()
 	nodetest.Await(t, "readiness", func() bool {
-		resp, err := onceClient(t).Get("http://" + addr + ReadyPath)
+		resp, err := onceClient(t).Get("http://" + addr + downstream.ReadyPath)
 		if err != nil {
 			return false
 		}
