--- a/internal/node/downstream/answer_writer.go
+++ b/internal/node/downstream/answer_writer.go
@@ -23,22 +23,22 @@
 	clientSendBufferBytes = 64 << 10
 )
 
-// writeAnswers writes the answers to what is read, until the connection's end.
+// writeAnswers writes answers until the connection ends.
 func (c *clientConn) writeAnswers() {
 	for {
 		select {
 		case a := <-c.reply:
-			whole, early := c.writeAnswer(a)
-			goesOn := whole && (early || !c.closeAfterAnswer)
+			complete, early := c.writeAnswer(a)
+			open := complete && (early || !c.closeAfterAnswer)
 			c.finishRequest()
-			if goesOn && !c.closeAfterAnswer {
+			if open && !c.closeAfterAnswer {
 				c.server.clientConns.setState(c.tracked, http.StateIdle)
 			}
-			if !goesOn && (!whole || !c.hasPollEvent(unix.POLLIN)) { // else its reader sees that, and closes
+			if !open && (!complete || !c.hasPollEvent(unix.POLLIN)) { // else the reader finds the bytes, and lingers
 				closeQuietly(c)
 			}
-			c.answered <- goesOn
-			if !goesOn {
+			c.answered <- open
+			if !open {
 				return
 			}
 		case <-c.closed:
@@ -47,9 +47,9 @@
 	}
 }
 
-// writeAnswer writes the client's answer, and tells whether that is whole, and whether it came early: then the connection
-// is read on all the same, so that the client gets it.
-func (c *clientConn) writeAnswer(a Answer) (whole, early bool) {
+// writeAnswer writes an answer, and reports whether it was written completely, and whether it came before the end of the
+// request's body: then the connection is read on, so that the client gets the answer.
+func (c *clientConn) writeAnswer(a Answer) (complete, early bool) {
 	x := c.exchange
 	early = x.upload != nil && !x.upload.complete.Load()
 	if early {
@@ -66,22 +66,23 @@
 	return c.sendAnswer(a) == nil, early
 }
 
-// streamAnswer passes a long answer on. One that breaks off ends the connection, so that the client can tell.
+// streamAnswer writes an answer whose body comes bit by bit, and reports whether that was complete. One that breaks off
+// ends the connection, so that the client can tell.
 func (c *clientConn) streamAnswer(a Answer) bool {
 	conn := tcpConn(c)
 	if conn != nil {
-		_ = conn.SetWriteBuffer(clientSendBufferBytes)
+		_ = conn.SetWriteBuffer(clientSendBufferBytes) // without it, only a slow client's progress is seen later
 	}
 	to := io.Writer(c.Conn)
 	if a.Length < 0 && c.http10 {
-		c.closeAfterAnswer = true // its end is the connection's
+		c.closeAfterAnswer = true // HTTP/1.0 has no chunks: the body ends with the connection
 	} else if a.Length < 0 {
 		to = http1.ChunkWriter{Conn: c}
 	}
 	c.writeDeadline, c.bytesSent = time.Time{}, minSendBufferBytes+1
 	c.boundWrite(answerWriteTimeout)
 	if _, err := c.Write(c.answerHead(a)); err != nil {
-		c.Close() // so that nothing is passed on behind half a head
+		closeQuietly(c) // so that no body follows half a head
 	}
 	err := a.Stream.CopyTo(to, c, a.Body)
 	if err == nil && a.Length < 0 && !c.http10 {
@@ -93,15 +94,15 @@
 		c.exchange.tally.Count(a.Status)
 	default:
 		c.exchange.tally.Count(http.StatusBadGateway)
-		if conn != nil && a.Length < 0 && c.http10 { // a plain close would mean the end
-			_ = conn.SetLinger(0)
+		if conn != nil && a.Length < 0 && c.http10 { // a plain close would mean a complete body
+			_ = conn.SetLinger(0) // the close resets the connection then; fails only on a closed one
 		}
 	}
 	return err == nil
 }
 
-// boundWrite bounds what is written next: a client that reads nothing must not hold the writer for ever. A
-// deadline that ends at most twice as late is as good, and the first few bytes of a connection need none.
+// boundWrite bounds the next write: a client that reads nothing must not block the writer for ever. To set fewer deadlines,
+// one may end at up to twice the time, and the first few bytes of a connection have none.
 func (c *clientConn) boundWrite(d time.Duration) {
 	if c.bytesSent <= minSendBufferBytes {
 		return
@@ -109,11 +110,11 @@
 	now := time.Now()
 	if c.writeDeadline.Before(now.Add(d)) {
 		c.writeDeadline = now.Add(2 * d)
-		_ = c.SetWriteDeadline(c.writeDeadline)
+		_ = c.SetWriteDeadline(c.writeDeadline) // fails only on a closed connection, where the write fails too
 	}
 }
 
-// sendAnswer writes a whole answer.
+// sendAnswer writes an answer whose body is buffered.
 func (c *clientConn) sendAnswer(a Answer) error {
 	b := c.answerHead(a)
 	c.bytesSent += int64(len(b) + len(a.Body))
@@ -123,8 +124,8 @@
 	return err
 }
 
-// answerHead writes the head of an answer. Whether the connection goes on is settled here, and not when the request
-// came: a node that was told to stop since has no more time for another one.
+// answerHead makes the head of an answer. Whether the connection stays open is decided here, and not when the request
+// came: a node that began to drain since has no time for another one.
 func (c *clientConn) answerHead(a Answer) []byte {
 	c.closeAfterAnswer = c.closeAfterAnswer || c.server.Draining.Load()
 	b := append(c.writeBuffer[:0], "HTTP/1."...)
@@ -158,7 +159,7 @@
 	return b
 }
 
-// dated is the text of one second.
+// dated is the text of a Date field for one second.
 type dated struct {
 	second int64
 	text   string
@@ -166,6 +167,7 @@
 
 var lastDate atomic.Pointer[dated]
 
+// dateText is the text of a Date field.
 func dateText(now time.Time) string {
 	d := lastDate.Load()
 	if d == nil || d.second != now.Unix() {
@@ -175,11 +177,12 @@
 	return d.text
 }
 
-// sendError answers what isn't taken, and ends the connection, at once where nothing is left unread: no client
-// of ours sends such, and its descriptor is wanted.
+// sendError answers an invalid request and ends the connection; at once where nothing is unread, since its descriptor
+// is wanted.
 func (c *clientConn) sendError(problem *requestError, unread bool) {
 	c.closeAfterAnswer = true
-	a := Answer{Status: problem.status, Body: []byte(problem.text + "\n"), ContentType: "text/plain; charset=utf-8", AllowedMethod: problem.allowedMethod}
+	a := Answer{Status: problem.status, Body: []byte(problem.text + "\n"), ContentType: "text/plain; charset=utf-8",
+		AllowedMethod: problem.allowedMethod}
 	a.Length = int64(len(a.Body))
 	if c.sendAnswer(a) != nil || problem.status == http.StatusRequestTimeout { // its time is up
 		return
@@ -189,7 +192,7 @@
 	}
 }
 
-// sendContinue tells a client that waits for it to send its body.
+// sendContinue answers Expect: 100-continue.
 func (c *clientConn) sendContinue(m *requestHead) error {
 	if !m.expectsContinue || m.minor == 0 || c.reader.Buffered() > 0 {
 		return nil
--- a/internal/node/downstream/client_conn.go
+++ b/internal/node/downstream/client_conn.go
@@ -28,33 +28,33 @@
 	lastAnswerLinger = 500 * time.Millisecond
 )
 
-// clientConn is one connection on the clients' side. One goroutine reads it, request after request, and so
-// sees the client leave while an answer is awaited. Another writes the loop's answers.
+// clientConn is a client's connection. One goroutine reads it, request after request, and so sees the client leave while
+// its answer is awaited. Another writes the answers; both end with the connection.
 type clientConn struct {
 	net.Conn
 	server       *Server
 	tracked      *trackedConn
-	lastReceived atomic.Int64 // when something last came, in Unix nanoseconds; 0 for never
+	lastReceived atomic.Int64 // when bytes last came, in Unix nanoseconds; 0 for never
 	reader       *bufio.Reader
 	heads        http1.HeadReader
-	readDeadline time.Time     // the deadline for reading; zero for none
-	reply        chan Answer   // from the loop, for the request in hand
-	answered     chan bool     // from the writer, after each answer: whether the connection goes on
+	readDeadline time.Time     // zero for none
+	reply        chan Answer   // from the handler, for the current request
+	answered     chan bool     // from the writer, after each answer: whether the connection stays open
 	closed       chan struct{} // closed at the connection's end
 
-	// The request in hand; set before the loop has it, and read by the writer once the loop has answered.
+	// The current request: set before the handler has it, and read by the writer once that has answered.
 	exchange         *Exchange
-	closeAfterAnswer bool // the answer ends the connection
-	http10           bool // HTTP/1.0
+	closeAfterAnswer bool
+	http10           bool // the request is HTTP/1.0
 	answerPending    atomic.Bool
 	writeBuffer      []byte
-	writeDeadline    time.Time // the deadline for writing
-	bytesSent        int64     // bytes of answers, over the connection
+	writeDeadline    time.Time
+	bytesSent        int64 // over the connection's life
 }
 
 var readBuffers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// newClientConn takes a connection in.
+// newClientConn tracks a connection. serve has to follow.
 func (s *Server) newClientConn(conn net.Conn) *clientConn {
 	c := &clientConn{Conn: conn, server: s, reader: readBuffers.Get().(*bufio.Reader), reply: make(chan Answer, 1),
 		answered: make(chan bool, 1), closed: make(chan struct{})}
@@ -63,14 +63,14 @@
 	return c
 }
 
-// serve reads the connection to its end.
+// serve reads requests until the connection ends.
 func (c *clientConn) serve() {
 	s := c.server
 	defer s.conns.Done()
 	var writer sync.WaitGroup
 	defer func() {
-		if problem := recover(); problem != nil { // costs this client, and not the node
-			slog.Error("serving a client", "problem", problem, "stack", string(debug.Stack()))
+		if cause := recover(); cause != nil { // ends this connection, and not the node
+			slog.Error("a client's connection panicked", "cause", cause, "stack", string(debug.Stack()))
 		}
 		closeQuietly(c)
 		close(c.closed)
@@ -87,12 +87,12 @@
 			c.rejectUnreadable(err)
 			return
 		}
-		if s.clientConns.setState(c.tracked, http.StateActive) { // it was to give way, and has come in time
+		if s.clientConns.setState(c.tracked, http.StateActive) { // the request has come in time for the connection to stay
 			c.boundRead(time.Time{})
 		}
-		m, bad := parseRequest(h)
-		if bad != nil {
-			c.sendError(bad, true)
+		m, problem := parseRequest(h)
+		if problem != nil {
+			c.sendError(problem, true)
 			return
 		}
 		if first {
@@ -106,10 +106,10 @@
 	}
 }
 
-// NetConn is the connection that c wraps.
+// NetConn returns the connection that c wraps.
 func (c *clientConn) NetConn() net.Conn { return c.Conn }
 
-// Read notes when something comes.
+// Read notes when bytes come.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -118,23 +118,22 @@
 	return n, err
 }
 
-// boundRead sets when reading ends; zero for never.
-func (c *clientConn) boundRead(to time.Time) {
-	c.readDeadline = to
-	_ = c.SetReadDeadline(to)
+// boundRead sets the deadline for reading; zero for none.
+func (c *clientConn) boundRead(deadline time.Time) {
+	c.readDeadline = deadline
+	_ = c.SetReadDeadline(deadline) // fails only on a closed connection, where the next read fails too
 }
 
-// boundHead bounds the reading of a further head, the first of which is there.
+// boundHead bounds the reading of a further head, whose first byte is there.
 func (c *clientConn) boundHead() {
-	if b, _ := c.reader.Peek(c.reader.Buffered()); !bytes.Contains(b, headEnd) { // it nearly always is there whole
+	if b, _ := c.reader.Peek(c.reader.Buffered()); !bytes.Contains(b, headEnd) { // nearly always all of it is there
 		c.boundRead(time.Now().Add(headTimeout))
 	}
 }
 
 var headEnd = []byte("\r\n\r\n")
 
-// rejectUnreadable ends a connection whose next request can't be read. Whoever sent nothing of one, or is too slow,
-// gets no answer.
+// rejectUnreadable answers a request whose head can't be read. A client that sent nothing, or is too slow, gets no answer.
 func (c *clientConn) rejectUnreadable(err error) {
 	switch {
 	case errors.Is(err, http1.ErrMalformedHead):
@@ -173,11 +172,11 @@
 	if !c.awaitNextRequest(x) {
 		return false
 	}
-	goesOn := <-c.answered
-	if !goesOn {
-		c.linger(lastAnswerLinger) // for what is behind the request
+	open := <-c.answered
+	if !open {
+		c.linger(lastAnswerLinger) // bytes of a further request may be unread
 	}
-	return goesOn
+	return open
 }
 
 // isLastRequest reports whether the connection ends with the answer to m.
@@ -210,13 +209,13 @@
 	return false
 }
 
-// answerReadiness tells the front whether the node may be taken in.
+// answerReadiness tells a load balancer whether the node takes clients.
 func (c *clientConn) answerReadiness(m requestHead) bool {
 	a := Answer{Status: http.StatusOK}
 	if !c.server.handler.Ready() {
 		a.Status = http.StatusServiceUnavailable
 	}
-	c.closeAfterAnswer = c.closeAfterAnswer || m.Length != 0 // nobody reads that body
+	c.closeAfterAnswer = c.closeAfterAnswer || m.Length != 0 // a body isn't read
 	if err := c.sendAnswer(a); err != nil || c.closeAfterAnswer {
 		return false
 	}
@@ -224,8 +223,8 @@
 	return c.awaitNextRequest(nil)
 }
 
-// awaitNextRequest waits for the next request, and sees the client of x leave before it is answered. It tells whether
-// there is a next one.
+// awaitNextRequest waits for the next request, and tells the handler if the client of x leaves before it is answered. It
+// reports whether there is a next one. x is nil where the last request needed no handler.
 func (c *clientConn) awaitNextRequest(x *Exchange) bool {
 	if c.readDeadline.IsZero() {
 		c.boundRead(time.Now().Add(IdleTimeout / 2))
@@ -240,25 +239,25 @@
 				x.clientGone.Store(true)
 				c.server.handler.HandleClientGone(x)
 			}
-			return false // to be answered now would be to be served, where only one side was closed
+			return false // also a client that only stopped sending has left
 		case c.server.clientConns.isExpired(c.tracked, time.Now()) || c.server.closing.Load() && !c.answerPending.Load():
 			return false
 		}
-		// The deadline was that of an earlier wait, or the request in hand takes long.
+		// The deadline was that of an earlier wait, or the current request takes long.
 		c.boundRead(time.Now().Add(IdleTimeout / 2))
 	}
 	return true
 }
 
-// finishRequest books the end of the request in hand, once.
+// finishRequest counts the current request as ended, once.
 func (c *clientConn) finishRequest() {
 	if c.answerPending.CompareAndSwap(true, false) {
 		c.server.handler.AddOpenRequests(-1)
 	}
 }
 
-// linger reads for a while what a client still sends after its last answer: a close at once would reset the
-// connection, and the answer with it.
+// linger reads for a while what a client still sends after its last answer: closing over unread bytes would reset the
+// connection, and the client might lose the answer.
 func (c *clientConn) linger(d time.Duration) {
 	half, ok := underlyingConn(c).(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
--- a/internal/node/downstream/client_conns.go
+++ b/internal/node/downstream/client_conns.go
@@ -9,215 +9,220 @@
 )
 
 const (
-	// minSilentTime is how long a connection may be without a byte of the request that it owes before it can
-	// lose its descriptor to another: a client has its request at hand, and a slow one sends piece by piece.
+	// minSilentTime is how long a connection whose request is awaited may be without a byte before it can lose its
+	// descriptor to another: a client has its request at hand, and a slow one sends it piece by piece.
 	minSilentTime = 500 * time.Millisecond
-	// MinIdleTime is the same for one that was answered, and the least that clients are owed.
+	// MinIdleTime is the same for a connection that was answered.
 	MinIdleTime = 2 * time.Second
-	// crowdedDivisor of the places may be taken before connections end with their first answer. Those that stay
-	// then are owed idleLeast each, and new clients come meanwhile.
+	// crowdedDivisor makes connections end with their first answer once a quarter of the limit is open: each that
+	// stays idle can't be evicted for MinIdleTime, and new clients come meanwhile.
 	crowdedDivisor = 4
 )
 
-// ClientConns knows the connections on the clients' side. It sees to it that those with nothing to do give
-// way to new ones once their part of the descriptors is used up.
+// ClientConns tracks the connections of clients. Once as many are open as there are descriptors for, it evicts those
+// that have nothing to do, to make room for new ones. Its methods may be called from any goroutine; none blocks.
 type ClientConns struct {
 	limit   func() int
-	onCount func(n int) // hears how many there are
-	reclaim func()      // asks for descriptors that others can do without
+	onCount func(n int) // called with the number of connections when it changes
+	reclaim func()      // called at the limit, to raise it where others hold idle descriptors
 
 	mu            sync.Mutex
 	conns         map[net.Conn]*trackedConn
-	closeWhenIdle bool // connections end once they are idle
+	closeWhenIdle bool
 }
 
+// trackedConn is what ClientConns knows of a connection. ClientConns.mu guards it.
 type trackedConn struct {
 	conn         net.Conn
 	state        http.ConnState
-	since        time.Time
-	requests     int       // requests that it has begun
+	since        time.Time // when it got its state
+	requests     int       // that it has begun
 	requestStart time.Time // its request's first byte, or the connect if that is its first request
-	awaitsInput  bool      // the rest of its head is waited for, or its body
-	overLimit    bool      // came when the limit was reached and no other could give way
-	evicted      bool
+	awaitsInput  bool      // the rest of a head or of a body is to come
+	overLimit    bool      // it came at the limit, and no other could be evicted
+	evicted      bool      // it ends unless a request comes in time
 }
 
-func NewClientConns(most func() int, counted func(int), yield func()) *ClientConns {
-	return &ClientConns{limit: most, onCount: counted, reclaim: yield, conns: make(map[net.Conn]*trackedConn)}
+// NewClientConns makes a ClientConns. limit returns how many connections may be open; onCount is called with the number
+// of connections when it changes, and reclaim when a connection comes at the limit. They are called under a lock, and
+// must not block or call back.
+func NewClientConns(limit func() int, onCount func(n int), reclaim func()) *ClientConns {
+	return &ClientConns{limit: limit, onCount: onCount, reclaim: reclaim, conns: make(map[net.Conn]*trackedConn)}
 }
 
-// add takes in a new connection before anything is read from it.
-func (s *ClientConns) add(c net.Conn) *trackedConn {
+// add tracks a new connection, before anything is read from it.
+func (cc *ClientConns) add(c net.Conn) *trackedConn {
 	now := time.Now()
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.conns) >= s.limit() {
-		s.reclaim()
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if len(cc.conns) >= cc.limit() {
+		cc.reclaim()
 	}
-	p := &trackedConn{conn: c, state: http.StateNew, since: now, requestStart: now, overLimit: len(s.conns) >= s.limit() && !s.evictQuietest(now)}
-	s.conns[c] = p
-	s.onCount(len(s.conns))
-	return p
-}
-
-// isAdmitted tells whether a connection that came over the limit has a place by now, and gives it that.
-func (s *ClientConns) isAdmitted(p *trackedConn) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if len(s.conns) <= s.limit() {
-		p.overLimit = false
+	t := &trackedConn{conn: c, state: http.StateNew, since: now, requestStart: now}
+	t.overLimit = len(cc.conns) >= cc.limit() && !cc.evictQuietest(now)
+	cc.conns[c] = t
+	cc.onCount(len(cc.conns))
+	return t
+}
+
+// isAdmitted reports whether a connection that came over the limit is within it by now; it stays so from then on.
+func (cc *ClientConns) isAdmitted(t *trackedConn) bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	if len(cc.conns) <= cc.limit() {
+		t.overLimit = false
 	}
-	return !p.overLimit
+	return !t.overLimit
 }
 
-// setState notes what a connection does now, and tells whether it was to give way before.
-func (s *ClientConns) setState(p *trackedConn, state http.ConnState) (shed bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// setState sets what a connection does now, and reports whether it was evicted before.
+func (cc *ClientConns) setState(t *trackedConn, state http.ConnState) (wasEvicted bool) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
 	now := time.Now()
 	if state == http.StateActive {
-		p.requests++
-		p.awaitsInput = false
-		if p.state == http.StateIdle {
-			p.requestStart = now
+		t.requests++
+		t.awaitsInput = false
+		if t.state == http.StateIdle {
+			t.requestStart = now
 		}
 	}
-	shed = p.evicted
-	p.state, p.since, p.evicted = state, now, false
-	if s.closeWhenIdle {
-		p.wakeIfIdle()
+	wasEvicted = t.evicted
+	t.state, t.since, t.evicted = state, now, false
+	if cc.closeWhenIdle {
+		t.wakeIfIdle()
 	}
-	return shed
+	return wasEvicted
 }
 
-// startRequest notes the first byte of a further request: its connection rests no more, and is not ended as one that does.
-func (s *ClientConns) startRequest(p *trackedConn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+// startRequest notes the first byte of a further request: its connection isn't closed as an idle one from then on.
+func (cc *ClientConns) startRequest(t *trackedConn) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
 	now := time.Now()
-	p.state, p.since, p.requestStart, p.awaitsInput, p.evicted = http.StateActive, now, now, true, false
+	t.state, t.since, t.requestStart, t.awaitsInput, t.evicted = http.StateActive, now, now, true, false
 }
 
-// isExpired tells whether a connection without a request is to end.
-func (s *ClientConns) isExpired(p *trackedConn, now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return p.evicted || p.state == http.StateIdle && now.Sub(p.since) >= IdleTimeout
+// isExpired reports whether a connection without a request is to end.
+func (cc *ClientConns) isExpired(t *trackedConn, now time.Time) bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return t.evicted || t.state == http.StateIdle && now.Sub(t.since) >= IdleTimeout
 }
 
-// remove forgets a connection that is closed.
-func (s *ClientConns) remove(c net.Conn) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.conns, c)
-	s.onCount(len(s.conns))
+// remove ends the tracking of a connection that is closed.
+func (cc *ClientConns) remove(c net.Conn) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	delete(cc.conns, c)
+	cc.onCount(len(cc.conns))
 }
 
-// ConnContext and follow are enter, become and leave as net/http calls them.
-func (s *ClientConns) ConnContext(ctx context.Context, c net.Conn) context.Context {
-	s.add(c)
+// ConnContext tracks a new connection of an http.Server; it fits http.Server.ConnContext.
+func (cc *ClientConns) ConnContext(ctx context.Context, c net.Conn) context.Context {
+	cc.add(c)
 	return ctx
 }
 
-func (s *ClientConns) ConnState(c net.Conn, state http.ConnState) {
+// ConnState follows the connections of an http.Server; it fits http.Server.ConnState.
+func (cc *ClientConns) ConnState(c net.Conn, state http.ConnState) {
 	if state == http.StateClosed || state == http.StateHijacked {
-		s.remove(c)
+		cc.remove(c)
 		return
 	}
-	s.mu.Lock()
-	p := s.conns[c]
-	s.mu.Unlock()
-	if p != nil {
-		s.setState(p, state)
+	cc.mu.Lock()
+	t := cc.conns[c]
+	cc.mu.Unlock()
+	if t != nil {
+		cc.setState(t, state)
 	}
 }
 
-// requestStartOf tells when the request of a connection began.
-func (s *ClientConns) requestStartOf(p *trackedConn) time.Time {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return p.requestStart
+// requestStartOf is when the request of a connection began.
+func (cc *ClientConns) requestStartOf(t *trackedConn) time.Time {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return t.requestStart
 }
 
 // Count is how many connections there are.
-func (s *ClientConns) Count() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.conns)
-}
-
-// isCrowded tells whether a request's connection is to end with the answer: more than a part of the places
-// are taken, and one that stays idle has to be borne for some time. Who has come back for a second
-// request is a client that uses its connection, and keeps it.
-func (s *ClientConns) isCrowded(p *trackedConn) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return p.requests < 2 && len(s.conns) > s.limit()/crowdedDivisor
-}
-
-// setAwaitsInput notes that a request's body is waited for, or no more.
-func (s *ClientConns) setAwaitsInput(p *trackedConn, on bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	p.awaitsInput = on
-}
-
-// closeIdle ends the waiting of all connections that were answered and have no further request, from now on. New ones
-// may have sent theirs.
-func (s *ClientConns) closeIdle() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.closeWhenIdle = true
-	for _, p := range s.conns {
-		p.wakeIfIdle()
+func (cc *ClientConns) Count() int {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return len(cc.conns)
+}
+
+// isCrowded reports whether a request's connection is to end with the answer, since many are open. A client that has come
+// back for a second request uses its connection, and goes on with it.
+func (cc *ClientConns) isCrowded(t *trackedConn) bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return t.requests < 2 && len(cc.conns) > cc.limit()/crowdedDivisor
+}
+
+// setAwaitsInput notes that a request's body is awaited, or no longer.
+func (cc *ClientConns) setAwaitsInput(t *trackedConn, on bool) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	t.awaitsInput = on
+}
+
+// closeIdle ends all connections that were answered and have no further request, and those that get there later. New
+// connections stay: their request may be on its way.
+func (cc *ClientConns) closeIdle() {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	cc.closeWhenIdle = true
+	for _, t := range cc.conns {
+		t.wakeIfIdle()
 	}
 }
 
-// wakeIfIdle ends the waiting of a connection without a request.
-func (p *trackedConn) wakeIfIdle() {
-	if p.state == http.StateIdle {
-		_ = p.conn.SetReadDeadline(time.Unix(1, 0))
+// wakeIfIdle has the reader of a connection without a request see that it is to end.
+func (t *trackedConn) wakeIfIdle() {
+	if t.state == http.StateIdle {
+		_ = t.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 	}
 }
 
-// closeAll ends all connections.
-func (s *ClientConns) closeAll() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for c := range s.conns {
+// closeAll closes all connections.
+func (cc *ClientConns) closeAll() {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	for c := range cc.conns {
 		closeQuietly(c)
 	}
 }
 
-// quietFor is how long a connection has been without what is awaited from it, and whether that is long
-// enough to end it.
-func (p *trackedConn) quietFor(c net.Conn, now time.Time) (span time.Duration, enough bool) {
-	span = now.Sub(p.since)
-	owes := p.state == http.StateNew || p.state == http.StateActive && p.awaitsInput
-	if f, ok := c.(*clientConn); ok && owes {
+// quietFor is how long a connection has been without what is awaited from it, and whether that is long enough to evict
+// it.
+func (t *trackedConn) quietFor(c net.Conn, now time.Time) (span time.Duration, enough bool) {
+	span = now.Sub(t.since)
+	awaited := t.state == http.StateNew || t.state == http.StateActive && t.awaitsInput
+	if f, ok := c.(*clientConn); ok && awaited {
 		span = min(span, now.Sub(time.Unix(0, f.lastReceived.Load())))
 	}
 	switch {
-	case p.evicted:
+	case t.evicted:
 		return span, false
-	case owes:
+	case awaited:
 		return span, span >= minSilentTime
 	}
-	return span, p.state == http.StateIdle && span >= MinIdleTime
+	return span, t.state == http.StateIdle && span >= MinIdleTime
 }
 
-// EvictQuietest ends the connection that was quiet for longest, if one was for long enough by now.
-func (s *ClientConns) EvictQuietest(now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.evictQuietest(now)
+// EvictQuietest ends the connection that was quiet for longest, and reports whether one was for long enough.
+func (cc *ClientConns) EvictQuietest(now time.Time) bool {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	return cc.evictQuietest(now)
 }
 
 // CountIdle is how many connections have no request.
-func (s *ClientConns) CountIdle() (n int) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	for _, c := range s.conns {
+func (cc *ClientConns) CountIdle() (n int) {
+	cc.mu.Lock()
+	defer cc.mu.Unlock()
+	for _, c := range cc.conns {
 		if c.state == http.StateIdle {
 			n++
 		}
@@ -225,21 +230,21 @@
 	return n
 }
 
-// evictQuietest ends the connection that was quiet for longest, if one was for long enough.
-func (s *ClientConns) evictQuietest(now time.Time) bool {
+// evictQuietest is EvictQuietest with mu held.
+func (cc *ClientConns) evictQuietest(now time.Time) bool {
 	var oldest net.Conn
 	var longest time.Duration
-	for c, p := range s.conns {
-		if span, enough := p.quietFor(c, now); enough && span > longest {
+	for c, t := range cc.conns {
+		if span, enough := t.quietFor(c, now); enough && span > longest {
 			oldest, longest = c, span
 		}
 	}
 	if oldest == nil {
 		return false
 	}
-	s.conns[oldest].evicted = true
-	// Only a read that waits fails by this, and net/http then closes. Where a request has just come
-	// in, net/http sets the deadline anew, and the request is served.
-	_ = oldest.SetReadDeadline(now)
+	cc.conns[oldest].evicted = true
+	// Only a read that waits fails by this, and its reader then closes the connection. Where a request has just come in,
+	// the reader sets the deadline anew, and the request is served.
+	_ = oldest.SetReadDeadline(now) // fails only on a closed connection
 	return true
 }
--- a/internal/node/downstream/client_conns_test.go
+++ b/internal/node/downstream/client_conns_test.go
@@ -32,14 +32,12 @@
 		var ends []net.Conn
 		for _, p := range c.open {
 			mine, theirs := net.Pipe()
-			defer theirs.Close()
-			defer mine.Close()
+			nodetest.CloseAtEnd(t, mine, theirs)
 			s.conns[mine] = p
 			ends = append(ends, mine)
 		}
 		next, far := net.Pipe()
-		defer next.Close()
-		defer far.Close()
+		nodetest.CloseAtEnd(t, next, far)
 		if over := s.add(next).overLimit; over != (c.shed < 0) {
 			t.Errorf("%s: the next is over the limit: %v", name, over)
 		}
@@ -61,12 +59,12 @@
 	t.Parallel()
 	ln := nodetest.Listener(t)
 	client := nodetest.Dial(t, ln.Addr().String())
-	defer client.Close()
+	nodetest.CloseAtEnd(t, client)
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	nodetest.CloseAtEnd(t, conn)
 	all := NewClientConns(func() int { return 10 }, func(int) {}, func() {})
 	p := all.add(conn)
 	all.setState(p, http.StateActive)
--- a/internal/node/downstream/connection_limiter.go
+++ b/internal/node/downstream/connection_limiter.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// ConnectionLimiter is the clients' listener: it lets in so many connections at a time, and none while it is shut. A
-// shut gate leaves those that wait to the process that shares the socket.
+// ConnectionLimiter is a listener that bounds how many of its connections are open at a time. While it is paused it
+// accepts none: they go to the other process that shares the socket.
 type ConnectionLimiter struct {
 	net.Listener
 	mu      sync.Mutex
@@ -21,98 +21,101 @@
 	closed  bool
 }
 
+// NewConnectionLimiter accepts up to limit connections at a time from l.
 func NewConnectionLimiter(l net.Listener, limit int) *ConnectionLimiter {
-	g := &ConnectionLimiter{Listener: l, limit: limit}
-	g.changed = sync.NewCond(&g.mu)
-	return g
+	cl := &ConnectionLimiter{Listener: l, limit: limit}
+	cl.changed = sync.NewCond(&cl.mu)
+	return cl
 }
 
-// Accept waits for a place and for a connection.
-func (g *ConnectionLimiter) Accept() (net.Conn, error) {
+// Accept waits until a connection may be open, and for one. It returns net.ErrClosed after Close.
+func (cl *ConnectionLimiter) Accept() (net.Conn, error) {
 	for {
-		if err := g.acquire(); err != nil {
+		if err := cl.acquire(); err != nil {
 			return nil, err
 		}
-		c, err := g.Listener.Accept()
+		c, err := cl.Listener.Accept()
 		if err == nil {
-			return &limitedConn{Conn: c, limiter: g}, nil
+			return &limitedConn{Conn: c, limiter: cl}, nil
 		}
-		g.release()
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // that is how setShut wakes it
+		cl.release()
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // that is how SetPaused wakes it
 			return nil, err
 		}
 	}
 }
 
-func (g *ConnectionLimiter) acquire() error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for !g.closed && (g.paused || g.open >= g.limit) {
-		g.changed.Wait()
+func (cl *ConnectionLimiter) acquire() error {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for !cl.closed && (cl.paused || cl.open >= cl.limit) {
+		cl.changed.Wait()
 	}
-	if g.closed {
+	if cl.closed {
 		return net.ErrClosed
 	}
-	g.open++
+	cl.open++
 	return nil
 }
 
-func (g *ConnectionLimiter) release() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.open--
-	g.changed.Broadcast()
+func (cl *ConnectionLimiter) release() {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.open--
+	cl.changed.Broadcast()
 }
 
-// SetLimit sets how many connections may be open; those over it stay.
-func (g *ConnectionLimiter) SetLimit(limit int) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.limit = limit
-	g.changed.Broadcast()
+// SetLimit sets how many connections may be open. Those over it stay open.
+func (cl *ConnectionLimiter) SetLimit(limit int) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.limit = limit
+	cl.changed.Broadcast()
 }
 
 // Limit is how many connections may be open.
-func (g *ConnectionLimiter) Limit() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.limit
+func (cl *ConnectionLimiter) Limit() int {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.limit
 }
 
-// SetPaused shuts the gate or opens it again.
-func (g *ConnectionLimiter) SetPaused(paused bool) error {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.paused = paused
-	g.changed.Broadcast()
-	l, ok := g.Listener.(interface{ SetDeadline(time.Time) error })
+// SetPaused stops accepting, or starts it again. It returns errors.ErrUnsupported where the listener has no deadline.
+func (cl *ConnectionLimiter) SetPaused(paused bool) error {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.paused = paused
+	cl.changed.Broadcast()
+	listener, ok := cl.Listener.(interface{ SetDeadline(time.Time) error })
 	if !ok {
 		return errors.ErrUnsupported
 	}
 	if paused {
-		return l.SetDeadline(time.Unix(1, 0))
+		return listener.SetDeadline(time.Unix(1, 0))
 	}
-	return l.SetDeadline(time.Time{})
+	return listener.SetDeadline(time.Time{})
 }
 
-// Close ends the listening.
-func (g *ConnectionLimiter) Close() error {
-	g.mu.Lock()
-	g.closed = true
-	g.changed.Broadcast()
-	g.mu.Unlock()
-	return g.Listener.Close()
+// Close closes the listener. Open connections stay open.
+func (cl *ConnectionLimiter) Close() error {
+	cl.mu.Lock()
+	cl.closed = true
+	cl.changed.Broadcast()
+	cl.mu.Unlock()
+	return cl.Listener.Close()
 }
 
+// limitedConn is a connection that its limiter counts until it is closed.
 type limitedConn struct {
 	net.Conn
 	limiter  *ConnectionLimiter
 	released atomic.Bool
 }
 
-// NetConn is the connection that c wraps.
+// NetConn returns the connection that c wraps.
 func (c *limitedConn) NetConn() net.Conn { return c.Conn }
 
+// Close closes the connection. It is counted as closed once.
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
 	if c.released.CompareAndSwap(false, true) {
--- a/internal/node/downstream/exchange.go
+++ b/internal/node/downstream/exchange.go
@@ -17,18 +17,20 @@
 // maxTimeoutMillis bounds how long a client may say that it waits.
 const maxTimeoutMillis = 3_600_000
 
-// Exchange is one client request, which is not changed once the loop has it, but for whether its client has left.
+// Exchange is one request of a client and the way back for its answer. Its exported fields aren't changed once a Handler
+// has it. Its methods may be called from any goroutine.
 type Exchange struct {
-	Request          policy.Request
-	Forwarded        upstream.Request // what servers get of it
-	upload           *upload          // forwarded.Stream; nil where the body is complete
-	ReceivedAt       policy.Time      // when its last byte had been read, but for one with a rest
-	Timeout          time.Duration
-	Terms            Terms       // that it was read by
-	tally            Tally       // of its class
-	Reply            chan Answer // holds one, so the loop never waits for the client
-	clientGone       atomic.Bool // its client has gone
-	isClosedByClient func() bool // asks the client's socket for that; nil where there is none
+	Request    policy.Request
+	Forwarded  upstream.Request // what servers get of it
+	ReceivedAt policy.Time      // when its last byte was read; of a streamed body, when its start was
+	Timeout    time.Duration    // that the client waits from then
+	Terms      Terms            // by which it was read
+	Reply      chan Answer      // takes one answer, without blocking
+
+	upload           *upload // Forwarded.Stream; nil where the body is buffered
+	tally            Tally   // of its class
+	clientGone       atomic.Bool
+	isClosedByClient func() bool // asks the client's socket; nil where there is none
 }
 
 // HasLeft reports whether the client is known to have left.
@@ -37,8 +39,8 @@
 // BodyConsumed reports whether an attempt has read of a streamed body: the request can't be sent again then.
 func (x *Exchange) BodyConsumed() bool { return x.upload != nil && x.upload.consumed.Load() }
 
-// ClientGone tells whether the client has gone, and asks its socket: nobody reads that while its body waits for a
-// server, with bytes of a further request read already, or where its reader has had no turn since.
+// ClientGone reports whether the client has left, and asks its socket: the connection's reader doesn't see that while the
+// body waits for a server, behind bytes of a further request, or before its goroutine is scheduled.
 func (x *Exchange) ClientGone() bool {
 	if x.isClosedByClient != nil && x.isClosedByClient() {
 		x.clientGone.Store(true)
@@ -46,26 +48,26 @@
 	return x.clientGone.Load()
 }
 
-// Answer is what a client gets.
+// Answer is what a client gets. An empty field or a zero is left out of the head, but for Status and Length.
 type Answer struct {
 	Status        int
 	Body          []byte
-	Stream        *upstream.ResponseStream // what follows the body as it comes; nil for nothing
-	Length        int64                    // of both; -1 where it isn't told
+	Stream        *upstream.ResponseStream // what follows Body as it comes; nil for nothing
+	Length        int64                    // of the complete body in bytes, where there is a Stream; -1 where it is unknown
 	ContentType   string
 	RetryAfter    time.Duration
-	AllowedMethod string // the methods that are, of one that isn't
+	AllowedMethod string // beside http.StatusMethodNotAllowed
 }
 
-// requestError is what is wrong with a request.
+// requestError is what is wrong with a request, and how that is answered.
 type requestError struct {
 	status        int
 	text          string
-	allowedMethod string // the method that is
-	incomplete    bool   // it never came whole, so it was not taken
+	allowedMethod string // beside http.StatusMethodNotAllowed
+	incomplete    bool   // it never came completely, so it isn't counted among its class's
 }
 
-// readRequest takes in a whole request, or says what is wrong with it. What it lets through reaches servers.
+// readRequest checks a request and reads its body, or the start of a long one. What it returns may reach servers.
 func (s *Server) readRequest(c *clientConn, r *requestHead) (x *Exchange, problem *requestError) {
 	id := r.id
 	if !isValidRequestID(id) {
@@ -88,7 +90,7 @@
 	if class.RetrySafety == policy.IdempotencyKeyed && r.idempotencyKey == "" {
 		return nil, &requestError{status: http.StatusBadRequest, text: "Idempotency-Key: missing"}
 	}
-	body, rest, err := s.readBody(c, r)
+	body, u, err := s.readBody(c, r)
 	if err != nil {
 		status, text := BodyErrorStatus(err)
 		return nil, &requestError{status: status, text: text, incomplete: true}
@@ -96,33 +98,34 @@
 	if method == http.MethodGet && len(body) > 0 {
 		return nil, &requestError{status: http.StatusBadRequest, text: "a GET has no body"}
 	}
-	hint, _ := strconv.ParseUint(r.costHint, 10, 32) // a guess; none is as good as a bad one
+	hint, _ := strconv.ParseUint(r.costHint, 10, 32) // an estimate: one that can't be read counts as none
 	x = &Exchange{
-		Request: policy.Request{ID: id, Class: class.Name, Tenant: r.tenant, Key: r.warmKey,
+		Request: policy.Request{ID: id, Class: class.Name, Tenant: r.tenant, Key: r.affinityKey,
 			EstimatedWork: time.Duration(hint) * time.Microsecond, ClientRetry: r.retry == "1",
-			Incomplete: rest != nil, FormerClass: former},
+			Incomplete: u != nil, FormerClass: former},
 		Forwarded: upstream.Request{ID: id, Method: method, Path: r.path, Host: r.host, IdempotencyKey: r.idempotencyKey,
 			ContentType: r.contentType, Body: body, Length: r.Length},
-		upload: rest, ReceivedAt: s.handler.Now(),
+		upload: u, ReceivedAt: s.handler.Now(),
 		Timeout: time.Duration(timeout) * time.Millisecond, Terms: terms,
 		tally: s.handler.Tally(class.Name), Reply: c.reply, isClosedByClient: c.isClosedByClient,
 	}
-	if rest != nil {
-		x.Forwarded.Stream = rest
-		rest.onEnd = func(err error) { s.handler.HandleBodyEnd(x, err) }
+	if u != nil {
+		x.Forwarded.Stream = u
+		u.onEnd = func(err error) { s.handler.HandleBodyEnd(x, err) }
 	}
 	return x, nil
 }
 
-// readBody reads a body up to what is kept; the rest is an attempt's to read.
-func (s *Server) readBody(c *clientConn, r *requestHead) (body []byte, rest *upload, err error) {
+// readBody reads a body, or the start of a long one, whose remainder an attempt reads from the upload.
+func (s *Server) readBody(c *clientConn, r *requestHead) (body []byte, _ *upload, err error) {
 	if r.Length == 0 {
 		return nil, nil, nil
 	}
 	if r.Length > MaxBodyBytes {
 		return nil, nil, ErrBodyTooLong
 	}
-	if r.Length > 0 && r.Length <= http1.MaxBufferedBodyBytes && int64(c.reader.Buffered()) >= r.Length { // came with the head
+	cameWithHead := int64(c.reader.Buffered()) >= r.Length
+	if cameWithHead && r.Length > 0 && r.Length <= http1.MaxBufferedBodyBytes {
 		body = make([]byte, r.Length)
 		_, err = c.reader.Read(body)
 		return body, nil, err
@@ -137,14 +140,14 @@
 		maxBytes = UploadStartBytes
 	}
 	u := newUpload(c, r.openBody(c.reader), s.clientConns.requestStartOf(c.tracked))
-	body, whole, err := u.buffer(maxBytes, r.Length)
-	if whole || err != nil {
+	body, complete, err := u.buffer(maxBytes, r.Length)
+	if complete || err != nil {
 		return body, nil, err
 	}
 	return body, u, nil
 }
 
-// isValidRequestID guards the table of requests and the header it goes on in.
+// isValidRequestID reports whether an ID can be a key of the open requests and stand in a header field.
 func isValidRequestID(id string) bool {
 	for i := 0; i < len(id); i++ {
 		if id[i] <= ' ' || id[i] > '~' {
--- a/internal/node/downstream/request_body.go
+++ b/internal/node/downstream/request_body.go
@@ -11,45 +11,51 @@
 )
 
 const (
-	MaxBodyBytes     = 32 << 20 // bytes of a request's body
-	UploadStartBytes = 16 << 10 // of a body known to be over maxBody is read before a server is asked for
-
-	// A request may take wholeTimeout from its first byte, or from the connect. Its body may take longer
-	// while it comes at the pace of slowestBody, and bodySlack. Who sends half a request, or drips, is so
-	// ended within 3 s of the connect.
+	// MaxBodyBytes bounds the body of a request.
+	MaxBodyBytes = 32 << 20
+	// UploadStartBytes is how much of a body that is longer than http1.MaxBufferedBodyBytes is read before the request
+	// is handed on.
+	UploadStartBytes = 16 << 10
+
+	// A request may take requestTimeout from its first byte, or from the connect. Its body may take longer while it
+	// comes at minBodyBytesPerSecond, and bodyGrace more. A client that sends half a request, or a few bytes at a time,
+	// is so disconnected within 3 s of the connect.
 	requestTimeout        = 2600 * time.Millisecond
 	bodyGrace             = 600 * time.Millisecond
-	minBodyBytesPerSecond = 51_200 // bytes a second: four fifths of what clients may be counted on to send
-
+	minBodyBytesPerSecond = 51_200 // four fifths of what clients are expected to send at least
 )
 
 var (
-	errAlreadyAnswered = errors.New("the client has its answer")
-	ErrBodyTooLong     = errors.New("the body is over 32 MiB")
+	// ErrBodyTooLong is a request whose body is over MaxBodyBytes.
+	ErrBodyTooLong = errors.New("downstream: the body is over 32 MiB")
+
+	errAlreadyAnswered = errors.New("downstream: the client has its answer")
 )
 
-// upload is the body of a client's request, read at the client's pace. One goroutine reads at a time:
-// the connection's what is kept, then an attempt the rest.
+// upload is the body of a client's request. One goroutine at a time reads it: the connection's what is buffered, then that
+// of an attempt the remainder, as upstream.BodyStream.
 type upload struct {
 	body         io.Reader
 	conn         *clientConn
-	headTimeLeft time.Duration // of wholeTimeout, what the header has left
+	headTimeLeft time.Duration // what the head has left of requestTimeout
 	complete     atomic.Bool
-	consumed     atomic.Bool // an attempt has read of the rest: it can't be written again
+	consumed     atomic.Bool // an attempt has read of it: it can't be written again
 	stopped      atomic.Bool
-	done         chan struct{} // closed once nothing more of it is read
-	onEnd        func(error)   // called once, when an attempt has read the last byte, or can't
+	done         chan struct{} // closed once nothing more is read
+	onEnd        func(error)   // called once: with nil when an attempt has read the last byte, else with why it can't
 
 	mu         sync.Mutex
-	received   int64
-	clientTime time.Duration // for the client; what a server takes is not the client's time
-	err        error         // that ended it
+	received   int64         // bytes
+	clientTime time.Duration // spent waiting for the client; what a server takes is not the client's time
+	err        error         // why nothing more is read; io.EOF at the end of the body
 }
 
+// newUpload reads body from the connection c, for a request that began at a time.
 func newUpload(c *clientConn, body io.Reader, began time.Time) *upload {
 	return &upload{body: body, conn: c, headTimeLeft: requestTimeout - time.Since(began), done: make(chan struct{})}
 }
 
+// Read reads for as long as the client is within its time.
 func (u *upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -80,15 +86,15 @@
 // end notes why nothing more is read.
 func (u *upload) end(err error) {
 	u.err = err
-	if err == io.EOF {
+	if errors.Is(err, io.EOF) {
 		u.complete.Store(true)
 		u.conn.boundRead(time.Time{}) // the connection is read on, to see the client leave
 	}
 	close(u.done)
 }
 
-// buffer reads up to most bytes, and tells whether that was all.
-func (u *upload) buffer(maxBytes int, length int64) (body []byte, whole bool, err error) {
+// buffer reads up to maxBytes of a body of a length, -1 if that is unknown, and reports whether that was all.
+func (u *upload) buffer(maxBytes int, length int64) (body []byte, complete bool, err error) {
 	if length < 0 || length >= int64(maxBytes) {
 		length = min(int64(maxBytes), UploadStartBytes) - 1
 	}
@@ -99,7 +105,7 @@
 		}
 		n, err := u.Read(body[len(body):min(cap(body), maxBytes)])
 		body = body[:len(body)+n]
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return body, true, nil
 		}
 		if err != nil {
@@ -109,10 +115,10 @@
 	return body, false, nil
 }
 
-// stop ends reading once the client is answered, and waits for what reads just now.
+// stop ends reading once the client is answered, and waits for a read that is under way.
 func (u *upload) stop() {
 	u.stopped.Store(true)
-	_ = u.conn.SetReadDeadline(time.Unix(1, 0))
+	_ = u.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.err == nil {
@@ -133,7 +139,7 @@
 // Complete reports whether all of the body was read.
 func (u *upload) Complete() bool { return u.complete.Load() }
 
-// BodyErrorStatus is what a client gets whose body can't be taken.
+// BodyErrorStatus is the answer to a request whose body couldn't be read.
 func BodyErrorStatus(err error) (status int, problem string) {
 	switch {
 	case errors.Is(err, ErrBodyTooLong):
--- a/internal/node/downstream/request_head.go
+++ b/internal/node/downstream/request_head.go
@@ -19,7 +19,7 @@
 	tenantHeader         = "X-Tenant"
 	timeoutHeader        = "X-Deadline-Ms" // whole milliseconds that the client waits
 	idempotencyKeyHeader = "Idempotency-Key"
-	warmKeyHeader        = "X-Key"       // requests of one key are best served by one server
+	affinityKeyHeader    = "X-Key"       // requests with the same key are best served by the same server
 	costHintHeader       = "X-Cost-Hint" // estimated work in microseconds
 	retryHeader          = "X-Retry"     // "1" for a request that the client sends again
 )
@@ -28,12 +28,12 @@
 type requestHead struct {
 	http1.Framing
 	minor           int    // of HTTP/1
-	method          string // and what else of it is used; empty where it isn't there
+	method          string // this and the following fields are empty where the head lacks them
 	path            string // and query
 	host            string
-	expectsContinue bool // to be told to send the body
+	expectsContinue bool // the client sends the body only once it is asked to
 
-	id, class, tenant, timeoutMillis, idempotencyKey, warmKey, costHint, retry, contentType string
+	id, class, tenant, timeoutMillis, idempotencyKey, affinityKey, costHint, retry, contentType string
 }
 
 // parseRequest reads a head, or says what is wrong with it.
@@ -57,7 +57,7 @@
 	}
 	m.id, m.class, m.tenant = h.Get(requestIDHeader), h.Get(classHeader), h.Get(tenantHeader)
 	m.timeoutMillis, m.idempotencyKey = h.Get(timeoutHeader), h.Get(idempotencyKeyHeader)
-	m.warmKey, m.costHint, m.retry = h.Get(warmKeyHeader), h.Get(costHintHeader), h.Get(retryHeader)
+	m.affinityKey, m.costHint, m.retry = h.Get(affinityKeyHeader), h.Get(costHintHeader), h.Get(retryHeader)
 	m.contentType = h.Get("Content-Type")
 	return m, nil
 }
--- a/internal/node/downstream/server.go
+++ b/internal/node/downstream/server.go
@@ -66,7 +66,7 @@
 	handler     Handler
 	closing     atomic.Bool // connections end as soon as they have no request
 	clientConns *ClientConns
-	conns       sync.WaitGroup // connections
+	conns       sync.WaitGroup
 }
 
 // NewServer makes a Server that keeps track of its connections in conns.
@@ -75,32 +75,31 @@
 // ClientConns are the connections of the server.
 func (s *Server) ClientConns() *ClientConns { return s.clientConns }
 
-// Accept serves the connections that come at l until it is closed.
+// Accept serves the connections that come at l, and returns nil once l is closed. Shutdown ends the connections.
 func (s *Server) Accept(l net.Listener) error {
-	s.conns.Add(1) // so that shutdown, which comes after l is closed, waits for what is accepted last
+	s.conns.Add(1) // so that Shutdown, which comes after l is closed, waits for what is accepted last
 	defer s.conns.Done()
-	pause := minAcceptBackoff
+	backoff := minAcceptBackoff
 	for {
 		conn, err := l.Accept()
-		switch ne := net.Error(nil); {
+		switch netErr := net.Error(nil); {
 		case err == nil:
-			pause = minAcceptBackoff
+			backoff = minAcceptBackoff
 			s.conns.Add(1)
 			go s.newClientConn(conn).serve()
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.As(err, &ne): // no descriptor is left, or the client has gone again
-			slog.Warn("accepting a client", "err", err)
-			time.Sleep(pause)
-			pause = min(maxAcceptBackoff, 2*pause)
+		case errors.As(err, &netErr): // no descriptor is left, or the client has gone again
+			slog.Warn("accepting a client failed", "error", err)
+			time.Sleep(backoff)
+			backoff = min(maxAcceptBackoff, 2*backoff)
 		default:
 			return err
 		}
 	}
 }
 
-// Shutdown ends the connections that have no request, waits for the others until end, and closes what is
-// still open then.
+// Shutdown ends the connections that have no request, waits for the others until end, and closes what is still open then.
 func (s *Server) Shutdown(end time.Time) {
 	s.CloseIdle()
 	closed := make(chan struct{})
@@ -124,13 +123,15 @@
 	s.clientConns.closeIdle()
 }
 
-// awaitCapacity tells whether a client has a place. One that came over the limit while descriptors come from the process
-// before this one waits for the next few of them.
-func (s *Server) awaitCapacity(p *trackedConn) bool {
-	for end := time.Now().Add(capacityWaitTimeout); p.overLimit && !s.clientConns.isAdmitted(p); time.Sleep(capacityPollInterval) {
+// awaitCapacity reports whether a connection is within the limit. One that came over it waits for a moment while another
+// process releases descriptors.
+func (s *Server) awaitCapacity(t *trackedConn) bool {
+	end := time.Now().Add(capacityWaitTimeout)
+	for t.overLimit && !s.clientConns.isAdmitted(t) {
 		if !s.AwaitingDescriptors.Load() || !time.Now().Before(end) {
 			return false
 		}
+		time.Sleep(capacityPollInterval)
 	}
 	return true
 }
--- a/internal/node/downstream/socket.go
+++ b/internal/node/downstream/socket.go
@@ -7,11 +7,11 @@
 	"golang.org/x/sys/unix"
 )
 
-// isClosedByClient asks the socket whether the client has closed or reset the connection, also behind bytes that are unread.
+// isClosedByClient reports whether the client has closed or reset the connection, also behind unread bytes. It asks the socket.
 func (c *clientConn) isClosedByClient() bool { return c.hasPollEvent(unix.POLLRDHUP) }
 
-// hasPollEvent asks the socket for a sign, as poll names it.
-func (c *clientConn) hasPollEvent(event int16) (there bool) {
+// hasPollEvent reports whether poll finds one of its events at the socket, or the socket is closed. It doesn't block.
+func (c *clientConn) hasPollEvent(event int16) (found bool) {
 	conn := tcpConn(c)
 	if conn == nil {
 		return false
@@ -23,12 +23,12 @@
 	look := func(fd uintptr) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: event}}
 		n, err := unix.Poll(p, 0)
-		there = n > 0 && err == nil
+		found = n > 0 && err == nil
 	}
-	return raw.Control(look) != nil || there
+	return raw.Control(look) != nil || found
 }
 
-// underlyingConn is the connection that a client's is made of.
+// underlyingConn unwraps a connection.
 func underlyingConn(c net.Conn) net.Conn {
 	for {
 		outer, ok := c.(interface{ NetConn() net.Conn })
@@ -39,7 +39,7 @@
 	}
 }
 
-// tcpConn is the socket under a client's connection; nil where there is none.
+// tcpConn is the TCP connection under c; nil where there is none.
 func tcpConn(c net.Conn) *net.TCPConn {
 	socket, _ := underlyingConn(c).(*net.TCPConn)
 	return socket
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -40,6 +40,14 @@
 	return ln
 }
 
+// CloseAtEnd closes what the test uses when it ends, also where the test closed it before.
+func CloseAtEnd(t testing.TB, all ...io.Closer) {
+	t.Helper()
+	for _, c := range all {
+		t.Cleanup(func() { closeOnce(t, c) })
+	}
+}
+
 // closeOnce closes c, which the test may have closed before.
 func closeOnce(t testing.TB, c io.Closer) {
 	t.Helper()
