--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -56,7 +56,9 @@
 		b.Fatal(err)
 	}
 	defer func() {
-		in.Close()
+		if err := in.Close(); err != nil {
+			b.Error(err)
+		}
 		if err := peers.Wait(); err != nil {
 			b.Error(err)
 		}
@@ -73,7 +75,9 @@
 	}
 	addr, _ := startNodeAt(b, c, Listeners{Clients: ln}, nil)
 	play := func(n int) {
-		fmt.Fprintln(in, addr, n, kept)
+		if _, err := fmt.Fprintln(in, addr, n, kept); err != nil {
+			b.Fatal(err)
+		}
 		if !said.Scan() || said.Text() != "done" {
 			b.Fatalf("the peers said %q", said.Text())
 		}
@@ -103,7 +107,7 @@
 		if err != nil {
 			return err
 		}
-		defer ln.Close()
+		defer func() { _ = ln.Close() }() // the process ends with it
 		addrs = append(addrs, ln.Addr().String())
 		go nodetest.AcceptRaw(ln, func(c net.Conn, r *bufio.Reader) {
 			for nodetest.ReadRequest(r) {
@@ -113,7 +117,9 @@
 			}
 		})
 	}
-	fmt.Fprintln(out, strings.Join(addrs, " "))
+	if _, err := fmt.Fprintln(out, strings.Join(addrs, " ")); err != nil {
+		return err
+	}
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		var addr string
 		var n int
@@ -124,7 +130,9 @@
 		if err := benchLoad(addr, n, kept); err != nil {
 			return err
 		}
-		fmt.Fprintln(out, "done")
+		if _, err := fmt.Fprintln(out, "done"); err != nil {
+			return err
+		}
 	}
 	return nil
 }
@@ -150,11 +158,11 @@
 					return
 				}
 				if !kept {
-					c.Close()
+					_ = c.Close() // what fails shows in the next request
 				}
 			}
 			if c != nil {
-				c.Close()
+				_ = c.Close() // also closed above where it isn't kept
 			}
 		})
 	}
--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -106,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer resp.Body.Close()
+		defer nodetest.Close(t, resp.Body)
 		first := make([]byte, upstream.StreamStartBytes)
 		if _, err := io.ReadFull(resp.Body, first); err != nil || first[0] != 'a' {
 			t.Fatalf("first bytes %q..., %v", first[:1], err)
@@ -124,10 +124,10 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		spoilt := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if nodetest.ReadRequest(r) {
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*http1.MaxBufferedBodyBytes)
+				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*http1.MaxBufferedBodyBytes)
 			}
 		})
-		good := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "good") })
+		good := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "good") })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(spoilt, good)))
 		if resp, body := do(t, clientRequest(t, node, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK || body != "good" {
 			t.Errorf("status %d, %d bytes", resp.StatusCode, len(body))
@@ -145,7 +145,7 @@
 	} {
 		server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if nodetest.ReadRequest(r) {
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s", head)
+				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s", head)
 			}
 		})
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
@@ -155,8 +155,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer conn.Close()
-			fmt.Fprintf(conn, "GET /api HTTP/%s\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: read\r\nX-Tenant: t\r\n"+
+			defer nodetest.Close(t, conn)
+			_, _ = fmt.Fprintf(conn, "GET /api HTTP/%s\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: read\r\nX-Tenant: t\r\n"+
 				"X-Deadline-Ms: 8000\r\n\r\n", proto, name+proto)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
@@ -184,7 +184,7 @@
 			}, http.StatusServiceUnavailable, 1},
 			{"full after the last byte", func(c net.Conn, r *bufio.Reader) {
 				if nodetest.ReadRequest(r) {
-					fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+					_, _ = fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				}
 			}, http.StatusServiceUnavailable, 1},
 		} {
@@ -203,7 +203,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		dead.Close()
+		nodetest.Close(t, dead)
 		alive := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(dead.Addr().String(), alive)))
 		resp, _ := do(t, clientRequest(t, node, "POST", "undo", "again", string(noise(1<<20))))
@@ -230,7 +230,7 @@
 		if err != nil {
 			t.Fatalf("length %d: %v", length, err)
 		}
-		resp.Body.Close()
+		nodetest.Close(t, resp.Body)
 		if resp.StatusCode != http.StatusRequestEntityTooLarge {
 			t.Errorf("length %d: status %d", length, resp.StatusCode)
 		}
@@ -253,7 +253,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
-			fmt.Fprint(w, n)
+			_, _ = fmt.Fprint(w, n)
 		})
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList(server)), at, nil)
@@ -272,7 +272,7 @@
 						return
 					}
 				}
-				out.Close()
+				nodetest.Close(t, out)
 			}()
 			if resp, got := do(t, req); resp.StatusCode != http.StatusOK || got != fmt.Sprint(size) {
 				t.Errorf("slow: status %d, %q", resp.StatusCode, got)
@@ -280,9 +280,9 @@
 		})
 		both.Go(func() {
 			conn := nodetest.Dial(t, node)
-			defer conn.Close()
+			defer nodetest.Close(t, conn)
 			began := time.Now()
-			fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: silent\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
+			_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: silent\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
 				"X-Deadline-Ms: 8000\r\nContent-Length: %d\r\n\r\n%s", size, make([]byte, downstream.UploadStartBytes+1))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != http.StatusRequestTimeout || time.Since(began) > 3*time.Second {
@@ -318,7 +318,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		defer nodetest.Close(t, conn)
 		_ = conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 		if err := clientRequest(t, node, "GET", "read", fmt.Sprint("r", i), "").Write(conn); err != nil {
 			t.Fatal(err)
@@ -363,15 +363,15 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
-			fmt.Fprint(w, n)
+			_, _ = fmt.Fprint(w, n)
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 		for _, c := range []struct{ class, length, first string }{
 			{"pay", "3", " 100 "}, {"pay", fmt.Sprint(downstream.MaxBodyBytes + 1), " 413 "}, {"unknown", "3", " 400 "},
 		} {
 			conn := nodetest.Dial(t, node)
-			defer conn.Close()
-			fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: e%s%s\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"+
+			defer nodetest.Close(t, conn)
+			_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: e%s%s\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"+
 				"Expect: 100-continue\r\nContent-Length: %s\r\n\r\n", c.class, c.length, c.class, c.length)
 			r := bufio.NewReader(conn)
 			first, err := r.ReadString('\n')
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -264,7 +264,7 @@
 func newTestClient(t *testing.T, node string) *testClient {
 	t.Helper()
 	c := nodetest.Dial(t, node)
-	t.Cleanup(func() { c.Close() })
+	nodetest.CloseAtEnd(t, c)
 	_ = c.SetDeadline(time.Now().Add(nodetest.Timeout))
 	return &testClient{c, t, node, bufio.NewReader(c)}
 }
@@ -455,16 +455,7 @@
 	}
 
 	c := newTestClient(t, node)
-	class, body := map[string]string{"GET": "read", "POST": "pay"}[method], map[string]string{"POST": "sum"}[method]
-	if m.at == "its body" {
-		_, err := fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: r1\r\nX-Class: pay\r\n"+
-			"X-Tenant: t\r\nX-Deadline-Ms: 8000\r\nContent-Length: 200000\r\n\r\n%s", strings.Repeat("x", 60_000))
-		if err != nil {
-			t.Fatal(err)
-		}
-	} else {
-		c.send(method, class, "r1", body)
-	}
+	m.sendRequest(c, method)
 	switch m.at { // until it waits there
 	case "a further attempt":
 		nodetest.Receive(t, "the first attempt", tries)
@@ -475,15 +466,7 @@
 	default:
 		nodetest.Await(t, "the request", func() bool { return slices.Contains(module.events(), "request r1") })
 	}
-	if _, err := io.WriteString(c, strings.Repeat("G", behind)); err != nil {
-		t.Fatal(err)
-	}
-	if reset {
-		if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
-			t.Fatal(err)
-		}
-	}
-	c.Close()
+	c.leave(behind, reset)
 	time.Sleep(leftTerm)
 	close(up)
 	close(fails)
@@ -502,6 +485,35 @@
 	}
 }
 
+// sendRequest sends a request, or a part of one that is to wait for its body.
+func (m *leaver) sendRequest(c *testClient, method string) {
+	c.t.Helper()
+	class, body := map[string]string{"GET": "read", "POST": "pay"}[method], map[string]string{"POST": "sum"}[method]
+	if m.at != "its body" {
+		c.send(method, class, "r1", body)
+		return
+	}
+	_, err := fmt.Fprintf(c, "POST /api HTTP/1.1\r\nHost: origin.svc\r\nX-Request-Id: r1\r\nX-Class: pay\r\n"+
+		"X-Tenant: t\r\nX-Deadline-Ms: 8000\r\nContent-Length: 200000\r\n\r\n%s", strings.Repeat("x", 60_000))
+	if err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// leave closes the connection, behind some bytes of a further request, and with a reset or without.
+func (c *testClient) leave(behind int, reset bool) {
+	c.t.Helper()
+	if _, err := io.WriteString(c, strings.Repeat("G", behind)); err != nil {
+		c.t.Fatal(err)
+	}
+	if reset {
+		if err := c.Conn.(*net.TCPConn).SetLinger(0); err != nil {
+			c.t.Fatal(err)
+		}
+	}
+	nodetest.Close(c.t, c)
+}
+
 // leftTerm is how long after a client's leaving no attempt begins for it.
 const leftTerm = 100 * time.Millisecond
 
@@ -538,7 +550,7 @@
 					t.Fatal(err)
 				}
 			}
-			c.Close()
+			nodetest.Close(t, c)
 			time.Sleep(leftTerm)
 			close(gone)
 			if !reset { // else nothing of the request is left to read
@@ -828,6 +840,6 @@
 	if _, err := io.CopyN(io.Discard, resp.Body, 4*http1.MaxBufferedBodyBytes); err != nil {
 		t.Fatal(err)
 	}
-	c.Close()
+	nodetest.Close(t, c)
 	nodetest.Await(t, "the end of the flood", func() bool { return conns.n.Load() == 0 && l.atRest() })
 }
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -17,7 +17,7 @@
 func talk(t *testing.T, node string, pieces ...string) string {
 	t.Helper()
 	c := nodetest.Dial(t, node)
-	defer c.Close()
+	defer nodetest.Close(t, c)
 	for _, p := range pieces {
 		_, _ = io.WriteString(c, p) // the node may close before all is written
 	}
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -20,7 +20,7 @@
 	ln := Listener(t)
 	s := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
 	go func() { _ = s.Serve(ln) }()
-	t.Cleanup(func() { closeOnce(t, s) })
+	t.Cleanup(func() { Close(t, s) })
 	return ln.Addr().String()
 }
 
@@ -29,14 +29,14 @@
 	t.Helper()
 	if n, ok := memNets.Load(t); ok {
 		ln := n.(*memNet).listen()
-		t.Cleanup(func() { closeOnce(t, ln) })
+		t.Cleanup(func() { Close(t, ln) })
 		return ln
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { closeOnce(t, ln) })
+	t.Cleanup(func() { Close(t, ln) })
 	return ln
 }
 
@@ -44,12 +44,12 @@
 func CloseAtEnd(t testing.TB, all ...io.Closer) {
 	t.Helper()
 	for _, c := range all {
-		t.Cleanup(func() { closeOnce(t, c) })
+		t.Cleanup(func() { Close(t, c) })
 	}
 }
 
-// closeOnce closes c, which the test may have closed before.
-func closeOnce(t testing.TB, c io.Closer) {
+// Close closes c, which the test may have closed before.
+func Close(t testing.TB, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -61,14 +61,14 @@
 				t.Fatal(err)
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
+			nodetest.Close(t, resp.Body)
 			return resp
 		}
 		ask("first")
 		var held []net.Conn
 		for range (leastSockets-ownSockets)*2/3 + 5 {
 			peer := nodetest.Dial(t, node)
-			defer peer.Close()
+			defer nodetest.Close(t, peer)
 			held = append(held, peer)
 		}
 		// Connections are taken in turn: once the last one is told that it is one too many, all are in.
@@ -92,7 +92,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		c := nodetest.Dial(t, node)
-		defer c.Close()
+		defer nodetest.Close(t, c)
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
 		for _, piece := range []string{head + "Content-Length: 3\r\n\r\n", "su", "m"} {
 			_, _ = io.WriteString(c, piece)
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -23,7 +23,7 @@
 		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
 			w.Header().Set("Content-Type", "application/x-test")
-			fmt.Fprintf(w, "%s %s %s key=%s %s", r.Method, r.RequestURI, r.Header.Get("X-Request-Id"),
+			_, _ = fmt.Fprintf(w, "%s %s %s key=%s %s", r.Method, r.RequestURI, r.Header.Get("X-Request-Id"),
 				r.Header.Get("Idempotency-Key"), body)
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
@@ -148,7 +148,7 @@
 			t.Fatal(err)
 		}
 		nodetest.Receive(t, "the attempt", got)
-		c.Close()
+		nodetest.Close(t, c)
 		nodetest.Receive(t, "its end", closed)
 		module.has(t, "list 2", "request r1", "lapsed r1",
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
@@ -163,11 +163,11 @@
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		c := nodetest.Dial(t, node)
-		defer c.Close()
+		defer nodetest.Close(t, c)
 		if err := clientRequest(t, node, "GET", "read", "r1", "").Write(c); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.(nodetest.Conn).CloseWrite(); err != nil {
+		if err := c.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
@@ -189,7 +189,7 @@
 		var held []net.Conn
 		defer func() {
 			for _, c := range held {
-				c.Close()
+				nodetest.Close(t, c)
 			}
 		}()
 		hold := func() {
@@ -208,7 +208,7 @@
 			return false
 		})
 		for _, c := range held {
-			c.Close()
+			nodetest.Close(t, c)
 		}
 		before := reached.Load()
 		nodetest.Await(t, "service again", func() bool {
@@ -243,7 +243,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			resp.Body.Close()
+			nodetest.Close(t, resp.Body)
 			if resp.StatusCode != 200 || resp.Close != draining {
 				t.Errorf("draining %v: %d, ends its connection: %v", draining, resp.StatusCode, resp.Close)
 			}
@@ -251,7 +251,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			resp.Body.Close()
+			nodetest.Close(t, resp.Body)
 			if ready := resp.StatusCode == 200; ready != state.ready || s.taking() == draining {
 				t.Errorf("%+v: ready %v, taking %v", state, ready, s.taking())
 			}
@@ -277,7 +277,7 @@
 				slow <- 0
 				return
 			}
-			resp.Body.Close()
+			nodetest.Close(t, resp.Body)
 			slow <- resp.StatusCode
 		}()
 		nodetest.Receive(t, "the slow request", held)
@@ -286,7 +286,7 @@
 		nodetest.Await(t, "the end of accepting", func() bool {
 			c, err := nodetest.Dialer(t)(t.Context(), "tcp", node)
 			if err == nil {
-				c.Close()
+				nodetest.Close(t, c)
 			}
 			return err != nil
 		})
@@ -327,7 +327,7 @@
 			resp, err := client.Do(req)
 			if err == nil {
 				_, _ = io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
+				nodetest.Close(t, resp.Body)
 			}
 			return resp, err
 		}
@@ -369,10 +369,10 @@
 			"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 1<<20)} {
 			c := nodetest.Dial(t, node)
 			_, _ = io.WriteString(c, noise) // the node may close before all is written
-			_ = c.(nodetest.Conn).CloseWrite()
+			_ = c.CloseWrite()
 			_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 			got, err := io.ReadAll(c)
-			c.Close()
+			nodetest.Close(t, c)
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
 				t.Errorf("%.40q: the connection stays open", noise)
 			}
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -13,7 +13,6 @@
 	"testing"
 	"time"
 
-	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
 	"sloerail/internal/node/upstream"
@@ -23,7 +22,7 @@
 func TestMain(m *testing.M) {
 	if os.Getenv(benchPeer) != "" {
 		if err := playPeers(os.Stdin, os.Stdout); err != nil {
-			fmt.Fprintln(os.Stderr, "bench peers:", err)
+			_, _ = fmt.Fprintln(os.Stderr, "bench peers:", err)
 			os.Exit(1)
 		}
 		return
@@ -84,15 +83,6 @@
 	return c
 }
 
-func members(t *testing.T, addrs ...string) []discovery.Endpoint {
-	t.Helper()
-	l, err := discovery.ParseList([]byte(nodetest.KnownList(addrs...)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return l.Endpoints
-}
-
 func testExchange(method, id string, body string) *downstream.Exchange {
 	x := &downstream.Exchange{Request: policy.Request{ID: id, Class: "read", Tenant: "t"},
 		Forwarded:  upstream.Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)},
@@ -140,7 +130,7 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.Accept(ln) }()
 	t.Cleanup(func() {
-		ln.Close()
+		nodetest.Close(t, ln)
 		if err := nodetest.Receive(t, "the end of accepting", ended); err != nil {
 			t.Error(err)
 		}
@@ -179,7 +169,7 @@
 		if err != nil {
 			return false
 		}
-		resp.Body.Close()
+		nodetest.Close(t, resp.Body)
 		return resp.StatusCode == http.StatusOK
 	})
 	return addr, stop
@@ -225,7 +215,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer nodetest.Close(t, resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
