--- a/internal/node/bulk_test.go
+++ b/internal/node/bulk_test.go
@@ -33,7 +33,7 @@
 type unsized struct{ io.Reader }
 
 // Bodies and answers of any size pass byte for byte, by length and by chunks, in whatever pieces.
-func TestLargeBodiesPassWhole(t *testing.T) {
+func TestLargeBodiesPassUnchanged(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -102,7 +102,7 @@
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 		const wait = 300 * time.Millisecond
-		resp, err := onceClient(t).Do(clientRequest(t, node, "GET", "read", "r", "", "X-Deadline-Ms", fmt.Sprint(wait.Milliseconds())))
+		resp, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "r", "", "X-Deadline-Ms", fmt.Sprint(wait.Milliseconds())))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,7 +120,7 @@
 }
 
 // An answer that says it is long and breaks off at once was never begun: another server is tried.
-func TestSpoiltLengthIsNotPassedOn(t *testing.T) {
+func TestIncompleteResponseIsNotForwarded(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		spoilt := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if nodetest.ReadRequest(r) {
@@ -172,7 +172,7 @@
 }
 
 // An attempt that took part of what can't be written again is the last one; one that took nothing isn't.
-func TestSpentBodyIsNotSentAgain(t *testing.T) {
+func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		for _, c := range []struct {
 			name      string
@@ -214,7 +214,7 @@
 }
 
 // Over 32 MiB there is no server asked, or none that gets a whole request.
-func TestTooLargeBodyIsRefused(t *testing.T) {
+func TestTooLargeBodyIsRejected(t *testing.T) {
 	t.Parallel()
 	var whole atomic.Int32
 	server := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -249,7 +249,7 @@
 
 // A body at 64 kB a second is served, though it takes longer than its client's deadline; one that stops
 // ends, and its server hears of it.
-func TestSlowBodyIsServedAndASilentOneEnds(t *testing.T) {
+func TestSlowBodyIsServedAndASilentOneTimesOut(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
@@ -295,7 +295,7 @@
 }
 
 // Many long answers to clients that don't read leave the node its memory and its other clients.
-func TestStalledReadersHoldLittle(t *testing.T) {
+func TestStalledReadersHoldLittleMemory(t *testing.T) {
 	t.Parallel()
 	const answers = 40
 	long := noise(4 << 20)
@@ -337,7 +337,7 @@
 }
 
 // An answer that ends with its connection is whole, short or long.
-func TestAnswerByClosePasses(t *testing.T) {
+func TestResponseEndingWithItsConnectionPasses(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		for _, size := range []int{5, 3 * http1.MaxBufferedBodyBytes} {
 			want := noise(size)
--- a/internal/node/control_test.go
+++ b/internal/node/control_test.go
@@ -118,7 +118,7 @@
 		ctx, leave := context.WithCancel(t.Context())
 		left := make(chan error, 1)
 		go func() {
-			_, err := onceClient(t).Do(clientRequest(t, node, "GET", "read", "held", "").WithContext(ctx))
+			_, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "held", "").WithContext(ctx))
 			left <- err
 		}()
 		nodetest.Receive(t, "the held request", held)
@@ -190,7 +190,7 @@
 				fmt.Fprint(conn, "GET /stats HTTP/1.1\r\nHo")
 			}
 		}
-		client := onceClient(t)
+		client := oneRequestClient(t)
 		client.Timeout = callTimeout
 		resp, err := client.Get("http://" + ctl + statsPath)
 		if err != nil {
@@ -210,7 +210,7 @@
 		go func() { stopped <- stop() }()
 		saidNo := false
 		nodetest.Await(t, "a no", func() bool {
-			resp, err := onceClient(t).Get("http://" + ctl + healthPath)
+			resp, err := oneRequestClient(t).Get("http://" + ctl + healthPath)
 			if err != nil {
 				return true // it has ended
 			}
--- a/internal/node/downstream/client_conns_test.go
+++ b/internal/node/downstream/client_conns_test.go
@@ -13,7 +13,7 @@
 
 // At the limit, the connection that was without a request for longest makes room; one in use, or
 // quiet only for a moment, does not.
-func TestQuietPeersMakeRoom(t *testing.T) {
+func TestQuietConnectionsAreEvicted(t *testing.T) {
 	now := time.Now()
 	at := func(ago time.Duration, state http.ConnState) *trackedConn {
 		return &trackedConn{state: state, since: now.Add(-ago)}
@@ -55,7 +55,7 @@
 }
 
 // A connection whose answer crosses the node's end is not forgotten: it ends as well.
-func TestConnectionIdleJustAfterTheEndIsWoken(t *testing.T) {
+func TestConnectionIdleJustAfterCloseIdleIsWoken(t *testing.T) {
 	t.Parallel()
 	ln := nodetest.Listener(t)
 	client := nodetest.Dial(t, ln.Addr().String())
--- a/internal/node/downstream/request_body_test.go
+++ b/internal/node/downstream/request_body_test.go
@@ -9,7 +9,7 @@
 )
 
 // What a client gets whose body breaks off.
-func TestUploadStatus(t *testing.T) {
+func TestBodyErrorStatus(t *testing.T) {
 	for err, want := range map[error]int{
 		ErrBodyTooLong: 413, io.ErrUnexpectedEOF: 400, &net.OpError{Err: os.ErrDeadlineExceeded}: 408, errors.New("x"): 400,
 	} {
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -324,7 +324,7 @@
 
 // What is failed at a node's end ends its connection too, and a request that comes after that gets a refusal: there
 // is no time to send it on, and its connection would be cut with no answer.
-func TestRequestAfterTheLastOnesFailedIsRefused(t *testing.T) {
+func TestRequestAfterTheLoopFinishedIsRejected(t *testing.T) {
 	t.Parallel()
 	server, got, letGo := nodetest.HoldingServer(t)
 	node, l, drain := stopping(t, server)
@@ -407,7 +407,7 @@
 
 // A request whose client has left while it waited is not sent on 0.1 s later, whatever it waited for, however the
 // client left, with bytes of a further request behind it or none, and whether or not attempts may be cancelled.
-func TestRequestOfAClientThatLeftIsNotSentOn(t *testing.T) {
+func TestRequestOfAClientThatLeftIsNotForwarded(t *testing.T) {
 	for _, at := range []string{"a server", "a further attempt", "a connection", "its body", "the loop"} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, behind := range []int{0, 3, 9000} {
@@ -520,7 +520,7 @@
 // A client that has gone by the time at which its request is read has gone for good, though nobody has looked at its
 // connection since: the reader may get its turn only after the loop and the attempt have had theirs. The first read
 // here waits until the client has been away for the term, and the second one for the attempt's end.
-func TestRequestReadAfterItsClientLeftIsNotSentOn(t *testing.T) {
+func TestRequestReadAfterItsClientLeftIsNotForwarded(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		t.Run(fmt.Sprintf("reset %v", reset), func(t *testing.T) {
 			t.Parallel()
@@ -567,7 +567,7 @@
 
 // An attempt whose connection comes up only after its server was told to leave, is gone or has started anew is not
 // written there: it never ran, and is decided anew.
-func TestLateConnectionToALeavingServerIsNotUsed(t *testing.T) {
+func TestLateConnectionToADrainingServerIsNotUsed(t *testing.T) {
 	for name, change := range map[string]string{
 		"draining": `"phase":"draining","up_since_ms":0`,
 		"gone":     `"phase":"removed","up_since_ms":0`,
@@ -689,7 +689,7 @@
 
 // A request that reaches a connection in the moment in which the node gives that up as idle is the client's to send
 // again: nothing of it reaches a server, and no answer begins.
-func TestRequestOnAConnectionGivenUpIsNotSentOn(t *testing.T) {
+func TestRequestOnAnEvictedConnectionIsNotForwarded(t *testing.T) {
 	for name, giveUp := range map[string]func(*server){
 		"the node's end": func(s *server) { s.CloseIdle() },
 		"making room": func(s *server) {
@@ -727,7 +727,7 @@
 
 // A last answer reaches its client whatever lies unread behind the request: a close over that would reset the
 // connection, and take the answer along.
-func TestLastAnswerIsNotResetByWhatIsBehind(t *testing.T) {
+func TestLastAnswerIsNotResetByUnreadBytes(t *testing.T) {
 	for _, class := range []string{"read", "unknown"} { // which is refused
 		for _, behind := range []int{0, 3, 4000, 300_000} {
 			t.Run(fmt.Sprint(class, " ", behind), func(t *testing.T) {
@@ -776,7 +776,7 @@
 
 // An answer that never ends is ended by its request's time: the client gets an error then, whatever piece of the
 // answer comes on and on, and the server's connection is closed.
-func TestAnswerWithoutEndIsEndedInTime(t *testing.T) {
+func TestEndlessResponseTimesOut(t *testing.T) {
 	for name, a := range map[string]struct{ first, again string }{
 		"no head":        {"", ""},
 		"half a line":    {"HTTP/1.1 2", ""},
@@ -821,7 +821,7 @@
 
 // An answer that is passed on as it comes and never ends goes on for as long as its client takes it: once that has
 // left, nothing of it stays.
-func TestFloodOfAnAnswerEndsWithItsClient(t *testing.T) {
+func TestStreamedResponseEndsWithItsClient(t *testing.T) {
 	t.Parallel()
 	var conns openConns
 	addr := nodetest.RawServer(t, conns.serve(func(c net.Conn) {
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -15,7 +15,7 @@
 )
 
 // Who connects and sends no whole request is rid of, with or without an answer, in 3 s.
-func TestSlowPeersEndInTime(t *testing.T) {
+func TestSlowClientsAreDisconnectedInTime(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
@@ -36,7 +36,7 @@
 }
 
 // A malformed request ends its connection, whatever else was sent along.
-func TestRubbishEndsItsConnection(t *testing.T) {
+func TestMalformedRequestEndsItsConnection(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		servers := &recorder{}
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, servers.ServeHTTP))))
@@ -49,12 +49,12 @@
 }
 
 // Peers that use up the clients' part of the descriptors don't cost a client its open connection.
-func TestSilentPeersLeaveClientsAlone(t *testing.T) {
+func TestSilentConnectionsLeaveClientsAlone(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 		c.Sockets = leastSockets
 		node, _ := startNode(t, c)
-		client := keptClient(t)
+		client := keepAliveClient(t)
 		ask := func(id string) *http.Response {
 			resp, err := client.Do(clientRequest(t, node, "GET", "read", id, ""))
 			if err != nil {
@@ -88,7 +88,7 @@
 }
 
 // An idle connection ends in time, also after a body that came in pieces and set deadlines of its own.
-func TestIdleConnectionsEnd(t *testing.T) {
+func TestIdleConnectionsTimeOut(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		c := nodetest.Dial(t, node)
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -83,7 +83,7 @@
 }
 
 // A tenant past its share is told at once when to come back.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRejectionHasRetryAfter(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
@@ -123,7 +123,7 @@
 }
 
 // The module hears that a client has left, and can call its attempts off.
-func TestDepartureIsTold(t *testing.T) {
+func TestClientLeavingReachesTheBalancer(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		got, closed := make(chan struct{}), make(chan struct{})
 		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -156,7 +156,7 @@
 }
 
 // A client that closes has gone away: it is not told that it was served, also where it still reads.
-func TestDepartedClientIsNotServed(t *testing.T) {
+func TestClientThatLeftIsNotServed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		hold := make(chan struct{})
 		defer close(hold)
@@ -178,7 +178,7 @@
 }
 
 // Over its part of the descriptors a node refuses, and gives the connection up.
-func TestClientsOverTheLimitAreRefused(t *testing.T) {
+func TestClientsOverTheLimitAreRejected(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
@@ -230,7 +230,7 @@
 		node := serveAt(t, s)
 		nodetest.Receive(t, "readiness", l.ready)
 		close(s.first)
-		client := keptClient(t)
+		client := keepAliveClient(t)
 		for _, state := range []struct{ draining, superseded, ready bool }{
 			{ready: true}, {draining: true}, {draining: true, superseded: true, ready: true}, // the node serves on
 		} {
@@ -247,7 +247,7 @@
 			if resp.StatusCode != 200 || resp.Close != draining {
 				t.Errorf("draining %v: %d, ends its connection: %v", draining, resp.StatusCode, resp.Close)
 			}
-			resp, err = onceClient(t).Get("http://" + node + downstream.ReadyPath)
+			resp, err = oneRequestClient(t).Get("http://" + node + downstream.ReadyPath)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -272,7 +272,7 @@
 		node, stop := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		slow := make(chan int, 1)
 		go func() {
-			resp, err := onceClient(t).Do(clientRequest(t, node, "GET", "read", "slow", ""))
+			resp, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "slow", ""))
 			if err != nil {
 				slow <- 0
 				return
@@ -322,7 +322,7 @@
 func TestStoppingNodeServesOn(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, stop := startNode(t, brief(t))
-		client := keptClient(t)
+		client := keepAliveClient(t)
 		get := func(req *http.Request) (*http.Response, error) {
 			resp, err := client.Do(req)
 			if err == nil {
@@ -358,7 +358,7 @@
 }
 
 // No input panics the node: after noise of each kind it still serves.
-func TestNoiseFromClients(t *testing.T) {
+func TestMalformedInputIsRejectedOrClosed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
@@ -387,7 +387,7 @@
 }
 
 // A connection that came just before a stopping node takes no more of them is still heard.
-func TestConnectionOfTheLastMomentIsServed(t *testing.T) {
+func TestConnectionAcceptedBeforeTheListenerClosesIsServed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, stop := startNode(t, brief(t))
 		ended := make(chan error, 1)
@@ -413,7 +413,7 @@
 
 // A connection that came over the limit is served if it has a place by the time of its request, also once no further
 // descriptors are on their way from a process before this one.
-func TestPlaceThatCameFreeIsTaken(t *testing.T) {
+func TestConnectionOverTheLimitIsServedOnceThereIsRoom(t *testing.T) {
 	server, got, letGo := nodetest.HoldingServer(t)
 	l, _ := startLoop(t, server, sendsOnce)
 	s := newServer(l)
@@ -436,7 +436,7 @@
 
 // Either side has its part of the descriptors, however many clients are in; while two processes share them, no
 // more clients than have a place are let in.
-func TestServersKeepTheirDescriptors(t *testing.T) {
+func TestEachSideHasItsMinimumOfDescriptors(t *testing.T) {
 	s := testDescriptors(30)
 	s.SetClients(40)
 	if got := s.ForServers(); got != s.MinPerSide() {
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -165,7 +165,7 @@
 	})
 	addr = at.Clients.Addr().String()
 	nodetest.Await(t, "readiness", func() bool {
-		resp, err := onceClient(t).Get("http://" + addr + downstream.ReadyPath)
+		resp, err := oneRequestClient(t).Get("http://" + addr + downstream.ReadyPath)
 		if err != nil {
 			return false
 		}
@@ -197,13 +197,13 @@
 	return req
 }
 
-// onceClient makes a connection for each request.
-func onceClient(t testing.TB) *http.Client {
+// oneRequestClient makes a connection for each request.
+func oneRequestClient(t testing.TB) *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: nodetest.Dialer(t)}}
 }
 
-// keptClient keeps the one connection that it has to a host.
-func keptClient(t testing.TB) *http.Client {
+// keepAliveClient keeps the one connection that it has to a host.
+func keepAliveClient(t testing.TB) *http.Client {
 	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DialContext: nodetest.Dialer(t)}}
 	t.Cleanup(c.CloseIdleConnections)
 	return c
@@ -211,7 +211,7 @@
 
 func do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	resp, err := onceClient(t).Do(req)
+	resp, err := oneRequestClient(t).Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/upstream/descriptor_queue_test.go
+++ b/internal/node/upstream/descriptor_queue_test.go
@@ -40,7 +40,7 @@
 }
 
 // One that waits in vain fails, and leaves nothing behind.
-func TestAttemptWaitsInVainForADescriptor(t *testing.T) {
+func TestAttemptFailsWithoutADescriptor(t *testing.T) {
 	server, got, letGo := nodetest.HoldingServer(t)
 	u := testTransport(t, server)
 	u.descriptors.SetTotal(minSideDivisor)
--- a/internal/node/upstream/transport_test.go
+++ b/internal/node/upstream/transport_test.go
@@ -88,7 +88,7 @@
 }
 
 // Only "full" with X-Not-Run, and what never got its last byte written, has not run for certain.
-func TestOutcomeOfEachAnswer(t *testing.T) {
+func TestOutcomeOfEachResponse(t *testing.T) {
 	for _, c := range []struct {
 		answer string
 		want   policy.Code
@@ -123,7 +123,7 @@
 	}
 }
 
-func TestRefusedConnectionNeverRan(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -185,7 +185,7 @@
 }
 
 // What broke off before its last byte was written has not run, wherever that was.
-func TestUnwrittenLastByteNeverRan(t *testing.T) {
+func TestUnwrittenLastByteIsConnectFailed(t *testing.T) {
 	addr := nodetest.RawServer(t, func(_ net.Conn, r *bufio.Reader) { nodetest.ReadRequest(r) })
 	for _, c := range []struct{ left, body int }{
 		{0, 0}, {20, 0}, {20, 20000}, {6000, 20000}, {20, 100}, {200, 100},
@@ -237,7 +237,7 @@
 }
 
 // What the server gets is the client's request, with nothing of the machine's own about it.
-func TestRequestGoesOnUnchanged(t *testing.T) {
+func TestRequestIsForwardedUnchanged(t *testing.T) {
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:9")
 	got := make(chan *http.Request, 1)
 	var body atomic.Value
@@ -309,7 +309,7 @@
 	}
 }
 
-func TestDescriptorsBindConnections(t *testing.T) {
+func TestDescriptorsLimitConnections(t *testing.T) {
 	hold := make(chan struct{})
 	slow := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 	fast := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -359,7 +359,7 @@
 	}
 }
 
-func TestReadsLoadReports(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	names := []string{"util", "queue"}
 	if got := parseLoadReport("inflight=7, queue=2,util=0.61", names); got[0] != 0.61 || got[1] != 2 {
 		t.Errorf("got %v", got)
@@ -374,7 +374,7 @@
 
 // An attempt whose turn comes only after its server was told to leave is not written, over a kept connection either:
 // the module's choice may have waited for a processor for as long as the settings' grace.
-func TestAttemptBehindTheListIsNotSentToALeavingServer(t *testing.T) {
+func TestAttemptIsNotSentToAServerThatDrainsByThen(t *testing.T) {
 	t.Parallel()
 	var got atomic.Int32
 	addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { got.Add(1) })
@@ -401,7 +401,7 @@
 
 // A server's second answer to a request, late by some milliseconds, is not taken for the answer to the next one: a
 // connection rests after each answer, and what says something meanwhile is not used again.
-func TestLateSecondAnswerIsNoAnswer(t *testing.T) {
+func TestLateSecondResponseIsNotUsed(t *testing.T) {
 	for name, late := range map[string]bool{"at the next request": true, "while it rests": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
