--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -24,7 +24,7 @@
 //	go test -run '^$' -bench Request ./internal/node
 
 const (
-	benchPeer    = "WAYHOLD_BENCH_PEER" // set in the process that plays clients and servers
+	benchPeerEnv = "SLOERAIL_BENCH_PEER" // set in the process that plays clients and servers
 	benchServers = 10
 	benchClients = 8
 	benchAnswer  = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Load: latency_ms=12.5,util=0.41,qps=33\r\n" +
@@ -42,7 +42,7 @@
 
 func benchRequests(b *testing.B, kept bool) {
 	peers := exec.Command(os.Args[0])
-	peers.Env = append(os.Environ(), benchPeer+"=1")
+	peers.Env = append(os.Environ(), benchPeerEnv+"=1")
 	peers.Stderr = os.Stderr
 	in, err := peers.StdinPipe()
 	if err != nil {
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -20,7 +20,7 @@
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(benchPeer) != "" {
+	if os.Getenv(benchPeerEnv) != "" {
 		if err := playPeers(os.Stdin, os.Stdout); err != nil {
 			_, _ = fmt.Fprintln(os.Stderr, "bench peers:", err)
 			os.Exit(1)
