--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -23,20 +23,20 @@
 	attempt int // its number
 }
 
-// ClientGone reports whether the client has left.
-func (o *attemptObserver) ClientGone() bool { return o.request.ClientGone() }
+// ClientDisconnected reports whether the client has left.
+func (o *attemptObserver) ClientDisconnected() bool { return o.request.CheckDisconnected() }
 
 // NotSent has the loop end a request whose client has left.
 func (o *attemptObserver) NotSent() {
-	o.loop.send(uploaded{o.request.Exchange, upstream.ErrClientGone})
+	o.loop.send(uploaded{o.request.Exchange, upstream.ErrClientDisconnected})
 }
 
 // ResponseStarted has the loop give the client a response that is still coming.
 func (o *attemptObserver) ResponseStarted(r upstream.Response) {
-	o.loop.send(begun{o.request, o.attempt, forwardedAnswer(r)})
+	o.loop.send(begun{o.request, o.attempt, forwardedResponse(r)})
 }
 
-// forwardedAnswer is what a client gets of a server's response.
-func forwardedAnswer(r upstream.Response) downstream.Answer {
-	return downstream.Answer{Status: r.Status, ContentType: r.ContentType, Body: r.Body, Stream: r.Stream, Length: r.Length}
+// forwardedResponse is what a client gets of a server's response.
+func forwardedResponse(r upstream.Response) downstream.Response {
+	return downstream.Response{Status: r.Status, ContentType: r.ContentType, Body: r.Body, Stream: r.Stream, Length: r.Length}
 }
--- a/internal/node/downstream/client_conn.go
+++ b/internal/node/downstream/client_conn.go
@@ -21,43 +21,43 @@
 	headTimeout = 2300 * time.Millisecond
 	// IdleTimeout is how long a connection may be without a request.
 	IdleTimeout = 60 * time.Second
-	// earlyAnswerLinger is how long a client may go on sending after an answer that came before its body's end.
-	earlyAnswerLinger = 2 * time.Second
-	// lastAnswerLinger is how long a client may take to read the last answer of a connection that it may not expect
+	// earlyResponseLinger is how long a client may go on sending after a response that came before its body's end.
+	earlyResponseLinger = 2 * time.Second
+	// lastResponseLinger is how long a client may take to read the last response of a connection that it may not expect
 	// to end.
-	lastAnswerLinger = 500 * time.Millisecond
+	lastResponseLinger = 500 * time.Millisecond
 )
 
 // clientConn is a client's connection. One goroutine reads it, request after request, and so sees the client leave while
-// its answer is awaited. Another writes the answers; both end with the connection.
+// its response is awaited. Another writes the responses; both end with the connection.
 type clientConn struct {
 	net.Conn
-	server       *Server
-	tracked      *trackedConn
-	lastReceived atomic.Int64 // when bytes last came, in Unix nanoseconds; 0 for never
-	reader       *bufio.Reader
-	heads        http1.HeadReader
-	readDeadline time.Time     // zero for none
-	reply        chan Answer   // from the handler, for the current request
-	answered     chan bool     // from the writer, after each answer: whether the connection stays open
-	closed       chan struct{} // closed at the connection's end
+	server          *Server
+	tracked         *trackedConn
+	lastReceived    atomic.Int64 // when bytes last came, in Unix nanoseconds; 0 for never
+	reader          *bufio.Reader
+	heads           http1.HeadReader
+	readDeadline    time.Time     // zero for none
+	reply           chan Response // from the handler, for the current request
+	responseWritten chan bool     // from the writer, after each response: whether the connection stays open
+	closed          chan struct{} // closed at the connection's end
 
 	// The current request: set before the handler has it, and read by the writer once that has answered.
-	exchange         *Exchange
-	closeAfterAnswer bool
-	http10           bool // the request is HTTP/1.0
-	answerPending    atomic.Bool
-	writeBuffer      []byte
-	writeDeadline    time.Time
-	bytesSent        int64 // over the connection's life
+	exchange           *Exchange
+	closeAfterResponse bool
+	http10             bool // the request is HTTP/1.0
+	responsePending    atomic.Bool
+	writeBuffer        []byte
+	writeDeadline      time.Time
+	bytesSent          int64 // over the connection's life
 }
 
 var readBuffers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
 // newClientConn tracks a connection. serve has to follow.
 func (s *Server) newClientConn(conn net.Conn) *clientConn {
-	c := &clientConn{Conn: conn, server: s, reader: readBuffers.Get().(*bufio.Reader), reply: make(chan Answer, 1),
-		answered: make(chan bool, 1), closed: make(chan struct{})}
+	c := &clientConn{Conn: conn, server: s, reader: readBuffers.Get().(*bufio.Reader), reply: make(chan Response, 1),
+		responseWritten: make(chan bool, 1), closed: make(chan struct{})}
 	c.tracked = s.clientConns.add(c)
 	c.reader.Reset(c)
 	return c
@@ -96,7 +96,7 @@
 			return
 		}
 		if first {
-			writer.Go(c.writeAnswers)
+			writer.Go(c.writeResponses)
 		}
 		if !c.handle(m) {
 			return
@@ -133,7 +133,7 @@
 
 var headEnd = []byte("\r\n\r\n")
 
-// rejectUnreadable answers a request whose head can't be read. A client that sent nothing, or is too slow, gets no answer.
+// rejectUnreadable answers a request whose head can't be read. A client that sent nothing, or is too slow, gets no response.
 func (c *clientConn) rejectUnreadable(err error) {
 	switch {
 	case errors.Is(err, http1.ErrMalformedHead):
@@ -149,9 +149,9 @@
 	// Over its share of the descriptors the node still answers, and gets the descriptor back.
 	full := !s.awaitCapacity(c.tracked)
 	c.http10 = m.minor == 0
-	c.closeAfterAnswer = full || c.isLastRequest(&m)
+	c.closeAfterResponse = full || c.isLastRequest(&m)
 	if m.isReadinessCheck() {
-		return c.answerReadiness(m)
+		return c.handleReadinessCheck(m)
 	}
 	if full {
 		c.rejectRequest(&m, &requestError{status: http.StatusServiceUnavailable, text: "too many connections"})
@@ -163,7 +163,7 @@
 		return false
 	}
 	s.handler.AddOpenRequests(1)
-	c.answerPending.Store(true)
+	c.responsePending.Store(true)
 	c.exchange = x
 	s.handler.HandleRequest(x)
 	if x.upload != nil && !c.awaitUpload(x.upload) {
@@ -172,14 +172,14 @@
 	if !c.awaitNextRequest(x) {
 		return false
 	}
-	open := <-c.answered
+	open := <-c.responseWritten
 	if !open {
-		c.linger(lastAnswerLinger) // bytes of a further request may be unread
+		c.linger(lastResponseLinger) // bytes of a further request may be unread
 	}
 	return open
 }
 
-// isLastRequest reports whether the connection ends with the answer to m.
+// isLastRequest reports whether the connection ends with the response to m.
 func (c *clientConn) isLastRequest(m *requestHead) bool {
 	// A node that stops gets no new connections, and its clients are best kept: the other nodes have to bear
 	// whoever leaves.
@@ -203,20 +203,20 @@
 	if u.complete.Load() {
 		return true
 	}
-	if <-c.answered { // the handler knows that the body is incomplete, and answers
-		c.linger(earlyAnswerLinger)
+	if <-c.responseWritten { // the handler knows that the body is incomplete, and answers
+		c.linger(earlyResponseLinger)
 	}
 	return false
 }
 
-// answerReadiness tells a load balancer whether the node takes clients.
-func (c *clientConn) answerReadiness(m requestHead) bool {
-	a := Answer{Status: http.StatusOK}
+// handleReadinessCheck tells a load balancer whether the node takes clients.
+func (c *clientConn) handleReadinessCheck(m requestHead) bool {
+	a := Response{Status: http.StatusOK}
 	if !c.server.handler.Ready() {
 		a.Status = http.StatusServiceUnavailable
 	}
-	c.closeAfterAnswer = c.closeAfterAnswer || m.Length != 0 // a body isn't read
-	if err := c.sendAnswer(a); err != nil || c.closeAfterAnswer {
+	c.closeAfterResponse = c.closeAfterResponse || m.Length != 0 // a body isn't read
+	if err := c.sendResponse(a); err != nil || c.closeAfterResponse {
 		return false
 	}
 	c.server.clientConns.setState(c.tracked, http.StateIdle)
@@ -235,12 +235,12 @@
 		case err == nil:
 			return true
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			if c.answerPending.Load() && x != nil {
-				x.clientGone.Store(true)
-				c.server.handler.HandleClientGone(x)
+			if c.responsePending.Load() && x != nil {
+				x.disconnected.Store(true)
+				c.server.handler.HandleDisconnect(x)
 			}
 			return false // also a client that only stopped sending has left
-		case c.server.clientConns.isExpired(c.tracked, time.Now()) || c.server.closing.Load() && !c.answerPending.Load():
+		case c.server.clientConns.isExpired(c.tracked, time.Now()) || c.server.closing.Load() && !c.responsePending.Load():
 			return false
 		}
 		// The deadline was that of an earlier wait, or the current request takes long.
@@ -251,13 +251,13 @@
 
 // finishRequest counts the current request as ended, once.
 func (c *clientConn) finishRequest() {
-	if c.answerPending.CompareAndSwap(true, false) {
+	if c.responsePending.CompareAndSwap(true, false) {
 		c.server.handler.AddOpenRequests(-1)
 	}
 }
 
-// linger reads for a while what a client still sends after its last answer: closing over unread bytes would reset the
-// connection, and the client might lose the answer.
+// linger reads for a while what a client still sends after its last response: closing over unread bytes would reset the
+// connection, and the client might lose the response.
 func (c *clientConn) linger(d time.Duration) {
 	half, ok := underlyingConn(c).(interface{ CloseWrite() error })
 	if !ok || half.CloseWrite() != nil {
--- a/internal/node/downstream/client_conns.go
+++ b/internal/node/downstream/client_conns.go
@@ -14,7 +14,7 @@
 	minSilentTime = 500 * time.Millisecond
 	// MinIdleTime is the same for a connection that was answered.
 	MinIdleTime = 2 * time.Second
-	// crowdedDivisor makes connections end with their first answer once a quarter of the limit is open: each that
+	// crowdedDivisor makes connections end with their first response once a quarter of the limit is open: each that
 	// stays idle can't be evicted for MinIdleTime, and new clients come meanwhile.
 	crowdedDivisor = 4
 )
@@ -152,7 +152,7 @@
 	return len(cc.conns)
 }
 
-// isCrowded reports whether a request's connection is to end with the answer, since many are open. A client that has come
+// isCrowded reports whether a request's connection is to end with the response, since many are open. A client that has come
 // back for a second request uses its connection, and goes on with it.
 func (cc *ClientConns) isCrowded(t *trackedConn) bool {
 	cc.mu.Lock()
--- a/internal/node/downstream/client_conns_test.go
+++ b/internal/node/downstream/client_conns_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// A connection whose answer crosses the node's end is not forgotten: it ends as well.
+// A connection whose response crosses the node's end is not forgotten: it ends as well.
 func TestConnectionIdleJustAfterCloseIdleIsWoken(t *testing.T) {
 	t.Parallel()
 	ln := nodetest.Listener(t)
@@ -70,7 +70,7 @@
 	all.setState(p, http.StateActive)
 	all.closeIdle()
 	_ = conn.SetReadDeadline(time.Now().Add(nodetest.Timeout))
-	all.setState(p, http.StateIdle) // its answer is written
+	all.setState(p, http.StateIdle) // its response is written
 	began := time.Now()
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(began) > nodetest.Timeout/2 {
 		t.Errorf("read for %v: %v", time.Since(began), err)
--- a/internal/node/downstream/exchange.go
+++ b/internal/node/downstream/exchange.go
@@ -17,7 +17,7 @@
 // maxTimeoutMillis bounds how long a client may say that it waits.
 const maxTimeoutMillis = 3_600_000
 
-// Exchange is one request of a client and the way back for its answer. Its exported fields aren't changed once a Handler
+// Exchange is one request of a client and the way back for its response. Its exported fields aren't changed once a Handler
 // has it. Its methods may be called from any goroutine.
 type Exchange struct {
 	Request    policy.Request
@@ -25,31 +25,31 @@
 	ReceivedAt policy.Time      // when its last byte was read; of a streamed body, when its start was
 	Timeout    time.Duration    // that the client waits from then
 	Terms      Terms            // by which it was read
-	Reply      chan Answer      // takes one answer, without blocking
+	Reply      chan Response    // takes one response, without blocking
 
 	upload           *upload // Forwarded.Stream; nil where the body is buffered
 	tally            Tally   // of its class
-	clientGone       atomic.Bool
+	disconnected     atomic.Bool
 	isClosedByClient func() bool // asks the client's socket; nil where there is none
 }
 
-// HasLeft reports whether the client is known to have left.
-func (x *Exchange) HasLeft() bool { return x.clientGone.Load() }
+// Disconnected reports whether the client is known to have left.
+func (x *Exchange) Disconnected() bool { return x.disconnected.Load() }
 
 // BodyConsumed reports whether an attempt has read of a streamed body: the request can't be sent again then.
 func (x *Exchange) BodyConsumed() bool { return x.upload != nil && x.upload.consumed.Load() }
 
-// ClientGone reports whether the client has left, and asks its socket: the connection's reader doesn't see that while the
+// CheckDisconnected reports whether the client has left, and asks its socket: the connection's reader doesn't see that while the
 // body waits for a server, behind bytes of a further request, or before its goroutine is scheduled.
-func (x *Exchange) ClientGone() bool {
+func (x *Exchange) CheckDisconnected() bool {
 	if x.isClosedByClient != nil && x.isClosedByClient() {
-		x.clientGone.Store(true)
+		x.disconnected.Store(true)
 	}
-	return x.clientGone.Load()
+	return x.disconnected.Load()
 }
 
-// Answer is what a client gets. An empty field or a zero is left out of the head, but for Status and Length.
-type Answer struct {
+// Response is what a client gets. An empty field or a zero is left out of the head, but for Status and Length.
+type Response struct {
 	Status        int
 	Body          []byte
 	Stream        *upstream.ResponseStream // what follows Body as it comes; nil for nothing
--- a/internal/node/downstream/request_body.go
+++ b/internal/node/downstream/request_body.go
@@ -29,7 +29,7 @@
 	// ErrBodyTooLong is a request whose body is over MaxBodyBytes.
 	ErrBodyTooLong = errors.New("downstream: the body is over 32 MiB")
 
-	errAlreadyAnswered = errors.New("downstream: the client has its answer")
+	errAlreadyResponded = errors.New("downstream: the client has its response")
 )
 
 // upload is the body of a client's request. One goroutine at a time reads it: the connection's what is buffered, then that
@@ -66,7 +66,7 @@
 	left := max(u.headTimeLeft, bodyGrace+time.Duration(u.received)*time.Second/minBodyBytesPerSecond) - u.clientTime
 	err := u.conn.SetReadDeadline(from.Add(left))
 	if err == nil && u.stopped.Load() { // after the deadline is set: stop sets its own
-		err = errAlreadyAnswered
+		err = errAlreadyResponded
 	}
 	n := 0
 	if err == nil {
@@ -122,7 +122,7 @@
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.err == nil {
-		u.end(errAlreadyAnswered)
+		u.end(errAlreadyResponded)
 	}
 }
 
@@ -139,7 +139,7 @@
 // Complete reports whether all of the body was read.
 func (u *upload) Complete() bool { return u.complete.Load() }
 
-// BodyErrorStatus is the answer to a request whose body couldn't be read.
+// BodyErrorStatus is the response to a request whose body couldn't be read.
 func BodyErrorStatus(err error) (status int, problem string) {
 	switch {
 	case errors.Is(err, ErrBodyTooLong):
--- a/internal/node/downstream/answer_writer.go
+++ b/internal/node/downstream/response_writer.go
@@ -15,29 +15,29 @@
 )
 
 const (
-	// answerWriteTimeout is for an answer to a client that doesn't read.
-	answerWriteTimeout = 5 * time.Second
+	// responseWriteTimeout is for a response to a client that doesn't read.
+	responseWriteTimeout = 5 * time.Second
 	// minSendBufferBytes is what the kernel takes for a client that reads nothing, from a new connection.
 	minSendBufferBytes = 4 << 10
-	// clientSendBufferBytes is the kernel's buffer for a streamed answer: small, so that a client's progress is seen.
+	// clientSendBufferBytes is the kernel's buffer for a streamed response: small, so that a client's progress is seen.
 	clientSendBufferBytes = 64 << 10
 )
 
-// writeAnswers writes answers until the connection ends.
-func (c *clientConn) writeAnswers() {
+// writeResponses writes responses until the connection ends.
+func (c *clientConn) writeResponses() {
 	for {
 		select {
 		case a := <-c.reply:
-			complete, early := c.writeAnswer(a)
-			open := complete && (early || !c.closeAfterAnswer)
+			complete, early := c.writeResponse(a)
+			open := complete && (early || !c.closeAfterResponse)
 			c.finishRequest()
-			if open && !c.closeAfterAnswer {
+			if open && !c.closeAfterResponse {
 				c.server.clientConns.setState(c.tracked, http.StateIdle)
 			}
 			if !open && (!complete || !c.hasPollEvent(unix.POLLIN)) { // else the reader finds the bytes, and lingers
 				closeQuietly(c)
 			}
-			c.answered <- open
+			c.responseWritten <- open
 			if !open {
 				return
 			}
@@ -47,41 +47,41 @@
 	}
 }
 
-// writeAnswer writes an answer, and reports whether it was written completely, and whether it came before the end of the
-// request's body: then the connection is read on, so that the client gets the answer.
-func (c *clientConn) writeAnswer(a Answer) (complete, early bool) {
+// writeResponse writes a response, and reports whether it was written completely, and whether it came before the end of the
+// request's body: then the connection is read on, so that the client gets the response.
+func (c *clientConn) writeResponse(a Response) (complete, early bool) {
 	x := c.exchange
 	early = x.upload != nil && !x.upload.complete.Load()
 	if early {
 		x.upload.stop()
-		c.closeAfterAnswer = true
+		c.closeAfterResponse = true
 	}
 	if a.Stream != nil {
-		return c.streamAnswer(a), false
+		return c.streamResponse(a), false
 	}
 	if !early || a.Status >= http.StatusInternalServerError {
 		x.tally.Count(a.Status)
 	}
 	a.Length = int64(len(a.Body))
-	return c.sendAnswer(a) == nil, early
+	return c.sendResponse(a) == nil, early
 }
 
-// streamAnswer writes an answer whose body comes bit by bit, and reports whether that was complete. One that breaks off
+// streamResponse writes a response whose body comes bit by bit, and reports whether that was complete. One that breaks off
 // ends the connection, so that the client can tell.
-func (c *clientConn) streamAnswer(a Answer) bool {
+func (c *clientConn) streamResponse(a Response) bool {
 	conn := tcpConn(c)
 	if conn != nil {
 		_ = conn.SetWriteBuffer(clientSendBufferBytes) // without it, only a slow client's progress is seen later
 	}
 	to := io.Writer(c.Conn)
 	if a.Length < 0 && c.http10 {
-		c.closeAfterAnswer = true // HTTP/1.0 has no chunks: the body ends with the connection
+		c.closeAfterResponse = true // HTTP/1.0 has no chunks: the body ends with the connection
 	} else if a.Length < 0 {
 		to = http1.ChunkWriter{Conn: c}
 	}
 	c.writeDeadline, c.bytesSent = time.Time{}, minSendBufferBytes+1
-	c.boundWrite(answerWriteTimeout)
-	if _, err := c.Write(c.answerHead(a)); err != nil {
+	c.boundWrite(responseWriteTimeout)
+	if _, err := c.Write(c.responseHead(a)); err != nil {
 		closeQuietly(c) // so that no body follows half a head
 	}
 	err := a.Stream.CopyTo(to, c, a.Body)
@@ -90,7 +90,7 @@
 	}
 	c.writeDeadline = time.Time{}
 	switch {
-	case err == nil || errors.Is(err, upstream.ErrClientGone):
+	case err == nil || errors.Is(err, upstream.ErrClientDisconnected):
 		c.exchange.tally.Count(a.Status)
 	default:
 		c.exchange.tally.Count(http.StatusBadGateway)
@@ -114,20 +114,20 @@
 	}
 }
 
-// sendAnswer writes an answer whose body is buffered.
-func (c *clientConn) sendAnswer(a Answer) error {
-	b := c.answerHead(a)
+// sendResponse writes a response whose body is buffered.
+func (c *clientConn) sendResponse(a Response) error {
+	b := c.responseHead(a)
 	c.bytesSent += int64(len(b) + len(a.Body))
-	c.boundWrite(answerWriteTimeout)
+	c.boundWrite(responseWriteTimeout)
 	var err error
 	c.writeBuffer, err = http1.WriteMessage(c, b, a.Body)
 	return err
 }
 
-// answerHead makes the head of an answer. Whether the connection stays open is decided here, and not when the request
+// responseHead makes the head of a response. Whether the connection stays open is decided here, and not when the request
 // came: a node that began to drain since has no time for another one.
-func (c *clientConn) answerHead(a Answer) []byte {
-	c.closeAfterAnswer = c.closeAfterAnswer || c.server.Draining.Load()
+func (c *clientConn) responseHead(a Response) []byte {
+	c.closeAfterResponse = c.closeAfterResponse || c.server.Draining.Load()
 	b := append(c.writeBuffer[:0], "HTTP/1."...)
 	if c.http10 {
 		b = append(b, '0')
@@ -149,7 +149,7 @@
 		b = http1.AppendBodyFraming(b, a.Length)
 	}
 	switch {
-	case c.closeAfterAnswer:
+	case c.closeAfterResponse:
 		b = append(b, "\r\nConnection: close"...)
 	case c.http10:
 		b = append(b, "\r\nConnection: keep-alive"...)
@@ -180,15 +180,15 @@
 // sendError answers an invalid request and ends the connection; at once where nothing is unread, since its descriptor
 // is wanted.
 func (c *clientConn) sendError(problem *requestError, unread bool) {
-	c.closeAfterAnswer = true
-	a := Answer{Status: problem.status, Body: []byte(problem.text + "\n"), ContentType: "text/plain; charset=utf-8",
+	c.closeAfterResponse = true
+	a := Response{Status: problem.status, Body: []byte(problem.text + "\n"), ContentType: "text/plain; charset=utf-8",
 		AllowedMethod: problem.allowedMethod}
 	a.Length = int64(len(a.Body))
-	if c.sendAnswer(a) != nil || problem.status == http.StatusRequestTimeout { // its time is up
+	if c.sendResponse(a) != nil || problem.status == http.StatusRequestTimeout { // its time is up
 		return
 	}
 	if unread || c.hasPollEvent(unix.POLLIN) {
-		c.linger(lastAnswerLinger)
+		c.linger(lastResponseLinger)
 	}
 }
 
@@ -199,7 +199,7 @@
 	}
 	const text = "HTTP/1.1 100 Continue\r\n\r\n"
 	c.bytesSent += int64(len(text))
-	c.boundWrite(answerWriteTimeout)
+	c.boundWrite(responseWriteTimeout)
 	_, err := io.WriteString(c, text)
 	return err
 }
--- a/internal/node/downstream/server.go
+++ b/internal/node/downstream/server.go
@@ -28,8 +28,8 @@
 type Handler interface {
 	// HandleRequest takes a request. It answers with Exchange.Reply.
 	HandleRequest(*Exchange)
-	// HandleClientGone hears that the client left before it was answered.
-	HandleClientGone(*Exchange)
+	// HandleDisconnect hears that the client left before it was answered.
+	HandleDisconnect(*Exchange)
 	// HandleBodyEnd hears that nothing more of a streamed body is read: nil where it is complete.
 	HandleBodyEnd(x *Exchange, err error)
 	// Ready reports whether the node takes clients, for ReadyPath.
@@ -38,7 +38,7 @@
 	Now() policy.Time
 	// Terms are the rules for requests that are read now.
 	Terms() Terms
-	// Tally counts the answers to requests of a class.
+	// Tally counts the responses to requests of a class.
 	Tally(class string) Tally
 	// AddOpenRequests counts requests that were taken, and, below 0, that ended.
 	AddOpenRequests(n int)
@@ -50,15 +50,15 @@
 	Class(name, method string, hasKey bool) (c policy.Class, former, ok bool)
 }
 
-// Tally counts answers by their status.
+// Tally counts responses by their status.
 type Tally interface{ Count(status int) }
 
-// Server takes requests from clients, hands them to a Handler, and writes its answers.
+// Server takes requests from clients, hands them to a Handler, and writes its responses.
 type Server struct {
 	// Stopping is set once the node is told to stop: clients that come again are kept then, since the other nodes would
 	// have to bear them.
 	Stopping atomic.Bool
-	// Draining is set when answers are to end their connections.
+	// Draining is set when responses are to end their connections.
 	Draining atomic.Bool
 	// AwaitingDescriptors is set while another process releases descriptors to this one bit by bit.
 	AwaitingDescriptors atomic.Bool
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -121,7 +121,7 @@
 	begun     struct {                              // an answer that is passed on as it comes
 		r *request
 		n int
-		downstream.Answer
+		downstream.Response
 	}
 	uploaded struct { // the rest of a request: whole, or why its connection waits for an answer to end by
 		x   *downstream.Exchange
@@ -288,15 +288,15 @@
 }
 
 func (l *loop) arrive(x *downstream.Exchange) {
-	if x.HasLeft() { // while it waited for the loop
+	if x.Disconnected() { // while it waited for the loop
 		return
 	}
 	if l.requests[x.Request.ID] != nil { // the module would wait for the first, and never answer this one
-		x.Reply <- downstream.Answer{Status: http.StatusConflict}
+		x.Reply <- downstream.Response{Status: http.StatusConflict}
 		return
 	}
 	if l.finished || l.maxOpen > 0 && l.owed >= l.maxOpen {
-		x.Reply <- downstream.Answer{Status: http.StatusServiceUnavailable}
+		x.Reply <- downstream.Response{Status: http.StatusServiceUnavailable}
 		return
 	}
 	r := &request{Exchange: x}
@@ -372,7 +372,7 @@
 	}
 	a.flight.SetDeadline(time.Time{})
 	a.began = l.clock.now()
-	l.answer(e.r, e.Answer)
+	l.answer(e.r, e.Response)
 	l.tell(policy.FirstByte{ID: e.r.Request.ID, Server: a.server, Attempt: e.n, Latency: a.began - a.sent})
 }
 
@@ -387,7 +387,7 @@
 		over = a.began
 	}
 	if e.Code == policy.OK && !e.r.ended {
-		l.answer(e.r, forwardedAnswer(e.Response))
+		l.answer(e.r, forwardedResponse(e.Response))
 	}
 	l.tell(policy.Outcome{ID: e.r.Request.ID, Server: a.server, Attempt: e.n, Code: e.Code,
 		Latency: over - a.sent, RequestEnded: e.r.ended, BodyConsumed: e.r.spent(), LoadReport: e.LoadReport})
@@ -450,7 +450,7 @@
 		}
 	case policy.Fail:
 		if r := l.requests[a.ID]; r != nil {
-			l.answer(r, downstream.Answer{Status: http.StatusBadGateway})
+			l.answer(r, downstream.Response{Status: http.StatusBadGateway})
 			l.drop(r)
 		}
 	case policy.Cancel:
@@ -500,16 +500,16 @@
 }
 
 func (l *loop) refuse(r *request, wait time.Duration) {
-	a := downstream.Answer{Status: http.StatusServiceUnavailable}
+	a := downstream.Response{Status: http.StatusServiceUnavailable}
 	if wait > 0 && l.allowed.RetryAfter {
-		a = downstream.Answer{Status: http.StatusTooManyRequests, RetryAfter: wait}
+		a = downstream.Response{Status: http.StatusTooManyRequests, RetryAfter: wait}
 	}
 	l.answer(r, a)
 	l.drop(r)
 }
 
 // answer gives the client its one answer; whatever comes later is not passed on.
-func (l *loop) answer(r *request, a downstream.Answer) {
+func (l *loop) answer(r *request, a downstream.Response) {
 	if !r.ended {
 		l.settle(r)
 		r.Reply <- a
@@ -518,7 +518,7 @@
 
 // fail gives the client its one answer where the module has none in time, and tells it so.
 func (l *loop) fail(r *request, status int) {
-	l.answer(r, downstream.Answer{Status: status})
+	l.answer(r, downstream.Response{Status: status})
 	l.tell(policy.ClientCancelled{ID: r.Request.ID})
 	l.drop(r)
 }
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -26,8 +26,8 @@
 // HandleRequest hands the loop a request.
 func (s *server) HandleRequest(x *downstream.Exchange) { s.loop.send(arrival{x}) }
 
-// HandleClientGone tells the loop that a client has left.
-func (s *server) HandleClientGone(x *downstream.Exchange) { s.loop.send(departure{x}) }
+// HandleDisconnect tells the loop that a client has left.
+func (s *server) HandleDisconnect(x *downstream.Exchange) { s.loop.send(departure{x}) }
 
 // HandleBodyEnd tells the loop that a streamed body has ended.
 func (s *server) HandleBodyEnd(x *downstream.Exchange, err error) { s.loop.send(uploaded{x, err}) }
@@ -38,7 +38,7 @@
 // Terms are those of the configuration as the loop has it.
 func (s *server) Terms() downstream.Terms { return s.loop.terms.Load() }
 
-// Tally counts the answers to requests of a class.
+// Tally counts the responses to requests of a class.
 func (s *server) Tally(class string) downstream.Tally { return s.loop.fig.class(class) }
 
 // AddOpenRequests counts requests that were taken or have ended.
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -86,7 +86,7 @@
 func testExchange(method, id string, body string) *downstream.Exchange {
 	x := &downstream.Exchange{Request: policy.Request{ID: id, Class: "read", Tenant: "t"},
 		Forwarded:  upstream.Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)},
-		ReceivedAt: timeOrigin, Timeout: nodetest.Timeout, Reply: make(chan downstream.Answer, 1)}
+		ReceivedAt: timeOrigin, Timeout: nodetest.Timeout, Reply: make(chan downstream.Response, 1)}
 	if method == http.MethodPost {
 		x.Forwarded.IdempotencyKey = "k-" + id
 	}
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -24,8 +24,8 @@
 
 // Observer connects an attempt to its client. The goroutine that runs Transport.Do calls it.
 type Observer interface {
-	// ClientGone reports whether the client has left. It doesn't block.
-	ClientGone() bool
+	// ClientDisconnected reports whether the client has left. It doesn't block.
+	ClientDisconnected() bool
 	// NotSent hears that nothing was sent, since the client had left.
 	NotSent()
 	// ResponseStarted takes a response whose body is streamed. Do returns once its Stream was copied, or is closed.
@@ -39,7 +39,7 @@
 	if err != nil {
 		return Result{Code: a.Lifetime.failureCode(err, false)}
 	}
-	if a.Observer.ClientGone() {
+	if a.Observer.ClientDisconnected() {
 		a.Lifetime.detach()
 		t.release(c, server, true)
 		a.Observer.NotSent()
@@ -67,7 +67,7 @@
 	}
 	if resp.remaining != nil {
 		err := streamResponse(c, a, resp)
-		if errors.Is(err, ErrClientGone) {
+		if errors.Is(err, ErrClientDisconnected) {
 			return Result{Code: policy.Cancelled}, false
 		}
 		if err != nil {
--- a/internal/node/upstream/response_stream.go
+++ b/internal/node/upstream/response_stream.go
@@ -13,8 +13,8 @@
 // clientWriteTimeout is how long a client may take to read one block of a streamed response.
 const clientWriteTimeout = 10 * time.Second
 
-// ErrClientGone marks a response that its client didn't take, or a request whose client left before it was sent.
-var ErrClientGone = errors.New("the client has left")
+// ErrClientDisconnected marks a response that its client didn't take, or a request whose client left before it was sent.
+var ErrClientDisconnected = errors.New("the client has left")
 
 // ResponseStream is the part of a response that reaches its client as it comes. The attempt that reads it ends with it.
 type ResponseStream struct {
@@ -43,7 +43,7 @@
 }
 
 // CopyTo writes buffered, which is what has come of the body, and then the rest as it comes, to w, which writes to the
-// client's connection c. It is called once at most. An error that wraps ErrClientGone is the client's; any other is the
+// client's connection c. It is called once at most. An error that wraps ErrClientDisconnected is the client's; any other is the
 // server's, or that the attempt was cancelled.
 func (s *ResponseStream) CopyTo(w io.Writer, c net.Conn, buffered []byte) (err error) {
 	if !s.state.CompareAndSwap(streamPending, streamCopying) {
@@ -54,10 +54,10 @@
 	defer http1.PutCopyBuffer(block)
 	for piece := buffered; ; {
 		if err := c.SetWriteDeadline(time.Now().Add(clientWriteTimeout)); err != nil {
-			return errors.Join(ErrClientGone, err)
+			return errors.Join(ErrClientDisconnected, err)
 		}
 		if _, err := w.Write(piece); err != nil {
-			return errors.Join(ErrClientGone, err)
+			return errors.Join(ErrClientDisconnected, err)
 		}
 		n, err := s.read(block[:])
 		if piece = block[:n]; n > 0 {
--- a/internal/node/upstream/server_pool.go
+++ b/internal/node/upstream/server_pool.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// minReuseDelay is how long a connection is not used again after a response: a server may answer twice, the second time
+// minReuseDelay is how long a connection is not used again after a response: a server may response twice, the second time
 // some milliseconds late, and nothing tells that from the response to the next request.
 const minReuseDelay = 10 * time.Millisecond
 
--- a/internal/node/upstream/transport_test.go
+++ b/internal/node/upstream/transport_test.go
@@ -54,7 +54,7 @@
 // presentClient is a client that waits for its response, which isn't streamed.
 type presentClient struct{ t *testing.T }
 
-func (presentClient) ClientGone() bool { return false }
+func (presentClient) ClientDisconnected() bool { return false }
 
 func (c presentClient) NotSent() { c.t.Error("nothing was sent") }
 
@@ -76,7 +76,7 @@
 	return u.openConns, idle
 }
 
-// sinceUsed has all idle connections end their last answer so long ago.
+// sinceUsed has all idle connections end their last response so long ago.
 func (u *Transport) sinceUsed(ago time.Duration) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -399,8 +399,8 @@
 	}
 }
 
-// A server's second answer to a request, late by some milliseconds, is not taken for the answer to the next one: a
-// connection rests after each answer, and what says something meanwhile is not used again.
+// A server's second response to a request, late by some milliseconds, is not taken for the response to the next one: a
+// connection rests after each response, and what says something meanwhile is not used again.
 func TestLateSecondResponseIsNotUsed(t *testing.T) {
 	for name, late := range map[string]bool{"at the next request": true, "while it rests": false} {
 		t.Run(name, func(t *testing.T) {
