--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -13,6 +13,7 @@
 	"github.com/spf13/cobra"
 	"github.com/spf13/pflag"
 
+	"sloerail/internal/golden"
 	"sloerail/internal/membership"
 	"sloerail/internal/node"
 	"sloerail/internal/registry"
@@ -45,7 +46,7 @@
 	root.InitDefaultHelpCmd()
 	root.InitDefaultCompletionCmd()
 	list(root)
-	checkGolden(t, "commands.txt", out.Bytes())
+	golden.Check(t, "commands.txt", out.Bytes())
 }
 
 // answering serves a fixed answer at a path, and 404 at others.
@@ -98,16 +99,16 @@
 		if got != c.status {
 			t.Errorf("%s: status %d, want %d; %s", c.args, got, c.status, errs)
 		}
-		checkGolden(t, c.file, []byte(strings.ReplaceAll(out, c.address, "ADDRESS")))
+		golden.Check(t, c.file, []byte(strings.ReplaceAll(out, c.address, "ADDRESS")))
 	}
 }
 
 // TestJSONOfExperimentsIsFrozen pins what the commands that measure print.
 func TestJSONOfExperimentsIsFrozen(t *testing.T) {
 	pairs := []simulation.Pair{{Scenario: "all", Mean: 0.5, HalfInterval: 0.25, P: 0.125, OurG: 0.75, TheirG: 0.625, OurBroken: 1, TheirBroken: 2}}
-	row := simulation.Row{Measure: simulation.Measure{Name: "calm: attempts that cross", Max: 1}, Places: []float64{0, 0.5}, Alone: []float64{1, 2}}
+	row := simulation.Row{Measure: simulation.Measure{Name: "calm: attempts that cross", Max: 1}, WithTopology: []float64{0, 0.5}, WithoutTopology: []float64{1, 2}}
 	report := &scaletest.Report{Laws: []scaletest.Extrapolate{{Target: 5}}, Stopped: "called off"}
-	outcome := &simulation.Outcome{Classes: map[string]simulation.Sum{"x": {Asked: 1}}, Broken: 3, BrokenRules: []string{"a rule"}}
+	outcome := &simulation.Outcome{Classes: map[string]simulation.Sum{"x": {Requests: 1}}, Broken: 3, BrokenRules: []string{"a rule"}}
 	for _, c := range []struct {
 		file  string
 		print func(out *bytes.Buffer) error
@@ -124,7 +125,7 @@
 		if (err != nil || c.err != "") && fmt.Sprint(err) != c.err {
 			t.Errorf("%s: error %v, want %q", c.file, err, c.err)
 		}
-		checkGolden(t, c.file, out.Bytes())
+		golden.Check(t, c.file, out.Bytes())
 	}
 }
 
--- /dev/null
+++ b/internal/membership/agent_test.go
@@ -0,0 +1,215 @@
+package membership
+
+import (
+	"context"
+	"flag"
+	"net"
+	"runtime"
+	"slices"
+	"syscall"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/hashicorp/memberlist"
+)
+
+var (
+	fleetSize = flag.Int("members", 40, "members of the fleet in TestVirtualFleet")
+	lossRate  = flag.Float64("loss", 0.1, "fraction of the datagrams and streams that is lost in TestVirtualFleet")
+)
+
+// cpuTime is the processor time that this process has used.
+func cpuTime() time.Duration {
+	var u syscall.Rusage
+	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
+		return 0
+	}
+	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+}
+
+func percentile(all []time.Duration, p float64) time.Duration {
+	slices.Sort(all)
+	return all[min(len(all)-1, int(p*float64(len(all))))]
+}
+
+func (v *virtualFleet) sentBytes() (sum uint64) {
+	for _, a := range v.agents {
+		sum += a.Stats().SentBytes
+	}
+	return sum
+}
+
+// idleCost is what a member costs while nothing changes.
+type idleCost struct {
+	bytesPerSecond float64
+	cpuFraction    float64 // of one core
+	heapMiB        float64
+}
+
+func (v *virtualFleet) measureIdle() idleCost {
+	const duration = 30 * time.Second
+	n := float64(len(v.agents))
+	sentBefore, cpuBefore := v.sentBytes(), cpuTime()
+	time.Sleep(duration)
+	cost := idleCost{
+		bytesPerSecond: float64(v.sentBytes()-sentBefore) / duration.Seconds() / n,
+		cpuFraction:    (cpuTime() - cpuBefore).Seconds() / duration.Seconds() / n,
+	}
+	runtime.GC()
+	var mem runtime.MemStats
+	runtime.ReadMemStats(&mem)
+	cost.heapMiB = float64(mem.HeapAlloc) / n / (1 << 20)
+	return cost
+}
+
+// In virtual time a fleet finds itself, is cheap while nothing changes, sees a death in time, and a split heals.
+func TestVirtualFleet(t *testing.T) {
+	n := *fleetSize
+	synctest.Test(t, func(t *testing.T) {
+		v := startFleet(n, 1)
+		defer v.shutdown()
+		joined := v.awaitPresent(t, time.Minute, n, indexes(n)...)
+		v.network.setLoss(*lossRate)
+		time.Sleep(20*time.Second + 2*time.Duration(n)*exchangesAfterChange*exchangeIntervalPerMember) // exchanges after joining are over
+		idle := v.measureIdle()
+		for i := range v.agents {
+			if deaths := v.deaths(i); len(deaths) > 0 {
+				t.Errorf("member %d saw deaths while all were alive: %v", i, deaths)
+			}
+		}
+
+		victim := n - 1
+		killed := time.Now()
+		v.kill(victim)
+		v.awaitPresent(t, 15*time.Second, n-1, indexes(n-1)...)
+		var detection []time.Duration
+		for i := range n - 1 {
+			detection = append(detection, v.deaths(i)[nodeName(victim)].Sub(killed))
+		}
+
+		v.network.setSide(1, indexes(n/2)...)
+		v.awaitPresent(t, time.Minute, n/2, indexes(n/2)...)
+		v.network.setSide(0, indexes(n/2)...)
+		healed := v.awaitPresent(t, 30*time.Second, n-1, indexes(n-1)...)
+
+		p50, p99 := percentile(detection, 0.5), percentile(detection, 0.99)
+		t.Logf("%d members, %.0f%% lost: joined %v, a death known p50 %v p99 %v, split healed %v, "+
+			"%.0f bytes/s, %.2f%% of a core and %.2f MB a node", n, *lossRate*100, joined, p50, p99, healed,
+			idle.bytesPerSecond, idle.cpuFraction*100, idle.heapMiB)
+		if p99 > 4*time.Second || idle.bytesPerSecond > 4000 {
+			t.Errorf("p99 %v, want under 4 s; %.0f bytes/s, want under 4000", p99, idle.bytesPerSecond)
+		}
+	})
+}
+
+// A member that announces its leave has left, and comes back as a later process. A view's revision only grows.
+func TestLeavingMemberIsLeftNotDead(t *testing.T) {
+	withFleet(t, 7, func(t *testing.T, v *virtualFleet) {
+		before := v.agents[0].View()
+		v.stops[3]()
+		v.awaitPresent(t, 10*time.Second, 6, 0, 1, 2, 4, 5, 6)
+		time.Sleep(10 * time.Second)
+		for _, i := range []int{0, 1, 2, 4, 5, 6} {
+			if s := v.state(i, "n0003"); s != Left {
+				t.Errorf("member %d sees it as %s", i, s)
+			}
+		}
+		v.start(3)
+		v.awaitPresent(t, 10*time.Second, 7, indexes(7)...)
+		if after := v.agents[0].View(); after.Revision <= before.Revision {
+			t.Errorf("revision %d after revision %d", after.Revision, before.Revision)
+		}
+	})
+}
+
+// Of two processes under one name the later is the member for all, and the earlier learns of it and leaves.
+func TestLaterProcessSupersedesEarlierOfSameName(t *testing.T) {
+	withFleet(t, 5, func(t *testing.T, v *virtualFleet) {
+		time.Sleep(time.Second)
+		c := v.agents[2].config
+		c.Bind = memAddress(77)
+		later, err := v.newAgent(c)
+		if err != nil {
+			t.Fatal(err)
+		}
+		ctx, stop := context.WithCancel(context.Background())
+		defer stop()
+		v.running.Go(func() { later.Run(ctx) })
+		time.Sleep(30 * time.Second)
+		if !v.agents[2].View().Superseded || v.agents[2].Stats().NameConflicts != 1 {
+			t.Errorf("the earlier process is not superseded: %+v", v.agents[2].Stats())
+		}
+		if later.View().Superseded {
+			t.Error("the later process is superseded")
+		}
+		for _, i := range []int{0, 1, 3, 4} {
+			view := v.agents[i].View()
+			at := slices.IndexFunc(view.Members, func(m Member) bool { return m.Name == "n0002" })
+			if m := view.Members[at]; m.Address != c.Bind || m.State != Alive || m.Incarnation != later.incarnation {
+				t.Errorf("member %d sees %+v", i, m)
+			}
+		}
+		stop()
+	})
+}
+
+// A process that takes the name over from another of its node is the same member, later, and nobody sees a death.
+func TestNameHandoverCausesNoDeath(t *testing.T) {
+	withFleet(t, 5, func(t *testing.T, v *virtualFleet) {
+		time.Sleep(time.Second)
+		earlier := v.agents[2]
+		earlier.Yield()
+		time.Sleep(100 * time.Millisecond)
+		later := v.start(2)
+		v.awaitPresent(t, 10*time.Second, 5, indexes(5)...)
+		time.Sleep(10 * time.Second)
+		for i := range v.agents {
+			if deaths := v.deaths(i); len(deaths) > 0 {
+				t.Errorf("member %d saw deaths: %v", i, deaths)
+			}
+			for _, m := range v.agents[i].View().Members {
+				if m.Name == "n0002" && (m.Incarnation != later.incarnation || later.incarnation <= earlier.incarnation) {
+					t.Errorf("member %d sees incarnation %d, and it is %d after %d",
+						i, m.Incarnation, later.incarnation, earlier.incarnation)
+				}
+			}
+		}
+	})
+}
+
+// A process that yielded is no member until it resumes.
+func TestResumeAfterYield(t *testing.T) {
+	withFleet(t, 5, func(t *testing.T, v *virtualFleet) {
+		v.agents[2].Yield()
+		v.awaitPresent(t, 20*time.Second, 4, 0, 1, 3, 4)
+		if s := v.state(0, "n0002"); s != Dead {
+			t.Errorf("a process that yielded without a successor is %s, want %s", s, Dead)
+		}
+		v.agents[2].Resume()
+		v.awaitPresent(t, 20*time.Second, 5, indexes(5)...)
+	})
+}
+
+// Metadata and user messages of the next version change nothing but the presence of the member.
+func TestMessagesOfOtherVersionsAreIgnored(t *testing.T) {
+	if _, err := decodeMetadata([]byte{metadataVersion + 1, 0xa0}); err == nil {
+		t.Error("metadata of another version was read")
+	}
+	a, err := New(Config{Name: "n", Bind: "10.0.0.1:7946"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	d := delegate{a}
+	for _, b := range [][]byte{nil, {messageVersion},
+		{messageVersion + 1, byte(kindSuperseded), 0xff, 0, 0, 0, 0, 0, 0, 0},
+		{messageVersion, 'x', 0xff, 0, 0, 0, 0, 0, 0, 0}} {
+		d.NotifyMsg(b)
+	}
+	ip := net.IPv4(10, 0, 0, 9)
+	d.NotifyJoin(&memberlist.Node{Name: "next", Addr: ip, Port: 7946, Meta: []byte{metadataVersion + 1, 1, 2}})
+	v := a.View()
+	if v.Superseded || len(v.Members) != 1 || v.Members[0].State != Alive {
+		t.Errorf("%+v", v)
+	}
+}
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -1,18 +1,19 @@
 package node
 
 import (
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/upstream"
 )
 
 // newTransport makes the node's connections to servers.
-func newTransport(c Config, shared *upstream.Descriptors, fig *figures) *upstream.Transport {
-	return upstream.NewTransport(c.transportConfig(), shared, fig.relayed)
+func newTransport(c config.Config, shared *upstream.Descriptors, fig *figures) *upstream.Transport {
+	return upstream.NewTransport(transportConfig(c), shared, fig.relayed)
 }
 
 // transportConfig is the part of the configuration that is about connections to servers.
-func (c Config) transportConfig() upstream.TransportConfig {
-	return upstream.TransportConfig{Dial: c.dialer(c.ConnectTimeout), IdleTimeout: c.Settings.Allowed.IdleTimeout,
+func transportConfig(c config.Config) upstream.TransportConfig {
+	return upstream.TransportConfig{Dial: c.Dialer(c.ConnectTimeout), IdleTimeout: c.Settings.Allowed.IdleTimeout,
 		LoadReportFields: c.Settings.ReportFields, RetainMissing: c.Settings.RetainMissing}
 }
 
@@ -33,7 +34,7 @@
 
 // ResponseStarted has the loop give the client a response that is still coming.
 func (o *attemptObserver) ResponseStarted(r upstream.Response) {
-	o.loop.send(begun{o.request, o.attempt, forwardedResponse(r)})
+	o.loop.send(answerBegun{o.request, o.attempt, forwardedResponse(r)})
 }
 
 // forwardedResponse is what a client gets of a server's response.
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -69,7 +69,7 @@
 	for i := range c.Settings.Tenants {
 		c.Settings.Tenants[i].Quota = 1e6
 	}
-	ln, err := listenShared(c.Listen)
+	ln, err := listenShared(b.Context(), c.Listen)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/node/body_streaming_test.go
+++ b/internal/node/body_streaming_test.go
@@ -106,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nodetest.Close(t, resp.Body)
+		defer nodetest.CloseOnce(t, resp.Body)
 		first := make([]byte, upstream.StreamStartBytes)
 		if _, err := io.ReadFull(resp.Body, first); err != nil || first[0] != 'a' {
 			t.Fatalf("first bytes %q..., %v", first[:1], err)
@@ -155,7 +155,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer nodetest.Close(t, conn)
+			defer nodetest.CloseOnce(t, conn)
 			_, _ = fmt.Fprintf(conn, "GET /api HTTP/%s\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: read\r\nX-Tenant: t\r\n"+
 				"X-Deadline-Ms: 8000\r\n\r\n", proto, name+proto)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -203,7 +203,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nodetest.Close(t, dead)
+		nodetest.CloseOnce(t, dead)
 		alive := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(dead.Addr().String(), alive)))
 		resp, _ := do(t, clientRequest(t, node, "POST", "undo", "again", string(noise(1<<20))))
@@ -230,7 +230,7 @@
 		if err != nil {
 			t.Fatalf("length %d: %v", length, err)
 		}
-		nodetest.Close(t, resp.Body)
+		nodetest.CloseOnce(t, resp.Body)
 		if resp.StatusCode != http.StatusRequestEntityTooLarge {
 			t.Errorf("length %d: status %d", length, resp.StatusCode)
 		}
@@ -272,7 +272,7 @@
 						return
 					}
 				}
-				nodetest.Close(t, out)
+				nodetest.CloseOnce(t, out)
 			}()
 			if resp, got := do(t, req); resp.StatusCode != http.StatusOK || got != fmt.Sprint(size) {
 				t.Errorf("slow: status %d, %q", resp.StatusCode, got)
@@ -280,7 +280,7 @@
 		})
 		both.Go(func() {
 			conn := nodetest.Dial(t, node)
-			defer nodetest.Close(t, conn)
+			defer nodetest.CloseOnce(t, conn)
 			began := time.Now()
 			_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: silent\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
 				"X-Deadline-Ms: 8000\r\nContent-Length: %d\r\n\r\n%s", size, make([]byte, downstream.UploadStartBytes+1))
@@ -318,7 +318,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nodetest.Close(t, conn)
+		defer nodetest.CloseOnce(t, conn)
 		_ = conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 		if err := clientRequest(t, node, "GET", "read", fmt.Sprint("r", i), "").Write(conn); err != nil {
 			t.Fatal(err)
@@ -370,7 +370,7 @@
 			{"pay", "3", " 100 "}, {"pay", fmt.Sprint(downstream.MaxBodyBytes + 1), " 413 "}, {"unknown", "3", " 400 "},
 		} {
 			conn := nodetest.Dial(t, node)
-			defer nodetest.Close(t, conn)
+			defer nodetest.CloseOnce(t, conn)
 			_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: e%s%s\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"+
 				"Expect: 100-continue\r\nContent-Length: %s\r\n\r\n", c.class, c.length, c.class, c.length)
 			r := bufio.NewReader(conn)
--- a/internal/node/client_connections_test.go
+++ b/internal/node/client_connections_test.go
@@ -12,6 +12,8 @@
 
 	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
+
+	"sloerail/internal/node/config"
 )
 
 // Who connects and sends no whole request is rid of, with or without an answer, in 3 s.
@@ -52,7 +54,7 @@
 func TestSilentConnectionsLeaveClientsAlone(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
-		c.Sockets = leastSockets
+		c.Sockets = config.MinSockets
 		node, _ := startNode(t, c)
 		client := keepAliveClient(t)
 		ask := func(id string) *http.Response {
@@ -61,14 +63,14 @@
 				t.Fatal(err)
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
-			nodetest.Close(t, resp.Body)
+			nodetest.CloseOnce(t, resp.Body)
 			return resp
 		}
 		ask("first")
 		var held []net.Conn
-		for range (leastSockets-ownSockets)*2/3 + 5 {
+		for range (config.MinSockets-ownSockets)*2/3 + 5 {
 			peer := nodetest.Dial(t, node)
-			defer nodetest.Close(t, peer)
+			defer nodetest.CloseOnce(t, peer)
 			held = append(held, peer)
 		}
 		// Connections are taken in turn: once the last one is told that it is one too many, all are in.
@@ -92,7 +94,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		c := nodetest.Dial(t, node)
-		defer nodetest.Close(t, c)
+		defer nodetest.CloseOnce(t, c)
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
 		for _, piece := range []string{head + "Content-Length: 3\r\n\r\n", "su", "m"} {
 			_, _ = io.WriteString(c, piece)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -42,7 +42,7 @@
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 		l.fig.set.WritePrometheus(w)
 	})
-	mux.HandleFunc(http.MethodGet+" "+placesPath, l.servePlaces)
+	mux.HandleFunc(http.MethodGet+" "+placesPath, l.serveZones)
 	if fleet != nil {
 		mux.HandleFunc(http.MethodGet+" "+fleetPath, fleet.serve)
 	}
@@ -57,7 +57,7 @@
 
 // run serves until ctx ends.
 func (c *control) run(ctx context.Context, listener net.Listener) {
-	stop := context.AfterFunc(ctx, func() { c.http.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = c.http.Close() }) // which ends Serve
 	defer stop()
 	err := c.http.Serve(netutil.LimitListener(listener, controlSockets))
 	if !errors.Is(err, http.ErrServerClosed) {
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -12,6 +12,7 @@
 	"net"
 	"net/http"
 	"os"
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/http1"
@@ -97,7 +98,7 @@
 // clients.
 type leavingTest struct {
 	*testing.T
-	Config
+	config.Config
 	leaving, staying arrivals
 	first            string // the address of the one that leaves
 	calls            <-chan listCall
@@ -106,7 +107,7 @@
 	asked            int
 }
 
-func newLeavingTest(t *testing.T, subscribe bool, adjust ...func(*Config)) *leavingTest {
+func newLeavingTest(t *testing.T, subscribe bool, adjust ...func(*config.Config)) *leavingTest {
 	t.Helper()
 	l := &leavingTest{T: t, changes: make(chan Change, 1)}
 	l.first = nodetest.HTTPServer(t, l.leaving.ServeHTTP)
@@ -332,7 +333,7 @@
 	failed.send("POST", "pay", "failed", "sum")
 	nodetest.Receive(t, "the attempt", got)
 	drain()
-	l.send(finish{})
+	l.send(failUnanswered{})
 	if resp := failed.answered(); resp.StatusCode != http.StatusBadGateway || !resp.Close {
 		t.Errorf("the last of what was open: status %d, ends its connection: %v", resp.StatusCode, resp.Close)
 	}
@@ -471,7 +472,7 @@
 	close(up)
 	close(fails)
 	close(m.idle)
-	l.send(fleetSeen{})
+	l.send(fleetSizeChanged{})
 	stays := newTestClient(t, node)
 	stays.send("GET", "read", "stays", "")
 	if resp := stays.answered(); resp.StatusCode != http.StatusOK {
@@ -511,7 +512,7 @@
 			c.t.Fatal(err)
 		}
 	}
-	nodetest.Close(c.t, c)
+	nodetest.CloseOnce(c.t, c)
 }
 
 // leftTerm is how long after a client's leaving no attempt begins for it.
@@ -550,7 +551,7 @@
 					t.Fatal(err)
 				}
 			}
-			nodetest.Close(t, c)
+			nodetest.CloseOnce(t, c)
 			time.Sleep(leftTerm)
 			close(gone)
 			if !reset { // else nothing of the request is left to read
@@ -606,8 +607,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			l.send(discovery.Update{Kind: policy.ListUpdate, Endpoints: list.Endpoints})
-			if _, ok := ask(l, func(reply chan<- time.Duration) any { return tailAsked{reply} }); !ok { // the list is in
+			l.send(endpointUpdate{discovery.Update{Kind: policy.ListUpdate, Endpoints: list.Endpoints}})
+			if _, ok := ask(l, func(reply chan<- time.Duration) event { return tailRequest{reply} }); !ok { // the list is in
 				t.Fatal("the loop has ended")
 			}
 			close(up)
@@ -840,6 +841,6 @@
 	if _, err := io.CopyN(io.Discard, resp.Body, 4*http1.MaxBufferedBodyBytes); err != nil {
 		t.Fatal(err)
 	}
-	nodetest.Close(t, c)
+	nodetest.CloseOnce(t, c)
 	nodetest.Await(t, "the end of the flood", func() bool { return conns.n.Load() == 0 && l.atRest() })
 }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -3,58 +3,30 @@
 import (
 	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"log/slog"
 	"net/http"
-	"runtime/debug"
 	"time"
 
 	gossip "sloerail/internal/membership"
-	"sloerail/internal/node/decode"
+
+	"sloerail/internal/node/config"
 )
 
 const fleetPath = "/fleet"
 
-// fleetSection is the part of the configuration that makes the node a member. Without it there is none of it.
-type fleetSection struct {
-	Bind      string   `json:"bind"`
-	Advertise string   `json:"advertise"`
-	Join      []string `json:"join"`
-	Label     string   `json:"label"`
-	KeyFile   string   `json:"key_file"`
-	Allow     []string `json:"allow"`
-	ProbeMs   float64  `json:"probe_ms"`
-}
-
-// parseFleet reads the section strictly: a key that is misspelt would leave the fleet open, say.
-func parseFleet(raw json.RawMessage, c Config) (*gossip.Config, error) {
-	var s fleetSection
-	if err := decode.Section("fleet", raw, &s); err != nil {
-		return nil, err
-	}
-	m := &gossip.Config{Name: c.Name, Zone: c.Settings.Zone, Version: Version(), Bind: s.Bind, Advertise: s.Advertise,
-		Join: s.Join, Label: s.Label, KeyFile: s.KeyFile, Allow: s.Allow, Probe: millis(s.ProbeMs)}
-	return m, m.Check()
-}
-
-// fleetSeen is how many nodes this one hears, and how many of them in its own zone, on its way to the loop.
-type fleetSeen struct{ heard, near int }
-
-// fleetAsked asks what the module makes of it.
-type fleetAsked struct{ reply chan<- fleetState }
-
+// fleetState is what the balancer makes of the fleet.
 type fleetState struct {
 	agreed, heard int
 	cutOff        bool
 }
 
-// follow passes on what the fleet looks like, until ctx ends.
-func (l *loop) follow(ctx context.Context, views <-chan gossip.View) {
+// followFleet passes on what the fleet looks like, until ctx ends.
+func (l *loop) followFleet(ctx context.Context, views <-chan gossip.View) {
 	for {
 		select {
 		case v := <-views:
-			l.send(fleetSeen{v.Heard(), v.Near()})
+			l.send(fleetSizeChanged{v.PresentCount(), v.PresentInZone()})
 		case <-ctx.Done():
 			return
 		}
@@ -63,10 +35,20 @@
 
 // membership is this process's part in the fleet, for operators. The zero value is a node of no fleet.
 type membership struct {
-	*gossip.Fleet
+	*gossip.Agent
 	loop *loop
 }
 
+// runAsMember takes part in the fleet until ctx ends, from when this process is the only one of the node that accepts
+// clients: until then another one is the member.
+func (m *membership) runAsMember(ctx, running context.Context, soleListener <-chan struct{}) {
+	select {
+	case <-soleListener:
+		m.Run(ctx)
+	case <-running.Done():
+	}
+}
+
 // FleetView is the answer at /fleet: the fleet as one node sees it, and what that node makes of it.
 type FleetView struct {
 	Node        string        `json:"node"`
@@ -98,10 +80,10 @@
 // serve answers with the view of this node.
 func (m membership) serve(w http.ResponseWriter, _ *http.Request) {
 	v, s, now := m.View(), m.Stats(), time.Now()
-	f, _ := ask(m.loop, func(reply chan<- fleetState) any { return fleetAsked{reply} })
-	out := FleetView{Node: v.Self, View: v.Number, Agreed: f.agreed, Heard: v.Heard(), CutOff: f.cutOff,
-		Superseded: v.Superseded, SentBytes: s.Sent, HeardBytes: s.Received, Refuted: s.Refuted,
-		Conflicts: s.Conflicts, LinesQuiet: s.Quieted, Members: []FleetMember{}, GeneratedAt: now}
+	f, _ := ask(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
+	out := FleetView{Node: v.Self, View: v.Revision, Agreed: f.agreed, Heard: v.PresentCount(), CutOff: f.cutOff,
+		Superseded: v.Superseded, SentBytes: s.SentBytes, HeardBytes: s.ReceivedBytes, Refuted: s.RefutedSuspicions,
+		Conflicts: s.NameConflicts, LinesQuiet: s.SuppressedLogLines, Members: []FleetMember{}, GeneratedAt: now}
 	for _, one := range v.Members {
 		out.Members = append(out.Members, FleetMember{one.Name, one.Address, one.Zone, one.Version, one.Incarnation,
 			one.State, now.Sub(one.Since).Milliseconds()})
@@ -126,12 +108,12 @@
 		})
 	}
 	for name, of := range map[string]func(gossip.Stats) uint64{
-		"app_fleet_sent_bytes_total":         func(s gossip.Stats) uint64 { return s.Sent },
-		"app_fleet_received_bytes_total":     func(s gossip.Stats) uint64 { return s.Received },
-		"app_fleet_view_changes_total":       func(s gossip.Stats) uint64 { return s.Views },
-		"app_fleet_suspicions_refuted_total": func(s gossip.Stats) uint64 { return s.Refuted },
-		"app_fleet_name_conflicts_total":     func(s gossip.Stats) uint64 { return s.Conflicts },
-		"app_fleet_log_lines_quieted_total":  func(s gossip.Stats) uint64 { return s.Quieted },
+		"app_fleet_sent_bytes_total":         func(s gossip.Stats) uint64 { return s.SentBytes },
+		"app_fleet_received_bytes_total":     func(s gossip.Stats) uint64 { return s.ReceivedBytes },
+		"app_fleet_view_changes_total":       func(s gossip.Stats) uint64 { return s.ViewChanges },
+		"app_fleet_suspicions_refuted_total": func(s gossip.Stats) uint64 { return s.RefutedSuspicions },
+		"app_fleet_name_conflicts_total":     func(s gossip.Stats) uint64 { return s.NameConflicts },
+		"app_fleet_log_lines_quieted_total":  func(s gossip.Stats) uint64 { return s.SuppressedLogLines },
 	} {
 		f.set.NewGauge(name, func() float64 { return float64(of(m.Stats())) })
 	}
@@ -145,19 +127,19 @@
 		},
 	} {
 		f.set.NewGauge(name, func() float64 {
-			s, _ := ask(m.loop, func(reply chan<- fleetState) any { return fleetAsked{reply} })
+			s, _ := ask(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
 			return of(s)
 		})
 	}
 }
 
 // join makes the node a member where its configuration says so; nil where it doesn't.
-func (l *loop) join(c Config) (*membership, error) {
+func (l *loop) join(c config.Config) (*membership, error) {
 	if c.Fleet == nil {
 		return nil, nil
 	}
 	trips := l.fig.set.NewHistogram("app_fleet_probe_seconds")
-	c.Fleet.Probed = func(took time.Duration) { trips.Update(took.Seconds()) }
+	c.Fleet.OnProbe = func(took time.Duration) { trips.Update(took.Seconds()) }
 	f, err := gossip.New(*c.Fleet)
 	if err != nil {
 		return nil, err
@@ -167,32 +149,6 @@
 	return m, nil
 }
 
-// sameFleet tells whether a changed configuration asks for another membership, which needs a new process.
-func sameFleet(a, b *gossip.Config) error {
-	if (a == nil) != (b == nil) || a != nil && !a.Equal(*b) {
-		return errors.New("fleet: what has changed there takes a new process")
-	}
-	return nil
-}
-
-// Version is that of this build: what the tool chain knows of its source.
-func Version() string {
-	info, ok := debug.ReadBuildInfo()
-	if !ok {
-		return "unknown"
-	}
-	version, changed := "unknown", ""
-	for _, s := range info.Settings {
-		switch {
-		case s.Key == "vcs.revision" && len(s.Value) >= 12:
-			version = s.Value[:12]
-		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = "+"
-		}
-	}
-	return version + changed
-}
-
 // Present are the names of the members that are there, in order.
 func (v FleetView) Present() (all []string) {
 	for _, m := range v.Members {
--- a/internal/node/places.go
+++ b/internal/node/places.go
@@ -2,86 +2,18 @@
 
 import (
 	"encoding/json"
-	"fmt"
 	"log/slog"
 	"net/http"
-	"slices"
 	"strconv"
 	"time"
 
-	"sloerail/internal/node/decode"
 	"sloerail/policy"
 )
 
 const (
-	placesPath      = "/places"
-	sameRegionCost  = 1.0 // where the section names none
-	otherRegionCost = 3.0
+	placesPath = "/places"
 )
 
-// placesSection is the part of the configuration that has the module judge zones. Without it there is none of it.
-type placesSection struct {
-	Regions     map[string][]string           `json:"regions"` // the zones of each
-	SameRegion  *float64                      `json:"same_region"`
-	OtherRegion *float64                      `json:"other_region"`
-	Costs       map[string]map[string]float64 `json:"costs"` // from one zone to another
-	Only        map[string][]string           `json:"only"`  // the regions that a class is bound to
-}
-
-// parsePlaces reads the section strictly, into the settings: a class whose binding is misspelt would leave its region.
-func parsePlaces(raw json.RawMessage, set *policy.Settings) error {
-	var s placesSection
-	if err := decode.Section("places", raw, &s); err != nil {
-		return err
-	}
-	p := &policy.Topology{RegionOfZone: make(map[string]string), ZoneCosts: s.Costs, SameRegionCost: orUsual(s.SameRegion, sameRegionCost),
-		OtherRegionCost: orUsual(s.OtherRegion, otherRegionCost)}
-	for region, zones := range s.Regions {
-		for _, zone := range zones {
-			if was, ok := p.RegionOfZone[zone]; ok {
-				return fmt.Errorf("places.regions: zone %q is in %s and %s", zone, min(was, region), max(was, region))
-			}
-			p.RegionOfZone[zone] = region
-		}
-	}
-	for class, regions := range s.Only {
-		if err := bind(set.Classes, class, regions, s.Regions); err != nil {
-			return err
-		}
-	}
-	set.Topology = p
-	return nil
-}
-
-// orUsual is a figure, or the usual one where the file has none.
-func orUsual(v *float64, usual float64) float64 {
-	if v == nil {
-		return usual
-	}
-	return *v
-}
-
-// bind holds a class to regions. The classes are the settings' own, read just before.
-func bind(classes []policy.Class, name string, regions []string, known map[string][]string) error {
-	i := slices.IndexFunc(classes, func(c policy.Class) bool { return c.Name == name })
-	if i < 0 {
-		return fmt.Errorf("places.only: there is no class %q", name)
-	}
-	for _, r := range regions {
-		if _, ok := known[r]; !ok {
-			return fmt.Errorf("places.only.%s: there is no region %q", name, r)
-		}
-	}
-	if len(regions) == 0 {
-		return fmt.Errorf("places.only.%s: names no region", name)
-	}
-	classes[i].Regions = regions
-	return nil
-}
-
-// placesAsked asks what the module makes of the places.
-type placesAsked struct{ reply chan<- []policy.ZoneState }
-
 // PlaceView is one place in the answer at /places.
 type PlaceView struct {
 	Zone      string  `json:"zone"`
@@ -97,9 +29,9 @@
 	Why       string  `json:"why,omitempty"` // it was left last
 }
 
-// servePlaces answers with what the node makes of each place; 404 where its configuration names none.
-func (l *loop) servePlaces(w http.ResponseWriter, r *http.Request) {
-	states, _ := ask(l, func(reply chan<- []policy.ZoneState) any { return placesAsked{reply} })
+// serveZones answers with what the node makes of each place; 404 where its configuration names none.
+func (l *loop) serveZones(w http.ResponseWriter, r *http.Request) {
+	states, _ := ask(l, func(reply chan<- []policy.ZoneState) event { return zonesRequest{reply} })
 	if states == nil {
 		http.NotFound(w, r)
 		return
@@ -115,9 +47,9 @@
 	}
 }
 
-// showPlaces brings the figures of places up to date; there are none where the configuration names none.
-func (l *loop) showPlaces(now policy.Time) {
-	for _, s := range l.module.Zones(now) {
+// updateZoneMetrics brings the figures of places up to date; there are none where the configuration names none.
+func (l *loop) updateZoneMetrics(now policy.Time) {
+	for _, s := range l.balancer.Zones(now) {
 		zone := "{zone=" + strconv.Quote(s.Zone) + "}"
 		l.fig.set.GetOrCreateGauge("app_place_share"+zone, nil).Set(s.TrafficShare)
 		l.fig.set.GetOrCreateGauge("app_place_servers"+zone, nil).Set(float64(s.Servers))
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
@@ -148,7 +149,7 @@
 			t.Fatal(err)
 		}
 		nodetest.Receive(t, "the attempt", got)
-		nodetest.Close(t, c)
+		nodetest.CloseOnce(t, c)
 		nodetest.Receive(t, "its end", closed)
 		module.has(t, "list 2", "request r1", "lapsed r1",
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
@@ -163,7 +164,7 @@
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		c := nodetest.Dial(t, node)
-		defer nodetest.Close(t, c)
+		defer nodetest.CloseOnce(t, c)
 		if err := clientRequest(t, node, "GET", "read", "r1", "").Write(c); err != nil {
 			t.Fatal(err)
 		}
@@ -183,13 +184,13 @@
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 		c := testConfig(t, nodetest.KnownList(addr))
-		c.Sockets = leastSockets
+		c.Sockets = config.MinSockets
 		node, _ := startNode(t, c)
-		side := (leastSockets - ownSockets) / 2
+		side := (config.MinSockets - ownSockets) / 2
 		var held []net.Conn
 		defer func() {
 			for _, c := range held {
-				nodetest.Close(t, c)
+				nodetest.CloseOnce(t, c)
 			}
 		}()
 		hold := func() {
@@ -208,7 +209,7 @@
 			return false
 		})
 		for _, c := range held {
-			nodetest.Close(t, c)
+			nodetest.CloseOnce(t, c)
 		}
 		before := reached.Load()
 		nodetest.Await(t, "service again", func() bool {
@@ -229,7 +230,7 @@
 		s := newServer(l)
 		node := serveAt(t, s)
 		nodetest.Receive(t, "readiness", l.ready)
-		close(s.first)
+		close(s.soleListener)
 		client := keepAliveClient(t)
 		for _, state := range []struct{ draining, superseded, ready bool }{
 			{ready: true}, {draining: true}, {draining: true, superseded: true, ready: true}, // the node serves on
@@ -243,7 +244,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			nodetest.Close(t, resp.Body)
+			nodetest.CloseOnce(t, resp.Body)
 			if resp.StatusCode != 200 || resp.Close != draining {
 				t.Errorf("draining %v: %d, ends its connection: %v", draining, resp.StatusCode, resp.Close)
 			}
@@ -251,7 +252,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			nodetest.Close(t, resp.Body)
+			nodetest.CloseOnce(t, resp.Body)
 			if ready := resp.StatusCode == 200; ready != state.ready || s.taking() == draining {
 				t.Errorf("%+v: ready %v, taking %v", state, ready, s.taking())
 			}
@@ -277,7 +278,7 @@
 				slow <- 0
 				return
 			}
-			nodetest.Close(t, resp.Body)
+			nodetest.CloseOnce(t, resp.Body)
 			slow <- resp.StatusCode
 		}()
 		nodetest.Receive(t, "the slow request", held)
@@ -286,7 +287,7 @@
 		nodetest.Await(t, "the end of accepting", func() bool {
 			c, err := nodetest.Dialer(t)(t.Context(), "tcp", node)
 			if err == nil {
-				nodetest.Close(t, c)
+				nodetest.CloseOnce(t, c)
 			}
 			return err != nil
 		})
@@ -309,7 +310,7 @@
 }
 
 // brief configures a node whose clients wait 1.5 s at most.
-func brief(t *testing.T) Config {
+func brief(t *testing.T) config.Config {
 	c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].LatencyObjective, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 1500*time.Millisecond
@@ -327,7 +328,7 @@
 			resp, err := client.Do(req)
 			if err == nil {
 				_, _ = io.Copy(io.Discard, resp.Body)
-				nodetest.Close(t, resp.Body)
+				nodetest.CloseOnce(t, resp.Body)
 			}
 			return resp, err
 		}
@@ -372,7 +373,7 @@
 			_ = c.CloseWrite()
 			_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 			got, err := io.ReadAll(c)
-			nodetest.Close(t, c)
+			nodetest.CloseOnce(t, c)
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
 				t.Errorf("%.40q: the connection stays open", noise)
 			}
@@ -426,7 +427,7 @@
 	nodetest.Receive(t, "a request", got)
 	late := newTestClient(t, node)
 	nodetest.Await(t, "the connection over the limit", func() bool { return s.ClientConns().Count() == 3 })
-	descriptors.SetTotal(leastSockets)
+	descriptors.SetTotal(config.MinSockets)
 	late.send("GET", "read", "late", "")
 	letGo()
 	if resp := late.answered(); resp.StatusCode != http.StatusOK {
@@ -443,12 +444,13 @@
 		t.Errorf("%d for servers beside 40 clients, want %d", got, s.MinPerSide())
 	}
 	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
-	h := &handover{c: testConfig(t, nodetest.KnownList("127.0.0.1:9")), s: newServer(l), up: l.up, gate: downstream.NewConnectionLimiter(nodetest.Listener(t), 1), share: 60}
+	h := &hotRestart{config: testConfig(t, nodetest.KnownList("127.0.0.1:9")), server: newServer(l), transport: l.up,
+		clients: downstream.NewConnectionLimiter(nodetest.Listener(t), 1), sockets: 60}
 	for _, sharing := range []bool{true, false} {
-		h.s.AwaitingDescriptors.Store(sharing)
-		h.resize()
-		if most := l.up.Descriptors().MaxClients(); (h.gate.Limit() > most) == sharing {
-			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.gate.Limit(), most)
+		h.server.AwaitingDescriptors.Store(sharing)
+		h.shareSockets()
+		if most := l.up.Descriptors().MaxClients(); (h.clients.Limit() > most) == sharing {
+			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.clients.Limit(), most)
 		}
 	}
 }
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -10,14 +10,14 @@
 // server is the clients' side of a node: it joins a Server to the loop, and knows which process of the node serves.
 type server struct {
 	*downstream.Server
-	loop       *loop
-	first      chan struct{} // closed once new clients come to this process alone
-	superseded atomic.Bool   // another process of this node serves
-	heir       bool          // another one served before this
+	loop         *loop
+	soleListener chan struct{} // closed once new clients come to this process alone
+	superseded   atomic.Bool   // another process of this node serves
+	isSuccessor  bool          // another one served before this
 }
 
 func newServer(l *loop) *server {
-	s := &server{loop: l, first: make(chan struct{})}
+	s := &server{loop: l, soleListener: make(chan struct{})}
 	descriptors := l.up.Descriptors()
 	s.Server = downstream.NewServer(s, downstream.NewClientConns(descriptors.ForClients, descriptors.SetClients, l.up.CloseExcessIdle))
 	return s
@@ -47,7 +47,7 @@
 // taking tells whether this process takes clients.
 func (s *server) taking() bool {
 	select {
-	case <-s.first: // and so the list is in
+	case <-s.soleListener: // and so the list is in
 		return !s.Stopping.Load()
 	default:
 		return false
@@ -63,6 +63,6 @@
 	case <-s.loop.ready:
 		return true
 	default:
-		return s.heir
+		return s.isSuccessor
 	}
 }
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/config"
 	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
 	"sloerail/internal/node/upstream"
@@ -62,24 +63,15 @@
 	}
 }
 
-const testSettings = `{"position":0,"groupSize":1,"zone":"a",
-	"services":[{"name":"read","aim":4000,"deadline":9000,"repeat":"free"},
-		{"name":"pay","aim":4000,"deadline":9000,"repeat":"single_shot"},
-		{"name":"undo","aim":4000,"deadline":9000,"repeat":"guarded","group":"all","window":4000}],
-	"tenants":[{"name":"t","quotaRps":1000},{"name":"tiny","quotaRps":0.001}],
-	"limits":{"cancelling":true,"connIdle":60000,"connectTimeout":2000,"maxAttempts":3,"maxOpen":100,
-		"retryAfter":true,"secondCopies":true},
-	"guarantees":{"drainGrace":500,"cold":1,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}`
-
-func testConfig(t testing.TB, known string) Config {
+func testConfig(t testing.TB, known string) config.Config {
 	t.Helper()
 	raw := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
-		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`, known, testSettings)
-	c, err := parseConfig([]byte(raw))
+		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":%s,"settings":%s}`, known, nodetest.Settings)
+	c, err := config.Parse([]byte(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.dial = nodetest.Dialer(t)
+	c.Dial = nodetest.Dialer(t)
 	return c
 }
 
@@ -95,7 +87,7 @@
 
 // startNode runs a whole node, and returns its address and a function that stops it as SIGTERM does
 // and returns what Run did.
-func startNode(t testing.TB, c Config) (addr string, stop func() error) {
+func startNode(t testing.TB, c config.Config) (addr string, stop func() error) {
 	t.Helper()
 	return startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, nil)
 }
@@ -111,11 +103,11 @@
 const reuseDelay = 20 * time.Millisecond
 
 // dialWith has the connections to servers made by a function, from now on.
-func (l *loop) dialWith(t *testing.T, dial dialFunc) {
+func (l *loop) dialWith(t *testing.T, dial config.DialFunc) {
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList())
-	c.dial = dial
-	l.up.Configure(c.transportConfig())
+	c.Dial = dial
+	l.up.Configure(transportConfig(c))
 }
 
 // serveAt has s take clients.
@@ -126,11 +118,11 @@
 
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
-	s.loop.up.Descriptors().SetTotal(leastSockets)
+	s.loop.up.Descriptors().SetTotal(config.MinSockets)
 	ended := make(chan error, 1)
 	go func() { ended <- s.Accept(ln) }()
 	t.Cleanup(func() {
-		nodetest.Close(t, ln)
+		nodetest.CloseOnce(t, ln)
 		if err := nodetest.Receive(t, "the end of accepting", ended); err != nil {
 			t.Error(err)
 		}
@@ -139,7 +131,7 @@
 	return ln.Addr().String()
 }
 
-func startNodeAt(t testing.TB, c Config, at Listeners, changes <-chan Change) (addr string, stop func() error) {
+func startNodeAt(t testing.TB, c config.Config, at Listeners, changes <-chan Change) (addr string, stop func() error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -169,7 +161,7 @@
 		if err != nil {
 			return false
 		}
-		nodetest.Close(t, resp.Body)
+		nodetest.CloseOnce(t, resp.Body)
 		return resp.StatusCode == http.StatusOK
 	})
 	return addr, stop
@@ -215,7 +207,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nodetest.Close(t, resp.Body)
+	defer nodetest.CloseOnce(t, resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -53,7 +53,7 @@
 	}
 	b.emit(Action{Kind: Send, ID: r.ID, Server: s.ID, AttemptDeadline: r.usefulUntil})
 	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, probation: isProbe,
-		warmingUp: b.isPacedByWarmup(s), uncounted: r.Incomplete})
+		warmingUp: b.isLimitedByWarmup(s), uncounted: r.Incomplete})
 	r.pendingAttempts++
 	s.lastSentAt = b.now
 	s.warmupBudget.tokens--
@@ -109,6 +109,13 @@
 	}
 }
 
+// onClientCancelled ends a request whose client has left.
+func (b *Balancer) onClientCancelled(e ClientCancelled) {
+	if r := b.requests[e.ID]; r != nil {
+		b.finish(r)
+	}
+}
+
 // observeOutcome updates what is measured of the server and of the class by the outcome of an attempt.
 func (b *Balancer) observeOutcome(r *request, a *attempt, e Outcome) {
 	if a.probation {
@@ -141,7 +148,7 @@
 	}
 	b.onLoadReport(s, e.LoadReport)
 	if e.Code == OK && b.warmFraction(s) >= 1 {
-		b.slowStart.recordCompletion(b.now)
+		b.completions.record(b.now, b.slowStart.warmedUpServers(b.now))
 	}
 	if e.Code == OK {
 		c.observeLatency(e.Latency)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -24,18 +24,30 @@
 	requests       map[string]*request // open ones, by their ids
 	queue          requestQueue        // of requests that wait for a usable server
 
-	servers   map[string]*server // listed, by ID
-	packing   packingOrder
-	list      endpointList
-	loads     loadReports
-	window    concurrencyWindow
-	share     capacityShare
-	slowStart slowStart
-	outliers  outlierDetector
-	zones     zoneFailover
+	servers     map[string]*server // listed ones, by their IDs
+	packing     packingOrder
+	list        endpointList
+	loads       loadReports
+	window      concurrencyWindow
+	share       capacityShare
+	slowStart   slowStart
+	completions completionRate
+	outliers    outlierDetector
+	zones       zoneFailover
 }
 
-// New returns a node's decisions for the given settings. The seed drives its random choices.
+// Timer tokens. Those of the classes follow from firstClassTimerToken on, in the order in which the settings
+// first named them.
+const (
+	queueTimerToken      = 1
+	listTimerToken       = 2
+	fleetSizeTimerToken  = 3
+	retainTimerToken     = 4
+	firstClassTimerToken = 8
+)
+
+// New returns a balancer for one node. The seed drives its random choices: the same events then give the same
+// actions. The error names a setting that makes no sense.
 func New(set Settings, now Time, seed uint64) (*Balancer, error) {
 	if err := validate(set); err != nil {
 		return nil, err
@@ -43,16 +55,17 @@
 	b := &Balancer{
 		now: now, rng: rand.New(rand.NewPCG(seed, uint64(set.NodeIndex))), classes: newClassRegistry(),
 		rateLimiter: rateLimiter{buckets: newBucketTable()}, rateMultiplier: rateMultiplier{value: 1},
-		window:  concurrencyWindow{scale: initialWindowScale},
 		servers: make(map[string]*server), requests: make(map[string]*request),
-		loads: loadReports{byKind: make(map[string]*serverLoad)},
+		loads:  loadReports{byKind: make(map[string]*serverLoad)},
+		window: concurrencyWindow{scale: initialWindowScale},
 	}
 	b.zones.servers, b.zones.rng, b.zones.logf = &b.packing.pool, b.rng, b.logf
 	b.applySettings(set)
 	return b, nil
 }
 
-// Handle takes one event and returns the actions it calls for. The next call reuses the slice.
+// Handle takes one event and returns the actions that it calls for, in order. The next call reuses the slice.
+// A time before that of the last event counts as that.
 func (b *Balancer) Handle(now Time, ev Event) []Action {
 	b.now, b.actions = max(now, b.now), b.actions[:0]
 	switch e := ev.(type) {
@@ -65,9 +78,7 @@
 	case RequestComplete:
 		b.onRequestComplete(e)
 	case ClientCancelled:
-		if r := b.requests[e.ID]; r != nil {
-			b.finish(r)
-		}
+		b.onClientCancelled(e)
 	case Timer:
 		b.onTimer(e.Token)
 	case EndpointList:
@@ -82,23 +93,23 @@
 	return b.actions
 }
 
-// onSettings goes on by other settings with all that was learned. Open requests keep their class.
+// onSettings goes on by other settings. What was measured stays, and open requests keep their class.
 func (b *Balancer) onSettings(set Settings) {
-	asks := set.SubscribeList && !b.settings.SubscribeList
+	subscribes := set.SubscribeList && !b.settings.SubscribeList
 	b.applySettings(set)
 	b.refreshOrder()
-	if asks {
+	if subscribes {
 		b.subscribeList()
 	}
 }
 
-// applySettings takes over settings. What was learned stays.
+// applySettings hands new settings to each mechanism.
 func (b *Balancer) applySettings(set Settings) {
+	b.settings, b.packing.stale = set, true
 	b.zones.configure(set.Topology, set.Zone)
 	b.slowStart.configure(&set.Rules)
 	b.list.configure(set.Rules.DrainGrace)
 	b.loads.configure(set.ReportFields)
-	b.settings, b.packing.stale = set, true
 	b.retryBudget.configure(set.Rules.RetryBudget)
 	b.settings.NodeCount = b.fleetSize.configure(set.NodeCount)
 	b.classes.configure(set.Classes, &b.packing.pool)
@@ -106,18 +117,15 @@
 	b.rateLimiter.configure(set.Limits, set.Tenants, b.settings.NodeCount)
 }
 
+// emit adds an action to those of the event in hand.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// logf has a line written to the log.
+// logf emits a line for the log.
 func (b *Balancer) logf(format string, args ...any) {
 	b.emit(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
-const (
-	// of timers; the classes' follow
-	queueTimerToken, listTimerToken, fleetSizeTimerToken, retainTimerToken, firstClassTimerToken = 1, 2, 3, 4, 8
-)
-
+// onTimer hands a timer to the mechanism that set it.
 func (b *Balancer) onTimer(token uint64) {
 	switch {
 	case token == queueTimerToken:
@@ -133,11 +141,10 @@
 	}
 }
 
-// Servers counts those in the list, and of them those that get no work now: they drain, or are ejected
-// and at most tried out.
-func (b *Balancer) Servers() (listed, avoided int) { return len(b.servers), b.list.unavailable }
+// Servers returns how many servers are listed, and how many of them are unavailable: draining or ejected.
+func (b *Balancer) Servers() (listed, unavailable int) { return len(b.servers), b.list.unavailable }
 
-// TailLatency is how long slow answers take, in the slowest class.
+// TailLatency returns the longest of the classes' tail latencies.
 func (b *Balancer) TailLatency() (longest time.Duration) {
 	for _, c := range b.classes.ordered {
 		longest = max(longest, c.tailLatency)
@@ -148,10 +155,10 @@
 // seconds turns a number of seconds into a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// updateRatio moves the part of hits lately by one more.
-func updateRatio(part *float64, gain float64, hit bool) {
-	*part -= gain * *part
+// updateRatio moves an exponential average of the part of hits by one more event. The gain is its weight.
+func updateRatio(ratio *float64, gain float64, hit bool) {
+	*ratio -= gain * *ratio
 	if hit {
-		*part += gain
+		*ratio += gain
 	}
 }
