--- a/internal/node/peers_test.go
+++ b/internal/node/client_connections_test.go
@@ -7,15 +7,17 @@
 	"net/http"
 	"strings"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
+
+	"sloerail/internal/node/config"
 )
 
 // Who connects and sends no whole request is rid of, with or without an answer, in 3 s.
-func TestSlowPeersEndInTime(t *testing.T) {
+func TestSlowClientsAreDisconnectedInTime(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
@@ -36,7 +38,7 @@
 }
 
 // A malformed request ends its connection, whatever else was sent along.
-func TestRubbishEndsItsConnection(t *testing.T) {
+func TestMalformedRequestEndsItsConnection(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		servers := &recorder{}
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, servers.ServeHTTP))))
@@ -49,26 +51,26 @@
 }
 
 // Peers that use up the clients' part of the descriptors don't cost a client its open connection.
-func TestSilentPeersLeaveClientsAlone(t *testing.T) {
+func TestSilentConnectionsLeaveClientsAlone(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
-		c.Sockets = MinSockets
+		c.Sockets = config.MinSockets
 		node, _ := startNode(t, c)
-		client := keptClient(t)
+		client := keepAliveClient(t)
 		ask := func(id string) *http.Response {
 			resp, err := client.Do(clientRequest(t, node, "GET", "read", id, ""))
 			if err != nil {
 				t.Fatal(err)
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
-			resp.Body.Close()
+			nodetest.CloseOnce(t, resp.Body)
 			return resp
 		}
 		ask("first")
 		var held []net.Conn
-		for range (MinSockets-ownSockets)*2/3 + 5 {
+		for range (config.MinSockets-ownSockets)*2/3 + 5 {
 			peer := nodetest.Dial(t, node)
-			defer peer.Close()
+			defer nodetest.CloseOnce(t, peer)
 			held = append(held, peer)
 		}
 		// Connections are taken in turn: once the last one is told that it is one too many, all are in.
@@ -87,61 +89,18 @@
 	})
 }
 
-// At the limit, the connection that was without a request for longest makes room; one in use, or
-// quiet only for a moment, does not.
-func TestQuietPeersMakeRoom(t *testing.T) {
-	now := time.Now()
-	at := func(ago time.Duration, state http.ConnState) *peer { return &peer{state: state, since: now.Add(-ago)} }
-	for name, c := range map[string]struct {
-		open []*peer
-		shed int // the one that ends; -1 for none
-	}{
-		"longest":           {[]*peer{at(3*time.Second, http.StateIdle), at(4*time.Second, http.StateIdle)}, 1},
-		"silent":            {[]*peer{at(time.Second, http.StateIdle), at(time.Second, http.StateNew)}, 1},
-		"in use":            {[]*peer{at(time.Minute, http.StateActive), at(time.Second, http.StateNew)}, 1},
-		"all in use":        {[]*peer{at(time.Minute, http.StateActive), at(time.Minute, http.StateActive)}, -1},
-		"for a moment only": {[]*peer{at(time.Second, http.StateIdle), at(time.Millisecond, http.StateNew)}, -1},
-	} {
-		s := newPeers(func() int { return len(c.open) }, new(atomic.Int64), func() {})
-		var ends []net.Conn
-		for _, p := range c.open {
-			mine, theirs := net.Pipe()
-			defer theirs.Close()
-			defer mine.Close()
-			s.open[mine] = p
-			ends = append(ends, mine)
-		}
-		next, far := net.Pipe()
-		defer next.Close()
-		defer far.Close()
-		if over := s.enter(next).over; over != (c.shed < 0) {
-			t.Errorf("%s: the next is over the limit: %v", name, over)
-		}
-		for i, end := range ends {
-			if s.open[end].shed != (i == c.shed) {
-				t.Errorf("%s: connection %d made room: %v", name, i, s.open[end].shed)
-			}
-		}
-		if c.shed >= 0 {
-			if _, err := ends[c.shed].Read(make([]byte, 1)); err == nil {
-				t.Errorf("%s: the one that made room can still be read", name)
-			}
-		}
-	}
-}
-
 // An idle connection ends in time, also after a body that came in pieces and set deadlines of its own.
-func TestIdleConnectionsEnd(t *testing.T) {
+func TestIdleConnectionsTimeOut(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		c := nodetest.Dial(t, node)
-		defer c.Close()
+		defer nodetest.CloseOnce(t, c)
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
 		for _, piece := range []string{head + "Content-Length: 3\r\n\r\n", "su", "m"} {
 			_, _ = io.WriteString(c, piece)
 			time.Sleep(100 * time.Millisecond)
 		}
-		_ = c.SetReadDeadline(time.Now().Add(2 * clientIdle))
+		_ = c.SetReadDeadline(time.Now().Add(2 * downstream.IdleTimeout))
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 200 ") {
 			t.Errorf("got %q, %v; want an answer and then the end", got, err)
 		}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -6,10 +6,12 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"sync/atomic"
 	"time"
 
 	"golang.org/x/net/netutil"
+
+	"sloerail/internal/node/downstream"
+	"sloerail/internal/node/http1"
 )
 
 const (
@@ -23,13 +25,13 @@
 // call give way to others, and none of them takes anything from the clients.
 type control struct {
 	http  http.Server
-	peers *peers
+	peers *downstream.ClientConns
 }
 
 // newControl makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
 // node of none.
 func newControl(l *loop, taking func() bool, fleet *membership) *control {
-	c := &control{peers: newPeers(func() int { return controlSockets / 2 }, new(atomic.Int64), func() {})}
+	c := &control{peers: downstream.NewClientConns(func() int { return controlSockets / 2 }, func(int) {}, func() {})}
 	mux := http.NewServeMux()
 	mux.HandleFunc(http.MethodGet+" "+healthPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !taking() {
@@ -40,13 +42,13 @@
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 		l.fig.set.WritePrometheus(w)
 	})
-	mux.HandleFunc(http.MethodGet+" "+placesPath, l.servePlaces)
+	mux.HandleFunc(http.MethodGet+" "+placesPath, l.serveZones)
 	if fleet != nil {
 		mux.HandleFunc(http.MethodGet+" "+fleetPath, fleet.serve)
 	}
 	c.http = http.Server{
-		Handler: mux, MaxHeaderBytes: maxHeader, ReadTimeout: callTimeout, WriteTimeout: 2 * callTimeout,
-		DisableGeneralOptionsHandler: true, ConnContext: c.peers.admit, ConnState: c.peers.follow,
+		Handler: mux, MaxHeaderBytes: http1.MaxHeadBytes, ReadTimeout: callTimeout, WriteTimeout: 2 * callTimeout,
+		DisableGeneralOptionsHandler: true, ConnContext: c.peers.ConnContext, ConnState: c.peers.ConnState,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	c.http.SetKeepAlivesEnabled(false)
@@ -55,7 +57,7 @@
 
 // run serves until ctx ends.
 func (c *control) run(ctx context.Context, listener net.Listener) {
-	stop := context.AfterFunc(ctx, func() { c.http.Close() })
+	stop := context.AfterFunc(ctx, func() { _ = c.http.Close() }) // which ends Serve
 	defer stop()
 	err := c.http.Serve(netutil.LimitListener(listener, controlSockets))
 	if !errors.Is(err, http.ErrServerClosed) {
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -75,7 +75,7 @@
 	if resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
 		t.Fatalf("status %d", resp.StatusCode)
 	}
-	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: c.identity().SocketPath(), Net: "unix"})
+	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: identityOf(c).SocketPath(), Net: "unix"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 		t.Fatal(err)
 	}
 	c.Settings.Topology = &policy.Topology{RegionOfZone: map[string]string{"a": "east", "b": "west"},
-		SameRegionCost: defaultSameRegionCost, OtherRegionCost: defaultOtherRegionCost}
+		SameRegionCost: 1, OtherRegionCost: 3}
 	at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 	ctl := at.Control.Addr().String()
 	startNodeAt(t, c, at, nil)
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -12,6 +12,8 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/config"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
 	"sloerail/policy"
 )
@@ -22,7 +24,7 @@
 		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			body, _ := io.ReadAll(r.Body)
 			w.Header().Set("Content-Type", "application/x-test")
-			fmt.Fprintf(w, "%s %s %s key=%s %s", r.Method, r.RequestURI, r.Header.Get("X-Request-Id"),
+			_, _ = fmt.Fprintf(w, "%s %s %s key=%s %s", r.Method, r.RequestURI, r.Header.Get("X-Request-Id"),
 				r.Header.Get("Idempotency-Key"), body)
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
@@ -45,7 +47,7 @@
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
-		big := strings.Repeat("x", maxID+1)
+		big := strings.Repeat("x", downstream.MaxRequestIDBytes+1)
 		for name, c := range map[string]struct {
 			method, class, body string
 			headers             []string
@@ -82,7 +84,7 @@
 }
 
 // A tenant past its share is told at once when to come back.
-func TestRefusalSaysWhenToComeBack(t *testing.T) {
+func TestRejectionHasRetryAfter(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
@@ -105,8 +107,8 @@
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
-		addr := rawServer(t, func(_ net.Conn, r *bufio.Reader) {
-			if swallow(r) {
+		addr := nodetest.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
+			if nodetest.ReadRequest(r) {
 				reached.Add(1)
 			}
 		})
@@ -122,7 +124,7 @@
 }
 
 // The module hears that a client has left, and can call its attempts off.
-func TestDepartureIsTold(t *testing.T) {
+func TestClientLeavingReachesTheBalancer(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		got, closed := make(chan struct{}), make(chan struct{})
 		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -147,7 +149,7 @@
 			t.Fatal(err)
 		}
 		nodetest.Receive(t, "the attempt", got)
-		c.Close()
+		nodetest.CloseOnce(t, c)
 		nodetest.Receive(t, "its end", closed)
 		module.has(t, "list 2", "request r1", "lapsed r1",
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
@@ -155,18 +157,18 @@
 }
 
 // A client that closes has gone away: it is not told that it was served, also where it still reads.
-func TestDepartedClientIsNotServed(t *testing.T) {
+func TestClientThatLeftIsNotServed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		hold := make(chan struct{})
 		defer close(hold)
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		c := nodetest.Dial(t, node)
-		defer c.Close()
+		defer nodetest.CloseOnce(t, c)
 		if err := clientRequest(t, node, "GET", "read", "r1", "").Write(c); err != nil {
 			t.Fatal(err)
 		}
-		if err := c.(nodetest.Conn).CloseWrite(); err != nil {
+		if err := c.CloseWrite(); err != nil {
 			t.Fatal(err)
 		}
 		_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
@@ -177,18 +179,18 @@
 }
 
 // Over its part of the descriptors a node refuses, and gives the connection up.
-func TestClientsOverTheLimitAreRefused(t *testing.T) {
+func TestClientsOverTheLimitAreRejected(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { reached.Add(1) })
 		c := testConfig(t, nodetest.KnownList(addr))
-		c.Sockets = MinSockets
+		c.Sockets = config.MinSockets
 		node, _ := startNode(t, c)
-		side := (MinSockets - ownSockets) / 2
+		side := (config.MinSockets - ownSockets) / 2
 		var held []net.Conn
 		defer func() {
 			for _, c := range held {
-				c.Close()
+				nodetest.CloseOnce(t, c)
 			}
 		}()
 		hold := func() {
@@ -207,7 +209,7 @@
 			return false
 		})
 		for _, c := range held {
-			c.Close()
+			nodetest.CloseOnce(t, c)
 		}
 		before := reached.Load()
 		nodetest.Await(t, "service again", func() bool {
@@ -229,28 +231,28 @@
 		node := serveAt(t, s)
 		nodetest.Receive(t, "readiness", l.ready)
 		close(s.soleListener)
-		client := keptClient(t)
+		client := keepAliveClient(t)
 		for _, state := range []struct{ draining, superseded, ready bool }{
 			{ready: true}, {draining: true}, {draining: true, superseded: true, ready: true}, // the node serves on
 		} {
 			draining := state.draining
-			s.stopping.Store(draining)
-			s.draining.Store(draining)
+			s.Stopping.Store(draining)
+			s.Draining.Store(draining)
 			s.superseded.Store(state.superseded)
 			req := clientRequest(t, node, "GET", "read", fmt.Sprintf("r%v%v", draining, state.superseded), "")
 			resp, err := client.Do(req)
 			if err != nil {
 				t.Fatal(err)
 			}
-			resp.Body.Close()
+			nodetest.CloseOnce(t, resp.Body)
 			if resp.StatusCode != 200 || resp.Close != draining {
 				t.Errorf("draining %v: %d, ends its connection: %v", draining, resp.StatusCode, resp.Close)
 			}
-			resp, err = onceClient(t).Get("http://" + node + readyPath)
+			resp, err = oneRequestClient(t).Get("http://" + node + downstream.ReadyPath)
 			if err != nil {
 				t.Fatal(err)
 			}
-			resp.Body.Close()
+			nodetest.CloseOnce(t, resp.Body)
 			if ready := resp.StatusCode == 200; ready != state.ready || s.taking() == draining {
 				t.Errorf("%+v: ready %v, taking %v", state, ready, s.taking())
 			}
@@ -271,12 +273,12 @@
 		node, stop := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		slow := make(chan int, 1)
 		go func() {
-			resp, err := onceClient(t).Do(clientRequest(t, node, "GET", "read", "slow", ""))
+			resp, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "slow", ""))
 			if err != nil {
 				slow <- 0
 				return
 			}
-			resp.Body.Close()
+			nodetest.CloseOnce(t, resp.Body)
 			slow <- resp.StatusCode
 		}()
 		nodetest.Receive(t, "the slow request", held)
@@ -285,7 +287,7 @@
 		nodetest.Await(t, "the end of accepting", func() bool {
 			c, err := nodetest.Dialer(t)(t.Context(), "tcp", node)
 			if err == nil {
-				c.Close()
+				nodetest.CloseOnce(t, c)
 			}
 			return err != nil
 		})
@@ -308,7 +310,7 @@
 }
 
 // brief configures a node whose clients wait 1.5 s at most.
-func brief(t *testing.T) Config {
+func brief(t *testing.T) config.Config {
 	c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].LatencyObjective, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 1500*time.Millisecond
@@ -321,18 +323,18 @@
 func TestStoppingNodeServesOn(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, stop := startNode(t, brief(t))
-		client := keptClient(t)
+		client := keepAliveClient(t)
 		get := func(req *http.Request) (*http.Response, error) {
 			resp, err := client.Do(req)
 			if err == nil {
 				_, _ = io.Copy(io.Discard, resp.Body)
-				resp.Body.Close()
+				nodetest.CloseOnce(t, resp.Body)
 			}
 			return resp, err
 		}
 		ended, began := make(chan error, 1), time.Now()
 		go func() { ended <- stop() }()
-		probe, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+node+readyPath, nil)
+		probe, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+node+downstream.ReadyPath, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -357,7 +359,7 @@
 }
 
 // No input panics the node: after noise of each kind it still serves.
-func TestNoiseFromClients(t *testing.T) {
+func TestMalformedInputIsRejectedOrClosed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
@@ -368,10 +370,10 @@
 			"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 1<<20)} {
 			c := nodetest.Dial(t, node)
 			_, _ = io.WriteString(c, noise) // the node may close before all is written
-			_ = c.(nodetest.Conn).CloseWrite()
+			_ = c.CloseWrite()
 			_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 			got, err := io.ReadAll(c)
-			c.Close()
+			nodetest.CloseOnce(t, c)
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
 				t.Errorf("%.40q: the connection stays open", noise)
 			}
@@ -386,7 +388,7 @@
 }
 
 // A connection that came just before a stopping node takes no more of them is still heard.
-func TestConnectionOfTheLastMomentIsServed(t *testing.T) {
+func TestConnectionAcceptedBeforeTheListenerClosesIsServed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, stop := startNode(t, brief(t))
 		ended := make(chan error, 1)
@@ -412,23 +414,43 @@
 
 // A connection that came over the limit is served if it has a place by the time of its request, also once no further
 // descriptors are on their way from a process before this one.
-func TestPlaceThatCameFreeIsTaken(t *testing.T) {
-	server, got, letGo := holdingServer(t)
+func TestConnectionOverTheLimitIsServedOnceThereIsRoom(t *testing.T) {
+	server, got, letGo := nodetest.HoldingServer(t)
 	l, _ := startLoop(t, server, sendsOnce)
 	s := newServer(l)
 	node := serveAt(t, s)
-	total := &l.up.sockets.total
-	total.Store(4) // of which two are the clients'
+	descriptors := l.up.Descriptors()
+	descriptors.SetTotal(4) // of which two are the clients'
 	for i := range 2 {
 		newTestClient(t, node).send("GET", "read", fmt.Sprint("r", i), "")
 	}
 	nodetest.Receive(t, "a request", got)
 	late := newTestClient(t, node)
-	nodetest.Await(t, "the connection over the limit", func() bool { return s.peers.count() == 3 })
-	total.Store(MinSockets)
+	nodetest.Await(t, "the connection over the limit", func() bool { return s.ClientConns().Count() == 3 })
+	descriptors.SetTotal(config.MinSockets)
 	late.send("GET", "read", "late", "")
 	letGo()
 	if resp := late.answered(); resp.StatusCode != http.StatusOK {
 		t.Errorf("status %d", resp.StatusCode)
 	}
 }
+
+// Either side has its part of the descriptors, however many clients are in; while two processes share them, no
+// more clients than have a place are let in.
+func TestEachSideHasItsMinimumOfDescriptors(t *testing.T) {
+	s := testDescriptors(30)
+	s.SetClients(40)
+	if got := s.ForServers(); got != s.MinPerSide() {
+		t.Errorf("%d for servers beside 40 clients, want %d", got, s.MinPerSide())
+	}
+	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
+	h := &hotRestart{config: testConfig(t, nodetest.KnownList("127.0.0.1:9")), server: newServer(l), transport: l.up,
+		clients: downstream.NewConnectionLimiter(nodetest.Listener(t), 1), sockets: 60}
+	for _, sharing := range []bool{true, false} {
+		h.server.AwaitingDescriptors.Store(sharing)
+		h.shareSockets()
+		if most := l.up.Descriptors().MaxClients(); (h.clients.Limit() > most) == sharing {
+			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.clients.Limit(), most)
+		}
+	}
+}
