--- a/internal/node/control.go
+++ b/internal/node/admin.go
@@ -15,23 +15,23 @@
 )
 
 const (
-	controlSockets = 16          // descriptors set aside for callers at the second address
-	callTimeout    = time.Second // for a call and for its answer: a caller waits no longer
-	healthPath     = "/healthcheck"
-	statsPath      = "/stats"
+	adminSockets     = 16          // descriptors set aside for callers at the second address
+	adminCallTimeout = time.Second // for a call and for its answer: a caller waits no longer
+	healthPath       = "/healthcheck"
+	statsPath        = "/stats"
 )
 
-// control answers operators at an address of their own, one call a connection. Callers that finish no
+// adminServer answers operators at an address of their own, one call a connection. Callers that finish no
 // call give way to others, and none of them takes anything from the clients.
-type control struct {
+type adminServer struct {
 	http  http.Server
-	peers *downstream.ClientConns
+	conns *downstream.ClientConns
 }
 
-// newControl makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
+// newAdminServer makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
 // node of none.
-func newControl(l *loop, taking func() bool, fleet *membership) *control {
-	c := &control{peers: downstream.NewClientConns(func() int { return controlSockets / 2 }, func(int) {}, func() {})}
+func newAdminServer(l *loop, taking func() bool, fleet *membership) *adminServer {
+	c := &adminServer{conns: downstream.NewClientConns(func() int { return adminSockets / 2 }, func(int) {}, func() {})}
 	mux := http.NewServeMux()
 	mux.HandleFunc(http.MethodGet+" "+healthPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !taking() {
@@ -42,13 +42,13 @@
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
 		l.fig.set.WritePrometheus(w)
 	})
-	mux.HandleFunc(http.MethodGet+" "+placesPath, l.serveZones)
+	mux.HandleFunc(http.MethodGet+" "+zonesPath, l.serveZones)
 	if fleet != nil {
 		mux.HandleFunc(http.MethodGet+" "+fleetPath, fleet.serve)
 	}
 	c.http = http.Server{
-		Handler: mux, MaxHeaderBytes: http1.MaxHeadBytes, ReadTimeout: callTimeout, WriteTimeout: 2 * callTimeout,
-		DisableGeneralOptionsHandler: true, ConnContext: c.peers.ConnContext, ConnState: c.peers.ConnState,
+		Handler: mux, MaxHeaderBytes: http1.MaxHeadBytes, ReadTimeout: adminCallTimeout, WriteTimeout: 2 * adminCallTimeout,
+		DisableGeneralOptionsHandler: true, ConnContext: c.conns.ConnContext, ConnState: c.conns.ConnState,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	c.http.SetKeepAlivesEnabled(false)
@@ -56,11 +56,11 @@
 }
 
 // run serves until ctx ends.
-func (c *control) run(ctx context.Context, listener net.Listener) {
+func (c *adminServer) run(ctx context.Context, listener net.Listener) {
 	stop := context.AfterFunc(ctx, func() { _ = c.http.Close() }) // which ends Serve
 	defer stop()
-	err := c.http.Serve(netutil.LimitListener(listener, controlSockets))
+	err := c.http.Serve(netutil.LimitListener(listener, adminSockets))
 	if !errors.Is(err, http.ErrServerClosed) {
-		slog.Error("the second address is lost", "err", err)
+		slog.Error("the operators' address is lost", "error", err)
 	}
 }
