--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -2,11 +2,12 @@
 
 import (
 	"container/heap"
-	"context"
 	"log/slog"
 	"net/http"
 	"time"
 
+	"sloerail/internal/node/downstream"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -60,15 +61,15 @@
 	case policy.Reject:
 		l.reject(r, a.Wait)
 	case policy.Fail:
-		l.answer(r, answer{status: http.StatusBadGateway})
+		l.answer(r, downstream.Response{Status: http.StatusBadGateway})
 		l.forget(r)
 	case policy.Cancel:
 		if a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].flight.stop(context.Canceled)
+			r.attempts[a.Attempt].flight.Cancel()
 		}
 	case policy.SetAttemptDeadline:
 		if a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].flight.bound(l.clock.at(min(a.AttemptDeadline, r.deadline)))
+			r.attempts[a.Attempt].flight.SetDeadline(l.clock.at(min(a.AttemptDeadline, r.deadline)))
 		}
 	}
 }
@@ -84,7 +85,7 @@
 	n := len(r.attempts)
 	r.pending++
 	if r.ended || now >= r.deadline || n >= max(1, l.allowed.MaxAttempts) || r.bodyConsumed() {
-		r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, flight: new(flight)})
+		r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, flight: upstream.NewLifetime(time.Time{})})
 		l.unsent = append(l.unsent, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotAttempted})
 		return
 	}
@@ -92,21 +93,20 @@
 	if a.AttemptDeadline > 0 {
 		until = min(until, a.AttemptDeadline)
 	}
-	f := &flight{due: l.clock.at(until)}
+	f := upstream.NewLifetime(l.clock.at(until))
 	r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, flight: f})
-	to := outgoing{exchange: r.exchange, waits: until - now, flight: f,
-		begin: func(a answer) { l.send(answerBegun{r, n, a}) }, left: func() { l.send(uploaded{r.exchange, errClient}) }}
-	if r.req.Incomplete {
-		to.waits = r.clientWaits - r.margin()
+	to := upstream.Attempt{Request: &r.Forwarded, Timeout: until - now, Lifetime: f, Observer: &attemptObserver{l, r, n}}
+	if r.Request.Incomplete {
+		to.Timeout = r.Timeout - r.margin()
 	}
-	l.running.Go(func() { l.send(attemptEnded{r, n, l.up.attempt(a.Server, to)}) })
+	l.running.Go(func() { l.send(attemptEnded{r, n, l.up.Do(a.Server, to)}) })
 }
 
 // reject answers a request that was not admitted, with a Retry-After if the settings allow that.
 func (l *loop) reject(r *request, wait time.Duration) {
-	a := answer{status: http.StatusServiceUnavailable}
+	a := downstream.Response{Status: http.StatusServiceUnavailable}
 	if wait > 0 && l.allowed.RetryAfter {
-		a = answer{status: http.StatusTooManyRequests, retryAfter: wait}
+		a = downstream.Response{Status: http.StatusTooManyRequests, RetryAfter: wait}
 	}
 	l.answer(r, a)
 	l.forget(r)
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -6,10 +6,12 @@
 	"log/slog"
 	"net"
 	"net/http"
-	"sync/atomic"
 	"time"
 
 	"golang.org/x/net/netutil"
+
+	"sloerail/internal/node/downstream"
+	"sloerail/internal/node/http1"
 )
 
 const (
@@ -23,13 +25,13 @@
 // call give way to others, and none of them takes anything from the clients.
 type adminServer struct {
 	http  http.Server
-	conns *peers
+	conns *downstream.ClientConns
 }
 
 // newAdminServer makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
 // node of none.
 func newAdminServer(l *loop, taking func() bool, fleet *membership) *adminServer {
-	c := &adminServer{conns: newPeers(func() int { return adminSockets / 2 }, new(atomic.Int64), func() {})}
+	c := &adminServer{conns: downstream.NewClientConns(func() int { return adminSockets / 2 }, func(int) {}, func() {})}
 	mux := http.NewServeMux()
 	mux.HandleFunc(http.MethodGet+" "+healthPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !taking() {
@@ -45,8 +47,8 @@
 		mux.HandleFunc(http.MethodGet+" "+fleetPath, fleet.serve)
 	}
 	c.http = http.Server{
-		Handler: mux, MaxHeaderBytes: maxHeader, ReadTimeout: adminCallTimeout, WriteTimeout: 2 * adminCallTimeout,
-		DisableGeneralOptionsHandler: true, ConnContext: c.conns.admit, ConnState: c.conns.follow,
+		Handler: mux, MaxHeaderBytes: http1.MaxHeadBytes, ReadTimeout: adminCallTimeout, WriteTimeout: 2 * adminCallTimeout,
+		DisableGeneralOptionsHandler: true, ConnContext: c.conns.ConnContext, ConnState: c.conns.ConnState,
 		ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug),
 	}
 	c.http.SetKeepAlivesEnabled(false)
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -12,6 +12,7 @@
 	"testing"
 	"time"
 
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
 )
 
@@ -117,7 +118,7 @@
 		ctx, leave := context.WithCancel(t.Context())
 		left := make(chan error, 1)
 		go func() {
-			_, err := onceClient(t).Do(clientRequest(t, node, "GET", "read", "held", "").WithContext(ctx))
+			_, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "held", "").WithContext(ctx))
 			left <- err
 		}()
 		nodetest.Receive(t, "the held request", held)
@@ -155,7 +156,7 @@
 		}{
 			{"GET", ctl + healthPath, 200}, {"GET", ctl + statsPath, 200}, {"POST", ctl + statsPath, 405},
 			{"PUT", ctl + healthPath, 405}, {"GET", ctl + "/nothing", 404}, {"GET", ctl + "/api/x", 404},
-			{"GET", ctl + readyPath, 404}, {"GET", node + statsPath, 400}, {"GET", node + healthPath, 400},
+			{"GET", ctl + downstream.ReadyPath, 404}, {"GET", node + statsPath, 400}, {"GET", node + healthPath, 400},
 		} {
 			if got, _ := call(t, c.method, "http://"+c.url); got != c.want {
 				t.Errorf("%s %s: %d, want %d", c.method, c.url, got, c.want)
@@ -189,7 +190,7 @@
 				fmt.Fprint(conn, "GET /stats HTTP/1.1\r\nHo")
 			}
 		}
-		client := onceClient(t)
+		client := oneRequestClient(t)
 		client.Timeout = adminCallTimeout
 		resp, err := client.Get("http://" + ctl + statsPath)
 		if err != nil {
@@ -209,7 +210,7 @@
 		go func() { stopped <- stop() }()
 		saidNo := false
 		nodetest.Await(t, "a no", func() bool {
-			resp, err := onceClient(t).Get("http://" + ctl + healthPath)
+			resp, err := oneRequestClient(t).Get("http://" + ctl + healthPath)
 			if err != nil {
 				return true // it has ended
 			}
@@ -231,7 +232,7 @@
 	names := []string{`a"b`, `back\slash`, "two words", "brace}", "comma,equals=", "größe", "line\nbreak", "\x01"}
 	f := newFigures(nil)
 	for _, name := range names {
-		f.class(name).count(http.StatusOK)
+		f.class(name).Count(http.StatusOK)
 	}
 	var text strings.Builder
 	f.set.WritePrometheus(&text)
--- a/internal/node/bulk_test.go
+++ b/internal/node/body_streaming_test.go
@@ -4,13 +4,11 @@
 	"bufio"
 	"bytes"
 	"crypto/sha256"
-	"errors"
 	"fmt"
 	"io"
 	"math/rand/v2"
 	"net"
 	"net/http"
-	"os"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -18,7 +16,10 @@
 	"testing/iotest"
 	"time"
 
+	"sloerail/internal/node/downstream"
+	"sloerail/internal/node/http1"
 	"sloerail/internal/node/nodetest"
+	"sloerail/internal/node/upstream"
 )
 
 // noise is n bytes that no two places share.
@@ -32,7 +33,7 @@
 type unsized struct{ io.Reader }
 
 // Bodies and answers of any size pass byte for byte, by length and by chunks, in whatever pieces.
-func TestLargeBodiesPassWhole(t *testing.T) {
+func TestLargeBodiesPassUnchanged(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -45,7 +46,7 @@
 		_, _ = w.Write(body)
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
-	for _, size := range []int{0, 1, maxBody - 1, maxBody, maxBody + 1, 3 << 20} {
+	for _, size := range []int{0, 1, http1.MaxBufferedBodyBytes - 1, http1.MaxBufferedBodyBytes, http1.MaxBufferedBodyBytes + 1, 3 << 20} {
 		want := noise(size)
 		for form, body := range map[string]io.Reader{
 			"length": bytes.NewReader(want), "chunks": unsized{bytes.NewReader(want)},
@@ -70,8 +71,8 @@
 // A small body or answer in single bytes is as good as one in a piece.
 func TestSingleBytesPass(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		server := rawServer(t, func(c net.Conn, r *bufio.Reader) {
-			if !swallow(r) {
+		server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
+			if !nodetest.ReadRequest(r) {
 				return
 			}
 			for _, b := range []byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n1\r\ny\r\n2\r\nes\r\n0\r\n\r\n") {
@@ -93,40 +94,40 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		next := make(chan struct{})
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
-			w.Header().Set("Content-Length", fmt.Sprint(answerStart+maxBody))
-			_, _ = io.WriteString(w, strings.Repeat("a", answerStart))
+			w.Header().Set("Content-Length", fmt.Sprint(upstream.StreamStartBytes+http1.MaxBufferedBodyBytes))
+			_, _ = io.WriteString(w, strings.Repeat("a", upstream.StreamStartBytes))
 			w.(http.Flusher).Flush()
 			<-next
-			_, _ = io.WriteString(w, strings.Repeat("b", maxBody))
+			_, _ = io.WriteString(w, strings.Repeat("b", http1.MaxBufferedBodyBytes))
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 		const wait = 300 * time.Millisecond
-		resp, err := onceClient(t).Do(clientRequest(t, node, "GET", "read", "r", "", "X-Deadline-Ms", fmt.Sprint(wait.Milliseconds())))
+		resp, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "r", "", "X-Deadline-Ms", fmt.Sprint(wait.Milliseconds())))
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer resp.Body.Close()
-		first := make([]byte, answerStart)
+		defer nodetest.CloseOnce(t, resp.Body)
+		first := make([]byte, upstream.StreamStartBytes)
 		if _, err := io.ReadFull(resp.Body, first); err != nil || first[0] != 'a' {
 			t.Fatalf("first bytes %q..., %v", first[:1], err)
 		}
 		time.AfterFunc(2*wait, func() { close(next) }) // beyond the time that the client would wait for a first byte
 		rest, err := io.ReadAll(resp.Body)
-		if err != nil || len(rest) != maxBody || rest[0] != 'b' {
+		if err != nil || len(rest) != http1.MaxBufferedBodyBytes || rest[0] != 'b' {
 			t.Errorf("%d bytes more, %v", len(rest), err)
 		}
 	})
 }
 
 // An answer that says it is long and breaks off at once was never begun: another server is tried.
-func TestSpoiltLengthIsNotPassedOn(t *testing.T) {
+func TestIncompleteResponseIsNotForwarded(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		spoilt := rawServer(t, func(c net.Conn, r *bufio.Reader) {
-			if swallow(r) {
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*maxBody)
+		spoilt := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
+			if nodetest.ReadRequest(r) {
+				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*http1.MaxBufferedBodyBytes)
 			}
 		})
-		good := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "good") })
+		good := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "good") })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(spoilt, good)))
 		if resp, body := do(t, clientRequest(t, node, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK || body != "good" {
 			t.Errorf("status %d, %d bytes", resp.StatusCode, len(body))
@@ -137,14 +138,14 @@
 // A client can tell that an answer broke off, whatever the framing and however old its HTTP.
 func TestClientCanTellABrokenAnswer(t *testing.T) {
 	t.Parallel()
-	part := strings.Repeat("x", maxBody+9)
+	part := strings.Repeat("x", http1.MaxBufferedBodyBytes+9)
 	for name, head := range map[string]string{
 		"length": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(part), part),
 		"chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(part), part),
 	} {
-		server := rawServer(t, func(c net.Conn, r *bufio.Reader) {
-			if swallow(r) {
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s", head)
+		server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
+			if nodetest.ReadRequest(r) {
+				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s", head)
 			}
 		})
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
@@ -154,8 +155,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer conn.Close()
-			fmt.Fprintf(conn, "GET /api HTTP/%s\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: read\r\nX-Tenant: t\r\n"+
+			defer nodetest.CloseOnce(t, conn)
+			_, _ = fmt.Fprintf(conn, "GET /api HTTP/%s\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: read\r\nX-Tenant: t\r\n"+
 				"X-Deadline-Ms: 8000\r\n\r\n", proto, name+proto)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil {
@@ -171,7 +172,7 @@
 }
 
 // An attempt that took part of what can't be written again is the last one; one that took nothing isn't.
-func TestSpentBodyIsNotSentAgain(t *testing.T) {
+func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		for _, c := range []struct {
 			name      string
@@ -179,16 +180,16 @@
 			want, all int
 		}{
 			{"reset while it comes", func(c net.Conn, r *bufio.Reader) {
-				_, _ = io.CopyN(io.Discard, r, firstPart+maxBody)
+				_, _ = io.CopyN(io.Discard, r, downstream.UploadStartBytes+http1.MaxBufferedBodyBytes)
 			}, http.StatusServiceUnavailable, 1},
 			{"full after the last byte", func(c net.Conn, r *bufio.Reader) {
-				if swallow(r) {
-					fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
+				if nodetest.ReadRequest(r) {
+					_, _ = fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				}
 			}, http.StatusServiceUnavailable, 1},
 		} {
 			var conns atomic.Int32
-			server := rawServer(t, func(conn net.Conn, r *bufio.Reader) {
+			server := nodetest.RawServer(t, func(conn net.Conn, r *bufio.Reader) {
 				conns.Add(1)
 				c.first(conn, r)
 			})
@@ -202,7 +203,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		dead.Close()
+		nodetest.CloseOnce(t, dead)
 		alive := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(dead.Addr().String(), alive)))
 		resp, _ := do(t, clientRequest(t, node, "POST", "undo", "again", string(noise(1<<20))))
@@ -213,7 +214,7 @@
 }
 
 // Over 32 MiB there is no server asked, or none that gets a whole request.
-func TestTooLargeBodyIsRefused(t *testing.T) {
+func TestTooLargeBodyIsRejected(t *testing.T) {
 	t.Parallel()
 	var whole atomic.Int32
 	server := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -222,14 +223,14 @@
 		}
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
-	for _, length := range []int64{maxTransfer + 1, -1} {
+	for _, length := range []int64{downstream.MaxBodyBytes + 1, -1} {
 		req := clientRequest(t, node, "POST", "pay", fmt.Sprint("r", length), "")
-		req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeros{}, maxTransfer+1)), length
+		req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeros{}, downstream.MaxBodyBytes+1)), length
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatalf("length %d: %v", length, err)
 		}
-		resp.Body.Close()
+		nodetest.CloseOnce(t, resp.Body)
 		if resp.StatusCode != http.StatusRequestEntityTooLarge {
 			t.Errorf("length %d: status %d", length, resp.StatusCode)
 		}
@@ -248,11 +249,11 @@
 
 // A body at 64 kB a second is served, though it takes longer than its client's deadline; one that stops
 // ends, and its server hears of it.
-func TestSlowBodyIsServedAndASilentOneEnds(t *testing.T) {
+func TestSlowBodyIsServedAndASilentOneTimesOut(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
-			fmt.Fprint(w, n)
+			_, _ = fmt.Fprint(w, n)
 		})
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList(server)), at, nil)
@@ -271,7 +272,7 @@
 						return
 					}
 				}
-				out.Close()
+				nodetest.CloseOnce(t, out)
 			}()
 			if resp, got := do(t, req); resp.StatusCode != http.StatusOK || got != fmt.Sprint(size) {
 				t.Errorf("slow: status %d, %q", resp.StatusCode, got)
@@ -279,10 +280,10 @@
 		})
 		both.Go(func() {
 			conn := nodetest.Dial(t, node)
-			defer conn.Close()
+			defer nodetest.CloseOnce(t, conn)
 			began := time.Now()
-			fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: silent\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
-				"X-Deadline-Ms: 8000\r\nContent-Length: %d\r\n\r\n%s", size, make([]byte, firstPart+1))
+			_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: silent\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
+				"X-Deadline-Ms: 8000\r\nContent-Length: %d\r\n\r\n%s", size, make([]byte, downstream.UploadStartBytes+1))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 			if err != nil || resp.StatusCode != http.StatusRequestTimeout || time.Since(began) > 3*time.Second {
 				t.Errorf("silent: %v, %v after %v", resp, err, time.Since(began))
@@ -294,7 +295,7 @@
 }
 
 // Many long answers to clients that don't read leave the node its memory and its other clients.
-func TestStalledReadersHoldLittle(t *testing.T) {
+func TestStalledReadersHoldLittleMemory(t *testing.T) {
 	t.Parallel()
 	const answers = 40
 	long := noise(4 << 20)
@@ -304,11 +305,11 @@
 			return
 		}
 		w.Header().Set("Content-Length", fmt.Sprint(len(long)))
-		for at := 0; at < len(long); at += blockSize {
-			if _, err := w.Write(long[at : at+blockSize]); err != nil {
+		for at := 0; at < len(long); at += http1.CopyBufferBytes {
+			if _, err := w.Write(long[at : at+http1.CopyBufferBytes]); err != nil {
 				return
 			}
-			given.Add(blockSize)
+			given.Add(http1.CopyBufferBytes)
 		}
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
@@ -317,7 +318,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer conn.Close()
+		defer nodetest.CloseOnce(t, conn)
 		_ = conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 		if err := clientRequest(t, node, "GET", "read", fmt.Sprint("r", i), "").Write(conn); err != nil {
 			t.Fatal(err)
@@ -335,24 +336,13 @@
 	}
 }
 
-// What a client gets whose body breaks off.
-func TestUploadStatus(t *testing.T) {
-	for err, want := range map[error]int{
-		errTooLong: 413, io.ErrUnexpectedEOF: 400, &net.OpError{Err: os.ErrDeadlineExceeded}: 408, errors.New("x"): 400,
-	} {
-		if got, _ := uploadStatus(err); got != want {
-			t.Errorf("%v: %d, want %d", err, got, want)
-		}
-	}
-}
-
 // An answer that ends with its connection is whole, short or long.
-func TestAnswerByClosePasses(t *testing.T) {
+func TestResponseEndingWithItsConnectionPasses(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		for _, size := range []int{5, 3 * maxBody} {
+		for _, size := range []int{5, 3 * http1.MaxBufferedBodyBytes} {
 			want := noise(size)
-			server := rawServer(t, func(c net.Conn, r *bufio.Reader) {
-				if swallow(r) {
+			server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
+				if nodetest.ReadRequest(r) {
 					_, _ = io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n")
 					_, _ = c.Write(want)
 				}
@@ -373,15 +363,15 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
-			fmt.Fprint(w, n)
+			_, _ = fmt.Fprint(w, n)
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 		for _, c := range []struct{ class, length, first string }{
-			{"pay", "3", " 100 "}, {"pay", fmt.Sprint(maxTransfer + 1), " 413 "}, {"unknown", "3", " 400 "},
+			{"pay", "3", " 100 "}, {"pay", fmt.Sprint(downstream.MaxBodyBytes + 1), " 413 "}, {"unknown", "3", " 400 "},
 		} {
 			conn := nodetest.Dial(t, node)
-			defer conn.Close()
-			fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: e%s%s\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"+
+			defer nodetest.CloseOnce(t, conn)
+			_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: e%s%s\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"+
 				"Expect: 100-continue\r\nContent-Length: %s\r\n\r\n", c.class, c.length, c.class, c.length)
 			r := bufio.NewReader(conn)
 			first, err := r.ReadString('\n')
--- /dev/null
+++ b/internal/node/downstream/connection_limiter.go
@@ -0,0 +1,125 @@
+package downstream
+
+import (
+	"errors"
+	"net"
+	"os"
+	"sync"
+	"sync/atomic"
+	"time"
+)
+
+// ConnectionLimiter is a listener that bounds how many of its connections are open at a time. While it is paused it
+// accepts none: they go to the other process that shares the socket.
+type ConnectionLimiter struct {
+	net.Listener
+	mu      sync.Mutex
+	changed *sync.Cond
+	limit   int
+	open    int
+	paused  bool
+	closed  bool
+}
+
+// NewConnectionLimiter accepts up to limit connections at a time from l.
+func NewConnectionLimiter(l net.Listener, limit int) *ConnectionLimiter {
+	cl := &ConnectionLimiter{Listener: l, limit: limit}
+	cl.changed = sync.NewCond(&cl.mu)
+	return cl
+}
+
+// Accept waits until a connection may be open, and for one. It returns net.ErrClosed after Close.
+func (cl *ConnectionLimiter) Accept() (net.Conn, error) {
+	for {
+		if err := cl.acquire(); err != nil {
+			return nil, err
+		}
+		c, err := cl.Listener.Accept()
+		if err == nil {
+			return &limitedConn{Conn: c, limiter: cl}, nil
+		}
+		cl.release()
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // that is how SetPaused wakes it
+			return nil, err
+		}
+	}
+}
+
+func (cl *ConnectionLimiter) acquire() error {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	for !cl.closed && (cl.paused || cl.open >= cl.limit) {
+		cl.changed.Wait()
+	}
+	if cl.closed {
+		return net.ErrClosed
+	}
+	cl.open++
+	return nil
+}
+
+func (cl *ConnectionLimiter) release() {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.open--
+	cl.changed.Broadcast()
+}
+
+// SetLimit sets how many connections may be open. Those over it stay open.
+func (cl *ConnectionLimiter) SetLimit(limit int) {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.limit = limit
+	cl.changed.Broadcast()
+}
+
+// Limit is how many connections may be open.
+func (cl *ConnectionLimiter) Limit() int {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	return cl.limit
+}
+
+// SetPaused stops accepting, or starts it again. It returns errors.ErrUnsupported where the listener has no deadline.
+func (cl *ConnectionLimiter) SetPaused(paused bool) error {
+	cl.mu.Lock()
+	defer cl.mu.Unlock()
+	cl.paused = paused
+	cl.changed.Broadcast()
+	listener, ok := cl.Listener.(interface{ SetDeadline(time.Time) error })
+	if !ok {
+		return errors.ErrUnsupported
+	}
+	if paused {
+		return listener.SetDeadline(time.Unix(1, 0))
+	}
+	return listener.SetDeadline(time.Time{})
+}
+
+// Close closes the listener. Open connections stay open.
+func (cl *ConnectionLimiter) Close() error {
+	cl.mu.Lock()
+	cl.closed = true
+	cl.changed.Broadcast()
+	cl.mu.Unlock()
+	return cl.Listener.Close()
+}
+
+// limitedConn is a connection that its limiter counts until it is closed.
+type limitedConn struct {
+	net.Conn
+	limiter  *ConnectionLimiter
+	released atomic.Bool
+}
+
+// NetConn returns the connection that c wraps.
+func (c *limitedConn) NetConn() net.Conn { return c.Conn }
+
+// Close closes the connection. It is counted as closed once.
+func (c *limitedConn) Close() error {
+	err := c.Conn.Close()
+	if c.released.CompareAndSwap(false, true) {
+		c.limiter.release()
+	}
+	return err
+}
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -22,19 +22,19 @@
 // so the listener stays open until then. Clients go on using the connections that they have for as long as a request can
 // be answered before the node is killed: to end them earlier would only move their load to the other nodes.
 func (s *server) drain(h *hotRestart) error {
-	s.stopping.Store(true)
+	s.Stopping.Store(true)
 	terms := s.loop.terms.Load()
 	end := time.Now().Add(acceptFor + terms.longestOf(longestWait))
 	last := time.Now().Add(max(acceptFor, time.Until(end)-s.lastAnswerTime(terms)))
 	slog.Info("stopping", "serves", time.Until(last).Round(time.Millisecond), "ends", time.Until(end).Round(time.Millisecond))
-	for time.Now().Before(last) && (!s.superseded.Load() || s.peers.count() > 0) {
+	for time.Now().Before(last) && (!s.superseded.Load() || s.ClientConns().Count() > 0) {
 		time.Sleep(min(drainPoll, time.Until(last)))
 	}
-	s.draining.Store(true)
+	s.Draining.Store(true)
 	late := time.AfterFunc(time.Until(end), func() { s.loop.send(failUnanswered{}) })
 	defer late.Stop()
 	err := h.clients.Close()
-	s.shutdown(end.Add(finalAnswerTime))
+	s.Shutdown(end.Add(finalAnswerTime))
 	return err
 }
 
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -20,7 +20,7 @@
 // applyUpdate takes a change of the endpoint list. The balancer gets the servers' start times by the node's clock.
 func (l *loop) applyUpdate(update discovery.Update) {
 	if update.Kind != policy.ListUnavailable {
-		l.up.update(update)
+		l.up.UpdateEndpoints(update)
 	}
 	if update.Kind == policy.ListReplace || update.Kind == policy.ListCached {
 		clear(l.endpoints)
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -7,7 +7,9 @@
 
 	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/hotrestart"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -20,25 +22,25 @@
 // Events of requests.
 type (
 	// arrival is a request whose client waits for its answer.
-	arrival struct{ x *exchange }
+	arrival struct{ x *downstream.Exchange }
 	// departure is a client that has left.
-	departure struct{ x *exchange }
+	departure struct{ x *downstream.Exchange }
 	// uploaded is the end of a body that was sent on while it came in: whole, or with the error that ended it.
 	uploaded struct {
-		x   *exchange
+		x   *downstream.Exchange
 		err error
 	}
 	// answerBegun is an answer that is passed on as it comes.
 	answerBegun struct {
 		r *request
 		n int // the attempt's index
-		answer
+		downstream.Response
 	}
 	// attemptEnded is the end of an attempt.
 	attemptEnded struct {
 		r *request
 		n int // the attempt's index
-		result
+		upstream.Result
 	}
 	// failUnanswered fails what has no answer and rejects what comes: the node stops.
 	failUnanswered struct{}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -9,6 +9,7 @@
 
 	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -55,7 +56,7 @@
 		return &trafficConn{Conn: conn, traffic: h.traffic}, nil
 	}
 	fig := newFigures(c.Settings.Classes)
-	l, err := newLoop(c, clock{start: time.Now()}, newUpstream(c, new(sockets), fig), fig)
+	l, err := newLoop(c, clock{start: time.Now()}, newTransport(c, new(upstream.Descriptors), fig), fig)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -7,9 +7,10 @@
 	"sync"
 	"syscall"
 
-	"sloerail/internal/node/hotrestart"
-
 	"sloerail/internal/node/config"
+	"sloerail/internal/node/downstream"
+	"sloerail/internal/node/hotrestart"
+	"sloerail/internal/node/upstream"
 )
 
 const (
@@ -28,11 +29,11 @@
 // hotRestart is this process's part in hand-overs: it shares the node's descriptors and memory with the process before
 // it, and with the one that takes over from it.
 type hotRestart struct {
-	config   config.Config
-	server   *server
-	upstream *upstream
-	clients  *connLimiter
-	fleet    *membership // nil for a node of no fleet
+	config    config.Config
+	server    *server
+	transport *upstream.Transport
+	clients   *downstream.ConnectionLimiter
+	fleet     *membership // nil for a node of no fleet
 
 	mu      sync.Mutex
 	sockets int // descriptors that this process may hold
@@ -87,8 +88,8 @@
 	if h.fleet != nil {
 		h.fleet.Yield()
 	}
-	h.server.draining.Store(true) // clients come again, to the successor
-	return h.clients.setPaused(true)
+	h.server.Draining.Store(true) // clients come again, to the successor
+	return h.clients.SetPaused(true)
 }
 
 // Progress implements hotrestart.Process.
@@ -99,8 +100,8 @@
 // Resume implements hotrestart.Process.
 func (h *hotRestart) Resume(successorServed bool) {
 	h.server.superseded.Store(false)
-	h.server.draining.Store(h.server.stopping.Load())
-	if err := h.clients.setPaused(false); err != nil {
+	h.server.Draining.Store(h.server.Stopping.Load())
+	if err := h.clients.SetPaused(false); err != nil {
 		slog.Error("hot restart: the clients' listener", "error", err)
 	}
 	h.shareSockets()
@@ -120,10 +121,10 @@
 
 // releaseSockets cuts this process down to what it holds, and returns what is left for its successor.
 func (h *hotRestart) releaseSockets() int {
-	clients := h.server.peers.count()
+	clients := h.server.ClientConns().Count()
 	spare := max(1, min(maxSpareConns, (h.config.Sockets-reservedSockets(h.config))/spareFraction))
-	servers := h.upstream.shrink(min(clients, maxSpareServerConns), spare)
-	h.clients.setLimit(clients + spare)
+	servers := h.transport.LimitConnections(min(clients, maxSpareServerConns), spare)
+	h.clients.SetLimit(clients + spare)
 	inUse := reservedSocketsWhileShared(h.config) + clients + spare + servers
 	total := h.totalSockets()
 	return max(total/minSuccessorFraction, total-inUse)
@@ -136,13 +137,13 @@
 	// clients over the limit: they wait to be accepted for what the other process releases.
 	h.mu.Lock()
 	sockets, own, over := h.sockets, reservedSockets(h.config), ownSockets/2
-	if h.server.sharingSockets.Load() {
+	if h.server.AwaitingDescriptors.Load() {
 		own, over = reservedSocketsWhileShared(h.config), 0
 	}
 	h.mu.Unlock()
-	h.upstream.sockets.total.Store(int64(max(leastPart, sockets-own)))
-	h.upstream.unbound()
-	h.clients.setLimit(h.upstream.sockets.mostClients() + over)
+	h.transport.Descriptors().SetTotal(sockets - own)
+	h.transport.LiftLimit()
+	h.clients.SetLimit(h.transport.Descriptors().MaxClients() + over)
 }
 
 // takeSockets takes what the process before this one has released.
@@ -155,7 +156,7 @@
 	}
 	h.mu.Lock()
 	h.sockets = sockets
-	h.server.sharingSockets.Store(!ended)
+	h.server.AwaitingDescriptors.Store(!ended)
 	h.mu.Unlock()
 	if !h.server.superseded.Load() {
 		h.shareSockets()
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -9,6 +9,7 @@
 	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
 	"sloerail/internal/node/hotrestart"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -48,7 +49,7 @@
 	done   chan struct{}         // closed when the loop has ended
 	ready  chan struct{}         // closed when the known list is in
 	terms  atomic.Pointer[terms] // clients' goroutines read it
-	up     *upstream
+	up     *upstream.Transport
 	fig    *figures
 
 	// The loop's goroutine alone uses what follows.
@@ -67,7 +68,7 @@
 	running    sync.WaitGroup                // the attempts under way
 }
 
-func newLoop(c config.Config, ck clock, up *upstream, fig *figures) (*loop, error) {
+func newLoop(c config.Config, ck clock, up *upstream.Transport, fig *figures) (*loop, error) {
 	balancer, err := policy.New(c.Settings, ck.now(), c.Seed)
 	if err != nil {
 		return nil, err
@@ -118,7 +119,7 @@
 		case <-wake.C:
 			armed = 0
 		case now := <-sweep.C:
-			l.up.sweep(now)
+			l.up.CloseExpired(now)
 			l.updateZoneMetrics(l.clock.now())
 		case <-ctx.Done():
 			return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -8,7 +8,9 @@
 
 	"sloerail/internal/node/config"
 	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/hotrestart"
+	"sloerail/internal/node/upstream"
 )
 
 // Run serves clients until ctx ends. Then it drains, and returns once all that it started has ended. Reloaded
@@ -18,15 +20,15 @@
 	maxSockets, state := at.restore(&c)
 	limitMemory(c, 1)
 	fig := newFigures(c.Settings.Classes)
-	up := newUpstream(c, new(sockets), fig)
-	defer up.close()
+	up := newTransport(c, new(upstream.Descriptors), fig)
+	defer up.CloseIdle()
 	l, err := newLoop(c, started, up, fig)
 	if err != nil {
 		return err
 	}
 	s := newServer(l)
 	s.isSuccessor = state != nil
-	s.sharingSockets.Store(s.isSuccessor)
+	s.AwaitingDescriptors.Store(s.isSuccessor)
 	fleet, err := l.join(c)
 	if err != nil {
 		return err
@@ -41,11 +43,11 @@
 	defer stop()
 	parts.Go(func() { l.run(running, c.Known.Endpoints, state) })
 	parts.Go(func() { l.listClient.Run(running) })
-	clients := newConnLimiter(at.Clients, maxSockets)
-	restart := &hotRestart{config: c, server: s, upstream: up, clients: clients, fleet: fleet, sockets: maxSockets}
+	clients := downstream.NewConnectionLimiter(at.Clients, maxSockets)
+	restart := &hotRestart{config: c, server: s, transport: up, clients: clients, fleet: fleet, sockets: maxSockets}
 	restart.shareSockets()
 	failed := make(chan error, 1)
-	parts.Go(func() { failed <- s.accept(clients) })
+	parts.Go(func() { failed <- s.Accept(clients) })
 	parts.Go(func() { restart.run(running, at.predecessor) })
 	if fleet != nil {
 		parts.Go(func() { l.followFleet(running, fleet.Subscribe()) })
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -2,10 +2,10 @@
 
 import (
 	"log/slog"
-	"net/http"
 	"time"
 
 	"sloerail/internal/node/config"
+	"sloerail/internal/node/downstream"
 	"sloerail/policy"
 )
 
@@ -41,10 +41,10 @@
 	return next
 }
 
-// class is that of a request, and whether that is in the former form of its class.
-func (t *terms) class(name, method string, keyed bool) (c policy.Class, former, ok bool) {
+// Class is that of a request, and whether that is in the former form of its class.
+func (t *terms) Class(name, method string, hasKey bool) (c policy.Class, former, ok bool) {
 	if t.former != nil && time.Now().Before(t.until) {
-		if c, ok := t.former.classes[name]; ok && fits(c, method, keyed) {
+		if c, ok := t.former.classes[name]; ok && fits(c, method, hasKey) {
 			return c, true, true
 		}
 	}
@@ -54,14 +54,7 @@
 
 // fits reports whether a request has the form of a class: the method and the key follow from its effect.
 func fits(c policy.Class, method string, keyed bool) bool {
-	return method == methodOf(c) && (c.RetrySafety == policy.IdempotencyKeyed) == keyed
-}
-
-func methodOf(c policy.Class) string {
-	if c.RetrySafety == policy.Idempotent {
-		return http.MethodGet
-	}
-	return http.MethodPost
+	return method == downstream.MethodFor(c) && (c.RetrySafety == policy.IdempotencyKeyed) == keyed
 }
 
 // longestOf is the longest of the waits of all classes, those of just before a change included.
@@ -86,7 +79,7 @@
 // applyConfig goes over to another configuration, all of it at once. Open requests keep their class.
 func (l *loop) applyConfig(c config.Config) {
 	l.allowed, l.maxOpen = c.Settings.Allowed, c.MaxOpen
-	l.up.applyConfig(c)
+	l.up.Configure(transportConfig(c))
 	var names []string
 	for _, class := range c.Settings.Classes {
 		l.fig.class(class.Name)
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -2,10 +2,11 @@
 
 import (
 	"container/heap"
-	"context"
 	"net/http"
 	"time"
 
+	"sloerail/internal/node/downstream"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
@@ -22,7 +23,7 @@
 
 // request is kept until it is answered and all its attempts are over.
 type request struct {
-	*exchange
+	*downstream.Exchange
 	deadline policy.Time // of its attempts
 	backstop *timer      // answers if the balancer doesn't in time
 	ended    bool        // it is answered, or its client has left
@@ -35,33 +36,33 @@
 	server     string
 	sentAt     policy.Time // or when the request was whole, if that was later
 	answeredAt policy.Time // when its answer began, of one that is passed on as it comes
-	flight     *flight
+	flight     *upstream.Lifetime
 }
 
 // startRequest passes a new request to the balancer, unless the node rejects it.
-func (l *loop) startRequest(x *exchange) {
-	if x.left.Load() { // while it waited for the loop
+func (l *loop) startRequest(x *downstream.Exchange) {
+	if x.Disconnected() { // while it waited for the loop
 		return
 	}
-	if l.requests[x.req.ID] != nil { // the balancer would wait for the first, and never answer this one
-		x.reply <- answer{status: http.StatusConflict}
+	if l.requests[x.Request.ID] != nil { // the balancer would wait for the first, and never answer this one
+		x.Reply <- downstream.Response{Status: http.StatusConflict}
 		return
 	}
 	if l.finished || l.maxOpen > 0 && l.unanswered >= l.maxOpen {
-		x.reply <- answer{status: http.StatusServiceUnavailable}
+		x.Reply <- downstream.Response{Status: http.StatusServiceUnavailable}
 		return
 	}
-	r := &request{exchange: x}
-	l.requests[x.req.ID] = r
+	r := &request{Exchange: x}
+	l.requests[x.Request.ID] = r
 	l.unanswered++
 	r.backstop = &timer{backstop: r}
-	req := x.req
-	req.FormerClass = req.FormerClass || x.terms != l.terms.Load() // changed while it came in
+	req := x.Request
+	req.FormerClass = req.FormerClass || x.Terms != l.terms.Load() // changed while it came in
 	if req.Incomplete {
 		r.setDeadlines(l.clock.now() + maxUploadTime)
-		req.Timeout = x.clientWaits - r.margin()
+		req.Timeout = x.Timeout - r.margin()
 	} else {
-		r.setDeadlines(x.came)
+		r.setDeadlines(x.ReceivedAt)
 		req.Timeout = max(0, r.deadline-l.clock.now())
 	}
 	heap.Push(&l.timers, r.backstop)
@@ -70,19 +71,19 @@
 
 // margin is how long before its client stops waiting a request has to be answered.
 func (r *request) margin() time.Duration {
-	return min(answerMargin, r.clientWaits/answerMarginFraction)
+	return min(answerMargin, r.Timeout/answerMarginFraction)
 }
 
 // setDeadlines sets the deadlines of a request by when its last byte came.
 func (r *request) setDeadlines(came policy.Time) {
-	end := came + r.clientWaits
+	end := came + r.Timeout
 	r.deadline, r.backstop.due = end-r.margin(), end-r.margin()/2
 }
 
 // finishUpload starts the time of a request that was sent on while it came in, or ends one that broke off.
 func (l *loop) finishUpload(r *request, err error) {
 	if err != nil {
-		status, _ := uploadStatus(err)
+		status, _ := downstream.BodyErrorStatus(err)
 		l.fail(r, status)
 		return
 	}
@@ -90,7 +91,7 @@
 	r.setDeadlines(now)
 	heap.Fix(&l.timers, r.backstop.at)
 	r.attempts[len(r.attempts)-1].sentAt = now
-	l.decide(policy.RequestComplete{ID: r.req.ID})
+	l.decide(policy.RequestComplete{ID: r.Request.ID})
 }
 
 // cancelRequest ends a request whose client has left.
@@ -100,13 +101,13 @@
 		return
 	}
 	l.settle(r)
-	l.decide(policy.ClientCancelled{ID: r.req.ID})
+	l.decide(policy.ClientCancelled{ID: r.Request.ID})
 	l.forget(r)
 }
 
 // requestOf is the open request of x. Another one may have its id by now.
-func (l *loop) requestOf(x *exchange) *request {
-	if r := l.requests[x.req.ID]; r != nil && r.exchange == x {
+func (l *loop) requestOf(x *downstream.Exchange) *request {
+	if r := l.requests[x.Request.ID]; r != nil && r.Exchange == x {
 		return r
 	}
 	return nil
@@ -115,7 +116,7 @@
 // cancelAttempts ends the attempts of r that are under way.
 func (r *request) cancelAttempts() {
 	for _, a := range r.attempts {
-		a.flight.stop(context.Canceled)
+		a.flight.Cancel()
 	}
 }
 
@@ -130,13 +131,13 @@
 func (l *loop) forwardAnswer(e answerBegun) {
 	a := &e.r.attempts[e.n]
 	if e.r.ended {
-		a.flight.stop(context.Canceled)
+		a.flight.Cancel()
 		return
 	}
-	a.flight.bound(time.Time{})
+	a.flight.SetDeadline(time.Time{})
 	a.answeredAt = l.clock.now()
-	l.answer(e.r, e.answer)
-	l.decide(policy.FirstByte{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Latency: a.answeredAt - a.sentAt})
+	l.answer(e.r, e.Response)
+	l.decide(policy.FirstByte{ID: e.r.Request.ID, Server: a.server, Attempt: e.n, Latency: a.answeredAt - a.sentAt})
 }
 
 // endAttempt reports the outcome of an attempt to the balancer, and answers its client if it succeeded.
@@ -146,33 +147,33 @@
 	over := l.clock.now()
 	if a.answeredAt > 0 { // how long the client took to read it says nothing of the server
 		if over-a.answeredAt > maxReportAge {
-			e.report = nil
+			e.LoadReport = nil
 		}
 		over = a.answeredAt
 	}
-	if e.code == policy.OK && !e.r.ended {
-		l.answer(e.r, e.answer)
+	if e.Code == policy.OK && !e.r.ended {
+		l.answer(e.r, forwardedResponse(e.Response))
 	}
-	l.decide(policy.Outcome{ID: e.r.req.ID, Server: a.server, Attempt: e.n, Code: e.code,
-		Latency: over - a.sentAt, RequestEnded: e.r.ended, BodyConsumed: e.r.bodyConsumed(), LoadReport: e.report})
+	l.decide(policy.Outcome{ID: e.r.Request.ID, Server: a.server, Attempt: e.n, Code: e.Code,
+		Latency: over - a.sentAt, RequestEnded: e.r.ended, BodyConsumed: e.r.bodyConsumed(), LoadReport: e.LoadReport})
 	l.forget(e.r)
 }
 
 // bodyConsumed tells whether a request can't be written again.
-func (r *request) bodyConsumed() bool { return r.rest != nil && r.rest.begun.Load() }
+func (r *request) bodyConsumed() bool { return r.Exchange.BodyConsumed() }
 
 // answer gives the client its one answer; whatever comes later is not passed on.
-func (l *loop) answer(r *request, a answer) {
+func (l *loop) answer(r *request, a downstream.Response) {
 	if !r.ended {
 		l.settle(r)
-		r.reply <- a
+		r.Reply <- a
 	}
 }
 
 // fail answers a request for which the balancer has no answer in time, and reports that to it.
 func (l *loop) fail(r *request, status int) {
-	l.answer(r, answer{status: status})
-	l.decide(policy.ClientCancelled{ID: r.req.ID})
+	l.answer(r, downstream.Response{Status: status})
+	l.decide(policy.ClientCancelled{ID: r.Request.ID})
 	l.forget(r)
 }
 
@@ -181,7 +182,7 @@
 func (l *loop) settle(r *request) {
 	r.ended = true
 	for _, a := range r.attempts {
-		a.flight.ground()
+		a.flight.CancelUnlessConnected()
 	}
 	l.unanswered--
 	if r.backstop.at >= 0 { // else it would keep the request until a deadline that may be far off
@@ -191,7 +192,7 @@
 
 // forget drops a request that is answered and has no attempt under way.
 func (l *loop) forget(r *request) {
-	if r.ended && r.pending == 0 && l.requests[r.req.ID] == r {
-		delete(l.requests, r.req.ID)
+	if r.ended && r.pending == 0 && l.requests[r.Request.ID] == r {
+		delete(l.requests, r.Request.ID)
 	}
 }
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -1,7 +1,6 @@
 package node
 
 import (
-	"bufio"
 	"context"
 	"fmt"
 	"io"
@@ -15,15 +14,16 @@
 	"time"
 
 	"sloerail/internal/node/config"
-	"sloerail/internal/node/discovery"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/nodetest"
+	"sloerail/internal/node/upstream"
 	"sloerail/policy"
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(benchPeer) != "" {
+	if os.Getenv(benchPeerEnv) != "" {
 		if err := playPeers(os.Stdin, os.Stdout); err != nil {
-			fmt.Fprintln(os.Stderr, "bench peers:", err)
+			_, _ = fmt.Fprintln(os.Stderr, "bench peers:", err)
 			os.Exit(1)
 		}
 		return
@@ -75,53 +75,12 @@
 	return c
 }
 
-func members(t *testing.T, addrs ...string) []discovery.Endpoint {
-	t.Helper()
-	l, err := discovery.ParseList([]byte(nodetest.KnownList(addrs...)))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return l.Endpoints
-}
-
-// rawServer runs a server of one's own at the level of the connection.
-func rawServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) string {
-	t.Helper()
-	ln := nodetest.Listener(t)
-	go acceptRaw(ln, serve)
-	return ln.Addr().String()
-}
-
-// acceptRaw serves each connection that comes, until ln is closed.
-func acceptRaw(ln net.Listener, serve func(net.Conn, *bufio.Reader)) {
-	for {
-		c, err := ln.Accept()
-		if err != nil {
-			return
-		}
-		go func() {
-			defer c.Close()
-			serve(c, bufio.NewReader(c))
-		}()
-	}
-}
-
-// swallow reads a request to its last byte.
-func swallow(r *bufio.Reader) bool {
-	req, err := http.ReadRequest(r)
-	if err != nil {
-		return false
-	}
-	_, err = io.Copy(io.Discard, req.Body)
-	return err == nil
-}
-
-func testExchange(method, id string, body string) *exchange {
-	x := &exchange{req: policy.Request{ID: id, Class: "read", Tenant: "t"}, method: method,
-		path: "/api?q=a%20b", host: "origin.svc", body: []byte(body),
-		came: timeOrigin, clientWaits: nodetest.Timeout, reply: make(chan answer, 1)}
+func testExchange(method, id string, body string) *downstream.Exchange {
+	x := &downstream.Exchange{Request: policy.Request{ID: id, Class: "read", Tenant: "t"},
+		Forwarded:  upstream.Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)},
+		ReceivedAt: timeOrigin, Timeout: nodetest.Timeout, Reply: make(chan downstream.Response, 1)}
 	if method == http.MethodPost {
-		x.key = "k-" + id
+		x.Forwarded.IdempotencyKey = "k-" + id
 	}
 	return x
 }
@@ -133,11 +92,22 @@
 	return startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, nil)
 }
 
-// testSockets are as many descriptors for connections.
-func testSockets(n int64) *sockets {
-	s := new(sockets)
-	s.total.Store(n)
-	return s
+// testDescriptors are as many descriptors for connections.
+func testDescriptors(n int) *upstream.Descriptors {
+	d := new(upstream.Descriptors)
+	d.SetTotal(n)
+	return d
+}
+
+// reuseDelay is longer than a connection to a server is left unused after a response.
+const reuseDelay = 20 * time.Millisecond
+
+// dialWith has the connections to servers made by a function, from now on.
+func (l *loop) dialWith(t *testing.T, dial config.DialFunc) {
+	t.Helper()
+	c := testConfig(t, nodetest.KnownList())
+	c.Dial = dial
+	l.up.Configure(transportConfig(c))
 }
 
 // serveAt has s take clients.
@@ -148,15 +118,15 @@
 
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
-	s.loop.up.sockets.total.Store(config.MinSockets)
+	s.loop.up.Descriptors().SetTotal(config.MinSockets)
 	ended := make(chan error, 1)
-	go func() { ended <- s.accept(ln) }()
+	go func() { ended <- s.Accept(ln) }()
 	t.Cleanup(func() {
-		ln.Close()
+		nodetest.CloseOnce(t, ln)
 		if err := nodetest.Receive(t, "the end of accepting", ended); err != nil {
 			t.Error(err)
 		}
-		s.shutdown(time.Now())
+		s.Shutdown(time.Now())
 	})
 	return ln.Addr().String()
 }
@@ -187,11 +157,11 @@
 	})
 	addr = at.Clients.Addr().String()
 	nodetest.Await(t, "readiness", func() bool {
-		resp, err := onceClient(t).Get("http://" + addr + readyPath)
+		resp, err := oneRequestClient(t).Get("http://" + addr + downstream.ReadyPath)
 		if err != nil {
 			return false
 		}
-		resp.Body.Close()
+		nodetest.CloseOnce(t, resp.Body)
 		return resp.StatusCode == http.StatusOK
 	})
 	return addr, stop
@@ -219,13 +189,13 @@
 	return req
 }
 
-// onceClient makes a connection for each request.
-func onceClient(t testing.TB) *http.Client {
+// oneRequestClient makes a connection for each request.
+func oneRequestClient(t testing.TB) *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: nodetest.Dialer(t)}}
 }
 
-// keptClient keeps the one connection that it has to a host.
-func keptClient(t testing.TB) *http.Client {
+// keepAliveClient keeps the one connection that it has to a host.
+func keepAliveClient(t testing.TB) *http.Client {
 	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DialContext: nodetest.Dialer(t)}}
 	t.Cleanup(c.CloseIdleConnections)
 	return c
@@ -233,11 +203,11 @@
 
 func do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
-	resp, err := onceClient(t).Do(req)
+	resp, err := oneRequestClient(t).Do(req)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer resp.Body.Close()
+	defer nodetest.CloseOnce(t, resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
