--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -13,7 +13,7 @@
 		b.giveUp(r)
 		return
 	}
-	if s := b.pickProbe(r); s != nil {
+	if s := b.claimProbe(r); s != nil {
 		b.sendAttempt(r, s, true)
 		return
 	}
@@ -32,12 +32,13 @@
 	}
 }
 
-// pickProbe returns a server that needs a probe which r may be, if there is one.
-func (b *Balancer) pickProbe(r *request) *server {
-	if s := b.pickProbation(r); s != nil {
+// claimProbe returns a server that needs a probe which r may be, and marks it as being probed; nil if there
+// is none.
+func (b *Balancer) claimProbe(r *request) *server {
+	if s := b.claimProbation(r); s != nil {
 		return s
 	}
-	return b.pickZoneProbe(r)
+	return b.claimZoneProbe(r)
 }
 
 // attemptsExhausted reports whether a request has had its attempts, or a response would come too late.
@@ -52,7 +53,7 @@
 		b.retryBudget.recordRetry(b.now)
 	}
 	b.emit(Action{Kind: Send, ID: r.ID, Server: s.ID, AttemptDeadline: r.usefulUntil})
-	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, probation: isProbe,
+	r.attempts = append(r.attempts, attempt{server: s, sentAt: b.now, isProbe: isProbe,
 		warmingUp: b.isLimitedByWarmup(s), uncounted: r.Incomplete})
 	r.pendingAttempts++
 	s.lastSentAt = b.now
@@ -65,10 +66,10 @@
 }
 
 // countInFlight counts an attempt as in flight at its server (by 1), or no longer (by -1).
-func (b *Balancer) countInFlight(a *attempt, by int) {
-	a.uncounted = by < 0
-	if a.server.inFlight += by; !a.warmingUp {
-		b.window.inFlight += by
+func (b *Balancer) countInFlight(a *attempt, change int) {
+	a.uncounted = change < 0
+	if a.server.inFlight += change; !a.warmingUp {
+		b.window.inFlight += change
 	}
 }
 
@@ -118,14 +119,14 @@
 
 // observeOutcome updates what is measured of the server and of the class by the outcome of an attempt.
 func (b *Balancer) observeOutcome(r *request, a *attempt, e Outcome) {
-	if a.probation {
+	if a.isProbe {
 		a.server.outlier.probationInFlight = false
 	}
 	switch e.Code {
 	case NotAttempted:
 		return
 	case Cancelled:
-		if !a.probation { // the node's own doing, unless it is a probe that its client didn't wait for
+		if !a.isProbe { // the node's own doing, unless it is a probe that its client didn't wait for
 			return
 		}
 	case OK, ServerError, Overloaded:
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -7,11 +7,12 @@
 )
 
 const (
-	// listBackoffBase is the mean wait before a failed subscription to the list is repeated. It doubles with
-	// each further failure up to listBackoffMax, which leaves time for several tries before a change of the
-	// list has to be followed.
-	listBackoffBase = 500 * time.Millisecond
-	listBackoffMax  = time.Second
+	// resubscribeBackoffBase is the mean wait before a failed subscription to the list is repeated. It doubles
+	// with each further failure up to resubscribeBackoffMax, which leaves time for several tries before a
+	// change of the list has to be followed. A node that doesn't subscribe has its own backoff, in
+	// internal/node/discovery/backoff.go.
+	resubscribeBackoffBase = 500 * time.Millisecond
+	resubscribeBackoffMax  = time.Second
 	// maxBackoffDoublings keeps the shift by the number of failures in range.
 	maxBackoffDoublings = 8
 	// maxRetainTime bounds how long servers are retained that the list takes away in a mass.
@@ -36,8 +37,8 @@
 
 // nextBackoff is the wait before the next call after one that failed, spread among nodes.
 func (l *endpointList) nextBackoff(pollInterval time.Duration, rng *rand.Rand) time.Duration {
-	longest := min(listBackoffMax, cmp.Or(pollInterval/4, listBackoffMax))
-	mean := min(longest, listBackoffBase<<min(l.failures, maxBackoffDoublings))
+	longest := min(resubscribeBackoffMax, cmp.Or(pollInterval/4, resubscribeBackoffMax))
+	mean := min(longest, resubscribeBackoffBase<<min(l.failures, maxBackoffDoublings))
 	l.failures++
 	return time.Duration((0.5 + rng.Float64()) * float64(mean))
 }
@@ -77,7 +78,7 @@
 func (b *Balancer) followSubscription(kind ListKind) {
 	switch {
 	case kind == ListCached && b.settings.SubscribeList && b.isLargeFleet():
-		longest := min(2*listBackoffMax, b.settings.Rules.DrainGrace)
+		longest := min(2*resubscribeBackoffMax, b.settings.Rules.DrainGrace)
 		b.subscribeListAfter(time.Duration(b.rng.Float64() * float64(longest)))
 	case kind == ListCached && b.settings.SubscribeList:
 		b.subscribeList()
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -124,14 +124,14 @@
 			later = max(later, wait(b.Handle(0, EndpointList{Kind: ListUnavailable})))
 		}
 		b.Handle(0, EndpointList{Kind: ListUpdate})
-		if w := wait(b.Handle(0, EndpointList{Kind: ListUnavailable})); w > listBackoffBase*3/2 {
+		if w := wait(b.Handle(0, EndpointList{Kind: ListUnavailable})); w > resubscribeBackoffBase*3/2 {
 			t.Fatalf("after a list the next failure waits %v", w)
 		}
 	}
 	if first > set.Rules.DrainGrace || len(seen) < 100 {
 		t.Errorf("the first subscriptions wait up to %v and %d of 200 waits differ", first, len(seen))
 	}
-	if later < 2*meanFailed || later > listBackoffMax*3/2 {
+	if later < 2*meanFailed || later > resubscribeBackoffMax*3/2 {
 		t.Errorf("the first failure waits %v, later ones up to %v", meanFailed, later)
 	}
 }
@@ -143,9 +143,9 @@
 		failures     int
 		mean         time.Duration
 	}{
-		{0, 0, listBackoffBase},
-		{0, 1, 2 * listBackoffBase},
-		{0, 100, listBackoffMax},
+		{0, 0, resubscribeBackoffBase},
+		{0, 1, 2 * resubscribeBackoffBase},
+		{0, 100, resubscribeBackoffMax},
 		{time.Second, 100, 250 * ms},
 	} {
 		l := endpointList{failures: c.failures}
@@ -172,7 +172,7 @@
 			t.Fatal("no subscription at the start")
 		}
 		timers := actionsOf(b.Handle(2*time.Second, EndpointList{Kind: ListUnavailable}), SetTimer)
-		if len(timers) != 1 || timers[0].Wait < listBackoffBase/2 || timers[0].Wait > listBackoffBase*3/2 {
+		if len(timers) != 1 || timers[0].Wait < resubscribeBackoffBase/2 || timers[0].Wait > resubscribeBackoffBase*3/2 {
 			t.Fatalf("after a failed call: %+v", timers)
 		}
 		waits[timers[0].Wait] = true
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -37,7 +37,7 @@
 	if got := old.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != tokens-2 {
 		t.Errorf("%d tokens after two requests, want %d: no refill", got, tokens-2)
 	}
-	if old.hasWarmupBudget(old.servers["young"]) {
+	if old.refillWarmupBudget(old.servers["young"]) {
 		t.Error("a process that handed over may send to a server that is warming up")
 	}
 	old.Handle(now, HandedOver{})
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -196,12 +196,12 @@
 func (b *Balancer) updateOutlierState(a *attempt, code Code, failureWeight float64) {
 	s, state := a.server, &a.server.outlier
 	switch {
-	case state.ejected && a.probation && code == OK:
+	case state.ejected && a.isProbe && code == OK:
 		if state.probationSuccesses++; state.probationSuccesses >= probationSuccessesNeeded {
 			*state, s.concurrencyLimit = outlierState{}, b.initialLimit()
 			b.ejectionChanged(s)
 		}
-	case state.ejected && a.probation:
+	case state.ejected && a.isProbe:
 		b.eject(s)
 	case code == OK:
 		state.addSuccess()
@@ -212,15 +212,16 @@
 	}
 }
 
-// pickProbation returns an ejected server that is due for a request of its probation, or nil. The request
-// has to be of a class that is as safe to retry as any that may use the server.
-func (b *Balancer) pickProbation(r *request) *server {
+// claimProbation returns an ejected server that is due for a request of its probation, and marks that one
+// as in flight; nil if there is none. The request has to be of a class that is as safe to retry as any that
+// may use the server.
+func (b *Balancer) claimProbation(r *request) *server {
 	if r.class.eligible.ejected == 0 || len(r.attempts) > 0 {
 		return nil
 	}
 	for s := range b.probationCandidates(r.class) {
 		if s.outlier.isDue(b.now) && !s.zone.isEvacuated() && r.class.RetrySafety >= s.retrySafety &&
-			b.hasWarmupBudget(s) {
+			b.refillWarmupBudget(s) {
 			s.outlier.probationInFlight = true
 			return s
 		}
@@ -231,7 +232,7 @@
 	return nil
 }
 
-// probationCandidates are the servers among which pickProbation looks. Where limits rest on load reports,
+// probationCandidates are the servers among which claimProbation looks. Where limits rest on load reports,
 // nodes are many, and probation by all of them would keep an overloaded server from recovering: there the
 // whole walk counts, which ends at the first server with capacity.
 func (b *Balancer) probationCandidates(c *class) iter.Seq[*server] {
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -19,10 +19,10 @@
 		t.Fatal("overloaded servers are not ejected")
 	}
 	b.now += maxEjectionTime
-	if s := b.pickProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != first {
+	if s := b.claimProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != first {
 		t.Errorf("the probation request goes to %+v, want the first server of the walk", s)
 	}
-	if s := b.pickProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != nil {
+	if s := b.claimProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != nil {
 		t.Errorf("%s gets a probation request, though servers before it have capacity", s.ID)
 	}
 }
--- a/policy/request.go
+++ b/policy/request.go
@@ -22,7 +22,7 @@
 	sentAt       Time // or, for a request whose end came later, when it was complete
 	finished     bool // its outcome is known
 	provenNotRun bool // the outcome proves that the server never ran it
-	probation    bool // it probes an ejected server, or one of an evacuated zone
+	isProbe      bool // it probes an ejected server, or one of an evacuated zone
 	warmingUp    bool // its server was warming up
 	uncounted    bool // it isn't in flight: the request is incomplete yet, or its response has begun
 }
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -7,9 +7,9 @@
 // defaultRetryBudget holds where the settings state none.
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
 
-// limitMargin keeps the retries below the limit rather than at it, so that neither the ratio's rounding nor a
-// host that counts the edges of the window otherwise makes them one too many.
-const limitMargin = 1e-9
+// retryLimitMargin, in retries, keeps their number below the limit rather than at it, so that neither the
+// ratio's rounding nor another way to count entries that are just as old as the window makes it one too many.
+const retryLimitMargin = 1e-9
 
 // retryBudget bounds the retries of a node: in any window they number fewer than MinRetries plus RetryRatio
 // of the requests that the node received in it. Both are counted exactly, over a sliding window; where an
@@ -39,7 +39,7 @@
 // allows reports whether the budget has one more retry.
 func (r *retryBudget) allows(now Time) bool {
 	r.trim(now)
-	return float64(len(r.retriesAt)+1) <= r.limit()-limitMargin
+	return float64(len(r.retriesAt)+1) <= r.limit()-retryLimitMargin
 }
 
 // exhaust counts as many retries as the whole budget has, for another process may have made them.
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -51,7 +51,7 @@
 // isUsable reports whether a request may go to a server now.
 func (b *Balancer) isUsable(r *request, s *server) bool {
 	return !s.outlier.ejected && !s.zone.isClosed() && r.mayRunOn(s, b.now) && b.answersInTime(r, s) &&
-		b.hasWarmupBudget(s)
+		b.refillWarmupBudget(s)
 }
 
 // answersInTime reports whether a server likely answers a request while that is useful. Servers that are
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -163,26 +163,26 @@
 	return b.usesLoadReports() && b.warmFraction(s) < 1
 }
 
-// hasWarmupBudget reports whether a server may get a request as far as its warm-up goes; always once it has
-// warmed up. What a warmed-up server completes for this node is, summed over the nodes, what one can take;
-// a server that is warming up gets the part of that which it has reached, below the multiple at which the
-// site's rules say that it becomes overloaded. Where load is reported, the service rate of its kind counts
-// instead.
-func (b *Balancer) hasWarmupBudget(s *server) bool {
+// refillWarmupBudget refills the budget of a server that is warming up, and reports whether the server may
+// get a request as far as its warm-up goes; always once it has warmed up. What a warmed-up server completes
+// for this node is, summed over the nodes, what one can take; a server that is warming up gets the part of
+// that which it has reached, below the multiple at which the site's rules say that it becomes overloaded.
+// Where load is reported, the service rate of its kind counts instead.
+func (b *Balancer) refillWarmupBudget(s *server) bool {
 	fraction := b.warmFraction(s)
 	if fraction >= 1 || b.handedOver {
 		return fraction >= 1
 	}
 	rules, nodes := &b.settings.Rules, float64(b.settings.NodeCount)
-	mean := b.serverPeakRate()
+	perServerRate := b.serverPeakRate()
 	if kind := b.loads.byKind[s.Kind]; kind != nil {
-		mean = kind.rate / nodes
+		perServerRate = kind.rate / nodes
 		fraction = max(fraction, min(1, targetUtilization*s.reportedRate/kind.rate))
 	}
-	mean = max(mean, minWarmupRate/nodes)
-	rate := warmupMargin * max(minOverloadMargin, rules.OverloadMultiple-1) * fraction * mean
+	perServerRate = max(perServerRate, minWarmupRate/nodes)
+	rate := warmupMargin * max(minOverloadMargin, rules.OverloadMultiple-1) * fraction * perServerRate
 	if b.usesLoadReports() {
-		rate = warmupMargin * fraction * mean * s.concurrencyLimit // scaled down while it is overloaded or slow
+		rate = warmupMargin * fraction * perServerRate * s.concurrencyLimit // less while it is overloaded or slow
 	}
 	maxTokens := max(1, rate*rules.OverloadDuration.Seconds()/warmupBurstDivisor)
 	return s.warmupBudget.refill(b.now, rate, maxTokens)
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -297,7 +297,7 @@
 	rate := func() float64 { // of requests to a server that has half warmed up
 		s := b.servers["s00"]
 		s.StartedAt, s.warmupBudget = b.now, warmupBudget{refilledAt: b.now - 10*ms}
-		b.hasWarmupBudget(s)
+		b.refillWarmupBudget(s)
 		return s.warmupBudget.tokens / 0.01
 	}
 	allowed := rate()
@@ -371,7 +371,7 @@
 	sends := 0
 	for range span * 10 {
 		b.now += 5 * ms
-		if b.hasWarmupBudget(warmingUp) {
+		if b.refillWarmupBudget(warmingUp) {
 			warmingUp.warmupBudget.tokens--
 			sends++
 		}
@@ -461,7 +461,7 @@
 		s := b.order()[0]
 		s.StartedAt = b.now
 		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
-		b.hasWarmupBudget(s)
+		b.refillWarmupBudget(s)
 		if got, rate := s.warmupBudget.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
 			t.Errorf("multiple %v: %v requests in 10 ms, want %v", multiple, got, rate)
 		}
--- a/policy/zone_failover.go
+++ b/policy/zone_failover.go
@@ -57,15 +57,16 @@
 
 // nextToProbe returns a server of an evacuated zone that is due for a probe, or nil: the one without
 // attempts in flight that was longest sent nothing, of those that are no safer to retry than the request's
-// class.
-func (f *zoneFailover) nextToProbe(c *class, now Time, hasBudget func(*server) bool) *server {
+// class. The zone counts as probed now.
+func (f *zoneFailover) nextToProbe(c *class, now Time, refillBudget func(*server) bool) *server {
 	for _, z := range f.all {
 		if !z.isEvacuated() || now < max(z.evacuatedUntil, z.lastProbeAt+zoneProbeInterval) {
 			continue
 		}
 		var next *server
 		for s := range c.eligible.all {
-			if s.zone == z && s.mayBeProbedBy(c) && hasBudget(s) && (next == nil || s.lastSentAt < next.lastSentAt) {
+			if s.zone == z && s.mayBeProbedBy(c) && refillBudget(s) &&
+				(next == nil || s.lastSentAt < next.lastSentAt) {
 				next = s
 			}
 		}
@@ -136,12 +137,13 @@
 // chooseZones draws which zones a request may go to now.
 func (b *Balancer) chooseZones(r *request) { b.zones.chooseZones(r.class, len(r.attempts) > 0, b.now) }
 
-// pickZoneProbe returns a server of an evacuated zone that a request should probe, or nil.
-func (b *Balancer) pickZoneProbe(r *request) *server {
+// claimZoneProbe returns a server of an evacuated zone that a request should probe, and marks the zone as
+// probed now; nil if there is none.
+func (b *Balancer) claimZoneProbe(r *request) *server {
 	if !b.zones.degraded || len(r.attempts) > 0 {
 		return nil
 	}
-	s := b.zones.nextToProbe(r.class, b.now, b.hasWarmupBudget)
+	s := b.zones.nextToProbe(r.class, b.now, b.refillWarmupBudget)
 	if s != nil {
 		s.outlier.probationInFlight = s.outlier.ejected // it counts for the server's probation too
 	}
