--- a/internal/registry/admin.go
+++ b/internal/registry/admin.go
@@ -6,7 +6,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// gauges are the metrics of a replica.
+// gauges are the metrics of a replica. Those in _total are counters: they are exposed as gauges too, because a Status
+// already has their values. The names are frozen for operators; "held" leases are those whose expiry is suspended.
 var gauges = []struct {
 	name  string
 	value func(Status) float64
--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -44,7 +44,11 @@
 		case hasStatus(err, http.StatusBadRequest):
 			return err
 		default:
-			slog.Warn("registry agent: registry unreachable", "id", a.Endpoint.ID, "error", err)
+			message := "registry agent: registry unreachable"
+			if errors.As(err, new(StatusError)) {
+				message = "registry agent: registry rejected the call"
+			}
+			slog.Warn(message, "id", a.Endpoint.ID, "error", err)
 			wait = maxBackoff/2 + rand.N(maxBackoff)
 		}
 	}
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -52,10 +52,11 @@
 	return errors.As(err, &status) && status.StatusCode != http.StatusServiceUnavailable
 }
 
-// Do calls a path with a body (nil for none), and decodes the response into out (nil for none). An attempt that fails is
-// retried at the next address with exponential backoff, until ctx ends or maxAttempts. All attempts have one request
-// id, so that a retried write is carried out once. ifMatch is the version that a write requires, 0 for any. The error of
-// a call that was answered is a StatusError.
+// Do calls a path with a body (nil for none), and decodes the response into out (nil for none). ifMatch is the version
+// that a write requires, 0 for any. An attempt without a response that can be read and decoded, or with the status 503,
+// is retried at the next address with exponential backoff, until ctx ends or maxAttempts; any other status is final.
+// All attempts have one request id, so that a retried write is carried out once. The error of a response with another
+// status than 200 is a StatusError.
 func (c *Client) Do(ctx context.Context, method, path string, in, out any, ifMatch int64) error {
 	call := clientCall{method: method, path: path, requestID: rand.Text(), ifMatch: ifMatch}
 	if in != nil {
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -9,7 +9,8 @@
 //	raft_fsm.go     hands it to the store once a quorum has it
 //	store.go        carries it out: a pure state machine
 //
-// A watch waits in http_list.go until watchable_store.go notifies it of a change.
+// A watch waits in http_list.go until watchableStore.notify in watchable_store.go wakes it; that of a scope until
+// watcher_group.go does. It then answers with the changes, or with the whole list where the history lacks some.
 //
 // Who owns which state:
 //
@@ -23,6 +24,10 @@
 //	Replica         raft, its log, and the goroutines of the leader and the follower
 //	Server          limits and counters of the HTTP side
 //
+// Raft calls the fsm, and through it the Store, from one goroutine of its own. HTTP handlers read the Store under
+// watchableStore's lock. Replica starts two goroutines, runLeader and runFollower, and ends them in Close; freshness has
+// a lock of its own.
+//
 // A lease expires in lessor.expire. A follower learns how far it lags in Replica.pollLeader. Calls are rejected for a
 // stale list in Server.checkAge, and for lack of capacity in Server.acquire.
 package registry
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -97,7 +97,8 @@
 	return nil
 }
 
-// validateService accepts names that can stand in a query's comma-separated list.
+// validateService accepts names that can stand in a query's comma-separated list. checkServiceName in
+// internal/node/discovery has the same rule, for a node must not link this package's raft.
 func validateService(name string) error {
 	if name == "" || len(name) > maxFieldBytes {
 		return invalidField("service", "want 1 to %d bytes, got %d", maxFieldBytes, len(name))
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -1,6 +1,9 @@
 package registry
 
-import "errors"
+import (
+	"errors"
+	"fmt"
+)
 
 var (
 	// ErrNotLeader is a write, or a question to the leader, at a replica that isn't the leader. The error that wraps
@@ -11,6 +14,10 @@
 	// with the same RequestID gets the result, whichever it was.
 	ErrNotCommitted = errors.New("registry: not committed by a quorum in time")
 
+	// ErrNoTick is an ErrNotCommitted: the leader is new, and no quorum has stored a tick of its lease time yet, so it
+	// can't tell how old its list is.
+	ErrNoTick = fmt.Errorf("%w: the leader's first tick", ErrNotCommitted)
+
 	// ErrStale is a list that is older than a replica may serve, or whose age the replica can't tell.
 	ErrStale = errors.New("registry: list not fresh")
 
--- a/internal/registry/errors_test.go
+++ b/internal/registry/errors_test.go
@@ -17,6 +17,7 @@
 		{&CommitError{Reason: raft.ErrEnqueueTimeout}, []error{ErrNotCommitted, raft.ErrEnqueueTimeout},
 			"not kept by most replicas in time: timed out enqueuing operation"},
 		{ErrNotCommitted, []error{ErrNotCommitted}, "not kept by most replicas in time"},
+		{ErrNoTick, []error{ErrNoTick, ErrNotCommitted}, "not kept by most replicas in time"},
 		{ResultNotFound.Err(), []error{ErrInstanceNotFound}, "registry: instance not found"},
 		{ResultVersionMismatch.Err(), []error{ErrVersionMismatch}, "registry: instance has another version"},
 		{ResultTooManyInstances.Err(), []error{ErrTooManyInstances}, "registry: too many instances"},
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -16,14 +16,14 @@
 const progressPollInterval = 250 * time.Millisecond
 
 // progress returns the last command that this replica has applied, and the list's age. The error is ErrNotLeader, or
-// ErrNotCommitted where this leader has committed no tick yet.
+// ErrNoTick where this leader has committed no tick yet.
 func (r *Replica) progress() (progressResponse, error) {
 	age, known := r.Age()
 	if !r.isLeader() {
 		return progressResponse{}, r.notLeaderError()
 	}
 	if !known {
-		return progressResponse{}, ErrNotCommitted
+		return progressResponse{}, ErrNoTick
 	}
 	progress := progressResponse{AgeMs: age.Milliseconds() + 1} // rounded up
 	r.store.view(func(s *Store) { progress.Index = s.appliedIndex })
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -84,6 +84,8 @@
 		w.Header().Set("ETag", etag(result.Instance.Version))
 		http.Error(w, string(result.Code), http.StatusPreconditionFailed)
 	case errors.Is(err, ErrTooManyInstances), errors.Is(err, ErrUnknownCommand):
+		// Neither succeeds when it is repeated: the store is full, or this replica's version doesn't know the command.
+		// A 503 would have clients retry.
 		http.Error(w, string(result.Code), http.StatusInsufficientStorage)
 	case err != nil:
 		unavailable(w, err)
--- a/internal/registry/lessor.go
+++ b/internal/registry/lessor.go
@@ -14,7 +14,9 @@
 	minMassExpirations  = 3
 	expirationWindow    = 30 * time.Second
 
-	maxClockStep = 5 * time.Second // that one AdvanceClock counts for, however late it is
+	// maxClockStep bounds what one AdvanceClock counts for, however late it is: agents can't renew while the leader
+	// stands still, so their leases must not run out for it.
+	maxClockStep = 5 * time.Second
 )
 
 // lessor decides when leases expire. It has lease time, the sum of the time that passed at all leaders, in which
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -17,7 +17,7 @@
 	heartbeatTimeout   = 500 * time.Millisecond // a follower without a heartbeat for that long starts an election
 	leaderLeaseTimeout = 250 * time.Millisecond // a leader without a quorum's answers for that long steps down
 
-	retainedSnapshots = 2
+	retainedSnapshots = 2               // on disk: the one before the newest serves where the newest can't be read
 	snapshotInterval  = 2 * time.Minute // between checks whether a snapshot is due
 	snapshotThreshold = 8192            // commands after which a snapshot is due
 	trailingCommands  = 4096            // kept in the log behind a snapshot, for replicas that lag
--- a/internal/registry/scope.go
+++ b/internal/registry/scope.go
@@ -11,7 +11,7 @@
 
 // Bounds on what a call may ask for.
 const (
-	maxScopeServices = 256
+	maxScopeServices = 256     // as in internal/node/discovery, which checks it before the call
 	maxSubsetClients = 100_000 // nodes among which a service is divided
 )
 
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -41,9 +41,9 @@
 	counters      counters
 }
 
-// counters are what a Server has done since its start.
+// counters are what a Server has done since its start, and the watches that wait at it now.
 type counters struct {
-	watches                      atomic.Int64 // that wait now
+	watches                      atomic.Int64 // that wait now: the only one that falls
 	lists, writes                atomic.Uint64
 	callsRejected, callsTooStale atomic.Uint64
 }
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxInstances = 150_000
+	maxInstances = 150_000 // and maxSubset in internal/node/discovery
 
 	// epochShift is the number of bits of a revision below its epoch. All revisions of an epoch are above those of
 	// the epoch before it.
