--- a/internal/node/discovery/backoff.go
+++ b/internal/node/discovery/backoff.go
@@ -8,8 +8,9 @@
 
 const (
 	minBackoff = 25 * time.Millisecond
-	// maxBackoff is short because a change counts as notified once the list service has it, also while the node
-	// pauses: a server that drains must not get requests for longer than its grace.
+	// maxBackoff is short because the operators count the grace of a draining server from when the list service can
+	// tell of it, also while the node pauses. A Target with Subscribe doesn't pause here: the node's policy decides when
+	// to subscribe again (resubscribeBackoffBase in policy/endpoint_list.go).
 	maxBackoff = 200 * time.Millisecond
 )
 
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -214,7 +214,8 @@
 }
 
 // Apply takes a list that a watch brought, and passes it on. An answer without changes is passed on only with
-// Subscribe, where the node waits for one.
+// Subscribe, where the node waits for one. Run calls it; a caller that feeds lists itself, as a hollow node does, must
+// not call Run, for both use the same state without a lock.
 func (c *Client) Apply(list List) {
 	c.revision = max(0, list.Revision)
 	if c.cache != nil {
--- a/internal/node/discovery/scope.go
+++ b/internal/node/discovery/scope.go
@@ -16,11 +16,13 @@
 )
 
 const (
+	// The list service has the same bounds and header names in internal/registry, which a node doesn't import: it would
+	// link raft.
 	maxScopeServices    = 256 // that the list service takes in one call
 	maxServiceNameBytes = 256
 	maxScopeQueryBytes  = 8 << 10 // in one call
-	maxSubset           = 150_000
-	maxReasonBytes      = 256 // of a rejection, in the log
+	maxSubset           = 150_000 // servers that the list service holds
+	maxReasonBytes      = 256     // of a rejection, in the log
 
 	scopedHeader  = "X-Registry-Scoped"           // in answers that are of the scope that the call named
 	unknownHeader = "X-Registry-Unknown-Services" // services of the scope that the list service doesn't know
@@ -79,7 +81,8 @@
 	return nil
 }
 
-// checkServiceName reports why a name can't be that of a service in the list.
+// checkServiceName reports why a name can't be that of a service in the list: validateService in internal/registry has
+// the same rule.
 func checkServiceName(name string) error {
 	if name == "" || len(name) > maxServiceNameBytes {
 		return fmt.Errorf("want 1 to %d bytes, got %d", maxServiceNameBytes, len(name))
--- a/internal/node/discovery/timeouts.go
+++ b/internal/node/discovery/timeouts.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// MaxNotificationDelay is how long after the list service had a change, and could be reached, that change counts
-	// as notified, whatever became of the calls meanwhile. The settings may name less.
+	// MaxNotificationDelay is the time after which the operators count a change as delivered to the node, from when the
+	// list service had it and could be reached, whatever became of the calls meanwhile. The settings may name less.
 	MaxNotificationDelay = 6 * time.Second
 	// MaxQueueTime is the longest that the list service queues a call; it rejects what would wait for longer.
 	MaxQueueTime = 2 * time.Second
 	// minWatchTimeout is given to a watch however little the settings leave: a service that answers is not silent.
 	minWatchTimeout = time.Second
-	// fullListTimeout bounds a call for the whole list: after a change of the list service's address, what it brings
-	// counts as notified 4 s after the signal.
+	// fullListTimeout bounds a call for the whole list: the operators count what a changed address of the list service
+	// brings as delivered 4 s after the signal.
 	fullListTimeout = 2500 * time.Millisecond
 )
 
@@ -26,7 +26,7 @@
 	FullList time.Duration // for the answer to a call for the whole list
 }
 
-// newTimeouts gives half of the time in which a change counts as notified to a watch that times out, and the other half
+// newTimeouts gives half of the time after which a change counts as delivered to a watch that times out, and the other half
 // to the one that follows: watches of many nodes that time out together wait for their turns, and those that are
 // rejected are repeated. The wait of a watch is short, so that MaxQueueTime and more is left beyond it wherever that
 // fits: a watch that is answered within its wait costs the service next to nothing, a new one is work.
--- a/internal/node/hotrestart/socket.go
+++ b/internal/node/hotrestart/socket.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	// socketPrefix begins the name of the socket, in $TMPDIR, at which a successor calls. The process at the other end
-	// may be of another version, which looks there: the name stays as it is.
+	// socketPrefix begins the name of the socket, in $TMPDIR, at which a successor calls: the program's former name.
+	// The process at the other end may be of another version, which looks there, so it stays as it is.
 	socketPrefix = "wayhold-"
 	socketSuffix = ".sock"
 	socketMode   = 0o600
--- a/internal/node/hotrestart/takeover.go
+++ b/internal/node/hotrestart/takeover.go
@@ -16,7 +16,7 @@
 
 const (
 	stepTimeout   = time.Second // for each step of a hand-over
-	maxStateBytes = 16 << 20    // of all messages of a predecessor
+	maxStateBytes = 16 << 20    // of all messages of a predecessor in sum, its progress included
 	readyByte     = 'S'         // a successor writes it once it serves
 )
 
