--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -41,7 +41,7 @@
 		a.config.OnProbe(roundTrip)
 	}
 	a.network.probeLoss.recordProbe(true)
-	a.members.transition(n.Name, Suspect, Alive)
+	a.members.setSuspicion(n.Name, Suspect, Alive)
 }
 
 // NotifyMsg is called for each user message. Those of another version or of an unknown kind are ignored.
@@ -79,7 +79,7 @@
 func (a *Agent) handleLogEvent(event logEvent, node string) {
 	switch event {
 	case memberSuspected:
-		a.members.transition(node, Alive, Suspect)
+		a.members.setSuspicion(node, Alive, Suspect)
 	case probeUnanswered:
 		a.network.probeLoss.recordProbe(false)
 	case suspicionRefuted:
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -60,7 +60,8 @@
 }
 
 // take reports whether an exchange is due now, and counts it as done. While loss is high, exchanges go on after those
-// of the last change. The first call after an exchange then demands the longer interval, and later calls the usual one.
+// of the last change. The first call after an exchange then demands the longer interval, and later calls the usual one:
+// a known fault, listed under "Open" in docs/membership.md.
 func (s *exchangeSchedule) take(now time.Time, peers int, lossIsHigh bool) bool {
 	interval := minExchangeInterval + time.Duration(peers)*exchangeIntervalPerMember
 	interval = interval/2 + rand.N(interval)
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -9,9 +9,12 @@
 )
 
 const (
-	leftRetention = 5 * time.Minute // members that left stay in the view so long
-	deadRetention = time.Hour       // and members that failed
-	maxMembers    = 4096            // of these, members that left or failed are dropped first
+	// Members that left or failed stay in the view at least so long: they are removed at the next change after it.
+	leftRetention = 5 * time.Minute
+	deadRetention = time.Hour
+	// maxMembers bounds the absent members only: beyond it those absent for longest are dropped. Present members are
+	// never dropped, however many they are.
+	maxMembers = 4096
 )
 
 // memberTable owns the members that this node knows and publishes each change as a new view. Its methods may be
@@ -19,9 +22,10 @@
 type memberTable struct {
 	self string
 	now  func() time.Time
-	// onTransition is called with the lock held, so that log lines have the order of the changes. before is the
-	// zero value for a new member.
-	onTransition func(before, after Member)
+	// onReported is called for each change of a state or an incarnation that gossip reports; a suspicion is this node's
+	// own, and isn't reported. It is called with the lock held, so that log lines have the order of the changes. before
+	// is the zero value for a new member.
+	onReported func(before, after Member)
 
 	mu          sync.Mutex
 	members     map[string]Member
@@ -30,8 +34,8 @@
 	subscribers []chan View // each holds the newest view at most
 }
 
-func newMemberTable(self string, now func() time.Time, onTransition func(before, after Member)) *memberTable {
-	return &memberTable{self: self, now: now, onTransition: onTransition, members: make(map[string]Member)}
+func newMemberTable(self string, now func() time.Time, onReported func(before, after Member)) *memberTable {
+	return &memberTable{self: self, now: now, onReported: onReported, members: make(map[string]Member)}
 }
 
 func (t *memberTable) view() View {
@@ -103,14 +107,15 @@
 	}
 	t.members[m.Name] = m
 	if transitioned {
-		t.onTransition(before, m)
+		t.onReported(before, m)
 	}
 	t.publishLocked()
 	return transitioned
 }
 
-// transition changes a member from one state to another; in any other state it stays.
-func (t *memberTable) transition(name string, from, to State) {
+// setSuspicion begins or ends this node's own suspicion of a member, which goes from one state to another; in any
+// other state it stays.
+func (t *memberTable) setSuspicion(name string, from, to State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	m, known := t.members[name]
@@ -123,7 +128,7 @@
 }
 
 // announceLeave records that an incarnation of a member leaves. The announcement may arrive after the member was
-// found dead, which it corrects.
+// found dead, which it corrects; Since stays that of the death, and onReported isn't called.
 func (t *memberTable) announceLeave(name string, incarnation uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/membership/member_table_test.go
+++ b/internal/membership/member_table_test.go
@@ -93,8 +93,8 @@
 	now := time.Unix(1000, 0)
 	table, _ := newTestTable(&now)
 	table.update(Member{Name: "n1", State: Dead})
-	table.transition("n1", Alive, Suspect)
-	table.transition("n2", Alive, Suspect)
+	table.setSuspicion("n1", Alive, Suspect)
+	table.setSuspicion("n2", Alive, Suspect)
 	if v := table.view(); len(v.Members) != 1 || v.Members[0].State != Dead {
 		t.Errorf("%+v", v)
 	}
--- a/internal/membership/name_conflict.go
+++ b/internal/membership/name_conflict.go
@@ -10,7 +10,8 @@
 // the gossip itself, or by a user message from a member that sees both, and leaves.
 
 // NotifyAlive is called for each alive message about a member. One with this node's name and address and a higher
-// incarnation comes from an earlier process whose clock was ahead: this process takes an incarnation above it.
+// incarnation comes from an earlier process whose clock was ahead, or, where a hot restart was taken back, from the
+// successor that is gone: this process takes an incarnation above it.
 func (d delegate) NotifyAlive(n *memberlist.Node) error {
 	a := d.agent
 	if n.Name != a.config.Name {
--- a/internal/membership/probe_loss.go
+++ b/internal/membership/probe_loss.go
@@ -6,13 +6,13 @@
 )
 
 const (
-	lossSampleWeight = 1.0 / 16
+	lossSampleWeight = 1.0 / 16              // of one probe in the rate, which so averages over some 16
 	highLossRate     = 0.05                  // of direct probes; above it datagrams are duplicated
 	duplicateDelay   = 10 * time.Millisecond // apart, because losses come in bursts
 )
 
-// probeLoss estimates the fraction of this node's direct probes that go unanswered. While it is high, each datagram
-// is sent twice: a failed probe then takes more losses at once, and a refutation arrives before its suspicion's
+// probeLoss estimates the fraction of this node's direct probes that go unanswered, and sends the datagrams of the
+// transport, for the one depends on the other alone. While the loss is high, each datagram is sent twice: a failed probe then takes more losses at once, and a refutation arrives before its suspicion's
 // timeout. Its methods may be called from any goroutine.
 type probeLoss struct {
 	mu   sync.Mutex
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -28,7 +28,7 @@
 	Version     string // of the program
 	Incarnation uint64 // of the process; of two processes with one name the higher is the member
 	State       State
-	Since       time.Time // when State or Incarnation last changed
+	Since       time.Time // when State or Incarnation last changed, but for a death corrected to Left
 
 	leaving bool // this incarnation announced that it leaves
 }
