--- a/internal/simulation/zones.go
+++ b/internal/simulation/zones.go
@@ -53,7 +53,7 @@
 		{"overflow: crossing attempts against what is beyond 0.8 of the own zone", "overflow", 0, 1.15, overflow},
 		{"return: growing took, against the law", "zone-lost", 0.8, 1.2, func(r Run) float64 { return r.growthRatio("a") }},
 		{"return: from the zone's return to the last whole share, s", "zone-lost", 0, most, func(r Run) float64 {
-			return r.lastMark("place a has its whole") - faultEnd.Seconds()
+			return r.lastMark("zone a has its whole") - faultEnd.Seconds()
 		}},
 		{"return: requests that failed", "zone-lost", 0, 0.005, func(r Run) float64 { return r.failed(faultEnd, faultEnd+15*time.Second) }},
 		{"return cold: requests that failed", "zone-cold", 0, 0.005, func(r Run) float64 { return r.failed(faultEnd, faultEnd+25*time.Second) }},
@@ -144,21 +144,21 @@
 	return at
 }
 
-// timesLeft counts how often places were left between two times.
+// timesLeft counts how often zones were evacuated between two times.
 func (r Run) timesLeft(from, to time.Duration) (n int) {
 	for _, m := range r.Marks {
-		if m.At >= from.Seconds() && m.At < to.Seconds() && strings.Contains(m.What, " is left: ") {
+		if m.At >= from.Seconds() && m.At < to.Seconds() && strings.Contains(m.What, " evacuated: ") {
 			n++
 		}
 	}
 	return n
 }
 
-// maxTimesLeft is how often the node that left most often did so.
+// maxTimesLeft is how often the node that evacuated zones most often did so.
 func (r Run) maxTimesLeft() (most int) {
 	by := make(map[string]int)
 	for _, m := range r.Marks {
-		if strings.Contains(m.What, " is left: ") {
+		if strings.Contains(m.What, " evacuated: ") {
 			by[m.Who]++
 			most = max(most, by[m.Who])
 		}
@@ -172,9 +172,9 @@
 	began, took, n := make(map[string]float64), 0.0, 0
 	for _, m := range r.Marks {
 		switch {
-		case strings.HasPrefix(m.What, "place "+zone+" is well again"):
+		case strings.HasPrefix(m.What, "zone "+zone+" recovers"):
 			began[m.Who] = m.At
-		case strings.HasPrefix(m.What, "place "+zone+" has its whole") && began[m.Who] > 0:
+		case strings.HasPrefix(m.What, "zone "+zone+" has its whole") && began[m.Who] > 0:
 			took, n = took+m.At-began[m.Who], n+1
 		}
 	}
--- a/policy/zone_failover.go
+++ b/policy/zone_failover.go
@@ -42,9 +42,10 @@
 	z.evacuatedUntil = now + f.evacuationTime(z)
 	z.evacuations++
 	others := f.compare(z, now)
+	// The form of the reason is frozen, with the words of the operators' pages: /places shows it.
 	z.evacuationReason = fmt.Sprintf("evidence %.1f, %.0f of %.0f answers ill, %.0f%% elsewhere (evidence %.1f)",
 		evidence, z.failures, z.total, 100*others.failureRatio, others.evidence)
-	f.logf("place %s is left: %s; tried again in %v, leaving %d", z.name, z.evacuationReason,
+	f.logf("zone %s evacuated: %s; probes begin in %v, evacuations %d", z.name, z.evacuationReason,
 		z.evacuatedUntil-now, z.evacuations)
 }
 
@@ -98,7 +99,7 @@
 	z.trafficShare, z.shareUpdatedAt = initialRecoveryShare, now
 	z.growthTime = min(maxGrowthTime, baseGrowthTime<<min(max(0, z.evacuations-1), maxGrowthDoublings))
 	f.clearEvidence(z, now)
-	f.logf("place %s is well again: its share grows e-fold in %v", z.name, z.growthTime)
+	f.logf("zone %s recovers: its share grows e-fold in %v", z.name, z.growthTime)
 }
 
 // growShare lets the share of a recovering zone grow exponentially with time.
@@ -110,7 +111,7 @@
 	z.shareUpdatedAt = now
 	if z.trafficShare >= 1 {
 		z.recovering, z.fullShareSince = false, now
-		f.logf("place %s has its whole share again", z.name)
+		f.logf("zone %s has its whole share again", z.name)
 	}
 }
 
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -137,12 +137,12 @@
 // ZoneState is what a node makes of a zone.
 type ZoneState struct {
 	Zone, Region         string
-	State                string  // well, suspect, left, returning
+	State                string  // well, suspect, left (evacuated), returning (recovering); frozen for operators
 	Cost                 float64 // of crossing to it
 	TrafficShare         float64 // part of the requests that would go there by order and capacity
 	Servers, Evacuations int
 	Failures, Responses  float64       // recent ones
-	RetryIn              time.Duration // until it is probed again; 0 unless it is left
+	RetryIn              time.Duration // until it is probed; 0 unless it is evacuated
 	EvacuationReason     string        // of the last evacuation
 }
 
