--- a/policy/doc.go
+++ b/policy/doc.go
@@ -23,9 +23,9 @@
 //     server, the request waits in request_queue.go.
 //   - onOutcome in attempts.go ends the attempt. observeResponse feeds the outcome to what is measured of its
 //     server (concurrency_limit.go, load_reports.go, outlier_detection.go, completion_rate.go), of its zone
-//     (zone_evidence.go, zone_health.go) and of its class (class.go). A request that isn't answered is
-//     dispatched again if request.mayRetryAfter in request.go permits it; else giveUp in attempts.go rejects
-//     or fails it.
+//     (zone_evidence.go, zone_health.go; weighEvidence in zone_failover.go decides) and of its class
+//     (class.go). A request that isn't answered is dispatched again if request.mayRetryAfter in request.go
+//     permits it; else giveUp in attempts.go rejects or fails it.
 //
 // # Other events
 //
--- a/policy/zone_evidence.go
+++ b/policy/zone_evidence.go
@@ -7,7 +7,7 @@
 
 // Each server gives evidence for or against its zone: a log likelihood ratio of failures there against
 // those that other zones have at the same time. It is bounded, so that no single server or kind of servers
-// convicts a zone. docs/zones.md has the alternatives.
+// suffices to evacuate a zone. zone_failover.go decides by it; docs/zones.md has the alternatives.
 
 const (
 	// baseFailureRatio is the part of failures that any zone may have.
@@ -20,9 +20,9 @@
 	maxContraryEvidence = 1.0
 	// evidenceTTL is how long evidence of a server counts that gives no more.
 	evidenceTTL = 10 * time.Second
-	// evacuateEvidence is the evidence at which a zone is evacuated: that of two servers at least.
-	evacuateEvidence = 8.0
-	// suspectEvidence is the evidence at which a zone is suspect.
+	// evacuateEvidence is the evidence, in nats, at which a zone is evacuated: that of two servers at least.
+	evacuateEvidence = 2 * maxServerEvidence
+	// suspectEvidence is the evidence, in nats, at which a zone is suspect. One server can give as much.
 	suspectEvidence = evacuateEvidence / 2
 	// exploreFraction is the part of a suspect zone's requests that goes to others.
 	exploreFraction = 0.5
@@ -30,7 +30,8 @@
 	minComparedResponses = 4.0
 	// priorResponses is the weight, in responses, of the sought failure ratio against a zone's own responses.
 	priorResponses = 12.0
-	// betterZoneEvidence is the evidence that other zones are better without which none is evacuated.
+	// betterZoneEvidence is the evidence, in nats, that other zones are better; it is required before a zone is
+	// evacuated.
 	betterZoneEvidence = 7.0
 	// slowResponseFactor is the multiple of the typical latency from which a response counts as a failure.
 	slowResponseFactor = 3.0
@@ -164,44 +165,6 @@
 	}
 }
 
-// weighEvidence decides what the evidence of its servers means for a zone. Where it has servers of several
-// kinds, the evidence has to suffice without any one of them too.
-func (f *zoneFailover) weighEvidence(z *zoneHealth, failed bool, now Time) {
-	f.expireEvidence(now)
-	sum := z.evidence.float()
-	for _, ofKind := range z.evidenceByKind {
-		if len(z.evidenceByKind) > 1 && z.evidence <= ofKind.sum {
-			sum = 0
-		}
-	}
-	f.growShare(z, now)
-	comparison := f.compare(z, now)
-	switch {
-	case sum >= evacuateEvidence && comparison.evidence >= betterZoneEvidence,
-		z.recovering && sum >= suspectEvidence:
-		f.evacuate(z, sum, now)
-	case z.recovering && failed:
-		z.trafficShare = max(initialRecoveryShare, failureShareFactor*z.trafficShare)
-	case z.recovering:
-	case sum >= suspectEvidence && len(f.all) > 1:
-		f.suspect(z, now)
-	default:
-		z.trafficShare = 1
-	}
-}
-
-// suspect lets a part of a zone's requests explore the others. The comparison of zones begins with the
-// first one that is suspect.
-func (f *zoneFailover) suspect(z *zoneHealth, now Time) {
-	if !f.degraded {
-		f.compareFrom = now
-		for _, each := range f.all {
-			each.responseCounts = responseCounts{decayedAt: now}
-		}
-	}
-	z.trafficShare, f.degraded = 1-exploreFraction, true
-}
-
 // resetEvidence empties the sums of evidence of all zones.
 func (f *zoneFailover) resetEvidence() {
 	for _, z := range f.all {
--- a/policy/zone_failover.go
+++ b/policy/zone_failover.go
@@ -33,6 +33,44 @@
 	maxGrowthDoublings = 8
 )
 
+// weighEvidence decides what the evidence of its servers means for a zone. Where it has servers of several
+// kinds, the evidence has to suffice without any one of them too.
+func (f *zoneFailover) weighEvidence(z *zoneHealth, failed bool, now Time) {
+	f.expireEvidence(now)
+	sum := z.evidence.float()
+	for _, ofKind := range z.evidenceByKind {
+		if len(z.evidenceByKind) > 1 && z.evidence <= ofKind.sum {
+			sum = 0
+		}
+	}
+	f.growShare(z, now)
+	comparison := f.compare(z, now)
+	switch {
+	case sum >= evacuateEvidence && comparison.evidence >= betterZoneEvidence,
+		z.recovering && sum >= suspectEvidence:
+		f.evacuate(z, sum, now)
+	case z.recovering && failed:
+		z.trafficShare = max(initialRecoveryShare, failureShareFactor*z.trafficShare)
+	case z.recovering:
+	case sum >= suspectEvidence && len(f.all) > 1:
+		f.suspect(z, now)
+	default:
+		z.trafficShare = 1
+	}
+}
+
+// suspect lets a part of a zone's requests explore the others. The comparison of zones begins with the
+// first one that is suspect.
+func (f *zoneFailover) suspect(z *zoneHealth, now Time) {
+	if !f.degraded {
+		f.compareFrom = now
+		for _, each := range f.all {
+			each.responseCounts = responseCounts{decayedAt: now}
+		}
+	}
+	z.trafficShare, f.degraded = 1-exploreFraction, true
+}
+
 // evacuate sends a zone no more than probes, from a time on that is spread among nodes.
 func (f *zoneFailover) evacuate(z *zoneHealth, evidence float64, now Time) {
 	if !z.recovering && now-z.fullShareSince > recoveryForgetTime {
@@ -84,7 +122,8 @@
 	return c.RetrySafety >= s.retrySafety && s.totalInFlight() == 0 && !s.outlier.probationInFlight
 }
 
-// recordProbe follows the probes of an evacuated zone.
+// recordProbe follows the probes of an evacuated zone. A failed one postpones the next by half of what a
+// further evacuation would take, for that one counts already.
 func (f *zoneFailover) recordProbe(z *zoneHealth, failed bool, now Time) {
 	if z.probeSuccesses++; failed {
 		z.probeSuccesses, z.evacuatedUntil = 0, max(z.evacuatedUntil, now+f.evacuationTime(z)/2)
