--- a/policy/admission.go
+++ b/policy/admission.go
@@ -27,7 +27,7 @@
 	tenantLimits map[string]Limit // this node's part of each tenant's quota
 	defaultLimit *Limit           // of tenants without a quota; nil: no limit
 	buckets      bucketTable
-	handedOver   bool // another process of this node refills the buckets
+	handedOver   bool // another process of this node refills the buckets; set with Balancer.handedOver
 }
 
 // configure takes over the limits, and this node's part of each quota: one of nodeCount equal parts. Without
@@ -178,7 +178,7 @@
 	if b.requests[e.ID] != nil {
 		return // a duplicate of an open request
 	}
-	r := &request{Request: e, class: b.classOfRequest(e), maxAttempts: max(1, b.settings.Allowed.MaxAttempts)}
+	r := &request{Request: e, class: b.classOfRequest(e), maxAttempts: b.settings.Allowed.attemptsPerRequest()}
 	b.setDeadlines(r)
 	b.requests[r.ID] = r
 	b.retryBudget.recordRequest(b.now)
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -43,7 +43,7 @@
 
 // attemptsExhausted reports whether a request has had its attempts, or a response would come too late.
 func (b *Balancer) attemptsExhausted(r *request) bool {
-	return len(r.attempts) >= min(r.maxAttempts, max(1, b.settings.Allowed.MaxAttempts)) ||
+	return len(r.attempts) >= min(r.maxAttempts, b.settings.Allowed.attemptsPerRequest()) ||
 		b.now >= r.usefulUntil
 }
 
@@ -135,8 +135,8 @@
 	b.observeResponse(a, r.class, e)
 }
 
-// observeResponse feeds an outcome that tells of its server to each mechanism, in a fixed order: some read
-// what those before them changed.
+// observeResponse feeds an outcome that says something of its server to each mechanism, in a fixed order:
+// some read what those before them changed.
 func (b *Balancer) observeResponse(a *attempt, c *class, e Outcome) {
 	s := a.server
 	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled { // a server that is full has work
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -15,15 +15,18 @@
 	resubscribeBackoffMax  = time.Second
 	// maxBackoffDoublings keeps the shift by the number of failures in range.
 	maxBackoffDoublings = 8
-	// maxRetainTime bounds how long servers are retained that the list takes away in a mass.
+	// maxRetainTime bounds how long servers are retained that most of a zone's list entries vanish with.
 	maxRetainTime = 5 * time.Second
+	// initialLatencyDivisor divides the latency objective of the first class of the settings into the mean
+	// latency that is assumed of a new server: it spaces attempts until the first responses.
+	initialLatencyDivisor = 4
 )
 
 // endpointList owns the state of the subscription to the list of servers, and of the servers that it takes
 // away.
 type endpointList struct {
 	failures    int           // failed calls in a row
-	retainFor   time.Duration // how long servers are retained that the list takes away in a mass
+	retainFor   time.Duration // how long servers are retained that vanish with most of their zone
 	unavailable int           // listed servers that get no work: they drain or are ejected
 }
 
@@ -115,7 +118,7 @@
 // that are notified of a starting server together don't all send to it at once.
 func (b *Balancer) newServer() *server {
 	return &server{
-		meanLatency:  b.settings.Classes[0].LatencyObjective.Seconds() / 4,
+		meanLatency:  b.settings.Classes[0].LatencyObjective.Seconds() / initialLatencyDivisor,
 		warmupBudget: warmupBudget{tokens: b.rng.Float64(), refilledAt: b.now},
 	}
 }
@@ -147,8 +150,8 @@
 		}
 	}
 	for _, s := range missing {
-		isMass := b.packing.serversByZone[s.Zone] < 2*runningInZone[s.Zone]
-		if !b.settings.RetainMissing || !isMass || s.Availability != Running {
+		isMostOfZone := b.packing.serversByZone[s.Zone] < 2*runningInZone[s.Zone]
+		if !b.settings.RetainMissing || !isMostOfZone || s.Availability != Running {
 			b.dropServer(s)
 		} else if s.missingSince == 0 {
 			s.missingSince = b.now
--- a/policy/load_reports.go
+++ b/policy/load_reports.go
@@ -9,6 +9,8 @@
 	reportRate    = "qps"        // requests a second that it served
 )
 
+const millisPerSecond = 1000
+
 const (
 	// reportGain is the weight of one report in what is known of its server.
 	reportGain = 0.5
@@ -19,14 +21,15 @@
 	minInformativeUtilization = 0.3
 	// maxInformativeUtilization is the utilization above which a report shows queueing rather than the server.
 	maxInformativeUtilization = 0.8
-	// maxPlausibleUtilization and maxPlausibleRate bound the values of reports that are taken as valid.
+	// maxPlausibleUtilization and maxPlausibleRate (requests a second) bound the values of reports that are
+	// taken as valid.
 	maxPlausibleUtilization = 1.5
 	maxPlausibleRate        = 1e6
 	// maxKinds bounds how many kinds of servers are distinguished; servers of others count as typical ones.
 	maxKinds = 64
 	// maxKindRateFactor bounds the service rate of a server, in multiples of that of its kind.
 	maxKindRateFactor = 1.5
-	// overloadSlope is how much of its limit a server loses for its utilization beyond the target.
+	// overloadSlope is the part of its limit that a server loses for each unit of utilization beyond the target.
 	overloadSlope = 4.0
 	// minLimitScale is the part of its limit that an overloaded or failing server keeps.
 	minLimitScale = 0.1
@@ -59,31 +62,36 @@
 // loadReports owns what load reports say of the kinds of servers.
 type loadReports struct {
 	fields      int                    // values in a report
-	columns     [3]int                 // of latency, utilization and rate; -1 where reports have none
+	columns     reportColumns          // of the values that decisions use
 	byKind      map[string]*serverLoad // average of the warmed-up servers of each kind
 	typicalLoad serverLoad             // average of all warmed-up servers
 }
 
+// reportColumns are the indexes of values in a report; -1 where reports have none.
+type reportColumns struct{ latency, utilization, rate int }
+
 // configure takes over the names of the values in reports, in their order.
 func (l *loadReports) configure(fields []string) {
 	l.fields = len(fields)
-	for i, name := range []string{reportLatency, reportUtil, reportRate} {
-		l.columns[i] = slices.Index(fields, name)
-	}
+	l.columns = reportColumns{latency: slices.Index(fields, reportLatency),
+		utilization: slices.Index(fields, reportUtil), rate: slices.Index(fields, reportRate)}
 }
 
 // areComplete reports whether reports have all values that decisions need.
-func (l *loadReports) areComplete() bool { return min(l.columns[0], l.columns[1], l.columns[2]) >= 0 }
+func (l *loadReports) areComplete() bool {
+	return min(l.columns.latency, l.columns.utilization, l.columns.rate) >= 0
+}
 
 // parse reads a report. It isn't valid if values are missing, not plausible, or those of an idle server.
 func (l *loadReports) parse(row []float64) (report loadReport, valid bool) {
 	if len(row) < l.fields {
 		return loadReport{}, false
 	}
-	r := loadReport{latency: row[l.columns[0]] / 1000, utilization: row[l.columns[1]], rate: row[l.columns[2]]}
-	valid = r.latency > 0 && r.utilization > 0 && r.utilization <= maxPlausibleUtilization &&
-		r.rate > 0 && r.rate < maxPlausibleRate
-	return r, valid
+	report = loadReport{latency: row[l.columns.latency] / millisPerSecond,
+		utilization: row[l.columns.utilization], rate: row[l.columns.rate]}
+	valid = report.latency > 0 && report.utilization > 0 && report.utilization <= maxPlausibleUtilization &&
+		report.rate > 0 && report.rate < maxPlausibleRate
+	return report, valid
 }
 
 // record takes over the latency that a server reports and, where the report shows it, its service rate.
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -66,7 +66,8 @@
 	Max      float64          // bounds PerWindow and Burst of every limit; 0 for no bound
 }
 
-// Allowed says what a node is permitted to do.
+// Allowed says what a node is permitted to do. Probe, Peers, RetryAfter and MaxRetryAfter are part of the
+// wire and not used by a decision.
 type Allowed struct {
 	Cancel, Probe, Peers, RetryAfter bool
 	MaxAttempts                      int           // for one request; 0 counts as 1
@@ -74,8 +75,11 @@
 	IdleTimeout                      time.Duration // idle connections are closed after this; 0 if unknown
 }
 
-// RetryBudget bounds a node's retries: in any Window they number at most MinRetries, plus RetryRatio of the
-// requests that the node received in it.
+// attemptsPerRequest is MaxAttempts, and at least one.
+func (a Allowed) attemptsPerRequest() int { return max(1, a.MaxAttempts) }
+
+// RetryBudget bounds a node's retries: in any Window they number fewer than MinRetries plus RetryRatio of
+// the requests that the node received in it.
 type RetryBudget struct {
 	MinRetries float64
 	RetryRatio float64
@@ -84,7 +88,7 @@
 
 // Rules holds the figures of the service's rules.
 type Rules struct {
-	AnswerGrace          time.Duration // a response is still in time this long after the deadline
+	AnswerGrace          time.Duration // a response is in time so long after the deadline; part of the wire only
 	DrainGrace           time.Duration // nothing may be sent to a server later than this after it drains
 	SlowStartMinCapacity float64       // part of its capacity, 0 to 1, that a server has when it starts
 	SlowStartDuration    time.Duration // after which it has its whole capacity
@@ -133,7 +137,7 @@
 	Allowed              Allowed
 	Rules                Rules
 	SubscribeList        bool     // the node has to subscribe to the list of servers
-	RetainMissing        bool     // servers that vanish from the list in a mass are retained for a moment
-	WeightByWork         bool     // PriorityWeight is the value of a unit of work, not of a request
+	RetainMissing        bool     // servers that vanish with most of their zone are retained for a moment
+	WeightByWork         bool     // PriorityWeight is per unit of work, not per request; part of the wire only
 	ReportFields         []string // names of the values in a load report, in order
 }
--- a/policy/slow_attempts.go
+++ b/policy/slow_attempts.go
@@ -44,7 +44,7 @@
 		return watchedAttempt{}, false
 	}
 	due = w.watched[0]
-	w.watched[0] = watchedAttempt{} // lets go of the request
+	w.watched[0] = watchedAttempt{} // so that the request can be freed
 	w.watched = w.watched[1:]
 	return due, true
 }
@@ -81,7 +81,7 @@
 			continue
 		}
 		b.recordFailure(a.server, silenceWeight)
-		b.recordEvidence(a, 1)
+		b.recordEvidence(a, plainFailure)
 	}
 	b.armSlowTimer(c)
 }
