--- a/policy/actions.go
+++ b/policy/actions.go
@@ -7,7 +7,8 @@
 // ActionKind names what an Action does.
 type ActionKind uint8
 
-// What a node can do; the comments name the fields of Action that count.
+// What a node can do; the comments name the fields of Action that count. Probe, SendPeerMessage, CloseIdle
+// and FetchList are part of the wire; no decision emits them.
 const (
 	Send               ActionKind = iota // ID, Server, AttemptDeadline
 	Reject                               // ID, Wait: the client may safely send the request again, after Wait
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -10,9 +10,9 @@
 // It isn't safe for concurrent use. Make one with New.
 type Balancer struct {
 	settings Settings // in force; NodeCount is the number of nodes that quotas are divided by
-	now      Time     // of the event in hand
+	now      Time     // of the event that is being handled
 	rng      *rand.Rand
-	actions  []Action // of the event in hand
+	actions  []Action // that this event calls for
 
 	classes        classRegistry
 	rateLimiter    rateLimiter
@@ -20,7 +20,7 @@
 	loadShedder    loadShedder
 	retryBudget    retryBudget
 	fleetSize      fleetSize
-	handedOver     bool                // another process of this node has taken over
+	handedOver     bool                // another process of this node has taken over; rateLimiter knows it too
 	requests       map[string]*request // open ones, by their ids
 	queue          requestQueue        // of requests that wait for a usable server
 
@@ -93,7 +93,7 @@
 	return b.actions
 }
 
-// onSettings goes on by other settings. What was measured stays, and open requests keep their class.
+// onSettings takes over changed settings. What was measured stays, and open requests keep their class.
 func (b *Balancer) onSettings(set Settings) {
 	subscribes := set.SubscribeList && !b.settings.SubscribeList
 	b.applySettings(set)
@@ -117,7 +117,7 @@
 	b.rateLimiter.configure(set.Limits, set.Tenants, b.settings.NodeCount)
 }
 
-// emit adds an action to those of the event in hand.
+// emit adds an action to those of the event that is being handled.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 // logf emits a line for the log.
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -6,7 +6,7 @@
 
 const (
 	// maxUploadTime is the time that a request has to arrive whole. A node ends slower uploads by their rate
-	// before that.
+	// before that, and bounds the whole upload by the same time (internal/node).
 	maxUploadTime = 15 * time.Minute
 	// firstTryTolerance is how much of a first try's timeout may pass on the way to the node.
 	firstTryTolerance = 50 * time.Millisecond
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -8,7 +8,7 @@
 	// fleetShrinkDelay is how long nodes have to be unreachable before the others divide the quotas without
 	// them: longer than nearly every restart, and than most partitions.
 	fleetShrinkDelay = time.Minute
-	// maxSmallFleet is the largest number of nodes that all fill servers in the same order. More would jam
+	// maxSmallFleet is the largest number of nodes that all fill servers in the same order. More would overload
 	// the first server, so each begins elsewhere.
 	maxSmallFleet = 3
 )
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -35,7 +35,8 @@
 	probationSuccessesNeeded = 3
 )
 
-// outlierState is the circuit breaker of one server.
+// outlierState is the circuit breaker of one server. Besides failures, a load report that shows an overload
+// ejects (onLoadReport in load_reports.go).
 type outlierState struct {
 	failureScore       float64 // 0 to 1, a decaying weight of recent failures
 	ejected            bool    // it gets no requests, or after ejectedUntil only those of its probation
--- a/policy/server.go
+++ b/policy/server.go
@@ -1,7 +1,9 @@
 package policy
 
 // server is one listed server as this node sees it. It holds the state that the components keep for each
-// server; a component changes its own fields alone.
+// server, and most fields have one writer. concurrencyLimit has several: packing_order.go sets the initial
+// one, concurrency_limit.go and load_reports.go move it, outlier_detection.go resets it after an ejection.
+// attempts.go updates meanLatency, and load_reports.go limitReached too. snapshot.go restores the state.
 type server struct {
 	Endpoint
 	zone         *zoneHealth // nil where the settings name no topology
@@ -14,10 +16,12 @@
 	lastSentAt      Time // of the newest attempt
 	lastResponseAt  Time // of any response, whatever its code
 
-	concurrencyLimit float64 // attempts of this node in flight up to which the server has capacity
+	// concurrencyLimit is how many attempts of this node may be in flight while the server has capacity; where
+	// usesLoadReports, the part (0 to 1) of its fair limit.
+	concurrencyLimit float64
 	limitReached     bool    // the limit rests on an outcome or a report, not on the initial guess alone
 	meanLatency      float64 // of its responses, in seconds
-	busyUntil        Time    // until then it likely still works on an attempt that timed out
+	busyUntil        Time    // it likely works on an attempt that timed out until then; set where usesLoadReports
 
 	reportedLatency float64 // of its newest load report, in seconds
 	reportedAt      Time    // of that report; 0 before the first
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -97,7 +97,10 @@
 	return converted
 }
 
-// Snapshot returns the state that the successor of this process needs.
+// Snapshot returns the state that the successor of this process needs. Call it before the HandedOver event:
+// each takes half of the tokens, so after it a quarter of them would be lost. Not handed over are the health
+// of zones, the peak of the completion rate, the shortage of the highest priority, and requests: the
+// successor learns the former anew, and this process ends the latter.
 func (b *Balancer) Snapshot(now Time) Snapshot {
 	b.now = max(now, b.now)
 	clock := snapshotClock{b.now}
--- a/policy/token_buckets.go
+++ b/policy/token_buckets.go
@@ -7,8 +7,8 @@
 )
 
 const (
-	// maxBuckets bounds the buckets of tenants without a quota, for clients may invent tenants: further ones
-	// share one bucket.
+	// maxBuckets is the number of buckets, those of tenants with a quota included, from which on a further
+	// tenant without a quota gets no bucket of its own, for clients may invent tenants: those share one.
 	maxBuckets = 4096
 	// bucketsPerSweep is how many buckets each admission examines.
 	bucketsPerSweep = 2
@@ -20,7 +20,7 @@
 // bucketKey names a bucket. The class is empty but for classes that have a limit of their own.
 type bucketKey struct{ tenant, class string }
 
-// sharedBucketKey is the key of the bucket for tenants beyond maxBuckets.
+// sharedBucketKey is the key of the bucket that the tenants beyond maxBuckets share.
 var sharedBucketKey = bucketKey{}
 
 // bucket is a token bucket with whole tokens.
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -45,7 +45,7 @@
 	evidenceByKind map[string]*evidenceSum // the same by their kinds
 
 	trafficShare    float64 // part of the requests that would go there by order and capacity
-	closed          bool    // to the request in hand
+	closed          bool    // to the request that is being dispatched
 	evacuatedUntil  Time    // when probes begin; 0 while it isn't evacuated
 	lastProbeAt     Time    // when a request last probed it
 	probeSuccesses  int     // in a row
@@ -62,7 +62,7 @@
 // isEvacuated reports whether the zone gets no requests but probes.
 func (z *zoneHealth) isEvacuated() bool { return z != nil && z.evacuatedUntil > 0 }
 
-// isClosed reports whether the zone gets no part of the request in hand.
+// isClosed reports whether the request that is being dispatched may not go to the zone.
 func (z *zoneHealth) isClosed() bool { return z != nil && z.closed }
 
 func (z *zoneHealth) regionName() string {
