--- a/policy/concurrency_window.go
+++ b/policy/concurrency_window.go
@@ -79,13 +79,13 @@
 // fairLimit is how many attempts this node may have in flight at a server: its part of the window, by what
 // the server can serve.
 func (b *Balancer) fairLimit(s *server) float64 {
-	size := b.warmFraction(s)
+	relativeCapacity := b.warmFraction(s)
 	if b.loads.typicalLoad.samples > 0 {
-		size = b.loads.serviceRate(s, size) / b.loads.typicalLoad.rate
+		relativeCapacity = b.loads.serviceRate(s, relativeCapacity) / b.loads.typicalLoad.rate
 	}
 	weight := b.warmedUpWeight()
 	evenPart := fairLimitSpread * b.window.size(weight, b.settings.NodeCount) / max(1, weight) * b.share.of(s)
-	return s.concurrencyLimit * size * max(minFairLimit, evenPart)
+	return s.concurrencyLimit * relativeCapacity * max(minFairLimit, evenPart)
 }
 
 // warmedUpWeight counts the warmed-up servers in service by this node's share of each, but those of evacuated
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -129,12 +129,12 @@
 // others.
 func (d *outlierDetector) trackConnectionFaults(s *server, fault bool) (others float64) {
 	updateRatio(&s.connectionFaultRatio, connectionFaultGain, fault)
-	present := toFixedPoint(s.connectionFaultRatio)
+	currentRatio := toFixedPoint(s.connectionFaultRatio)
 	if c := &s.contribution.outlier; s.segment != nil {
-		d.connectionFaults += present - c.connectionFaults
-		c.connectionFaults = present
+		d.connectionFaults += currentRatio - c.connectionFaults
+		c.connectionFaults = currentRatio
 	}
-	return (d.connectionFaults - present).float()
+	return (d.connectionFaults - currentRatio).float()
 }
 
 // dueFor returns the ejected servers that may get a request of a class for their probation, in packing order.
--- a/policy/server.go
+++ b/policy/server.go
@@ -21,7 +21,7 @@
 	concurrencyLimit float64
 	limitReached     bool    // the limit rests on an outcome or a report, not on the initial guess alone
 	meanLatency      float64 // of its responses, in seconds
-	busyUntil        Time    // it likely works on an attempt that timed out until then; set where usesLoadReports
+	busyUntil        Time    // until then it likely works on a timed-out attempt; set only while usesLoadReports
 
 	reportedLatency float64 // of its newest load report, in seconds
 	reportedAt      Time    // of that report; 0 before the first
--- a/policy/server_queue.go
+++ b/policy/server_queue.go
@@ -6,13 +6,13 @@
 type serverQueue []serverQueueEntry
 
 type serverQueueEntry struct {
-	at     Time
+	dueAt  Time
 	server *server
 }
 
 func (q serverQueue) Len() int { return len(q) }
 
-func (q serverQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q serverQueue) Less(i, j int) bool { return q[i].dueAt < q[j].dueAt }
 
 func (q serverQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -120,7 +120,7 @@
 
 // promote counts the queued servers that have warmed up by now.
 func (w *slowStart) promote(now Time) {
-	for len(w.queue) > 0 && w.queue[0].at <= now {
+	for len(w.queue) > 0 && w.queue[0].dueAt <= now {
 		s := w.queue.next()
 		s.contribution.warmup.queued = false
 		w.count(s, now)
@@ -193,10 +193,10 @@
 // be missed when they fail. Retries and, unless it is short of capacity, the highest-priority class keep to
 // servers that have warmed up.
 func (b *Balancer) pickWarmingUp(r *request) (best *server) {
-	avoids := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
+	avoidsWarmingUp := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
 		b.loadShedder.highPriorityShortage < maxShortageForSlowStart
 	b.slowStart.promote(b.now)
-	if b.usesLoadReports() || avoids || len(r.attempts) > 0 {
+	if b.usesLoadReports() || avoidsWarmingUp || len(r.attempts) > 0 {
 		return nil
 	}
 	queue := b.slowStart.queue
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -457,7 +457,7 @@
 		set := testSettings(1)
 		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
 		b := startBalancer(t, set, testEndpoints(1))
-		b.completions.rate, b.completions.at, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		b.completions.rate, b.completions.rateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
 		s := b.order()[0]
 		s.StartedAt = b.now
 		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -117,7 +117,7 @@
 		BadRatio:         b.rateMultiplier.badRatio,
 		CompletionRate:   b.completions.rate,
 		ReportedAt:       clock.toSnapshot(b.window.reportedAt),
-		CompletionRateAt: clock.toSnapshot(b.completions.at),
+		CompletionRateAt: clock.toSnapshot(b.completions.rateAt),
 	}
 	for _, c := range b.classes.ordered {
 		snapshot.Classes[c.Name] = ClassSnapshot{TailLatency: c.tailLatency, FirstTryTimeout: c.firstTryTimeout}
@@ -143,7 +143,7 @@
 	b.window.scale, b.window.utilization = snapshot.WindowScale, snapshot.Utilization
 	b.window.reportedAt = clock.fromSnapshot(snapshot.ReportedAt)
 	b.completions.rate = snapshot.CompletionRate
-	b.completions.at = clock.fromSnapshot(snapshot.CompletionRateAt)
+	b.completions.rateAt = clock.fromSnapshot(snapshot.CompletionRateAt)
 	for _, c := range b.classes.ordered {
 		if known, found := snapshot.Classes[c.Name]; found {
 			c.tailLatency, c.firstTryTimeout = known.TailLatency, known.FirstTryTimeout
--- a/policy/token_buckets.go
+++ b/policy/token_buckets.go
@@ -33,9 +33,9 @@
 // refill adds the whole tokens that the rate, in tokens per second, gave since the last refill, up to the
 // burst. Less than one token leaves the refill time as it is.
 func (b *bucket) refill(now Time, perSecond float64, burst int64) {
-	add := math.Floor((now - b.refilledAt).Seconds() * perSecond)
-	if add >= 1 {
-		b.tokens, b.refilledAt = min(burst, b.tokens+int64(min(add, float64(burst)))), now
+	added := math.Floor((now - b.refilledAt).Seconds() * perSecond)
+	if added >= 1 {
+		b.tokens, b.refilledAt = min(burst, b.tokens+int64(min(added, float64(burst)))), now
 	}
 }
 
--- a/policy/zone_evidence.go
+++ b/policy/zone_evidence.go
@@ -149,7 +149,7 @@
 
 // compare compares a zone with the others that have their whole share of the requests.
 func (f *zoneFailover) compare(z *zoneHealth, now Time) zoneComparison {
-	own := max(baseFailureRatio+excessFailureRatio,
+	ownFailureRatio := max(baseFailureRatio+excessFailureRatio,
 		(z.failures+priorResponses*(baseFailureRatio+excessFailureRatio))/(z.total+priorResponses))
 	failures, total := 0.0, 0.0
 	for _, other := range f.all {
@@ -159,8 +159,8 @@
 		}
 	}
 	return zoneComparison{
-		evidence: (total-failures)*math.Log((1-baseFailureRatio)/(1-own)) -
-			failures*math.Log(own/baseFailureRatio),
+		evidence: (total-failures)*math.Log((1-baseFailureRatio)/(1-ownFailureRatio)) -
+			failures*math.Log(ownFailureRatio/baseFailureRatio),
 		failureRatio: failures / max(minComparedResponses, total),
 	}
 }
@@ -204,7 +204,7 @@
 
 // expireEvidence takes off evidence that is too old.
 func (f *zoneFailover) expireEvidence(now Time) {
-	for len(f.evidenceQueue) > 0 && now-f.evidenceQueue[0].at > evidenceTTL {
+	for len(f.evidenceQueue) > 0 && now-f.evidenceQueue[0].dueAt > evidenceTTL {
 		s := f.evidenceQueue.next()
 		s.contribution.evidence.queued = false
 		if s.contribution.evidence.counted {
