--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -31,8 +31,8 @@
 	return n
 }
 
-// Servers that a list takes away in a mass are retained for half of the drain grace. Their zone recovers by a small
-// share if they are listed again after that.
+// Servers that vanish from the list with most of their zone are retained for half of the drain grace. Their zone
+// recovers by a small share if they are listed again after that.
 func TestServersThatVanishInAMassAreRetained(t *testing.T) {
 	all := endpointsInZones(4, "a", "b")
 	grace := testSettings(1).Rules.DrainGrace
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -79,7 +79,7 @@
 			for i, b := range nodes {
 				observeFleet(b, &timers[i], now, sizes[side[i]])
 			}
-			if sum := parts(nodes); now-connectedAt < fleetShrinkDelay && sum > 1+1e-9 {
+			if sum := sumOfQuotaParts(nodes); now-connectedAt < fleetShrinkDelay && sum > 1+1e-9 {
 				t.Fatalf("the parts sum to %.3f of the quota at %v, all connected at %v, sides %v", sum, now, connectedAt, side)
 			}
 		}
@@ -101,7 +101,7 @@
 					observeFleet(b, &timers[i], now, side)
 				}
 			}
-			if sum := parts(nodes); sum < 1-1e-9 || sum >= 1.5 {
+			if sum := sumOfQuotaParts(nodes); sum < 1-1e-9 || sum >= 1.5 {
 				t.Errorf("%d and %d nodes: the parts sum to %.3f", k, n-k, sum)
 			}
 		}
@@ -120,8 +120,8 @@
 	return nodes, timers
 }
 
-// parts sums the parts of a quota.
-func parts(nodes []*Balancer) (sum float64) {
+// sumOfQuotaParts sums the parts of a quota.
+func sumOfQuotaParts(nodes []*Balancer) (sum float64) {
 	for _, b := range nodes {
 		by, _, _ := b.FleetSize()
 		sum += 1 / float64(by)
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// world plays random legal events at one node and checks the rules that a node follows by itself: one final
+// eventSimulation plays random legal events at one node and checks the rules that a node follows by itself: one final
 // answer in time, no forbidden retry or rejection, no late send to a draining server, placement, and the retry
 // budget. It counts by itself and shares no code with the balancer.
-type world struct {
+type eventSimulation struct {
 	t             *testing.T
 	rng           *rand.Rand
 	set           Settings
@@ -20,7 +20,7 @@
 	now           Time
 	list          map[string]Endpoint
 	drainingSince map[string]Time // when the list first had a server as draining or removed
-	open          map[string]*play
+	open          map[string]*openRequest
 	ids           int
 	tasks         []task // outcomes, timers, probe results to come
 	log           []string
@@ -31,27 +31,30 @@
 	retriesAt  []Time
 }
 
-type play struct {
+// openRequest is a request that the node got, with all that was sent for it.
+type openRequest struct {
 	Request
 	class    Class
 	deadline Time
-	tries    []try
+	attempts []sentAttempt
 	ended    bool
 }
 
-type try struct {
-	server Endpoint
-	sent   Time
-	over   bool
-	notRun bool
+// sentAttempt is one sending of a request.
+type sentAttempt struct {
+	server       Endpoint
+	sentAt       Time
+	finished     bool
+	provenNotRun bool
 }
 
+// task is what is to be done at a time.
 type task struct {
 	at Time
 	do func()
 }
 
-func newWorld(t *testing.T, seed uint64) *world {
+func newEventSimulation(t *testing.T, seed uint64) *eventSimulation {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	set := testSettings([]int{1, 3, 12, 60}[seed%4])
 	set.NodeIndex = rng.IntN(set.NodeCount)
@@ -84,38 +87,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &world{t: t, rng: rng, set: set, b: b, list: map[string]Endpoint{}, drainingSince: map[string]Time{}, open: map[string]*play{},
+	w := &eventSimulation{t: t, rng: rng, set: set, b: b, list: map[string]Endpoint{}, drainingSince: map[string]Time{}, open: map[string]*openRequest{},
 		faulty: []int{8, 20, 60}[seed/3%3], slowest: []int{300, 50}[seed/2%2], every: []int{1, 8}[seed/4%2]}
-	for _, m := range testEndpoints(1 + rng.IntN(9)) {
+	for _, endpoint := range testEndpoints(1 + rng.IntN(9)) {
 		if rng.IntN(4) == 0 {
-			m.StartedAt = 1
+			endpoint.StartedAt = 1
 		}
-		w.list[m.ID] = m
+		w.list[endpoint.ID] = endpoint
 	}
 	w.event(EndpointList{Kind: ListCached, Endpoints: w.endpoints()})
 	return w
 }
 
-func (w *world) endpoints() []Endpoint {
+func (w *eventSimulation) endpoints() []Endpoint {
 	var listed []Endpoint
 	for i := range 10 {
-		if m, ok := w.list[fmt.Sprintf("s%02d", i)]; ok {
-			listed = append(listed, m)
+		if endpoint, ok := w.list[fmt.Sprintf("s%02d", i)]; ok {
+			listed = append(listed, endpoint)
 		}
 	}
 	return listed
 }
 
-func (w *world) later(d time.Duration, do func()) { w.tasks = append(w.tasks, task{w.now + d, do}) }
+func (w *eventSimulation) after(d time.Duration, do func()) {
+	w.tasks = append(w.tasks, task{w.now + d, do})
+}
 
-func (w *world) event(ev Event) {
+func (w *eventSimulation) event(ev Event) {
 	for _, a := range slices.Clone(w.b.Handle(w.now, ev)) {
 		w.log = append(w.log, fmt.Sprintf("%v %+v", w.now, a))
 		w.act(a)
 	}
 }
 
-func (w *world) act(a Action) {
+func (w *eventSimulation) act(a Action) {
 	p := w.open[a.ID]
 	switch a.Kind {
 	case Send:
@@ -123,88 +128,88 @@
 	case Reject, Fail:
 		w.answer(p, a)
 	case Cancel:
-		if !w.set.Allowed.Cancel || a.Attempt >= len(p.tries) {
+		if !w.set.Allowed.Cancel || a.Attempt >= len(p.attempts) {
 			w.t.Errorf("cancel of an unknown attempt, or where it is not allowed: %+v", a)
 		}
 	case SetTimer:
-		w.later(max(a.Wait, ms), func() { w.event(Timer{Token: a.Token}) })
+		w.after(max(a.Wait, ms), func() { w.event(Timer{Token: a.Token}) })
 	case Probe:
 		code, load := OK, float64(w.rng.IntN(6))
 		if !w.set.Allowed.Probe {
 			w.t.Errorf("probe where it is not allowed")
 		}
 		if w.rng.IntN(3) > 0 {
-			w.later(ms*time.Duration(w.rng.IntN(30)), func() {
+			w.after(ms*time.Duration(w.rng.IntN(30)), func() {
 				w.event(ProbeResult{Server: a.Server, Code: code, LoadReport: []float64{load}})
 			})
 		}
 	case WatchList:
 		if w.rng.IntN(2) == 0 {
-			w.later(ms, func() { w.event(EndpointList{Kind: ListUnavailable}) })
+			w.after(ms, func() { w.event(EndpointList{Kind: ListUnavailable}) })
 		}
 	}
 }
 
 // send checks an attempt, and schedules its outcome.
-func (w *world) send(p *play, a Action) {
+func (w *eventSimulation) send(p *openRequest, a Action) {
 	if p == nil || p.ended || w.now >= p.deadline {
 		w.t.Fatalf("send after the end: %+v", a)
 	}
-	m, listed := w.list[a.Server]
+	endpoint, listed := w.list[a.Server]
 	if since, ok := w.drainingSince[a.Server]; ok && w.now > since+w.set.Rules.DrainGrace {
 		w.t.Errorf("%s drains since %v, sent to at %v", a.Server, since, w.now)
 	}
 	if !listed && w.drainingSince[a.Server] == 0 {
 		w.t.Errorf("unknown server %q", a.Server)
 	}
-	w.checkPlacement(p.class, m, a)
-	w.checkFormerAttempts(p, m, a)
-	if len(p.tries) > 0 {
+	w.checkPlacement(p.class, endpoint, a)
+	w.checkFormerAttempts(p, endpoint, a)
+	if len(p.attempts) > 0 {
 		w.checkRetryBudget()
 	}
-	p.tries = append(p.tries, try{server: m, sent: w.now})
+	p.attempts = append(p.attempts, sentAttempt{server: endpoint, sentAt: w.now})
 	w.scheduleOutcome(p, a)
 }
 
 // checkPlacement checks that a restricted class is sent to its servers only.
-func (w *world) checkPlacement(c Class, m Endpoint, a Action) {
-	if len(c.Kinds) > 0 && !slices.Contains(c.Kinds, m.Kind) || len(c.Zones) > 0 && !slices.Contains(c.Zones, m.Zone) {
-		w.t.Errorf("%s sent to %s of kind %s in zone %s", c.Name, a.Server, m.Kind, m.Zone)
+func (w *eventSimulation) checkPlacement(c Class, endpoint Endpoint, a Action) {
+	if len(c.Kinds) > 0 && !slices.Contains(c.Kinds, endpoint.Kind) || len(c.Zones) > 0 && !slices.Contains(c.Zones, endpoint.Zone) {
+		w.t.Errorf("%s sent to %s of kind %s in zone %s", c.Name, a.Server, endpoint.Kind, endpoint.Zone)
 	}
-	if len(c.Regions) > 0 && w.set.Topology.RegionOfZone[m.Zone] != c.Regions[0] {
-		w.t.Errorf("%s sent to %s in zone %s, out of its region", c.Name, a.Server, m.Zone)
+	if len(c.Regions) > 0 && w.set.Topology.RegionOfZone[endpoint.Zone] != c.Regions[0] {
+		w.t.Errorf("%s sent to %s in zone %s, out of its region", c.Name, a.Server, endpoint.Zone)
 	}
 }
 
 // checkFormerAttempts checks that the attempts before this one are over, few enough, and permit it.
-func (w *world) checkFormerAttempts(p *play, m Endpoint, a Action) {
+func (w *eventSimulation) checkFormerAttempts(p *openRequest, endpoint Endpoint, a Action) {
 	pending := 0
-	for _, x := range p.tries {
-		if !x.over {
+	for _, former := range p.attempts {
+		if !former.finished {
 			pending++
 		}
-		if x.notRun {
+		if former.provenNotRun {
 			continue
 		}
 		switch p.class.RetrySafety {
 		case NonIdempotent:
 			w.t.Errorf("%s sent again though it may have run", p.class.Name)
 		case IdempotencyKeyed:
-			g := p.class.DedupScope
-			if w.now > x.sent+p.class.DedupWindow || g == DedupPerZone && m.Zone != x.server.Zone ||
-				g == DedupPerCell && m.Cell != x.server.Cell {
+			scope := p.class.DedupScope
+			if w.now > former.sentAt+p.class.DedupWindow || scope == DedupPerZone && endpoint.Zone != former.server.Zone ||
+				scope == DedupPerCell && endpoint.Cell != former.server.Cell {
 				w.t.Errorf("%s sent again outside its scope or window", p.class.Name)
 			}
 		}
 	}
-	if pending > 0 || len(p.tries) >= w.set.Allowed.MaxAttempts {
+	if pending > 0 || len(p.attempts) >= w.set.Allowed.MaxAttempts {
 		w.t.Errorf("a second attempt at a time, or one too many: %+v", a)
 	}
 }
 
 // scheduleOutcome draws the outcome of the newest attempt, and when it comes.
-func (w *world) scheduleOutcome(p *play, a Action) {
-	n := len(p.tries) - 1
+func (w *eventSimulation) scheduleOutcome(p *openRequest, a Action) {
+	n := len(p.attempts) - 1
 	until := p.deadline
 	if a.AttemptDeadline > 0 {
 		until = min(until, a.AttemptDeadline)
@@ -216,8 +221,8 @@
 	if code == TimedOut || w.now+latency > until {
 		code, latency = TimedOut, until-w.now
 	}
-	w.later(latency, func() {
-		p.tries[n].over, p.tries[n].notRun = true, code.ProvesNotRun()
+	w.after(latency, func() {
+		p.attempts[n].finished, p.attempts[n].provenNotRun = true, code.ProvesNotRun()
 		if code == OK {
 			p.ended = true
 		}
@@ -230,7 +235,7 @@
 }
 
 // checkRetryBudget checks the retry budget by a count of its own.
-func (w *world) checkRetryBudget() {
+func (w *eventSimulation) checkRetryBudget() {
 	w.retriesAt = append(w.retriesAt, w.now)
 	q := w.set.Rules.RetryBudget
 	if q == nil {
@@ -249,20 +254,20 @@
 	}
 }
 
-func (w *world) answer(p *play, a Action) {
+func (w *eventSimulation) answer(p *openRequest, a Action) {
 	if p == nil || p.ended {
 		w.t.Fatalf("answered twice: %+v", a)
 	}
 	p.ended = true
-	for _, x := range p.tries {
+	for _, x := range p.attempts {
 		safe := p.class.RetrySafety == Idempotent || p.class.RetrySafety == IdempotencyKeyed && p.class.DedupScope == DedupEverywhere
-		if a.Kind == Reject && !x.notRun && !safe {
+		if a.Kind == Reject && !x.provenNotRun && !safe {
 			w.t.Errorf("%s rejected though it may have run", p.class.Name)
 		}
 	}
 }
 
-func (w *world) step() {
+func (w *eventSimulation) step() {
 	w.now += time.Duration(1+w.rng.IntN(4)) * ms
 	stall := w.rng.IntN(400) == 0 // the node doesn't run, and then gets all that came meanwhile at once
 	if stall {
@@ -303,7 +308,7 @@
 	}
 }
 
-func (w *world) arrive() {
+func (w *eventSimulation) arrive() {
 	w.ids++
 	c := Class{Name: "stranger"}
 	if w.rng.IntN(10) > 0 {
@@ -311,12 +316,12 @@
 	}
 	r := Request{ID: fmt.Sprint("r", w.ids), Class: c.Name, Tenant: []string{"t", "t", "u", "?", ""}[w.rng.IntN(5)],
 		Timeout: time.Duration(1+w.rng.IntN(600)) * ms, Key: fmt.Sprint(w.rng.IntN(30))}
-	p := &play{Request: r, class: c, deadline: w.now + r.Timeout}
+	p := &openRequest{Request: r, class: c, deadline: w.now + r.Timeout}
 	w.open[r.ID] = p
 	w.requestsAt = append(w.requestsAt, w.now)
 	w.event(r)
 	if !p.ended && w.rng.IntN(40) == 0 {
-		w.later(ms, func() {
+		w.after(ms, func() {
 			if !p.ended {
 				p.ended = true
 				w.event(ClientCancelled{ID: r.ID})
@@ -326,7 +331,7 @@
 }
 
 // change drains, removes, restarts or adds a server, or sends the whole list.
-func (w *world) change() {
+func (w *eventSimulation) change() {
 	id := fmt.Sprintf("s%02d", w.rng.IntN(10))
 	m, listed := w.list[id]
 	switch {
@@ -356,7 +361,7 @@
 
 func TestRandomEventsKeepTheRules(t *testing.T) {
 	for seed := range uint64(40) {
-		w := newWorld(t, seed)
+		w := newEventSimulation(t, seed)
 		for range 1500 {
 			w.step()
 		}
@@ -368,7 +373,7 @@
 
 func TestSameEventsGiveTheSameActions(t *testing.T) {
 	run := func() []string {
-		w := newWorld(t, 12)
+		w := newEventSimulation(t, 12)
 		for range 800 {
 			w.step()
 		}
@@ -381,7 +386,7 @@
 
 // A request is forgotten once it is over.
 func TestFinishedRequestsAreForgotten(t *testing.T) {
-	w := newWorld(t, 4)
+	w := newEventSimulation(t, 4)
 	for range 3000 {
 		w.step()
 	}
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -114,8 +114,8 @@
 	})
 }
 
-// capacityPart is the part of its capacity that a server has reached.
-func (f *slowStartFleet) capacityPart(s *slowStartServer, at Time) float64 {
+// capacityFraction is the part of its capacity that a server has reached.
+func (f *slowStartFleet) capacityFraction(s *slowStartServer, at Time) float64 {
 	age := at - s.StartedAt
 	if s.StartedAt == 0 || age >= f.set.Rules.SlowStartDuration {
 		return 1
@@ -125,7 +125,7 @@
 
 func (f *slowStartFleet) send(n int, a Action) {
 	s := f.servers[a.Server]
-	part := f.capacityPart(s, f.now)
+	part := f.capacityFraction(s, f.now)
 	if part < 1 {
 		s.sentWhileWarmingUp = append(s.sentWhileWarmingUp, f.now)
 	}
@@ -187,9 +187,9 @@
 	}
 }
 
-// worstPart is the most that was sent to a server that is warming up within the overload duration, as a part of what
+// worstOverload is the most that was sent to a server that is warming up within the overload duration, as a part of what
 // it bears then: N requests by the overload multiple, and what chance adds to that.
-func (f *slowStartFleet) worstPart() (worst float64, sent int) {
+func (f *slowStartFleet) worstOverload() (worst float64, sent int) {
 	span := f.set.Rules.OverloadDuration
 	for _, s := range f.servers {
 		sent += len(s.sentWhileWarmingUp)
@@ -198,7 +198,7 @@
 			for s.sentWhileWarmingUp[first] < at-span {
 				first++
 			}
-			n := f.set.Rules.OverloadMultiple * s.capacity * f.capacityPart(s, s.sentWhileWarmingUp[first]) * span.Seconds()
+			n := f.set.Rules.OverloadMultiple * s.capacity * f.capacityFraction(s, s.sentWhileWarmingUp[first]) * span.Seconds()
 			worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 		}
 	}
@@ -228,7 +228,7 @@
 	{name: "a third of the nodes restarts", capacity: 10, configured: slowStartNodes, reachable: slowStartNodes, restarting: true, loadBefore: 0.3, loadAfter: 2},
 }
 
-func (c slowStartCase) play(seed uint64, reports bool) *slowStartFleet {
+func (c slowStartCase) simulate(seed uint64, reports bool) *slowStartFleet {
 	set := testSettings(c.configured)
 	set.Classes = []Class{{Name: "free", LatencyObjective: time.Second, Deadline: 2 * time.Second, RetrySafety: Idempotent, PriorityWeight: 1}}
 	set.Tenants = []Tenant{{Name: "t", Quota: 1e6}}
@@ -258,7 +258,7 @@
 				t.Parallel()
 				lowest, worst, sent := math.Inf(1), 0.0, 0
 				for seed := range uint64(10) {
-					part, warmingUp := c.play(seed, reports).worstPart()
+					part, warmingUp := c.simulate(seed, reports).worstOverload()
 					if part > 1 {
 						t.Errorf("seed %d: %.2f times the bound is sent to a server", seed, part)
 					}
--- a/policy/token_buckets_test.go
+++ b/policy/token_buckets_test.go
@@ -98,9 +98,9 @@
 	}
 }
 
-// seenOnce has each of n tenants make one request, a millisecond apart. It returns how many are admitted, how many
+// requestOncePerTenant has each of n tenants make one request, a millisecond apart. It returns how many are admitted, how many
 // buckets there are then and some requests later, and the bytes of heap in use.
-func seenOnce(tb testing.TB, n int) (admitted, atOnce, later int, heapBytes uint64) {
+func requestOncePerTenant(tb testing.TB, n int) (admitted, atOnce, later int, heapBytes uint64) {
 	set := testSettings(1)
 	set.Tenants, set.Limits.Default = nil, &Limit{PerWindow: 10, Window: time.Second, Burst: 5}
 	b, err := New(set, 0, 1)
@@ -133,7 +133,7 @@
 // The number of buckets follows the tenants that send requests now, not those ever seen.
 func TestBucketsOfTenantsSeenOnceAreDropped(t *testing.T) {
 	const tenants = 50000
-	admitted, atOnce, later, _ := seenOnce(t, tenants)
+	admitted, atOnce, later, _ := requestOncePerTenant(t, tenants)
 	if atOnce > maxBuckets || later > 10 {
 		t.Errorf("of %d tenants seen once there are %d buckets at once, %d later", tenants, atOnce, later)
 	}
@@ -177,7 +177,7 @@
 // BenchmarkTenantsSeenOnce reports the memory that 800,000 tenants leave behind.
 func BenchmarkTenantsSeenOnce(b *testing.B) {
 	for b.Loop() {
-		admitted, atOnce, later, heapBytes := seenOnce(b, 800000)
+		admitted, atOnce, later, heapBytes := requestOncePerTenant(b, 800000)
 		b.ReportMetric(float64(admitted), "admitted")
 		b.ReportMetric(float64(atOnce), "buckets-at-the-end")
 		b.ReportMetric(float64(later), "buckets-later")
