--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -139,7 +139,7 @@
 // some read what those before them changed.
 func (b *Balancer) observeResponse(a *attempt, c *class, e Outcome) {
 	s := a.server
-	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled { // a server that is full has work
+	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled { // a server that is full hasn't failed
 		b.recordEvidence(a, c.failureLevel(s.Kind, e.Code, e.Latency.Seconds()))
 	}
 	weight := b.failureWeight(s, e.Code)
--- a/policy/class.go
+++ b/policy/class.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// tailQuantile is the quantile of a class's latency that is estimated: attempts slower than that are
-	// looked at again.
+	// tailQuantile is the quantile of a class's latency that is estimated. An attempt that is much slower may
+	// be at a server that hangs (slow_attempts.go).
 	tailQuantile = 0.95
 	// tailStep is the part of the estimate by which responses move it.
 	tailStep = 0.1
--- a/policy/concurrency_window.go
+++ b/policy/concurrency_window.go
@@ -15,7 +15,8 @@
 	windowDecreaseFactor = 3.0
 	// utilizationGain is the weight of one report in the mean utilization: a single one is far off either way.
 	utilizationGain = 0.1
-	// initialWindowScale and minWindowScale are the first and the least scale of the window.
+	// initialWindowScale and minWindowScale are the first and the least scale of the window, in multiples of
+	// initialReportedLimit for each server.
 	initialWindowScale = 1.0
 	minWindowScale     = 0.2
 	// initialReportedLimit is how many attempts all nodes together first have in flight at a server, where
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -53,7 +53,7 @@
 	b.emit(Action{Kind: SetTimer, Wait: wait, Token: listTimerToken})
 }
 
-// onEndpointList takes over news of the servers.
+// onEndpointList takes over the list of servers or a change of it, or subscribes again if there is none.
 func (b *Balancer) onEndpointList(e EndpointList) {
 	if e.Kind == ListUnavailable {
 		b.subscribeListAfter(b.list.nextBackoff(b.settings.Rules.PollInterval, b.rng))
@@ -139,9 +139,9 @@
 	return missing
 }
 
-// retainMissing drops the servers that a list takes away. If it takes away more than half of a zone's
-// running servers at once, which were not drained, that is more often a fault of the list: these are
-// retained for a while.
+// retainMissing drops the servers that the list lacks. Where it lacks more than half of a zone's running
+// servers at once, and they were not drained before, the list is more likely at fault than the servers, so
+// they are retained for a while.
 func (b *Balancer) retainMissing(missing []*server) {
 	runningInZone := make(map[string]int)
 	for _, s := range missing {
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -15,7 +15,7 @@
 
 // fleetSize decides by how many nodes the quotas are divided: by those of the settings, or as many as
 // membership reached. The number grows at once and shrinks late, and stays where this node reaches half of
-// the fleet or less: the parts of all nodes shall not exceed a quota.
+// the fleet or less: the parts of all nodes must not exceed a quota.
 type fleetSize struct {
 	configuredNodes int  // by the settings
 	hasMembership   bool // a FleetSize event came
--- a/policy/load_reports.go
+++ b/policy/load_reports.go
@@ -140,7 +140,8 @@
 		1-overloadSlope*(report.utilization-targetUtilization)))
 }
 
-// isOverloaded reports whether a report shows a server so busy and slow that only a rest helps it.
+// isOverloaded reports whether a report shows a server so busy and slow that its queue drains only without
+// new requests.
 func (l *serverLoad) isOverloaded(report loadReport) bool {
 	return report.utilization > targetUtilization && report.latency > ejectLatencyFactor*l.latency
 }
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -12,7 +12,8 @@
 	attemptFailureWeight = 0.3
 	// silenceWeight is that of a slow attempt at a server that answers nothing: the request may just be heavy.
 	silenceWeight = 0.15
-	// overloadedWeight is that of an Overloaded response: a server that keeps giving those needs a rest.
+	// overloadedWeight is that of an Overloaded response: a server that keeps giving those has to drain its
+	// queue first.
 	overloadedWeight = 0.2
 	// ejectionScore is the failure score beyond which a server is ejected.
 	ejectionScore = 0.5
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -70,8 +70,8 @@
 	return latency <= maxLatencyFraction*(r.usefulUntil-b.now).Seconds()
 }
 
-// mayRunOn guards placement, and that a request which may have run is only sent where a repeat does no
-// harm: to servers that drop it, while they still know the request.
+// mayRunOn reports whether placement and retry safety permit a request at a server. One that may have run is
+// sent again only where a repeat does no harm: to servers that drop it, while they still know the request.
 func (r *request) mayRunOn(s *server, now Time) bool {
 	if !r.class.permits(s) {
 		return false
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -13,7 +13,8 @@
 	minWarmupRate = 1.0
 	// warmupBurstDivisor bounds a burst: that part of what the budget allows within the overload duration.
 	warmupBurstDivisor = 4
-	// maxWarmingUpScanned bounds how many servers that are warming up a choice looks at before its walk.
+	// maxWarmingUpScanned bounds how many servers that are warming up a choice looks at before its walk, and so
+	// the cost of a choice while many start together.
 	maxWarmingUpScanned = 16
 	// maxShortageForSlowStart is the shortage of the highest-priority class up to which its requests avoid
 	// servers that are warming up.
--- a/policy/zone_failover.go
+++ b/policy/zone_failover.go
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// mayBeProbedBy reports whether a request of a class may probe the server's zone there.
+// mayBeProbedBy reports whether a request of a class may probe the server's zone by going to that server.
 func (s *server) mayBeProbedBy(c *class) bool {
 	return c.RetrySafety >= s.retrySafety && s.totalInFlight() == 0 && !s.outlier.probationInFlight
 }
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -95,7 +95,7 @@
 	logf          func(format string, args ...any) // writes a line to the node's log
 }
 
-// configure takes over the settings. All zones are well again if the topology is another one.
+// configure takes over the settings. Another topology makes all zones new, and so healthy.
 func (f *zoneFailover) configure(topology *Topology, ownZone string) {
 	if !reflect.DeepEqual(topology, f.topology) {
 		f.all = nil
@@ -103,7 +103,7 @@
 	f.topology, f.ownZone = topology, ownZone
 }
 
-// find returns the health of a zone, which is well if it is new; nil where the settings name no topology.
+// find returns the health of a zone, and makes it for a new one; nil where the settings name no topology.
 func (f *zoneFailover) find(name string) *zoneHealth {
 	if f.topology == nil {
 		return nil
