--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -7,7 +7,10 @@
 	"sync"
 	"syscall"
 
+	"sloerail/internal/node/config"
+	"sloerail/internal/node/downstream"
 	"sloerail/internal/node/hotrestart"
+	"sloerail/internal/node/upstream"
 )
 
 const (
@@ -26,11 +29,11 @@
 // hotRestart is this process's part in hand-overs: it shares the node's descriptors and memory with the process before
 // it, and with the one that takes over from it.
 type hotRestart struct {
-	config   Config
-	server   *server
-	upstream *upstream
-	clients  *connLimiter
-	fleet    *membership // nil for a node of no fleet
+	config    config.Config
+	server    *server
+	transport *upstream.Transport
+	clients   *downstream.ConnectionLimiter
+	fleet     *membership // nil for a node of no fleet
 
 	mu      sync.Mutex
 	sockets int // descriptors that this process may hold
@@ -54,7 +57,7 @@
 	} else {
 		close(h.server.soleListener)
 	}
-	id := h.config.identity()
+	id := identityOf(h.config)
 	if id.SocketPath() == "" {
 		return
 	}
@@ -70,7 +73,7 @@
 
 // Snapshot implements hotrestart.Process.
 func (h *hotRestart) Snapshot() (hotrestart.State, error) {
-	state, ok := ask(h.server.loop, func(reply chan<- hotrestart.State) any { return snapshotRequest{reply} })
+	state, ok := ask(h.server.loop, func(reply chan<- hotrestart.State) event { return snapshotRequest{reply} })
 	if !ok {
 		return hotrestart.State{}, errors.New("the node has ended")
 	}
@@ -85,8 +88,8 @@
 	if h.fleet != nil {
 		h.fleet.Yield()
 	}
-	h.server.draining.Store(true) // clients come again, to the successor
-	return h.clients.setPaused(true)
+	h.server.Draining.Store(true) // clients come again, to the successor
+	return h.clients.SetPaused(true)
 }
 
 // Progress implements hotrestart.Process.
@@ -97,8 +100,8 @@
 // Resume implements hotrestart.Process.
 func (h *hotRestart) Resume(successorServed bool) {
 	h.server.superseded.Store(false)
-	h.server.draining.Store(h.server.stopping.Load())
-	if err := h.clients.setPaused(false); err != nil {
+	h.server.Draining.Store(h.server.Stopping.Load())
+	if err := h.clients.SetPaused(false); err != nil {
 		slog.Error("hot restart: the clients' listener", "error", err)
 	}
 	h.shareSockets()
@@ -118,11 +121,11 @@
 
 // releaseSockets cuts this process down to what it holds, and returns what is left for its successor.
 func (h *hotRestart) releaseSockets() int {
-	clients := h.server.peers.count()
-	spare := max(1, min(maxSpareConns, (h.config.Sockets-h.config.ownSockets())/spareFraction))
-	servers := h.upstream.shrink(min(clients, maxSpareServerConns), spare)
-	h.clients.setLimit(clients + spare)
-	held := h.config.ownSocketsShared() + clients + spare + servers
+	clients := h.server.ClientConns().Count()
+	spare := max(1, min(maxSpareConns, (h.config.Sockets-reservedSockets(h.config))/spareFraction))
+	servers := h.transport.LimitConnections(min(clients, maxSpareServerConns), spare)
+	h.clients.SetLimit(clients + spare)
+	held := reservedSocketsWhileShared(h.config) + clients + spare + servers
 	total := h.totalSockets()
 	return max(total/minSuccessorFraction, total-held)
 }
@@ -133,14 +136,14 @@
 	// and say nothing leave the servers' side its descriptors. While two processes share them, none is set aside for
 	// clients over the limit: they wait to be accepted for what the other process releases.
 	h.mu.Lock()
-	sockets, own, over := h.sockets, h.config.ownSockets(), ownSockets/2
-	if h.server.sharingSockets.Load() {
-		own, over = h.config.ownSocketsShared(), 0
+	sockets, own, over := h.sockets, reservedSockets(h.config), ownSockets/2
+	if h.server.AwaitingDescriptors.Load() {
+		own, over = reservedSocketsWhileShared(h.config), 0
 	}
 	h.mu.Unlock()
-	h.upstream.sockets.total.Store(int64(max(leastPart, sockets-own)))
-	h.upstream.unbound()
-	h.clients.setLimit(h.upstream.sockets.mostClients() + over)
+	h.transport.Descriptors().SetTotal(sockets - own)
+	h.transport.LiftLimit()
+	h.clients.SetLimit(h.transport.Descriptors().MaxClients() + over)
 }
 
 // takeSockets takes what the process before this one has released.
@@ -153,7 +156,7 @@
 	}
 	h.mu.Lock()
 	h.sockets = sockets
-	h.server.sharingSockets.Store(!ended)
+	h.server.AwaitingDescriptors.Store(!ended)
 	h.mu.Unlock()
 	if !h.server.superseded.Load() {
 		h.shareSockets()
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -12,6 +12,8 @@
 	"golang.org/x/sys/unix"
 
 	"sloerail/internal/node/hotrestart"
+
+	"sloerail/internal/node/config"
 )
 
 // Listeners are where a node is reached, and the process that it takes over from.
@@ -23,11 +25,11 @@
 
 // Listen makes the node's listeners. The clients' comes from the process that serves there now, where one does and
 // hands over; else it is an ordinary one.
-func Listen(ctx context.Context, c Config) (Listeners, error) {
+func Listen(ctx context.Context, c config.Config) (Listeners, error) {
 	var at Listeners
 	var err error
-	if c.identity().SocketPath() != "" {
-		at.predecessor, err = hotrestart.TakeOver(c.identity())
+	if identityOf(c).SocketPath() != "" {
+		at.predecessor, err = hotrestart.TakeOver(identityOf(c))
 		switch {
 		case err == nil:
 			at.Clients = at.predecessor.Clients
@@ -72,7 +74,7 @@
 	return lc.Listen(ctx, "tcp", addr)
 }
 
-// identity says which node this process is one of.
-func (c Config) identity() hotrestart.Identity {
+// identityOf says which node this process is one of.
+func identityOf(c config.Config) hotrestart.Identity {
 	return hotrestart.Identity{Name: c.Name, Address: c.Listen, Dir: c.SharedDir}
 }
