--- a/internal/simulation/zone_measures.go
+++ b/internal/simulation/zone_measures.go
@@ -53,7 +53,7 @@
 		{"overflow: crossing attempts against what is beyond 0.8 of the own zone", "overflow", 0, 1.15, overflowRatio},
 		{"return: growing took, against the law", "zone-lost", 0.8, 1.2, func(r Run) float64 { return r.growthRatio("a") }},
 		{"return: from the zone's return to the last whole share, s", "zone-lost", 0, most, func(r Run) float64 {
-			return r.lastLogged("place a has its whole") - faultEnd.Seconds()
+			return r.lastLogged("zone a has its whole") - faultEnd.Seconds()
 		}},
 		{"return: requests that failed", "zone-lost", 0, 0.005, func(r Run) float64 { return r.failedFraction(faultEnd, faultEnd+15*time.Second) }},
 		{"return cold: requests that failed", "zone-cold", 0, 0.005, func(r Run) float64 { return r.failedFraction(faultEnd, faultEnd+25*time.Second) }},
@@ -146,21 +146,21 @@
 	return at
 }
 
-// evacuations counts how often places were left between two times.
+// evacuations counts how often zones were evacuated between two times.
 func (r Run) evacuations(from, to time.Duration) (n int) {
 	for _, m := range r.Timeline {
-		if m.At >= from.Seconds() && m.At < to.Seconds() && strings.Contains(m.Text, " is left: ") {
+		if m.At >= from.Seconds() && m.At < to.Seconds() && strings.Contains(m.Text, " evacuated: ") {
 			n++
 		}
 	}
 	return n
 }
 
-// maxEvacuations is how often the node that left most often did so.
+// maxEvacuations is how often the node that evacuated zones most often did so.
 func (r Run) maxEvacuations() (most int) {
 	by := make(map[string]int)
 	for _, m := range r.Timeline {
-		if strings.Contains(m.Text, " is left: ") {
+		if strings.Contains(m.Text, " evacuated: ") {
 			by[m.Node]++
 			most = max(most, by[m.Node])
 		}
@@ -174,9 +174,9 @@
 	began, took, n := make(map[string]float64), 0.0, 0
 	for _, m := range r.Timeline {
 		switch {
-		case strings.HasPrefix(m.Text, "place "+zone+" is well again"):
+		case strings.HasPrefix(m.Text, "zone "+zone+" recovers"):
 			began[m.Node] = m.At
-		case strings.HasPrefix(m.Text, "place "+zone+" has its whole") && began[m.Node] > 0:
+		case strings.HasPrefix(m.Text, "zone "+zone+" has its whole") && began[m.Node] > 0:
 			took, n = took+m.At-began[m.Node], n+1
 		}
 	}
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -7,22 +7,26 @@
 )
 
 const (
-	// listBackoffBase is the mean wait before a failed subscription to the list is repeated. It doubles with
-	// each further failure up to listBackoffMax, which leaves time for several tries before a change of the
-	// list has to be followed.
-	listBackoffBase = 500 * time.Millisecond
-	listBackoffMax  = time.Second
+	// resubscribeBackoffBase is the mean wait before a failed subscription to the list is repeated. It doubles
+	// with each further failure up to resubscribeBackoffMax, which leaves time for several tries before a
+	// change of the list has to be followed. A node that doesn't subscribe has its own backoff, in
+	// internal/node/discovery/backoff.go.
+	resubscribeBackoffBase = 500 * time.Millisecond
+	resubscribeBackoffMax  = time.Second
 	// maxBackoffDoublings keeps the shift by the number of failures in range.
 	maxBackoffDoublings = 8
-	// maxRetainTime bounds how long servers are retained that the list takes away in a mass.
+	// maxRetainTime bounds how long servers are retained that most of a zone's list entries vanish with.
 	maxRetainTime = 5 * time.Second
+	// initialLatencyDivisor divides the latency objective of the first class of the settings into the mean
+	// latency that is assumed of a new server: it spaces attempts until the first responses.
+	initialLatencyDivisor = 4
 )
 
 // endpointList owns the state of the subscription to the list of servers, and of the servers that it takes
 // away.
 type endpointList struct {
 	failures    int           // failed calls in a row
-	retainFor   time.Duration // how long servers are retained that the list takes away in a mass
+	retainFor   time.Duration // how long servers are retained that vanish with most of their zone
 	unavailable int           // listed servers that get no work: they drain or are ejected
 }
 
@@ -36,8 +40,8 @@
 
 // nextBackoff is the wait before the next call after one that failed, spread among nodes.
 func (l *endpointList) nextBackoff(pollInterval time.Duration, rng *rand.Rand) time.Duration {
-	longest := min(listBackoffMax, cmp.Or(pollInterval/4, listBackoffMax))
-	mean := min(longest, listBackoffBase<<min(l.failures, maxBackoffDoublings))
+	longest := min(resubscribeBackoffMax, cmp.Or(pollInterval/4, resubscribeBackoffMax))
+	mean := min(longest, resubscribeBackoffBase<<min(l.failures, maxBackoffDoublings))
 	l.failures++
 	return time.Duration((0.5 + rng.Float64()) * float64(mean))
 }
@@ -49,7 +53,7 @@
 	b.emit(Action{Kind: SetTimer, Wait: wait, Token: listTimerToken})
 }
 
-// onEndpointList takes over news of the servers.
+// onEndpointList takes over the list of servers or a change of it, or subscribes again if there is none.
 func (b *Balancer) onEndpointList(e EndpointList) {
 	if e.Kind == ListUnavailable {
 		b.subscribeListAfter(b.list.nextBackoff(b.settings.Rules.PollInterval, b.rng))
@@ -77,7 +81,7 @@
 func (b *Balancer) followSubscription(kind ListKind) {
 	switch {
 	case kind == ListCached && b.settings.SubscribeList && b.isLargeFleet():
-		longest := min(2*listBackoffMax, b.settings.Rules.DrainGrace)
+		longest := min(2*resubscribeBackoffMax, b.settings.Rules.DrainGrace)
 		b.subscribeListAfter(time.Duration(b.rng.Float64() * float64(longest)))
 	case kind == ListCached && b.settings.SubscribeList:
 		b.subscribeList()
@@ -114,7 +118,7 @@
 // that are notified of a starting server together don't all send to it at once.
 func (b *Balancer) newServer() *server {
 	return &server{
-		meanLatency:  b.settings.Classes[0].LatencyObjective.Seconds() / 4,
+		meanLatency:  b.settings.Classes[0].LatencyObjective.Seconds() / initialLatencyDivisor,
 		warmupBudget: warmupBudget{tokens: b.rng.Float64(), refilledAt: b.now},
 	}
 }
@@ -135,9 +139,9 @@
 	return missing
 }
 
-// retainMissing drops the servers that a list takes away. If it takes away more than half of a zone's
-// running servers at once, which were not drained, that is more often a fault of the list: these are
-// retained for a while.
+// retainMissing drops the servers that the list lacks. Where it lacks more than half of a zone's running
+// servers at once, and they were not drained before, the list is more likely at fault than the servers, so
+// they are retained for a while.
 func (b *Balancer) retainMissing(missing []*server) {
 	runningInZone := make(map[string]int)
 	for _, s := range missing {
@@ -146,8 +150,8 @@
 		}
 	}
 	for _, s := range missing {
-		isMass := b.packing.serversByZone[s.Zone] < 2*runningInZone[s.Zone]
-		if !b.settings.RetainMissing || !isMass || s.Availability != Running {
+		isMostOfZone := b.packing.serversByZone[s.Zone] < 2*runningInZone[s.Zone]
+		if !b.settings.RetainMissing || !isMostOfZone || s.Availability != Running {
 			b.dropServer(s)
 		} else if s.missingSince == 0 {
 			s.missingSince = b.now
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -8,14 +8,14 @@
 	// fleetShrinkDelay is how long nodes have to be unreachable before the others divide the quotas without
 	// them: longer than nearly every restart, and than most partitions.
 	fleetShrinkDelay = time.Minute
-	// maxSmallFleet is the largest number of nodes that all fill servers in the same order. More would jam
+	// maxSmallFleet is the largest number of nodes that all fill servers in the same order. More would overload
 	// the first server, so each begins elsewhere.
 	maxSmallFleet = 3
 )
 
 // fleetSize decides by how many nodes the quotas are divided: by those of the settings, or as many as
 // membership reached. The number grows at once and shrinks late, and stays where this node reaches half of
-// the fleet or less: the parts of all nodes shall not exceed a quota.
+// the fleet or less: the parts of all nodes must not exceed a quota.
 type fleetSize struct {
 	configuredNodes int  // by the settings
 	hasMembership   bool // a FleetSize event came
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -12,7 +12,8 @@
 	attemptFailureWeight = 0.3
 	// silenceWeight is that of a slow attempt at a server that answers nothing: the request may just be heavy.
 	silenceWeight = 0.15
-	// overloadedWeight is that of an Overloaded response: a server that keeps giving those needs a rest.
+	// overloadedWeight is that of an Overloaded response: a server that keeps giving those has to drain its
+	// queue first.
 	overloadedWeight = 0.2
 	// ejectionScore is the failure score beyond which a server is ejected.
 	ejectionScore = 0.5
@@ -35,7 +36,8 @@
 	probationSuccessesNeeded = 3
 )
 
-// outlierState is the circuit breaker of one server.
+// outlierState is the circuit breaker of one server. Besides failures, a load report that shows an overload
+// ejects (onLoadReport in load_reports.go).
 type outlierState struct {
 	failureScore       float64 // 0 to 1, a decaying weight of recent failures
 	ejected            bool    // it gets no requests, or after ejectedUntil only those of its probation
@@ -128,12 +130,12 @@
 // others.
 func (d *outlierDetector) trackConnectionFaults(s *server, fault bool) (others float64) {
 	updateRatio(&s.connectionFaultRatio, connectionFaultGain, fault)
-	present := toFixedPoint(s.connectionFaultRatio)
+	currentRatio := toFixedPoint(s.connectionFaultRatio)
 	if c := &s.contribution.outlier; s.segment != nil {
-		d.connectionFaults += present - c.connectionFaults
-		c.connectionFaults = present
+		d.connectionFaults += currentRatio - c.connectionFaults
+		c.connectionFaults = currentRatio
 	}
-	return (d.connectionFaults - present).float()
+	return (d.connectionFaults - currentRatio).float()
 }
 
 // dueFor returns the ejected servers that may get a request of a class for their probation, in packing order.
@@ -196,12 +198,12 @@
 func (b *Balancer) updateOutlierState(a *attempt, code Code, failureWeight float64) {
 	s, state := a.server, &a.server.outlier
 	switch {
-	case state.ejected && a.probation && code == OK:
+	case state.ejected && a.isProbe && code == OK:
 		if state.probationSuccesses++; state.probationSuccesses >= probationSuccessesNeeded {
 			*state, s.concurrencyLimit = outlierState{}, b.initialLimit()
 			b.ejectionChanged(s)
 		}
-	case state.ejected && a.probation:
+	case state.ejected && a.isProbe:
 		b.eject(s)
 	case code == OK:
 		state.addSuccess()
@@ -212,15 +214,16 @@
 	}
 }
 
-// pickProbation returns an ejected server that is due for a request of its probation, or nil. The request
-// has to be of a class that is as safe to retry as any that may use the server.
-func (b *Balancer) pickProbation(r *request) *server {
+// claimProbation returns an ejected server that is due for a request of its probation, and marks that one
+// as in flight; nil if there is none. The request has to be of a class that is as safe to retry as any that
+// may use the server.
+func (b *Balancer) claimProbation(r *request) *server {
 	if r.class.eligible.ejected == 0 || len(r.attempts) > 0 {
 		return nil
 	}
 	for s := range b.probationCandidates(r.class) {
 		if s.outlier.isDue(b.now) && !s.zone.isEvacuated() && r.class.RetrySafety >= s.retrySafety &&
-			b.hasWarmupBudget(s) {
+			b.refillWarmupBudget(s) {
 			s.outlier.probationInFlight = true
 			return s
 		}
@@ -231,7 +234,7 @@
 	return nil
 }
 
-// probationCandidates are the servers among which pickProbation looks. Where limits rest on load reports,
+// probationCandidates are the servers among which claimProbation looks. Where limits rest on load reports,
 // nodes are many, and probation by all of them would keep an overloaded server from recovering: there the
 // whole walk counts, which ends at the first server with capacity.
 func (b *Balancer) probationCandidates(c *class) iter.Seq[*server] {
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -45,7 +45,7 @@
 	evidenceByKind map[string]*evidenceSum // the same by their kinds
 
 	trafficShare    float64 // part of the requests that would go there by order and capacity
-	closed          bool    // to the request in hand
+	closed          bool    // to the request that is being dispatched
 	evacuatedUntil  Time    // when probes begin; 0 while it isn't evacuated
 	lastProbeAt     Time    // when a request last probed it
 	probeSuccesses  int     // in a row
@@ -62,7 +62,7 @@
 // isEvacuated reports whether the zone gets no requests but probes.
 func (z *zoneHealth) isEvacuated() bool { return z != nil && z.evacuatedUntil > 0 }
 
-// isClosed reports whether the zone gets no part of the request in hand.
+// isClosed reports whether the request that is being dispatched may not go to the zone.
 func (z *zoneHealth) isClosed() bool { return z != nil && z.closed }
 
 func (z *zoneHealth) regionName() string {
@@ -95,7 +95,7 @@
 	logf          func(format string, args ...any) // writes a line to the node's log
 }
 
-// configure takes over the settings. All zones are well again if the topology is another one.
+// configure takes over the settings. Another topology makes all zones new, and so healthy.
 func (f *zoneFailover) configure(topology *Topology, ownZone string) {
 	if !reflect.DeepEqual(topology, f.topology) {
 		f.all = nil
@@ -103,7 +103,7 @@
 	f.topology, f.ownZone = topology, ownZone
 }
 
-// find returns the health of a zone, which is well if it is new; nil where the settings name no topology.
+// find returns the health of a zone, and makes it for a new one; nil where the settings name no topology.
 func (f *zoneFailover) find(name string) *zoneHealth {
 	if f.topology == nil {
 		return nil
@@ -137,12 +137,12 @@
 // ZoneState is what a node makes of a zone.
 type ZoneState struct {
 	Zone, Region         string
-	State                string  // well, suspect, left, returning
+	State                string  // well, suspect, left (evacuated), returning (recovering); frozen for operators
 	Cost                 float64 // of crossing to it
 	TrafficShare         float64 // part of the requests that would go there by order and capacity
 	Servers, Evacuations int
 	Failures, Responses  float64       // recent ones
-	RetryIn              time.Duration // until it is probed again; 0 unless it is left
+	RetryIn              time.Duration // until it is probed; 0 unless it is evacuated
 	EvacuationReason     string        // of the last evacuation
 }
 
