--- a/internal/node/hotrestart/serve.go
+++ b/internal/node/hotrestart/serve.go
@@ -18,8 +18,8 @@
 	startTimeout = 10 * time.Second // for a successor to serve; after that it counts as gone
 	stateByte    = '\n'             // comes before the state, with the listening socket
 
-	// ProgressInterval is the time between two messages of a predecessor. An attempt that lacks a descriptor waits for
-	// two of them, so that at least one message may grant it.
+	// ProgressInterval is the time between two messages of a predecessor: half of what an attempt waits for a descriptor
+	// (descriptorWaitTimeout in internal/node/upstream), so that one message at least may grant it meanwhile.
 	ProgressInterval = 50 * time.Millisecond
 )
 
