--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net/http"
 	"slices"
 	"time"
 
@@ -9,16 +10,17 @@
 	"sloerail/policy"
 )
 
-// attempt is one sending of a request to a server.
+// attempt is one attempt of a node at a server.
 type attempt struct {
-	request  *request
-	number   int
-	server   *server
-	sent     time.Duration
-	job      string
-	finished bool
+	request *request
+	number  int // from 0, of the request
+	server  *server
+	sentAt  time.Duration
+	jobID   string // at the server
+	ended   bool   // at the node
 }
 
+// latencyBetween is the latency one way between two zones.
 func latencyBetween(a, b string) time.Duration {
 	if a == b {
 		return sameZoneLatency
@@ -26,87 +28,91 @@
 	return crossZoneLatency
 }
 
+func (a *attempt) latency() time.Duration {
+	return latencyBetween(a.request.node.zone, a.server.Spec.Zone)
+}
+
 // unreachable tells whether nothing passes between a zone and a server.
-func (w *Simulation) unreachable(zone string, b *server) bool {
-	return b.connectTimeout || slices.ContainsFunc(w.partitions, func(f Fault) bool { return f.Separates(zone, b.Spec.Zone) })
+func (s *Simulation) unreachable(zone string, to *server) bool {
+	return to.connectTimeout ||
+		slices.ContainsFunc(s.partitions, func(f Fault) bool { return f.Separates(zone, to.Spec.Zone) })
 }
 
-func (w *Simulation) sendAttempt(n *node, a policy.Action) {
-	o, b := n.requests[a.ID], w.serversByID[a.Server]
-	if o == nil || b == nil {
-		w.outcome.Errors++
+func (s *Simulation) sendAttempt(n *node, action policy.Action) {
+	r, to := n.requests[action.ID], s.serversByID[action.Server]
+	if r == nil || to == nil {
+		s.outcome.Errors++
 		return
 	}
-	f := &attempt{request: o, number: o.attemptCount, server: b, sent: w.now, job: fmt.Sprintf("%s/%d", a.ID, o.attemptCount)}
-	o.attemptCount++
-	o.attempt = f
-	w.outcome.RecordAttempt(w.now, o.client.Class.Name, n.zone, b.Spec.Zone)
-	way := latencyBetween(n.zone, b.Spec.Zone)
-	until := max(w.now, min(a.AttemptDeadline, o.client.SendAt+o.client.Timeout))
-	if a.AttemptDeadline == 0 {
-		until = o.client.SendAt + o.client.Timeout
+	a := &attempt{request: r, number: r.attemptCount, server: to, sentAt: s.now, jobID: fmt.Sprintf("%s/%d", action.ID, r.attemptCount)}
+	r.attemptCount++
+	r.attempt = a
+	s.outcome.RecordAttempt(s.now, r.clientAttempt.Class.Name, n.zone, to.Spec.Zone)
+	deadline := r.clientAttempt.SendAt + r.clientAttempt.Timeout
+	if action.AttemptDeadline != 0 {
+		deadline = max(s.now, min(action.AttemptDeadline, deadline))
 	}
-	w.at(until, func() { w.finish(f, policy.TimedOut, nil) })
-	if w.unreachable(n.zone, b) {
-		w.after(connectTimeout, func() { w.finish(f, policy.ConnectFailed, nil) })
+	s.at(deadline, func() { s.endAttempt(a, policy.TimedOut, nil) })
+	if s.unreachable(n.zone, to) {
+		s.after(connectTimeout, func() { s.endAttempt(a, policy.ConnectFailed, nil) })
 		return
 	}
-	w.after(way, func() { w.arrive(n, f, way) })
+	s.after(a.latency(), func() { s.arrive(a) })
 }
 
-// arrive is when an attempt's last byte reaches its server.
-func (w *Simulation) arrive(n *node, f *attempt, way time.Duration) {
-	b := f.server
+// arrive is the arrival of an attempt's last byte at its server.
+func (s *Simulation) arrive(a *attempt) {
+	n, to := a.request.node, a.server
 	switch {
-	case f.finished, w.unreachable(n.zone, b):
+	case a.ended, s.unreachable(n.zone, to):
 		return
-	case b.down:
-		w.after(way, func() { w.finish(f, policy.ConnectFailed, nil) })
+	case to.down:
+		s.after(a.latency(), func() { s.endAttempt(a, policy.ConnectFailed, nil) })
 		return
 	}
-	t := f.request.client
-	w.Checker.AttemptArrived(w.now, n.name, t.ID, b.Server)
-	switch b.Offer(w.now, emulator.Job{ID: f.job, Key: t.Key, Work: t.Work}) {
+	client := a.request.clientAttempt
+	s.Checker.AttemptArrived(s.now, n.name, client.ID, to.Server)
+	switch to.Offer(s.now, emulator.Job{ID: a.jobID, Key: client.Key, Work: client.Work}) {
 	case emulator.Rejected:
-		w.Checker.AttemptEnded(t.ID, b.Spec.ID, true)
-		w.reply(n, f, way, policy.Overloaded)
+		s.Checker.AttemptEnded(client.ID, to.Spec.ID, true)
+		s.reply(a, policy.Overloaded)
 	case emulator.Failed:
-		w.Checker.AttemptEnded(t.ID, b.Spec.ID, false)
-		w.reply(n, f, way, policy.ServerError)
+		s.Checker.AttemptEnded(client.ID, to.Spec.ID, false)
+		s.reply(a, policy.ServerError)
 	default:
-		b.attempts[f.job] = f
-		w.scheduleCompletions(b)
+		to.attempts[a.jobID] = a
+		s.scheduleCompletions(to)
 	}
 }
 
-// reply carries an answer to its node.
-func (w *Simulation) reply(n *node, f *attempt, way time.Duration, code policy.Code) {
-	if f.server.responseLost || w.unreachable(n.zone, f.server) {
+// reply carries a server's response to the node.
+func (s *Simulation) reply(a *attempt, code policy.Code) {
+	if a.server.responseLost || s.unreachable(a.request.node.zone, a.server) {
 		return
 	}
-	row := w.loadReport(f.server)
-	w.after(way, func() { w.finish(f, code, row) })
+	report := s.loadReport(a.server)
+	s.after(a.latency(), func() { s.endAttempt(a, code, report) })
 }
 
-// finish is the end of an attempt at its node.
-func (w *Simulation) finish(f *attempt, code policy.Code, row []float64) {
-	if f.finished {
+// endAttempt ends an attempt at its node; only the first end counts.
+func (s *Simulation) endAttempt(a *attempt, code policy.Code, report []float64) {
+	if a.ended {
 		return
 	}
-	f.finished = true
-	o := f.request
-	o.attempt = nil
-	if code == policy.TimedOut || code == policy.Cancelled { // what was sent may yet run
-		w.Checker.AttemptEnded(o.client.ID, f.server.Spec.ID, false)
+	a.ended = true
+	r := a.request
+	r.attempt = nil
+	if code == policy.TimedOut || code == policy.Cancelled { // it may still run
+		s.Checker.AttemptEnded(r.clientAttempt.ID, a.server.Spec.ID, false)
 	}
-	ended := o.answered
-	if code == policy.OK && !ended {
-		w.respond(o.node, o.client.ID, 200, 0)
+	requestEnded := r.answered
+	if code == policy.OK && !requestEnded {
+		s.respond(r.node, r.clientAttempt.ID, http.StatusOK, 0)
 	}
-	if o.node.down {
+	if r.node.down {
 		return
 	}
-	w.deliver(o.node, policy.Outcome{ID: o.client.ID, Server: f.server.Spec.ID, Attempt: f.number, Code: code, Latency: w.now - f.sent,
-		RequestEnded: ended || code == policy.OK, LoadReport: row})
-	w.releaseIfDone(o)
+	s.deliver(r.node, policy.Outcome{ID: r.clientAttempt.ID, Server: a.server.Spec.ID, Attempt: a.number, Code: code,
+		Latency: s.now - a.sentAt, RequestEnded: requestEnded || code == policy.OK, LoadReport: report})
+	s.releaseIfDone(r)
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -1,73 +1,68 @@
 package simulation
 
-import (
-	"slices"
+import "slices"
 
-	"sloerail/internal/emulator"
-)
-
-// beginFault starts a fault, and sets the time of its end.
-func (w *Simulation) beginFault(f Fault) {
-	w.outcome.RecordTimeline(w.now, "", f.Describe(true))
-	struck := w.affected(f)
-	for _, b := range struck {
-		w.outcome.Interrupted += len(b.attempts)
+// beginFault begins a fault, and schedules its end.
+func (s *Simulation) beginFault(f Fault) {
+	s.outcome.RecordTimeline(s.now, "", f.Describe(true))
+	servers := s.affectedServers(f)
+	for _, server := range servers {
+		s.outcome.Interrupted += len(server.attempts)
 	}
-	w.applyFault(f, struck, true)
+	s.applyFault(f, servers, true)
 	if f.Length.Duration > 0 {
-		w.after(f.Length.Duration, func() {
-			w.outcome.RecordTimeline(w.now, "", f.Describe(false))
-			w.applyFault(f, struck, false)
+		s.after(f.Length.Duration, func() {
+			s.outcome.RecordTimeline(s.now, "", f.Describe(false))
+			s.applyFault(f, servers, false)
 		})
 	}
 }
 
-// affected are the servers that a fault is about.
-func (w *Simulation) affected(f Fault) (all []*server) {
-	for _, spec := range f.Affected(w.ServerSpecs(w.seed)) {
-		all = append(all, w.serversByID[spec.ID])
+func (s *Simulation) affectedServers(f Fault) (servers []*server) {
+	for _, spec := range f.Affected(s.ServerSpecs(s.seed)) {
+		servers = append(servers, s.serversByID[spec.ID])
 	}
-	return all
+	return servers
 }
 
-func (w *Simulation) applyFault(f Fault, servers []*server, on bool) {
+// applyFault begins or ends a fault.
+func (s *Simulation) applyFault(f Fault, servers []*server, on bool) {
 	switch f.Kind {
 	case LoadIncrease:
-		w.setLoadFactor(f, on)
+		s.setLoadFactor(f, on)
 	case NodesDown:
-		w.setNodesDown(f.Zone, on)
+		s.setNodesDown(f.Zone, on)
 	case Partition:
-		w.setPartition(f, on)
+		s.setPartition(f, on)
 	case Unlisted:
-		w.setPhase(servers, on, emulator.Removed)
-		w.notifyNodes(0, servers)
+		s.setUnlisted(servers, on)
 	case Drain:
-		w.drain(servers, on)
+		s.drain(servers, on)
 	case Crash, CrashRestart:
-		for _, b := range servers {
-			w.setDown(b, on, f.Kind == CrashRestart)
+		for _, server := range servers {
+			s.setDown(server, on, f.Kind == CrashRestart)
 		}
 		if f.Kind == CrashRestart && !on {
-			w.notifyNodes(0, servers)
+			s.notifyNodes(servers)
 		}
 	}
-	for _, b := range servers {
+	for _, server := range servers {
 		switch f.Kind {
 		case ConnectTimeout:
-			b.connectTimeout = on
+			server.connectTimeout = on
 		case ResponseLost:
-			b.responseLost = on
+			server.responseLost = on
 		default:
-			f.ApplyTo(&b.Fault, on)
+			f.ApplyTo(&server.Fault, on)
 		}
 	}
 }
 
-// setPartition cuts zones off, or ends that.
-func (w *Simulation) setPartition(f Fault, on bool) {
+// setPartition cuts zones off from each other, or ends that.
+func (s *Simulation) setPartition(f Fault, on bool) {
 	if on {
-		w.partitions = append(w.partitions, f)
-	} else if i := slices.Index(w.partitions, f); i >= 0 {
-		w.partitions = slices.Delete(w.partitions, i, i+1)
+		s.partitions = append(s.partitions, f)
+	} else if i := slices.Index(s.partitions, f); i >= 0 {
+		s.partitions = slices.Delete(s.partitions, i, i+1)
 	}
 }
--- a/internal/simulation/load_balancer.go
+++ b/internal/simulation/load_balancer.go
@@ -7,95 +7,98 @@
 	"sloerail/internal/emulator"
 )
 
-// loadBalancer spreads the clients of a zone over the nodes near them.
+// loadBalancer spreads the requests of a zone's clients over the nodes of that zone.
 type loadBalancer struct {
 	zone      string
-	generator *generator // of the present rate
+	generator *generator // at the present rate
 	spec      emulator.ClientSpec
 	nodes     []*node
-	next      int
+	nextNode  int
 }
 
-// generator is clients that arrive at one rate.
+// generator is clients that arrive at one rate. One whose arrivals have stopped still has its retries.
 type generator struct {
 	*loadBalancer
 	clients *emulator.Clients
-	nextDue time.Duration // of the event that takes their next tries; 0 for none
+	nextDue time.Duration // of the event that sends their next attempts; 0 for none
 }
 
-func (w *Simulation) addLoadBalancer(i int, z Zone, seed uint64) {
+func (s *Simulation) addLoadBalancer(i int, z Zone, seed uint64) {
 	if z.Nodes == 0 {
 		return
 	}
-	c := &loadBalancer{zone: z.Name, spec: w.Clients(z.Nodes, origin+w.Length.Duration)}
-	for _, n := range w.nodes {
+	lb := &loadBalancer{zone: z.Name, spec: s.Clients(z.Nodes, origin+s.Length.Duration)}
+	for _, n := range s.nodes {
 		if n.zone == z.Name {
-			c.nodes = append(c.nodes, n)
+			lb.nodes = append(lb.nodes, n)
 		}
 	}
-	w.loadBalancers = append(w.loadBalancers, c)
-	w.startClients(c, 1, seed*1000+uint64(i))
+	s.loadBalancers = append(s.loadBalancers, lb)
+	s.startClients(lb, 1, seed*1000+uint64(i))
 }
 
-// startClients has the clients of a front ask so many times as much from now on.
-func (w *Simulation) startClients(c *loadBalancer, times float64, seed uint64) {
-	spec := c.spec
-	spec.Rate *= times
-	if c.generator != nil {
-		c.generator.clients.StopArrivals()
+// startClients replaces the clients of a load balancer by ones with several times the scenario's rate.
+func (s *Simulation) startClients(lb *loadBalancer, rateFactor float64, seed uint64) {
+	spec := lb.spec
+	spec.Rate *= rateFactor
+	if lb.generator != nil {
+		lb.generator.clients.StopArrivals()
 	}
-	w.sequence++
-	c.generator = &generator{loadBalancer: c, clients: emulator.NewClients(fmt.Sprintf("%s%x", c.zone, w.sequence), spec, w.now, seed)}
-	w.generators = append(w.generators, c.generator)
-	w.scheduleClients(c.generator)
+	s.sequence++
+	name := fmt.Sprintf("%s%x", lb.zone, s.sequence)
+	lb.generator = &generator{loadBalancer: lb, clients: emulator.NewClients(name, spec, s.now, seed)}
+	s.generators = append(s.generators, lb.generator)
+	s.scheduleClients(lb.generator)
 }
 
-// scheduleClients takes the next tries of clients when they are due.
-func (w *Simulation) scheduleClients(g *generator) {
+// scheduleClients schedules the sending of the next attempts.
+func (s *Simulation) scheduleClients(g *generator) {
 	at, ok := g.clients.Next()
 	if !ok || g.nextDue > 0 && g.nextDue <= at {
 		return
 	}
 	g.nextDue = at
-	w.at(at, func() {
+	s.at(at, func() {
 		if g.nextDue != at {
-			return // one came to be due earlier
+			return // an earlier event was scheduled since
 		}
 		g.nextDue = 0
-		for _, t := range g.clients.TakeDue(w.now) {
-			w.dispatchAttempt(g, t)
+		for _, attempt := range g.clients.TakeDue(s.now) {
+			s.dispatchAttempt(g, attempt)
 		}
-		w.scheduleClients(g)
+		s.scheduleClients(g)
 	})
 }
 
-// nextNode takes nodes in turn that the front doesn't know as gone.
-func nextNode(g *generator, nodes []*node) *node {
+// pickNode takes nodes in turn that aren't known to be down; nil where all are.
+func (lb *loadBalancer) pickNode(nodes []*node) *node {
 	for range nodes {
-		g.next++
-		if n := nodes[g.next%len(nodes)]; !n.knownDown {
+		lb.nextNode++
+		if n := nodes[lb.nextNode%len(nodes)]; !n.knownDown {
 			return n
 		}
 	}
 	return nil
 }
 
-func (w *Simulation) endTry(g *generator, t *emulator.ClientAttempt, status int, wait time.Duration) {
-	before := *g.clients.Stats[t.Class.Name]
-	g.clients.AttemptEnded(w.now, t, status, wait)
-	w.outcome.RecordAttemptEnded(t, before, *g.clients.Stats[t.Class.Name])
-	w.scheduleClients(g)
+// endClientAttempt hands the response, or status 0 for none, to the clients.
+func (s *Simulation) endClientAttempt(g *generator, attempt *emulator.ClientAttempt, status int, retryAfter time.Duration) {
+	stats := g.clients.Stats[attempt.Class.Name]
+	before := *stats
+	g.clients.AttemptEnded(s.now, attempt, status, retryAfter)
+	s.outcome.RecordAttemptEnded(attempt, before, *stats)
+	s.scheduleClients(g)
 }
 
-// setLoadFactor has the clients of a zone, or all, ask several times as much, or as at first.
-func (w *Simulation) setLoadFactor(f Fault, on bool) {
-	times := 1.0
+// setLoadFactor changes the rate of the clients that a fault is about: to several times the scenario's, or back.
+func (s *Simulation) setLoadFactor(f Fault, on bool) {
+	rateFactor := 1.0
 	if on {
-		times = f.Factor
+		rateFactor = f.Factor
 	}
-	for i, c := range w.loadBalancers {
-		if f.Zone == "" || f.Zone == c.zone {
-			w.startClients(c, times, uint64(w.sequence+i))
+	for i, lb := range s.loadBalancers {
+		if f.Zone == "" || f.Zone == lb.zone {
+			s.startClients(lb, rateFactor, uint64(s.sequence+i))
 		}
 	}
 }
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -1,8 +1,10 @@
 package simulation
 
 import (
+	"errors"
 	"fmt"
 	"maps"
+	"net/http"
 	"slices"
 	"time"
 
@@ -10,187 +12,213 @@
 	"sloerail/policy"
 )
 
-// node is one node: its module and its open requests.
+const (
+	maxAttempts   = 6                     // of a node for one client attempt
+	timeoutMargin = 10 * time.Millisecond // by which a node's timeout ends before its client's
+
+	// Costs of a request in another zone, for nodes that are given the regions.
+	sameRegionCost, otherRegionCost = 1, 3
+)
+
+// node is one node: its instance of the decision module, and the requests that it has.
 type node struct {
 	name, zone string
 	balancer   *policy.Balancer
 	requests   map[string]*request
 	down       bool
-	knownDown  bool // as gone, by fronts
+	knownDown  bool // to the load balancers
 }
 
-// request is a client's try at a node, until it is answered and its attempts are over.
+// request is a client attempt at a node, until it is answered and no attempt of the node is in flight.
 type request struct {
-	client       *emulator.ClientAttempt
-	generator    *generator
-	node         *node
-	attemptCount int
-	attempt      *attempt // the attempt that is out
-	answered     bool
+	clientAttempt *emulator.ClientAttempt
+	generator     *generator
+	node          *node
+	attemptCount  int
+	attempt       *attempt // in flight; nil for none
+	answered      bool
 }
 
-func (w *Simulation) addNodes(seed uint64) error {
-	n := 0
-	for _, z := range w.Zones {
-		n += z.Nodes
+func (s *Simulation) addNodes(seed uint64) error {
+	count := 0
+	for _, z := range s.Zones {
+		count += z.Nodes
 	}
-	for _, z := range w.Zones {
+	for _, z := range s.Zones {
 		for range z.Nodes {
-			i := len(w.nodes)
-			m, err := policy.New(w.settings(z, i, n), w.now, seed*1000+uint64(i))
+			i := len(s.nodes)
+			balancer, err := policy.New(s.settings(z, i, count), s.now, seed*1000+uint64(i))
 			if err != nil {
 				return err
 			}
-			d := &node{name: fmt.Sprintf("n%03d", i), zone: z.Name, balancer: m, requests: make(map[string]*request)}
-			w.nodes = append(w.nodes, d)
-			w.deliver(d, policy.EndpointList{Kind: policy.ListCached, Endpoints: w.endpoints()})
+			n := &node{name: fmt.Sprintf("n%03d", i), zone: z.Name, balancer: balancer, requests: make(map[string]*request)}
+			s.nodes = append(s.nodes, n)
+			s.deliver(n, policy.EndpointList{Kind: policy.ListCached, Endpoints: s.endpoints()})
 		}
 	}
 	return nil
 }
 
-// settings are those of a node, as the platform and the places section would give them.
-func (w *Simulation) settings(z Zone, i, n int) policy.Settings {
-	s := policy.Settings{NodeIndex: i, NodeCount: n, Zone: z.Name, WeightByWork: true,
-		Allowed: policy.Allowed{MaxAttempts: 6, RetryAfter: true, MaxRetryAfter: 3 * time.Second, IdleTimeout: time.Minute},
+// settings are those of the node with an index among so many, as the operators' pages and the topology of the scenario
+// give them.
+func (s *Simulation) settings(z Zone, index, count int) policy.Settings {
+	settings := policy.Settings{NodeIndex: index, NodeCount: count, Zone: z.Name, WeightByWork: true,
+		Allowed: policy.Allowed{MaxAttempts: maxAttempts, RetryAfter: true, MaxRetryAfter: 3 * time.Second, IdleTimeout: time.Minute},
 		Rules: policy.Rules{DrainGrace: 1500 * time.Millisecond, SlowStartMinCapacity: 0.13, SlowStartDuration: 24 * time.Second,
 			OverloadMultiple: 2.5, OverloadDuration: 3 * time.Second}}
-	if w.Reports == nil || *w.Reports {
-		s.ReportFields = []string{"latency_ms", "util", "qps"}
-	}
-	for _, t := range w.Tenants() {
-		s.Tenants = append(s.Tenants, policy.Tenant{Name: t.Name, Quota: t.Share * w.QuotaFor(n), Share: t.Share})
-	}
-	repeats := map[emulator.RetrySafety]policy.RetrySafety{emulator.Idempotent: policy.Idempotent, emulator.IdempotencyKeyed: policy.IdempotencyKeyed}
-	for _, c := range w.classes {
-		k := policy.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline, RetrySafety: repeats[c.RetrySafety], DedupWindow: c.DedupWindow, PriorityWeight: c.PriorityWeight}
-		for _, b := range w.Bindings {
-			if b.Class == c.Name {
-				k.Regions, k.Zones = b.Regions, b.Zones
-			}
+	if s.hasReports() {
+		settings.ReportFields = []string{"latency_ms", "util", "qps"}
+	}
+	for _, t := range s.Tenants() {
+		settings.Tenants = append(settings.Tenants, policy.Tenant{Name: t.Name, Quota: t.Share * s.QuotaFor(count), Share: t.Share})
+	}
+	for _, c := range s.classes {
+		settings.Classes = append(settings.Classes, s.policyClass(c))
+	}
+	if s.Topology {
+		settings.Topology = &policy.Topology{RegionOfZone: make(map[string]string), SameRegionCost: sameRegionCost, OtherRegionCost: otherRegionCost}
+		for _, zone := range s.Zones {
+			settings.Topology.RegionOfZone[zone.Name] = zone.Region
 		}
-		s.Classes = append(s.Classes, k)
 	}
-	if w.Topology {
-		s.Topology = &policy.Topology{RegionOfZone: make(map[string]string), SameRegionCost: 1, OtherRegionCost: 3}
-		for _, z := range w.Zones {
-			s.Topology.RegionOfZone[z.Name] = z.Region
+	return settings
+}
+
+var retrySafeties = map[emulator.RetrySafety]policy.RetrySafety{
+	emulator.Idempotent: policy.Idempotent, emulator.IdempotencyKeyed: policy.IdempotencyKeyed}
+
+// policyClass is a class of the clients as the nodes' settings have it.
+func (s *Simulation) policyClass(c emulator.Class) policy.Class {
+	class := policy.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline,
+		RetrySafety: retrySafeties[c.RetrySafety], DedupWindow: c.DedupWindow, PriorityWeight: c.PriorityWeight}
+	for _, binding := range s.Bindings {
+		if binding.Class == c.Name {
+			class.Regions, class.Zones = binding.Regions, binding.Zones
 		}
 	}
-	return s
+	return class
 }
 
-// deliver hands an event to a node's module and carries out what it wants.
-func (w *Simulation) deliver(n *node, ev policy.Event) {
+// deliver hands an event to a node's decisions, and carries out their actions.
+func (s *Simulation) deliver(n *node, event policy.Event) {
 	if n.down {
 		return
 	}
-	acts := append([]policy.Action(nil), n.balancer.Handle(w.now, ev)...)
-	for _, a := range acts {
-		w.carryOut(n, a)
+	// A copy, because carrying out an action may deliver the next event, for which Handle reuses its slice.
+	for _, action := range slices.Clone(n.balancer.Handle(s.now, event)) {
+		s.carryOut(n, action)
 	}
 }
 
-func (w *Simulation) carryOut(n *node, a policy.Action) {
-	switch a.Kind {
+func (s *Simulation) carryOut(n *node, action policy.Action) {
+	switch action.Kind {
 	case policy.Send:
-		w.sendAttempt(n, a)
+		s.sendAttempt(n, action)
 	case policy.Reject:
-		status := 503
-		if a.Wait > 0 {
-			status = 429
+		status := http.StatusServiceUnavailable
+		if action.Wait > 0 {
+			status = http.StatusTooManyRequests
 		}
-		w.respond(n, a.ID, status, a.Wait)
+		s.respond(n, action.ID, status, action.Wait)
 	case policy.Fail:
-		w.respond(n, a.ID, 502, 0)
+		s.respond(n, action.ID, http.StatusBadGateway, 0)
 	case policy.Cancel:
-		if o := n.requests[a.ID]; o != nil && o.attempt != nil {
-			w.finish(o.attempt, policy.Cancelled, nil)
+		if r := n.requests[action.ID]; r != nil && r.attempt != nil {
+			s.endAttempt(r.attempt, policy.Cancelled, nil)
 		}
 	case policy.SetTimer:
-		w.after(a.Wait, func() { w.deliver(n, policy.Timer{Token: a.Token}) })
+		s.after(action.Wait, func() { s.deliver(n, policy.Timer{Token: action.Token}) })
 	case policy.Log:
-		w.outcome.RecordTimeline(w.now, n.name, a.Text)
+		s.outcome.RecordTimeline(s.now, n.name, action.Text)
 	}
 }
 
-// dispatchAttempt hands a try to a node near its client, or to any while none there is up.
-func (w *Simulation) dispatchAttempt(g *generator, t *emulator.ClientAttempt) {
-	if t.Number == 0 {
-		w.outcome.RecordRequest(g.zone, t)
+// dispatchAttempt hands a client attempt to a node of its zone, or to any node while that zone has none.
+func (s *Simulation) dispatchAttempt(g *generator, attempt *emulator.ClientAttempt) {
+	if attempt.Number == 0 {
+		s.outcome.RecordRequest(g.zone, attempt)
 	}
-	n := nextNode(g, g.nodes)
+	n := g.pickNode(g.nodes)
 	if n == nil {
-		n = nextNode(g, w.nodes)
+		n = g.pickNode(s.nodes)
 	}
 	if n == nil || n.down {
-		w.after(sameZoneLatency, func() { w.endTry(g, t, 0, 0) })
-		w.Checker.ConnectionFailed(w.now, t.ID, fmt.Errorf("%s: no node", g.zone), true)
+		s.after(sameZoneLatency, func() { s.endClientAttempt(g, attempt, 0, 0) })
+		s.Checker.ConnectionFailed(s.now, attempt.ID, fmt.Errorf("%s: %w", g.zone, errNoNode), true)
 		return
 	}
-	o := &request{client: t, node: n, generator: g}
-	n.requests[t.ID] = o
-	w.Checker.RequestAccepted(w.now, t)
-	w.after(t.Timeout, func() {
-		if !o.answered {
-			o.answered = true
-			w.deliver(n, policy.ClientCancelled{ID: t.ID})
-			w.Checker.RequestTimedOut(t.ID)
-			w.endTry(g, t, 0, 0)
-			w.releaseIfDone(o)
-		}
-	})
-	w.deliver(n, policy.Request{ID: t.ID, Class: t.Class.Name, Tenant: t.Tenant, Key: t.Key, Timeout: t.Timeout - 10*time.Millisecond,
-		ClientRetry: t.Number > 0, Write: t.Class.RetrySafety != emulator.Idempotent})
+	r := &request{clientAttempt: attempt, node: n, generator: g}
+	n.requests[attempt.ID] = r
+	s.Checker.RequestAccepted(s.now, attempt)
+	s.after(attempt.Timeout, func() { s.cancel(r) })
+	s.deliver(n, policy.Request{ID: attempt.ID, Class: attempt.Class.Name, Tenant: attempt.Tenant, Key: attempt.Key,
+		Timeout: attempt.Timeout - timeoutMargin, ClientRetry: attempt.Number > 0, Write: attempt.Class.RetrySafety != emulator.Idempotent})
+}
+
+// errNoNode is for a client attempt while no node is up.
+var errNoNode = errors.New("no node")
+
+// cancel is the end of a client's timeout.
+func (s *Simulation) cancel(r *request) {
+	if r.answered {
+		return
+	}
+	r.answered = true
+	s.deliver(r.node, policy.ClientCancelled{ID: r.clientAttempt.ID})
+	s.Checker.RequestTimedOut(r.clientAttempt.ID)
+	s.endClientAttempt(r.generator, r.clientAttempt, 0, 0)
+	s.releaseIfDone(r)
 }
 
-// respond gives a try its final answer.
-func (w *Simulation) respond(n *node, id string, status int, wait time.Duration) {
-	o := n.requests[id]
-	if o == nil || o.answered {
+// respond gives a client attempt its final response.
+func (s *Simulation) respond(n *node, id string, status int, retryAfter time.Duration) {
+	r := n.requests[id]
+	if r == nil || r.answered {
 		return
 	}
-	o.answered = true
-	w.Checker.ResponseReceived(w.now, id, status)
-	w.endTry(o.generator, o.client, status, wait)
-	w.releaseIfDone(o)
+	r.answered = true
+	s.Checker.ResponseReceived(s.now, id, status)
+	s.endClientAttempt(r.generator, r.clientAttempt, status, retryAfter)
+	s.releaseIfDone(r)
 }
 
-func (w *Simulation) releaseIfDone(o *request) {
-	if o.answered && o.attempt == nil {
-		delete(o.node.requests, o.client.ID)
+func (s *Simulation) releaseIfDone(r *request) {
+	if r.answered && r.attempt == nil {
+		delete(r.node.requests, r.clientAttempt.ID)
 	}
 }
 
 // setNodesDown kills the nodes of a zone, or starts new ones in their place.
-func (w *Simulation) setNodesDown(zone string, on bool) {
-	for i, n := range w.nodes {
-		if n.zone != zone {
-			continue
-		}
-		if !on {
-			var z Zone
-			for _, z = range w.Zones {
-				if z.Name == zone {
-					break
-				}
-			}
-			m, err := policy.New(w.settings(z, i, len(w.nodes)), w.now, uint64(w.sequence))
-			if err != nil { // the same settings were taken before
-				panic(err)
-			}
-			n.balancer, n.down, n.knownDown = m, false, false
-			w.deliver(n, policy.EndpointList{Kind: policy.ListCached, Endpoints: w.endpoints()})
-			continue
-		}
-		n.down = true
-		w.after(detectionDelay, func() { n.knownDown = n.down })
-		for _, id := range slices.Sorted(maps.Keys(n.requests)) {
-			o := n.requests[id]
-			o.answered = true
-			w.Checker.ConnectionBroken(w.now, o.client.ID, true)
-			w.endTry(o.generator, o.client, 0, 0)
+func (s *Simulation) setNodesDown(zone string, down bool) {
+	for i, n := range s.nodes {
+		switch {
+		case n.zone != zone:
+		case down:
+			s.killNode(n)
+		default:
+			s.restartNode(i, n)
 		}
-		clear(n.requests)
 	}
 }
+
+func (s *Simulation) killNode(n *node) {
+	n.down = true
+	s.after(detectionDelay, func() { n.knownDown = n.down })
+	for _, id := range slices.Sorted(maps.Keys(n.requests)) { // in one order, so that a seed gives one run
+		r := n.requests[id]
+		r.answered = true
+		s.Checker.ConnectionBroken(s.now, id, true)
+		s.endClientAttempt(r.generator, r.clientAttempt, 0, 0)
+	}
+	clear(n.requests)
+}
+
+func (s *Simulation) restartNode(index int, n *node) {
+	zone := s.Zones[slices.IndexFunc(s.Zones, func(z Zone) bool { return z.Name == n.zone })]
+	balancer, err := policy.New(s.settings(zone, index, len(s.nodes)), s.now, uint64(s.sequence))
+	if err != nil { // the same settings were accepted before
+		panic(err)
+	}
+	n.balancer, n.down, n.knownDown = balancer, false, false
+	s.deliver(n, policy.EndpointList{Kind: policy.ListCached, Endpoints: s.endpoints()})
+}
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -10,68 +10,69 @@
 	"sloerail/internal/emulator"
 )
 
-// Outcome is what came of a run.
+// Outcome is the result of a run. Its keys are read by scripts and by other versions of the program.
 type Outcome struct {
-	Seconds        []Second                  `json:"seconds"` // by when requests were first asked, and attempts sent
+	Seconds        []Second                  `json:"seconds"` // by the begin of requests, and the sending of attempts
 	Classes        map[string]Totals         `json:"classes"`
-	Timeline       []TimelineEntry           `json:"marks"` // faults, and what the nodes said
+	Timeline       []TimelineEntry           `json:"marks"` // faults, and what the nodes logged
 	Broken         int                       `json:"broken"`
 	BrokenRules    []string                  `json:"broken_rules"`
-	Errors         int                       `json:"errors"` // sends that make no sense
-	AttemptsByZone map[string]map[string]int `json:"sends"`  // attempts, by class and zone that they went to
-	Interrupted    int                       `json:"struck"` // attempts under way at servers when a fault affected them
+	Errors         int                       `json:"errors"` // attempts of nodes for unknown requests or servers
+	AttemptsByZone map[string]map[string]int `json:"sends"`  // of nodes, by class and zone of the server
+	Interrupted    int                       `json:"struck"` // attempts in progress at servers when a fault began for them
 	Cores          map[string]float64        `json:"cores"`  // of speed 1, by zone
 
 	origin      time.Duration // of the clock that its times are on
 	classValues map[string]float64
 }
 
-// Totals is what became of requests, with their retries folded in.
+// Totals count requests by how they ended, with their retries counted in.
 type Totals struct {
 	Requests    int     `json:"asked"`
 	InTime      int     `json:"in_time"`
 	Late        int     `json:"late"`
 	Failed      int     `json:"failed"`
-	Value       float64 `json:"worth"`        // asked for
-	ServedValue float64 `json:"worth_served"` // of it, in time
+	Value       float64 `json:"worth"`        // of all requests
+	ServedValue float64 `json:"worth_served"` // of those in time
 }
 
-// Second is one of a run.
+// Second is one second of a run.
 type Second struct {
 	Totals
 	Attempts       int                       `json:"attempts"`
-	CrossZone      int                       `json:"crossing"` // of them, to another zone
-	Overloaded     int                       `json:"choked"`   // servers that were crowded until they became slower, at its end
-	Utilization    float64                   `json:"busy"`     // part of the cores of servers that are there, at its end
-	AttemptsByZone map[string]map[string]int `json:"to"`       // by the zone that they come from and go to
+	CrossZone      int                       `json:"crossing"` // of them, from a zone to another
+	Overloaded     int                       `json:"choked"`   // servers that are slower because they were, at its end
+	Utilization    float64                   `json:"busy"`     // fraction of the cores of reachable servers, at its end
+	AttemptsByZone map[string]map[string]int `json:"to"`       // attempts, by zone of the node and of the server
 
-	Work map[string]map[string]float64 `json:"work"` // asked for, in seconds of a core of speed 1, by zone and class
+	Work map[string]map[string]float64 `json:"work"` // of requests, in seconds of a core of speed 1, by zone of the clients and class
 }
 
 // TimelineEntry is something that happened.
 type TimelineEntry struct {
-	At   float64 `json:"at"` // seconds
+	At   float64 `json:"at"` // seconds from the begin
 	Node string  `json:"who"`
 	Text string  `json:"what"`
 }
 
+// maxTimelineEntries bounds an outcome; later entries are dropped.
 const maxTimelineEntries = 2000
 
-// NewOutcome makes an empty one, for whoever plays a scenario that begins at a time of its own clock.
-func NewOutcome(s Scenario, boxes []emulator.ServerSpec, classes []emulator.Class, origin time.Duration) *Outcome {
+// NewOutcome makes an empty outcome for a run of a scenario that begins at origin, on the clock of the caller.
+func NewOutcome(s Scenario, servers []emulator.ServerSpec, classes []emulator.Class, origin time.Duration) *Outcome {
 	o := &Outcome{Classes: make(map[string]Totals), Cores: make(map[string]float64), AttemptsByZone: make(map[string]map[string]int),
-		classValues: make(map[string]float64)}
-	o.origin = origin
+		classValues: make(map[string]float64), origin: origin}
 	for _, c := range classes {
 		o.classValues[c.Name] = c.PriorityWeight
 	}
-	for _, b := range boxes {
-		o.Cores[b.Zone] += float64(b.Cores) * b.Speed
+	for _, server := range servers {
+		o.Cores[server.Zone] += float64(server.Cores) * server.Speed
 	}
 	o.second(origin + s.Length.Duration)
 	return o
 }
 
+// second returns the second of a time, and adds those up to it.
 func (o *Outcome) second(at time.Duration) *Second {
 	i := max(0, int((at-o.origin)/time.Second))
 	for len(o.Seconds) <= i {
@@ -80,53 +81,53 @@
 	return &o.Seconds[i]
 }
 
-// valueOf is the value of a try: its class's, for each unit of work.
-func (o *Outcome) valueOf(t *emulator.ClientAttempt) float64 {
-	return o.classValues[t.Class.Name] * t.Work.Seconds()
+// valueOf is the value of a request: its class's priority weight, times its work.
+func (o *Outcome) valueOf(attempt *emulator.ClientAttempt) float64 {
+	return o.classValues[attempt.Class.Name] * attempt.Work.Seconds()
 }
 
-func (s *Totals) add(t *emulator.ClientAttempt, worth float64, change emulator.ClientStats) {
+func (s *Totals) add(attempt *emulator.ClientAttempt, value float64, change emulator.ClientStats) {
 	s.Requests += change.Requests
 	s.InTime += change.InTime
 	s.Late += change.Late
 	s.Failed += change.Failed
-	s.Value += worth * float64(change.Requests)
-	s.ServedValue += worth * float64(change.InTime)
+	s.Value += value * float64(change.Requests)
+	s.ServedValue += value * float64(change.InTime)
 }
 
-func (o *Outcome) record(t *emulator.ClientAttempt, change emulator.ClientStats) {
-	worth := o.valueOf(t)
-	o.second(t.RequestStart()).add(t, worth, change)
-	sum := o.Classes[t.Class.Name]
-	sum.add(t, worth, change)
-	o.Classes[t.Class.Name] = sum
+func (o *Outcome) record(attempt *emulator.ClientAttempt, change emulator.ClientStats) {
+	value := o.valueOf(attempt)
+	o.second(attempt.RequestStart()).add(attempt, value, change)
+	sum := o.Classes[attempt.Class.Name]
+	sum.add(attempt, value, change)
+	o.Classes[attempt.Class.Name] = sum
 }
 
 func newSecond() Second {
 	return Second{AttemptsByZone: make(map[string]map[string]int), Work: make(map[string]map[string]float64)}
 }
 
-// RecordRequest books the first try of a request near a zone.
-func (o *Outcome) RecordRequest(zone string, t *emulator.ClientAttempt) {
-	o.record(t, emulator.ClientStats{Requests: 1})
-	add(o.second(t.RequestStart()).Work, zone, t.Class.Name, t.Work.Seconds())
+// RecordRequest records the first attempt of a request of a zone's clients.
+func (o *Outcome) RecordRequest(zone string, attempt *emulator.ClientAttempt) {
+	o.record(attempt, emulator.ClientStats{Requests: 1})
+	add(o.second(attempt.RequestStart()).Work, zone, attempt.Class.Name, attempt.Work.Seconds())
 }
 
-// add adds to a sum of sums.
-func add[T int | float64](all map[string]map[string]T, a, b string, v T) {
-	if all[a] == nil {
-		all[a] = make(map[string]T)
+// add adds to a nested sum, which it makes where it is missing.
+func add[T int | float64](sums map[string]map[string]T, outer, inner string, value T) {
+	if sums[outer] == nil {
+		sums[outer] = make(map[string]T)
 	}
-	all[a][b] += v
+	sums[outer][inner] += value
 }
 
-// RecordAttemptEnded books what a try came to, by what its class had come to before and after.
-func (o *Outcome) RecordAttemptEnded(t *emulator.ClientAttempt, before, after emulator.ClientStats) {
-	o.record(t, emulator.ClientStats{InTime: after.InTime - before.InTime, Late: after.Late - before.Late,
+// RecordAttemptEnded records the end of a client attempt, by the statistics of its class before and after.
+func (o *Outcome) RecordAttemptEnded(attempt *emulator.ClientAttempt, before, after emulator.ClientStats) {
+	o.record(attempt, emulator.ClientStats{InTime: after.InTime - before.InTime, Late: after.Late - before.Late,
 		Failed: after.Failed - before.Failed})
 }
 
-// RecordAttempt books an attempt from a zone to another.
+// RecordAttempt records an attempt of a node in a zone at a server.
 func (o *Outcome) RecordAttempt(now time.Duration, class, from, to string) {
 	s := o.second(now)
 	add(s.AttemptsByZone, from, to, 1)
@@ -136,46 +137,56 @@
 	}
 }
 
-// RecordTimeline books that a fault begins or ends, or what a node said.
-func (o *Outcome) RecordTimeline(now time.Duration, who, what string) {
+// RecordTimeline records the begin or end of a fault, or what a node logged.
+func (o *Outcome) RecordTimeline(now time.Duration, node, text string) {
 	if len(o.Timeline) < maxTimelineEntries {
-		o.Timeline = append(o.Timeline, TimelineEntry{(now - o.origin).Seconds(), who, what})
+		o.Timeline = append(o.Timeline, TimelineEntry{(now - o.origin).Seconds(), node, text})
 	}
 }
 
-// Between sums what was asked from one time to another; the end is left out.
-func (o *Outcome) Between(from, to time.Duration) (all Second) {
-	all = newSecond()
-	first, last := int(from/time.Second), int(math.Ceil(to.Seconds()))
-	for i := max(0, first); i < min(last, len(o.Seconds)); i++ {
-		s := o.Seconds[i]
-		all.Requests, all.InTime, all.Late, all.Failed = all.Requests+s.Requests, all.InTime+s.InTime, all.Late+s.Late, all.Failed+s.Failed
-		all.Value, all.ServedValue = all.Value+s.Value, all.ServedValue+s.ServedValue
-		all.Overloaded, all.Utilization = max(all.Overloaded, s.Overloaded), s.Utilization
-		all.Attempts, all.CrossZone = all.Attempts+s.Attempts, all.CrossZone+s.CrossZone
-		for a, to := range s.AttemptsByZone {
-			for b, n := range to {
-				add(all.AttemptsByZone, a, b, n)
-			}
+// Between sums the seconds from one time to another, that one excluded. Overloaded is the greatest of theirs, and
+// Utilization the last.
+func (o *Outcome) Between(from, to time.Duration) Second {
+	total := newSecond()
+	first, end := int(from/time.Second), int(math.Ceil(to.Seconds()))
+	for i := max(0, first); i < min(end, len(o.Seconds)); i++ {
+		total.merge(&o.Seconds[i])
+	}
+	return total
+}
+
+func (s *Second) merge(other *Second) {
+	s.Requests += other.Requests
+	s.InTime += other.InTime
+	s.Late += other.Late
+	s.Failed += other.Failed
+	s.Value += other.Value
+	s.ServedValue += other.ServedValue
+	s.Overloaded = max(s.Overloaded, other.Overloaded)
+	s.Utilization = other.Utilization
+	s.Attempts += other.Attempts
+	s.CrossZone += other.CrossZone
+	for from, counts := range other.AttemptsByZone {
+		for to, n := range counts {
+			add(s.AttemptsByZone, from, to, n)
 		}
-		for zone, by := range s.Work {
-			for class, work := range by {
-				add(all.Work, zone, class, work)
-			}
+	}
+	for zone, byClass := range other.Work {
+		for class, work := range byClass {
+			add(s.Work, zone, class, work)
 		}
 	}
-	return all
 }
 
-// ServedFraction is the part of the value that was served in time.
+// ServedFraction is the fraction of the value that was served in time.
 func (s Totals) ServedFraction() float64 {
 	return s.ServedValue / max(s.Value, math.SmallestNonzeroFloat64)
 }
 
-// Table is the run second by second, for people.
-func (o *Outcome) Table(every int) (lines []string) {
-	for i := 0; i < len(o.Seconds); i += every {
-		s := o.Between(time.Duration(i)*time.Second, time.Duration(i+every)*time.Second)
+// Table returns a line for so many seconds each, for people.
+func (o *Outcome) Table(seconds int) (lines []string) {
+	for i := 0; i < len(o.Seconds); i += seconds {
+		s := o.Between(time.Duration(i)*time.Second, time.Duration(i+seconds)*time.Second)
 		line := fmt.Sprintf("%4d s  asked %6d  in time %.3f  crossing %.3f  choked %d busy %.2f ", i, s.Requests, s.ServedFraction(),
 			float64(s.CrossZone)/float64(max(1, s.Attempts)), s.Overloaded, s.Utilization)
 		for _, from := range slices.Sorted(maps.Keys(s.AttemptsByZone)) {
--- a/internal/simulation/paired_comparison.go
+++ b/internal/simulation/paired_comparison.go
@@ -14,66 +14,67 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Weights of G, as the operators weigh theirs; what they give to the worst-served tenant goes to the whole run.
+// Weights of G, as the operators weigh theirs; their weight of the worst-served tenant goes to the whole run.
 const (
 	fullWeight  = 0.45
-	worstWeight = 0.35 // the worst 10 s
-	classWeight = 0.20 // the worst-served class
+	worstWeight = 0.35 // of the worst window
+	classWeight = 0.20 // of the worst-served class
 	worstWindow = 10 * time.Second
 )
 
-// G is one figure for a run: the part of the value asked for that was served in time, over the whole run, in its
-// worst 10 s and in its worst-served class.
+// G is one figure for a run: the fraction of the value that was served in time, over the whole run, in its worst window
+// and in its worst-served class.
 func (o *Outcome) G() float64 {
-	n := len(o.Seconds)
-	for n > 0 && o.Seconds[n-1].Requests == 0 {
-		n--
+	seconds := len(o.Seconds)
+	for seconds > 0 && o.Seconds[seconds-1].Requests == 0 {
+		seconds--
 	}
-	end := time.Duration(n) * time.Second
+	end := time.Duration(seconds) * time.Second
 	worst := 1.0
 	for at := time.Duration(0); at+worstWindow <= end; at += time.Second {
 		worst = min(worst, o.Between(at, at+worstWindow).ServedFraction())
 	}
 	class := 1.0
-	for _, c := range o.Classes {
-		class = min(class, c.ServedFraction())
+	for _, totals := range o.Classes {
+		class = min(class, totals.ServedFraction())
 	}
 	return fullWeight*o.Between(0, end).ServedFraction() + worstWeight*worst + classWeight*class
 }
 
-// Pair is what two programs made of the same scenarios and seeds.
+// Pair compares two programs on the same scenario and seeds.
 type Pair struct {
 	Scenario     string    `json:"scenario"`
 	Ours, Theirs []float64 `json:"-"`
-	Mean         float64   `json:"mean"` // of our G less theirs,
-	HalfInterval float64   `json:"half"` // half of its 95% interval,
-	P            float64   `json:"p"`    // and how likely one so far from 0 is by chance
+	Mean         float64   `json:"mean"` // of our G less theirs
+	HalfInterval float64   `json:"half"` // half of its 95% interval
+	P            float64   `json:"p"`    // probability of a mean so far from 0 by chance
 	OurG         float64   `json:"g"`
 	TheirG       float64   `json:"g_theirs"`
 	OurBroken    int       `json:"rules_broken"`
 	TheirBroken  int       `json:"rules_broken_theirs"`
 }
 
-// computeStatistics works out the statistics: Student's, over the differences by seed.
+// computeStatistics computes Student's statistics of the differences by seed.
 func (p *Pair) computeStatistics() {
-	d := make([]float64, len(p.Ours))
-	for i := range d {
-		d[i] = p.Ours[i] - p.Theirs[i]
+	differences := make([]float64, len(p.Ours))
+	for i := range differences {
+		differences[i] = p.Ours[i] - p.Theirs[i]
 	}
 	p.OurG, p.TheirG = stat.Mean(p.Ours, nil), stat.Mean(p.Theirs, nil)
-	mean, dev := stat.MeanStdDev(d, nil)
+	mean, deviation := stat.MeanStdDev(differences, nil)
 	p.Mean, p.P = mean, 1
-	if n := float64(len(d)); n > 1 && dev > 0 {
-		t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}
-		err := dev / math.Sqrt(n)
-		p.HalfInterval, p.P = t.Quantile(0.975)*err, 2*t.Survival(math.Abs(mean)/err)
+	if n := float64(len(differences)); n > 1 && deviation > 0 {
+		distribution := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}
+		standardError := deviation / math.Sqrt(n)
+		p.HalfInterval = distribution.Quantile(0.975) * standardError
+		p.P = 2 * distribution.Survival(math.Abs(mean)/standardError)
 	}
 }
 
-// simulateTimeout is how long one simulation of another program may take.
+// simulateTimeout bounds one simulation by another program.
 const simulateTimeout = 5 * time.Minute
 
-// simulate plays a scenario by a program's own command.
+// simulate plays a scenario by a program's simulate command.
 func simulate(ctx context.Context, program, scenario string, seed uint64) (*Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, simulateTimeout)
 	defer cancel()
@@ -88,31 +89,32 @@
 	return o, nil
 }
 
-// rulesBroken tells whether a simulation ended with the status that says so.
+// rulesBroken tells whether a simulation ended with the status that stands for broken rules.
 func rulesBroken(err error) bool {
 	var exit *exec.ExitError
 	return errors.As(err, &exit) && exit.ExitCode() == 1
 }
 
-// Pairs plays each scenario with each seed by our program and by another one, on all cores, and sums up each
-// scenario and then all of them.
+// Pairs plays each scenario with each seed by our program and by another one, on all cores. It returns a comparison for
+// each scenario, and then one of all.
 func Pairs(ctx context.Context, ours, theirs string, scenarios []string, seeds []uint64) ([]Pair, error) {
 	programs := []string{ours, theirs}
-	runs := make([]*Outcome, len(scenarios)*len(seeds)*len(programs)) // in the order of these
-	err := onAllCores(len(runs), func(i int) (err error) {
+	outcomes := make([]*Outcome, len(scenarios)*len(seeds)*len(programs)) // in the order of these
+	err := onAllCores(len(outcomes), func(i int) (err error) {
 		k := i / len(programs)
-		runs[i], err = simulate(ctx, programs[i%len(programs)], scenarios[k/len(seeds)], seeds[k%len(seeds)])
+		outcomes[i], err = simulate(ctx, programs[i%len(programs)], scenarios[k/len(seeds)], seeds[k%len(seeds)])
 		return err
 	})
 	if err != nil {
 		return nil, err
 	}
 	pairs := make([]Pair, len(scenarios))
-	for i := 0; i < len(runs); i += len(programs) {
-		p := &pairs[i/len(programs)/len(seeds)]
-		p.Scenario = scenarios[i/len(programs)/len(seeds)]
-		p.Ours, p.Theirs = append(p.Ours, runs[i].G()), append(p.Theirs, runs[i+1].G())
-		p.OurBroken, p.TheirBroken = p.OurBroken+runs[i].Broken, p.TheirBroken+runs[i+1].Broken
+	for i := 0; i < len(outcomes); i += len(programs) {
+		scenario := i / len(programs) / len(seeds)
+		p, our, their := &pairs[scenario], outcomes[i], outcomes[i+1]
+		p.Scenario = scenarios[scenario]
+		p.Ours, p.Theirs = append(p.Ours, our.G()), append(p.Theirs, their.G())
+		p.OurBroken, p.TheirBroken = p.OurBroken+our.Broken, p.TheirBroken+their.Broken
 	}
 	all := Pair{Scenario: "all"}
 	for i := range pairs {
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// event is something to run at a time; events of one time run in the order in which they were scheduled.
+// event is something to run at a time. Events of one time run in the order in which they were scheduled.
 type event struct {
 	at       time.Duration
 	sequence int
@@ -14,11 +14,11 @@
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// at schedules an event; one of the past runs next.
-func (w *Simulation) at(t time.Duration, run func()) {
-	w.sequence++
-	w.queue.Add(event{max(t, w.now), w.sequence, run})
+// at schedules an event; one in the past runs next.
+func (s *Simulation) at(t time.Duration, run func()) {
+	s.sequence++
+	s.queue.Add(event{max(t, s.now), s.sequence, run})
 }
 
-// after schedules an event from now.
-func (w *Simulation) after(d time.Duration, run func()) { w.at(w.now+d, run) }
+// after schedules an event at a time from now.
+func (s *Simulation) after(d time.Duration, run func()) { s.at(s.now+d, run) }
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -9,15 +9,19 @@
 	"sloerail/policy"
 )
 
+// drainTime is how long a server that drains stays in the list until it is removed.
+const drainTime = 5 * time.Second
+
+// server is an emulated server with what the network and the list make of it.
 type server struct {
 	*emulator.Server
-	attempts       map[string]*attempt // by job
+	attempts       map[string]*attempt // in progress, by job
 	seed           uint64
 	incarnation    int // of its process
 	down           bool
-	connectTimeout bool
+	connectTimeout bool // connections to it don't come up
 	responseLost   bool
-	phase          string
+	phase          string // in the list
 	reports        []timedReport
 }
 
@@ -26,131 +30,141 @@
 	load emulator.LoadReport
 }
 
-func (w *Simulation) addServers(specs []emulator.ServerSpec, seed uint64) {
+func (s *Simulation) addServers(specs []emulator.ServerSpec, seed uint64) {
 	for i, spec := range specs {
-		b := &server{attempts: make(map[string]*attempt), seed: seed*1000 + uint64(i), phase: emulator.Up}
-		b.Server = emulator.NewServer(spec, 0, b.seed)
-		w.servers, w.serversByID[spec.ID] = append(w.servers, b), b
+		added := &server{attempts: make(map[string]*attempt), seed: seed*1000 + uint64(i), phase: emulator.Up}
+		added.Server = emulator.NewServer(spec, 0, added.seed)
+		s.servers, s.serversByID[spec.ID] = append(s.servers, added), added
 	}
 }
 
-// scheduleCompletions finishes a server's jobs when they are due.
-func (w *Simulation) scheduleCompletions(b *server) {
-	at, ok := b.Next()
+// scheduleCompletions completes a server's jobs when they are due.
+func (s *Simulation) scheduleCompletions(of *server) {
+	at, ok := of.Next()
 	if !ok {
 		return
 	}
-	epoch := b.incarnation
-	w.at(at, func() {
-		if b.incarnation != epoch {
+	incarnation := of.incarnation
+	s.at(at, func() {
+		if of.incarnation != incarnation {
 			return
 		}
-		for _, d := range b.Advance(w.now) {
-			f := b.attempts[d.ID]
-			delete(b.attempts, d.ID)
-			if f != nil && !f.finished {
-				w.Checker.AttemptEnded(f.request.client.ID, b.Spec.ID, false)
-				w.reply(f.request.node, f, latencyBetween(f.request.node.zone, b.Spec.Zone), policy.OK)
+		for _, job := range of.Advance(s.now) {
+			a := of.attempts[job.ID]
+			delete(of.attempts, job.ID)
+			if a != nil && !a.ended {
+				s.Checker.AttemptEnded(a.request.clientAttempt.ID, of.Spec.ID, false)
+				s.reply(a, policy.OK)
 			}
 		}
-		w.scheduleCompletions(b)
+		s.scheduleCompletions(of)
 	})
 }
 
-// loadReport is what a server says of its load: as it was some time ago.
-func (w *Simulation) loadReport(b *server) []float64 {
-	if w.Reports != nil && !*w.Reports {
+// loadReport is the load report in a server's response: as it was some time ago.
+func (s *Simulation) loadReport(of *server) []float64 {
+	if !s.hasReports() {
 		return nil
 	}
-	now := b.LoadReport(w.now)
-	if n := len(b.reports); n == 0 || b.reports[n-1].load != now {
-		b.reports = append(b.reports, timedReport{w.now, now})
+	newest := of.LoadReport(s.now)
+	if n := len(of.reports); n == 0 || of.reports[n-1].load != newest {
+		of.reports = append(of.reports, timedReport{s.now, newest})
 	}
-	for len(b.reports) > 1 && b.reports[1].at <= w.now-reportDelay {
-		b.reports = b.reports[1:]
+	for len(of.reports) > 1 && of.reports[1].at <= s.now-reportDelay {
+		of.reports = of.reports[1:]
 	}
-	if r := b.reports[0]; r.at <= w.now-reportDelay {
-		return []float64{r.load.LatencyMs, r.load.Util, r.load.QPS}
+	if report := of.reports[0]; report.at <= s.now-reportDelay {
+		return []float64{report.load.LatencyMs, report.load.Util, report.load.QPS}
 	}
 	return nil
 }
 
-// endpoints is what the list service says now.
-func (w *Simulation) endpoints() (all []policy.Endpoint) {
-	for _, b := range w.servers {
-		if m := b.endpoint(); m.Availability != policy.Removed {
-			all = append(all, m)
+// endpoints is the list as it is now.
+func (s *Simulation) endpoints() (all []policy.Endpoint) {
+	for _, server := range s.servers {
+		if e := server.endpoint(); e.Availability != policy.Removed {
+			all = append(all, e)
 		}
 	}
 	return all
 }
 
-func (b *server) endpoint() policy.Endpoint {
-	phases := map[string]policy.Availability{emulator.Up: policy.Running, emulator.Draining: policy.Draining,
-		emulator.Removed: policy.Removed}
-	return policy.Endpoint{ID: b.Spec.ID, Zone: b.Spec.Zone, Kind: b.Spec.Kind, Cell: b.Spec.Cell, Weight: 1,
-		StartedAt: b.Started(), Availability: phases[b.phase]}
+var availabilities = map[string]policy.Availability{
+	emulator.Up: policy.Running, emulator.Draining: policy.Draining, emulator.Removed: policy.Removed}
+
+func (s *server) endpoint() policy.Endpoint {
+	return policy.Endpoint{ID: s.Spec.ID, Zone: s.Spec.Zone, Kind: s.Spec.Kind, Cell: s.Spec.Cell, Weight: 1,
+		StartedAt: s.Started(), Availability: availabilities[s.phase]}
 }
 
-// notifyNodes tells all nodes of these servers after a time.
-func (w *Simulation) notifyNodes(after time.Duration, servers []*server) {
-	for _, n := range w.nodes {
-		w.after(after+time.Duration(w.rng.Int64N(int64(maxListDelay))), func() {
-			var news []policy.Endpoint
-			for _, b := range servers {
-				news = append(news, b.endpoint())
-				w.Checker.ChangeNotified(w.now, n.name, b.Spec.ID, b.phase)
+// notifyNodes notifies each node of these servers' state, after a delay of its own.
+func (s *Simulation) notifyNodes(servers []*server) {
+	for _, n := range s.nodes {
+		s.after(time.Duration(s.rng.Int64N(int64(maxListDelay))), func() {
+			var changed []policy.Endpoint
+			for _, server := range servers {
+				changed = append(changed, server.endpoint())
+				s.Checker.ChangeNotified(s.now, n.name, server.Spec.ID, server.phase)
 			}
-			w.deliver(n, policy.EndpointList{Kind: policy.ListUpdate, Endpoints: news})
+			s.deliver(n, policy.EndpointList{Kind: policy.ListUpdate, Endpoints: changed})
 		})
 	}
 }
 
-func (w *Simulation) setPhase(servers []*server, on bool, to string) {
-	for _, b := range servers {
-		if b.phase = emulator.Up; on {
-			b.phase = to
-		}
+func setPhase(servers []*server, phase string) {
+	for _, server := range servers {
+		server.phase = phase
 	}
 }
 
-// drain has servers drain and leave the list, or return as new processes.
-func (w *Simulation) drain(servers []*server, on bool) {
+// setUnlisted removes servers from the list while they run on, or puts them back.
+func (s *Simulation) setUnlisted(servers []*server, unlisted bool) {
+	phase := emulator.Up
+	if unlisted {
+		phase = emulator.Removed
+	}
+	setPhase(servers, phase)
+	s.notifyNodes(servers)
+}
+
+// drain drains servers and removes them from the list, or has them return as new processes.
+func (s *Simulation) drain(servers []*server, on bool) {
 	if !on {
-		for _, b := range servers {
-			w.restart(b, w.now)
+		for _, server := range servers {
+			s.restart(server, s.now)
 		}
-		w.setPhase(servers, false, "")
-		w.notifyNodes(0, servers)
+		setPhase(servers, emulator.Up)
+		s.notifyNodes(servers)
 		return
 	}
-	w.setPhase(servers, true, emulator.Draining)
-	w.notifyNodes(0, servers)
-	w.after(5*time.Second, func() {
-		w.setPhase(servers, true, emulator.Removed)
-		w.notifyNodes(0, servers)
+	setPhase(servers, emulator.Draining)
+	s.notifyNodes(servers)
+	s.after(drainTime, func() {
+		setPhase(servers, emulator.Removed)
+		s.notifyNodes(servers)
 	})
 }
 
-// setDown ends a server's process, with all that it has in work, or starts one.
-func (w *Simulation) setDown(b *server, on, cold bool) {
-	b.down = on
-	if !on {
-		if cold {
-			w.restart(b, w.now)
+// setDown ends a server's process with the attempts that it has, or has it return; then, if newProcess is set, in slow
+// start.
+func (s *Simulation) setDown(server *server, down, newProcess bool) {
+	server.down = down
+	if !down {
+		if newProcess {
+			s.restart(server, s.now)
 		}
 		return
 	}
-	for _, job := range slices.Sorted(maps.Keys(b.attempts)) { // in one order, for a seed's run to be one
-		f := b.attempts[job]
-		w.Checker.AttemptEnded(f.request.client.ID, b.Spec.ID, false)
-		w.after(latencyBetween(f.request.node.zone, b.Spec.Zone), func() { w.finish(f, policy.Reset, nil) })
+	for _, job := range slices.Sorted(maps.Keys(server.attempts)) { // in one order, so that a seed gives one run
+		a := server.attempts[job]
+		s.Checker.AttemptEnded(a.request.clientAttempt.ID, server.Spec.ID, false)
+		s.after(a.latency(), func() { s.endAttempt(a, policy.Reset, nil) })
 	}
-	w.restart(b, b.Started())
+	s.restart(server, server.Started())
 }
 
-func (w *Simulation) restart(b *server, started time.Duration) {
-	b.incarnation++
-	b.Server = emulator.NewServer(b.Spec, started, b.seed+uint64(b.incarnation))
-	b.attempts, b.reports = make(map[string]*attempt), nil
+func (s *Simulation) restart(server *server, started time.Duration) {
+	server.incarnation++
+	server.Server = emulator.NewServer(server.Spec, started, server.seed+uint64(server.incarnation))
+	server.attempts, server.reports = make(map[string]*attempt), nil
 }
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -8,25 +8,28 @@
 	"sloerail/internal/priority"
 )
 
-// Figures of the world, in the middle of the ranges that the operators' pages state.
+// Times of the model, in the middle of the ranges that the operators' pages give.
 const (
-	sameZoneLatency  = 250 * time.Microsecond // one way, within a zone
-	crossZoneLatency = 4 * time.Millisecond   // and between zones
-	connectTimeout   = 250 * time.Millisecond // until a connection that doesn't come up has failed
-	reportDelay      = 300 * time.Millisecond // a report's age when it leaves its server, beyond its period
-	maxListDelay     = 800 * time.Millisecond // until nodes are told of a change
-	detectionDelay   = 300 * time.Millisecond // until a front leaves a node that is gone
-	maxSettleTime    = 10 * time.Minute       // beyond the end, for what is under way
+	sameZoneLatency  = 250 * time.Microsecond // one way
+	crossZoneLatency = 4 * time.Millisecond   // one way
+	connectTimeout   = 250 * time.Millisecond
+	reportDelay      = 300 * time.Millisecond // the least age of a load report at a node
+	maxListDelay     = 800 * time.Millisecond // until a node is notified of a change of the list
+	detectionDelay   = 300 * time.Millisecond // until load balancers know that a node is down
+	maxSettleTime    = 10 * time.Minute       // beyond the scenario's length, for requests in flight
 )
 
-// Simulation is a scenario under way. It is not safe for concurrent use, and the same for the same seed.
+// origin is the clock's time at the begin of a run: not 0, which stands for long ago.
+const origin = time.Hour
+
+// Simulation is a scenario under way. It is not safe for concurrent use, and is the same for the same seed.
 type Simulation struct {
 	Scenario
 	Checker *emulator.Checker
 
 	now           time.Duration
 	queue         priority.Queue[event]
-	sequence      int
+	sequence      int // of the newest event, or of clients
 	seed          uint64
 	rng           *rand.Rand
 	nodes         []*node
@@ -39,60 +42,57 @@
 	outcome       *Outcome
 }
 
-// origin is when a run begins: 0 would stand for long ago.
-const origin = time.Hour
-
-// New makes a world as the scenario has it, drawn from a seed.
-func New(s Scenario, seed uint64) (*Simulation, error) {
-	if err := s.Check(); err != nil {
+// New prepares a scenario to be run. The error names the key that is invalid.
+func New(scenario Scenario, seed uint64) (*Simulation, error) {
+	if err := scenario.Check(); err != nil {
 		return nil, err
 	}
-	w := &Simulation{Scenario: s, Checker: emulator.NewChecker(emulator.DefaultRules()), now: origin, seed: seed,
+	s := &Simulation{Scenario: scenario, Checker: emulator.NewChecker(emulator.DefaultRules()), now: origin, seed: seed,
 		rng: rand.New(rand.NewPCG(seed, 0x1ab)), serversByID: make(map[string]*server), classes: emulator.Classes()}
-	servers := s.ServerSpecs(seed)
-	w.outcome = NewOutcome(s, servers, w.classes, origin)
-	w.addServers(servers, seed)
-	if err := w.addNodes(seed); err != nil {
+	servers := scenario.ServerSpecs(seed)
+	s.outcome = NewOutcome(scenario, servers, s.classes, origin)
+	s.addServers(servers, seed)
+	if err := s.addNodes(seed); err != nil {
 		return nil, err
 	}
 	for i, z := range s.Zones {
-		w.addLoadBalancer(i, z, seed)
+		s.addLoadBalancer(i, z, seed)
 	}
 	for i := range int(s.Length.Seconds()) {
-		w.at(origin+time.Duration(i+1)*time.Second-time.Nanosecond, w.sampleServers)
+		s.at(origin+time.Duration(i+1)*time.Second-time.Nanosecond, s.sampleServers)
 	}
 	for _, f := range s.Faults {
 		for _, at := range f.StartTimes() {
-			w.at(origin+at, func() { w.beginFault(f) })
+			s.at(origin+at, func() { s.beginFault(f) })
 		}
 	}
-	return w, nil
+	return s, nil
 }
 
-// Run plays the scenario to its end, and returns what came of it.
-func (w *Simulation) Run() *Outcome {
-	end := origin + w.Length.Duration + maxSettleTime
-	for len(w.queue) > 0 && w.queue[0].at <= end && !w.idle() {
-		e := w.queue.Take()
-		w.now = e.at
-		e.run()
+// Run plays the scenario to its end, and returns its outcome.
+func (s *Simulation) Run() *Outcome {
+	end := origin + s.Length.Duration + maxSettleTime
+	for len(s.queue) > 0 && s.queue[0].at <= end && !s.finished() {
+		next := s.queue.Take()
+		s.now = next.at
+		next.run()
 	}
-	breaches, n := w.Checker.Violations()
-	w.outcome.Broken, w.outcome.BrokenRules = n, append([]string{}, breaches...)
-	return w.outcome
+	violations, count := s.Checker.Violations()
+	s.outcome.Broken, s.outcome.BrokenRules = count, append([]string{}, violations...)
+	return s.outcome
 }
 
-// idle tells whether the time of the clients is over and nothing is under way: timers of the module go on.
-func (w *Simulation) idle() bool {
-	if w.now <= origin+w.Length.Duration {
+// finished tells whether the scenario's length is over and no request is in flight. Timers of the nodes never end.
+func (s *Simulation) finished() bool {
+	if s.now <= origin+s.Length.Duration {
 		return false
 	}
-	for _, g := range w.generators {
+	for _, g := range s.generators {
 		if _, more := g.clients.Next(); more {
 			return false
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range s.nodes {
 		if len(n.requests) > 0 {
 			return false
 		}
@@ -100,18 +100,22 @@
 	return true
 }
 
-// sampleServers books how the servers are.
-func (w *Simulation) sampleServers() {
-	s := w.outcome.second(w.now)
-	var cores, held int
-	for _, b := range w.servers {
-		if b.down || b.connectTimeout {
+// hasReports tells whether servers send load reports.
+func (s *Simulation) hasReports() bool { return s.Reports == nil || *s.Reports }
+
+// sampleServers records the state of the servers in the present second.
+func (s *Simulation) sampleServers() {
+	second := s.outcome.second(s.now)
+	var cores, busyCores int
+	for _, server := range s.servers {
+		if server.down || server.connectTimeout {
 			continue
 		}
-		cores, held = cores+b.Spec.Cores, held+min(b.InProgress(), b.Spec.Cores)
-		if b.Slowed() {
-			s.Overloaded++
+		cores += server.Spec.Cores
+		busyCores += min(server.InProgress(), server.Spec.Cores)
+		if server.Slowed() {
+			second.Overloaded++
 		}
 	}
-	s.Utilization = float64(held) / float64(max(1, cores))
+	second.Utilization = float64(busyCores) / float64(max(1, cores))
 }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -11,7 +11,7 @@
 	"sloerail/policy"
 )
 
-// What docs/zones.md says of zones: a sample of its measures, on one seed. All of them take minutes.
+// A sample of the measures of docs/zones.md, on one seed: all of them take minutes.
 func TestZonesAreEvacuatedAndReturnedTo(t *testing.T) {
 	var few []Measure
 	for _, m := range ZoneMeasures() {
@@ -30,7 +30,7 @@
 	}
 }
 
-// A seed gives the same run each time: a finding can be looked at again.
+// A seed gives the same run each time, so that a finding can be reproduced.
 func TestSameSeedGivesTheSameOutcome(t *testing.T) {
 	for _, name := range []string{"zone-errors", "zone-lost", "zone-nodes"} {
 		var runs [2][]byte
@@ -71,11 +71,11 @@
 	}
 	after := out.Between(32*time.Second, 35*time.Second)
 	if after.ServedFraction() < 0.9 {
-		t.Errorf("served %.2f of the worth once the region was back", after.ServedFraction())
+		t.Errorf("served %.2f of the value once the region was back", after.ServedFraction())
 	}
 }
 
-// A scenario that makes no sense is named, not played.
+// An invalid scenario is an error that names the key.
 func TestInvalidScenariosAreRejectedByName(t *testing.T) {
 	const zones = "for = \"3s\"\nrate = 5.0\nzones = [{name = \"a\", boxes = 1, nodes = 1}]\n"
 	for text, want := range map[string]string{
