--- a/cmd/sloerail/scale.go
+++ b/cmd/sloerail/scale.go
@@ -47,7 +47,7 @@
 		},
 	}
 	f := cmd.Flags()
-	f.DurationVar(&flags.For, "for", 0, "the whole run takes no longer; 0 for what the scenario says")
+	f.DurationVar(&flags.MaxDuration, "for", 0, "the whole run takes no longer; 0 for what the scenario says")
 	f.IntVar(&flags.MaxSize, "most", 0, "leave out larger sizes; 0 for none")
 	f.Uint64Var(&flags.seed, "seed", 0, "of all chances, in place of the scenario's")
 	f.BoolVar(&flags.asJSON, "json", false, "print all that was measured as JSON")
@@ -75,7 +75,7 @@
 	if err != nil {
 		return fmt.Errorf("%w: %w", errUse, err)
 	}
-	if flags.For < 0 || flags.MaxSize < 0 {
+	if flags.MaxDuration < 0 || flags.MaxSize < 0 {
 		return fmt.Errorf("%w: for, most: want 0 or more", errUse)
 	}
 	if cmd.Flags().Changed("seed") {
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -18,16 +18,16 @@
 // The faults. The zero value is none.
 const (
 	LeaderKilled Fault = "leader-killed" // and stays away
-	ReplicasAway Fault = "replicas-away" // all are killed, and started again after a time
+	ReplicasDown Fault = "replicas-away" // all are killed, and started again after a time
 )
 
-var faults = []Fault{LeaderKilled, ReplicasAway}
+var faults = []Fault{LeaderKilled, ReplicasDown}
 
 const (
-	sampleEvery   = time.Second      // traffic is compared by such windows
-	leaderWithin  = 30 * time.Second // of a fault's end, or the point has failed
-	maxReplicas   = 7
-	instancesList = "/registry/instances"
+	sampleInterval = time.Second      // traffic is compared by such windows
+	leaderTimeout  = 30 * time.Second // of a fault's end, or the point has failed
+	maxReplicas    = 7
+	instancesList  = "/registry/instances"
 )
 
 // Measures of a fault.
@@ -41,15 +41,15 @@
 // recordFault watches the nodes for the scenario's span while the list service is whole, lets the fault befall it, and
 // compares what the nodes send and receive in as long a span after that with what they did before. Changes are made throughout, but for the time in which there
 // is nobody to take them.
-func (w *watched) recordFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) error {
-	w.count(tracker)
+func (w *watchedRegistry) recordFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) error {
+	w.startCounting(tracker)
 	before := w.startSampling(nodes)
-	err := w.changeFor(ctx, w.scenario.Span.Duration, tracker.made)
+	err := w.writeChanges(ctx, w.scenario.Span.Duration, tracker.changeDue)
 	steady := before.stop()
 	if err != nil {
 		return err
 	}
-	after, err := w.befall(ctx, tracker, nodes)
+	after, err := w.injectFault(ctx, tracker, nodes)
 	if err != nil {
 		return err
 	}
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// befall lets the fault happen, and returns the traffic from its end on.
-func (w *watched) befall(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) (samples []node.Traffic, err error) {
+// injectFault lets the fault happen, and returns the traffic from its end on.
+func (w *watchedRegistry) injectFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) (samples []node.Traffic, err error) {
 	leader, err := w.service.AwaitLeader(ctx)
 	if err != nil {
 		return nil, err
@@ -86,25 +86,25 @@
 		err = w.awaitLeader(ctx, began)
 	}
 	if err == nil {
-		err = w.changeFor(ctx, w.scenario.Span.Duration, tracker.made)
+		err = w.writeChanges(ctx, w.scenario.Span.Duration, tracker.changeDue)
 	}
 	return sampling.stop(), err
 }
 
 // changeWithoutLeader makes changes from the leader's end on: they are late until there is another.
-func (w *watched) changeWithoutLeader(ctx context.Context, tracker *changeTracker) error {
+func (w *watchedRegistry) changeWithoutLeader(ctx context.Context, tracker *changeTracker) error {
 	began := time.Now()
 	var waiting sync.WaitGroup
 	var noLeader error
 	waiting.Go(func() { noLeader = w.awaitLeader(ctx, began) })
-	err := w.changeFor(ctx, w.scenario.Span.Duration, tracker.made)
+	err := w.writeChanges(ctx, w.scenario.Span.Duration, tracker.changeDue)
 	waiting.Wait()
 	return cmp.Or(err, noLeader)
 }
 
 // awaitLeader waits for a leader, and records how long that took.
-func (w *watched) awaitLeader(ctx context.Context, began time.Time) error {
-	ctx, cancel := context.WithTimeout(ctx, leaderWithin)
+func (w *watchedRegistry) awaitLeader(ctx context.Context, began time.Time) error {
+	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	if _, err := w.service.AwaitLeader(ctx); err != nil {
 		return err
@@ -114,7 +114,7 @@
 }
 
 // startReplicas starts all replicas of the list service.
-func (w *watched) startReplicas() error {
+func (w *watchedRegistry) startReplicas() error {
 	for _, name := range w.service.Names {
 		if err := w.service.Start(name); err != nil {
 			return err
@@ -130,12 +130,12 @@
 	samples []node.Traffic // of each window
 }
 
-func (w *watched) startSampling(nodes []*node.Hollow) *sampling {
+func (w *watchedRegistry) startSampling(nodes []*node.Hollow) *sampling {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &sampling{cancel: cancel}
 	last := trafficOf(nodes)
 	s.running.Go(func() {
-		tick := time.NewTicker(sampleEvery)
+		tick := time.NewTicker(sampleInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -186,14 +186,14 @@
 	switch {
 	case s.Fault == "":
 		return nil
-	case s.Fault != LeaderKilled && s.Fault != ReplicasAway:
+	case s.Fault != LeaderKilled && s.Fault != ReplicasDown:
 		return fmt.Errorf("fault: unknown, want one of %v, got %q", faults, s.Fault)
 	case s.Dimension != Nodes && s.Dimension != Changes:
 		return fmt.Errorf("fault: of dimensions %s and %s alone, got %s", Nodes, Changes, s.Dimension)
 	case s.Fault == LeaderKilled && s.Replicas < 3:
 		return fmt.Errorf("replicas: want 3 or more for %s, got %d", s.Fault, s.Replicas)
-	case s.Fault == ReplicasAway && (s.Outage.Duration <= 0 || s.Outage.Duration > s.For.Duration):
-		return fmt.Errorf("away: want more than 0 and up to for, %v, got %v", s.For, s.Outage)
+	case s.Fault == ReplicasDown && (s.Outage.Duration <= 0 || s.Outage.Duration > s.MaxDuration.Duration):
+		return fmt.Errorf("away: want more than 0 and up to for, %v, got %v", s.MaxDuration, s.Outage)
 	}
 	return nil
 }
--- a/internal/scaletest/fit_test.go
+++ b/internal/scaletest/fit_test.go
@@ -22,7 +22,7 @@
 	return o
 }
 
-func TestKnownLawsAreRecognised(t *testing.T) {
+func TestFitRecognisesKnownLaws(t *testing.T) {
 	for _, known := range []struct {
 		law Law
 		of  func(n float64) float64
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestBrokenLawIsRefused(t *testing.T) {
+func TestFitRejectsABrokenLaw(t *testing.T) {
 	for name, of := range map[string]func(n float64) float64{
 		"a step": func(n float64) float64 {
 			if n > 5000 {
@@ -74,7 +74,7 @@
 	}
 }
 
-func TestSmallSizesThatHideTheLawAreLeftOut(t *testing.T) {
+func TestFitLeavesOutSmallSizesThatHideTheLaw(t *testing.T) {
 	// Constant up to 300, and a steep line from then on.
 	f := fitLaw(observe(testSizes, 1, func(n float64) float64 { return 10 + 50*max(0, n-290) }))
 	if f.Law != Linear || f.SizesOmitted != 1 && f.SizesOmitted != 2 || f.From != int(testSizes[f.SizesOmitted]) {
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestNoLawWithoutFiveSizes(t *testing.T) {
+func TestFitNeedsFiveSizes(t *testing.T) {
 	linear := func(n float64) float64 { return 5 * n }
 	if f := fitLaw(observe(testSizes[:4], 1, linear)); f.Why != TooFewSizes || f.Law != "" {
 		t.Errorf("four sizes: %q, %q", f.Law, f.Why)
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestReaches(t *testing.T) {
+func TestReachesGivesTheSizeAtALimit(t *testing.T) {
 	f := Fit{Law: Linear, A: 100, B: 2}
 	if n, ok := f.Reaches(1100); !ok || math.Abs(n-500) > 1e-6 {
 		t.Errorf("linear: %v, %v", n, ok)
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -16,7 +16,7 @@
 // The platform that is coming: its regions, its zones, and what else of it stays as it is in all scenarios.
 const (
 	regions        = 5
-	zonesEach      = 4
+	zonesPerRegion = 4
 	cellSize       = 16   // servers
 	tenantRate     = 10.0 // requests a second at each node that a tenant's quota allows: none is refused for it
 	nodeMemoryMB   = 512
@@ -39,14 +39,16 @@
 	return &fleet{fixed: held, dir: dir, rng: rand.New(rand.NewPCG(seed, uint64(run)))}
 }
 
-func zoneName(i int) string { return fmt.Sprintf("region-%d-zone-%d", i%regions, i/regions%zonesEach) }
+func zoneName(i int) string {
+	return fmt.Sprintf("region-%d-zone-%d", i%regions, i/regions%zonesPerRegion)
+}
 
 // servers are the entries of the list, in zones drawn at random.
 func (f *fleet) servers() []registry.Endpoint {
 	all := make([]registry.Endpoint, f.fixed.Servers)
 	for i := range all {
 		all[i] = registry.Endpoint{ID: fmt.Sprintf("server-%06d", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
-			Zone: zoneName(f.rng.IntN(regions * zonesEach)), Kind: serverKinds[i%len(serverKinds)], Cell: int64(i / cellSize),
+			Zone: zoneName(f.rng.IntN(regions * zonesPerRegion)), Kind: serverKinds[i%len(serverKinds)], Cell: int64(i / cellSize),
 			Phase: registry.PhaseUp, Size: 1}
 	}
 	return all
@@ -69,7 +71,7 @@
 		tenants[i] = emulator.Tenant{Name: tenantName(i), Share: 1 / float64(len(tenants))}
 	}
 	zonesOf := make(map[string][]string)
-	for i := range regions * zonesEach {
+	for i := range regions * zonesPerRegion {
 		region := fmt.Sprintf("region-%d", i%regions)
 		zonesOf[region] = append(zonesOf[region], zoneName(i))
 	}
@@ -79,7 +81,7 @@
 		"seed":   fmt.Sprintf("%x", f.rng.Uint64()),
 		"limits": map[string]any{"cores": 1, "memory_mb": nodeMemoryMB, "sockets": nodeSockets},
 		"known":  map[string]any{"revision": 0, "complete": true, "members": []any{}},
-		"settings": testcluster.Settings(position, f.fixed.Nodes, zoneName(position%(regions*zonesEach)), emulator.Classes(), tenants,
+		"settings": testcluster.Settings(position, f.fixed.Nodes, zoneName(position%(regions*zonesPerRegion)), emulator.Classes(), tenants,
 			quota),
 		"places": map[string]any{"regions": zonesOf},
 	}
--- a/internal/scaletest/form_test.go
+++ b/internal/scaletest/form_test.go
@@ -15,9 +15,9 @@
 // goldenScenario has every key.
 func goldenScenario() Scenario {
 	return Scenario{Name: "golden", What: "every key", Dimension: Changes, Sizes: []int{10, 20, 40, 80, 160}, Runs: 3, Seed: 39,
-		For: simulation.Duration{Duration: 10 * time.Minute}, Span: simulation.Duration{Duration: 1500 * time.Millisecond},
+		MaxDuration: simulation.Duration{Duration: 10 * time.Minute}, Span: simulation.Duration{Duration: 1500 * time.Millisecond},
 		Fixed:    FixedSizes{Servers: 1000, Tenants: 50, Nodes: 20, Requests: 200.5, Changes: 0.5},
-		Replicas: 3, Fault: ReplicasAway, Outage: simulation.Duration{Duration: 5 * time.Second}, Target: 20000,
+		Replicas: 3, Fault: ReplicasDown, Outage: simulation.Duration{Duration: 5 * time.Second}, Target: 20000,
 		Budgets: []Limit{{Measure: "heap", Max: 1e8}, {Measure: "decision CPU", Max: 5000.5}}}
 }
 
--- a/internal/scaletest/plot.go
+++ b/internal/scaletest/plot.go
@@ -93,7 +93,7 @@
 	if err := addLaw(p, law); err != nil {
 		return nil, err
 	}
-	if err := addBudget(p, law); err != nil {
+	if err := drawLimit(p, law); err != nil {
 		return nil, err
 	}
 	p.X.Min, p.X.Max = p.X.Min/axisMargin, p.X.Max*axisMargin
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// addBudget draws the budget, up to the target, and a line at that.
-func addBudget(p *plot.Plot, law Extrapolate) error {
+// drawLimit draws the budget, up to the target, and a line at that.
+func drawLimit(p *plot.Plot, law Extrapolate) error {
 	if law.Limit <= 0 {
 		return nil
 	}
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -62,15 +62,15 @@
 }
 
 const (
-	defaultWindow   = 10 * time.Second
-	defaultRoutes   = 10    // 47,000 routes over 5,100 nodes are 9.2
-	defaultChanges  = 1.0   // a second
-	defaultRequests = 188.0 // 960,000 requests a second over 5,100 nodes
-	defaultReplicas = 1
-	targetNodes     = 5100
-	targetServers   = 150_000
-	serversEach     = 54 // of a service: 150,000 servers in 2,800 services
-	zoneCount       = 20
+	defaultWindow     = 10 * time.Second
+	defaultRoutes     = 10    // 47,000 routes over 5,100 nodes are 9.2
+	defaultChanges    = 1.0   // a second
+	defaultRequests   = 188.0 // 960,000 requests a second over 5,100 nodes
+	defaultReplicas   = 1
+	targetNodes       = 5100
+	targetServers     = 150_000
+	serversPerService = 54 // of a service: 150,000 servers in 2,800 services
+	zoneCount         = 20
 )
 
 func (s ProcessSpec) withDefaults() ProcessSpec {
@@ -241,11 +241,11 @@
 	}
 }
 
-const statsTime = 2 * time.Second
+const statsTimeout = 2 * time.Second
 
 // figure reads one figure of a node's second address.
 func figure(ctx context.Context, control, name string) (float64, error) {
-	ctx, cancel := context.WithTimeout(ctx, statsTime)
+	ctx, cancel := context.WithTimeout(ctx, statsTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/stats", nil)
 	if err != nil {
--- a/internal/scaletest/process_list.go
+++ b/internal/scaletest/process_list.go
@@ -17,7 +17,7 @@
 
 const (
 	listServicePort = 8500
-	longestWait     = time.Minute // of a watch
+	maxWatchWait    = time.Minute // of a watch
 )
 
 // nodeList is the list of servers that a node under measurement is told.
@@ -61,9 +61,9 @@
 // serverName, serviceOf and zoneOf say how the servers of a run are laid out: a service's servers follow each
 // other, spread over all zones.
 func serverName(i int) string   { return fmt.Sprintf("server-%06d", i) }
-func serviceOf(i int) string    { return fmt.Sprintf("service-%04d", i/serversEach) }
+func serviceOf(i int) string    { return fmt.Sprintf("service-%04d", i/serversPerService) }
 func zoneOf(i int) string       { return fmt.Sprintf("zone-%02d", i%zoneCount) }
-func serviceCount(n int) int    { return (n + serversEach - 1) / serversEach }
+func serviceCount(n int) int    { return (n + serversPerService - 1) / serversPerService }
 func routeService(i int) string { return fmt.Sprintf("service-%04d", i) }
 
 // startList serves a list of n servers; address says where each of them is.
@@ -76,8 +76,8 @@
 	return s, s.serve(r, s)
 }
 
-// whole is the list as it is.
-func (s *listService) whole() emulator.ListResponse {
+// snapshot is the list as it is.
+func (s *listService) snapshot() emulator.ListResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list.Snapshot()
@@ -98,7 +98,7 @@
 	index, err := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
 	watch := err == nil
 	ms, _ := strconv.ParseInt(req.URL.Query().Get("wait"), 10, 64)
-	until := time.NewTimer(min(longestWait, time.Duration(ms)*time.Millisecond))
+	until := time.NewTimer(min(maxWatchWait, time.Duration(ms)*time.Millisecond))
 	defer until.Stop()
 	for {
 		answer, changed, news := s.since(index, watch)
--- a/internal/scaletest/process_registry.go
+++ b/internal/scaletest/process_registry.go
@@ -22,7 +22,7 @@
 	fewWatchers      = 50
 	maxRenewals      = 1000             // that are timed
 	instanceLease    = 10 * time.Minute // none runs out during a run
-	watchFor         = 30 * time.Second
+	watchTimeout     = 30 * time.Second
 	maxNotifyTime    = time.Minute
 )
 
@@ -42,7 +42,7 @@
 			return nil, err
 		}
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	leader, err := g.AwaitLeader(ctx)
 	if err != nil {
@@ -129,17 +129,17 @@
 	}
 	rec.Record(RenewRate, rate)
 	rec.Record(RenewCPU, float64(after-before)/float64(renewals))
-	if err := measureWholeList(ctx, g, rec); err != nil {
+	if err := measureListSize(ctx, g, rec); err != nil {
 		return err
 	}
-	if err := g.watchTold(ctx, fewWatchers, rec); err != nil {
+	if err := g.measureNotification(ctx, fewWatchers, rec); err != nil {
 		return err
 	}
-	return g.recordRest(ctx, spec, rec)
+	return g.recordIdle(ctx, spec, rec)
 }
 
-// measureWholeList notes how large the list is as a node is given it.
-func measureWholeList(ctx context.Context, g *registryRun, rec *Recorder) error {
+// measureListSize notes how large the list is as a node is given it.
+func measureListSize(ctx context.Context, g *registryRun, rec *Recorder) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+g.Address(g.leader)+"/registry/instances", nil)
 	if err != nil {
 		return err
@@ -163,14 +163,14 @@
 	if _, err := g.registerAll(ctx, watchedInstances); err != nil {
 		return err
 	}
-	if err := g.watchTold(ctx, size, rec); err != nil {
+	if err := g.measureNotification(ctx, size, rec); err != nil {
 		return err
 	}
-	return g.recordRest(ctx, spec, rec)
+	return g.recordIdle(ctx, spec, rec)
 }
 
-// recordRest watches replicas that have nothing to do but to hold watches.
-func (g *registryRun) recordRest(ctx context.Context, spec ProcessSpec, rec *Recorder) error {
+// recordIdle watches replicas that have nothing to do but to hold watches.
+func (g *registryRun) recordIdle(ctx context.Context, spec ProcessSpec, rec *Recorder) error {
 	began := time.Now()
 	before, err := cpuOfAll(g.pids()...)
 	if err != nil {
@@ -195,30 +195,30 @@
 
 // watchers are callers of the list service that follow one instance.
 type watchers struct {
-	mu    sync.Mutex
-	sent  time.Time // the last write,
-	mark  int64     // its mark,
-	told  int       // and how many watchers were told of it
-	ready int
-	late  *hdrhistogram.Histogram
+	mu          sync.Mutex
+	sent        time.Time // the last write,
+	startTimeMs int64     // its mark,
+	notified    int       // and how many watchers were told of it
+	readyCount  int
+	delays      *hdrhistogram.Histogram
 }
 
-// watchTold makes changes under so many watchers, and notes when each was told.
-func (g *registryRun) watchTold(ctx context.Context, n int, rec *Recorder) error {
+// measureNotification makes changes under so many watchers, and notes when each was told.
+func (g *registryRun) measureNotification(ctx context.Context, n int, rec *Recorder) error {
 	under, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
 	defer all.Wait()
 	defer stop()
-	w := &watchers{late: hdrhistogram.New(1, maxNotifyTime.Microseconds(), histogramDigit)}
+	w := &watchers{delays: hdrhistogram.New(1, maxNotifyTime.Microseconds(), histogramDigit)}
 	for i := range n {
 		all.Go(func() { w.follow(under, registry.NewClient([]string{g.Address(g.Names[i%len(g.Names)])})) })
 	}
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	count := func(of *int, want int) func() bool {
 		return func() bool { w.mu.Lock(); defer w.mu.Unlock(); return *of >= want }
 	}
-	if err := testcluster.Await(ctx, "all watchers", count(&w.ready, n)); err != nil {
+	if err := testcluster.Await(ctx, "all watchers", count(&w.readyCount, n)); err != nil {
 		return err
 	}
 	c := registry.NewClient([]string{g.Address(g.leader)})
@@ -231,7 +231,7 @@
 		if err := put(ctx, c, "/registry/instances/"+serverName(0), instance(0, change+100)); err != nil {
 			return err
 		}
-		if err := testcluster.Await(ctx, "all to be told", count(&w.told, n)); err != nil {
+		if err := testcluster.Await(ctx, "all to be told", count(&w.notified, n)); err != nil {
 			return err
 		}
 	}
@@ -243,7 +243,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for m, quantile := range map[Measure]float64{WatcherNotifiedP50: 50, WatcherNotifiedP99: 99, WatcherNotifiedLast: 100} {
-		rec.Record(m, float64(w.late.ValueAtQuantile(quantile))/1000)
+		rec.Record(m, float64(w.delays.ValueAtQuantile(quantile))/1000)
 	}
 	return nil
 }
@@ -251,7 +251,7 @@
 func (w *watchers) begin(mark int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.sent, w.mark, w.told = time.Now(), mark, 0
+	w.sent, w.startTimeMs, w.notified = time.Now(), mark, 0
 }
 
 // follow watches the list until ctx ends.
@@ -259,27 +259,27 @@
 	at := int64(-1)
 	for first := true; ctx.Err() == nil; {
 		var l registry.EndpointList
-		path := fmt.Sprintf("/registry/instances?index=%d&wait=%d", at, watchFor.Milliseconds())
-		if c.Watch(ctx, path, watchFor, &l) != nil {
+		path := fmt.Sprintf("/registry/instances?index=%d&wait=%d", at, watchTimeout.Milliseconds())
+		if c.Watch(ctx, path, watchTimeout, &l) != nil {
 			continue
 		}
 		at = l.Revision
-		w.note(l, first)
+		w.record(l, first)
 		first = false
 	}
 }
 
-func (w *watchers) note(l registry.EndpointList, first bool) {
+func (w *watchers) record(l registry.EndpointList, first bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if first {
-		w.ready++
+		w.readyCount++
 		return
 	}
 	for _, e := range l.Endpoints {
-		if e.StartTimeMs == w.mark {
-			w.told++
-			_ = w.late.RecordValue(time.Since(w.sent).Microseconds())
+		if e.StartTimeMs == w.startTimeMs {
+			w.notified++
+			_ = w.delays.RecordValue(time.Since(w.sent).Microseconds())
 		}
 	}
 }
--- a/internal/scaletest/process_requests.go
+++ b/internal/scaletest/process_requests.go
@@ -20,7 +20,7 @@
 	requestServers = 8  // listeners that stand for all servers
 	requestWorkers = 32 // clients of each of the two ways
 	warmRequests   = 200
-	longestRequest = 10 * time.Second
+	maxRequestTime = 10 * time.Second
 	histogramDigit = 3
 	answerBody     = "0123456789012345678901234567890123456789012345678901234567890123"
 )
@@ -45,24 +45,24 @@
 	return addresses, func() { _ = server.Close() }, nil
 }
 
-// way is how clients reach servers: straight or through a node.
-type way struct {
-	address  func(i int) string
-	client   *http.Client
-	took     *hdrhistogram.Histogram
-	failed   atomic.Int64
-	mu       sync.Mutex // of took
-	firstErr error
+// route is how clients reach servers: straight or through a node.
+type route struct {
+	address   func(i int) string
+	client    *http.Client
+	latencies *hdrhistogram.Histogram
+	failed    atomic.Int64
+	mu        sync.Mutex // of took
+	firstErr  error
 }
 
-func newWay(address func(i int) string) *way {
-	return &way{address: address, took: hdrhistogram.New(1, longestRequest.Nanoseconds(), histogramDigit),
-		client: &http.Client{Timeout: longestRequest, Transport: &http.Transport{MaxIdleConnsPerHost: requestWorkers,
+func newRoute(address func(i int) string) *route {
+	return &route{address: address, latencies: hdrhistogram.New(1, maxRequestTime.Nanoseconds(), histogramDigit),
+		client: &http.Client{Timeout: maxRequestTime, Transport: &http.Transport{MaxIdleConnsPerHost: requestWorkers,
 			DisableCompression: true}}}
 }
 
-// ask sends one request and notes how long its answer took.
-func (w *way) ask(ctx context.Context, i, routes int) {
+// sendRequest sends one request and notes how long its answer took.
+func (w *route) sendRequest(ctx context.Context, i, routes int) {
 	began := time.Now()
 	err := w.exchange(ctx, i, routes)
 	took := time.Since(began)
@@ -75,10 +75,10 @@
 		}
 		return
 	}
-	_ = w.took.RecordValue(min(took.Nanoseconds(), longestRequest.Nanoseconds()))
+	_ = w.latencies.RecordValue(min(took.Nanoseconds(), maxRequestTime.Nanoseconds()))
 }
 
-func (w *way) exchange(ctx context.Context, i, routes int) error {
+func (w *route) exchange(ctx context.Context, i, routes int) error {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.address(i)+"/", nil)
 	if err != nil {
 		return err
@@ -101,10 +101,10 @@
 	return nil
 }
 
-func (w *way) forget() {
+func (w *route) reset() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.took.Reset()
+	w.latencies.Reset()
 	w.failed.Store(0)
 	w.firstErr = nil
 }
@@ -131,16 +131,16 @@
 	if err := sleep(ctx, min(startupDelay, spec.Window)); err != nil {
 		return err
 	}
-	direct, through := newWay(at), newWay(func(int) string { return n.Listen })
-	takeTurns(ctx, spec, warmRequests, direct, through)
-	direct.forget()
-	through.forget()
+	direct, through := newRoute(at), newRoute(func(int) string { return n.Listen })
+	sendAlternately(ctx, spec, warmRequests, direct, through)
+	direct.reset()
+	through.reset()
 	count := max(1, int(spec.Requests*spec.Window.Seconds()))
 	before, err := usageOf(n.Process().PID())
 	if err != nil {
 		return err
 	}
-	takeTurns(ctx, spec, count, direct, through)
+	sendAlternately(ctx, spec, count, direct, through)
 	after, err := usageOf(n.Process().PID())
 	if err != nil {
 		return err
@@ -162,20 +162,20 @@
 }
 
 // recordTimes notes the percentiles of both ways, and their differences.
-func recordTimes(rec *Recorder, direct, through *way) {
+func recordTimes(rec *Recorder, direct, through *route) {
 	for _, m := range []struct {
 		quantile               float64
 		direct, through, added Measure
 	}{{50, DirectP50, ThroughP50, AddedP50}, {99, DirectP99, ThroughP99, AddedP99}} {
-		without, with := direct.took.ValueAtQuantile(m.quantile), through.took.ValueAtQuantile(m.quantile)
+		without, with := direct.latencies.ValueAtQuantile(m.quantile), through.latencies.ValueAtQuantile(m.quantile)
 		rec.Record(m.direct, float64(without))
 		rec.Record(m.through, float64(with))
 		rec.Record(m.added, float64(with-without))
 	}
 }
 
-// takeTurns sends so many requests each way, at the rate of the spec each.
-func takeTurns(ctx context.Context, spec ProcessSpec, count int, ways ...*way) {
+// sendAlternately sends so many requests each way, at the rate of the spec each.
+func sendAlternately(ctx context.Context, spec ProcessSpec, count int, ways ...*route) {
 	var all sync.WaitGroup
 	places := make(chan struct{}, len(ways)*requestWorkers)
 	tick := time.NewTicker(time.Duration(float64(time.Second) / spec.Requests / float64(len(ways))))
@@ -190,7 +190,7 @@
 		places <- struct{}{}
 		all.Go(func() {
 			defer func() { <-places }()
-			ways[i%len(ways)].ask(ctx, i/len(ways), spec.Routes)
+			ways[i%len(ways)].sendRequest(ctx, i/len(ways), spec.Routes)
 		})
 	}
 	all.Wait()
--- a/internal/scaletest/process_scoped.go
+++ b/internal/scaletest/process_scoped.go
@@ -98,7 +98,7 @@
 	}
 	want := len(scoped.Endpoints)
 	n, listed, err := startAndRecord(ctx, r, testcluster.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB,
-		Sockets: nodeDescripts, Settings: settings, Scope: map[string]any{"services": services, "subset": defaultSubset}}, want, rec)
+		Sockets: nodeMaxSockets, Settings: settings, Scope: map[string]any{"services": services, "subset": defaultSubset}}, want, rec)
 	if err == nil && listed != want {
 		err = fmt.Errorf("the node lists %d servers, its scope has %d", listed, want)
 	}
@@ -116,7 +116,7 @@
 		return err
 	}
 	defer n.list.close()
-	if err := watchRest(ctx, spec, n.Node, n.list.counted(), rec); err != nil {
+	if err := measureIdle(ctx, spec, n.Node, n.list.counted(), rec); err != nil {
 		return err
 	}
 	if err := watchAllChanges(ctx, spec, n.Node, n.list, size, rec); err != nil {
@@ -139,7 +139,7 @@
 	defer stop()
 	failed := make(chan error, 1)
 	go func() { failed <- n.list.changeAll(under, spec.Seed, size, dayChanges*float64(size)/targetServers) }()
-	if err := watchRest(ctx, spec, n.Node, n.list.counted(), rec); err != nil {
+	if err := measureIdle(ctx, spec, n.Node, n.list.counted(), rec); err != nil {
 		return err
 	}
 	stop()
--- a/internal/scaletest/process_servers.go
+++ b/internal/scaletest/process_servers.go
@@ -14,23 +14,23 @@
 
 const (
 	realNodeMemoryMB     = 1024             // so that the collector isn't what is measured
-	takeListIn           = 15 * time.Second // or the node is held not to take it
+	listTimeout          = 15 * time.Second // or the node is held not to take it
 	startupDelay         = 3 * time.Second  // after a start, before anything is watched
-	lookEvery            = 20 * time.Millisecond
+	pollInterval         = 20 * time.Millisecond
 	manyTenants          = 10
-	quotaOfAll           = 1e9 // requests a second: no bucket refuses
+	totalQuota           = 1e9 // requests a second: no bucket refuses
 	listedFigure         = "app_registry_entries"
 	configAcceptedMetric = "app_cfg_accepted_total"
 	nodeDeadline         = 2 * time.Second
 	nodeLatencyObjective = time.Second
-	readyTime            = 60 * time.Second
-	nodeDescripts        = 4096
+	readyTimeout         = 60 * time.Second
+	nodeMaxSockets       = 4096
 )
 
 // nodesBefore is how many nodes stand before one server, where each node reaches the servers of its routes alone and
 // all servers are reached alike: 18 for ten routes.
 func nodesBefore(spec ProcessSpec) int {
-	return max(1, targetNodes*spec.Routes*serversEach/targetServers)
+	return max(1, targetNodes*spec.Routes*serversPerService/targetServers)
 }
 
 // nodeSettings are those of a node of the target's fleet whose routes need so many of the services there are.
@@ -44,7 +44,7 @@
 	for i := range tenants {
 		all = append(all, emulator.Tenant{Name: tenantName(i), Share: 1 / float64(tenants)})
 	}
-	settings := testcluster.Settings(0, nodesBefore(spec), zoneOf(0), classes, all, quotaOfAll)
+	settings := testcluster.Settings(0, nodesBefore(spec), zoneOf(0), classes, all, totalQuota)
 	for i, route := range settings["services"].([]map[string]any) {
 		route["servedOn"] = []string{routeService(i % services)}
 	}
@@ -58,9 +58,9 @@
 // startNode starts a node that takes its list from a service. Where that list is beyond what it takes, the list
 // stands in its file.
 func startNode(ctx context.Context, r *testcluster.Cluster, list *listService, settings map[string]any, rec *Recorder) (*testcluster.Node, error) {
-	spec := testcluster.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB, Sockets: nodeDescripts,
+	spec := testcluster.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB, Sockets: nodeMaxSockets,
 		Settings: settings}
-	want := len(list.whole().Members)
+	want := len(list.snapshot().Members)
 	n, listed, err := startAndRecord(ctx, r, spec, want, rec)
 	if err != nil || listed == want {
 		rec.Record(ListReceived, 1)
@@ -68,7 +68,7 @@
 	}
 	n.Process().Kill()
 	rec.forget(ServersListed, StartTime, StartCPU)
-	spec.Name, spec.InitialList = "node-with-list", list.whole()
+	spec.Name, spec.InitialList = "node-with-list", list.snapshot()
 	if n, listed, err = startAndRecord(ctx, r, spec, want, rec); err == nil && listed < want {
 		err = fmt.Errorf("a node takes %d servers of %d, from the service or from its file", listed, want)
 	}
@@ -98,7 +98,7 @@
 
 // startAndList starts a node, and waits until it takes clients and has its list.
 func startAndList(ctx context.Context, n *testcluster.Node, want int) (took time.Duration, listed int, err error) {
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	began := time.Now()
 	if _, err := n.Start(); err != nil {
@@ -107,11 +107,11 @@
 	if err := n.Ready(ctx); err != nil {
 		return 0, 0, err
 	}
-	for end := time.Now().Add(takeListIn); listed < want && time.Now().Before(end); {
+	for end := time.Now().Add(listTimeout); listed < want && time.Now().Before(end); {
 		if entries, err := figure(ctx, n.Control(), listedFigure); err == nil {
 			listed = int(entries)
 		}
-		if err := sleep(ctx, lookEvery); err != nil {
+		if err := sleep(ctx, pollInterval); err != nil {
 			return 0, 0, err
 		}
 	}
@@ -135,7 +135,7 @@
 	if err := sleep(ctx, min(startupDelay, spec.Window)); err != nil {
 		return err
 	}
-	if err := watchRest(ctx, spec, n, list.counted(), rec); err != nil {
+	if err := measureIdle(ctx, spec, n, list.counted(), rec); err != nil {
 		return err
 	}
 	return watchAllChanges(ctx, spec, n, list, size, rec)
@@ -154,8 +154,8 @@
 	return watchChanges(ctx, spec, n, list, elsewhere, rec)
 }
 
-// watchRest watches a node that has nothing to do.
-func watchRest(ctx context.Context, spec ProcessSpec, n *testcluster.Node, list *listCounter, rec *Recorder) error {
+// measureIdle watches a node that has nothing to do.
+func measureIdle(ctx context.Context, spec ProcessSpec, n *testcluster.Node, list *listCounter, rec *Recorder) error {
 	pid := n.Process().PID()
 	began, bytes, answers := time.Now(), list.bytes.Load(), list.answers.Load()
 	before, err := usageOf(pid)
@@ -199,7 +199,7 @@
 		if i%2 == 1 {
 			phase = emulator.Up
 		}
-		if err := list.change(ctx, (of.first+i/2%of.count)*serversEach, phase); err != nil {
+		if err := list.change(ctx, (of.first+i/2%of.count)*serversPerService, phase); err != nil {
 			return err
 		}
 		if err := sleep(ctx, time.Duration(float64(time.Second)/spec.Changes)); err != nil {
@@ -235,7 +235,7 @@
 	if err := sleep(ctx, min(startupDelay, spec.Window)); err != nil {
 		return err
 	}
-	if err := watchRest(ctx, spec, n, list.counted(), rec); err != nil {
+	if err := measureIdle(ctx, spec, n, list.counted(), rec); err != nil {
 		return err
 	}
 	pid := n.Process().PID()
@@ -248,7 +248,7 @@
 		return err
 	}
 	n.Process().Signal(syscall.SIGHUP)
-	ctx, cancel := context.WithTimeout(ctx, readyTime)
+	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	err = testcluster.Await(ctx, "the settings to be taken", func() bool {
 		now, err := figure(ctx, n.Control(), configAcceptedMetric)
--- a/internal/scaletest/process_test.go
+++ b/internal/scaletest/process_test.go
@@ -112,7 +112,7 @@
 }
 
 // The stand-in for the list service tells a watch of one change alone, and counts what it sent.
-func TestListServiceTellsAWatchTheChange(t *testing.T) {
+func TestListServiceNotifiesAWatch(t *testing.T) {
 	r, err := testcluster.New(t.TempDir(), 1)
 	if err != nil {
 		t.Fatal(err)
@@ -151,8 +151,8 @@
 	}
 }
 
-func TestRealNodeTakesItsListAndChanges(t *testing.T) {
-	const servers = 2 * defaultRoutes * serversEach
+func TestRealNodeAppliesItsListAndChanges(t *testing.T) {
+	const servers = 2 * defaultRoutes * serversPerService
 	got := measured(t, "real-servers", ProcessSpec{Window: 400 * time.Millisecond, Changes: 10}, servers)
 	if got[ServersListed.Name] != servers || got[ListReceived.Name] != 1 {
 		t.Errorf("%v servers listed of %d, from the service: %v", got[ServersListed.Name], servers, got[ListReceived.Name])
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestRealNodeAnswersEachRequestOfItsTurns(t *testing.T) {
+func TestRealNodeServesEachRequest(t *testing.T) {
 	got := measured(t, "real-requests", ProcessSpec{Window: 500 * time.Millisecond, Requests: 100}, 100)
 	if got[RequestsSent.Name] != 50 || got[RequestsFailed.Name] != 0 {
 		t.Errorf("%v requests sent, %v failed", got[RequestsSent.Name], got[RequestsFailed.Name])
@@ -177,14 +177,14 @@
 	}
 }
 
-func TestRealNodeTakesItsTenantsAnew(t *testing.T) {
+func TestRealNodeReloadsItsTenants(t *testing.T) {
 	got := measured(t, "real-tenants", ProcessSpec{Window: 100 * time.Millisecond}, 50)
 	if !(got[ConfigCPU.Name] > 0) || !(got[ConfigBytes.Name] > 50*20) {
 		t.Errorf("settings of %v bytes took %v ns", got[ConfigBytes.Name], got[ConfigCPU.Name])
 	}
 }
 
-func TestRealRegistryTellsAllWatchers(t *testing.T) {
+func TestRealRegistryNotifiesAllWatchers(t *testing.T) {
 	got := measured(t, "real-registry-3", ProcessSpec{Window: 100 * time.Millisecond}, 100)
 	for _, m := range []Measure{RegisterRate, RenewRate, RenewCPU, ListBytes, WatcherNotifiedP99, WatcherCPU, LeaderResident} {
 		if !(got[m.Name] > 0) {
@@ -208,7 +208,7 @@
 `
 
 // A scenario of a real dimension runs through the same command as the others, and has its laws.
-func TestRealScenarioRunsAsOthersDo(t *testing.T) {
+func TestRealScenarioRunsLikeOthers(t *testing.T) {
 	s, err := Parse([]byte(realScenario))
 	if err != nil {
 		t.Fatal(err)
@@ -243,9 +243,9 @@
 }
 
 // A node with a scope is told its own part: as much at more servers, and nothing of a change elsewhere.
-func TestRealScopedNodeIsToldItsPart(t *testing.T) {
+func TestRealScopedNodeGetsItsSubset(t *testing.T) {
 	const services = 2 * defaultRoutes
-	got := measured(t, "real-scoped", ProcessSpec{Window: 400 * time.Millisecond, Changes: 10}, services*serversEach)
+	got := measured(t, "real-scoped", ProcessSpec{Window: 400 * time.Millisecond, Changes: 10}, services*serversPerService)
 	if got[ServersListed.Name] != defaultRoutes*defaultSubset {
 		t.Errorf("%v servers listed, want %d of each of %d services", got[ServersListed.Name], defaultSubset, defaultRoutes)
 	}
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -136,7 +136,7 @@
 func extrapolate(m Measure, source Source, o observations, target float64, budgets []Limit) Extrapolate {
 	f := fitLaw(o)
 	f.Measure, f.Source = m, source
-	e := Extrapolate{Fit: f, Target: target, Limit: budgetOf(m, budgets)}
+	e := Extrapolate{Fit: f, Target: target, Limit: limitOf(m, budgets)}
 	if f.Law == "" || e.Target == 0 {
 		return e
 	}
@@ -149,8 +149,8 @@
 	return e
 }
 
-// budgetOf is that of a measure; 0 for none.
-func budgetOf(m Measure, budgets []Limit) float64 {
+// limitOf is that of a measure; 0 for none.
+func limitOf(m Measure, budgets []Limit) float64 {
 	for _, b := range budgets {
 		if b.Measure == m.Name {
 			return b.Max
--- a/internal/scaletest/requests.go
+++ b/internal/scaletest/requests.go
@@ -15,57 +15,57 @@
 )
 
 const (
-	answerTime = 50 * time.Millisecond // that a server takes in the mean; spread by half
-	reportUtil = 0.5                   // of a server's cores are busy, as it reports
-	reportRate = 100.0                 // requests a second that it takes, as it reports
+	meanServiceTime = 50 * time.Millisecond // that a server takes in the mean; spread by half
+	reportUtil      = 0.5                   // of a server's cores are busy, as it reports
+	reportRate      = 100.0                 // requests a second that it takes, as it reports
 
-	timingFor   = 400 * time.Millisecond // that steps are timed for,
-	minTimed    = 200                    // unless they are fewer then,
-	maxTimed    = 50_000                 // or already more
-	timingCheck = 16                     // steps between looks at whether the run was called off
+	timingSpan    = 400 * time.Millisecond // that steps are timed for,
+	minTimedSteps = 200                    // unless they are fewer then,
+	maxTimedSteps = 50_000                 // or already more
+	stepsPerCheck = 16                     // steps between looks at whether the run was called off
 
-	longestStep       = time.Minute // that a histogram holds
+	maxStepTime       = time.Minute // that a histogram holds
 	significantDigits = 3
 )
 
 // newHistogram holds times in nanoseconds.
 func newHistogram() *hdrhistogram.Histogram {
-	return hdrhistogram.New(1, longestStep.Nanoseconds(), significantDigits)
+	return hdrhistogram.New(1, maxStepTime.Nanoseconds(), significantDigits)
 }
 
 // requests are those that come to a hollow node, at a steady rate on the node's clock. An attempt ends well when its
 // server would have answered, so that as many are in flight as at a node that serves.
 type requests struct {
-	node    *node.Hollow
-	rng     *rand.Rand
-	every   time.Duration
-	depth   int // in flight
-	tenants int
-	classes []emulator.Class
-
-	asked, refused int
-	inFlight       []policy.Outcome // oldest first
+	node     *node.Hollow
+	rng      *rand.Rand
+	interval time.Duration
+	depth    int // in flight
+	tenants  int
+	classes  []emulator.Class
+
+	requestCount, rejectedCount int
+	inFlight                    []policy.Outcome // oldest first
 }
 
 func newRequests(n *node.Hollow, held FixedSizes, rng *rand.Rand) *requests {
-	return &requests{node: n, rng: rng, every: time.Duration(float64(time.Second) / held.Requests),
-		depth: max(1, int(held.Requests*answerTime.Seconds())), tenants: held.Tenants, classes: emulator.Classes()}
+	return &requests{node: n, rng: rng, interval: time.Duration(float64(time.Second) / held.Requests),
+		depth: max(1, int(held.Requests*meanServiceTime.Seconds())), tenants: held.Tenants, classes: emulator.Classes()}
 }
 
 // next is one request's decision, and an earlier one's outcome.
-func (r *requests) next() { r.ask(tenantName(r.rng.IntN(r.tenants))) }
+func (r *requests) next() { r.sendRequest(tenantName(r.rng.IntN(r.tenants))) }
 
-func (r *requests) ask(tenant string) {
-	r.node.Advance(r.every)
+func (r *requests) sendRequest(tenant string) {
+	r.node.Advance(r.interval)
 	class := r.classes[r.rng.IntN(len(r.classes))]
-	r.asked++
-	id := strconv.Itoa(r.asked)
+	r.requestCount++
+	id := strconv.Itoa(r.requestCount)
 	server, sent := r.node.Decide(policy.Request{ID: id, Class: class.Name, Tenant: tenant, Timeout: class.Deadline})
 	if !sent {
-		r.refused++
+		r.rejectedCount++
 		return
 	}
-	took := answerTime/2 + time.Duration(r.rng.Int64N(int64(answerTime)))
+	took := meanServiceTime/2 + time.Duration(r.rng.Int64N(int64(meanServiceTime)))
 	r.inFlight = append(r.inFlight, policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: took,
 		LoadReport: []float64{float64(took.Milliseconds()), reportUtil, reportRate}})
 	if len(r.inFlight) > r.depth {
@@ -99,8 +99,8 @@
 	t.each = newHistogram()
 	cpu, began := ownCPU(), time.Now()
 	defer func() { t.cpu = ownCPU() - cpu }()
-	for at := began; t.steps < least || at.Sub(began) < timingFor && t.steps < maxTimed; {
-		if t.steps%timingCheck == 0 && ctx.Err() != nil {
+	for at := began; t.steps < least || at.Sub(began) < timingSpan && t.steps < maxTimedSteps; {
+		if t.steps%stepsPerCheck == 0 && ctx.Err() != nil {
 			return t, ctx.Err()
 		}
 		if err := step(); err != nil {
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -15,10 +15,10 @@
 
 // Options bound a run, beside what its scenario says.
 type Options struct {
-	For      time.Duration  // the whole run takes no longer; 0 for what the scenario says
-	MaxSize  int            // larger sizes are left out; 0 for none
-	Progress func(Progress) // is told of each point before it begins, and of the end; nil for nobody
-	Compare  Comparison     // measures the same point otherwise; nil for nothing
+	MaxDuration time.Duration  // the whole run takes no longer; 0 for what the scenario says
+	MaxSize     int            // larger sizes are left out; 0 for none
+	Progress    func(Progress) // is told of each point before it begins, and of the end; nil for nobody
+	Compare     Comparison     // measures the same point otherwise; nil for nothing
 }
 
 // Comparison measures a size in one run by other means than hollow nodes, real processes say. Its values stand beside those
@@ -52,7 +52,7 @@
 		return baselineMemory + float64(realMemory*size)
 	}
 	h, nodes := s.At(size), steppedCopies
-	if s.timed() {
+	if s.needsSpan() {
 		nodes = h.Nodes
 	}
 	each := float64(serverMemory*h.Servers) + float64(tenantMemory*h.Tenants) + nodeMemory
@@ -95,9 +95,9 @@
 	}
 	defer func() { _ = os.RemoveAll(dir) }() // it is a temporary one
 	defer testcluster.Clean()
-	limit := s.For.Duration
-	if o.For > 0 {
-		limit = o.For
+	limit := s.MaxDuration.Duration
+	if o.MaxDuration > 0 {
+		limit = o.MaxDuration
 	}
 	ctx, cancel := context.WithTimeoutCause(ctx, limit, fmt.Errorf("the time of %v is up", limit))
 	defer cancel()
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -21,7 +21,7 @@
 
 // small is a scenario that takes little.
 func small(d Dimension, sizes ...int) Scenario {
-	return Scenario{Name: "small", Dimension: d, Sizes: sizes, Runs: 1, Seed: 1, For: simulation.Duration{Duration: time.Minute},
+	return Scenario{Name: "small", Dimension: d, Sizes: sizes, Runs: 1, Seed: 1, MaxDuration: simulation.Duration{Duration: time.Minute},
 		Span: simulation.Duration{Duration: 500 * time.Millisecond}, Target: 1000,
 		Fixed:   FixedSizes{Servers: 20, Tenants: 10, Nodes: 3, Requests: 200, Changes: 240},
 		Budgets: []Limit{{Heap.Name, 1 << 20}, {InForceP99.Name, 5000}}}
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestWatchersTakeEveryChange(t *testing.T) {
+func TestWatchersApplyEveryChange(t *testing.T) {
 	r, err := Run(t.Context(), small(Nodes, 1, 3, 4, 5, 6), Options{MaxSize: 3})
 	if err != nil {
 		t.Fatal(err)
@@ -67,9 +67,9 @@
 	}
 }
 
-func TestNodesOutliveTheListServiceAndTakeWhatChangesThen(t *testing.T) {
+func TestNodesOutliveTheRegistryAndApplyLaterChanges(t *testing.T) {
 	s := small(Nodes, 2, 3, 4, 5, 6)
-	s.Fault, s.Outage.Duration, s.Span.Duration = ReplicasAway, 300*time.Millisecond, 2500*time.Millisecond
+	s.Fault, s.Outage.Duration, s.Span.Duration = ReplicasDown, 300*time.Millisecond, 2500*time.Millisecond
 	r, err := Run(t.Context(), s, Options{MaxSize: 2})
 	if err != nil {
 		t.Fatal(err)
@@ -86,7 +86,7 @@
 	}
 }
 
-func TestOverMean(t *testing.T) {
+func TestOverMeanIsTheBusiestWindowOverTheMean(t *testing.T) {
 	calls := func(t node.Traffic) uint64 { return t.Calls }
 	steady := []node.Traffic{{Calls: 10}, {Calls: 20}, {Calls: 30}}
 	if got := overMean([]node.Traffic{{Calls: 5}, {Calls: 50}, {}}, steady, calls); got != 2.5 {
@@ -97,7 +97,7 @@
 	}
 }
 
-func TestRunThatIsCalledOffKeepsWhatItHas(t *testing.T) {
+func TestCancelledRunReturnsItsMeasurements(t *testing.T) {
 	ctx, cancel := context.WithCancelCause(t.Context())
 	r, err := Run(ctx, small(Servers, 10, 20, 40, 80, 160), Options{Progress: func(p Progress) {
 		if p.Done == 2 {
@@ -107,13 +107,13 @@
 	if err != nil || !slices.Equal(r.Sizes(), []int{10, 20}) || r.Stopped != "interrupted" {
 		t.Errorf("sizes %v, stopped %q, %v", r.Sizes(), r.Stopped, err)
 	}
-	r, err = Run(t.Context(), small(Servers, 10, 20, 40, 80, 160), Options{For: time.Nanosecond})
+	r, err = Run(t.Context(), small(Servers, 10, 20, 40, 80, 160), Options{MaxDuration: time.Nanosecond})
 	if err != nil || len(r.Measurements) > 0 || !strings.Contains(r.Stopped, "1ns") {
 		t.Errorf("out of time: %d measurements, stopped %q, %v", len(r.Measurements), r.Stopped, err)
 	}
 }
 
-func TestWhatIsMeasuredBesideHasItsRatio(t *testing.T) {
+func TestComparisonGivesRatios(t *testing.T) {
 	atSmallest := func(_ context.Context, s Scenario, size, run int) ([]Measurement, error) {
 		if size > 10 {
 			return nil, nil
@@ -153,14 +153,14 @@
 func TestTrackerCountsEachChangeOfTheSpanAtEachNode(t *testing.T) {
 	c := newChangeTracker(2, 100)
 	c.begin(5)
-	c.made(time.Now())
-	c.made(time.Now())
+	c.changeDue(time.Now())
+	c.changeDue(time.Now())
 	take := func(node int, kind policy.ListKind, changes ...int) {
 		l := policy.EndpointList{Kind: kind}
 		for _, change := range changes {
 			l.Endpoints = append(l.Endpoints, policy.Endpoint{Cell: changeCell(change)})
 		}
-		c.take(node, l)
+		c.listReceived(node, l)
 	}
 	take(0, policy.ListReplace, 4)
 	take(0, policy.ListUpdate, 4, 5, 6) // 4 was made before
@@ -177,37 +177,37 @@
 func TestLaterChangeOfTheSameServerSupersedesTheEarlier(t *testing.T) {
 	c := newChangeTracker(1, 3)
 	for range 7 { // of servers 0, 1, 2, 0, 1, 2, 0
-		c.made(time.Now())
+		c.changeDue(time.Now())
 	}
-	c.take(0, policy.EndpointList{Kind: policy.ListUpdate, Endpoints: []policy.Endpoint{{Cell: changeCell(6)}, {Cell: changeCell(1)}}})
+	c.listReceived(0, policy.EndpointList{Kind: policy.ListUpdate, Endpoints: []policy.Endpoint{{Cell: changeCell(6)}, {Cell: changeCell(1)}}})
 	if missed := c.missed(0); missed != 3 { // 2, 4 and 5
 		t.Errorf("%d missed, want 3", missed)
 	}
 }
 
-func TestRefusedChangesAreNoFailureAndNotMissed(t *testing.T) {
+func TestRejectedChangesAreNeitherFailedNorMissed(t *testing.T) {
 	turnedAway := registry.StatusError{StatusCode: http.StatusServiceUnavailable}
-	if !tooMuch(fmt.Errorf("registering: %w", turnedAway)) || tooMuch(registry.StatusError{StatusCode: http.StatusBadRequest}) ||
-		tooMuch(nil) || tooMuch(context.Canceled) {
+	if !isOverloaded(fmt.Errorf("registering: %w", turnedAway)) || isOverloaded(registry.StatusError{StatusCode: http.StatusBadRequest}) ||
+		isOverloaded(nil) || isOverloaded(context.Canceled) {
 		t.Error("a service that has no room is told from other failures by its status")
 	}
 	c := newChangeTracker(2, 100)
-	c.made(time.Now())
-	c.made(time.Now())
+	c.changeDue(time.Now())
+	c.changeDue(time.Now())
 	if missed := c.missed(1); missed != 2 {
 		t.Errorf("one of two refused at two nodes: %d missed, want 2", missed)
 	}
 }
 
 func TestNoChangeIsMadeInASpanThatIsOver(t *testing.T) {
-	w := &watched{point: &point{fixed: FixedSizes{Changes: 60}}}
-	err := w.changeFor(t.Context(), -time.Second, func(time.Time) { t.Error("a change was due") })
+	w := &watchedRegistry{point: &point{fixed: FixedSizes{Changes: 60}}}
+	err := w.writeChanges(t.Context(), -time.Second, func(time.Time) { t.Error("a change was due") })
 	if err != nil || w.changes != 0 {
 		t.Errorf("%d changes, %v", w.changes, err)
 	}
 }
 
-func TestPlotShowsLawsAndBudget(t *testing.T) {
+func TestPlotShowsLawsAndLimit(t *testing.T) {
 	r := &Report{Scenario: small(Servers, 10, 20, 40, 80, 160)}
 	for _, size := range r.Scenario.Sizes {
 		for run := 1; run <= 3; run++ {
--- a/internal/scaletest/scenario.go
+++ b/internal/scaletest/scenario.go
@@ -30,35 +30,35 @@
 var measuredDimensions = append([]Dimension{Servers, Tenants, Nodes, Changes}, realDimensions()...)
 
 const (
-	minSizes = 5 // a slope is claimed of no fewer
-	maxSizes = 16
-	maxRuns  = 20
-	longest  = time.Hour // that a whole scenario may take
+	minSizes            = 5 // a slope is claimed of no fewer
+	maxSizes            = 16
+	maxRuns             = 20
+	maxScenarioDuration = time.Hour // that a whole scenario may take
 
 	maxFixedRequests = 100_000   // a second at one node
 	maxTenants       = 1_000_000 // a bound on what a scenario may ask for, beside the machine's memory
 	maxServers       = 1_000_000
 	maxWatchers      = 4000   // that one replica holds, and this process has sockets for
 	maxInstances     = 10_000 // that the list service takes
-	maxRequestRate   = 60_000 // changes a minute
+	maxChangeRate    = 60_000 // changes a minute
 )
 
 // Scenario says what is measured and at which sizes.
 type Scenario struct {
-	Name      string              `toml:"name" json:"name"`
-	What      string              `toml:"what" json:"what"`
-	Dimension Dimension           `toml:"dimension" json:"dimension"`
-	Sizes     []int               `toml:"sizes" json:"sizes"`
-	Runs      int                 `toml:"runs" json:"runs"`
-	Seed      uint64              `toml:"seed" json:"seed"`
-	For       simulation.Duration `toml:"for" json:"for"`   // the whole scenario takes no longer
-	Span      simulation.Duration `toml:"span" json:"span"` // of one point, where time has to pass
-	Fixed     FixedSizes          `toml:"held" json:"held"`
-	Replicas  int                 `toml:"replicas" json:"replicas"` // of the list service; 0 for 1
-	Fault     Fault               `toml:"fault" json:"fault"`       // of the list service; empty for none
-	Outage    simulation.Duration `toml:"away" json:"away"`         // how long replicas are away
-	Target    float64             `toml:"target" json:"target"`     // the size that the laws are reckoned for
-	Budgets   []Limit             `toml:"budgets" json:"budgets"`
+	Name        string              `toml:"name" json:"name"`
+	What        string              `toml:"what" json:"what"`
+	Dimension   Dimension           `toml:"dimension" json:"dimension"`
+	Sizes       []int               `toml:"sizes" json:"sizes"`
+	Runs        int                 `toml:"runs" json:"runs"`
+	Seed        uint64              `toml:"seed" json:"seed"`
+	MaxDuration simulation.Duration `toml:"for" json:"for"`   // the whole scenario takes no longer
+	Span        simulation.Duration `toml:"span" json:"span"` // of one point, where time has to pass
+	Fixed       FixedSizes          `toml:"held" json:"held"`
+	Replicas    int                 `toml:"replicas" json:"replicas"` // of the list service; 0 for 1
+	Fault       Fault               `toml:"fault" json:"fault"`       // of the list service; empty for none
+	Outage      simulation.Duration `toml:"away" json:"away"`         // how long replicas are away
+	Target      float64             `toml:"target" json:"target"`     // the size that the laws are reckoned for
+	Budgets     []Limit             `toml:"budgets" json:"budgets"`
 }
 
 // FixedSizes are the sizes that don't grow. The one that does is ignored.
@@ -130,10 +130,10 @@
 		return errors.New("name: missing")
 	case s.Runs < 1 || s.Runs > maxRuns:
 		return fmt.Errorf("runs: want 1 to %d, got %d", maxRuns, s.Runs)
-	case s.For.Duration <= 0 || s.For.Duration > longest:
-		return fmt.Errorf("for: want more than 0 and up to %v, got %v", longest, s.For)
-	case s.timed() && (s.Span.Duration <= 0 || s.Span.Duration > s.For.Duration):
-		return fmt.Errorf("span: want more than 0 and up to for, %v, got %v", s.For, s.Span)
+	case s.MaxDuration.Duration <= 0 || s.MaxDuration.Duration > maxScenarioDuration:
+		return fmt.Errorf("for: want more than 0 and up to %v, got %v", maxScenarioDuration, s.MaxDuration)
+	case s.needsSpan() && (s.Span.Duration <= 0 || s.Span.Duration > s.MaxDuration.Duration):
+		return fmt.Errorf("span: want more than 0 and up to for, %v, got %v", s.MaxDuration, s.Span)
 	case math.IsNaN(s.Target) || math.IsInf(s.Target, 0) || s.Target < 0:
 		return fmt.Errorf("target: want 0 or more, got %v", s.Target)
 	}
@@ -164,8 +164,8 @@
 	return nil
 }
 
-// timed tells whether time has to pass at a point.
-func (s *Scenario) timed() bool {
+// needsSpan tells whether time has to pass at a point.
+func (s *Scenario) needsSpan() bool {
 	_, isReal := realDimension(s.Dimension)
 	return s.Dimension == Nodes || s.Dimension == Changes || isReal
 }
@@ -174,7 +174,7 @@
 	if len(s.Sizes) < minSizes || len(s.Sizes) > maxSizes {
 		return fmt.Errorf("sizes: want %d to %d, got %d", minSizes, maxSizes, len(s.Sizes))
 	}
-	most := map[Dimension]int{Servers: maxServers, Tenants: maxTenants, Nodes: maxWatchers, Changes: maxRequestRate}[s.Dimension]
+	most := map[Dimension]int{Servers: maxServers, Tenants: maxTenants, Nodes: maxWatchers, Changes: maxChangeRate}[s.Dimension]
 	if d, isReal := realDimension(s.Dimension); isReal {
 		most = d.MaxSize
 	}
@@ -205,8 +205,8 @@
 		return fmt.Errorf("tenants: want 1 to %d, got %d", maxTenants, h.Tenants)
 	case grows != Nodes && (h.Nodes < 1 || watched && h.Nodes > maxWatchers):
 		return fmt.Errorf("nodes: want 1 or more, and at most %d where they watch, got %d", maxWatchers, h.Nodes)
-	case grows == Nodes && !(h.Changes > 0 && h.Changes <= maxRequestRate):
-		return fmt.Errorf("changes: want more than 0 and at most %d a minute, got %v", maxRequestRate, h.Changes)
+	case grows == Nodes && !(h.Changes > 0 && h.Changes <= maxChangeRate):
+		return fmt.Errorf("changes: want more than 0 and at most %d a minute, got %v", maxChangeRate, h.Changes)
 	case !watched && !(h.Requests > 0 && h.Requests <= maxFixedRequests):
 		return fmt.Errorf("requests: want more than 0 and at most %d a second, got %v", maxFixedRequests, h.Requests)
 	}
--- a/internal/scaletest/scenario_test.go
+++ b/internal/scaletest/scenario_test.go
@@ -24,7 +24,7 @@
 most = 1000
 `
 
-func TestShippedScenariosAreGood(t *testing.T) {
+func TestShippedScenariosAreValid(t *testing.T) {
 	for _, name := range Shipped() {
 		s, err := Read(name)
 		if err != nil {
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestReadOfAFile(t *testing.T) {
+func TestReadReadsAFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "mine.toml")
 	if err := os.WriteFile(path, []byte(goodScenario), 0o600); err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestSizesBeyondTheMachine(t *testing.T) {
+func TestSizesBeyondTheMachineAreRejected(t *testing.T) {
 	s, err := Parse([]byte(goodScenario))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scaletest/slope_test.go
+++ b/internal/scaletest/slope_test.go
@@ -9,10 +9,10 @@
 // within one run: what else the machine does then falls on both sizes alike, and only ever adds.
 const (
 	slopeSmall, slopeLarge = 500, 8000
-	slopeTurns             = 6
+	slopeRounds            = 6
 	slopeSteps             = 200
-	mostDecisionSlope      = 2.0 // times the cost at the small size; linear growth would make it 16
-	mostListChangeSlope    = 3.0
+	maxDecisionSlope       = 2.0 // times the cost at the small size; linear growth would make it 16
+	maxListChangeSlope     = 3.0
 )
 
 // slopeNode is a hollow node of a size, with its least costs so far.
@@ -61,7 +61,7 @@
 
 func TestCostsDoNotFollowTheFleet(t *testing.T) {
 	small, large := newSlopeNode(t, slopeSmall), newSlopeNode(t, slopeLarge)
-	for range slopeTurns {
+	for range slopeRounds {
 		for _, n := range []*slopeNode{small, large} {
 			n.turn(t)
 		}
@@ -71,8 +71,8 @@
 		small, large float64
 		most         float64
 	}{
-		{"decision and its outcome", small.decision, large.decision, mostDecisionSlope},
-		{"list change", small.list, large.list, mostListChangeSlope},
+		{"decision and its outcome", small.decision, large.decision, maxDecisionSlope},
+		{"list change", small.list, large.list, maxListChangeSlope},
 	} {
 		ratio := cost.large / cost.small
 		t.Logf("%s: %.0f ns at %d servers, %.0f ns at %d: ratio %.2f", cost.of, cost.small, slopeSmall, cost.large, slopeLarge, ratio)
@@ -81,7 +81,7 @@
 				slopeSmall, cost.most)
 		}
 	}
-	if refused := small.requests.refused + large.requests.refused; refused > 0 {
+	if refused := small.requests.rejectedCount + large.requests.rejectedCount; refused > 0 {
 		t.Errorf("%d requests within quota were refused", refused)
 	}
 }
--- a/internal/scaletest/stepped.go
+++ b/internal/scaletest/stepped.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	noDiscovery     = "127.0.0.1:9" // of a node that is stepped: its list client is never run
-	minChanges      = 20            // of the list that are timed, at any size
-	preparedChanges = 400           // that are made ready beforehand, and come in turn
-	warmUpFor       = 2             // times the decisions that every server's kind needs to be known
+	unusedDiscovery     = "127.0.0.1:9" // of a node that is stepped: its list client is never run
+	minChanges          = 20            // of the list that are timed, at any size
+	preparedChangeCount = 400           // that are made ready beforehand, and come in turn
+	warmUpRounds        = 2             // times the decisions that every server's kind needs to be known
 )
 
 // point is one size in one run, under way.
@@ -29,21 +29,21 @@
 // steppedNode is a hollow node that one goroutine steps, with its list.
 type steppedNode struct {
 	*node.Hollow
-	path     string // of its configuration
-	entries  []registry.Endpoint
-	revision int64
-	began    float64 // the heap before there was anything of the node
+	path       string // of its configuration
+	entries    []registry.Endpoint
+	revision   int64
+	heapBefore float64 // the heap before there was anything of the node
 }
 
 // newStepped starts a node: configuration, then the list. What that takes is recorded.
 func (p *point) newStepped() (*steppedNode, error) {
 	s := &steppedNode{entries: p.fleet.servers(), revision: 1}
 	list := encodeList(s.revision, true, s.entries...)
-	path, size, err := p.fleet.configuration(0, noDiscovery)
+	path, size, err := p.fleet.configuration(0, unusedDiscovery)
 	if err != nil {
 		return nil, err
 	}
-	s.path, s.began = path, heapInUse()
+	s.path, s.heapBefore = path, heapInUse()
 	cpu := ownCPU()
 	config, err := load(path)
 	if err != nil {
@@ -64,7 +64,7 @@
 
 // recordMemory records what the node holds.
 func (p *point) recordMemory(s *steppedNode) error {
-	p.record.Record(Heap, heapInUse()-s.began)
+	p.record.Record(Heap, heapInUse()-s.heapBefore)
 	resident, err := ownResident()
 	p.record.Record(Resident, resident)
 	runtime.KeepAlive(s)
@@ -77,11 +77,11 @@
 		r.next()
 		return nil
 	}
-	for range warmUpFor * minTimed {
+	for range warmUpRounds * minTimedSteps {
 		r.next()
 	}
-	r.asked, r.refused = 0, 0
-	t, err := timeSteps(ctx, minTimed, step)
+	r.requestCount, r.rejectedCount = 0, 0
+	t, err := timeSteps(ctx, minTimedSteps, step)
 	if err != nil {
 		return err
 	}
@@ -89,7 +89,7 @@
 	p.record.Record(DecisionP50, float64(t.each.ValueAtQuantile(50)))
 	p.record.Record(DecisionP99, float64(t.each.ValueAtQuantile(99)))
 	p.record.Record(DecisionRate, t.perSecond())
-	p.record.Record(Refused, 100*float64(r.refused)/float64(r.asked))
+	p.record.Record(Refused, 100*float64(r.rejectedCount)/float64(r.requestCount))
 	return nil
 }
 
@@ -109,7 +109,7 @@
 
 // recordListChanges times deltas of one server each.
 func (p *point) recordListChanges(ctx context.Context, s *steppedNode) error {
-	changes := p.listChanges(s, preparedChanges)
+	changes := p.listChanges(s, preparedChangeCount)
 	next := 0
 	t, err := timeSteps(ctx, minChanges, func() error {
 		change := changes[next%len(changes)]
@@ -150,10 +150,10 @@
 	}
 	r := newRequests(s.Hollow, p.fixed, p.fleet.rng)
 	for i := range p.fixed.Tenants {
-		if i%timingCheck == 0 && ctx.Err() != nil {
+		if i%stepsPerCheck == 0 && ctx.Err() != nil {
 			return ctx.Err()
 		}
-		r.ask(tenantName(i))
+		r.sendRequest(tenantName(i))
 	}
 	if err := p.recordDecisions(ctx, r); err != nil {
 		return err
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -22,7 +22,7 @@
 	servers int // that are changed in turn
 
 	mu        sync.Mutex
-	listed    map[int]bool // nodes that have the whole list
+	haveList  map[int]bool // nodes that have the whole list
 	first     int          // change that counts
 	began     []time.Time  // of each change that counts
 	inForce   map[nodeChange]bool
@@ -34,7 +34,7 @@
 type nodeChange struct{ node, change int }
 
 func newChangeTracker(nodes, servers int) *changeTracker {
-	return &changeTracker{nodes: nodes, servers: servers, listed: make(map[int]bool), inForce: make(map[nodeChange]bool), histogram: newHistogram()}
+	return &changeTracker{nodes: nodes, servers: servers, haveList: make(map[int]bool), inForce: make(map[nodeChange]bool), histogram: newHistogram()}
 }
 
 // begin says which change is the first that counts.
@@ -44,31 +44,31 @@
 	c.first = first
 }
 
-// made notes that the next change is due.
-func (c *changeTracker) made(due time.Time) {
+// changeDue notes that the next change is due.
+func (c *changeTracker) changeDue(due time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.began = append(c.began, due)
 }
 
-// take notes that a node has taken a list.
-func (c *changeTracker) take(node int, l policy.EndpointList) {
+// listReceived notes that a node has taken a list.
+func (c *changeTracker) listReceived(node int, l policy.EndpointList) {
 	now := time.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l.Kind == policy.ListReplace {
-		c.listed[node] = true
+		c.haveList[node] = true
 	}
 	for _, m := range l.Endpoints {
 		change := int(m.Cell-firstChangeCell) - c.first
 		if change < len(c.began) {
-			c.note(node, change, now)
+			c.recordInForce(node, change, now)
 		}
 	}
 }
 
-// note notes that a change is in force at a node, and with it all earlier ones of the same server, which it supersedes.
-func (c *changeTracker) note(node, change int, now time.Time) {
+// recordInForce notes that a change is in force at a node, and with it all earlier ones of the same server, which it supersedes.
+func (c *changeTracker) recordInForce(node, change int, now time.Time) {
 	for ; change >= 0 && !c.inForce[nodeChange{node, change}]; change -= c.servers {
 		c.inForce[nodeChange{node, change}] = true
 		if err := c.histogram.RecordValue(now.Sub(c.began[change]).Nanoseconds()); err != nil {
@@ -82,7 +82,7 @@
 	return testcluster.Await(ctx, "all nodes to have the list", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		return len(c.listed) == c.nodes || c.err != nil
+		return len(c.haveList) == c.nodes || c.err != nil
 	})
 }
 
--- a/internal/scaletest/watchers.go
+++ b/internal/scaletest/watchers.go
@@ -18,14 +18,14 @@
 )
 
 const (
-	writers        = 8                // that register and change servers at a time
-	lease          = 10 * time.Minute // of each server: longer than a point takes
-	registerWithin = time.Minute      // all servers
-	settleDelay    = time.Second      // after all nodes have the list, before anything is measured
-	overheadFor    = time.Second      // of changes with no node, whose processor time is the measuring's own
-	latestChange   = 30 * time.Second // after the last change, until what isn't in force counts as missed
-	replicaName    = "r0"
-	instancesPath  = "/registry/instances/"
+	writerCount     = 8                // that register and change servers at a time
+	leaseTTL        = 10 * time.Minute // of each server: longer than a point takes
+	registerTimeout = time.Minute      // all servers
+	warmUpDelay     = time.Second      // after all nodes have the list, before anything is measured
+	overheadSpan    = time.Second      // of changes with no node, whose processor time is the measuring's own
+	inForceTimeout  = 30 * time.Second // after the last change, until what isn't in force counts as missed
+	replicaName     = "r0"
+	instancesPath   = "/registry/instances/"
 )
 
 // measureWatchers measures one replica of the list service, a process of its own, and hollow nodes in this process that
@@ -50,7 +50,7 @@
 	if err := tracker.awaitLists(ctx); err != nil {
 		return err
 	}
-	if err := sleep(ctx, settleDelay); err != nil {
+	if err := sleep(ctx, warmUpDelay); err != nil {
 		return err
 	}
 	p.record.Record(Heap, (heapInUse()-before)/float64(len(nodes)))
@@ -65,10 +65,10 @@
 	return w.recordInForce(ctx, tracker)
 }
 
-// watched is a list service under change.
-type watched struct {
+// watchedRegistry is a list service under change.
+type watchedRegistry struct {
 	*point
-	rig     *testcluster.Cluster
+	cluster *testcluster.Cluster
 	service *testcluster.Registry
 	clients []*registry.Client // of the writers
 	entries []registry.Endpoint
@@ -77,12 +77,12 @@
 }
 
 // newWatched starts a replica and registers the servers.
-func (p *point) newWatched(ctx context.Context) (*watched, error) {
+func (p *point) newWatched(ctx context.Context) (*watchedRegistry, error) {
 	r, err := testcluster.New(p.dir, p.scenario.Seed)
 	if err != nil {
 		return nil, err
 	}
-	w := &watched{point: p, rig: r, entries: p.fleet.servers()}
+	w := &watchedRegistry{point: p, cluster: r, entries: p.fleet.servers()}
 	if err := w.startService(ctx); err != nil {
 		w.close()
 		return nil, err
@@ -90,10 +90,10 @@
 	return w, nil
 }
 
-func (w *watched) close() { w.rig.Close() }
+func (w *watchedRegistry) close() { w.cluster.Close() }
 
-func (w *watched) startService(ctx context.Context) (err error) {
-	if w.service, err = w.rig.NewRegistry(max(1, w.scenario.Replicas)); err != nil {
+func (w *watchedRegistry) startService(ctx context.Context) (err error) {
+	if w.service, err = w.cluster.NewRegistry(max(1, w.scenario.Replicas)); err != nil {
 		return err
 	}
 	if err := w.startReplicas(); err != nil {
@@ -102,31 +102,31 @@
 	if _, err := w.service.AwaitLeader(ctx); err != nil {
 		return err
 	}
-	for range writers {
+	for range writerCount {
 		w.clients = append(w.clients, registry.NewClient(w.service.Addresses()))
 	}
 	return w.registerAll(ctx)
 }
 
-// registerPatiently registers a server, again and again while the service has no room or no leader.
-func registerPatiently(ctx context.Context, client *registry.Client, e registry.Endpoint) error {
+// registerWithRetries registers a server, again and again while the service has no room or no leader.
+func registerWithRetries(ctx context.Context, client *registry.Client, e registry.Endpoint) error {
 	for {
-		if err := register(ctx, client, e); !tooMuch(err) || ctx.Err() != nil {
+		if err := register(ctx, client, e); !isOverloaded(err) || ctx.Err() != nil {
 			return err
 		}
 	}
 }
 
 // registerAll registers all servers, several at a time.
-func (w *watched) registerAll(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, registerWithin)
+func (w *watchedRegistry) registerAll(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
 	var all sync.WaitGroup
 	failed := make([]error, len(w.clients))
 	for i, client := range w.clients {
 		all.Go(func() {
 			for at := i; at < len(w.entries) && failed[i] == nil; at += len(w.clients) {
-				failed[i] = registerPatiently(ctx, client, w.entries[at])
+				failed[i] = registerWithRetries(ctx, client, w.entries[at])
 			}
 		})
 	}
@@ -150,20 +150,20 @@
 
 func register(ctx context.Context, client *registry.Client, e registry.Endpoint) error {
 	body := registration{HostPort: e.Address, Locality: e.Zone, Flavor: e.Kind, Cell: e.Cell, Phase: e.Phase,
-		Size: e.Size, LeaseMs: lease.Milliseconds()}
+		Size: e.Size, LeaseMs: leaseTTL.Milliseconds()}
 	return client.Do(ctx, http.MethodPut, instancesPath+e.ID, body, nil, 0)
 }
 
-// change changes a server. Its cell tells the change's number.
-func (w *watched) change(ctx context.Context, client *registry.Client, number int) error {
+// writeChange changes a server. Its cell tells the change's number.
+func (w *watchedRegistry) writeChange(ctx context.Context, client *registry.Client, number int) error {
 	e := w.entries[number%len(w.entries)]
 	e.Cell = changeCell(number)
 	return register(ctx, client, e)
 }
 
-// changeFor changes the list for a while, at the held rate. before is told of each change when it is due: one that has to
+// writeChanges changes the list for a while, at the held rate. before is told of each change when it is due: one that has to
 // wait for those before it is late, and that counts.
-func (w *watched) changeFor(ctx context.Context, span time.Duration, before func(due time.Time)) error {
+func (w *watchedRegistry) writeChanges(ctx context.Context, span time.Duration, before func(due time.Time)) error {
 	every := time.Duration(float64(time.Minute) / w.fixed.Changes)
 	began, first := time.Now(), w.changes
 	due := make(chan int, int(max(0, span)/every)+1) // all of the span, so that nobody waits for the writers
@@ -172,8 +172,8 @@
 	for i, client := range w.clients {
 		all.Go(func() {
 			for number := range due {
-				err := w.change(ctx, client, number)
-				if tooMuch(err) {
+				err := w.writeChange(ctx, client, number)
+				if isOverloaded(err) {
 					w.refused.Add(1)
 					continue
 				}
@@ -194,14 +194,14 @@
 	return err
 }
 
-// tooMuch tells whether the list service turned a change away, time and again, for it has no room for more.
-func tooMuch(err error) bool {
+// isOverloaded tells whether the list service turned a change away, time and again, for it has no room for more.
+func isOverloaded(err error) bool {
 	var refused registry.StatusError
 	return errors.As(err, &refused) && refused.StatusCode == http.StatusServiceUnavailable
 }
 
 // schedule calls do at a steady pace, until the span is over.
-func (w *watched) schedule(ctx context.Context, began time.Time, span, every time.Duration, do func(due time.Time)) error {
+func (w *watchedRegistry) schedule(ctx context.Context, began time.Time, span, every time.Duration, do func(due time.Time)) error {
 	for at := time.Duration(0); at < span; at += every {
 		due := began.Add(at)
 		if err := sleep(ctx, time.Until(due)); err != nil {
@@ -213,16 +213,16 @@
 }
 
 // overhead is the processor time a second that changing the list takes of this process.
-func (w *watched) overhead(ctx context.Context) (float64, error) {
+func (w *watchedRegistry) overhead(ctx context.Context) (float64, error) {
 	cpu, began := ownCPU(), time.Now()
-	if err := w.changeFor(ctx, overheadFor, func(time.Time) {}); err != nil {
+	if err := w.writeChanges(ctx, overheadSpan, func(time.Time) {}); err != nil {
 		return 0, err
 	}
 	return (ownCPU() - cpu).Seconds() / time.Since(began).Seconds(), nil
 }
 
 // startNodes starts the hollow nodes; stop ends them.
-func (w *watched) startNodes(ctx context.Context, tracker *changeTracker) (nodes []*node.Hollow, stop func(), err error) {
+func (w *watchedRegistry) startNodes(ctx context.Context, tracker *changeTracker) (nodes []*node.Hollow, stop func(), err error) {
 	for i := range w.fixed.Nodes {
 		path, _, err := w.fleet.configuration(i, strings.Join(w.service.Addresses(), ","))
 		if err != nil {
@@ -232,7 +232,7 @@
 		if err != nil {
 			return nil, nil, err
 		}
-		hollow, err := node.NewHollow(config, func(l policy.EndpointList) { tracker.take(i, l) })
+		hollow, err := node.NewHollow(config, func(l policy.EndpointList) { tracker.listReceived(i, l) })
 		if err != nil {
 			return nil, nil, err
 		}
@@ -261,28 +261,28 @@
 	traffic node.Traffic // of all nodes
 }
 
-func (w *watched) usage(nodes []*node.Hollow) (u resourceUsage, err error) {
+func (w *watchedRegistry) usage(nodes []*node.Hollow) (u resourceUsage, err error) {
 	u.traffic = trafficOf(nodes)
 	u.at, u.own = time.Now(), ownCPU()
 	u.replica, err = usageOf(w.service.Process(replicaName).PID())
 	return u, err
 }
 
-// count has the tracker count the changes from now on.
-func (w *watched) count(tracker *changeTracker) {
+// startCounting has the tracker count the changes from now on.
+func (w *watchedRegistry) startCounting(tracker *changeTracker) {
 	tracker.begin(w.changes)
 	w.refused.Store(0)
 }
 
 // recordSpan changes the list for the scenario's span, and records what that took.
-func (w *watched) recordSpan(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow, overhead float64) error {
+func (w *watchedRegistry) recordSpan(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow, overhead float64) error {
 	before, err := w.usage(nodes)
 	if err != nil {
 		return err
 	}
 	first := w.changes
-	w.count(tracker)
-	if err := w.changeFor(ctx, w.scenario.Span.Duration, tracker.made); err != nil {
+	w.startCounting(tracker)
+	if err := w.writeChanges(ctx, w.scenario.Span.Duration, tracker.changeDue); err != nil {
 		return err
 	}
 	after, err := w.usage(nodes)
@@ -304,7 +304,7 @@
 }
 
 // recordTraffic records what passed over so many seconds of one node.
-func (w *watched) recordTraffic(passed node.Traffic, seconds float64) {
+func (w *watchedRegistry) recordTraffic(passed node.Traffic, seconds float64) {
 	for _, v := range []struct {
 		measure Measure
 		count   uint64
@@ -317,8 +317,8 @@
 }
 
 // recordInForce waits until the changes are in force at all nodes, or have had the time for it.
-func (w *watched) recordInForce(ctx context.Context, tracker *changeTracker) error {
-	late, cancel := context.WithTimeout(ctx, latestChange)
+func (w *watchedRegistry) recordInForce(ctx context.Context, tracker *changeTracker) error {
+	late, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
 	// Its error says that some are not in force, and those are counted below.
 	_ = testcluster.Await(late, "the changes", func() bool { return tracker.missed(int(w.refused.Load())) == 0 })
