--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"fmt"
 	"net/http"
 	"sync"
 	"time"
@@ -12,20 +11,20 @@
 	"sloerail/internal/registry"
 )
 
-// Fault is what befalls the list service in a scenario, once in each point.
+// Fault is a fault of the registry, once in each point.
 type Fault string
 
 // The faults. The zero value is none.
 const (
-	LeaderKilled Fault = "leader-killed" // and stays away
-	ReplicasDown Fault = "replicas-away" // all are killed, and started again after a time
+	LeaderKilled Fault = "leader-killed" // and not started again
+	ReplicasDown Fault = "replicas-away" // all are killed, and started again after the scenario's outage
 )
 
 var faults = []Fault{LeaderKilled, ReplicasDown}
 
 const (
-	sampleInterval = time.Second      // traffic is compared by such windows
-	leaderTimeout  = 30 * time.Second // of a fault's end, or the point has failed
+	sampleInterval = time.Second      // the windows by which traffic is compared
+	leaderTimeout  = 30 * time.Second // after a fault's end, or the point has failed
 	maxReplicas    = 7
 	instancesList  = "/registry/instances"
 )
@@ -38,9 +37,8 @@
 	ServersRemoved = Measure{"servers removed", Count}                    // from the list, by the fault
 )
 
-// recordFault watches the nodes for the scenario's span while the list service is whole, lets the fault befall it, and
-// compares what the nodes send and receive in as long a span after that with what they did before. Changes are made throughout, but for the time in which there
-// is nobody to take them.
+// recordFault records the traffic of the nodes after a fault of the registry over that before it, for the scenario's span
+// each. Changes are made throughout, except while all replicas are down.
 func (w *watchedRegistry) recordFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) error {
 	w.startCounting(tracker)
 	before := w.startSampling(nodes)
@@ -91,7 +89,7 @@
 	return sampling.stop(), err
 }
 
-// changeWithoutLeader makes changes from the leader's end on: they are late until there is another.
+// changeWithoutLeader makes changes from the leader's end on; they are delayed until there is another leader.
 func (w *watchedRegistry) changeWithoutLeader(ctx context.Context, tracker *changeTracker) error {
 	began := time.Now()
 	var waiting sync.WaitGroup
@@ -113,7 +111,7 @@
 	return nil
 }
 
-// startReplicas starts all replicas of the list service.
+// startReplicas starts all replicas of the registry.
 func (w *watchedRegistry) startReplicas() error {
 	for _, name := range w.service.Names {
 		if err := w.service.Start(name); err != nil {
@@ -123,7 +121,7 @@
 	return nil
 }
 
-// sampling takes the traffic of all nodes window by window, until it is stopped.
+// sampling records the traffic of all nodes window by window, until stop.
 type sampling struct {
 	cancel  context.CancelFunc
 	running sync.WaitGroup
@@ -151,7 +149,7 @@
 	return s
 }
 
-// stop ends the sampling and returns the whole windows.
+// stop ends the sampling and returns the complete windows.
 func (s *sampling) stop() []node.Traffic {
 	s.cancel()
 	s.running.Wait()
@@ -166,11 +164,11 @@
 	return sum
 }
 
-// overMean is the busiest window over the mean of others; 0 where either are none.
+// overMean is the busiest of some windows over the mean of others; 0 where there are none.
 func overMean(windows, mean []node.Traffic, of func(node.Traffic) uint64) float64 {
-	var most, sum uint64
+	var highest, sum uint64
 	for _, t := range windows {
-		most = max(most, of(t))
+		highest = max(highest, of(t))
 	}
 	for _, t := range mean {
 		sum += of(t)
@@ -178,22 +176,5 @@
 	if sum == 0 {
 		return 0
 	}
-	return float64(most) / (float64(sum) / float64(len(mean)))
-}
-
-// checkFault says what makes no sense of a scenario's fault.
-func (s *Scenario) checkFault() error {
-	switch {
-	case s.Fault == "":
-		return nil
-	case s.Fault != LeaderKilled && s.Fault != ReplicasDown:
-		return fmt.Errorf("fault: unknown, want one of %v, got %q", faults, s.Fault)
-	case s.Dimension != Nodes && s.Dimension != Changes:
-		return fmt.Errorf("fault: of dimensions %s and %s alone, got %s", Nodes, Changes, s.Dimension)
-	case s.Fault == LeaderKilled && s.Replicas < 3:
-		return fmt.Errorf("replicas: want 3 or more for %s, got %d", s.Fault, s.Replicas)
-	case s.Fault == ReplicasDown && (s.Outage.Duration <= 0 || s.Outage.Duration > s.MaxDuration.Duration):
-		return fmt.Errorf("away: want more than 0 and up to for, %v, got %v", s.MaxDuration, s.Outage)
-	}
-	return nil
+	return float64(highest) / (float64(sum) / float64(len(mean)))
 }
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -43,13 +43,13 @@
 }
 
 const (
-	// largestResidual is how far the mean at any size may be from the law, as a part of the law's value there.
-	largestResidual = 0.25
-	// plainer is by how much a law's score has to be better than a plainer one's: a difference of 2 is what a
-	// further parameter is worth by Akaike's criterion.
-	plainer    = 2.0
-	confidence = 0.95
-	exact      = 1e-9 // residuals below are those of rounding
+	// maxResidual bounds the deviation of the mean at any size from the law, as a fraction of the law's value there.
+	maxResidual = 0.25
+	// minScoreGain is by how much a law's score has to be better than a plainer one's: 2 is the penalty of one more
+	// parameter in Akaike's criterion.
+	minScoreGain = 2.0
+	confidence   = 0.95
+	minResidual  = 1e-9 // smaller residuals are rounding errors
 )
 
 // Reason is why a measure has no law.
@@ -92,14 +92,14 @@
 	return slices.Compact(slices.Sorted(slices.Values(o.sizes)))
 }
 
-// from leaves out the sizes below a size.
-func (o observations) from(least float64) (kept observations) {
+// from returns the observations at a size and above.
+func (o observations) from(minSize float64) (larger observations) {
 	for i, n := range o.sizes {
-		if n >= least {
-			kept.sizes, kept.values = append(kept.sizes, n), append(kept.values, o.values[i])
+		if n >= minSize {
+			larger.sizes, larger.values = append(larger.sizes, n), append(larger.values, o.values[i])
 		}
 	}
-	return kept
+	return larger
 }
 
 // means are those of the values at each distinct size.
@@ -116,7 +116,7 @@
 	return all
 }
 
-// fitLaw takes the plainest law that fits. Where none does over all sizes, the smallest are left out in turn, as long as
+// fitLaw returns the plainest law that fits. Where none does over all sizes, the smallest are left out in turn, as long as
 // enough remain: what is constant for small sizes hides a law. The fit says why where there is none.
 func fitLaw(o observations) Fit {
 	sizes := o.distinct()
@@ -153,10 +153,10 @@
 	bestScore := math.Inf(1)
 	for _, law := range laws {
 		f, ok := fitLawTo(law, o)
-		if !ok || f.Worst > largestResidual {
+		if !ok || f.Worst > maxResidual {
 			continue
 		}
-		if score := f.score(); score < bestScore-plainer {
+		if score := f.score(); score < bestScore-minScoreGain {
 			best, bestScore, found = f, score, true
 		}
 	}
@@ -177,7 +177,7 @@
 // score is Akaike's criterion, corrected for few points: the smaller, the better.
 func (f Fit) score() float64 {
 	n, k := float64(f.Points), float64(f.Law.parameters()+1) // the scatter is one more
-	return n*math.Log(max(exact, f.Residual)*max(exact, f.Residual)) + 2*k + 2*k*(k+1)/max(1, n-k-1)
+	return n*math.Log(max(minResidual, f.Residual)*max(minResidual, f.Residual)) + 2*k + 2*k*(k+1)/max(1, n-k-1)
 }
 
 // fitLawTo fits a law, with the exponent that leaves the least residual where the law has one.
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -35,8 +35,8 @@
 }
 
 // newFleet makes the same fleet for the same seed, run and size.
-func newFleet(held FixedSizes, dir string, seed uint64, run int) *fleet {
-	return &fleet{fixed: held, dir: dir, rng: rand.New(rand.NewPCG(seed, uint64(run)))}
+func newFleet(fixed FixedSizes, dir string, seed uint64, run int) *fleet {
+	return &fleet{fixed: fixed, dir: dir, rng: rand.New(rand.NewPCG(seed, uint64(run)))}
 }
 
 func zoneName(i int) string {
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -1,5 +1,5 @@
-// Package scaletest measures how a node's costs grow. Hollow nodes run the code that ships, many in one process and
-// without the sockets of requests; a scenario names one dimension and the sizes at which it is measured, and a law is
+// Package scaletest measures how the costs of a node and of the registry grow. Hollow nodes run the code that ships, many
+// in one process and without the sockets of requests; a scenario names one dimension and the sizes at which it is measured, and a law is
 // fitted to each measure. Nothing here is linked into a node.
 package scaletest
 
@@ -43,13 +43,13 @@
 	DecisionP50      = Measure{"decision p50", Nanoseconds}           // the same in elapsed time
 	DecisionP99      = Measure{"decision p99", Nanoseconds}           //
 	DecisionRate     = Measure{"decisions a second", PerSecond}       // of one core's time
-	Refused          = Measure{"refused within quota", Percent}       // of requests that no limit should have refused
-	ListChangeCPU    = Measure{"list change CPU", Nanoseconds}        // of a delta that names one server, read and taken
+	Refused          = Measure{"refused within quota", Percent}       // of requests that no limit should have rejected
+	ListChangeCPU    = Measure{"list change CPU", Nanoseconds}        // of a delta that names one server, read and applied
 	ListChangeP99    = Measure{"list change p99", Nanoseconds}        // the same in elapsed time
-	ConfigCPU        = Measure{"configuration CPU", Nanoseconds}      // of a whole file, read, checked and taken
-	StartCPU         = Measure{"start CPU", Nanoseconds}              // from a configuration to the list's being taken
+	ConfigCPU        = Measure{"configuration CPU", Nanoseconds}      // of a file, read, checked and applied
+	StartCPU         = Measure{"start CPU", Nanoseconds}              // from reading a configuration to having applied the list
 	ControlCPU       = Measure{"control CPU", CorePercent}            // of a node with no requests
-	RegistryCPU      = Measure{"registry CPU", CorePercent}           // of one replica of the list service
+	RegistryCPU      = Measure{"registry CPU", CorePercent}           // of one replica
 	RegistryResident = Measure{"registry resident memory", Bytes}     // the same
 	Heap             = Measure{"heap", Bytes}                         // in use after a collection
 	Resident         = Measure{"resident memory", Bytes}              // of the whole process, its nodes and the measuring
@@ -57,17 +57,17 @@
 	ConfigBytes      = Measure{"configuration", Bytes}                // as it is in the file
 	ReceivedBytes    = Measure{"received by a node", BytesPerSecond}  // on the sockets of its list client
 	SentBytes        = Measure{"sent by a node", BytesPerSecond}      //
-	ReceivedReads    = Measure{"messages to a node", PerSecond}       // of the list service
-	SentWrites       = Measure{"messages from a node", PerSecond}     // of the list service
-	ChangeRate       = Measure{"changes a second", PerSecond}         // made and kept, where the service keeps up
-	ChangesRefused   = Measure{"changes refused", Count}              // by a service that has no room for them
-	InForceP50       = Measure{"change in force p50", Milliseconds}   // from when it is due to a node's having taken it
+	ReceivedReads    = Measure{"messages to a node", PerSecond}       // of its list client
+	SentWrites       = Measure{"messages from a node", PerSecond}     // of its list client
+	ChangeRate       = Measure{"changes a second", PerSecond}         // accepted, where the registry keeps up
+	ChangesRefused   = Measure{"changes refused", Count}              // by an overloaded registry
+	InForceP50       = Measure{"change in force p50", Milliseconds}   // from when it is due until a node has applied it
 	InForceP99       = Measure{"change in force p99", Milliseconds}   //
 	InForceLast      = Measure{"change in force, last", Milliseconds} // the latest of all changes at all nodes
 	ChangesMissed    = Measure{"changes missed", Count}               // at a node, not in force when the run ended
 )
 
-// Measures are all that there are, in the order of tables.
+// Measures are all measures, in the order of tables.
 func Measures() []Measure {
 	return append([]Measure{DecisionCPU, DecisionP50, DecisionP99, DecisionRate, Refused, ListChangeCPU, ListChangeP99, ConfigCPU,
 		StartCPU, ControlCPU, RegistryCPU, RegistryResident, Heap, Resident, ListBytes, ConfigBytes, ReceivedBytes,
@@ -86,7 +86,7 @@
 	Measure
 }
 
-// Recorder takes the values of one point.
+// Recorder collects the values of one point.
 type Recorder struct {
 	dimension string
 	size, run int
@@ -99,15 +99,15 @@
 	return &Recorder{dimension: dimension, size: size, run: run, source: source}
 }
 
-// Record notes a value.
+// Record adds a value.
 func (r *Recorder) Record(m Measure, value float64) {
 	r.all = append(r.all, Measurement{r.dimension, r.size, r.run, r.source, value, m})
 }
 
-// Measurements are the values noted, in order.
+// Measurements are the values so far, in order.
 func (r *Recorder) Measurements() []Measurement { return slices.Clone(r.all) }
 
-// forget drops what was noted of these measures.
+// forget drops the values of these measures.
 func (r *Recorder) forget(measures ...Measure) {
 	r.all = slices.DeleteFunc(r.all, func(v Measurement) bool { return slices.Contains(measures, v.Measure) })
 }
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -18,12 +18,12 @@
 	"sloerail/internal/testcluster"
 )
 
-// Measures of real processes beside those that a hollow node has too.
+// Measures of real processes that hollow nodes don't have.
 var (
-	PeakResident        = Measure{"peak resident memory", Bytes}            // the most that the process ever held
-	StartTime           = Measure{"start", Milliseconds}                    // until the node has the list and takes clients
+	PeakResident        = Measure{"peak resident memory", Bytes}            // over the life of the process
+	StartTime           = Measure{"start", Milliseconds}                    // until the node has the list and is ready for clients
 	ServersListed       = Measure{"servers listed", Count}                  // that the node has once it started
-	ListReceived        = Measure{"list taken from the service", Count}     // 1, or 0 where it came from the node's file
+	ListReceived        = Measure{"list taken from the service", Count}     // 1, or 0 where it came from the node's cached file
 	ChangeBytes         = Measure{"list change", Bytes}                     // on the wire, for each change
 	ElsewhereCPU        = Measure{"list change elsewhere CPU", Nanoseconds} // of servers that the node's routes don't need
 	ElsewhereBytes      = Measure{"list change elsewhere", Bytes}           // on the wire, for each change
@@ -54,11 +54,11 @@
 // ProcessSpec says how real processes are measured. Zero values are replaced by what suits the target.
 type ProcessSpec struct {
 	Seed     uint64
-	Window   time.Duration // that a rate is watched for
+	Window   time.Duration // in which a rate is measured
 	Routes   int           // of the node; each is served by a service of its own
-	Changes  float64       // of the list, a second, while changes are watched
-	Requests float64       // a second, through the node and beside it each
-	Replicas int           // of the list service
+	Changes  float64       // of the list, a second, while changes are measured
+	Requests float64       // a second, through the node and directly each
+	Replicas int           // of the registry
 }
 
 const (
@@ -92,24 +92,6 @@
 	return s
 }
 
-// Check says which value can't be used.
-func (s ProcessSpec) Check() error {
-	s = s.withDefaults()
-	switch {
-	case s.Window < 100*time.Millisecond || s.Window > 10*time.Minute:
-		return fmt.Errorf("window: want 100 ms to 10 min, got %v", s.Window)
-	case s.Routes < 1 || s.Routes > 1000:
-		return fmt.Errorf("routes: want 1 to 1000, got %d", s.Routes)
-	case !(s.Changes > 0 && s.Changes <= 1000):
-		return fmt.Errorf("changes: want more than 0 and up to 1000 a second, got %v", s.Changes)
-	case !(s.Requests > 0 && s.Requests <= 5000):
-		return fmt.Errorf("requests: want more than 0 and up to 5000 a second, got %v", s.Requests)
-	case s.Replicas != 1 && s.Replicas != 3:
-		return fmt.Errorf("replicas: want 1 or 3, got %d", s.Replicas)
-	}
-	return nil
-}
-
 // ProcessDimension is a dimension that is measured on the programs as they ship, each in a process of its own.
 type ProcessDimension struct {
 	Name     Dimension
@@ -184,7 +166,7 @@
 	return rec.Measurements(), nil
 }
 
-// usage is what a process has used and holds.
+// usage is the resources of a process: CPU time so far, and memory.
 type usage struct {
 	cpu            time.Duration
 	resident, peak float64 // bytes
@@ -243,7 +225,7 @@
 
 const statsTimeout = 2 * time.Second
 
-// figure reads one figure of a node's second address.
+// figure reads one metric at a node's administrative address.
 func figure(ctx context.Context, control, name string) (float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, statsTimeout)
 	defer cancel()
--- a/internal/scaletest/process_list.go
+++ b/internal/scaletest/process_list.go
@@ -20,13 +20,13 @@
 	maxWatchWait    = time.Minute // of a watch
 )
 
-// nodeList is the list of servers that a node under measurement is told.
+// nodeList is the list service of a node under measurement.
 type nodeList interface {
 	counted() *listCounter
 	change(ctx context.Context, server int, phase string) error
 }
 
-// listCounter is where nodes call for a list, and what they were answered.
+// listCounter is the server of a list, and counts its responses.
 type listCounter struct {
 	address string
 	bytes   atomic.Int64 // of answers, bodies alone
@@ -37,7 +37,7 @@
 func (c *listCounter) counted() *listCounter { return c }
 func (c *listCounter) close()                { _ = c.server.Close() }
 
-// serve has a handler answer at an address of the rig's.
+// serve serves a handler at a new address of the cluster.
 func (c *listCounter) serve(r *testcluster.Cluster, h http.Handler) error {
 	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", r.NewAddress(), listServicePort))
 	if err != nil {
@@ -76,14 +76,14 @@
 	return s, s.serve(r, s)
 }
 
-// snapshot is the list as it is.
+// snapshot returns the complete list.
 func (s *listService) snapshot() emulator.ListResponse {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.list.Snapshot()
 }
 
-// change changes one server's phase, and tells all watches.
+// change changes one server's phase, and notifies all watches.
 func (s *listService) change(_ context.Context, server int, phase string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,8 +101,8 @@
 	until := time.NewTimer(min(maxWatchWait, time.Duration(ms)*time.Millisecond))
 	defer until.Stop()
 	for {
-		answer, changed, news := s.since(index, watch)
-		if news {
+		answer, changed, isNew := s.since(index, watch)
+		if isNew {
 			s.write(w, answer)
 			return
 		}
@@ -123,8 +123,8 @@
 	if !watch {
 		return s.list.Snapshot(), nil, true
 	}
-	answer, news := s.list.Since(index)
-	return answer, s.changed, news
+	answer, isNew := s.list.Since(index)
+	return answer, s.changed, isNew
 }
 
 func (s *listService) write(w http.ResponseWriter, answer emulator.ListResponse) {
--- a/internal/scaletest/process_registry.go
+++ b/internal/scaletest/process_registry.go
@@ -58,10 +58,10 @@
 	return all
 }
 
-// instance is an instance of the list as it registers; mark tells one registration from another.
-func instance(i, mark int) map[string]any {
+// instance is the registration of a server; startTimeMs tells one registration from another.
+func instance(i, startTimeMs int) map[string]any {
 	return map[string]any{"host_port": fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), "locality": zoneOf(i),
-		"flavor": serviceOf(i), "cell": i / 100, "lease_ms": instanceLease.Milliseconds(), "up_since_ms": mark}
+		"flavor": serviceOf(i), "cell": i / 100, "lease_ms": instanceLease.Milliseconds(), "up_since_ms": startTimeMs}
 }
 
 // writeAll has all writers together make one write for each of n instances, and returns their rate.
@@ -198,12 +198,12 @@
 	mu          sync.Mutex
 	sent        time.Time // the last write,
 	startTimeMs int64     // its mark,
-	notified    int       // and how many watchers were told of it
+	notified    int       // how many watchers were notified of it
 	readyCount  int
 	delays      *hdrhistogram.Histogram
 }
 
-// measureNotification makes changes under so many watchers, and notes when each was told.
+// measureNotification makes changes under so many watchers, and records when each was notified.
 func (g *registryRun) measureNotification(ctx context.Context, n int, rec *Recorder) error {
 	under, stop := context.WithCancel(ctx)
 	var all sync.WaitGroup
--- a/internal/scaletest/process_requests.go
+++ b/internal/scaletest/process_requests.go
@@ -25,7 +25,7 @@
 	answerBody     = "0123456789012345678901234567890123456789012345678901234567890123"
 )
 
-// startServers starts the servers that requests end at; they answer at once.
+// startServers starts the servers of requests; they respond at once.
 func startServers(r *testcluster.Cluster) (addresses []string, end func(), err error) {
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		_, _ = io.Copy(io.Discard, req.Body)
@@ -177,7 +177,7 @@
 // sendAlternately sends so many requests each way, at the rate of the spec each.
 func sendAlternately(ctx context.Context, spec ProcessSpec, count int, ways ...*route) {
 	var all sync.WaitGroup
-	places := make(chan struct{}, len(ways)*requestWorkers)
+	slots := make(chan struct{}, len(ways)*requestWorkers)
 	tick := time.NewTicker(time.Duration(float64(time.Second) / spec.Requests / float64(len(ways))))
 	defer tick.Stop()
 	for i := range count * len(ways) {
@@ -187,9 +187,9 @@
 			all.Wait()
 			return
 		}
-		places <- struct{}{}
+		slots <- struct{}{}
 		all.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			ways[i%len(ways)].sendRequest(ctx, i/len(ways), spec.Routes)
 		})
 	}
--- a/internal/scaletest/process_scoped.go
+++ b/internal/scaletest/process_scoped.go
@@ -35,7 +35,7 @@
 	}
 	l := &registryList{run: run, client: registry.NewClient([]string{run.Address(run.leader)})}
 	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: run.Address(run.leader)})
-	proxy.ErrorLog = log.New(io.Discard, "", 0) // of nodes that hang up at their end
+	proxy.ErrorLog = log.New(io.Discard, "", 0) // of nodes that close their connections when they end
 	if err := l.serve(r, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		proxy.ServeHTTP(&countingWriter{w, l.counted()}, req)
 		l.answers.Add(1)
@@ -72,14 +72,13 @@
 // Unwrap lets the proxy flush.
 func (w *countingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// scopedNode is a node that is told a subset of each service that its routes need, by a list service of so many
-// servers.
+// scopedNode is a node that subscribes to a subset of each service that its routes need, at a registry of so many servers.
 type scopedNode struct {
 	*testcluster.Node
 	list *registryList
 }
 
-// startScopedNode starts the list service, then the node, which has to list what its scope has.
+// startScopedNode starts the registry, then the node, which has to list the servers of its scope.
 func startScopedNode(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) (*scopedNode, error) {
 	list, err := startRegistryList(ctx, r, spec.Replicas, size)
 	if err != nil {
@@ -146,8 +145,8 @@
 	return <-failed
 }
 
-// dayChanges are those of the target's list, a second: 9,100 restarts that each drain, end and begin, and 340 failures
-// that are found and mended.
+// dayChanges is the rate of changes of the target's list, a second: 9,100 restarts a day with a drain, an end and a start
+// each, and 340 failures that are detected and repaired.
 const dayChanges = (9100*3 + 340*2) / 86400.0
 
 // changeAll has servers drawn from all of them drain, and each come back with the next change, until ctx ends.
--- a/internal/scaletest/process_servers.go
+++ b/internal/scaletest/process_servers.go
@@ -14,8 +14,8 @@
 
 const (
 	realNodeMemoryMB     = 1024             // so that the collector isn't what is measured
-	listTimeout          = 15 * time.Second // or the node is held not to take it
-	startupDelay         = 3 * time.Second  // after a start, before anything is watched
+	listTimeout          = 15 * time.Second // after which the node counts as not having received it
+	startupDelay         = 3 * time.Second  // after a start, before anything is measured
 	pollInterval         = 20 * time.Millisecond
 	manyTenants          = 10
 	totalQuota           = 1e9 // requests a second: no bucket refuses
@@ -215,7 +215,7 @@
 	return nil
 }
 
-// measureRealTenants measures a node at rest whose settings name so many tenants, and its taking of them anew.
+// measureRealTenants measures an idle node whose settings name so many tenants, and their reload.
 func measureRealTenants(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	list, err := startList(r, spec.Routes, func(int) string { return "10.0.0.1:9000" })
 	if err != nil {
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -7,7 +7,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Report is what came of a run.
+// Report is the result of a run.
 type Report struct {
 	Scenario     Scenario      `json:"scenario"` // its seed included
 	Machine      Machine       `json:"machine"`
@@ -19,7 +19,7 @@
 	Stopped      string        `json:"stopped,omitempty"` // why it ended before all was measured
 }
 
-// Extrapolate is a law and what it says of the target.
+// Extrapolate is a law and its value at the target.
 type Extrapolate struct {
 	Fit
 	Target   float64 `json:"target,omitempty"`
@@ -28,10 +28,10 @@
 	High     float64 `json:"high,omitempty"`
 	Beyond   float64 `json:"beyond,omitempty"`  // times the largest size measured
 	Limit    float64 `json:"budget,omitempty"`  // 0 for none
-	Reaches  float64 `json:"reaches,omitempty"` // the size at which the law comes to the budget; 0 for never
+	Reaches  float64 `json:"reaches,omitempty"` // the size at which the law reaches the budget; 0 for never
 }
 
-// Ratio sets what was measured of a process beside the same of a hollow node, at one size: the means of the runs.
+// Ratio compares a measure of a process with that of a hollow node, at one size, by the means of the runs.
 type Ratio struct {
 	Measure
 	Size    int     `json:"size"`
@@ -58,7 +58,7 @@
 	return all
 }
 
-// noLaw are measures of which none is looked for: a reciprocal of another, and counts of what should be none.
+// noLaw are measures that no law is fitted to: a reciprocal of another, and counts that should be 0.
 var noLaw = []Measure{DecisionRate, Refused, ChangeRate, ChangesRefused, ChangesMissed, ServersRemoved, ServersListed, ListReceived,
 	RequestsSent, RequestsFailed}
 
@@ -107,7 +107,7 @@
 	return all
 }
 
-// fit looks for the law of each measure.
+// fit fits a law to each measure.
 func (r *Report) fit() {
 	r.NotMeasured = NotMeasured
 	r.Ratios = r.ratios()
@@ -149,7 +149,7 @@
 	return e
 }
 
-// limitOf is that of a measure; 0 for none.
+// limitOf is the limit of a measure; 0 for none.
 func limitOf(m Measure, budgets []Limit) float64 {
 	for _, b := range budgets {
 		if b.Measure == m.Name {
--- a/internal/scaletest/requests.go
+++ b/internal/scaletest/requests.go
@@ -15,14 +15,14 @@
 )
 
 const (
-	meanServiceTime = 50 * time.Millisecond // that a server takes in the mean; spread by half
+	meanServiceTime = 50 * time.Millisecond // of a server: from half of it to one and a half
 	reportUtil      = 0.5                   // of a server's cores are busy, as it reports
 	reportRate      = 100.0                 // requests a second that it takes, as it reports
 
-	timingSpan    = 400 * time.Millisecond // that steps are timed for,
-	minTimedSteps = 200                    // unless they are fewer then,
-	maxTimedSteps = 50_000                 // or already more
-	stepsPerCheck = 16                     // steps between looks at whether the run was called off
+	timingSpan    = 400 * time.Millisecond // that steps are timed for
+	minTimedSteps = 200                    // timed in any case
+	maxTimedSteps = 50_000                 // timed at most
+	stepsPerCheck = 16                     // between checks of whether the run was cancelled
 
 	maxStepTime       = time.Minute // that a histogram holds
 	significantDigits = 3
@@ -33,8 +33,8 @@
 	return hdrhistogram.New(1, maxStepTime.Nanoseconds(), significantDigits)
 }
 
-// requests are those that come to a hollow node, at a steady rate on the node's clock. An attempt ends well when its
-// server would have answered, so that as many are in flight as at a node that serves.
+// requests are the load of a hollow node, at a steady rate on the node's clock. An attempt succeeds after the time that its
+// server would have taken, so that as many are in flight as at a node that serves.
 type requests struct {
 	node     *node.Hollow
 	rng      *rand.Rand
@@ -47,9 +47,9 @@
 	inFlight                    []policy.Outcome // oldest first
 }
 
-func newRequests(n *node.Hollow, held FixedSizes, rng *rand.Rand) *requests {
-	return &requests{node: n, rng: rng, interval: time.Duration(float64(time.Second) / held.Requests),
-		depth: max(1, int(held.Requests*meanServiceTime.Seconds())), tenants: held.Tenants, classes: emulator.Classes()}
+func newRequests(n *node.Hollow, fixed FixedSizes, rng *rand.Rand) *requests {
+	return &requests{node: n, rng: rng, interval: time.Duration(float64(time.Second) / fixed.Requests),
+		depth: max(1, int(fixed.Requests*meanServiceTime.Seconds())), tenants: fixed.Tenants, classes: emulator.Classes()}
 }
 
 // next is one request's decision, and an earlier one's outcome.
@@ -65,9 +65,9 @@
 		r.rejectedCount++
 		return
 	}
-	took := meanServiceTime/2 + time.Duration(r.rng.Int64N(int64(meanServiceTime)))
-	r.inFlight = append(r.inFlight, policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: took,
-		LoadReport: []float64{float64(took.Milliseconds()), reportUtil, reportRate}})
+	latency := meanServiceTime/2 + time.Duration(r.rng.Int64N(int64(meanServiceTime)))
+	r.inFlight = append(r.inFlight, policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: latency,
+		LoadReport: []float64{float64(latency.Milliseconds()), reportUtil, reportRate}})
 	if len(r.inFlight) > r.depth {
 		r.node.End(r.inFlight[0])
 		r.inFlight = r.inFlight[1:]
@@ -82,7 +82,7 @@
 	r.inFlight = nil
 }
 
-// timing is what so many steps took.
+// timing is the cost of so many steps.
 type timing struct {
 	steps int
 	cpu   time.Duration           // of them all, the collector's included
@@ -95,11 +95,11 @@
 func (t timing) perSecond() float64 { return float64(t.steps) / t.cpu.Seconds() }
 
 // timeSteps times a step until there are enough of them.
-func timeSteps(ctx context.Context, least int, step func() error) (t timing, err error) {
+func timeSteps(ctx context.Context, minSteps int, step func() error) (t timing, err error) {
 	t.each = newHistogram()
 	cpu, began := ownCPU(), time.Now()
 	defer func() { t.cpu = ownCPU() - cpu }()
-	for at := began; t.steps < least || at.Sub(began) < timingSpan && t.steps < maxTimedSteps; {
+	for at := began; t.steps < minSteps || at.Sub(began) < timingSpan && t.steps < maxTimedSteps; {
 		if t.steps%stepsPerCheck == 0 && ctx.Err() != nil {
 			return t, ctx.Err()
 		}
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -10,19 +10,19 @@
 	"sloerail/internal/testcluster"
 )
 
-// ErrBeyondMachine is a size that would take too much of the machine's memory.
+// ErrBeyondMachine is for a size that would need too much of the machine's memory.
 var ErrBeyondMachine = errors.New("over half of this machine's memory")
 
-// Options bound a run, beside what its scenario says.
+// Options bound a run further than its scenario does.
 type Options struct {
-	MaxDuration time.Duration  // the whole run takes no longer; 0 for what the scenario says
+	MaxDuration time.Duration  // of the whole run; 0 for the scenario's
 	MaxSize     int            // larger sizes are left out; 0 for none
-	Progress    func(Progress) // is told of each point before it begins, and of the end; nil for nobody
-	Compare     Comparison     // measures the same point otherwise; nil for nothing
+	Progress    func(Progress) // called before each point, and at the end; may be nil
+	Compare     Comparison     // measures each point by other means too; may be nil
 }
 
-// Comparison measures a size in one run by other means than hollow nodes, real processes say. Its values stand beside those
-// of the hollow nodes that have the same measure.
+// Comparison measures a size in one run by other means than hollow nodes, such as real processes. Its values are compared
+// with those of hollow nodes that have the same measure.
 type Comparison func(ctx context.Context, s Scenario, size, run int) ([]Measurement, error)
 
 // Progress is how far a run has come.
@@ -36,7 +36,7 @@
 	Servers: measureServers, Tenants: measureTenants, Nodes: measureWatchers, Changes: measureWatchers,
 }
 
-// What a size may take at most, for the look before it is run: taken from runs, and doubled.
+// Upper bounds of the memory that a size needs, to check before it is run.
 const (
 	serverMemory   = 4 << 10   // bytes of each server in a list, as text, as read and as known
 	realMemory     = 8 << 10   // of each server, tenant or watcher of a real process, in it and in the measuring
@@ -46,7 +46,7 @@
 	baselineMemory = 64 << 20
 )
 
-// memoryAt is what a point takes at most.
+// memoryAt is an upper bound of the memory of a point, in bytes.
 func (s *Scenario) memoryAt(size int) float64 {
 	if _, isReal := realDimension(s.Dimension); isReal {
 		return baselineMemory + float64(realMemory*size)
@@ -70,8 +70,8 @@
 	return nil
 }
 
-// Run measures a scenario. Where it is called off, or its time is up, it returns what was measured until then, and the
-// report says why it stopped.
+// Run measures a scenario. If ctx ends, or the time is up, it returns the measurements until then in a report that says why
+// it stopped.
 func Run(ctx context.Context, s Scenario, o Options) (*Report, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -110,28 +110,28 @@
 	return report, err
 }
 
-// measureAll goes through all sizes in each run, so that what drifts meanwhile falls on all sizes alike.
+// measureAll goes through all sizes in each run, so that a drift of the machine affects all sizes alike.
 func (s *Scenario) measureAll(ctx context.Context, sizes []int, dir string, machine Machine, o Options) ([]Measurement, error) {
-	tell := func(Progress) {}
+	report := func(Progress) {}
 	if o.Progress != nil {
-		tell = o.Progress
+		report = o.Progress
 	}
 	var all []Measurement
 	progress := Progress{Points: s.Runs * len(sizes)}
 	for run := 1; run <= s.Runs; run++ {
 		for _, size := range sizes {
 			progress.Size, progress.Run = size, run
-			tell(progress)
+			report(progress)
 			got, err := s.measure(ctx, size, run, dir)
 			if err != nil {
 				return all, fmt.Errorf("%s %d, run %d: %w", s.Dimension, size, run, err)
 			}
 			if o.Compare != nil {
-				beside, err := o.Compare(ctx, *s, size, run)
+				compared, err := o.Compare(ctx, *s, size, run)
 				if err != nil {
 					return all, fmt.Errorf("%s %d, run %d, beside: %w", s.Dimension, size, run, err)
 				}
-				got = append(got, beside...)
+				got = append(got, compared...)
 			}
 			all = append(all, got...)
 			progress.Done++
@@ -145,11 +145,11 @@
 		}
 	}
 	progress.Size, progress.Run = 0, 0
-	tell(progress)
+	report(progress)
 	return all, nil
 }
 
-// measure measures one point. One that isn't whole counts for nothing.
+// measure measures one point, completely or not at all.
 func (s *Scenario) measure(ctx context.Context, size, run int, dir string) ([]Measurement, error) {
 	dir, err := os.MkdirTemp(dir, fmt.Sprintf("%d-%d-", size, run))
 	if err != nil {
@@ -159,8 +159,8 @@
 	if d, isReal := realDimension(s.Dimension); isReal {
 		return d.Measure(ctx, ProcessSpec{Seed: s.Seed + uint64(run), Window: s.Span.Duration}, size, run)
 	}
-	held := s.At(size)
-	p := &point{scenario: *s, fixed: held, fleet: newFleet(held, dir, s.Seed, run), run: run, dir: dir,
+	fixed := s.At(size)
+	p := &point{scenario: *s, fixed: fixed, fleet: newFleet(fixed, dir, s.Seed, run), run: run, dir: dir,
 		record: NewRecorder(string(s.Dimension), size, run, Hollow)}
 	if err := measureFuncs[s.Dimension](ctx, p); err != nil {
 		return nil, err
--- a/internal/scaletest/stepped.go
+++ b/internal/scaletest/stepped.go
@@ -141,7 +141,7 @@
 	return p.recordListChanges(ctx, s)
 }
 
-// measureTenants measures a node by the tenants in its configuration, each of which asks once before decisions are
+// measureTenants measures a node by the tenants in its configuration, each of which sends one request before decisions are
 // timed.
 func measureTenants(ctx context.Context, p *point) error {
 	s, err := p.newStepped()
@@ -165,7 +165,7 @@
 	return p.recordReload(s)
 }
 
-// recordReload has the node read its configuration anew and take it.
+// recordReload has the node reload its configuration.
 func (p *point) recordReload(s *steppedNode) error {
 	before, err := load(s.path)
 	if err != nil {
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -11,7 +11,7 @@
 	"sloerail/policy"
 )
 
-// firstChangeCell is the cell by which an entry tells that a change was made, and its number. No server is in it.
+// firstChangeCell is the first of the cells that mark changes by their numbers. No server is in one of them otherwise.
 const firstChangeCell = 1 << 40
 
 func changeCell(change int) int64 { return firstChangeCell + int64(change) }
@@ -22,7 +22,7 @@
 	servers int // that are changed in turn
 
 	mu        sync.Mutex
-	haveList  map[int]bool // nodes that have the whole list
+	haveList  map[int]bool // nodes that have the complete list
 	first     int          // change that counts
 	began     []time.Time  // of each change that counts
 	inForce   map[nodeChange]bool
@@ -37,7 +37,7 @@
 	return &changeTracker{nodes: nodes, servers: servers, haveList: make(map[int]bool), inForce: make(map[nodeChange]bool), histogram: newHistogram()}
 }
 
-// begin says which change is the first that counts.
+// begin sets the first change that counts.
 func (c *changeTracker) begin(first int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -77,7 +77,7 @@
 	}
 }
 
-// awaitLists waits until all nodes have the whole list.
+// awaitLists waits until all nodes have the complete list.
 func (c *changeTracker) awaitLists(ctx context.Context) error {
 	return testcluster.Await(ctx, "all nodes to have the list", func() bool {
 		c.mu.Lock()
@@ -86,8 +86,8 @@
 	})
 }
 
-// missed counts the changes that are not in force at a node, where so many of them were refused. A refused one may come
-// in force all the same, for the service doesn't know of all whether it kept them.
+// missed counts the changes that are not in force at a node, less those that were refused. A refused change may come into
+// force all the same, because the registry doesn't know of each whether it was committed.
 func (c *changeTracker) missed(refused int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scaletest/watchers.go
+++ b/internal/scaletest/watchers.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	writerCount     = 8                // that register and change servers at a time
-	leaseTTL        = 10 * time.Minute // of each server: longer than a point takes
+	writerCount     = 8                // that register and change servers concurrently
+	leaseTTL        = 10 * time.Minute // of each server: longer than a point
 	registerTimeout = time.Minute      // all servers
 	warmUpDelay     = time.Second      // after all nodes have the list, before anything is measured
-	overheadSpan    = time.Second      // of changes with no node, whose processor time is the measuring's own
-	inForceTimeout  = 30 * time.Second // after the last change, until what isn't in force counts as missed
+	overheadSpan    = time.Second      // of changes without nodes, to measure the CPU time of the writers alone
+	inForceTimeout  = 30 * time.Second // after the last change, until those not in force count as missed
 	replicaName     = "r0"
 	instancesPath   = "/registry/instances/"
 )
@@ -72,8 +72,8 @@
 	service *testcluster.Registry
 	clients []*registry.Client // of the writers
 	entries []registry.Endpoint
-	changes int          // made so far,
-	refused atomic.Int64 // and those of them that the service turned away
+	changes int          // made so far
+	refused atomic.Int64 // changes that the registry has rejected
 }
 
 // newWatched starts a replica and registers the servers.
@@ -154,15 +154,15 @@
 	return client.Do(ctx, http.MethodPut, instancesPath+e.ID, body, nil, 0)
 }
 
-// writeChange changes a server. Its cell tells the change's number.
+// writeChange changes a server, and marks the change in the server's cell.
 func (w *watchedRegistry) writeChange(ctx context.Context, client *registry.Client, number int) error {
 	e := w.entries[number%len(w.entries)]
 	e.Cell = changeCell(number)
 	return register(ctx, client, e)
 }
 
-// writeChanges changes the list for a while, at the held rate. before is told of each change when it is due: one that has to
-// wait for those before it is late, and that counts.
+// writeChanges changes the list for a span, at the fixed rate. before is called for each change when it is due, so that the
+// time that a change waits for earlier ones counts.
 func (w *watchedRegistry) writeChanges(ctx context.Context, span time.Duration, before func(due time.Time)) error {
 	every := time.Duration(float64(time.Minute) / w.fixed.Changes)
 	began, first := time.Now(), w.changes
@@ -194,7 +194,7 @@
 	return err
 }
 
-// isOverloaded tells whether the list service turned a change away, time and again, for it has no room for more.
+// isOverloaded tells whether the registry rejected a change, and its retries, because it has no capacity.
 func isOverloaded(err error) bool {
 	var refused registry.StatusError
 	return errors.As(err, &refused) && refused.StatusCode == http.StatusServiceUnavailable
