--- a/cmd/sloerail/demo.go
+++ b/cmd/sloerail/demo.go
@@ -20,7 +20,7 @@
 		Args:    args(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := d.Check(); err != nil {
-				return fmt.Errorf("%w: %w", errUse, err)
+				return fmt.Errorf("%w: %w", errUsage, err)
 			}
 			return testcluster.Demo(cmd.Context(), cmd.OutOrStdout(), d)
 		},
--- a/cmd/sloerail/experiment.go
+++ b/cmd/sloerail/experiment.go
@@ -67,7 +67,7 @@
 
 func seedsFrom(first uint64, n int) (all []uint64, err error) {
 	if n < 1 || n > 1000 {
-		return nil, fmt.Errorf("%w: seeds: want 1 to 1000, got %d", errUse, n)
+		return nil, fmt.Errorf("%w: seeds: want 1 to 1000, got %d", errUsage, n)
 	}
 	for i := range n {
 		all = append(all, first+uint64(i))
--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -116,7 +116,7 @@
 	}{
 		{"pair.json", func(out *bytes.Buffer) error { return reportPairs(out, pairs, true) }, "1 rules were broken"},
 		{"zones.json", func(out *bytes.Buffer) error { return reportRows(out, []simulation.Row{row}, true) }, ""},
-		{"scale.json", func(out *bytes.Buffer) error { return tellScale(out, report, scaleFlags{asJSON: true}) },
+		{"scale.json", func(out *bytes.Buffer) error { return reportScale(out, report, scaleFlags{asJSON: true}) },
 			"stopped before all was measured: called off"},
 		{"simulate.json", func(out *bytes.Buffer) error { return reportOutcome(out, outcome, 1, true) }, "3 rules were broken"},
 	} {
--- a/cmd/sloerail/main.go
+++ b/cmd/sloerail/main.go
@@ -15,8 +15,8 @@
 	"sloerail/internal/node"
 )
 
-// errUse is for a call that makes no sense.
-var errUse = errors.New("wrong use")
+// errUsage is for a call that makes no sense.
+var errUsage = errors.New("wrong use")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -32,8 +32,8 @@
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUse, err) })
-	root.AddCommand(newDemo(), newExperiment(), newMembers(), newPlaces(), newRegister(), newRegistry(), newScale(),
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUsage, err) })
+	root.AddCommand(newDemo(), newExperiment(), newMembers(), newZones(), newRegister(), newRegistry(), newScale(),
 		newSimulate(), newVersion())
 	return root
 }
@@ -52,7 +52,7 @@
 func args(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, given []string) error {
 		if err := check(cmd, given); err != nil {
-			return fmt.Errorf("%w: %w", errUse, err)
+			return fmt.Errorf("%w: %w", errUsage, err)
 		}
 		return nil
 	}
--- a/cmd/sloerail/members.go
+++ b/cmd/sloerail/members.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	callTimeout   = 2 * time.Second // for one call at a second address
-	watchInterval = time.Second
-	maxAnswer     = 4 << 20 // bytes
+	callTimeout      = 2 * time.Second // for one call at a second address
+	watchInterval    = time.Second
+	maxResponseBytes = 4 << 20 // bytes
 )
 
 var (
@@ -62,8 +62,8 @@
 	return cmd
 }
 
-// memberAnswer is what came of one address.
-type memberAnswer struct {
+// memberResponse is what came of one address.
+type memberResponse struct {
 	Address string          `json:"address"`
 	View    *node.FleetView `json:"view,omitempty"`
 	Error   string          `json:"error,omitempty"`
@@ -71,11 +71,11 @@
 
 // showMembers asks all addresses and prints what they say. The error tells what is not as it should be.
 func showMembers(ctx context.Context, out io.Writer, addrs []string, asJSON bool) error {
-	all := make([]memberAnswer, len(addrs))
+	all := make([]memberResponse, len(addrs))
 	forEachAddress(addrs, func(i int, addr string) {
-		all[i] = memberAnswer{Address: addr, View: new(node.FleetView)}
+		all[i] = memberResponse{Address: addr, View: new(node.FleetView)}
 		if err := getJSON(ctx, addr, "/fleet", errNoFleet, all[i].View); err != nil {
-			all[i] = memberAnswer{Address: addr, Error: err.Error()}
+			all[i] = memberResponse{Address: addr, Error: err.Error()}
 		}
 	})
 	if err := output.Show(out, all, asJSON, func(p *output.Printer) { printMembers(p, all) }); err != nil {
@@ -85,9 +85,9 @@
 }
 
 // compareViews says what is wrong with the answers taken together.
-func compareViews(all []memberAnswer) error {
+func compareViews(all []memberResponse) error {
 	var silent []string
-	var first *memberAnswer
+	var first *memberResponse
 	for i, a := range all {
 		switch {
 		case a.Error != "":
@@ -104,7 +104,7 @@
 	return nil
 }
 
-func printMembers(p *output.Printer, all []memberAnswer) {
+func printMembers(p *output.Printer, all []memberResponse) {
 	for _, a := range all {
 		if a.Error != "" {
 			p.Printf("%s: %s\n\n", a.Address, a.Error)
@@ -160,7 +160,7 @@
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("it answered %s", resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxAnswer)).Decode(to); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(to); err != nil {
 		return fmt.Errorf("what came can not be read: %w", err)
 	}
 	return nil
--- a/cmd/sloerail/places.go
+++ b/cmd/sloerail/places.go
@@ -15,9 +15,9 @@
 	"sloerail/internal/output"
 )
 
-var errNoPlaces = errors.New("its configuration names no places")
+var errNoTopology = errors.New("its configuration names no places")
 
-func newPlaces() *cobra.Command {
+func newZones() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "places ADDR...",
@@ -27,25 +27,25 @@
 		Example: "  sloerail places 10.0.0.4:9100 10.0.0.5:9100\n  sloerail places 10.0.0.4:9100 --json",
 		Args:    args(cobra.MinimumNArgs(1)),
 		RunE: func(cmd *cobra.Command, addrs []string) error {
-			return showPlaces(cmd.Context(), cmd.OutOrStdout(), addrs, asJSON)
+			return showZones(cmd.Context(), cmd.OutOrStdout(), addrs, asJSON)
 		},
 	}
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print the nodes' answers as a JSON list")
 	return cmd
 }
 
-// placesAnswer is what came of one address.
-type placesAnswer struct {
+// zonesResponse is what came of one address.
+type zonesResponse struct {
 	Address string           `json:"address"`
 	Places  []node.PlaceView `json:"places,omitempty"`
 	Error   string           `json:"error,omitempty"`
 }
 
-func showPlaces(ctx context.Context, out io.Writer, addrs []string, asJSON bool) error {
-	all := make([]placesAnswer, len(addrs))
+func showZones(ctx context.Context, out io.Writer, addrs []string, asJSON bool) error {
+	all := make([]zonesResponse, len(addrs))
 	forEachAddress(addrs, func(i int, addr string) {
 		all[i].Address = addr
-		if err := getJSON(ctx, addr, "/places", errNoPlaces, &all[i].Places); err != nil {
+		if err := getJSON(ctx, addr, "/places", errNoTopology, &all[i].Places); err != nil {
 			all[i].Error = err.Error()
 		}
 	})
@@ -55,7 +55,7 @@
 			silent = append(silent, a.Address)
 		}
 	}
-	if err := output.Show(out, all, asJSON, func(p *output.Printer) { printPlaces(p, all) }); err != nil {
+	if err := output.Show(out, all, asJSON, func(p *output.Printer) { printZones(p, all) }); err != nil {
 		return err
 	}
 	if len(silent) > 0 {
@@ -64,7 +64,7 @@
 	return nil
 }
 
-func printPlaces(p *output.Printer, all []placesAnswer) {
+func printZones(p *output.Printer, all []zonesResponse) {
 	for _, a := range all {
 		if a.Error != "" {
 			p.Printf("%s: %s\n\n", a.Address, a.Error)
--- a/cmd/sloerail/registry.go
+++ b/cmd/sloerail/registry.go
@@ -179,10 +179,10 @@
 			a.Client = registry.NewClient(to)
 			a.Endpoint.ID, a.Endpoint.Address, a.Endpoint.StartTimeMs = given[0], given[1], time.Now().UnixMilli()
 			if err := a.Endpoint.Validate(); err != nil {
-				return fmt.Errorf("%w: %w", errUse, err)
+				return fmt.Errorf("%w: %w", errUsage, err)
 			}
 			if strings.Contains(a.Endpoint.ID, "/") {
-				return fmt.Errorf("%w: id: want no slash", errUse)
+				return fmt.Errorf("%w: id: want no slash", errUsage)
 			}
 			return a.Run(cmd.Context(), drain)
 		},
--- a/cmd/sloerail/run.go
+++ b/cmd/sloerail/run.go
@@ -20,7 +20,7 @@
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errUse) || strings.HasPrefix(err.Error(), "unknown command"):
+	case errors.Is(err, errUsage) || strings.HasPrefix(err.Error(), "unknown command"):
 		complaints.Printf("sloerail: %v\nsloerail: see 'sloerail --help'\n", err)
 		return 2
 	}
--- a/cmd/sloerail/scale.go
+++ b/cmd/sloerail/scale.go
@@ -73,10 +73,10 @@
 func runScale(cmd *cobra.Command, name string, flags scaleFlags) error {
 	s, err := scaletest.Read(name)
 	if err != nil {
-		return fmt.Errorf("%w: %w", errUse, err)
+		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	if flags.MaxDuration < 0 || flags.MaxSize < 0 {
-		return fmt.Errorf("%w: for, most: want 0 or more", errUse)
+		return fmt.Errorf("%w: for, most: want 0 or more", errUsage)
 	}
 	if cmd.Flags().Changed("seed") {
 		s.Seed = flags.seed
@@ -86,12 +86,12 @@
 	options.Progress = scaleProgress(cmd.ErrOrStderr(), s.Dimension)
 	report, err := scaletest.Run(cmd.Context(), s, options)
 	if errors.Is(err, scaletest.ErrBeyondMachine) && report == nil {
-		return fmt.Errorf("%w: %w", errUse, err)
+		return fmt.Errorf("%w: %w", errUsage, err)
 	}
 	if report == nil {
 		return err
 	}
-	return errors.Join(err, tellScale(cmd.OutOrStdout(), report, flags))
+	return errors.Join(err, reportScale(cmd.OutOrStdout(), report, flags))
 }
 
 // scaleProgress shows how far a run has come: a bar on a terminal, else a line for each point.
@@ -115,8 +115,8 @@
 	}
 }
 
-// tellScale prints a report. The error says that it is not whole.
-func tellScale(out io.Writer, r *scaletest.Report, flags scaleFlags) error {
+// reportScale prints a report. The error says that it is not whole.
+func reportScale(out io.Writer, r *scaletest.Report, flags scaleFlags) error {
 	if flags.plot != "" && len(r.Measurements) > 0 {
 		if err := writePlot(r, flags.plot); err != nil {
 			return err
@@ -143,7 +143,7 @@
 func writePlot(r *scaletest.Report, path string) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return fmt.Errorf("%w: plot: %w", errUse, err)
+		return fmt.Errorf("%w: plot: %w", errUsage, err)
 	}
 	return errors.Join(r.WriteSVG(file), file.Close())
 }
@@ -152,7 +152,7 @@
 	s := r.Scenario
 	out.Printf("%s: %s\nseed %d, %d runs, begun %s, %d cores, %.1f GB, %s\n", s.Name, s.What, s.Seed, s.Runs,
 		r.Began.Format("2006-01-02 15:04:05 UTC"), r.Machine.Cores, float64(r.Machine.Memory)/1e9, r.Machine.Go)
-	out.Printf("held: %s\n", heldOf(s))
+	out.Printf("held: %s\n", fixedSizesOf(s))
 	printValues(out, r)
 	printRatios(out, r)
 	printLaws(out, r)
@@ -163,8 +163,8 @@
 	out.Printf("dimensions not measured: %s\n", strings.Join(missing, ", "))
 }
 
-// heldOf names the sizes that don't grow.
-func heldOf(s scaletest.Scenario) string {
+// fixedSizesOf names the sizes that don't grow.
+func fixedSizesOf(s scaletest.Scenario) string {
 	h := s.Fixed
 	var all []string
 	for _, v := range []struct {
--- a/cmd/sloerail/simulate.go
+++ b/cmd/sloerail/simulate.go
@@ -28,12 +28,12 @@
 			}
 			s, err := simulation.Read(names[0])
 			if err != nil {
-				return fmt.Errorf("%w: %w", errUse, err)
+				return fmt.Errorf("%w: %w", errUsage, err)
 			}
 			s.Topology = s.Topology && !noPlaces
 			w, err := simulation.New(s, seed)
 			if err != nil {
-				return fmt.Errorf("%w: %w", errUse, err)
+				return fmt.Errorf("%w: %w", errUsage, err)
 			}
 			return reportOutcome(cmd.OutOrStdout(), w.Run(), every, asJSON)
 		},
