--- a/cmd/sloerail/experiment.go
+++ b/cmd/sloerail/experiment.go
@@ -60,19 +60,22 @@
 	return cmd
 }
 
-func seedFlags(cmd *cobra.Command, first *uint64, n *int, usual int) {
-	cmd.Flags().IntVar(n, "seeds", usual, "how many")
+func seedFlags(cmd *cobra.Command, first *uint64, count *int, defaultCount int) {
+	cmd.Flags().IntVar(count, "seeds", defaultCount, "how many")
 	cmd.Flags().Uint64Var(first, "first", 1, "the first of them")
 }
 
-func seedsFrom(first uint64, n int) (all []uint64, err error) {
-	if n < 1 || n > 1000 {
-		return nil, fmt.Errorf("%w: seeds: want 1 to 1000, got %d", errUsage, n)
+// maxSeeds bounds an experiment.
+const maxSeeds = 1000
+
+func seedsFrom(first uint64, count int) (seeds []uint64, err error) {
+	if count < 1 || count > maxSeeds {
+		return nil, fmt.Errorf("%w: seeds: want 1 to %d, got %d", errUsage, maxSeeds, count)
 	}
-	for i := range n {
-		all = append(all, first+uint64(i))
+	for i := range count {
+		seeds = append(seeds, first+uint64(i))
 	}
-	return all, nil
+	return seeds, nil
 }
 
 func reportPairs(out io.Writer, pairs []simulation.Pair, asJSON bool) error {
@@ -134,7 +137,7 @@
 	return nil
 }
 
-// jsonRow is a row without what JSON can't hold.
+// jsonRow is a row as --json prints it: JSON has no infinities, so that a figure without a value is -1.
 type jsonRow struct {
 	Measure string    `json:"measure"`
 	Places  []float64 `json:"places"`
@@ -144,21 +147,22 @@
 }
 
 func jsonRows(rows []simulation.Row) (all []jsonRow) {
-	finite := func(in []float64) (out []float64) {
-		for _, v := range in {
-			if math.IsInf(v, 0) || math.IsNaN(v) {
-				v = -1
-			}
-			out = append(out, v)
-		}
-		return out
-	}
 	for _, r := range rows {
 		all = append(all, jsonRow{r.Name, finite(r.WithTopology), finite(r.WithoutTopology), r.Broken, r.Reached()})
 	}
 	return all
 }
 
+func finite(figures []float64) (all []float64) {
+	for _, figure := range figures {
+		if math.IsInf(figure, 0) || math.IsNaN(figure) {
+			figure = -1
+		}
+		all = append(all, figure)
+	}
+	return all
+}
+
 func printRows(out io.Writer, rows []simulation.Row) {
 	t := newTable(out, "measure", "to reach", "places: mean (least to most)", "servers alone", "rules broken", "reached")
 	for _, r := range rows {
@@ -175,6 +179,6 @@
 }
 
 func meanAndRange(all []float64) string {
-	mean, least, most := simulation.MeanMinMax(all)
-	return fmt.Sprintf("%.3f (%.3f to %.3f)", mean, least, most)
+	mean, lowest, highest := simulation.MeanMinMax(all)
+	return fmt.Sprintf("%.3f (%.3f to %.3f)", mean, lowest, highest)
 }
--- a/cmd/sloerail/main.go
+++ b/cmd/sloerail/main.go
@@ -1,5 +1,5 @@
-// Command sloerail is the operators' command line. Results go to standard output, what is wrong to standard
-// error; it ends with 0, with 1 where what was asked for is not so or could not be done, and with 2 for wrong use.
+// Command sloerail is the operators' command line. Results go to standard output, errors to standard error. The exit code
+// is 0 for success, 1 for a failure or a check that doesn't hold, and 2 for wrong use.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"sloerail/internal/node"
 )
 
-// errUsage is for a call that makes no sense.
+// errUsage is for wrong flags, arguments or input files: exit code 2.
 var errUsage = errors.New("wrong use")
 
 func main() {
@@ -48,7 +48,7 @@
 	}
 }
 
-// args marks what a check of arguments finds as wrong use.
+// args marks the errors of a check of arguments as errUsage.
 func args(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, given []string) error {
 		if err := check(cmd, given); err != nil {
--- a/cmd/sloerail/members.go
+++ b/cmd/sloerail/members.go
@@ -20,9 +20,9 @@
 )
 
 const (
-	callTimeout      = 2 * time.Second // for one call at a second address
-	watchInterval    = time.Second
-	maxResponseBytes = 4 << 20 // bytes
+	callTimeout      = 2 * time.Second // of a call at an administrative address
+	watchInterval    = time.Second     // between looks of members --watch
+	maxResponseBytes = 4 << 20
 )
 
 var (
@@ -62,50 +62,50 @@
 	return cmd
 }
 
-// memberResponse is what came of one address.
+// memberResponse is the response of one address, or why there is none.
 type memberResponse struct {
 	Address string          `json:"address"`
 	View    *node.FleetView `json:"view,omitempty"`
 	Error   string          `json:"error,omitempty"`
 }
 
-// showMembers asks all addresses and prints what they say. The error tells what is not as it should be.
+// showMembers prints the views of the nodes at all addresses. It is an error for one to be missing or to differ.
 func showMembers(ctx context.Context, out io.Writer, addrs []string, asJSON bool) error {
-	all := make([]memberResponse, len(addrs))
+	responses := make([]memberResponse, len(addrs))
 	forEachAddress(addrs, func(i int, addr string) {
-		all[i] = memberResponse{Address: addr, View: new(node.FleetView)}
-		if err := getJSON(ctx, addr, "/fleet", errNoFleet, all[i].View); err != nil {
-			all[i] = memberResponse{Address: addr, Error: err.Error()}
+		responses[i] = memberResponse{Address: addr, View: new(node.FleetView)}
+		if err := getJSON(ctx, addr, "/fleet", errNoFleet, responses[i].View); err != nil {
+			responses[i] = memberResponse{Address: addr, Error: err.Error()}
 		}
 	})
-	if err := output.Show(out, all, asJSON, func(p *output.Printer) { printMembers(p, all) }); err != nil {
+	if err := output.Show(out, responses, asJSON, func(p *output.Printer) { printMembers(p, responses) }); err != nil {
 		return err
 	}
-	return compareViews(all)
+	return compareViews(responses)
 }
 
-// compareViews says what is wrong with the answers taken together.
-func compareViews(all []memberResponse) error {
-	var silent []string
+// compareViews returns an error where views are missing, or differ in the members that are present.
+func compareViews(responses []memberResponse) error {
+	var unanswered []string
 	var first *memberResponse
-	for i, a := range all {
+	for i, a := range responses {
 		switch {
 		case a.Error != "":
-			silent = append(silent, a.Address)
+			unanswered = append(unanswered, a.Address)
 		case first == nil:
-			first = &all[i]
+			first = &responses[i]
 		case !slices.Equal(first.View.Present(), a.View.Present()):
 			return fmt.Errorf("%w: %s and %s", errDiffer, first.Address, a.Address)
 		}
 	}
-	if len(silent) > 0 {
-		return fmt.Errorf("no view from %s", strings.Join(silent, ", "))
+	if len(unanswered) > 0 {
+		return fmt.Errorf("no view from %s", strings.Join(unanswered, ", "))
 	}
 	return nil
 }
 
-func printMembers(p *output.Printer, all []memberResponse) {
-	for _, a := range all {
+func printMembers(p *output.Printer, responses []memberResponse) {
+	for _, a := range responses {
 		if a.Error != "" {
 			p.Printf("%s: %s\n\n", a.Address, a.Error)
 			continue
@@ -132,7 +132,7 @@
 	return text
 }
 
-// forEachAddress does something for all addresses at once, and returns when all of it is done.
+// forEachAddress calls do for all addresses concurrently, and returns once all calls have.
 func forEachAddress(addrs []string, do func(i int, addr string)) {
 	var calls sync.WaitGroup
 	for i, addr := range addrs {
@@ -141,8 +141,8 @@
 	calls.Wait()
 }
 
-// getJSON reads what a second address answers; absent stands for an answer that there is nothing of the kind.
-func getJSON(ctx context.Context, addr, path string, absent error, to any) error {
+// getJSON decodes the response of an administrative address. errNotFound is returned for a 404.
+func getJSON(ctx context.Context, addr, path string, errNotFound error, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
@@ -156,11 +156,11 @@
 	defer func() { _ = resp.Body.Close() }()
 	switch {
 	case resp.StatusCode == http.StatusNotFound:
-		return absent
+		return errNotFound
 	case resp.StatusCode != http.StatusOK:
 		return fmt.Errorf("it answered %s", resp.Status)
 	}
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(to); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(result); err != nil {
 		return fmt.Errorf("what came can not be read: %w", err)
 	}
 	return nil
--- a/cmd/sloerail/registry.go
+++ b/cmd/sloerail/registry.go
@@ -14,7 +14,8 @@
 	"sloerail/internal/registry"
 )
 
-const watchWait = 30 * time.Second // of one watch; then comes the next
+// watchWait bounds one watch call, after which the next follows.
+const watchWait = 30 * time.Second
 
 func newRegistry() *cobra.Command {
 	var to []string
--- a/cmd/sloerail/run.go
+++ b/cmd/sloerail/run.go
@@ -9,21 +9,28 @@
 	"sloerail/internal/output"
 )
 
-// run is the program: it returns the status to end with.
+// Exit codes.
+const (
+	exitOK      = 0
+	exitFailure = 1
+	exitUsage   = 2
+)
+
+// run is the program: it returns the exit code.
 func run(ctx context.Context, arguments []string, out, errs io.Writer) int {
 	root := newRoot()
 	root.SetArgs(arguments)
 	root.SetOut(out)
 	root.SetErr(errs)
-	complaints := output.NewPrinter(errs) // nothing is left to tell an error of standard error to
+	printer := output.NewPrinter(errs) // a failure to write to standard error can't be reported
 	err := root.ExecuteContext(ctx)
 	switch {
 	case err == nil:
-		return 0
-	case errors.Is(err, errUsage) || strings.HasPrefix(err.Error(), "unknown command"):
-		complaints.Printf("sloerail: %v\nsloerail: see 'sloerail --help'\n", err)
-		return 2
+		return exitOK
+	case errors.Is(err, errUsage) || strings.HasPrefix(err.Error(), "unknown command"): // cobra has no type for it
+		printer.Printf("sloerail: %v\nsloerail: see 'sloerail --help'\n", err)
+		return exitUsage
 	}
-	complaints.Println("sloerail:", err)
-	return 1
+	printer.Println("sloerail:", err)
+	return exitFailure
 }
--- a/cmd/sloerail/zones.go
+++ b/cmd/sloerail/zones.go
@@ -34,51 +34,52 @@
 	return cmd
 }
 
-// zonesResponse is what came of one address.
+// zonesResponse is the response of one address, or why there is none.
 type zonesResponse struct {
 	Address string           `json:"address"`
 	Places  []node.PlaceView `json:"places,omitempty"`
 	Error   string           `json:"error,omitempty"`
 }
 
+// showZones prints the nodes' views of their zones. It is an error for one to be missing.
 func showZones(ctx context.Context, out io.Writer, addrs []string, asJSON bool) error {
-	all := make([]zonesResponse, len(addrs))
+	responses := make([]zonesResponse, len(addrs))
 	forEachAddress(addrs, func(i int, addr string) {
-		all[i].Address = addr
-		if err := getJSON(ctx, addr, "/places", errNoTopology, &all[i].Places); err != nil {
-			all[i].Error = err.Error()
+		responses[i].Address = addr
+		if err := getJSON(ctx, addr, "/places", errNoTopology, &responses[i].Places); err != nil {
+			responses[i].Error = err.Error()
 		}
 	})
-	var silent []string
-	for _, a := range all {
+	var unanswered []string
+	for _, a := range responses {
 		if a.Error != "" {
-			silent = append(silent, a.Address)
+			unanswered = append(unanswered, a.Address)
 		}
 	}
-	if err := output.Show(out, all, asJSON, func(p *output.Printer) { printZones(p, all) }); err != nil {
+	if err := output.Show(out, responses, asJSON, func(p *output.Printer) { printZones(p, responses) }); err != nil {
 		return err
 	}
-	if len(silent) > 0 {
-		return fmt.Errorf("no places from %s", strings.Join(silent, ", "))
+	if len(unanswered) > 0 {
+		return fmt.Errorf("no places from %s", strings.Join(unanswered, ", "))
 	}
 	return nil
 }
 
-func printZones(p *output.Printer, all []zonesResponse) {
-	for _, a := range all {
+func printZones(p *output.Printer, responses []zonesResponse) {
+	for _, a := range responses {
 		if a.Error != "" {
 			p.Printf("%s: %s\n\n", a.Address, a.Error)
 			continue
 		}
 		p.Printf("%s:\n", a.Address)
 		t := newTable(p, "zone", "region", "cost", "servers", "state", "share", "ill/heard lately", "left lately", "tried in", "left last for")
-		for _, place := range a.Places {
-			tried := ""
-			if place.State == "left" {
-				tried = (time.Duration(place.TriedInMs) * time.Millisecond).Round(100 * time.Millisecond).String()
+		for _, zone := range a.Places {
+			probeIn := ""
+			if zone.State == "left" {
+				probeIn = (time.Duration(zone.TriedInMs) * time.Millisecond).Round(100 * time.Millisecond).String()
 			}
-			t.AppendRow(table.Row{place.Zone, place.Region, place.Cost, place.Servers, place.State, fmt.Sprintf("%.2f", place.Share),
-				fmt.Sprintf("%.0f/%.0f", place.Ill, place.Heard), place.Left, tried, place.Why})
+			t.AppendRow(table.Row{zone.Zone, zone.Region, zone.Cost, zone.Servers, zone.State, fmt.Sprintf("%.2f", zone.Share),
+				fmt.Sprintf("%.0f/%.0f", zone.Ill, zone.Heard), zone.Left, probeIn, zone.Why})
 		}
 		t.Render()
 		p.Println()
