--- a/internal/subset/circle.go
+++ b/internal/subset/circle.go
@@ -40,8 +40,8 @@
 	// clients when one of its servers changes.
 	subsetsPerCell = 4
 
-	// evenCell is a count of servers that one cell may always hold, for the sake of small subsets.
-	evenCell = 64
+	// evenCellServers is a count of servers that one cell may always hold, for the sake of small subsets.
+	evenCellServers = 64
 
 	// Two halves of a stretch whose counts differ by no more than imbalanceServers + count/imbalanceShare get the
 	// same length. Beyond that the lengths follow the excess.
@@ -57,7 +57,7 @@
 		return cmp.Or(cmp.Compare(a.key(), b.key()), cmp.Compare(a.Slot, b.Slot), cmp.Compare(a.ID, b.ID))
 	})
 	c := &circle{servers: servers}
-	c.divide(0, len(servers), 0, 0, 0, max(evenCell, run*subsetsPerCell))
+	c.divide(0, len(servers), 0, 0, 0, max(evenCellServers, run*subsetsPerCell))
 	return c
 }
 
@@ -75,22 +75,22 @@
 		return
 	}
 	bit := uint64(1) << (keyBits - 1 - depth)
-	left, _ := slices.BinarySearchFunc(c.servers[first:end], bit, func(m member, bit uint64) int {
+	lower, _ := slices.BinarySearchFunc(c.servers[first:end], bit, func(m member, bit uint64) int {
 		return cmp.Compare(m.key()&bit, bit)
 	})
-	if left == 0 || left == count {
+	if lower == 0 || lower == count {
 		c.divide(first, end, depth+1, start, length, largest)
 		return
 	}
-	leftLength := part(length, leftWeight(left, count), 2*uint64(count))
-	c.divide(first, first+left, depth+1, start, leftLength, largest)
-	c.divide(first+left, end, depth+1, start+leftLength, length-leftLength, largest)
+	lowerLength := part(length, lowerHalfWeight(lower, count), 2*uint64(count))
+	c.divide(first, first+lower, depth+1, start, lowerLength, largest)
+	c.divide(first+lower, end, depth+1, start+lowerLength, length-lowerLength, largest)
 }
 
-// leftWeight returns the length of a stretch's left half, in parts of which the stretch has twice its count.
-func leftWeight(left, count int) uint64 {
+// lowerHalfWeight returns the length of a stretch's left half, in parts of which the stretch has twice its count.
+func lowerHalfWeight(lower, count int) uint64 {
 	tolerated := imbalanceServers + count/imbalanceShare
-	switch imbalance := 2*left - count; {
+	switch imbalance := 2*lower - count; {
 	case imbalance > tolerated:
 		return uint64(count + imbalance - tolerated)
 	case imbalance < -tolerated:
--- a/internal/subset/measure_test.go
+++ b/internal/subset/measure_test.go
@@ -153,7 +153,7 @@
 	ring := NewRing(f.servers, f.size)
 	result := make(assignment, f.clients)
 	for position := range result {
-		if ring.takesAll() {
+		if ring.choosesAll() {
 			for _, server := range ring.all {
 				result[position] = append(result[position], server.Slot)
 			}
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -21,24 +21,24 @@
 }
 
 const (
-	// fewOthers is the mean count of servers outside of the largest zone in a subset, below which that zone gets a
+	// minOthersMean is the mean count of servers outside of the largest zone in a subset, below which that zone gets a
 	// circle of its own.
-	fewOthers = 4
+	minOthersMean = 4
 
 	// outsideShare is the part of a zone's complement that each subset holds at least: a subset has at least
 	// 1/outsideShare of the servers that it would have outside of the zone if zones were in exact proportion.
 	outsideShare = 3
 
-	// spanLoad bounds the load on few servers outside of a large zone, in times the even load, for the sake of
+	// maxSpanLoad bounds the load on few servers outside of a large zone, in times the even load, for the sake of
 	// subsets that span two zones.
-	spanLoad = 2
+	maxSpanLoad = 2
 )
 
 // NewRing indexes the servers for subsets of at most the given size. The order of the servers doesn't matter; of
 // several with one ID a single one is kept.
 func NewRing(servers []Server, size int) *Ring {
 	ring := &Ring{size: max(size, 0), all: distinct(servers)}
-	if ring.takesAll() || ring.size == 0 {
+	if ring.choosesAll() || ring.size == 0 {
 		return ring
 	}
 	members := ring.numberZones()
@@ -62,7 +62,7 @@
 	return slices.CompactFunc(ordered, func(a, b Server) bool { return a.ID == b.ID })
 }
 
-func (ring *Ring) takesAll() bool {
+func (ring *Ring) choosesAll() bool {
 	return len(ring.all) <= ring.size
 }
 
@@ -92,7 +92,7 @@
 // dominates tells whether runs over all servers would hold few of those outside of the zone.
 func (ring *Ring) dominates(zone int) bool {
 	total, inside := len(ring.all), ring.zoneCounts[zone]
-	return inside < total && 2*inside > total && ring.size > 1 && ring.size*(total-inside) < fewOthers*total
+	return inside < total && 2*inside > total && ring.size > 1 && ring.size*(total-inside) < minOthersMean*total
 }
 
 func split(members []member, zone int) (inside, outside []member) {
@@ -111,7 +111,7 @@
 	if ring.size == 0 || len(ring.all) == 0 {
 		return nil
 	}
-	if ring.takesAll() {
+	if ring.choosesAll() {
 		ids := make([]string, len(ring.all))
 		for i, server := range ring.all {
 			ids[i] = server.ID
@@ -145,12 +145,12 @@
 
 // outsideCount returns how many servers outside of the dominating zone the client connects to: their share of the
 // subset, rounded down for some clients and up for others so that the mean is kept. A share below one is raised to
-// one, as far as spanLoad allows.
+// one, as far as maxSpanLoad allows.
 func (ring *Ring) outsideCount(client Client) int {
 	total := len(ring.all)
 	share := ring.size * len(ring.others.servers)
 	if share < total {
-		share = min(total, spanLoad*share)
+		share = min(total, maxSpanLoad*share)
 	}
 	rounding, _ := bits.Mul64(uint64(client.Position)*goldenStep, uint64(total))
 	count := share / total
@@ -167,7 +167,7 @@
 		counts[server.zone]++
 	}
 	for zone, count := range counts {
-		surplus := count - (ring.size - ring.leastOutside(zone))
+		surplus := count - (ring.size - ring.minOutside(zone))
 		if surplus > 0 {
 			ring.exchange(chosen, first+len(chosen), zone, surplus)
 			return // no two zones have more than half of the subset
@@ -175,8 +175,8 @@
 	}
 }
 
-// leastOutside returns how many servers of each subset are outside of the zone.
-func (ring *Ring) leastOutside(zone int) int {
+// minOutside returns how many servers of each subset are outside of the zone.
+func (ring *Ring) minOutside(zone int) int {
 	total := len(ring.all)
 	outside := total - ring.zoneCounts[zone]
 	if outside == 0 {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -185,7 +185,7 @@
 			}
 			for zone, count := range counts {
 				outside := len(f.servers) - count
-				if spanLoad*f.size*outside < len(f.servers) {
+				if maxSpanLoad*f.size*outside < len(f.servers) {
 					continue // too few for every subset to hold one
 				}
 				want := min(max(1, f.size*outside/(outsideShare*len(f.servers))), f.size/2)
@@ -203,7 +203,7 @@
 		f.servers[i].Zone = "small"
 	}
 	got := measure(f, ringAssignment(f))
-	if got.most > spanLoad*1.1 {
+	if got.most > maxSpanLoad*1.1 {
 		t.Errorf("the two servers of the small zone have up to %.2f times the even load", got.most)
 	}
 	if got.singleZone == f.clients {
@@ -227,7 +227,7 @@
 		f.size = min(f.size, len(f.servers)-1)
 		before := ringAssignment(f)
 		mean := f.clients*f.size/len(f.servers) + 1
-		cellPairs := mean * max(evenCell, subsetsPerCell*f.size)
+		cellPairs := mean * max(evenCellServers, subsetsPerCell*f.size)
 		index := rapid.IntRange(0, len(f.servers)-1).Draw(t, "index")
 
 		cellOf := func(f fleet) uint64 { return clientCell(f.clients, len(f.servers), f.size) }
