--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -84,7 +84,7 @@
 	}
 	n := len(r.attempts)
 	r.pending++
-	if r.ended || now >= r.deadline || n >= max(1, l.allowed.MaxAttempts) || r.bodyConsumed() {
+	if r.ended || now >= r.deadline || n >= max(1, l.allowed.MaxAttempts) || r.BodyConsumed() {
 		r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, flight: upstream.NewLifetime(time.Time{})})
 		l.unsent = append(l.unsent, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotAttempted})
 		return
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -155,13 +155,10 @@
 		l.answer(e.r, forwardedResponse(e.Response))
 	}
 	l.decide(policy.Outcome{ID: e.r.Request.ID, Server: a.server, Attempt: e.n, Code: e.Code,
-		Latency: over - a.sentAt, RequestEnded: e.r.ended, BodyConsumed: e.r.bodyConsumed(), LoadReport: e.LoadReport})
+		Latency: over - a.sentAt, RequestEnded: e.r.ended, BodyConsumed: e.r.BodyConsumed(), LoadReport: e.LoadReport})
 	l.forget(e.r)
 }
 
-// bodyConsumed tells whether a request can't be written again.
-func (r *request) bodyConsumed() bool { return r.Exchange.BodyConsumed() }
-
 // answer gives the client its one answer; whatever comes later is not passed on.
 func (l *loop) answer(r *request, a downstream.Response) {
 	if !r.ended {
