--- a/cmd/sloerail-node/main_test.go
+++ b/cmd/sloerail-node/main_test.go
@@ -11,6 +11,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"sloerail/internal/node/nodetest"
 )
 
 // long is more than any step takes; nothing waits for it unless the test fails.
@@ -83,7 +85,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer nodetest.Close(t, taken)
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := `{"name":"n0","listen":"127.0.0.1:0","discovery":"127.0.0.1:9","seed":"1f",
 		"limits":{"cores":1,"memory_mb":64,"sockets":256},"known":{"revision":7,"complete":true,"members":[]},
--- a/cmd/sloerail-node/process_test.go
+++ b/cmd/sloerail-node/process_test.go
@@ -17,6 +17,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"sloerail/internal/node/nodetest"
 )
 
 // The tests of this file run the node as a process of its own, under the limit on descriptors that its configuration
@@ -76,7 +78,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
+	defer nodetest.Close(t, l)
 	return l.Addr().String()
 }
 
@@ -145,7 +147,7 @@
 	if err != nil {
 		return 0, err
 	}
-	defer resp.Body.Close()
+	defer func() { _ = resp.Body.Close() }() // it is read whole
 	_, err = io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode, err
 }
@@ -187,7 +189,7 @@
 					case <-stop:
 					case <-ended:
 					}
-					c.Close()
+					_ = c.Close() // the node may have closed it
 				}
 				select {
 				case <-ended:
@@ -241,7 +243,7 @@
 		called <- struct{}{}
 		<-r.Context().Done()
 	}))
-	back.Listener.Close()
+	nodetest.Close(t, back.Listener)
 	back.Listener = l
 	back.Start()
 	t.Cleanup(back.Close)
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -16,6 +16,14 @@
 	"sloerail/internal/node/nodetest"
 )
 
+// writeText writes to a connection that is open.
+func writeText(t *testing.T, conn io.Writer, text string) {
+	t.Helper()
+	if _, err := io.WriteString(conn, text); err != nil {
+		t.Error(err)
+	}
+}
+
 // call makes one call at a control address.
 func call(t *testing.T, method, url string) (int, string) {
 	t.Helper()
@@ -163,14 +171,14 @@
 			}
 		}
 		conn := nodetest.Dial(t, ctl)
-		defer conn.Close()
-		fmt.Fprint(conn, "rubbish\r\n\r\n")
+		defer nodetest.Close(t, conn)
+		writeText(t, conn, "rubbish\r\n\r\n")
 		if line, _ := bufio.NewReader(conn).ReadString('\n'); !strings.Contains(line, " 400 ") {
 			t.Errorf("rubbish got %q", line)
 		}
 		conn = nodetest.Dial(t, ctl)
-		defer conn.Close()
-		fmt.Fprintf(conn, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", healthPath)
+		defer nodetest.Close(t, conn)
+		writeText(t, conn, "GET "+healthPath+" HTTP/1.1\r\nHost: x\r\n\r\n")
 		if all, err := io.ReadAll(conn); err != nil || !strings.Contains(string(all), "200 OK") {
 			t.Errorf("a call got %q, %v; the connection has to end after it", all, err)
 		}
@@ -185,9 +193,9 @@
 		startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), at, nil)
 		for i := range adminSockets - 4 {
 			conn := nodetest.Dial(t, ctl)
-			defer conn.Close()
+			defer nodetest.Close(t, conn)
 			if i%2 == 0 {
-				fmt.Fprint(conn, "GET /stats HTTP/1.1\r\nHo")
+				writeText(t, conn, "GET /stats HTTP/1.1\r\nHo")
 			}
 		}
 		client := oneRequestClient(t)
@@ -196,7 +204,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp.Body.Close()
+		nodetest.Close(t, resp.Body)
 	})
 }
 
@@ -214,7 +222,7 @@
 			if err != nil {
 				return true // it has ended
 			}
-			resp.Body.Close()
+			nodetest.Close(t, resp.Body)
 			saidNo = saidNo || resp.StatusCode == http.StatusServiceUnavailable
 			return saidNo
 		})
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -79,7 +79,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer conn.Close()
+	defer nodetest.Close(t, conn)
 	if err := conn.SetDeadline(time.Now().Add(nodetest.Timeout)); err != nil {
 		t.Fatal(err)
 	}
@@ -172,7 +172,7 @@
 	refusing := newAdminServer(l, func() bool { return false }, nil)
 	ln := nodetest.Listener(t)
 	go func() { _ = refusing.http.Serve(ln) }()
-	t.Cleanup(func() { refusing.http.Close() })
+	t.Cleanup(func() { nodetest.Close(t, &refusing.http) })
 	ctl = ln.Addr().String()
 	resp, body = get(healthPath)
 	describe(resp, body)
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -92,7 +92,7 @@
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case answer := <-answers:
-			fmt.Fprint(w, answer)
+			_, _ = fmt.Fprint(w, answer) // the client may have left
 		case <-r.Context().Done():
 		}
 	}))
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -28,11 +28,19 @@
 		t.Fatal(err)
 	}
 	c.Listen = ln.Addr().String()
-	ln.Close()
+	nodetest.Close(t, ln)
 	c.SharedDir = t.TempDir()
 	return c
 }
 
+// closeListeners closes what Listen made, and gives a predecessor up.
+func closeListeners(t *testing.T, at Listeners) {
+	t.Helper()
+	if err := at.close(); err != nil {
+		t.Error(err)
+	}
+}
+
 // startProcess starts what would be a process of the node, and waits until it can be replaced.
 func startProcess(t *testing.T, c config.Config) (at Listeners, stop func() error) {
 	t.Helper()
@@ -80,7 +88,8 @@
 					t.Error(err)
 					return
 				}
-				if resp.Body.Close(); resp.StatusCode != http.StatusOK {
+				nodetest.Close(t, resp.Body)
+				if resp.StatusCode != http.StatusOK {
 					t.Errorf("status %d", resp.StatusCode)
 				}
 				served.Add(1)
@@ -154,9 +163,7 @@
 			})
 			nodetest.Receive(t, "the predecessor's progress", following)
 		}
-		if err := at.close(); err != nil {
-			t.Error(err)
-		}
+		closeListeners(t, at)
 		resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", fmt.Sprint("r", served), ""))
 		if resp.StatusCode != http.StatusOK {
 			t.Errorf("served %v: status %d", served, resp.StatusCode)
@@ -173,7 +180,7 @@
 	if err != nil || at.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
-	defer at.close()
+	defer closeListeners(t, at)
 	if got := at.predecessor.State.Sockets; got < c.Sockets/4 || got > c.Sockets-reservedSocketsWhileShared(c) {
 		t.Errorf("%d descriptors of %d for the successor", got, c.Sockets)
 	}
@@ -188,25 +195,29 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { l.Close() })
+			t.Cleanup(func() { nodetest.Close(t, l) })
 			go func() {
 				for {
 					conn, err := l.Accept()
 					if err != nil {
 						return
 					}
-					fmt.Fprint(conn, say)
-					conn.Close()
+					_, _ = fmt.Fprint(conn, say) // the successor may have gone
+					_ = conn.Close()
 				}
 			}()
 		}
 	}
 	for name, prepare := range map[string]func(t *testing.T, c config.Config){
-		"nobody":      func(*testing.T, config.Config) {},
-		"stale":       func(t *testing.T, c config.Config) { stale(t, identityOf(c).SocketPath()) },
-		"silent end":  speak(""),
-		"rubbish":     speak("\n{\"Version\":99"),
-		"not a place": func(t *testing.T, c config.Config) { os.Remove(c.SharedDir) },
+		"nobody":     func(*testing.T, config.Config) {},
+		"stale":      func(t *testing.T, c config.Config) { stale(t, identityOf(c).SocketPath()) },
+		"silent end": speak(""),
+		"rubbish":    speak("\n{\"Version\":99"),
+		"not a place": func(t *testing.T, c config.Config) {
+			if err := os.Remove(c.SharedDir); err != nil {
+				t.Error(err)
+			}
+		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -224,7 +235,7 @@
 			if err != nil {
 				t.Fatalf("a second process can't listen: %v", err)
 			}
-			beside.Close()
+			nodetest.Close(t, beside)
 		})
 	}
 }
@@ -237,7 +248,7 @@
 		t.Fatal(err)
 	}
 	l.SetUnlinkOnClose(false)
-	l.Close()
+	nodetest.Close(t, l)
 }
 
 // The folder's path may be longer than a Unix socket's address.
@@ -253,5 +264,5 @@
 	if err != nil || at.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
-	at.close()
+	closeListeners(t, at)
 }
--- a/internal/node/list_outage_test.go
+++ b/internal/node/list_outage_test.go
@@ -28,7 +28,7 @@
 	if conn, ok := c.(*net.TCPConn); ok {
 		_ = conn.SetLinger(0)
 	}
-	c.Close()
+	_ = c.Close() // a reset
 }
 
 func staySilent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -118,7 +118,7 @@
 // The restored list comes first, and the one outcome of a served request says that it has ended.
 func TestOrderOfEvents(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "yes") })
+		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "yes") })
 		l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
 			case policy.Request:
