--- a/cmd/sloerail/main.go
+++ b/cmd/sloerail/main.go
@@ -1,5 +1,5 @@
-// Command sloerail is the operators' command line. Results go to standard output, what is wrong to standard
-// error; it ends with 0, with 1 where what was asked for is not so or could not be done, and with 2 for wrong use.
+// Command sloerail is the operators' command line. Results go to standard output, errors to standard error. The exit code
+// is 0 for success, 1 for a failure or a check that doesn't hold, and 2 for wrong use.
 package main
 
 import (
@@ -15,8 +15,8 @@
 	"sloerail/internal/node/config"
 )
 
-// errUse is for a call that makes no sense.
-var errUse = errors.New("wrong use")
+// errUsage is for wrong flags, arguments or input files: exit code 2.
+var errUsage = errors.New("wrong use")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -32,8 +32,8 @@
 		SilenceErrors: true,
 		SilenceUsage:  true,
 	}
-	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUse, err) })
-	root.AddCommand(newDemo(), newExperiment(), newMembers(), newPlaces(), newRegister(), newRegistry(), newScale(),
+	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return fmt.Errorf("%w: %w", errUsage, err) })
+	root.AddCommand(newDemo(), newExperiment(), newMembers(), newZones(), newRegister(), newRegistry(), newScale(),
 		newSimulate(), newVersion())
 	return root
 }
@@ -48,11 +48,11 @@
 	}
 }
 
-// args marks what a check of arguments finds as wrong use.
+// args marks the errors of a check of arguments as errUsage.
 func args(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, given []string) error {
 		if err := check(cmd, given); err != nil {
-			return fmt.Errorf("%w: %w", errUse, err)
+			return fmt.Errorf("%w: %w", errUsage, err)
 		}
 		return nil
 	}
--- a/cmd/sloerail/registry.go
+++ b/cmd/sloerail/registry.go
@@ -14,7 +14,8 @@
 	"sloerail/internal/registry"
 )
 
-const watchWait = 30 * time.Second // of one watch; then comes the next
+// watchWait bounds one watch call, after which the next follows.
+const watchWait = 30 * time.Second
 
 func newRegistry() *cobra.Command {
 	var to []string
@@ -179,10 +180,10 @@
 			a.Client = registry.NewClient(to)
 			a.Endpoint.ID, a.Endpoint.Address, a.Endpoint.StartTimeMs = given[0], given[1], time.Now().UnixMilli()
 			if err := a.Endpoint.Validate(); err != nil {
-				return fmt.Errorf("%w: %w", errUse, err)
+				return fmt.Errorf("%w: %w", errUsage, err)
 			}
 			if strings.Contains(a.Endpoint.ID, "/") {
-				return fmt.Errorf("%w: id: want no slash", errUse)
+				return fmt.Errorf("%w: id: want no slash", errUsage)
 			}
 			return a.Run(cmd.Context(), drain)
 		},
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -3,7 +3,6 @@
 import (
 	"cmp"
 	"context"
-	"fmt"
 	"net/http"
 	"sync"
 	"time"
@@ -12,22 +11,22 @@
 	"sloerail/internal/registry"
 )
 
-// Fault is what befalls the list service in a scenario, once in each point.
+// Fault is a fault of the registry, once in each point.
 type Fault string
 
 // The faults. The zero value is none.
 const (
-	LeaderKilled Fault = "leader-killed" // and stays away
-	ReplicasAway Fault = "replicas-away" // all are killed, and started again after a time
+	LeaderKilled Fault = "leader-killed" // and not started again
+	ReplicasDown Fault = "replicas-away" // all are killed, and started again after the scenario's outage
 )
 
-var faults = []Fault{LeaderKilled, ReplicasAway}
+var faults = []Fault{LeaderKilled, ReplicasDown}
 
 const (
-	sampleEvery   = time.Second      // traffic is compared by such windows
-	leaderWithin  = 30 * time.Second // of a fault's end, or the point has failed
-	maxReplicas   = 7
-	instancesList = "/registry/instances"
+	sampleInterval = time.Second      // the windows by which traffic is compared
+	leaderTimeout  = 30 * time.Second // after a fault's end, or the point has failed
+	maxReplicas    = 7
+	instancesList  = "/registry/instances"
 )
 
 // Measures of a fault.
@@ -38,18 +37,17 @@
 	ServersRemoved = Measure{"servers removed", Count}                    // from the list, by the fault
 )
 
-// recordFault watches the nodes for the scenario's span while the list service is whole, lets the fault befall it, and
-// compares what the nodes send and receive in as long a span after that with what they did before. Changes are made throughout, but for the time in which there
-// is nobody to take them.
-func (w *watched) recordFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) error {
-	w.count(tracker)
+// recordFault records the traffic of the nodes after a fault of the registry over that before it, for the scenario's span
+// each. Changes are made throughout, except while all replicas are down.
+func (w *watchedRegistry) recordFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) error {
+	w.startCounting(tracker)
 	before := w.startSampling(nodes)
-	err := w.changeFor(ctx, w.scenario.Span.Duration, tracker.made)
+	err := w.writeChanges(ctx, w.scenario.Span.Duration, tracker.changeDue)
 	steady := before.stop()
 	if err != nil {
 		return err
 	}
-	after, err := w.befall(ctx, tracker, nodes)
+	after, err := w.injectFault(ctx, tracker, nodes)
 	if err != nil {
 		return err
 	}
@@ -63,8 +61,8 @@
 	return nil
 }
 
-// befall lets the fault happen, and returns the traffic from its end on.
-func (w *watched) befall(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) (samples []node.Traffic, err error) {
+// injectFault lets the fault happen, and returns the traffic from its end on.
+func (w *watchedRegistry) injectFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) (samples []node.Traffic, err error) {
 	leader, err := w.service.AwaitLeader(ctx)
 	if err != nil {
 		return nil, err
@@ -86,25 +84,25 @@
 		err = w.awaitLeader(ctx, began)
 	}
 	if err == nil {
-		err = w.changeFor(ctx, w.scenario.Span.Duration, tracker.made)
+		err = w.writeChanges(ctx, w.scenario.Span.Duration, tracker.changeDue)
 	}
 	return sampling.stop(), err
 }
 
-// changeWithoutLeader makes changes from the leader's end on: they are late until there is another.
-func (w *watched) changeWithoutLeader(ctx context.Context, tracker *changeTracker) error {
+// changeWithoutLeader makes changes from the leader's end on; they are delayed until there is another leader.
+func (w *watchedRegistry) changeWithoutLeader(ctx context.Context, tracker *changeTracker) error {
 	began := time.Now()
 	var waiting sync.WaitGroup
 	var noLeader error
 	waiting.Go(func() { noLeader = w.awaitLeader(ctx, began) })
-	err := w.changeFor(ctx, w.scenario.Span.Duration, tracker.made)
+	err := w.writeChanges(ctx, w.scenario.Span.Duration, tracker.changeDue)
 	waiting.Wait()
 	return cmp.Or(err, noLeader)
 }
 
 // awaitLeader waits for a leader, and records how long that took.
-func (w *watched) awaitLeader(ctx context.Context, began time.Time) error {
-	ctx, cancel := context.WithTimeout(ctx, leaderWithin)
+func (w *watchedRegistry) awaitLeader(ctx context.Context, began time.Time) error {
+	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	if _, err := w.service.AwaitLeader(ctx); err != nil {
 		return err
@@ -113,8 +111,8 @@
 	return nil
 }
 
-// startReplicas starts all replicas of the list service.
-func (w *watched) startReplicas() error {
+// startReplicas starts all replicas of the registry.
+func (w *watchedRegistry) startReplicas() error {
 	for _, name := range w.service.Names {
 		if err := w.service.Start(name); err != nil {
 			return err
@@ -123,19 +121,19 @@
 	return nil
 }
 
-// sampling takes the traffic of all nodes window by window, until it is stopped.
+// sampling records the traffic of all nodes window by window, until stop.
 type sampling struct {
 	cancel  context.CancelFunc
 	running sync.WaitGroup
 	samples []node.Traffic // of each window
 }
 
-func (w *watched) startSampling(nodes []*node.Hollow) *sampling {
+func (w *watchedRegistry) startSampling(nodes []*node.Hollow) *sampling {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &sampling{cancel: cancel}
 	last := trafficOf(nodes)
 	s.running.Go(func() {
-		tick := time.NewTicker(sampleEvery)
+		tick := time.NewTicker(sampleInterval)
 		defer tick.Stop()
 		for {
 			select {
@@ -151,7 +149,7 @@
 	return s
 }
 
-// stop ends the sampling and returns the whole windows.
+// stop ends the sampling and returns the complete windows.
 func (s *sampling) stop() []node.Traffic {
 	s.cancel()
 	s.running.Wait()
@@ -166,11 +164,11 @@
 	return sum
 }
 
-// overMean is the busiest window over the mean of others; 0 where either are none.
+// overMean is the busiest of some windows over the mean of others; 0 where there are none.
 func overMean(windows, mean []node.Traffic, of func(node.Traffic) uint64) float64 {
-	var most, sum uint64
+	var highest, sum uint64
 	for _, t := range windows {
-		most = max(most, of(t))
+		highest = max(highest, of(t))
 	}
 	for _, t := range mean {
 		sum += of(t)
@@ -178,22 +176,5 @@
 	if sum == 0 {
 		return 0
 	}
-	return float64(most) / (float64(sum) / float64(len(mean)))
-}
-
-// checkFault says what makes no sense of a scenario's fault.
-func (s *Scenario) checkFault() error {
-	switch {
-	case s.Fault == "":
-		return nil
-	case s.Fault != LeaderKilled && s.Fault != ReplicasAway:
-		return fmt.Errorf("fault: unknown, want one of %v, got %q", faults, s.Fault)
-	case s.Dimension != Nodes && s.Dimension != Changes:
-		return fmt.Errorf("fault: of dimensions %s and %s alone, got %s", Nodes, Changes, s.Dimension)
-	case s.Fault == LeaderKilled && s.Replicas < 3:
-		return fmt.Errorf("replicas: want 3 or more for %s, got %d", s.Fault, s.Replicas)
-	case s.Fault == ReplicasAway && (s.Outage.Duration <= 0 || s.Outage.Duration > s.For.Duration):
-		return fmt.Errorf("away: want more than 0 and up to for, %v, got %v", s.For, s.Outage)
-	}
-	return nil
+	return float64(highest) / (float64(sum) / float64(len(mean)))
 }
--- a/policy/concurrency_window.go
+++ b/policy/concurrency_window.go
@@ -15,7 +15,8 @@
 	windowDecreaseFactor = 3.0
 	// utilizationGain is the weight of one report in the mean utilization: a single one is far off either way.
 	utilizationGain = 0.1
-	// initialWindowScale and minWindowScale are the first and the least scale of the window.
+	// initialWindowScale and minWindowScale are the first and the least scale of the window, in multiples of
+	// initialReportedLimit for each server.
 	initialWindowScale = 1.0
 	minWindowScale     = 0.2
 	// initialReportedLimit is how many attempts all nodes together first have in flight at a server, where
@@ -79,13 +80,13 @@
 // fairLimit is how many attempts this node may have in flight at a server: its part of the window, by what
 // the server can serve.
 func (b *Balancer) fairLimit(s *server) float64 {
-	size := b.warmFraction(s)
+	relativeCapacity := b.warmFraction(s)
 	if b.loads.typicalLoad.samples > 0 {
-		size = b.loads.serviceRate(s, size) / b.loads.typicalLoad.rate
+		relativeCapacity = b.loads.serviceRate(s, relativeCapacity) / b.loads.typicalLoad.rate
 	}
 	weight := b.warmedUpWeight()
 	evenPart := fairLimitSpread * b.window.size(weight, b.settings.NodeCount) / max(1, weight) * b.share.of(s)
-	return s.concurrencyLimit * size * max(minFairLimit, evenPart)
+	return s.concurrencyLimit * relativeCapacity * max(minFairLimit, evenPart)
 }
 
 // warmedUpWeight counts the warmed-up servers in service by this node's share of each, but those of evacuated
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -13,7 +13,8 @@
 	minWarmupRate = 1.0
 	// warmupBurstDivisor bounds a burst: that part of what the budget allows within the overload duration.
 	warmupBurstDivisor = 4
-	// maxWarmingUpScanned bounds how many servers that are warming up a choice looks at before its walk.
+	// maxWarmingUpScanned bounds how many servers that are warming up a choice looks at before its walk, and so
+	// the cost of a choice while many start together.
 	maxWarmingUpScanned = 16
 	// maxShortageForSlowStart is the shortage of the highest-priority class up to which its requests avoid
 	// servers that are warming up.
@@ -120,7 +121,7 @@
 
 // promote counts the queued servers that have warmed up by now.
 func (w *slowStart) promote(now Time) {
-	for len(w.queue) > 0 && w.queue[0].at <= now {
+	for len(w.queue) > 0 && w.queue[0].dueAt <= now {
 		s := w.queue.next()
 		s.contribution.warmup.queued = false
 		w.count(s, now)
@@ -163,26 +164,26 @@
 	return b.usesLoadReports() && b.warmFraction(s) < 1
 }
 
-// hasWarmupBudget reports whether a server may get a request as far as its warm-up goes; always once it has
-// warmed up. What a warmed-up server completes for this node is, summed over the nodes, what one can take;
-// a server that is warming up gets the part of that which it has reached, below the multiple at which the
-// site's rules say that it becomes overloaded. Where load is reported, the service rate of its kind counts
-// instead.
-func (b *Balancer) hasWarmupBudget(s *server) bool {
+// refillWarmupBudget refills the budget of a server that is warming up, and reports whether the server may
+// get a request as far as its warm-up goes; always once it has warmed up. What a warmed-up server completes
+// for this node is, summed over the nodes, what one can take; a server that is warming up gets the part of
+// that which it has reached, below the multiple at which the site's rules say that it becomes overloaded.
+// Where load is reported, the service rate of its kind counts instead.
+func (b *Balancer) refillWarmupBudget(s *server) bool {
 	fraction := b.warmFraction(s)
 	if fraction >= 1 || b.handedOver {
 		return fraction >= 1
 	}
 	rules, nodes := &b.settings.Rules, float64(b.settings.NodeCount)
-	mean := b.serverPeakRate()
+	perServerRate := b.serverPeakRate()
 	if kind := b.loads.byKind[s.Kind]; kind != nil {
-		mean = kind.rate / nodes
+		perServerRate = kind.rate / nodes
 		fraction = max(fraction, min(1, targetUtilization*s.reportedRate/kind.rate))
 	}
-	mean = max(mean, minWarmupRate/nodes)
-	rate := warmupMargin * max(minOverloadMargin, rules.OverloadMultiple-1) * fraction * mean
+	perServerRate = max(perServerRate, minWarmupRate/nodes)
+	rate := warmupMargin * max(minOverloadMargin, rules.OverloadMultiple-1) * fraction * perServerRate
 	if b.usesLoadReports() {
-		rate = warmupMargin * fraction * mean * s.concurrencyLimit // scaled down while it is overloaded or slow
+		rate = warmupMargin * fraction * perServerRate * s.concurrencyLimit // less while it is overloaded or slow
 	}
 	maxTokens := max(1, rate*rules.OverloadDuration.Seconds()/warmupBurstDivisor)
 	return s.warmupBudget.refill(b.now, rate, maxTokens)
@@ -193,10 +194,10 @@
 // be missed when they fail. Retries and, unless it is short of capacity, the highest-priority class keep to
 // servers that have warmed up.
 func (b *Balancer) pickWarmingUp(r *request) (best *server) {
-	avoids := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
+	avoidsWarmingUp := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
 		b.loadShedder.highPriorityShortage < maxShortageForSlowStart
 	b.slowStart.promote(b.now)
-	if b.usesLoadReports() || avoids || len(r.attempts) > 0 {
+	if b.usesLoadReports() || avoidsWarmingUp || len(r.attempts) > 0 {
 		return nil
 	}
 	queue := b.slowStart.queue
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -114,8 +114,8 @@
 	})
 }
 
-// capacityPart is the part of its capacity that a server has reached.
-func (f *slowStartFleet) capacityPart(s *slowStartServer, at Time) float64 {
+// capacityFraction is the part of its capacity that a server has reached.
+func (f *slowStartFleet) capacityFraction(s *slowStartServer, at Time) float64 {
 	age := at - s.StartedAt
 	if s.StartedAt == 0 || age >= f.set.Rules.SlowStartDuration {
 		return 1
@@ -125,7 +125,7 @@
 
 func (f *slowStartFleet) send(n int, a Action) {
 	s := f.servers[a.Server]
-	part := f.capacityPart(s, f.now)
+	part := f.capacityFraction(s, f.now)
 	if part < 1 {
 		s.sentWhileWarmingUp = append(s.sentWhileWarmingUp, f.now)
 	}
@@ -187,9 +187,9 @@
 	}
 }
 
-// worstPart is the most that was sent to a server that is warming up within the overload duration, as a part of what
+// worstOverload is the most that was sent to a server that is warming up within the overload duration, as a part of what
 // it bears then: N requests by the overload multiple, and what chance adds to that.
-func (f *slowStartFleet) worstPart() (worst float64, sent int) {
+func (f *slowStartFleet) worstOverload() (worst float64, sent int) {
 	span := f.set.Rules.OverloadDuration
 	for _, s := range f.servers {
 		sent += len(s.sentWhileWarmingUp)
@@ -198,7 +198,7 @@
 			for s.sentWhileWarmingUp[first] < at-span {
 				first++
 			}
-			n := f.set.Rules.OverloadMultiple * s.capacity * f.capacityPart(s, s.sentWhileWarmingUp[first]) * span.Seconds()
+			n := f.set.Rules.OverloadMultiple * s.capacity * f.capacityFraction(s, s.sentWhileWarmingUp[first]) * span.Seconds()
 			worst = max(worst, float64(i-first+1)/(n+2*math.Sqrt(n)+2))
 		}
 	}
@@ -228,7 +228,7 @@
 	{name: "a third of the nodes restarts", capacity: 10, configured: slowStartNodes, reachable: slowStartNodes, restarting: true, loadBefore: 0.3, loadAfter: 2},
 }
 
-func (c slowStartCase) play(seed uint64, reports bool) *slowStartFleet {
+func (c slowStartCase) simulate(seed uint64, reports bool) *slowStartFleet {
 	set := testSettings(c.configured)
 	set.Classes = []Class{{Name: "free", LatencyObjective: time.Second, Deadline: 2 * time.Second, RetrySafety: Idempotent, PriorityWeight: 1}}
 	set.Tenants = []Tenant{{Name: "t", Quota: 1e6}}
@@ -258,7 +258,7 @@
 				t.Parallel()
 				lowest, worst, sent := math.Inf(1), 0.0, 0
 				for seed := range uint64(10) {
-					part, warmingUp := c.play(seed, reports).worstPart()
+					part, warmingUp := c.simulate(seed, reports).worstOverload()
 					if part > 1 {
 						t.Errorf("seed %d: %.2f times the bound is sent to a server", seed, part)
 					}
@@ -297,7 +297,7 @@
 	rate := func() float64 { // of requests to a server that has half warmed up
 		s := b.servers["s00"]
 		s.StartedAt, s.warmupBudget = b.now, warmupBudget{refilledAt: b.now - 10*ms}
-		b.hasWarmupBudget(s)
+		b.refillWarmupBudget(s)
 		return s.warmupBudget.tokens / 0.01
 	}
 	allowed := rate()
@@ -371,7 +371,7 @@
 	sends := 0
 	for range span * 10 {
 		b.now += 5 * ms
-		if b.hasWarmupBudget(warmingUp) {
+		if b.refillWarmupBudget(warmingUp) {
 			warmingUp.warmupBudget.tokens--
 			sends++
 		}
@@ -457,11 +457,11 @@
 		set := testSettings(1)
 		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
 		b := startBalancer(t, set, testEndpoints(1))
-		b.completions.rate, b.completions.at, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		b.completions.rate, b.completions.rateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
 		s := b.order()[0]
 		s.StartedAt = b.now
 		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
-		b.hasWarmupBudget(s)
+		b.refillWarmupBudget(s)
 		if got, rate := s.warmupBudget.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
 			t.Errorf("multiple %v: %v requests in 10 ms, want %v", multiple, got, rate)
 		}
--- a/policy/zone_failover.go
+++ b/policy/zone_failover.go
@@ -33,6 +33,44 @@
 	maxGrowthDoublings = 8
 )
 
+// weighEvidence decides what the evidence of its servers means for a zone. Where it has servers of several
+// kinds, the evidence has to suffice without any one of them too.
+func (f *zoneFailover) weighEvidence(z *zoneHealth, failed bool, now Time) {
+	f.expireEvidence(now)
+	sum := z.evidence.float()
+	for _, ofKind := range z.evidenceByKind {
+		if len(z.evidenceByKind) > 1 && z.evidence <= ofKind.sum {
+			sum = 0
+		}
+	}
+	f.growShare(z, now)
+	comparison := f.compare(z, now)
+	switch {
+	case sum >= evacuateEvidence && comparison.evidence >= betterZoneEvidence,
+		z.recovering && sum >= suspectEvidence:
+		f.evacuate(z, sum, now)
+	case z.recovering && failed:
+		z.trafficShare = max(initialRecoveryShare, failureShareFactor*z.trafficShare)
+	case z.recovering:
+	case sum >= suspectEvidence && len(f.all) > 1:
+		f.suspect(z, now)
+	default:
+		z.trafficShare = 1
+	}
+}
+
+// suspect lets a part of a zone's requests explore the others. The comparison of zones begins with the
+// first one that is suspect.
+func (f *zoneFailover) suspect(z *zoneHealth, now Time) {
+	if !f.degraded {
+		f.compareFrom = now
+		for _, each := range f.all {
+			each.responseCounts = responseCounts{decayedAt: now}
+		}
+	}
+	z.trafficShare, f.degraded = 1-exploreFraction, true
+}
+
 // evacuate sends a zone no more than probes, from a time on that is spread among nodes.
 func (f *zoneFailover) evacuate(z *zoneHealth, evidence float64, now Time) {
 	if !z.recovering && now-z.fullShareSince > recoveryForgetTime {
@@ -42,9 +80,10 @@
 	z.evacuatedUntil = now + f.evacuationTime(z)
 	z.evacuations++
 	others := f.compare(z, now)
+	// The form of the reason is frozen, with the words of the operators' pages: /places shows it.
 	z.evacuationReason = fmt.Sprintf("evidence %.1f, %.0f of %.0f answers ill, %.0f%% elsewhere (evidence %.1f)",
 		evidence, z.failures, z.total, 100*others.failureRatio, others.evidence)
-	f.logf("place %s is left: %s; tried again in %v, leaving %d", z.name, z.evacuationReason,
+	f.logf("zone %s evacuated: %s; probes begin in %v, evacuations %d", z.name, z.evacuationReason,
 		z.evacuatedUntil-now, z.evacuations)
 }
 
@@ -57,15 +96,16 @@
 
 // nextToProbe returns a server of an evacuated zone that is due for a probe, or nil: the one without
 // attempts in flight that was longest sent nothing, of those that are no safer to retry than the request's
-// class.
-func (f *zoneFailover) nextToProbe(c *class, now Time, hasBudget func(*server) bool) *server {
+// class. The zone counts as probed now.
+func (f *zoneFailover) nextToProbe(c *class, now Time, refillBudget func(*server) bool) *server {
 	for _, z := range f.all {
 		if !z.isEvacuated() || now < max(z.evacuatedUntil, z.lastProbeAt+zoneProbeInterval) {
 			continue
 		}
 		var next *server
 		for s := range c.eligible.all {
-			if s.zone == z && s.mayBeProbedBy(c) && hasBudget(s) && (next == nil || s.lastSentAt < next.lastSentAt) {
+			if s.zone == z && s.mayBeProbedBy(c) && refillBudget(s) &&
+				(next == nil || s.lastSentAt < next.lastSentAt) {
 				next = s
 			}
 		}
@@ -77,12 +117,13 @@
 	return nil
 }
 
-// mayBeProbedBy reports whether a request of a class may probe the server's zone there.
+// mayBeProbedBy reports whether a request of a class may probe the server's zone by going to that server.
 func (s *server) mayBeProbedBy(c *class) bool {
 	return c.RetrySafety >= s.retrySafety && s.totalInFlight() == 0 && !s.outlier.probationInFlight
 }
 
-// recordProbe follows the probes of an evacuated zone.
+// recordProbe follows the probes of an evacuated zone. A failed one postpones the next by half of what a
+// further evacuation would take, for that one counts already.
 func (f *zoneFailover) recordProbe(z *zoneHealth, failed bool, now Time) {
 	if z.probeSuccesses++; failed {
 		z.probeSuccesses, z.evacuatedUntil = 0, max(z.evacuatedUntil, now+f.evacuationTime(z)/2)
@@ -97,7 +138,7 @@
 	z.trafficShare, z.shareUpdatedAt = initialRecoveryShare, now
 	z.growthTime = min(maxGrowthTime, baseGrowthTime<<min(max(0, z.evacuations-1), maxGrowthDoublings))
 	f.clearEvidence(z, now)
-	f.logf("place %s is well again: its share grows e-fold in %v", z.name, z.growthTime)
+	f.logf("zone %s recovers: its share grows e-fold in %v", z.name, z.growthTime)
 }
 
 // growShare lets the share of a recovering zone grow exponentially with time.
@@ -109,7 +150,7 @@
 	z.shareUpdatedAt = now
 	if z.trafficShare >= 1 {
 		z.recovering, z.fullShareSince = false, now
-		f.logf("place %s has its whole share again", z.name)
+		f.logf("zone %s has its whole share again", z.name)
 	}
 }
 
@@ -136,12 +177,13 @@
 // chooseZones draws which zones a request may go to now.
 func (b *Balancer) chooseZones(r *request) { b.zones.chooseZones(r.class, len(r.attempts) > 0, b.now) }
 
-// pickZoneProbe returns a server of an evacuated zone that a request should probe, or nil.
-func (b *Balancer) pickZoneProbe(r *request) *server {
+// claimZoneProbe returns a server of an evacuated zone that a request should probe, and marks the zone as
+// probed now; nil if there is none.
+func (b *Balancer) claimZoneProbe(r *request) *server {
 	if !b.zones.degraded || len(r.attempts) > 0 {
 		return nil
 	}
-	s := b.zones.nextToProbe(r.class, b.now, b.hasWarmupBudget)
+	s := b.zones.nextToProbe(r.class, b.now, b.refillWarmupBudget)
 	if s != nil {
 		s.outlier.probationInFlight = s.outlier.ejected // it counts for the server's probation too
 	}
