--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -65,7 +65,7 @@
 }
 
 func goldenFleetView() node.FleetView {
-	return node.FleetView{Node: "n0", View: 7, Agreed: 3, Heard: 2, CutOff: true, Superseded: true, SentBytes: 11, HeardBytes: 12,
+	return node.FleetView{Node: "n0", View: 7, QuotaNodes: 3, Reachable: 2, Partitioned: true, Superseded: true, SentBytes: 11, HeardBytes: 12,
 		Refuted: 13, Conflicts: 14, LinesQuiet: 15, GeneratedAt: time.Date(2026, 12, 3, 4, 5, 6, 0, time.UTC),
 		Members: []node.FleetMember{{Name: "n0", Address: "10.0.0.1:7946", Zone: "a", Version: "v1", Incarnation: 9,
 			State: membership.Alive, SinceMs: 61000}}}
--- a/cmd/sloerail/main_test.go
+++ b/cmd/sloerail/main_test.go
@@ -28,7 +28,7 @@
 }
 
 func view(self string, names ...string) (v node.FleetView) {
-	v.Node, v.Heard, v.Agreed = self, len(names), len(names)
+	v.Node, v.Reachable, v.QuotaNodes = self, len(names), len(names)
 	for _, n := range names {
 		v.Members = append(v.Members, node.FleetMember{Name: n, Zone: "a", State: membership.Alive, SinceMs: 61_000})
 	}
@@ -38,7 +38,7 @@
 func TestCommands(t *testing.T) {
 	a, b := fleetAt(t, view("n0", "n0", "n1")), fleetAt(t, view("n1", "n0", "n1"))
 	lone := view("n2", "n2")
-	lone.CutOff, lone.Agreed = true, 3
+	lone.Partitioned, lone.QuotaNodes = true, 3
 	c := fleetAt(t, lone)
 	none := httptest.NewServer(http.NotFoundHandler())
 	t.Cleanup(none.Close)
--- a/cmd/sloerail/members.go
+++ b/cmd/sloerail/members.go
@@ -111,7 +111,7 @@
 			continue
 		}
 		v := a.View
-		p.Printf("%s: %s hears %d, quotas by %d, view %d%s\n", a.Address, v.Node, v.Heard, v.Agreed, v.View, warnings(v))
+		p.Printf("%s: %s hears %d, quotas by %d, view %d%s\n", a.Address, v.Node, v.Reachable, v.QuotaNodes, v.View, warnings(v))
 		t := newTable(p, "name", "zone", "state", "for", "incarnation", "version", "address")
 		for _, m := range v.Members {
 			t.AppendRow(table.Row{m.Name, m.Zone, m.State, (time.Duration(m.SinceMs) * time.Millisecond).Round(time.Second),
@@ -123,7 +123,7 @@
 }
 
 func warnings(v *node.FleetView) (text string) {
-	if v.CutOff {
+	if v.Partitioned {
 		text += "; CUT OFF: it hears half or less, and keeps its part of quotas"
 	}
 	if v.Superseded {
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -30,9 +30,9 @@
 		}
 		ev = outcome
 	}
-	listed, avoided := l.balancer.Servers()
+	listed, unavailable := l.balancer.Servers()
 	l.fig.listed.Store(int64(listed))
-	l.fig.avoided.Store(int64(avoided))
+	l.fig.unavailable.Store(int64(unavailable))
 }
 
 // execute carries one action out.
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -30,11 +30,11 @@
 
 // newAdminServer makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
 // node of none.
-func newAdminServer(l *loop, taking func() bool, fleet *membership) *adminServer {
+func newAdminServer(l *loop, acceptsNewClients func() bool, fleet *membership) *adminServer {
 	c := &adminServer{conns: downstream.NewClientConns(func() int { return adminSockets / 2 }, func(int) {}, func() {})}
 	mux := http.NewServeMux()
 	mux.HandleFunc(http.MethodGet+" "+healthPath, func(w http.ResponseWriter, _ *http.Request) {
-		if !taking() {
+		if !acceptsNewClients() {
 			http.Error(w, "not taking clients", http.StatusServiceUnavailable)
 		}
 	})
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -29,7 +29,7 @@
 
 // NotSent has the loop end a request whose client has left.
 func (o *attemptObserver) NotSent() {
-	o.loop.send(uploaded{o.request.Exchange, upstream.ErrClientDisconnected})
+	o.loop.send(bodyEnded{o.request.Exchange, upstream.ErrClientDisconnected})
 }
 
 // ResponseStarted has the loop give the client a response that is still coming.
--- a/internal/node/downstream/client_conn.go
+++ b/internal/node/downstream/client_conn.go
@@ -212,7 +212,7 @@
 // handleReadinessCheck tells a load balancer whether the node takes clients.
 func (c *clientConn) handleReadinessCheck(m requestHead) bool {
 	a := Response{Status: http.StatusOK}
-	if !c.server.handler.Ready() {
+	if !c.server.handler.NodeReady() {
 		a.Status = http.StatusServiceUnavailable
 	}
 	c.closeAfterResponse = c.closeAfterResponse || m.Length != 0 // a body isn't read
--- a/internal/node/downstream/server.go
+++ b/internal/node/downstream/server.go
@@ -32,8 +32,8 @@
 	HandleDisconnect(*Exchange)
 	// HandleBodyEnd hears that nothing more of a streamed body is read: nil where it is complete.
 	HandleBodyEnd(x *Exchange, err error)
-	// Ready reports whether the node takes clients, for ReadyPath.
-	Ready() bool
+	// NodeReady reports whether the node takes clients, for ReadyPath.
+	NodeReady() bool
 	// Now is the time on the clock of Exchange.ReceivedAt.
 	Now() policy.Time
 	// Terms are the rules for requests that are read now.
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	// acceptFor is how long after the signal to stop clients' connections are still accepted.
-	acceptFor = 500 * time.Millisecond
+	// minAcceptTime is how long after the signal to stop clients' connections are still accepted.
+	minAcceptTime = 500 * time.Millisecond
 	// maxDrainTime bounds how long a client waits for its answer once the node is stopping.
 	maxDrainTime = 3 * time.Second
 	// drainPoll is the time between looks at whether a process that has handed over has clients left.
@@ -24,8 +24,8 @@
 func (s *server) drain(h *hotRestart) error {
 	s.Stopping.Store(true)
 	terms := s.loop.terms.Load()
-	end := time.Now().Add(acceptFor + terms.longestOf(longestWait))
-	last := time.Now().Add(max(acceptFor, time.Until(end)-s.lastAnswerTime(terms)))
+	end := time.Now().Add(minAcceptTime + terms.longestOf(longestWait))
+	last := time.Now().Add(max(minAcceptTime, time.Until(end)-s.lastAnswerTime(terms)))
 	slog.Info("stopping", "serves", time.Until(last).Round(time.Millisecond), "ends", time.Until(end).Round(time.Millisecond))
 	for time.Now().Before(last) && (!s.superseded.Load() || s.ClientConns().Count() > 0) {
 		time.Sleep(min(drainPoll, time.Until(last)))
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -25,8 +25,8 @@
 	arrival struct{ x *downstream.Exchange }
 	// departure is a client that has left.
 	departure struct{ x *downstream.Exchange }
-	// uploaded is the end of a body that was sent on while it came in: whole, or with the error that ended it.
-	uploaded struct {
+	// bodyEnded is the end of a body that was sent on while it came in: whole, or with the error that ended it.
+	bodyEnded struct {
 		x   *downstream.Exchange
 		err error
 	}
@@ -94,7 +94,7 @@
 	}
 }
 
-func (e uploaded) handle(l *loop) {
+func (e bodyEnded) handle(l *loop) {
 	if r := l.requestOf(e.x); r != nil && !r.ended {
 		l.finishUpload(r, e.err)
 	}
@@ -138,7 +138,7 @@
 
 func (e fleetStateRequest) handle(l *loop) {
 	var state fleetState
-	state.quotaNodes, state.reachable, state.cutOff = l.balancer.FleetSize()
+	state.quotaNodes, state.reachable, state.partitioned = l.balancer.FleetSize()
 	e.reply <- state
 }
 
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -14,14 +14,14 @@
 // figures are what the node tells its operators. Whoever ends an event counts it; nobody waits for the
 // loop to read them.
 type figures struct {
-	set      *metrics.Set
-	relayed  *metrics.Counter // attempts written whole to servers
-	accepted *metrics.Counter // configurations at SIGHUP, taken
-	invalid  *metrics.Counter // and turned down
-	open     atomic.Int64     // requests taken and not ended
-	listed   atomic.Int64     // servers in the list
-	avoided  atomic.Int64     // those of them that get no work now
-	classes  sync.Map         // *tally by the class's name
+	set         *metrics.Set
+	relayed     *metrics.Counter // attempts written whole to servers
+	accepted    *metrics.Counter // configurations at SIGHUP, taken
+	invalid     *metrics.Counter // and turned down
+	open        atomic.Int64     // requests taken and not ended
+	listed      atomic.Int64     // servers in the list
+	unavailable atomic.Int64     // those of them that get no work now
+	classes     sync.Map         // *tally by the class's name
 }
 
 // tally counts how the requests of one class ended.
@@ -33,7 +33,7 @@
 	f.accepted = f.set.NewCounter("app_cfg_accepted_total")
 	f.invalid = f.set.NewCounter("app_cfg_invalid_total")
 	for name, v := range map[string]*atomic.Int64{
-		"app_open_requests": &f.open, "app_registry_entries": &f.listed, "app_out_of_rotation": &f.avoided,
+		"app_open_requests": &f.open, "app_registry_entries": &f.listed, "app_out_of_rotation": &f.unavailable,
 	} {
 		f.set.NewGauge(name, func() float64 { return float64(v.Load()) })
 	}
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -18,7 +18,7 @@
 // fleetState is what the balancer makes of the fleet.
 type fleetState struct {
 	quotaNodes, reachable int
-	cutOff                bool
+	partitioned           bool
 }
 
 // followFleet passes on what the fleet looks like, until ctx ends.
@@ -53,9 +53,9 @@
 type FleetView struct {
 	Node        string        `json:"node"`
 	View        uint64        `json:"view"`
-	Agreed      int           `json:"agreed"` // nodes that quotas are divided by
-	Heard       int           `json:"heard"`
-	CutOff      bool          `json:"cut_off"`
+	QuotaNodes  int           `json:"agreed"` // nodes that quotas are divided by
+	Reachable   int           `json:"heard"`
+	Partitioned bool          `json:"cut_off"`
 	Superseded  bool          `json:"superseded"`
 	SentBytes   uint64        `json:"sent_bytes"`
 	HeardBytes  uint64        `json:"received_bytes"`
@@ -81,7 +81,7 @@
 func (m membership) serve(w http.ResponseWriter, _ *http.Request) {
 	v, s, now := m.View(), m.Stats(), time.Now()
 	f, _ := query(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
-	out := FleetView{Node: v.Self, View: v.Revision, Agreed: f.quotaNodes, Heard: v.PresentCount(), CutOff: f.cutOff,
+	out := FleetView{Node: v.Self, View: v.Revision, QuotaNodes: f.quotaNodes, Reachable: v.PresentCount(), Partitioned: f.partitioned,
 		Superseded: v.Superseded, SentBytes: s.SentBytes, HeardBytes: s.ReceivedBytes, Refuted: s.RefutedSuspicions,
 		Conflicts: s.NameConflicts, LinesQuiet: s.SuppressedLogLines, Members: []FleetMember{}, GeneratedAt: now}
 	for _, one := range v.Members {
@@ -120,7 +120,7 @@
 	for name, of := range map[string]func(fleetState) float64{
 		"app_fleet_agreed": func(s fleetState) float64 { return float64(s.quotaNodes) },
 		"app_fleet_cut_off": func(s fleetState) float64 {
-			if s.cutOff {
+			if s.partitioned {
 				return 1
 			}
 			return 0
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -151,10 +151,10 @@
 	return listed
 }
 
-// Avoided counts those of them that get no work now, ejected or draining.
-func (h *Hollow) Avoided() int {
-	_, avoided := h.loop.balancer.Servers()
-	return avoided
+// Unavailable counts those of them that get no work now, ejected or draining.
+func (h *Hollow) Unavailable() int {
+	_, unavailable := h.loop.balancer.Servers()
+	return unavailable
 }
 
 // Traffic is what passed so far.
--- a/internal/node/hotrestart/serve.go
+++ b/internal/node/hotrestart/serve.go
@@ -111,8 +111,8 @@
 	if err := conn.SetReadDeadline(time.Now().Add(startTimeout)); err != nil {
 		return false, err
 	}
-	word := make([]byte, 1)
-	if _, err := io.ReadFull(conn, word); err != nil {
+	readySignal := make([]byte, 1)
+	if _, err := io.ReadFull(conn, readySignal); err != nil {
 		return false, err
 	}
 	slog.Info("hot restart: a successor serves, accepting no new clients")
@@ -126,7 +126,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, readErr = conn.Read(word) // a successor sends no more: it returns when that is gone
+		_, readErr = conn.Read(readySignal) // a successor sends no more: it returns when that is gone
 	}()
 	defer func() {
 		_ = conn.Close() // ends the read
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -27,7 +27,7 @@
 	// Handle takes an event and returns what to do, in order.
 	Handle(now policy.Time, ev policy.Event) []policy.Action
 	// Servers counts the listed servers, and those of them that get no work now.
-	Servers() (listed, avoided int)
+	Servers() (listed, unavailable int)
 	// TailLatency is how long slow answers took lately.
 	TailLatency() time.Duration
 	// Snapshot is the state to hand over to another process, and Restore takes it.
@@ -36,8 +36,9 @@
 	// InFlight is this process's attempts by server, and SetSiblingInFlight takes the other process's.
 	InFlight() map[string]int
 	SetSiblingInFlight(out map[string]int)
-	// FleetSize is the number of nodes that quotas are divided by, that of nodes heard, and whether this one is cut off.
-	FleetSize() (agreed, heard int, cutOff bool)
+	// FleetSize is the number of nodes that quotas are divided by, that of nodes reachable, and whether this one is
+	// partitioned from the others.
+	FleetSize() (quotaNodes, reachable int, partitioned bool)
 	// Zones is the state of each zone; nil where the configuration names none.
 	Zones(now policy.Time) []policy.ZoneState
 }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -31,14 +31,14 @@
 	return s.answer(now, ev)
 }
 
-func (s *script) Servers() (listed, avoided int)              { return 0, 0 }
-func (s *script) TailLatency() time.Duration                  { return 0 }
-func (s *script) Snapshot(policy.Time) (k policy.Snapshot)    { return k }
-func (s *script) Restore(now policy.Time, _ policy.Snapshot)  {}
-func (s *script) InFlight() map[string]int                    { return nil }
-func (s *script) SetSiblingInFlight(map[string]int)           {}
-func (s *script) FleetSize() (agreed, heard int, cutOff bool) { return 0, 0, false }
-func (s *script) Zones(policy.Time) []policy.ZoneState        { return nil }
+func (s *script) Servers() (listed, unavailable int)                       { return 0, 0 }
+func (s *script) TailLatency() time.Duration                               { return 0 }
+func (s *script) Snapshot(policy.Time) (k policy.Snapshot)                 { return k }
+func (s *script) Restore(now policy.Time, _ policy.Snapshot)               {}
+func (s *script) InFlight() map[string]int                                 { return nil }
+func (s *script) SetSiblingInFlight(map[string]int)                        {}
+func (s *script) FleetSize() (quotaNodes, reachable int, partitioned bool) { return 0, 0, false }
+func (s *script) Zones(policy.Time) []policy.ZoneState                     { return nil }
 
 // events lists what the module was told, in short words.
 func (s *script) events() []string {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -54,7 +54,7 @@
 		parts.Go(func() { fleet.runAsMember(ctx, running, s.soleListener) })
 	}
 	if at.Control != nil {
-		parts.Go(func() { newAdminServer(l, s.taking, fleet).run(running, at.Control) })
+		parts.Go(func() { newAdminServer(l, s.acceptsNewClients, fleet).run(running, at.Control) })
 	}
 	if err := l.serveUntil(ctx, failed, changes); err != nil {
 		return err
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -253,8 +253,8 @@
 				t.Fatal(err)
 			}
 			nodetest.CloseOnce(t, resp.Body)
-			if ready := resp.StatusCode == 200; ready != state.ready || s.taking() == draining {
-				t.Errorf("%+v: ready %v, taking %v", state, ready, s.taking())
+			if ready := resp.StatusCode == 200; ready != state.ready || s.acceptsNewClients() == draining {
+				t.Errorf("%+v: ready %v, taking %v", state, ready, s.acceptsNewClients())
 			}
 		}
 	})
@@ -393,7 +393,7 @@
 		node, stop := startNode(t, brief(t))
 		ended := make(chan error, 1)
 		go func() { ended <- stop() }()
-		end := acceptFor + 1500*time.Millisecond
+		end := minAcceptTime + 1500*time.Millisecond
 		time.Sleep(end - 150*time.Millisecond)
 		conn := nodetest.Dial(t, node)
 		time.Sleep(100 * time.Millisecond) // no further connection is taken by now
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -30,7 +30,7 @@
 func (s *server) HandleDisconnect(x *downstream.Exchange) { s.loop.send(departure{x}) }
 
 // HandleBodyEnd tells the loop that a streamed body has ended.
-func (s *server) HandleBodyEnd(x *downstream.Exchange, err error) { s.loop.send(uploaded{x, err}) }
+func (s *server) HandleBodyEnd(x *downstream.Exchange, err error) { s.loop.send(bodyEnded{x, err}) }
 
 // Now is the loop's time.
 func (s *server) Now() policy.Time { return s.loop.clock.now() }
@@ -44,8 +44,8 @@
 // AddOpenRequests counts requests that were taken or have ended.
 func (s *server) AddOpenRequests(n int) { s.loop.fig.open.Add(int64(n)) }
 
-// taking tells whether this process takes clients.
-func (s *server) taking() bool {
+// acceptsNewClients tells whether this process takes clients.
+func (s *server) acceptsNewClients() bool {
 	select {
 	case <-s.soleListener: // and so the list is in
 		return !s.Stopping.Load()
@@ -54,8 +54,8 @@
 	}
 }
 
-// Ready reports whether the node takes clients, in this process or in another of it.
-func (s *server) Ready() bool {
+// NodeReady reports whether the node takes clients, in this process or in another of it.
+func (s *server) NodeReady() bool {
 	if s.Stopping.Load() {
 		return s.superseded.Load()
 	}
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -87,7 +87,7 @@
 	stream := newResponseStream(resp.remaining, a.Lifetime.cancelWith)
 	started := resp.Response
 	started.Stream = stream
-	cancelled := a.Lifetime.done()
+	cancelled := a.Lifetime.whenCancelled()
 	a.Observer.ResponseStarted(started)
 	select {
 	case err := <-stream.done:
--- a/internal/node/upstream/descriptor_queue.go
+++ b/internal/node/upstream/descriptor_queue.go
@@ -47,7 +47,7 @@
 // awaitDescriptor reserves a connection to the server once a descriptor is free for it, until descriptorWait is over or
 // l is cancelled.
 func (t *Transport) awaitDescriptor(l *Lifetime, id string) (*serverPool, *serverConn, error) {
-	cancelled := l.done()
+	cancelled := l.whenCancelled()
 	timeout := time.NewTimer(t.descriptorWait)
 	defer timeout.Stop()
 	for {
--- a/internal/node/upstream/lifetime.go
+++ b/internal/node/upstream/lifetime.go
@@ -23,7 +23,7 @@
 	cause      error     // why it was cancelled; the first cause stands
 	conn       net.Conn  // while the attempt has one
 	cancelDial func()    // while a connection is dialed
-	ended      chan struct{}
+	cancelled  chan struct{}
 }
 
 // NewLifetime makes a Lifetime with a deadline; zero for none.
@@ -67,8 +67,8 @@
 	if l.conn != nil {
 		_ = l.conn.SetDeadline(time.Unix(1, 0)) // ends reads and writes; fails only on a closed connection
 	}
-	if l.ended != nil {
-		close(l.ended)
+	if l.cancelled != nil {
+		close(l.cancelled)
 	}
 }
 
@@ -103,14 +103,14 @@
 	return l.cause == nil
 }
 
-// done returns a channel that is closed once the Lifetime is cancelled. It replaces that of an earlier call.
-func (l *Lifetime) done() <-chan struct{} {
+// whenCancelled returns a channel that is closed once the Lifetime is cancelled. It replaces that of an earlier call.
+func (l *Lifetime) whenCancelled() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended = make(chan struct{}); l.cause != nil {
-		close(l.ended)
+	if l.cancelled = make(chan struct{}); l.cause != nil {
+		close(l.cancelled)
 	}
-	return l.ended
+	return l.cancelled
 }
 
 // failureCode is the outcome of an attempt that ended with err and no response. One whose last byte was never written
--- a/internal/node/upstream/wire.go
+++ b/internal/node/upstream/wire.go
@@ -14,7 +14,7 @@
 const (
 	requestIDHeader      = "X-Request-Id"
 	idempotencyKeyHeader = "Idempotency-Key"
-	deadlineHeader       = "X-Deadline-Ms" // milliseconds that the server has for the response
+	timeoutHeader        = "X-Deadline-Ms" // milliseconds that the server has for the response
 	loadReportHeader     = "X-Load"        // name=value,name=value
 	notRunHeader         = "X-Not-Run"     // "1" beside an error: the request had no effect
 )
@@ -30,7 +30,7 @@
 	b = http1.AppendField(b, requestIDHeader, r.ID)
 	b = http1.AppendField(b, idempotencyKeyHeader, r.IdempotencyKey)
 	b = http1.AppendField(b, "Content-Type", r.ContentType)
-	b = append(b, "\r\n"+deadlineHeader+": "...)
+	b = append(b, "\r\n"+timeoutHeader+": "...)
 	b = strconv.AppendInt(b, max(1, a.Timeout.Milliseconds()), 10)
 	if r.hasFraming() {
 		b = http1.AppendBodyFraming(b, r.contentLength())
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -258,7 +258,7 @@
 		if err := n.TakeList(change); err != nil {
 			t.Fatal(err)
 		}
-		if got, want := n.Avoided(), (i+1)%2; got != want {
+		if got, want := n.Unavailable(), (i+1)%2; got != want {
 			t.Errorf("after change %d: %d servers avoided, want %d", i, got, want)
 		}
 	}
--- a/internal/testcluster/demo.go
+++ b/internal/testcluster/demo.go
@@ -169,7 +169,7 @@
 	status := ""
 	for _, name := range p.fleet.Names {
 		if v, err := p.fleet.View(ctx, name); err == nil {
-			status += fmt.Sprintf(" %s hears %d", name, v.Heard)
+			status += fmt.Sprintf(" %s hears %d", name, v.Reachable)
 		} else {
 			status += " " + name + " is away"
 		}
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -135,8 +135,8 @@
 			left := x.Others(gone...)
 			x.awaitMembership(left...)
 			for _, name := range left {
-				if v, err := x.View(x.ctx, name); err != nil || !v.CutOff || v.Agreed != 7 {
-					x.Errorf("%s, one of three of seven: cut off %v, quotas by %d, %v", name, v.CutOff, v.Agreed, err)
+				if v, err := x.View(x.ctx, name); err != nil || !v.Partitioned || v.QuotaNodes != 7 {
+					x.Errorf("%s, one of three of seven: cut off %v, quotas by %d, %v", name, v.Partitioned, v.QuotaNodes, err)
 				}
 			}
 			for _, name := range gone {
@@ -152,8 +152,8 @@
 			x.awaitMembership(c...)
 			for _, name := range x.Names {
 				v, err := x.View(x.ctx, name)
-				if cut := slices.Contains(c, name); err != nil || v.CutOff != cut || v.Agreed != 7 {
-					x.Errorf("%s: cut off %v, quotas by %d, %v", name, v.CutOff, v.Agreed, err)
+				if cut := slices.Contains(c, name); err != nil || v.Partitioned != cut || v.QuotaNodes != 7 {
+					x.Errorf("%s: cut off %v, quotas by %d, %v", name, v.Partitioned, v.QuotaNodes, err)
 				}
 			}
 			x.Partition(a, b, c)
