--- a/internal/node/downstream/client_conn.go
+++ b/internal/node/downstream/client_conn.go
@@ -49,7 +49,8 @@
 	responsePending    atomic.Bool
 	writeBuffer        []byte
 	writeDeadline      time.Time
-	bytesSent          int64 // over the connection's life
+	bytesSent          int64 // over the connection's life, streamed responses left out
+	boundsEveryWrite   bool  // set by a streamed response, which bytesSent doesn't count
 }
 
 var readBuffers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
@@ -181,8 +182,7 @@
 
 // isLastRequest reports whether the connection ends with the response to m.
 func (c *clientConn) isLastRequest(m *requestHead) bool {
-	// A node that stops gets no new connections, and its clients are best kept: the other nodes have to bear
-	// whoever leaves.
+	// Clients of a stopping node keep their connections: closing them would move their load to the other nodes.
 	crowded := !c.server.Stopping.Load() && c.server.clientConns.isCrowded(c.tracked)
 	return m.Close || c.http10 && !m.KeepAlive || m.Chunked || crowded
 }
--- a/internal/node/downstream/response_writer.go
+++ b/internal/node/downstream/response_writer.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"io"
+	"net"
 	"net/http"
 	"strconv"
 	"sync/atomic"
@@ -15,8 +16,11 @@
 )
 
 const (
-	// responseWriteTimeout is for a response to a client that doesn't read.
+	// responseWriteTimeout is the least time that a client has to read a buffered response or the head of a streamed one.
+	// boundWrite may give it twice as long, to set fewer deadlines.
 	responseWriteTimeout = 5 * time.Second
+	// blockWriteTimeout is how long a client may take to read one block of a streamed response.
+	blockWriteTimeout = 10 * time.Second
 	// minSendBufferBytes is what the kernel takes for a client that reads nothing, from a new connection.
 	minSendBufferBytes = 4 << 10
 	// clientSendBufferBytes is the kernel's buffer for a streamed response: small, so that a client's progress is seen.
@@ -71,7 +75,7 @@
 func (c *clientConn) streamResponse(a Response) bool {
 	conn := tcpConn(c)
 	if conn != nil {
-		_ = conn.SetWriteBuffer(clientSendBufferBytes) // without it, only a slow client's progress is seen later
+		_ = conn.SetWriteBuffer(clientSendBufferBytes) // if this fails, a slow client's progress is noticed later
 	}
 	to := io.Writer(c.Conn)
 	if a.Length < 0 && c.http10 {
@@ -79,12 +83,12 @@
 	} else if a.Length < 0 {
 		to = http1.ChunkWriter{Conn: c}
 	}
-	c.writeDeadline, c.bytesSent = time.Time{}, minSendBufferBytes+1
+	c.writeDeadline, c.boundsEveryWrite = time.Time{}, true
 	c.boundWrite(responseWriteTimeout)
 	if _, err := c.Write(c.responseHead(a)); err != nil {
 		closeQuietly(c) // so that no body follows half a head
 	}
-	err := a.Stream.CopyTo(to, c, a.Body)
+	err := a.Stream.CopyTo(blockWriter{conn: c, to: to}, a.Body)
 	if err == nil && a.Length < 0 && !c.http10 {
 		_, err = io.WriteString(c, http1.LastChunk)
 	}
@@ -101,10 +105,23 @@
 	return err == nil
 }
 
+// blockWriter writes the blocks of a streamed response, each bounded by blockWriteTimeout.
+type blockWriter struct {
+	conn net.Conn  // the client's
+	to   io.Writer // writes to conn
+}
+
+func (w blockWriter) Write(block []byte) (int, error) {
+	if err := w.conn.SetWriteDeadline(time.Now().Add(blockWriteTimeout)); err != nil {
+		return 0, err
+	}
+	return w.to.Write(block)
+}
+
 // boundWrite bounds the next write: a client that reads nothing must not block the writer for ever. To set fewer deadlines,
 // one may end at up to twice the time, and the first few bytes of a connection have none.
 func (c *clientConn) boundWrite(d time.Duration) {
-	if c.bytesSent <= minSendBufferBytes {
+	if !c.boundsEveryWrite && c.bytesSent <= minSendBufferBytes {
 		return
 	}
 	now := time.Now()
--- a/internal/node/upstream/response_stream.go
+++ b/internal/node/upstream/response_stream.go
@@ -3,16 +3,12 @@
 import (
 	"errors"
 	"io"
-	"net"
 	"sync/atomic"
 	"time"
 
 	"sloerail/internal/node/http1"
 )
 
-// clientWriteTimeout is how long a client may take to read one block of a streamed response.
-const clientWriteTimeout = 10 * time.Second
-
 // ErrClientDisconnected marks a response that its client didn't take, or a request whose client left before it was sent.
 var ErrClientDisconnected = errors.New("the client has left")
 
@@ -43,9 +39,9 @@
 }
 
 // CopyTo writes buffered, which is what has come of the body, and then the rest as it comes, to w, which writes to the
-// client's connection c. It is called once at most. An error that wraps ErrClientDisconnected is the client's; any other is the
-// server's, or that the attempt was cancelled.
-func (s *ResponseStream) CopyTo(w io.Writer, c net.Conn, buffered []byte) (err error) {
+// client and bounds each write. It is called once at most. An error that wraps ErrClientDisconnected is the client's; any
+// other is the server's, or that the attempt was cancelled.
+func (s *ResponseStream) CopyTo(w io.Writer, buffered []byte) (err error) {
 	if !s.state.CompareAndSwap(streamPending, streamCopying) {
 		return errAttemptTimeout
 	}
@@ -53,9 +49,6 @@
 	block := http1.GetCopyBuffer()
 	defer http1.PutCopyBuffer(block)
 	for piece := buffered; ; {
-		if err := c.SetWriteDeadline(time.Now().Add(clientWriteTimeout)); err != nil {
-			return errors.Join(ErrClientDisconnected, err)
-		}
 		if _, err := w.Write(piece); err != nil {
 			return errors.Join(ErrClientDisconnected, err)
 		}
