--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	slog.SetLogLoggerLevel(slog.LevelDebug) // net/http would log a line for each server's stray byte
+	slog.SetLogLoggerLevel(slog.LevelDebug) // net/http logs stray bytes from the list service by the log package
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "sloerail-node:", err)
@@ -26,6 +26,10 @@
 	}
 }
 
+// profileVariable names the file for a CPU profile. It has the program's former name, and is kept for
+// those who set it.
+const profileVariable = "WAYHOLD_PROFILE"
+
 func run() error {
 	// SIGHUP would end the process if it came before the handler is installed.
 	changed := make(chan os.Signal, 1)
@@ -36,7 +40,7 @@
 		return err
 	}
 	runtime.GOMAXPROCS(int(max(1, math.Ceil(c.Cores))))
-	endProfile, err := profile(os.Getenv("WAYHOLD_PROFILE"))
+	endProfile, err := profile(os.Getenv(profileVariable))
 	if err != nil {
 		return err
 	}
@@ -61,10 +65,10 @@
 	}
 	f, err := os.Create(path)
 	if err != nil {
-		return nil, fmt.Errorf("WAYHOLD_PROFILE: %w", err)
+		return nil, fmt.Errorf("%s: %w", profileVariable, err)
 	}
 	if err := pprof.StartCPUProfile(f); err != nil {
-		return nil, fmt.Errorf("WAYHOLD_PROFILE: %w", errors.Join(err, f.Close()))
+		return nil, fmt.Errorf("%s: %w", profileVariable, errors.Join(err, f.Close()))
 	}
 	return func() {
 		pprof.StopCPUProfile()
--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -50,7 +50,7 @@
 		l.listClient.SetWatching(a.Enabled)
 	case policy.Log:
 		slog.Info(a.Text)
-	default: // probes and messages between nodes are not allowed by the settings of a real node
+	default: // policy emits no other kind
 		slog.Error("unknown action of the balancer", "action", a.Kind)
 	}
 }
@@ -74,8 +74,8 @@
 	}
 }
 
-// sendAttempt sends a request to a server, unless it is too late for that, or there were too many attempts. An attempt
-// that is not sent becomes an outcome.
+// sendAttempt sends a request to a server, unless it is too late for that, there were too many attempts, or a part of
+// its body has left the node already. An attempt that is not sent becomes an outcome.
 func (l *loop) sendAttempt(a policy.Action) {
 	r, now := l.requests[a.ID], l.clock.now()
 	if r == nil {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -28,7 +28,7 @@
 	conns *downstream.ClientConns
 }
 
-// newAdminServer makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
+// newAdminServer makes the operators' side; acceptsNewClients reports whether clients come to this process, and fleet is nil for a
 // node of none.
 func newAdminServer(l *loop, acceptsNewClients func() bool, fleet *membership) *adminServer {
 	c := &adminServer{conns: downstream.NewClientConns(func() int { return adminSockets / 2 }, func(int) {}, func() {})}
--- a/internal/node/config/reload.go
+++ b/internal/node/config/reload.go
@@ -9,7 +9,9 @@
 
 // Reload reads the file that ROUTER_CONFIG names after a change. The other variables override the file at the start
 // alone, and not here. A file that lacks a key that the one before had is rejected as a whole. The name and the fleet
-// need a new process: they stay as before.
+// need a new process: they stay as before, and a change of the fleet is logged. The node reads listen, control, seed,
+// limits, list_file and known at its start alone: a change of them in the file is neither used nor logged. They have
+// nothing to do with settings.limits, which is taken over.
 func Reload(getenv func(string) string, before Config) (Config, error) {
 	c, err := readFile(getenv, before.keys)
 	if err != nil {
--- a/internal/node/decode/decode.go
+++ b/internal/node/decode/decode.go
@@ -11,7 +11,7 @@
 	"strings"
 )
 
-// FieldError is a field whose value can't be used.
+// FieldError is a field whose value can't be used. Packages simwire and registry have types of this name for their own input.
 type FieldError struct {
 	Field  string // as the file or the protocol names it, for example "members[3].host_port"
 	Reason string
--- a/internal/node/downstream/socket.go
+++ b/internal/node/downstream/socket.go
@@ -46,5 +46,5 @@
 }
 
 // closeQuietly closes what is of no more use. The descriptor is released whatever Close returns, and nobody could act
-// on the error.
+// on the error. Package upstream has the same function.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// minAcceptTime is how long after the signal to stop clients' connections are still accepted.
+	// minAcceptTime is how long clients can connect at least after the signal to stop.
 	minAcceptTime = 500 * time.Millisecond
 	// maxDrainTime bounds how long a client waits for its answer once the node is stopping.
 	maxDrainTime = 3 * time.Second
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -11,7 +11,8 @@
 	return discovery.NewTarget(c.Discovery, c.Scope, c.Settings)
 }
 
-// discoveryConfig is the configuration of the list service's client.
+// discoveryConfig is the configuration of the list service's client. A dial is bounded by
+// MaxQueueTime, the longest that a service which can be reached makes a call wait.
 func discoveryConfig(c config.Config) discovery.ClientConfig {
 	return discovery.ClientConfig{Target: discoveryTarget(c), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
 		Dial: c.Dialer(discovery.MaxQueueTime)}
--- a/internal/node/hotrestart/doc.go
+++ b/internal/node/hotrestart/doc.go
@@ -1,4 +1,5 @@
-// Package hotrestart hands a node over from one process to another, with no client turned away.
+// Package hotrestart hands a node over from one process to another that listens on the same socket, so that clients can
+// connect at any time.
 //
 // A process that serves awaits its successor at a Unix socket (socket.go). A successor that connects there gets the
 // clients' listening socket and the State of its predecessor: the endpoint list and what policy has learned, quotas and
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -16,6 +16,7 @@
 	answerMargin         = 20 * time.Millisecond
 	answerMarginFraction = 5
 	// maxUploadTime bounds a request that is sent on while it comes in. The least rate of a body ends it far sooner.
+	// policy has the same bound, of the same name.
 	maxUploadTime = 15 * time.Minute
 	// maxReportAge is how long after the first byte of an answer the load report in it is of use.
 	maxReportAge = time.Second
@@ -167,7 +168,7 @@
 	}
 }
 
-// fail answers a request for which the balancer has no answer in time, and reports that to it.
+// fail answers a request without the balancer, which hears that the request is over.
 func (l *loop) fail(r *request, status int) {
 	l.answer(r, downstream.Response{Status: status})
 	l.decide(policy.ClientCancelled{ID: r.Request.ID})
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -44,7 +44,7 @@
 // AddOpenRequests counts requests that were taken or have ended.
 func (s *server) AddOpenRequests(n int) { s.loop.fig.open.Add(int64(n)) }
 
-// acceptsNewClients tells whether this process takes clients.
+// acceptsNewClients reports whether new clients come to this process, and to no other of the node.
 func (s *server) acceptsNewClients() bool {
 	select {
 	case <-s.soleListener: // and so the list is in
@@ -54,7 +54,7 @@
 	}
 }
 
-// NodeReady reports whether the node takes clients, in this process or in another of it.
+// NodeReady reports whether the node takes clients, in this process or, unlike acceptsNewClients, in another of it.
 func (s *server) NodeReady() bool {
 	if s.Stopping.Load() {
 		return s.superseded.Load()
--- a/internal/node/upstream/lifetime.go
+++ b/internal/node/upstream/lifetime.go
@@ -14,16 +14,16 @@
 // errAttemptTimeout cancels an attempt whose server has stalled, or whose time is up.
 var errAttemptTimeout = errors.New("upstream: the attempt's time is up")
 
-// Lifetime bounds one attempt: it ends at its deadline, or is cancelled. It differs from a context in that its deadline
-// can be moved, and in that it can be cancelled only as long as nothing was written. Its methods may be called from any
+// Lifetime bounds one attempt: it ends at its deadline, or is cancelled. Unlike that of a context, its deadline can
+// be moved. CancelUnlessConnected ends only an attempt that has no connection. Its methods may be called from any
 // goroutine; none blocks.
 type Lifetime struct {
 	mu         sync.Mutex
-	deadline   time.Time // zero for none
-	cause      error     // why it was cancelled; the first cause stands
-	conn       net.Conn  // while the attempt has one
-	cancelDial func()    // while a connection is dialed
-	cancelled  chan struct{}
+	deadline   time.Time     // zero for none
+	cause      error         // why it was cancelled; the first cause stands
+	conn       net.Conn      // while the attempt has one
+	cancelDial func()        // while a connection is dialed
+	cancelled  chan struct{} // closed with the cause; nil until whenCancelled is called
 }
 
 // NewLifetime makes a Lifetime with a deadline; zero for none.
@@ -38,7 +38,8 @@
 	}
 }
 
-// Cancel ends the attempt, and closes its connection: that is how a server learns that nobody waits.
+// Cancel ends the attempt: its reads and writes fail, and it then closes its connection, which tells the server that
+// nobody waits.
 func (l *Lifetime) Cancel() { l.cancelWith(context.Canceled) }
 
 // CancelUnlessConnected ends the attempt if it has no connection: nothing was written then.
--- a/internal/node/upstream/server_pool.go
+++ b/internal/node/upstream/server_pool.go
@@ -12,11 +12,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// minReuseDelay is how long a connection is not used again after a response: a server may response twice, the second time
-// some milliseconds late, and nothing tells that from the response to the next request.
+// minReuseDelay is how long a connection is not used again after a response: a server may answer twice, some milliseconds
+// apart, and the second would be taken for the answer to the next request.
 const minReuseDelay = 10 * time.Millisecond
 
-// serverPool holds the idle connections to one process of one server, the last used at the end.
+// serverPool holds the idle connections to one process of one server, the last used at the end. The type of this name in
+// policy is another: it holds servers in the order of choice.
 type serverPool struct {
 	address         string
 	startedAtMillis int64 // Unix time
@@ -62,7 +63,7 @@
 }
 
 // closeQuietly closes what is of no more use. The descriptor is released whatever Close returns, and nobody could act
-// on the error.
+// on the error. Package downstream has the same function.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
 // acquire takes an idle connection to the server, or dials one, for the attempt that l bounds.
--- a/internal/node/upstream/transport.go
+++ b/internal/node/upstream/transport.go
@@ -26,10 +26,12 @@
 var (
 	errUnknownServer  = errors.New("upstream: the server is not in the endpoint list")
 	errServerDraining = errors.New("upstream: the server began to drain after it was chosen")
-	errNoDescriptor   = errors.New("upstream: no descriptor is left for another connection")
+	// errNoDescriptor is the node's own shortage. policy can't tell it from a refused connection: both are ConnectFailed.
+	errNoDescriptor = errors.New("upstream: no descriptor is left for another connection")
 )
 
-// DialFunc opens a connection, as net.Dialer.DialContext does.
+// DialFunc opens a connection, as net.Dialer.DialContext does. It is an alias, so that a config.DialFunc is one without an
+// import of that package.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
 // TransportConfig is what a Transport takes from the configuration of a node.
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -33,6 +33,7 @@
 func (e *MessageError) Unwrap() error { return e.Err }
 
 // FieldError says which field of a message or key of the settings can't be read, and why.
+// decode.FieldError is that of the node's input.
 type FieldError struct {
 	Field  string // as the protocol spells it, with its path
 	Reason string
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -130,7 +130,7 @@
 	x.finish()
 }
 
-var scenarios = flag.String("scenarios", "", "scenarios of the lab that TestMeasureScenarios plays in real time; \"all\" for those of zones")
+var scenarios = flag.String("scenarios", "", "scenarios of internal/simulation that TestMeasureScenarios plays in real time; \"all\" for those of zones")
 
 // The measures of docs/zones.md with real nodes: each scenario once, a minute or so.
 func TestMeasureScenarios(t *testing.T) {
--- a/policy/server_pool.go
+++ b/policy/server_pool.go
@@ -7,7 +7,8 @@
 )
 
 // serverPool is a set of servers in packing order: by the cost of crossing to them, then by ID. A change
-// takes a binary search, so that a list change costs little at any number of servers.
+// takes a binary search, so that a list change costs little at any number of servers. The type of this
+// name in internal/node/upstream is another: it holds idle connections.
 type serverPool struct {
 	segments []*segment // by ascending cost
 	length   int        // servers in all segments
