--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -28,13 +28,13 @@
 	conns *downstream.ClientConns
 }
 
-// newAdminServer makes the operators' side; taking tells whether the node takes clients, and fleet is nil for a
+// newAdminServer makes the operators' side; acceptsNewClients reports whether clients come to this process, and fleet is nil for a
 // node of none.
-func newAdminServer(l *loop, taking func() bool, fleet *membership) *adminServer {
+func newAdminServer(l *loop, acceptsNewClients func() bool, fleet *membership) *adminServer {
 	c := &adminServer{conns: downstream.NewClientConns(func() int { return adminSockets / 2 }, func(int) {}, func() {})}
 	mux := http.NewServeMux()
 	mux.HandleFunc(http.MethodGet+" "+healthPath, func(w http.ResponseWriter, _ *http.Request) {
-		if !taking() {
+		if !acceptsNewClients() {
 			http.Error(w, "not taking clients", http.StatusServiceUnavailable)
 		}
 	})
--- a/internal/node/upstream/lifetime.go
+++ b/internal/node/upstream/lifetime.go
@@ -14,16 +14,16 @@
 // errAttemptTimeout cancels an attempt whose server has stalled, or whose time is up.
 var errAttemptTimeout = errors.New("upstream: the attempt's time is up")
 
-// Lifetime bounds one attempt: it ends at its deadline, or is cancelled. It differs from a context in that its deadline
-// can be moved, and in that it can be cancelled only as long as nothing was written. Its methods may be called from any
+// Lifetime bounds one attempt: it ends at its deadline, or is cancelled. Unlike that of a context, its deadline can
+// be moved. CancelUnlessConnected ends only an attempt that has no connection. Its methods may be called from any
 // goroutine; none blocks.
 type Lifetime struct {
 	mu         sync.Mutex
-	deadline   time.Time // zero for none
-	cause      error     // why it was cancelled; the first cause stands
-	conn       net.Conn  // while the attempt has one
-	cancelDial func()    // while a connection is dialed
-	ended      chan struct{}
+	deadline   time.Time     // zero for none
+	cause      error         // why it was cancelled; the first cause stands
+	conn       net.Conn      // while the attempt has one
+	cancelDial func()        // while a connection is dialed
+	cancelled  chan struct{} // closed with the cause; nil until whenCancelled is called
 }
 
 // NewLifetime makes a Lifetime with a deadline; zero for none.
@@ -38,7 +38,8 @@
 	}
 }
 
-// Cancel ends the attempt, and closes its connection: that is how a server learns that nobody waits.
+// Cancel ends the attempt: its reads and writes fail, and it then closes its connection, which tells the server that
+// nobody waits.
 func (l *Lifetime) Cancel() { l.cancelWith(context.Canceled) }
 
 // CancelUnlessConnected ends the attempt if it has no connection: nothing was written then.
@@ -67,8 +68,8 @@
 	if l.conn != nil {
 		_ = l.conn.SetDeadline(time.Unix(1, 0)) // ends reads and writes; fails only on a closed connection
 	}
-	if l.ended != nil {
-		close(l.ended)
+	if l.cancelled != nil {
+		close(l.cancelled)
 	}
 }
 
@@ -103,14 +104,14 @@
 	return l.cause == nil
 }
 
-// done returns a channel that is closed once the Lifetime is cancelled. It replaces that of an earlier call.
-func (l *Lifetime) done() <-chan struct{} {
+// whenCancelled returns a channel that is closed once the Lifetime is cancelled. It replaces that of an earlier call.
+func (l *Lifetime) whenCancelled() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.ended = make(chan struct{}); l.cause != nil {
-		close(l.ended)
+	if l.cancelled = make(chan struct{}); l.cause != nil {
+		close(l.cancelled)
 	}
-	return l.ended
+	return l.cancelled
 }
 
 // failureCode is the outcome of an attempt that ended with err and no response. One whose last byte was never written
