--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -7,30 +7,31 @@
 )
 
 const (
-	// resubscribeBackoffBase is the mean wait before a failed subscription to the list is repeated. It doubles
-	// with each further failure up to resubscribeBackoffMax, which leaves time for several tries before a
-	// change of the list has to be followed. A node that doesn't subscribe has its own backoff, in
+	// resubscribeBackoffBase is the mean wait before a failed subscription to the list is retried. It doubles
+	// with each further failure up to resubscribeBackoffMax, which leaves time for several tries before the
+	// node must have applied a change of the list. A node that doesn't subscribe has a separate backoff, in
 	// internal/node/discovery/backoff.go.
 	resubscribeBackoffBase = 500 * time.Millisecond
 	resubscribeBackoffMax  = time.Second
-	// maxBackoffDoublings keeps the shift by the number of failures in range.
+	// maxBackoffDoublings keeps the shift in nextBackoff from overflowing.
 	maxBackoffDoublings = 8
-	// maxRetainTime bounds how long servers are retained that most of a zone's list entries vanish with.
+	// maxRetainTime is the maximum time for which servers are retained if most of their zone is missing from the
+	// list.
 	maxRetainTime = 5 * time.Second
-	// initialLatencyDivisor divides the latency objective of the first class of the settings into the mean
-	// latency that is assumed of a new server: it spaces attempts until the first responses.
+	// initialLatencyDivisor determines the assumed mean latency of a new server: the latency objective of the
+	// first class in the settings is divided by it. This latency spaces attempts until the first responses.
 	initialLatencyDivisor = 4
 )
 
-// endpointList owns the state of the subscription to the list of servers, and of the servers that it takes
-// away.
+// endpointList is the state of the subscription to the list of servers, and of servers that the list lacks.
 type endpointList struct {
 	failures    int           // failed calls in a row
-	retainFor   time.Duration // how long servers are retained that vanish with most of their zone
-	unavailable int           // listed servers that get no work: they drain or are ejected
+	retainFor   time.Duration // how long servers are retained if most of their zone is missing
+	unavailable int           // listed servers that get no requests because they drain or are ejected
 }
 
-// configure sets how long servers are retained: well within the grace of drains, which they may have missed.
+// configure sets how long servers are retained. The time is well within drainGrace, because the node may have
+// missed that the servers drain.
 func (l *endpointList) configure(drainGrace time.Duration) {
 	l.retainFor = maxRetainTime
 	if drainGrace > 0 {
@@ -38,7 +39,7 @@
 	}
 }
 
-// nextBackoff is the wait before the next call after one that failed, spread among nodes.
+// nextBackoff counts a failed call and returns the wait before the next one, spread among nodes at random.
 func (l *endpointList) nextBackoff(pollInterval time.Duration, rng *rand.Rand) time.Duration {
 	longest := min(resubscribeBackoffMax, cmp.Or(pollInterval/4, resubscribeBackoffMax))
 	mean := min(longest, resubscribeBackoffBase<<min(l.failures, maxBackoffDoublings))
@@ -53,13 +54,14 @@
 	b.emit(Action{Kind: SetTimer, Wait: wait, Token: listTimerToken})
 }
 
-// onEndpointList takes over the list of servers or a change of it, or subscribes again if there is none.
+// onEndpointList applies a list of servers or an update of it. If the list is unavailable, it schedules
+// another subscription.
 func (b *Balancer) onEndpointList(e EndpointList) {
 	if e.Kind == ListUnavailable {
 		b.subscribeListAfter(b.list.nextBackoff(b.settings.Rules.PollInterval, b.rng))
 		return
 	}
-	b.followSubscription(e.Kind)
+	b.updateSubscription(e.Kind)
 	var missing []*server
 	for _, endpoint := range e.Endpoints {
 		if endpoint.Availability != Removed {
@@ -68,17 +70,18 @@
 			missing = append(missing, s)
 		}
 	}
-	if e.Kind != ListUpdate { // what a whole list lacks is missing
-		missing = append(missing, b.missingEndpoints(e.Endpoints)...)
+	if e.Kind != ListUpdate { // a whole list: servers that it lacks are missing
+		missing = append(missing, b.missingServers(e.Endpoints)...)
 	}
 	b.retainMissing(missing)
 	b.refreshOrder()
 	b.dispatchQueued()
 }
 
-// followSubscription subscribes to the list once the cached one has been read. Nodes of a large fleet may
-// all be starting, so they spread their calls.
-func (b *Balancer) followSubscription(kind ListKind) {
+// updateSubscription subscribes to the list after the cached list has been read, if the settings require it.
+// Otherwise it resets the backoff. Nodes of a large fleet spread their calls, because all of them may be
+// starting.
+func (b *Balancer) updateSubscription(kind ListKind) {
 	switch {
 	case kind == ListCached && b.settings.SubscribeList && b.isLargeFleet():
 		longest := min(2*resubscribeBackoffMax, b.settings.Rules.DrainGrace)
@@ -90,7 +93,7 @@
 	}
 }
 
-// upsertEndpoint takes over one entry of the list. A server that has started anew is a new one.
+// upsertEndpoint applies one entry of the list. A server that has restarted counts as a new server.
 func (b *Balancer) upsertEndpoint(endpoint Endpoint) {
 	s := b.servers[endpoint.ID]
 	if s == nil || s.StartedAt != endpoint.StartedAt {
@@ -114,8 +117,8 @@
 	}
 }
 
-// newServer makes a server that nothing is known of. It begins with a random part of a token, so that nodes
-// that are notified of a starting server together don't all send to it at once.
+// newServer returns a server without any measurements. Its warm-up budget starts with a random fraction of a
+// token, so that nodes that learn of a starting server together don't all send to it at once.
 func (b *Balancer) newServer() *server {
 	return &server{
 		meanLatency:  b.settings.Classes[0].LatencyObjective.Seconds() / initialLatencyDivisor,
@@ -123,8 +126,8 @@
 	}
 }
 
-// missingEndpoints are the servers that a whole list lacks.
-func (b *Balancer) missingEndpoints(list []Endpoint) (missing []*server) {
+// missingServers returns the servers that a whole list lacks.
+func (b *Balancer) missingServers(list []Endpoint) (missing []*server) {
 	listed := make(map[string]bool, len(list))
 	for _, endpoint := range list {
 		if endpoint.Availability != Removed {
@@ -139,9 +142,9 @@
 	return missing
 }
 
-// retainMissing drops the servers that the list lacks. Where it lacks more than half of a zone's running
-// servers at once, and they were not drained before, the list is more likely at fault than the servers, so
-// they are retained for a while.
+// retainMissing drops the servers that the list lacks. If more than half of a zone's running servers are
+// missing at once, without having been drained, the list is more likely wrong than the servers are gone. They
+// are then retained for a while.
 func (b *Balancer) retainMissing(missing []*server) {
 	runningInZone := make(map[string]int)
 	for _, s := range missing {
@@ -160,8 +163,8 @@
 	}
 }
 
-// releaseRetained drops the servers that have been retained for long enough. If they are listed again
-// later, their zone recovers by a small share.
+// releaseRetained drops the servers that have been retained for retainFor. If they are listed again later,
+// their zone recovers from a small traffic share.
 func (b *Balancer) releaseRetained() {
 	for _, s := range b.servers {
 		if s.missingSince > 0 && b.now-s.missingSince >= b.list.retainFor {
@@ -174,13 +177,13 @@
 	b.refreshOrder()
 }
 
-// dropServer forgets a server that the list has taken away.
+// dropServer removes a server that is no longer listed.
 func (b *Balancer) dropServer(s *server) {
 	delete(b.servers, s.ID)
 	b.packing.changed = append(b.packing.changed, s)
 }
 
-// countUnavailable updates the count of listed servers that get no work.
+// countUnavailable updates the count of listed servers that get no requests.
 func (b *Balancer) countUnavailable(s *server) {
 	unavailable := b.servers[s.ID] == s && (s.outlier.ejected || s.Availability != Running)
 	switch {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -7,7 +7,7 @@
 )
 
 // vanished is a list in which n of the servers of zone a are missing, or have another availability.
-func vanished(all []Endpoint, kind ListKind, n int, availability Availability) EndpointList {
+func changedList(all []Endpoint, kind ListKind, n int, availability Availability) EndpointList {
 	list := EndpointList{Kind: kind}
 	for i, endpoint := range all {
 		switch {
@@ -37,29 +37,29 @@
 	all := endpointsInZones(4, "a", "b")
 	grace := testSettings(1).Rules.DrainGrace
 	for name, c := range map[string]struct {
-		retains  bool
-		list     EndpointList
-		retained int
-		recovers bool
+		retainMissing  bool
+		list           EndpointList
+		wantRetained   int
+		wantRecovering bool
 	}{
-		"a zone in an update":      {true, vanished(all, ListUpdate, 4, Removed), 4, true},
-		"a zone in a whole list":   {true, vanished(all, ListReplace, 4, Running), 4, true},
-		"a smaller part of a zone": {true, vanished(all, ListUpdate, 2, Removed), 2, false},
-		"not configured":           {false, vanished(all, ListUpdate, 4, Removed), 0, false},
+		"a zone in an update":      {true, changedList(all, ListUpdate, 4, Removed), 4, true},
+		"a zone in a whole list":   {true, changedList(all, ListReplace, 4, Running), 4, true},
+		"a smaller part of a zone": {true, changedList(all, ListUpdate, 2, Removed), 2, false},
+		"not configured":           {false, changedList(all, ListUpdate, 4, Removed), 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := twoRegions(1)
-			set.RetainMissing = c.retains
+			set.RetainMissing = c.retainMissing
 			b := startBalancer(t, set, all)
 			b.servers["a0"].concurrencyLimit = 7
 			b.Handle(ms, c.list)
-			if got := countInZone(b, "a"); got != c.retained {
-				t.Errorf("%d servers of the zone are listed, want %d", got, c.retained)
+			if got := countInZone(b, "a"); got != c.wantRetained {
+				t.Errorf("%d servers of the zone are listed, want %d", got, c.wantRetained)
 			}
 			b.Handle(ms+grace/2, Timer{Token: retainTimerToken})
 			b.Handle(time.Second+grace, EndpointList{Kind: ListReplace, Endpoints: all})
-			if got := b.zones.find("a").recovering; got != c.recovers {
-				t.Errorf("the zone recovers: %v, want %v", got, c.recovers)
+			if got := b.zones.find("a").recovering; got != c.wantRecovering {
+				t.Errorf("the zone recovers: %v, want %v", got, c.wantRecovering)
 			}
 		})
 	}
@@ -72,7 +72,7 @@
 	set.RetainMissing = true
 	b := startBalancer(t, set, all)
 	b.servers["a0"].concurrencyLimit = 7
-	b.Handle(ms, vanished(all, ListUpdate, 4, Removed))
+	b.Handle(ms, changedList(all, ListUpdate, 4, Removed))
 	b.Handle(2*ms, EndpointList{Kind: ListReplace, Endpoints: all})
 	b.Handle(ms+set.Rules.DrainGrace, Timer{Token: retainTimerToken})
 	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zones.find("a").recovering {
@@ -86,13 +86,13 @@
 	set := twoRegions(1)
 	set.RetainMissing = true
 	b := startBalancer(t, set, all)
-	b.Handle(3*time.Second, vanished(all, ListUpdate, 4, Draining))
+	b.Handle(3*time.Second, changedList(all, ListUpdate, 4, Draining))
 	for _, s := range b.order() {
 		if s.Zone == "a" {
 			t.Errorf("%s drains and is still in use", s.ID)
 		}
 	}
-	if b.Handle(4*time.Second, vanished(all, ListUpdate, 4, Removed)); len(b.servers) != 4 {
+	if b.Handle(4*time.Second, changedList(all, ListUpdate, 4, Removed)); len(b.servers) != 4 {
 		t.Errorf("%d servers after draining ones are removed, want 4", len(b.servers))
 	}
 }
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -5,29 +5,29 @@
 )
 
 const (
-	// fleetShrinkDelay is how long nodes have to be unreachable before the others divide the quotas without
-	// them: longer than nearly every restart, and than most partitions.
+	// fleetShrinkDelay is how long nodes must be unreachable before the quotas are divided without them. It is
+	// longer than nearly all restarts and most partitions.
 	fleetShrinkDelay = time.Minute
-	// maxSmallFleet is the largest number of nodes that all fill servers in the same order. More would overload
-	// the first server, so each begins elsewhere.
+	// maxSmallFleet is the maximum number of nodes that fill servers in the same order. More nodes would
+	// overload the first server, so in a larger fleet each node starts with another server.
 	maxSmallFleet = 3
 )
 
-// fleetSize decides by how many nodes the quotas are divided: by those of the settings, or as many as
-// membership reached. The number grows at once and shrinks late, and stays where this node reaches half of
-// the fleet or less: the parts of all nodes must not exceed a quota.
+// fleetSize determines the number of nodes that the quotas are divided by: the number in the settings, or the
+// number that membership reaches. The number grows at once and shrinks after a delay. It doesn't shrink while
+// this node reaches half of the fleet or less, because the parts of all nodes must not exceed a quota.
 type fleetSize struct {
-	configuredNodes int  // by the settings
-	hasMembership   bool // a FleetSize event came
-	quotaNodes      int  // nodes that quotas are divided by
-	reachable       int  // nodes that this one reaches, itself included
-	reachableInZone int  // those of them in its zone; 0 where not known
-	shrunkSince     Time // since when more than half of quotaNodes are reachable, but not all; 0: they aren't
-	maxReachable    int  // most that were reachable since shrunkSince
+	configuredNodes int  // number of nodes in the settings
+	hasMembership   bool // whether a FleetSize event has been received
+	quotaNodes      int  // number of nodes that quotas are divided by
+	reachable       int  // nodes that this node reaches, including itself
+	reachableInZone int  // reachable nodes in this node's zone; 0 if unknown
+	shrunkSince     Time // since when more than half but not all of quotaNodes are reachable; 0 if they aren't
+	maxReachable    int  // maximum of reachable since shrunkSince
 }
 
-// configure takes over the settings' number of nodes, and returns the number to divide quotas by: what
-// membership found, unless the settings have changed since.
+// configure sets the number of nodes in the settings and returns the number to divide quotas by. The number
+// that membership found is kept unless the number in the settings changes.
 func (f *fleetSize) configure(nodes int) int {
 	if f.configuredNodes != nodes {
 		f.configuredNodes, f.quotaNodes, f.shrunkSince = nodes, nodes, 0
@@ -35,7 +35,7 @@
 	return f.quotaNodes
 }
 
-// observe takes over how many nodes are reachable, and reports whether to call settle after fleetShrinkDelay.
+// observe records the number of reachable nodes and reports whether to call settle after fleetShrinkDelay.
 func (f *fleetSize) observe(now Time, e FleetSize) (startDelay bool) {
 	f.hasMembership, f.reachable, f.reachableInZone = true, max(1, e.ReachableNodes), e.ReachableInZone
 	switch {
@@ -51,7 +51,8 @@
 	return false
 }
 
-// settle counts the nodes as gone that were unreachable throughout the delay, and reports whether it did.
+// settle reduces quotaNodes to the maximum of reachable nodes during the delay. It reports whether the delay
+// has passed.
 func (f *fleetSize) settle(now Time) bool {
 	if f.shrunkSince == 0 || now-f.shrunkSince < fleetShrinkDelay {
 		return false
@@ -60,16 +61,16 @@
 	return true
 }
 
-// isPartitioned reports whether this node reaches half of the fleet or less: the others may serve on.
+// isPartitioned reports whether this node reaches half of the fleet or less. The other nodes may still serve.
 func (f *fleetSize) isPartitioned() bool { return f.hasMembership && 2*f.reachable <= f.quotaNodes }
 
-// FleetSize returns how many nodes quotas are divided by, how many of them this node reaches, and whether it
-// takes itself as cut off from the others.
+// FleetSize returns the number of nodes that quotas are divided by, the number of nodes that this node
+// reaches, and whether it considers itself partitioned from the others.
 func (b *Balancer) FleetSize() (quotaNodes, reachable int, partitioned bool) {
 	return b.settings.NodeCount, b.fleetSize.reachable, b.fleetSize.isPartitioned()
 }
 
-// onFleetSize follows the number of reachable nodes.
+// onFleetSize applies the number of reachable nodes.
 func (b *Balancer) onFleetSize(e FleetSize) {
 	startDelay := b.fleetSize.observe(b.now, e)
 	b.updateCapacityShare()
@@ -80,8 +81,8 @@
 	b.applyQuotaNodes()
 }
 
-// onFleetSizeTimer lets the fleet shrink. Fewer nodes may be reachable by now than the delay counted, and
-// those begin a delay of their own.
+// onFleetSizeTimer lets the fleet shrink after the delay. If fewer nodes are reachable now than the maximum
+// during the delay, another delay starts.
 func (b *Balancer) onFleetSizeTimer() {
 	if !b.fleetSize.settle(b.now) {
 		return
@@ -91,7 +92,7 @@
 		ReachableInZone: b.fleetSize.reachableInZone})
 }
 
-// applyQuotaNodes divides the quotas by another number of nodes, if it changed.
+// applyQuotaNodes updates the quotas if the number of nodes that they are divided by has changed.
 func (b *Balancer) applyQuotaNodes() {
 	nodes := b.fleetSize.quotaNodes
 	if nodes == b.settings.NodeCount {
@@ -102,5 +103,5 @@
 	b.refreshOrder()
 }
 
-// isLargeFleet reports whether the nodes are so many that each fills servers in an order of its own.
+// isLargeFleet reports whether there are so many nodes that each fills servers in a different order.
 func (b *Balancer) isLargeFleet() bool { return b.settings.NodeCount > maxSmallFleet }
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -1,9 +1,10 @@
 package policy
 
-// onHandedOver hands over to another process of this node what both together may use only once: refills and
-// half of the tokens of each bucket, retries, and requests to servers that are warming up. If the node is
-// taken back from a process that never served, all is as before. What one that served has used isn't known,
-// so then nothing is retried until that has left the window of the retry budget.
+// onHandedOver hands over to another process of this node the budgets that both together may use only once:
+// refills and half of the tokens of each bucket, retries, and requests to servers that are warming up. If
+// this process takes over again from a successor that never served, it continues as before. If the successor
+// served, its use of the budgets is unknown: warm-up budgets are emptied, and nothing is retried until the
+// successor's retries have left the window of the retry budget.
 func (b *Balancer) onHandedOver(e HandedOver) {
 	b.handedOver = e.Active
 	b.rateLimiter.handOver(e.Active)
@@ -16,7 +17,7 @@
 	b.retryBudget.exhaust(b.now)
 }
 
-// InFlight returns how many attempts this process has in flight, by server.
+// InFlight returns the number of attempts that this process has in flight, by server ID.
 func (b *Balancer) InFlight() map[string]int {
 	inFlight := make(map[string]int)
 	for id, s := range b.servers {
@@ -27,8 +28,8 @@
 	return inFlight
 }
 
-// SetSiblingInFlight takes over how many attempts the node's other process has in flight, by server. The
-// limits hold for both together, or a server would be filled twice while one process replaces the other.
+// SetSiblingInFlight sets the number of attempts that the node's other process has in flight, by server ID.
+// Limits hold for both processes together. Otherwise a server would be filled twice during a hot restart.
 func (b *Balancer) SetSiblingInFlight(inFlight map[string]int) {
 	b.window.siblingInFlight = 0
 	for id, s := range b.servers {
--- a/policy/load_reports.go
+++ b/policy/load_reports.go
@@ -5,53 +5,52 @@
 // Names of the values in load reports that the decisions use.
 const (
 	reportLatency = "latency_ms" // mean latency of the server's requests, in milliseconds
-	reportUtil    = "util"       // busy part of its cores
-	reportRate    = "qps"        // requests a second that it served
+	reportUtil    = "util"       // utilization of its cores, 1 if all are busy
+	reportRate    = "qps"        // requests per second that it served
 )
 
 const millisPerSecond = 1000
 
 const (
-	// reportGain is the weight of one report in what is known of its server.
+	// reportGain is the weight of one report in the averages of its server.
 	reportGain = 0.5
 	// kindLoadGain is the weight of one report in the average of the warmed-up servers of its kind.
 	kindLoadGain = 0.05
-	// minInformativeUtilization is the utilization below which a report says little of what its server can
-	// serve.
+	// minInformativeUtilization is the utilization below which a report says little about the server's capacity.
 	minInformativeUtilization = 0.3
-	// maxInformativeUtilization is the utilization above which a report shows queueing rather than the server.
+	// maxInformativeUtilization is the utilization above which a report shows queueing rather than capacity.
 	maxInformativeUtilization = 0.8
-	// maxPlausibleUtilization and maxPlausibleRate (requests a second) bound the values of reports that are
-	// taken as valid.
+	// maxPlausibleUtilization and maxPlausibleRate (requests per second) bound the values of valid reports.
 	maxPlausibleUtilization = 1.5
 	maxPlausibleRate        = 1e6
-	// maxKinds bounds how many kinds of servers are distinguished; servers of others count as typical ones.
+	// maxKinds is the maximum number of kinds of servers with an average of their own. Servers of other kinds
+	// get the average of all kinds.
 	maxKinds = 64
-	// maxKindRateFactor bounds the service rate of a server, in multiples of that of its kind.
+	// maxKindRateFactor bounds the service rate of a server, as a multiple of the service rate of its kind.
 	maxKindRateFactor = 1.5
-	// overloadSlope is the part of its limit that a server loses for each unit of utilization beyond the target.
+	// overloadSlope is the fraction of its limit that a server loses per unit of utilization above the target.
 	overloadSlope = 4.0
-	// minLimitScale is the part of its limit that an overloaded or failing server keeps.
+	// minLimitScale is the fraction of its limit that an overloaded or failing server keeps.
 	minLimitScale = 0.1
-	// slowLatencyFactor is the multiple of the latency of its kind from which a server's limit is reduced.
+	// slowLatencyFactor is the multiple of the latency of its kind above which a server's limit is reduced.
 	slowLatencyFactor = 2.0
-	// ejectLatencyFactor is the multiple of the latency of its kind from which an overloaded server is ejected:
-	// its queue drains only if it gets no work for a while.
+	// ejectLatencyFactor is the multiple of the latency of its kind above which an overloaded server is ejected.
+	// Its queue drains only if it gets no requests for a while.
 	ejectLatencyFactor = 4.0
 )
 
-// loadReport is what a server says of itself in a response.
+// loadReport is the load that a server reports in a response.
 type loadReport struct {
-	latency     float64 // mean of its requests, in seconds
-	utilization float64 // busy part of its cores
-	rate        float64 // requests a second
+	latency     float64 // mean latency of the server's requests, in seconds
+	utilization float64 // utilization of the server's cores, 1 if all are busy
+	rate        float64 // requests per second
 }
 
-// serverLoad is an average over reports: how many attempts a second servers can serve, and in how many
-// seconds each.
+// serverLoad averages load reports: rate is the attempts per second that a server can serve, and latency the
+// seconds that each takes.
 type serverLoad struct{ samples, rate, latency float64 }
 
-// add moves the average; it is the plain mean of the first samples.
+// add adds a sample to the average, which is the arithmetic mean of the first samples and exponential after.
 func (l *serverLoad) add(sample serverLoad) {
 	l.samples++
 	gain := max(kindLoadGain, 1/l.samples)
@@ -59,30 +58,30 @@
 	l.latency += gain * (sample.latency - l.latency)
 }
 
-// loadReports owns what load reports say of the kinds of servers.
+// loadReports parses load reports and averages them by kind of server.
 type loadReports struct {
-	fields      int                    // values in a report
+	fields      int                    // number of values in a report
 	columns     reportColumns          // of the values that decisions use
 	byKind      map[string]*serverLoad // average of the warmed-up servers of each kind
 	typicalLoad serverLoad             // average of all warmed-up servers
 }
 
-// reportColumns are the indexes of values in a report; -1 where reports have none.
+// reportColumns holds the index of each value in a report, -1 if reports don't contain it.
 type reportColumns struct{ latency, utilization, rate int }
 
-// configure takes over the names of the values in reports, in their order.
+// configure sets the names of the values in reports, in their order.
 func (l *loadReports) configure(fields []string) {
 	l.fields = len(fields)
 	l.columns = reportColumns{latency: slices.Index(fields, reportLatency),
 		utilization: slices.Index(fields, reportUtil), rate: slices.Index(fields, reportRate)}
 }
 
-// areComplete reports whether reports have all values that decisions need.
-func (l *loadReports) areComplete() bool {
+// hasRequiredFields reports whether reports contain all values that decisions need.
+func (l *loadReports) hasRequiredFields() bool {
 	return min(l.columns.latency, l.columns.utilization, l.columns.rate) >= 0
 }
 
-// parse reads a report. It isn't valid if values are missing, not plausible, or those of an idle server.
+// parse parses a report. A report is invalid if values are missing or implausible, or if the server is idle.
 func (l *loadReports) parse(row []float64) (report loadReport, valid bool) {
 	if len(row) < l.fields {
 		return loadReport{}, false
@@ -94,7 +93,7 @@
 	return report, valid
 }
 
-// record takes over the latency that a server reports and, where the report shows it, its service rate.
+// record stores the reported latency of a server and, if the report is informative, its service rate.
 func (l *loadReports) record(s *server, report loadReport, warmedUp bool, now Time) {
 	if report.utilization >= minInformativeUtilization && report.utilization <= maxInformativeUtilization {
 		sample := serverLoad{rate: report.rate / report.utilization, latency: report.latency}
@@ -103,8 +102,8 @@
 	s.reportedLatency, s.reportedAt, s.limitReached = report.latency, now, true
 }
 
-// recordServiceRate takes over what a server can serve. Only warmed-up servers count for the others of
-// their kind.
+// recordServiceRate updates the service rate of a server. Only samples of warmed-up servers count in the
+// averages of their kind and of all servers.
 func (l *loadReports) recordServiceRate(s *server, sample serverLoad, warmedUp bool) {
 	if warmedUp {
 		if l.byKind[s.Kind] == nil && len(l.byKind) < maxKinds {
@@ -121,7 +120,8 @@
 	s.reportedRate += reportGain * (sample.rate - s.reportedRate)
 }
 
-// serviceRate is how many attempts a second a server can serve: by its own reports, or as others of its kind.
+// serviceRate returns the attempts per second that a server can serve. It is based on the server's own
+// reports or, without them, on the average of its kind.
 func (l *loadReports) serviceRate(s *server, warmFraction float64) float64 {
 	kind := l.byKind[s.Kind]
 	if kind == nil {
@@ -133,25 +133,25 @@
 	return kind.rate * warmFraction
 }
 
-// limitScale is the part of its fair limit that a server gets by a report: less while it is busier than the
-// target or slower than its kind.
+// limitScale returns the fraction of its fair limit that a server gets. It is below 1 while the server is
+// busier than the target or much slower than its kind.
 func (l *serverLoad) limitScale(report loadReport) float64 {
 	return max(minLimitScale, min(1, slowLatencyFactor*l.latency/report.latency,
 		1-overloadSlope*(report.utilization-targetUtilization)))
 }
 
-// isOverloaded reports whether a report shows a server so busy and slow that its queue drains only without
-// new requests.
+// isOverloaded reports whether a server is so busy and slow that its queue drains only without new requests.
 func (l *serverLoad) isOverloaded(report loadReport) bool {
 	return report.utilization > targetUtilization && report.latency > ejectLatencyFactor*l.latency
 }
 
-// usesLoadReports reports whether limits rest on load reports. Each of many nodes sees too few responses of
-// a server to derive its limit from, while a report shows what it can serve, whichever nodes use it.
-func (b *Balancer) usesLoadReports() bool { return b.isLargeFleet() && b.loads.areComplete() }
+// usesLoadReports reports whether limits are based on load reports. In a large fleet, each node sees too few
+// responses of a server to derive its limit from them. A load report shows the server's capacity, whichever
+// nodes use it.
+func (b *Balancer) usesLoadReports() bool { return b.isLargeFleet() && b.loads.hasRequiredFields() }
 
-// onLoadReport updates the limit of a server by the report in its OK response, ejects it if it is
-// overloaded, and moves the node's window by how busy the servers are.
+// onLoadReport handles the load report in an OK response. It updates the server's limit, ejects the server if
+// it is overloaded, and adjusts the node's concurrency window to the utilization.
 func (b *Balancer) onLoadReport(s *server, row []float64) {
 	if !b.usesLoadReports() {
 		return
@@ -171,7 +171,7 @@
 	}
 	s.concurrencyLimit += reportGain * (scale - s.concurrencyLimit)
 	if kind == nil || !warmedUp || report.latency > ejectLatencyFactor*kind.latency {
-		return // such a server says nothing of the load of the others
+		return // the report says nothing about the load of other servers
 	}
 	b.window.observe(report.utilization, b.now, b.settings.NodeCount)
 }
--- a/policy/load_reports_test.go
+++ b/policy/load_reports_test.go
@@ -64,10 +64,10 @@
 // A report is valid with all its values, at any place in it.
 func TestLoadReportsAreParsed(t *testing.T) {
 	var l loadReports
-	if l.configure([]string{"qps", "latency_ms"}); l.areComplete() {
+	if l.configure([]string{"qps", "latency_ms"}); l.hasRequiredFields() {
 		t.Error("reports without utilization count as complete")
 	}
-	if l.configure([]string{"qps", "other", "latency_ms", "util"}); !l.areComplete() {
+	if l.configure([]string{"qps", "other", "latency_ms", "util"}); !l.hasRequiredFields() {
 		t.Fatal("reports with all values don't count as complete")
 	}
 	got, valid := l.parse([]float64{12, -1, 150, 0.5})
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -7,54 +7,55 @@
 )
 
 const (
-	// attemptFailureWeight is the weight of a failed attempt in the failure score: two in a row eject, one
-	// doesn't.
+	// attemptFailureWeight is the weight of a failed attempt in the failure score. Two failures in a row eject a
+	// server, one doesn't.
 	attemptFailureWeight = 0.3
-	// silenceWeight is that of a slow attempt at a server that answers nothing: the request may just be heavy.
+	// silenceWeight is the weight of a slow attempt while the server doesn't respond to any request. It is lower
+	// than attemptFailureWeight because the request may just be expensive.
 	silenceWeight = 0.15
-	// overloadedWeight is that of an Overloaded response: a server that keeps giving those has to drain its
-	// queue first.
+	// overloadedWeight is the weight of an Overloaded response. A server that keeps sending them has to drain
+	// its queue first.
 	overloadedWeight = 0.2
-	// ejectionScore is the failure score beyond which a server is ejected.
+	// ejectionScore is the failure score above which a server is ejected.
 	ejectionScore = 0.5
 	// connectionFaultGain is the weight of one response in a server's connection fault ratio.
 	connectionFaultGain = 0.1
-	// sharedFaultFactor is the multiple of the fault ratio of the other servers up to which that of a server
-	// says nothing of it: the cause is likely the network.
+	// sharedFaultFactor is the multiple of the other servers' mean connection fault ratio up to which a server's
+	// faults don't count against it, because the cause is likely the network.
 	sharedFaultFactor = 2.0
-	// baseEjectionTime is the time of the first ejection. Each further one in a row takes twice as long, up to
-	// maxEjectionTime.
+	// baseEjectionTime is the duration of the first ejection. Each further ejection in a row lasts twice as
+	// long, up to maxEjectionTime.
 	baseEjectionTime = time.Second
 	maxEjectionTime  = 8 * time.Second
-	// maxEjectionDoublings keeps the shift by the number of ejections in range.
+	// maxEjectionDoublings keeps the shift in eject from overflowing.
 	maxEjectionDoublings = 10
-	// maxEjectedFraction bounds how many servers may be ejected at once: past it, the cause is more likely the
-	// node or the network than the servers, and ejecting more would overload the rest.
+	// maxEjectedFraction is the maximum fraction of servers ejected at the same time. Beyond it, the cause is
+	// more likely the node or the network than the servers, and more ejections would overload the rest.
 	maxEjectedFraction = 0.4
 	// probationSuccessesNeeded is the number of successes in a row that end an ejection. A server that fails
-	// half of its requests rarely has so many.
+	// half of its requests rarely reaches it.
 	probationSuccessesNeeded = 3
 )
 
-// outlierState is the circuit breaker of one server. Besides failures, a load report that shows an overload
-// ejects (onLoadReport in load_reports.go).
+// outlierState is the circuit breaker of one server. A load report that shows an overload also ejects the
+// server (onLoadReport in load_reports.go).
 type outlierState struct {
-	failureScore       float64 // 0 to 1, a decaying weight of recent failures
-	ejected            bool    // it gets no requests, or after ejectedUntil only those of its probation
+	failureScore       float64 // 0 to 1, decaying weight of recent failures
+	ejected            bool    // the server gets no requests, and after ejectedUntil only probation requests
 	ejectedUntil       Time
 	ejections          int // in a row
 	probationSuccesses int // in a row
 	probationInFlight  bool
 }
 
-// eject takes a server out of use for a time that grows with each ejection in a row.
+// eject ejects the server for a time that grows with each ejection in a row.
 func (o *outlierState) eject(now Time) {
 	duration := min(maxEjectionTime, baseEjectionTime<<min(o.ejections, maxEjectionDoublings))
 	o.ejected, o.ejectedUntil, o.probationSuccesses = true, now+duration, 0
 	o.ejections++
 }
 
-// addFailure raises the failure score, and reports whether it is beyond the score that ejects.
+// addFailure raises the failure score and reports whether the server should be ejected.
 func (o *outlierState) addFailure(weight float64) bool {
 	o.failureScore += weight * (1 - o.failureScore)
 	return !o.ejected && o.failureScore > ejectionScore
@@ -63,41 +64,42 @@
 // addSuccess lowers the failure score.
 func (o *outlierState) addSuccess() { o.failureScore -= attemptFailureWeight * o.failureScore }
 
-// isDue reports whether the server may get a request of its probation.
+// isDue reports whether the server may get a probation request.
 func (o *outlierState) isDue(now Time) bool {
 	return o.ejected && !o.probationInFlight && now >= o.ejectedUntil
 }
 
-// outlierDetector owns what is known of the outliers among the servers in service.
+// outlierDetector holds the ejected servers in service and the connection faults of all servers in service.
 type outlierDetector struct {
 	ejected          []*server
-	connectionFaults fixedPoint // sum of the connection fault ratios
+	connectionFaults fixedPoint // sum of the servers' connection fault ratios
 }
 
-// outlierContribution is what a server in service adds to the sums of outlierDetector.
+// outlierContribution is the part of outlierDetector's state that comes from one server.
 type outlierContribution struct {
-	counted          bool // among the ejected
-	index            int  // there
-	connectionFaults fixedPoint
+	counted          bool       // whether the server is in outlierDetector.ejected
+	index            int        // in outlierDetector.ejected
+	connectionFaults fixedPoint // counted in outlierDetector.connectionFaults
 }
 
-// reset empties the sums.
+// reset clears the list and the sum.
 func (d *outlierDetector) reset() { d.connectionFaults, d.ejected = 0, nil }
 
-// add takes up a server that has come into service; countEjected follows.
+// add counts the connection faults of a server that enters service. The caller then calls updateEjected.
 func (d *outlierDetector) add(s *server) {
 	s.contribution.outlier.connectionFaults = toFixedPoint(s.connectionFaultRatio)
 	d.connectionFaults += s.contribution.outlier.connectionFaults
 }
 
-// remove takes off a server that has left service; countEjected follows.
+// remove subtracts the connection faults of a server that has left service. The caller then calls
+// updateEjected.
 func (d *outlierDetector) remove(s *server) {
 	d.connectionFaults -= s.contribution.outlier.connectionFaults
 }
 
-// countEjected brings the list of ejected servers in line with a server's state. It returns by how many the
-// number of them changed.
-func (d *outlierDetector) countEjected(s *server) (change int) {
+// updateEjected adds the server to the list of ejected servers or removes it, as its state requires. It
+// returns the change of the list's length: 1, -1 or 0.
+func (d *outlierDetector) updateEjected(s *server) (change int) {
 	c := &s.contribution.outlier
 	switch ejected := s.segment != nil && s.outlier.ejected; {
 	case ejected && !c.counted:
@@ -114,9 +116,9 @@
 	return 0
 }
 
-// failureWeight is how far a failure is the server's own, 0 to 1. Connections that break at all servers
-// alike, as where the network resets them, would otherwise cut all limits and eject as many servers as may
-// be.
+// failureWeight returns how much of a failure, 0 to 1, is attributed to the server. Without it, connections
+// that break at all servers, for example because the network resets them, would cut all limits and eject as
+// many servers as maxEjectedFraction permits.
 func (d *outlierDetector) failureWeight(s *server, code Code, servers int) float64 {
 	fault := code == Reset || code == ConnectFailed
 	others := d.trackConnectionFaults(s, fault)
@@ -126,8 +128,8 @@
 	return max(0, 1-sharedFaultFactor*max(0, others)/float64(servers-1)/s.connectionFaultRatio)
 }
 
-// trackConnectionFaults updates the connection fault ratio of a server, and returns the sum of those of the
-// others.
+// trackConnectionFaults updates the server's connection fault ratio and returns the sum of the ratios of the
+// other servers.
 func (d *outlierDetector) trackConnectionFaults(s *server, fault bool) (others float64) {
 	updateRatio(&s.connectionFaultRatio, connectionFaultGain, fault)
 	currentRatio := toFixedPoint(s.connectionFaultRatio)
@@ -138,7 +140,7 @@
 	return (d.connectionFaults - currentRatio).float()
 }
 
-// dueFor returns the ejected servers that may get a request of a class for their probation, in packing order.
+// dueFor returns the ejected servers that may get a probation request of the class, in packing order.
 func (d *outlierDetector) dueFor(c *class, now Time) iter.Seq[*server] {
 	var due []*server
 	for _, s := range d.ejected {
@@ -150,9 +152,9 @@
 	return slices.Values(due)
 }
 
-// mayEject reports whether one more of the servers that each class may use can be ejected. The bound holds
-// for each class, so that the few servers of a restricted one aren't all ejected while the fleet as a whole
-// looks well.
+// mayEject reports whether the server may be ejected without exceeding maxEjectedFraction in any class that
+// may use it. The bound holds for each class, so that the few servers of a restricted class aren't all
+// ejected while most of the fleet is healthy.
 func (b *Balancer) mayEject(s *server) bool {
 	for _, c := range b.classes.ordered {
 		if c.permits(s) && float64(c.eligible.ejected+1) > maxEjectedFraction*float64(c.eligible.length) {
@@ -167,10 +169,10 @@
 	b.ejectionChanged(s)
 }
 
-// ejectionChanged updates the counts of ejected servers for one whose state may have changed.
+// ejectionChanged updates the counts of ejected servers after the server's state may have changed.
 func (b *Balancer) ejectionChanged(s *server) {
-	change := b.outliers.countEjected(s)
-	if change != 0 && s.segment != nil { // one that left service has been taken off the pools' counts
+	change := b.outliers.updateEjected(s)
+	if change != 0 && s.segment != nil { // the pools no longer count a server that has left service
 		b.packing.pool.ejected += change
 		for _, c := range b.classes.ordered {
 			if c.isRestricted() && c.permits(s) {
@@ -181,20 +183,22 @@
 	b.countUnavailable(s)
 }
 
-// failureWeight is how far a failure is the server's own.
+// failureWeight returns how much of a failure, 0 to 1, is attributed to the server.
 func (b *Balancer) failureWeight(s *server, code Code) float64 {
 	return b.outliers.failureWeight(s, code, b.packing.pool.length)
 }
 
-// recordFailure counts a failure, or a silence, against a server.
+// recordFailure adds a failure or a silence to the server's failure score and ejects the server if the score
+// is too high and mayEject permits it.
 func (b *Balancer) recordFailure(s *server, weight float64) {
 	if s.outlier.addFailure(weight) && b.mayEject(s) {
 		b.eject(s)
 	}
 }
 
-// updateOutlierState follows the outcome of an attempt. An ejected server comes back by a row of successes
-// in its probation; any failure there, an Overloaded too, ejects it again.
+// updateOutlierState applies the outcome of an attempt. probationSuccessesNeeded successful probation
+// requests in a row end an ejection. Any failed probation request, including an Overloaded response, ejects
+// the server again.
 func (b *Balancer) updateOutlierState(a *attempt, code Code, failureWeight float64) {
 	s, state := a.server, &a.server.outlier
 	switch {
@@ -209,14 +213,14 @@
 		state.addSuccess()
 	case code == Overloaded:
 		b.recordFailure(s, overloadedWeight)
-	case code != TimedOut || s.lastResponseAt < a.sentAt: // a server that answers others doesn't hang
+	case code != TimedOut || s.lastResponseAt < a.sentAt: // a server that responds to others doesn't hang
 		b.recordFailure(s, attemptFailureWeight*failureWeight)
 	}
 }
 
-// claimProbation returns an ejected server that is due for a request of its probation, and marks that one
-// as in flight; nil if there is none. The request has to be of a class that is as safe to retry as any that
-// may use the server.
+// claimProbation returns an ejected server that is due for a probation request and marks that request as in
+// flight. It returns nil if no server is due. The request's class must be at least as safe to retry as any
+// other class that may use the server.
 func (b *Balancer) claimProbation(r *request) *server {
 	if r.class.eligible.ejected == 0 || len(r.attempts) > 0 {
 		return nil
@@ -234,9 +238,9 @@
 	return nil
 }
 
-// probationCandidates are the servers among which claimProbation looks. Where limits rest on load reports,
-// nodes are many, and probation by all of them would keep an overloaded server from recovering: there the
-// whole walk counts, which ends at the first server with capacity.
+// probationCandidates returns the servers that claimProbation considers. Limits are based on load reports
+// only where there are many nodes, and probation requests from all of them would keep an overloaded server
+// from recovering. claimProbation then walks all servers and stops at the first one with capacity.
 func (b *Balancer) probationCandidates(c *class) iter.Seq[*server] {
 	if b.usesLoadReports() {
 		return c.eligible.all
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -75,14 +75,14 @@
 	for i := range servers {
 		servers[i] = &server{segment: &segment{}}
 		servers[i].outlier.eject(0)
-		if change := d.countEjected(servers[i]); change != 1 || d.countEjected(servers[i]) != 0 {
+		if change := d.updateEjected(servers[i]); change != 1 || d.updateEjected(servers[i]) != 0 {
 			t.Fatalf("server %d changes the count by %d, or again", i, change)
 		}
 	}
 	servers[0].outlier = outlierState{}
 	servers[1].segment = nil // it left service
 	for _, s := range servers[:2] {
-		if change := d.countEjected(s); change != -1 {
+		if change := d.updateEjected(s); change != -1 {
 			t.Errorf("a server that came back changes the count by %d", change)
 		}
 	}
@@ -138,7 +138,7 @@
 // Connection faults at all servers alike lower no limit and eject none. A server that fails alone, or far more
 // often than the others, is ejected as soon as without them.
 func TestFaultsAtAllServersEjectNone(t *testing.T) {
-	drive := func(part func(s *server) float64) *Balancer {
+	simulate := func(faultRatio func(s *server) float64) *Balancer {
 		b := startBalancer(t, testSettings(1), testEndpoints(10))
 		for _, s := range b.order() {
 			s.concurrencyLimit = 10
@@ -147,7 +147,7 @@
 			s := b.order()[i%len(b.order())]
 			b.now += ms
 			code := OK
-			if b.rng.Float64() < part(s) {
+			if b.rng.Float64() < faultRatio(s) {
 				code = Reset
 			}
 			s.inFlight = 9 // it is at its limit
@@ -157,8 +157,8 @@
 		}
 		return b
 	}
-	for name, part := range map[string]float64{"few": 0.05, "many": 0.15} {
-		b := drive(func(*server) float64 { return part })
+	for name, ratio := range map[string]float64{"few": 0.05, "many": 0.15} {
+		b := simulate(func(*server) float64 { return ratio })
 		if b.packing.pool.ejected > 1 {
 			t.Errorf("%s resets everywhere: %d of 10 servers are ejected", name, b.packing.pool.ejected)
 		}
@@ -168,7 +168,7 @@
 			}
 		}
 	}
-	b := drive(func(s *server) float64 {
+	b := simulate(func(s *server) float64 {
 		if s.ID == "s03" {
 			return 0.9
 		}
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -25,7 +25,7 @@
 	tasks         []task // outcomes, timers, probe results to come
 	log           []string
 	// One attempt in faulty/5 fails, all take up to slowest ms, and requests come every so often.
-	faulty, slowest, every int
+	attemptsPerFiveFailures, maxLatencyMs, stepsPerArrival int
 
 	requestsAt []Time
 	retriesAt  []Time
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	w := &eventSimulation{t: t, rng: rng, set: set, b: b, list: map[string]Endpoint{}, drainingSince: map[string]Time{}, open: map[string]*openRequest{},
-		faulty: []int{8, 20, 60}[seed/3%3], slowest: []int{300, 50}[seed/2%2], every: []int{1, 8}[seed/4%2]}
+		attemptsPerFiveFailures: []int{8, 20, 60}[seed/3%3], maxLatencyMs: []int{300, 50}[seed/2%2], stepsPerArrival: []int{1, 8}[seed/4%2]}
 	for _, endpoint := range testEndpoints(1 + rng.IntN(9)) {
 		if rng.IntN(4) == 0 {
 			endpoint.StartedAt = 1
@@ -163,7 +163,7 @@
 		w.t.Errorf("unknown server %q", a.Server)
 	}
 	w.checkPlacement(p.class, endpoint, a)
-	w.checkFormerAttempts(p, endpoint, a)
+	w.checkPreviousAttempts(p, endpoint, a)
 	if len(p.attempts) > 0 {
 		w.checkRetryBudget()
 	}
@@ -182,13 +182,13 @@
 }
 
 // checkFormerAttempts checks that the attempts before this one are over, few enough, and permit it.
-func (w *eventSimulation) checkFormerAttempts(p *openRequest, endpoint Endpoint, a Action) {
+func (w *eventSimulation) checkPreviousAttempts(p *openRequest, endpoint Endpoint, a Action) {
 	pending := 0
-	for _, former := range p.attempts {
-		if !former.finished {
+	for _, previous := range p.attempts {
+		if !previous.finished {
 			pending++
 		}
-		if former.provenNotRun {
+		if previous.provenNotRun {
 			continue
 		}
 		switch p.class.RetrySafety {
@@ -196,8 +196,8 @@
 			w.t.Errorf("%s sent again though it may have run", p.class.Name)
 		case IdempotencyKeyed:
 			scope := p.class.DedupScope
-			if w.now > former.sentAt+p.class.DedupWindow || scope == DedupPerZone && endpoint.Zone != former.server.Zone ||
-				scope == DedupPerCell && endpoint.Cell != former.server.Cell {
+			if w.now > previous.sentAt+p.class.DedupWindow || scope == DedupPerZone && endpoint.Zone != previous.server.Zone ||
+				scope == DedupPerCell && endpoint.Cell != previous.server.Cell {
 				w.t.Errorf("%s sent again outside its scope or window", p.class.Name)
 			}
 		}
@@ -210,16 +210,16 @@
 // scheduleOutcome draws the outcome of the newest attempt, and when it comes.
 func (w *eventSimulation) scheduleOutcome(p *openRequest, a Action) {
 	n := len(p.attempts) - 1
-	until := p.deadline
+	attemptDeadline := p.deadline
 	if a.AttemptDeadline > 0 {
-		until = min(until, a.AttemptDeadline)
+		attemptDeadline = min(attemptDeadline, a.AttemptDeadline)
 	}
-	code, latency := OK, time.Duration(w.rng.IntN(w.slowest))*ms
-	if w.rng.IntN(w.faulty) < 5 {
+	code, latency := OK, time.Duration(w.rng.IntN(w.maxLatencyMs))*ms
+	if w.rng.IntN(w.attemptsPerFiveFailures) < 5 {
 		code = []Code{ServerError, Overloaded, ConnectFailed, Reset, TimedOut}[w.rng.IntN(5)]
 	}
-	if code == TimedOut || w.now+latency > until {
-		code, latency = TimedOut, until-w.now
+	if code == TimedOut || w.now+latency > attemptDeadline {
+		code, latency = TimedOut, attemptDeadline-w.now
 	}
 	w.after(latency, func() {
 		p.attempts[n].finished, p.attempts[n].provenNotRun = true, code.ProvesNotRun()
@@ -237,20 +237,20 @@
 // checkRetryBudget checks the retry budget by a count of its own.
 func (w *eventSimulation) checkRetryBudget() {
 	w.retriesAt = append(w.retriesAt, w.now)
-	q := w.set.Rules.RetryBudget
-	if q == nil {
+	budget := w.set.Rules.RetryBudget
+	if budget == nil {
 		return
 	}
 	within := func(all []Time) (n int) {
 		for _, at := range all {
-			if at > w.now-q.Window {
+			if at > w.now-budget.Window {
 				n++
 			}
 		}
 		return n
 	}
-	if n, limit := within(w.retriesAt), q.MinRetries+q.RetryRatio*float64(within(w.requestsAt)); float64(n) > limit {
-		w.t.Errorf("%d retries in %v, at most %v allowed", n, q.Window, limit)
+	if n, limit := within(w.retriesAt), budget.MinRetries+budget.RetryRatio*float64(within(w.requestsAt)); float64(n) > limit {
+		w.t.Errorf("%d retries in %v, at most %v allowed", n, budget.Window, limit)
 	}
 }
 
@@ -301,7 +301,7 @@
 		w.event(ProbeResult{Server: "nowhere"})
 		w.event(PeerMessage{From: 99, Body: "\x00"})
 	}
-	if w.rng.IntN(w.every) == 0 {
+	if w.rng.IntN(w.stepsPerArrival) == 0 {
 		for range w.rng.IntN(3) {
 			w.arrive()
 		}
--- a/policy/recorded_events_test.go
+++ b/policy/recorded_events_test.go
@@ -357,13 +357,13 @@
 	zones := b.Zones(now)
 	fmt.Fprint(&text, " ", zones == nil)
 	for _, z := range zones {
-		fmt.Fprint(&text, " ", z.Zone, z.Region, z.State, exact(z.Cost), exact(z.TrafficShare), z.Servers, z.Evacuations,
-			exact(z.Failures), exact(z.Responses), int64(z.RetryIn), z.EvacuationReason != "")
+		fmt.Fprint(&text, " ", z.Zone, z.Region, z.State, formatExact(z.Cost), formatExact(z.TrafficShare), z.Servers, z.Evacuations,
+			formatExact(z.Failures), formatExact(z.Responses), int64(z.RetryIn), z.EvacuationReason != "")
 	}
 	return text.String()
 }
 
-func exact(v float64) string { return " " + strconv.FormatFloat(v, 'g', -1, 64) }
+func formatExact(v float64) string { return " " + strconv.FormatFloat(v, 'g', -1, 64) }
 
 // digest is one line of the file of actions: a hash of all that counts in the actions, and their kinds. Of a line
 // for the log only that there is one counts.
--- a/policy/recorded_scenarios_test.go
+++ b/policy/recorded_scenarios_test.go
@@ -34,13 +34,13 @@
 // simulatedServer is a server in the simulation of the recorder.
 type simulatedServer struct {
 	recordedEndpoint
-	base           time.Duration // latency without load
-	cores          int
-	busy           int
-	otherNodesBusy int           // attempts of other nodes
-	fault          recorderFault // how it fails
-	part           float64       // and in what part of the attempts
-	slow           float64       // factor of its latency; 0 for 1
+	baseLatency        time.Duration // latency without load
+	cores              int
+	inFlight           int
+	otherNodesInFlight int           // attempts of other nodes
+	fault              recorderFault // how it fails
+	faultRatio         float64       // and in what part of the attempts
+	latencyFactor      float64       // factor of its latency; 0 for 1
 }
 
 type recorderFault uint8
@@ -48,7 +48,7 @@
 const (
 	noFault recorderFault = iota
 	failing
-	full
+	overloaded
 	resetting
 	unreachable
 	hanging
@@ -120,7 +120,7 @@
 		token := a.Token
 		r.after(max(a.Wait, ms), func() { r.call(process, recordedEvent{Timer: &token}) })
 	case Reject:
-		r.refused(a)
+		r.handleReject(a)
 	case Fail:
 		r.requests[a.ID].answered = true
 	case Cancel:
@@ -137,18 +137,18 @@
 }
 
 // refused lets some clients retry.
-func (r *recorder) refused(a Action) {
+func (r *recorder) handleReject(a Action) {
 	p := r.requests[a.ID]
 	p.answered = true
 	if r.rng.IntN(3) > 0 || p.ClientRetry {
 		return
 	}
 	r.after(max(a.Wait, 30*ms), func() {
-		again := p.recordedRequest
-		again.ID += "b"
-		again.ClientRetry, again.Incomplete = true, false
-		again.Timeout = max(int64(50*ms), again.Timeout-int64(a.Wait)-int64(100*ms))
-		r.request(again)
+		retry := p.recordedRequest
+		retry.ID += "b"
+		retry.ClientRetry, retry.Incomplete = true, false
+		retry.Timeout = max(int64(50*ms), retry.Timeout-int64(a.Wait)-int64(100*ms))
+		r.request(retry)
 	})
 }
 
@@ -166,14 +166,14 @@
 	p, s := r.requests[a.ID], r.server(a.Server)
 	n := len(p.attempts)
 	p.attempts = append(p.attempts, false)
-	s.busy++
-	code, latency := r.answer(s)
+	s.inFlight++
+	code, latency := r.drawOutcome(s)
 	if p.completeAt > r.now {
 		latency += p.completeAt - r.now
 	}
-	until := a.AttemptDeadline - r.clockOffset(process)
-	if r.now+latency > until && p.completeAt <= r.now {
-		code, latency = TimedOut, max(0, until-r.now)
+	deadline := a.AttemptDeadline - r.clockOffset(process)
+	if r.now+latency > deadline && p.completeAt <= r.now {
+		code, latency = TimedOut, max(0, deadline-r.now)
 	}
 	latency = latency.Truncate(recorderStep)
 	o := recordedOutcome{Server: a.Server, Attempt: n, Code: uint8(code), Latency: int64(latency), RequestEnded: code == OK,
@@ -189,7 +189,7 @@
 		if code == OK {
 			o.LoadReport = r.report(s, latency)
 		}
-		s.busy--
+		s.inFlight--
 		r.outcome(process, a.ID, o)
 	})
 }
@@ -210,23 +210,23 @@
 }
 
 // answer is how a server ends an attempt, and after which time.
-func (r *recorder) answer(s *simulatedServer) (Code, time.Duration) {
-	load := float64(s.busy+s.otherNodesBusy) / float64(s.cores)
-	latency := float64(s.base) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) * max(1, s.slow) / r.warmFraction(s)
+func (r *recorder) drawOutcome(s *simulatedServer) (Code, time.Duration) {
+	load := float64(s.inFlight+s.otherNodesInFlight) / float64(s.cores)
+	latency := float64(s.baseLatency) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) * max(1, s.latencyFactor) / r.warmFraction(s)
 	if r.rng.IntN(200) == 0 {
 		return NotAttempted, ms
 	}
 	fault := s.fault
 	if fault == mixed {
-		fault = []recorderFault{failing, full, resetting, unreachable, hanging, failingLate}[r.rng.IntN(6)]
+		fault = []recorderFault{failing, overloaded, resetting, unreachable, hanging, failingLate}[r.rng.IntN(6)]
 	}
-	if fault != noFault && r.rng.Float64() < s.part {
+	if fault != noFault && r.rng.Float64() < s.faultRatio {
 		switch fault {
 		case failing:
 			return ServerError, 5 * ms
 		case failingLate:
 			return ServerError, 350 * ms
-		case full:
+		case overloaded:
 			return Overloaded, ms
 		case resetting:
 			return Reset, 2 * ms
@@ -261,8 +261,8 @@
 	if r.rng.IntN(60) == 0 { // an idle server
 		return make([]float64, len(r.settings.ReportFields))
 	}
-	util := min(1.4, float64(s.busy+s.otherNodesBusy)/float64(s.cores))
-	rate := util * float64(s.cores) / (s.base.Seconds() * max(1, s.slow)) * r.warmFraction(s)
+	util := min(1.4, float64(s.inFlight+s.otherNodesInFlight)/float64(s.cores))
+	rate := util * float64(s.cores) / (s.baseLatency.Seconds() * max(1, s.latencyFactor)) * r.warmFraction(s)
 	row := []float64{float64(latency.Microseconds()) / 1000, float64(int(util*1000)) / 1000, float64(int(rate*10)) / 10}
 	return append(row, make([]float64, len(r.settings.ReportFields)-3)...)
 }
@@ -297,9 +297,9 @@
 	r.list(r.serving, ListUpdate, changed...)
 }
 
-func drains(s *simulatedServer)  { s.Availability = uint8(Draining) }
-func removes(s *simulatedServer) { s.Availability = uint8(Removed) }
-func returns(s *simulatedServer) { s.Availability = uint8(Running) }
+func setDraining(s *simulatedServer) { s.Availability = uint8(Draining) }
+func setRemoved(s *simulatedServer)  { s.Availability = uint8(Removed) }
+func setRunning(s *simulatedServer)  { s.Availability = uint8(Running) }
 
 // restart lets servers start again, with their warm-up before them.
 func (r *recorder) restart(ids ...string) {
@@ -309,29 +309,29 @@
 }
 
 // setFault lets the servers for which the predicate holds fail in a part of their attempts.
-func (r *recorder) setFault(fault recorderFault, part float64, which func(s *simulatedServer) bool) {
+func (r *recorder) setFault(fault recorderFault, ratio float64, which func(s *simulatedServer) bool) {
 	for _, s := range r.servers {
 		if which(s) {
-			s.fault, s.part = fault, part
+			s.fault, s.faultRatio = fault, ratio
 		}
 	}
 }
 
-func (r *recorder) setSlowdown(times float64, which func(s *simulatedServer) bool) {
+func (r *recorder) setSlowdown(factor float64, which func(s *simulatedServer) bool) {
 	for _, s := range r.servers {
 		if which(s) {
-			s.slow = times
+			s.latencyFactor = factor
 		}
 	}
 }
 
-func every(*simulatedServer) bool { return true }
+func allServers(*simulatedServer) bool { return true }
 
 func inZone(zone string) func(s *simulatedServer) bool {
 	return func(s *simulatedServer) bool { return s.Zone == zone }
 }
 
-func named(ids ...string) func(s *simulatedServer) bool {
+func withIDs(ids ...string) func(s *simulatedServer) bool {
 	return func(s *simulatedServer) bool { return slices.Contains(ids, s.ID) }
 }
 
@@ -390,11 +390,11 @@
 	if r.rng.IntN(100) == 0 {
 		r.call(process, recordedEvent{Request: &q}) // twice
 	}
-	leaves := time.Duration(q.Timeout)
+	cancelAfter := time.Duration(q.Timeout)
 	if r.rng.IntN(20) == 0 {
-		leaves = time.Duration(r.rng.IntN(30)) * ms
+		cancelAfter = time.Duration(r.rng.IntN(30)) * ms
 	}
-	r.after(leaves, func() {
+	r.after(cancelAfter, func() {
 		if !p.answered {
 			p.answered = true
 			r.call(process, recordedEvent{ClientCancelled: q.ID})
@@ -530,7 +530,7 @@
 func scenarioServers(n, cores int, base time.Duration, zones ...string) (all []*simulatedServer) {
 	for i := range n {
 		zone := zones[i%len(zones)]
-		all = append(all, &simulatedServer{cores: cores, base: base, recordedEndpoint: recordedEndpoint{
+		all = append(all, &simulatedServer{cores: cores, baseLatency: base, recordedEndpoint: recordedEndpoint{
 			ID: fmt.Sprintf("%s%02d", zone, i/len(zones)), Zone: zone, Kind: fmt.Sprint("k", i/2%2), Cell: int64(i % 3), Weight: 1}})
 	}
 	return all
@@ -608,15 +608,15 @@
 	add(scenario{name: "few nodes without room", settings: scenarioSettings(3), servers: scenarioServers(4, 2, 60*ms, "a", "b"),
 		duration: 7 * second, meanInterval: 12 * ms, burstStart: 2 * second, burstEnd: 4 * second, burstFactor: 3, incompleteOneIn: 30,
 		steps: []scenarioStep{
-			at(3*second, func(r *recorder) { r.setSlowdown(4, every) }),
-			at(5*second, func(r *recorder) { r.setSlowdown(1, every) }),
+			at(3*second, func(r *recorder) { r.setSlowdown(4, allServers) }),
+			at(5*second, func(r *recorder) { r.setSlowdown(1, allServers) }),
 		}}, nil)
 
 	add(scenario{name: "many nodes without reports", settings: scenarioSettings(60), servers: scenarioServers(12, 2, 50*ms, "a", "b"),
 		duration: 12 * second, meanInterval: 15 * ms, burstStart: 4 * second, burstEnd: 7 * second, burstFactor: 3,
 		steps: []scenarioStep{
-			at(5*second, func(r *recorder) { r.setFault(full, 0.6, every) }),
-			at(8*second, func(r *recorder) { r.setFault(mixed, 0.1, every) }),
+			at(5*second, func(r *recorder) { r.setFault(overloaded, 0.6, allServers) }),
+			at(8*second, func(r *recorder) { r.setFault(mixed, 0.1, allServers) }),
 		}}, nil)
 
 	add(scenario{name: "many nodes with reports", settings: scenarioSettings(60), servers: scenarioServers(12, 4, 40*ms, "a", "b"),
@@ -624,17 +624,17 @@
 		steps: []scenarioStep{
 			at(2*second, func(r *recorder) {
 				for _, s := range r.servers {
-					s.otherNodesBusy = 1 + r.rng.IntN(4)
+					s.otherNodesInFlight = 1 + r.rng.IntN(4)
 				}
 			}),
 			at(4*second, func(r *recorder) {
-				r.setSlowdown(6, named("a00", "b01"))
-				r.server("a00").otherNodesBusy, r.server("b01").otherNodesBusy = 4, 4
+				r.setSlowdown(6, withIDs("a00", "b01"))
+				r.server("a00").otherNodesInFlight, r.server("b01").otherNodesInFlight = 4, 4
 			}),
 			at(6*second, func(r *recorder) { r.restart("a02", "b03", "a04") }),
-			at(7*second, func(r *recorder) { r.setFault(mixed, 0.5, named("a03", "b02")) }),
-			at(9*second, func(r *recorder) { r.setSlowdown(1, every) }),
-			at(10*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(7*second, func(r *recorder) { r.setFault(mixed, 0.5, withIDs("a03", "b02")) }),
+			at(9*second, func(r *recorder) { r.setSlowdown(1, allServers) }),
+			at(10*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 		}}, func(s *recordedSettings) { s.ReportFields = recordedReportFields })
 
 	add(scenario{name: "reports without worth", settings: scenarioSettings(9), servers: scenarioServers(5, 2, 50*ms, "a"),
@@ -648,8 +648,8 @@
 	add(scenario{name: "packing and placement", settings: scenarioSettings(4), servers: scenarioServers(12, 3, 30*ms, "a", "b", "c"),
 		duration: 6 * second, meanInterval: 10 * ms, incompleteOneIn: 15,
 		steps: []scenarioStep{
-			at(2*second, func(r *recorder) { r.change(drains, "a00", "b01") }),
-			at(2500*ms, func(r *recorder) { r.change(returns, "a00", "b01") }),
+			at(2*second, func(r *recorder) { r.change(setDraining, "a00", "b01") }),
+			at(2500*ms, func(r *recorder) { r.change(setRunning, "a00", "b01") }),
 			at(3*second, func(r *recorder) {
 				r.configure(func(s *recordedSettings) {
 					s.Classes[0].Zones = nil
@@ -672,16 +672,16 @@
 		start:   func(r *recorder) { r.call(0, recordedEvent{List: &recordedList{Kind: uint8(ListCached)}}) },
 		steps: []scenarioStep{
 			at(second, func(r *recorder) { r.list(0, ListReplace) }),
-			at(2*second, func(r *recorder) { r.change(removes, "a00", "a01", "a02") }),
-			at(2500*ms, func(r *recorder) { r.change(returns, "a01") }),
+			at(2*second, func(r *recorder) { r.change(setRemoved, "a00", "a01", "a02") }),
+			at(2500*ms, func(r *recorder) { r.change(setRunning, "a01") }),
 		}}, func(s *recordedSettings) { s.Cancel, s.MaxAttempts = false, 0 })
 
 	add(scenario{name: "retries within a budget", settings: scenarioSettings(2), servers: scenarioServers(8, 4, 25*ms, "a", "b"),
 		duration: 9 * second, meanInterval: 10 * ms, incompleteOneIn: 20,
 		steps: []scenarioStep{
-			at(second, func(r *recorder) { r.setFault(mixed, 0.3, every) }),
-			at(5*second, func(r *recorder) { r.setFault(resetting, 0.5, every) }),
-			at(7*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(second, func(r *recorder) { r.setFault(mixed, 0.3, allServers) }),
+			at(5*second, func(r *recorder) { r.setFault(resetting, 0.5, allServers) }),
+			at(7*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 		}}, func(s *recordedSettings) {
 		s.RetryBudget = &recordedRetryBudget{MinRetries: 3, RetryRatio: 0.1, Window: int64(4 * second)}
 		for i := range s.Classes {
@@ -692,23 +692,23 @@
 	add(scenario{name: "ejection and probation", settings: scenarioSettings(2), servers: scenarioServers(8, 4, 25*ms, "a"),
 		duration: 16 * second, meanInterval: 14 * ms,
 		steps: []scenarioStep{
-			at(second, func(r *recorder) { r.setFault(failing, 1, named("a00")) }),
-			at(1500*ms, func(r *recorder) { r.setFault(hanging, 1, named("a03")) }),
-			at(2*second, func(r *recorder) { r.setFault(full, 0.8, named("a05")) }),
-			at(5*second, func(r *recorder) { r.change(drains, "a03") }),
-			at(6*second, func(r *recorder) { r.setFault(failing, 0.5, named("a00")) }),
-			at(7*second, func(r *recorder) { r.change(returns, "a03") }),
-			at(8*second, func(r *recorder) { r.setFault(noFault, 0, named("a00", "a03")) }),
-			at(9*second, func(r *recorder) { r.change(removes, "a05") }),
-			at(10*second, func(r *recorder) { r.setFault(unreachable, 1, named("a01", "a02", "a04", "a06")) }),
-			at(12*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(second, func(r *recorder) { r.setFault(failing, 1, withIDs("a00")) }),
+			at(1500*ms, func(r *recorder) { r.setFault(hanging, 1, withIDs("a03")) }),
+			at(2*second, func(r *recorder) { r.setFault(overloaded, 0.8, withIDs("a05")) }),
+			at(5*second, func(r *recorder) { r.change(setDraining, "a03") }),
+			at(6*second, func(r *recorder) { r.setFault(failing, 0.5, withIDs("a00")) }),
+			at(7*second, func(r *recorder) { r.change(setRunning, "a03") }),
+			at(8*second, func(r *recorder) { r.setFault(noFault, 0, withIDs("a00", "a03")) }),
+			at(9*second, func(r *recorder) { r.change(setRemoved, "a05") }),
+			at(10*second, func(r *recorder) { r.setFault(unreachable, 1, withIDs("a01", "a02", "a04", "a06")) }),
+			at(12*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 		}}, func(s *recordedSettings) { s.Classes[1].Kinds = []string{"k0"} })
 
 	add(scenario{name: "warming servers", settings: scenarioSettings(2), servers: scenarioServers(9, 4, 30*ms, "a"),
 		duration: 12 * second, meanInterval: 9 * ms, burstStart: 5 * second, burstEnd: 7 * second, burstFactor: 3,
 		steps: []scenarioStep{
 			at(2*second, func(r *recorder) { r.restart("a01", "a04", "a07") }),
-			at(4*second, func(r *recorder) { r.change(removes, "a00", "a02") }),
+			at(4*second, func(r *recorder) { r.change(setRemoved, "a00", "a02") }),
 			at(6*second, func(r *recorder) { r.restart("a00") }),
 		}}, nil)
 
@@ -717,10 +717,10 @@
 			servers: scenarioServers(15, 6, 25*ms, "a", "b", "c"), duration: 30 * second, meanInterval: 26 * ms,
 			steps: []scenarioStep{
 				at(2*second, func(r *recorder) { r.setFault(fault, 0.8, inZone("a")) }),
-				at(9*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+				at(9*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 				at(20*second, func(r *recorder) { r.setSlowdown(8, inZone("b")) }),
 				at(22*second, func(r *recorder) { r.setFault(fault, 1, inZone("a")) }),
-				at(25*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+				at(25*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 			}}, func(s *recordedSettings) {
 			s.Topology = scenarioTopology()
 			if i == 1 {
@@ -733,10 +733,10 @@
 		duration: 40 * second, meanInterval: 32 * ms,
 		steps: []scenarioStep{
 			at(second, func(r *recorder) { r.setFault(unreachable, 1, inZone("a")) }),
-			at(5*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(5*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 			at(9*second, func(r *recorder) { r.setFault(unreachable, 0.3, inZone("a")) }),
 			at(11*second, func(r *recorder) { r.setFault(unreachable, 1, inZone("a")) }),
-			at(14*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(14*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 		}}, func(s *recordedSettings) { s.Topology = scenarioTopology() })
 
 	add(scenario{name: "endpoint lists", settings: scenarioSettings(5), servers: scenarioServers(12, 4, 25*ms, "a", "b"),
@@ -745,12 +745,12 @@
 			at(second, func(r *recorder) { r.list(0, ListUnavailable) }),
 			at(1100*ms, func(r *recorder) { r.list(0, ListUnavailable) }),
 			at(2*second, func(r *recorder) { r.list(0, ListReplace) }),
-			at(3*second, func(r *recorder) { r.change(removes, "a00", "a01", "a02", "a03", "a04") }),
-			at(3500*ms, func(r *recorder) { r.change(returns, "a01", "a02") }),
-			at(6*second, func(r *recorder) { r.change(returns, "a00", "a03", "a04") }),
+			at(3*second, func(r *recorder) { r.change(setRemoved, "a00", "a01", "a02", "a03", "a04") }),
+			at(3500*ms, func(r *recorder) { r.change(setRunning, "a01", "a02") }),
+			at(6*second, func(r *recorder) { r.change(setRunning, "a00", "a03", "a04") }),
 			at(8*second, func(r *recorder) {
-				r.change(drains, "b00")
-				r.change(removes, "b00")
+				r.change(setDraining, "b00")
+				r.change(setRemoved, "b00")
 				r.change(func(s *simulatedServer) { s.Zone, s.Kind = "b", "k2" }, "a05")
 			}),
 			at(9*second, func(r *recorder) {
@@ -803,9 +803,9 @@
 			}),
 		}}, nil)
 
-	fleet := func(when time.Duration, heard, near int) scenarioStep {
+	fleet := func(when time.Duration, reachable, reachableInZone int) scenarioStep {
 		return at(when, func(r *recorder) {
-			r.call(0, recordedEvent{FleetSize: &recordedFleetSize{ReachableNodes: heard, ReachableInZone: near}})
+			r.call(0, recordedEvent{FleetSize: &recordedFleetSize{ReachableNodes: reachable, ReachableInZone: reachableInZone}})
 		})
 	}
 	add(scenario{name: "fleet sizes", settings: scenarioSettings(7), servers: scenarioServers(6, 4, 30*ms, "a", "b"),
@@ -827,7 +827,7 @@
 		add(scenario{name: fmt.Sprint("replacement ", i), settings: scenarioSettings([]int{2, 20}[i]),
 			servers: scenarioServers(9, 3, 40*ms, "a", "b"), duration: 12 * second, meanInterval: 11 * ms, incompleteOneIn: 25,
 			steps: []scenarioStep{
-				at(second, func(r *recorder) { r.setFault(mixed, 0.25, named("a01", "b01")) }),
+				at(second, func(r *recorder) { r.setFault(mixed, 0.25, withIDs("a01", "b01")) }),
 				at(2*second, func(r *recorder) { r.restart("a02", "b02") }),
 				at(3*second, handOver(true, false)), at(3500*ms, handOver(false, false)),
 				at(4*second, handOver(true, false)), at(4500*ms, handOver(false, true)),
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -3,65 +3,67 @@
 import "time"
 
 const (
-	// warmupMargin is the part of the overload bound that all nodes together aim at. The rest absorbs requests
-	// that arrive together by chance, heavy requests, and differences between servers.
-	warmupMargin = 0.7
-	// minOverloadMargin is the least part of a server's present capacity that the overload bound counts for.
+	// warmupTargetFraction is the fraction of the overload bound that all nodes together send. The rest absorbs
+	// requests that arrive together by chance, expensive requests, and differences between servers.
+	warmupTargetFraction = 0.7
+	// minOverloadMargin is the minimum of the overload bound, as a multiple of a server's current capacity.
 	minOverloadMargin = 0.5
-	// minWarmupRate is what all nodes together send a server that is warming up while nothing is known of the
-	// capacity of others, in requests a second.
+	// minWarmupRate is the rate at which all nodes together may send to a server that is warming up, in requests
+	// per second, while the capacity of other servers is unknown.
 	minWarmupRate = 1.0
-	// warmupBurstDivisor bounds a burst: that part of what the budget allows within the overload duration.
+	// warmupBurstDivisor divides the requests that the budget allows within the overload duration into the
+	// maximum burst.
 	warmupBurstDivisor = 4
-	// maxWarmingUpScanned bounds how many servers that are warming up a choice looks at before its walk, and so
-	// the cost of a choice while many start together.
+	// maxWarmingUpScanned is the maximum number of servers that pickWarmingUp examines. It bounds the cost of
+	// choosing a server while many servers start together.
 	maxWarmingUpScanned = 16
-	// maxShortageForSlowStart is the shortage of the highest-priority class up to which its requests avoid
+	// maxShortageForSlowStart is the shortage of the highest-priority class below which its requests avoid
 	// servers that are warming up.
 	maxShortageForSlowStart = 0.05
 )
 
-// slowStart bounds what servers get while they warm up after their start. It owns the counts of the servers
-// that have warmed up and the queue of those that haven't.
+// slowStart limits the requests to servers that warm up after their start. It holds the counts of servers
+// that have warmed up and the queue of servers that are warming up.
 type slowStart struct {
-	minCapacity float64       // part of its capacity that a server has when it starts
-	duration    time.Duration // in which it reaches its whole capacity
+	minCapacity float64       // fraction of its capacity that a server has when it starts
+	duration    time.Duration // from a server's start until it has its full capacity
 
 	warmedUp            int               // servers in service that have warmed up
-	warmedUpUnmonitored serversByDistance // those of them in zones that aren't monitored
-	queue               serverQueue       // the other servers in service, by when they will have warmed up
+	warmedUpUnmonitored serversByDistance // servers of warmedUp whose zones aren't monitored
+	queue               serverQueue       // servers in service that are warming up, by the time when they finish
 }
 
-// serversByDistance counts servers by whether crossing to them costs nothing.
+// serversByDistance counts servers without (near) and with a crossing cost (far).
 type serversByDistance struct{ near, far int }
 
-// warmupContribution is what a server in service adds to the counts of slowStart.
+// warmupContribution is the part of slowStart's counts and queue that comes from one server.
 type warmupContribution struct {
-	zone     *zoneHealth // under which it counts
-	warmedUp bool
-	queued   bool
+	zone     *zoneHealth // that counts the server
+	warmedUp bool        // whether the server is counted as warmed up
+	queued   bool        // whether the server is in the queue
 }
 
-// warmupBudget is a token bucket in fractions of a request. It fills at the rate at which this node may
-// send to a server that is warming up.
+// warmupBudget is a token bucket of requests, which may hold fractions of a request. It fills at the rate at
+// which this node may send to a server that is warming up.
 type warmupBudget struct {
 	tokens     float64
 	refilledAt Time
 }
 
-// refill adds the tokens of the time since the last refill, up to maxTokens, and reports whether a request
-// may be sent. The rate is in requests a second.
+// refill adds the tokens for the time since the last refill, up to maxTokens, and reports whether a request
+// may be sent. The rate is in requests per second.
 func (w *warmupBudget) refill(now Time, rate, maxTokens float64) bool {
 	w.tokens, w.refilledAt = min(maxTokens, w.tokens+rate*(now-w.refilledAt).Seconds()), now
 	return w.tokens >= 1
 }
 
-// configure sets the figures of the site's rules.
+// configure applies the rules.
 func (w *slowStart) configure(rules *Rules) {
 	w.minCapacity, w.duration = rules.SlowStartMinCapacity, rules.SlowStartDuration
 }
 
-// warmFraction is the part of its capacity that a server has reached at least; 1 once it has warmed up.
+// warmFraction returns the fraction of its capacity that a server has reached at least, 1 once it has warmed
+// up.
 func (w *slowStart) warmFraction(s *server, now Time) float64 {
 	age := now - s.StartedAt
 	if s.StartedAt <= 0 || age >= w.duration {
@@ -70,7 +72,7 @@
 	return w.minCapacity + (1-w.minCapacity)*max(0, age.Seconds())/w.duration.Seconds()
 }
 
-// reset empties the counts of servers.
+// reset clears the counts and the queue.
 func (w *slowStart) reset(zones []*zoneHealth) {
 	w.warmedUp, w.warmedUpUnmonitored, w.queue = 0, serversByDistance{}, nil
 	for _, z := range zones {
@@ -78,13 +80,13 @@
 	}
 }
 
-// add counts a server that has come into service.
+// add counts or queues a server that enters service.
 func (w *slowStart) add(s *server, now Time) {
 	s.contribution.warmup.zone = s.zone
 	w.count(s, now)
 }
 
-// remove takes a server off the counts that has left service. Its entry in the queue is ignored later.
+// remove stops counting a server that has left service. If it is queued, promote ignores its entry later.
 func (w *slowStart) remove(s *server) {
 	if s.contribution.warmup.warmedUp {
 		s.contribution.warmup.warmedUp = false
@@ -92,7 +94,7 @@
 	}
 }
 
-// count counts a server in service if it has warmed up, and queues it otherwise.
+// count counts a server in service if it has warmed up, and queues it if it hasn't.
 func (w *slowStart) count(s *server, now Time) {
 	c := &s.contribution.warmup
 	switch {
@@ -106,7 +108,7 @@
 	}
 }
 
-// addWarmedUp changes the counts that a server of a zone belongs to.
+// addWarmedUp adds change to the counts that include a server of the zone.
 func (w *slowStart) addWarmedUp(zone *zoneHealth, change int) {
 	w.warmedUp += change
 	switch {
@@ -128,7 +130,7 @@
 	}
 }
 
-// outsideEvacuated counts the warmed-up servers in service whose zones aren't evacuated.
+// outsideEvacuated returns the number of warmed-up servers in service whose zones aren't evacuated.
 func (w *slowStart) outsideEvacuated(zones []*zoneHealth, now Time) serversByDistance {
 	w.promote(now)
 	servers := w.warmedUpUnmonitored
@@ -144,31 +146,32 @@
 	return servers
 }
 
-// warmedUpServers counts the servers in service that have warmed up by now.
+// warmedUpServers returns the number of servers in service that have warmed up by now.
 func (w *slowStart) warmedUpServers(now Time) int {
 	w.promote(now)
 	return w.warmedUp
 }
 
-// warmFraction is the part of its capacity that a server has reached by now.
+// warmFraction returns the fraction of its capacity that a server has reached by now.
 func (b *Balancer) warmFraction(s *server) float64 { return b.slowStart.warmFraction(s, b.now) }
 
-// serverPeakRate is the most requests a second that one warmed-up server lately completed for this node.
+// serverPeakRate returns the recent peak rate, in requests per second, at which one warmed-up server
+// completed requests of this node.
 func (b *Balancer) serverPeakRate() float64 {
 	return b.completions.serverPeak(b.now, b.slowStart.warmedUpServers(b.now))
 }
 
-// isLimitedByWarmup reports whether the warm-up budget alone paces what a server gets, and not the node's
-// window.
+// isLimitedByWarmup reports whether the warm-up budget alone limits the requests to the server, and not the
+// node's concurrency window.
 func (b *Balancer) isLimitedByWarmup(s *server) bool {
 	return b.usesLoadReports() && b.warmFraction(s) < 1
 }
 
-// refillWarmupBudget refills the budget of a server that is warming up, and reports whether the server may
-// get a request as far as its warm-up goes; always once it has warmed up. What a warmed-up server completes
-// for this node is, summed over the nodes, what one can take; a server that is warming up gets the part of
-// that which it has reached, below the multiple at which the site's rules say that it becomes overloaded.
-// Where load is reported, the service rate of its kind counts instead.
+// refillWarmupBudget refills the budget of a server that is warming up, and reports whether the budget
+// permits a request. A server that has warmed up always gets requests. The rate at which a warmed-up server
+// completes requests, summed over all nodes, is what one server can serve. A server that is warming up gets
+// its warm fraction of that rate, multiplied by less than the overload multiple of the rules. Where limits
+// are based on load reports, the service rate of its kind replaces the completion rate.
 func (b *Balancer) refillWarmupBudget(s *server) bool {
 	fraction := b.warmFraction(s)
 	if fraction >= 1 || b.handedOver {
@@ -181,18 +184,19 @@
 		fraction = max(fraction, min(1, targetUtilization*s.reportedRate/kind.rate))
 	}
 	perServerRate = max(perServerRate, minWarmupRate/nodes)
-	rate := warmupMargin * max(minOverloadMargin, rules.OverloadMultiple-1) * fraction * perServerRate
+	rate := warmupTargetFraction * max(minOverloadMargin, rules.OverloadMultiple-1) * fraction * perServerRate
 	if b.usesLoadReports() {
-		rate = warmupMargin * fraction * perServerRate * s.concurrencyLimit // less while it is overloaded or slow
+		// concurrencyLimit is lower while the server is overloaded or slow
+		rate = warmupTargetFraction * fraction * perServerRate * s.concurrencyLimit
 	}
 	maxTokens := max(1, rate*rules.OverloadDuration.Seconds()/warmupBurstDivisor)
 	return s.warmupBudget.refill(b.now, rate, maxTokens)
 }
 
-// pickWarmingUp returns a server of the nearest segment that is warming up and may get a request now, or
-// nil. Without this, servers with capacity that stand earlier in the walk would take its part, and it would
-// be missed when they fail. Retries and, unless it is short of capacity, the highest-priority class keep to
-// servers that have warmed up.
+// pickWarmingUp returns a server of the nearest segment that is warming up and may get a request now, or nil.
+// Without it, servers with capacity that come earlier in packing order would take all requests, and the
+// server would not have warmed up when they fail. Retries avoid servers that are warming up, and so does the
+// highest-priority class unless it is short of capacity.
 func (b *Balancer) pickWarmingUp(r *request) (best *server) {
 	avoidsWarmingUp := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
 		b.loadShedder.highPriorityShortage < maxShortageForSlowStart
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -75,7 +75,7 @@
 	return f
 }
 
-func (f *slowStartFleet) list() (all []Endpoint) {
+func (f *slowStartFleet) endpoints() (all []Endpoint) {
 	for i := range len(f.servers) {
 		all = append(all, f.servers[fmt.Sprintf("s%02d", i)].Endpoint)
 	}
@@ -87,29 +87,29 @@
 	set.NodeIndex = n % set.NodeCount
 	f.nodes[n], _ = New(set, f.now, f.rng.Uint64())
 	f.generation[n]++
-	f.event(n, EndpointList{Kind: ListCached, Endpoints: f.list()})
+	f.handle(n, EndpointList{Kind: ListCached, Endpoints: f.endpoints()})
 	if f.reachable > 0 {
-		f.event(n, FleetSize{ReachableNodes: f.reachable})
+		f.handle(n, FleetSize{ReachableNodes: f.reachable})
 	}
 }
 
-func (f *slowStartFleet) event(n int, ev Event) {
+func (f *slowStartFleet) handle(n int, ev Event) {
 	for _, a := range append([]Action(nil), f.nodes[n].Handle(f.now, ev)...) {
 		switch a.Kind {
 		case Send:
 			f.send(n, a)
 		case SetTimer:
-			f.toNode(n, a.Wait, Timer{Token: a.Token})
+			f.handleLater(n, a.Wait, Timer{Token: a.Token})
 		}
 	}
 }
 
 // toNode hands an event to a node later, if the same process of it still runs then.
-func (f *slowStartFleet) toNode(n int, wait time.Duration, ev Event) {
+func (f *slowStartFleet) handleLater(n int, wait time.Duration, ev Event) {
 	generation := f.generation[n]
 	f.after(wait, func() {
 		if f.generation[n] == generation {
-			f.event(n, ev)
+			f.handle(n, ev)
 		}
 	})
 }
@@ -125,8 +125,8 @@
 
 func (f *slowStartFleet) send(n int, a Action) {
 	s := f.servers[a.Server]
-	part := f.capacityFraction(s, f.now)
-	if part < 1 {
+	fraction := f.capacityFraction(s, f.now)
+	if fraction < 1 {
 		s.sentWhileWarmingUp = append(s.sentWhileWarmingUp, f.now)
 	}
 	core := 0
@@ -135,7 +135,7 @@
 			core = i
 		}
 	}
-	work := f.rng.ExpFloat64() * float64(len(s.coresFreeAt)) / (s.capacity * part)
+	work := f.rng.ExpFloat64() * float64(len(s.coresFreeAt)) / (s.capacity * fraction)
 	s.coresFreeAt[core] = max(s.coresFreeAt[core], f.now) + seconds(work)
 	latency, code := s.coresFreeAt[core]-f.now, OK
 	if until := a.AttemptDeadline - f.now; latency > until {
@@ -143,8 +143,8 @@
 	} else {
 		f.served++
 	}
-	row := report(latency.Seconds()*1000, 0.9, s.capacity*part*0.9)
-	f.toNode(n, latency, Outcome{ID: a.ID, Attempt: len(f.nodes[n].requests[a.ID].attempts) - 1, Server: a.Server, Code: code,
+	row := report(latency.Seconds()*1000, 0.9, s.capacity*fraction*0.9)
+	f.handleLater(n, latency, Outcome{ID: a.ID, Attempt: len(f.nodes[n].requests[a.ID].attempts) - 1, Server: a.Server, Code: code,
 		Latency: latency, RequestEnded: code == OK, LoadReport: row})
 }
 
@@ -157,7 +157,7 @@
 			return
 		}
 		f.requests++
-		f.event(f.rng.IntN(len(f.nodes)), Request{ID: fmt.Sprint("r", f.requests), Class: "free", Tenant: "t",
+		f.handle(f.rng.IntN(len(f.nodes)), Request{ID: fmt.Sprint("r", f.requests), Class: "free", Tenant: "t",
 			Timeout: 2 * time.Second})
 		f.after(seconds(f.rng.ExpFloat64()/rate), next)
 	}
@@ -183,7 +183,7 @@
 		changed = append(changed, f.servers[id].Endpoint)
 	}
 	for n := range f.nodes {
-		f.toNode(n, time.Duration(f.rng.IntN(300))*ms, EndpointList{Kind: ListUpdate, Endpoints: changed})
+		f.handleLater(n, time.Duration(f.rng.IntN(300))*ms, EndpointList{Kind: ListUpdate, Endpoints: changed})
 	}
 }
 
@@ -258,11 +258,11 @@
 				t.Parallel()
 				lowest, worst, sent := math.Inf(1), 0.0, 0
 				for seed := range uint64(10) {
-					part, warmingUp := c.simulate(seed, reports).worstOverload()
-					if part > 1 {
-						t.Errorf("seed %d: %.2f times the bound is sent to a server", seed, part)
+					ratio, warmingUp := c.simulate(seed, reports).worstOverload()
+					if ratio > 1 {
+						t.Errorf("seed %d: %.2f times the bound is sent to a server", seed, ratio)
 					}
-					lowest, worst, sent = min(lowest, part), max(worst, part), sent+warmingUp
+					lowest, worst, sent = min(lowest, ratio), max(worst, ratio), sent+warmingUp
 				}
 				if sent == 0 {
 					t.Error("nothing was sent to servers that are warming up")
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// Snapshot is the state that a process of a node hands over to its successor, as JSON. Each process has a
-// clock of its own, so a time counts from the moment of the snapshot; 0 stands for never. The keys are
-// frozen: old and new processes read each other's.
+// Snapshot is the state that a process of a node hands over to its successor, as JSON. The processes have
+// different clocks, so times are relative to the time of the snapshot; 0 means never. The keys are frozen,
+// because processes of different versions read each other's snapshots.
 type Snapshot struct {
 	Buckets          []BucketSnapshot          `json:"Buckets"`
 	Classes          map[string]ClassSnapshot  `json:"Classes"` // by name
@@ -14,38 +14,38 @@
 	LoadByKind       map[string]LoadSnapshot   `json:"Kinds"`   // by kind of server
 	TypicalLoad      LoadSnapshot              `json:"Usual"`   // of all kinds
 	AcceptedAt       []Time                    `json:"Took"`    // requests that the retry budget counts
-	RetriesAt        []Time                    `json:"Extra"`   // retries that it counts
+	RetriesAt        []Time                    `json:"Extra"`   // retries that the retry budget counts
 	RateMultiplier   float64                   `json:"Pace"`
 	WindowScale      float64                   `json:"Trust"`
 	Utilization      float64                   `json:"Busy"` // of the servers' cores, 0 to 1
-	BadRatio         float64                   `json:"Bad"`  // part of the responses, 0 to 1
+	BadRatio         float64                   `json:"Bad"`  // fraction of the responses, 0 to 1
 	CompletionRate   float64                   `json:"Done"` // responses per second
 	ReportedAt       Time                      `json:"HeardAt"`
 	CompletionRateAt Time                      `json:"DoneAt"`
 }
 
-// BucketSnapshot is the part of a token bucket that the successor gets.
+// BucketSnapshot is the state of a token bucket with the successor's part of the tokens.
 type BucketSnapshot struct {
 	Tenant     string `json:"Tenant"`
-	Class      string `json:"Class"` // empty but for classes with a limit of their own
+	Class      string `json:"Class"` // empty unless the class has its own limit
 	Tokens     int64  `json:"Tokens"`
 	RefilledAt Time   `json:"Last"`
 }
 
-// ClassSnapshot is what was measured of a class.
+// ClassSnapshot holds the measurements of a class.
 type ClassSnapshot struct {
 	TailLatency     time.Duration `json:"Tail"`
 	FirstTryTimeout time.Duration `json:"FirstTry"`
 }
 
-// LoadSnapshot is what load reports say of a kind of server.
+// LoadSnapshot holds the averages of load reports of a kind of server.
 type LoadSnapshot struct {
 	Samples float64 `json:"N"`       // reports in the averages
 	Rate    float64 `json:"Rate"`    // attempts per second that a server can serve
 	Latency float64 `json:"Latency"` // seconds
 }
 
-// ServerSnapshot is what was measured of a server. Latencies are in seconds.
+// ServerSnapshot holds the state and measurements of a server. Latencies are in seconds.
 type ServerSnapshot struct {
 	StartedAt        Time    `json:"OnlineSince"`
 	ConcurrencyLimit float64 `json:"Threshold"`
@@ -53,7 +53,7 @@
 	ReportedLatency  float64 `json:"Reported"`
 	ReportedRate     float64 `json:"Rate"` // attempts per second
 	FailureScore     float64 `json:"Score"`
-	WarmupTokens     float64 `json:"ColdTokens"` // requests that it may get now while it warms up
+	WarmupTokens     float64 `json:"ColdTokens"` // tokens in the server's warm-up budget
 	LimitReached     bool    `json:"Felt"`
 	Ejected          bool    `json:"Out"`
 	Ejections        int     `json:"Times"` // in a row
@@ -65,11 +65,11 @@
 	WarmupRefilledAt Time    `json:"ColdAt"`
 }
 
-// startTimeTolerance is how far two processes may differ on when a server started: each rounds its own
-// clock.
+// startTimeTolerance is the maximum difference between a server's start times in two processes, each of which
+// rounds its own clock.
 const startTimeTolerance = 20 * time.Millisecond
 
-// snapshotClock turns times of this process's clock into those of a snapshot taken at now, and back.
+// snapshotClock converts times between this process's clock and a snapshot taken at now.
 type snapshotClock struct{ now Time }
 
 func (c snapshotClock) toSnapshot(t Time) Time {
@@ -97,10 +97,10 @@
 	return converted
 }
 
-// Snapshot returns the state that the successor of this process needs. Call it before the HandedOver event:
-// each takes half of the tokens, so after it a quarter of them would be lost. Not handed over are the health
-// of zones, the peak of the completion rate, the shortage of the highest priority, and requests: the
-// successor learns the former anew, and this process ends the latter.
+// Snapshot returns the state that the successor of this process needs. It must be called before the
+// HandedOver event. Both halve the tokens, so a quarter of them would be lost in the other order. The
+// snapshot lacks zone health, the peak of the completion rate and the shortage of the highest priority, which
+// the successor measures again, and the open requests, which this process finishes.
 func (b *Balancer) Snapshot(now Time) Snapshot {
 	b.now = max(now, b.now)
 	clock := snapshotClock{b.now}
@@ -131,7 +131,8 @@
 	return snapshot
 }
 
-// Restore takes over the state of another process of this node. The list of servers comes before it.
+// Restore applies the snapshot of another process of this node. It must be called after the list of servers
+// has been received.
 func (b *Balancer) Restore(now Time, snapshot Snapshot) {
 	b.now = max(now, b.now)
 	clock := snapshotClock{b.now}
@@ -159,10 +160,10 @@
 		}
 	}
 	b.rebuildOrder()
-	b.packing.stale = true // the next list sets the limits that the other process had not set yet
+	b.packing.stale = true // the next list sets the limits that the other process hadn't set yet
 }
 
-// snapshot returns the successor's half of the tokens of each bucket.
+// snapshot returns the state of each bucket with the successor's half of the tokens.
 func (l *rateLimiter) snapshot(clock snapshotClock) (buckets []BucketSnapshot) {
 	for key, bucket := range l.buckets.byKey {
 		buckets = append(buckets, BucketSnapshot{Tenant: key.tenant, Class: key.class,
@@ -207,7 +208,7 @@
 	}
 }
 
-// restore takes over what was measured of the server, unless it has started again since.
+// restore applies the state of the server, unless the server has restarted since the snapshot.
 func (s *server) restore(clock snapshotClock, known ServerSnapshot) {
 	if (s.StartedAt - clock.fromSnapshot(known.StartedAt)).Abs() > startTimeTolerance {
 		return
--- a/policy/validation.go
+++ b/policy/validation.go
@@ -6,20 +6,20 @@
 	"math"
 )
 
-// validate returns an error that names the first setting that makes no sense. Errors name settings as the
-// operators' configuration does.
+// validate returns an error for the first invalid setting. Errors name settings as the operators'
+// configuration does.
 func validate(set Settings) error {
 	if len(set.Classes) == 0 {
-		return errors.New("classes: there are none")
+		return errors.New("classes: want at least one class, got none")
 	}
 	if set.NodeCount < 1 || set.NodeIndex < 0 || set.NodeIndex >= set.NodeCount {
-		return fmt.Errorf("node %d: outside the group of %d", set.NodeIndex, set.NodeCount)
+		return fmt.Errorf("node %d: not in the group of %d nodes", set.NodeIndex, set.NodeCount)
 	}
 	if err := validateClasses(set.Classes); err != nil {
 		return err
 	}
 	for _, tenant := range set.Tenants {
-		err := firstError(notBelowZero("quota", tenant.Quota), notBelowZero("share", tenant.Share))
+		err := firstError(checkNonNegative("quota", tenant.Quota), checkNonNegative("share", tenant.Share))
 		if err != nil {
 			return fmt.Errorf("tenant %q: %w", tenant.Name, err)
 		}
@@ -52,25 +52,25 @@
 
 func validateClass(c Class) error {
 	if c.Deadline <= 0 {
-		return errors.New("deadline: missing or negative")
+		return fmt.Errorf("deadline: want more than 0, got %v", c.Deadline)
 	}
 	return firstError(
-		notBelowZero("aim", c.LatencyObjective.Seconds()),
-		notBelowZero("aim stretch", c.ObjectivePerWork),
-		notBelowZero("window", c.DedupWindow.Seconds()),
-		notBelowZero("late worth", c.LateWeight),
-		notBelowZero("worth", c.PriorityWeight))
+		checkNonNegative("aim", c.LatencyObjective.Seconds()),
+		checkNonNegative("aim stretch", c.ObjectivePerWork),
+		checkNonNegative("window", c.DedupWindow.Seconds()),
+		checkNonNegative("late worth", c.LateWeight),
+		checkNonNegative("worth", c.PriorityWeight))
 }
 
 func validateRules(rules Rules) error {
 	err := firstError(
-		notBelowZero("answer grace", rules.AnswerGrace.Seconds()),
-		notBelowZero("drain grace", rules.DrainGrace.Seconds()),
-		notBelowZero("cold share", rules.SlowStartMinCapacity),
-		notBelowZero("cold for", rules.SlowStartDuration.Seconds()),
-		notBelowZero("fall multiple", rules.OverloadMultiple),
-		notBelowZero("fall for", rules.OverloadDuration.Seconds()),
-		notBelowZero("ask within", rules.PollInterval.Seconds()))
+		checkNonNegative("answer grace", rules.AnswerGrace.Seconds()),
+		checkNonNegative("drain grace", rules.DrainGrace.Seconds()),
+		checkNonNegative("cold share", rules.SlowStartMinCapacity),
+		checkNonNegative("cold for", rules.SlowStartDuration.Seconds()),
+		checkNonNegative("fall multiple", rules.OverloadMultiple),
+		checkNonNegative("fall for", rules.OverloadDuration.Seconds()),
+		checkNonNegative("ask within", rules.PollInterval.Seconds()))
 	if err != nil {
 		return err
 	}
@@ -81,24 +81,24 @@
 		return nil
 	}
 	if rules.RetryBudget.Window <= 0 {
-		return errors.New("attempt budget: span: missing or negative")
+		return fmt.Errorf("attempt budget: span: want more than 0, got %v", rules.RetryBudget.Window)
 	}
 	return firstError(
-		notBelowZero("attempt budget: least", rules.RetryBudget.MinRetries),
-		notBelowZero("attempt budget: share", rules.RetryBudget.RetryRatio))
+		checkNonNegative("attempt budget: least", rules.RetryBudget.MinRetries),
+		checkNonNegative("attempt budget: share", rules.RetryBudget.RetryRatio))
 }
 
-// validateTopology rejects negative costs: they would make a far zone preferable to the own one.
+// validateTopology rejects negative costs, which would make a remote zone preferable to the node's own zone.
 func validateTopology(topology *Topology) error {
 	if topology == nil {
 		return nil
 	}
 	err := firstError(
-		notBelowZero("cost within a region", topology.SameRegionCost),
-		notBelowZero("cost between regions", topology.OtherRegionCost))
+		checkNonNegative("cost within a region", topology.SameRegionCost),
+		checkNonNegative("cost between regions", topology.OtherRegionCost))
 	for from, costs := range topology.ZoneCosts {
 		for to, cost := range costs {
-			err = firstError(err, notBelowZero(fmt.Sprintf("cost from %s to %s", from, to), cost))
+			err = firstError(err, checkNonNegative(fmt.Sprintf("cost from %s to %s", from, to), cost))
 		}
 	}
 	return err
@@ -106,15 +106,15 @@
 
 func validateAllowed(allowed Allowed) error {
 	return firstError(
-		notBelowZero("max attempts", float64(allowed.MaxAttempts)),
-		notBelowZero("max retry-after", allowed.MaxRetryAfter.Seconds()),
-		notBelowZero("connection idle time", allowed.IdleTimeout.Seconds()))
+		checkNonNegative("max attempts", float64(allowed.MaxAttempts)),
+		checkNonNegative("max retry-after", allowed.MaxRetryAfter.Seconds()),
+		checkNonNegative("connection idle time", allowed.IdleTimeout.Seconds()))
 }
 
-// notBelowZero returns an error that names the field if its value is negative, infinite or no number.
-func notBelowZero(field string, value float64) error {
+// checkNonNegative returns an error that names the field if its value is negative, infinite or NaN.
+func checkNonNegative(field string, value float64) error {
 	if value < 0 || math.IsNaN(value) || math.IsInf(value, 0) {
-		return fmt.Errorf("%s: want a figure of 0 or more, got %v", field, value)
+		return fmt.Errorf("%s: want a finite number of at least 0, got %v", field, value)
 	}
 	return nil
 }
--- a/policy/validation_test.go
+++ b/policy/validation_test.go
@@ -9,8 +9,8 @@
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	nan := math.NaN()
 	for _, c := range []struct {
-		names string // what the error must name
-		spoil func(*Settings)
+		wantInError string // what the error must name
+		modify      func(*Settings)
 	}{
 		{"classes", func(s *Settings) { s.Classes = nil }},
 		{"deadline", func(s *Settings) { s.Classes[0].Deadline = -1 }},
@@ -39,9 +39,9 @@
 		{"idle", func(s *Settings) { s.Allowed.IdleTimeout = -1 }},
 	} {
 		set := testSettings(2)
-		c.spoil(&set)
-		if _, err := New(set, 0, 1); err == nil || !strings.Contains(err.Error(), c.names) {
-			t.Errorf("got %v, want an error that names %q", err, c.names)
+		c.modify(&set)
+		if _, err := New(set, 0, 1); err == nil || !strings.Contains(err.Error(), c.wantInError) {
+			t.Errorf("got %v, want an error that names %q", err, c.wantInError)
 		}
 	}
 }
--- a/policy/zone_evidence.go
+++ b/policy/zone_evidence.go
@@ -5,50 +5,53 @@
 	"time"
 )
 
-// Each server gives evidence for or against its zone: a log likelihood ratio of failures there against
-// those that other zones have at the same time. It is bounded, so that no single server or kind of servers
-// suffices to evacuate a zone. zone_failover.go decides by it; docs/zones.md has the alternatives.
+// Each server gives evidence that its zone has failed or that it works: the log likelihood ratio of the
+// server's failures, compared with the failures of other zones at the same time. The evidence is bounded, so
+// that no single server or kind of servers suffices to evacuate a zone. zone_failover.go uses it to decide;
+// docs/zones.md describes the alternatives.
 
 const (
-	// baseFailureRatio is the part of failures that any zone may have.
+	// baseFailureRatio is the failure ratio of a healthy zone.
 	baseFailureRatio = 0.05
-	// excessFailureRatio is the additional part of failures in a zone that has failed.
+	// excessFailureRatio is added to the expected failure ratio in a zone that has failed.
 	excessFailureRatio = 0.3
-	// maxServerEvidence and maxContraryEvidence bound the evidence, in nats, that a server gives against its
-	// zone and for it.
+	// maxServerEvidence bounds the evidence, in nats, that one server gives that its zone has failed, and
+	// maxContraryEvidence the evidence that it works.
 	maxServerEvidence   = 4.0
 	maxContraryEvidence = 1.0
-	// evidenceTTL is how long evidence of a server counts that gives no more.
+	// evidenceTTL is how long a server's evidence counts after its last update.
 	evidenceTTL = 10 * time.Second
-	// evacuateEvidence is the evidence, in nats, at which a zone is evacuated: that of two servers at least.
+	// evacuateEvidence is the evidence, in nats, at which a zone is evacuated. It takes at least two servers.
 	evacuateEvidence = 2 * maxServerEvidence
-	// suspectEvidence is the evidence, in nats, at which a zone is suspect. One server can give as much.
+	// suspectEvidence is the evidence, in nats, at which a zone becomes suspect. One server can give it.
 	suspectEvidence = evacuateEvidence / 2
-	// exploreFraction is the part of a suspect zone's requests that goes to others.
+	// exploreFraction is the fraction of a suspect zone's requests that goes to other zones.
 	exploreFraction = 0.5
-	// minComparedResponses is how many responses of other zones count as enough for their failure ratio.
+	// minComparedResponses is the least divisor of the other zones' failure ratio: with fewer responses, their
+	// failures weigh less.
 	minComparedResponses = 4.0
-	// priorResponses is the weight, in responses, of the sought failure ratio against a zone's own responses.
+	// priorResponses is the weight, in responses, of the failure ratio expected in a failed zone when it is
+	// averaged with the zone's measured ratio.
 	priorResponses = 12.0
-	// betterZoneEvidence is the evidence, in nats, that other zones are better; it is required before a zone is
-	// evacuated.
+	// betterZoneEvidence is the evidence, in nats, that other zones are better. A zone that isn't recovering is
+	// evacuated only if there is as much.
 	betterZoneEvidence = 7.0
-	// slowResponseFactor is the multiple of the typical latency from which a response counts as a failure.
+	// slowResponseFactor is the multiple of the typical latency above which a response counts as a failure.
 	slowResponseFactor = 3.0
-	// typicalLoadGain is the weight of one response in the typical latency, after the first ones.
+	// typicalLoadGain is the weight of one response in the typical latency, once there are many responses.
 	typicalLoadGain = 0.005
-	// minTypicalSamples is how many responses a typical latency rests on before it is used.
+	// minTypicalSamples is the number of responses after which a typical latency is used.
 	minTypicalSamples = 10
 )
 
-// failureLevel is how far an outcome is evidence that the server's zone has failed, in multiples of that of a
-// plain failure.
+// failureLevel is the weight of an outcome as evidence that the server's zone has failed. A plain failure has
+// a weight of 1.
 type failureLevel float64
 
 const (
 	noFailure      failureLevel = 0
 	plainFailure   failureLevel = 1
-	connectFailure failureLevel = 2 // no connection came up, which hardly happens by chance
+	connectFailure failureLevel = 2 // no connection could be opened, which rarely happens by chance
 )
 
 // evidenceSum sums the evidence of several servers.
@@ -57,18 +60,18 @@
 	servers int
 }
 
-// evidenceContribution is what a server in service adds to the evidence of its zone.
+// evidenceContribution is the part of a zone's evidence that comes from one server in service.
 type evidenceContribution struct {
-	zone     *zoneHealth // against which it counts
-	kind     string      // of servers, under which it counts
+	zone     *zoneHealth // that counts the evidence
+	kind     string      // of server under which the zone counts the evidence
 	evidence fixedPoint
-	counted  bool // it is recent enough to count
-	queued   bool // for its expiry
+	counted  bool // whether the zone counts the evidence: it is recent enough
+	queued   bool // whether the server is in the queue for expiry
 }
 
-// failureLevel classifies an outcome. A response that is far slower than is typical of the class and the
-// kind of servers counts as a failure; the typical latency follows slowly, so that a fleet that became slow
-// as a whole becomes typical. The latency is in seconds.
+// failureLevel classifies an outcome. A response that is far slower than typical for the class and the kind
+// of server counts as a failure. The typical latency adapts slowly; if the whole fleet becomes slow, that
+// becomes typical. The latency is in seconds.
 func (c *classStats) failureLevel(kind string, code Code, latency float64) failureLevel {
 	if code == ConnectFailed {
 		return connectFailure
@@ -85,7 +88,7 @@
 	return level
 }
 
-// typicalLoad is what responses of a class typically take from a kind of servers.
+// typicalLoad returns the typical load of the class's responses from a kind of server.
 func (c *classStats) typicalLoad(kind string) *serverLoad {
 	typical := c.typicalByKind[kind]
 	if typical == nil {
@@ -99,15 +102,13 @@
 	return typical
 }
 
-// recordEvidence takes the outcome of an attempt, or that there is none for long, as evidence on the zone
-// of its server.
+// recordEvidence records the outcome of an attempt, or a long silence, as evidence on the zone of its server.
 func (b *Balancer) recordEvidence(a *attempt, level failureLevel) {
 	b.zones.record(a, level, b.now)
 }
 
-// record updates the evidence of an attempt's server, and what follows for its zone. While zones are
-// compared, attempts that were sent before that don't count, since not all zones had a part of the requests
-// then.
+// record updates the evidence of an attempt's server and then the state of its zone. While zones are
+// compared, attempts sent before the comparison began don't count, because not all zones got requests then.
 func (f *zoneFailover) record(a *attempt, level failureLevel, now Time) {
 	s, z := a.server, a.server.zone
 	if z == nil || f.degraded && a.sentAt < f.compareFrom {
@@ -132,8 +133,8 @@
 	}
 }
 
-// evidenceOf is the log likelihood ratio of an outcome, in nats: of a zone with excessFailureRatio more
-// failures than the expected ratio against one with that ratio.
+// evidenceOf returns the log likelihood ratio of an outcome, in nats. It compares a zone whose failure ratio
+// is excessFailureRatio above the expected ratio with a zone that has the expected ratio.
 func evidenceOf(level failureLevel, expectedRatio float64) float64 {
 	if level == noFailure {
 		return math.Log((1 - expectedRatio - excessFailureRatio) / (1 - expectedRatio))
@@ -141,13 +142,13 @@
 	return float64(level) * math.Log((expectedRatio+excessFailureRatio)/expectedRatio)
 }
 
-// zoneComparison is what other zones show in comparison with one.
+// zoneComparison compares the other zones with one zone.
 type zoneComparison struct {
-	evidence     float64 // that they are better, in nats
-	failureRatio float64 // of their responses
+	evidence     float64 // that the other zones are better, in nats
+	failureRatio float64 // of the other zones' responses
 }
 
-// compare compares a zone with the others that have their whole share of the requests.
+// compare compares a zone with the other zones that have a traffic share of 1.
 func (f *zoneFailover) compare(z *zoneHealth, now Time) zoneComparison {
 	ownFailureRatio := max(baseFailureRatio+excessFailureRatio,
 		(z.failures+priorResponses*(baseFailureRatio+excessFailureRatio))/(z.total+priorResponses))
@@ -165,7 +166,7 @@
 	}
 }
 
-// resetEvidence empties the sums of evidence of all zones.
+// resetEvidence clears the evidence sums of all zones and the expiry queue.
 func (f *zoneFailover) resetEvidence() {
 	for _, z := range f.all {
 		z.evidence, z.evidenceByKind = 0, nil
@@ -173,13 +174,14 @@
 	f.evidenceQueue = nil
 }
 
-// addEvidence counts the evidence of a server that has come into service.
+// addEvidence counts the evidence of a server that enters service.
 func (f *zoneFailover) addEvidence(s *server, now Time) {
 	s.contribution.evidence.zone, s.contribution.evidence.kind = s.zone, s.Kind
 	f.countEvidence(s, now)
 }
 
-// countEvidence counts the evidence of a server in service while it is recent.
+// countEvidence updates the server's part of its zone's evidence. A server that isn't in service or whose
+// evidence has expired counts nothing.
 func (f *zoneFailover) countEvidence(s *server, now Time) {
 	f.removeEvidence(s)
 	c := &s.contribution.evidence
@@ -194,7 +196,7 @@
 	}
 }
 
-// removeEvidence takes the evidence of a server off that of its zone.
+// removeEvidence subtracts the server's evidence from its zone's.
 func (f *zoneFailover) removeEvidence(s *server) {
 	if c := &s.contribution.evidence; c.counted {
 		c.counted = false
@@ -202,7 +204,7 @@
 	}
 }
 
-// expireEvidence takes off evidence that is too old.
+// expireEvidence removes evidence that is older than evidenceTTL.
 func (f *zoneFailover) expireEvidence(now Time) {
 	for len(f.evidenceQueue) > 0 && now-f.evidenceQueue[0].dueAt > evidenceTTL {
 		s := f.evidenceQueue.next()
@@ -213,7 +215,8 @@
 	}
 }
 
-// clearEvidence drops what the servers of a zone say against it.
+// clearEvidence drops the evidence of a zone's servers that the zone has failed. It keeps the evidence that
+// the zone works.
 func (f *zoneFailover) clearEvidence(z *zoneHealth, now Time) {
 	for s := range f.servers.all {
 		if s.zone != z {
@@ -226,7 +229,7 @@
 	}
 }
 
-// addEvidence adds that of one server of a kind.
+// addEvidence adds the evidence of one server of the kind.
 func (z *zoneHealth) addEvidence(kind string, evidence fixedPoint) {
 	z.evidence += evidence
 	if z.evidenceByKind == nil {
@@ -241,7 +244,7 @@
 	ofKind.servers++
 }
 
-// removeEvidence subtracts that of one server of a kind.
+// removeEvidence subtracts the evidence of one server of the kind.
 func (z *zoneHealth) removeEvidence(kind string, evidence fixedPoint) {
 	z.evidence -= evidence
 	ofKind := z.evidenceByKind[kind]
--- a/policy/zone_failover.go
+++ b/policy/zone_failover.go
@@ -7,34 +7,36 @@
 )
 
 const (
-	// zoneProbeInterval is the least time between two requests that probe an evacuated zone.
+	// zoneProbeInterval is the minimum time between two probes of an evacuated zone.
 	zoneProbeInterval = 100 * time.Millisecond
-	// zoneProbesNeeded is the number of probes that have to succeed in a row before a zone recovers.
+	// zoneProbesNeeded is the number of probes in a row that must succeed before a zone recovers.
 	zoneProbesNeeded = 12
-	// initialRecoveryShare is the share of its requests that a zone begins to recover with, and the least one.
+	// initialRecoveryShare is the traffic share at which a zone starts to recover, and the minimum while it
+	// recovers.
 	initialRecoveryShare = 0.05
-	// failureShareFactor is the part of the share of a recovering zone that a failure leaves.
+	// failureShareFactor is the factor by which a failure reduces the traffic share of a recovering zone.
 	failureShareFactor = 0.8
-	// recoveryForgetTime is the time at its whole share after which a zone's evacuations are forgotten.
-	recoveryForgetTime = time.Minute
-	// baseEvacuationTime is how long an evacuated zone isn't probed. Each further evacuation multiplies it by
-	// evacuationTimeFactor, up to maxEvacuationTime.
+	// evacuationResetTime is how long a zone must have a traffic share of 1 before its evacuation count starts
+	// from 0 again.
+	evacuationResetTime = time.Minute
+	// baseEvacuationTime is the time from an evacuation to the first probe. Each further evacuation multiplies
+	// it by evacuationTimeFactor, up to maxEvacuationTime.
 	baseEvacuationTime   = 2 * time.Second
 	evacuationTimeFactor = 4
 	maxEvacuationTime    = time.Minute
-	// minEvacuationJitter and evacuationJitter spread the time among nodes: 0.8 to 1.2 times as long.
+	// minEvacuationJitter and evacuationJitter spread the evacuation time among nodes by a factor of 0.8 to 1.2.
 	minEvacuationJitter = 0.8
 	evacuationJitter    = 0.4
-	// baseGrowthTime is the time in which the share of a recovering zone grows e-fold. Each further evacuation
-	// doubles it, up to maxGrowthTime.
+	// baseGrowthTime is the time in which the traffic share of a recovering zone grows e-fold. Each further
+	// evacuation doubles it, up to maxGrowthTime.
 	baseGrowthTime = 2 * time.Second
 	maxGrowthTime  = 16 * time.Second
-	// maxGrowthDoublings keeps the shift by the number of evacuations in range.
+	// maxGrowthDoublings keeps the shift in startRecovery from overflowing.
 	maxGrowthDoublings = 8
 )
 
-// weighEvidence decides what the evidence of its servers means for a zone. Where it has servers of several
-// kinds, the evidence has to suffice without any one of them too.
+// weighEvidence changes the state of a zone according to the evidence of its servers. If servers of several
+// kinds gave evidence, it must remain positive without any one of the kinds.
 func (f *zoneFailover) weighEvidence(z *zoneHealth, failed bool, now Time) {
 	f.expireEvidence(now)
 	sum := z.evidence.float()
@@ -59,8 +61,8 @@
 	}
 }
 
-// suspect lets a part of a zone's requests explore the others. The comparison of zones begins with the
-// first one that is suspect.
+// suspect sends exploreFraction of the zone's requests to other zones. The comparison of zones starts when
+// the first zone becomes suspect.
 func (f *zoneFailover) suspect(z *zoneHealth, now Time) {
 	if !f.degraded {
 		f.compareFrom = now
@@ -71,9 +73,9 @@
 	z.trafficShare, f.degraded = 1-exploreFraction, true
 }
 
-// evacuate sends a zone no more than probes, from a time on that is spread among nodes.
+// evacuate stops requests to the zone, except probes, which start after evacuationTime.
 func (f *zoneFailover) evacuate(z *zoneHealth, evidence float64, now Time) {
-	if !z.recovering && now-z.fullShareSince > recoveryForgetTime {
+	if !z.recovering && now-z.fullShareSince > evacuationResetTime {
 		z.evacuations = 0
 	}
 	z.trafficShare, z.recovering, z.probeSuccesses, f.degraded = 0, false, 0, true
@@ -87,16 +89,16 @@
 		z.evacuatedUntil-now, z.evacuations)
 }
 
-// evacuationTime is how long a zone isn't probed.
+// evacuationTime returns how long the zone isn't probed. It is spread among nodes at random.
 func (f *zoneFailover) evacuationTime(z *zoneHealth) time.Duration {
 	duration := min(maxEvacuationTime.Seconds(),
 		baseEvacuationTime.Seconds()*math.Pow(evacuationTimeFactor, float64(z.evacuations)))
 	return seconds(duration * (minEvacuationJitter + evacuationJitter*f.rng.Float64()))
 }
 
-// nextToProbe returns a server of an evacuated zone that is due for a probe, or nil: the one without
-// attempts in flight that was longest sent nothing, of those that are no safer to retry than the request's
-// class. The zone counts as probed now.
+// nextToProbe returns a server of an evacuated zone that is due for a probe, or nil. Among the servers that
+// requests of the class may probe, it returns the one whose last attempt was sent longest ago. The zone
+// counts as probed now.
 func (f *zoneFailover) nextToProbe(c *class, now Time, refillBudget func(*server) bool) *server {
 	for _, z := range f.all {
 		if !z.isEvacuated() || now < max(z.evacuatedUntil, z.lastProbeAt+zoneProbeInterval) {
@@ -117,13 +119,15 @@
 	return nil
 }
 
-// mayBeProbedBy reports whether a request of a class may probe the server's zone by going to that server.
+// mayBeProbedBy reports whether a request of the class may be sent to the server as a probe of its zone. The
+// class must be at least as safe to retry as any other class that may use the server, and the server must
+// have no attempts in flight.
 func (s *server) mayBeProbedBy(c *class) bool {
 	return c.RetrySafety >= s.retrySafety && s.totalInFlight() == 0 && !s.outlier.probationInFlight
 }
 
-// recordProbe follows the probes of an evacuated zone. A failed one postpones the next by half of what a
-// further evacuation would take, for that one counts already.
+// recordProbe records the outcome of a probe of an evacuated zone. A failed probe postpones the next one by
+// half the time of a further evacuation: evacuationTime already counts the current one.
 func (f *zoneFailover) recordProbe(z *zoneHealth, failed bool, now Time) {
 	if z.probeSuccesses++; failed {
 		z.probeSuccesses, z.evacuatedUntil = 0, max(z.evacuatedUntil, now+f.evacuationTime(z)/2)
@@ -132,16 +136,16 @@
 	}
 }
 
-// startRecovery gives a zone a small share, which grows.
+// startRecovery ends an evacuation: the zone gets initialRecoveryShare, which then grows.
 func (f *zoneFailover) startRecovery(z *zoneHealth, now Time) {
 	z.evacuatedUntil, z.recovering, f.degraded = 0, true, true
 	z.trafficShare, z.shareUpdatedAt = initialRecoveryShare, now
 	z.growthTime = min(maxGrowthTime, baseGrowthTime<<min(max(0, z.evacuations-1), maxGrowthDoublings))
 	f.clearEvidence(z, now)
-	f.logf("zone %s recovers: its share grows e-fold in %v", z.name, z.growthTime)
+	f.logf("zone %s recovers: its traffic share grows e-fold in %v", z.name, z.growthTime)
 }
 
-// growShare lets the share of a recovering zone grow exponentially with time.
+// growShare increases the traffic share of a recovering zone exponentially with time.
 func (f *zoneFailover) growShare(z *zoneHealth, now Time) {
 	if !z.recovering {
 		return
@@ -150,13 +154,13 @@
 	z.shareUpdatedAt = now
 	if z.trafficShare >= 1 {
 		z.recovering, z.fullShareSince = false, now
-		f.logf("zone %s has its whole share again", z.name)
+		f.logf("zone %s has its whole traffic share again", z.name)
 	}
 }
 
-// chooseZones draws which zones a request may go to now: a zone with less than its whole share is closed to
-// the rest of the requests, and to all retries. If all servers that the class may use are in closed zones,
-// none is closed.
+// chooseZones decides at random which zones a request may go to. A zone with a traffic share below 1 is open
+// to that fraction of the first attempts, and closed to all retries. If all servers that the class may use
+// are in closed zones, no zone is closed.
 func (f *zoneFailover) chooseZones(c *class, isRetry bool, now Time) {
 	if !f.degraded {
 		return
@@ -174,18 +178,18 @@
 	}
 }
 
-// chooseZones draws which zones a request may go to now.
+// chooseZones decides at random which zones a request may go to.
 func (b *Balancer) chooseZones(r *request) { b.zones.chooseZones(r.class, len(r.attempts) > 0, b.now) }
 
-// claimZoneProbe returns a server of an evacuated zone that a request should probe, and marks the zone as
-// probed now; nil if there is none.
+// claimZoneProbe returns a server of an evacuated zone that the request should probe, and marks the zone as
+// probed now. It returns nil if no zone is due for a probe.
 func (b *Balancer) claimZoneProbe(r *request) *server {
 	if !b.zones.degraded || len(r.attempts) > 0 {
 		return nil
 	}
 	s := b.zones.nextToProbe(r.class, b.now, b.refillWarmupBudget)
 	if s != nil {
-		s.outlier.probationInFlight = s.outlier.ejected // it counts for the server's probation too
+		s.outlier.probationInFlight = s.outlier.ejected // the probe also counts for the server's probation
 	}
 	return s
 }
--- a/policy/zone_failover_test.go
+++ b/policy/zone_failover_test.go
@@ -64,7 +64,7 @@
 }
 
 // zoneFailoverOf is the component alone, with zones that are well.
-func zoneFailoverOf(zones ...string) *zoneFailover {
+func newZoneFailover(zones ...string) *zoneFailover {
 	f := &zoneFailover{servers: &serverPool{}, rng: rand.New(rand.NewPCG(1, 1)), logf: func(string, ...any) {}}
 	f.configure(twoRegions(1).Topology, zones[0])
 	for _, zone := range zones {
@@ -75,7 +75,7 @@
 
 // An evacuated zone recovers once enough probes in a row have succeeded, and its share then grows to 1.
 func TestZoneRecoversAfterSuccessfulProbes(t *testing.T) {
-	f := zoneFailoverOf("a", "b")
+	f := newZoneFailover("a", "b")
 	z, now := f.find("a"), time.Hour
 	f.evacuate(z, evacuateEvidence, now)
 	if !z.isEvacuated() || z.trafficShare != 0 {
@@ -106,7 +106,7 @@
 
 // Each evacuation soon after another one takes longer, up to a bound.
 func TestEvacuationsTakeLongerInARow(t *testing.T) {
-	f := zoneFailoverOf("a", "b")
+	f := newZoneFailover("a", "b")
 	z, now := f.find("a"), time.Hour
 	for i, mean := range []time.Duration{2 * time.Second, 8 * time.Second, 32 * time.Second, time.Minute, time.Minute} {
 		f.evacuate(z, evacuateEvidence, now)
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -9,19 +9,19 @@
 	"time"
 )
 
-// maxMonitoredZones bounds how many zones are monitored. Further ones are used, and never evacuated.
+// maxMonitoredZones is the maximum number of monitored zones. Further zones are used but never evacuated.
 const maxMonitoredZones = 1024
 
-// responseDecayTime is the time constant with which responses of a zone are forgotten.
+// responseDecayTime is the time constant of the exponential decay of a zone's response counts.
 const responseDecayTime = 10 * time.Second
 
-// responseCounts counts recent responses, and the failures among them.
+// responseCounts counts recent responses and the failures among them.
 type responseCounts struct {
 	failures, total float64
 	decayedAt       Time
 }
 
-// decay forgets responses by the time gone by.
+// decay reduces the counts for the time since the last decay.
 func (c *responseCounts) decay(now Time) {
 	remaining := math.Exp(-(now - c.decayedAt).Seconds() / responseDecayTime.Seconds())
 	c.failures, c.total, c.decayedAt = c.failures*remaining, c.total*remaining, now
@@ -33,33 +33,33 @@
 	}
 }
 
-// zoneHealth is what is known of one zone.
+// zoneHealth is the health of one zone as this node sees it.
 type zoneHealth struct {
-	responseCounts // only while zones are compared
+	responseCounts // recorded only while zones are compared
 	name, region   string
-	monitored      bool    // it may be evacuated
-	crossingCost   float64 // of sending to the zone
+	monitored      bool    // whether the zone may be evacuated
+	crossingCost   float64 // of sending a request to the zone from this node's zone
 	warmedUp       int     // servers in service that have warmed up; maintained by slowStart
 
-	evidence       fixedPoint              // sum of the evidence of its servers
-	evidenceByKind map[string]*evidenceSum // the same by their kinds
+	evidence       fixedPoint              // sum over the zone's servers that the zone has failed
+	evidenceByKind map[string]*evidenceSum // the same sum by kind of server
 
-	trafficShare    float64 // part of the requests that would go there by order and capacity
-	closed          bool    // to the request that is being dispatched
-	evacuatedUntil  Time    // when probes begin; 0 while it isn't evacuated
-	lastProbeAt     Time    // when a request last probed it
+	trafficShare    float64 // fraction, 0 to 1, of the requests that it would get by packing order and capacity
+	closed          bool    // the request that is being dispatched may not go to the zone
+	evacuatedUntil  Time    // when probes begin; 0 while the zone isn't evacuated
+	lastProbeAt     Time    // when a request last probed the zone
 	probeSuccesses  int     // in a row
-	serversVanished bool    // a list lacked most of its servers at once, and they were dropped
-
-	recovering       bool          // its share grows again
-	growthTime       time.Duration // in which the share grows e-fold
-	shareUpdatedAt   Time          // as of when the share is
-	fullShareSince   Time          // since when it is whole again
-	evacuations      int           // recent ones
-	evacuationReason string        // of the last one
+	serversVanished bool    // most servers were missing from the list at once, and were dropped
+
+	recovering       bool          // the traffic share is growing after an evacuation
+	growthTime       time.Duration // in which the traffic share grows e-fold
+	shareUpdatedAt   Time          // when trafficShare was last updated while recovering
+	fullShareSince   Time          // when the last recovery reached a traffic share of 1
+	evacuations      int           // recent evacuations
+	evacuationReason string        // of the last evacuation
 }
 
-// isEvacuated reports whether the zone gets no requests but probes.
+// isEvacuated reports whether the zone gets only probes.
 func (z *zoneHealth) isEvacuated() bool { return z != nil && z.evacuatedUntil > 0 }
 
 // isClosed reports whether the request that is being dispatched may not go to the zone.
@@ -72,7 +72,7 @@
 	return z.region
 }
 
-// takeVanished reports, once, whether the zone's servers had vanished from the list.
+// takeVanished returns serversVanished and clears it.
 func (z *zoneHealth) takeVanished() (vanished bool) {
 	if z != nil {
 		vanished, z.serversVanished = z.serversVanished, false
@@ -80,22 +80,23 @@
 	return vanished
 }
 
-// zoneFailover owns the health of the zones, and decides which part of the requests may go to each. Where
-// the settings name no topology there are none. It draws from the Balancer's random numbers, and reads the
-// servers in service from its packing order.
+// zoneFailover tracks the health of the zones and decides which fraction of their requests they get. Without
+// a topology in the settings there are no zones. It uses the Balancer's random numbers and reads the servers
+// in service from the Balancer's packing order.
 type zoneFailover struct {
 	topology      *Topology
 	ownZone       string
 	all           []*zoneHealth // monitored zones, sorted by name
-	degraded      bool          // a zone may have less than its whole share
-	compareFrom   Time          // attempts sent from then on count in the comparison of degraded zones
-	evidenceQueue serverQueue   // servers with evidence, by the time of it when queued
+	degraded      bool          // a zone may have a traffic share below 1; zones are compared meanwhile
+	compareFrom   Time          // attempts sent before it don't count in the comparison
+	evidenceQueue serverQueue   // servers with evidence, by the time of the evidence when queued
 	servers       *serverPool   // in service
 	rng           *rand.Rand
 	logf          func(format string, args ...any) // writes a line to the node's log
 }
 
-// configure takes over the settings. Another topology makes all zones new, and so healthy.
+// configure applies the settings. If the topology changes, the state of all zones is dropped, and they start
+// as healthy.
 func (f *zoneFailover) configure(topology *Topology, ownZone string) {
 	if !reflect.DeepEqual(topology, f.topology) {
 		f.all = nil
@@ -103,7 +104,8 @@
 	f.topology, f.ownZone = topology, ownZone
 }
 
-// find returns the health of a zone, and makes it for a new one; nil where the settings name no topology.
+// find returns the health of a zone, and creates it for a new zone. It returns nil if the settings have no
+// topology.
 func (f *zoneFailover) find(name string) *zoneHealth {
 	if f.topology == nil {
 		return nil
@@ -122,7 +124,7 @@
 	return z
 }
 
-// crossingCost is what sending to a server costs beyond sending to this node's own zone.
+// crossingCost returns the extra cost of sending a request to the server instead of to this node's zone.
 func (f *zoneFailover) crossingCost(s *server) float64 {
 	switch {
 	case s.zone != nil:
@@ -134,19 +136,19 @@
 	return 1
 }
 
-// ZoneState is what a node makes of a zone.
+// ZoneState describes a zone as the node sees it.
 type ZoneState struct {
 	Zone, Region         string
 	State                string  // well, suspect, left (evacuated), returning (recovering); frozen for operators
-	Cost                 float64 // of crossing to it
-	TrafficShare         float64 // part of the requests that would go there by order and capacity
+	Cost                 float64 // of crossing to the zone
+	TrafficShare         float64 // 0 to 1, of the requests that it would get by packing order and capacity
 	Servers, Evacuations int
 	Failures, Responses  float64       // recent ones
-	RetryIn              time.Duration // until it is probed; 0 unless it is evacuated
+	RetryIn              time.Duration // until probes begin; 0 unless the zone is evacuated
 	EvacuationReason     string        // of the last evacuation
 }
 
-// Zones returns what the node makes of each zone; nil where the settings name no topology.
+// Zones returns the state of each monitored zone, or nil if the settings have no topology.
 func (b *Balancer) Zones(now Time) (all []ZoneState) {
 	if b.settings.Topology != nil {
 		all = []ZoneState{}
