--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// vanished is a list in which n of the servers of zone a are missing, or have another availability.
+// changedList returns an update that sets the availability of the first n endpoints, or a whole list without
+// them.
 func changedList(all []Endpoint, kind ListKind, n int, availability Availability) EndpointList {
 	list := EndpointList{Kind: kind}
 	for i, endpoint := range all {
@@ -31,15 +32,15 @@
 	return n
 }
 
-// Servers that vanish from the list with most of their zone are retained for half of the drain grace. Their zone
-// recovers by a small share if they are listed again after that.
+// Servers that are missing from the list with most of their zone are retained for half of the drain grace. If
+// they are listed again after that, their zone recovers from a small traffic share.
 func TestServersThatVanishInAMassAreRetained(t *testing.T) {
 	all := endpointsInZones(4, "a", "b")
 	grace := testSettings(1).Rules.DrainGrace
 	for name, c := range map[string]struct {
 		retainMissing  bool
 		list           EndpointList
-		wantRetained   int
+		wantServers    int
 		wantRecovering bool
 	}{
 		"a zone in an update":      {true, changedList(all, ListUpdate, 4, Removed), 4, true},
@@ -53,19 +54,19 @@
 			b := startBalancer(t, set, all)
 			b.servers["a0"].concurrencyLimit = 7
 			b.Handle(ms, c.list)
-			if got := countInZone(b, "a"); got != c.wantRetained {
-				t.Errorf("%d servers of the zone are listed, want %d", got, c.wantRetained)
+			if got := countInZone(b, "a"); got != c.wantServers {
+				t.Errorf("servers of the zone after the list: got %d, want %d", got, c.wantServers)
 			}
 			b.Handle(ms+grace/2, Timer{Token: retainTimerToken})
 			b.Handle(time.Second+grace, EndpointList{Kind: ListReplace, Endpoints: all})
 			if got := b.zones.find("a").recovering; got != c.wantRecovering {
-				t.Errorf("the zone recovers: %v, want %v", got, c.wantRecovering)
+				t.Errorf("zone recovering after its servers are listed again: got %v, want %v", got, c.wantRecovering)
 			}
 		})
 	}
 }
 
-// What is known of a retained server holds if it is listed again in time.
+// A retained server keeps its state if it is listed again in time.
 func TestRetainedServersThatReturnInTimeAreUnchanged(t *testing.T) {
 	all := endpointsInZones(4, "a", "b")
 	set := twoRegions(1)
@@ -76,11 +77,12 @@
 	b.Handle(2*ms, EndpointList{Kind: ListReplace, Endpoints: all})
 	b.Handle(ms+set.Rules.DrainGrace, Timer{Token: retainTimerToken})
 	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zones.find("a").recovering {
-		t.Error("a server that is listed again in time has changed")
+		t.Errorf("server a0, listed again in time: got %+v, zone recovering %v; want limit 7, zone not recovering",
+			s, b.zones.find("a").recovering)
 	}
 }
 
-// A drain is meant, so draining servers get no work, and aren't retained when they are removed.
+// Draining is intended: draining servers get no requests and aren't retained when they are removed.
 func TestDrainingServersAreNotRetained(t *testing.T) {
 	all := endpointsInZones(4, "a", "b")
 	set := twoRegions(1)
@@ -89,16 +91,16 @@
 	b.Handle(3*time.Second, changedList(all, ListUpdate, 4, Draining))
 	for _, s := range b.order() {
 		if s.Zone == "a" {
-			t.Errorf("%s drains and is still in use", s.ID)
+			t.Errorf("draining server %s is still in service", s.ID)
 		}
 	}
 	if b.Handle(4*time.Second, changedList(all, ListUpdate, 4, Removed)); len(b.servers) != 4 {
-		t.Errorf("%d servers after draining ones are removed, want 4", len(b.servers))
+		t.Errorf("servers after the draining ones are removed: got %d, want 4", len(b.servers))
 	}
 }
 
-// The discovery service serves all nodes. When many start together their first subscriptions are spread, and those
-// that go on failing become fewer, but not so few that a drain is missed for long.
+// The discovery service serves all nodes. When many nodes start together, their first subscriptions are
+// spread. Retries back off, but not so far that a node misses a drain for long.
 func TestListSubscriptionsAreSpreadAndBackOff(t *testing.T) {
 	set := testSettings(40)
 	set.SubscribeList = true
@@ -106,7 +108,7 @@
 		t.Helper()
 		timers := actionsOf(actions, SetTimer)
 		if len(actionsOf(actions, WatchList)) != 0 || len(timers) != 1 || timers[0].Token != listTimerToken {
-			t.Fatalf("want a timer for the list alone, got %+v", actions)
+			t.Fatalf("actions after a list event: got %+v, want a single list timer and no WatchList", actions)
 		}
 		return timers[0].Wait
 	}
@@ -125,18 +127,22 @@
 		}
 		b.Handle(0, EndpointList{Kind: ListUpdate})
 		if w := wait(b.Handle(0, EndpointList{Kind: ListUnavailable})); w > resubscribeBackoffBase*3/2 {
-			t.Fatalf("after a list the next failure waits %v", w)
+			t.Fatalf("wait after the first failure since a list: got %v, want at most %v", w,
+				resubscribeBackoffBase*3/2)
 		}
 	}
 	if first > set.Rules.DrainGrace || len(seen) < 100 {
-		t.Errorf("the first subscriptions wait up to %v and %d of 200 waits differ", first, len(seen))
+		t.Errorf("waits of 200 first subscriptions: longest %v, %d different; want at most %v, at least 100", first,
+			len(seen), set.Rules.DrainGrace)
 	}
 	if later < 2*meanFailed || later > resubscribeBackoffMax*3/2 {
-		t.Errorf("the first failure waits %v, later ones up to %v", meanFailed, later)
+		t.Errorf("longest wait after repeated failures: got %v, want %v to %v", later, 2*meanFailed,
+			resubscribeBackoffMax*3/2)
 	}
 }
 
-// The mean wait doubles up to the maximum, which a quarter of the poll interval may lower.
+// The mean wait doubles up to a maximum: resubscribeBackoffMax or, if shorter, a quarter of the poll
+// interval.
 func TestListBackoffIsBounded(t *testing.T) {
 	for _, c := range []struct {
 		pollInterval time.Duration
@@ -151,13 +157,13 @@
 		l := endpointList{failures: c.failures}
 		got := l.nextBackoff(c.pollInterval, rand.New(rand.NewPCG(1, 1)))
 		if got < c.mean/2 || got > c.mean*3/2 || l.failures != c.failures+1 {
-			t.Errorf("after %d failures, polled every %v: a wait of %v, want %v on average", c.failures,
-				c.pollInterval, got, c.mean)
+			t.Errorf("after %d failures, poll interval %v: wait %v, then %d failures; want %v within 50%%, then %d",
+				c.failures, c.pollInterval, got, l.failures, c.mean, c.failures+1)
 		}
 	}
 }
 
-// A failed call for the list, or a lost subscription, is repeated soon, and not by all nodes at once.
+// A failed call for the list or a lost subscription is retried soon, but not by all nodes at the same time.
 func TestListRetriesOfNodesAreSpread(t *testing.T) {
 	waits := map[time.Duration]bool{}
 	for n := range 8 {
@@ -167,20 +173,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		first := actionsOf(b.Handle(0, EndpointList{Kind: ListCached}), SetTimer) // not all nodes at once
+		first := actionsOf(b.Handle(0, EndpointList{Kind: ListCached}), SetTimer) // spreads the first subscriptions
 		if len(first) != 1 || len(actionsOf(b.Handle(first[0].Wait, Timer{Token: first[0].Token}), WatchList)) != 1 {
-			t.Fatal("no subscription at the start")
+			t.Fatalf("timers after the cached list: got %+v, want a single one that leads to a subscription", first)
 		}
 		timers := actionsOf(b.Handle(2*time.Second, EndpointList{Kind: ListUnavailable}), SetTimer)
 		if len(timers) != 1 || timers[0].Wait < resubscribeBackoffBase/2 || timers[0].Wait > resubscribeBackoffBase*3/2 {
-			t.Fatalf("after a failed call: %+v", timers)
+			t.Fatalf("timers after a failed call: got %+v, want a single one with a wait of %v within 50%%", timers,
+				resubscribeBackoffBase)
 		}
 		waits[timers[0].Wait] = true
 		if len(actionsOf(b.Handle(3*time.Second, Timer{Token: timers[0].Token}), WatchList)) != 1 {
-			t.Error("the list isn't called for again")
+			t.Error("no new subscription after the backoff timer")
 		}
 	}
 	if len(waits) < 8 {
-		t.Errorf("8 nodes wait only %d different times", len(waits))
+		t.Errorf("different waits of 8 nodes: got %d, want 8", len(waits))
 	}
 }
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// observeFleet fires a node's timers up to now, and then lets it reach a number of nodes.
+// observeFleet fires a node's timers up to now and then hands it the number of reachable nodes. New timers
+// are appended to timers.
 func observeFleet(b *Balancer, timers *[]Time, now Time, reachable int) {
 	for _, at := range *timers {
 		if at <= now {
@@ -21,24 +22,24 @@
 	}
 }
 
-// The number of nodes that quotas are divided by grows at once, shrinks late, and stays where a node reaches half of
-// the fleet or less.
+// The number of nodes that quotas are divided by grows at once and shrinks after fleetShrinkDelay. It doesn't
+// shrink while a node reaches half of the fleet or less.
 func TestQuotaNodesShrinkLateAndGrowAtOnce(t *testing.T) {
 	set := testSettings(1)
 	set.NodeCount = 7
 	for _, step := range []struct {
 		name        string
-		reachable   []int // one every 10 s
+		reachable   []int // number of reachable nodes, every 10 s
 		want        int
 		partitioned bool
 	}{
-		{"at its own start", []int{1}, 7, true},
-		{"all there", []int{1, 7}, 7, false},
-		{"one more than the settings say", []int{8}, 8, false},
+		{"at the node's start", []int{1}, 7, true},
+		{"all reachable", []int{1, 7}, 7, false},
+		{"one more than in the settings", []int{8}, 8, false},
 		{"one unreachable for a while", []int{7, 6, 6, 6}, 7, false},
 		{"one unreachable for long", []int{7, 6, 6, 6, 6, 6, 6, 6, 6}, 6, false},
-		{"one comes back in time", []int{7, 6, 6, 6, 6, 7, 6, 6, 6}, 7, false},
-		{"fewer and fewer: the most that were there count", []int{7, 6, 6, 5, 5, 5, 5, 5, 5}, 6, false},
+		{"one reachable again in time", []int{7, 6, 6, 6, 6, 7, 6, 6, 6}, 7, false},
+		{"fewer and fewer: the maximum counts", []int{7, 6, 6, 5, 5, 5, 5, 5, 5}, 6, false},
 		{"three of seven", []int{7, 3, 3, 3, 3, 3, 3, 3, 3, 3}, 7, true},
 		{"four of seven, and then three", []int{7, 4, 4, 4, 3, 3, 3, 3, 3, 3}, 7, true},
 		{"healed", []int{7, 4, 4, 4, 4, 4, 4, 4, 4, 7}, 7, false},
@@ -53,14 +54,14 @@
 				observeFleet(b, &timers, time.Duration(i)*10*time.Second, n)
 			}
 			if got, _, partitioned := b.FleetSize(); got != step.want || partitioned != step.partitioned {
-				t.Errorf("quotas by %d nodes, partitioned %v; want %d, %v", got, partitioned, step.want, step.partitioned)
+				t.Errorf("quota nodes %d, partitioned %v; want %d, %v", got, partitioned, step.want, step.partitioned)
 			}
 		})
 	}
 }
 
-// However a fleet is partitioned and healed, the parts of all nodes are a quota at most until a partition has lasted
-// for fleetShrinkDelay.
+// However a fleet is partitioned and healed, the parts of all nodes sum to at most one quota until a
+// partition has lasted for fleetShrinkDelay.
 func TestQuotaPartsStayWithinTheQuota(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes, timers := fleetOf(rapid.IntRange(2, 9).Draw(t, "nodes"))
@@ -80,14 +81,15 @@
 				observeFleet(b, &timers[i], now, sizes[side[i]])
 			}
 			if sum := sumOfQuotaParts(nodes); now-connectedAt < fleetShrinkDelay && sum > 1+1e-9 {
-				t.Fatalf("the parts sum to %.3f of the quota at %v, all connected at %v, sides %v", sum, now, connectedAt, side)
+				t.Fatalf("sum of quota parts at %v: got %.3f, want at most 1; last all connected at %v, sides %v",
+					now, sum, connectedAt, side)
 			}
 		}
 	})
 }
 
-// In a partition into two sides, however long, one of them at most takes over parts of the other: all parts together
-// stay under one and a half quotas.
+// In a partition into two sides, however long, at most one side takes over the other side's parts. All parts
+// together stay below 1.5 quotas.
 func TestLongPartitionStaysUnderOneAndAHalfQuotas(t *testing.T) {
 	for n := 2; n <= 9; n++ {
 		for k := 1; k < n; k++ {
@@ -102,13 +104,14 @@
 				}
 			}
 			if sum := sumOfQuotaParts(nodes); sum < 1-1e-9 || sum >= 1.5 {
-				t.Errorf("%d and %d nodes: the parts sum to %.3f", k, n-k, sum)
+				t.Errorf("sum of quota parts with sides of %d and %d nodes: got %.3f, want at least 1 and less than 1.5",
+					k, n-k, sum)
 			}
 		}
 	}
 }
 
-// fleetOf returns nodes that reach each other, and their timers.
+// fleetOf returns n nodes that reach each other, and their timers.
 func fleetOf(n int) (nodes []*Balancer, timers [][]Time) {
 	nodes, timers = make([]*Balancer, n), make([][]Time, n)
 	for i := range nodes {
@@ -120,7 +123,7 @@
 	return nodes, timers
 }
 
-// sumOfQuotaParts sums the parts of a quota.
+// sumOfQuotaParts returns the sum of the nodes' parts of a quota.
 func sumOfQuotaParts(nodes []*Balancer) (sum float64) {
 	for _, b := range nodes {
 		by, _, _ := b.FleetSize()
@@ -129,7 +132,7 @@
 	return sum
 }
 
-// New settings leave the number that membership found, unless they state another one.
+// New settings keep the number of nodes that membership found, unless they contain another number.
 func TestQuotaNodesOutliveEqualSettings(t *testing.T) {
 	set := testSettings(1)
 	b, err := New(set, 0, 1)
@@ -139,12 +142,12 @@
 	b.Handle(1, FleetSize{ReachableNodes: 3})
 	b.Handle(2, set)
 	if got, _, _ := b.FleetSize(); got != 3 {
-		t.Errorf("%d nodes after the same settings", got)
+		t.Errorf("quota nodes after the same settings: got %d, want 3", got)
 	}
 	set.NodeCount = 2
 	b.Handle(3, set)
 	if got, _, _ := b.FleetSize(); got != 2 {
-		t.Errorf("%d nodes after settings for 2", got)
+		t.Errorf("quota nodes after settings with 2 nodes: got %d, want 2", got)
 	}
 }
 
@@ -152,18 +155,19 @@
 	var f fleetSize
 	f.configure(5)
 	if f.observe(1, FleetSize{ReachableNodes: 5}) {
-		t.Error("a delay though all are reachable")
+		t.Error("observe starts a delay though all nodes are reachable")
 	}
 	if !f.observe(2, FleetSize{ReachableNodes: 3}) || f.observe(3, FleetSize{ReachableNodes: 4}) {
-		t.Error("want one delay")
+		t.Error("observe doesn't start exactly one delay for two numbers below the fleet size")
 	}
 	if f.settle(fleetShrinkDelay) || f.quotaNodes != 5 {
-		t.Errorf("settled before the delay, at %d nodes", f.quotaNodes)
+		t.Errorf("settle before the end of the delay: quota nodes %d, want 5 and a result of false", f.quotaNodes)
 	}
 	if !f.settle(2+fleetShrinkDelay) || f.quotaNodes != 4 {
-		t.Errorf("%d nodes after the delay, want 4", f.quotaNodes)
+		t.Errorf("settle after the delay: quota nodes %d, want 4 and a result of true", f.quotaNodes)
 	}
 	if f.observe(3+fleetShrinkDelay, FleetSize{ReachableNodes: 2}); !f.isPartitioned() || f.quotaNodes != 4 {
-		t.Errorf("half of the fleet: partitioned %v, %d nodes", f.isPartitioned(), f.quotaNodes)
+		t.Errorf("half of the fleet reachable: partitioned %v, quota nodes %d; want true, 4", f.isPartitioned(),
+			f.quotaNodes)
 	}
 }
--- a/policy/load_reports_test.go
+++ b/policy/load_reports_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// startLargeFleet is a node of many, at a site whose servers report their load.
+// startLargeFleet returns a node of a fleet of many nodes whose servers report their load.
 func startLargeFleet(t *testing.T, nodes int, list []Endpoint) *Balancer {
 	t.Helper()
 	set := testSettings(nodes)
@@ -15,7 +15,7 @@
 
 func report(latency, util, rate float64) []float64 { return []float64{latency, util, rate} }
 
-// reportLoad gives the node n responses of a server with the same report, each a tenth of a second apart.
+// reportLoad hands the node n responses of a server with the same report, each 100 ms after the previous one.
 func reportLoad(b *Balancer, s *server, n int, row []float64) {
 	for range n {
 		b.now += 100 * ms
@@ -23,7 +23,7 @@
 	}
 }
 
-// Limits follow the service rate that servers report. Latency doesn't count for them: it grows with the load.
+// Limits follow the reported service rates. They don't follow the latency, which grows with the load.
 func TestLimitsFollowReportedServiceRates(t *testing.T) {
 	list := testEndpoints(12)
 	for i := range list {
@@ -32,19 +32,20 @@
 	b := startLargeFleet(t, 40, list)
 	big, small := b.servers["s00"], b.servers["s01"]
 	if b.effectiveLimit(big) != b.effectiveLimit(small) {
-		t.Fatalf("before any report the limits are %v and %v, want them equal", b.effectiveLimit(big), b.effectiveLimit(small))
+		t.Fatalf("limits before any report: got %v and %v, want them equal", b.effectiveLimit(big),
+			b.effectiveLimit(small))
 	}
 	reportLoad(b, big, 30, report(100, 0.5, 30))
 	reportLoad(b, small, 30, report(400, 0.5, 10))
 	if got := b.effectiveLimit(big) / b.effectiveLimit(small); math.Abs(got-3) > 0.1 {
-		t.Errorf("a server of three times the rate has %v times the limit", got)
+		t.Errorf("limit of a server with 3 times the service rate: got %v times the other limit, want 3", got)
 	}
 	if got := b.effectiveLimit(b.servers["s02"]) / b.effectiveLimit(b.servers["s03"]); math.Abs(got-3) > 0.1 {
-		t.Errorf("servers without reports differ by %v, want them to count as their kinds", got)
+		t.Errorf("limits of servers without reports: got a ratio of %v, want 3 as for their kinds", got)
 	}
 }
 
-// Reports with missing or implausible values are ignored, and so are those of idle servers.
+// Reports with missing or implausible values and reports of idle servers are ignored.
 func TestImplausibleReportsAreIgnored(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	s := b.order()[0]
@@ -56,30 +57,31 @@
 		b.window.capacityWanted = true
 		reportLoad(b, s, 1, row)
 		if b.effectiveLimit(s) != limit || b.concurrencyWindow() != window {
-			t.Errorf("%v moved the limit from %v to %v, the window from %v to %v", row, limit, b.effectiveLimit(s), window, b.concurrencyWindow())
+			t.Errorf("report %v changed the limit from %v to %v and the window from %v to %v, want no change",
+				row, limit, b.effectiveLimit(s), window, b.concurrencyWindow())
 		}
 	}
 }
 
-// A report is valid with all its values, at any place in it.
+// A report is valid if it contains all required values, in any order.
 func TestLoadReportsAreParsed(t *testing.T) {
 	var l loadReports
 	if l.configure([]string{"qps", "latency_ms"}); l.hasRequiredFields() {
-		t.Error("reports without utilization count as complete")
+		t.Error("hasRequiredFields returns true for reports without utilization")
 	}
 	if l.configure([]string{"qps", "other", "latency_ms", "util"}); !l.hasRequiredFields() {
-		t.Fatal("reports with all values don't count as complete")
+		t.Fatal("hasRequiredFields returns false for reports with all values")
 	}
 	got, valid := l.parse([]float64{12, -1, 150, 0.5})
 	if want := (loadReport{latency: 0.15, utilization: 0.5, rate: 12}); got != want || !valid {
-		t.Errorf("parsed %+v, valid: %v; want %+v", got, valid, want)
+		t.Errorf("parsed report: got %+v, valid %v; want %+v, valid true", got, valid, want)
 	}
 	if _, valid := l.parse([]float64{12, -1, 150}); valid {
-		t.Error("a report with a value missing is valid")
+		t.Error("report with a missing value is valid")
 	}
 }
 
-// A server keeps its whole limit up to the target, and up to twice the latency of its kind.
+// A server keeps its full limit up to the target utilization and up to twice the latency of its kind.
 func TestLimitScale(t *testing.T) {
 	kind := &serverLoad{samples: 1, rate: 10, latency: 0.1}
 	for _, c := range []struct {
@@ -95,10 +97,10 @@
 	} {
 		report := loadReport{latency: c.latency, utilization: c.utilization, rate: 5}
 		if got := kind.limitScale(report); math.Abs(got-c.scale) > 1e-9 {
-			t.Errorf("%+v: a scale of %v, want %v", report, got, c.scale)
+			t.Errorf("limit scale for report %+v: got %v, want %v", report, got, c.scale)
 		}
 		if got := kind.isOverloaded(report); got != c.overloaded {
-			t.Errorf("%+v: overloaded %v", report, got)
+			t.Errorf("overloaded by report %+v: got %v, want %v", report, got, c.overloaded)
 		}
 	}
 }
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A server that is busy and far slower than its kind recovers only while it gets no work, which probation requests
-// of many nodes would undo. So none goes to a server that comes after one with capacity.
+// A server that is busy and far slower than its kind recovers only while it gets no requests. Probation
+// requests from many nodes would keep it from recovering, so they don't go to servers that come after one
+// with capacity.
 func TestOverloadedServerIsEjectedAndRests(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	for _, s := range b.order() {
@@ -16,18 +17,19 @@
 	reportLoad(b, first, 1, report(900, 1, 3))
 	reportLoad(b, last, 1, report(900, 1, 3))
 	if !first.outlier.ejected || !last.outlier.ejected {
-		t.Fatal("overloaded servers are not ejected")
+		t.Fatalf("ejected after a report of an overload: first server %v, last server %v, want both",
+			first.outlier.ejected, last.outlier.ejected)
 	}
 	b.now += maxEjectionTime
 	if s := b.claimProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != first {
-		t.Errorf("the probation request goes to %+v, want the first server of the walk", s)
+		t.Errorf("first probation request: got server %+v, want the first in packing order", s)
 	}
 	if s := b.claimProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != nil {
-		t.Errorf("%s gets a probation request, though servers before it have capacity", s.ID)
+		t.Errorf("second probation request: got server %s, want none while earlier servers have capacity", s.ID)
 	}
 }
 
-// Two failures in a row eject, a single one doesn't, and successes between them lower the score.
+// Two failures in a row eject a server, a single failure doesn't, and successes between them lower the score.
 func TestFailureScore(t *testing.T) {
 	const failure, silence, success = attemptFailureWeight, silenceWeight, 0.0
 	for name, c := range map[string]struct {
@@ -50,12 +52,12 @@
 			}
 		}
 		if ejects != c.ejects {
-			t.Errorf("%s: ejects %v with a score of %v", name, ejects, state.failureScore)
+			t.Errorf("%s: ejected %v with a failure score of %v, want %v", name, ejects, state.failureScore, c.ejects)
 		}
 	}
 }
 
-// Ejections in a row take twice as long each, up to a bound.
+// Each further ejection in a row takes twice as long, up to maxEjectionTime.
 func TestEjectionsTakeLongerInARow(t *testing.T) {
 	var state outlierState
 	for i, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
@@ -63,12 +65,13 @@
 			t.Errorf("ejection %d takes %v, want %v", i+1, state.ejectedUntil-time.Hour, want)
 		}
 		if state.isDue(state.ejectedUntil-1) || !state.isDue(state.ejectedUntil) {
-			t.Errorf("ejection %d: due for probation at another time than its end", i+1)
+			t.Errorf("ejection %d: due for probation %v before its end and %v at its end, want false and true", i+1,
+				state.isDue(state.ejectedUntil-1), state.isDue(state.ejectedUntil))
 		}
 	}
 }
 
-// The list of ejected servers follows their state, in any order.
+// updateEjected keeps the list of ejected servers correct when servers are removed from its start.
 func TestEjectedServersAreCounted(t *testing.T) {
 	var d outlierDetector
 	servers := make([]*server, 3)
@@ -76,41 +79,41 @@
 		servers[i] = &server{segment: &segment{}}
 		servers[i].outlier.eject(0)
 		if change := d.updateEjected(servers[i]); change != 1 || d.updateEjected(servers[i]) != 0 {
-			t.Fatalf("server %d changes the count by %d, or again", i, change)
+			t.Fatalf("server %d ejected: the count changes by %d, want 1, and 0 in a second call", i, change)
 		}
 	}
 	servers[0].outlier = outlierState{}
-	servers[1].segment = nil // it left service
+	servers[1].segment = nil // no longer in service
 	for _, s := range servers[:2] {
 		if change := d.updateEjected(s); change != -1 {
-			t.Errorf("a server that came back changes the count by %d", change)
+			t.Errorf("server no longer ejected or in service: the count changes by %d, want -1", change)
 		}
 	}
 	if len(d.ejected) != 1 || d.ejected[0] != servers[2] {
-		t.Errorf("ejected are %v, want the last server alone", d.ejected)
+		t.Errorf("ejected servers: got %v, want only the last server", d.ejected)
 	}
 }
 
-// A probe that was cancelled must not block later probes.
+// A cancelled probe doesn't block later probes.
 func TestCancelledProbeIsFollowedByAnother(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
 	b.eject(s)
 	now := s.outlier.ejectedUntil
 	if got := sentTo(t, b.Handle(now, newRequest("x", "free"))); got != "s00" {
-		t.Fatalf("the probe went to %s", got)
+		t.Fatalf("first probe sent to %s, want s00", got)
 	}
 	b.Handle(now+100*ms, outcome("x", 0, "s00", Cancelled, 100*ms))
 	if s.outlier.probationInFlight {
-		t.Error("the probe still counts as in flight")
+		t.Error("cancelled probe still counts as in flight")
 	}
 	now = s.outlier.ejectedUntil
 	if got := sentTo(t, b.Handle(now, newRequest("y", "free"))); got != "s00" {
-		t.Errorf("the next probe went to %s, want s00", got)
+		t.Errorf("probe after a cancelled one sent to %s, want s00", got)
 	}
 }
 
-// A hung server that is full rejects probes at once: that must not invite the next one.
+// A hung server with a full queue rejects probes at once. Such a rejection delays the next probe.
 func TestOverloadedProbeDelaysTheNext(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
@@ -119,11 +122,11 @@
 	b.Handle(now, newRequest("x", "free"))
 	b.Handle(now+ms, outcome("x", 0, "s00", Overloaded, ms))
 	if got := sentTo(t, b.Handle(now+2*ms, newRequest("y", "free"))); got == "s00" {
-		t.Error("probed again at once")
+		t.Error("request right after an Overloaded probe sent to s00, want another server")
 	}
 }
 
-// A slow request at a server that responds to others is no sign of a hang.
+// A timed-out request doesn't count as a failure if the server responded to others meanwhile.
 func TestTimeoutAtARespondingServerIsNoFailure(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
@@ -131,12 +134,12 @@
 	s.lastResponseAt = 100 * ms
 	b.Handle(600*ms, outcome("x", 0, "s00", TimedOut, 600*ms))
 	if s.outlier.failureScore != 0 {
-		t.Errorf("score %v, want 0", s.outlier.failureScore)
+		t.Errorf("failure score after the timeout: got %v, want 0", s.outlier.failureScore)
 	}
 }
 
-// Connection faults at all servers alike lower no limit and eject none. A server that fails alone, or far more
-// often than the others, is ejected as soon as without them.
+// Connection faults that affect all servers equally lower no limits and eject no servers. A server that fails
+// alone, or far more often than the others, is still ejected.
 func TestFaultsAtAllServersEjectNone(t *testing.T) {
 	simulate := func(faultRatio func(s *server) float64) *Balancer {
 		b := startBalancer(t, testSettings(1), testEndpoints(10))
@@ -150,7 +153,7 @@
 			if b.rng.Float64() < faultRatio(s) {
 				code = Reset
 			}
-			s.inFlight = 9 // it is at its limit
+			s.inFlight = 9 // at its limit with this attempt
 			weight := b.failureWeight(s, code)
 			b.updateConcurrencyLimit(s, b.classes.ordered[0], code, ms, weight)
 			b.updateOutlierState(&attempt{server: s, sentAt: b.now}, code, weight)
@@ -160,11 +163,13 @@
 	for name, ratio := range map[string]float64{"few": 0.05, "many": 0.15} {
 		b := simulate(func(*server) float64 { return ratio })
 		if b.packing.pool.ejected > 1 {
-			t.Errorf("%s resets everywhere: %d of 10 servers are ejected", name, b.packing.pool.ejected)
+			t.Errorf("%s resets at all servers: %d of 10 servers ejected, want at most 1", name,
+				b.packing.pool.ejected)
 		}
 		for _, s := range b.order() {
 			if s.concurrencyLimit < 8 {
-				t.Errorf("%s resets everywhere: limit %.1f of 10", name, s.concurrencyLimit)
+				t.Errorf("%s resets at all servers: limit fell from 10 to %.1f, want at least 8", name,
+					s.concurrencyLimit)
 			}
 		}
 	}
@@ -175,15 +180,15 @@
 		return 0.05
 	})
 	if !b.servers["s03"].outlier.ejected {
-		t.Error("a server that alone resets nearly all is not ejected")
+		t.Error("server that resets 90% of its connections while others reset 5% is not ejected")
 	}
 	for _, code := range []Code{Reset, ConnectFailed, ServerError} {
 		b := startBalancer(t, testSettings(1), testEndpoints(10))
 		if got := b.failureWeight(b.order()[0], code); got != 1 {
-			t.Errorf("a lone fault (%v) counts %v", code, got)
+			t.Errorf("failure weight of a single fault (code %v): got %v, want 1", code, got)
 		}
 	}
 	if b := startBalancer(t, testSettings(1), testEndpoints(1)); b.failureWeight(b.order()[0], Reset) != 1 {
-		t.Error("the faults of the only server don't count in full")
+		t.Error("failure weight of a reset at the only server is below 1")
 	}
 }
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -9,9 +9,9 @@
 	"time"
 )
 
-// eventSimulation plays random legal events at one node and checks the rules that a node follows by itself: one final
-// answer in time, no forbidden retry or rejection, no late send to a draining server, placement, and the retry
-// budget. It counts by itself and shares no code with the balancer.
+// eventSimulation hands random valid events to one node and checks the rules that a node must keep: one final
+// response in time, no forbidden retry or rejection, no late send to a draining server, placement, and the
+// retry budget. It keeps its own counts and shares no code with the balancer.
 type eventSimulation struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -19,19 +19,21 @@
 	b             *Balancer
 	now           Time
 	list          map[string]Endpoint
-	drainingSince map[string]Time // when the list first had a server as draining or removed
+	drainingSince map[string]Time // when the list first showed a server as draining
 	open          map[string]*openRequest
 	ids           int
-	tasks         []task // outcomes, timers, probe results to come
+	tasks         []task // future outcomes, timers and probe results
 	log           []string
-	// One attempt in faulty/5 fails, all take up to slowest ms, and requests come every so often.
-	attemptsPerFiveFailures, maxLatencyMs, stepsPerArrival int
+
+	attemptsPerFiveFailures int // on average
+	maxLatencyMs            int // of attempts
+	stepsPerArrival         int // average number of steps until requests arrive
 
 	requestsAt []Time
 	retriesAt  []Time
 }
 
-// openRequest is a request that the node got, with all that was sent for it.
+// openRequest is a request that the node received, with the attempts that it sent.
 type openRequest struct {
 	Request
 	class    Class
@@ -40,7 +42,7 @@
 	ended    bool
 }
 
-// sentAttempt is one sending of a request.
+// sentAttempt is one attempt of a request.
 type sentAttempt struct {
 	server       Endpoint
 	sentAt       Time
@@ -48,7 +50,7 @@
 	provenNotRun bool
 }
 
-// task is what is to be done at a time.
+// task is a function to call at a time.
 type task struct {
 	at Time
 	do func()
@@ -67,7 +69,7 @@
 	if seed%2 == 1 {
 		set.Rules.RetryBudget = &RetryBudget{MinRetries: float64(rng.IntN(3)), RetryRatio: 0.05, Window: 5 * time.Second}
 	}
-	for i := range set.Classes { // windows shorter than the time in which a request may be retried
+	for i := range set.Classes { // windows shorter than the time during which requests are retried
 		set.Classes[i].DedupWindow = time.Duration(20+rng.IntN(150)) * ms
 	}
 	set.RetainMissing = seed%4 == 1
@@ -87,8 +89,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := &eventSimulation{t: t, rng: rng, set: set, b: b, list: map[string]Endpoint{}, drainingSince: map[string]Time{}, open: map[string]*openRequest{},
-		attemptsPerFiveFailures: []int{8, 20, 60}[seed/3%3], maxLatencyMs: []int{300, 50}[seed/2%2], stepsPerArrival: []int{1, 8}[seed/4%2]}
+	w := &eventSimulation{t: t, rng: rng, set: set, b: b, list: map[string]Endpoint{},
+		drainingSince: map[string]Time{}, open: map[string]*openRequest{},
+		attemptsPerFiveFailures: []int{8, 20, 60}[seed/3%3], maxLatencyMs: []int{300, 50}[seed/2%2],
+		stepsPerArrival: []int{1, 8}[seed/4%2]}
 	for _, endpoint := range testEndpoints(1 + rng.IntN(9)) {
 		if rng.IntN(4) == 0 {
 			endpoint.StartedAt = 1
@@ -129,14 +133,14 @@
 		w.answer(p, a)
 	case Cancel:
 		if !w.set.Allowed.Cancel || a.Attempt >= len(p.attempts) {
-			w.t.Errorf("cancel of an unknown attempt, or where it is not allowed: %+v", a)
+			w.t.Errorf("cancel of an unknown attempt or without Allowed.Cancel: %+v", a)
 		}
 	case SetTimer:
 		w.after(max(a.Wait, ms), func() { w.event(Timer{Token: a.Token}) })
 	case Probe:
 		code, load := OK, float64(w.rng.IntN(6))
 		if !w.set.Allowed.Probe {
-			w.t.Errorf("probe where it is not allowed")
+			w.t.Errorf("probe without Allowed.Probe: %+v", a)
 		}
 		if w.rng.IntN(3) > 0 {
 			w.after(ms*time.Duration(w.rng.IntN(30)), func() {
@@ -150,17 +154,17 @@
 	}
 }
 
-// send checks an attempt, and schedules its outcome.
+// send checks an attempt and schedules its outcome.
 func (w *eventSimulation) send(p *openRequest, a Action) {
 	if p == nil || p.ended || w.now >= p.deadline {
-		w.t.Fatalf("send after the end: %+v", a)
+		w.t.Fatalf("attempt sent for an unknown or ended request or after its deadline: %+v", a)
 	}
 	endpoint, listed := w.list[a.Server]
 	if since, ok := w.drainingSince[a.Server]; ok && w.now > since+w.set.Rules.DrainGrace {
-		w.t.Errorf("%s drains since %v, sent to at %v", a.Server, since, w.now)
+		w.t.Errorf("attempt sent to %s at %v, after the drain grace: draining since %v", a.Server, w.now, since)
 	}
 	if !listed && w.drainingSince[a.Server] == 0 {
-		w.t.Errorf("unknown server %q", a.Server)
+		w.t.Errorf("attempt sent to unknown server %q", a.Server)
 	}
 	w.checkPlacement(p.class, endpoint, a)
 	w.checkPreviousAttempts(p, endpoint, a)
@@ -171,17 +175,20 @@
 	w.scheduleOutcome(p, a)
 }
 
-// checkPlacement checks that a restricted class is sent to its servers only.
+// checkPlacement checks that a request of a restricted class is sent only to servers that the class may use.
 func (w *eventSimulation) checkPlacement(c Class, endpoint Endpoint, a Action) {
-	if len(c.Kinds) > 0 && !slices.Contains(c.Kinds, endpoint.Kind) || len(c.Zones) > 0 && !slices.Contains(c.Zones, endpoint.Zone) {
-		w.t.Errorf("%s sent to %s of kind %s in zone %s", c.Name, a.Server, endpoint.Kind, endpoint.Zone)
+	if len(c.Kinds) > 0 && !slices.Contains(c.Kinds, endpoint.Kind) ||
+		len(c.Zones) > 0 && !slices.Contains(c.Zones, endpoint.Zone) {
+		w.t.Errorf("class %q sent to %s of kind %s in zone %s, want kinds %v, zones %v", c.Name, a.Server,
+			endpoint.Kind, endpoint.Zone, c.Kinds, c.Zones)
 	}
 	if len(c.Regions) > 0 && w.set.Topology.RegionOfZone[endpoint.Zone] != c.Regions[0] {
-		w.t.Errorf("%s sent to %s in zone %s, out of its region", c.Name, a.Server, endpoint.Zone)
+		w.t.Errorf("class %q sent to %s in zone %s, want region %s", c.Name, a.Server, endpoint.Zone, c.Regions[0])
 	}
 }
 
-// checkFormerAttempts checks that the attempts before this one are over, few enough, and permit it.
+// checkPreviousAttempts checks that the previous attempts have finished, are few enough, and permit another
+// one.
 func (w *eventSimulation) checkPreviousAttempts(p *openRequest, endpoint Endpoint, a Action) {
 	pending := 0
 	for _, previous := range p.attempts {
@@ -193,21 +200,22 @@
 		}
 		switch p.class.RetrySafety {
 		case NonIdempotent:
-			w.t.Errorf("%s sent again though it may have run", p.class.Name)
+			w.t.Errorf("class %q is not idempotent, and a request was retried though it may have run", p.class.Name)
 		case IdempotencyKeyed:
 			scope := p.class.DedupScope
 			if w.now > previous.sentAt+p.class.DedupWindow || scope == DedupPerZone && endpoint.Zone != previous.server.Zone ||
 				scope == DedupPerCell && endpoint.Cell != previous.server.Cell {
-				w.t.Errorf("%s sent again outside its scope or window", p.class.Name)
+				w.t.Errorf("class %q: request retried outside its DedupScope or DedupWindow", p.class.Name)
 			}
 		}
 	}
 	if pending > 0 || len(p.attempts) >= w.set.Allowed.MaxAttempts {
-		w.t.Errorf("a second attempt at a time, or one too many: %+v", a)
+		w.t.Errorf("attempt sent with %d pending and %d previous attempts, want 0 and fewer than %d: %+v", pending,
+			len(p.attempts), w.set.Allowed.MaxAttempts, a)
 	}
 }
 
-// scheduleOutcome draws the outcome of the newest attempt, and when it comes.
+// scheduleOutcome draws the outcome and the latency of the newest attempt.
 func (w *eventSimulation) scheduleOutcome(p *openRequest, a Action) {
 	n := len(p.attempts) - 1
 	attemptDeadline := p.deadline
@@ -229,12 +237,12 @@
 		ev := Outcome{ID: p.ID, Attempt: n, Server: a.Server, Code: code, Latency: latency, RequestEnded: p.ended}
 		w.event(ev)
 		if w.rng.IntN(20) == 0 {
-			w.event(ev) // twice
+			w.event(ev) // a duplicate must be ignored
 		}
 	})
 }
 
-// checkRetryBudget checks the retry budget by a count of its own.
+// checkRetryBudget counts a retry and checks the retry budget.
 func (w *eventSimulation) checkRetryBudget() {
 	w.retriesAt = append(w.retriesAt, w.now)
 	budget := w.set.Rules.RetryBudget
@@ -250,26 +258,27 @@
 		return n
 	}
 	if n, limit := within(w.retriesAt), budget.MinRetries+budget.RetryRatio*float64(within(w.requestsAt)); float64(n) > limit {
-		w.t.Errorf("%d retries in %v, at most %v allowed", n, budget.Window, limit)
+		w.t.Errorf("retries within %v: got %d, want at most %v", budget.Window, n, limit)
 	}
 }
 
 func (w *eventSimulation) answer(p *openRequest, a Action) {
 	if p == nil || p.ended {
-		w.t.Fatalf("answered twice: %+v", a)
+		w.t.Fatalf("response to an unknown request or second response: %+v", a)
 	}
 	p.ended = true
 	for _, x := range p.attempts {
-		safe := p.class.RetrySafety == Idempotent || p.class.RetrySafety == IdempotencyKeyed && p.class.DedupScope == DedupEverywhere
+		safe := p.class.RetrySafety == Idempotent ||
+			p.class.RetrySafety == IdempotencyKeyed && p.class.DedupScope == DedupEverywhere
 		if a.Kind == Reject && !x.provenNotRun && !safe {
-			w.t.Errorf("%s rejected though it may have run", p.class.Name)
+			w.t.Errorf("class %q: request rejected though it may have run", p.class.Name)
 		}
 	}
 }
 
 func (w *eventSimulation) step() {
 	w.now += time.Duration(1+w.rng.IntN(4)) * ms
-	stall := w.rng.IntN(400) == 0 // the node doesn't run, and then gets all that came meanwhile at once
+	stall := w.rng.IntN(400) == 0 // the node pauses, and then gets all events of the pause at once
 	if stall {
 		w.now += time.Duration(w.rng.IntN(900)) * ms
 	}
@@ -283,9 +292,9 @@
 		}
 		k.do()
 	}
-	for id, p := range w.open { // order is irrelevant: only checked and dropped
+	for id, p := range w.open { // the order doesn't matter: requests are only checked and deleted
 		if !p.ended && w.now > p.deadline+5*ms && !stall {
-			w.t.Fatalf("%s (%s) has no answer in time", id, p.class.Name)
+			w.t.Fatalf("request %s of class %q has no response 5 ms after its deadline", id, p.class.Name)
 		}
 		if p.ended && w.now > p.deadline+time.Second {
 			delete(w.open, id)
@@ -330,7 +339,7 @@
 	}
 }
 
-// change drains, removes, restarts or adds a server, or sends the whole list.
+// change drains, removes, restarts or adds a server, and sends an update or the whole list.
 func (w *eventSimulation) change() {
 	id := fmt.Sprintf("s%02d", w.rng.IntN(10))
 	m, listed := w.list[id]
@@ -366,7 +375,7 @@
 			w.step()
 		}
 		if t.Failed() {
-			t.Fatalf("seed %d", seed)
+			t.Fatalf("rules broken with seed %d", seed)
 		}
 	}
 }
@@ -380,17 +389,17 @@
 		return w.log
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("the same events led to other actions")
+		t.Error("two runs with the same events and seed gave different actions")
 	}
 }
 
-// A request is forgotten once it is over.
+// The balancer forgets finished requests.
 func TestFinishedRequestsAreForgotten(t *testing.T) {
 	w := newEventSimulation(t, 4)
 	for range 3000 {
 		w.step()
 	}
 	if n := len(w.b.requests); n > 600 {
-		t.Errorf("%d requests are still known", n)
+		t.Errorf("requests in the balancer after 3000 steps: got %d, want at most 600", n)
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// slowStartFleet simulates many nodes and a few servers in virtual time, without sockets. It counts on its own what all
-// nodes together send to servers that are warming up.
+// slowStartFleet simulates many nodes and a few servers in virtual time, without sockets. It counts
+// independently of the balancers what all nodes together send to servers that are warming up.
 type slowStartFleet struct {
 	rng        *rand.Rand
 	set        Settings
@@ -18,19 +18,19 @@
 	queue      eventQueue
 	sequence   int
 	nodes      []*Balancer
-	generation []int // of each node: events for an earlier process of it are lost
-	reachable  int   // nodes by membership; 0 for no membership
+	generation []int // of each node's process: events for an earlier process are lost
+	reachable  int   // reachable nodes by membership; 0 for no membership
 	servers    map[string]*slowStartServer
 	requests   int
 	served     int
 }
 
-// slowStartServer works on as many requests at once as it has cores, and more slowly while it is warming up.
+// slowStartServer processes one request per core at a time, and more slowly while it is warming up.
 type slowStartServer struct {
 	Endpoint
-	capacity           float64 // requests a second once it has warmed up
+	capacity           float64 // requests per second once it has warmed up
 	coresFreeAt        []Time
-	sentWhileWarmingUp []Time // when each request was
+	sentWhileWarmingUp []Time // when each request was sent to it
 }
 
 type fleetEvent struct {
@@ -61,9 +61,10 @@
 	heap.Push(&f.queue, fleetEvent{f.now + wait, f.sequence, do})
 }
 
-// newSlowStartFleet starts nodes. Membership tells them of as many as are reachable, if any; the settings may have
-// another number.
-func newSlowStartFleet(seed uint64, set Settings, nodes, reachable int, servers []Endpoint, capacity float64) *slowStartFleet {
+// newSlowStartFleet starts the nodes. If reachable isn't 0, they get it as the number of reachable nodes,
+// which may differ from the number in the settings.
+func newSlowStartFleet(seed uint64, set Settings, nodes, reachable int, servers []Endpoint,
+	capacity float64) *slowStartFleet {
 	f := &slowStartFleet{rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Hour, reachable: reachable,
 		nodes: make([]*Balancer, nodes), generation: make([]int, nodes), servers: make(map[string]*slowStartServer)}
 	for _, m := range servers {
@@ -104,7 +105,7 @@
 	}
 }
 
-// toNode hands an event to a node later, if the same process of it still runs then.
+// handleLater hands an event to a node after the wait, unless the node's process has been replaced by then.
 func (f *slowStartFleet) handleLater(n int, wait time.Duration, ev Event) {
 	generation := f.generation[n]
 	f.after(wait, func() {
@@ -114,7 +115,7 @@
 	})
 }
 
-// capacityFraction is the part of its capacity that a server has reached.
+// capacityFraction returns the fraction of its capacity that a server has at a time.
 func (f *slowStartFleet) capacityFraction(s *slowStartServer, at Time) float64 {
 	age := at - s.StartedAt
 	if s.StartedAt == 0 || age >= f.set.Rules.SlowStartDuration {
@@ -148,7 +149,7 @@
 		Latency: latency, RequestEnded: code == OK, LoadReport: row})
 }
 
-// sendRequests sends all nodes together requests at a rate, for a time.
+// sendRequests sends requests to random nodes for a time, at a rate in requests per second for all nodes.
 func (f *slowStartFleet) sendRequests(rate float64, span time.Duration) {
 	end := f.now + span
 	var next func()
@@ -175,7 +176,7 @@
 	f.now = end
 }
 
-// restartServers tells all nodes, at different times, that servers have started again.
+// restartServers restarts servers. Each node gets the update at another time.
 func (f *slowStartFleet) restartServers(ids ...string) {
 	var changed []Endpoint
 	for _, id := range ids {
@@ -187,8 +188,10 @@
 	}
 }
 
-// worstOverload is the most that was sent to a server that is warming up within the overload duration, as a part of what
-// it bears then: N requests by the overload multiple, and what chance adds to that.
+// worstOverload returns the largest number of requests sent to a server that is warming up within the
+// overload duration, relative to the bound: N + 2*sqrt(N) + 2, where N requests reach the overload multiple
+// and the rest allows for chance. It also returns the number of all requests sent to servers that are warming
+// up.
 func (f *slowStartFleet) worstOverload() (worst float64, sent int) {
 	span := f.set.Rules.OverloadDuration
 	for _, s := range f.servers {
@@ -205,18 +208,18 @@
 	return worst, sent
 }
 
-// slowStartCase is what the nodes of a fleet know of their number, and the load on them.
+// slowStartCase is the number of nodes as a fleet's nodes see it, and the load on the fleet.
 type slowStartCase struct {
 	name                  string
-	configured, reachable int     // nodes by the settings, and by membership (0: there is none)
-	capacity              float64 // requests a second of a server that has warmed up
+	configured, reachable int     // nodes in the settings, and by membership (0: no membership)
+	capacity              float64 // requests per second of a server that has warmed up
 	restarting            bool    // a third of the nodes restart while servers are warming up
-	loadBefore, loadAfter float64 // load after servers restarted, and later, as a part of the capacity of the others
+	loadBefore, loadAfter float64 // load right after servers restart and later, relative to the others' capacity
 }
 
 const (
 	slowStartNodes      = 30
-	warmedUpServersLeft = 8 // while the other servers are warming up
+	warmedUpServersLeft = 8 // servers that don't restart
 )
 
 var slowStartCases = []slowStartCase{
@@ -249,8 +252,9 @@
 	return f
 }
 
-// All nodes together send a server that is warming up at most N + 2*sqrt(N) + 2 requests, of the N that the settings
-// allow, also where servers are small, after a burst, and when nodes restart.
+// All nodes together send a server that is warming up at most N + 2*sqrt(N) + 2 requests within the overload
+// duration, where N is the number that the settings allow. This also holds for small servers, after a burst,
+// and when nodes restart.
 func TestAllNodesTogetherStayWithinTheOverloadBound(t *testing.T) {
 	for _, c := range slowStartCases {
 		for _, reports := range []bool{false, true} {
@@ -260,21 +264,22 @@
 				for seed := range uint64(10) {
 					ratio, warmingUp := c.simulate(seed, reports).worstOverload()
 					if ratio > 1 {
-						t.Errorf("seed %d: %.2f times the bound is sent to a server", seed, ratio)
+						t.Errorf("seed %d: requests to a server that is warming up are %.2f times the bound", seed, ratio)
 					}
 					lowest, worst, sent = min(lowest, ratio), max(worst, ratio), sent+warmingUp
 				}
 				if sent == 0 {
-					t.Error("nothing was sent to servers that are warming up")
+					t.Error("no requests were sent to servers that are warming up")
 				}
-				t.Logf("%d sent to servers that are warming up; in the worst window of each of ten seeds %.2f to %.2f of the bound", sent, lowest, worst)
+				t.Logf("%d requests to servers that are warming up; worst window by seed: %.2f to %.2f of the bound",
+					sent, lowest, worst)
 			})
 		}
 	}
 }
 
-// The warm-up budget follows the peak rate of servers that have warmed up, not the rate while those fail: it would be
-// lowest when the servers that are warming up are needed.
+// The warm-up budget follows the peak rate of servers that have warmed up, not their current rate. Otherwise
+// the budget would be lowest while those servers fail and the servers that are warming up are needed.
 func TestWarmupBudgetOutlivesTheLossOfOtherServers(t *testing.T) {
 	set := testSettings(1)
 	set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = 0.5, time.Hour
@@ -291,10 +296,10 @@
 		b.observeOutcome(r, &attempt{server: b.servers[fmt.Sprintf("s%02d", warmingUp+i%8)]}, Outcome{Code: OK, Latency: 20 * ms})
 	}
 	if got := b.serverPeakRate(); math.Abs(got-perSecond/8) > 1 {
-		t.Fatalf("the peak rate is %v, want about %v", got, perSecond/8)
+		t.Fatalf("peak rate of a server: got %v requests per second, want about %v", got, perSecond/8)
 	}
 	before := b.serverPeakRate()
-	rate := func() float64 { // of requests to a server that has half warmed up
+	rate := func() float64 { // allowed requests per second to a server with half its capacity
 		s := b.servers["s00"]
 		s.StartedAt, s.warmupBudget = b.now, warmupBudget{refilledAt: b.now - 10*ms}
 		b.refillWarmupBudget(s)
@@ -306,20 +311,20 @@
 	}
 	b.now += 10 * time.Second
 	if got := b.serverPeakRate(); got < 0.8*before {
-		t.Errorf("10 s after the loss of most other servers, without responses, the peak rate is %v, before %v", got, before)
+		t.Errorf("peak rate 10 s after the loss of most servers: got %v, want at least 80%% of %v", got, before)
 	}
 	if got := rate(); got < 0.8*allowed {
-		t.Errorf("a server may get %v requests a second then, %v before", got, allowed)
+		t.Errorf("warm-up rate 10 s after the loss of most servers: got %v, want at least 80%% of %v", got, allowed)
 	}
 	b.now += 10 * peakRateDecayTime
 	if got := b.serverPeakRate(); got > 0.01*before {
-		t.Errorf("long after that the peak rate is %v, before %v", got, before)
+		t.Errorf("peak rate after ten decay times: got %v, want at most 1%% of %v", got, before)
 	}
 }
 
-// A server that is warming up gets its part before the walk, which would hardly ever reach it behind servers with
-// capacity. First attempts of all but the class of the highest priority go there, and of that too once it is short of
-// capacity.
+// A server that is warming up is chosen before the walk in packing order, which would rarely reach it behind
+// servers with capacity. It gets first attempts of all classes except the highest-priority class, and of that
+// class too while it is short of capacity.
 func TestWarmingUpServersAreChosenBeforeTheWalk(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
@@ -333,29 +338,30 @@
 		return b
 	}
 	if got := sentTo(t, fresh().Handle(ms, newRequest("low", "free"))); got != "z-near" {
-		t.Errorf("a request of low priority goes to %s, want the server of the own zone that is warming up", got)
+		t.Errorf("low-priority request sent to %s, want the server in the node's zone that is warming up", got)
 	}
 	if got := sentTo(t, fresh().Handle(ms, newRequest("high", "once"))); got != "s00" {
-		t.Errorf("a request of high priority goes to %s, want a server that has warmed up", got)
+		t.Errorf("high-priority request sent to %s, want s00, which has warmed up", got)
 	}
 	b := fresh()
 	b.loadShedder.highPriorityShortage = 2 * maxShortageForSlowStart
 	if got := sentTo(t, b.Handle(ms, newRequest("high", "once"))); got != "z-near" {
-		t.Errorf("a request of high priority goes to %s while capacity is short, want the server that is warming up", got)
+		t.Errorf("high-priority request while capacity is short sent to %s, want z-near, which is warming up", got)
 	}
 	b = fresh()
 	if b.servers["z-near"].warmupBudget.tokens = 0; sentTo(t, b.Handle(ms, newRequest("low", "free"))) != "s00" {
-		t.Error("a server that is warming up is sent more than its part")
+		t.Error("low-priority request with an empty warm-up budget isn't sent to s00, which has warmed up")
 	}
 	first := sentTo(t, b.Handle(ms, newRequest("again", "free")))
 	b.servers["z-near"].warmupBudget.tokens = 1
 	if got := sentTo(t, b.Handle(2*ms, outcome("again", 0, first, Overloaded, ms))); got == "z-near" {
-		t.Errorf("a retry goes to %s, want a server that has warmed up", got)
+		t.Errorf("retry sent to %s, want a server that has warmed up", got)
 	}
 }
 
-// While most servers are warming up, the mean rate over all of them says little of what one can take: those that have
-// warmed up are full and the others idle. A server gets the part of its kind's service rate that its age allows.
+// While most servers are warming up, the mean rate over all servers says little about the capacity of one:
+// servers that have warmed up are full and the others are idle. A server that is warming up gets its warm
+// fraction of its kind's service rate.
 func TestWarmupBudgetFollowsTheServiceRateOfTheKind(t *testing.T) {
 	list := testEndpoints(12)
 	for i := range list {
@@ -378,11 +384,12 @@
 	}
 	got, present := float64(sends)*nodes/(span*0.05), rate*b.warmFraction(warmingUp)
 	if got < 0.5*present || got > b.settings.Rules.OverloadMultiple*present {
-		t.Errorf("all nodes send %v a second to a server that takes %v", got, present)
+		t.Errorf("all nodes send %v requests per second to a server that is warming up, want %v to %v", got,
+			0.5*present, b.settings.Rules.OverloadMultiple*present)
 	}
 }
 
-// A server reaches its capacity evenly over the duration, and is counted as warmed up from then on.
+// A server's capacity grows linearly over the slow-start duration, after which it counts as warmed up.
 func TestWarmFraction(t *testing.T) {
 	w := slowStart{minCapacity: 0.2, duration: 10 * time.Second}
 	s := &server{Endpoint: Endpoint{StartedAt: time.Hour}, segment: &segment{}}
@@ -394,21 +401,21 @@
 	}{{0, 0.2, 0}, {5 * time.Second, 0.6, 0}, {10*time.Second - 1, 1, 0}, {10 * time.Second, 1, 1}} {
 		now := time.Hour + c.age
 		if got := w.warmFraction(s, now); math.Abs(got-c.fraction) > 1e-6 {
-			t.Errorf("a fraction of %v at the age of %v, want %v", got, c.age, c.fraction)
+			t.Errorf("warm fraction at the age of %v: got %v, want %v", c.age, got, c.fraction)
 		}
 		if w.promote(now); w.warmedUp != c.warmedUp {
-			t.Errorf("%d servers have warmed up after %v, want %d", w.warmedUp, c.age, c.warmedUp)
+			t.Errorf("warmed-up servers at the age of %v: got %d, want %d", c.age, w.warmedUp, c.warmedUp)
 		}
 	}
 	if got := w.warmFraction(&server{}, time.Hour); got != 1 {
-		t.Errorf("a server that started long ago has a fraction of %v", got)
+		t.Errorf("warm fraction without a start time: got %v, want 1", got)
 	}
 	if w.remove(s); w.warmedUp != 0 {
-		t.Errorf("%d servers have warmed up after the only one left", w.warmedUp)
+		t.Errorf("warmed-up servers after the only server was removed: got %d, want 0", w.warmedUp)
 	}
 }
 
-// The budget fills at its rate, up to its bound.
+// The warm-up budget fills at its rate, up to its maximum.
 func TestWarmupBudgetFills(t *testing.T) {
 	w := warmupBudget{refilledAt: time.Hour}
 	for _, c := range []struct {
@@ -416,15 +423,15 @@
 		may   bool
 	}{{400 * ms, false}, {500 * ms, true}, {time.Minute, true}} {
 		if got := w.refill(time.Hour+c.after, 2, 3); got != c.may {
-			t.Errorf("after %v a request may be sent: %v, with %v tokens", c.after, got, w.tokens)
+			t.Errorf("request allowed after %v: got %v with %v tokens, want %v", c.after, got, w.tokens, c.may)
 		}
 	}
 	if w.tokens != 3 {
-		t.Errorf("%v tokens in the end, want the bound of 3", w.tokens)
+		t.Errorf("tokens after a minute: got %v, want the maximum of 3", w.tokens)
 	}
 }
 
-// A server that is warming up gets a small part of what others get, over all nodes.
+// All nodes together send a server that is warming up much less than they send other servers.
 func TestWarmingUpServerGetsItsPartOfAllNodes(t *testing.T) {
 	list := testEndpoints(8)
 	list[0].StartedAt = 1000 * ms
@@ -447,23 +454,24 @@
 		}
 	}
 	if limit := rate / len(list) / 2; sends > limit || sends == 0 {
-		t.Errorf("%d of %d went to the server that is warming up, want some but at most %d", sends, rate, limit)
+		t.Errorf("attempts sent to the server that is warming up: got %d of %d, want 1 to %d", sends, rate, limit)
 	}
 }
 
-// The rate to a server that is warming up leaves one multiple of its capacity as a margin, whatever the overload multiple.
+// The rate to a server that is warming up stays one time its capacity below the overload multiple, whatever
+// the multiple.
 func TestWarmupRateLeavesOneMultipleAsMargin(t *testing.T) {
 	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		set := testSettings(1)
 		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
 		b := startBalancer(t, set, testEndpoints(1))
-		b.completions.rate, b.completions.rateAt, b.now = 100, time.Second, time.Second // a hundred answers a second at one server
+		b.completions.rate, b.completions.rateAt, b.now = 100, time.Second, time.Second // responses per second
 		s := b.order()[0]
 		s.StartedAt = b.now
 		s.warmupBudget = warmupBudget{refilledAt: b.now - 10*ms}
 		b.refillWarmupBudget(s)
 		if got, rate := s.warmupBudget.tokens, want*0.5*100*0.01; math.Abs(got-rate) > 0.01 {
-			t.Errorf("multiple %v: %v requests in 10 ms, want %v", multiple, got, rate)
+			t.Errorf("overload multiple %v: budget for 10 ms is %v requests, want %v", multiple, got, rate)
 		}
 	}
 }
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -9,10 +9,12 @@
 	"time"
 )
 
-// snapshotFile is what one process of a node hands over to another, which may be of an earlier or a later version.
+// snapshotFile contains a snapshot as one process of a node hands it over to another, which may have an
+// earlier or a later version.
 const snapshotFile = "testdata/snapshot.json"
 
-// fullSnapshot has another value in each field, so that no two keys can be mixed up unnoticed.
+// fullSnapshot returns a snapshot with a different value in each field, so that the tests detect swapped
+// keys.
 func fullSnapshot() Snapshot {
 	return Snapshot{
 		Buckets: []BucketSnapshot{{Tenant: "tenant", Class: "class", Tokens: 1, RefilledAt: -2}},
@@ -37,7 +39,8 @@
 	return append(text, '\n')
 }
 
-// A process of another version reads the keys that it knows: they stay whatever the fields are named.
+// The keys of a snapshot don't change with the names of the fields, because processes of other versions read
+// them.
 func TestSnapshotKeepsItsKeys(t *testing.T) {
 	if *record {
 		if err := os.WriteFile(snapshotFile, encodeSnapshot(t, fullSnapshot()), 0o644); err != nil {
@@ -49,21 +52,21 @@
 		t.Fatal(err)
 	}
 	if got := encodeSnapshot(t, fullSnapshot()); !bytes.Equal(got, want) {
-		t.Errorf("written as\n%s\nwant\n%s", got, want)
+		t.Errorf("encoded snapshot: got\n%s\nwant\n%s", got, want)
 	}
 	var read Snapshot
 	if err := json.Unmarshal(want, &read); err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, fullSnapshot()) {
-		t.Errorf("read as %+v, want %+v", read, fullSnapshot())
+		t.Errorf("decoded snapshot: got %+v, want %+v", read, fullSnapshot())
 	}
 	if got := encodeSnapshot(t, read); !bytes.Equal(got, want) {
-		t.Errorf("written back as\n%s\nwant\n%s", got, want)
+		t.Errorf("snapshot decoded and encoded again: got\n%s\nwant\n%s", got, want)
 	}
 }
 
-// No key rests on the name of its field.
+// Each field of a snapshot has an explicit JSON key.
 func TestSnapshotFieldsHaveKeys(t *testing.T) {
 	seen := make(map[reflect.Type]bool)
 	var check func(of reflect.Type)
@@ -78,7 +81,7 @@
 			seen[of] = true
 			for i := range of.NumField() {
 				if f := of.Field(i); f.Tag.Get("json") == "" {
-					t.Errorf("%s.%s has no key", of.Name(), f.Name)
+					t.Errorf("%s.%s has no json tag", of.Name(), f.Name)
 				}
 				check(of.Field(i).Type)
 			}
@@ -87,7 +90,7 @@
 	check(reflect.TypeFor[Snapshot]())
 }
 
-// A process restores what another one measured, by a clock of its own.
+// A process restores the state of another process whose clock differs.
 func TestSnapshotIsRestoredOnAnotherClock(t *testing.T) {
 	set := testSettings(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: 10 * time.Second}
@@ -113,27 +116,28 @@
 	successor.Handle(now+ahead, EndpointList{Kind: ListCached, Endpoints: list})
 	successor.Restore(now+ahead, snapshot)
 	if got := successor.servers["s01"].concurrencyLimit; got != 7 {
-		t.Errorf("limit %v", got)
+		t.Errorf("restored concurrency limit of s01: got %v, want 7", got)
 	}
 	if got := successor.servers["young"].warmupBudget; got.tokens != 0.25 {
-		t.Errorf("warm-up budget %+v", got)
+		t.Errorf("restored warm-up budget of young: got %+v, want 0.25 tokens", got)
 	}
 	if got := successor.servers["s02"].outlier; !got.ejected || got.ejectedUntil != 12*time.Second+ahead || got.ejections != 2 {
-		t.Errorf("outlier state %+v", got)
+		t.Errorf("restored outlier state of s02: got %+v, want ejected until %v, 2 ejections", got,
+			12*time.Second+ahead)
 	}
 	if listed, unavailable := successor.Servers(); listed != 4 || unavailable != 1 {
-		t.Errorf("%d servers, %d unavailable", listed, unavailable)
+		t.Errorf("servers: got %d listed, %d unavailable; want 4, 1", listed, unavailable)
 	}
 	if successor.mayRetry() {
-		t.Error("the retry budget was used up before")
+		t.Error("mayRetry returns true, want false: the former process used up the retry budget")
 	}
-	for i := range list { // a server that started again is another
+	for i := range list { // the servers restart
 		list[i].StartedAt = now + ahead
 	}
 	fresh := startBalancer(t, set, list)
 	fresh.Restore(now+ahead, snapshot)
 	if got := fresh.servers["s01"].concurrencyLimit; got == 7 {
-		t.Error("a new process of a server inherits the limit of its former one")
+		t.Error("restarted server s01 got the concurrency limit from before its restart")
 	}
 }
 
@@ -142,11 +146,11 @@
 	for _, c := range []struct{ at, want Time }{
 		{0, 0}, // never
 		{7 * time.Second, 7*time.Second + ahead},
-		{now, now + ahead - 1}, // not never
+		{now, now + ahead - 1}, // must differ from never
 		{12 * time.Second, 12*time.Second + ahead},
 	} {
 		if got := (snapshotClock{now + ahead}).fromSnapshot(snapshotClock{now}.toSnapshot(c.at)); got != c.want {
-			t.Errorf("%v is %v on a clock that is %v ahead, want %v", c.at, got, ahead, c.want)
+			t.Errorf("time %v on a clock that is %v ahead: got %v, want %v", c.at, ahead, got, c.want)
 		}
 	}
 }
--- a/policy/validation_test.go
+++ b/policy/validation_test.go
@@ -9,7 +9,7 @@
 func TestNewRejectsInvalidSettings(t *testing.T) {
 	nan := math.NaN()
 	for _, c := range []struct {
-		wantInError string // what the error must name
+		wantInError string // substring of the error
 		modify      func(*Settings)
 	}{
 		{"classes", func(s *Settings) { s.Classes = nil }},
@@ -41,7 +41,7 @@
 		set := testSettings(2)
 		c.modify(&set)
 		if _, err := New(set, 0, 1); err == nil || !strings.Contains(err.Error(), c.wantInError) {
-			t.Errorf("got %v, want an error that names %q", err, c.wantInError)
+			t.Errorf("New with invalid settings: got error %v, want one that contains %q", err, c.wantInError)
 		}
 	}
 }
--- a/policy/zone_failover_test.go
+++ b/policy/zone_failover_test.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// twoRegions is a site of two regions: zones a and b in the north, c in the south.
+// twoRegions returns settings with two regions: zones a and b in the north, zone c in the south.
 func twoRegions(nodes int) Settings {
 	set := testSettings(nodes)
-	set.Topology = &Topology{RegionOfZone: map[string]string{"a": "north", "b": "north", "c": "south"}, SameRegionCost: 1, OtherRegionCost: 3}
+	set.Topology = &Topology{RegionOfZone: map[string]string{"a": "north", "b": "north", "c": "south"},
+		SameRegionCost: 1, OtherRegionCost: 3}
 	return set
 }
 
-// endpointsInZones is n servers in each of the zones.
+// endpointsInZones returns n servers in each of the zones.
 func endpointsInZones(n int, zones ...string) (list []Endpoint) {
 	for _, z := range zones {
 		for i := range n {
@@ -25,7 +26,8 @@
 	return list
 }
 
-// Evidence of one server, or of one kind of servers where there are several, evacuates no zone.
+// The evidence of a single server doesn't evacuate a zone, and neither does that of a single kind of servers
+// in a zone with several kinds.
 func TestEvacuationNeedsEvidenceOfSeveralServersAndKinds(t *testing.T) {
 	for name, c := range map[string]struct {
 		fails     func(i int) bool
@@ -54,16 +56,16 @@
 				}
 			}
 			if got := b.zones.find("a").isEvacuated(); got != c.evacuated {
-				t.Errorf("the failing zone is evacuated: %v, want %v", got, c.evacuated)
+				t.Errorf("failing zone evacuated: got %v, want %v", got, c.evacuated)
 			}
 			if got := b.zones.find("b").trafficShare; got != 1 {
-				t.Errorf("the other zone has a share of %v", got)
+				t.Errorf("traffic share of the other zone: got %v, want 1", got)
 			}
 		})
 	}
 }
 
-// zoneFailoverOf is the component alone, with zones that are well.
+// newZoneFailover returns a zoneFailover with healthy zones and without a Balancer.
 func newZoneFailover(zones ...string) *zoneFailover {
 	f := &zoneFailover{servers: &serverPool{}, rng: rand.New(rand.NewPCG(1, 1)), logf: func(string, ...any) {}}
 	f.configure(twoRegions(1).Topology, zones[0])
@@ -73,52 +75,56 @@
 	return f
 }
 
-// An evacuated zone recovers once enough probes in a row have succeeded, and its share then grows to 1.
+// An evacuated zone recovers after zoneProbesNeeded successful probes in a row, and its traffic share then
+// grows to 1.
 func TestZoneRecoversAfterSuccessfulProbes(t *testing.T) {
 	f := newZoneFailover("a", "b")
 	z, now := f.find("a"), time.Hour
 	f.evacuate(z, evacuateEvidence, now)
 	if !z.isEvacuated() || z.trafficShare != 0 {
-		t.Fatalf("evacuated: %v, with a share of %v", z.isEvacuated(), z.trafficShare)
+		t.Fatalf("after evacuate: evacuated %v, traffic share %v; want true, 0", z.isEvacuated(), z.trafficShare)
 	}
 	now = z.evacuatedUntil
 	for range zoneProbesNeeded - 1 {
 		f.recordProbe(z, false, now)
 	}
-	f.recordProbe(z, true, now) // a failure: all of them are needed again
+	f.recordProbe(z, true, now) // after a failure, all probes are needed again
 	if now = z.evacuatedUntil; !z.isEvacuated() || z.probeSuccesses != 0 {
-		t.Fatalf("after a failed probe: evacuated %v, %d successes", z.isEvacuated(), z.probeSuccesses)
+		t.Fatalf("after a failed probe: evacuated %v, %d successes; want true, 0", z.isEvacuated(),
+			z.probeSuccesses)
 	}
 	for range zoneProbesNeeded {
 		f.recordProbe(z, false, now)
 	}
 	if z.isEvacuated() || z.trafficShare != initialRecoveryShare {
-		t.Fatalf("after the probes: evacuated %v, with a share of %v", z.isEvacuated(), z.trafficShare)
+		t.Fatalf("after %d successful probes: evacuated %v, traffic share %v; want false, %v", zoneProbesNeeded,
+			z.isEvacuated(), z.trafficShare, initialRecoveryShare)
 	}
 	f.growShare(z, now+z.growthTime)
 	if want := initialRecoveryShare * math.E; math.Abs(z.trafficShare-want) > 1e-9 {
-		t.Errorf("a share of %v after the growth time, want %v", z.trafficShare, want)
+		t.Errorf("traffic share after the growth time: got %v, want %v", z.trafficShare, want)
 	}
 	if f.growShare(z, now+10*z.growthTime); z.trafficShare != 1 || z.recovering {
-		t.Errorf("a share of %v in the end, still recovering: %v", z.trafficShare, z.recovering)
+		t.Errorf("after ten growth times: traffic share %v, recovering %v; want 1, false", z.trafficShare,
+			z.recovering)
 	}
 }
 
-// Each evacuation soon after another one takes longer, up to a bound.
+// Each evacuation soon after the previous one takes longer, up to maxEvacuationTime.
 func TestEvacuationsTakeLongerInARow(t *testing.T) {
 	f := newZoneFailover("a", "b")
 	z, now := f.find("a"), time.Hour
 	for i, mean := range []time.Duration{2 * time.Second, 8 * time.Second, 32 * time.Second, time.Minute, time.Minute} {
 		f.evacuate(z, evacuateEvidence, now)
 		if got := z.evacuatedUntil - now; got < mean*4/5 || got > mean*6/5 {
-			t.Errorf("evacuation %d takes %v, want %v on average", i+1, got, mean)
+			t.Errorf("evacuation %d takes %v, want %v within 20%%", i+1, got, mean)
 		}
 		f.startRecovery(z, now)
 	}
 }
 
-// A zone with a part of its share is closed to the rest of the requests and to all retries, but not where a class
-// has no other zone.
+// A zone with a traffic share below 1 is closed to the remaining requests and to all retries, unless the
+// class has no other zone.
 func TestZonesAreClosedToTheRestOfTheRequests(t *testing.T) {
 	b := startBalancer(t, twoRegions(1), endpointsInZones(2, "a", "b"))
 	onlyA := &class{Class: Class{Zones: []string{"a"}}, eligible: &serverPool{}}
@@ -145,7 +151,7 @@
 			}
 		}
 		if closed < c.minClosed || closed > c.maxClosed {
-			t.Errorf("%s: closed to %d of 1000, want %d to %d", name, closed, c.minClosed, c.maxClosed)
+			t.Errorf("%s: zone closed to %d of 1000 requests, want %d to %d", name, closed, c.minClosed, c.maxClosed)
 		}
 	}
 }
@@ -154,7 +160,7 @@
 	c := new(classStats)
 	for range minTypicalSamples {
 		if got := c.failureLevel("k", OK, 0.1); got != noFailure {
-			t.Fatalf("a response as usual is a failure of level %v", got)
+			t.Fatalf("failure level of a typical response: got %v, want %v", got, noFailure)
 		}
 	}
 	for _, outcome := range []struct {
@@ -163,13 +169,14 @@
 		want    failureLevel
 	}{
 		{OK, 0.2, noFailure},
-		{OK, 1, plainFailure}, // far slower than is typical
+		{OK, 1, plainFailure}, // far slower than typical
 		{ServerError, 0.1, plainFailure},
 		{TimedOut, 1, plainFailure},
 		{ConnectFailed, 0.001, connectFailure},
 	} {
 		if got := c.failureLevel("k", outcome.code, outcome.latency); got != outcome.want {
-			t.Errorf("code %v after %v s: level %v, want %v", outcome.code, outcome.latency, got, outcome.want)
+			t.Errorf("failure level of code %v after %v s: got %v, want %v", outcome.code, outcome.latency, got,
+				outcome.want)
 		}
 	}
 }
