--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -34,7 +34,7 @@
 
 // Servers that are missing from the list with most of their zone are retained for half of the drain grace. If
 // they are listed again after that, their zone recovers from a small traffic share.
-func TestServersThatVanishInAMassAreRetained(t *testing.T) {
+func TestServersMissingWithMostOfTheirZoneAreRetained(t *testing.T) {
 	all := endpointsInZones(4, "a", "b")
 	grace := testSettings(1).Rules.DrainGrace
 	for name, c := range map[string]struct {
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -133,7 +133,7 @@
 }
 
 // New settings keep the number of nodes that membership found, unless they contain another number.
-func TestQuotaNodesOutliveEqualSettings(t *testing.T) {
+func TestQuotaNodesAreKeptWithTheSameSettings(t *testing.T) {
 	set := testSettings(1)
 	b, err := New(set, 0, 1)
 	if err != nil {
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -8,7 +8,7 @@
 // A server that is busy and far slower than its kind recovers only while it gets no requests. Probation
 // requests from many nodes would keep it from recovering, so they don't go to servers that come after one
 // with capacity.
-func TestOverloadedServerIsEjectedAndRests(t *testing.T) {
+func TestOverloadedServerIsEjectedAndProbedInPackingOrder(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	for _, s := range b.order() {
 		reportLoad(b, s, 3, report(100, 0.5, 10))
@@ -160,8 +160,8 @@
 		}
 		return b
 	}
-	for name, ratio := range map[string]float64{"few": 0.05, "many": 0.15} {
-		b := simulate(func(*server) float64 { return ratio })
+	for name, faultRatio := range map[string]float64{"few": 0.05, "many": 0.15} {
+		b := simulate(func(*server) float64 { return faultRatio })
 		if b.packing.pool.ejected > 1 {
 			t.Errorf("%s resets at all servers: %d of 10 servers ejected, want at most 1", name,
 				b.packing.pool.ejected)
--- a/policy/recorded_events_test.go
+++ b/policy/recorded_events_test.go
@@ -21,16 +21,16 @@
 	"time"
 )
 
-// The recorded events and actions pin what the package decides, whatever its names and structure are. Each event is
-// replayed as it was recorded, and the actions are compared with the recorded ones. The files are only rewritten, by
-// `go test ./policy -run TestRecorded -record`, together with an intended change of the decisions.
+// The recorded events and actions fix the decisions of the package, independently of its names and structure.
+// The test replays each recorded event and compares the actions with the recorded ones. Rewrite the files,
+// with `go test ./policy -run TestRecorded -record`, only together with an intended change of the decisions.
 
 const (
 	recordedEventsFile  = "testdata/recorded_events.jsonl.gz"
 	recordedActionsFile = "testdata/recorded_actions.txt.gz"
 )
 
-// recording is the events of one or several processes of a node, from one seed.
+// recording holds the events of one or several processes of a node, from one seed.
 type recording struct {
 	Name   string          `json:"name"`
 	Seed   uint64          `json:"seed"`
@@ -38,7 +38,8 @@
 	Events []recordedEvent `json:"-"`
 }
 
-// recordedEvent is one call of a Balancer: the field that is set says which. Its keys are those of the files.
+// recordedEvent is one call of a Balancer. The field that is set says which call. The keys are those of the
+// files.
 type recordedEvent struct {
 	At              int64               `json:"t"`
 	Process         int                 `json:"p,omitempty"`
@@ -57,7 +58,7 @@
 	Peer            *string             `json:"peer,omitempty"`
 	Restore         *recordedRestore    `json:"restore,omitempty"`
 	SiblingInFlight *recordedInFlight   `json:"other,omitempty"`
-	Observe         bool                `json:"observe,omitempty"` // what can be asked of the state
+	Observe         bool                `json:"observe,omitempty"` // read the exported state
 }
 
 type recordedNew struct {
@@ -65,13 +66,14 @@
 	Settings recordedSettings `json:"settings"`
 }
 
-// recordedRestore names the process whose state is taken over, and the time by that one's clock.
+// recordedRestore names the process whose snapshot is restored, and the time of the snapshot on that
+// process's clock.
 type recordedRestore struct {
 	From int   `json:"from"`
 	At   int64 `json:"at"`
 }
 
-// recordedInFlight is how many attempts the node's other process has out at each server.
+// recordedInFlight holds the number of attempts that the node's other process has in flight, by server.
 type recordedInFlight struct {
 	ByServer map[string]int `json:"in_flight"`
 }
@@ -89,7 +91,7 @@
 	Incomplete    bool   `json:"partial,omitempty"`
 }
 
-// recordedOutcome is also that of a probe, and a first byte.
+// recordedOutcome is an Outcome, a ProbeResult or a FirstByte.
 type recordedOutcome struct {
 	ID           string    `json:"id,omitempty"`
 	Server       string    `json:"server"`
@@ -210,7 +212,8 @@
 	set := Settings{
 		NodeIndex: s.NodeIndex, NodeCount: s.NodeCount, Zone: s.Zone,
 		Allowed: Allowed{Cancel: s.Cancel, Probe: s.Probe, Peers: s.Peers, RetryAfter: s.RetryAfter,
-			MaxAttempts: s.MaxAttempts, MaxRetryAfter: time.Duration(s.MaxRetryAfter), IdleTimeout: time.Duration(s.IdleTimeout)},
+			MaxAttempts: s.MaxAttempts, MaxRetryAfter: time.Duration(s.MaxRetryAfter),
+			IdleTimeout: time.Duration(s.IdleTimeout)},
 		Rules: Rules{AnswerGrace: time.Duration(s.AnswerGrace), DrainGrace: time.Duration(s.DrainGrace),
 			SlowStartMinCapacity: s.SlowStartMinCapacity, SlowStartDuration: time.Duration(s.SlowStartDuration), OverloadMultiple: s.OverloadMultiple,
 			OverloadDuration: time.Duration(s.OverloadDuration), PollInterval: time.Duration(s.PollInterval)},
@@ -223,7 +226,7 @@
 			Kinds: c.Kinds, Zones: c.Zones, Regions: c.Regions})
 	}
 	for _, t := range s.Tenants {
-		var tenant Tenant // no conversion: the fields' names needn't stay alike
+		var tenant Tenant // not a conversion, which needs the same field names in both types
 		tenant.Name, tenant.Quota, tenant.Share = t.Name, t.Quota, t.Share
 		set.Tenants = append(set.Tenants, tenant)
 	}
@@ -256,7 +259,7 @@
 	return list
 }
 
-// event is the Event to hand to a Balancer; nil for calls of its other methods.
+// event returns the Event to hand to a Balancer, or nil for calls of its other methods.
 func (e *recordedEvent) event() Event {
 	switch {
 	case e.Settings != nil:
@@ -296,7 +299,7 @@
 // replayer hands recorded events to the processes of a node.
 type replayer struct{ processes []*Balancer }
 
-// apply makes one recorded call. It returns the actions, and in short what else the call returned.
+// apply makes one recorded call. It returns the actions and a text for the other results of the call.
 func (p *replayer) apply(e *recordedEvent) (actions []Action, result string, err error) {
 	now := Time(e.At)
 	if e.New != nil {
@@ -305,7 +308,7 @@
 		return nil, fmt.Sprint("made ", err == nil), nil
 	}
 	if e.Process >= len(p.processes) || p.processes[e.Process] == nil {
-		return nil, "", fmt.Errorf("process %d has not been made", e.Process)
+		return nil, "", fmt.Errorf("process %d was not created before the event", e.Process)
 	}
 	b := p.processes[e.Process]
 	switch {
@@ -320,16 +323,16 @@
 	}
 	event := e.event()
 	if event == nil {
-		return nil, "", errors.New("an event of no known kind")
+		return nil, "", errors.New("recorded event of unknown kind")
 	}
 	return b.Handle(now, event), "", nil
 }
 
-// restore hands the state of one process to another as JSON, which is what it is handed over as. Each of them has a
-// clock of its own.
+// restore hands the state of one process to another as JSON, as a hot restart does. The processes have
+// different clocks.
 func restore(to *Balancer, now Time, from *Balancer, fromNow Time) (string, error) {
 	state := from.Snapshot(fromNow)
-	slices.SortFunc(state.Buckets, func(k, l BucketSnapshot) int { // they come in the order of a map
+	slices.SortFunc(state.Buckets, func(k, l BucketSnapshot) int { // the order comes from a map
 		return cmp.Or(strings.Compare(k.Tenant, l.Tenant), strings.Compare(k.Class, l.Class))
 	})
 	text, err := json.Marshal(state)
@@ -344,7 +347,7 @@
 	return string(text), nil
 }
 
-// observed is what a Balancer tells of itself, without texts.
+// observed formats the state that the exported methods of a Balancer return, without texts for people.
 func observed(b *Balancer, now Time) string {
 	var text strings.Builder
 	listed, unavailable := b.Servers()
@@ -363,10 +366,11 @@
 	return text.String()
 }
 
+// formatExact formats a float without loss, after a space.
 func formatExact(v float64) string { return " " + strconv.FormatFloat(v, 'g', -1, 64) }
 
-// digest is one line of the file of actions: a hash of all that counts in the actions, and their kinds. Of a line
-// for the log only that there is one counts.
+// digest returns one line of the file of actions: a hash of the actions, and their kinds. The texts of log
+// lines are left out.
 func digest(actions []Action, result string) string {
 	text, kinds := fmt.Appendf(nil, "%q\n", result), ""
 	for i := range actions {
@@ -375,8 +379,8 @@
 		if a.Kind == Log {
 			body = ""
 		}
-		text = fmt.Appendf(text, "%d %q %q %d %d %d %d %d %q %t\n", a.Kind, a.ID, a.Server, int64(a.AttemptDeadline), int64(a.Wait),
-			a.Token, a.Attempt, a.Peer, body, a.Enabled)
+		text = fmt.Appendf(text, "%d %q %q %d %d %d %d %d %q %t\n", a.Kind, a.ID, a.Server,
+			int64(a.AttemptDeadline), int64(a.Wait), a.Token, a.Attempt, a.Peer, body, a.Enabled)
 		kinds += fmt.Sprint(" ", uint8(a.Kind))
 	}
 	hash := fnv.New32a()
@@ -424,7 +428,7 @@
 	}
 }
 
-// readRecordings reads all recordings, and the lines of their actions in the same order.
+// readRecordings reads all recordings and, for each, the lines of its actions.
 func readRecordings(t *testing.T) (all []recording, actions [][]string) {
 	t.Helper()
 	events, lines := readGzip(t, recordedEventsFile), readGzip(t, recordedActionsFile)
@@ -437,7 +441,7 @@
 		want := make([]string, r.Count)
 		for i := range r.Events {
 			if !events.Scan() || !lines.Scan() {
-				t.Fatalf("%s: the recording ends after %d of %d events", r.Name, i, r.Count)
+				t.Fatalf("recording %q ends after %d of %d events", r.Name, i, r.Count)
 			}
 			if err := json.Unmarshal(events.Bytes(), &r.Events[i]); err != nil {
 				t.Fatal(err)
@@ -449,7 +453,7 @@
 	return all, actions
 }
 
-// writeRecordings replaces the files by what the package decides now.
+// writeRecordings replaces the files with the recordings and the current actions.
 func writeRecordings(t *testing.T, all []recording) {
 	t.Helper()
 	var events, actions bytes.Buffer
@@ -466,7 +470,7 @@
 			}
 			acts, result, err := p.apply(&r.Events[i])
 			if err != nil {
-				t.Fatalf("%s: event %d: %v", r.Name, i, err)
+				t.Fatalf("recording %q, event %d: %v", r.Name, i, err)
 			}
 			fmt.Fprintln(&actions, digest(acts, result))
 		}
@@ -475,11 +479,11 @@
 	writeGzip(t, recordedActionsFile, actions.Bytes())
 }
 
-// TestRecordedEventsLeadToTheRecordedActions holds on amd64, where the files were recorded: other processors may
-// round a product and a sum once instead of twice.
+// TestRecordedEventsLeadToTheRecordedActions runs only on amd64, where the files were recorded. Other
+// processors may round a product and a sum once instead of twice.
 func TestRecordedEventsLeadToTheRecordedActions(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("the actions were recorded on amd64, and rest on how floating-point figures are rounded")
+		t.Skip("the actions were recorded on amd64 and depend on its rounding of floating-point numbers")
 	}
 	if *record {
 		writeRecordings(t, recordAll(t))
@@ -492,7 +496,7 @@
 	}
 	t.Logf("%d events in %d recordings", total, len(all))
 	if total < 5000 {
-		t.Errorf("%d events are recorded, want several thousand", total)
+		t.Errorf("recorded events: got %d, want at least 5000", total)
 	}
 }
 
@@ -506,7 +510,7 @@
 		}
 		if got := digest(acts, result); got != want[i] {
 			event, _ := json.Marshal(r.Events[i])
-			t.Fatalf("seed %d, event %d of %d: actions have the digest %q, recorded is %q\nevent: %s\nactions: %+v %s",
+			t.Fatalf("seed %d, event %d of %d: got digest %q, recorded %q\nevent: %s\nactions: %+v %s",
 				r.Seed, i, len(r.Events), got, want[i], event, acts, result)
 		}
 	}
--- a/policy/recorded_scenarios_test.go
+++ b/policy/recorded_scenarios_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-var record = flag.Bool("record", false, "write the recorded events and actions anew")
+var record = flag.Bool("record", false, "rewrite the recorded events and actions")
 
-// recorder simulates the servers and clients of the processes of one node, and records the events that it hands to
-// them.
+// recorder simulates servers and clients of one node, and records the events that it hands to the node's
+// processes.
 type recorder struct {
 	t            *testing.T
 	scenario     scenario
@@ -23,7 +23,7 @@
 	order        int
 	replayer     replayer
 	clockOffsets []Time // of the processes' clocks
-	serving      int    // the process that clients reach
+	serving      int    // process that gets the clients' requests
 	settings     recordedSettings
 	servers      []*simulatedServer
 	requests     map[string]*simulatedRequest
@@ -34,13 +34,13 @@
 // simulatedServer is a server in the simulation of the recorder.
 type simulatedServer struct {
 	recordedEndpoint
-	baseLatency        time.Duration // latency without load
+	baseLatency        time.Duration // mean latency without load
 	cores              int
 	inFlight           int
-	otherNodesInFlight int           // attempts of other nodes
-	fault              recorderFault // how it fails
-	faultRatio         float64       // and in what part of the attempts
-	latencyFactor      float64       // factor of its latency; 0 for 1
+	otherNodesInFlight int           // attempts of other nodes in flight
+	fault              recorderFault // kind of failure of some attempts
+	faultRatio         float64       // fraction of the attempts that fail, 0 to 1
+	latencyFactor      float64       // multiplies the latency; values below 1 count as 1
 }
 
 type recorderFault uint8
@@ -59,8 +59,8 @@
 type simulatedRequest struct {
 	recordedRequest
 	process    int
-	attempts   []bool // whether each has finished
-	completeAt Time   // when its last byte comes
+	attempts   []bool // whether each attempt has finished
+	completeAt Time   // when the last byte of the request arrives
 	answered   bool
 }
 
@@ -92,13 +92,13 @@
 	heap.Push(&r.queue, recorderTask{r.now + wait.Truncate(recorderStep), r.order, do})
 }
 
-// call makes one call of a process and acts on what it answers.
+// call makes and records one call of a process and carries out the returned actions.
 func (r *recorder) call(process int, e recordedEvent) {
 	e.Process, e.At = process, int64(r.now+r.clockOffset(process))
 	r.events = append(r.events, e)
 	actions, _, err := r.replayer.apply(&e)
 	if err != nil {
-		r.t.Fatalf("%s: %v", r.scenario.name, err)
+		r.t.Fatalf("scenario %q: %v", r.scenario.name, err)
 	}
 	for _, a := range slices.Clone(actions) {
 		r.act(process, a)
@@ -136,7 +136,7 @@
 	}
 }
 
-// refused lets some clients retry.
+// handleReject ends a rejected request. Some clients retry it.
 func (r *recorder) handleReject(a Action) {
 	p := r.requests[a.ID]
 	p.answered = true
@@ -158,7 +158,7 @@
 			return s
 		}
 	}
-	r.t.Fatalf("%s: sent to an unknown server %q", r.scenario.name, id)
+	r.t.Fatalf("scenario %q: unknown server %q", r.scenario.name, id)
 	return nil
 }
 
@@ -181,7 +181,8 @@
 	if code == OK && r.settings.streams(p.Class) {
 		r.after(latency/2, func() {
 			if !p.attempts[n] {
-				r.call(process, recordedEvent{FirstByte: &recordedOutcome{ID: a.ID, Server: a.Server, Attempt: n, Latency: int64(latency / 2)}})
+				r.call(process, recordedEvent{FirstByte: &recordedOutcome{ID: a.ID, Server: a.Server, Attempt: n,
+					Latency: int64(latency / 2)}})
 			}
 		})
 	}
@@ -200,7 +201,7 @@
 
 func (r *recorder) outcome(process int, id string, o recordedOutcome) {
 	p := r.requests[id]
-	if p.attempts[o.Attempt] && r.rng.IntN(20) > 0 { // a second outcome is to be ignored
+	if p.attempts[o.Attempt] && r.rng.IntN(20) > 0 { // sometimes sends a second outcome, which must be ignored
 		return
 	}
 	p.attempts[o.Attempt] = true
@@ -209,10 +210,11 @@
 	r.call(process, recordedEvent{Outcome: &o})
 }
 
-// answer is how a server ends an attempt, and after which time.
+// drawOutcome draws the outcome of an attempt at a server, and its latency.
 func (r *recorder) drawOutcome(s *simulatedServer) (Code, time.Duration) {
 	load := float64(s.inFlight+s.otherNodesInFlight) / float64(s.cores)
-	latency := float64(s.baseLatency) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) * max(1, s.latencyFactor) / r.warmFraction(s)
+	latency := float64(s.baseLatency) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) *
+		max(1, s.latencyFactor) / r.warmFraction(s)
 	if r.rng.IntN(200) == 0 {
 		return NotAttempted, ms
 	}
@@ -250,7 +252,7 @@
 	return max(0.1, r.settings.SlowStartMinCapacity+(1-r.settings.SlowStartMinCapacity)*age.Seconds()/Time(r.settings.SlowStartDuration).Seconds())
 }
 
-// report is what a server says of its load, in the order of the settings.
+// report draws a server's load report, with the values in the order of the settings.
 func (r *recorder) report(s *simulatedServer, latency time.Duration) []float64 {
 	if len(r.settings.ReportFields) == 0 || r.rng.IntN(10) == 0 {
 		return nil
@@ -267,7 +269,7 @@
 	return append(row, make([]float64, len(r.settings.ReportFields)-3)...)
 }
 
-// list hands a process the list of all servers, or an update of changed ones.
+// list hands a process a list of the kind: of all servers or, for an update, of changed servers.
 func (r *recorder) list(process int, kind ListKind, changed ...*simulatedServer) {
 	list := &recordedList{Kind: uint8(kind)}
 	if kind == ListReplace || kind == ListCached {
@@ -286,7 +288,7 @@
 	r.call(process, recordedEvent{List: list})
 }
 
-// change changes servers, and hands the serving process an update.
+// change applies a change to servers and hands the serving process an update.
 func (r *recorder) change(do func(s *simulatedServer), ids ...string) {
 	var changed []*simulatedServer
 	for _, id := range ids {
@@ -301,18 +303,18 @@
 func setRemoved(s *simulatedServer)  { s.Availability = uint8(Removed) }
 func setRunning(s *simulatedServer)  { s.Availability = uint8(Running) }
 
-// restart lets servers start again, with their warm-up before them.
+// restart restarts servers, which then warm up.
 func (r *recorder) restart(ids ...string) {
 	r.change(func(s *simulatedServer) {
 		s.Availability, s.StartedAt = uint8(Running), int64(r.now+r.clockOffset(0))
 	}, ids...)
 }
 
-// setFault lets the servers for which the predicate holds fail in a part of their attempts.
-func (r *recorder) setFault(fault recorderFault, ratio float64, which func(s *simulatedServer) bool) {
+// setFault makes servers that match the predicate fail a fraction of their attempts.
+func (r *recorder) setFault(fault recorderFault, faultRatio float64, which func(s *simulatedServer) bool) {
 	for _, s := range r.servers {
 		if which(s) {
-			s.fault, s.faultRatio = fault, ratio
+			s.fault, s.faultRatio = fault, faultRatio
 		}
 	}
 }
@@ -335,7 +337,7 @@
 	return func(s *simulatedServer) bool { return slices.Contains(ids, s.ID) }
 }
 
-// start makes a process of the node.
+// start creates a process of the node with a clock offset, and returns its index.
 func (r *recorder) start(offset Time) int {
 	process := len(r.replayer.processes)
 	r.clockOffsets = append(r.clockOffsets, offset)
@@ -343,7 +345,7 @@
 	return process
 }
 
-// configure hands the serving process other settings.
+// configure changes the settings and hands them to the serving process.
 func (r *recorder) configure(change func(s *recordedSettings)) {
 	r.settings.Classes = slices.Clone(r.settings.Classes)
 	change(&r.settings)
@@ -351,7 +353,7 @@
 	r.call(r.serving, recordedEvent{Settings: &settings})
 }
 
-// replaceProcess lets a new process take over from the serving one.
+// replaceProcess performs a hot restart: a new process takes over from the serving one.
 func (r *recorder) replaceProcess() {
 	old := r.serving
 	r.call(old, recordedEvent{HandedOver: &recordedHandedOver{Active: true}})
@@ -361,7 +363,7 @@
 	r.shareInFlight()
 }
 
-// shareInFlight hands each process the attempts in flight of the others.
+// shareInFlight hands each process the number of attempts that the other processes have in flight.
 func (r *recorder) shareInFlight() {
 	for process := range r.replayer.processes {
 		other := make(map[string]int)
@@ -376,7 +378,7 @@
 	}
 }
 
-// request hands a client's request to the serving process, and lets some clients cancel it.
+// request hands a client's request to the serving process. Some clients cancel it.
 func (r *recorder) request(q recordedRequest) {
 	p := &simulatedRequest{recordedRequest: q, process: r.serving}
 	r.requests[q.ID] = p
@@ -388,7 +390,7 @@
 	}
 	r.call(process, recordedEvent{Request: &q})
 	if r.rng.IntN(100) == 0 {
-		r.call(process, recordedEvent{Request: &q}) // twice
+		r.call(process, recordedEvent{Request: &q}) // duplicate
 	}
 	cancelAfter := time.Duration(q.Timeout)
 	if r.rng.IntN(20) == 0 {
@@ -455,7 +457,7 @@
 		r.after(max(recorderStep, time.Duration(r.rng.ExpFloat64()*wait)), next)
 	}
 	r.after(s.meanInterval, next)
-	for process := range 2 { // what can be read from each process, at intervals
+	for process := range 2 { // observes each process at intervals
 		for at := time.Second; at < s.duration; at += 1300 * ms {
 			r.after(at, func() {
 				if process < len(r.replayer.processes) {
@@ -474,7 +476,7 @@
 
 const (
 	recorderStart = 10 * time.Minute
-	recorderStep  = 100 * time.Microsecond // all times are multiples of it, which keeps the files small
+	recorderStep  = 100 * time.Microsecond // resolution of all times, which keeps the files small
 )
 
 func recordAll(t *testing.T) (all []recording) {
@@ -488,18 +490,18 @@
 	return append(all, recordInvalidSettings())
 }
 
-// scenario is a deployment, and what happens to it.
+// scenario is a deployment with its load and the steps that change it.
 type scenario struct {
 	name                 string
 	seed                 uint64
 	settings             recordedSettings
 	servers              []*simulatedServer
 	duration             time.Duration
-	meanInterval         time.Duration // between requests, on average
-	burstStart, burstEnd time.Duration // when there are burstFactor times as many
+	meanInterval         time.Duration // mean time between requests
+	burstStart, burstEnd time.Duration // period with burstFactor times as many requests
 	burstFactor          float64
-	incompleteOneIn      int               // one request in so many is incomplete at first; 0 for none
-	start                func(r *recorder) // instead of a restored list
+	incompleteOneIn      int               // one request in this many is incomplete at first; 0 for none
+	start                func(r *recorder) // replaces the initial cached list; nil for that list
 	steps                []scenarioStep
 }
 
@@ -527,11 +529,12 @@
 	}
 }
 
-func scenarioServers(n, cores int, base time.Duration, zones ...string) (all []*simulatedServer) {
+func scenarioServers(n, cores int, baseLatency time.Duration, zones ...string) (all []*simulatedServer) {
 	for i := range n {
 		zone := zones[i%len(zones)]
-		all = append(all, &simulatedServer{cores: cores, baseLatency: base, recordedEndpoint: recordedEndpoint{
-			ID: fmt.Sprintf("%s%02d", zone, i/len(zones)), Zone: zone, Kind: fmt.Sprint("k", i/2%2), Cell: int64(i % 3), Weight: 1}})
+		all = append(all, &simulatedServer{cores: cores, baseLatency: baseLatency,
+			recordedEndpoint: recordedEndpoint{ID: fmt.Sprintf("%s%02d", zone, i/len(zones)), Zone: zone,
+				Kind: fmt.Sprint("k", i/2%2), Cell: int64(i % 3), Weight: 1}})
 	}
 	return all
 }
@@ -805,7 +808,8 @@
 
 	fleet := func(when time.Duration, reachable, reachableInZone int) scenarioStep {
 		return at(when, func(r *recorder) {
-			r.call(0, recordedEvent{FleetSize: &recordedFleetSize{ReachableNodes: reachable, ReachableInZone: reachableInZone}})
+			r.call(0, recordedEvent{FleetSize: &recordedFleetSize{ReachableNodes: reachable,
+				ReachableInZone: reachableInZone}})
 		})
 	}
 	add(scenario{name: "fleet sizes", settings: scenarioSettings(7), servers: scenarioServers(6, 4, 30*ms, "a", "b"),
@@ -835,7 +839,7 @@
 				at(6200*ms, (*recorder).shareInFlight),
 				at(6600*ms, (*recorder).shareInFlight),
 				at(8*second, (*recorder).shareInFlight),
-				at(6300*ms, func(r *recorder) { // the former process still gets a few requests
+				at(6300*ms, func(r *recorder) { // the replaced process still gets a few requests
 					for i := range 9 {
 						q := recordedRequest{ID: fmt.Sprint("former", i), Class: "once", Tenant: "former", Timeout: int64(600 * ms)}
 						r.requests[q.ID] = &simulatedRequest{recordedRequest: q}
@@ -861,7 +865,7 @@
 	return all
 }
 
-// recordInvalidSettings makes processes with settings that New rejects.
+// recordInvalidSettings records New with invalid settings and, last, with valid settings.
 func recordInvalidSettings() recording {
 	r := recording{Name: "senseless settings"}
 	for _, change := range []func(s *recordedSettings){
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -280,7 +280,7 @@
 
 // The warm-up budget follows the peak rate of servers that have warmed up, not their current rate. Otherwise
 // the budget would be lowest while those servers fail and the servers that are warming up are needed.
-func TestWarmupBudgetOutlivesTheLossOfOtherServers(t *testing.T) {
+func TestWarmupBudgetIsKeptAfterTheLossOfOtherServers(t *testing.T) {
 	set := testSettings(1)
 	set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = 0.5, time.Hour
 	list := testEndpoints(12)
