--- a/policy/recorded_scenarios_test.go
+++ b/policy/recorded_scenarios_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-var record = flag.Bool("record", false, "write the recorded events and actions anew")
+var record = flag.Bool("record", false, "rewrite the recorded events and actions")
 
-// recorder simulates the servers and clients of the processes of one node, and records the events that it hands to
-// them.
+// recorder simulates servers and clients of one node, and records the events that it hands to the node's
+// processes.
 type recorder struct {
 	t            *testing.T
 	scenario     scenario
@@ -23,7 +23,7 @@
 	order        int
 	replayer     replayer
 	clockOffsets []Time // of the processes' clocks
-	serving      int    // the process that clients reach
+	serving      int    // process that gets the clients' requests
 	settings     recordedSettings
 	servers      []*simulatedServer
 	requests     map[string]*simulatedRequest
@@ -34,13 +34,13 @@
 // simulatedServer is a server in the simulation of the recorder.
 type simulatedServer struct {
 	recordedEndpoint
-	base           time.Duration // latency without load
-	cores          int
-	busy           int
-	otherNodesBusy int           // attempts of other nodes
-	fault          recorderFault // how it fails
-	part           float64       // and in what part of the attempts
-	slow           float64       // factor of its latency; 0 for 1
+	baseLatency        time.Duration // mean latency without load
+	cores              int
+	inFlight           int
+	otherNodesInFlight int           // attempts of other nodes in flight
+	fault              recorderFault // kind of failure of some attempts
+	faultRatio         float64       // fraction of the attempts that fail, 0 to 1
+	latencyFactor      float64       // multiplies the latency; values below 1 count as 1
 }
 
 type recorderFault uint8
@@ -48,7 +48,7 @@
 const (
 	noFault recorderFault = iota
 	failing
-	full
+	overloaded
 	resetting
 	unreachable
 	hanging
@@ -59,8 +59,8 @@
 type simulatedRequest struct {
 	recordedRequest
 	process    int
-	attempts   []bool // whether each has finished
-	completeAt Time   // when its last byte comes
+	attempts   []bool // whether each attempt has finished
+	completeAt Time   // when the last byte of the request arrives
 	answered   bool
 }
 
@@ -92,13 +92,13 @@
 	heap.Push(&r.queue, recorderTask{r.now + wait.Truncate(recorderStep), r.order, do})
 }
 
-// call makes one call of a process and acts on what it answers.
+// call makes and records one call of a process and carries out the returned actions.
 func (r *recorder) call(process int, e recordedEvent) {
 	e.Process, e.At = process, int64(r.now+r.clockOffset(process))
 	r.events = append(r.events, e)
 	actions, _, err := r.replayer.apply(&e)
 	if err != nil {
-		r.t.Fatalf("%s: %v", r.scenario.name, err)
+		r.t.Fatalf("scenario %q: %v", r.scenario.name, err)
 	}
 	for _, a := range slices.Clone(actions) {
 		r.act(process, a)
@@ -120,7 +120,7 @@
 		token := a.Token
 		r.after(max(a.Wait, ms), func() { r.call(process, recordedEvent{Timer: &token}) })
 	case Reject:
-		r.refused(a)
+		r.handleReject(a)
 	case Fail:
 		r.requests[a.ID].answered = true
 	case Cancel:
@@ -136,19 +136,19 @@
 	}
 }
 
-// refused lets some clients retry.
-func (r *recorder) refused(a Action) {
+// handleReject ends a rejected request. Some clients retry it.
+func (r *recorder) handleReject(a Action) {
 	p := r.requests[a.ID]
 	p.answered = true
 	if r.rng.IntN(3) > 0 || p.ClientRetry {
 		return
 	}
 	r.after(max(a.Wait, 30*ms), func() {
-		again := p.recordedRequest
-		again.ID += "b"
-		again.ClientRetry, again.Incomplete = true, false
-		again.Timeout = max(int64(50*ms), again.Timeout-int64(a.Wait)-int64(100*ms))
-		r.request(again)
+		retry := p.recordedRequest
+		retry.ID += "b"
+		retry.ClientRetry, retry.Incomplete = true, false
+		retry.Timeout = max(int64(50*ms), retry.Timeout-int64(a.Wait)-int64(100*ms))
+		r.request(retry)
 	})
 }
 
@@ -158,7 +158,7 @@
 			return s
 		}
 	}
-	r.t.Fatalf("%s: sent to an unknown server %q", r.scenario.name, id)
+	r.t.Fatalf("scenario %q: unknown server %q", r.scenario.name, id)
 	return nil
 }
 
@@ -166,14 +166,14 @@
 	p, s := r.requests[a.ID], r.server(a.Server)
 	n := len(p.attempts)
 	p.attempts = append(p.attempts, false)
-	s.busy++
-	code, latency := r.answer(s)
+	s.inFlight++
+	code, latency := r.drawOutcome(s)
 	if p.completeAt > r.now {
 		latency += p.completeAt - r.now
 	}
-	until := a.AttemptDeadline - r.clockOffset(process)
-	if r.now+latency > until && p.completeAt <= r.now {
-		code, latency = TimedOut, max(0, until-r.now)
+	deadline := a.AttemptDeadline - r.clockOffset(process)
+	if r.now+latency > deadline && p.completeAt <= r.now {
+		code, latency = TimedOut, max(0, deadline-r.now)
 	}
 	latency = latency.Truncate(recorderStep)
 	o := recordedOutcome{Server: a.Server, Attempt: n, Code: uint8(code), Latency: int64(latency), RequestEnded: code == OK,
@@ -181,7 +181,8 @@
 	if code == OK && r.settings.streams(p.Class) {
 		r.after(latency/2, func() {
 			if !p.attempts[n] {
-				r.call(process, recordedEvent{FirstByte: &recordedOutcome{ID: a.ID, Server: a.Server, Attempt: n, Latency: int64(latency / 2)}})
+				r.call(process, recordedEvent{FirstByte: &recordedOutcome{ID: a.ID, Server: a.Server, Attempt: n,
+					Latency: int64(latency / 2)}})
 			}
 		})
 	}
@@ -189,7 +190,7 @@
 		if code == OK {
 			o.LoadReport = r.report(s, latency)
 		}
-		s.busy--
+		s.inFlight--
 		r.outcome(process, a.ID, o)
 	})
 }
@@ -200,7 +201,7 @@
 
 func (r *recorder) outcome(process int, id string, o recordedOutcome) {
 	p := r.requests[id]
-	if p.attempts[o.Attempt] && r.rng.IntN(20) > 0 { // a second outcome is to be ignored
+	if p.attempts[o.Attempt] && r.rng.IntN(20) > 0 { // sometimes sends a second outcome, which must be ignored
 		return
 	}
 	p.attempts[o.Attempt] = true
@@ -209,24 +210,25 @@
 	r.call(process, recordedEvent{Outcome: &o})
 }
 
-// answer is how a server ends an attempt, and after which time.
-func (r *recorder) answer(s *simulatedServer) (Code, time.Duration) {
-	load := float64(s.busy+s.otherNodesBusy) / float64(s.cores)
-	latency := float64(s.base) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) * max(1, s.slow) / r.warmFraction(s)
+// drawOutcome draws the outcome of an attempt at a server, and its latency.
+func (r *recorder) drawOutcome(s *simulatedServer) (Code, time.Duration) {
+	load := float64(s.inFlight+s.otherNodesInFlight) / float64(s.cores)
+	latency := float64(s.baseLatency) * (0.4 + 0.6*r.rng.ExpFloat64()) * max(1, load) *
+		max(1, s.latencyFactor) / r.warmFraction(s)
 	if r.rng.IntN(200) == 0 {
 		return NotAttempted, ms
 	}
 	fault := s.fault
 	if fault == mixed {
-		fault = []recorderFault{failing, full, resetting, unreachable, hanging, failingLate}[r.rng.IntN(6)]
+		fault = []recorderFault{failing, overloaded, resetting, unreachable, hanging, failingLate}[r.rng.IntN(6)]
 	}
-	if fault != noFault && r.rng.Float64() < s.part {
+	if fault != noFault && r.rng.Float64() < s.faultRatio {
 		switch fault {
 		case failing:
 			return ServerError, 5 * ms
 		case failingLate:
 			return ServerError, 350 * ms
-		case full:
+		case overloaded:
 			return Overloaded, ms
 		case resetting:
 			return Reset, 2 * ms
@@ -250,7 +252,7 @@
 	return max(0.1, r.settings.SlowStartMinCapacity+(1-r.settings.SlowStartMinCapacity)*age.Seconds()/Time(r.settings.SlowStartDuration).Seconds())
 }
 
-// report is what a server says of its load, in the order of the settings.
+// report draws a server's load report, with the values in the order of the settings.
 func (r *recorder) report(s *simulatedServer, latency time.Duration) []float64 {
 	if len(r.settings.ReportFields) == 0 || r.rng.IntN(10) == 0 {
 		return nil
@@ -261,13 +263,13 @@
 	if r.rng.IntN(60) == 0 { // an idle server
 		return make([]float64, len(r.settings.ReportFields))
 	}
-	util := min(1.4, float64(s.busy+s.otherNodesBusy)/float64(s.cores))
-	rate := util * float64(s.cores) / (s.base.Seconds() * max(1, s.slow)) * r.warmFraction(s)
+	util := min(1.4, float64(s.inFlight+s.otherNodesInFlight)/float64(s.cores))
+	rate := util * float64(s.cores) / (s.baseLatency.Seconds() * max(1, s.latencyFactor)) * r.warmFraction(s)
 	row := []float64{float64(latency.Microseconds()) / 1000, float64(int(util*1000)) / 1000, float64(int(rate*10)) / 10}
 	return append(row, make([]float64, len(r.settings.ReportFields)-3)...)
 }
 
-// list hands a process the list of all servers, or an update of changed ones.
+// list hands a process a list of the kind: of all servers or, for an update, of changed servers.
 func (r *recorder) list(process int, kind ListKind, changed ...*simulatedServer) {
 	list := &recordedList{Kind: uint8(kind)}
 	if kind == ListReplace || kind == ListCached {
@@ -286,7 +288,7 @@
 	r.call(process, recordedEvent{List: list})
 }
 
-// change changes servers, and hands the serving process an update.
+// change applies a change to servers and hands the serving process an update.
 func (r *recorder) change(do func(s *simulatedServer), ids ...string) {
 	var changed []*simulatedServer
 	for _, id := range ids {
@@ -297,45 +299,45 @@
 	r.list(r.serving, ListUpdate, changed...)
 }
 
-func drains(s *simulatedServer)  { s.Availability = uint8(Draining) }
-func removes(s *simulatedServer) { s.Availability = uint8(Removed) }
-func returns(s *simulatedServer) { s.Availability = uint8(Running) }
+func setDraining(s *simulatedServer) { s.Availability = uint8(Draining) }
+func setRemoved(s *simulatedServer)  { s.Availability = uint8(Removed) }
+func setRunning(s *simulatedServer)  { s.Availability = uint8(Running) }
 
-// restart lets servers start again, with their warm-up before them.
+// restart restarts servers, which then warm up.
 func (r *recorder) restart(ids ...string) {
 	r.change(func(s *simulatedServer) {
 		s.Availability, s.StartedAt = uint8(Running), int64(r.now+r.clockOffset(0))
 	}, ids...)
 }
 
-// setFault lets the servers for which the predicate holds fail in a part of their attempts.
-func (r *recorder) setFault(fault recorderFault, part float64, which func(s *simulatedServer) bool) {
+// setFault makes servers that match the predicate fail a fraction of their attempts.
+func (r *recorder) setFault(fault recorderFault, faultRatio float64, which func(s *simulatedServer) bool) {
 	for _, s := range r.servers {
 		if which(s) {
-			s.fault, s.part = fault, part
+			s.fault, s.faultRatio = fault, faultRatio
 		}
 	}
 }
 
-func (r *recorder) setSlowdown(times float64, which func(s *simulatedServer) bool) {
+func (r *recorder) setSlowdown(factor float64, which func(s *simulatedServer) bool) {
 	for _, s := range r.servers {
 		if which(s) {
-			s.slow = times
+			s.latencyFactor = factor
 		}
 	}
 }
 
-func every(*simulatedServer) bool { return true }
+func allServers(*simulatedServer) bool { return true }
 
 func inZone(zone string) func(s *simulatedServer) bool {
 	return func(s *simulatedServer) bool { return s.Zone == zone }
 }
 
-func named(ids ...string) func(s *simulatedServer) bool {
+func withIDs(ids ...string) func(s *simulatedServer) bool {
 	return func(s *simulatedServer) bool { return slices.Contains(ids, s.ID) }
 }
 
-// start makes a process of the node.
+// start creates a process of the node with a clock offset, and returns its index.
 func (r *recorder) start(offset Time) int {
 	process := len(r.replayer.processes)
 	r.clockOffsets = append(r.clockOffsets, offset)
@@ -343,7 +345,7 @@
 	return process
 }
 
-// configure hands the serving process other settings.
+// configure changes the settings and hands them to the serving process.
 func (r *recorder) configure(change func(s *recordedSettings)) {
 	r.settings.Classes = slices.Clone(r.settings.Classes)
 	change(&r.settings)
@@ -351,7 +353,7 @@
 	r.call(r.serving, recordedEvent{Settings: &settings})
 }
 
-// replaceProcess lets a new process take over from the serving one.
+// replaceProcess performs a hot restart: a new process takes over from the serving one.
 func (r *recorder) replaceProcess() {
 	old := r.serving
 	r.call(old, recordedEvent{HandedOver: &recordedHandedOver{Active: true}})
@@ -361,7 +363,7 @@
 	r.shareInFlight()
 }
 
-// shareInFlight hands each process the attempts in flight of the others.
+// shareInFlight hands each process the number of attempts that the other processes have in flight.
 func (r *recorder) shareInFlight() {
 	for process := range r.replayer.processes {
 		other := make(map[string]int)
@@ -376,7 +378,7 @@
 	}
 }
 
-// request hands a client's request to the serving process, and lets some clients cancel it.
+// request hands a client's request to the serving process. Some clients cancel it.
 func (r *recorder) request(q recordedRequest) {
 	p := &simulatedRequest{recordedRequest: q, process: r.serving}
 	r.requests[q.ID] = p
@@ -388,13 +390,13 @@
 	}
 	r.call(process, recordedEvent{Request: &q})
 	if r.rng.IntN(100) == 0 {
-		r.call(process, recordedEvent{Request: &q}) // twice
+		r.call(process, recordedEvent{Request: &q}) // duplicate
 	}
-	leaves := time.Duration(q.Timeout)
+	cancelAfter := time.Duration(q.Timeout)
 	if r.rng.IntN(20) == 0 {
-		leaves = time.Duration(r.rng.IntN(30)) * ms
+		cancelAfter = time.Duration(r.rng.IntN(30)) * ms
 	}
-	r.after(leaves, func() {
+	r.after(cancelAfter, func() {
 		if !p.answered {
 			p.answered = true
 			r.call(process, recordedEvent{ClientCancelled: q.ID})
@@ -455,7 +457,7 @@
 		r.after(max(recorderStep, time.Duration(r.rng.ExpFloat64()*wait)), next)
 	}
 	r.after(s.meanInterval, next)
-	for process := range 2 { // what can be read from each process, at intervals
+	for process := range 2 { // observes each process at intervals
 		for at := time.Second; at < s.duration; at += 1300 * ms {
 			r.after(at, func() {
 				if process < len(r.replayer.processes) {
@@ -474,7 +476,7 @@
 
 const (
 	recorderStart = 10 * time.Minute
-	recorderStep  = 100 * time.Microsecond // all times are multiples of it, which keeps the files small
+	recorderStep  = 100 * time.Microsecond // resolution of all times, which keeps the files small
 )
 
 func recordAll(t *testing.T) (all []recording) {
@@ -488,18 +490,18 @@
 	return append(all, recordInvalidSettings())
 }
 
-// scenario is a deployment, and what happens to it.
+// scenario is a deployment with its load and the steps that change it.
 type scenario struct {
 	name                 string
 	seed                 uint64
 	settings             recordedSettings
 	servers              []*simulatedServer
 	duration             time.Duration
-	meanInterval         time.Duration // between requests, on average
-	burstStart, burstEnd time.Duration // when there are burstFactor times as many
+	meanInterval         time.Duration // mean time between requests
+	burstStart, burstEnd time.Duration // period with burstFactor times as many requests
 	burstFactor          float64
-	incompleteOneIn      int               // one request in so many is incomplete at first; 0 for none
-	start                func(r *recorder) // instead of a restored list
+	incompleteOneIn      int               // one request in this many is incomplete at first; 0 for none
+	start                func(r *recorder) // replaces the initial cached list; nil for that list
 	steps                []scenarioStep
 }
 
@@ -527,11 +529,12 @@
 	}
 }
 
-func scenarioServers(n, cores int, base time.Duration, zones ...string) (all []*simulatedServer) {
+func scenarioServers(n, cores int, baseLatency time.Duration, zones ...string) (all []*simulatedServer) {
 	for i := range n {
 		zone := zones[i%len(zones)]
-		all = append(all, &simulatedServer{cores: cores, base: base, recordedEndpoint: recordedEndpoint{
-			ID: fmt.Sprintf("%s%02d", zone, i/len(zones)), Zone: zone, Kind: fmt.Sprint("k", i/2%2), Cell: int64(i % 3), Weight: 1}})
+		all = append(all, &simulatedServer{cores: cores, baseLatency: baseLatency,
+			recordedEndpoint: recordedEndpoint{ID: fmt.Sprintf("%s%02d", zone, i/len(zones)), Zone: zone,
+				Kind: fmt.Sprint("k", i/2%2), Cell: int64(i % 3), Weight: 1}})
 	}
 	return all
 }
@@ -608,15 +611,15 @@
 	add(scenario{name: "few nodes without room", settings: scenarioSettings(3), servers: scenarioServers(4, 2, 60*ms, "a", "b"),
 		duration: 7 * second, meanInterval: 12 * ms, burstStart: 2 * second, burstEnd: 4 * second, burstFactor: 3, incompleteOneIn: 30,
 		steps: []scenarioStep{
-			at(3*second, func(r *recorder) { r.setSlowdown(4, every) }),
-			at(5*second, func(r *recorder) { r.setSlowdown(1, every) }),
+			at(3*second, func(r *recorder) { r.setSlowdown(4, allServers) }),
+			at(5*second, func(r *recorder) { r.setSlowdown(1, allServers) }),
 		}}, nil)
 
 	add(scenario{name: "many nodes without reports", settings: scenarioSettings(60), servers: scenarioServers(12, 2, 50*ms, "a", "b"),
 		duration: 12 * second, meanInterval: 15 * ms, burstStart: 4 * second, burstEnd: 7 * second, burstFactor: 3,
 		steps: []scenarioStep{
-			at(5*second, func(r *recorder) { r.setFault(full, 0.6, every) }),
-			at(8*second, func(r *recorder) { r.setFault(mixed, 0.1, every) }),
+			at(5*second, func(r *recorder) { r.setFault(overloaded, 0.6, allServers) }),
+			at(8*second, func(r *recorder) { r.setFault(mixed, 0.1, allServers) }),
 		}}, nil)
 
 	add(scenario{name: "many nodes with reports", settings: scenarioSettings(60), servers: scenarioServers(12, 4, 40*ms, "a", "b"),
@@ -624,17 +627,17 @@
 		steps: []scenarioStep{
 			at(2*second, func(r *recorder) {
 				for _, s := range r.servers {
-					s.otherNodesBusy = 1 + r.rng.IntN(4)
+					s.otherNodesInFlight = 1 + r.rng.IntN(4)
 				}
 			}),
 			at(4*second, func(r *recorder) {
-				r.setSlowdown(6, named("a00", "b01"))
-				r.server("a00").otherNodesBusy, r.server("b01").otherNodesBusy = 4, 4
+				r.setSlowdown(6, withIDs("a00", "b01"))
+				r.server("a00").otherNodesInFlight, r.server("b01").otherNodesInFlight = 4, 4
 			}),
 			at(6*second, func(r *recorder) { r.restart("a02", "b03", "a04") }),
-			at(7*second, func(r *recorder) { r.setFault(mixed, 0.5, named("a03", "b02")) }),
-			at(9*second, func(r *recorder) { r.setSlowdown(1, every) }),
-			at(10*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(7*second, func(r *recorder) { r.setFault(mixed, 0.5, withIDs("a03", "b02")) }),
+			at(9*second, func(r *recorder) { r.setSlowdown(1, allServers) }),
+			at(10*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 		}}, func(s *recordedSettings) { s.ReportFields = recordedReportFields })
 
 	add(scenario{name: "reports without worth", settings: scenarioSettings(9), servers: scenarioServers(5, 2, 50*ms, "a"),
@@ -648,8 +651,8 @@
 	add(scenario{name: "packing and placement", settings: scenarioSettings(4), servers: scenarioServers(12, 3, 30*ms, "a", "b", "c"),
 		duration: 6 * second, meanInterval: 10 * ms, incompleteOneIn: 15,
 		steps: []scenarioStep{
-			at(2*second, func(r *recorder) { r.change(drains, "a00", "b01") }),
-			at(2500*ms, func(r *recorder) { r.change(returns, "a00", "b01") }),
+			at(2*second, func(r *recorder) { r.change(setDraining, "a00", "b01") }),
+			at(2500*ms, func(r *recorder) { r.change(setRunning, "a00", "b01") }),
 			at(3*second, func(r *recorder) {
 				r.configure(func(s *recordedSettings) {
 					s.Classes[0].Zones = nil
@@ -672,16 +675,16 @@
 		start:   func(r *recorder) { r.call(0, recordedEvent{List: &recordedList{Kind: uint8(ListCached)}}) },
 		steps: []scenarioStep{
 			at(second, func(r *recorder) { r.list(0, ListReplace) }),
-			at(2*second, func(r *recorder) { r.change(removes, "a00", "a01", "a02") }),
-			at(2500*ms, func(r *recorder) { r.change(returns, "a01") }),
+			at(2*second, func(r *recorder) { r.change(setRemoved, "a00", "a01", "a02") }),
+			at(2500*ms, func(r *recorder) { r.change(setRunning, "a01") }),
 		}}, func(s *recordedSettings) { s.Cancel, s.MaxAttempts = false, 0 })
 
 	add(scenario{name: "retries within a budget", settings: scenarioSettings(2), servers: scenarioServers(8, 4, 25*ms, "a", "b"),
 		duration: 9 * second, meanInterval: 10 * ms, incompleteOneIn: 20,
 		steps: []scenarioStep{
-			at(second, func(r *recorder) { r.setFault(mixed, 0.3, every) }),
-			at(5*second, func(r *recorder) { r.setFault(resetting, 0.5, every) }),
-			at(7*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(second, func(r *recorder) { r.setFault(mixed, 0.3, allServers) }),
+			at(5*second, func(r *recorder) { r.setFault(resetting, 0.5, allServers) }),
+			at(7*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 		}}, func(s *recordedSettings) {
 		s.RetryBudget = &recordedRetryBudget{MinRetries: 3, RetryRatio: 0.1, Window: int64(4 * second)}
 		for i := range s.Classes {
@@ -692,23 +695,23 @@
 	add(scenario{name: "ejection and probation", settings: scenarioSettings(2), servers: scenarioServers(8, 4, 25*ms, "a"),
 		duration: 16 * second, meanInterval: 14 * ms,
 		steps: []scenarioStep{
-			at(second, func(r *recorder) { r.setFault(failing, 1, named("a00")) }),
-			at(1500*ms, func(r *recorder) { r.setFault(hanging, 1, named("a03")) }),
-			at(2*second, func(r *recorder) { r.setFault(full, 0.8, named("a05")) }),
-			at(5*second, func(r *recorder) { r.change(drains, "a03") }),
-			at(6*second, func(r *recorder) { r.setFault(failing, 0.5, named("a00")) }),
-			at(7*second, func(r *recorder) { r.change(returns, "a03") }),
-			at(8*second, func(r *recorder) { r.setFault(noFault, 0, named("a00", "a03")) }),
-			at(9*second, func(r *recorder) { r.change(removes, "a05") }),
-			at(10*second, func(r *recorder) { r.setFault(unreachable, 1, named("a01", "a02", "a04", "a06")) }),
-			at(12*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(second, func(r *recorder) { r.setFault(failing, 1, withIDs("a00")) }),
+			at(1500*ms, func(r *recorder) { r.setFault(hanging, 1, withIDs("a03")) }),
+			at(2*second, func(r *recorder) { r.setFault(overloaded, 0.8, withIDs("a05")) }),
+			at(5*second, func(r *recorder) { r.change(setDraining, "a03") }),
+			at(6*second, func(r *recorder) { r.setFault(failing, 0.5, withIDs("a00")) }),
+			at(7*second, func(r *recorder) { r.change(setRunning, "a03") }),
+			at(8*second, func(r *recorder) { r.setFault(noFault, 0, withIDs("a00", "a03")) }),
+			at(9*second, func(r *recorder) { r.change(setRemoved, "a05") }),
+			at(10*second, func(r *recorder) { r.setFault(unreachable, 1, withIDs("a01", "a02", "a04", "a06")) }),
+			at(12*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 		}}, func(s *recordedSettings) { s.Classes[1].Kinds = []string{"k0"} })
 
 	add(scenario{name: "warming servers", settings: scenarioSettings(2), servers: scenarioServers(9, 4, 30*ms, "a"),
 		duration: 12 * second, meanInterval: 9 * ms, burstStart: 5 * second, burstEnd: 7 * second, burstFactor: 3,
 		steps: []scenarioStep{
 			at(2*second, func(r *recorder) { r.restart("a01", "a04", "a07") }),
-			at(4*second, func(r *recorder) { r.change(removes, "a00", "a02") }),
+			at(4*second, func(r *recorder) { r.change(setRemoved, "a00", "a02") }),
 			at(6*second, func(r *recorder) { r.restart("a00") }),
 		}}, nil)
 
@@ -717,10 +720,10 @@
 			servers: scenarioServers(15, 6, 25*ms, "a", "b", "c"), duration: 30 * second, meanInterval: 26 * ms,
 			steps: []scenarioStep{
 				at(2*second, func(r *recorder) { r.setFault(fault, 0.8, inZone("a")) }),
-				at(9*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+				at(9*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 				at(20*second, func(r *recorder) { r.setSlowdown(8, inZone("b")) }),
 				at(22*second, func(r *recorder) { r.setFault(fault, 1, inZone("a")) }),
-				at(25*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+				at(25*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 			}}, func(s *recordedSettings) {
 			s.Topology = scenarioTopology()
 			if i == 1 {
@@ -733,10 +736,10 @@
 		duration: 40 * second, meanInterval: 32 * ms,
 		steps: []scenarioStep{
 			at(second, func(r *recorder) { r.setFault(unreachable, 1, inZone("a")) }),
-			at(5*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(5*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 			at(9*second, func(r *recorder) { r.setFault(unreachable, 0.3, inZone("a")) }),
 			at(11*second, func(r *recorder) { r.setFault(unreachable, 1, inZone("a")) }),
-			at(14*second, func(r *recorder) { r.setFault(noFault, 0, every) }),
+			at(14*second, func(r *recorder) { r.setFault(noFault, 0, allServers) }),
 		}}, func(s *recordedSettings) { s.Topology = scenarioTopology() })
 
 	add(scenario{name: "endpoint lists", settings: scenarioSettings(5), servers: scenarioServers(12, 4, 25*ms, "a", "b"),
@@ -745,12 +748,12 @@
 			at(second, func(r *recorder) { r.list(0, ListUnavailable) }),
 			at(1100*ms, func(r *recorder) { r.list(0, ListUnavailable) }),
 			at(2*second, func(r *recorder) { r.list(0, ListReplace) }),
-			at(3*second, func(r *recorder) { r.change(removes, "a00", "a01", "a02", "a03", "a04") }),
-			at(3500*ms, func(r *recorder) { r.change(returns, "a01", "a02") }),
-			at(6*second, func(r *recorder) { r.change(returns, "a00", "a03", "a04") }),
+			at(3*second, func(r *recorder) { r.change(setRemoved, "a00", "a01", "a02", "a03", "a04") }),
+			at(3500*ms, func(r *recorder) { r.change(setRunning, "a01", "a02") }),
+			at(6*second, func(r *recorder) { r.change(setRunning, "a00", "a03", "a04") }),
 			at(8*second, func(r *recorder) {
-				r.change(drains, "b00")
-				r.change(removes, "b00")
+				r.change(setDraining, "b00")
+				r.change(setRemoved, "b00")
 				r.change(func(s *simulatedServer) { s.Zone, s.Kind = "b", "k2" }, "a05")
 			}),
 			at(9*second, func(r *recorder) {
@@ -803,9 +806,10 @@
 			}),
 		}}, nil)
 
-	fleet := func(when time.Duration, heard, near int) scenarioStep {
+	fleet := func(when time.Duration, reachable, reachableInZone int) scenarioStep {
 		return at(when, func(r *recorder) {
-			r.call(0, recordedEvent{FleetSize: &recordedFleetSize{ReachableNodes: heard, ReachableInZone: near}})
+			r.call(0, recordedEvent{FleetSize: &recordedFleetSize{ReachableNodes: reachable,
+				ReachableInZone: reachableInZone}})
 		})
 	}
 	add(scenario{name: "fleet sizes", settings: scenarioSettings(7), servers: scenarioServers(6, 4, 30*ms, "a", "b"),
@@ -827,7 +831,7 @@
 		add(scenario{name: fmt.Sprint("replacement ", i), settings: scenarioSettings([]int{2, 20}[i]),
 			servers: scenarioServers(9, 3, 40*ms, "a", "b"), duration: 12 * second, meanInterval: 11 * ms, incompleteOneIn: 25,
 			steps: []scenarioStep{
-				at(second, func(r *recorder) { r.setFault(mixed, 0.25, named("a01", "b01")) }),
+				at(second, func(r *recorder) { r.setFault(mixed, 0.25, withIDs("a01", "b01")) }),
 				at(2*second, func(r *recorder) { r.restart("a02", "b02") }),
 				at(3*second, handOver(true, false)), at(3500*ms, handOver(false, false)),
 				at(4*second, handOver(true, false)), at(4500*ms, handOver(false, true)),
@@ -835,7 +839,7 @@
 				at(6200*ms, (*recorder).shareInFlight),
 				at(6600*ms, (*recorder).shareInFlight),
 				at(8*second, (*recorder).shareInFlight),
-				at(6300*ms, func(r *recorder) { // the former process still gets a few requests
+				at(6300*ms, func(r *recorder) { // the replaced process still gets a few requests
 					for i := range 9 {
 						q := recordedRequest{ID: fmt.Sprint("former", i), Class: "once", Tenant: "former", Timeout: int64(600 * ms)}
 						r.requests[q.ID] = &simulatedRequest{recordedRequest: q}
@@ -861,7 +865,7 @@
 	return all
 }
 
-// recordInvalidSettings makes processes with settings that New rejects.
+// recordInvalidSettings records New with invalid settings and, last, with valid settings.
 func recordInvalidSettings() recording {
 	r := recording{Name: "senseless settings"}
 	for _, change := range []func(s *recordedSettings){
