--- a/policy/actions.go
+++ b/policy/actions.go
@@ -4,17 +4,17 @@
 	"time"
 )
 
-// ActionKind names what an Action does.
+// ActionKind is the kind of an Action.
 type ActionKind uint8
 
-// What a node can do; the comments name the fields of Action that count. Probe, SendPeerMessage, CloseIdle
-// and FetchList are part of the wire; no decision emits them.
+// Action kinds. The comments name the fields of Action that each kind uses. Probe, SendPeerMessage, CloseIdle
+// and FetchList are part of the wire format, but no decision emits them.
 const (
 	Send   ActionKind = iota // ID, Server, AttemptDeadline
-	Reject                   // ID, Wait: the client may safely send the request again, after Wait
+	Reject                   // ID, Wait: the client may safely send the request again after Wait
 	Fail                     // ID: the request may or may not have run
 	Cancel                   // ID, Attempt
-	// SetAttemptDeadline replaces the deadline of an attempt whose request has now come whole.
+	// SetAttemptDeadline replaces the deadline of an attempt whose request is now complete.
 	SetAttemptDeadline // ID, Attempt, AttemptDeadline
 	SetTimer           // Wait, Token
 	Probe              // Server
@@ -25,12 +25,12 @@
 	FetchList          // no fields
 )
 
-// Action is one thing that the node is to do now.
+// Action is one instruction to the node.
 type Action struct {
 	Kind            ActionKind
 	ID              string
 	Server          string
-	AttemptDeadline Time // when the attempt times out; 0: with the client's deadline
+	AttemptDeadline Time // when the attempt times out; 0: at the client's deadline
 	Wait            time.Duration
 	Token           uint64
 	Attempt         int // index among the attempts of the request, from 0
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -6,32 +6,32 @@
 )
 
 const (
-	// quotaWindow is the window of the limits that are made from quotas. It is also the Retry-After of a quota
-	// of zero.
+	// quotaWindow is the window of the limits derived from quotas, and the Retry-After of a quota of zero.
 	quotaWindow = time.Second
-	// quotaBurst is the time for which a quota's rate fills its bucket: the longest burst within the quota.
+	// quotaBurst is the time in which a quota's rate fills its bucket: the longest burst within the quota.
 	quotaBurst = 500 * time.Millisecond
-	// minBurst is the smallest burst of a quota, in tokens: a very small quota still admits a few requests at
+	// minBurst is the smallest burst of a quota, in tokens, so that a very small quota still admits a few
+	// requests at once.
 	// once.
 	minBurst = 3
-	// refillCompensation makes up for the fractions of tokens that a refill in whole tokens loses: with a
-	// refill rate r, Poisson arrivals at a rate a are admitted at 1/(1/r + 1/a) where a is far above r, and
-	// at ln 2 of r where both are equal.
+	// refillCompensation offsets the fractions of tokens that are lost by refilling in whole tokens: with a
+	// refill rate r, Poisson arrivals at a rate a are admitted at 1/(1/r + 1/a) if a is far above r, and at
+	// r * ln 2 if both are equal.
 	refillCompensation = 1 / math.Ln2
 )
 
-// rateLimiter admits requests by token buckets: each tenant has one, and each class with a limit of its own
-// has another for each tenant. It owns the limits in force and the buckets.
+// rateLimiter admits requests by token buckets. Each tenant has one bucket, and another for each class with
+// its own limit. It owns the limits in force and the buckets.
 type rateLimiter struct {
 	limits       RateLimits       // layers that apply to every tenant
-	tenantLimits map[string]Limit // this node's part of each tenant's quota
-	defaultLimit *Limit           // of tenants without a quota; nil: no limit
+	tenantLimits map[string]Limit // this node's share of each tenant's quota
+	defaultLimit *Limit           // for tenants without a quota; nil: no limit
 	buckets      bucketTable
 	handedOver   bool // another process of this node refills the buckets; set with Balancer.handedOver
 }
 
-// configure takes over the limits, and this node's part of each quota: one of nodeCount equal parts. Without
-// a default limit, a tenant that has no quota gets the smallest one.
+// configure sets the limits, and this node's share of each quota: 1/nodeCount of it. Without a default limit,
+// a tenant without a quota gets the smallest one.
 func (l *rateLimiter) configure(limits RateLimits, tenants []Tenant, nodeCount int) {
 	l.limits, l.tenantLimits, l.defaultLimit = limits, make(map[string]Limit), limits.Default
 	for _, tenant := range tenants {
@@ -43,14 +43,14 @@
 	}
 }
 
-// quotaLimit is one node's part of a quota, in requests per second, that holds over all nodes.
+// quotaLimit returns one node's share of a quota, which is in requests per second over all nodes.
 func quotaLimit(quota float64, nodeCount int) Limit {
 	rate := quota / float64(nodeCount) * refillCompensation
 	return Limit{PerWindow: rate * quotaWindow.Seconds(), Window: quotaWindow,
 		Burst: max(minBurst, int64(math.Ceil(rate*quotaBurst.Seconds())))}
 }
 
-// admit takes a token for a request of the tenant and the class, or says how long its client should wait.
+// admit takes a token for a request of the tenant and the class, or returns how long its client should wait.
 // The multiplier scales the refill rate.
 func (l *rateLimiter) admit(now Time, tenant, class string, multiplier float64) (
 	admitted bool, retryAfter time.Duration,
@@ -77,9 +77,8 @@
 	return true, 0
 }
 
-// resolve returns the limit of a tenant's requests of a class, and the key of the bucket: the class's own
-// limit, else the tenant's part of its quota, else the default; all of them bounded by the platform's
-// maximum.
+// resolve returns the limit for a tenant's requests of a class, and the key of the bucket. The limit is the
+// class's own, else the tenant's share of its quota, else the default, bounded by the platform's maximum.
 func (l *rateLimiter) resolve(tenant, class string) (limit Limit, key bucketKey, limited bool) {
 	key.tenant = tenant
 	if classLimit, found := l.limits.PerClass[class]; found {
@@ -93,8 +92,8 @@
 	return limit, key, limited
 }
 
-// bucket returns the bucket of a key, or makes it. One that is made after the hand-over holds what is left
-// of a full one: the successor has the other half.
+// bucket returns the bucket for a key, and creates it if there is none. A bucket created after the hand-over
+// starts with this process's half of the burst; the successor has the other half.
 func (l *rateLimiter) bucket(now Time, key bucketKey, burst int64) *bucket {
 	if known := l.buckets.byKey[key]; known != nil {
 		return known
@@ -106,8 +105,8 @@
 	return l.buckets.add(&bucket{key: key, tokens: tokens, refilledAt: now})
 }
 
-// newBucketKey is the key of the bucket to make for a tenant that has none: its own, or the shared one where
-// the tenant has no quota and there are too many buckets.
+// newBucketKey returns the key of the bucket to create for a tenant: its own, or the shared one if the tenant
+// has no quota and there are too many buckets.
 func (l *rateLimiter) newBucketKey(key bucketKey) bucketKey {
 	if _, hasQuota := l.tenantLimits[key.tenant]; !hasQuota && l.buckets.isFull() {
 		return sharedBucketKey
@@ -115,7 +114,7 @@
 	return key
 }
 
-// dropRefilled examines the next few buckets, and drops those that time alone has filled.
+// dropRefilled examines the next few buckets, and drops those that are full by now whatever they held.
 func (l *rateLimiter) dropRefilled(now Time) {
 	for range bucketsPerSweep {
 		bucket := l.buckets.current()
@@ -131,11 +130,11 @@
 	l.buckets.shrink()
 }
 
-// isRefilled reports whether the time since a bucket's last refill fills it from empty, even at the lowest
-// rate multiplier. Whatever it held, its next refill then leaves it as a new one is: full, as of that
-// moment. So a dropped bucket changes no decision.
+// isRefilled reports whether the time since a bucket's last refill would fill it from empty, even at the
+// lowest rate multiplier. Whatever it held, its next refill then makes it equal to a new bucket: full, with
+// that refill time. So dropping the bucket changes no decision.
 func (l *rateLimiter) isRefilled(now Time, b *bucket) bool {
-	if b.key == sharedBucketKey { // it serves tenants of several limits
+	if b.key == sharedBucketKey { // used by tenants with different limits
 		return false
 	}
 	limit, _, limited := l.resolve(b.key.tenant, b.key.class)
@@ -144,8 +143,8 @@
 		math.Floor((now-b.refilledAt).Seconds()*limit.perSecond()) >= max(1, float64(limit.Burst))
 }
 
-// handOver leaves refills and half of the tokens of each bucket to another process of this node, or takes
-// the refills back.
+// handOver leaves the refills and half of the tokens of each bucket to another process of this node, or, if
+// active is false, takes the refills back.
 func (l *rateLimiter) handOver(active bool) {
 	l.handedOver = active
 	if !active {
@@ -156,7 +155,7 @@
 	}
 }
 
-// perSecond is the refill rate of a limit, in tokens per second.
+// perSecond returns the refill rate of a limit, in tokens per second.
 func (l Limit) perSecond() float64 {
 	if l.Window <= 0 {
 		return 0
@@ -164,7 +163,7 @@
 	return l.PerWindow / l.Window.Seconds()
 }
 
-// retryAfter is the Retry-After of a rejected request, in whole seconds: the time that one token takes.
+// retryAfter returns the Retry-After of a rejected request: the time to refill one token, in whole seconds.
 func (l Limit) retryAfter() time.Duration {
 	rate := l.perSecond()
 	if rate <= 0 {
@@ -173,10 +172,10 @@
 	return max(1, time.Duration(math.Ceil(min(1/rate, math.MaxInt32)))) * time.Second
 }
 
-// onRequest admits a request and sends its first attempt, or rejects it.
+// onRequest admits a request and dispatches it, or rejects it.
 func (b *Balancer) onRequest(e Request) {
 	if b.requests[e.ID] != nil {
-		return // a duplicate of an open request
+		return // duplicate of an open request
 	}
 	r := &request{Request: e, class: b.classOfRequest(e), maxAttempts: b.settings.Allowed.attemptsPerRequest()}
 	b.setDeadlines(r)
@@ -193,7 +192,7 @@
 	b.dispatch(r)
 }
 
-// admit takes a token for a request, or says how long its client should wait.
+// admit takes a token for a request, or returns how long its client should wait.
 func (b *Balancer) admit(tenant, class string) (admitted bool, retryAfter time.Duration) {
 	admitted, retryAfter = b.rateLimiter.admit(b.now, tenant, class, b.rateMultiplier.value)
 	if !admitted {
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -41,8 +41,8 @@
 		}
 		second := sentTo(t, acts)
 		zone, cell := map[string]string{}, map[string]int64{}
-		for _, m := range list {
-			zone[m.ID], cell[m.ID] = m.Zone, m.Cell
+		for _, endpoint := range list {
+			zone[endpoint.ID], cell[endpoint.ID] = endpoint.Zone, endpoint.Cell
 		}
 		if c.sameZone && zone[first] != zone[second] || c.sameCell && cell[first] != cell[second] {
 			t.Errorf("%s: first %s, then %s outside its group", c.class, first, second)
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Balancer decides for one node: it joins the mechanisms, each of which owns its state in a file of its own.
-// It isn't safe for concurrent use. Make one with New.
+// Balancer makes the decisions of one node. It connects the mechanisms, each of which keeps its state in its
+// own file. It isn't safe for concurrent use. Create one with New.
 type Balancer struct {
-	settings Settings // in force; NodeCount is the number of nodes that quotas are divided by
-	now      Time     // of the event that is being handled
+	settings Settings // in force; NodeCount is the number of nodes that share the quotas
+	now      Time     // time of the current event
 	rng      *rand.Rand
-	actions  []Action // that this event calls for
+	actions  []Action // actions for the current event
 
 	classes        classRegistry
 	rateLimiter    rateLimiter
@@ -20,11 +20,11 @@
 	loadShedder    loadShedder
 	retryBudget    retryBudget
 	fleetSize      fleetSize
-	handedOver     bool                // another process of this node has taken over; rateLimiter knows it too
-	requests       map[string]*request // open ones, by their ids
-	queue          requestQueue        // of requests that wait for a usable server
+	handedOver     bool                // another process of this node has taken over; rateLimiter has a copy
+	requests       map[string]*request // open requests by ID
+	queue          requestQueue        // requests that wait for a usable server
 
-	servers     map[string]*server // listed ones, by their IDs
+	servers     map[string]*server // listed servers by ID
 	packing     packingOrder
 	list        endpointList
 	loads       loadReports
@@ -36,8 +36,8 @@
 	zones       zoneFailover
 }
 
-// Timer tokens. Those of the classes follow from firstClassTimerToken on, in the order in which the settings
-// first named them.
+// Timer tokens. The timers of the classes have the tokens from firstClassTimerToken on, in the order in which
+// the settings first named the classes.
 const (
 	queueTimerToken      = 1
 	listTimerToken       = 2
@@ -46,8 +46,8 @@
 	firstClassTimerToken = 8
 )
 
-// New returns a balancer for one node. The seed drives its random choices: the same events then give the same
-// actions. The error names a setting that makes no sense.
+// New returns a Balancer for one node. The seed determines its random choices, so that the same events give
+// the same actions. The error names an invalid setting.
 func New(set Settings, now Time, seed uint64) (*Balancer, error) {
 	if err := validate(set); err != nil {
 		return nil, err
@@ -64,8 +64,8 @@
 	return b, nil
 }
 
-// Handle takes one event and returns the actions that it calls for, in order. The next call reuses the slice.
-// A time before that of the last event counts as that.
+// Handle processes one event and returns the resulting actions in order. The next call reuses the slice. If
+// now is before the time of the previous event, Handle uses that time.
 func (b *Balancer) Handle(now Time, ev Event) []Action {
 	b.now, b.actions = max(now, b.now), b.actions[:0]
 	switch e := ev.(type) {
@@ -93,7 +93,7 @@
 	return b.actions
 }
 
-// onSettings takes over changed settings. What was measured stays, and open requests keep their class.
+// onSettings applies changed settings. Measurements are kept, and open requests keep their class.
 func (b *Balancer) onSettings(set Settings) {
 	subscribes := set.SubscribeList && !b.settings.SubscribeList
 	b.applySettings(set)
@@ -103,7 +103,7 @@
 	}
 }
 
-// applySettings hands new settings to each mechanism.
+// applySettings passes new settings to each mechanism.
 func (b *Balancer) applySettings(set Settings) {
 	b.settings, b.packing.stale = set, true
 	b.zones.configure(set.Topology, set.Zone)
@@ -117,15 +117,15 @@
 	b.rateLimiter.configure(set.Limits, set.Tenants, b.settings.NodeCount)
 }
 
-// emit adds an action to those of the event that is being handled.
+// emit adds an action to those for the current event.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// logf emits a line for the log.
+// logf emits a Log action.
 func (b *Balancer) logf(format string, args ...any) {
 	b.emit(Action{Kind: Log, Text: fmt.Sprintf(format, args...)})
 }
 
-// onTimer hands a timer to the mechanism that set it.
+// onTimer passes a timer to the mechanism that set it.
 func (b *Balancer) onTimer(token uint64) {
 	switch {
 	case token == queueTimerToken:
@@ -141,10 +141,10 @@
 	}
 }
 
-// Servers returns how many servers are listed, and how many of them are unavailable: draining or ejected.
+// Servers returns the number of listed servers, and how many of them are unavailable (draining or ejected).
 func (b *Balancer) Servers() (listed, unavailable int) { return len(b.servers), b.list.unavailable }
 
-// TailLatency returns the longest of the classes' tail latencies.
+// TailLatency returns the longest tail latency of any class.
 func (b *Balancer) TailLatency() (longest time.Duration) {
 	for _, c := range b.classes.ordered {
 		longest = max(longest, c.tailLatency)
@@ -152,10 +152,10 @@
 	return longest
 }
 
-// seconds turns a number of seconds into a Duration.
+// seconds converts a number of seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// updateRatio moves an exponential average of the part of hits by one more event. The gain is its weight.
+// updateRatio updates an exponential moving average of the fraction of hits with one event of weight gain.
 func updateRatio(ratio *float64, gain float64, hit bool) {
 	*ratio -= gain * *ratio
 	if hit {
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -76,14 +76,14 @@
 	set := testSettings(1)
 	set.Classes[0].Kinds = []string{"k1"} // s01, s04, s07 of nine
 	b := startBalancer(t, set, testEndpoints(9))
-	open := map[string]bool{"s01": true, "s04": true, "s07": true}
+	permitted := map[string]bool{"s01": true, "s04": true, "s07": true}
 	for i, code := range []Code{ServerError, Overloaded, ConnectFailed} {
 		id := fmt.Sprint(i)
 		s := sentTo(t, b.Handle(ms, newRequest(id, "free")))
-		if !open[s] {
+		if !permitted[s] {
 			t.Fatalf("sent to %s", s)
 		}
-		if s = sentTo(t, b.Handle(2*ms, outcome(id, 0, s, code, ms))); !open[s] {
+		if s = sentTo(t, b.Handle(2*ms, outcome(id, 0, s, code, ms))); !permitted[s] {
 			t.Fatalf("sent again to %s", s)
 		}
 		b.Handle(3*ms, outcome(id, 1, s, OK, ms))
@@ -95,7 +95,7 @@
 	if b.classes.ordered[0].eligible.ejected != 1 {
 		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.classes.ordered[0].eligible.ejected)
 	}
-	for id := range open {
+	for id := range permitted {
 		b.Handle(4*ms, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{{ID: id, Zone: "a", Kind: "k1", Availability: Draining}}})
 	}
 	acts := slices.Clone(b.Handle(5*ms, newRequest("x", "free")))
@@ -121,12 +121,12 @@
 	b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens = 5
 	b.classes.byName["free"].tailLatency = 77 * ms
 
-	next := testSettings(1)
-	next.Classes[0].RetrySafety = NonIdempotent
-	next.Classes = slices.Delete(next.Classes, 1, 2) // "once" is dropped
-	next.Classes = append(next.Classes, Class{Name: "new", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: Idempotent})
-	next.Allowed.MaxAttempts = 2
-	b.Handle(ms, next)
+	changed := testSettings(1)
+	changed.Classes[0].RetrySafety = NonIdempotent
+	changed.Classes = slices.Delete(changed.Classes, 1, 2) // "once" is dropped
+	changed.Classes = append(changed.Classes, Class{Name: "new", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: Idempotent})
+	changed.Allowed.MaxAttempts = 2
+	b.Handle(ms, changed)
 	if s := b.servers["s00"]; s.concurrencyLimit != 9 || s.inFlight+b.servers["s01"].inFlight+b.servers["s02"].inFlight != 1 {
 		t.Errorf("limit %v", s.concurrencyLimit)
 	}
@@ -136,27 +136,27 @@
 	if got := b.classes.byName["free"].tailLatency; got != 77*ms {
 		t.Errorf("tail %v", got)
 	}
-	again := func(id, server string) bool {
+	isRetried := func(id, server string) bool {
 		return len(actionsOf(b.Handle(2*ms, Outcome{ID: id, Server: server, Code: TimedOut}), Send)) > 0
 	}
-	if !again("open", first) {
+	if !isRetried("open", first) {
 		t.Error("a request that came while its class was free is not repeated")
 	}
 	if acts := b.Handle(3*ms, Outcome{ID: "open", Attempt: 1, Code: TimedOut}); len(actionsOf(acts, Send)) > 0 {
 		t.Error("a third attempt, though two are allowed by now")
 	}
-	if again("strict", sentTo(t, b.Handle(2*ms, newRequest("strict", "free")))) {
+	if isRetried("strict", sentTo(t, b.Handle(2*ms, newRequest("strict", "free")))) {
 		t.Error("a class that must not run twice by now is repeated")
 	}
-	was := newRequest("was", "free")
-	was.FormerClass = true
-	if !again("was", sentTo(t, b.Handle(2*ms, was))) {
+	formerClassRequest := newRequest("was", "free")
+	formerClassRequest.FormerClass = true
+	if !isRetried("was", sentTo(t, b.Handle(2*ms, formerClassRequest))) {
 		t.Error("a request of its class's former settings is not repeated")
 	}
-	if again("dropped", sentTo(t, b.Handle(2*ms, newRequest("dropped", "once")))) {
+	if isRetried("dropped", sentTo(t, b.Handle(2*ms, newRequest("dropped", "once")))) {
 		t.Error("a request of a dropped class is repeated")
 	}
-	if !again("new", sentTo(t, b.Handle(2*ms, newRequest("new", "new")))) {
+	if !isRetried("new", sentTo(t, b.Handle(2*ms, newRequest("new", "new")))) {
 		t.Error("the new class is not repeated")
 	}
 	if acts := b.Handle(time.Second, Timer{Token: firstClassTimerToken + 5}); len(actionsOf(acts, Send)) > 0 {
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -10,21 +10,21 @@
 var benchSizes = []int{100, 1000, 10000, 50000}
 
 // benchSite is one way in which a deployment is set up, as far as it matters to the cost of a decision.
-type benchSite struct {
-	name    string
-	nodes   int
-	every   time.Duration // between requests at this node
-	reports bool          // servers report their load
-	zones   bool          // the settings name zones, and two classes are restricted to some of the servers
+type benchDeployment struct {
+	name            string
+	nodes           int
+	requestInterval time.Duration // between requests at this node
+	reports         bool          // servers report their load
+	zones           bool          // the settings name zones, and two classes are restricted to some of the servers
 }
 
-var benchSites = []benchSite{
-	{name: "one-node", nodes: 1, every: ms},
-	{name: "many-nodes", nodes: 300, every: 20 * ms, zones: true},
-	{name: "many-nodes-reports", nodes: 300, every: 20 * ms, reports: true, zones: true},
+var benchDeployments = []benchDeployment{
+	{name: "one-node", nodes: 1, requestInterval: ms},
+	{name: "many-nodes", nodes: 300, requestInterval: 20 * ms, zones: true},
+	{name: "many-nodes-reports", nodes: 300, requestInterval: 20 * ms, reports: true, zones: true},
 }
 
-func (s benchSite) settings() Settings {
+func (s benchDeployment) settings() Settings {
 	set := testSettings(s.nodes)
 	set.Tenants = []Tenant{{Name: "t", Quota: 1e9}}
 	if s.reports {
@@ -42,19 +42,19 @@
 func benchEndpoints(n int, now Time) []Endpoint {
 	list := make([]Endpoint, 0, n)
 	for i := range n {
-		m := Endpoint{ID: fmt.Sprintf("s%06d", i), Zone: []string{"a", "b"}[i%2], Kind: fmt.Sprint("k", i%3),
+		endpoint := Endpoint{ID: fmt.Sprintf("s%06d", i), Zone: []string{"a", "b"}[i%2], Kind: fmt.Sprint("k", i%3),
 			Cell: int64(i % 4), Weight: 1}
 		if i%100 == 99 {
-			m.StartedAt = now
+			endpoint.StartedAt = now
 		}
-		list = append(list, m)
+		list = append(list, endpoint)
 	}
 	return list
 }
 
 const benchStart = time.Hour // on the clock of the node: no server warms up by chance
 
-func benchBalancer(tb testing.TB, s benchSite, servers int) *Balancer {
+func benchBalancer(tb testing.TB, s benchDeployment, servers int) *Balancer {
 	tb.Helper()
 	b, err := New(s.settings(), benchStart, 1)
 	if err != nil {
@@ -76,8 +76,8 @@
 	return sent
 }
 
-func forEachBenchSite(b *testing.B, run func(b *testing.B, s benchSite, servers int)) {
-	for _, s := range benchSites {
+func forEachBenchDeployment(b *testing.B, run func(b *testing.B, s benchDeployment, servers int)) {
+	for _, s := range benchDeployments {
 		for _, n := range benchSizes {
 			b.Run(fmt.Sprintf("%s/servers=%d", s.name, n), func(b *testing.B) { run(b, s, n) })
 		}
@@ -86,13 +86,13 @@
 
 // BenchmarkDecision is a request, the choice of its server, and the outcome.
 func BenchmarkDecision(b *testing.B) {
-	forEachBenchSite(b, func(b *testing.B, s benchSite, servers int) {
+	forEachBenchDeployment(b, func(b *testing.B, s benchDeployment, servers int) {
 		balancer := benchBalancer(b, s, servers)
 		classes := []string{"free", "once", "all"}
 		load := report(20, 0.5, 10)
 		now, sent, requests := benchStart, 0, 0
 		for b.Loop() {
-			now += s.every
+			now += s.requestInterval
 			sent += decide(balancer, now, "r", classes[requests%len(classes)], load)
 			requests++
 		}
@@ -104,15 +104,15 @@
 
 // BenchmarkListChange is one server's change in the list: it drains, or is back.
 func BenchmarkListChange(b *testing.B) {
-	forEachBenchSite(b, func(b *testing.B, s benchSite, servers int) {
+	forEachBenchDeployment(b, func(b *testing.B, s benchDeployment, servers int) {
 		balancer := benchBalancer(b, s, servers)
 		list := benchEndpoints(servers, benchStart)
 		now, i := benchStart, 0
 		for b.Loop() {
 			now += ms
-			m := &list[i/2*7919%servers] // steps of a prime, so that changes lie anywhere in the order
-			m.Availability = []Availability{Draining, Running}[i%2]
-			balancer.Handle(now, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{*m}})
+			endpoint := &list[i/2*7919%servers] // steps of a prime, so that changes lie anywhere in the order
+			endpoint.Availability = []Availability{Draining, Running}[i%2]
+			balancer.Handle(now, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{*endpoint}})
 			i++
 		}
 	})
--- a/policy/capacity_share_test.go
+++ b/policy/capacity_share_test.go
@@ -9,7 +9,7 @@
 	own, other := &server{zone: &zoneHealth{}}, &server{zone: &zoneHealth{crossingCost: 1}}
 	for _, c := range []struct {
 		nodes, reachable, zones int
-		ofOwn                   float64
+		wantOwnZone             float64
 	}{
 		{12, 3, 4, 4},  // as membership has it
 		{12, 0, 4, 4},  // spread evenly over the zones
@@ -18,7 +18,7 @@
 	} {
 		var share capacityShare
 		share.update(c.nodes, c.reachable, c.zones)
-		if got := share.of(own); got != c.ofOwn {
+		if got := share.of(own); got != c.wantOwnZone {
 			t.Errorf("%+v: a share of %v in the own zone", c, got)
 		}
 		if got := share.of(other); got != 1 {
--- a/policy/completion_rate_test.go
+++ b/policy/completion_rate_test.go
@@ -19,11 +19,11 @@
 		t.Errorf("a rate of %v, want about %v", got, perSecond)
 	}
 	for _, step := range []struct {
-		after time.Duration
-		part  float64 // of the peak that is left
+		after        time.Duration
+		peakFraction float64 // of the peak that is left
 	}{{0, 1}, {5 * time.Second, math.Exp(-5.0 / 60)}, {10 * time.Minute, 0}} {
 		now += step.after
-		want := step.part * perSecond / servers
+		want := step.peakFraction * perSecond / servers
 		if got := c.serverPeak(now, servers); math.Abs(got-want) > 0.05*want+0.01 {
 			t.Errorf("a peak of %v %v later, want about %v", got, step.after, want)
 		}
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -68,8 +68,8 @@
 func TestSmallFleetSharesTheInitialLimit(t *testing.T) {
 	for nodes := 1; nodes <= maxSmallFleet; nodes++ {
 		b := startBalancer(t, testSettings(nodes), testEndpoints(4))
-		if all := b.order()[0].concurrencyLimit * float64(nodes); math.Abs(all-initialFleetLimit) > 1e-9 {
-			t.Errorf("%d nodes: %v attempts in all, want %v", nodes, all, initialFleetLimit)
+		if total := b.order()[0].concurrencyLimit * float64(nodes); math.Abs(total-initialFleetLimit) > 1e-9 {
+			t.Errorf("%d nodes: %v attempts in all, want %v", nodes, total, initialFleetLimit)
 		}
 	}
 }
@@ -80,13 +80,13 @@
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	s, c := b.order()[0], b.classes.ordered[0]
 	for _, v := range []struct {
-		part float64 // of the objective
-		grow bool
+		objectiveFraction float64 // of the objective
+		wantGrowth        bool
 	}{{0.3, true}, {0.5, false}, {0.9, false}} {
 		s.concurrencyLimit, s.inFlight = 10, 10
-		b.updateConcurrencyLimit(s, c, OK, seconds(v.part*c.LatencyObjective.Seconds()), 1)
-		if grew := s.concurrencyLimit > 10; grew != v.grow || s.concurrencyLimit == 10 {
-			t.Errorf("a response after %v of its objective moves the limit from 10 to %v", v.part, s.concurrencyLimit)
+		b.updateConcurrencyLimit(s, c, OK, seconds(v.objectiveFraction*c.LatencyObjective.Seconds()), 1)
+		if grew := s.concurrencyLimit > 10; grew != v.wantGrowth || s.concurrencyLimit == 10 {
+			t.Errorf("a response after %v of its objective moves the limit from 10 to %v", v.objectiveFraction, s.concurrencyLimit)
 		}
 	}
 }
--- a/policy/concurrency_window.go
+++ b/policy/concurrency_window.go
@@ -85,8 +85,8 @@
 		relativeCapacity = b.loads.serviceRate(s, relativeCapacity) / b.loads.typicalLoad.rate
 	}
 	weight := b.warmedUpWeight()
-	evenPart := fairLimitSpread * b.window.size(weight, b.settings.NodeCount) / max(1, weight) * b.share.of(s)
-	return s.concurrencyLimit * relativeCapacity * max(minFairLimit, evenPart)
+	evenShare := fairLimitSpread * b.window.size(weight, b.settings.NodeCount) / max(1, weight) * b.share.of(s)
+	return s.concurrencyLimit * relativeCapacity * max(minFairLimit, evenShare)
 }
 
 // warmedUpWeight counts the warmed-up servers in service by this node's share of each, but those of evacuated
--- a/policy/concurrency_window_test.go
+++ b/policy/concurrency_window_test.go
@@ -60,11 +60,11 @@
 	for _, s := range b.order() {
 		reportLoad(b, s, 3, report(100, 0.5, 10))
 	}
-	was := b.concurrencyWindow()
+	before := b.concurrencyWindow()
 	b.order()[1].StartedAt = b.now
 	reportLoad(b, b.order()[0], 20, report(900, 1, 3))
 	reportLoad(b, b.order()[1], 20, report(100, 1, 3))
-	if scale := b.concurrencyWindow() / b.warmedUpWeight() * 12 / was; scale < 0.99 {
+	if scale := b.concurrencyWindow() / b.warmedUpWeight() * 12 / before; scale < 0.99 {
 		t.Errorf("the window fell to %v of what it was", scale)
 	}
 }
@@ -74,13 +74,13 @@
 func TestWindowFollowsMeanUtilization(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	reportLoad(b, b.order()[0], 5, report(100, 0.5, 10))
-	was := b.concurrencyWindow()
+	before := b.concurrencyWindow()
 	for i := range 60 {
 		b.window.capacityWanted = true
 		reportLoad(b, b.order()[0], 1, report(100, []float64{0.4, 1}[i%2], 10))
 	}
-	if b.concurrencyWindow() < was {
-		t.Errorf("the window fell from %v to %v at servers that are 0.7 busy", was, b.concurrencyWindow())
+	if b.concurrencyWindow() < before {
+		t.Errorf("the window fell from %v to %v at servers that are 0.7 busy", before, b.concurrencyWindow())
 	}
 }
 
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -24,7 +24,7 @@
 func (b *Balancer) setDeadlines(r *request) {
 	objective := r.class.LatencyObjective +
 		time.Duration(r.class.ObjectivePerWork*float64(r.EstimatedWork)) -
-		r.class.waitedBefore(r.Request)
+		r.class.timeSinceFirstTry(r.Request)
 	r.deadline = b.now + r.Timeout
 	r.queueUntil, r.usefulUntil = min(r.deadline, b.now+objective/queueTimeDivisor), r.deadline
 	if r.class.LateWeight <= 0 {
@@ -58,7 +58,7 @@
 // waitedBefore is how long the client of a request has waited in earlier tries. The latency objective counts
 // from the first one. All first tries of a class have the same timeout, a part of the deadline; a retry with
 // a shorter timeout ends with the deadline, which tells when the first try began.
-func (c *class) waitedBefore(e Request) time.Duration {
+func (c *class) timeSinceFirstTry(e Request) time.Duration {
 	if !e.ClientRetry {
 		c.firstTryTimeout = max(c.firstTryTimeout, e.Timeout)
 		return 0
--- a/policy/deadlines_test.go
+++ b/policy/deadlines_test.go
@@ -17,7 +17,7 @@
 	} {
 		k := &class{Class: Class{LatencyObjective: 250 * ms, Deadline: 600 * ms},
 			classStats: &classStats{firstTryTimeout: 300 * ms}}
-		if got := k.waitedBefore(c.request); got != c.want {
+		if got := k.timeSinceFirstTry(c.request); got != c.want {
 			t.Errorf("%s has waited %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -29,15 +29,15 @@
 	set := testSettings(2)
 	set.Classes[0].Deadline = 1000 * ms // and an objective of 250 ms
 	b := startBalancer(t, set, testEndpoints(4))
-	try := func(id string, retry bool, open int) []Action {
+	try := func(id string, retry bool, timeoutMs int) []Action {
 		r := newRequest(id, "free")
-		r.ClientRetry, r.Timeout = retry, time.Duration(open)*ms
+		r.ClientRetry, r.Timeout = retry, time.Duration(timeoutMs)*ms
 		return b.Handle(b.now+ms, r)
 	}
 	first := actionsOf(try("first", false, 600), Send)
-	again := actionsOf(try("again", true, 600), Send)
-	if len(first) != 1 || len(again) != 1 || again[0].AttemptDeadline-first[0].AttemptDeadline >= ms {
-		t.Errorf("a first try is sent as %+v, a retry as %+v, want it to have less time", first, again)
+	retried := actionsOf(try("again", true, 600), Send)
+	if len(first) != 1 || len(retried) != 1 || retried[0].AttemptDeadline-first[0].AttemptDeadline >= ms {
+		t.Errorf("a first try is sent as %+v, a retry as %+v, want it to have less time", first, retried)
 	}
 	// The deadline ends it 450 ms from now, so the first try began 550 ms ago.
 	if acts := try("late", true, 450); len(actionsOf(acts, Reject)) != 1 {
--- a/policy/events.go
+++ b/policy/events.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// Event is something that happened at a node; the types below and Settings are all there are. ProbeResult and
-// PeerMessage change nothing yet.
+// Event is something that happened at a node: one of the types below, or Settings. ProbeResult and
+// PeerMessage have no effect yet.
 type Event interface{ isEvent() }
 
 func (Request) isEvent()         {}
@@ -21,7 +21,7 @@
 func (ProbeResult) isEvent()     {}
 func (PeerMessage) isEvent()     {}
 
-// Availability is what the list says of a server's process.
+// Availability is the state of a server's process according to the list.
 type Availability uint8
 
 // States of a listed server.
@@ -31,49 +31,49 @@
 	Removed
 )
 
-// Endpoint is one entry of the list of servers.
+// Endpoint is one entry of the server list.
 type Endpoint struct {
 	ID           string
 	Zone         string
 	Kind         string
-	Cell         int64 // servers of one cell drop the repeats of each other's requests
+	Cell         int64 // servers of a cell drop duplicates of each other's requests
 	Weight       float64
-	StartedAt    Time // when its process last started; 0 for long ago
+	StartedAt    Time // last start of its process; 0 for long ago
 	Availability Availability
 }
 
-// ListKind says how an EndpointList is to be read.
+// ListKind says how to apply an EndpointList.
 type ListKind uint8
 
-// Kinds of list events.
+// Kinds of EndpointList.
 const (
 	ListReplace     ListKind = iota // the whole list
-	ListUpdate                      // only what changed
-	ListCached                      // the whole list as last seen, perhaps stale
+	ListUpdate                      // only the changed entries
+	ListCached                      // the whole list as last seen, possibly stale
 	ListUnavailable                 // a call failed or a subscription ended; no entries
 )
 
-// EndpointList is a version of the list of servers, or a change of it. Nodes may share Endpoints: they are
-// only read.
+// EndpointList is a version of the server list, or a change to it. Nodes may share Endpoints, which must not
+// be modified.
 type EndpointList struct {
 	Kind      ListKind
 	Endpoints []Endpoint
 }
 
-// Request is a client's request. The node owes it exactly one final answer.
+// Request is a client's request. The node gives it exactly one final answer.
 type Request struct {
 	ID, Class, Tenant, Key string
-	Timeout                time.Duration // after which the client gives up this try
-	EstimatedWork          time.Duration // likely CPU time; 0 if unknown
+	Timeout                time.Duration // how long the client waits in this try
+	EstimatedWork          time.Duration // expected CPU time; 0 if unknown
 	ClientRetry, Write     bool
-	FormerClass            bool // its head came before the last Settings: its class is that of those before
-	Incomplete             bool // its last byte is still to come, and Timeout counts from RequestComplete on
+	FormerClass            bool // its head came before the last Settings, so the former ones define its class
+	Incomplete             bool // its last byte is yet to arrive, and Timeout counts from RequestComplete
 }
 
-// RequestComplete says that the last byte of an Incomplete request has come.
+// RequestComplete reports that the last byte of an Incomplete request has arrived.
 type RequestComplete struct{ ID string }
 
-// FirstByte says that a streamed response has begun: the request can't be retried any more.
+// FirstByte reports that a streamed response has begun, so that the request can no longer be retried.
 type FirstByte struct {
 	ID, Server string
 	Attempt    int
@@ -83,7 +83,7 @@
 // Code says how an attempt ended.
 type Code uint8
 
-// The outcome codes. Code.ProvesNotRun says which of them prove that the request never ran.
+// Outcome codes. ProvesNotRun reports which of them prove that the request never ran.
 const (
 	OK Code = iota
 	ServerError
@@ -98,35 +98,35 @@
 // ProvesNotRun reports whether the code proves that the request never ran.
 func (c Code) ProvesNotRun() bool { return c == Overloaded || c == ConnectFailed || c == NotAttempted }
 
-// Outcome is the end of one attempt.
+// Outcome reports the end of one attempt.
 type Outcome struct {
 	ID, Server   string
 	Attempt      int
 	Code         Code
 	Latency      time.Duration
 	RequestEnded bool      // the request has its final answer
-	BodyConsumed bool      // a part of the request's body has left the node, so it can't be sent again
-	LoadReport   []float64 // values in the order of Settings.ReportFields; nil for none
+	BodyConsumed bool      // part of the request body has left the node, so the request can't be sent again
+	LoadReport   []float64 // values in the order of Settings.ReportFields; nil without a report
 }
 
-// ClientCancelled says that the client has left: it needs no answer any more.
+// ClientCancelled reports that the client has disconnected and needs no answer.
 type ClientCancelled struct{ ID string }
 
-// HandedOver says that another process of this node takes over, or, if Active is false, that it has ended
-// again; SuccessorServed then tells whether it had begun to serve.
+// HandedOver reports that another process of this node takes over or, if Active is false, that it has ended
+// again; SuccessorServed then says whether it had begun to serve.
 type HandedOver struct{ Active, SuccessorServed bool }
 
-// FleetSize says how many nodes of the fleet this one reaches by membership, itself included. Until the
-// first such event the number of nodes is that of the settings.
+// FleetSize reports how many nodes of the fleet this node reaches by membership, itself included. Until the
+// first FleetSize event, the number of nodes is that of the settings.
 type FleetSize struct {
 	ReachableNodes  int
-	ReachableInZone int // those of them in this node's zone; 0 where not known
+	ReachableInZone int // reachable nodes in this node's zone; 0 if unknown
 }
 
-// Timer is a timer of SetTimer that came due.
+// Timer reports that a timer set by SetTimer is due.
 type Timer struct{ Token uint64 }
 
-// ProbeResult is the end of one Probe.
+// ProbeResult reports the end of a Probe.
 type ProbeResult struct {
 	Server     string
 	Code       Code
@@ -134,7 +134,7 @@
 	LoadReport []float64
 }
 
-// PeerMessage is bytes from another node; they may be lost, old or broken.
+// PeerMessage is a message from another node. Messages may be lost, late or corrupt.
 type PeerMessage struct {
 	From int
 	Body string
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -12,26 +12,26 @@
 	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 5, 3
 	b := startBalancer(t, set, testEndpoints(4))
-	shedPart := func(class string) (part float64) {
+	shedFraction := func(class string) (fraction float64) {
 		const requests = 2000
 		for range requests {
 			if b.shouldShed(b.classes.byName[class]) {
-				part += 1.0 / requests
+				fraction += 1.0 / requests
 			}
 		}
-		return part
+		return fraction
 	}
-	if got := shedPart("free"); got != 0 {
+	if got := shedFraction("free"); got != 0 {
 		t.Errorf("%v of the lowest priority are shed while the highest finds capacity", got)
 	}
 	b.loadShedder.highPriorityShortage = 0.15
-	lowest, middle, highest := shedPart("free"), shedPart("all"), shedPart("once")
+	lowest, middle, highest := shedFraction("free"), shedFraction("all"), shedFraction("once")
 	if math.Abs(lowest-0.48) > 0.05 || math.Abs(middle-0.24) > 0.05 || highest != 0 {
 		t.Errorf("%v of the lowest, %v of the middle and %v of the highest priority are shed, want 0.48, 0.24 and 0",
 			lowest, middle, highest)
 	}
 	b.loadShedder.highPriorityShortage = 1
-	if got := shedPart("free"); math.Abs(got-maxShedProbability) > 0.05 {
+	if got := shedFraction("free"); math.Abs(got-maxShedProbability) > 0.05 {
 		t.Errorf("%v of the lowest priority are shed while the highest finds no capacity, want %v", got, maxShedProbability)
 	}
 	if acts := b.Handle(ms, newRequest("x", "once")); len(actionsOf(acts, Send)) != 1 {
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -14,13 +14,13 @@
 // orderSimulation hands random lists, outcomes and settings to one node. What the node updates incrementally is
 // compared with the same computed from scratch.
 type orderSimulation struct {
-	b          *Balancer
-	set        Settings
-	now        Time
-	list       map[string]Endpoint
-	sent       int
-	unanswered []Outcome // outcomes that come later
-	allSucceed bool      // no attempt fails, so that probation succeeds
+	b               *Balancer
+	set             Settings
+	now             Time
+	list            map[string]Endpoint
+	sent            int
+	pendingOutcomes []Outcome // outcomes that come later
+	allSucceed      bool      // no attempt fails, so that probation succeeds
 }
 
 func newOrderSimulation(t *rapid.T) *orderSimulation {
@@ -36,98 +36,98 @@
 		set.Topology = twoRegions(1).Topology
 		set.Classes[3].Regions = []string{"north"}
 	}
-	w := &orderSimulation{set: set, list: make(map[string]Endpoint)}
-	w.b, _ = New(set, 0, 1)
-	w.event(EndpointList{Kind: ListCached})
-	return w
+	sim := &orderSimulation{set: set, list: make(map[string]Endpoint)}
+	sim.b, _ = New(set, 0, 1)
+	sim.handle(EndpointList{Kind: ListCached})
+	return sim
 }
 
 // event hands an event in and ends most of the attempts that it sends at once, with each code in turn.
-func (w *orderSimulation) event(ev Event) {
-	for _, a := range slices.Clone(w.b.Handle(w.now, ev)) {
+func (sim *orderSimulation) handle(ev Event) {
+	for _, a := range slices.Clone(sim.b.Handle(sim.now, ev)) {
 		if a.Kind != Send {
 			continue
 		}
-		w.sent++
-		outcome := Outcome{ID: a.ID, Server: a.Server, Attempt: len(w.b.requests[a.ID].attempts) - 1, Latency: 20 * ms,
+		sim.sent++
+		outcome := Outcome{ID: a.ID, Server: a.Server, Attempt: len(sim.b.requests[a.ID].attempts) - 1, Latency: 20 * ms,
 			LoadReport: report(20, 0.5, 10)}
-		if !w.allSucceed {
-			outcome.Code = Code(w.sent % int(Cancelled))
+		if !sim.allSucceed {
+			outcome.Code = Code(sim.sent % int(Cancelled))
 		}
-		if outcome.RequestEnded = outcome.Code == OK; w.sent%5 == 0 {
-			w.unanswered = append(w.unanswered, outcome)
+		if outcome.RequestEnded = outcome.Code == OK; sim.sent%5 == 0 {
+			sim.pendingOutcomes = append(sim.pendingOutcomes, outcome)
 			continue
 		}
-		w.event(outcome)
+		sim.handle(outcome)
 	}
 }
 
 // change draws a new state of a few servers.
-func (w *orderSimulation) change(t *rapid.T) (changed []Endpoint) {
+func (sim *orderSimulation) drawChanges(t *rapid.T) (changed []Endpoint) {
 	for range rapid.IntRange(1, 4).Draw(t, "changed") {
-		m := Endpoint{ID: fmt.Sprintf("s%02d", rapid.IntRange(0, 39).Draw(t, "server")),
+		endpoint := Endpoint{ID: fmt.Sprintf("s%02d", rapid.IntRange(0, 39).Draw(t, "server")),
 			Zone:         rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
 			Kind:         rapid.SampledFrom([]string{"k0", "k1"}).Draw(t, "kind"),
 			Availability: rapid.SampledFrom([]Availability{Running, Running, Running, Draining, Removed}).Draw(t, "state"),
 		}
-		if was, known := w.list[m.ID]; known {
-			m.Zone, m.Kind, m.StartedAt = was.Zone, was.Kind, was.StartedAt
+		if old, known := sim.list[endpoint.ID]; known {
+			endpoint.Zone, endpoint.Kind, endpoint.StartedAt = old.Zone, old.Kind, old.StartedAt
 		}
 		if rapid.IntRange(0, 2).Draw(t, "restarted") == 0 {
-			m.StartedAt = w.now
+			endpoint.StartedAt = sim.now
 		}
-		if w.list[m.ID] = m; m.Availability == Removed {
-			delete(w.list, m.ID)
+		if sim.list[endpoint.ID] = endpoint; endpoint.Availability == Removed {
+			delete(sim.list, endpoint.ID)
 		}
-		changed = append(changed, m)
+		changed = append(changed, endpoint)
 	}
 	return changed
 }
 
 // step hands one event in. It reports whether the order was brought in line with the list by it, and no queued request
 // ended after that, whose class may not be in use any more.
-func (w *orderSimulation) step(t *rapid.T) (aligned bool) {
-	w.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * ms
-	event, requests := rapid.IntRange(0, 11).Draw(t, "event"), len(w.b.requests)
+func (sim *orderSimulation) step(t *rapid.T) (aligned bool) {
+	sim.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * ms
+	event, requests := rapid.IntRange(0, 11).Draw(t, "event"), len(sim.b.requests)
 	switch event {
 	case 0, 1, 2:
-		w.event(EndpointList{Kind: ListUpdate, Endpoints: w.change(t)})
+		sim.handle(EndpointList{Kind: ListUpdate, Endpoints: sim.drawChanges(t)})
 	case 3:
-		w.change(t)
+		sim.drawChanges(t)
 		var all []Endpoint
-		for _, id := range slices.Sorted(maps.Keys(w.list)) {
-			all = append(all, w.list[id])
+		for _, id := range slices.Sorted(maps.Keys(sim.list)) {
+			all = append(all, sim.list[id])
 		}
-		w.event(EndpointList{Kind: ListReplace, Endpoints: all})
+		sim.handle(EndpointList{Kind: ListReplace, Endpoints: all})
 	case 4:
-		w.event(FleetSize{ReachableNodes: rapid.IntRange(1, 9).Draw(t, "reachable"), ReachableInZone: rapid.IntRange(0, 1).Draw(t, "in zone")})
-		w.event(Timer{Token: fleetSizeTimerToken})
+		sim.handle(FleetSize{ReachableNodes: rapid.IntRange(1, 9).Draw(t, "reachable"), ReachableInZone: rapid.IntRange(0, 1).Draw(t, "in zone")})
+		sim.handle(Timer{Token: fleetSizeTimerToken})
 	case 5:
-		w.set.Rules.SlowStartDuration = time.Duration(rapid.IntRange(0, 12).Draw(t, "slow start")) * time.Second
-		w.set.Classes = slices.Clone(w.set.Classes)
-		w.set.Classes[1].Kinds = []string{rapid.SampledFrom([]string{"k0", "k1"}).Draw(t, "restricted to")}
-		w.set.Classes[0].RetrySafety = rapid.SampledFrom([]RetrySafety{NonIdempotent, Idempotent}).Draw(t, "retry safety")
-		w.event(w.set)
+		sim.set.Rules.SlowStartDuration = time.Duration(rapid.IntRange(0, 12).Draw(t, "slow start")) * time.Second
+		sim.set.Classes = slices.Clone(sim.set.Classes)
+		sim.set.Classes[1].Kinds = []string{rapid.SampledFrom([]string{"k0", "k1"}).Draw(t, "restricted to")}
+		sim.set.Classes[0].RetrySafety = rapid.SampledFrom([]RetrySafety{NonIdempotent, Idempotent}).Draw(t, "retry safety")
+		sim.handle(sim.set)
 	case 6:
-		w.event(Timer{Token: retainTimerToken})
+		sim.handle(Timer{Token: retainTimerToken})
 	case 7:
-		w.b.Restore(w.now, w.b.Snapshot(w.now))
+		sim.b.Restore(sim.now, sim.b.Snapshot(sim.now))
 	case 8:
-		for _, outcome := range w.unanswered {
-			w.event(outcome)
+		for _, outcome := range sim.pendingOutcomes {
+			sim.handle(outcome)
 		}
-		w.unanswered = nil
+		sim.pendingOutcomes = nil
 	case 9:
-		if b := w.b; b.packing.pool.length > 0 {
+		if b := sim.b; b.packing.pool.length > 0 {
 			b.eject(b.order()[rapid.IntRange(0, b.packing.pool.length-1).Draw(t, "ejected")])
 		}
 	default:
-		w.allSucceed = rapid.Bool().Draw(t, "succeeds")
+		sim.allSucceed = rapid.Bool().Draw(t, "succeeds")
 		for i := range rapid.IntRange(1, 12).Draw(t, "requests") {
-			w.event(newRequest(fmt.Sprint("r", w.now, i), w.set.Classes[i%len(w.set.Classes)].Name))
+			sim.handle(newRequest(fmt.Sprint("r", sim.now, i), sim.set.Classes[i%len(sim.set.Classes)].Name))
 		}
 	}
-	return (event <= 3 || event == 5) && len(w.b.requests) == requests
+	return (event <= 3 || event == 5) && len(sim.b.requests) == requests
 }
 
 // rebuiltOrder is the packing order by the list alone.
@@ -139,13 +139,13 @@
 		}
 	}
 	for _, cost := range slices.Sorted(maps.Keys(byCost)) {
-		part := byCost[cost]
-		k := 0
+		group := byCost[cost]
+		start := 0
 		if b.settings.NodeCount > maxSmallFleet {
-			_, at := math.Modf(float64(b.settings.NodeIndex) / math.Phi)
-			k = int(at * float64(len(part)))
+			_, offset := math.Modf(float64(b.settings.NodeIndex) / math.Phi)
+			start = int(offset * float64(len(group)))
 		}
-		order = append(append(order, part[k:]...), part[:k]...)
+		order = append(append(order, group[start:]...), group[:start]...)
 	}
 	return order
 }
@@ -246,19 +246,19 @@
 	rebuilt, counted := make(map[kindInZone]evidenceSum), make(map[kindInZone]evidenceSum)
 	for _, s := range order {
 		if s.zone != nil && b.now-s.zoneEvidenceAt <= evidenceTTL {
-			of := rebuilt[kindInZone{s.zone, s.Kind}]
-			rebuilt[kindInZone{s.zone, s.Kind}] = evidenceSum{of.sum + toFixedPoint(s.zoneEvidence), of.servers + 1}
+			total := rebuilt[kindInZone{s.zone, s.Kind}]
+			rebuilt[kindInZone{s.zone, s.Kind}] = evidenceSum{total.sum + toFixedPoint(s.zoneEvidence), total.servers + 1}
 		}
 	}
 	b.zones.expireEvidence(b.now)
-	for _, p := range b.zones.all {
+	for _, z := range b.zones.all {
 		sum := fixedPoint(0)
-		for kind, of := range p.evidenceByKind {
-			counted[kindInZone{p, kind}] = *of
-			sum += of.sum
+		for kind, total := range z.evidenceByKind {
+			counted[kindInZone{z, kind}] = *total
+			sum += total.sum
 		}
-		if sum != p.evidence {
-			t.Fatalf("evidence against %s: %v, by kinds %v", p.name, p.evidence, sum)
+		if sum != z.evidence {
+			t.Fatalf("evidence against %s: %v, by kinds %v", z.name, z.evidence, sum)
 		}
 	}
 	if !maps.Equal(counted, rebuilt) {
@@ -269,17 +269,17 @@
 // What is updated incrementally equals what a rebuild makes, whatever happens.
 func TestIncrementalStateEqualsARebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newOrderSimulation(t)
+		sim := newOrderSimulation(t)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
-			aligned := w.step(t)
-			order := rebuiltOrder(w.b)
-			checkOrder(t, w.b, order)
-			checkPools(t, w.b, order)
+			aligned := sim.step(t)
+			order := rebuiltOrder(sim.b)
+			checkOrder(t, sim.b, order)
+			checkPools(t, sim.b, order)
 			if aligned {
-				checkAddedServers(t, w.b, order)
+				checkAddedServers(t, sim.b, order)
 			}
-			checkSums(t, w.b, order)
-			checkEvidence(t, w.b, order)
+			checkSums(t, sim.b, order)
+			checkEvidence(t, sim.b, order)
 		}
 	})
 }
--- a/policy/rate_multiplier.go
+++ b/policy/rate_multiplier.go
@@ -1,43 +1,43 @@
 package policy
 
 const (
-	// rateIncreaseStep and rateDecreaseStep are the part by which one choice of a server moves the
-	// multiplier. As they are equal, it is steady where every second choice finds no capacity.
+	// rateIncreaseStep and rateDecreaseStep are the fractions by which one server selection moves the
+	// multiplier. As they are equal, it is steady if every second selection finds no capacity.
 	rateIncreaseStep, rateDecreaseStep = 0.02, 0.02
-	// minRateMultiplier bounds the multiplier from below: lower, traffic within its quota would be rejected
-	// for faults that fewer requests don't cure.
+	// minRateMultiplier is the lower bound of the multiplier: below it, traffic within its quota would be
+	// rejected for faults that fewer requests don't cure.
 	minRateMultiplier = 0.3
-	// cautiousRateMultiplier is the value beyond which the multiplier rises only while few responses are
-	// bad: the other nodes may need the capacity.
+	// cautiousRateMultiplier is the value above which the multiplier rises only while few responses are
+	// bad, since the other nodes may need the capacity.
 	cautiousRateMultiplier = 1.5
-	// maxRateMultiplier bounds the multiplier from above: at three times its quotas a node admits nearly all
-	// that there is capacity for.
+	// maxRateMultiplier is the upper bound of the multiplier: at three times its quotas, a node admits nearly
+	// everything that there is capacity for.
 	maxRateMultiplier = 3.0
-	// maxBadRatio is the part of bad (or lost) responses beyond which they count as many.
+	// maxBadRatio is the fraction of bad responses, or of lost attempts, above which they count as many.
 	maxBadRatio = 0.06
-	// badRatioGain and lostRatioGain are the weight of one response in the two ratios: they average over
-	// some 100 and some 20 responses.
+	// badRatioGain and lostRatioGain are the weights of one response in badRatio and lostRatio, which average
+	// over about 100 and about 20 responses.
 	badRatioGain, lostRatioGain = 0.01, 0.05
 )
 
-// rateMultiplier scales the refill rates of all buckets alike, by whether choices of a server find capacity.
-// Without it a fleet of servers that became slow would shed no load, and a node that sees more than its even
-// part of a quota would reject traffic within that quota.
+// rateMultiplier scales the refill rates of all buckets, depending on whether server selections find
+// capacity. Without it, a fleet whose servers became slow would shed no load, and a node that receives more
+// than its even share of a quota's traffic would reject traffic within that quota.
 type rateMultiplier struct {
 	value          float64
-	bucketRejected bool    // a bucket rejected a request since the last choice of a server
-	badRatio       float64 // part of recent responses that were slow or failed
-	lostRatio      float64 // part of recent attempts that timed out or met a full server
+	bucketRejected bool    // a bucket rejected a request since the last server selection
+	badRatio       float64 // fraction of recent responses that were slow or failed
+	lostRatio      float64 // fraction of recent attempts that timed out or met a full server
 }
 
-// rateConditions says how the fleet that a node belongs to bounds its multiplier.
+// rateConditions holds the conditions in the fleet that bound a node's multiplier.
 type rateConditions struct {
-	hasMembership     bool // nodes agree on how many divide the quotas, so no node may go beyond its part
-	usesLoadReports   bool // low priorities give way by their overcommit limits, not all by their rates
-	minLimitsOverload bool // the minimum limits of all nodes together are more than a server should bear
+	hasMembership     bool // nodes agree on how many share the quotas, so no node may exceed its share
+	usesLoadReports   bool // overcommit limits reject low priorities first; lower rates would reject all alike
+	minLimitsOverload bool // the minimum limits of all nodes add up to more than a server should get
 }
 
-// maximum is the highest value of the multiplier.
+// maximum returns the upper bound of the multiplier.
 func (c rateConditions) maximum() float64 {
 	if c.hasMembership {
 		return 1
@@ -45,8 +45,9 @@
 	return maxRateMultiplier
 }
 
-// adjust moves the multiplier after a choice of a server, by whether it found capacity. It rises only if a
-// bucket rejected something meanwhile: else its value has no effect that could be judged.
+// adjust moves the multiplier after a server selection, depending on whether it found capacity. The
+// multiplier rises only if a bucket rejected a request since the last selection; otherwise it had no effect
+// to judge.
 func (m *rateMultiplier) adjust(foundCapacity bool, conditions rateConditions) {
 	manyLost := m.lostRatio > maxBadRatio && !conditions.usesLoadReports && conditions.minLimitsOverload
 	switch {
@@ -62,16 +63,16 @@
 	m.bucketRejected = false
 }
 
-// recordRejection notes that a bucket rejected a request.
+// recordRejection records that a bucket rejected a request.
 func (m *rateMultiplier) recordRejection() { m.bucketRejected = true }
 
-// recordResponse follows the part of bad responses.
+// recordResponse updates the fraction of bad responses.
 func (m *rateMultiplier) recordResponse(bad bool) { updateRatio(&m.badRatio, badRatioGain, bad) }
 
-// recordLoss follows the part of lost attempts.
+// recordLoss updates the fraction of lost attempts.
 func (m *rateMultiplier) recordLoss(lost bool) { updateRatio(&m.lostRatio, lostRatioGain, lost) }
 
-// rateConditions are those of this node now.
+// rateConditions returns the current conditions of this node.
 func (b *Balancer) rateConditions() rateConditions {
 	return rateConditions{
 		hasMembership:     b.fleetSize.hasMembership,
@@ -80,7 +81,7 @@
 	}
 }
 
-// adjustRateMultiplier moves the rate multiplier after a choice of a server.
+// adjustRateMultiplier moves the rate multiplier after a server selection.
 func (b *Balancer) adjustRateMultiplier(foundCapacity bool) {
 	b.rateMultiplier.adjust(foundCapacity, b.rateConditions())
 }
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -13,14 +13,14 @@
 	if b.rateMultiplier.value >= 0.5 || b.rateMultiplier.value < minRateMultiplier {
 		t.Errorf("after 100 choices without capacity the multiplier is %v", b.rateMultiplier.value)
 	}
-	was := b.rateMultiplier.value
+	before := b.rateMultiplier.value
 	b.adjustRateMultiplier(true)
-	if b.rateMultiplier.value != was {
+	if b.rateMultiplier.value != before {
 		t.Error("the multiplier rose though no bucket rejected a request")
 	}
 	b.rateMultiplier.bucketRejected = true
 	b.adjustRateMultiplier(true)
-	if b.rateMultiplier.value <= was {
+	if b.rateMultiplier.value <= before {
 		t.Error("the multiplier did not rise though a bucket rejected a request and there was capacity")
 	}
 }
@@ -31,32 +31,32 @@
 	s := b.order()[0]
 	s.concurrencyLimit, s.limitReached, s.inFlight = 1, true, 3
 	b.Handle(ms, newRequest("x", "free"))
-	was := b.rateMultiplier.value
+	before := b.rateMultiplier.value
 	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
 		b.Handle(now, Timer{Token: queueTimerToken})
 	}
-	if len(b.queue.requests) != 1 || was >= 1 || b.rateMultiplier.value != was {
-		t.Errorf("%d queued, the multiplier went from %v to %v", len(b.queue.requests), was, b.rateMultiplier.value)
+	if len(b.queue.requests) != 1 || before >= 1 || b.rateMultiplier.value != before {
+		t.Errorf("%d queued, the multiplier went from %v to %v", len(b.queue.requests), before, b.rateMultiplier.value)
 	}
 }
 
 // Traffic far beyond the quotas is admitted only while few responses are bad: other nodes may lack the capacity.
 func TestRateMultiplierIsCautiousWhileResponsesAreBad(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
-	grow := func() {
+	raise := func() {
 		for range 200 {
 			b.rateMultiplier.bucketRejected = true
 			b.adjustRateMultiplier(true)
 		}
 	}
-	grow()
+	raise()
 	if b.rateMultiplier.value != maxRateMultiplier {
 		t.Errorf("with good responses the multiplier is %v, want %v", b.rateMultiplier.value, maxRateMultiplier)
 	}
 	for range 20 {
 		b.updateConcurrencyLimit(b.order()[0], b.classes.ordered[0], TimedOut, ms, 1)
 	}
-	grow()
+	raise()
 	if b.rateMultiplier.value > cautiousRateMultiplier*(1+rateIncreaseStep) {
 		t.Errorf("with bad responses the multiplier is %v, want about %v", b.rateMultiplier.value, cautiousRateMultiplier)
 	}
@@ -131,38 +131,38 @@
 // limits.
 func TestRateMultiplierFollowsLostAttemptsInLargeFleets(t *testing.T) {
 	for _, c := range []struct {
-		nodes   int
-		follows bool
+		nodes    int
+		wantDrop bool
 	}{{300, true}, {8, false}} {
 		set := testSettings(c.nodes)
 		set.Tenants = []Tenant{{Name: "t", Quota: 10 * float64(c.nodes)}}
 		b := startBalancer(t, set, testEndpoints(200))
 		now, n := Time(0), 0
-		admitted := func(code Code) (part float64) {
+		admittedFraction := func(code Code) (fraction float64) {
 			const requests = 300
 			for range requests {
 				now += 20 * ms
 				n++
 				id := fmt.Sprint("r", n)
 				for _, a := range actionsOf(b.Handle(now, newRequest(id, "free")), Send) {
-					part += 1.0 / requests
+					fraction += 1.0 / requests
 					end := outcome(id, 0, a.Server, code, 40*ms)
 					end.RequestEnded = true
 					b.Handle(now+ms, end)
 				}
 			}
-			return part
+			return fraction
 		}
-		admitted(OK)
-		before := admitted(OK)
-		admitted(TimedOut)
-		if got := admitted(TimedOut); (got < 0.6*before) != c.follows {
+		admittedFraction(OK)
+		before := admittedFraction(OK)
+		admittedFraction(TimedOut)
+		if got := admittedFraction(TimedOut); (got < 0.6*before) != c.wantDrop {
 			t.Errorf("%d nodes: %.2f of the requests are admitted while attempts time out, %.2f before", c.nodes, got, before)
 		}
 		for range 5 { // the multiplier stays cautious until few of the last hundreds of responses are bad
-			admitted(OK)
+			admittedFraction(OK)
 		}
-		if got := admitted(OK); got < 0.9*before {
+		if got := admittedFraction(OK); got < 0.9*before {
 			t.Errorf("%d nodes: %.2f of the requests are admitted after that, %.2f before", c.nodes, got, before)
 		}
 	}
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -27,8 +27,8 @@
 	b.retryBudget.retriesAt, b.retryBudget.acceptedAt = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
-		if may := b.mayRetry(); may != (n < 3) { // on the safe side of the exact 4
-			t.Fatalf("after %d retries: may retry %v", n, may)
+		if allowed := b.mayRetry(); allowed != (n < 3) { // on the safe side of the exact 4
+			t.Fatalf("after %d retries: may retry %v", n, allowed)
 		}
 		if !b.mayRetry() {
 			break
--- a/policy/token_buckets.go
+++ b/policy/token_buckets.go
@@ -7,31 +7,32 @@
 )
 
 const (
-	// maxBuckets is the number of buckets, those of tenants with a quota included, from which on a further
-	// tenant without a quota gets no bucket of its own, for clients may invent tenants: those share one.
+	// maxBuckets is the number of buckets, those of tenants with a quota included, from which on further
+	// tenants without a quota share one bucket, since clients may invent tenants.
 	maxBuckets = 4096
 	// bucketsPerSweep is how many buckets each admission examines.
 	bucketsPerSweep = 2
-	// minBucketsToShrink and bucketShrinkRatio say when the map of buckets is made anew, for a Go map never
-	// returns its memory: when it held at least so many buckets, and less than this part of them is left.
+	// minBucketsToShrink and bucketShrinkRatio determine when the map of buckets is rebuilt, since a Go map
+	// never returns its memory: once it has held at least minBucketsToShrink buckets and fewer than
+	// 1/bucketShrinkRatio of the most it held are left.
 	minBucketsToShrink, bucketShrinkRatio = 4096, 16
 )
 
-// bucketKey names a bucket. The class is empty but for classes that have a limit of their own.
+// bucketKey identifies a bucket. The class is empty except for classes with their own limit.
 type bucketKey struct{ tenant, class string }
 
-// sharedBucketKey is the key of the bucket that the tenants beyond maxBuckets share.
+// sharedBucketKey is the key of the bucket that tenants beyond maxBuckets share.
 var sharedBucketKey = bucketKey{}
 
-// bucket is a token bucket with whole tokens.
+// bucket is a token bucket that holds whole tokens.
 type bucket struct {
 	key        bucketKey
 	tokens     int64
 	refilledAt Time
 }
 
-// refill adds the whole tokens that the rate, in tokens per second, gave since the last refill, up to the
-// burst. Less than one token leaves the refill time as it is.
+// refill adds the whole tokens that accrued since the last refill at a rate in tokens per second, up to the
+// burst. If less than one token accrued, the refill time stays.
 func (b *bucket) refill(now Time, perSecond float64, burst int64) {
 	added := math.Floor((now - b.refilledAt).Seconds() * perSecond)
 	if added >= 1 {
@@ -39,13 +40,12 @@
 	}
 }
 
-// bucketTable holds buckets by key, and sweeps them a few at a time, so that those which no longer matter
-// are dropped.
+// bucketTable holds buckets by key, and sweeps them a few at a time to drop those that are no longer needed.
 type bucketTable struct {
 	byKey     map[bucketKey]*bucket
-	ring      []*bucket // the same buckets, in the order of the sweep
-	next      int       // index in ring of the next to examine
-	peakCount int       // most buckets that byKey held since it was made
+	ring      []*bucket // the same buckets, in sweep order
+	next      int       // index in ring of the next bucket to examine
+	peakCount int       // largest number of buckets in byKey since it was created
 }
 
 func newBucketTable() bucketTable { return bucketTable{byKey: make(map[bucketKey]*bucket)} }
@@ -60,7 +60,7 @@
 // isFull reports whether there are maxBuckets or more.
 func (t *bucketTable) isFull() bool { return len(t.byKey) >= maxBuckets }
 
-// current returns the next bucket of the sweep; nil if there is none.
+// current returns the next bucket of the sweep, or nil if there is none.
 func (t *bucketTable) current() *bucket {
 	if len(t.ring) == 0 {
 		return nil
@@ -71,10 +71,10 @@
 	return t.ring[t.next]
 }
 
-// advance leaves the current bucket and goes on to the next one.
+// advance moves the sweep to the next bucket.
 func (t *bucketTable) advance() { t.next++ }
 
-// dropCurrent drops the current bucket; the last one of the ring takes its place.
+// dropCurrent drops the current bucket, and puts the last one of the ring in its place.
 func (t *bucketTable) dropCurrent() {
 	last := len(t.ring) - 1
 	delete(t.byKey, t.ring[t.next].key)
@@ -82,7 +82,7 @@
 	t.ring = t.ring[:last]
 }
 
-// shrink returns the memory of dropped buckets once few are left.
+// shrink frees the memory of dropped buckets once few are left.
 func (t *bucketTable) shrink() {
 	if t.peakCount >= minBucketsToShrink && bucketShrinkRatio*len(t.byKey) < t.peakCount {
 		t.peakCount = len(t.byKey)
--- a/policy/token_buckets_test.go
+++ b/policy/token_buckets_test.go
@@ -10,24 +10,24 @@
 )
 
 // allBuckets is a model of the buckets of a node that drops none.
-type allBuckets map[bucketKey]*bucket
+type bucketModel map[bucketKey]*bucket
 
-func (n allBuckets) admits(b *Balancer, tenant, class string) bool {
+func (m bucketModel) admits(b *Balancer, tenant, class string) bool {
 	limit, key, limited := b.rateLimiter.resolve(tenant, class)
 	if !limited {
 		return true
 	}
 	limit.PerWindow *= b.rateMultiplier.value
-	k := n[key]
-	if k == nil {
-		k = &bucket{tokens: limit.Burst, refilledAt: b.now}
-		n[key] = k
+	entry := m[key]
+	if entry == nil {
+		entry = &bucket{tokens: limit.Burst, refilledAt: b.now}
+		m[key] = entry
 	}
-	k.refill(b.now, limit.perSecond(), limit.Burst)
-	if k.tokens <= 0 {
+	entry.refill(b.now, limit.perSecond(), limit.Burst)
+	if entry.tokens <= 0 {
 		return false
 	}
-	k.tokens--
+	entry.tokens--
 	return true
 }
 
@@ -49,7 +49,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		model := make(allBuckets)
+		model := make(bucketModel)
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			b.now += time.Duration(rapid.SampledFrom([]int{0, 1, 30, 999, 5000, 60000}).Draw(t, "wait")) * ms
 			b.rateMultiplier.value = rapid.SampledFrom([]float64{minRateMultiplier, 0.5, 1, maxRateMultiplier}).Draw(t, "multiplier")
@@ -100,7 +100,7 @@
 
 // requestOncePerTenant has each of n tenants make one request, a millisecond apart. It returns how many are admitted, how many
 // buckets there are then and some requests later, and the bytes of heap in use.
-func requestOncePerTenant(tb testing.TB, n int) (admitted, atOnce, later int, heapBytes uint64) {
+func requestOncePerTenant(tb testing.TB, n int) (admitted, atEnd, later int, heapBytes uint64) {
 	set := testSettings(1)
 	set.Tenants, set.Limits.Default = nil, &Limit{PerWindow: 10, Window: time.Second, Burst: 5}
 	b, err := New(set, 0, 1)
@@ -120,22 +120,22 @@
 			admitted++
 		}
 	}
-	atOnce = len(b.rateLimiter.buckets.byKey)
-	for range 2 * atOnce {
+	atEnd = len(b.rateLimiter.buckets.byKey)
+	for range 2 * atEnd {
 		b.now += ms
 		b.admit("tenant-0", "free")
 	}
 	after := heap()
 	later = len(b.rateLimiter.buckets.byKey)
-	return admitted, atOnce, later, after - min(before, after)
+	return admitted, atEnd, later, after - min(before, after)
 }
 
 // The number of buckets follows the tenants that send requests now, not those ever seen.
 func TestBucketsOfTenantsSeenOnceAreDropped(t *testing.T) {
 	const tenants = 50000
-	admitted, atOnce, later, _ := requestOncePerTenant(t, tenants)
-	if atOnce > maxBuckets || later > 10 {
-		t.Errorf("of %d tenants seen once there are %d buckets at once, %d later", tenants, atOnce, later)
+	admitted, atEnd, later, _ := requestOncePerTenant(t, tenants)
+	if atEnd > maxBuckets || later > 10 {
+		t.Errorf("of %d tenants seen once there are %d buckets at once, %d later", tenants, atEnd, later)
 	}
 	if admitted < tenants {
 		t.Errorf("the first request of %d of %d tenants is rejected", tenants-admitted, tenants)
@@ -177,9 +177,9 @@
 // BenchmarkTenantsSeenOnce reports the memory that 800,000 tenants leave behind.
 func BenchmarkTenantsSeenOnce(b *testing.B) {
 	for b.Loop() {
-		admitted, atOnce, later, heapBytes := requestOncePerTenant(b, 800000)
+		admitted, atEnd, later, heapBytes := requestOncePerTenant(b, 800000)
 		b.ReportMetric(float64(admitted), "admitted")
-		b.ReportMetric(float64(atOnce), "buckets-at-the-end")
+		b.ReportMetric(float64(atEnd), "buckets-at-the-end")
 		b.ReportMetric(float64(later), "buckets-later")
 		b.ReportMetric(float64(heapBytes), "bytes-held")
 	}
