--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// claimProbe returns a server that needs a probe which r may be, and marks it as being probed; nil if there
-// is none.
+// claimProbe returns a server that needs a probe that r may serve as, and marks it as being probed; nil if
+// there is none.
 func (b *Balancer) claimProbe(r *request) *server {
 	if s := b.claimProbation(r); s != nil {
 		return s
@@ -41,7 +41,7 @@
 	return b.claimZoneProbe(r)
 }
 
-// attemptsExhausted reports whether a request has had its attempts, or a response would come too late.
+// attemptsExhausted reports whether a request has no attempts left, or a response would come too late.
 func (b *Balancer) attemptsExhausted(r *request) bool {
 	return len(r.attempts) >= min(r.maxAttempts, b.settings.Allowed.attemptsPerRequest()) ||
 		b.now >= r.usefulUntil
@@ -65,7 +65,7 @@
 	}
 }
 
-// countInFlight counts an attempt as in flight at its server (by 1), or no longer (by -1).
+// countInFlight counts an attempt as in flight at its server (change is 1), or no longer (change is -1).
 func (b *Balancer) countInFlight(a *attempt, change int) {
 	a.uncounted = change < 0
 	if a.server.inFlight += change; !a.warmingUp {
@@ -73,8 +73,7 @@
 	}
 }
 
-// onFirstByte takes the attempt of a streamed response out of its server's load: the server has done its
-// work.
+// onFirstByte stops counting the attempt of a streamed response as in flight: the server has done its work.
 func (b *Balancer) onFirstByte(e FirstByte) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
@@ -86,11 +85,11 @@
 	}
 }
 
-// onOutcome ends an attempt, and then ends, retries or gives up its request.
+// onOutcome ends an attempt, and then finishes, retries or gives up its request.
 func (b *Balancer) onOutcome(e Outcome) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].finished {
-		return // it came late or twice
+		return // late or duplicate
 	}
 	a := &r.attempts[e.Attempt]
 	a.finished, a.provenNotRun = true, e.Code.ProvesNotRun()
@@ -110,14 +109,14 @@
 	}
 }
 
-// onClientCancelled ends a request whose client has left.
+// onClientCancelled finishes a request whose client has disconnected.
 func (b *Balancer) onClientCancelled(e ClientCancelled) {
 	if r := b.requests[e.ID]; r != nil {
 		b.finish(r)
 	}
 }
 
-// observeOutcome updates what is measured of the server and of the class by the outcome of an attempt.
+// observeOutcome updates the measurements of the server and the class with the outcome of an attempt.
 func (b *Balancer) observeOutcome(r *request, a *attempt, e Outcome) {
 	if a.isProbe {
 		a.server.outlier.probationInFlight = false
@@ -126,7 +125,7 @@
 	case NotAttempted:
 		return
 	case Cancelled:
-		if !a.isProbe { // the node's own doing, unless it is a probe that its client didn't wait for
+		if !a.isProbe { // the node cancelled it, unless it is a probe whose client didn't wait
 			return
 		}
 	case OK, ServerError, Overloaded:
@@ -135,11 +134,11 @@
 	b.observeResponse(a, r.class, e)
 }
 
-// observeResponse feeds an outcome that says something of its server to each mechanism, in a fixed order:
-// some read what those before them changed.
+// observeResponse passes an outcome that reflects the server's state to each mechanism, in a fixed order:
+// some read what earlier ones changed.
 func (b *Balancer) observeResponse(a *attempt, c *class, e Outcome) {
 	s := a.server
-	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled { // a server that is full hasn't failed
+	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled { // a full server hasn't failed
 		b.recordEvidence(a, c.failureLevel(s.Kind, e.Code, e.Latency.Seconds()))
 	}
 	weight := b.failureWeight(s, e.Code)
@@ -157,7 +156,8 @@
 	b.updateOutlierState(a, e.Code, weight)
 }
 
-// giveUp ends a request without a response: rejected where the client may safely send it again, else failed.
+// giveUp ends a request without a response: it rejects the request if the client may safely send it again,
+// and fails it otherwise.
 func (b *Balancer) giveUp(r *request) {
 	if r.mayRejectSafely() {
 		b.reject(r, 0)
@@ -167,13 +167,14 @@
 	b.finish(r)
 }
 
-// reject ends a request, with a Retry-After of the given wait; 0 for none.
+// reject ends a request with the given Retry-After; 0 for none.
 func (b *Balancer) reject(r *request, retryAfter time.Duration) {
 	b.emit(Action{Kind: Reject, ID: r.ID, Wait: retryAfter})
 	b.finish(r)
 }
 
-// finish marks a request as answered and cancels its attempt. It is forgotten once its attempts are over.
+// finish marks a request as answered and cancels its attempt. It deletes the request once its attempts have
+// ended.
 func (b *Balancer) finish(r *request) {
 	if newest := len(r.attempts) - 1; !r.answered && r.pendingAttempts > 0 && b.settings.Allowed.Cancel {
 		b.emit(Action{Kind: Cancel, ID: r.ID, Attempt: newest})
--- a/policy/class.go
+++ b/policy/class.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// tailQuantile is the quantile of a class's latency that is estimated. An attempt that is much slower may
+	// tailQuantile is the quantile of a class's latency that is estimated. An attempt that takes much longer may
 	// be at a server that hangs (slow_attempts.go).
 	tailQuantile = 0.95
-	// tailStep is the part of the estimate by which responses move it.
+	// tailStep scales how far a response moves the estimate, as a fraction of the estimate.
 	tailStep = 0.1
 )
 
-// class is a request class of the settings, with the servers that it may use and what was measured of it.
+// class is a request class of the settings, with the servers that it may use and its measurements.
 type class struct {
 	Class
-	eligible *serverPool // the servers that it may be sent to
+	eligible *serverPool // servers that the class may use
 	*classStats
 }
 
-// classStats is what was measured of the classes of one name. It outlives changes of the settings.
+// classStats holds the measurements of the classes with one name. It outlives changes of the settings.
 type classStats struct {
-	timerIndex      int           // of the class's timer; negative for a class that the settings never named
-	tailLatency     time.Duration // estimate of the tailQuantile of its latency, at most its objective
+	timerIndex      int           // index of its timer; negative for a class that the settings never named
+	tailLatency     time.Duration // estimated tailQuantile of the latency, at most the objective
 	slowAttempts    slowAttemptWatch
 	firstTryTimeout time.Duration          // longest timeout of a client's first try
-	typicalByKind   map[string]*serverLoad // usual latency by kind of server, where zones are monitored
+	typicalByKind   map[string]*serverLoad // usual latency by kind of server; kept where zones are monitored
 }
 
-// classRegistry holds the classes of the settings in force, those of the former settings, and what was
-// measured of any class by its name.
+// classRegistry holds the classes of the settings in force and of the former settings, and the measurements
+// of all classes by name.
 type classRegistry struct {
 	byName       map[string]*class
-	former       map[string]*class // of the settings before
+	former       map[string]*class // classes of the former settings by name
 	ordered      []*class          // in the order of the settings
 	stats        map[string]*classStats
 	statsByTimer []*classStats // by timerIndex
@@ -41,8 +41,8 @@
 
 func newClassRegistry() classRegistry { return classRegistry{stats: make(map[string]*classStats)} }
 
-// configure takes over the classes of new settings, which all may use the servers of the pool at first. A
-// class without a latency objective has its deadline as one.
+// configure sets the classes of new settings, all of which may at first use every server of the pool. A class
+// without a latency objective gets its deadline as the objective.
 func (c *classRegistry) configure(classes []Class, pool *serverPool) {
 	c.former, c.byName, c.ordered = c.byName, make(map[string]*class), nil
 	for _, settings := range classes {
@@ -55,7 +55,7 @@
 	}
 }
 
-// statsOf returns what was measured of the class of a name, adapted to its settings.
+// statsOf returns the measurements of the class with the name in the settings, adapted to these settings.
 func (c *classRegistry) statsOf(settings Class) *classStats {
 	stats := c.stats[settings.Name]
 	if stats == nil {
@@ -70,8 +70,8 @@
 	return stats
 }
 
-// find returns the class of a request by the settings in force, or by the former ones where they applied
-// when its head came; nil for a name that neither has.
+// find returns the class of a request by the settings in force, or by the former ones if they applied when
+// its head arrived; nil if neither names the class.
 func (c *classRegistry) find(e Request) *class {
 	if e.FormerClass {
 		if former := c.former[e.Class]; former != nil {
@@ -81,7 +81,7 @@
 	return c.byName[e.Class]
 }
 
-// classOfRequest is the class of a request. One whose class the settings don't name is never repeated.
+// classOfRequest returns the class of a request. A class that the settings don't name is non-idempotent.
 func (b *Balancer) classOfRequest(e Request) *class {
 	if known := b.classes.find(e); known != nil {
 		return known
@@ -90,9 +90,9 @@
 		classStats: &classStats{timerIndex: -1}}
 }
 
-// classesInUse are the classes that requests may have: those of the settings, those of the former settings,
-// and those of requests that are open since before. A class that the settings never named isn't among them:
-// it may use any server, and its requests are no probes.
+// classesInUse returns the classes that requests may have: those of the settings in force, those of the
+// former settings, and those of older requests that are still open. Classes that the settings never named are
+// left out: they may use any server, and their requests are never probes.
 func (b *Balancer) classesInUse() map[*class]bool {
 	inUse := make(map[*class]bool)
 	for _, c := range b.classes.ordered {
@@ -109,19 +109,19 @@
 	return inUse
 }
 
-// isRestricted reports whether a class may use some servers only.
+// isRestricted reports whether a class may use only some of the servers.
 func (c *class) isRestricted() bool { return len(c.Kinds)+len(c.Zones)+len(c.Regions) > 0 }
 
-// permits reports whether a class may use a server: one that is restricted to kinds, zones or regions goes
-// nowhere else.
+// permits reports whether a class may use a server, by the kinds, zones and regions that the class is
+// restricted to.
 func (c *class) permits(s *server) bool {
 	return (len(c.Kinds) == 0 || slices.Contains(c.Kinds, s.Kind)) &&
 		(len(c.Zones) == 0 || slices.Contains(c.Zones, s.Zone)) &&
 		(len(c.Regions) == 0 || slices.Contains(c.Regions, s.zone.regionName()))
 }
 
-// observeLatency moves the estimate of the tail latency by one response: up by a slower one, down by a
-// faster one, in the ratio that keeps tailQuantile of the responses below it.
+// observeLatency updates the estimate of the tail latency with one response: a slower one raises it and a
+// faster one lowers it, in the ratio that keeps tailQuantile of the responses below the estimate.
 func (c *class) observeLatency(latency time.Duration) {
 	step := -(1 - tailQuantile)
 	if latency > c.tailLatency {
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -5,22 +5,22 @@
 )
 
 const (
-	// maxUploadTime is the time that a request has to arrive whole. A node ends slower uploads by their rate
-	// before that, and bounds the whole upload by the same time (internal/node).
+	// maxUploadTime bounds the time for a whole request to arrive. The node ends slower uploads before that
+	// because of their rate, and bounds the whole upload by the same time (internal/node).
 	maxUploadTime = 15 * time.Minute
-	// firstTryTolerance is how much of a first try's timeout may pass on the way to the node.
+	// firstTryTolerance is how much of a first try's timeout may pass before the request reaches the node.
 	firstTryTolerance = 50 * time.Millisecond
-	// queueTimeDivisor divides the latency objective into the time that a request may wait for a server: what
-	// is left has to do for the response.
+	// queueTimeDivisor divides the latency objective to give the time that a request may wait for a server;
+	// the rest has to suffice for the response.
 	queueTimeDivisor = 2
-	// assumedWaitDivisor divides the latency objective into the time that a client's retry has waited, where
-	// its timeout doesn't tell.
+	// assumedWaitDivisor divides the latency objective to give the time that the client of a retry is
+	// assumed to have waited, if its timeout doesn't tell.
 	assumedWaitDivisor = 4
 )
 
-// setDeadlines sets by when a request is to be answered, by its class's latency objective and its client's
-// timeout. One that is incomplete gets a new deadline once it is complete: the node sees to it that its
-// bytes keep coming, and no server works on it before.
+// setDeadlines sets the deadlines of a request from its class's latency objective and its client's timeout.
+// An incomplete request gets new ones once it is complete: until then, the node ensures that its bytes keep
+// arriving, and no server works on it.
 func (b *Balancer) setDeadlines(r *request) {
 	objective := r.class.LatencyObjective +
 		time.Duration(r.class.ObjectivePerWork*float64(r.EstimatedWork)) -
@@ -35,7 +35,8 @@
 	}
 }
 
-// onRequestComplete starts the time of a request that was sent on while it arrived.
+// onRequestComplete restarts the deadlines of a request that was forwarded while it arrived, and counts its
+// attempt as in flight.
 func (b *Balancer) onRequestComplete(e RequestComplete) {
 	r := b.requests[e.ID]
 	if r == nil || !r.Incomplete {
@@ -55,9 +56,9 @@
 	b.watchLatency(r)
 }
 
-// waitedBefore is how long the client of a request has waited in earlier tries. The latency objective counts
-// from the first one. All first tries of a class have the same timeout, a part of the deadline; a retry with
-// a shorter timeout ends with the deadline, which tells when the first try began.
+// timeSinceFirstTry returns how long the client of a request has waited since its first try, from which the
+// latency objective counts. All first tries of a class have the same timeout, a fraction of the deadline. A
+// retry with a shorter timeout ends at the deadline, which tells when the first try began.
 func (c *class) timeSinceFirstTry(e Request) time.Duration {
 	if !e.ClientRetry {
 		c.firstTryTimeout = max(c.firstTryTimeout, e.Timeout)
--- a/policy/request_queue.go
+++ b/policy/request_queue.go
@@ -4,16 +4,16 @@
 	"time"
 )
 
-// queuePollInterval is the time between two attempts to dispatch the queued requests.
+// queuePollInterval is the interval at which queued requests are dispatched again.
 const queuePollInterval = 20 * time.Millisecond
 
 // requestQueue holds the requests that wait for a usable server, oldest first.
 type requestQueue struct {
 	requests []*request
-	timerSet bool // a poll is due
+	timerSet bool // a poll is scheduled
 }
 
-// add appends a request, and reports whether the poll has to be scheduled.
+// add appends a request, and reports whether the caller must schedule a poll.
 func (q *requestQueue) add(r *request) (schedulePoll bool) {
 	q.requests = append(q.requests, r)
 	schedulePoll = !q.timerSet
@@ -21,14 +21,14 @@
 	return schedulePoll
 }
 
-// takeAll empties the queue and returns what it held.
+// takeAll empties the queue and returns its requests.
 func (q *requestQueue) takeAll() []*request {
 	all := q.requests
 	q.requests = nil
 	return all
 }
 
-// enqueue lets a request wait until a server may be usable, or its time is up.
+// enqueue queues a request until a server may be usable, or the request's time is up.
 func (b *Balancer) enqueue(r *request) {
 	r.wasQueued = true
 	if b.queue.add(r) {
@@ -42,8 +42,8 @@
 	b.dispatchQueued()
 }
 
-// dispatchQueued dispatches each queued request that still waits for its answer. Those that find no server
-// are queued again.
+// dispatchQueued dispatches each queued request that is still unanswered. Those that find no server are
+// queued again.
 func (b *Balancer) dispatchQueued() {
 	for _, r := range b.queue.takeAll() {
 		if !r.answered {
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -4,30 +4,31 @@
 	"time"
 )
 
-// defaultRetryBudget holds where the settings state none.
+// defaultRetryBudget applies if the settings state none.
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
 
-// retryLimitMargin, in retries, keeps their number below the limit rather than at it, so that neither the
-// ratio's rounding nor another way to count entries that are just as old as the window makes it one too many.
+// retryLimitMargin, in retries, keeps their number below the limit rather than at it, so that neither
+// rounding of the ratio nor a different treatment of entries exactly as old as the window allows one retry
+// too many.
 const retryLimitMargin = 1e-9
 
-// retryBudget bounds the retries of a node: in any window they number fewer than MinRetries plus RetryRatio
-// of the requests that the node received in it. Both are counted exactly, over a sliding window; where an
-// entry is as old as the window, a request counts no longer and a retry still does.
+// retryBudget bounds the retries of a node: in any window there are fewer than MinRetries plus RetryRatio
+// times the requests that the node received in it. Both are counted exactly, over a sliding window. When an
+// entry is exactly as old as the window, a request no longer counts and a retry still does.
 type retryBudget struct {
 	limits     RetryBudget
-	acceptedAt []Time // requests received within the window, oldest first
-	retriesAt  []Time // retries within it, oldest first
+	acceptedAt []Time // times of the requests received within the window, oldest first
+	retriesAt  []Time // times of the retries within the window, oldest first
 }
 
-// configure takes over the limits; nil stands for the default.
+// configure sets the limits; nil selects the default.
 func (r *retryBudget) configure(limits *RetryBudget) {
 	if r.limits = defaultRetryBudget; limits != nil {
 		r.limits = *limits
 	}
 }
 
-// recordRequest counts a request that the node received, rejected or not.
+// recordRequest counts a request that the node received, whether it is rejected or not.
 func (r *retryBudget) recordRequest(now Time) {
 	r.acceptedAt = append(r.acceptedAt, now)
 	r.trim(now)
@@ -36,25 +37,25 @@
 // recordRetry counts a retry.
 func (r *retryBudget) recordRetry(now Time) { r.retriesAt = append(r.retriesAt, now) }
 
-// allows reports whether the budget has one more retry.
+// allows reports whether the budget permits another retry.
 func (r *retryBudget) allows(now Time) bool {
 	r.trim(now)
 	return float64(len(r.retriesAt)+1) <= r.limit()-retryLimitMargin
 }
 
-// exhaust counts as many retries as the whole budget has, for another process may have made them.
+// exhaust counts as many retries as the whole budget permits, since another process may have made them.
 func (r *retryBudget) exhaust(now Time) {
 	for range int(r.limit()) {
 		r.recordRetry(now)
 	}
 }
 
-// limit is the number that the retries in the present window stay below.
+// limit returns the number that the retries in the current window must stay below.
 func (r *retryBudget) limit() float64 {
 	return r.limits.MinRetries + r.limits.RetryRatio*float64(len(r.acceptedAt))
 }
 
-// trim drops what has left the window.
+// trim drops the entries that have left the window.
 func (r *retryBudget) trim(now Time) {
 	start := now - r.limits.Window
 	for len(r.acceptedAt) > 0 && r.acceptedAt[0] <= start {
@@ -65,6 +66,5 @@
 	}
 }
 
-// mayRetry reports whether this process may retry a request. After a hand-over the budget is the
-// successor's.
+// mayRetry reports whether this process may retry a request. After a hand-over, the successor has the budget.
 func (b *Balancer) mayRetry() bool { return !b.handedOver && b.retryBudget.allows(b.now) }
