--- a/policy/completion_rate.go
+++ b/policy/completion_rate.go
@@ -6,20 +6,19 @@
 )
 
 const (
-	// completionRateTime is the time constant of the completion rate: long enough for some responses at a node
-	// with little traffic.
+	// completionRateTime is the time constant of the completion rate: long enough to cover several responses at
+	// a node with little traffic.
 	completionRateTime = 3 * time.Second
-	// peakRateDecayTime is the time constant with which the peak rate of a server is forgotten.
+	// peakRateDecayTime is the time constant with which the peak rate of a server decays.
 	peakRateDecayTime = time.Minute
 )
 
-// completionRate measures how many OK responses a second come from servers that have warmed up, and the
-// peak of that for one of them. Without load reports, the peak is what one server is known to be able to
-// serve.
+// completionRate measures the rate of OK responses from warmed-up servers, and the peak of this rate per
+// server. Without load reports, the peak is what one server is known to be able to serve.
 type completionRate struct {
-	rate   float64 // responses a second, decayed as of at
+	rate   float64 // responses per second, decayed until rateAt
 	rateAt Time
-	peak   float64 // responses a second of one server, decayed as of peakAt
+	peak   float64 // responses per second from one server, decayed until peakAt
 	peakAt Time
 }
 
@@ -29,13 +28,13 @@
 	c.serverPeak(now, servers)
 }
 
-// current is how many responses a second came lately.
+// current returns the recent number of responses per second.
 func (c *completionRate) current(now Time) float64 {
 	return c.rate * math.Exp(-(now-c.rateAt).Seconds()/completionRateTime.Seconds())
 }
 
-// serverPeak is the most responses a second that lately came from one server. The peak counts because the
-// present rate falls while servers fail, which would starve those that come back of requests.
+// serverPeak returns the highest recent number of responses per second from one server. The current rate
+// wouldn't do: it falls while servers fail, which would starve returning servers of requests.
 func (c *completionRate) serverPeak(now Time, servers int) float64 {
 	currentRate := c.current(now) / max(1, float64(servers))
 	c.peak = max(currentRate, c.peak*math.Exp(-(now-c.peakAt).Seconds()/peakRateDecayTime.Seconds()))
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -3,26 +3,26 @@
 import "time"
 
 const (
-	// initialFleetLimit is how many attempts all nodes together first have in flight at a server, where limits
-	// are learned from responses.
+	// initialFleetLimit is how many attempts all nodes together may have in flight at a server at first, if
+	// limits are learned from responses.
 	initialFleetLimit = 10.0
-	// minLimitFraction is the part of its initial value below which no learned limit falls.
+	// minLimitFraction is the fraction of its initial value below which a learned limit doesn't fall.
 	minLimitFraction = 0.25
-	// limitIncrease is by how many attempts a good response at the limit raises it. Against
-	// slowResponseDecrease, the limit settles where a sixth of the responses are slow.
+	// limitIncrease is by how many attempts a good response at the limit raises it. Together with
+	// slowResponseDecrease, it makes the limit settle where a sixth of the responses are slow.
 	limitIncrease = 0.05
 	// slowResponseDecrease is by how many attempts a slow response lowers the limit.
 	slowResponseDecrease = 0.25
-	// failureDecrease is by how many attempts a failure lowers a learned limit; where limits rest on load
-	// reports, the part of it that a failure takes off.
+	// failureDecrease is by how many attempts a failure lowers a learned limit or, if limits rest on load
+	// reports, the fraction by which it lowers the limit.
 	failureDecrease = 0.3
-	// slowObjectiveFraction is the part of the latency objective from which a response counts as slow: it waited
-	// about as long as it ran.
+	// slowObjectiveFraction is the fraction of the latency objective from which a response counts as slow: it
+	// waited about as long as it was served.
 	slowObjectiveFraction = 0.4
 )
 
-// initialLimit is the limit of a server that nothing is known of. Where limits rest on load reports, it is
-// the part of the fair limit that counts.
+// initialLimit returns the limit of a server without measurements. If limits rest on load reports, it is a
+// fraction of the fair limit.
 func (b *Balancer) initialLimit() float64 {
 	if b.usesLoadReports() {
 		return 1
@@ -30,7 +30,8 @@
 	return max(1, initialFleetLimit/float64(b.settings.NodeCount))
 }
 
-// effectiveLimit is how many attempts this node has in flight at a server while there is capacity elsewhere.
+// effectiveLimit returns how many attempts this node may have in flight at a server while others have
+// capacity.
 func (b *Balancer) effectiveLimit(s *server) float64 {
 	if b.usesLoadReports() {
 		return b.fairLimit(s)
@@ -38,13 +39,13 @@
 	return s.concurrencyLimit
 }
 
-// hasCapacity reports whether a server is under its limit.
+// hasCapacity reports whether a server is under its limit, and not busy with a timed-out attempt.
 func (b *Balancer) hasCapacity(s *server) bool {
 	return b.now >= s.busyUntil && s.isUnderLimit(b.effectiveLimit(s), b.now)
 }
 
-// isUnderLimit reports whether a limit allows another attempt. A limit under one is spread over time:
-// an attempt is followed by a pause that makes the mean in flight that of the limit.
+// isUnderLimit reports whether a limit permits another attempt. A limit under one is spread over time: after
+// each attempt, a pause keeps the mean number in flight at the limit.
 func (s *server) isUnderLimit(limit float64, now Time) bool {
 	if limit >= 1 {
 		return float64(s.totalInFlight()) < limit
@@ -52,7 +53,8 @@
 	return s.totalInFlight() == 0 && now-s.lastSentAt >= seconds(s.meanLatency*(1/limit-1))
 }
 
-// updateConcurrencyLimit learns from one outcome. failureWeight is how far a failure is the server's own.
+// updateConcurrencyLimit learns from one outcome. failureWeight is how far a failure is the server's own
+// fault.
 func (b *Balancer) updateConcurrencyLimit(s *server, c *class, code Code, latency time.Duration,
 	failureWeight float64) {
 	step := 0.0
@@ -61,7 +63,7 @@
 		step = -failureDecrease * failureWeight
 	case latency > seconds(slowObjectiveFraction*c.LatencyObjective.Seconds()):
 		step = -slowResponseDecrease
-	case float64(s.totalInFlight()+1) >= b.effectiveLimit(s): // a good response, and the limit was reached
+	case float64(s.totalInFlight()+1) >= b.effectiveLimit(s): // a good response at the limit
 		step = limitIncrease
 	}
 	b.rateMultiplier.recordResponse(step < 0)
@@ -73,19 +75,19 @@
 	s.moveLimit(step, minLimitFraction*b.initialLimit())
 }
 
-// moveLimit moves a learned limit. Steps shrink with a limit under one, so that the same part of the
-// responses is slow where it settles, at any limit.
+// moveLimit moves a learned limit. Steps shrink with a limit under one, so that at any limit the same
+// fraction of the responses is slow where it settles.
 func (s *server) moveLimit(step, lowest float64) {
 	s.limitReached = s.limitReached || step < 0
 	s.concurrencyLimit = max(lowest, s.concurrencyLimit+step*min(1, s.concurrencyLimit))
 }
 
-// scaleLimitByFailure accounts for failures, which load reports don't show.
+// scaleLimitByFailure lowers the limit after a failure, which load reports don't show.
 func (s *server) scaleLimitByFailure(code Code, latency time.Duration, failureWeight float64, now Time) {
 	switch code {
 	case OK:
 		return
-	case TimedOut: // the server likely still works on it, though it isn't in flight for this node any more
+	case TimedOut: // the server likely still works on it, though this node no longer counts it as in flight
 		s.busyUntil = now + latency
 	}
 	s.limitReached = true
--- a/policy/concurrency_window.go
+++ b/policy/concurrency_window.go
@@ -6,48 +6,48 @@
 )
 
 const (
-	// targetUtilization is the busy part of the servers' cores that all nodes together aim at.
+	// targetUtilization is the fraction of the servers' cores that all nodes together try to keep busy.
 	targetUtilization = 0.8
-	// windowTimeConstant is the time in which the window follows a deviation of 1 from the target e-fold.
+	// windowTimeConstant is the time in which a deviation of 1 from the target changes the window e-fold.
 	// Reports are a second or two old, so a faster window would oscillate.
 	windowTimeConstant = 3 * time.Second
-	// windowDecreaseFactor is how many times as fast the window shrinks as it grows.
+	// windowDecreaseFactor is how many times faster the window shrinks than it grows.
 	windowDecreaseFactor = 3.0
-	// utilizationGain is the weight of one report in the mean utilization: a single one is far off either way.
+	// utilizationGain is the weight of one report in the mean utilization: one report is far off either way.
 	utilizationGain = 0.1
-	// initialWindowScale and minWindowScale are the first and the least scale of the window, in multiples of
-	// initialReportedLimit for each server.
+	// initialWindowScale and minWindowScale are the initial and the minimum scale of the window, in multiples of
+	// initialReportedLimit per server.
 	initialWindowScale = 1.0
 	minWindowScale     = 0.2
-	// initialReportedLimit is how many attempts all nodes together first have in flight at a server, where
+	// initialReportedLimit is how many attempts all nodes together may have in flight at a server at first, if
 	// limits rest on load reports.
 	initialReportedLimit = 6.0
-	// fairLimitSpread is how many times its even part of the window a node may have in flight at one server, so
-	// that it packs its load on few servers and gets reports of each often.
+	// fairLimitSpread is how many times its even share of the window a node may have in flight at one server, so
+	// that it packs its load on few servers and gets reports from each often.
 	fairLimitSpread = 1.25
-	// minFairLimit is how many attempts a node may have in flight at a typical server however many nodes there
-	// are.
+	// minFairLimit is the least number of attempts that a node may have in flight at a typical server, however
+	// many nodes there are.
 	minFairLimit = 0.7
 )
 
-// concurrencyWindow bounds the attempts that this node has in flight in all, where limits rest on load
-// reports. It follows the utilization of the servers, and grows only while the node needs more.
+// concurrencyWindow bounds the attempts that this node has in flight at all servers together, if limits rest
+// on load reports. It follows the utilization of the servers, and grows only while the node needs more.
 type concurrencyWindow struct {
-	scale           float64 // of the window, against that of initialReportedLimit
+	scale           float64 // multiple of the window that initialReportedLimit gives
 	utilization     float64 // mean of the reports of warmed-up servers
-	reportedAt      Time    // of the newest of those reports; 0 before the first
-	capacityWanted  bool    // a choice found no server with capacity since then
-	inFlight        int     // attempts of this process in flight, but those that a warm-up budget paces
-	siblingInFlight int     // and those of the node's other process
+	reportedAt      Time    // time of the newest of those reports; 0 before the first
+	capacityWanted  bool    // a server selection since then found no capacity
+	inFlight        int     // attempts of this process in flight, without those paced by a warm-up budget
+	siblingInFlight int     // the same number for the node's other process
 }
 
-// size is the window in attempts: the node's part of what all nodes may have in flight at the warmed-up
-// servers.
+// size returns the window in attempts, at least 1: the node's share of what all nodes together may have in
+// flight at the warmed-up servers.
 func (w *concurrencyWindow) size(warmedUpWeight float64, nodeCount int) float64 {
 	return max(1, w.scale*initialReportedLimit*warmedUpWeight/float64(nodeCount))
 }
 
-// observe moves the window by the utilization that a warmed-up server reports.
+// observe adjusts the window to the utilization that a warmed-up server reports.
 func (w *concurrencyWindow) observe(utilization float64, now Time, nodeCount int) {
 	if w.reportedAt == 0 {
 		w.utilization = utilization
@@ -64,12 +64,12 @@
 	w.capacityWanted, w.reportedAt = false, now
 }
 
-// concurrencyWindow is how many attempts this node may have in flight.
+// concurrencyWindow returns how many attempts this node may have in flight.
 func (b *Balancer) concurrencyWindow() float64 {
 	return b.window.size(b.warmedUpWeight(), b.settings.NodeCount)
 }
 
-// windowOvercommit is how many times its window this node has in flight; 0 where there is no window.
+// windowOvercommit returns the attempts in flight as a multiple of the window; 0 if there is no window.
 func (b *Balancer) windowOvercommit() float64 {
 	if !b.usesLoadReports() {
 		return 0
@@ -77,8 +77,8 @@
 	return float64(b.window.inFlight+b.window.siblingInFlight) / b.concurrencyWindow()
 }
 
-// fairLimit is how many attempts this node may have in flight at a server: its part of the window, by what
-// the server can serve.
+// fairLimit returns how many attempts this node may have in flight at a server: its share of the window,
+// scaled by the server's relative capacity and its concurrency limit.
 func (b *Balancer) fairLimit(s *server) float64 {
 	relativeCapacity := b.warmFraction(s)
 	if b.loads.typicalLoad.samples > 0 {
@@ -89,8 +89,8 @@
 	return s.concurrencyLimit * relativeCapacity * max(minFairLimit, evenShare)
 }
 
-// warmedUpWeight counts the warmed-up servers in service by this node's share of each, but those of evacuated
-// zones.
+// warmedUpWeight returns the number of warmed-up servers in service, without those of evacuated zones, each
+// weighted by this node's share of it.
 func (b *Balancer) warmedUpWeight() float64 {
 	servers := b.slowStart.outsideEvacuated(b.zones.all, b.now)
 	if servers.near == 0 {
--- a/policy/fixed_point.go
+++ b/policy/fixed_point.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// fixedPoint is a number in units of 2^-40. Sums of such numbers are exact: adding and later subtracting
-// the same number leaves no rounding error behind.
+// fixedPoint is a number in units of 2^-40. Sums of fixedPoint values are exact: adding and later subtracting
+// the same value leaves no rounding error.
 type fixedPoint int64
 
 const fixedUnit = 1 << 40
--- a/policy/overcommit.go
+++ b/policy/overcommit.go
@@ -1,34 +1,34 @@
 package policy
 
-// Overcommit is how many times its limit a server, or its window a node, has in flight. Where no server has
-// capacity, the least loaded one is overcommitted up to a bound that depends on the priority of the class.
+// Overcommit is the number of attempts in flight as a multiple of a server's limit, or of a node's window. If
+// no server has capacity, the least loaded one is overcommitted up to a bound that depends on the priority of
+// the class.
 
 const (
-	// maxLearnedOvercommit bounds the overcommit for the highest priority where limits are learned from
-	// responses.
+	// maxLearnedOvercommit bounds the overcommit for the highest priority if limits are learned from responses.
 	maxLearnedOvercommit = 2.0
-	// maxReportedOvercommit is that bound where limits rest on load reports, which are closer to the capacity.
+	// maxReportedOvercommit is that bound if limits rest on load reports, which are closer to the capacity.
 	maxReportedOvercommit = 1.5
-	// minOvercommit is the bound for a class of the lowest priority, while the highest isn't short of capacity.
+	// minOvercommit is the bound for the lowest priority while the highest isn't short of capacity.
 	minOvercommit = 0.8
 )
 
-// maxOvercommit is the bound of the overcommit for a class. The lower its priority weight, the sooner its
-// requests are given up when capacity is short; beyond the bound, responses would only be late.
+// maxOvercommit returns the bound of the overcommit for a class. The lower its priority weight, the sooner
+// its requests are given up when capacity is short; beyond the bound, responses would only be late.
 func (b *Balancer) maxOvercommit(c *class) float64 {
 	highest := maxLearnedOvercommit
 	if b.usesLoadReports() {
 		highest = maxReportedOvercommit
 	}
-	if b.loadShedder.maxPriorityWeight <= 0 { // the site states no priorities
+	if b.loadShedder.maxPriorityWeight <= 0 { // the settings state no priorities
 		return highest
 	}
 	lowest := max(0, minOvercommit-shortageFactor*b.loadShedder.highPriorityShortage)
 	return lowest + (highest-lowest)*c.PriorityWeight/b.loadShedder.maxPriorityWeight
 }
 
-// serverOvercommit is the overcommit of a server with one more attempt. A limit under one is spread over
-// time, and so is the overcommit then.
+// serverOvercommit returns the overcommit of a server with one more attempt. A limit under one is spread over
+// time, and so is its overcommit.
 func (b *Balancer) serverOvercommit(s *server) float64 {
 	limit := b.effectiveLimit(s)
 	if limit < 1 && s.totalInFlight() == 0 && b.usesLoadReports() {
--- a/policy/packing_order.go
+++ b/policy/packing_order.go
@@ -6,24 +6,24 @@
 	"slices"
 )
 
-// rebuildRatio decides between incremental changes of the packing order and a rebuild: once more than one
+// rebuildRatio decides between incremental updates of the packing order and a rebuild: if more than one
 // server in rebuildRatio has changed, a rebuild costs less.
 const rebuildRatio = 4
 
-// packingOrder owns the servers in service in the order in which they are filled, and the pool of each
-// class that is restricted to some of them.
+// packingOrder holds the servers in service in the order in which they are filled, and updates the pool of
+// each class that is restricted to some of them.
 type packingOrder struct {
 	pool          serverPool
-	serversByZone map[string]int  // servers of the pool in each zone
+	serversByZone map[string]int  // number of servers of the pool in each zone
 	classes       map[*class]bool // classes whose pools follow the order
-	changed       []*server       // servers that the list changed or dropped since the order was updated
-	stale         bool            // the order has to be rebuilt
-	walkOffset    float64         // where the walk of a segment begins, as a part of its length
+	changed       []*server       // servers that the list changed or dropped since the last update of the order
+	stale         bool            // the order must be rebuilt
+	walkOffset    float64         // where the walk of a segment begins, as a fraction of its length
 }
 
-// newWalkOffset is where a node's walk of each segment begins. Few nodes all begin at the first server,
-// which packs the load; many nodes would overload it, so their walks begin at steps of the golden ratio,
-// which are spread evenly whichever of the nodes share a zone.
+// newWalkOffset returns where a node's walk of each segment begins, as a fraction of its length. The nodes of
+// a small fleet all begin at the first server, which packs the load. Many nodes would overload it, so their
+// walks begin at steps of the golden ratio, which are spread evenly whichever nodes share a zone.
 func newWalkOffset(nodeIndex int, largeFleet bool) float64 {
 	if !largeFleet {
 		return 0
@@ -46,7 +46,7 @@
 	}
 }
 
-// insert puts a server into the pools. Where the walk of its segment begins is left to rotate.
+// insert adds a server to the pools. The caller then calls rotate for its segment.
 func (o *packingOrder) insert(s *server, cost float64) {
 	s.segment = o.pool.insert(s, cost)
 	s.retrySafety = NonIdempotent
@@ -62,7 +62,7 @@
 	o.serversByZone[s.Zone]++
 }
 
-// remove takes a server out of the pools.
+// remove removes a server from the pools.
 func (o *packingOrder) remove(s *server) {
 	g := s.segment
 	o.pool.remove(s, g.cost)
@@ -75,13 +75,13 @@
 	s.segment = nil
 }
 
-// needsRebuild reports whether the order has to be rebuilt, or is better rebuilt than changed server by
+// needsRebuild reports whether the order must be rebuilt, or a rebuild costs less than changing it server by
 // server.
 func (o *packingOrder) needsRebuild(classes map[*class]bool) bool {
 	return o.stale || rebuildRatio*len(o.changed) > o.pool.length || !maps.Equal(o.classes, classes)
 }
 
-// reset empties the pools, for the given classes and walk offset.
+// reset empties the pools, and sets the classes and the walk offset.
 func (o *packingOrder) reset(classes map[*class]bool, walkOffset float64) {
 	o.pool, o.serversByZone, o.changed, o.stale = serverPool{}, make(map[string]int), nil, false
 	o.classes, o.walkOffset = classes, walkOffset
@@ -92,8 +92,8 @@
 	}
 }
 
-// refreshOrder brings the order and the sums over it in line with the list, and sets the initial limits of
-// servers that are new in it.
+// refreshOrder updates the order and the sums over it from the list, and sets the initial limits of new
+// servers.
 func (b *Balancer) refreshOrder() {
 	for _, s := range b.updateOrder() {
 		if s.concurrencyLimit == 0 {
@@ -103,7 +103,7 @@
 	}
 }
 
-// updateOrder returns the servers that may be new in the order, in packing order.
+// updateOrder updates the order, and returns the servers that may be new in it, in packing order.
 func (b *Balancer) updateOrder() []*server {
 	if b.packing.needsRebuild(b.classesInUse()) {
 		b.rebuildOrder()
@@ -130,7 +130,7 @@
 	return added
 }
 
-// rebuildOrder builds the order and all sums over it from the list.
+// rebuildOrder rebuilds the order and all sums over it from the list.
 func (b *Balancer) rebuildOrder() {
 	b.resetSums()
 	b.packing.reset(b.classesInUse(), newWalkOffset(b.settings.NodeIndex, b.isLargeFleet()))
@@ -147,7 +147,7 @@
 	b.updateCapacityShare()
 }
 
-// addToService puts a server into the order and the sums over it.
+// addToService adds a server to the order and the sums over it.
 func (b *Balancer) addToService(s *server) {
 	b.packing.insert(s, b.zones.crossingCost(s))
 	b.slowStart.add(s, b.now)
@@ -156,7 +156,7 @@
 	b.ejectionChanged(s)
 }
 
-// removeFromService takes a server out of the order and the sums over it.
+// removeFromService removes a server from the order and the sums over it.
 func (b *Balancer) removeFromService(s *server) {
 	g := s.segment
 	b.packing.remove(s)
@@ -167,8 +167,7 @@
 	b.packing.rotate(g)
 }
 
-// resetSums empties the sums over the order. Servers that changed may be in neither the order nor the list
-// by now.
+// resetSums clears the sums over the order. Changed servers may no longer be in the order or the list.
 func (b *Balancer) resetSums() {
 	for s := range b.packing.pool.all {
 		s.segment, s.contribution = nil, contribution{}
--- a/policy/server_pool.go
+++ b/policy/server_pool.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// serverPool is a set of servers in packing order: by the cost of crossing to them, then by ID. A change
-// takes a binary search, so that a list change costs little at any number of servers. The type of this
-// name in internal/node/upstream is another: it holds idle connections.
+// serverPool is a set of servers in packing order: by the cost of crossing to them, then by ID. A change uses
+// a binary search, so that a list change is cheap at any number of servers. It is unrelated to the type of
+// this name in internal/node/upstream, which holds idle connections.
 type serverPool struct {
 	segments []*segment // by ascending cost
-	length   int        // servers in all segments
-	ejected  int        // ejected servers among them; not maintained for classes of former settings
+	length   int        // number of servers in all segments
+	ejected  int        // number of ejected servers; not maintained for classes of former settings
 }
 
-// segment holds the servers of a pool that cost the same to cross to, sorted by ID. A walk begins at the
-// index start and wraps around.
+// segment holds the servers of a pool with the same crossing cost, sorted by ID. A walk begins at the index
+// start and wraps around.
 type segment struct {
 	cost    float64
 	servers []*server
@@ -39,7 +39,7 @@
 	}
 }
 
-// contains reports whether the predicate holds for a server of the pool.
+// contains reports whether the predicate holds for any server of the pool.
 func (p *serverPool) contains(predicate func(*server) bool) bool {
 	for s := range p.all {
 		if predicate(s) {
@@ -49,21 +49,22 @@
 	return false
 }
 
-// find returns the index of the segment with a cost, or the index to insert it at.
+// find returns the index of the segment with the given cost, or the index at which to insert it.
 func (p *serverPool) find(cost float64) (index int, found bool) {
 	return slices.BinarySearchFunc(p.segments, cost, func(g *segment, cost float64) int {
 		return cmp.Compare(g.cost, cost)
 	})
 }
 
-// find returns the index of the server with an ID, or the index to insert it at.
+// find returns the index of the server with the given ID, or the index at which to insert it.
 func (g *segment) find(id string) (index int, found bool) {
 	return slices.BinarySearchFunc(g.servers, id, func(s *server, id string) int {
 		return strings.Compare(s.ID, id)
 	})
 }
 
-// insert puts a server into the segment of a cost. Where the walk of the segment begins is left to rotate.
+// insert adds a server to the segment with the given cost. The caller then sets the start of the walk
+// (rotate).
 func (p *serverPool) insert(s *server, cost float64) *segment {
 	i, found := p.find(cost)
 	if !found {
@@ -76,7 +77,7 @@
 	return g
 }
 
-// remove takes a server out of the segment of a cost, if it is there.
+// remove removes a server from the segment with the given cost, if it is there.
 func (p *serverPool) remove(s *server, cost float64) {
 	i, found := p.find(cost)
 	if !found {
@@ -94,14 +95,14 @@
 	}
 }
 
-// rotate lets the walk of a segment begin at the first server whose ID isn't below firstID.
+// rotate makes the walk of a segment begin at the first server whose ID isn't below firstID.
 func (p *serverPool) rotate(cost float64, firstID string) {
 	if i, found := p.find(cost); found {
 		p.segments[i].start, _ = p.segments[i].find(firstID)
 	}
 }
 
-// isBefore reports whether a server comes before another one in the packing order that both are in.
+// isBefore reports whether s comes before other in the packing order, which must hold both.
 func (s *server) isBefore(other *server) bool {
 	g := s.segment
 	if g != other.segment {
@@ -116,7 +117,7 @@
 	return s.ID < other.ID
 }
 
-// comparePackingOrder orders servers in service for slices.SortFunc.
+// comparePackingOrder compares servers in service by packing order, for slices.SortFunc.
 func comparePackingOrder(s, other *server) int {
 	if s.isBefore(other) {
 		return -1
--- a/policy/server_queue.go
+++ b/policy/server_queue.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// serverQueue is a heap of servers by the time at which each is due.
+// serverQueue is a heap of servers, ordered by the time at which each is due.
 type serverQueue []serverQueueEntry
 
 type serverQueueEntry struct {
@@ -30,5 +30,5 @@
 
 func (q *serverQueue) add(at Time, s *server) { heap.Push(q, serverQueueEntry{at, s}) }
 
-// next removes the server that is due first.
+// next removes and returns the server that is due first.
 func (q *serverQueue) next() *server { return heap.Pop(q).(serverQueueEntry).server }
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -6,16 +6,16 @@
 )
 
 const (
-	// maxLatencyFraction is the part of the time in which a response is useful that a server's usual latency may
+	// maxLatencyFraction is the fraction of a request's remaining useful time that a server's usual latency may
 	// take.
 	maxLatencyFraction = 0.5
-	// reportDecayTime is the time constant with which a reported latency gives way to that of the server's kind.
+	// reportDecayTime is the time constant with which a reported latency decays to that of the server's kind.
 	reportDecayTime = 5 * time.Second
 )
 
 // pickServer chooses a server for a request: the first usable one in packing order that has capacity, else
-// the one with the least overcommit; nil where none may be used. It also reports whether the node has
-// capacity, which it has too while the limit of the least overcommitted server is only the initial guess.
+// the least overcommitted one, or nil if none may be used. It also reports whether the node has capacity,
+// which is also true while the limit of the least overcommitted server is only the initial guess.
 func (b *Balancer) pickServer(r *request) (picked *server, hasCapacity bool) {
 	windowOvercommit, maxOvercommit := b.windowOvercommit(), b.maxOvercommit(r.class)
 	b.chooseZones(r)
@@ -41,22 +41,22 @@
 	return fallback, fallback != nil && !fallback.limitReached
 }
 
-// isLessOvercommitted reports whether a server is to be preferred to one that comes before it in the walk.
-// Crossing to a zone at a higher cost is worth it only once the nearer server is at its limit.
+// isLessOvercommitted reports whether to prefer a server to an earlier one in the walk. Crossing to a zone at
+// a higher cost is worth it only once the nearer server is at its limit.
 func (b *Balancer) isLessOvercommitted(s, earlier *server) bool {
 	return b.serverOvercommit(s) < b.serverOvercommit(earlier) &&
 		(!isNearer(earlier, s) || b.serverOvercommit(earlier) >= 1)
 }
 
-// isUsable reports whether a request may go to a server now.
+// isUsable reports whether a request may be sent to a server now.
 func (b *Balancer) isUsable(r *request, s *server) bool {
 	return !s.outlier.ejected && !s.zone.isClosed() && r.mayRunOn(s, b.now) && b.answersInTime(r, s) &&
 		b.refillWarmupBudget(s)
 }
 
-// answersInTime reports whether a server likely answers a request while that is useful. Servers that are
-// warming up or overloaded take several times as long as others. The latency of a report counts the less
-// the older it is.
+// answersInTime reports whether a server is likely to answer a request while the response is useful. Servers
+// that are warming up or overloaded take several times as long as others. The older a load report, the less
+// its latency counts.
 func (b *Balancer) answersInTime(r *request, s *server) bool {
 	kind := b.loads.byKind[s.Kind]
 	if kind == nil || !b.usesLoadReports() {
@@ -70,8 +70,9 @@
 	return latency <= maxLatencyFraction*(r.usefulUntil-b.now).Seconds()
 }
 
-// mayRunOn reports whether placement and retry safety permit a request at a server. One that may have run is
-// sent again only where a repeat does no harm: to servers that drop it, while they still know the request.
+// mayRunOn reports whether placement and retry safety permit a request at a server. A request that may have
+// run is sent again only where a duplicate does no harm: anywhere if it is idempotent, else to servers that
+// drop it, while they still remember the request.
 func (r *request) mayRunOn(s *server, now Time) bool {
 	if !r.class.permits(s) {
 		return false
@@ -96,7 +97,7 @@
 	return s.Cell == r.mayHaveRun.server.Cell
 }
 
-// isNearer reports whether crossing to a server costs less than to another one.
+// isNearer reports whether crossing to s costs less than crossing to other.
 func isNearer(s, other *server) bool {
 	return s.zone != nil && s.zone.crossingCost < other.zone.crossingCost
 }
--- a/policy/slow_attempts.go
+++ b/policy/slow_attempts.go
@@ -5,23 +5,23 @@
 )
 
 const (
-	// slowAttemptFactor is how many times the tail latency of its class an attempt takes to count as slow.
+	// slowAttemptFactor is the multiple of its class's tail latency from which an attempt counts as slow.
 	slowAttemptFactor = 1.2
-	// minSlowTimerWait bounds the wait of a timer whose moment has come already.
+	// minSlowTimerWait is the shortest wait of a timer, used if the oldest attempt is already due.
 	minSlowTimerWait = time.Millisecond
 )
 
 // watchedAttempt is an attempt that counts as slow from dueAt on.
 type watchedAttempt struct {
 	request *request
-	index   int // of the attempt among the request's
+	index   int // among the request's attempts
 	dueAt   Time
 }
 
 func (w watchedAttempt) attempt() *attempt { return &w.request.attempts[w.index] }
 
 // slowAttemptWatch holds a class's attempts until they count as slow, oldest first. All attempts of a class
-// wait about equally long, so one timer for the oldest serves them all.
+// wait about equally long, so one timer for the oldest suffices.
 type slowAttemptWatch struct {
 	watched  []watchedAttempt
 	timerSet bool
@@ -29,7 +29,8 @@
 
 func (w *slowAttemptWatch) add(a watchedAttempt) { w.watched = append(w.watched, a) }
 
-// armTimer returns the wait until the oldest attempt is due, if a timer is needed and not yet set.
+// armTimer returns the wait until the oldest attempt is due, if a timer is needed and not yet set. It then
+// marks the timer as set.
 func (w *slowAttemptWatch) armTimer(now Time) (wait time.Duration, needed bool) {
 	if w.timerSet || len(w.watched) == 0 {
 		return 0, false
@@ -67,8 +68,8 @@
 }
 
 // checkSlowAttempts records a failure of each server that has answered nothing since it got an attempt that
-// is slow by now. One that answers others has a heavy request, no fault. The attempt itself goes on: a
-// request has one attempt at a time.
+// is now slow. A server that answers other requests has a heavy request, not a fault. The attempt itself goes
+// on: a request has one attempt at a time.
 func (b *Balancer) checkSlowAttempts(c *classStats) {
 	c.slowAttempts.timerSet = false
 	for {
