--- a/policy/admission_test.go
+++ b/policy/admission_test.go
@@ -19,7 +19,7 @@
 		{Limit{PerWindow: -1, Window: 30 * time.Second}, 30 * time.Second},
 	} {
 		if got := c.limit.retryAfter(); got != c.want {
-			t.Errorf("%+v: retry-after %v, want %v", c.limit, got, c.want)
+			t.Errorf("Retry-After of %+v: got %v, want %v", c.limit, got, c.want)
 		}
 	}
 }
@@ -31,11 +31,11 @@
 		r := newRequest(fmt.Sprint(i), "free")
 		r.Tenant = "u"
 		if rejects := actionsOf(b.Handle(ms, r), Reject); len(rejects) == 1 {
-			if i != 8 { // 10 a second / ln 2, half a second of burst
-				t.Errorf("rejected after %d, want 8", i)
+			if i != 8 { // half a second at 10 / ln 2 requests per second
+				t.Errorf("requests admitted before the first rejection: got %d, want 8", i)
 			}
 			if rejects[0].Wait != time.Second {
-				t.Errorf("retry-after %v, want 1 s", rejects[0].Wait)
+				t.Errorf("Retry-After: got %v, want 1s", rejects[0].Wait)
 			}
 			break
 		}
@@ -44,17 +44,18 @@
 
 func TestClassLimitHasItsOwnBucketAndMaximum(t *testing.T) {
 	set := testSettings(1)
-	set.Limits = RateLimits{PerClass: map[string]Limit{"free": {PerWindow: 50, Window: time.Second, Burst: 50}}, Max: 2}
+	set.Limits = RateLimits{
+		PerClass: map[string]Limit{"free": {PerWindow: 50, Window: time.Second, Burst: 50}}, Max: 2}
 	b := startBalancer(t, set, testEndpoints(8))
 	rejected := 0
 	for i := range 5 {
 		rejected += len(actionsOf(b.Handle(ms, newRequest(fmt.Sprint("f", i), "free")), Reject))
 	}
 	if rejected != 3 {
-		t.Errorf("rejected %d of 5, want 3: the maximum bounds the burst to 2", rejected)
+		t.Errorf("rejected requests: got %d of 5, want 3, as the maximum bounds the burst to 2", rejected)
 	}
 	if len(actionsOf(b.Handle(ms, newRequest("x", "once")), Reject)) != 0 {
-		t.Error("another class was rejected by the bucket of the class limit")
+		t.Error("a request of another class was rejected by the bucket of the class limit")
 	}
 }
 
@@ -68,7 +69,8 @@
 		want                Limit
 		wantKey             bucketKey
 	}{
-		{name: "a quota is divided by the nodes", tenant: "t", class: "read", want: half, wantKey: bucketKey{tenant: "t"}},
+		{name: "a quota is divided among the nodes", tenant: "t", class: "read", want: half,
+			wantKey: bucketKey{tenant: "t"}},
 		{name: "the smallest quota is the default", tenant: "unknown", class: "read", want: smallest,
 			wantKey: bucketKey{tenant: "unknown"}},
 		{name: "a stated default", tenant: "unknown", class: "read", limits: RateLimits{Default: &classLimit},
@@ -84,7 +86,8 @@
 			limiter.configure(c.limits, []Tenant{{Name: "t", Quota: 100}, {Name: "u", Quota: 10}}, 2)
 			limit, key, limited := limiter.resolve(c.tenant, c.class)
 			if !limited || limit != c.want || key != c.wantKey {
-				t.Errorf("got %+v of %+v, limited %v; want %+v of %+v", limit, key, limited, c.want, c.wantKey)
+				t.Errorf("got limit %+v, key %+v, limited %v; want limit %+v, key %+v, limited true",
+					limit, key, limited, c.want, c.wantKey)
 			}
 		})
 	}
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -35,7 +35,8 @@
 		acts := b.Handle(2*ms+c.after, outcome("x", 0, first, c.code, c.after))
 		if !c.resent {
 			if len(actionsOf(acts, Send)) != 0 || len(actionsOf(acts, c.wantAction)) != 1 {
-				t.Errorf("%s after %v at %v: got %+v", c.class, c.code, c.after, acts)
+				t.Errorf("class %s, outcome %v after %v: got %+v, want one Fail or Reject action as listed, and no Send",
+					c.class, c.code, c.after, acts)
 			}
 			continue
 		}
@@ -45,7 +46,8 @@
 			zone[endpoint.ID], cell[endpoint.ID] = endpoint.Zone, endpoint.Cell
 		}
 		if c.sameZone && zone[first] != zone[second] || c.sameCell && cell[first] != cell[second] {
-			t.Errorf("%s: first %s, then %s outside its group", c.class, first, second)
+			t.Errorf("class %s: first attempt at %s, retry at %s, which is outside the dedup scope",
+				c.class, first, second)
 		}
 	}
 }
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -9,16 +9,20 @@
 
 const ms = time.Millisecond
 
-// testSettings is a small deployment with one class of each retry safety.
+// testSettings returns the settings of a small deployment, with a class for each retry safety and dedup
+// scope.
 func testSettings(nodes int) Settings {
 	return Settings{
 		NodeCount: nodes, Zone: "a",
 		Classes: []Class{
 			{Name: "free", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: Idempotent},
 			{Name: "once", LatencyObjective: 250 * ms, Deadline: 600 * ms, LateWeight: 0.2},
-			{Name: "all", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: IdempotencyKeyed, DedupScope: DedupEverywhere, DedupWindow: 300 * ms},
-			{Name: "zone", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: IdempotencyKeyed, DedupScope: DedupPerZone, DedupWindow: 300 * ms},
-			{Name: "cell", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: IdempotencyKeyed, DedupScope: DedupPerCell, DedupWindow: 300 * ms},
+			{Name: "all", LatencyObjective: 250 * ms, Deadline: 600 * ms,
+				RetrySafety: IdempotencyKeyed, DedupScope: DedupEverywhere, DedupWindow: 300 * ms},
+			{Name: "zone", LatencyObjective: 250 * ms, Deadline: 600 * ms,
+				RetrySafety: IdempotencyKeyed, DedupScope: DedupPerZone, DedupWindow: 300 * ms},
+			{Name: "cell", LatencyObjective: 250 * ms, Deadline: 600 * ms,
+				RetrySafety: IdempotencyKeyed, DedupScope: DedupPerCell, DedupWindow: 300 * ms},
 		},
 		Tenants: []Tenant{{Name: "t", Quota: 1000}, {Name: "u", Quota: 10}},
 		Allowed: Allowed{Cancel: true, MaxAttempts: 4},
@@ -65,13 +69,14 @@
 	t.Helper()
 	s := actionsOf(acts, Send)
 	if len(s) != 1 {
-		t.Fatalf("want one send, got %+v", acts)
+		t.Fatalf("got %+v, want one Send action", acts)
 	}
 	return s[0].Server
 }
 
-// A restricted class is sent to its servers only, at every attempt, even when none of them is in service; then
-// it is queued, and rejected in time. The bound on ejections counts its few servers by themselves.
+// Requests of a restricted class are sent only to the servers of the class, at every attempt. If none of them
+// is in service, a request is queued, and rejected in time. The bound on ejections applies to the class's few
+// servers on their own.
 func TestRestrictedClassUsesOnlyItsServers(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].Kinds = []string{"k1"} // s01, s04, s07 of nine
@@ -81,10 +86,10 @@
 		id := fmt.Sprint(i)
 		s := sentTo(t, b.Handle(ms, newRequest(id, "free")))
 		if !permitted[s] {
-			t.Fatalf("sent to %s", s)
+			t.Fatalf("the first attempt was sent to %s, which the class may not use", s)
 		}
 		if s = sentTo(t, b.Handle(2*ms, outcome(id, 0, s, code, ms))); !permitted[s] {
-			t.Fatalf("sent again to %s", s)
+			t.Fatalf("the second attempt was sent to %s, which the class may not use", s)
 		}
 		b.Handle(3*ms, outcome(id, 1, s, OK, ms))
 	}
@@ -93,26 +98,28 @@
 		b.recordFailure(b.servers[id], attemptFailureWeight)
 	}
 	if b.classes.ordered[0].eligible.ejected != 1 {
-		t.Errorf("%d of the class's 3 servers are ejected, want 1", b.classes.ordered[0].eligible.ejected)
+		t.Errorf("ejected servers of the class's 3: got %d, want 1", b.classes.ordered[0].eligible.ejected)
 	}
 	for id := range permitted {
-		b.Handle(4*ms, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{{ID: id, Zone: "a", Kind: "k1", Availability: Draining}}})
+		b.Handle(4*ms, EndpointList{Kind: ListUpdate,
+			Endpoints: []Endpoint{{ID: id, Zone: "a", Kind: "k1", Availability: Draining}}})
 	}
 	acts := slices.Clone(b.Handle(5*ms, newRequest("x", "free")))
 	for now := 6 * ms; now < 600*ms; now += queuePollInterval {
 		acts = append(acts, b.Handle(now, Timer{Token: queueTimerToken})...)
 	}
 	if len(actionsOf(acts, Send)) != 0 || len(actionsOf(acts, Reject)) != 1 {
-		t.Errorf("without its servers: got %+v, want one rejection and no send", acts)
+		t.Errorf("with none of the class's servers in service: got %+v, want one Reject and no Send action", acts)
 	}
 }
 
 func outcome(id string, attempt int, server string, code Code, latency time.Duration) Outcome {
-	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency, RequestEnded: code == OK}
+	return Outcome{ID: id, Attempt: attempt, Server: server, Code: code, Latency: latency,
+		RequestEnded: code == OK}
 }
 
-// New settings leave what was measured, and open requests, as they were. A request of the former settings is
-// handled by those.
+// New settings keep the measurements and the open requests. A request that arrived under the former settings
+// is handled by those.
 func TestNewSettingsKeepMeasurementsAndOpenRequests(t *testing.T) {
 	set := testSettings(1)
 	b := startBalancer(t, set, testEndpoints(4))
@@ -124,45 +131,48 @@
 	changed := testSettings(1)
 	changed.Classes[0].RetrySafety = NonIdempotent
 	changed.Classes = slices.Delete(changed.Classes, 1, 2) // "once" is dropped
-	changed.Classes = append(changed.Classes, Class{Name: "new", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: Idempotent})
+	changed.Classes = append(changed.Classes,
+		Class{Name: "new", LatencyObjective: 250 * ms, Deadline: 600 * ms, RetrySafety: Idempotent})
 	changed.Allowed.MaxAttempts = 2
 	b.Handle(ms, changed)
-	if s := b.servers["s00"]; s.concurrencyLimit != 9 || s.inFlight+b.servers["s01"].inFlight+b.servers["s02"].inFlight != 1 {
-		t.Errorf("limit %v", s.concurrencyLimit)
+	if s := b.servers["s00"]; s.concurrencyLimit != 9 ||
+		s.inFlight+b.servers["s01"].inFlight+b.servers["s02"].inFlight != 1 {
+		t.Errorf("after new settings: got concurrency limit %v, want 9 and one attempt in flight",
+			s.concurrencyLimit)
 	}
 	if got := b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != 5 {
-		t.Errorf("%d tokens", got)
+		t.Errorf("tokens after new settings: got %d, want 5", got)
 	}
 	if got := b.classes.byName["free"].tailLatency; got != 77*ms {
-		t.Errorf("tail %v", got)
+		t.Errorf("tail latency after new settings: got %v, want 77ms", got)
 	}
 	isRetried := func(id, server string) bool {
 		return len(actionsOf(b.Handle(2*ms, Outcome{ID: id, Server: server, Code: TimedOut}), Send)) > 0
 	}
 	if !isRetried("open", first) {
-		t.Error("a request that came while its class was free is not repeated")
+		t.Error("a request was not retried, though its class was idempotent when it arrived")
 	}
 	if acts := b.Handle(3*ms, Outcome{ID: "open", Attempt: 1, Code: TimedOut}); len(actionsOf(acts, Send)) > 0 {
-		t.Error("a third attempt, though two are allowed by now")
+		t.Error("a third attempt was sent, though the new settings allow 2")
 	}
 	if isRetried("strict", sentTo(t, b.Handle(2*ms, newRequest("strict", "free")))) {
-		t.Error("a class that must not run twice by now is repeated")
+		t.Error("a request was retried, though the new settings make its class non-idempotent")
 	}
 	formerClassRequest := newRequest("was", "free")
 	formerClassRequest.FormerClass = true
 	if !isRetried("was", sentTo(t, b.Handle(2*ms, formerClassRequest))) {
-		t.Error("a request of its class's former settings is not repeated")
+		t.Error("a request with FormerClass was not retried, though the former settings make it idempotent")
 	}
 	if isRetried("dropped", sentTo(t, b.Handle(2*ms, newRequest("dropped", "once")))) {
-		t.Error("a request of a dropped class is repeated")
+		t.Error("a request of a class that the new settings drop was retried")
 	}
 	if !isRetried("new", sentTo(t, b.Handle(2*ms, newRequest("new", "new")))) {
-		t.Error("the new class is not repeated")
+		t.Error("a request of a class that the new settings add was not retried")
 	}
 	if acts := b.Handle(time.Second, Timer{Token: firstClassTimerToken + 5}); len(actionsOf(acts, Send)) > 0 {
-		t.Error("the new class's timer sent a copy of what is over")
+		t.Error("the timer of the added class sent an attempt of a request that has ended")
 	}
 }
 
-// order is the pool's servers in packing order.
+// order returns the pool's servers in packing order.
 func (p *serverPool) order() []*server { return slices.Collect(p.all) }
--- a/policy/bench_test.go
+++ b/policy/bench_test.go
@@ -9,13 +9,13 @@
 // benchSizes are the numbers of servers at which the cost of a decision and of a list change is measured.
 var benchSizes = []int{100, 1000, 10000, 50000}
 
-// benchSite is one way in which a deployment is set up, as far as it matters to the cost of a decision.
+// benchDeployment is a kind of deployment, described by what affects the cost of a decision.
 type benchDeployment struct {
 	name            string
 	nodes           int
-	requestInterval time.Duration // between requests at this node
+	requestInterval time.Duration // between two requests at this node
 	reports         bool          // servers report their load
-	zones           bool          // the settings name zones, and two classes are restricted to some of the servers
+	zones           bool          // the settings name zones, and two classes are restricted
 }
 
 var benchDeployments = []benchDeployment{
@@ -31,14 +31,15 @@
 		set.ReportFields = []string{reportLatency, reportUtil, reportRate}
 	}
 	if s.zones {
-		set.Topology = &Topology{RegionOfZone: map[string]string{"a": "north", "b": "north"}, SameRegionCost: 1, OtherRegionCost: 3}
+		set.Topology = &Topology{RegionOfZone: map[string]string{"a": "north", "b": "north"},
+			SameRegionCost: 1, OtherRegionCost: 3}
 		set.Classes[1].Kinds = []string{"k1", "k2"}
 		set.Classes[2].Zones = []string{"b"}
 	}
 	return set
 }
 
-// benchEndpoints are n servers, of which one in a hundred is warming up during the benchmark.
+// benchEndpoints returns n servers, one in a hundred of which is warming up during the benchmark.
 func benchEndpoints(n int, now Time) []Endpoint {
 	list := make([]Endpoint, 0, n)
 	for i := range n {
@@ -52,7 +53,7 @@
 	return list
 }
 
-const benchStart = time.Hour // on the clock of the node: no server warms up by chance
+const benchStart = time.Hour // node time; late enough that no server is warming up by chance
 
 func benchBalancer(tb testing.TB, s benchDeployment, servers int) *Balancer {
 	tb.Helper()
@@ -64,13 +65,14 @@
 	return b
 }
 
-// decide has one request decided on and answered, and returns how many attempts it took.
+// decide handles one request and its outcome, and returns the number of attempts sent.
 func decide(b *Balancer, now Time, id, class string, load []float64) (sent int) {
 	r := Request{ID: id, Class: class, Tenant: "t", Timeout: 600 * ms}
 	for _, a := range b.Handle(now, r) {
 		if a.Kind == Send {
 			sent++
-			b.Handle(now+ms/2, Outcome{ID: id, Server: a.Server, Code: OK, Latency: 20 * ms, RequestEnded: true, LoadReport: load})
+			b.Handle(now+ms/2, Outcome{ID: id, Server: a.Server, Code: OK, Latency: 20 * ms,
+				RequestEnded: true, LoadReport: load})
 		}
 	}
 	return sent
@@ -84,7 +86,7 @@
 	}
 }
 
-// BenchmarkDecision is a request, the choice of its server, and the outcome.
+// BenchmarkDecision measures one request: the selection of its server, and the outcome.
 func BenchmarkDecision(b *testing.B) {
 	forEachBenchDeployment(b, func(b *testing.B, s benchDeployment, servers int) {
 		balancer := benchBalancer(b, s, servers)
@@ -97,12 +99,12 @@
 			requests++
 		}
 		if sent < requests/2 {
-			b.Fatalf("%d of %d requests were forwarded", sent, requests)
+			b.Fatalf("forwarded requests: got %d of %d, want at least half", sent, requests)
 		}
 	})
 }
 
-// BenchmarkListChange is one server's change in the list: it drains, or is back.
+// BenchmarkListChange measures the change of one server in the list: it drains, or runs again.
 func BenchmarkListChange(b *testing.B) {
 	forEachBenchDeployment(b, func(b *testing.B, s benchDeployment, servers int) {
 		balancer := benchBalancer(b, s, servers)
@@ -110,7 +112,7 @@
 		now, i := benchStart, 0
 		for b.Loop() {
 			now += ms
-			endpoint := &list[i/2*7919%servers] // steps of a prime, so that changes lie anywhere in the order
+			endpoint := &list[i/2*7919%servers] // steps of a prime spread the changes over the order
 			endpoint.Availability = []Availability{Draining, Running}[i%2]
 			balancer.Handle(now, EndpointList{Kind: ListUpdate, Endpoints: []Endpoint{*endpoint}})
 			i++
--- a/policy/class_test.go
+++ b/policy/class_test.go
@@ -11,27 +11,30 @@
 	registry.configure([]Class{{Name: "read", LatencyObjective: time.Second, Deadline: 2 * time.Second}}, pool)
 	former := registry.byName["read"]
 	former.firstTryTimeout = time.Second
-	registry.configure([]Class{{Name: "read", Deadline: time.Second}, {Name: "write", Deadline: time.Second}}, pool)
+	registry.configure([]Class{{Name: "read", Deadline: time.Second},
+		{Name: "write", Deadline: time.Second}}, pool)
 	current := registry.byName["read"]
 	for _, c := range []struct {
 		name    string
 		request Request
 		want    *class
 	}{
-		{"present settings", Request{Class: "read"}, current},
+		{"current settings", Request{Class: "read"}, current},
 		{"former settings", Request{Class: "read", FormerClass: true}, former},
-		{"a class that the former settings lack", Request{Class: "write", FormerClass: true}, registry.byName["write"]},
+		{"a class that the former settings lack", Request{Class: "write", FormerClass: true},
+			registry.byName["write"]},
 		{"an unknown class", Request{Class: "unknown"}, nil},
 	} {
 		if got := registry.find(c.request); got != c.want {
-			t.Errorf("%s: got %p, want %p", c.name, got, c.want)
+			t.Errorf("class for %s: got %p, want %p", c.name, got, c.want)
 		}
 	}
 	if current.classStats != former.classStats || current.firstTryTimeout != 0 {
-		t.Errorf("want the same statistics, without the timeout that the former deadline gave: %+v", current.classStats)
+		t.Errorf("statistics under new settings: got %+v, want the former ones with firstTryTimeout reset",
+			current.classStats)
 	}
 	if current.LatencyObjective != current.Deadline {
-		t.Errorf("objective %v without a stated one, want the deadline", current.LatencyObjective)
+		t.Errorf("latency objective of a class without one: got %v, want its deadline", current.LatencyObjective)
 	}
 }
 
@@ -41,9 +44,9 @@
 		c.observeLatency(time.Duration(i*7919%100) * ms)
 	}
 	if c.tailLatency < 85*ms || c.tailLatency > 105*ms {
-		t.Errorf("of latencies up to 99 ms the tail is %v", c.tailLatency)
+		t.Errorf("tail latency of responses of 0 to 99 ms: got %v, want 85 to 105 ms", c.tailLatency)
 	}
 	if c.observeLatency(time.Hour); c.tailLatency > c.LatencyObjective {
-		t.Errorf("tail %v beyond the objective", c.tailLatency)
+		t.Errorf("tail latency after a very slow response: got %v, want at most the objective", c.tailLatency)
 	}
 }
--- a/policy/completion_rate_test.go
+++ b/policy/completion_rate_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The rate settles at that of the responses. The peak for one server outlives it, and is forgotten slowly.
+// The rate settles at the rate of the responses. The peak per server outlives it, and decays slowly.
 func TestCompletionRate(t *testing.T) {
 	const perSecond, servers = 50, 5
 	var c completionRate
@@ -16,16 +16,16 @@
 		c.record(now, servers)
 	}
 	if got := c.current(now); math.Abs(got-perSecond) > 1 {
-		t.Errorf("a rate of %v, want about %v", got, perSecond)
+		t.Errorf("completion rate: got %v, want about %v", got, perSecond)
 	}
 	for _, step := range []struct {
 		after        time.Duration
-		peakFraction float64 // of the peak that is left
+		peakFraction float64 // fraction of the peak that remains
 	}{{0, 1}, {5 * time.Second, math.Exp(-5.0 / 60)}, {10 * time.Minute, 0}} {
 		now += step.after
 		want := step.peakFraction * perSecond / servers
 		if got := c.serverPeak(now, servers); math.Abs(got-want) > 0.05*want+0.01 {
-			t.Errorf("a peak of %v %v later, want about %v", got, step.after, want)
+			t.Errorf("peak per server: got %v after %v, want about %v", got, step.after, want)
 		}
 	}
 }
--- a/policy/concurrency_window_test.go
+++ b/policy/concurrency_window_test.go
@@ -6,31 +6,31 @@
 	"testing"
 )
 
-// The window shrinks while servers are busier than the target. It grows while they are less busy and the node has
-// found no capacity; without need it stays.
+// The window shrinks while servers are busier than the target. It grows while they are less busy and the node
+// has found no capacity; otherwise it stays.
 func TestWindowFollowsUtilization(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(40))
 	s, first := b.order()[0], b.concurrencyWindow()
 	reportLoad(b, s, 30, report(100, 0.3, 10))
 	if b.concurrencyWindow() != first {
-		t.Errorf("the window went from %v to %v though it was never full", first, b.concurrencyWindow())
+		t.Errorf("window that was never full: went from %v to %v, want no change", first, b.concurrencyWindow())
 	}
 	reportLoad(b, s, 30, report(100, 1, 30))
 	full := b.concurrencyWindow()
 	if full >= first {
-		t.Errorf("the window is %v while servers are full, want less than %v", full, first)
+		t.Errorf("window while servers are full: got %v, want less than %v", full, first)
 	}
 	for range 60 {
 		b.window.capacityWanted = true
 		reportLoad(b, s, 1, report(100, 0.3, 10))
 	}
 	if b.concurrencyWindow() <= full {
-		t.Errorf("the window stays at %v though it was full and servers are idle", b.concurrencyWindow())
+		t.Errorf("window that was full while servers are idle: got %v, want growth", b.concurrencyWindow())
 	}
 }
 
-// However many servers there are, a node has no more attempts in flight than its window, but for the class of the
-// highest priority.
+// However many servers there are, a node has no more attempts in flight than its window, except those of the
+// class with the highest priority.
 func TestAttemptsInFlightStayWithinTheWindow(t *testing.T) {
 	set := testSettings(40)
 	set.ReportFields = []string{"latency_ms", "util", "qps"}
@@ -44,17 +44,18 @@
 		return n
 	}
 	if n := send("free"); float64(n) >= b.concurrencyWindow()+1 || n < 2 {
-		t.Errorf("%d attempts are in flight, the window is %v", n, b.concurrencyWindow())
+		t.Errorf("attempts in flight: got %d, want at least 2 and about the window of %v at most",
+			n, b.concurrencyWindow())
 	}
 	if n := send("once"); n == 0 {
-		t.Error("the class of the highest priority got nothing beyond the window")
+		t.Error("the class of the highest priority got no attempts beyond the window")
 	}
 	if limit := maxReportedOvercommit*b.concurrencyWindow() + 1; float64(b.window.inFlight) > limit {
-		t.Errorf("%d attempts are in flight, want at most %v", b.window.inFlight, limit)
+		t.Errorf("attempts in flight with the highest priority: got %d, want at most %v", b.window.inFlight, limit)
 	}
 }
 
-// An overloaded server, or one that is warming up, is busy whatever the node does. That says nothing of the others.
+// A server that is overloaded or warming up is busy whatever the node does. This says nothing of the others.
 func TestWindowIgnoresOverloadedAndWarmingUpServers(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	for _, s := range b.order() {
@@ -65,12 +66,12 @@
 	reportLoad(b, b.order()[0], 20, report(900, 1, 3))
 	reportLoad(b, b.order()[1], 20, report(100, 1, 3))
 	if scale := b.concurrencyWindow() / b.warmedUpWeight() * 12 / before; scale < 0.99 {
-		t.Errorf("the window fell to %v of what it was", scale)
+		t.Errorf("window relative to the former one: got %v, want at least 0.99", scale)
 	}
 }
 
-// Servers below the target are at times full and at times idle: their mean utilization counts. Single reports would
-// move the window down more than up.
+// Servers below the target are full at times and idle at times: their mean utilization counts. Single reports
+// would move the window down more than up.
 func TestWindowFollowsMeanUtilization(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	reportLoad(b, b.order()[0], 5, report(100, 0.5, 10))
@@ -80,11 +81,12 @@
 		reportLoad(b, b.order()[0], 1, report(100, []float64{0.4, 1}[i%2], 10))
 	}
 	if b.concurrencyWindow() < before {
-		t.Errorf("the window fell from %v to %v at servers that are 0.7 busy", before, b.concurrencyWindow())
+		t.Errorf("window with servers that are 0.7 busy on average: fell from %v to %v",
+			before, b.concurrencyWindow())
 	}
 }
 
-// The window is the node's part of what all nodes may have in flight, and at least one attempt.
+// The window is the node's share of what all nodes may have in flight, and at least one attempt.
 func TestWindowIsAPartOfTheServers(t *testing.T) {
 	for _, c := range []struct {
 		scale, weight float64
@@ -99,7 +101,8 @@
 	} {
 		w := concurrencyWindow{scale: c.scale}
 		if got := w.size(c.weight, c.nodes); math.Abs(got-c.want) > 1e-9 {
-			t.Errorf("scale %v, %v servers, %d nodes: a window of %v, want %v", c.scale, c.weight, c.nodes, got, c.want)
+			t.Errorf("scale %v, %v servers, %d nodes: got a window of %v, want %v",
+				c.scale, c.weight, c.nodes, got, c.want)
 		}
 	}
 }
--- a/policy/deadlines_test.go
+++ b/policy/deadlines_test.go
@@ -13,18 +13,19 @@
 	}{
 		{"a first try", Request{Timeout: 300 * ms}, 0},
 		{"a retry that ends with the deadline", Request{Timeout: 200 * ms, ClientRetry: true}, 400 * ms},
-		{"a retry with a whole timeout", Request{Timeout: 300 * ms, ClientRetry: true}, 250 * ms / assumedWaitDivisor},
+		{"a retry with a whole timeout", Request{Timeout: 300 * ms, ClientRetry: true},
+			250 * ms / assumedWaitDivisor},
 	} {
 		k := &class{Class: Class{LatencyObjective: 250 * ms, Deadline: 600 * ms},
 			classStats: &classStats{firstTryTimeout: 300 * ms}}
 		if got := k.timeSinceFirstTry(c.request); got != c.want {
-			t.Errorf("%s has waited %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: time since the first try: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// The latency objective counts from the client's first try. A retry after it is rejected at once, as a response would
-// be of no use; an earlier one has less time.
+// The latency objective counts from the client's first try. A retry after the objective is rejected at once,
+// as a response would be useless; an earlier retry has less time.
 func TestClientRetriesCountFromTheFirstTry(t *testing.T) {
 	set := testSettings(2)
 	set.Classes[0].Deadline = 1000 * ms // and an objective of 250 ms
@@ -37,10 +38,11 @@
 	first := actionsOf(try("first", false, 600), Send)
 	retried := actionsOf(try("again", true, 600), Send)
 	if len(first) != 1 || len(retried) != 1 || retried[0].AttemptDeadline-first[0].AttemptDeadline >= ms {
-		t.Errorf("a first try is sent as %+v, a retry as %+v, want it to have less time", first, retried)
+		t.Errorf("first try: got %+v, retry: got %+v; want one Send action each, with less time for the retry",
+			first, retried)
 	}
-	// The deadline ends it 450 ms from now, so the first try began 550 ms ago.
+	// The retry ends with the deadline, 450 ms from now, so the first try began 550 ms ago.
 	if acts := try("late", true, 450); len(actionsOf(acts, Reject)) != 1 {
-		t.Errorf("a retry after the objective brings %+v, want a rejection", acts)
+		t.Errorf("a retry after the objective: got %+v, want one Reject action", acts)
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,21 +7,22 @@
 	"sloerail/policy"
 )
 
-// A node's whole cycle: settings, the list of servers, a request, its outcomes, a timer. A Balancer needs no
-// closing.
+// Example shows a node's whole cycle: settings, the list of servers, a request, its outcomes, a timer. A
+// Balancer needs no closing.
 func Example() {
 	const ms = time.Millisecond
 	b, err := policy.New(policy.Settings{
 		NodeCount: 1,
-		Classes:   []policy.Class{{Name: "read", LatencyObjective: 200 * ms, Deadline: time.Second, RetrySafety: policy.Idempotent}},
-		Tenants:   []policy.Tenant{{Name: "acme", Quota: 50}},
-		Allowed:   policy.Allowed{MaxAttempts: 2},
+		Classes: []policy.Class{{Name: "read", LatencyObjective: 200 * ms, Deadline: time.Second,
+			RetrySafety: policy.Idempotent}},
+		Tenants: []policy.Tenant{{Name: "acme", Quota: 50}},
+		Allowed: policy.Allowed{MaxAttempts: 2},
 	}, 0, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
-	// The host executes actions in order; here it only prints those that concern a request.
+	// The host carries out the actions in order; here it only prints those that concern a request.
 	execute := func(acts []policy.Action) {
 		for _, a := range acts {
 			switch a.Kind {
@@ -37,11 +38,13 @@
 	now := time.Second
 	execute(b.Handle(now, policy.Request{ID: "r1", Class: "read", Tenant: "acme", Timeout: time.Second}))
 	now += 100 * ms
-	execute(b.Handle(now, policy.Outcome{ID: "r1", Server: "one", Code: policy.ConnectFailed, Latency: 100 * ms}))
+	execute(b.Handle(now, policy.Outcome{ID: "r1", Server: "one", Code: policy.ConnectFailed,
+		Latency: 100 * ms}))
 	now += 20 * ms
-	execute(b.Handle(now, policy.Outcome{ID: "r1", Attempt: 1, Server: "two", Code: policy.OK, Latency: 20 * ms, RequestEnded: true}))
+	execute(b.Handle(now, policy.Outcome{ID: "r1", Attempt: 1, Server: "two", Code: policy.OK,
+		Latency: 20 * ms, RequestEnded: true}))
 
-	// Without a server in service a request is queued, and rejected while its client still waits.
+	// Without a server in service, a request is queued, and rejected while its client still waits.
 	execute(b.Handle(now, policy.EndpointList{Kind: policy.ListReplace}))
 	execute(b.Handle(now, policy.Request{ID: "r2", Class: "read", Tenant: "acme", Timeout: time.Second}))
 	for range 6 {
--- a/policy/overcommit_test.go
+++ b/policy/overcommit_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// Where no server has capacity, the one with the least overcommit still gets a little of the highest priority, and
-// the lowest is queued.
+// If no server has capacity, the least overcommitted one still gets a few requests of the highest priority,
+// and those of the lowest are queued.
 func TestHighestPriorityIsSentBeyondTheLimit(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
@@ -14,15 +14,15 @@
 		s.concurrencyLimit, s.limitReached, s.inFlight = 10, true, 12
 	}
 	if sent := actionsOf(b.Handle(ms, newRequest("low", "free")), Send); len(sent) != 0 {
-		t.Errorf("the lowest priority is sent beyond the limit: %+v", sent)
+		t.Errorf("a request of the lowest priority is sent beyond the limit: %+v", sent)
 	}
 	if sent := actionsOf(b.Handle(ms, newRequest("high", "once")), Send); len(sent) != 1 {
-		t.Errorf("the highest priority is not sent, though servers are little beyond the limit")
+		t.Errorf("the highest priority is not sent, though servers are only a little beyond their limits")
 	}
 	for _, s := range b.order() {
 		s.inFlight = int(maxLearnedOvercommit * 10)
 	}
 	if sent := actionsOf(b.Handle(ms, newRequest("late", "once")), Send); len(sent) != 0 {
-		t.Errorf("the highest priority is sent to servers far beyond the limit")
+		t.Errorf("a request of the highest priority is sent to a server far beyond its limit")
 	}
 }
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -11,15 +11,15 @@
 	"pgregory.net/rapid"
 )
 
-// orderSimulation hands random lists, outcomes and settings to one node. What the node updates incrementally is
-// compared with the same computed from scratch.
+// orderSimulation passes random lists, outcomes and settings to one node. The state that the node updates
+// incrementally is compared with the same state computed from scratch.
 type orderSimulation struct {
 	b               *Balancer
 	set             Settings
 	now             Time
 	list            map[string]Endpoint
 	sent            int
-	pendingOutcomes []Outcome // outcomes that come later
+	pendingOutcomes []Outcome // outcomes that arrive later
 	allSucceed      bool      // no attempt fails, so that probation succeeds
 }
 
@@ -42,15 +42,16 @@
 	return sim
 }
 
-// event hands an event in and ends most of the attempts that it sends at once, with each code in turn.
+// handle passes an event to the node. It ends most of the attempts that the node sends at once, with each
+// code in turn.
 func (sim *orderSimulation) handle(ev Event) {
 	for _, a := range slices.Clone(sim.b.Handle(sim.now, ev)) {
 		if a.Kind != Send {
 			continue
 		}
 		sim.sent++
-		outcome := Outcome{ID: a.ID, Server: a.Server, Attempt: len(sim.b.requests[a.ID].attempts) - 1, Latency: 20 * ms,
-			LoadReport: report(20, 0.5, 10)}
+		outcome := Outcome{ID: a.ID, Server: a.Server, Attempt: len(sim.b.requests[a.ID].attempts) - 1,
+			Latency: 20 * ms, LoadReport: report(20, 0.5, 10)}
 		if !sim.allSucceed {
 			outcome.Code = Code(sim.sent % int(Cancelled))
 		}
@@ -62,13 +63,14 @@
 	}
 }
 
-// change draws a new state of a few servers.
+// drawChanges draws new states of a few servers.
 func (sim *orderSimulation) drawChanges(t *rapid.T) (changed []Endpoint) {
 	for range rapid.IntRange(1, 4).Draw(t, "changed") {
 		endpoint := Endpoint{ID: fmt.Sprintf("s%02d", rapid.IntRange(0, 39).Draw(t, "server")),
-			Zone:         rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
-			Kind:         rapid.SampledFrom([]string{"k0", "k1"}).Draw(t, "kind"),
-			Availability: rapid.SampledFrom([]Availability{Running, Running, Running, Draining, Removed}).Draw(t, "state"),
+			Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
+			Kind: rapid.SampledFrom([]string{"k0", "k1"}).Draw(t, "kind"),
+			Availability: rapid.SampledFrom(
+				[]Availability{Running, Running, Running, Draining, Removed}).Draw(t, "state"),
 		}
 		if old, known := sim.list[endpoint.ID]; known {
 			endpoint.Zone, endpoint.Kind, endpoint.StartedAt = old.Zone, old.Kind, old.StartedAt
@@ -84,8 +86,8 @@
 	return changed
 }
 
-// step hands one event in. It reports whether the order was brought in line with the list by it, and no queued request
-// ended after that, whose class may not be in use any more.
+// step passes one random event to the node. It reports whether that event updated the order from the list,
+// and no queued request ended afterwards, whose class may no longer be in use.
 func (sim *orderSimulation) step(t *rapid.T) (aligned bool) {
 	sim.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * ms
 	event, requests := rapid.IntRange(0, 11).Draw(t, "event"), len(sim.b.requests)
@@ -100,13 +102,15 @@
 		}
 		sim.handle(EndpointList{Kind: ListReplace, Endpoints: all})
 	case 4:
-		sim.handle(FleetSize{ReachableNodes: rapid.IntRange(1, 9).Draw(t, "reachable"), ReachableInZone: rapid.IntRange(0, 1).Draw(t, "in zone")})
+		sim.handle(FleetSize{ReachableNodes: rapid.IntRange(1, 9).Draw(t, "reachable"),
+			ReachableInZone: rapid.IntRange(0, 1).Draw(t, "in zone")})
 		sim.handle(Timer{Token: fleetSizeTimerToken})
 	case 5:
 		sim.set.Rules.SlowStartDuration = time.Duration(rapid.IntRange(0, 12).Draw(t, "slow start")) * time.Second
 		sim.set.Classes = slices.Clone(sim.set.Classes)
 		sim.set.Classes[1].Kinds = []string{rapid.SampledFrom([]string{"k0", "k1"}).Draw(t, "restricted to")}
-		sim.set.Classes[0].RetrySafety = rapid.SampledFrom([]RetrySafety{NonIdempotent, Idempotent}).Draw(t, "retry safety")
+		sim.set.Classes[0].RetrySafety = rapid.SampledFrom(
+			[]RetrySafety{NonIdempotent, Idempotent}).Draw(t, "retry safety")
 		sim.handle(sim.set)
 	case 6:
 		sim.handle(Timer{Token: retainTimerToken})
@@ -130,7 +134,7 @@
 	return (event <= 3 || event == 5) && len(sim.b.requests) == requests
 }
 
-// rebuiltOrder is the packing order by the list alone.
+// rebuiltOrder computes the packing order from the list alone.
 func rebuiltOrder(b *Balancer) (order []*server) {
 	byCost := make(map[float64][]*server)
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
@@ -153,39 +157,43 @@
 // checkOrder compares the packing order with the rebuilt one.
 func checkOrder(t *rapid.T, b *Balancer, order []*server) {
 	if !slices.Equal(b.order(), order) || b.packing.pool.length != len(order) {
-		t.Fatalf("the order of %d servers isn't the rebuilt one of %d", b.packing.pool.length, len(order))
+		t.Fatalf("the packing order of %d servers differs from the rebuilt one of %d",
+			b.packing.pool.length, len(order))
 	}
 	zones := make(map[string]int)
 	for i, s := range order {
 		zones[s.Zone]++
 		if i > 0 && (!order[i-1].isBefore(s) || s.isBefore(order[i-1])) {
-			t.Fatalf("%s doesn't compare as before %s", order[i-1].ID, s.ID)
+			t.Fatalf("isBefore doesn't put %s before %s, as the packing order does", order[i-1].ID, s.ID)
 		}
 	}
 	for zone, n := range b.packing.serversByZone {
 		if n != zones[zone] {
-			t.Fatalf("%d servers in zone %s, rebuilt %d", n, zone, zones[zone])
+			t.Fatalf("got %d servers in zone %s, want %d as rebuilt", n, zone, zones[zone])
 		}
 	}
 }
 
-// checkPools compares the pools of all classes with the servers of the order that each may use.
+// checkPools compares the pool of each class with the servers of the order that the class may use.
 func checkPools(t *rapid.T, b *Balancer, order []*server) {
 	for c := range b.classesInUse() {
 		eligible := slices.DeleteFunc(slices.Clone(order), func(s *server) bool { return !c.permits(s) })
 		if !slices.Equal(c.eligible.order(), eligible) || c.eligible.length != len(eligible) {
-			t.Fatalf("%s may use %d servers, rebuilt %d", c.Name, c.eligible.length, len(eligible))
+			t.Fatalf("pool of class %s: got %d servers, want the same %d as rebuilt",
+				c.Name, c.eligible.length, len(eligible))
 		}
-		if b.classes.byName[c.Name] != c { // of former settings: the ejected servers aren't counted
+		if b.classes.byName[c.Name] != c { // a class of former settings, whose ejected servers are not counted
 			continue
 		}
-		if ejected := countOf(eligible, func(s *server) bool { return s.outlier.ejected }); c.eligible.ejected != ejected {
-			t.Fatalf("%s counts %d ejected servers, rebuilt %d", c.Name, c.eligible.ejected, ejected)
+		if ejected := countOf(eligible,
+			func(s *server) bool { return s.outlier.ejected }); c.eligible.ejected != ejected {
+			t.Fatalf("ejected servers in the pool of class %s: got %d, want %d as rebuilt",
+				c.Name, c.eligible.ejected, ejected)
 		}
 	}
 }
 
-// checkAddedServers compares what a change of the list sets at each server of the order with the same rebuilt.
+// checkAddedServers compares what a list change sets at each server of the order with a rebuild.
 func checkAddedServers(t *rapid.T, b *Balancer, order []*server) {
 	for _, s := range order {
 		retrySafety := NonIdempotent
@@ -195,7 +203,8 @@
 			}
 		}
 		if s.retrySafety != retrySafety || s.concurrencyLimit == 0 {
-			t.Fatalf("%s: retry safety %v, rebuilt %v; limit %v", s.ID, s.retrySafety, retrySafety, s.concurrencyLimit)
+			t.Fatalf("%s: got retry safety %v, want %v as rebuilt; got concurrency limit %v, want a positive one",
+				s.ID, s.retrySafety, retrySafety, s.concurrencyLimit)
 		}
 	}
 }
@@ -209,7 +218,7 @@
 	return n
 }
 
-// checkSums compares the sums over the order with the same computed from scratch.
+// checkSums compares the sums over the order with sums computed from scratch.
 func checkSums(t *rapid.T, b *Balancer, order []*server) {
 	weight, faults := 0.0, fixedPoint(0)
 	for _, s := range order {
@@ -219,25 +228,27 @@
 		faults += toFixedPoint(s.connectionFaultRatio)
 	}
 	if got := b.warmedUpWeight(); math.Abs(got-weight) > 1e-9*weight {
-		t.Fatalf("the weight of warmed-up servers is %v, rebuilt %v", got, weight)
+		t.Fatalf("weight of the warmed-up servers: got %v, want %v as rebuilt", got, weight)
 	}
-	if n := countOf(order, func(s *server) bool { return b.warmFraction(s) >= 1 }); b.slowStart.warmedUpServers(b.now) != n {
-		t.Fatalf("%d servers have warmed up, rebuilt %d", b.slowStart.warmedUpServers(b.now), n)
+	if n := countOf(order,
+		func(s *server) bool { return b.warmFraction(s) >= 1 }); b.slowStart.warmedUpServers(b.now) != n {
+		t.Fatalf("warmed-up servers: got %d, want %d as rebuilt", b.slowStart.warmedUpServers(b.now), n)
 	}
 	if b.outliers.connectionFaults != faults {
-		t.Fatalf("the connection faults sum up to %v, rebuilt %v", b.outliers.connectionFaults, faults)
+		t.Fatalf("sum of the connection faults: got %v, want %v as rebuilt", b.outliers.connectionFaults, faults)
 	}
 	if n := countOf(order, func(s *server) bool { return s.outlier.ejected }); len(b.outliers.ejected) != n {
-		t.Fatalf("%d servers are ejected, rebuilt %d", len(b.outliers.ejected), n)
+		t.Fatalf("ejected servers: got %d, want %d as rebuilt", len(b.outliers.ejected), n)
 	}
 	listed := slices.Collect(maps.Values(b.servers))
-	unavailable := countOf(listed, func(s *server) bool { return s.outlier.ejected || s.Availability != Running })
+	unavailable := countOf(listed,
+		func(s *server) bool { return s.outlier.ejected || s.Availability != Running })
 	if b.list.unavailable != unavailable {
-		t.Fatalf("%d servers are unavailable, rebuilt %d", b.list.unavailable, unavailable)
+		t.Fatalf("unavailable servers: got %d, want %d as rebuilt", b.list.unavailable, unavailable)
 	}
 }
 
-// checkEvidence compares the evidence against zones, in all and by kinds of servers, with the same from scratch.
+// checkEvidence compares the evidence against zones, in total and by kind of server, with a rebuild.
 func checkEvidence(t *rapid.T, b *Balancer, order []*server) {
 	type kindInZone struct {
 		zone *zoneHealth
@@ -247,7 +258,8 @@
 	for _, s := range order {
 		if s.zone != nil && b.now-s.zoneEvidenceAt <= evidenceTTL {
 			total := rebuilt[kindInZone{s.zone, s.Kind}]
-			rebuilt[kindInZone{s.zone, s.Kind}] = evidenceSum{total.sum + toFixedPoint(s.zoneEvidence), total.servers + 1}
+			rebuilt[kindInZone{s.zone, s.Kind}] = evidenceSum{
+				total.sum + toFixedPoint(s.zoneEvidence), total.servers + 1}
 		}
 	}
 	b.zones.expireEvidence(b.now)
@@ -258,15 +270,16 @@
 			sum += total.sum
 		}
 		if sum != z.evidence {
-			t.Fatalf("evidence against %s: %v, by kinds %v", z.name, z.evidence, sum)
+			t.Fatalf("evidence against zone %s: got %v, want %v, the sum over the kinds of servers",
+				z.name, z.evidence, sum)
 		}
 	}
 	if !maps.Equal(counted, rebuilt) {
-		t.Fatalf("evidence %v, rebuilt %v", counted, rebuilt)
+		t.Fatalf("evidence by zone and kind: got %v, want %v as rebuilt", counted, rebuilt)
 	}
 }
 
-// What is updated incrementally equals what a rebuild makes, whatever happens.
+// After any events, the incrementally updated state equals a rebuild.
 func TestIncrementalStateEqualsARebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newOrderSimulation(t)
@@ -284,8 +297,8 @@
 	})
 }
 
-// Probation of a server is for the class in use that is safest to retry. A class of former settings is in use until its
-// last request has ended and the list has changed.
+// Probation of a server uses the class in use that is safest to retry. A class of former settings is in use
+// until its last request has ended and the list has changed.
 func TestProbationFollowsTheClassesInUse(t *testing.T) {
 	set := testSettings(1)
 	b := startBalancer(t, set, testEndpoints(4))
@@ -293,7 +306,7 @@
 	strict := testSettings(1)
 	strict.Classes[0].RetrySafety = NonIdempotent
 	b.Handle(2*ms, strict)
-	b.Handle(3*ms, strict) // the former settings are strict too by now, and the open request is older
+	b.Handle(3*ms, strict) // now the former settings are strict too, and the open request is older
 	list := testEndpoints(4)
 	change := func(i int) *server {
 		list[i].Weight++
@@ -301,13 +314,15 @@
 		return b.servers[list[i].ID]
 	}
 	if s := change(2); s.retrySafety != Idempotent {
-		t.Errorf("while an idempotent request is open, probation is for %v", s.retrySafety)
+		t.Errorf("retry safety for probation while an idempotent request is open: got %v, want Idempotent",
+			s.retrySafety)
 	}
 	b.Handle(b.now+ms, outcome("open", 0, first, OK, ms))
 	change(2)
 	for _, s := range b.order() {
 		if s.retrySafety != IdempotencyKeyed {
-			t.Errorf("once it has ended, probation of %s is for %v, want %v", s.ID, s.retrySafety, IdempotencyKeyed)
+			t.Errorf("retry safety for probation of %s after that request: got %v, want %v",
+				s.ID, s.retrySafety, IdempotencyKeyed)
 		}
 	}
 }
@@ -315,7 +330,8 @@
 // order returns the servers in service in packing order.
 func (b *Balancer) order() []*server { return b.packing.pool.order() }
 
-// Servers are in the order of the cost of crossing to them; a cost that the settings name goes before the usual one.
+// Servers are ordered by crossing cost; a cost stated for a pair of zones takes precedence over the usual
+// one.
 func TestPackingOrderFollowsCrossingCost(t *testing.T) {
 	for want, costs := range map[string]map[string]map[string]float64{
 		"abc": nil, "acb": {"a": {"c": 0.5}}, "a(bc)": {"a": {"c": 1}},
@@ -327,16 +343,16 @@
 		for _, s := range b.order() {
 			got += s.Zone
 		}
-		if want == "a(bc)" { // of one cost: by id
+		if want == "a(bc)" { // equal costs: ordered by ID
 			want = "abc"
 		}
 		if got != want {
-			t.Errorf("costs %v: the order is %s, want %s", costs, got, want)
+			t.Errorf("zone costs %v: got packing order %s, want %s", costs, got, want)
 		}
 	}
 }
 
-// A pool is in the order of costs and IDs; a walk of a segment begins at the given server and wraps around.
+// A pool is ordered by cost and ID. The walk of a segment begins at the given server and wraps around.
 func TestPoolIsInPackingOrder(t *testing.T) {
 	var p serverPool
 	servers := make(map[string]*server)
@@ -351,22 +367,22 @@
 		return ids
 	}
 	if got := walk(); got != "cdeab" {
-		t.Errorf("the order is %s, want cdeab", got)
+		t.Errorf("packing order: got %s, want cdeab", got)
 	}
 	if p.rotate(0, "d"); walk() != "decab" {
-		t.Errorf("the order is %s from d on, want decab", walk())
+		t.Errorf("packing order from d on: got %s, want decab", walk())
 	}
 	if !servers["e"].isBefore(servers["c"]) || servers["a"].isBefore(servers["c"]) {
-		t.Error("servers don't compare in the order of the walk")
+		t.Error("isBefore differs from the order of the walk")
 	}
 	p.remove(servers["d"], 0)
-	p.remove(&server{Endpoint: Endpoint{ID: "e"}}, 0) // another server of the same ID
+	p.remove(&server{Endpoint: Endpoint{ID: "e"}}, 0) // another server with the same ID
 	if got := walk(); got != "ecab" || p.length != 4 {
-		t.Errorf("the order is %s of %d servers without d, want ecab", got, p.length)
+		t.Errorf("packing order without d: got %s of %d servers, want ecab of 4", got, p.length)
 	}
 }
 
-// Nodes begin their walks at different servers.
+// The nodes of a large fleet begin their walks at different servers.
 func TestNodesOfALargeFleetBeginAtDifferentServers(t *testing.T) {
 	firsts := map[string]bool{}
 	for n := range 6 {
@@ -376,6 +392,6 @@
 		firsts[b.order()[0].ID] = true
 	}
 	if len(firsts) < 5 {
-		t.Errorf("6 nodes begin at only %d servers", len(firsts))
+		t.Errorf("different first servers of 6 nodes: got %d, want at least 5", len(firsts))
 	}
 }
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -11,21 +11,22 @@
 		b.adjustRateMultiplier(false)
 	}
 	if b.rateMultiplier.value >= 0.5 || b.rateMultiplier.value < minRateMultiplier {
-		t.Errorf("after 100 choices without capacity the multiplier is %v", b.rateMultiplier.value)
+		t.Errorf("multiplier after 100 selections without capacity: got %v, want from the minimum to below 0.5",
+			b.rateMultiplier.value)
 	}
 	before := b.rateMultiplier.value
 	b.adjustRateMultiplier(true)
 	if b.rateMultiplier.value != before {
-		t.Error("the multiplier rose though no bucket rejected a request")
+		t.Error("the multiplier changed, though no bucket rejected a request")
 	}
 	b.rateMultiplier.bucketRejected = true
 	b.adjustRateMultiplier(true)
 	if b.rateMultiplier.value <= before {
-		t.Error("the multiplier did not rise though a bucket rejected a request and there was capacity")
+		t.Error("the multiplier did not rise, though a bucket rejected a request and there was capacity")
 	}
 }
 
-// A request that is queued for long counts once as one that found no capacity, not at each poll.
+// A request that stays queued counts once as having found no capacity, not at each poll.
 func TestQueuedRequestMovesTheRateMultiplierOnce(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(1))
 	s := b.order()[0]
@@ -36,11 +37,13 @@
 		b.Handle(now, Timer{Token: queueTimerToken})
 	}
 	if len(b.queue.requests) != 1 || before >= 1 || b.rateMultiplier.value != before {
-		t.Errorf("%d queued, the multiplier went from %v to %v", len(b.queue.requests), before, b.rateMultiplier.value)
+		t.Errorf("got %d queued requests, want 1; multiplier went from %v to %v, want one value below 1",
+			len(b.queue.requests), before, b.rateMultiplier.value)
 	}
 }
 
-// Traffic far beyond the quotas is admitted only while few responses are bad: other nodes may lack the capacity.
+// Traffic far beyond the quotas is admitted only while few responses are bad: other nodes may lack the
+// capacity.
 func TestRateMultiplierIsCautiousWhileResponsesAreBad(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	raise := func() {
@@ -51,18 +54,19 @@
 	}
 	raise()
 	if b.rateMultiplier.value != maxRateMultiplier {
-		t.Errorf("with good responses the multiplier is %v, want %v", b.rateMultiplier.value, maxRateMultiplier)
+		t.Errorf("multiplier with good responses: got %v, want %v", b.rateMultiplier.value, maxRateMultiplier)
 	}
 	for range 20 {
 		b.updateConcurrencyLimit(b.order()[0], b.classes.ordered[0], TimedOut, ms, 1)
 	}
 	raise()
 	if b.rateMultiplier.value > cautiousRateMultiplier*(1+rateIncreaseStep) {
-		t.Errorf("with bad responses the multiplier is %v, want about %v", b.rateMultiplier.value, cautiousRateMultiplier)
+		t.Errorf("multiplier with bad responses: got %v, want about %v",
+			b.rateMultiplier.value, cautiousRateMultiplier)
 	}
 }
 
-// Nodes that divide a quota admit no more than that, whatever the capacity.
+// Nodes that share a quota admit no more than that, whatever the capacity.
 func TestRateMultiplierIsAtMostOneWithMembership(t *testing.T) {
 	b, err := New(testSettings(1), 0, 1)
 	if err != nil {
@@ -73,7 +77,7 @@
 	b.rateMultiplier.bucketRejected = true
 	b.adjustRateMultiplier(true)
 	if b.rateMultiplier.value != 1 {
-		t.Errorf("multiplier %v", b.rateMultiplier.value)
+		t.Errorf("multiplier with membership: got %v, want 1", b.rateMultiplier.value)
 	}
 }
 
@@ -87,13 +91,16 @@
 		want          float64
 	}{
 		{"no capacity lowers it", rateMultiplier{value: 2}, rateConditions{}, false, 2 * down},
-		{"not below its minimum", rateMultiplier{value: minRateMultiplier}, rateConditions{}, false, minRateMultiplier},
-		{"not below one where servers report load", rateMultiplier{value: 1}, rateConditions{usesLoadReports: true}, false, 1},
+		{"not below its minimum", rateMultiplier{value: minRateMultiplier},
+			rateConditions{}, false, minRateMultiplier},
+		{"not below 1 with load reports", rateMultiplier{value: 1},
+			rateConditions{usesLoadReports: true}, false, 1},
 		{"capacity alone changes nothing", rateMultiplier{value: 1}, rateConditions{}, true, 1},
 		{"a rejection raises it", rateMultiplier{value: 1, bucketRejected: true}, rateConditions{}, true, up},
-		{"not beyond one with membership", rateMultiplier{value: 1, bucketRejected: true},
+		{"not above 1 with membership", rateMultiplier{value: 1, bucketRejected: true},
 			rateConditions{hasMembership: true}, true, 1},
-		{"bad responses lower a high one", rateMultiplier{value: 2, badRatio: 2 * maxBadRatio, bucketRejected: true},
+		{"bad responses lower a high one",
+			rateMultiplier{value: 2, badRatio: 2 * maxBadRatio, bucketRejected: true},
 			rateConditions{}, true, 2 * down},
 		{"lost attempts lower it in a large fleet", rateMultiplier{value: 1, lostRatio: 2 * maxBadRatio},
 			rateConditions{minLimitsOverload: true}, true, down},
@@ -101,34 +108,33 @@
 		t.Run(c.name, func(t *testing.T) {
 			c.multiplier.adjust(c.foundCapacity, c.conditions)
 			if c.multiplier.value != c.want || c.multiplier.bucketRejected {
-				t.Errorf("got %+v, want the value %v", c.multiplier, c.want)
+				t.Errorf("got %+v, want value %v and bucketRejected false", c.multiplier, c.want)
 			}
 		})
 	}
 }
 
-// With load reports, overcommit gives up the classes of the lowest priority when capacity is short. The rates of the
-// buckets stay, since they would reject all classes alike.
+// With load reports, the overcommit limits reject the classes of the lowest priority when capacity is short.
+// The rates of the buckets stay, since lower ones would reject all classes alike.
 func TestRateMultiplierIsNotLoweredWithLoadReports(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	for range 500 {
 		b.adjustRateMultiplier(false)
 	}
 	if b.rateMultiplier.value != 1 {
-		t.Errorf("the multiplier is %v, want 1", b.rateMultiplier.value)
+		t.Errorf("multiplier with load reports: got %v, want 1", b.rateMultiplier.value)
 	}
 	b = startBalancer(t, testSettings(40), testEndpoints(12))
 	for range 500 {
 		b.adjustRateMultiplier(false)
 	}
 	if b.rateMultiplier.value != minRateMultiplier {
-		t.Errorf("without reports the multiplier is %v, want %v", b.rateMultiplier.value, minRateMultiplier)
+		t.Errorf("multiplier without load reports: got %v, want %v", b.rateMultiplier.value, minRateMultiplier)
 	}
 }
 
-// In a large fleet without load reports, the limits of the nodes can't be so low that all of them together don't
-// overload a server. Lost attempts lower the admitted rate there until responses come again; a few nodes rely on their
-// limits.
+// In a large fleet without load reports, even the minimum limits of all nodes together overload a server.
+// Lost attempts lower the admitted rate there until responses arrive again. A few nodes rely on their limits.
 func TestRateMultiplierFollowsLostAttemptsInLargeFleets(t *testing.T) {
 	for _, c := range []struct {
 		nodes    int
@@ -157,13 +163,15 @@
 		before := admittedFraction(OK)
 		admittedFraction(TimedOut)
 		if got := admittedFraction(TimedOut); (got < 0.6*before) != c.wantDrop {
-			t.Errorf("%d nodes: %.2f of the requests are admitted while attempts time out, %.2f before", c.nodes, got, before)
+			t.Errorf("%d nodes: admitted %.2f while attempts time out and %.2f before, want a drop for 300 only",
+				c.nodes, got, before)
 		}
-		for range 5 { // the multiplier stays cautious until few of the last hundreds of responses are bad
+		for range 5 { // the multiplier stays cautious until few of the last few hundred responses are bad
 			admittedFraction(OK)
 		}
 		if got := admittedFraction(OK); got < 0.9*before {
-			t.Errorf("%d nodes: %.2f of the requests are admitted after that, %.2f before", c.nodes, got, before)
+			t.Errorf("%d nodes: admitted fraction after the timeouts: got %.2f, want at least 0.9 of the %.2f before",
+				c.nodes, got, before)
 		}
 	}
 }
--- a/policy/request_queue_test.go
+++ b/policy/request_queue_test.go
@@ -9,12 +9,13 @@
 	var queue requestQueue
 	first, second := new(request), new(request)
 	if !queue.add(first) || queue.add(second) {
-		t.Error("want a poll for the first request alone")
+		t.Error("add must ask for a poll for the first request only")
 	}
 	if got := queue.takeAll(); !slices.Equal(got, []*request{first, second}) || len(queue.requests) != 0 {
-		t.Errorf("took %d requests in another order, or left %d", len(got), len(queue.requests))
+		t.Errorf("takeAll: got %d requests and %d left, want both in the order of arrival and none left",
+			len(got), len(queue.requests))
 	}
 	if queue.add(first) {
-		t.Error("a poll is due, and another one is wanted")
+		t.Error("add asks for a second poll while one is scheduled")
 	}
 }
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The budget counts every request that is received, rejected ones too, and each retry itself.
+// The budget counts every received request, rejected ones too, and every retry.
 func TestRetryBudgetCountsExactly(t *testing.T) {
 	set := testSettings(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0.5, Window: time.Second}
@@ -21,14 +21,14 @@
 		}
 		return sent
 	}
-	if got := retries(ms, 0, 4); got > 4 { // two, and half of four
-		t.Errorf("%d retries for 4 requests, at most 4 allowed", got)
+	if got := retries(ms, 0, 4); got > 4 { // the minimum of 2, and half of 4 requests
+		t.Errorf("retries for 4 requests: got %d, want at most 4", got)
 	}
 	b.retryBudget.retriesAt, b.retryBudget.acceptedAt = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
-		if allowed := b.mayRetry(); allowed != (n < 3) { // on the safe side of the exact 4
-			t.Fatalf("after %d retries: may retry %v", n, allowed)
+		if allowed := b.mayRetry(); allowed != (n < 3) { // the retries must stay below the limit of 4
+			t.Fatalf("mayRetry after %d retries: got %v, want true up to 2 retries and then false", n, allowed)
 		}
 		if !b.mayRetry() {
 			break
@@ -37,15 +37,15 @@
 	}
 	b.now = time.Second + 4 // the requests have left the window, the retries have not
 	if b.mayRetry() {
-		t.Error("more than the minimum is allowed for requests that have left the window")
+		t.Error("a retry beyond the minimum is allowed, though the requests have left the window")
 	}
 	b.now = 2 * time.Second
 	if !b.mayRetry() || len(b.retryBudget.retriesAt)+len(b.retryBudget.acceptedAt) != 0 {
-		t.Error("the window was not emptied")
+		t.Error("after the window has passed: want a retry to be allowed and no entries to be left")
 	}
 }
 
-// Requests without a retry leave nothing behind once the window of the budget has passed.
+// Requests without a retry are forgotten once the window of the budget has passed.
 func TestRetryBudgetForgetsRequestsAfterItsWindow(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(4))
 	const perSecond = 50
@@ -56,7 +56,8 @@
 		b.Handle(now+ms, outcome(id, 0, s, OK, ms))
 	}
 	if limit := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.retryBudget.acceptedAt) > limit {
-		t.Errorf("the budget counts %d requests, at most %d came within its window", len(b.retryBudget.acceptedAt), limit)
+		t.Errorf("requests that the budget counts: got %d, want at most the %d within its window",
+			len(b.retryBudget.acceptedAt), limit)
 	}
 }
 
@@ -70,11 +71,13 @@
 	}{
 		{"fewer than the minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 0, 0, true},
 		{"not the whole minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 1, 0, false},
-		{"a part of the requests", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 1, 0, true},
-		{"no more than that part", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 2, 0, false},
+		{"a fraction of the requests", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 1, 0, true},
+		{"no more than that fraction", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 2, 0, false},
 		{"requests leave the window", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 0, time.Second, false},
-		{"retries leave it later", RetryBudget{MinRetries: 1.5, Window: time.Second}, 0, 1, time.Second, false},
-		{"and then are forgotten", RetryBudget{MinRetries: 1.5, Window: time.Second}, 0, 1, time.Second + 1, true},
+		{"retries leave the window later", RetryBudget{MinRetries: 1.5, Window: time.Second},
+			0, 1, time.Second, false},
+		{"retries leave the window in the end", RetryBudget{MinRetries: 1.5, Window: time.Second},
+			0, 1, time.Second + 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var budget retryBudget
@@ -86,7 +89,7 @@
 				budget.recordRetry(0)
 			}
 			if got := budget.allows(c.now); got != c.want {
-				t.Errorf("allows another retry: %v, want %v", got, c.want)
+				t.Errorf("allows another retry: got %v, want %v", got, c.want)
 			}
 			if budget.exhaust(c.now); budget.allows(c.now) {
 				t.Error("an exhausted budget allows a retry")
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// A response that comes too late is of no use: a server that is warming up or overloaded gets only requests with
-// time left. An old report of its latency is forgotten.
+// A response that comes too late is useless, so a server that is warming up or overloaded gets only requests
+// with time left. An old report of its latency is forgotten.
 func TestSlowServersGetOnlyRequestsWithTimeLeft(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	s := b.order()[0]
@@ -17,29 +17,30 @@
 	short := &request{class: b.classes.ordered[0], usefulUntil: b.now + 200*ms}
 	long := &request{class: b.classes.ordered[0], usefulUntil: b.now + 2000*ms}
 	if !b.answersInTime(short, s) {
-		t.Fatal("a fast server is not used")
+		t.Fatal("answersInTime is false for a fast server")
 	}
 	reportLoad(b, s, 1, report(400, 0.9, 10))
 	if b.answersInTime(short, s) || !b.answersInTime(long, s) {
-		t.Errorf("a slow server: %v for a request that is useful for 200 ms, %v for 2 s", b.answersInTime(short, s), b.answersInTime(long, s))
+		t.Errorf("slow server answers in time: got %v within 200 ms and %v within 2 s, want false and true",
+			b.answersInTime(short, s), b.answersInTime(long, s))
 	}
 	b.now += 10 * reportDecayTime
 	short.usefulUntil = b.now + 200*ms
 	if !b.answersInTime(short, s) {
-		t.Error("a server is not used for ever after one slow report")
+		t.Error("answersInTime is still false long after one slow report")
 	}
 	s.StartedAt = b.now
 	if b.answersInTime(short, s) {
-		t.Error("a server that has just started is taken for a fast one")
+		t.Error("answersInTime is true for a server that has just started")
 	}
 }
 
-// A choice looks at each server a fixed number of times. If it summed over all servers at each of them, a node with
-// many servers would be too slow.
+// A selection examines each server a fixed number of times. If it summed over all servers for each one, a
+// node with many servers would be too slow.
 func TestChoiceTimeGrowsLinearlyWithServers(t *testing.T) {
 	choiceTime := func(servers int) time.Duration {
 		b := startLargeFleet(t, 300, testEndpoints(servers))
-		b.window.inFlight = 1e6 // so that none has capacity, and each is looked at
+		b.window.inFlight = 1e6 // no server has capacity, so each is examined
 		r := &request{Request: newRequest("r", "free"), class: b.classes.byName["free"], maxAttempts: 1}
 		r.deadline, r.usefulUntil = b.now+time.Hour, b.now+time.Hour
 		best := time.Hour
@@ -48,20 +49,22 @@
 			b.dispatch(r)
 			best = min(best, time.Since(began))
 			if len(r.attempts) > 0 {
-				t.Fatal("a server had capacity")
+				t.Fatal("an attempt was sent, though no server has capacity")
 			}
 		}
 		return best
 	}
 	if few, many := choiceTime(50), choiceTime(800); many > 64*few {
-		t.Errorf("16 times the servers take %d times as long: %v and %v", many/few, few, many)
+		t.Errorf("16 times the servers take %d times as long (%v and %v), want at most 64 times",
+			many/few, few, many)
 	}
 }
 
-// A request that may have run goes only where a repeat does no harm.
+// A request that may have run is sent again only where a duplicate does no harm.
 func TestWhereARequestMayRunAgain(t *testing.T) {
 	ranOn := &server{Endpoint: Endpoint{Zone: "a", Cell: 1}}
-	sameCell, sameZone := &server{Endpoint: Endpoint{Zone: "b", Cell: 1}}, &server{Endpoint: Endpoint{Zone: "a", Cell: 2}}
+	sameCell, sameZone := &server{Endpoint: Endpoint{Zone: "b", Cell: 1}},
+		&server{Endpoint: Endpoint{Zone: "a", Cell: 2}}
 	elsewhere := &server{Endpoint: Endpoint{Zone: "b", Cell: 2}}
 	keyed := func(scope DedupScope) Class {
 		return Class{RetrySafety: IdempotencyKeyed, DedupScope: scope, DedupWindow: time.Second}
@@ -88,7 +91,7 @@
 			}
 		}
 		if !slices.Equal(allowed, c.allowed) {
-			t.Errorf("%s: may run on %v, want %v", name, allowed, c.allowed)
+			t.Errorf("%s: servers that the request may run on: got %v, want %v", name, allowed, c.allowed)
 		}
 	}
 }
@@ -103,6 +106,6 @@
 		got = append(got, sentTo(t, b.Handle(ms, newRequest(fmt.Sprint(i), "free"))))
 	}
 	if want := []string{"s00", "s02", "s01", "s03"}; !reflect.DeepEqual(got, want) {
-		t.Errorf("with a limit of one: sent to %v, want %v", got, want)
+		t.Errorf("servers of 4 requests with limits of 1: got %v, want %v", got, want)
 	}
 }
--- a/policy/token_buckets_test.go
+++ b/policy/token_buckets_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// allBuckets is a model of the buckets of a node that drops none.
+// bucketModel models the buckets of a node that drops none.
 type bucketModel map[bucketKey]*bucket
 
 func (m bucketModel) admits(b *Balancer, tenant, class string) bool {
@@ -31,7 +31,7 @@
 	return true
 }
 
-// Dropping full buckets changes no decision, whatever the rate multiplier.
+// Dropping full buckets changes no decision, at any rate multiplier.
 func TestDroppedBucketsChangeNoDecision(t *testing.T) {
 	dropped := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -52,26 +52,29 @@
 		model := make(bucketModel)
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			b.now += time.Duration(rapid.SampledFrom([]int{0, 1, 30, 999, 5000, 60000}).Draw(t, "wait")) * ms
-			b.rateMultiplier.value = rapid.SampledFrom([]float64{minRateMultiplier, 0.5, 1, maxRateMultiplier}).Draw(t, "multiplier")
+			b.rateMultiplier.value = rapid.SampledFrom(
+				[]float64{minRateMultiplier, 0.5, 1, maxRateMultiplier}).Draw(t, "multiplier")
 			tenant := fmt.Sprint("t", rapid.IntRange(0, 12).Draw(t, "tenant")) // the last has no quota
 			class := rapid.SampledFrom([]string{"free", "once"}).Draw(t, "class")
 			want := model.admits(b, tenant, class)
 			if got, _ := b.admit(tenant, class); got != want {
-				t.Fatalf("%s, %s at %v: admitted %v, by a node that drops no bucket %v", tenant, class, b.now, got, want)
+				t.Fatalf("tenant %s, class %s at %v: got admitted %v, want %v as without dropping buckets",
+					tenant, class, b.now, got, want)
 			}
 		}
 		if len(b.rateLimiter.buckets.byKey) != len(b.rateLimiter.buckets.ring) {
-			t.Fatalf("%d buckets, %d in the ring", len(b.rateLimiter.buckets.byKey), len(b.rateLimiter.buckets.ring))
+			t.Fatalf("got %d buckets in the map and %d in the ring, want equal numbers",
+				len(b.rateLimiter.buckets.byKey), len(b.rateLimiter.buckets.ring))
 		}
 		dropped += len(model) - len(b.rateLimiter.buckets.byKey)
 	})
 	if dropped == 0 {
-		t.Error("no bucket was dropped")
+		t.Error("no bucket was dropped in any of the runs")
 	}
 }
 
-// A bucket that was dropped counts as handed over: the successor makes a full one, and the process that handed over
-// uses half of one at most.
+// A dropped bucket counts as handed over: the successor creates a full one, so the process that handed over
+// may use at most half of one.
 func TestDroppedBucketIsHandedOverByHalf(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	limit := b.rateLimiter.tenantLimits["u"]
@@ -84,7 +87,7 @@
 		b.admit(tenant, "free")
 	}
 	if b.rateLimiter.buckets.byKey[bucketKey{tenant: "u"}] != nil {
-		t.Fatal("a full bucket was not dropped within a minute")
+		t.Fatal("the full bucket of tenant u was not dropped within a minute")
 	}
 	b.Handle(time.Minute, HandedOver{Active: true})
 	admitted := int64(0)
@@ -94,12 +97,13 @@
 		}
 	}
 	if want := limit.Burst - limit.Burst/2; admitted != want {
-		t.Errorf("after the hand-over %d of a burst of %d are admitted, want %d", admitted, limit.Burst, want)
+		t.Errorf("admitted after the hand-over: got %d of a burst of %d, want %d", admitted, limit.Burst, want)
 	}
 }
 
-// requestOncePerTenant has each of n tenants make one request, a millisecond apart. It returns how many are admitted, how many
-// buckets there are then and some requests later, and the bytes of heap in use.
+// requestOncePerTenant makes one request for each of n tenants, a millisecond apart. It returns the number of
+// admitted requests, the number of buckets at the end and after some more requests, and the bytes of heap
+// that are still in use.
 func requestOncePerTenant(tb testing.TB, n int) (admitted, atEnd, later int, heapBytes uint64) {
 	set := testSettings(1)
 	set.Tenants, set.Limits.Default = nil, &Limit{PerWindow: 10, Window: time.Second, Burst: 5}
@@ -130,20 +134,21 @@
 	return admitted, atEnd, later, after - min(before, after)
 }
 
-// The number of buckets follows the tenants that send requests now, not those ever seen.
+// The number of buckets follows the tenants that send requests now, not all that were ever seen.
 func TestBucketsOfTenantsSeenOnceAreDropped(t *testing.T) {
 	const tenants = 50000
 	admitted, atEnd, later, _ := requestOncePerTenant(t, tenants)
 	if atEnd > maxBuckets || later > 10 {
-		t.Errorf("of %d tenants seen once there are %d buckets at once, %d later", tenants, atEnd, later)
+		t.Errorf("after %d tenants seen once: got %d buckets, want at most maxBuckets; later %d, want at most 10",
+			tenants, atEnd, later)
 	}
 	if admitted < tenants {
-		t.Errorf("the first request of %d of %d tenants is rejected", tenants-admitted, tenants)
+		t.Errorf("rejected first requests: got %d of %d, want none", tenants-admitted, tenants)
 	}
 }
 
-// Tenants with a quota have buckets of their own, however many there are; of the others, those beyond maxBuckets
-// share one.
+// Tenants with a quota have their own buckets, however many there are. Other tenants beyond maxBuckets share
+// one.
 func TestTenantsWithQuotasShareNoBucket(t *testing.T) {
 	const tenants = 3 * maxBuckets
 	set := testSettings(1)
@@ -166,15 +171,16 @@
 			}
 		}
 		if !c.want(admitted) {
-			t.Errorf("%d of %d first requests of tenants called %s are admitted", admitted, tenants, c.name)
+			t.Errorf("admitted %d of %d tenants named %s, want all with a quota, else fewer than maxBuckets",
+				admitted, tenants, c.name)
 		}
 	}
 	if limit := tenants + 1; len(b.rateLimiter.buckets.byKey) > limit {
-		t.Errorf("%d buckets, want at most %d", len(b.rateLimiter.buckets.byKey), limit)
+		t.Errorf("buckets: got %d, want at most %d", len(b.rateLimiter.buckets.byKey), limit)
 	}
 }
 
-// BenchmarkTenantsSeenOnce reports the memory that 800,000 tenants leave behind.
+// BenchmarkTenantsSeenOnce reports the memory held after 800,000 tenants have made one request each.
 func BenchmarkTenantsSeenOnce(b *testing.B) {
 	for b.Loop() {
 		admitted, atEnd, later, heapBytes := requestOncePerTenant(b, 800000)
