--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -37,8 +37,8 @@
 
 // A selection examines each server a fixed number of times. If it summed over all servers for each one, a
 // node with many servers would be too slow.
-func TestChoiceTimeGrowsLinearlyWithServers(t *testing.T) {
-	choiceTime := func(servers int) time.Duration {
+func TestSelectionTimeGrowsLinearlyWithServers(t *testing.T) {
+	selectionTime := func(servers int) time.Duration {
 		b := startLargeFleet(t, 300, testEndpoints(servers))
 		b.window.inFlight = 1e6 // no server has capacity, so each is examined
 		r := &request{Request: newRequest("r", "free"), class: b.classes.byName["free"], maxAttempts: 1}
@@ -54,7 +54,7 @@
 		}
 		return best
 	}
-	if few, many := choiceTime(50), choiceTime(800); many > 64*few {
+	if few, many := selectionTime(50), selectionTime(800); many > 64*few {
 		t.Errorf("16 times the servers take %d times as long (%v and %v), want at most 64 times",
 			many/few, few, many)
 	}
