--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -11,8 +11,8 @@
 	"sloerail/policy"
 )
 
-// decide gives the balancer an event and executes its actions, in order. Attempts that were not sent come back to it as
-// outcomes, once all actions are done.
+// decide passes an event to the balancer and executes its actions in order. It then reports the attempts that were not
+// sent to the balancer as outcomes.
 func (l *loop) decide(ev policy.Event) {
 	for {
 		for _, a := range l.balancer.Handle(l.clock.now(), ev) {
@@ -35,14 +35,14 @@
 	l.fig.unavailable.Store(int64(unavailable))
 }
 
-// execute carries one action out.
+// execute executes one action.
 func (l *loop) execute(a policy.Action) {
 	switch a.Kind {
 	case policy.Send:
 		l.sendAttempt(a)
 	case policy.Reject, policy.Fail, policy.Cancel, policy.SetAttemptDeadline:
 		if r := l.requests[a.ID]; r != nil {
-			l.executeOn(r, a)
+			l.executeForRequest(r, a)
 		}
 	case policy.SetTimer:
 		heap.Push(&l.timers, &timer{due: l.clock.now() + a.Wait, token: a.Token})
@@ -50,13 +50,13 @@
 		l.listClient.SetWatching(a.Enabled)
 	case policy.Log:
 		slog.Info(a.Text)
-	default: // policy emits no other kind
-		slog.Error("unknown action of the balancer", "action", a.Kind)
+	default: // policy has no other kind
+		slog.Error("unknown balancer action", "action", a.Kind)
 	}
 }
 
 // executeOn executes an action on an open request.
-func (l *loop) executeOn(r *request, a policy.Action) {
+func (l *loop) executeForRequest(r *request, a policy.Action) {
 	switch a.Kind {
 	case policy.Reject:
 		l.reject(r, a.Wait)
@@ -65,44 +65,46 @@
 		l.forget(r)
 	case policy.Cancel:
 		if a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].flight.Cancel()
+			r.attempts[a.Attempt].lifetime.Cancel()
 		}
 	case policy.SetAttemptDeadline:
 		if a.Attempt < len(r.attempts) {
-			r.attempts[a.Attempt].flight.SetDeadline(l.clock.at(min(a.AttemptDeadline, r.deadline)))
+			r.attempts[a.Attempt].lifetime.SetDeadline(l.clock.at(min(a.AttemptDeadline, r.deadline)))
 		}
 	}
 }
 
-// sendAttempt sends a request to a server, unless it is too late for that, there were too many attempts, or a part of
-// its body has left the node already. An attempt that is not sent becomes an outcome.
+// sendAttempt sends a request to a server, unless the request has ended or its deadline has passed, it has used up its
+// attempts, or a part of its body was already sent. An attempt that is not sent becomes a NotAttempted outcome.
 func (l *loop) sendAttempt(a policy.Action) {
 	r, now := l.requests[a.ID], l.clock.now()
 	if r == nil {
-		slog.Error("the balancer sends a request that is not open")
+		slog.Error("the balancer sent a request that is not open")
 		return
 	}
 	n := len(r.attempts)
 	r.pending++
 	if r.ended || now >= r.deadline || n >= max(1, l.allowed.MaxAttempts) || r.BodyConsumed() {
-		r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, flight: upstream.NewLifetime(time.Time{})})
+		r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, lifetime: upstream.NewLifetime(time.Time{})})
 		l.unsent = append(l.unsent, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotAttempted})
 		return
 	}
-	until := r.deadline
+	deadline := r.deadline
 	if a.AttemptDeadline > 0 {
-		until = min(until, a.AttemptDeadline)
+		deadline = min(deadline, a.AttemptDeadline)
 	}
-	f := upstream.NewLifetime(l.clock.at(until))
-	r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, flight: f})
-	to := upstream.Attempt{Request: &r.Forwarded, Timeout: until - now, Lifetime: f, Observer: &attemptObserver{l, r, n}}
+	f := upstream.NewLifetime(l.clock.at(deadline))
+	r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, lifetime: f})
+	params := upstream.Attempt{Request: &r.Forwarded, Timeout: deadline - now, Lifetime: f,
+		Observer: &attemptObserver{l, r, n}}
 	if r.Request.Incomplete {
-		to.Timeout = r.Timeout - r.margin()
+		params.Timeout = r.Timeout - r.margin()
 	}
-	l.running.Go(func() { l.send(attemptEnded{r, n, l.up.Do(a.Server, to)}) })
+	l.attemptsWG.Go(func() { l.send(attemptEnded{r, n, l.up.Do(a.Server, params)}) })
 }
 
-// reject answers a request that was not admitted, with a Retry-After if the settings allow that.
+// reject answers a request that was not admitted: 429 with a Retry-After if wait is positive and the settings allow it,
+// else 503.
 func (l *loop) reject(r *request, wait time.Duration) {
 	a := downstream.Response{Status: http.StatusServiceUnavailable}
 	if wait > 0 && l.allowed.RetryAfter {
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -15,21 +15,21 @@
 )
 
 const (
-	adminSockets     = 16          // descriptors set aside for callers at the second address
-	adminCallTimeout = time.Second // for a call and for its answer: a caller waits no longer
+	adminSockets     = 16          // descriptors reserved for connections to the admin server
+	adminCallTimeout = time.Second // for reading a request, and for writing its response: operators' tools wait no longer
 	healthPath       = "/healthcheck"
 	statsPath        = "/stats"
 )
 
-// adminServer answers operators at an address of their own, one call a connection. Callers that finish no
-// call give way to others, and none of them takes anything from the clients.
+// adminServer serves health checks, metrics and views for operators at an address of its own, one request per
+// connection. Connections that send no complete request give way to new ones, and none takes descriptors from clients.
 type adminServer struct {
 	http  http.Server
 	conns *downstream.ClientConns
 }
 
-// newAdminServer makes the operators' side; acceptsNewClients reports whether clients come to this process, and fleet is nil for a
-// node of none.
+// newAdminServer returns the admin server. acceptsNewClients decides the health check, and fleet is nil if the node is
+// in no fleet.
 func newAdminServer(l *loop, acceptsNewClients func() bool, fleet *membership) *adminServer {
 	c := &adminServer{conns: downstream.NewClientConns(func() int { return adminSockets / 2 }, func(int) {}, func() {})}
 	mux := http.NewServeMux()
@@ -57,10 +57,10 @@
 
 // run serves until ctx ends.
 func (c *adminServer) run(ctx context.Context, listener net.Listener) {
-	stop := context.AfterFunc(ctx, func() { _ = c.http.Close() }) // which ends Serve
+	stop := context.AfterFunc(ctx, func() { _ = c.http.Close() }) // ends Serve
 	defer stop()
 	err := c.http.Serve(netutil.LimitListener(listener, adminSockets))
 	if !errors.Is(err, http.ErrServerClosed) {
-		slog.Error("the operators' address is lost", "error", err)
+		slog.Error("serving the admin address failed", "error", err)
 	}
 }
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -36,9 +36,9 @@
 }
 
 // stats reads all figures that a control address tells, by the name and label of each.
-func stats(t *testing.T, ctl string) map[string]float64 {
+func stats(t *testing.T, adminAddr string) map[string]float64 {
 	t.Helper()
-	status, text := call(t, http.MethodGet, "http://"+ctl+statsPath)
+	status, text := call(t, http.MethodGet, "http://"+adminAddr+statsPath)
 	if status != http.StatusOK {
 		t.Fatalf("status %d", status)
 	}
@@ -54,18 +54,18 @@
 	return all
 }
 
-func awaitStats(t *testing.T, ctl string, want map[string]float64) {
+func awaitStats(t *testing.T, adminAddr string, want map[string]float64) {
 	t.Helper()
 	var got map[string]float64
 	for end := time.Now().Add(nodetest.Timeout / 3); ; time.Sleep(5 * time.Millisecond) {
-		got = stats(t, ctl)
-		wrong := false
+		got = stats(t, adminAddr)
+		mismatch := false
 		for name, v := range want {
-			if have, ok := got[name]; !ok || have != v {
-				wrong = true
+			if value, ok := got[name]; !ok || value != v {
+				mismatch = true
 			}
 		}
-		if !wrong {
+		if !mismatch {
 			return
 		}
 		if time.Now().After(end) {
@@ -75,7 +75,7 @@
 }
 
 // The figures say what clients got and what servers were sent, each from 0.
-func TestFiguresAgreeWithBothSides(t *testing.T) {
+func TestMetricsCountRequestsAndAttempts(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		hold, held := make(chan struct{}), make(chan struct{}, 1)
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -90,9 +90,9 @@
 				<-hold
 			}
 		})
-		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-		ctl := at.Control.Addr().String()
-		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList(server)), at, nil)
+		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
+		adminAddr := listeners.Control.Addr().String()
+		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList(server)), listeners, nil)
 		want := map[string]float64{"app_relayed_total": 0, "app_open_requests": 0, "app_registry_entries": 1,
 			"app_out_of_rotation": 0, "app_cfg_accepted_total": 0, "app_cfg_invalid_total": 0}
 		for _, class := range []string{"read", "pay", "undo"} {
@@ -100,7 +100,7 @@
 				want[fmt.Sprintf("app_%s_total{priority=%q}", figure, class)] = 0
 			}
 		}
-		awaitStats(t, ctl, want)
+		awaitStats(t, adminAddr, want)
 
 		ask := func(class, id string, wantStatus int) {
 			method := http.MethodPost
@@ -121,62 +121,62 @@
 		want[`app_throttled_total{priority="pay"}`] = 1
 		want[`app_faulted_total{priority="pay"}`] = 1
 		want["app_relayed_total"] = 5
-		awaitStats(t, ctl, want)
+		awaitStats(t, adminAddr, want)
 
-		ctx, leave := context.WithCancel(t.Context())
-		left := make(chan error, 1)
+		ctx, disconnect := context.WithCancel(t.Context())
+		clientErr := make(chan error, 1)
 		go func() {
 			_, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "held", "").WithContext(ctx))
-			left <- err
+			clientErr <- err
 		}()
 		nodetest.Receive(t, "the held request", held)
 		want["app_relayed_total"], want["app_open_requests"] = 6, 1
-		awaitStats(t, ctl, want)
-		leave()
-		if err := nodetest.Receive(t, "the client's leave", left); !errors.Is(err, context.Canceled) {
+		awaitStats(t, adminAddr, want)
+		disconnect()
+		if err := nodetest.Receive(t, "the client's leave", clientErr); !errors.Is(err, context.Canceled) {
 			t.Error(err)
 		}
 		want["app_open_requests"] = 0
-		awaitStats(t, ctl, want)
+		awaitStats(t, adminAddr, want)
 		close(hold)
 	})
 }
 
 // A server that is ejected, or drains, is listed and out of rotation.
-func TestFiguresFollowTheList(t *testing.T) {
+func TestMetricsFollowEndpointList(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
+		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		known := strings.Replace(nodetest.KnownList("127.0.0.1:9", "127.0.0.1:9"), `"up"`, `"draining"`, 1)
-		startNodeAt(t, testConfig(t, known), at, nil)
-		awaitStats(t, at.Control.Addr().String(), map[string]float64{"app_registry_entries": 2, "app_out_of_rotation": 1})
+		startNodeAt(t, testConfig(t, known), listeners, nil)
+		awaitStats(t, listeners.Control.Addr().String(), map[string]float64{"app_registry_entries": 2, "app_out_of_rotation": 1})
 	})
 }
 
 // The second address has its own paths, takes one call a connection, and answers rubbish with an error.
-func TestControlAnswersItsCallsAlone(t *testing.T) {
+func TestAdminServerPaths(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-		ctl := at.Control.Addr().String()
-		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), at, nil)
+		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
+		adminAddr := listeners.Control.Addr().String()
+		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), listeners, nil)
 		for _, c := range []struct {
 			method, url string
 			want        int
 		}{
-			{"GET", ctl + healthPath, 200}, {"GET", ctl + statsPath, 200}, {"POST", ctl + statsPath, 405},
-			{"PUT", ctl + healthPath, 405}, {"GET", ctl + "/nothing", 404}, {"GET", ctl + "/api/x", 404},
-			{"GET", ctl + downstream.ReadyPath, 404}, {"GET", node + statsPath, 400}, {"GET", node + healthPath, 400},
+			{"GET", adminAddr + healthPath, 200}, {"GET", adminAddr + statsPath, 200}, {"POST", adminAddr + statsPath, 405},
+			{"PUT", adminAddr + healthPath, 405}, {"GET", adminAddr + "/nothing", 404}, {"GET", adminAddr + "/api/x", 404},
+			{"GET", adminAddr + downstream.ReadyPath, 404}, {"GET", node + statsPath, 400}, {"GET", node + healthPath, 400},
 		} {
 			if got, _ := call(t, c.method, "http://"+c.url); got != c.want {
 				t.Errorf("%s %s: %d, want %d", c.method, c.url, got, c.want)
 			}
 		}
-		conn := nodetest.Dial(t, ctl)
+		conn := nodetest.Dial(t, adminAddr)
 		defer nodetest.Close(t, conn)
 		writeText(t, conn, "rubbish\r\n\r\n")
 		if line, _ := bufio.NewReader(conn).ReadString('\n'); !strings.Contains(line, " 400 ") {
 			t.Errorf("rubbish got %q", line)
 		}
-		conn = nodetest.Dial(t, ctl)
+		conn = nodetest.Dial(t, adminAddr)
 		defer nodetest.Close(t, conn)
 		writeText(t, conn, "GET "+healthPath+" HTTP/1.1\r\nHost: x\r\n\r\n")
 		if all, err := io.ReadAll(conn); err != nil || !strings.Contains(string(all), "200 OK") {
@@ -186,13 +186,13 @@
 }
 
 // Callers that say nothing, or half a call, don't keep others from their figures.
-func TestSilentCallersDelayNobody(t *testing.T) {
+func TestSilentAdminClientsDelayNobody(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-		ctl := at.Control.Addr().String()
-		startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), at, nil)
+		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
+		adminAddr := listeners.Control.Addr().String()
+		startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), listeners, nil)
 		for i := range adminSockets - 4 {
-			conn := nodetest.Dial(t, ctl)
+			conn := nodetest.Dial(t, adminAddr)
 			defer nodetest.Close(t, conn)
 			if i%2 == 0 {
 				writeText(t, conn, "GET /stats HTTP/1.1\r\nHo")
@@ -200,7 +200,7 @@
 		}
 		client := oneRequestClient(t)
 		client.Timeout = adminCallTimeout
-		resp, err := client.Get("http://" + ctl + statsPath)
+		resp, err := client.Get("http://" + adminAddr + statsPath)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -209,24 +209,24 @@
 }
 
 // A node that stops is no longer healthy, though it still answers operators.
-func TestControlSaysNoOnceTheNodeStops(t *testing.T) {
+func TestHealthCheckFailsOnceNodeStops(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-		ctl := at.Control.Addr().String()
-		_, stop := startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), at, nil)
+		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
+		adminAddr := listeners.Control.Addr().String()
+		_, stop := startNodeAt(t, testConfig(t, nodetest.KnownList("127.0.0.1:9")), listeners, nil)
 		stopped := make(chan error, 1)
 		go func() { stopped <- stop() }()
-		saidNo := false
+		unhealthy := false
 		nodetest.Await(t, "a no", func() bool {
-			resp, err := oneRequestClient(t).Get("http://" + ctl + healthPath)
+			resp, err := oneRequestClient(t).Get("http://" + adminAddr + healthPath)
 			if err != nil {
 				return true // it has ended
 			}
 			nodetest.Close(t, resp.Body)
-			saidNo = saidNo || resp.StatusCode == http.StatusServiceUnavailable
-			return saidNo
+			unhealthy = unhealthy || resp.StatusCode == http.StatusServiceUnavailable
+			return unhealthy
 		})
-		if !saidNo {
+		if !unhealthy {
 			t.Error("the node ended without a no")
 		}
 		if err := nodetest.Receive(t, "the node's end", stopped); err != nil {
@@ -236,9 +236,9 @@
 }
 
 // A class may bear any name; the figures stay readable.
-func TestFiguresOfOddlyNamedClasses(t *testing.T) {
+func TestMetricsEscapeClassNames(t *testing.T) {
 	names := []string{`a"b`, `back\slash`, "two words", "brace}", "comma,equals=", "größe", "line\nbreak", "\x01"}
-	f := newFigures(nil)
+	f := newMetrics(nil)
 	for _, name := range names {
 		f.class(name).Count(http.StatusOK)
 	}
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -6,38 +6,39 @@
 	"sloerail/internal/node/upstream"
 )
 
-// newTransport makes the node's connections to servers.
-func newTransport(c config.Config, shared *upstream.Descriptors, fig *figures) *upstream.Transport {
+// newTransport returns the transport for the node's connections to servers.
+func newTransport(c config.Config, shared *upstream.Descriptors, fig *nodeMetrics) *upstream.Transport {
 	return upstream.NewTransport(transportConfig(c), shared, fig.relayed)
 }
 
-// transportConfig is the part of the configuration that is about connections to servers.
+// transportConfig returns the settings for connections to servers.
 func transportConfig(c config.Config) upstream.TransportConfig {
 	return upstream.TransportConfig{Dial: c.Dialer(c.ConnectTimeout), IdleTimeout: c.Settings.Allowed.IdleTimeout,
 		LoadReportFields: c.Settings.ReportFields, RetainMissing: c.Settings.RetainMissing}
 }
 
-// attemptObserver hands the loop what happens during an attempt.
+// attemptObserver sends the loop the events of an attempt.
 type attemptObserver struct {
 	loop    *loop
 	request *request
-	attempt int // its number
+	index   int // in request.attempts
 }
 
-// ClientDisconnected reports whether the client has left.
+// ClientDisconnected reports whether the client has disconnected.
 func (o *attemptObserver) ClientDisconnected() bool { return o.request.CheckDisconnected() }
 
-// NotSent has the loop end a request whose client has left.
+// NotSent tells the loop to end a request whose client has disconnected.
 func (o *attemptObserver) NotSent() {
 	o.loop.send(bodyEnded{o.request.Exchange, upstream.ErrClientDisconnected})
 }
 
-// ResponseStarted has the loop give the client a response that is still coming.
+// ResponseStarted tells the loop to stream a response to the client.
 func (o *attemptObserver) ResponseStarted(r upstream.Response) {
-	o.loop.send(answerBegun{o.request, o.attempt, forwardedResponse(r)})
+	o.loop.send(responseStarted{o.request, o.index, forwardedResponse(r)})
 }
 
-// forwardedResponse is what a client gets of a server's response.
+// forwardedResponse returns the parts of a server's response that are forwarded to the client.
 func forwardedResponse(r upstream.Response) downstream.Response {
-	return downstream.Response{Status: r.Status, ContentType: r.ContentType, Body: r.Body, Stream: r.Stream, Length: r.Length}
+	return downstream.Response{Status: r.Status, ContentType: r.ContentType, Body: r.Body, Stream: r.Stream,
+		Length: r.Length}
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -24,25 +24,25 @@
 //	go test -run '^$' -bench Request ./internal/node
 
 const (
-	benchPeerEnv = "SLOERAIL_BENCH_PEER" // set in the process that plays clients and servers
-	benchServers = 10
-	benchClients = 8
-	benchAnswer  = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Load: latency_ms=12.5,util=0.41,qps=33\r\n" +
+	benchPeersEnv = "SLOERAIL_BENCH_PEER" // set in the process that plays clients and servers
+	benchServers  = 10
+	benchClients  = 8
+	benchResponse = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Load: latency_ms=12.5,util=0.41,qps=33\r\n" +
 		"Content-Length: 64\r\n\r\n0123456789012345678901234567890123456789012345678901234567890123"
 )
 
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct {
-		name string
-		kept bool
+		name      string
+		keepAlive bool
 	}{{"kept", true}, {"new", false}} {
-		b.Run(c.name, func(b *testing.B) { benchRequests(b, c.kept) })
+		b.Run(c.name, func(b *testing.B) { benchRequests(b, c.keepAlive) })
 	}
 }
 
-func benchRequests(b *testing.B, kept bool) {
+func benchRequests(b *testing.B, keepAlive bool) {
 	peers := exec.Command(os.Args[0])
-	peers.Env = append(os.Environ(), benchPeerEnv+"=1")
+	peers.Env = append(os.Environ(), benchPeersEnv+"=1")
 	peers.Stderr = os.Stderr
 	in, err := peers.StdinPipe()
 	if err != nil {
@@ -63,9 +63,9 @@
 			b.Error(err)
 		}
 	}()
-	said := bufio.NewScanner(out)
-	said.Scan()
-	c := testConfig(b, nodetest.KnownList(strings.Fields(said.Text())...))
+	peerLines := bufio.NewScanner(out)
+	peerLines.Scan()
+	c := testConfig(b, nodetest.KnownList(strings.Fields(peerLines.Text())...))
 	for i := range c.Settings.Tenants {
 		c.Settings.Tenants[i].Quota = 1e6
 	}
@@ -74,19 +74,19 @@
 		b.Fatal(err)
 	}
 	addr, _ := startNodeAt(b, c, Listeners{Clients: ln}, nil)
-	play := func(n int) {
-		if _, err := fmt.Fprintln(in, addr, n, kept); err != nil {
+	sendRequests := func(n int) {
+		if _, err := fmt.Fprintln(in, addr, n, keepAlive); err != nil {
 			b.Fatal(err)
 		}
-		if !said.Scan() || said.Text() != "done" {
-			b.Fatalf("the peers said %q", said.Text())
+		if !peerLines.Scan() || peerLines.Text() != "done" {
+			b.Fatalf("the peers said %q", peerLines.Text())
 		}
 	}
-	play(200)
+	sendRequests(200)
 	b.ReportAllocs()
 	b.ResetTimer()
 	before := cpuTime(b)
-	play(b.N)
+	sendRequests(b.N)
 	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
@@ -100,7 +100,7 @@
 }
 
 // playPeers is the other process: it names its servers, and then plays what it is told a line at a time.
-func playPeers(in io.Reader, out io.Writer) error {
+func runBenchPeers(in io.Reader, out io.Writer) error {
 	var addrs []string
 	for range benchServers {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -111,7 +111,7 @@
 		addrs = append(addrs, ln.Addr().String())
 		go nodetest.AcceptRaw(ln, func(c net.Conn, r *bufio.Reader) {
 			for nodetest.ReadRequest(r) {
-				if _, err := io.WriteString(c, benchAnswer); err != nil {
+				if _, err := io.WriteString(c, benchResponse); err != nil {
 					return
 				}
 			}
@@ -123,11 +123,11 @@
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		var addr string
 		var n int
-		var kept bool
-		if _, err := fmt.Sscan(lines.Text(), &addr, &n, &kept); err != nil {
+		var keepAlive bool
+		if _, err := fmt.Sscan(lines.Text(), &addr, &n, &keepAlive); err != nil {
 			return err
 		}
-		if err := benchLoad(addr, n, kept); err != nil {
+		if err := sendBenchRequests(addr, n, keepAlive); err != nil {
 			return err
 		}
 		if _, err := fmt.Fprintln(out, "done"); err != nil {
@@ -138,14 +138,14 @@
 }
 
 // benchLoad plays n requests by a few clients, on connections that they keep or on new ones.
-func benchLoad(addr string, n int, kept bool) error {
+func sendBenchRequests(addr string, n int, keepAlive bool) error {
 	var clients sync.WaitGroup
 	failed := make(chan error, benchClients)
 	for i := range benchClients {
 		clients.Go(func() {
 			var c *benchClient
 			for k := i; k < n; k += benchClients {
-				if c == nil || !kept {
+				if c == nil || !keepAlive {
 					conn, err := net.Dial("tcp", addr)
 					if err != nil {
 						failed <- err
@@ -153,11 +153,11 @@
 					}
 					c = &benchClient{Conn: conn, r: bufio.NewReader(conn)}
 				}
-				if err := c.ask(k, kept); err != nil {
+				if err := c.roundTrip(k, keepAlive); err != nil {
 					failed <- err
 					return
 				}
-				if !kept {
+				if !keepAlive {
 					_ = c.Close() // what fails shows in the next request
 				}
 			}
@@ -178,7 +178,7 @@
 }
 
 // ask plays one request: reads and keyed posts in turn.
-func (c *benchClient) ask(k int, kept bool) error {
+func (c *benchClient) roundTrip(k int, keepAlive bool) error {
 	c.out.Reset()
 	class, method, body := "read", "GET", ""
 	if k%2 == 1 {
@@ -189,14 +189,14 @@
 	if body != "" {
 		fmt.Fprintf(&c.out, "Idempotency-Key: key-%d\r\nContent-Length: %d\r\n", k, len(body))
 	}
-	if !kept {
+	if !keepAlive {
 		c.out.WriteString("Connection: close\r\n")
 	}
 	fmt.Fprintf(&c.out, "\r\n%s", body)
 	if _, err := c.Write(c.out.Bytes()); err != nil {
 		return err
 	}
-	status, length := "", -1
+	status, contentLength := "", -1
 	for {
 		line, err := c.r.ReadSlice('\n')
 		if err != nil {
@@ -210,14 +210,14 @@
 			status = text
 		}
 		if v, ok := strings.CutPrefix(text, "Content-Length: "); ok {
-			if length, err = strconv.Atoi(v); err != nil {
+			if contentLength, err = strconv.Atoi(v); err != nil {
 				return err
 			}
 		}
 	}
-	if !strings.HasPrefix(status, "HTTP/1.1 200") || length != 64 {
-		return fmt.Errorf("answered %q, length %d", status, length)
+	if !strings.HasPrefix(status, "HTTP/1.1 200") || contentLength != 64 {
+		return fmt.Errorf("answered %q, length %d", status, contentLength)
 	}
-	_, err := c.r.Discard(length)
+	_, err := c.r.Discard(contentLength)
 	return err
 }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -1,13 +1,15 @@
-// Package node puts the decision module on real sockets. It decides nothing: events go in to a policy.Balancer, and the
-// actions that come out are carried out.
+// Package node runs a policy.Balancer on real sockets. The package makes no routing decisions: it passes events to the
+// balancer and executes the actions that the balancer returns.
 //
-// Run (node.go) starts the parts and ends them: the listeners (listeners.go), the loop, the clients' side, the operators'
-// side (admin.go), the part in a fleet (fleet.go) and hand-overs to another process (hot_restart.go; drain.go is the
-// shutdown, resources.go divides descriptors and memory). One goroutine runs the loop (loop.go), which owns the balancer,
-// the open requests and the timers (timers.go, clock.go). All others send it events, whose types and handlers are in
-// events.go; actions.go executes the balancer's actions. requests.go holds a request from its arrival to its last attempt.
-// service.go joins the loop to the clients' connections (package downstream), attempts.go to those to servers (package
-// upstream), endpoints.go to the list service (package discovery). reload.go goes over to a changed configuration,
-// figures.go has the metrics, zones.go the states of zones for operators, and hollow.go a node without sockets of clients
-// and servers, for measurements.
+// Run (node.go) starts and stops the parts of a node: the listeners (listeners.go), the event loop, the client side
+// (service.go), the admin server (admin.go), the fleet membership (fleet.go) and hot restarts (hot_restart.go). drain.go
+// is the graceful shutdown, and resources.go divides descriptors and memory.
+//
+// One goroutine runs the event loop (loop.go), which owns the balancer, the open requests (requests.go) and the timers
+// (timers.go, clock.go). All other goroutines send it events. events.go has the event types and their handlers, and
+// actions.go executes the balancer's actions. service.go connects the loop to client connections (package downstream),
+// attempts.go to server connections (package upstream), and endpoints.go to the list service (package discovery).
+//
+// reload.go applies a changed configuration, figures.go has the metrics, zones.go reports zone states to operators, and
+// hollow.go is a node without client and server sockets, for measurements.
 package node
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -8,48 +8,49 @@
 )
 
 const (
-	// minAcceptTime is how long clients can connect at least after the signal to stop.
+	// minAcceptTime is how long, at the least, clients can connect after the stop signal.
 	minAcceptTime = 500 * time.Millisecond
-	// maxDrainTime bounds how long a client waits for its answer once the node is stopping.
+	// maxDrainTime bounds how long a client waits for its response once the node is stopping.
 	maxDrainTime = 3 * time.Second
-	// drainPoll is the time between looks at whether a process that has handed over has clients left.
+	// drainPoll is how often a process that has handed over checks whether it still has clients.
 	drainPoll = 20 * time.Millisecond
-	// finalAnswerTime is for the answers to what is failed at the end to reach their clients.
+	// finalAnswerTime is the time for the responses to requests that fail at the end to reach their clients.
 	finalAnswerTime = 100 * time.Millisecond
 )
 
-// drain shuts down gracefully. Clients connect for a while after the signal, and what they have sent counts as accepted,
-// so the listener stays open until then. Clients go on using the connections that they have for as long as a request can
-// be answered before the node is killed: to end them earlier would only move their load to the other nodes.
+// drain shuts down gracefully. Clients still connect for a while after the stop signal, and their requests count as
+// accepted, so the listener stays open for that time. Existing connections stay open as long as a request on them can be
+// answered before the node is killed: closing them earlier would only move their load to the other nodes.
 func (s *server) drain(h *hotRestart) error {
 	s.Stopping.Store(true)
-	terms := s.loop.terms.Load()
-	end := time.Now().Add(minAcceptTime + terms.longestOf(longestWait))
-	last := time.Now().Add(max(minAcceptTime, time.Until(end)-s.lastAnswerTime(terms)))
-	slog.Info("stopping", "serves", time.Until(last).Round(time.Millisecond), "ends", time.Until(end).Round(time.Millisecond))
-	for time.Now().Before(last) && (!s.superseded.Load() || s.ClientConns().Count() > 0) {
-		time.Sleep(min(drainPoll, time.Until(last)))
+	classes := s.loop.classes.Load()
+	end := time.Now().Add(minAcceptTime + classes.longest(maxClientWait))
+	acceptUntil := time.Now().Add(max(minAcceptTime, time.Until(end)-s.lastRequestTime(classes)))
+	slog.Info("stopping", "serves", time.Until(acceptUntil).Round(time.Millisecond),
+		"ends", time.Until(end).Round(time.Millisecond))
+	for time.Now().Before(acceptUntil) && (!s.superseded.Load() || s.ClientConns().Count() > 0) {
+		time.Sleep(min(drainPoll, time.Until(acceptUntil)))
 	}
 	s.Draining.Store(true)
-	late := time.AfterFunc(time.Until(end), func() { s.loop.send(failUnanswered{}) })
-	defer late.Stop()
+	failTimer := time.AfterFunc(time.Until(end), func() { s.loop.send(failUnanswered{}) })
+	defer failTimer.Stop()
 	err := h.clients.Close()
 	s.Shutdown(end.Add(finalAnswerTime))
 	return err
 }
 
-// lastAnswerTime is what the last request is given: the time that slow answers took lately, and no more than an answer is
-// useful for.
-func (s *server) lastAnswerTime(terms *terms) time.Duration {
-	longest := terms.longestOf(longestAnswer)
+// lastRequestTime returns how long before the end the last requests are taken: the recent latency of slow responses, at
+// most maxUsefulLatency.
+func (s *server) lastRequestTime(classes *classTable) time.Duration {
+	longest := classes.longest(maxUsefulLatency)
 	if tail, ok := query(s.loop, func(reply chan<- time.Duration) event { return tailRequest{reply} }); ok {
 		return min(longest, tail)
 	}
 	return longest
 }
 
-// longestWait is how long a client of a stopping node may wait.
-func longestWait(classes []policy.Class) time.Duration {
+// maxClientWait returns how long a client of a stopping node may wait: the longest deadline, at most maxDrainTime.
+func maxClientWait(classes []policy.Class) time.Duration {
 	var longest time.Duration
 	for _, class := range classes {
 		longest = max(longest, class.Deadline)
@@ -57,8 +58,8 @@
 	return min(longest, maxDrainTime)
 }
 
-// longestAnswer is how late an answer can be and still have a weight.
-func longestAnswer(classes []policy.Class) time.Duration {
+// maxUsefulLatency returns the longest latency at which a response still counts for its class.
+func maxUsefulLatency(classes []policy.Class) time.Duration {
 	var longest time.Duration
 	for _, class := range classes {
 		if class.LatencyObjective > 0 && class.LateWeight <= 0 {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -6,19 +6,19 @@
 	"sloerail/policy"
 )
 
-// discoveryTarget is the list service that a configuration names.
+// discoveryTarget returns the list service of a configuration.
 func discoveryTarget(c config.Config) discovery.Target {
 	return discovery.NewTarget(c.Discovery, c.Scope, c.Settings)
 }
 
-// discoveryConfig is the configuration of the list service's client. A dial is bounded by
-// MaxQueueTime, the longest that a service which can be reached makes a call wait.
+// discoveryConfig returns the configuration of the list service's client. The dial timeout is MaxQueueTime, the longest
+// time that a reachable service lets a call wait.
 func discoveryConfig(c config.Config) discovery.ClientConfig {
 	return discovery.ClientConfig{Target: discoveryTarget(c), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
 		Dial: c.Dialer(discovery.MaxQueueTime)}
 }
 
-// applyUpdate takes a change of the endpoint list. The balancer gets the servers' start times by the node's clock.
+// applyUpdate applies an update of the endpoint list. It converts the servers' start times to the loop's clock.
 func (l *loop) applyUpdate(update discovery.Update) {
 	if update.Kind != policy.ListUnavailable {
 		l.up.UpdateEndpoints(update)
@@ -34,7 +34,7 @@
 			l.endpoints[e.ID] = e
 		}
 		endpoints[i] = e.Endpoint
-		endpoints[i].StartedAt = l.clock.unix(e.StartedAtMillis)
+		endpoints[i].StartedAt = l.clock.fromUnixMilli(e.StartedAtMillis)
 	}
 	l.decide(policy.EndpointList{Kind: update.Kind, Endpoints: endpoints})
 }
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -13,68 +13,69 @@
 	"sloerail/policy"
 )
 
-// event is what the loop handles. The types in this file are all that there are.
+// event is an input of the loop. All event types are in this file.
 type event interface {
-	// handle is called in the loop's goroutine.
+	// handle processes the event. It is called in the loop's goroutine.
 	handle(l *loop)
 }
 
-// Events of requests.
+// Request events.
 type (
-	// arrival is a request whose client waits for its answer.
-	arrival struct{ x *downstream.Exchange }
-	// departure is a client that has left.
-	departure struct{ x *downstream.Exchange }
-	// bodyEnded is the end of a body that was sent on while it came in: whole, or with the error that ended it.
+	// requestReceived is a new request. Its body may still be arriving.
+	requestReceived struct{ x *downstream.Exchange }
+	// clientDisconnected is the disconnect of a request's client.
+	clientDisconnected struct{ x *downstream.Exchange }
+	// bodyEnded is the end of a request body that was streamed to the server. err is nil if the body is complete.
 	bodyEnded struct {
 		x   *downstream.Exchange
 		err error
 	}
-	// answerBegun is an answer that is passed on as it comes.
-	answerBegun struct {
-		r *request
-		n int // the attempt's index
+	// responseStarted is the start of a response that is streamed to the client.
+	responseStarted struct {
+		r     *request
+		index int // the attempt's index
 		downstream.Response
 	}
-	// attemptEnded is the end of an attempt.
+	// attemptEnded is the end of an attempt, with its result.
 	attemptEnded struct {
-		r *request
-		n int // the attempt's index
+		r     *request
+		index int // the attempt's index
 		upstream.Result
 	}
-	// failUnanswered fails what has no answer and rejects what comes: the node stops.
+	// failUnanswered fails all requests without a response and rejects new ones. It ends a shutdown.
 	failUnanswered struct{}
 )
 
-// Events of the node's surroundings.
+// Events of the list, the configuration, the fleet and the node's other process.
 type (
-	// endpointUpdate is a change of the endpoint list.
+	// endpointUpdate is a change of the endpoint list, or the list service's failure.
 	endpointUpdate struct{ discovery.Update }
-	// configChanged is a configuration to go over to.
+	// configChanged is a reloaded configuration.
 	configChanged struct{ config.Config }
-	// fleetSizeChanged is how many nodes this one reaches, and how many of them in its own zone.
+	// fleetSizeChanged is the number of nodes that this one reaches, and how many of them are in its zone.
 	fleetSizeChanged struct{ reachable, reachableInZone int }
-	// predecessorInFlight is the other process's attempts, by server.
+	// predecessorInFlight is the predecessor's attempts in flight by server.
 	predecessorInFlight struct{ inFlight map[string]int }
-	// successorGone is the end of a successor, that has served or not.
+	// successorGone says that a successor ended, and whether it had served clients.
 	successorGone struct{ served bool }
 )
 
-// Requests for what the balancer knows. The loop answers each once.
+// Queries of the balancer's state. The loop sends one reply to each.
 type (
-	// snapshotRequest asks for the state to hand over. From then on the balancer counts with a successor.
+	// snapshotRequest asks for the state to hand over. The balancer then accounts for a successor.
 	snapshotRequest struct{ reply chan<- hotrestart.State }
-	// inFlightRequest asks for this process's attempts, by server.
+	// inFlightRequest asks for this process's attempts in flight by server.
 	inFlightRequest struct{ reply chan<- map[string]int }
-	// tailRequest asks how long slow answers took lately.
+	// tailRequest asks for the recent latency of slow responses.
 	tailRequest struct{ reply chan<- time.Duration }
-	// fleetStateRequest asks what the balancer makes of the fleet.
+	// fleetStateRequest asks for the balancer's view of the fleet.
 	fleetStateRequest struct{ reply chan<- fleetState }
-	// zonesRequest asks what the balancer makes of the zones.
+	// zonesRequest asks for the balancer's state of each zone.
 	zonesRequest struct{ reply chan<- []policy.ZoneState }
 )
 
-// query sends the loop a request that is made for the reply, and waits for the answer; not ok once the loop has ended.
+// query sends the loop the event that request makes for a reply channel, and waits for the reply. ok is false once the
+// loop has ended.
 func query[T any](l *loop, request func(reply chan<- T) event) (v T, ok bool) {
 	reply := make(chan T, 1)
 	l.send(request(reply))
@@ -86,9 +87,9 @@
 	}
 }
 
-func (e arrival) handle(l *loop) { l.startRequest(e.x) }
+func (e requestReceived) handle(l *loop) { l.startRequest(e.x) }
 
-func (e departure) handle(l *loop) {
+func (e clientDisconnected) handle(l *loop) {
 	if r := l.requestOf(e.x); r != nil {
 		l.cancelRequest(r)
 	}
@@ -100,12 +101,12 @@
 	}
 }
 
-func (e answerBegun) handle(l *loop) { l.forwardAnswer(e) }
+func (e responseStarted) handle(l *loop) { l.forwardResponse(e) }
 
 func (e attemptEnded) handle(l *loop) { l.endAttempt(e) }
 
 func (failUnanswered) handle(l *loop) {
-	l.finished = true
+	l.rejectAll = true
 	for _, r := range l.requests {
 		if !r.ended {
 			l.fail(r, http.StatusBadGateway)
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -11,24 +11,24 @@
 	"sloerail/policy"
 )
 
-// figures are what the node tells its operators. Whoever ends an event counts it; nobody waits for the
-// loop to read them.
-type figures struct {
+// nodeMetrics holds the node's metrics. Each is updated where its event ends, so that reading them doesn't wait for the
+// loop.
+type nodeMetrics struct {
 	set         *metrics.Set
-	relayed     *metrics.Counter // attempts written whole to servers
-	accepted    *metrics.Counter // configurations at SIGHUP, taken
-	invalid     *metrics.Counter // and turned down
-	open        atomic.Int64     // requests taken and not ended
+	relayed     *metrics.Counter // attempts completely written to servers
+	accepted    *metrics.Counter // reloaded configurations that were applied
+	invalid     *metrics.Counter // reloaded configurations that were rejected
+	open        atomic.Int64     // open requests
 	listed      atomic.Int64     // servers in the list
-	unavailable atomic.Int64     // those of them that get no work now
-	classes     sync.Map         // *tally by the class's name
+	unavailable atomic.Int64     // listed servers that currently get no requests
+	classes     sync.Map         // *classCounters by class name
 }
 
-// tally counts how the requests of one class ended.
-type tally struct{ fulfilled, throttled, faulted *metrics.Counter }
+// classCounters counts how the requests of a class ended.
+type classCounters struct{ fulfilled, throttled, faulted *metrics.Counter }
 
-func newFigures(classes []policy.Class) *figures {
-	f := &figures{set: metrics.NewSet()}
+func newMetrics(classes []policy.Class) *nodeMetrics {
+	f := &nodeMetrics{set: metrics.NewSet()}
 	f.relayed = f.set.NewCounter("app_relayed_total")
 	f.accepted = f.set.NewCounter("app_cfg_accepted_total")
 	f.invalid = f.set.NewCounter("app_cfg_invalid_total")
@@ -43,21 +43,22 @@
 	return f
 }
 
-// class returns the counters of a class, which stand from then on, also when the class is dropped. Only the
-// configuration names classes, so there are few.
-func (f *figures) class(name string) *tally {
+// class returns the counters of a class. They are kept even if the class is removed: classes come only from the
+// configuration, so there are few.
+func (f *nodeMetrics) class(name string) *classCounters {
 	if t, ok := f.classes.Load(name); ok {
-		return t.(*tally)
+		return t.(*classCounters)
 	}
-	of := func(figure string) *metrics.Counter {
-		return f.set.GetOrCreateCounter(figure + "{priority=" + strconv.Quote(name) + "}")
+	counter := func(metric string) *metrics.Counter {
+		return f.set.GetOrCreateCounter(metric + "{priority=" + strconv.Quote(name) + "}")
 	}
-	t, _ := f.classes.LoadOrStore(name, &tally{of("app_fulfilled_total"), of("app_throttled_total"), of("app_faulted_total")})
-	return t.(*tally)
+	t, _ := f.classes.LoadOrStore(name,
+		&classCounters{counter("app_fulfilled_total"), counter("app_throttled_total"), counter("app_faulted_total")})
+	return t.(*classCounters)
 }
 
-// Count books the end of a request by the status that its client got.
-func (t *tally) Count(status int) {
+// Count counts an ended request by the status that its client got.
+func (t *classCounters) Count(status int) {
 	switch status {
 	case http.StatusOK:
 		t.fulfilled.Inc()
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -15,13 +15,13 @@
 
 const fleetPath = "/fleet"
 
-// fleetState is what the balancer makes of the fleet.
+// fleetState is the balancer's view of the fleet.
 type fleetState struct {
 	quotaNodes, reachable int
 	partitioned           bool
 }
 
-// followFleet passes on what the fleet looks like, until ctx ends.
+// followFleet sends the loop the fleet sizes of the views until ctx ends.
 func (l *loop) followFleet(ctx context.Context, views <-chan gossip.View) {
 	for {
 		select {
@@ -33,23 +33,24 @@
 	}
 }
 
-// membership is this process's part in the fleet, for operators. The zero value is a node of no fleet.
+// membership is this process's membership in the fleet, with its report to operators. The node has none if it is in no
+// fleet.
 type membership struct {
 	*gossip.Agent
 	loop *loop
 }
 
-// runAsMember takes part in the fleet until ctx ends, from when this process is the only one of the node that accepts
-// clients: until then another one is the member.
-func (m *membership) runAsMember(ctx, running context.Context, soleListener <-chan struct{}) {
+// runAsMember runs the fleet's agent until ctx ends. It first waits until this process is the only one of the node that
+// accepts clients, because until then the other process is the member. It returns early if runCtx ends.
+func (m *membership) runAsMember(ctx, runCtx context.Context, soleListener <-chan struct{}) {
 	select {
 	case <-soleListener:
 		m.Run(ctx)
-	case <-running.Done():
+	case <-runCtx.Done():
 	}
 }
 
-// FleetView is the answer at /fleet: the fleet as one node sees it, and what that node makes of it.
+// FleetView is the response at /fleet: one node's view of the fleet, and the fleet sizes that its balancer uses.
 type FleetView struct {
 	Node        string        `json:"node"`
 	View        uint64        `json:"view"`
@@ -66,7 +67,7 @@
 	GeneratedAt time.Time     `json:"at"`
 }
 
-// FleetMember is one node in a view.
+// FleetMember is a node in a FleetView.
 type FleetMember struct {
 	Name        string       `json:"name"`
 	Address     string       `json:"address"`
@@ -74,40 +75,41 @@
 	Version     string       `json:"version"`
 	Incarnation uint64       `json:"incarnation"`
 	State       gossip.State `json:"state"`
-	SinceMs     int64        `json:"since_ms"` // how long ago that began
+	SinceMs     int64        `json:"since_ms"` // time in this state
 }
 
-// serve answers with the view of this node.
+// serve writes the node's FleetView.
 func (m membership) serve(w http.ResponseWriter, _ *http.Request) {
-	v, s, now := m.View(), m.Stats(), time.Now()
-	f, _ := query(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
-	out := FleetView{Node: v.Self, View: v.Revision, QuotaNodes: f.quotaNodes, Reachable: v.PresentCount(), Partitioned: f.partitioned,
-		Superseded: v.Superseded, SentBytes: s.SentBytes, HeardBytes: s.ReceivedBytes, Refuted: s.RefutedSuspicions,
-		Conflicts: s.NameConflicts, LinesQuiet: s.SuppressedLogLines, Members: []FleetMember{}, GeneratedAt: now}
-	for _, one := range v.Members {
-		out.Members = append(out.Members, FleetMember{one.Name, one.Address, one.Zone, one.Version, one.Incarnation,
-			one.State, now.Sub(one.Since).Milliseconds()})
+	view, stats, now := m.View(), m.Stats(), time.Now()
+	state, _ := query(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
+	out := FleetView{Node: view.Self, View: view.Revision, QuotaNodes: state.quotaNodes, Reachable: view.PresentCount(),
+		Partitioned: state.partitioned, Superseded: view.Superseded, SentBytes: stats.SentBytes,
+		HeardBytes: stats.ReceivedBytes, Refuted: stats.RefutedSuspicions, Conflicts: stats.NameConflicts,
+		LinesQuiet: stats.SuppressedLogLines, Members: []FleetMember{}, GeneratedAt: now}
+	for _, member := range view.Members {
+		out.Members = append(out.Members, FleetMember{member.Name, member.Address, member.Zone, member.Version,
+			member.Incarnation, member.State, now.Sub(member.Since).Milliseconds()})
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(out); err != nil {
-		slog.Debug("answering "+fleetPath+" failed", "error", err)
+		slog.Debug("writing the response at "+fleetPath+" failed", "error", err)
 	}
 }
 
-// register adds the fleet's figures to the node's.
-func (m membership) register(f *figures) {
+// registerMetrics adds the fleet's metrics to the node's.
+func (m membership) registerMetrics(f *nodeMetrics) {
 	for _, s := range []gossip.State{gossip.Alive, gossip.Suspect, gossip.Left, gossip.Dead} {
 		f.set.NewGauge(fmt.Sprintf("app_fleet_members{state=%q}", s), func() float64 {
 			n := 0
-			for _, one := range m.View().Members {
-				if one.State == s {
+			for _, member := range m.View().Members {
+				if member.State == s {
 					n++
 				}
 			}
 			return float64(n)
 		})
 	}
-	for name, of := range map[string]func(gossip.Stats) uint64{
+	for name, value := range map[string]func(gossip.Stats) uint64{
 		"app_fleet_sent_bytes_total":         func(s gossip.Stats) uint64 { return s.SentBytes },
 		"app_fleet_received_bytes_total":     func(s gossip.Stats) uint64 { return s.ReceivedBytes },
 		"app_fleet_view_changes_total":       func(s gossip.Stats) uint64 { return s.ViewChanges },
@@ -115,9 +117,9 @@
 		"app_fleet_name_conflicts_total":     func(s gossip.Stats) uint64 { return s.NameConflicts },
 		"app_fleet_log_lines_quieted_total":  func(s gossip.Stats) uint64 { return s.SuppressedLogLines },
 	} {
-		f.set.NewGauge(name, func() float64 { return float64(of(m.Stats())) })
+		f.set.NewGauge(name, func() float64 { return float64(value(m.Stats())) })
 	}
-	for name, of := range map[string]func(fleetState) float64{
+	for name, value := range map[string]func(fleetState) float64{
 		"app_fleet_agreed": func(s fleetState) float64 { return float64(s.quotaNodes) },
 		"app_fleet_cut_off": func(s fleetState) float64 {
 			if s.partitioned {
@@ -128,33 +130,33 @@
 	} {
 		f.set.NewGauge(name, func() float64 {
 			s, _ := query(m.loop, func(reply chan<- fleetState) event { return fleetStateRequest{reply} })
-			return of(s)
+			return value(s)
 		})
 	}
 }
 
-// join makes the node a member where its configuration says so; nil where it doesn't.
-func (l *loop) join(c config.Config) (*membership, error) {
+// joinFleet creates the node's membership in its fleet. It returns nil if the configuration has no fleet.
+func (l *loop) joinFleet(c config.Config) (*membership, error) {
 	if c.Fleet == nil {
 		return nil, nil
 	}
-	trips := l.fig.set.NewHistogram("app_fleet_probe_seconds")
-	c.Fleet.OnProbe = func(took time.Duration) { trips.Update(took.Seconds()) }
-	f, err := gossip.New(*c.Fleet)
+	probeTimes := l.fig.set.NewHistogram("app_fleet_probe_seconds")
+	c.Fleet.OnProbe = func(took time.Duration) { probeTimes.Update(took.Seconds()) }
+	agent, err := gossip.New(*c.Fleet)
 	if err != nil {
 		return nil, err
 	}
-	m := &membership{f, l}
-	m.register(l.fig)
+	m := &membership{agent, l}
+	m.registerMetrics(l.fig)
 	return m, nil
 }
 
-// Present are the names of the members that are there, in order.
-func (v FleetView) Present() (all []string) {
+// Present returns the names of the alive and suspect members, in the order of Members.
+func (v FleetView) Present() (names []string) {
 	for _, m := range v.Members {
 		if m.State == gossip.Alive || m.State == gossip.Suspect {
-			all = append(all, m.Name)
+			names = append(names, m.Name)
 		}
 	}
-	return all
+	return names
 }
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -68,7 +68,7 @@
 }
 
 // A successor of any version meets the same sequence of messages, each of the same form.
-func TestHandoverTranscriptOfThePredecessor(t *testing.T) {
+func TestPredecessorHandOverTranscript(t *testing.T) {
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
@@ -83,13 +83,13 @@
 	if err := conn.SetDeadline(time.Now().Add(nodetest.Timeout)); err != nil {
 		t.Fatal(err)
 	}
-	var log strings.Builder
-	first, rights := make([]byte, 16), make([]byte, unix.CmsgSpace(16))
-	n, rightsLen, _, _, err := conn.ReadMsgUnix(first, rights)
+	var transcript strings.Builder
+	first, oob := make([]byte, 16), make([]byte, unix.CmsgSpace(16))
+	n, oobLen, _, _, err := conn.ReadMsgUnix(first, oob)
 	if err != nil {
 		t.Fatal(err)
 	}
-	messages, err := unix.ParseSocketControlMessage(rights[:rightsLen])
+	messages, err := unix.ParseSocketControlMessage(oob[:oobLen])
 	if err != nil || len(messages) != 1 {
 		t.Fatalf("%d control messages, %v", len(messages), err)
 	}
@@ -104,31 +104,31 @@
 		t.Fatal(err)
 	}
 	defer nodetest.Close(t, l)
-	fmt.Fprintf(&log, "predecessor: %q with the listening socket\n", first[:n])
-	texts := json.NewDecoder(conn)
+	fmt.Fprintf(&transcript, "predecessor: %q with the listening socket\n", first[:n])
+	decoder := json.NewDecoder(conn)
 	next := func() {
 		t.Helper()
 		var raw json.RawMessage
-		if err := texts.Decode(&raw); err != nil {
+		if err := decoder.Decode(&raw); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&log, "predecessor: %s\n", jsonShape(t, raw))
+		fmt.Fprintf(&transcript, "predecessor: %s\n", jsonShape(t, raw))
 	}
 	next()
 	if _, err := conn.Write([]byte("S")); err != nil {
 		t.Fatal(err)
 	}
-	log.WriteString("successor: \"S\"\n")
+	transcript.WriteString("successor: \"S\"\n")
 	next()
-	if left, err := io.ReadAll(texts.Buffered()); err != nil || string(left) != "\n" {
+	if left, err := io.ReadAll(decoder.Buffered()); err != nil || string(left) != "\n" {
 		t.Errorf("behind the message: %q, %v", left, err)
 	}
-	nodetest.SameBytes(t, "the transcript", []byte(log.String()), nodetest.Golden(t, "handover_transcript.txt"))
+	nodetest.SameBytes(t, "the transcript", []byte(transcript.String()), nodetest.Golden(t, "handover_transcript.txt"))
 }
 
 // The names and labels of the figures at /stats, and the answers at /healthcheck, are what operators' tools
 // know. Values are left out.
-func TestOperatorsFormsStay(t *testing.T) {
+func TestAdminFormat(t *testing.T) {
 	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	c.Fleet = &gossip.Config{Name: "n0", Zone: "a", Version: "1", Bind: restartableConfig(t, nodetest.KnownList("127.0.0.1:9")).Listen, Label: "l"}
 	if err := c.Fleet.Validate(); err != nil {
@@ -136,17 +136,17 @@
 	}
 	c.Settings.Topology = &policy.Topology{RegionOfZone: map[string]string{"a": "east", "b": "west"},
 		SameRegionCost: 1, OtherRegionCost: 3}
-	at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-	ctl := at.Control.Addr().String()
-	startNodeAt(t, c, at, nil)
+	listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
+	adminAddr := listeners.Control.Addr().String()
+	startNodeAt(t, c, listeners, nil)
 	c.Fleet.OnProbe(time.Millisecond)
 	nodetest.Await(t, "the figures of places", func() bool {
-		_, there := stats(t, ctl)[`app_place_servers{zone="a"}`]
+		_, there := stats(t, adminAddr)[`app_place_servers{zone="a"}`]
 		return there
 	})
 	var got strings.Builder
 	var names []string
-	for name := range stats(t, ctl) {
+	for name := range stats(t, adminAddr) {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -157,7 +157,7 @@
 		fmt.Fprintf(&got, "%s: %d, %s %q\n", resp.Request.URL.Path, resp.StatusCode, resp.Header.Get("Content-Type"), body)
 	}
 	get := func(path string) (*http.Response, string) {
-		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+ctl+path, nil)
+		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+adminAddr+path, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -169,11 +169,11 @@
 	describe(resp, "")
 
 	l, _ := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-	refusing := newAdminServer(l, func() bool { return false }, nil)
+	unready := newAdminServer(l, func() bool { return false }, nil)
 	ln := nodetest.Listener(t)
-	go func() { _ = refusing.http.Serve(ln) }()
-	t.Cleanup(func() { nodetest.Close(t, &refusing.http) })
-	ctl = ln.Addr().String()
+	go func() { _ = unready.http.Serve(ln) }()
+	t.Cleanup(func() { nodetest.Close(t, &unready.http) })
+	adminAddr = ln.Addr().String()
 	resp, body = get(healthPath)
 	describe(resp, body)
 	nodetest.SameBytes(t, "the operators' forms", []byte(got.String()), nodetest.Golden(t, "operators.txt"))
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -13,40 +13,40 @@
 	"sloerail/policy"
 )
 
-// Hollow is a node without the sockets of clients and servers, for measuring what a node costs beside them. Its
-// configuration, list client, event loop, connection pools, decision module and membership are those that ship.
+// Hollow is a node without client and server sockets, for measuring the cost of the rest of a node. Its configuration,
+// list client, event loop, connection pools, balancer and fleet membership are the production code.
 //
-// Either Run runs it on the machine's clock, or one goroutine steps it: Restore first, then the other methods in any
-// order. Between steps its clock can be set forward.
+// A Hollow is either run by Run on the machine's clock, or stepped from one goroutine: Restore first, then the other
+// methods in any order. Advance sets its clock forward between steps.
 type Hollow struct {
 	loop    *loop
-	config  config.Config // a node keeps it for its successor
-	traffic *traffic
+	config  config.Config // kept as a node does, which needs it for its successor
+	traffic *trafficCounters
 }
 
-// Traffic is what the list client of a hollow node wrote to its sockets and read from them.
+// Traffic counts what the list client of a hollow node wrote to its connections and read from them.
 type Traffic struct {
 	Sent, Received uint64 // bytes
 	Calls, Answers uint64
 }
 
-// Plus is the sum of two.
+// Plus returns t + o.
 func (t Traffic) Plus(o Traffic) Traffic {
 	return Traffic{t.Sent + o.Sent, t.Received + o.Received, t.Calls + o.Calls, t.Answers + o.Answers}
 }
 
-// Since is what passed after an earlier count.
+// Since returns t - o, the traffic since an earlier count.
 func (t Traffic) Since(o Traffic) Traffic {
 	return Traffic{t.Sent - o.Sent, t.Received - o.Received, t.Calls - o.Calls, t.Answers - o.Answers}
 }
 
-// traffic counts under way.
-type traffic struct{ sent, received, calls, answers atomic.Uint64 }
+// trafficCounters are the counters of a Traffic.
+type trafficCounters struct{ sent, received, calls, answers atomic.Uint64 }
 
-// NewHollow makes a hollow node of a configuration as config.Load reads it. It calls seen, unless that is nil, with each
-// list that the balancer has taken, in the goroutine that took it.
-func NewHollow(c config.Config, seen func(policy.EndpointList)) (*Hollow, error) {
-	h := &Hollow{config: c, traffic: new(traffic)}
+// NewHollow returns a hollow node with a configuration from config.Load. After each list that the balancer has applied,
+// it calls onList, unless that is nil, in the same goroutine.
+func NewHollow(c config.Config, onList func(policy.EndpointList)) (*Hollow, error) {
+	h := &Hollow{config: c, traffic: new(trafficCounters)}
 	dial := c.Dialer(discovery.MaxQueueTime)
 	c.Dial = func(ctx context.Context, network, addr string) (net.Conn, error) {
 		conn, err := dial(ctx, network, addr)
@@ -55,56 +55,56 @@
 		}
 		return &trafficConn{Conn: conn, traffic: h.traffic}, nil
 	}
-	fig := newFigures(c.Settings.Classes)
+	fig := newMetrics(c.Settings.Classes)
 	l, err := newLoop(c, clock{start: time.Now()}, newTransport(c, new(upstream.Descriptors), fig), fig)
 	if err != nil {
 		return nil, err
 	}
-	if seen != nil {
-		l.balancer = listObserver{l.balancer, seen}
+	if onList != nil {
+		l.balancer = listObserver{l.balancer, onList}
 	}
 	h.loop = l
 	return h, nil
 }
 
-// listObserver calls seen with each list that the balancer has taken.
+// listObserver is a balancer that calls onList with each list that it has applied.
 type listObserver struct {
 	balancer
-	seen func(policy.EndpointList)
+	onList func(policy.EndpointList)
 }
 
-// Handle hands the event on.
+// Handle passes the event to the wrapped balancer.
 func (o listObserver) Handle(now policy.Time, ev policy.Event) []policy.Action {
 	actions := o.balancer.Handle(now, ev)
 	if list, ok := ev.(policy.EndpointList); ok {
-		o.seen(list)
+		o.onList(list)
 	}
 	return actions
 }
 
-// Run watches the list, and takes part in the fleet where the configuration has it so, until ctx ends.
+// Run runs the node until ctx ends: it watches the list and, if the configuration has a fleet, is a member of it.
 func (h *Hollow) Run(ctx context.Context) error {
-	fleet, err := h.loop.join(h.config)
+	fleet, err := h.loop.joinFleet(h.config)
 	if err != nil {
 		return err
 	}
-	var parts sync.WaitGroup
-	defer parts.Wait()
-	parts.Go(func() { h.loop.listClient.Run(ctx) })
+	var wg sync.WaitGroup
+	defer wg.Wait()
+	wg.Go(func() { h.loop.listClient.Run(ctx) })
 	if fleet != nil {
-		parts.Go(func() { h.loop.followFleet(ctx, fleet.Subscribe()) })
-		parts.Go(func() { fleet.Run(ctx) })
+		wg.Go(func() { h.loop.followFleet(ctx, fleet.Subscribe()) })
+		wg.Go(func() { fleet.Run(ctx) })
 	}
 	h.loop.run(ctx, h.config.Known.Endpoints, nil)
 	return nil
 }
 
-// Restore takes the list of the configuration, as a node does at its start.
+// Restore applies the known list of the configuration, as a node does at its start.
 func (h *Hollow) Restore() {
 	h.loop.handle(endpointUpdate{discovery.Update{Kind: policy.ListCached, Endpoints: h.config.Known.Endpoints}})
 }
 
-// TakeList reads an answer of the list service and takes it.
+// TakeList parses a response of the list service and applies it.
 func (h *Hollow) TakeList(answer []byte) error {
 	l, err := discovery.ParseList(answer)
 	if err != nil {
@@ -115,25 +115,26 @@
 	return nil
 }
 
-// Reconfigure goes over to another configuration.
+// Reconfigure applies a changed configuration.
 func (h *Hollow) Reconfigure(c config.Config) {
 	h.loop.handle(configChanged{c})
 	h.config = c
 }
 
-// Advance sets the clock forward, and fires the timers that are then due.
+// Advance sets the clock forward and fires the timers that are then due.
 func (h *Hollow) Advance(by time.Duration) {
 	h.loop.clock.start = h.loop.clock.start.Add(-by)
-	h.loop.fire()
+	h.loop.fireTimers()
 }
 
-// Decide has the balancer decide on a request; sent is false where it goes to no server.
+// Decide passes a request to the balancer and returns the server that it is sent to. sent is false if there is none.
 func (h *Hollow) Decide(r policy.Request) (server string, sent bool) { return h.handle(r) }
 
-// End reports the outcome of an attempt. It returns the server that the request then goes to, if it is retried.
+// End reports the outcome of an attempt to the balancer. It returns the server of the retry, if there is one.
 func (h *Hollow) End(o policy.Outcome) (server string, sent bool) { return h.handle(o) }
 
-// handle gives the balancer an event of a request, and executes all actions but those that need a client or a server.
+// handle passes an event of a request to the balancer and executes its actions, except that it returns the server of a
+// Send instead of sending. Without open requests, actions on a client's request have no effect.
 func (h *Hollow) handle(ev policy.Event) (server string, sent bool) {
 	for _, a := range h.loop.balancer.Handle(h.loop.clock.now(), ev) {
 		if a.Kind == policy.Send {
@@ -145,33 +146,33 @@
 	return server, sent
 }
 
-// Servers counts those in the list.
+// Servers returns the number of listed servers.
 func (h *Hollow) Servers() int {
 	listed, _ := h.loop.balancer.Servers()
 	return listed
 }
 
-// Unavailable counts those of them that get no work now, ejected or draining.
+// Unavailable returns the number of listed servers that currently get no requests, because they are ejected or draining.
 func (h *Hollow) Unavailable() int {
 	_, unavailable := h.loop.balancer.Servers()
 	return unavailable
 }
 
-// Traffic is what passed so far.
+// Traffic returns the traffic of the list client so far.
 func (h *Hollow) Traffic() Traffic {
 	return Traffic{Sent: h.traffic.sent.Load(), Received: h.traffic.received.Load(), Calls: h.traffic.calls.Load(),
 		Answers: h.traffic.answers.Load()}
 }
 
-// trafficConn counts what passes over a connection. The list client has one call under way at a time, so the first read
-// after a write brings an answer.
+// trafficConn counts a connection's bytes, calls and responses. The list client has one call in flight at a time, so the
+// first read after a write is the start of a response.
 type trafficConn struct {
 	net.Conn
-	traffic     *traffic
+	traffic     *trafficCounters
 	callPending atomic.Bool
 }
 
-// Write writes a call.
+// Write writes to the connection, and counts a call if the previous one has its response.
 func (c *trafficConn) Write(b []byte) (int, error) {
 	if !c.callPending.Swap(true) {
 		c.traffic.calls.Add(1)
@@ -181,7 +182,7 @@
 	return n, err
 }
 
-// Read reads an answer.
+// Read reads from the connection, and counts a response at the first bytes after a call.
 func (c *trafficConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if c.traffic.received.Add(uint64(n)); n > 0 && c.callPending.Swap(false) {
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -40,16 +40,16 @@
 	return c
 }
 
-func TestHollowNodeDecidesAsTheNodeDoes(t *testing.T) {
+func TestHollowNodeDecides(t *testing.T) {
 	h, err := NewHollow(hollowConfig(t, "127.0.0.1:9", 2), nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	h.Restore()
-	ask := func(id string) (string, bool) {
+	decide := func(id string) (string, bool) {
 		return h.Decide(policy.Request{ID: id, Class: "x", Tenant: "t", Timeout: time.Second})
 	}
-	if server, sent := ask("1"); sent {
+	if server, sent := decide("1"); sent {
 		t.Errorf("with no list, a request went to %q", server)
 	}
 	if err := h.TakeList(fmt.Appendf(nil, hollowList, 1, true, "a")); err != nil || h.Servers() != 1 {
@@ -58,10 +58,10 @@
 	if err := h.TakeList([]byte(`{"members":[]}`)); err == nil {
 		t.Error("a list without a revision was taken")
 	}
-	spent := 0
-	for ; spent < 100; spent++ {
-		id := fmt.Sprint("r", spent)
-		server, sent := ask(id)
+	admitted := 0
+	for ; admitted < 100; admitted++ {
+		id := fmt.Sprint("r", admitted)
+		server, sent := decide(id)
 		if !sent {
 			break
 		}
@@ -70,19 +70,19 @@
 		}
 		h.End(policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: time.Millisecond})
 	}
-	if spent == 0 || spent == 100 {
-		t.Fatalf("%d requests within the quota", spent)
+	if admitted == 0 || admitted == 100 {
+		t.Fatalf("%d requests within the quota", admitted)
 	}
 	h.Advance(10 * time.Second) // the bucket refills by the node's clock
-	if _, sent := ask("later"); !sent {
+	if _, sent := decide("later"); !sent {
 		t.Error("refused with a full bucket")
 	}
 	h.Reconfigure(hollowConfig(t, "127.0.0.1:9", 0))
 	h.Advance(10 * time.Second)
 	for i := range 100 {
-		ask(fmt.Sprint("s", i))
+		decide(fmt.Sprint("s", i))
 	}
-	if _, sent := ask("last"); sent {
+	if _, sent := decide("last"); sent {
 		t.Error("the changed quota is not in force")
 	}
 }
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -14,46 +14,46 @@
 )
 
 const (
-	// maxSpareConns bounds the connections that a process may open on either side beyond those that it has, while its
-	// successor serves; spareFraction bounds them by the descriptors of the node.
-	maxSpareConns = 8
-	spareFraction = 12
-	// maxSpareServerConns bounds the connections to servers that it keeps for its clients.
+	// maxSpareConns is how many connections beyond its current ones a process may open on either side while its
+	// successor serves. The limit is also the node's unreserved descriptors divided by spareConnsDivisor.
+	maxSpareConns     = 8
+	spareConnsDivisor = 12
+	// maxSpareServerConns bounds the server connections that such a process keeps for its clients.
 	maxSpareServerConns = 32
-	// minSuccessorFraction of its descriptors is a successor's, whatever the process before it holds.
-	minSuccessorFraction = 4
-	// sharedMemoryFraction of the memory limit is each process's, while there are two.
+	// successorShareDivisor divides a process's descriptors: its successor gets at least that part of them, however many
+	// the process holds.
+	successorShareDivisor = 4
+	// sharedMemoryFraction is each process's part of the memory limit while there are two.
 	sharedMemoryFraction = 0.5
 )
 
-// hotRestart is this process's part in hand-overs: it shares the node's descriptors and memory with the process before
-// it, and with the one that takes over from it.
+// hotRestart is this process's part in hot restarts. It shares the node's descriptors and memory with the predecessor
+// and with the successor.
 type hotRestart struct {
 	config    config.Config
 	server    *server
 	transport *upstream.Transport
 	clients   *downstream.ConnectionLimiter
-	fleet     *membership // nil for a node of no fleet
+	fleet     *membership // nil if the node is in no fleet
 
 	mu      sync.Mutex
 	sockets int // descriptors that this process may hold
 }
 
-// run takes over from a predecessor, if there is one, and awaits successors, until ctx ends. It waits for the list
-// first.
+// run waits for the known list, takes over from the predecessor, if there is one, and serves successors until ctx ends.
 func (h *hotRestart) run(ctx context.Context, predecessor *hotrestart.Predecessor) {
 	select {
 	case <-h.server.loop.ready:
 	case <-ctx.Done():
 	}
-	var following sync.WaitGroup
-	defer following.Wait()
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	if predecessor != nil {
 		stop := context.AfterFunc(ctx, func() { _ = predecessor.Close() }) // which ends Follow
 		defer stop()
-		// Readiness at the operators' address waits for the predecessor to yield: if that were stopped before, it would
-		// reject the front's health checks in the node's name.
-		following.Go(func() { predecessor.Follow(func() { close(h.server.soleListener) }, h.takeSockets) })
+		// The admin server reports readiness only after the predecessor has stopped accepting. A predecessor that is
+		// stopped before that would still get the front's health checks, and fail them for the whole node.
+		wg.Go(func() { predecessor.Follow(func() { close(h.server.soleListener) }, h.updateSockets) })
 	} else {
 		close(h.server.soleListener)
 	}
@@ -75,7 +75,7 @@
 func (h *hotRestart) Snapshot() (hotrestart.State, error) {
 	state, ok := query(h.server.loop, func(reply chan<- hotrestart.State) event { return snapshotRequest{reply} })
 	if !ok {
-		return hotrestart.State{}, errors.New("the node has ended")
+		return hotrestart.State{}, errors.New("the event loop has ended")
 	}
 	limitMemory(h.config, sharedMemoryFraction)
 	state.Sockets = h.releaseSockets()
@@ -88,7 +88,7 @@
 	if h.fleet != nil {
 		h.fleet.Yield()
 	}
-	h.server.Draining.Store(true) // clients come again, to the successor
+	h.server.Draining.Store(true) // clients reconnect, to the successor
 	return h.clients.SetPaused(true)
 }
 
@@ -102,7 +102,7 @@
 	h.server.superseded.Store(false)
 	h.server.Draining.Store(h.server.Stopping.Load())
 	if err := h.clients.SetPaused(false); err != nil {
-		slog.Error("hot restart: the clients' listener", "error", err)
+		slog.Error("hot restart: resuming the clients' listener failed", "error", err)
 	}
 	h.shareSockets()
 	limitMemory(h.config, 1)
@@ -112,42 +112,45 @@
 	h.server.loop.send(successorGone{successorServed})
 }
 
-// totalSockets is how many descriptors this process may hold where it has no successor.
+// totalSockets returns how many descriptors this process may hold if it has no successor.
 func (h *hotRestart) totalSockets() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.sockets
 }
 
-// releaseSockets cuts this process down to what it holds, and returns what is left for its successor.
+// releaseSockets limits this process to the descriptors that it holds plus a few spare ones, and returns how many are
+// left for its successor.
 func (h *hotRestart) releaseSockets() int {
 	clients := h.server.ClientConns().Count()
-	spare := max(1, min(maxSpareConns, (h.config.Sockets-reservedSockets(h.config))/spareFraction))
+	spare := max(1, min(maxSpareConns, (h.config.Sockets-reservedSockets(h.config))/spareConnsDivisor))
 	servers := h.transport.LimitConnections(min(clients, maxSpareServerConns), spare)
 	h.clients.SetLimit(clients + spare)
 	inUse := reservedSocketsWhileShared(h.config) + clients + spare + servers
 	total := h.totalSockets()
-	return max(total/minSuccessorFraction, total-inUse)
+	return max(total/successorShareDivisor, total-inUse)
 }
 
-// shareSockets shares the descriptors that this process may hold out between the clients' and the servers' side.
+// shareSockets divides the descriptors that this process may hold between the client side and the server side.
 func (h *hotRestart) shareSockets() {
-	// The server rejects requests on connections over its side; the limiter makes sure that even clients who connect
-	// and say nothing leave the servers' side its descriptors. While two processes share them, none is set aside for
-	// clients over the limit: they wait to be accepted for what the other process releases.
+	// The server rejects requests on connections beyond the client side's share. The limiter bounds the accepted
+	// connections, so that clients that connect and send nothing leave the server side its descriptors. While two
+	// processes share the descriptors, there is no surplus for clients over the limit: they wait to be accepted until
+	// the other process releases descriptors.
 	h.mu.Lock()
-	sockets, own, over := h.sockets, reservedSockets(h.config), ownSockets/2
+	sockets, reserved, surplus := h.sockets, reservedSockets(h.config), ownSockets/2
 	if h.server.AwaitingDescriptors.Load() {
-		own, over = reservedSocketsWhileShared(h.config), 0
+		reserved, surplus = reservedSocketsWhileShared(h.config), 0
 	}
 	h.mu.Unlock()
-	h.transport.Descriptors().SetTotal(sockets - own)
+	h.transport.Descriptors().SetTotal(sockets - reserved)
 	h.transport.LiftLimit()
-	h.clients.SetLimit(h.transport.Descriptors().MaxClients() + over)
+	h.clients.SetLimit(h.transport.Descriptors().MaxClients() + surplus)
 }
 
-// takeSockets takes what the process before this one has released.
-func (h *hotRestart) takeSockets(progress hotrestart.Progress, ended bool) {
+// updateSockets applies the predecessor's progress: it takes the descriptors that the predecessor has released, or all
+// of the node's once the predecessor has ended.
+func (h *hotRestart) updateSockets(progress hotrestart.Progress, ended bool) {
 	h.server.loop.send(predecessorInFlight{progress.InFlight})
 	sockets := progress.Sockets
 	if ended {
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -34,27 +34,27 @@
 }
 
 // closeListeners closes what Listen made, and gives a predecessor up.
-func closeListeners(t *testing.T, at Listeners) {
+func closeListeners(t *testing.T, listeners Listeners) {
 	t.Helper()
-	if err := at.close(); err != nil {
+	if err := listeners.close(); err != nil {
 		t.Error(err)
 	}
 }
 
 // startProcess starts what would be a process of the node, and waits until it can be replaced.
-func startProcess(t *testing.T, c config.Config) (at Listeners, stop func() error) {
+func startProcess(t *testing.T, c config.Config) (listeners Listeners, stop func() error) {
 	t.Helper()
-	at, err := Listen(t.Context(), c)
+	listeners, err := Listen(t.Context(), c)
 	if err != nil {
 		t.Fatal(err)
 	}
 	before, _ := os.Stat(identityOf(c).SocketPath())
-	_, stop = startNodeAt(t, c, at, nil)
+	_, stop = startNodeAt(t, c, listeners, nil)
 	nodetest.Await(t, "its place for a successor", func() bool {
 		now, err := os.Stat(identityOf(c).SocketPath())
 		return err == nil && !os.SameFile(before, now)
 	})
-	return at, stop
+	return listeners, stop
 }
 
 // Under load a node is replaced, and replaced again at once: each request gets its answer, on new
@@ -97,12 +97,12 @@
 			}
 		})
 	}
-	more := func() {
+	awaitMoreResponses := func() {
 		t.Helper()
-		from := served.Load()
-		nodetest.Await(t, "further answers", func() bool { return served.Load() > from+20 })
+		before := served.Load()
+		nodetest.Await(t, "further answers", func() bool { return served.Load() > before+20 })
 	}
-	more()
+	awaitMoreResponses()
 	second, stopSecond := startProcess(t, c)
 	if second.predecessor == nil {
 		t.Fatal("the second process is an ordinary one")
@@ -115,7 +115,7 @@
 		if err := stop(); err != nil {
 			t.Error(err)
 		}
-		more()
+		awaitMoreResponses()
 	}
 	close(end)
 	clients.Wait()
@@ -127,17 +127,17 @@
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
-	ask := func(id string) int {
+	status := func(id string) int {
 		resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", id, "", "X-Tenant", "tiny"))
 		return resp.StatusCode
 	}
 	for i := range 3 {
-		if got := ask(fmt.Sprint("before", i)); got != http.StatusOK {
+		if got := status(fmt.Sprint("before", i)); got != http.StatusOK {
 			t.Fatalf("status %d within the burst", got)
 		}
 	}
 	startProcess(t, c)
-	if got := ask("after"); got != http.StatusTooManyRequests {
+	if got := status("after"); got != http.StatusTooManyRequests {
 		t.Errorf("status %d, want 429: the bucket was empty", got)
 	}
 }
@@ -149,21 +149,21 @@
 	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	for _, served := range []bool{false, true} {
-		at, err := Listen(t.Context(), c)
-		if err != nil || at.predecessor == nil {
+		listeners, err := Listen(t.Context(), c)
+		if err != nil || listeners.predecessor == nil {
 			t.Fatalf("no hand-over: %v", err)
 		}
 		if served {
 			following := make(chan struct{})
 			first := sync.OnceFunc(func() { close(following) })
-			go at.predecessor.Follow(func() {}, func(_ hotrestart.Progress, ended bool) {
+			go listeners.predecessor.Follow(func() {}, func(_ hotrestart.Progress, ended bool) {
 				if !ended {
 					first()
 				}
 			})
 			nodetest.Receive(t, "the predecessor's progress", following)
 		}
-		closeListeners(t, at)
+		closeListeners(t, listeners)
 		resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", fmt.Sprint("r", served), ""))
 		if resp.StatusCode != http.StatusOK {
 			t.Errorf("served %v: status %d", served, resp.StatusCode)
@@ -176,20 +176,20 @@
 	t.Parallel()
 	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	startProcess(t, c)
-	at, err := Listen(t.Context(), c)
-	if err != nil || at.predecessor == nil {
+	listeners, err := Listen(t.Context(), c)
+	if err != nil || listeners.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
-	defer closeListeners(t, at)
-	if got := at.predecessor.State.Sockets; got < c.Sockets/4 || got > c.Sockets-reservedSocketsWhileShared(c) {
+	defer closeListeners(t, listeners)
+	if got := listeners.predecessor.State.Sockets; got < c.Sockets/4 || got > c.Sockets-reservedSocketsWhileShared(c) {
 		t.Errorf("%d descriptors of %d for the successor", got, c.Sockets)
 	}
 }
 
 // Without a usable hand-over a process starts as an ordinary one, beside another or not.
-func TestUnusableHandOverIsAnOrdinaryStart(t *testing.T) {
+func TestOrdinaryStartWithoutUsableHandOver(t *testing.T) {
 	t.Parallel()
-	speak := func(say string) func(t *testing.T, c config.Config) {
+	serveText := func(text string) func(t *testing.T, c config.Config) {
 		return func(t *testing.T, c config.Config) {
 			l, err := net.Listen("unix", identityOf(c).SocketPath())
 			if err != nil {
@@ -202,7 +202,7 @@
 					if err != nil {
 						return
 					}
-					_, _ = fmt.Fprint(conn, say) // the successor may have gone
+					_, _ = fmt.Fprint(conn, text) // the successor may have gone
 					_ = conn.Close()
 				}
 			}()
@@ -210,9 +210,9 @@
 	}
 	for name, prepare := range map[string]func(t *testing.T, c config.Config){
 		"nobody":     func(*testing.T, config.Config) {},
-		"stale":      func(t *testing.T, c config.Config) { stale(t, identityOf(c).SocketPath()) },
-		"silent end": speak(""),
-		"rubbish":    speak("\n{\"Version\":99"),
+		"stale":      func(t *testing.T, c config.Config) { leaveStaleSocket(t, identityOf(c).SocketPath()) },
+		"silent end": serveText(""),
+		"rubbish":    serveText("\n{\"Version\":99"),
 		"not a place": func(t *testing.T, c config.Config) {
 			if err := os.Remove(c.SharedDir); err != nil {
 				t.Error(err)
@@ -223,25 +223,25 @@
 			server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 			c := restartableConfig(t, nodetest.KnownList(server))
 			prepare(t, c)
-			at, err := Listen(t.Context(), c)
-			if err != nil || at.predecessor != nil {
-				t.Fatalf("heir %v, %v", at.predecessor, err)
+			listeners, err := Listen(t.Context(), c)
+			if err != nil || listeners.predecessor != nil {
+				t.Fatalf("heir %v, %v", listeners.predecessor, err)
 			}
-			addr, _ := startNodeAt(t, c, at, nil)
+			addr, _ := startNodeAt(t, c, listeners, nil)
 			if resp, _ := do(t, clientRequest(t, addr, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
 				t.Errorf("status %d", resp.StatusCode)
 			}
-			beside, err := listenShared(t.Context(), c.Listen)
+			second, err := listenShared(t.Context(), c.Listen)
 			if err != nil {
 				t.Fatalf("a second process can't listen: %v", err)
 			}
-			nodetest.Close(t, beside)
+			nodetest.Close(t, second)
 		})
 	}
 }
 
 // stale leaves a socket that nobody listens at.
-func stale(t *testing.T, path string) {
+func leaveStaleSocket(t *testing.T, path string) {
 	t.Helper()
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
@@ -252,7 +252,7 @@
 }
 
 // The folder's path may be longer than a Unix socket's address.
-func TestHandOverInADeepFolder(t *testing.T) {
+func TestHandOverInFolderWithLongPath(t *testing.T) {
 	t.Parallel()
 	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	c.SharedDir = filepath.Join(c.SharedDir, strings.Repeat("d", 120))
@@ -260,9 +260,9 @@
 		t.Fatal(err)
 	}
 	startProcess(t, c)
-	at, err := Listen(t.Context(), c)
-	if err != nil || at.predecessor == nil {
+	listeners, err := Listen(t.Context(), c)
+	if err != nil || listeners.predecessor == nil {
 		t.Fatalf("no hand-over: %v", err)
 	}
-	closeListeners(t, at)
+	closeListeners(t, listeners)
 }
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -16,52 +16,53 @@
 	"sloerail/internal/node/config"
 )
 
-// Listeners are where a node is reached, and the process that it takes over from.
+// Listeners holds a node's listening sockets and the process that it takes over from.
 type Listeners struct {
 	Clients     net.Listener
-	Control     net.Listener            // the operators'; nil for none
-	predecessor *hotrestart.Predecessor // nil where there was no such process
+	Control     net.Listener            // the admin server's; nil for none
+	predecessor *hotrestart.Predecessor // nil if there is none
 }
 
-// Listen makes the node's listeners. The clients' comes from the process that serves there now, where one does and
-// hands over; else it is an ordinary one.
+// Listen opens the node's listeners. If another process of the node runs and hands over, the clients' listener is taken
+// over from that process. Otherwise Listen opens a new one.
 func Listen(ctx context.Context, c config.Config) (Listeners, error) {
-	var at Listeners
+	var listeners Listeners
 	var err error
 	if identityOf(c).SocketPath() != "" {
-		at.predecessor, err = hotrestart.TakeOver(identityOf(c))
+		listeners.predecessor, err = hotrestart.TakeOver(identityOf(c))
 		switch {
 		case err == nil:
-			at.Clients = at.predecessor.Clients
-			slog.Info("hot restart: taking over", "servers", len(at.predecessor.State.Endpoints), "sockets", at.predecessor.State.Sockets)
+			listeners.Clients = listeners.predecessor.Clients
+			slog.Info("hot restart: taking over", "servers", len(listeners.predecessor.State.Endpoints),
+				"sockets", listeners.predecessor.State.Sockets)
 		case !errors.Is(err, os.ErrNotExist):
 			slog.Warn("hot restart: no hand-over, starting without former state", "error", err)
 		}
 	} else if c.SharedDir == "" {
 		slog.Info("hot restart: TMPDIR is not set, this process can't hand over")
 	}
-	if at.Clients == nil {
-		if at.Clients, err = listenShared(ctx, c.Listen); err != nil {
-			return at, fmt.Errorf("listen: %w", err)
+	if listeners.Clients == nil {
+		if listeners.Clients, err = listenShared(ctx, c.Listen); err != nil {
+			return listeners, fmt.Errorf("listen: %w", err)
 		}
 	}
 	if c.Control != "" {
-		if at.Control, err = new(net.ListenConfig).Listen(ctx, "tcp", c.Control); err != nil {
-			return at, errors.Join(fmt.Errorf("control: %w", err), at.close())
+		if listeners.Control, err = new(net.ListenConfig).Listen(ctx, "tcp", c.Control); err != nil {
+			return listeners, errors.Join(fmt.Errorf("control: %w", err), listeners.close())
 		}
 	}
-	return at, nil
+	return listeners, nil
 }
 
-func (at Listeners) close() error {
-	err := at.Clients.Close()
-	if at.predecessor != nil {
-		err = errors.Join(err, at.predecessor.Close())
+func (l Listeners) close() error {
+	err := l.Clients.Close()
+	if l.predecessor != nil {
+		err = errors.Join(err, l.predecessor.Close())
 	}
 	return err
 }
 
-// listenShared listens where another process of this node may listen too.
+// listenShared listens at addr with SO_REUSEPORT, so that another process of the node can listen there too.
 func listenShared(ctx context.Context, addr string) (net.Listener, error) {
 	lc := net.ListenConfig{KeepAlive: -1, Control: func(_, _ string, raw syscall.RawConn) error {
 		return raw.Control(func(fd uintptr) {
@@ -74,7 +75,7 @@
 	return lc.Listen(ctx, "tcp", addr)
 }
 
-// identityOf says which node this process is one of.
+// identityOf returns the identity of the node that this process belongs to.
 func identityOf(c config.Config) hotrestart.Identity {
 	return hotrestart.Identity{Name: c.Name, Address: c.Listen, Dir: c.SharedDir}
 }
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -14,62 +14,63 @@
 )
 
 const (
-	// eventBufferSize lets others hand in events while the loop is busy.
+	// eventBufferSize is how many events others can send without blocking while the loop is busy.
 	eventBufferSize = 1024
-	// maxEventBatch bounds the events that are handled before timers get their turn.
+	// maxEventBatch is the number of queued events that the loop handles before it looks at the timers again.
 	maxEventBatch = 64
-	// sweepInterval is the time between two looks for idle connections to servers that are to be closed.
+	// sweepInterval is how often the loop closes expired idle server connections and updates the zone metrics.
 	sweepInterval = time.Second
 )
 
-// balancer decides: it is the policy.Balancer, or a test's. The loop's goroutine alone calls it.
+// balancer makes the routing decisions: a policy.Balancer, or a fake in tests. Only the loop's goroutine calls it.
 type balancer interface {
-	// Handle takes an event and returns what to do, in order.
+	// Handle processes an event and returns the actions to execute, in order.
 	Handle(now policy.Time, ev policy.Event) []policy.Action
-	// Servers counts the listed servers, and those of them that get no work now.
+	// Servers returns the number of listed servers, and how many of them currently get no requests.
 	Servers() (listed, unavailable int)
-	// TailLatency is how long slow answers took lately.
+	// TailLatency returns the recent latency of slow responses.
 	TailLatency() time.Duration
-	// Snapshot is the state to hand over to another process, and Restore takes it.
+	// Snapshot returns the state to hand over to another process. Restore applies such a state.
 	Snapshot(now policy.Time) policy.Snapshot
 	Restore(now policy.Time, k policy.Snapshot)
-	// InFlight is this process's attempts by server, and SetSiblingInFlight takes the other process's.
+	// InFlight returns this process's attempts in flight by server. SetSiblingInFlight sets those of the node's other
+	// process.
 	InFlight() map[string]int
 	SetSiblingInFlight(out map[string]int)
-	// FleetSize is the number of nodes that quotas are divided by, that of nodes reachable, and whether this one is
-	// partitioned from the others.
+	// FleetSize returns the number of nodes that quotas are divided by, the number of reachable nodes, and whether this
+	// node is partitioned from the others.
 	FleetSize() (quotaNodes, reachable int, partitioned bool)
-	// Zones is the state of each zone; nil where the configuration names none.
+	// Zones returns the state of each zone, or nil if the configuration has no zones.
 	Zones(now policy.Time) []policy.ZoneState
 }
 
-// loop owns the balancer, the open requests and the timers, in one goroutine. All else sends it events; it waits for
-// nothing but the next of them.
+// loop owns the balancer, the open requests and the timers, and runs in one goroutine. Other goroutines send it events.
+// The loop never blocks except to wait for the next event or timer.
 type loop struct {
-	events chan event
-	done   chan struct{}         // closed when the loop has ended
-	ready  chan struct{}         // closed when the known list is in
-	terms  atomic.Pointer[terms] // clients' goroutines read it
-	up     *upstream.Transport
-	fig    *figures
+	events  chan event
+	done    chan struct{}              // closed when the loop has ended
+	ready   chan struct{}              // closed when the balancer has the known list
+	classes atomic.Pointer[classTable] // read by the clients' goroutines
+	up      *upstream.Transport
+	fig     *nodeMetrics
 
-	// The loop's goroutine alone uses what follows.
+	// Only the loop's goroutine uses the fields below.
 	clock      clock
 	balancer   balancer
 	allowed    policy.Allowed
-	maxOpen    int // requests without their answer; 0 for no limit
+	maxOpen    int // limit of unanswered; 0 for none
 	listClient *discovery.Client
 	listTarget discovery.Target // the list service as last configured
 	requests   map[string]*request
-	unanswered int  // requests without their answer
-	finished   bool // there is no time left for any
+	unanswered int  // requests that have no response yet
+	rejectAll  bool // the shutdown deadline has passed: no new requests
 	timers     timers
 	endpoints  map[string]discovery.Endpoint // the list as last received
-	unsent     []policy.Outcome              // of attempts that were not made, for when all actions are done
-	running    sync.WaitGroup                // the attempts under way
+	unsent     []policy.Outcome              // of attempts that were not made; reported after all actions of a batch
+	attemptsWG sync.WaitGroup                // attempts in flight
 }
 
-func newLoop(c config.Config, ck clock, up *upstream.Transport, fig *figures) (*loop, error) {
+func newLoop(c config.Config, ck clock, up *upstream.Transport, fig *nodeMetrics) (*loop, error) {
 	balancer, err := policy.New(c.Settings, ck.now(), c.Seed)
 	if err != nil {
 		return nil, err
@@ -78,12 +79,12 @@
 		events: make(chan event, eventBufferSize), done: make(chan struct{}), ready: make(chan struct{}),
 		requests: make(map[string]*request), endpoints: make(map[string]discovery.Endpoint)}
 	l.listTarget = discoveryTarget(c)
-	l.terms.Store(newTerms(c.Settings.Classes))
+	l.classes.Store(newClassTable(c.Settings.Classes))
 	l.listClient = discovery.NewClient(discoveryConfig(c), func(u discovery.Update) { l.send(endpointUpdate{u}) })
 	return l, nil
 }
 
-// send hands the loop an event. After the loop's end it does nothing.
+// send sends the loop an event. It does nothing once the loop has ended.
 func (l *loop) send(ev event) {
 	select {
 	case l.events <- ev:
@@ -91,10 +92,10 @@
 	}
 }
 
-// run handles events until ctx ends; then it cancels the attempts under way and waits for them. The known list comes
-// before all else, as the balancer expects, and then the state of a predecessor, if there is one.
+// run handles events until ctx ends, then cancels the attempts in flight and waits for them. The balancer gets the known
+// list first, as it expects, and then the predecessor's state, if there is one.
 func (l *loop) run(ctx context.Context, known []discovery.Endpoint, predecessor *hotrestart.State) {
-	defer l.running.Wait()
+	defer l.attemptsWG.Wait()
 	defer l.cancelAttempts()
 	defer close(l.done)
 	l.handle(endpointUpdate{discovery.Update{Kind: policy.ListCached, Endpoints: known}})
@@ -107,32 +108,33 @@
 	defer sweep.Stop()
 	wake := time.NewTimer(0)
 	defer wake.Stop()
-	armed := policy.Time(0) // what wake is set to
+	armedFor := policy.Time(0) // the due time that wake is set to
 	for {
-		if len(l.timers) > 0 && l.timers[0].due != armed {
-			armed = l.timers[0].due
-			wake.Reset(armed - l.clock.now())
+		if len(l.timers) > 0 && l.timers[0].due != armedFor {
+			armedFor = l.timers[0].due
+			wake.Reset(armedFor - l.clock.now())
 		}
 		select {
 		case ev := <-l.events:
 			l.handle(ev)
 			l.handleQueued()
 		case <-wake.C:
-			armed = 0
+			armedFor = 0
 		case now := <-sweep.C:
 			l.up.CloseExpired(now)
 			l.updateZoneMetrics(l.clock.now())
 		case <-ctx.Done():
 			return
 		}
-		l.fire()
+		l.fireTimers()
 	}
 }
 
-// handle handles one event.
+// handle processes one event.
 func (l *loop) handle(ev event) { ev.handle(l) }
 
-// handleQueued handles what else has come already, which costs less than a select over all that the loop waits for.
+// handleQueued handles events that are already queued, up to maxEventBatch. That is cheaper than run's select over all
+// channels.
 func (l *loop) handleQueued() {
 	for range maxEventBatch {
 		select {
@@ -144,7 +146,7 @@
 	}
 }
 
-// inFlight is this process's attempts, by server; nil once the loop has ended.
+// inFlight returns this process's attempts in flight by server, or nil once the loop has ended.
 func (l *loop) inFlight() map[string]int {
 	attempts, _ := query(l, func(reply chan<- map[string]int) event { return inFlightRequest{reply} })
 	return attempts
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -18,34 +18,36 @@
 )
 
 // script is a module that answers each event as a test says, and keeps what it was told.
-type script struct {
-	mu     sync.Mutex
-	told   []policy.Event
-	answer func(policy.Time, policy.Event) []policy.Action
+type scriptedBalancer struct {
+	mu       sync.Mutex
+	received []policy.Event
+	respond  func(policy.Time, policy.Event) []policy.Action
 }
 
-func (s *script) Handle(now policy.Time, ev policy.Event) []policy.Action {
+func (s *scriptedBalancer) Handle(now policy.Time, ev policy.Event) []policy.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = append(s.told, ev)
-	return s.answer(now, ev)
+	s.received = append(s.received, ev)
+	return s.respond(now, ev)
 }
 
-func (s *script) Servers() (listed, unavailable int)                       { return 0, 0 }
-func (s *script) TailLatency() time.Duration                               { return 0 }
-func (s *script) Snapshot(policy.Time) (k policy.Snapshot)                 { return k }
-func (s *script) Restore(now policy.Time, _ policy.Snapshot)               {}
-func (s *script) InFlight() map[string]int                                 { return nil }
-func (s *script) SetSiblingInFlight(map[string]int)                        {}
-func (s *script) FleetSize() (quotaNodes, reachable int, partitioned bool) { return 0, 0, false }
-func (s *script) Zones(policy.Time) []policy.ZoneState                     { return nil }
+func (s *scriptedBalancer) Servers() (listed, unavailable int)         { return 0, 0 }
+func (s *scriptedBalancer) TailLatency() time.Duration                 { return 0 }
+func (s *scriptedBalancer) Snapshot(policy.Time) (k policy.Snapshot)   { return k }
+func (s *scriptedBalancer) Restore(now policy.Time, _ policy.Snapshot) {}
+func (s *scriptedBalancer) InFlight() map[string]int                   { return nil }
+func (s *scriptedBalancer) SetSiblingInFlight(map[string]int)          {}
+func (s *scriptedBalancer) FleetSize() (quotaNodes, reachable int, partitioned bool) {
+	return 0, 0, false
+}
+func (s *scriptedBalancer) Zones(policy.Time) []policy.ZoneState { return nil }
 
 // events lists what the module was told, in short words.
-func (s *script) events() []string {
+func (s *scriptedBalancer) events() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []string
-	for _, ev := range s.told {
+	for _, ev := range s.received {
 		switch e := ev.(type) {
 		case policy.EndpointList:
 			all = append(all, fmt.Sprintf("list %d", e.Kind))
@@ -62,7 +64,7 @@
 	return all
 }
 
-func (s *script) has(t *testing.T, want ...string) {
+func (s *scriptedBalancer) has(t *testing.T, want ...string) {
 	t.Helper()
 	nodetest.Await(t, strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
 	if got := s.events(); !reflect.DeepEqual(got, want) {
@@ -71,16 +73,16 @@
 }
 
 // startLoop runs a loop around a scripted module.
-func startLoop(t *testing.T, addr string, answer func(policy.Time, policy.Event) []policy.Action) (*loop, *script) {
+func startLoop(t *testing.T, addr string, respond func(policy.Time, policy.Event) []policy.Action) (*loop, *scriptedBalancer) {
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList(addr))
-	fig := newFigures(c.Settings.Classes)
+	fig := newMetrics(c.Settings.Classes)
 	up := newTransport(c, testDescriptors(200), fig)
 	l, err := newLoop(c, clock{start: time.Now()}, up, fig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{answer: answer}
+	s := &scriptedBalancer{respond: respond}
 	l.balancer = s
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
@@ -93,10 +95,10 @@
 	return l, s
 }
 
-func (l *loop) arriveNow(id string, waits time.Duration) *downstream.Exchange {
+func (l *loop) sendRequest(id string, timeout time.Duration) *downstream.Exchange {
 	x := testExchange(http.MethodGet, id, "")
-	x.ReceivedAt, x.Timeout = l.clock.now(), waits
-	l.send(arrival{x})
+	x.ReceivedAt, x.Timeout = l.clock.now(), timeout
+	l.send(requestReceived{x})
 	return x
 }
 
@@ -116,7 +118,7 @@
 }
 
 // The restored list comes first, and the one outcome of a served request says that it has ended.
-func TestOrderOfEvents(t *testing.T) {
+func TestEventOrder(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "yes") })
 		l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
@@ -128,7 +130,7 @@
 			}
 			return nil
 		})
-		x := l.arriveNow("r1", nodetest.Timeout)
+		x := l.sendRequest("r1", nodetest.Timeout)
 		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != 200 || string(a.Body) != "yes" {
 			t.Errorf("answer %d %q", a.Status, a.Body)
 		}
@@ -137,7 +139,7 @@
 }
 
 // Attempts beyond the limit are not made, keep their numbers, and are told as skipped.
-func TestAttemptsBeyondTheLimitAreSkipped(t *testing.T) {
+func TestAttemptsOverLimitAreSkipped(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var served sync.WaitGroup
 		served.Add(3)
@@ -146,20 +148,20 @@
 			served.Wait() // all that are allowed reach the server before one is answered
 			w.WriteHeader(http.StatusInternalServerError)
 		})
-		moot := make(chan policy.Outcome, 2)
+		skipped := make(chan policy.Outcome, 2)
 		l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
 			case policy.Request:
 				return sends(e.ID, 4)
 			case policy.Outcome:
 				if e.Code == policy.NotAttempted {
-					moot <- e
+					skipped <- e
 				}
 			}
 			return nil
 		})
-		l.arriveNow("r1", nodetest.Timeout)
-		if o := nodetest.Receive(t, "the skipped attempt", moot); o.Attempt != 3 || o.RequestEnded {
+		l.sendRequest("r1", nodetest.Timeout)
+		if o := nodetest.Receive(t, "the skipped attempt", skipped); o.Attempt != 3 || o.RequestEnded {
 			t.Errorf("got %+v", o)
 		}
 		nodetest.Await(t, "the other outcomes", func() bool { return len(s.events()) == 6 })
@@ -167,7 +169,7 @@
 }
 
 // After the final answer nothing goes out, and what was out still gets its outcome.
-func TestNothingGoesOutAfterTheAnswer(t *testing.T) {
+func TestNoAttemptsAfterResponse(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		arrived := make(chan string, 4)
 		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -185,7 +187,7 @@
 			}
 			return nil
 		})
-		x := l.arriveNow("r1", nodetest.Timeout)
+		x := l.sendRequest("r1", nodetest.Timeout)
 		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusBadGateway {
 			t.Errorf("status %d, want the first answer", a.Status)
 		}
@@ -197,10 +199,10 @@
 	})
 }
 
-func TestBackstopAnswersForASilentModule(t *testing.T) {
+func TestBackstopAnswersForSilentBalancer(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-		x := l.arriveNow("r1", 200*time.Millisecond)
+		x := l.sendRequest("r1", 200*time.Millisecond)
 		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusGatewayTimeout {
 			t.Errorf("status %d", a.Status)
 		}
@@ -212,11 +214,11 @@
 }
 
 // An attempt ends within the client's time, whatever the module asked for; the server is told so.
-func TestTimeOutIsClippedToTheDeadline(t *testing.T) {
+func TestAttemptTimeoutIsCappedByDeadline(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		told := make(chan string, 1)
+		deadlines := make(chan string, 1)
 		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
-			told <- r.Header.Get("X-Deadline-Ms")
+			deadlines <- r.Header.Get("X-Deadline-Ms")
 			<-r.Context().Done()
 		})
 		l, _ := startLoop(t, addr, func(now policy.Time, ev policy.Event) []policy.Action {
@@ -228,8 +230,8 @@
 			}
 			return nil
 		})
-		x := l.arriveNow("r1", 2*time.Second)
-		if ms, err := strconv.Atoi(nodetest.Receive(t, "the attempt", told)); err != nil || ms > 2000 {
+		x := l.sendRequest("r1", 2*time.Second)
+		if ms, err := strconv.Atoi(nodetest.Receive(t, "the attempt", deadlines)); err != nil || ms > 2000 {
 			t.Errorf("the server is told of %d ms (%v), though the client waits for 2000", ms, err)
 		}
 		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status < 500 {
@@ -238,17 +240,17 @@
 	})
 }
 
-func TestDuplicateAndSurplusRequestsAreAnsweredByTheNode(t *testing.T) {
+func TestNodeRejectsDuplicateAndSurplusRequests(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-		l.arriveNow("r1", nodetest.Timeout)
-		if a := nodetest.Receive(t, "the answer", l.arriveNow("r1", nodetest.Timeout).Reply); a.Status != http.StatusConflict {
+		l.sendRequest("r1", nodetest.Timeout)
+		if a := nodetest.Receive(t, "the answer", l.sendRequest("r1", nodetest.Timeout).Reply); a.Status != http.StatusConflict {
 			t.Errorf("duplicate: status %d", a.Status)
 		}
 		for i := 2; i <= l.maxOpen; i++ {
-			l.arriveNow(fmt.Sprint("r", i), nodetest.Timeout)
+			l.sendRequest(fmt.Sprint("r", i), nodetest.Timeout)
 		}
-		if a := nodetest.Receive(t, "the answer", l.arriveNow("more", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
+		if a := nodetest.Receive(t, "the answer", l.sendRequest("more", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("surplus: status %d", a.Status)
 		}
 		if n := len(s.events()); n != 1+l.maxOpen {
@@ -257,17 +259,17 @@
 	})
 }
 
-func TestFinishFailsWhatIsOpen(t *testing.T) {
+func TestFailUnanswered(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-		x := l.arriveNow("r1", nodetest.Timeout)
+		x := l.sendRequest("r1", nodetest.Timeout)
 		l.send(failUnanswered{})
 		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusBadGateway {
 			t.Errorf("status %d", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
 		// The id is free again, so this is no duplicate; but no time is left for it.
-		if a := nodetest.Receive(t, "the answer", l.arriveNow("r1", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
+		if a := nodetest.Receive(t, "the answer", l.sendRequest("r1", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("after the end: status %d", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
@@ -275,24 +277,24 @@
 }
 
 // A request that is over leaves nothing behind, however far off its deadline was.
-func TestEndedRequestsAreForgotten(t *testing.T) {
+func TestEndedRequestsAreDropped(t *testing.T) {
 	l := &loop{clock: clock{start: time.Now()}, requests: make(map[string]*request),
-		endpoints: make(map[string]discovery.Endpoint), fig: newFigures(nil)}
-	l.balancer = &script{answer: func(_ policy.Time, ev policy.Event) []policy.Action {
+		endpoints: make(map[string]discovery.Endpoint), fig: newMetrics(nil)}
+	l.balancer = &scriptedBalancer{respond: func(_ policy.Time, ev policy.Event) []policy.Action {
 		if e, ok := ev.(policy.Request); ok {
 			return []policy.Action{{Kind: policy.Reject, ID: e.ID}}
 		}
 		return nil
 	}}
 	for i := range 50 {
-		l.handle(arrival{testExchange(http.MethodGet, fmt.Sprint(i), "")})
+		l.handle(requestReceived{testExchange(http.MethodGet, fmt.Sprint(i), "")})
 	}
 	if len(l.requests) != 0 || len(l.timers) != 0 || l.unanswered != 0 {
 		t.Errorf("%d requests, %d timers, %d answers owed", len(l.requests), len(l.timers), l.unanswered)
 	}
 }
 
-func TestClockConvertsStarts(t *testing.T) {
+func TestClockFromUnixMilli(t *testing.T) {
 	c := clock{start: time.UnixMilli(1_700_000_000_000)}
 	for ms, want := range map[int64]policy.Time{
 		0:                        0,
@@ -303,7 +305,7 @@
 		1:                        0,
 		1<<53 - 1:                2 * timeOrigin,
 	} {
-		if got := c.unix(ms); got != want {
+		if got := c.fromUnixMilli(ms); got != want {
 			t.Errorf("%d: got %v, want %v", ms, got, want)
 		}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,23 +13,23 @@
 	"sloerail/internal/node/upstream"
 )
 
-// Run serves clients until ctx ends. Then it drains, and returns once all that it started has ended. Reloaded
-// configurations come by changes.
-func Run(ctx context.Context, c config.Config, at Listeners, changes <-chan Change) error {
-	started := clock{start: time.Now()}
-	maxSockets, state := at.restore(&c)
+// Run serves clients until ctx ends, then drains. It returns when all goroutines that it started have ended. Reloaded
+// configurations arrive on changes.
+func Run(ctx context.Context, c config.Config, listeners Listeners, changes <-chan Change) error {
+	ck := clock{start: time.Now()}
+	maxSockets, state := listeners.restore(&c)
 	limitMemory(c, 1)
-	fig := newFigures(c.Settings.Classes)
-	up := newTransport(c, new(upstream.Descriptors), fig)
-	defer up.CloseIdle()
-	l, err := newLoop(c, started, up, fig)
+	fig := newMetrics(c.Settings.Classes)
+	transport := newTransport(c, new(upstream.Descriptors), fig)
+	defer transport.CloseIdle()
+	l, err := newLoop(c, ck, transport, fig)
 	if err != nil {
 		return err
 	}
 	s := newServer(l)
 	s.isSuccessor = state != nil
 	s.AwaitingDescriptors.Store(s.isSuccessor)
-	fleet, err := l.join(c)
+	fleet, err := l.joinFleet(c)
 	if err != nil {
 		return err
 	}
@@ -37,49 +37,50 @@
 		limitMemory(c, sharedMemoryFraction)
 	}
 
-	running, stop := context.WithCancel(context.Background())
-	var parts sync.WaitGroup
-	defer parts.Wait()
+	runCtx, stop := context.WithCancel(context.Background())
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer stop()
-	parts.Go(func() { l.run(running, c.Known.Endpoints, state) })
-	parts.Go(func() { l.listClient.Run(running) })
-	clients := downstream.NewConnectionLimiter(at.Clients, maxSockets)
-	restart := &hotRestart{config: c, server: s, transport: up, clients: clients, fleet: fleet, sockets: maxSockets}
+	wg.Go(func() { l.run(runCtx, c.Known.Endpoints, state) })
+	wg.Go(func() { l.listClient.Run(runCtx) })
+	clientListener := downstream.NewConnectionLimiter(listeners.Clients, maxSockets)
+	restart := &hotRestart{config: c, server: s, transport: transport, clients: clientListener, fleet: fleet,
+		sockets: maxSockets}
 	restart.shareSockets()
-	failed := make(chan error, 1)
-	parts.Go(func() { failed <- s.Accept(clients) })
-	parts.Go(func() { restart.run(running, at.predecessor) })
+	acceptErr := make(chan error, 1)
+	wg.Go(func() { acceptErr <- s.Accept(clientListener) })
+	wg.Go(func() { restart.run(runCtx, listeners.predecessor) })
 	if fleet != nil {
-		parts.Go(func() { l.followFleet(running, fleet.Subscribe()) })
-		parts.Go(func() { fleet.runAsMember(ctx, running, s.soleListener) })
+		wg.Go(func() { l.followFleet(runCtx, fleet.Subscribe()) })
+		wg.Go(func() { fleet.runAsMember(ctx, runCtx, s.soleListener) })
 	}
-	if at.Control != nil {
-		parts.Go(func() { newAdminServer(l, s.acceptsNewClients, fleet).run(running, at.Control) })
+	if listeners.Control != nil {
+		wg.Go(func() { newAdminServer(l, s.acceptsNewClients, fleet).run(runCtx, listeners.Control) })
 	}
-	if err := l.serveUntil(ctx, failed, changes); err != nil {
+	if err := l.serveUntil(ctx, acceptErr, changes); err != nil {
 		return err
 	}
 	return s.drain(restart)
 }
 
-// restore puts the list to start with into the configuration. It returns the descriptors that the process may hold, and
-// the state of its predecessor; nil if there is none.
-func (at Listeners) restore(c *config.Config) (sockets int, state *hotrestart.State) {
-	if at.predecessor == nil {
+// restore sets c.Known to the initial endpoint list: the predecessor's, or else the cached one. It returns the number of
+// descriptors that the process may hold and the predecessor's state, nil if there is no predecessor.
+func (l Listeners) restore(c *config.Config) (sockets int, state *hotrestart.State) {
+	if l.predecessor == nil {
 		c.Known = discovery.RestoreList(c.ListFile, c.Known)
 		return c.Sockets, nil
 	}
-	state = &at.predecessor.State
+	state = &l.predecessor.State
 	c.Known = discovery.List{Revision: discovery.UnknownRevision, Endpoints: state.EndpointList()}
 	return state.Sockets, state
 }
 
-// serveUntil takes changes of the configuration until ctx ends, or accepting clients fails.
-func (l *loop) serveUntil(ctx context.Context, failed <-chan error, changes <-chan Change) error {
+// serveUntil applies configuration changes until ctx ends or accepting clients fails.
+func (l *loop) serveUntil(ctx context.Context, acceptErr <-chan error, changes <-chan Change) error {
 	for ctx.Err() == nil {
 		select {
-		case err := <-failed:
-			return fmt.Errorf("serving: %w", err)
+		case err := <-acceptErr:
+			return fmt.Errorf("accept clients: %w", err)
 		case change := <-changes:
 			l.handleChange(change)
 		case <-ctx.Done():
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,64 +9,67 @@
 	"sloerail/policy"
 )
 
-// formerClassTime is how long after a change of the configuration requests in the former form of their class are taken.
-const formerClassTime = 1200 * time.Millisecond
+// formerClassPeriod is how long after a configuration change requests in the former form of their class are accepted.
+const formerClassPeriod = 1200 * time.Millisecond
 
-// Change is the outcome of reading the configuration again.
+// Change is the result of reloading the configuration.
 type Change struct {
 	Config config.Config
-	Err    error // the file is rejected as a whole
+	Err    error // why the file was rejected, as a whole
 }
 
-// terms are the classes that clients' requests are read by. They are not changed: a changed configuration makes new ones.
-type terms struct {
-	classes map[string]policy.Class
-	all     []policy.Class
-	former  *terms    // those before the last change, which hold too
-	until   time.Time // then
+// classTable holds the classes that clients' requests are checked against. It is immutable: a changed configuration
+// makes a new one.
+type classTable struct {
+	byName      map[string]policy.Class
+	list        []policy.Class
+	former      *classTable // the classes before the last change, valid until formerUntil
+	formerUntil time.Time
 }
 
-func newTerms(classes []policy.Class) *terms {
-	t := &terms{classes: make(map[string]policy.Class), all: classes}
+func newClassTable(classes []policy.Class) *classTable {
+	t := &classTable{byName: make(map[string]policy.Class), list: classes}
 	for _, c := range classes {
-		t.classes[c.Name] = c
+		t.byName[c.Name] = c
 	}
 	return t
 }
 
-// after are the terms that follow t.
-func (t *terms) after(classes []policy.Class, now time.Time) *terms {
-	next := newTerms(classes)
-	next.former, next.until = &terms{classes: t.classes, all: t.all}, now.Add(formerClassTime)
-	return next
+// next returns the table of the new classes, with those of t as the former ones.
+func (t *classTable) next(classes []policy.Class, now time.Time) *classTable {
+	n := newClassTable(classes)
+	n.former, n.formerUntil = &classTable{byName: t.byName, list: t.list}, now.Add(formerClassPeriod)
+	return n
 }
 
-// Class is that of a request, and whether that is in the former form of its class.
-func (t *terms) Class(name, method string, hasKey bool) (c policy.Class, former, ok bool) {
-	if t.former != nil && time.Now().Before(t.until) {
-		if c, ok := t.former.classes[name]; ok && fits(c, method, hasKey) {
+// Class returns the class of a request by name. Just after a configuration change it is the former class of that name if
+// the request has that class's form; former reports so.
+func (t *classTable) Class(name, method string, hasKey bool) (c policy.Class, former, ok bool) {
+	if t.former != nil && time.Now().Before(t.formerUntil) {
+		if c, ok := t.former.byName[name]; ok && matchesClass(c, method, hasKey) {
 			return c, true, true
 		}
 	}
-	c, ok = t.classes[name]
+	c, ok = t.byName[name]
 	return c, false, ok
 }
 
-// fits reports whether a request has the form of a class: the method and the key follow from its effect.
-func fits(c policy.Class, method string, keyed bool) bool {
-	return method == downstream.MethodFor(c) && (c.RetrySafety == policy.IdempotencyKeyed) == keyed
+// matchesClass reports whether a request has the form of a class: the class's retry safety determines the method and
+// whether there is an idempotency key.
+func matchesClass(c policy.Class, method string, hasKey bool) bool {
+	return method == downstream.MethodFor(c) && (c.RetrySafety == policy.IdempotencyKeyed) == hasKey
 }
 
-// longestOf is the longest of the waits of all classes, those of just before a change included.
-func (t *terms) longestOf(wait func([]policy.Class) time.Duration) time.Duration {
-	longest := wait(t.all)
-	if t.former != nil && time.Now().Before(t.until) {
-		longest = max(longest, wait(t.former.all))
+// longest returns the maximum of waitOf over the classes and, while they are valid, the former classes.
+func (t *classTable) longest(waitOf func([]policy.Class) time.Duration) time.Duration {
+	d := waitOf(t.list)
+	if t.former != nil && time.Now().Before(t.formerUntil) {
+		d = max(d, waitOf(t.former.list))
 	}
-	return longest
+	return d
 }
 
-// handleChange passes a changed configuration on to the loop.
+// handleChange sends a changed configuration to the loop, or logs why it was rejected.
 func (l *loop) handleChange(c Change) {
 	if c.Err != nil {
 		slog.Error("the changed configuration is not used", "error", c.Err)
@@ -76,7 +79,7 @@
 	l.send(configChanged{c.Config})
 }
 
-// applyConfig goes over to another configuration, all of it at once. Open requests keep their class.
+// applyConfig applies a changed configuration as a whole. Open requests keep their class.
 func (l *loop) applyConfig(c config.Config) {
 	l.allowed, l.maxOpen = c.Settings.Allowed, c.MaxOpen
 	l.up.Configure(transportConfig(c))
@@ -85,12 +88,13 @@
 		l.fig.class(class.Name)
 		names = append(names, class.Name)
 	}
-	l.terms.Store(l.terms.Load().after(c.Settings.Classes, time.Now()))
+	l.classes.Store(l.classes.Load().next(c.Settings.Classes, time.Now()))
 	if target := discoveryTarget(c); target != l.listTarget {
 		l.listTarget = target
 		l.listClient.Retarget(target)
 	}
 	l.decide(c.Settings)
 	l.fig.accepted.Inc()
-	slog.Info("configuration taken", "classes", names, "attempts", c.Settings.Allowed.MaxAttempts, "discovery", c.Discovery)
+	slog.Info("configuration applied", "classes", names, "attempts", c.Settings.Allowed.MaxAttempts,
+		"discovery", c.Discovery)
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-const laterSettings = `{"position":0,"groupSize":1,"zone":"a",
+const changedSettings = `{"position":0,"groupSize":1,"zone":"a",
 	"services":[{"name":"read","aim":4000,"deadline":9000,"repeat":"single_shot"},
 		{"name":"undo","aim":4000,"deadline":9000,"repeat":"guarded","group":"all","window":4000},
 		{"name":"order","aim":4000,"deadline":9000,"repeat":"free"}],
@@ -43,12 +43,12 @@
 
 // New settings bind as a whole: a class comes, one goes, another's effect and the attempts change. What a
 // tenant has used up stays so, and a bad file in between changes nothing.
-func TestNewSettingsBindAtOnce(t *testing.T) {
+func TestReloadAppliesSettingsAsAWhole(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		var full atomic.Int32
+		var fullAttempts atomic.Int32
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasPrefix(r.Header.Get("X-Request-Id"), "full") {
-				full.Add(1)
+				fullAttempts.Add(1)
 				w.Header().Set("X-Not-Run", "1")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
@@ -56,54 +56,54 @@
 		known := nodetest.KnownList(server, server, server)
 		c, reload := loadFile(t, nodetest.FillConfig(known, nodetest.Settings))
 		changes := make(chan Change)
-		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-		ctl := at.Control.Addr().String()
-		node, _ := startNodeAt(t, c, at, changes)
+		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
+		adminAddr := listeners.Control.Addr().String()
+		node, _ := startNodeAt(t, c, listeners, changes)
 		change := func(text string) {
 			t.Helper()
 			next, err := reload(text)
 			changes <- Change{next, err}
 		}
-		ask := func(method, class, id string, headers ...string) int {
+		status := func(method, class, id string, headers ...string) int {
 			t.Helper()
 			resp, _ := do(t, clientRequest(t, node, method, class, id, "", headers...))
 			return resp.StatusCode
 		}
-		wants := func(want int, got int, what string) {
+		checkStatus := func(want int, got int, what string) {
 			t.Helper()
 			if got != want {
 				t.Errorf("%s: status %d, want %d", what, got, want)
 			}
 		}
 		for i := range 3 {
-			wants(200, ask("GET", "read", fmt.Sprint("tiny", i), "X-Tenant", "tiny"), "within the burst")
+			checkStatus(200, status("GET", "read", fmt.Sprint("tiny", i), "X-Tenant", "tiny"), "within the burst")
 		}
-		ask("GET", "read", "full-before")
-		if n := full.Swap(0); n != 3 {
+		status("GET", "read", "full-before")
+		if n := fullAttempts.Swap(0); n != 3 {
 			t.Errorf("%d attempts before, want 3", n)
 		}
-		wants(400, ask("GET", "order", "o1"), "a class to come")
-		change(nodetest.FillConfig(known, strings.Replace(laterSettings, `"maxAttempts":1,`, "", 1)))
-		awaitStats(t, ctl, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 0})
-		wants(400, ask("GET", "order", "o2"), "a class of a broken file")
+		checkStatus(400, status("GET", "order", "o1"), "a class to come")
+		change(nodetest.FillConfig(known, strings.Replace(changedSettings, `"maxAttempts":1,`, "", 1)))
+		awaitStats(t, adminAddr, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 0})
+		checkStatus(400, status("GET", "order", "o2"), "a class of a broken file")
 
 		began := time.Now()
-		change(nodetest.FillConfig(known, laterSettings))
-		awaitStats(t, ctl, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 1,
+		change(nodetest.FillConfig(known, changedSettings))
+		awaitStats(t, adminAddr, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 1,
 			`app_fulfilled_total{priority="order"}`: 0, `app_fulfilled_total{priority="read"}`: 3})
-		wants(200, ask("GET", "order", "o3"), "the new class")
-		wants(200, ask("POST", "read", "r1"), "the class with a new effect")
-		nodetest.Await(t, "the dropped class's end", func() bool { return ask("POST", "pay", fmt.Sprint("p", time.Now().UnixNano())) == 400 })
-		if took := time.Since(began); took > formerClassTime+time.Second/2 {
+		checkStatus(200, status("GET", "order", "o3"), "the new class")
+		checkStatus(200, status("POST", "read", "r1"), "the class with a new effect")
+		nodetest.Await(t, "the dropped class's end", func() bool { return status("POST", "pay", fmt.Sprint("p", time.Now().UnixNano())) == 400 })
+		if took := time.Since(began); took > formerClassPeriod+time.Second/2 {
 			t.Errorf("the dropped class was served for %v", took)
 		}
-		wants(405, ask("GET", "read", "r2"), "the former form of a class")
-		ask("GET", "order", "full-after")
-		if n := full.Load(); n != 1 {
+		checkStatus(405, status("GET", "read", "r2"), "the former form of a class")
+		status("GET", "order", "full-after")
+		if n := fullAttempts.Load(); n != 1 {
 			t.Errorf("%d attempts after, want 1", n)
 		}
-		wants(429, ask("GET", "order", "tiny-after", "X-Tenant", "tiny"), "an empty bucket")
-		if _, ok := stats(t, ctl)[`app_fulfilled_total{priority="pay"}`]; !ok {
+		checkStatus(429, status("GET", "order", "tiny-after", "X-Tenant", "tiny"), "an empty bucket")
+		if _, ok := stats(t, adminAddr)[`app_fulfilled_total{priority="pay"}`]; !ok {
 			t.Error("the counts of the dropped class are gone")
 		}
 	})
@@ -111,31 +111,31 @@
 
 // Just after a change a request in its class's former form is taken by the former rules.
 func TestFormerFormsAreTakenForAMoment(t *testing.T) {
-	free, once := policy.Class{Name: "c", RetrySafety: policy.Idempotent}, policy.Class{Name: "c"}
-	gone := policy.Class{Name: "gone"}
+	idempotent, nonIdempotent := policy.Class{Name: "c", RetrySafety: policy.Idempotent}, policy.Class{Name: "c"}
+	removed := policy.Class{Name: "gone"}
 	now := time.Now()
 	for _, c := range []struct {
-		changed     time.Time
+		changedAt   time.Time
 		method      string
 		class       string
 		former, ok  bool
-		wantsRepeat policy.RetrySafety
+		retrySafety policy.RetrySafety
 	}{
 		{now, "GET", "c", true, true, policy.Idempotent},
 		{now, "POST", "c", false, true, policy.NonIdempotent},
 		{now, "POST", "gone", true, true, policy.NonIdempotent},
-		{now.Add(-2 * formerClassTime), "GET", "c", false, true, policy.NonIdempotent},
-		{now.Add(-2 * formerClassTime), "POST", "gone", false, false, policy.NonIdempotent},
+		{now.Add(-2 * formerClassPeriod), "GET", "c", false, true, policy.NonIdempotent},
+		{now.Add(-2 * formerClassPeriod), "POST", "gone", false, false, policy.NonIdempotent},
 	} {
-		got, former, ok := newTerms([]policy.Class{free, gone}).after([]policy.Class{once}, c.changed).Class(c.class, c.method, false)
-		if former != c.former || ok != c.ok || got.RetrySafety != c.wantsRepeat {
-			t.Errorf("%s %s, changed %v ago: former %v, ok %v, repeat %v", c.method, c.class, now.Sub(c.changed), former, ok, got.RetrySafety)
+		got, former, ok := newClassTable([]policy.Class{idempotent, removed}).next([]policy.Class{nonIdempotent}, c.changedAt).Class(c.class, c.method, false)
+		if former != c.former || ok != c.ok || got.RetrySafety != c.retrySafety {
+			t.Errorf("%s %s, changed %v ago: former %v, ok %v, repeat %v", c.method, c.class, now.Sub(c.changedAt), former, ok, got.RetrySafety)
 		}
 	}
 }
 
 // Signals in a row, good files and bad, and one while the node stops, do no harm.
-func TestManyChangesInARow(t *testing.T) {
+func TestManyReloads(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		known := nodetest.KnownList(server)
@@ -143,11 +143,11 @@
 		changes := make(chan Change)
 		node, stop := startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, changes)
 		for i := range 50 {
-			text := nodetest.FillConfig(known, []string{nodetest.Settings, laterSettings, ""}[i%3])
+			text := nodetest.FillConfig(known, []string{nodetest.Settings, changedSettings, ""}[i%3])
 			next, err := reload(text)
 			changes <- Change{next, err}
 		}
-		next, err := reload(nodetest.FillConfig(known, laterSettings))
+		next, err := reload(nodetest.FillConfig(known, changedSettings))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	// answerMargin is how long before the client stops waiting policy's time is up, so that its answer still arrives;
-	// after half of it the backstop answers. Of a short deadline it is at most a part.
-	answerMargin         = 20 * time.Millisecond
-	answerMarginFraction = 5
-	// maxUploadTime bounds a request that is sent on while it comes in. The least rate of a body ends it far sooner.
-	// policy has the same bound, of the same name.
+	// answerMargin is how long before the client's timeout the balancer's time ends, so that its answer still reaches the
+	// client. The backstop timer answers half of the margin later. The margin is at most a fifth of the client's timeout.
+	answerMargin        = 20 * time.Millisecond
+	answerMarginDivisor = 5
+	// maxUploadTime bounds a request whose body is streamed to the server. The minimum rate of a body ends it far sooner.
+	// policy has the same bound under the same name.
 	maxUploadTime = 15 * time.Minute
-	// maxReportAge is how long after the first byte of an answer the load report in it is of use.
+	// maxReportAge is how long after the first byte of a response its load report is used.
 	maxReportAge = time.Second
 )
 
-// request is kept until it is answered and all its attempts are over.
+// request is an open request. It is kept until it is answered and all its attempts have ended.
 type request struct {
 	*downstream.Exchange
-	deadline policy.Time // of its attempts
-	backstop *timer      // answers if the balancer doesn't in time
-	ended    bool        // it is answered, or its client has left
+	deadline policy.Time // for its attempts
+	backstop *timer      // answers if the balancer doesn't do so in time
+	ended    bool        // it was answered, or its client has disconnected
 	attempts []attempt
-	pending  int // attempts that are not over
+	pending  int // attempts that have not ended
 }
 
 // attempt is one sending of a request to a server.
 type attempt struct {
 	server     string
-	sentAt     policy.Time // or when the request was whole, if that was later
-	answeredAt policy.Time // when its answer began, of one that is passed on as it comes
-	flight     *upstream.Lifetime
+	sentAt     policy.Time // or when the request body was complete, if that was later
+	answeredAt policy.Time // when its response started, if that is streamed; else 0
+	lifetime   *upstream.Lifetime
 }
 
 // startRequest passes a new request to the balancer, unless the node rejects it.
 func (l *loop) startRequest(x *downstream.Exchange) {
-	if x.Disconnected() { // while it waited for the loop
+	if x.Disconnected() { // while the event was queued
 		return
 	}
-	if l.requests[x.Request.ID] != nil { // the balancer would wait for the first, and never answer this one
+	if l.requests[x.Request.ID] != nil { // the balancer ignores a second request with the same ID
 		x.Reply <- downstream.Response{Status: http.StatusConflict}
 		return
 	}
-	if l.finished || l.maxOpen > 0 && l.unanswered >= l.maxOpen {
+	if l.rejectAll || l.maxOpen > 0 && l.unanswered >= l.maxOpen {
 		x.Reply <- downstream.Response{Status: http.StatusServiceUnavailable}
 		return
 	}
 	r := &request{Exchange: x}
 	l.requests[x.Request.ID] = r
 	l.unanswered++
-	r.backstop = &timer{backstop: r}
+	r.backstop = &timer{request: r}
 	req := x.Request
-	req.FormerClass = req.FormerClass || x.Terms != l.terms.Load() // changed while it came in
+	req.FormerClass = req.FormerClass || x.Terms != l.classes.Load() // the configuration changed while it was read
 	if req.Incomplete {
 		r.setDeadlines(l.clock.now() + maxUploadTime)
 		req.Timeout = x.Timeout - r.margin()
@@ -70,18 +70,19 @@
 	l.decide(req)
 }
 
-// margin is how long before its client stops waiting a request has to be answered.
+// margin returns how long before its client's timeout a request has to be answered.
 func (r *request) margin() time.Duration {
-	return min(answerMargin, r.Timeout/answerMarginFraction)
+	return min(answerMargin, r.Timeout/answerMarginDivisor)
 }
 
-// setDeadlines sets the deadlines of a request by when its last byte came.
-func (r *request) setDeadlines(came policy.Time) {
-	end := came + r.Timeout
+// setDeadlines sets a request's deadlines, given when its last byte was received.
+func (r *request) setDeadlines(receivedAt policy.Time) {
+	end := receivedAt + r.Timeout
 	r.deadline, r.backstop.due = end-r.margin(), end-r.margin()/2
 }
 
-// finishUpload starts the time of a request that was sent on while it came in, or ends one that broke off.
+// finishUpload starts the client's timeout for a request whose streamed body is complete. If err is set, it ends the
+// request.
 func (l *loop) finishUpload(r *request, err error) {
 	if err != nil {
 		status, _ := downstream.BodyErrorStatus(err)
@@ -90,23 +91,23 @@
 	}
 	now := l.clock.now()
 	r.setDeadlines(now)
-	heap.Fix(&l.timers, r.backstop.at)
+	heap.Fix(&l.timers, r.backstop.index)
 	r.attempts[len(r.attempts)-1].sentAt = now
 	l.decide(policy.RequestComplete{ID: r.Request.ID})
 }
 
-// cancelRequest ends a request whose client has left.
+// cancelRequest ends a request whose client has disconnected.
 func (l *loop) cancelRequest(r *request) {
-	if r.ended { // its answer has begun, and nobody takes it
+	if r.ended { // its response has started, and nobody reads it
 		r.cancelAttempts()
 		return
 	}
-	l.settle(r)
+	l.markEnded(r)
 	l.decide(policy.ClientCancelled{ID: r.Request.ID})
 	l.forget(r)
 }
 
-// requestOf is the open request of x. Another one may have its id by now.
+// requestOf returns the open request of x, or nil if x is no longer open. Another request may use its ID by now.
 func (l *loop) requestOf(x *downstream.Exchange) *request {
 	if r := l.requests[x.Request.ID]; r != nil && r.Exchange == x {
 		return r
@@ -114,81 +115,81 @@
 	return nil
 }
 
-// cancelAttempts ends the attempts of r that are under way.
+// cancelAttempts cancels all attempts of r.
 func (r *request) cancelAttempts() {
 	for _, a := range r.attempts {
-		a.flight.Cancel()
+		a.lifetime.Cancel()
 	}
 }
 
-// cancelAttempts ends all attempts under way.
+// cancelAttempts cancels the attempts of all open requests.
 func (l *loop) cancelAttempts() {
 	for _, r := range l.requests {
 		r.cancelAttempts()
 	}
 }
 
-// forwardAnswer gives the client an answer that is still coming. No deadline ends that from now on.
-func (l *loop) forwardAnswer(e answerBegun) {
-	a := &e.r.attempts[e.n]
+// forwardResponse starts streaming a response to the client. No deadline applies from then on.
+func (l *loop) forwardResponse(e responseStarted) {
+	a := &e.r.attempts[e.index]
 	if e.r.ended {
-		a.flight.Cancel()
+		a.lifetime.Cancel()
 		return
 	}
-	a.flight.SetDeadline(time.Time{})
+	a.lifetime.SetDeadline(time.Time{})
 	a.answeredAt = l.clock.now()
 	l.answer(e.r, e.Response)
-	l.decide(policy.FirstByte{ID: e.r.Request.ID, Server: a.server, Attempt: e.n, Latency: a.answeredAt - a.sentAt})
+	l.decide(policy.FirstByte{ID: e.r.Request.ID, Server: a.server, Attempt: e.index, Latency: a.answeredAt - a.sentAt})
 }
 
 // endAttempt reports the outcome of an attempt to the balancer, and answers its client if it succeeded.
 func (l *loop) endAttempt(e attemptEnded) {
-	a := &e.r.attempts[e.n]
+	a := &e.r.attempts[e.index]
 	e.r.pending--
-	over := l.clock.now()
-	if a.answeredAt > 0 { // how long the client took to read it says nothing of the server
-		if over-a.answeredAt > maxReportAge {
+	endedAt := l.clock.now()
+	if a.answeredAt > 0 { // the time the client took to read it says nothing about the server
+		if endedAt-a.answeredAt > maxReportAge {
 			e.LoadReport = nil
 		}
-		over = a.answeredAt
+		endedAt = a.answeredAt
 	}
 	if e.Code == policy.OK && !e.r.ended {
 		l.answer(e.r, forwardedResponse(e.Response))
 	}
-	l.decide(policy.Outcome{ID: e.r.Request.ID, Server: a.server, Attempt: e.n, Code: e.Code,
-		Latency: over - a.sentAt, RequestEnded: e.r.ended, BodyConsumed: e.r.BodyConsumed(), LoadReport: e.LoadReport})
+	l.decide(policy.Outcome{ID: e.r.Request.ID, Server: a.server, Attempt: e.index, Code: e.Code,
+		Latency: endedAt - a.sentAt, RequestEnded: e.r.ended, BodyConsumed: e.r.BodyConsumed(), LoadReport: e.LoadReport})
 	l.forget(e.r)
 }
 
-// answer gives the client its one answer; whatever comes later is not passed on.
+// answer sends the client its response, unless the request has ended.
 func (l *loop) answer(r *request, a downstream.Response) {
 	if !r.ended {
-		l.settle(r)
+		l.markEnded(r)
 		r.Reply <- a
 	}
 }
 
-// fail answers a request without the balancer, which hears that the request is over.
+// fail answers a request without asking the balancer, and tells the balancer that the request has ended.
 func (l *loop) fail(r *request, status int) {
 	l.answer(r, downstream.Response{Status: status})
 	l.decide(policy.ClientCancelled{ID: r.Request.ID})
 	l.forget(r)
 }
 
-// settle marks r as answered, or given up by its client: the first to do so wins. An attempt that still waits for its
-// connection is then not written; one that a server has is not cancelled.
-func (l *loop) settle(r *request) {
+// markEnded marks r as answered or as abandoned by its client, whichever happens first. It cancels attempts that still
+// wait for a connection. Attempts that were sent to a server go on.
+func (l *loop) markEnded(r *request) {
 	r.ended = true
 	for _, a := range r.attempts {
-		a.flight.CancelUnlessConnected()
+		a.lifetime.CancelUnlessConnected()
 	}
 	l.unanswered--
-	if r.backstop.at >= 0 { // else it would keep the request until a deadline that may be far off
-		heap.Remove(&l.timers, r.backstop.at)
+	if r.backstop.index >= 0 { // else it would keep the request in memory until a deadline that may be far off
+		heap.Remove(&l.timers, r.backstop.index)
 	}
 }
 
-// forget drops a request that is answered and has no attempt under way.
+// forget drops a request that has ended and has no attempt in flight.
 func (l *loop) forget(r *request) {
 	if r.ended && r.pending == 0 && l.requests[r.Request.ID] == r {
 		delete(l.requests, r.Request.ID)
--- a/internal/node/resources.go
+++ b/internal/node/resources.go
@@ -10,12 +10,12 @@
 
 const (
 	ownSockets            = 32 // descriptors for the log, discovery, the runtime and the like
-	ownSocketsWhileShared = 18 // the same while two processes share the node's: 14 are in use
-	// heapFraction of the memory limit is the heap's: stacks and sockets take the rest.
+	ownSocketsWhileShared = 18 // the same while two processes share the node's descriptors: 14 are in use
+	// heapFraction is the heap's part of the memory limit. Stacks and sockets take the rest.
 	heapFraction = 0.75
 )
 
-// reservedSockets is how many descriptors belong to neither side.
+// reservedSockets returns how many descriptors belong neither to the client side nor to the server side.
 func reservedSockets(c config.Config) int {
 	n := ownSockets
 	if c.Control != "" {
@@ -27,8 +27,8 @@
 	return n
 }
 
-// reservedSocketsWhileShared is the same for each of two processes that share the node's descriptors for a while. What is set
-// aside for moments when counts are off, and for many callers at the second address, is set aside once.
+// reservedSocketsWhileShared is reservedSockets for each of two processes that share the node's descriptors during a hot
+// restart. The reserves for short miscounts and for many connections to the admin server are split between the two.
 func reservedSocketsWhileShared(c config.Config) int {
 	n := ownSocketsWhileShared
 	if c.Control != "" {
@@ -40,7 +40,7 @@
 	return n
 }
 
-// limitMemory sets the part of the memory limit that this process may use.
-func limitMemory(c config.Config, part float64) {
-	debug.SetMemoryLimit(int64(part * heapFraction * float64(c.MemoryMB) * (1 << 20)))
+// limitMemory sets the runtime's memory limit for a process that may use the given fraction of the node's memory.
+func limitMemory(c config.Config, fraction float64) {
+	debug.SetMemoryLimit(int64(fraction * heapFraction * float64(c.MemoryMB) * (1 << 20)))
 }
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -21,41 +21,41 @@
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(benchPeerEnv) != "" {
-		if err := playPeers(os.Stdin, os.Stdout); err != nil {
+	if os.Getenv(benchPeersEnv) != "" {
+		if err := runBenchPeers(os.Stdin, os.Stdout); err != nil {
 			_, _ = fmt.Fprintln(os.Stderr, "bench peers:", err)
 			os.Exit(1)
 		}
 		return
 	}
-	var lines logKeeper
+	var lines logBuffer
 	slog.SetDefault(slog.New(slog.NewTextHandler(&lines, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	status := m.Run()
 	if status != 0 {
-		lines.tell(os.Stderr)
+		lines.dump(os.Stderr)
 	}
 	os.Exit(status)
 }
 
 // logKeeper holds the newest lines of the log back; they are told where a test fails.
-type logKeeper struct {
+type logBuffer struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-const keptLines = 2000
+const maxLogLines = 2000
 
-func (k *logKeeper) Write(p []byte) (int, error) {
+func (k *logBuffer) Write(p []byte) (int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.lines) == keptLines {
-		k.lines = append(k.lines[:0], k.lines[keptLines/2:]...)
+	if len(k.lines) == maxLogLines {
+		k.lines = append(k.lines[:0], k.lines[maxLogLines/2:]...)
 	}
 	k.lines = append(k.lines, string(p))
 	return len(p), nil
 }
 
-func (k *logKeeper) tell(w io.Writer) {
+func (k *logBuffer) dump(w io.Writer) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, line := range k.lines {
@@ -119,11 +119,11 @@
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
 	s.loop.up.Descriptors().SetTotal(config.MinSockets)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Accept(ln) }()
+	acceptErr := make(chan error, 1)
+	go func() { acceptErr <- s.Accept(ln) }()
 	t.Cleanup(func() {
 		nodetest.CloseOnce(t, ln)
-		if err := nodetest.Receive(t, "the end of accepting", ended); err != nil {
+		if err := nodetest.Receive(t, "the end of accepting", acceptErr); err != nil {
 			t.Error(err)
 		}
 		s.Shutdown(time.Now())
@@ -131,11 +131,11 @@
 	return ln.Addr().String()
 }
 
-func startNodeAt(t testing.TB, c config.Config, at Listeners, changes <-chan Change) (addr string, stop func() error) {
+func startNodeAt(t testing.TB, c config.Config, listeners Listeners, changes <-chan Change) (addr string, stop func() error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, c, at, changes) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- Run(ctx, c, listeners, changes) }()
 	stopped := false
 	stop = func() error {
 		if stopped {
@@ -144,7 +144,7 @@
 		stopped = true
 		cancel()
 		select {
-		case err := <-ended:
+		case err := <-runErr:
 			return err
 		case <-time.After(nodetest.Timeout):
 			return fmt.Errorf("the node did not end")
@@ -155,7 +155,7 @@
 			t.Error(err)
 		}
 	})
-	addr = at.Clients.Addr().String()
+	addr = listeners.Clients.Addr().String()
 	nodetest.Await(t, "readiness", func() bool {
 		resp, err := oneRequestClient(t).Get("http://" + addr + downstream.ReadyPath)
 		if err != nil {
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -7,15 +7,15 @@
 	"sloerail/policy"
 )
 
-// timer is one of the balancer's, or a request's backstop.
+// timer is a timer of the balancer, or the backstop of a request.
 type timer struct {
-	due      policy.Time
-	token    uint64
-	backstop *request
-	at       int // its index among the timers; -1 once it is removed
+	due     policy.Time
+	token   uint64
+	request *request
+	index   int // in timers; -1 once removed
 }
 
-// timers is a heap of timers, the next one due at its root.
+// timers is a heap of timers, ordered by due time.
 type timers []*timer
 
 func (t timers) Len() int           { return len(t) }
@@ -23,30 +23,30 @@
 
 func (t timers) Swap(i, j int) {
 	t[i], t[j] = t[j], t[i]
-	t[i].at, t[j].at = i, j
+	t[i].index, t[j].index = i, j
 }
 
 func (t *timers) Push(x any) {
-	x.(*timer).at = len(*t)
+	x.(*timer).index = len(*t)
 	*t = append(*t, x.(*timer))
 }
 
 func (t *timers) Pop() any {
 	last := len(*t) - 1
 	x := (*t)[last]
-	x.at, (*t)[last] = -1, nil
+	x.index, (*t)[last] = -1, nil
 	*t = (*t)[:last]
 	return x
 }
 
-// fire handles the timers that are due.
-func (l *loop) fire() {
+// fireTimers handles the timers that are due.
+func (l *loop) fireTimers() {
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].due <= now; {
 		t := heap.Pop(&l.timers).(*timer)
-		if r := t.backstop; r == nil {
+		if r := t.request; r == nil {
 			l.decide(policy.Timer{Token: t.token})
 		} else {
-			l.fail(r, http.StatusGatewayTimeout) // the balancer has not answered
+			l.fail(r, http.StatusGatewayTimeout) // the balancer has not answered in time
 		}
 	}
 }
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -12,40 +12,40 @@
 
 const zonesPath = "/places"
 
-// PlaceView is one zone in the answer at /places.
+// PlaceView is a zone in the response at /places.
 type PlaceView struct {
 	Zone      string  `json:"zone"`
 	Region    string  `json:"region"`
 	State     string  `json:"state"` // well, suspect, left, returning
-	Cost      float64 `json:"cost"`  // of sending a request to it
-	Share     float64 `json:"share"` // of the requests that would go there by preference and capacity
+	Cost      float64 `json:"cost"`  // crossing cost of a request to it
+	Share     float64 `json:"share"` // part of the requests that would go there by preference and capacity
 	Servers   int     `json:"servers"`
-	Left      int     `json:"left_lately"` // how often it was evacuated lately
-	Ill       float64 `json:"ill"`         // failures lately, older ones counted less
-	Heard     float64 `json:"heard"`       // all responses, counted in the same way
-	TriedInMs int64   `json:"tried_in_ms,omitempty"`
-	Why       string  `json:"why,omitempty"` // it was evacuated last
+	Left      int     `json:"left_lately"`           // recent evacuations
+	Ill       float64 `json:"ill"`                   // recent failures, older ones weighted less
+	Heard     float64 `json:"heard"`                 // recent responses, weighted in the same way
+	TriedInMs int64   `json:"tried_in_ms,omitempty"` // until an evacuated zone is probed
+	Why       string  `json:"why,omitempty"`         // reason of the last evacuation
 }
 
-// serveZones answers with the state of each zone; 404 where the configuration names none.
+// serveZones writes the state of each zone. It responds 404 if the configuration has no zones.
 func (l *loop) serveZones(w http.ResponseWriter, r *http.Request) {
 	states, _ := query(l, func(reply chan<- []policy.ZoneState) event { return zonesRequest{reply} })
 	if states == nil {
 		http.NotFound(w, r)
 		return
 	}
-	all := []PlaceView{}
+	zones := []PlaceView{}
 	for _, s := range states {
-		all = append(all, PlaceView{s.Zone, s.Region, s.State, s.Cost, s.TrafficShare, s.Servers, s.Evacuations, s.Failures, s.Responses,
-			s.RetryIn.Milliseconds(), s.EvacuationReason})
+		zones = append(zones, PlaceView{s.Zone, s.Region, s.State, s.Cost, s.TrafficShare, s.Servers, s.Evacuations,
+			s.Failures, s.Responses, s.RetryIn.Milliseconds(), s.EvacuationReason})
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if err := json.NewEncoder(w).Encode(all); err != nil {
-		slog.Debug("answering "+zonesPath+" failed", "error", err)
+	if err := json.NewEncoder(w).Encode(zones); err != nil {
+		slog.Debug("writing the response at "+zonesPath+" failed", "error", err)
 	}
 }
 
-// updateZoneMetrics brings the gauges of zones up to date; there are none where the configuration names none.
+// updateZoneMetrics updates the gauges of the zones, if the configuration has zones.
 func (l *loop) updateZoneMetrics(now policy.Time) {
 	for _, s := range l.balancer.Zones(now) {
 		zone := "{zone=" + strconv.Quote(s.Zone) + "}"
@@ -54,7 +54,7 @@
 		l.fig.set.GetOrCreateGauge("app_place_left_lately"+zone, nil).Set(float64(s.Evacuations))
 		away := time.Duration(0)
 		if s.State == "left" {
-			away = s.RetryIn + time.Millisecond // 0 is for a zone that isn't evacuated
+			away = s.RetryIn + time.Millisecond // above 0, which stands for a zone that isn't evacuated
 		}
 		l.fig.set.GetOrCreateGauge("app_place_away_seconds"+zone, nil).Set(away.Seconds())
 	}
