--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -89,13 +89,13 @@
 		l.unsent = append(l.unsent, policy.Outcome{ID: a.ID, Server: a.Server, Attempt: n, Code: policy.NotAttempted})
 		return
 	}
-	deadline := r.deadline
+	attemptDeadline := r.deadline
 	if a.AttemptDeadline > 0 {
-		deadline = min(deadline, a.AttemptDeadline)
+		attemptDeadline = min(attemptDeadline, a.AttemptDeadline)
 	}
-	f := upstream.NewLifetime(l.clock.at(deadline))
+	f := upstream.NewLifetime(l.clock.at(attemptDeadline))
 	r.attempts = append(r.attempts, attempt{server: a.Server, sentAt: now, lifetime: f})
-	params := upstream.Attempt{Request: &r.Forwarded, Timeout: deadline - now, Lifetime: f,
+	params := upstream.Attempt{Request: &r.Forwarded, Timeout: attemptDeadline - now, Lifetime: f,
 		Observer: &attemptObserver{l, r, n}}
 	if r.Request.Incomplete {
 		params.Timeout = r.Timeout - r.margin()
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -16,7 +16,7 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// writeText writes to a connection that is open.
+// writeText writes text to a connection.
 func writeText(t *testing.T, conn io.Writer, text string) {
 	t.Helper()
 	if _, err := io.WriteString(conn, text); err != nil {
@@ -24,7 +24,7 @@
 	}
 }
 
-// call makes one call at a control address.
+// call sends one request to an admin server and returns the status and body of the response.
 func call(t *testing.T, method, url string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, url, nil)
@@ -35,25 +35,26 @@
 	return resp.StatusCode, body
 }
 
-// stats reads all figures that a control address tells, by the name and label of each.
+// stats returns the values of all metrics at an admin address, by name with labels.
 func stats(t *testing.T, adminAddr string) map[string]float64 {
 	t.Helper()
 	status, text := call(t, http.MethodGet, "http://"+adminAddr+statsPath)
 	if status != http.StatusOK {
-		t.Fatalf("status %d", status)
+		t.Fatalf("%s: got status %d, want 200", statsPath, status)
 	}
 	all := make(map[string]float64)
 	for line := range strings.Lines(text) {
 		name, figure, _ := strings.Cut(strings.TrimSpace(line), " ")
 		v, err := strconv.ParseFloat(figure, 64)
 		if err != nil {
-			t.Fatalf("line %q: %v", line, err)
+			t.Fatalf("metrics line %q: %v", line, err)
 		}
 		all[name] = v
 	}
 	return all
 }
 
+// awaitStats waits until the metrics at an admin address have the wanted values.
 func awaitStats(t *testing.T, adminAddr string, want map[string]float64) {
 	t.Helper()
 	var got map[string]float64
@@ -69,12 +70,12 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("got %v, want %v", got, want)
+			t.Fatalf("metrics after %v: got %v, want %v", nodetest.Timeout/3, got, want)
 		}
 	}
 }
 
-// The figures say what clients got and what servers were sent, each from 0.
+// The metrics count the responses to clients and the attempts sent to servers, each from 0.
 func TestMetricsCountRequestsAndAttempts(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		hold, held := make(chan struct{}), make(chan struct{}, 1)
@@ -108,7 +109,7 @@
 				method = http.MethodGet
 			}
 			if resp, _ := do(t, clientRequest(t, node, method, class, id, "")); resp.StatusCode != wantStatus {
-				t.Errorf("%s: status %d, want %d", id, resp.StatusCode, wantStatus)
+				t.Errorf("request %s: got status %d, want %d", id, resp.StatusCode, wantStatus)
 			}
 		}
 		for i := range 3 {
@@ -129,12 +130,12 @@
 			_, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "held", "").WithContext(ctx))
 			clientErr <- err
 		}()
-		nodetest.Receive(t, "the held request", held)
+		nodetest.Receive(t, "the held request to reach the server", held)
 		want["app_relayed_total"], want["app_open_requests"] = 6, 1
 		awaitStats(t, adminAddr, want)
 		disconnect()
-		if err := nodetest.Receive(t, "the client's leave", clientErr); !errors.Is(err, context.Canceled) {
-			t.Error(err)
+		if err := nodetest.Receive(t, "the client's call to return", clientErr); !errors.Is(err, context.Canceled) {
+			t.Errorf("disconnected client: got error %v, want context.Canceled", err)
 		}
 		want["app_open_requests"] = 0
 		awaitStats(t, adminAddr, want)
@@ -142,17 +143,18 @@
 	})
 }
 
-// A server that is ejected, or drains, is listed and out of rotation.
+// A draining server counts as listed and as out of rotation.
 func TestMetricsFollowEndpointList(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		known := strings.Replace(nodetest.KnownList("127.0.0.1:9", "127.0.0.1:9"), `"up"`, `"draining"`, 1)
 		startNodeAt(t, testConfig(t, known), listeners, nil)
-		awaitStats(t, listeners.Control.Addr().String(), map[string]float64{"app_registry_entries": 2, "app_out_of_rotation": 1})
+		awaitStats(t, listeners.Control.Addr().String(),
+			map[string]float64{"app_registry_entries": 2, "app_out_of_rotation": 1})
 	})
 }
 
-// The second address has its own paths, takes one call a connection, and answers rubbish with an error.
+// The admin server has its own paths, serves one request per connection, and answers malformed requests with 400.
 func TestAdminServerPaths(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
@@ -167,25 +169,25 @@
 			{"GET", adminAddr + downstream.ReadyPath, 404}, {"GET", node + statsPath, 400}, {"GET", node + healthPath, 400},
 		} {
 			if got, _ := call(t, c.method, "http://"+c.url); got != c.want {
-				t.Errorf("%s %s: %d, want %d", c.method, c.url, got, c.want)
+				t.Errorf("%s %s: got status %d, want %d", c.method, c.url, got, c.want)
 			}
 		}
 		conn := nodetest.Dial(t, adminAddr)
 		defer nodetest.Close(t, conn)
 		writeText(t, conn, "rubbish\r\n\r\n")
 		if line, _ := bufio.NewReader(conn).ReadString('\n'); !strings.Contains(line, " 400 ") {
-			t.Errorf("rubbish got %q", line)
+			t.Errorf("malformed request: got status line %q, want 400", line)
 		}
 		conn = nodetest.Dial(t, adminAddr)
 		defer nodetest.Close(t, conn)
 		writeText(t, conn, "GET "+healthPath+" HTTP/1.1\r\nHost: x\r\n\r\n")
 		if all, err := io.ReadAll(conn); err != nil || !strings.Contains(string(all), "200 OK") {
-			t.Errorf("a call got %q, %v; the connection has to end after it", all, err)
+			t.Errorf("%s: got %q, error %v, want 200 and the end of the connection", healthPath, all, err)
 		}
 	})
 }
 
-// Callers that say nothing, or half a call, don't keep others from their figures.
+// Connections to the admin server that send nothing, or an incomplete request, don't delay other operators.
 func TestSilentAdminClientsDelayNobody(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
@@ -208,7 +210,7 @@
 	})
 }
 
-// A node that stops is no longer healthy, though it still answers operators.
+// A stopping node fails its health check, though its admin server still runs.
 func TestHealthCheckFailsOnceNodeStops(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
@@ -217,25 +219,25 @@
 		stopped := make(chan error, 1)
 		go func() { stopped <- stop() }()
 		unhealthy := false
-		nodetest.Await(t, "a no", func() bool {
+		nodetest.Await(t, "the health check to fail, or the node to end", func() bool {
 			resp, err := oneRequestClient(t).Get("http://" + adminAddr + healthPath)
 			if err != nil {
-				return true // it has ended
+				return true // the node has ended
 			}
 			nodetest.Close(t, resp.Body)
 			unhealthy = unhealthy || resp.StatusCode == http.StatusServiceUnavailable
 			return unhealthy
 		})
 		if !unhealthy {
-			t.Error("the node ended without a no")
+			t.Error("the node ended before its health check failed with 503")
 		}
-		if err := nodetest.Receive(t, "the node's end", stopped); err != nil {
+		if err := nodetest.Receive(t, "the node to end", stopped); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// A class may bear any name; the figures stay readable.
+// Metrics are well-formed for any class name.
 func TestMetricsEscapeClassNames(t *testing.T) {
 	names := []string{`a"b`, `back\slash`, "two words", "brace}", "comma,equals=", "größe", "line\nbreak", "\x01"}
 	f := newMetrics(nil)
@@ -245,11 +247,11 @@
 	var text strings.Builder
 	f.set.WritePrometheus(&text)
 	if got := strings.Count(text.String(), "app_fulfilled_total{"); got != len(names) {
-		t.Errorf("%d classes of %d in\n%s", got, len(names), text.String())
+		t.Errorf("classes in the metrics: got %d, want %d, in\n%s", got, len(names), text.String())
 	}
 	for line := range strings.Lines(text.String()) {
 		if i := strings.LastIndex(line, " "); i < 0 || len(strings.TrimSpace(line[i:])) == 0 {
-			t.Errorf("line %q has no figure", line)
+			t.Errorf("metrics line %q has no value", line)
 		}
 	}
 }
--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -18,13 +18,13 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// The path of one request through a whole node: accept, framing, parse, event, decision, attempt, answer.
-// Clients and servers are another process, so that what is counted (cpu-ns/op, allocs/op) is the node's.
+// The benchmark measures the path of a request through a whole node: accept, framing, parsing, event, decision, attempt
+// and response. Clients and servers run in another process, so that cpu-ns/op and allocs/op are those of the node.
 //
 //	go test -run '^$' -bench Request ./internal/node
 
 const (
-	benchPeersEnv = "SLOERAIL_BENCH_PEER" // set in the process that plays clients and servers
+	benchPeersEnv = "SLOERAIL_BENCH_PEER" // set in the process that runs the clients and servers
 	benchServers  = 10
 	benchClients  = 8
 	benchResponse = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Load: latency_ms=12.5,util=0.41,qps=33\r\n" +
@@ -79,7 +79,7 @@
 			b.Fatal(err)
 		}
 		if !peerLines.Scan() || peerLines.Text() != "done" {
-			b.Fatalf("the peers said %q", peerLines.Text())
+			b.Fatalf("bench peers: got line %q, want done", peerLines.Text())
 		}
 	}
 	sendRequests(200)
@@ -90,7 +90,7 @@
 	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
-// cpuTime is the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -99,7 +99,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// playPeers is the other process: it names its servers, and then plays what it is told a line at a time.
+// runBenchPeers is the other process. It writes its servers' addresses, and then sends the requests that each line of in
+// asks for: node address, number of requests, and whether to keep connections alive. It answers each line with done.
 func runBenchPeers(in io.Reader, out io.Writer) error {
 	var addrs []string
 	for range benchServers {
@@ -107,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = ln.Close() }() // the process ends with it
+		defer func() { _ = ln.Close() }() // the process ends then
 		addrs = append(addrs, ln.Addr().String())
 		go nodetest.AcceptRaw(ln, func(c net.Conn, r *bufio.Reader) {
 			for nodetest.ReadRequest(r) {
@@ -137,7 +138,7 @@
 	return nil
 }
 
-// benchLoad plays n requests by a few clients, on connections that they keep or on new ones.
+// sendBenchRequests sends n requests from a few clients, on kept or on new connections.
 func sendBenchRequests(addr string, n int, keepAlive bool) error {
 	var clients sync.WaitGroup
 	failed := make(chan error, benchClients)
@@ -158,11 +159,11 @@
 					return
 				}
 				if !keepAlive {
-					_ = c.Close() // what fails shows in the next request
+					_ = c.Close() // a failure shows in the next request
 				}
 			}
 			if c != nil {
-				_ = c.Close() // also closed above where it isn't kept
+				_ = c.Close() // already closed if not keepAlive
 			}
 		})
 	}
@@ -171,13 +172,15 @@
 	return <-failed
 }
 
+// benchClient is one client connection.
 type benchClient struct {
 	net.Conn
 	r   *bufio.Reader
 	out bytes.Buffer
 }
 
-// ask plays one request: reads and keyed posts in turn.
+// roundTrip sends the k-th request and reads its response. Requests alternate between reads and posts with an
+// idempotency key.
 func (c *benchClient) roundTrip(k int, keepAlive bool) error {
 	c.out.Reset()
 	class, method, body := "read", "GET", ""
@@ -216,7 +219,7 @@
 		}
 	}
 	if !strings.HasPrefix(status, "HTTP/1.1 200") || contentLength != 64 {
-		return fmt.Errorf("answered %q, length %d", status, contentLength)
+		return fmt.Errorf("response: got %q, length %d, want 200, length 64", status, contentLength)
 	}
 	_, err := c.r.Discard(contentLength)
 	return err
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -20,11 +20,11 @@
 	"sloerail/policy"
 )
 
-// The tests in this file pin forms that another version of the program reads, or an operator's tools. The
-// golden files were written by the code of commit 4650eee; they are never written anew.
+// The tests in this file pin formats that another version of the program, or operators' tools, read. The golden files
+// were written by the code of commit 4650eee and are never regenerated.
 
-// jsonShape is a JSON text's with its figures and words taken out: keys and their order stay, and of a list the
-// first entry.
+// jsonShape returns a JSON text with its values replaced by their types. Keys and their order stay, and each list is cut
+// to its first entry.
 func jsonShape(t *testing.T, raw []byte) string {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(raw))
@@ -67,13 +67,14 @@
 	return out.String()
 }
 
-// A successor of any version meets the same sequence of messages, each of the same form.
+// The predecessor's messages to a successor keep their order and format, so that processes of different versions can
+// hand over.
 func TestPredecessorHandOverTranscript(t *testing.T) {
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	if resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
-		t.Fatalf("status %d", resp.StatusCode)
+		t.Fatalf("request to the predecessor: got status %d, want 200", resp.StatusCode)
 	}
 	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: identityOf(c).SocketPath(), Net: "unix"})
 	if err != nil {
@@ -91,11 +92,11 @@
 	}
 	messages, err := unix.ParseSocketControlMessage(oob[:oobLen])
 	if err != nil || len(messages) != 1 {
-		t.Fatalf("%d control messages, %v", len(messages), err)
+		t.Fatalf("control messages with the first bytes: got %d, error %v, want 1", len(messages), err)
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		t.Fatalf("%d descriptors, %v", len(fds), err)
+		t.Fatalf("descriptors in the control message: got %d, error %v, want 1", len(fds), err)
 	}
 	f := os.NewFile(uintptr(fds[0]), "clients")
 	defer nodetest.Close(t, f)
@@ -121,16 +122,18 @@
 	transcript.WriteString("successor: \"S\"\n")
 	next()
 	if left, err := io.ReadAll(decoder.Buffered()); err != nil || string(left) != "\n" {
-		t.Errorf("behind the message: %q, %v", left, err)
+		t.Errorf("bytes after the last message: got %q, error %v, want a newline", left, err)
 	}
-	nodetest.SameBytes(t, "the transcript", []byte(transcript.String()), nodetest.Golden(t, "handover_transcript.txt"))
+	nodetest.SameBytes(t, "the hand-over transcript", []byte(transcript.String()),
+		nodetest.Golden(t, "handover_transcript.txt"))
 }
 
-// The names and labels of the figures at /stats, and the answers at /healthcheck, are what operators' tools
-// know. Values are left out.
+// Operators' tools depend on the names and labels of the metrics at /stats and on the responses at /healthcheck. The
+// metrics' values are not compared.
 func TestAdminFormat(t *testing.T) {
 	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
-	c.Fleet = &gossip.Config{Name: "n0", Zone: "a", Version: "1", Bind: restartableConfig(t, nodetest.KnownList("127.0.0.1:9")).Listen, Label: "l"}
+	c.Fleet = &gossip.Config{Name: "n0", Zone: "a", Version: "1",
+		Bind: restartableConfig(t, nodetest.KnownList("127.0.0.1:9")).Listen, Label: "l"}
 	if err := c.Fleet.Validate(); err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +143,7 @@
 	adminAddr := listeners.Control.Addr().String()
 	startNodeAt(t, c, listeners, nil)
 	c.Fleet.OnProbe(time.Millisecond)
-	nodetest.Await(t, "the figures of places", func() bool {
+	nodetest.Await(t, "the metrics of zone a", func() bool {
 		_, there := stats(t, adminAddr)[`app_place_servers{zone="a"}`]
 		return there
 	})
@@ -176,5 +179,5 @@
 	adminAddr = ln.Addr().String()
 	resp, body = get(healthPath)
 	describe(resp, body)
-	nodetest.SameBytes(t, "the operators' forms", []byte(got.String()), nodetest.Golden(t, "operators.txt"))
+	nodetest.SameBytes(t, "the admin server's responses", []byte(got.String()), nodetest.Golden(t, "operators.txt"))
 }
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -17,7 +17,7 @@
 
 const hollowList = `{"revision":%d,"complete":%v,"members":[{"id":"%s","host_port":"127.0.0.1:1","phase":"up","size":1}]}`
 
-// hollowConfig reads a configuration as a node's program does.
+// hollowConfig loads a configuration with the given list service and tenant quota from a file, as a node does.
 func hollowConfig(t *testing.T, discovery string, quota float64) config.Config {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -40,6 +40,8 @@
 	return c
 }
 
+// A hollow node sends requests to listed servers and enforces a tenant's quota by its own clock, also after a
+// reconfiguration.
 func TestHollowNodeDecides(t *testing.T) {
 	h, err := NewHollow(hollowConfig(t, "127.0.0.1:9", 2), nil)
 	if err != nil {
@@ -50,13 +52,13 @@
 		return h.Decide(policy.Request{ID: id, Class: "x", Tenant: "t", Timeout: time.Second})
 	}
 	if server, sent := decide("1"); sent {
-		t.Errorf("with no list, a request went to %q", server)
+		t.Errorf("Decide without a list: got server %q, want none", server)
 	}
 	if err := h.TakeList(fmt.Appendf(nil, hollowList, 1, true, "a")); err != nil || h.Servers() != 1 {
-		t.Fatalf("%d servers, %v", h.Servers(), err)
+		t.Fatalf("servers after TakeList: got %d, error %v, want 1", h.Servers(), err)
 	}
 	if err := h.TakeList([]byte(`{"members":[]}`)); err == nil {
-		t.Error("a list without a revision was taken")
+		t.Error("TakeList of a list without a revision: got no error")
 	}
 	admitted := 0
 	for ; admitted < 100; admitted++ {
@@ -66,16 +68,16 @@
 			break
 		}
 		if server != "a" {
-			t.Fatalf("a request went to %q", server)
+			t.Fatalf("Decide(%s): got server %q, want a", id, server)
 		}
 		h.End(policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: time.Millisecond})
 	}
 	if admitted == 0 || admitted == 100 {
-		t.Fatalf("%d requests within the quota", admitted)
+		t.Fatalf("requests admitted with a quota of 2 per second: got %d, want 1 to 99", admitted)
 	}
-	h.Advance(10 * time.Second) // the bucket refills by the node's clock
+	h.Advance(10 * time.Second) // refills the token bucket
 	if _, sent := decide("later"); !sent {
-		t.Error("refused with a full bucket")
+		t.Error("request rejected with a full token bucket")
 	}
 	h.Reconfigure(hollowConfig(t, "127.0.0.1:9", 0))
 	h.Advance(10 * time.Second)
@@ -83,22 +85,24 @@
 		decide(fmt.Sprint("s", i))
 	}
 	if _, sent := decide("last"); sent {
-		t.Error("the changed quota is not in force")
+		t.Error("request admitted after the quota was changed to 0")
 	}
 }
 
+// A running hollow node watches the list, passes it on to the balancer, and counts its traffic.
 func TestHollowNodeWatchesTheList(t *testing.T) {
 	answers := make(chan string)
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case answer := <-answers:
-			_, _ = fmt.Fprint(w, answer) // the client may have left
+			_, _ = fmt.Fprint(w, answer) // the client may have disconnected
 		case <-r.Context().Done():
 		}
 	}))
 	t.Cleanup(service.Close)
 	seen := make(chan policy.EndpointList, 8)
-	h, err := NewHollow(hollowConfig(t, strings.TrimPrefix(service.URL, "http://"), 10), func(l policy.EndpointList) { seen <- l })
+	h, err := NewHollow(hollowConfig(t, strings.TrimPrefix(service.URL, "http://"), 10),
+		func(l policy.EndpointList) { seen <- l })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,7 +112,7 @@
 	expect := func(kind policy.ListKind, members int) {
 		t.Helper()
 		if l := <-seen; l.Kind != kind || len(l.Endpoints) != members {
-			t.Errorf("got a list of kind %d with %d servers, want %d and %d", l.Kind, len(l.Endpoints), kind, members)
+			t.Errorf("list: got kind %d with %d servers, want kind %d with %d", l.Kind, len(l.Endpoints), kind, members)
 		}
 	}
 	expect(policy.ListCached, 0)
@@ -119,7 +123,8 @@
 	expect(policy.ListUpdate, 1)
 	got := h.Traffic()
 	if got.Answers != 2 || got.Calls < 2 || got.Received < uint64(len(whole)+len(delta)) || got.Sent == 0 {
-		t.Errorf("traffic %+v", got)
+		t.Errorf("traffic of two lists: got %+v, want 2 answers, at least 2 calls, at least %d bytes received and some sent",
+			got, len(whole)+len(delta))
 	}
 	stop()
 	if err := <-ended; err != nil {
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -19,7 +19,7 @@
 	"sloerail/internal/node/config"
 )
 
-// restartableConfig is the configuration of a node that can be replaced: it has an address and a folder.
+// restartableConfig returns the configuration of a node that can hand over: it has a fixed address and a shared folder.
 func restartableConfig(t *testing.T, known string) config.Config {
 	t.Helper()
 	c := testConfig(t, known)
@@ -33,7 +33,7 @@
 	return c
 }
 
-// closeListeners closes what Listen made, and gives a predecessor up.
+// closeListeners closes the listeners and the connection to the predecessor.
 func closeListeners(t *testing.T, listeners Listeners) {
 	t.Helper()
 	if err := listeners.close(); err != nil {
@@ -41,7 +41,7 @@
 	}
 }
 
-// startProcess starts what would be a process of the node, and waits until it can be replaced.
+// startProcess runs a node that stands for a process of a node, and waits until it can hand over.
 func startProcess(t *testing.T, c config.Config) (listeners Listeners, stop func() error) {
 	t.Helper()
 	listeners, err := Listen(t.Context(), c)
@@ -50,21 +50,21 @@
 	}
 	before, _ := os.Stat(identityOf(c).SocketPath())
 	_, stop = startNodeAt(t, c, listeners, nil)
-	nodetest.Await(t, "its place for a successor", func() bool {
+	nodetest.Await(t, "the process to listen for a successor", func() bool {
 		now, err := os.Stat(identityOf(c).SocketPath())
 		return err == nil && !os.SameFile(before, now)
 	})
 	return listeners, stop
 }
 
-// Under load a node is replaced, and replaced again at once: each request gets its answer, on new
-// connections and on those that clients keep.
+// Two hot restarts in a row under load reject no request, neither on new connections nor on kept ones, and no request is
+// sent twice.
 func TestHotRestartRejectsNobody(t *testing.T) {
 	t.Parallel()
 	var runs sync.Map
 	server := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		if _, again := runs.LoadOrStore(r.Header.Get("X-Request-Id"), true); again {
-			t.Errorf("%s ran twice", r.Header.Get("X-Request-Id"))
+			t.Errorf("request %s reached the server twice", r.Header.Get("X-Request-Id"))
 		}
 	})
 	c := restartableConfig(t, nodetest.KnownList(server))
@@ -90,7 +90,7 @@
 				}
 				nodetest.Close(t, resp.Body)
 				if resp.StatusCode != http.StatusOK {
-					t.Errorf("status %d", resp.StatusCode)
+					t.Errorf("request r%d-%d: got status %d, want 200", n, i, resp.StatusCode)
 				}
 				served.Add(1)
 				time.Sleep(5 * time.Millisecond) // well under the quota
@@ -100,16 +100,16 @@
 	awaitMoreResponses := func() {
 		t.Helper()
 		before := served.Load()
-		nodetest.Await(t, "further answers", func() bool { return served.Load() > before+20 })
+		nodetest.Await(t, "20 more responses", func() bool { return served.Load() > before+20 })
 	}
 	awaitMoreResponses()
 	second, stopSecond := startProcess(t, c)
 	if second.predecessor == nil {
-		t.Fatal("the second process is an ordinary one")
+		t.Fatal("the second process has no predecessor")
 	}
 	third, _ := startProcess(t, c)
 	if third.predecessor == nil {
-		t.Fatal("the third process is an ordinary one")
+		t.Fatal("the third process has no predecessor")
 	}
 	for _, stop := range []func() error{stopFirst, stopSecond} {
 		if err := stop(); err != nil {
@@ -121,7 +121,7 @@
 	clients.Wait()
 }
 
-// What a tenant has used up at the old process it can't have again at the new one.
+// A tenant's token bucket that was emptied at the old process is still empty at the new one.
 func TestHotRestartKeepsBuckets(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -133,16 +133,16 @@
 	}
 	for i := range 3 {
 		if got := status(fmt.Sprint("before", i)); got != http.StatusOK {
-			t.Fatalf("status %d within the burst", got)
+			t.Fatalf("request %d within the burst: got status %d, want 200", i, got)
 		}
 	}
 	startProcess(t, c)
 	if got := status("after"); got != http.StatusTooManyRequests {
-		t.Errorf("status %d, want 429: the bucket was empty", got)
+		t.Errorf("request with an empty bucket after the hot restart: got status %d, want 429", got)
 	}
 }
 
-// A successor that goes away leaves the node to the process before it, at whatever point it does.
+// The predecessor serves again if its successor ends, before or after that started to accept clients.
 func TestPredecessorResumes(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -151,7 +151,7 @@
 	for _, served := range []bool{false, true} {
 		listeners, err := Listen(t.Context(), c)
 		if err != nil || listeners.predecessor == nil {
-			t.Fatalf("no hand-over: %v", err)
+			t.Fatalf("Listen: got predecessor %v, error %v, want a hand-over", listeners.predecessor, err)
 		}
 		if served {
 			following := make(chan struct{})
@@ -161,32 +161,34 @@
 					first()
 				}
 			})
-			nodetest.Receive(t, "the predecessor's progress", following)
+			nodetest.Receive(t, "progress of the predecessor", following)
 		}
 		closeListeners(t, listeners)
 		resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", fmt.Sprint("r", served), ""))
 		if resp.StatusCode != http.StatusOK {
-			t.Errorf("served %v: status %d", served, resp.StatusCode)
+			t.Errorf("after the end of a successor (served: %v): got status %d, want 200", served, resp.StatusCode)
 		}
 	}
 }
 
-// The two processes together hold no more descriptors than one may.
+// The two processes of a hot restart together hold at most the descriptors of one.
 func TestHotRestartSharesDescriptors(t *testing.T) {
 	t.Parallel()
 	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
 	startProcess(t, c)
 	listeners, err := Listen(t.Context(), c)
 	if err != nil || listeners.predecessor == nil {
-		t.Fatalf("no hand-over: %v", err)
+		t.Fatalf("Listen: got predecessor %v, error %v, want a hand-over", listeners.predecessor, err)
 	}
 	defer closeListeners(t, listeners)
 	if got := listeners.predecessor.State.Sockets; got < c.Sockets/4 || got > c.Sockets-reservedSocketsWhileShared(c) {
-		t.Errorf("%d descriptors of %d for the successor", got, c.Sockets)
+		t.Errorf("descriptors for the successor: got %d of %d, want %d to %d", got, c.Sockets, c.Sockets/4,
+			c.Sockets-reservedSocketsWhileShared(c))
 	}
 }
 
-// Without a usable hand-over a process starts as an ordinary one, beside another or not.
+// Without a usable hand-over a process starts without former state, and a second process can still listen at its
+// address.
 func TestOrdinaryStartWithoutUsableHandOver(t *testing.T) {
 	t.Parallel()
 	serveText := func(text string) func(t *testing.T, c config.Config) {
@@ -202,7 +204,7 @@
 					if err != nil {
 						return
 					}
-					_, _ = fmt.Fprint(conn, text) // the successor may have gone
+					_, _ = fmt.Fprint(conn, text) // the successor may have closed its end
 					_ = conn.Close()
 				}
 			}()
@@ -213,7 +215,7 @@
 		"stale":      func(t *testing.T, c config.Config) { leaveStaleSocket(t, identityOf(c).SocketPath()) },
 		"silent end": serveText(""),
 		"rubbish":    serveText("\n{\"Version\":99"),
-		"not a place": func(t *testing.T, c config.Config) {
+		"missing folder": func(t *testing.T, c config.Config) {
 			if err := os.Remove(c.SharedDir); err != nil {
 				t.Error(err)
 			}
@@ -225,22 +227,22 @@
 			prepare(t, c)
 			listeners, err := Listen(t.Context(), c)
 			if err != nil || listeners.predecessor != nil {
-				t.Fatalf("heir %v, %v", listeners.predecessor, err)
+				t.Fatalf("Listen: got predecessor %v, error %v, want none", listeners.predecessor, err)
 			}
 			addr, _ := startNodeAt(t, c, listeners, nil)
 			if resp, _ := do(t, clientRequest(t, addr, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
-				t.Errorf("status %d", resp.StatusCode)
+				t.Errorf("request to the new process: got status %d, want 200", resp.StatusCode)
 			}
 			second, err := listenShared(t.Context(), c.Listen)
 			if err != nil {
-				t.Fatalf("a second process can't listen: %v", err)
+				t.Fatalf("listening at the address of the new process: %v", err)
 			}
 			nodetest.Close(t, second)
 		})
 	}
 }
 
-// stale leaves a socket that nobody listens at.
+// leaveStaleSocket leaves a Unix socket file at path that nobody listens at.
 func leaveStaleSocket(t *testing.T, path string) {
 	t.Helper()
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -251,7 +253,7 @@
 	nodetest.Close(t, l)
 }
 
-// The folder's path may be longer than a Unix socket's address.
+// The shared folder's path may be longer than a Unix socket address allows.
 func TestHandOverInFolderWithLongPath(t *testing.T) {
 	t.Parallel()
 	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
@@ -262,7 +264,7 @@
 	startProcess(t, c)
 	listeners, err := Listen(t.Context(), c)
 	if err != nil || listeners.predecessor == nil {
-		t.Fatalf("no hand-over: %v", err)
+		t.Fatalf("Listen: got predecessor %v, error %v, want a hand-over", listeners.predecessor, err)
 	}
 	closeListeners(t, listeners)
 }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -17,7 +17,7 @@
 	"sloerail/policy"
 )
 
-// script is a module that answers each event as a test says, and keeps what it was told.
+// scriptedBalancer is a fake balancer that handles each event with respond, and records the events.
 type scriptedBalancer struct {
 	mu       sync.Mutex
 	received []policy.Event
@@ -42,7 +42,7 @@
 }
 func (s *scriptedBalancer) Zones(policy.Time) []policy.ZoneState { return nil }
 
-// events lists what the module was told, in short words.
+// events returns short texts of the events received so far.
 func (s *scriptedBalancer) events() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -64,16 +64,19 @@
 	return all
 }
 
+// has waits for as many events as are wanted, and checks that the events received so far are those.
 func (s *scriptedBalancer) has(t *testing.T, want ...string) {
 	t.Helper()
-	nodetest.Await(t, strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
+	nodetest.Await(t, "the events "+strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
 	if got := s.events(); !reflect.DeepEqual(got, want) {
-		t.Errorf("the module was told\n%q, want\n%q", got, want)
+		t.Errorf("events received by the balancer: got\n%q, want\n%q", got, want)
 	}
 }
 
-// startLoop runs a loop around a scripted module.
-func startLoop(t *testing.T, addr string, respond func(policy.Time, policy.Event) []policy.Action) (*loop, *scriptedBalancer) {
+// startLoop runs a loop around a scripted balancer until the test ends. The list has one server, s0, at addr.
+func startLoop(
+	t *testing.T, addr string, respond func(policy.Time, policy.Event) []policy.Action,
+) (*loop, *scriptedBalancer) {
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList(addr))
 	fig := newMetrics(c.Settings.Classes)
@@ -89,12 +92,13 @@
 	go func() { l.run(ctx, c.Known.Endpoints, nil); close(ended) }()
 	t.Cleanup(func() {
 		cancel()
-		nodetest.Receive(t, "the loop's end", ended)
+		nodetest.Receive(t, "the loop to end", ended)
 		up.CloseIdle()
 	})
 	return l, s
 }
 
+// sendRequest sends the loop a new GET request with the given client timeout.
 func (l *loop) sendRequest(id string, timeout time.Duration) *downstream.Exchange {
 	x := testExchange(http.MethodGet, id, "")
 	x.ReceivedAt, x.Timeout = l.clock.now(), timeout
@@ -102,6 +106,7 @@
 	return x
 }
 
+// sends returns n Send actions for a request, to s0.
 func sends(id string, n int) (all []policy.Action) {
 	for range n {
 		all = append(all, policy.Action{Kind: policy.Send, ID: id, Server: "s0"})
@@ -109,7 +114,7 @@
 	return all
 }
 
-// sendsOnce is a module that sends each request once, to s0.
+// sendsOnce sends each request once, to s0. It is a respond function for startLoop.
 func sendsOnce(_ policy.Time, ev policy.Event) []policy.Action {
 	if e, ok := ev.(policy.Request); ok {
 		return sends(e.ID, 1)
@@ -117,7 +122,8 @@
 	return nil
 }
 
-// The restored list comes first, and the one outcome of a served request says that it has ended.
+// The balancer gets the known list before any request, and the only outcome of a served request says that the request
+// has ended.
 func TestEventOrder(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "yes") })
@@ -131,21 +137,21 @@
 			return nil
 		})
 		x := l.sendRequest("r1", nodetest.Timeout)
-		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != 200 || string(a.Body) != "yes" {
-			t.Errorf("answer %d %q", a.Status, a.Body)
+		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != 200 || string(a.Body) != "yes" {
+			t.Errorf("response: got status %d, body %q, want 200, \"yes\"", a.Status, a.Body)
 		}
 		s.has(t, "list 2", "request r1", "outcome r1 0 code 0 ended true", "timer 77")
 	})
 }
 
-// Attempts beyond the limit are not made, keep their numbers, and are told as skipped.
+// Attempts over the limit are not made. They keep their index and have the outcome NotAttempted.
 func TestAttemptsOverLimitAreSkipped(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var served sync.WaitGroup
 		served.Add(3)
 		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			served.Done()
-			served.Wait() // all that are allowed reach the server before one is answered
+			served.Wait() // all allowed attempts reach the server before one is answered
 			w.WriteHeader(http.StatusInternalServerError)
 		})
 		skipped := make(chan policy.Outcome, 2)
@@ -161,14 +167,14 @@
 			return nil
 		})
 		l.sendRequest("r1", nodetest.Timeout)
-		if o := nodetest.Receive(t, "the skipped attempt", skipped); o.Attempt != 3 || o.RequestEnded {
-			t.Errorf("got %+v", o)
+		if o := nodetest.Receive(t, "the outcome of the skipped attempt", skipped); o.Attempt != 3 || o.RequestEnded {
+			t.Errorf("outcome of the skipped attempt: got %+v, want attempt 3 of a request that has not ended", o)
 		}
-		nodetest.Await(t, "the other outcomes", func() bool { return len(s.events()) == 6 })
+		nodetest.Await(t, "six events: the list, the request and four outcomes", func() bool { return len(s.events()) == 6 })
 	})
 }
 
-// After the final answer nothing goes out, and what was out still gets its outcome.
+// After the final response no attempt is sent, and an attempt in flight still gets its outcome.
 func TestNoAttemptsAfterResponse(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		arrived := make(chan string, 4)
@@ -181,39 +187,41 @@
 			case policy.Request:
 				return append(sends(e.ID, 1), policy.Action{Kind: policy.SetTimer, Token: 1, Wait: time.Nanosecond})
 			case policy.Timer:
-				<-arrived // the attempt is out for certain
+				<-arrived // the attempt has reached the server
 				return []policy.Action{{Kind: policy.Fail, ID: "r1"}, {Kind: policy.Reject, ID: "r1"},
 					{Kind: policy.Send, ID: "r1", Server: "s0"}, {Kind: policy.Cancel, ID: "r1", Attempt: 0}}
 			}
 			return nil
 		})
 		x := l.sendRequest("r1", nodetest.Timeout)
-		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusBadGateway {
-			t.Errorf("status %d, want the first answer", a.Status)
+		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != http.StatusBadGateway {
+			t.Errorf("status: got %d, want 502 of the first response", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotAttempted),
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 		if len(arrived) != 0 || len(x.Reply) != 0 {
-			t.Errorf("%d more attempts, %d more answers", len(arrived), len(x.Reply))
+			t.Errorf("after the response: got %d attempts, %d responses, want none", len(arrived), len(x.Reply))
 		}
 	})
 }
 
+// The backstop answers a request that the balancer does not answer.
 func TestBackstopAnswersForSilentBalancer(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 		x := l.sendRequest("r1", 200*time.Millisecond)
-		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusGatewayTimeout {
-			t.Errorf("status %d", a.Status)
+		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != http.StatusGatewayTimeout {
+			t.Errorf("status: got %d, want 504", a.Status)
 		}
 		if end := x.ReceivedAt + x.Timeout; l.clock.now() > end+nodetest.Timeout/2 {
-			t.Errorf("answered %v after the client's time", l.clock.now()-end)
+			t.Errorf("answered %v after the client's timeout, want at most %v", l.clock.now()-end, nodetest.Timeout/2)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
 	})
 }
 
-// An attempt ends within the client's time, whatever the module asked for; the server is told so.
+// An attempt ends before the client's timeout even if the balancer's deadline is later, and the server gets the earlier
+// deadline in X-Deadline-Ms.
 func TestAttemptTimeoutIsCappedByDeadline(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		deadlines := make(chan string, 1)
@@ -231,52 +239,58 @@
 			return nil
 		})
 		x := l.sendRequest("r1", 2*time.Second)
-		if ms, err := strconv.Atoi(nodetest.Receive(t, "the attempt", deadlines)); err != nil || ms > 2000 {
-			t.Errorf("the server is told of %d ms (%v), though the client waits for 2000", ms, err)
+		if ms, err := strconv.Atoi(nodetest.Receive(t, "the request at the server", deadlines)); err != nil || ms > 2000 {
+			t.Errorf("X-Deadline-Ms at the server: got %d, error %v, want at most 2000, the client's timeout",
+				ms, err)
 		}
-		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status < 500 {
-			t.Errorf("status %d", a.Status)
+		if a := nodetest.Receive(t, "the response", x.Reply); a.Status < 500 {
+			t.Errorf("status of a timed-out request: got %d, want 500 or above", a.Status)
 		}
 	})
 }
 
+// The node rejects a second open request with the same ID, and requests over maxOpen, without asking the balancer.
 func TestNodeRejectsDuplicateAndSurplusRequests(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 		l.sendRequest("r1", nodetest.Timeout)
-		if a := nodetest.Receive(t, "the answer", l.sendRequest("r1", nodetest.Timeout).Reply); a.Status != http.StatusConflict {
-			t.Errorf("duplicate: status %d", a.Status)
+		if a := nodetest.Receive(t, "the response",
+			l.sendRequest("r1", nodetest.Timeout).Reply); a.Status != http.StatusConflict {
+			t.Errorf("duplicate request: got status %d, want 409", a.Status)
 		}
 		for i := 2; i <= l.maxOpen; i++ {
 			l.sendRequest(fmt.Sprint("r", i), nodetest.Timeout)
 		}
-		if a := nodetest.Receive(t, "the answer", l.sendRequest("more", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
-			t.Errorf("surplus: status %d", a.Status)
+		if a := nodetest.Receive(t, "the response",
+			l.sendRequest("more", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
+			t.Errorf("request over maxOpen: got status %d, want 503", a.Status)
 		}
 		if n := len(s.events()); n != 1+l.maxOpen {
-			t.Errorf("the module was told of %d events, want the list and %d requests", n, l.maxOpen)
+			t.Errorf("events received by the balancer: got %d, want the list and %d requests", n, l.maxOpen)
 		}
 	})
 }
 
+// failUnanswered fails open requests, and requests after it are rejected without the balancer.
 func TestFailUnanswered(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
 		x := l.sendRequest("r1", nodetest.Timeout)
 		l.send(failUnanswered{})
-		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusBadGateway {
-			t.Errorf("status %d", a.Status)
+		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != http.StatusBadGateway {
+			t.Errorf("status of the open request: got %d, want 502", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
-		// The id is free again, so this is no duplicate; but no time is left for it.
-		if a := nodetest.Receive(t, "the answer", l.sendRequest("r1", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
-			t.Errorf("after the end: status %d", a.Status)
+		// The ID is free again, so this is not a duplicate.
+		if a := nodetest.Receive(t, "the response",
+			l.sendRequest("r1", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
+			t.Errorf("status of a request after failUnanswered: got %d, want 503", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
 	})
 }
 
-// A request that is over leaves nothing behind, however far off its deadline was.
+// A request that has ended leaves nothing in memory, even if its deadline is far off.
 func TestEndedRequestsAreDropped(t *testing.T) {
 	l := &loop{clock: clock{start: time.Now()}, requests: make(map[string]*request),
 		endpoints: make(map[string]discovery.Endpoint), fig: newMetrics(nil)}
@@ -290,7 +304,8 @@
 		l.handle(requestReceived{testExchange(http.MethodGet, fmt.Sprint(i), "")})
 	}
 	if len(l.requests) != 0 || len(l.timers) != 0 || l.unanswered != 0 {
-		t.Errorf("%d requests, %d timers, %d answers owed", len(l.requests), len(l.timers), l.unanswered)
+		t.Errorf("after all requests ended: got %d requests, %d timers, %d unanswered, want none",
+			len(l.requests), len(l.timers), l.unanswered)
 	}
 }
 
@@ -299,14 +314,14 @@
 	for ms, want := range map[int64]policy.Time{
 		0:                        0,
 		1_700_000_000_000:        timeOrigin,
-		1_700_000_000_000 - 2000: timeOrigin - 2*time.Second, // before the node, and still cold
+		1_700_000_000_000 - 2000: timeOrigin - 2*time.Second, // started before the node, and still cold
 		1_700_000_000_000 + 500:  timeOrigin + 500*time.Millisecond,
 		1_600_000_000_000:        0,
 		1:                        0,
 		1<<53 - 1:                2 * timeOrigin,
 	} {
 		if got := c.fromUnixMilli(ms); got != want {
-			t.Errorf("%d: got %v, want %v", ms, got, want)
+			t.Errorf("fromUnixMilli(%d): got %v, want %v", ms, got, want)
 		}
 	}
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -14,7 +14,7 @@
 	"sloerail/policy"
 )
 
-// loadFile loads a configuration from a file of its own, whose later texts reload reads.
+// loadFile loads a configuration from a file with the given text. reload replaces the text and reloads the file.
 func loadFile(t *testing.T, text string) (c config.Config, reload func(text string) (config.Config, error)) {
 	t.Helper()
 	path := nodetest.WriteFile(t, text)
@@ -41,8 +41,8 @@
 		"retryAfter":true,"secondCopies":true},
 	"guarantees":{"drainGrace":500,"cold":1,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}`
 
-// New settings bind as a whole: a class comes, one goes, another's effect and the attempts change. What a
-// tenant has used up stays so, and a bad file in between changes nothing.
+// Reloaded settings apply as a whole: a class is added, one is removed, another one's retry safety changes, and so does
+// the limit of attempts. A tenant's empty token bucket stays empty, and an invalid file in between changes nothing.
 func TestReloadAppliesSettingsAsAWhole(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var fullAttempts atomic.Int32
@@ -72,44 +72,46 @@
 		checkStatus := func(want int, got int, what string) {
 			t.Helper()
 			if got != want {
-				t.Errorf("%s: status %d, want %d", what, got, want)
+				t.Errorf("%s: got status %d, want %d", what, got, want)
 			}
 		}
 		for i := range 3 {
-			checkStatus(200, status("GET", "read", fmt.Sprint("tiny", i), "X-Tenant", "tiny"), "within the burst")
+			checkStatus(200, status("GET", "read", fmt.Sprint("tiny", i), "X-Tenant", "tiny"), "request within the burst")
 		}
 		status("GET", "read", "full-before")
 		if n := fullAttempts.Swap(0); n != 3 {
-			t.Errorf("%d attempts before, want 3", n)
+			t.Errorf("attempts of a request before the change: got %d, want 3", n)
 		}
-		checkStatus(400, status("GET", "order", "o1"), "a class to come")
+		checkStatus(400, status("GET", "order", "o1"), "class of the next configuration")
 		change(nodetest.FillConfig(known, strings.Replace(changedSettings, `"maxAttempts":1,`, "", 1)))
 		awaitStats(t, adminAddr, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 0})
-		checkStatus(400, status("GET", "order", "o2"), "a class of a broken file")
+		checkStatus(400, status("GET", "order", "o2"), "class of an invalid file")
 
 		began := time.Now()
 		change(nodetest.FillConfig(known, changedSettings))
 		awaitStats(t, adminAddr, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 1,
 			`app_fulfilled_total{priority="order"}`: 0, `app_fulfilled_total{priority="read"}`: 3})
-		checkStatus(200, status("GET", "order", "o3"), "the new class")
-		checkStatus(200, status("POST", "read", "r1"), "the class with a new effect")
-		nodetest.Await(t, "the dropped class's end", func() bool { return status("POST", "pay", fmt.Sprint("p", time.Now().UnixNano())) == 400 })
+		checkStatus(200, status("GET", "order", "o3"), "added class")
+		checkStatus(200, status("POST", "read", "r1"), "class with changed retry safety")
+		nodetest.Await(t, "status 400 for the removed class", func() bool {
+			return status("POST", "pay", fmt.Sprint("p", time.Now().UnixNano())) == 400
+		})
 		if took := time.Since(began); took > formerClassPeriod+time.Second/2 {
-			t.Errorf("the dropped class was served for %v", took)
+			t.Errorf("the removed class was served for %v, want at most %v", took, formerClassPeriod+time.Second/2)
 		}
-		checkStatus(405, status("GET", "read", "r2"), "the former form of a class")
+		checkStatus(405, status("GET", "read", "r2"), "former form of a class after formerClassPeriod")
 		status("GET", "order", "full-after")
 		if n := fullAttempts.Load(); n != 1 {
-			t.Errorf("%d attempts after, want 1", n)
+			t.Errorf("attempts of a request after the change: got %d, want 1", n)
 		}
-		checkStatus(429, status("GET", "order", "tiny-after", "X-Tenant", "tiny"), "an empty bucket")
+		checkStatus(429, status("GET", "order", "tiny-after", "X-Tenant", "tiny"), "request with an empty bucket")
 		if _, ok := stats(t, adminAddr)[`app_fulfilled_total{priority="pay"}`]; !ok {
-			t.Error("the counts of the dropped class are gone")
+			t.Error("no metrics of the removed class: its app_fulfilled_total is missing")
 		}
 	})
 }
 
-// Just after a change a request in its class's former form is taken by the former rules.
+// Just after a configuration change, a request in its class's former form is accepted as one of the former class.
 func TestFormerFormsAreTakenForAMoment(t *testing.T) {
 	idempotent, nonIdempotent := policy.Class{Name: "c", RetrySafety: policy.Idempotent}, policy.Class{Name: "c"}
 	removed := policy.Class{Name: "gone"}
@@ -127,14 +129,16 @@
 		{now.Add(-2 * formerClassPeriod), "GET", "c", false, true, policy.NonIdempotent},
 		{now.Add(-2 * formerClassPeriod), "POST", "gone", false, false, policy.NonIdempotent},
 	} {
-		got, former, ok := newClassTable([]policy.Class{idempotent, removed}).next([]policy.Class{nonIdempotent}, c.changedAt).Class(c.class, c.method, false)
+		got, former, ok := newClassTable([]policy.Class{idempotent, removed}).
+			next([]policy.Class{nonIdempotent}, c.changedAt).Class(c.class, c.method, false)
 		if former != c.former || ok != c.ok || got.RetrySafety != c.retrySafety {
-			t.Errorf("%s %s, changed %v ago: former %v, ok %v, repeat %v", c.method, c.class, now.Sub(c.changedAt), former, ok, got.RetrySafety)
+			t.Errorf("%s of class %s, changed %v ago: got former %v, ok %v, retry safety %v, want %v, %v, %v",
+				c.method, c.class, now.Sub(c.changedAt), former, ok, got.RetrySafety, c.former, c.ok, c.retrySafety)
 		}
 	}
 }
 
-// Signals in a row, good files and bad, and one while the node stops, do no harm.
+// Many reloads in a row, of valid and invalid files, do no harm: the node applies the last one, serves and stops.
 func TestManyReloads(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -153,7 +157,7 @@
 		}
 		changes <- Change{Config: next}
 		if resp, _ := do(t, clientRequest(t, node, "GET", "order", "r", "")); resp.StatusCode != http.StatusOK {
-			t.Errorf("status %d", resp.StatusCode)
+			t.Errorf("request of a class of the last configuration: got status %d, want 200", resp.StatusCode)
 		}
 		if err := stop(); err != nil {
 			t.Error(err)
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -56,7 +56,7 @@
 	r := &request{Exchange: x}
 	l.requests[x.Request.ID] = r
 	l.unanswered++
-	r.backstop = &timer{request: r}
+	r.backstop = &timer{backstopOf: r}
 	req := x.Request
 	req.FormerClass = req.FormerClass || x.Terms != l.classes.Load() // the configuration changed while it was read
 	if req.Incomplete {
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -37,7 +37,7 @@
 	os.Exit(status)
 }
 
-// logKeeper holds the newest lines of the log back; they are told where a test fails.
+// logBuffer buffers the newest log lines. TestMain writes them out if a test fails.
 type logBuffer struct {
 	mu    sync.Mutex
 	lines []string
@@ -85,24 +85,24 @@
 	return x
 }
 
-// startNode runs a whole node, and returns its address and a function that stops it as SIGTERM does
-// and returns what Run did.
+// startNode runs a whole node until the test ends. It returns the node's address, and a function that stops the node as
+// SIGTERM does and returns Run's error.
 func startNode(t testing.TB, c config.Config) (addr string, stop func() error) {
 	t.Helper()
 	return startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, nil)
 }
 
-// testDescriptors are as many descriptors for connections.
+// testDescriptors returns n descriptors for connections.
 func testDescriptors(n int) *upstream.Descriptors {
 	d := new(upstream.Descriptors)
 	d.SetTotal(n)
 	return d
 }
 
-// reuseDelay is longer than a connection to a server is left unused after a response.
+// reuseDelay is longer than the time for which a server connection is not reused after a response.
 const reuseDelay = 20 * time.Millisecond
 
-// dialWith has the connections to servers made by a function, from now on.
+// dialWith makes the loop dial new server connections with the given function.
 func (l *loop) dialWith(t *testing.T, dial config.DialFunc) {
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList())
@@ -110,12 +110,13 @@
 	l.up.Configure(transportConfig(c))
 }
 
-// serveAt has s take clients.
+// serveAt makes s accept clients until the test ends, and returns its address.
 func serveAt(t *testing.T, s *server) (addr string) {
 	t.Helper()
 	return serveOn(t, s, nodetest.Listener(t))
 }
 
+// serveOn makes s accept clients from ln until the test ends.
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
 	s.loop.up.Descriptors().SetTotal(config.MinSockets)
@@ -123,7 +124,7 @@
 	go func() { acceptErr <- s.Accept(ln) }()
 	t.Cleanup(func() {
 		nodetest.CloseOnce(t, ln)
-		if err := nodetest.Receive(t, "the end of accepting", acceptErr); err != nil {
+		if err := nodetest.Receive(t, "Accept to return after its listener was closed", acceptErr); err != nil {
 			t.Error(err)
 		}
 		s.Shutdown(time.Now())
@@ -131,7 +132,10 @@
 	return ln.Addr().String()
 }
 
-func startNodeAt(t testing.TB, c config.Config, listeners Listeners, changes <-chan Change) (addr string, stop func() error) {
+// startNodeAt is startNode with the given listeners and configuration changes.
+func startNodeAt(
+	t testing.TB, c config.Config, listeners Listeners, changes <-chan Change,
+) (addr string, stop func() error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	runErr := make(chan error, 1)
@@ -147,7 +151,7 @@
 		case err := <-runErr:
 			return err
 		case <-time.After(nodetest.Timeout):
-			return fmt.Errorf("the node did not end")
+			return fmt.Errorf("Run did not return within %v after its context was cancelled", nodetest.Timeout)
 		}
 	}
 	t.Cleanup(func() {
@@ -156,7 +160,7 @@
 		}
 	})
 	addr = listeners.Clients.Addr().String()
-	nodetest.Await(t, "readiness", func() bool {
+	nodetest.Await(t, "the node to be ready", func() bool {
 		resp, err := oneRequestClient(t).Get("http://" + addr + downstream.ReadyPath)
 		if err != nil {
 			return false
@@ -167,7 +171,8 @@
 	return addr, stop
 }
 
-// clientRequest is one as clients send it; headers are pairs, and an empty value takes one out.
+// clientRequest returns a request as clients send it. headers are pairs of names and values; an empty value removes the
+// header.
 func clientRequest(t *testing.T, addr, method, class, id, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+addr+"/api/x?q=a%20b", strings.NewReader(body))
@@ -189,18 +194,19 @@
 	return req
 }
 
-// oneRequestClient makes a connection for each request.
+// oneRequestClient returns a client that opens a connection for each request.
 func oneRequestClient(t testing.TB) *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: nodetest.Dialer(t)}}
 }
 
-// keepAliveClient keeps the one connection that it has to a host.
+// keepAliveClient returns a client that keeps a single connection per host.
 func keepAliveClient(t testing.TB) *http.Client {
 	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DialContext: nodetest.Dialer(t)}}
 	t.Cleanup(c.CloseIdleConnections)
 	return c
 }
 
+// do sends a request on a new connection and returns the response and its body.
 func do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := oneRequestClient(t).Do(req)
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -9,10 +9,10 @@
 
 // timer is a timer of the balancer, or the backstop of a request.
 type timer struct {
-	due     policy.Time
-	token   uint64
-	request *request
-	index   int // in timers; -1 once removed
+	due        policy.Time
+	token      uint64
+	backstopOf *request
+	index      int // in timers; -1 once removed
 }
 
 // timers is a heap of timers, ordered by due time.
@@ -43,7 +43,7 @@
 func (l *loop) fireTimers() {
 	for now := l.clock.now(); len(l.timers) > 0 && l.timers[0].due <= now; {
 		t := heap.Pop(&l.timers).(*timer)
-		if r := t.request; r == nil {
+		if r := t.backstopOf; r == nil {
 			l.decide(policy.Timer{Token: t.token})
 		} else {
 			l.fail(r, http.StatusGatewayTimeout) // the balancer has not answered in time
