--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -18,31 +18,31 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// The path of one request through a whole node: accept, framing, parse, event, decision, attempt, answer.
-// Clients and servers are another process, so that what is counted (cpu-ns/op, allocs/op) is the node's.
+// The benchmark measures the path of a request through a whole node: accept, framing, parsing, event, decision, attempt
+// and response. Clients and servers run in another process, so that cpu-ns/op and allocs/op are those of the node.
 //
 //	go test -run '^$' -bench Request ./internal/node
 
 const (
-	benchPeerEnv = "SLOERAIL_BENCH_PEER" // set in the process that plays clients and servers
-	benchServers = 10
-	benchClients = 8
-	benchAnswer  = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Load: latency_ms=12.5,util=0.41,qps=33\r\n" +
+	benchPeersEnv = "SLOERAIL_BENCH_PEER" // set in the process that runs the clients and servers
+	benchServers  = 10
+	benchClients  = 8
+	benchResponse = "HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nX-Load: latency_ms=12.5,util=0.41,qps=33\r\n" +
 		"Content-Length: 64\r\n\r\n0123456789012345678901234567890123456789012345678901234567890123"
 )
 
 func BenchmarkRequest(b *testing.B) {
 	for _, c := range []struct {
-		name string
-		kept bool
+		name      string
+		keepAlive bool
 	}{{"kept", true}, {"new", false}} {
-		b.Run(c.name, func(b *testing.B) { benchRequests(b, c.kept) })
+		b.Run(c.name, func(b *testing.B) { benchRequests(b, c.keepAlive) })
 	}
 }
 
-func benchRequests(b *testing.B, kept bool) {
+func benchRequests(b *testing.B, keepAlive bool) {
 	peers := exec.Command(os.Args[0])
-	peers.Env = append(os.Environ(), benchPeerEnv+"=1")
+	peers.Env = append(os.Environ(), benchPeersEnv+"=1")
 	peers.Stderr = os.Stderr
 	in, err := peers.StdinPipe()
 	if err != nil {
@@ -63,9 +63,9 @@
 			b.Error(err)
 		}
 	}()
-	said := bufio.NewScanner(out)
-	said.Scan()
-	c := testConfig(b, nodetest.KnownList(strings.Fields(said.Text())...))
+	peerLines := bufio.NewScanner(out)
+	peerLines.Scan()
+	c := testConfig(b, nodetest.KnownList(strings.Fields(peerLines.Text())...))
 	for i := range c.Settings.Tenants {
 		c.Settings.Tenants[i].Quota = 1e6
 	}
@@ -74,23 +74,23 @@
 		b.Fatal(err)
 	}
 	addr, _ := startNodeAt(b, c, Listeners{Clients: ln}, nil)
-	play := func(n int) {
-		if _, err := fmt.Fprintln(in, addr, n, kept); err != nil {
+	sendRequests := func(n int) {
+		if _, err := fmt.Fprintln(in, addr, n, keepAlive); err != nil {
 			b.Fatal(err)
 		}
-		if !said.Scan() || said.Text() != "done" {
-			b.Fatalf("the peers said %q", said.Text())
+		if !peerLines.Scan() || peerLines.Text() != "done" {
+			b.Fatalf("bench peers: got line %q, want done", peerLines.Text())
 		}
 	}
-	play(200)
+	sendRequests(200)
 	b.ReportAllocs()
 	b.ResetTimer()
 	before := cpuTime(b)
-	play(b.N)
+	sendRequests(b.N)
 	b.ReportMetric(float64(cpuTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
-// cpuTime is the processor time that this process has used.
+// cpuTime returns the CPU time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -99,19 +99,20 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// playPeers is the other process: it names its servers, and then plays what it is told a line at a time.
-func playPeers(in io.Reader, out io.Writer) error {
+// runBenchPeers is the other process. It writes its servers' addresses, and then sends the requests that each line of in
+// asks for: node address, number of requests, and whether to keep connections alive. It answers each line with done.
+func runBenchPeers(in io.Reader, out io.Writer) error {
 	var addrs []string
 	for range benchServers {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			return err
 		}
-		defer func() { _ = ln.Close() }() // the process ends with it
+		defer func() { _ = ln.Close() }() // the process ends then
 		addrs = append(addrs, ln.Addr().String())
 		go nodetest.AcceptRaw(ln, func(c net.Conn, r *bufio.Reader) {
 			for nodetest.ReadRequest(r) {
-				if _, err := io.WriteString(c, benchAnswer); err != nil {
+				if _, err := io.WriteString(c, benchResponse); err != nil {
 					return
 				}
 			}
@@ -123,11 +124,11 @@
 	for lines := bufio.NewScanner(in); lines.Scan(); {
 		var addr string
 		var n int
-		var kept bool
-		if _, err := fmt.Sscan(lines.Text(), &addr, &n, &kept); err != nil {
+		var keepAlive bool
+		if _, err := fmt.Sscan(lines.Text(), &addr, &n, &keepAlive); err != nil {
 			return err
 		}
-		if err := benchLoad(addr, n, kept); err != nil {
+		if err := sendBenchRequests(addr, n, keepAlive); err != nil {
 			return err
 		}
 		if _, err := fmt.Fprintln(out, "done"); err != nil {
@@ -137,15 +138,15 @@
 	return nil
 }
 
-// benchLoad plays n requests by a few clients, on connections that they keep or on new ones.
-func benchLoad(addr string, n int, kept bool) error {
+// sendBenchRequests sends n requests from a few clients, on kept or on new connections.
+func sendBenchRequests(addr string, n int, keepAlive bool) error {
 	var clients sync.WaitGroup
 	failed := make(chan error, benchClients)
 	for i := range benchClients {
 		clients.Go(func() {
 			var c *benchClient
 			for k := i; k < n; k += benchClients {
-				if c == nil || !kept {
+				if c == nil || !keepAlive {
 					conn, err := net.Dial("tcp", addr)
 					if err != nil {
 						failed <- err
@@ -153,16 +154,16 @@
 					}
 					c = &benchClient{Conn: conn, r: bufio.NewReader(conn)}
 				}
-				if err := c.ask(k, kept); err != nil {
+				if err := c.roundTrip(k, keepAlive); err != nil {
 					failed <- err
 					return
 				}
-				if !kept {
-					_ = c.Close() // what fails shows in the next request
+				if !keepAlive {
+					_ = c.Close() // a failure shows in the next request
 				}
 			}
 			if c != nil {
-				_ = c.Close() // also closed above where it isn't kept
+				_ = c.Close() // already closed if not keepAlive
 			}
 		})
 	}
@@ -171,14 +172,16 @@
 	return <-failed
 }
 
+// benchClient is one client connection.
 type benchClient struct {
 	net.Conn
 	r   *bufio.Reader
 	out bytes.Buffer
 }
 
-// ask plays one request: reads and keyed posts in turn.
-func (c *benchClient) ask(k int, kept bool) error {
+// roundTrip sends the k-th request and reads its response. Requests alternate between reads and posts with an
+// idempotency key.
+func (c *benchClient) roundTrip(k int, keepAlive bool) error {
 	c.out.Reset()
 	class, method, body := "read", "GET", ""
 	if k%2 == 1 {
@@ -189,14 +192,14 @@
 	if body != "" {
 		fmt.Fprintf(&c.out, "Idempotency-Key: key-%d\r\nContent-Length: %d\r\n", k, len(body))
 	}
-	if !kept {
+	if !keepAlive {
 		c.out.WriteString("Connection: close\r\n")
 	}
 	fmt.Fprintf(&c.out, "\r\n%s", body)
 	if _, err := c.Write(c.out.Bytes()); err != nil {
 		return err
 	}
-	status, length := "", -1
+	status, contentLength := "", -1
 	for {
 		line, err := c.r.ReadSlice('\n')
 		if err != nil {
@@ -210,14 +213,14 @@
 			status = text
 		}
 		if v, ok := strings.CutPrefix(text, "Content-Length: "); ok {
-			if length, err = strconv.Atoi(v); err != nil {
+			if contentLength, err = strconv.Atoi(v); err != nil {
 				return err
 			}
 		}
 	}
-	if !strings.HasPrefix(status, "HTTP/1.1 200") || length != 64 {
-		return fmt.Errorf("answered %q, length %d", status, length)
+	if !strings.HasPrefix(status, "HTTP/1.1 200") || contentLength != 64 {
+		return fmt.Errorf("response: got %q, length %d, want 200, length 64", status, contentLength)
 	}
-	_, err := c.r.Discard(length)
+	_, err := c.r.Discard(contentLength)
 	return err
 }
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -20,11 +20,11 @@
 	"sloerail/policy"
 )
 
-// The tests in this file pin forms that another version of the program reads, or an operator's tools. The
-// golden files were written by the code of commit 4650eee; they are never written anew.
+// The tests in this file pin formats that another version of the program, or operators' tools, read. The golden files
+// were written by the code of commit 4650eee and are never regenerated.
 
-// jsonShape is a JSON text's with its figures and words taken out: keys and their order stay, and of a list the
-// first entry.
+// jsonShape returns a JSON text with its values replaced by their types. Keys and their order stay, and each list is cut
+// to its first entry.
 func jsonShape(t *testing.T, raw []byte) string {
 	t.Helper()
 	d := json.NewDecoder(bytes.NewReader(raw))
@@ -67,13 +67,14 @@
 	return out.String()
 }
 
-// A successor of any version meets the same sequence of messages, each of the same form.
-func TestHandoverTranscriptOfThePredecessor(t *testing.T) {
+// The predecessor's messages to a successor keep their order and format, so that processes of different versions can
+// hand over.
+func TestPredecessorHandOverTranscript(t *testing.T) {
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	c := restartableConfig(t, nodetest.KnownList(server))
 	startProcess(t, c)
 	if resp, _ := do(t, clientRequest(t, c.Listen, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK {
-		t.Fatalf("status %d", resp.StatusCode)
+		t.Fatalf("request to the predecessor: got status %d, want 200", resp.StatusCode)
 	}
 	conn, err := net.DialUnix("unix", nil, &net.UnixAddr{Name: identityOf(c).SocketPath(), Net: "unix"})
 	if err != nil {
@@ -83,19 +84,19 @@
 	if err := conn.SetDeadline(time.Now().Add(nodetest.Timeout)); err != nil {
 		t.Fatal(err)
 	}
-	var log strings.Builder
-	first, rights := make([]byte, 16), make([]byte, unix.CmsgSpace(16))
-	n, rightsLen, _, _, err := conn.ReadMsgUnix(first, rights)
+	var transcript strings.Builder
+	first, oob := make([]byte, 16), make([]byte, unix.CmsgSpace(16))
+	n, oobLen, _, _, err := conn.ReadMsgUnix(first, oob)
 	if err != nil {
 		t.Fatal(err)
 	}
-	messages, err := unix.ParseSocketControlMessage(rights[:rightsLen])
+	messages, err := unix.ParseSocketControlMessage(oob[:oobLen])
 	if err != nil || len(messages) != 1 {
-		t.Fatalf("%d control messages, %v", len(messages), err)
+		t.Fatalf("control messages with the first bytes: got %d, error %v, want 1", len(messages), err)
 	}
 	fds, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(fds) != 1 {
-		t.Fatalf("%d descriptors, %v", len(fds), err)
+		t.Fatalf("descriptors in the control message: got %d, error %v, want 1", len(fds), err)
 	}
 	f := os.NewFile(uintptr(fds[0]), "clients")
 	defer nodetest.Close(t, f)
@@ -104,49 +105,51 @@
 		t.Fatal(err)
 	}
 	defer nodetest.Close(t, l)
-	fmt.Fprintf(&log, "predecessor: %q with the listening socket\n", first[:n])
-	texts := json.NewDecoder(conn)
+	fmt.Fprintf(&transcript, "predecessor: %q with the listening socket\n", first[:n])
+	decoder := json.NewDecoder(conn)
 	next := func() {
 		t.Helper()
 		var raw json.RawMessage
-		if err := texts.Decode(&raw); err != nil {
+		if err := decoder.Decode(&raw); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&log, "predecessor: %s\n", jsonShape(t, raw))
+		fmt.Fprintf(&transcript, "predecessor: %s\n", jsonShape(t, raw))
 	}
 	next()
 	if _, err := conn.Write([]byte("S")); err != nil {
 		t.Fatal(err)
 	}
-	log.WriteString("successor: \"S\"\n")
+	transcript.WriteString("successor: \"S\"\n")
 	next()
-	if left, err := io.ReadAll(texts.Buffered()); err != nil || string(left) != "\n" {
-		t.Errorf("behind the message: %q, %v", left, err)
+	if left, err := io.ReadAll(decoder.Buffered()); err != nil || string(left) != "\n" {
+		t.Errorf("bytes after the last message: got %q, error %v, want a newline", left, err)
 	}
-	nodetest.SameBytes(t, "the transcript", []byte(log.String()), nodetest.Golden(t, "handover_transcript.txt"))
+	nodetest.SameBytes(t, "the hand-over transcript", []byte(transcript.String()),
+		nodetest.Golden(t, "handover_transcript.txt"))
 }
 
-// The names and labels of the figures at /stats, and the answers at /healthcheck, are what operators' tools
-// know. Values are left out.
-func TestOperatorsFormsStay(t *testing.T) {
+// Operators' tools depend on the names and labels of the metrics at /stats and on the responses at /healthcheck. The
+// metrics' values are not compared.
+func TestAdminFormat(t *testing.T) {
 	c := testConfig(t, nodetest.KnownList("127.0.0.1:9"))
-	c.Fleet = &gossip.Config{Name: "n0", Zone: "a", Version: "1", Bind: restartableConfig(t, nodetest.KnownList("127.0.0.1:9")).Listen, Label: "l"}
+	c.Fleet = &gossip.Config{Name: "n0", Zone: "a", Version: "1",
+		Bind: restartableConfig(t, nodetest.KnownList("127.0.0.1:9")).Listen, Label: "l"}
 	if err := c.Fleet.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	c.Settings.Topology = &policy.Topology{RegionOfZone: map[string]string{"a": "east", "b": "west"},
 		SameRegionCost: 1, OtherRegionCost: 3}
-	at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-	ctl := at.Control.Addr().String()
-	startNodeAt(t, c, at, nil)
+	listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
+	adminAddr := listeners.Control.Addr().String()
+	startNodeAt(t, c, listeners, nil)
 	c.Fleet.OnProbe(time.Millisecond)
-	nodetest.Await(t, "the figures of places", func() bool {
-		_, there := stats(t, ctl)[`app_place_servers{zone="a"}`]
+	nodetest.Await(t, "the metrics of zone a", func() bool {
+		_, there := stats(t, adminAddr)[`app_place_servers{zone="a"}`]
 		return there
 	})
 	var got strings.Builder
 	var names []string
-	for name := range stats(t, ctl) {
+	for name := range stats(t, adminAddr) {
 		names = append(names, name)
 	}
 	slices.Sort(names)
@@ -157,7 +160,7 @@
 		fmt.Fprintf(&got, "%s: %d, %s %q\n", resp.Request.URL.Path, resp.StatusCode, resp.Header.Get("Content-Type"), body)
 	}
 	get := func(path string) (*http.Response, string) {
-		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+ctl+path, nil)
+		req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+adminAddr+path, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -169,12 +172,12 @@
 	describe(resp, "")
 
 	l, _ := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-	refusing := newAdminServer(l, func() bool { return false }, nil)
+	unready := newAdminServer(l, func() bool { return false }, nil)
 	ln := nodetest.Listener(t)
-	go func() { _ = refusing.http.Serve(ln) }()
-	t.Cleanup(func() { nodetest.Close(t, &refusing.http) })
-	ctl = ln.Addr().String()
+	go func() { _ = unready.http.Serve(ln) }()
+	t.Cleanup(func() { nodetest.Close(t, &unready.http) })
+	adminAddr = ln.Addr().String()
 	resp, body = get(healthPath)
 	describe(resp, body)
-	nodetest.SameBytes(t, "the operators' forms", []byte(got.String()), nodetest.Golden(t, "operators.txt"))
+	nodetest.SameBytes(t, "the admin server's responses", []byte(got.String()), nodetest.Golden(t, "operators.txt"))
 }
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -17,35 +17,37 @@
 	"sloerail/policy"
 )
 
-// script is a module that answers each event as a test says, and keeps what it was told.
-type script struct {
-	mu     sync.Mutex
-	told   []policy.Event
-	answer func(policy.Time, policy.Event) []policy.Action
+// scriptedBalancer is a fake balancer that handles each event with respond, and records the events.
+type scriptedBalancer struct {
+	mu       sync.Mutex
+	received []policy.Event
+	respond  func(policy.Time, policy.Event) []policy.Action
 }
 
-func (s *script) Handle(now policy.Time, ev policy.Event) []policy.Action {
+func (s *scriptedBalancer) Handle(now policy.Time, ev policy.Event) []policy.Action {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told = append(s.told, ev)
-	return s.answer(now, ev)
+	s.received = append(s.received, ev)
+	return s.respond(now, ev)
 }
 
-func (s *script) Servers() (listed, unavailable int)                       { return 0, 0 }
-func (s *script) TailLatency() time.Duration                               { return 0 }
-func (s *script) Snapshot(policy.Time) (k policy.Snapshot)                 { return k }
-func (s *script) Restore(now policy.Time, _ policy.Snapshot)               {}
-func (s *script) InFlight() map[string]int                                 { return nil }
-func (s *script) SetSiblingInFlight(map[string]int)                        {}
-func (s *script) FleetSize() (quotaNodes, reachable int, partitioned bool) { return 0, 0, false }
-func (s *script) Zones(policy.Time) []policy.ZoneState                     { return nil }
+func (s *scriptedBalancer) Servers() (listed, unavailable int)         { return 0, 0 }
+func (s *scriptedBalancer) TailLatency() time.Duration                 { return 0 }
+func (s *scriptedBalancer) Snapshot(policy.Time) (k policy.Snapshot)   { return k }
+func (s *scriptedBalancer) Restore(now policy.Time, _ policy.Snapshot) {}
+func (s *scriptedBalancer) InFlight() map[string]int                   { return nil }
+func (s *scriptedBalancer) SetSiblingInFlight(map[string]int)          {}
+func (s *scriptedBalancer) FleetSize() (quotaNodes, reachable int, partitioned bool) {
+	return 0, 0, false
+}
+func (s *scriptedBalancer) Zones(policy.Time) []policy.ZoneState { return nil }
 
-// events lists what the module was told, in short words.
-func (s *script) events() []string {
+// events returns short texts of the events received so far.
+func (s *scriptedBalancer) events() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var all []string
-	for _, ev := range s.told {
+	for _, ev := range s.received {
 		switch e := ev.(type) {
 		case policy.EndpointList:
 			all = append(all, fmt.Sprintf("list %d", e.Kind))
@@ -62,44 +64,49 @@
 	return all
 }
 
-func (s *script) has(t *testing.T, want ...string) {
+// has waits for as many events as are wanted, and checks that the events received so far are those.
+func (s *scriptedBalancer) has(t *testing.T, want ...string) {
 	t.Helper()
-	nodetest.Await(t, strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
+	nodetest.Await(t, "the events "+strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
 	if got := s.events(); !reflect.DeepEqual(got, want) {
-		t.Errorf("the module was told\n%q, want\n%q", got, want)
+		t.Errorf("events received by the balancer: got\n%q, want\n%q", got, want)
 	}
 }
 
-// startLoop runs a loop around a scripted module.
-func startLoop(t *testing.T, addr string, answer func(policy.Time, policy.Event) []policy.Action) (*loop, *script) {
+// startLoop runs a loop around a scripted balancer until the test ends. The list has one server, s0, at addr.
+func startLoop(
+	t *testing.T, addr string, respond func(policy.Time, policy.Event) []policy.Action,
+) (*loop, *scriptedBalancer) {
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList(addr))
-	fig := newFigures(c.Settings.Classes)
+	fig := newMetrics(c.Settings.Classes)
 	up := newTransport(c, testDescriptors(200), fig)
 	l, err := newLoop(c, clock{start: time.Now()}, up, fig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := &script{answer: answer}
+	s := &scriptedBalancer{respond: respond}
 	l.balancer = s
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { l.run(ctx, c.Known.Endpoints, nil); close(ended) }()
 	t.Cleanup(func() {
 		cancel()
-		nodetest.Receive(t, "the loop's end", ended)
+		nodetest.Receive(t, "the loop to end", ended)
 		up.CloseIdle()
 	})
 	return l, s
 }
 
-func (l *loop) arriveNow(id string, waits time.Duration) *downstream.Exchange {
+// sendRequest sends the loop a new GET request with the given client timeout.
+func (l *loop) sendRequest(id string, timeout time.Duration) *downstream.Exchange {
 	x := testExchange(http.MethodGet, id, "")
-	x.ReceivedAt, x.Timeout = l.clock.now(), waits
-	l.send(arrival{x})
+	x.ReceivedAt, x.Timeout = l.clock.now(), timeout
+	l.send(requestReceived{x})
 	return x
 }
 
+// sends returns n Send actions for a request, to s0.
 func sends(id string, n int) (all []policy.Action) {
 	for range n {
 		all = append(all, policy.Action{Kind: policy.Send, ID: id, Server: "s0"})
@@ -107,7 +114,7 @@
 	return all
 }
 
-// sendsOnce is a module that sends each request once, to s0.
+// sendsOnce sends each request once, to s0. It is a respond function for startLoop.
 func sendsOnce(_ policy.Time, ev policy.Event) []policy.Action {
 	if e, ok := ev.(policy.Request); ok {
 		return sends(e.ID, 1)
@@ -115,8 +122,9 @@
 	return nil
 }
 
-// The restored list comes first, and the one outcome of a served request says that it has ended.
-func TestOrderOfEvents(t *testing.T) {
+// The balancer gets the known list before any request, and the only outcome of a served request says that the request
+// has ended.
+func TestEventOrder(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "yes") })
 		l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
@@ -128,46 +136,46 @@
 			}
 			return nil
 		})
-		x := l.arriveNow("r1", nodetest.Timeout)
-		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != 200 || string(a.Body) != "yes" {
-			t.Errorf("answer %d %q", a.Status, a.Body)
+		x := l.sendRequest("r1", nodetest.Timeout)
+		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != 200 || string(a.Body) != "yes" {
+			t.Errorf("response: got status %d, body %q, want 200, \"yes\"", a.Status, a.Body)
 		}
 		s.has(t, "list 2", "request r1", "outcome r1 0 code 0 ended true", "timer 77")
 	})
 }
 
-// Attempts beyond the limit are not made, keep their numbers, and are told as skipped.
-func TestAttemptsBeyondTheLimitAreSkipped(t *testing.T) {
+// Attempts over the limit are not made. They keep their index and have the outcome NotAttempted.
+func TestAttemptsOverLimitAreSkipped(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var served sync.WaitGroup
 		served.Add(3)
 		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			served.Done()
-			served.Wait() // all that are allowed reach the server before one is answered
+			served.Wait() // all allowed attempts reach the server before one is answered
 			w.WriteHeader(http.StatusInternalServerError)
 		})
-		moot := make(chan policy.Outcome, 2)
+		skipped := make(chan policy.Outcome, 2)
 		l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
 			case policy.Request:
 				return sends(e.ID, 4)
 			case policy.Outcome:
 				if e.Code == policy.NotAttempted {
-					moot <- e
+					skipped <- e
 				}
 			}
 			return nil
 		})
-		l.arriveNow("r1", nodetest.Timeout)
-		if o := nodetest.Receive(t, "the skipped attempt", moot); o.Attempt != 3 || o.RequestEnded {
-			t.Errorf("got %+v", o)
+		l.sendRequest("r1", nodetest.Timeout)
+		if o := nodetest.Receive(t, "the outcome of the skipped attempt", skipped); o.Attempt != 3 || o.RequestEnded {
+			t.Errorf("outcome of the skipped attempt: got %+v, want attempt 3 of a request that has not ended", o)
 		}
-		nodetest.Await(t, "the other outcomes", func() bool { return len(s.events()) == 6 })
+		nodetest.Await(t, "six events: the list, the request and four outcomes", func() bool { return len(s.events()) == 6 })
 	})
 }
 
-// After the final answer nothing goes out, and what was out still gets its outcome.
-func TestNothingGoesOutAfterTheAnswer(t *testing.T) {
+// After the final response no attempt is sent, and an attempt in flight still gets its outcome.
+func TestNoAttemptsAfterResponse(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		arrived := make(chan string, 4)
 		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -179,44 +187,46 @@
 			case policy.Request:
 				return append(sends(e.ID, 1), policy.Action{Kind: policy.SetTimer, Token: 1, Wait: time.Nanosecond})
 			case policy.Timer:
-				<-arrived // the attempt is out for certain
+				<-arrived // the attempt has reached the server
 				return []policy.Action{{Kind: policy.Fail, ID: "r1"}, {Kind: policy.Reject, ID: "r1"},
 					{Kind: policy.Send, ID: "r1", Server: "s0"}, {Kind: policy.Cancel, ID: "r1", Attempt: 0}}
 			}
 			return nil
 		})
-		x := l.arriveNow("r1", nodetest.Timeout)
-		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusBadGateway {
-			t.Errorf("status %d, want the first answer", a.Status)
+		x := l.sendRequest("r1", nodetest.Timeout)
+		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != http.StatusBadGateway {
+			t.Errorf("status: got %d, want 502 of the first response", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotAttempted),
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 		if len(arrived) != 0 || len(x.Reply) != 0 {
-			t.Errorf("%d more attempts, %d more answers", len(arrived), len(x.Reply))
+			t.Errorf("after the response: got %d attempts, %d responses, want none", len(arrived), len(x.Reply))
 		}
 	})
 }
 
-func TestBackstopAnswersForASilentModule(t *testing.T) {
+// The backstop answers a request that the balancer does not answer.
+func TestBackstopAnswersForSilentBalancer(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-		x := l.arriveNow("r1", 200*time.Millisecond)
-		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusGatewayTimeout {
-			t.Errorf("status %d", a.Status)
+		x := l.sendRequest("r1", 200*time.Millisecond)
+		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != http.StatusGatewayTimeout {
+			t.Errorf("status: got %d, want 504", a.Status)
 		}
 		if end := x.ReceivedAt + x.Timeout; l.clock.now() > end+nodetest.Timeout/2 {
-			t.Errorf("answered %v after the client's time", l.clock.now()-end)
+			t.Errorf("answered %v after the client's timeout, want at most %v", l.clock.now()-end, nodetest.Timeout/2)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
 	})
 }
 
-// An attempt ends within the client's time, whatever the module asked for; the server is told so.
-func TestTimeOutIsClippedToTheDeadline(t *testing.T) {
+// An attempt ends before the client's timeout even if the balancer's deadline is later, and the server gets the earlier
+// deadline in X-Deadline-Ms.
+func TestAttemptTimeoutIsCappedByDeadline(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		told := make(chan string, 1)
+		deadlines := make(chan string, 1)
 		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
-			told <- r.Header.Get("X-Deadline-Ms")
+			deadlines <- r.Header.Get("X-Deadline-Ms")
 			<-r.Context().Done()
 		})
 		l, _ := startLoop(t, addr, func(now policy.Time, ev policy.Event) []policy.Action {
@@ -228,83 +238,90 @@
 			}
 			return nil
 		})
-		x := l.arriveNow("r1", 2*time.Second)
-		if ms, err := strconv.Atoi(nodetest.Receive(t, "the attempt", told)); err != nil || ms > 2000 {
-			t.Errorf("the server is told of %d ms (%v), though the client waits for 2000", ms, err)
+		x := l.sendRequest("r1", 2*time.Second)
+		if ms, err := strconv.Atoi(nodetest.Receive(t, "the request at the server", deadlines)); err != nil || ms > 2000 {
+			t.Errorf("X-Deadline-Ms at the server: got %d, error %v, want at most 2000, the client's timeout",
+				ms, err)
 		}
-		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status < 500 {
-			t.Errorf("status %d", a.Status)
+		if a := nodetest.Receive(t, "the response", x.Reply); a.Status < 500 {
+			t.Errorf("status of a timed-out request: got %d, want 500 or above", a.Status)
 		}
 	})
 }
 
-func TestDuplicateAndSurplusRequestsAreAnsweredByTheNode(t *testing.T) {
+// The node rejects a second open request with the same ID, and requests over maxOpen, without asking the balancer.
+func TestNodeRejectsDuplicateAndSurplusRequests(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-		l.arriveNow("r1", nodetest.Timeout)
-		if a := nodetest.Receive(t, "the answer", l.arriveNow("r1", nodetest.Timeout).Reply); a.Status != http.StatusConflict {
-			t.Errorf("duplicate: status %d", a.Status)
+		l.sendRequest("r1", nodetest.Timeout)
+		if a := nodetest.Receive(t, "the response",
+			l.sendRequest("r1", nodetest.Timeout).Reply); a.Status != http.StatusConflict {
+			t.Errorf("duplicate request: got status %d, want 409", a.Status)
 		}
 		for i := 2; i <= l.maxOpen; i++ {
-			l.arriveNow(fmt.Sprint("r", i), nodetest.Timeout)
+			l.sendRequest(fmt.Sprint("r", i), nodetest.Timeout)
 		}
-		if a := nodetest.Receive(t, "the answer", l.arriveNow("more", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
-			t.Errorf("surplus: status %d", a.Status)
+		if a := nodetest.Receive(t, "the response",
+			l.sendRequest("more", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
+			t.Errorf("request over maxOpen: got status %d, want 503", a.Status)
 		}
 		if n := len(s.events()); n != 1+l.maxOpen {
-			t.Errorf("the module was told of %d events, want the list and %d requests", n, l.maxOpen)
+			t.Errorf("events received by the balancer: got %d, want the list and %d requests", n, l.maxOpen)
 		}
 	})
 }
 
-func TestFinishFailsWhatIsOpen(t *testing.T) {
+// failUnanswered fails open requests, and requests after it are rejected without the balancer.
+func TestFailUnanswered(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
-		x := l.arriveNow("r1", nodetest.Timeout)
+		x := l.sendRequest("r1", nodetest.Timeout)
 		l.send(failUnanswered{})
-		if a := nodetest.Receive(t, "the answer", x.Reply); a.Status != http.StatusBadGateway {
-			t.Errorf("status %d", a.Status)
+		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != http.StatusBadGateway {
+			t.Errorf("status of the open request: got %d, want 502", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
-		// The id is free again, so this is no duplicate; but no time is left for it.
-		if a := nodetest.Receive(t, "the answer", l.arriveNow("r1", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
-			t.Errorf("after the end: status %d", a.Status)
+		// The ID is free again, so this is not a duplicate.
+		if a := nodetest.Receive(t, "the response",
+			l.sendRequest("r1", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
+			t.Errorf("status of a request after failUnanswered: got %d, want 503", a.Status)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
 	})
 }
 
-// A request that is over leaves nothing behind, however far off its deadline was.
-func TestEndedRequestsAreForgotten(t *testing.T) {
+// A request that has ended leaves nothing in memory, even if its deadline is far off.
+func TestEndedRequestsAreDropped(t *testing.T) {
 	l := &loop{clock: clock{start: time.Now()}, requests: make(map[string]*request),
-		endpoints: make(map[string]discovery.Endpoint), fig: newFigures(nil)}
-	l.balancer = &script{answer: func(_ policy.Time, ev policy.Event) []policy.Action {
+		endpoints: make(map[string]discovery.Endpoint), fig: newMetrics(nil)}
+	l.balancer = &scriptedBalancer{respond: func(_ policy.Time, ev policy.Event) []policy.Action {
 		if e, ok := ev.(policy.Request); ok {
 			return []policy.Action{{Kind: policy.Reject, ID: e.ID}}
 		}
 		return nil
 	}}
 	for i := range 50 {
-		l.handle(arrival{testExchange(http.MethodGet, fmt.Sprint(i), "")})
+		l.handle(requestReceived{testExchange(http.MethodGet, fmt.Sprint(i), "")})
 	}
 	if len(l.requests) != 0 || len(l.timers) != 0 || l.unanswered != 0 {
-		t.Errorf("%d requests, %d timers, %d answers owed", len(l.requests), len(l.timers), l.unanswered)
+		t.Errorf("after all requests ended: got %d requests, %d timers, %d unanswered, want none",
+			len(l.requests), len(l.timers), l.unanswered)
 	}
 }
 
-func TestClockConvertsStarts(t *testing.T) {
+func TestClockFromUnixMilli(t *testing.T) {
 	c := clock{start: time.UnixMilli(1_700_000_000_000)}
 	for ms, want := range map[int64]policy.Time{
 		0:                        0,
 		1_700_000_000_000:        timeOrigin,
-		1_700_000_000_000 - 2000: timeOrigin - 2*time.Second, // before the node, and still cold
+		1_700_000_000_000 - 2000: timeOrigin - 2*time.Second, // started before the node, and still cold
 		1_700_000_000_000 + 500:  timeOrigin + 500*time.Millisecond,
 		1_600_000_000_000:        0,
 		1:                        0,
 		1<<53 - 1:                2 * timeOrigin,
 	} {
-		if got := c.unix(ms); got != want {
-			t.Errorf("%d: got %v, want %v", ms, got, want)
+		if got := c.fromUnixMilli(ms); got != want {
+			t.Errorf("fromUnixMilli(%d): got %v, want %v", ms, got, want)
 		}
 	}
 }
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -14,7 +14,7 @@
 	"sloerail/policy"
 )
 
-// loadFile loads a configuration from a file of its own, whose later texts reload reads.
+// loadFile loads a configuration from a file with the given text. reload replaces the text and reloads the file.
 func loadFile(t *testing.T, text string) (c config.Config, reload func(text string) (config.Config, error)) {
 	t.Helper()
 	path := nodetest.WriteFile(t, text)
@@ -32,7 +32,7 @@
 	}
 }
 
-const laterSettings = `{"position":0,"groupSize":1,"zone":"a",
+const changedSettings = `{"position":0,"groupSize":1,"zone":"a",
 	"services":[{"name":"read","aim":4000,"deadline":9000,"repeat":"single_shot"},
 		{"name":"undo","aim":4000,"deadline":9000,"repeat":"guarded","group":"all","window":4000},
 		{"name":"order","aim":4000,"deadline":9000,"repeat":"free"}],
@@ -41,14 +41,14 @@
 		"retryAfter":true,"secondCopies":true},
 	"guarantees":{"drainGrace":500,"cold":1,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}`
 
-// New settings bind as a whole: a class comes, one goes, another's effect and the attempts change. What a
-// tenant has used up stays so, and a bad file in between changes nothing.
-func TestNewSettingsBindAtOnce(t *testing.T) {
+// Reloaded settings apply as a whole: a class is added, one is removed, another one's retry safety changes, and so does
+// the limit of attempts. A tenant's empty token bucket stays empty, and an invalid file in between changes nothing.
+func TestReloadAppliesSettingsAsAWhole(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		var full atomic.Int32
+		var fullAttempts atomic.Int32
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if strings.HasPrefix(r.Header.Get("X-Request-Id"), "full") {
-				full.Add(1)
+				fullAttempts.Add(1)
 				w.Header().Set("X-Not-Run", "1")
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
@@ -56,86 +56,90 @@
 		known := nodetest.KnownList(server, server, server)
 		c, reload := loadFile(t, nodetest.FillConfig(known, nodetest.Settings))
 		changes := make(chan Change)
-		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
-		ctl := at.Control.Addr().String()
-		node, _ := startNodeAt(t, c, at, changes)
+		listeners := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
+		adminAddr := listeners.Control.Addr().String()
+		node, _ := startNodeAt(t, c, listeners, changes)
 		change := func(text string) {
 			t.Helper()
 			next, err := reload(text)
 			changes <- Change{next, err}
 		}
-		ask := func(method, class, id string, headers ...string) int {
+		status := func(method, class, id string, headers ...string) int {
 			t.Helper()
 			resp, _ := do(t, clientRequest(t, node, method, class, id, "", headers...))
 			return resp.StatusCode
 		}
-		wants := func(want int, got int, what string) {
+		checkStatus := func(want int, got int, what string) {
 			t.Helper()
 			if got != want {
-				t.Errorf("%s: status %d, want %d", what, got, want)
+				t.Errorf("%s: got status %d, want %d", what, got, want)
 			}
 		}
 		for i := range 3 {
-			wants(200, ask("GET", "read", fmt.Sprint("tiny", i), "X-Tenant", "tiny"), "within the burst")
+			checkStatus(200, status("GET", "read", fmt.Sprint("tiny", i), "X-Tenant", "tiny"), "request within the burst")
 		}
-		ask("GET", "read", "full-before")
-		if n := full.Swap(0); n != 3 {
-			t.Errorf("%d attempts before, want 3", n)
+		status("GET", "read", "full-before")
+		if n := fullAttempts.Swap(0); n != 3 {
+			t.Errorf("attempts of a request before the change: got %d, want 3", n)
 		}
-		wants(400, ask("GET", "order", "o1"), "a class to come")
-		change(nodetest.FillConfig(known, strings.Replace(laterSettings, `"maxAttempts":1,`, "", 1)))
-		awaitStats(t, ctl, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 0})
-		wants(400, ask("GET", "order", "o2"), "a class of a broken file")
+		checkStatus(400, status("GET", "order", "o1"), "class of the next configuration")
+		change(nodetest.FillConfig(known, strings.Replace(changedSettings, `"maxAttempts":1,`, "", 1)))
+		awaitStats(t, adminAddr, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 0})
+		checkStatus(400, status("GET", "order", "o2"), "class of an invalid file")
 
 		began := time.Now()
-		change(nodetest.FillConfig(known, laterSettings))
-		awaitStats(t, ctl, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 1,
+		change(nodetest.FillConfig(known, changedSettings))
+		awaitStats(t, adminAddr, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 1,
 			`app_fulfilled_total{priority="order"}`: 0, `app_fulfilled_total{priority="read"}`: 3})
-		wants(200, ask("GET", "order", "o3"), "the new class")
-		wants(200, ask("POST", "read", "r1"), "the class with a new effect")
-		nodetest.Await(t, "the dropped class's end", func() bool { return ask("POST", "pay", fmt.Sprint("p", time.Now().UnixNano())) == 400 })
-		if took := time.Since(began); took > formerClassTime+time.Second/2 {
-			t.Errorf("the dropped class was served for %v", took)
+		checkStatus(200, status("GET", "order", "o3"), "added class")
+		checkStatus(200, status("POST", "read", "r1"), "class with changed retry safety")
+		nodetest.Await(t, "status 400 for the removed class", func() bool {
+			return status("POST", "pay", fmt.Sprint("p", time.Now().UnixNano())) == 400
+		})
+		if took := time.Since(began); took > formerClassPeriod+time.Second/2 {
+			t.Errorf("the removed class was served for %v, want at most %v", took, formerClassPeriod+time.Second/2)
 		}
-		wants(405, ask("GET", "read", "r2"), "the former form of a class")
-		ask("GET", "order", "full-after")
-		if n := full.Load(); n != 1 {
-			t.Errorf("%d attempts after, want 1", n)
+		checkStatus(405, status("GET", "read", "r2"), "former form of a class after formerClassPeriod")
+		status("GET", "order", "full-after")
+		if n := fullAttempts.Load(); n != 1 {
+			t.Errorf("attempts of a request after the change: got %d, want 1", n)
 		}
-		wants(429, ask("GET", "order", "tiny-after", "X-Tenant", "tiny"), "an empty bucket")
-		if _, ok := stats(t, ctl)[`app_fulfilled_total{priority="pay"}`]; !ok {
-			t.Error("the counts of the dropped class are gone")
+		checkStatus(429, status("GET", "order", "tiny-after", "X-Tenant", "tiny"), "request with an empty bucket")
+		if _, ok := stats(t, adminAddr)[`app_fulfilled_total{priority="pay"}`]; !ok {
+			t.Error("no metrics of the removed class: its app_fulfilled_total is missing")
 		}
 	})
 }
 
-// Just after a change a request in its class's former form is taken by the former rules.
+// Just after a configuration change, a request in its class's former form is accepted as one of the former class.
 func TestFormerFormsAreTakenForAMoment(t *testing.T) {
-	free, once := policy.Class{Name: "c", RetrySafety: policy.Idempotent}, policy.Class{Name: "c"}
-	gone := policy.Class{Name: "gone"}
+	idempotent, nonIdempotent := policy.Class{Name: "c", RetrySafety: policy.Idempotent}, policy.Class{Name: "c"}
+	removed := policy.Class{Name: "gone"}
 	now := time.Now()
 	for _, c := range []struct {
-		changed     time.Time
+		changedAt   time.Time
 		method      string
 		class       string
 		former, ok  bool
-		wantsRepeat policy.RetrySafety
+		retrySafety policy.RetrySafety
 	}{
 		{now, "GET", "c", true, true, policy.Idempotent},
 		{now, "POST", "c", false, true, policy.NonIdempotent},
 		{now, "POST", "gone", true, true, policy.NonIdempotent},
-		{now.Add(-2 * formerClassTime), "GET", "c", false, true, policy.NonIdempotent},
-		{now.Add(-2 * formerClassTime), "POST", "gone", false, false, policy.NonIdempotent},
+		{now.Add(-2 * formerClassPeriod), "GET", "c", false, true, policy.NonIdempotent},
+		{now.Add(-2 * formerClassPeriod), "POST", "gone", false, false, policy.NonIdempotent},
 	} {
-		got, former, ok := newTerms([]policy.Class{free, gone}).after([]policy.Class{once}, c.changed).Class(c.class, c.method, false)
-		if former != c.former || ok != c.ok || got.RetrySafety != c.wantsRepeat {
-			t.Errorf("%s %s, changed %v ago: former %v, ok %v, repeat %v", c.method, c.class, now.Sub(c.changed), former, ok, got.RetrySafety)
+		got, former, ok := newClassTable([]policy.Class{idempotent, removed}).
+			next([]policy.Class{nonIdempotent}, c.changedAt).Class(c.class, c.method, false)
+		if former != c.former || ok != c.ok || got.RetrySafety != c.retrySafety {
+			t.Errorf("%s of class %s, changed %v ago: got former %v, ok %v, retry safety %v, want %v, %v, %v",
+				c.method, c.class, now.Sub(c.changedAt), former, ok, got.RetrySafety, c.former, c.ok, c.retrySafety)
 		}
 	}
 }
 
-// Signals in a row, good files and bad, and one while the node stops, do no harm.
-func TestManyChangesInARow(t *testing.T) {
+// Many reloads in a row, of valid and invalid files, do no harm: the node applies the last one, serves and stops.
+func TestManyReloads(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		known := nodetest.KnownList(server)
@@ -143,17 +147,17 @@
 		changes := make(chan Change)
 		node, stop := startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, changes)
 		for i := range 50 {
-			text := nodetest.FillConfig(known, []string{nodetest.Settings, laterSettings, ""}[i%3])
+			text := nodetest.FillConfig(known, []string{nodetest.Settings, changedSettings, ""}[i%3])
 			next, err := reload(text)
 			changes <- Change{next, err}
 		}
-		next, err := reload(nodetest.FillConfig(known, laterSettings))
+		next, err := reload(nodetest.FillConfig(known, changedSettings))
 		if err != nil {
 			t.Fatal(err)
 		}
 		changes <- Change{Config: next}
 		if resp, _ := do(t, clientRequest(t, node, "GET", "order", "r", "")); resp.StatusCode != http.StatusOK {
-			t.Errorf("status %d", resp.StatusCode)
+			t.Errorf("request of a class of the last configuration: got status %d, want 200", resp.StatusCode)
 		}
 		if err := stop(); err != nil {
 			t.Error(err)
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -21,41 +21,41 @@
 )
 
 func TestMain(m *testing.M) {
-	if os.Getenv(benchPeerEnv) != "" {
-		if err := playPeers(os.Stdin, os.Stdout); err != nil {
+	if os.Getenv(benchPeersEnv) != "" {
+		if err := runBenchPeers(os.Stdin, os.Stdout); err != nil {
 			_, _ = fmt.Fprintln(os.Stderr, "bench peers:", err)
 			os.Exit(1)
 		}
 		return
 	}
-	var lines logKeeper
+	var lines logBuffer
 	slog.SetDefault(slog.New(slog.NewTextHandler(&lines, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	status := m.Run()
 	if status != 0 {
-		lines.tell(os.Stderr)
+		lines.dump(os.Stderr)
 	}
 	os.Exit(status)
 }
 
-// logKeeper holds the newest lines of the log back; they are told where a test fails.
-type logKeeper struct {
+// logBuffer buffers the newest log lines. TestMain writes them out if a test fails.
+type logBuffer struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-const keptLines = 2000
+const maxLogLines = 2000
 
-func (k *logKeeper) Write(p []byte) (int, error) {
+func (k *logBuffer) Write(p []byte) (int, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(k.lines) == keptLines {
-		k.lines = append(k.lines[:0], k.lines[keptLines/2:]...)
+	if len(k.lines) == maxLogLines {
+		k.lines = append(k.lines[:0], k.lines[maxLogLines/2:]...)
 	}
 	k.lines = append(k.lines, string(p))
 	return len(p), nil
 }
 
-func (k *logKeeper) tell(w io.Writer) {
+func (k *logBuffer) dump(w io.Writer) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, line := range k.lines {
@@ -85,24 +85,24 @@
 	return x
 }
 
-// startNode runs a whole node, and returns its address and a function that stops it as SIGTERM does
-// and returns what Run did.
+// startNode runs a whole node until the test ends. It returns the node's address, and a function that stops the node as
+// SIGTERM does and returns Run's error.
 func startNode(t testing.TB, c config.Config) (addr string, stop func() error) {
 	t.Helper()
 	return startNodeAt(t, c, Listeners{Clients: nodetest.Listener(t)}, nil)
 }
 
-// testDescriptors are as many descriptors for connections.
+// testDescriptors returns n descriptors for connections.
 func testDescriptors(n int) *upstream.Descriptors {
 	d := new(upstream.Descriptors)
 	d.SetTotal(n)
 	return d
 }
 
-// reuseDelay is longer than a connection to a server is left unused after a response.
+// reuseDelay is longer than the time for which a server connection is not reused after a response.
 const reuseDelay = 20 * time.Millisecond
 
-// dialWith has the connections to servers made by a function, from now on.
+// dialWith makes the loop dial new server connections with the given function.
 func (l *loop) dialWith(t *testing.T, dial config.DialFunc) {
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList())
@@ -110,20 +110,21 @@
 	l.up.Configure(transportConfig(c))
 }
 
-// serveAt has s take clients.
+// serveAt makes s accept clients until the test ends, and returns its address.
 func serveAt(t *testing.T, s *server) (addr string) {
 	t.Helper()
 	return serveOn(t, s, nodetest.Listener(t))
 }
 
+// serveOn makes s accept clients from ln until the test ends.
 func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
 	s.loop.up.Descriptors().SetTotal(config.MinSockets)
-	ended := make(chan error, 1)
-	go func() { ended <- s.Accept(ln) }()
+	acceptErr := make(chan error, 1)
+	go func() { acceptErr <- s.Accept(ln) }()
 	t.Cleanup(func() {
 		nodetest.CloseOnce(t, ln)
-		if err := nodetest.Receive(t, "the end of accepting", ended); err != nil {
+		if err := nodetest.Receive(t, "Accept to return after its listener was closed", acceptErr); err != nil {
 			t.Error(err)
 		}
 		s.Shutdown(time.Now())
@@ -131,11 +132,14 @@
 	return ln.Addr().String()
 }
 
-func startNodeAt(t testing.TB, c config.Config, at Listeners, changes <-chan Change) (addr string, stop func() error) {
+// startNodeAt is startNode with the given listeners and configuration changes.
+func startNodeAt(
+	t testing.TB, c config.Config, listeners Listeners, changes <-chan Change,
+) (addr string, stop func() error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan error, 1)
-	go func() { ended <- Run(ctx, c, at, changes) }()
+	runErr := make(chan error, 1)
+	go func() { runErr <- Run(ctx, c, listeners, changes) }()
 	stopped := false
 	stop = func() error {
 		if stopped {
@@ -144,10 +148,10 @@
 		stopped = true
 		cancel()
 		select {
-		case err := <-ended:
+		case err := <-runErr:
 			return err
 		case <-time.After(nodetest.Timeout):
-			return fmt.Errorf("the node did not end")
+			return fmt.Errorf("Run did not return within %v after its context was cancelled", nodetest.Timeout)
 		}
 	}
 	t.Cleanup(func() {
@@ -155,8 +159,8 @@
 			t.Error(err)
 		}
 	})
-	addr = at.Clients.Addr().String()
-	nodetest.Await(t, "readiness", func() bool {
+	addr = listeners.Clients.Addr().String()
+	nodetest.Await(t, "the node to be ready", func() bool {
 		resp, err := oneRequestClient(t).Get("http://" + addr + downstream.ReadyPath)
 		if err != nil {
 			return false
@@ -167,7 +171,8 @@
 	return addr, stop
 }
 
-// clientRequest is one as clients send it; headers are pairs, and an empty value takes one out.
+// clientRequest returns a request as clients send it. headers are pairs of names and values; an empty value removes the
+// header.
 func clientRequest(t *testing.T, addr, method, class, id, body string, headers ...string) *http.Request {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), method, "http://"+addr+"/api/x?q=a%20b", strings.NewReader(body))
@@ -189,18 +194,19 @@
 	return req
 }
 
-// oneRequestClient makes a connection for each request.
+// oneRequestClient returns a client that opens a connection for each request.
 func oneRequestClient(t testing.TB) *http.Client {
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DialContext: nodetest.Dialer(t)}}
 }
 
-// keepAliveClient keeps the one connection that it has to a host.
+// keepAliveClient returns a client that keeps a single connection per host.
 func keepAliveClient(t testing.TB) *http.Client {
 	c := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1, DialContext: nodetest.Dialer(t)}}
 	t.Cleanup(c.CloseIdleConnections)
 	return c
 }
 
+// do sends a request on a new connection and returns the response and its body.
 func do(t *testing.T, req *http.Request) (*http.Response, string) {
 	t.Helper()
 	resp, err := oneRequestClient(t).Do(req)
