--- a/internal/node/nodetest/config.go
+++ b/internal/node/nodetest/config.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// Settings are the settings of a node in tests.
+// Settings is the JSON text of a node's settings in tests.
 const Settings = `{"position":0,"groupSize":1,"zone":"a",
 	"services":[{"name":"read","aim":4000,"deadline":9000,"repeat":"free"},
 		{"name":"pay","aim":4000,"deadline":9000,"repeat":"single_shot"},
@@ -12,11 +12,11 @@
 		"retryAfter":true,"secondCopies":true},
 	"guarantees":{"drainGrace":500,"cold":1,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}`
 
-// ConfigText is the text of a configuration file, in which KNOWN stands for a list and SETTINGS for settings.
+// ConfigText is the text of a configuration file with the placeholders KNOWN (the list of known servers) and SETTINGS.
 const ConfigText = `{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:8500","seed":"8c1f30d27a5be964",
 	"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},"known":KNOWN,"settings":SETTINGS}`
 
-// FillConfig is ConfigText with a list and settings.
+// FillConfig returns ConfigText with its placeholders replaced by known and settings.
 func FillConfig(known, settings string) string {
 	return strings.NewReplacer("KNOWN", known, "SETTINGS", settings).Replace(ConfigText)
 }
--- a/internal/node/nodetest/golden.go
+++ b/internal/node/nodetest/golden.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Golden reads a golden file from testdata.
+// Golden returns the content of the golden file name in testdata.
 func Golden(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", name))
@@ -17,7 +17,7 @@
 	return raw
 }
 
-// SameBytes fails where got is not want, and says from where on.
+// SameBytes fails the test if got differs from want, and reports the offset of the first difference.
 func SameBytes(t *testing.T, what string, got, want []byte) {
 	t.Helper()
 	if bytes.Equal(got, want) {
@@ -27,10 +27,10 @@
 	for n < len(got) && n < len(want) && got[n] == want[n] {
 		n++
 	}
-	t.Errorf("%s differs from byte %d on:\n got %s\nwant %s", what, n, got[n:min(n+80, len(got))], want[n:min(n+80, len(want))])
+	t.Errorf("%s: first difference at byte %d:\n got %s\nwant %s", what, n, got[n:min(n+80, len(got))], want[n:min(n+80, len(want))])
 }
 
-// WriteFile writes a file that the test's end removes, and returns its path.
+// WriteFile writes text to a temporary file, which is removed when the test ends, and returns its path.
 func WriteFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file")
--- a/internal/node/nodetest/memnet.go
+++ b/internal/node/nodetest/memnet.go
@@ -13,8 +13,8 @@
 	"time"
 )
 
-// Bubble runs a test in virtual time, over a network in memory: waits cost nothing, and how busy the machine
-// is makes no difference.
+// Bubble runs a test in virtual time, over an in-memory network: waits take no real time, and the load of the machine
+// doesn't affect the result.
 func Bubble(t *testing.T, test func(t *testing.T)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -25,9 +25,9 @@
 	})
 }
 
-var memNets sync.Map // *memNet by the test in its bubble
+var memNets sync.Map // from the *testing.T of a bubble to its *memNet
 
-// Dialer is that of the test's network.
+// Dialer returns the dial function of the test's in-memory network, or nil outside a Bubble.
 func Dialer(t testing.TB) func(ctx context.Context, network, addr string) (net.Conn, error) {
 	if n, ok := memNets.Load(t); ok {
 		return n.(*memNet).dial
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Dial connects to addr on the test's network.
+// Dial connects to addr on the test's in-memory network, or over TCP outside a Bubble.
 func Dial(t testing.TB, addr string) Conn {
 	t.Helper()
 	connect := Dialer(t)
@@ -49,12 +49,13 @@
 	return c.(Conn)
 }
 
-// Conn is a connection of the test's network.
+// Conn is a connection whose write side can be closed alone: an in-memory connection or a *net.TCPConn.
 type Conn interface {
 	net.Conn
 	CloseWrite() error
 }
 
+// memNet is the in-memory network of one Bubble.
 type memNet struct {
 	mu        sync.Mutex
 	listeners map[string]*memListener
@@ -78,11 +79,11 @@
 	from := &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1), Port: n.port}
 	n.mu.Unlock()
 	if l != nil {
-		there, back := newStream(), newStream()
-		ours := &memConn{in: back, out: there, local: from, remote: l.addr}
+		toServer, toClient := newStream(), newStream()
+		client := &memConn{in: toClient, out: toServer, local: from, remote: l.addr}
 		select {
-		case l.queue <- &memConn{in: there, out: back, local: l.addr, remote: from}:
-			return ours, nil
+		case l.queue <- &memConn{in: toServer, out: toClient, local: l.addr, remote: from}:
+			return client, nil
 		case <-l.closed:
 		default:
 		}
@@ -127,19 +128,20 @@
 	return err
 }
 
-// streamSize is what a stream holds that is written and not yet read.
+// streamSize is the most bytes that a stream buffers; further writes block.
 const streamSize = 256 << 10
 
 // stream is one direction of a connection.
 type stream struct {
-	mu            sync.Mutex
-	change        *sync.Cond
-	buffered      []byte
-	ended         bool // nothing more is written
-	broken        bool // nothing more is read
-	readTo, write deadline
+	mu                          sync.Mutex
+	changed                     *sync.Cond
+	buffered                    []byte
+	writeClosed                 bool // the writer has closed: reads return io.EOF after the buffer
+	readClosed                  bool // the reader has closed: writes fail with ECONNRESET
+	readDeadline, writeDeadline deadline
 }
 
+// deadline wakes the calls that wait on a stream when its time has come.
 type deadline struct {
 	at    time.Time
 	timer *time.Timer
@@ -149,7 +151,7 @@
 
 func newStream() *stream {
 	s := new(stream)
-	s.change = sync.NewCond(&s.mu)
+	s.changed = sync.NewCond(&s.mu)
 	return s
 }
 
@@ -158,52 +160,54 @@
 	defer s.mu.Unlock()
 	for {
 		switch {
-		case s.broken:
+		case s.readClosed:
 			return 0, net.ErrClosed
-		case s.readTo.passed():
+		case s.readDeadline.passed():
 			return 0, os.ErrDeadlineExceeded
 		case len(s.buffered) > 0:
 			n := copy(p, s.buffered)
 			s.buffered = s.buffered[n:]
-			s.change.Broadcast()
+			s.changed.Broadcast()
 			return n, nil
-		case s.ended:
+		case s.writeClosed:
 			return 0, io.EOF
 		}
-		s.change.Wait()
+		s.changed.Wait()
 	}
 }
 
-func (s *stream) put(p []byte) (n int, err error) {
+func (s *stream) write(p []byte) (n int, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
 		switch {
-		case s.ended:
+		case s.writeClosed:
 			return n, net.ErrClosed
-		case s.broken:
+		case s.readClosed:
 			return n, syscall.ECONNRESET
-		case s.write.passed():
+		case s.writeDeadline.passed():
 			return n, os.ErrDeadlineExceeded
 		}
 		part := p[n:min(len(p), n+streamSize-len(s.buffered))]
 		s.buffered = append(s.buffered, part...)
-		s.change.Broadcast()
+		s.changed.Broadcast()
 		if n += len(part); n == len(p) {
 			return n, nil
 		}
-		s.change.Wait()
+		s.changed.Wait()
 	}
 }
 
-func (s *stream) set(flag *bool) {
+// setFlag sets one of the stream's flags and wakes the calls that wait on the stream.
+func (s *stream) setFlag(flag *bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	*flag = true
-	s.change.Broadcast()
+	s.changed.Broadcast()
 }
 
-func (s *stream) due(d *deadline, at time.Time) {
+// setDeadline sets one of the stream's deadlines; a zero time removes it.
+func (s *stream) setDeadline(d *deadline, at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if d.timer != nil {
@@ -211,38 +215,39 @@
 		d.timer = nil
 	}
 	if d.at = at; !at.IsZero() && time.Until(at) > 0 {
-		d.timer = time.AfterFunc(time.Until(at), s.change.Broadcast)
+		d.timer = time.AfterFunc(time.Until(at), s.changed.Broadcast)
 	}
-	s.change.Broadcast()
+	s.changed.Broadcast()
 }
 
+// memConn is one end of an in-memory connection.
 type memConn struct {
 	in, out       *stream
 	local, remote net.Addr
 }
 
 func (c *memConn) Read(p []byte) (int, error)  { return c.in.read(p) }
-func (c *memConn) Write(p []byte) (int, error) { return c.out.put(p) }
+func (c *memConn) Write(p []byte) (int, error) { return c.out.write(p) }
 func (c *memConn) LocalAddr() net.Addr         { return c.local }
 func (c *memConn) RemoteAddr() net.Addr        { return c.remote }
 
 func (c *memConn) CloseWrite() error {
-	c.out.set(&c.out.ended)
+	c.out.setFlag(&c.out.writeClosed)
 	return nil
 }
 
 func (c *memConn) Close() error {
-	c.in.set(&c.in.broken)
+	c.in.setFlag(&c.in.readClosed)
 	return errors.Join(c.SetDeadline(time.Time{}), c.CloseWrite())
 }
 
 func (c *memConn) SetReadDeadline(at time.Time) error {
-	c.in.due(&c.in.readTo, at)
+	c.in.setDeadline(&c.in.readDeadline, at)
 	return nil
 }
 
 func (c *memConn) SetWriteDeadline(at time.Time) error {
-	c.out.due(&c.out.write, at)
+	c.out.setDeadline(&c.out.writeDeadline, at)
 	return nil
 }
 
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -1,4 +1,5 @@
-// Package nodetest helps the tests of a node: servers, waiting, and a network in memory for tests in virtual time.
+// Package nodetest has helpers for the tests of a node: servers, waiting, and an in-memory network for tests in virtual
+// time.
 package nodetest
 
 import (
@@ -11,10 +12,10 @@
 	"time"
 )
 
-// Timeout is more than any step of a test takes; nothing waits for it unless the test fails.
+// Timeout bounds each wait of a test. It is longer than any step takes, so only a failing test reaches it.
 const Timeout = 30 * time.Second
 
-// HTTPServer serves on the test's network until the test ends, and returns its address.
+// HTTPServer starts an HTTP server on the test's network, which runs until the test ends, and returns its address.
 func HTTPServer(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	ln := Listener(t)
@@ -24,7 +25,8 @@
 	return ln.Addr().String()
 }
 
-// Listener listens on the test's network until the test ends.
+// Listener returns a listener on the in-memory network in a Bubble, on a loopback port otherwise. It is closed when the
+// test ends.
 func Listener(t testing.TB) net.Listener {
 	t.Helper()
 	if n, ok := memNets.Load(t); ok {
@@ -40,15 +42,15 @@
 	return ln
 }
 
-// CloseAtEnd closes what the test uses when it ends, also where the test closed it before.
-func CloseAtEnd(t testing.TB, all ...io.Closer) {
+// CloseAtEnd closes closers when the test ends. The test may close them before.
+func CloseAtEnd(t testing.TB, closers ...io.Closer) {
 	t.Helper()
-	for _, c := range all {
+	for _, c := range closers {
 		t.Cleanup(func() { CloseOnce(t, c) })
 	}
 }
 
-// CloseOnce closes c, which the test may have closed before.
+// CloseOnce closes c, and ignores the error if c is already closed.
 func CloseOnce(t testing.TB, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
@@ -56,29 +58,29 @@
 	}
 }
 
-// Await polls until ok holds, and fails the test if it doesn't within Timeout.
-func Await(t testing.TB, what string, ok func() bool) {
+// Await polls until condition holds, and fails the test if it doesn't within Timeout.
+func Await(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(Timeout); !ok(); time.Sleep(2 * time.Millisecond) {
+	for end := time.Now().Add(Timeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("waited in vain for %s", what)
+			t.Fatalf("timed out after %v waiting for %s", Timeout, what)
 		}
 	}
 }
 
-// Receive waits for a value, and fails the test if none comes within Timeout.
-func Receive[T any](t *testing.T, what string, from <-chan T) T {
+// Receive returns the next value of ch, and fails the test if none arrives within Timeout.
+func Receive[T any](t *testing.T, what string, ch <-chan T) T {
 	t.Helper()
 	select {
-	case v := <-from:
+	case v := <-ch:
 		return v
 	case <-time.After(Timeout):
-		t.Fatalf("waited in vain for %s", what)
+		t.Fatalf("timed out after %v waiting for %s", Timeout, what)
 		panic("unreachable")
 	}
 }
 
-// Close closes c, which has to be open.
+// Close closes c, and fails the test on any error, also if c is already closed.
 func Close(t testing.TB, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
--- a/internal/node/nodetest/servers.go
+++ b/internal/node/nodetest/servers.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// RawServer runs a server at the level of the connection until the test ends, and returns its address.
+// RawServer starts a server that calls serve for each connection, until the test ends, and returns its address.
 func RawServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln := Listener(t)
@@ -17,7 +17,7 @@
 	return ln.Addr().String()
 }
 
-// AcceptRaw serves each connection that comes, until ln is closed.
+// AcceptRaw calls serve for each connection accepted from ln, until ln is closed.
 func AcceptRaw(ln net.Listener, serve func(net.Conn, *bufio.Reader)) {
 	for {
 		c, err := ln.Accept()
@@ -31,7 +31,7 @@
 	}
 }
 
-// ReadRequest reads a request to its last byte, and reports whether there was a complete one.
+// ReadRequest reads and discards a request with its body, and reports whether it was complete.
 func ReadRequest(r *bufio.Reader) bool {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -41,8 +41,8 @@
 	return err == nil
 }
 
-// HoldingServer reads requests completely, sends the ID of each to received, and holds its response until the test calls
-// release.
+// HoldingServer starts a server that reads each request completely, sends its ID to received, and withholds the response
+// until the test calls release.
 func HoldingServer(t *testing.T) (addr string, received <-chan string, release func()) {
 	t.Helper()
 	ids, released := make(chan string, 100), make(chan struct{})
