--- a/internal/node/body_streaming_test.go
+++ b/internal/node/body_streaming_test.go
@@ -22,17 +22,17 @@
 	"sloerail/internal/node/upstream"
 )
 
-// noise is n bytes that no two places share.
-func noise(n int) []byte {
+// randomBytes returns n pseudo-random bytes, the same for each call with n.
+func randomBytes(n int) []byte {
 	b := make([]byte, n)
 	_, _ = rand.NewChaCha8([32]byte{byte(n)}).Read(b)
 	return b
 }
 
-// unsized hides the length of a body, so that it goes in chunks.
-type unsized struct{ io.Reader }
+// unsizedReader hides the length of a body, so that it is sent in chunks.
+type unsizedReader struct{ io.Reader }
 
-// Bodies and answers of any size pass byte for byte, by length and by chunks, in whatever pieces.
+// Request and response bodies of any size pass unchanged, with Content-Length and chunked, in pieces of any size.
 func TestLargeBodiesPassUnchanged(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -47,28 +47,28 @@
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 	for _, size := range []int{0, 1, http1.MaxBufferedBodyBytes - 1, http1.MaxBufferedBodyBytes, http1.MaxBufferedBodyBytes + 1, 3 << 20} {
-		want := noise(size)
-		for form, body := range map[string]io.Reader{
-			"length": bytes.NewReader(want), "chunks": unsized{bytes.NewReader(want)},
-			"halves": unsized{iotest.HalfReader(bytes.NewReader(want))},
+		want := randomBytes(size)
+		for framing, body := range map[string]io.Reader{
+			"length": bytes.NewReader(want), "chunks": unsizedReader{bytes.NewReader(want)},
+			"halves": unsizedReader{iotest.HalfReader(bytes.NewReader(want))},
 		} {
-			req := clientRequest(t, node, "POST", "pay", fmt.Sprint(form, size), "")
+			req := clientRequest(t, node, "POST", "pay", fmt.Sprint(framing, size), "")
 			req.Body = io.NopCloser(body)
-			if req.ContentLength = -1; form == "length" {
+			if req.ContentLength = -1; framing == "length" {
 				req.ContentLength = int64(size)
 			}
 			resp, got := do(t, req)
 			if resp.StatusCode != http.StatusOK || sha256.Sum256([]byte(got)) != sha256.Sum256(want) {
-				t.Errorf("%s of %d: status %d, %d bytes came back", form, size, resp.StatusCode, len(got))
+				t.Errorf("%s, %d bytes: status %d, want 200 and the same body; got %d bytes", framing, size, resp.StatusCode, len(got))
 			}
-			if form == "length" && resp.ContentLength != int64(size) {
-				t.Errorf("an answer of %d says %d", size, resp.ContentLength)
+			if framing == "length" && resp.ContentLength != int64(size) {
+				t.Errorf("response of %d bytes: Content-Length %d", size, resp.ContentLength)
 			}
 		}
 	}
 }
 
-// A small body or answer in single bytes is as good as one in a piece.
+// A small request body or response that arrives byte by byte is forwarded as one that arrives at once.
 func TestSingleBytesPass(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -83,69 +83,70 @@
 		req := clientRequest(t, node, "POST", "pay", "r", "")
 		req.Body, req.ContentLength = io.NopCloser(iotest.OneByteReader(strings.NewReader("sum"))), -1
 		if resp, body := do(t, req); resp.StatusCode != http.StatusOK || body != "yes" {
-			t.Errorf("status %d, %q", resp.StatusCode, body)
+			t.Errorf("got status %d, body %q; want 200, yes", resp.StatusCode, body)
 		}
 	})
 }
 
-// The first bytes of a long answer reach the client while the server still has others to give, and no
-// deadline ends it from then on.
+// The first bytes of a long response reach the client while the server still sends, and the request's deadline no longer
+// applies once they have.
 func TestLongAnswerPassesAsItComes(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		next := make(chan struct{})
+		resume := make(chan struct{})
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", fmt.Sprint(upstream.StreamStartBytes+http1.MaxBufferedBodyBytes))
 			_, _ = io.WriteString(w, strings.Repeat("a", upstream.StreamStartBytes))
 			w.(http.Flusher).Flush()
-			<-next
+			<-resume
 			_, _ = io.WriteString(w, strings.Repeat("b", http1.MaxBufferedBodyBytes))
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
-		const wait = 300 * time.Millisecond
-		resp, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "r", "", "X-Deadline-Ms", fmt.Sprint(wait.Milliseconds())))
+		const deadline = 300 * time.Millisecond
+		resp, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "r", "", "X-Deadline-Ms", fmt.Sprint(deadline.Milliseconds())))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer nodetest.CloseOnce(t, resp.Body)
 		first := make([]byte, upstream.StreamStartBytes)
 		if _, err := io.ReadFull(resp.Body, first); err != nil || first[0] != 'a' {
-			t.Fatalf("first bytes %q..., %v", first[:1], err)
+			t.Fatalf("start of the response: got %q..., error %v; want the first part of the body", first[:1], err)
 		}
-		time.AfterFunc(2*wait, func() { close(next) }) // beyond the time that the client would wait for a first byte
+		time.AfterFunc(2*deadline, func() { close(resume) }) // after the request's deadline
 		rest, err := io.ReadAll(resp.Body)
 		if err != nil || len(rest) != http1.MaxBufferedBodyBytes || rest[0] != 'b' {
-			t.Errorf("%d bytes more, %v", len(rest), err)
+			t.Errorf("rest of the response: got %d bytes, error %v; want the whole second part", len(rest), err)
 		}
 	})
 }
 
-// An answer that says it is long and breaks off at once was never begun: another server is tried.
+// A long response that breaks off before StreamStartBytes has not been started towards the client: another server is
+// tried.
 func TestIncompleteResponseIsNotForwarded(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		spoilt := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
+		incomplete := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if nodetest.ReadRequest(r) {
 				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\nshort", 2*http1.MaxBufferedBodyBytes)
 			}
 		})
-		good := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "good") })
-		node, _ := startNode(t, testConfig(t, nodetest.KnownList(spoilt, good)))
+		complete := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = fmt.Fprint(w, "good") })
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(incomplete, complete)))
 		if resp, body := do(t, clientRequest(t, node, "GET", "read", "r", "")); resp.StatusCode != http.StatusOK || body != "good" {
-			t.Errorf("status %d, %d bytes", resp.StatusCode, len(body))
+			t.Errorf("got status %d, body of %d bytes; want 200 and the body of the other server", resp.StatusCode, len(body))
 		}
 	})
 }
 
-// A client can tell that an answer broke off, whatever the framing and however old its HTTP.
+// A client sees an error when a response breaks off, whatever its framing, over HTTP/1.0 and HTTP/1.1.
 func TestClientCanTellABrokenAnswer(t *testing.T) {
 	t.Parallel()
-	part := strings.Repeat("x", http1.MaxBufferedBodyBytes+9)
-	for name, head := range map[string]string{
-		"length": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(part), part),
-		"chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(part), part),
+	partialBody := strings.Repeat("x", http1.MaxBufferedBodyBytes+9)
+	for name, response := range map[string]string{
+		"length": fmt.Sprintf("Content-Length: %d\r\n\r\n%s", 2*len(partialBody), partialBody),
+		"chunks": fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n", len(partialBody), partialBody),
 	} {
 		server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if nodetest.ReadRequest(r) {
-				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s", head)
+				_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\n%s", response)
 			}
 		})
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
@@ -163,7 +164,7 @@
 				t.Fatal(err)
 			}
 			if _, err := io.ReadAll(resp.Body); err == nil {
-				t.Errorf("%s, HTTP/%s: looks whole", name, proto)
+				t.Errorf("%s, HTTP/%s: a broken-off response was read without error", name, proto)
 			}
 		}
 		awaitStats(t, at.Control.Addr().String(), map[string]float64{
@@ -171,18 +172,19 @@
 	}
 }
 
-// An attempt that took part of what can't be written again is the last one; one that took nothing isn't.
+// A request whose streamed body was consumed in part is not tried again, since the body is no longer there to send. It is
+// tried again if nothing of the body was consumed.
 func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		for _, c := range []struct {
-			name      string
-			first     func(net.Conn, *bufio.Reader) // what the first connection does
-			want, all int
+			name                     string
+			serve                    func(net.Conn, *bufio.Reader) // serves each connection
+			wantStatus, wantAttempts int
 		}{
-			{"reset while it comes", func(c net.Conn, r *bufio.Reader) {
+			{"reset during the body", func(c net.Conn, r *bufio.Reader) {
 				_, _ = io.CopyN(io.Discard, r, downstream.UploadStartBytes+http1.MaxBufferedBodyBytes)
 			}, http.StatusServiceUnavailable, 1},
-			{"full after the last byte", func(c net.Conn, r *bufio.Reader) {
+			{"rejected after the whole body", func(c net.Conn, r *bufio.Reader) {
 				if nodetest.ReadRequest(r) {
 					_, _ = fmt.Fprint(c, "HTTP/1.1 503 Full\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n")
 				}
@@ -191,64 +193,65 @@
 			var conns atomic.Int32
 			server := nodetest.RawServer(t, func(conn net.Conn, r *bufio.Reader) {
 				conns.Add(1)
-				c.first(conn, r)
+				c.serve(conn, r)
 			})
 			node, _ := startNode(t, testConfig(t, nodetest.KnownList(server, server)))
-			resp, _ := do(t, clientRequest(t, node, "POST", "undo", "r", string(noise(1<<20))))
-			if resp.StatusCode != c.want || int(conns.Load()) != c.all {
-				t.Errorf("%s: status %d after %d attempts, want %d after %d", c.name, resp.StatusCode, conns.Load(), c.want, c.all)
+			resp, _ := do(t, clientRequest(t, node, "POST", "undo", "r", string(randomBytes(1<<20))))
+			if resp.StatusCode != c.wantStatus || int(conns.Load()) != c.wantAttempts {
+				t.Errorf("%s: status %d after %d attempts, want %d after %d", c.name, resp.StatusCode, conns.Load(),
+					c.wantStatus, c.wantAttempts)
 			}
 		}
-		dead, err := net.Listen("tcp", "127.0.0.1:0")
+		closed, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		nodetest.CloseOnce(t, dead)
+		nodetest.CloseOnce(t, closed)
 		alive := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
-		node, _ := startNode(t, testConfig(t, nodetest.KnownList(dead.Addr().String(), alive)))
-		resp, _ := do(t, clientRequest(t, node, "POST", "undo", "again", string(noise(1<<20))))
+		node, _ := startNode(t, testConfig(t, nodetest.KnownList(closed.Addr().String(), alive)))
+		resp, _ := do(t, clientRequest(t, node, "POST", "undo", "again", string(randomBytes(1<<20))))
 		if resp.StatusCode != http.StatusOK {
-			t.Errorf("nothing had left the node, and no other server was tried: status %d", resp.StatusCode)
+			t.Errorf("first server refuses the connection: status %d, want 200 from the other server", resp.StatusCode)
 		}
 	})
 }
 
-// Over 32 MiB there is no server asked, or none that gets a whole request.
+// A body over 32 MiB is rejected with 413, and no server gets a complete request.
 func TestTooLargeBodyIsRejected(t *testing.T) {
 	t.Parallel()
-	var whole atomic.Int32
+	var complete atomic.Int32
 	server := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		if _, err := io.Copy(io.Discard, r.Body); err == nil {
-			whole.Add(1)
+			complete.Add(1)
 		}
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 	for _, length := range []int64{downstream.MaxBodyBytes + 1, -1} {
 		req := clientRequest(t, node, "POST", "pay", fmt.Sprint("r", length), "")
-		req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeros{}, downstream.MaxBodyBytes+1)), length
+		req.Body, req.ContentLength = io.NopCloser(io.LimitReader(zeroReader{}, downstream.MaxBodyBytes+1)), length
 		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
-			t.Fatalf("length %d: %v", length, err)
+			t.Fatalf("Content-Length %d: %v", length, err)
 		}
 		nodetest.CloseOnce(t, resp.Body)
 		if resp.StatusCode != http.StatusRequestEntityTooLarge {
-			t.Errorf("length %d: status %d", length, resp.StatusCode)
+			t.Errorf("Content-Length %d: status %d, want 413", length, resp.StatusCode)
 		}
 	}
-	if n := whole.Load(); n != 0 {
-		t.Errorf("%d reached the server whole", n)
+	if n := complete.Load(); n != 0 {
+		t.Errorf("too large requests that reached the server complete: got %d, want 0", n)
 	}
 }
 
-type zeros struct{}
+type zeroReader struct{}
 
-func (zeros) Read(p []byte) (int, error) {
+func (zeroReader) Read(p []byte) (int, error) {
 	clear(p)
 	return len(p), nil
 }
 
-// A body at 64 kB a second is served, though it takes longer than its client's deadline; one that stops
-// ends, and its server hears of it.
+// A body sent at 64 kB/s is served, although that takes longer than the request's deadline. A body that stalls ends its
+// request with 408 within 3 s, and its attempt too.
 func TestSlowBodyIsServedAndASilentOneTimesOut(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -258,8 +261,8 @@
 		at := Listeners{Clients: nodetest.Listener(t), Control: nodetest.Listener(t)}
 		node, _ := startNodeAt(t, testConfig(t, nodetest.KnownList(server)), at, nil)
 		const size, step = 192_000, 6_400
-		var both sync.WaitGroup
-		both.Go(func() {
+		var wg sync.WaitGroup
+		wg.Go(func() {
 			req := clientRequest(t, node, "POST", "pay", "slow", "", "X-Deadline-Ms", "1000")
 			body, out := io.Pipe()
 			req.Body, req.ContentLength = body, size
@@ -275,45 +278,45 @@
 				nodetest.CloseOnce(t, out)
 			}()
 			if resp, got := do(t, req); resp.StatusCode != http.StatusOK || got != fmt.Sprint(size) {
-				t.Errorf("slow: status %d, %q", resp.StatusCode, got)
+				t.Errorf("slow body: got status %d, %q; want 200 and the length of the body", resp.StatusCode, got)
 			}
 		})
-		both.Go(func() {
+		wg.Go(func() {
 			conn := nodetest.Dial(t, node)
 			defer nodetest.CloseOnce(t, conn)
-			began := time.Now()
+			start := time.Now()
 			_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: silent\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
 				"X-Deadline-Ms: 8000\r\nContent-Length: %d\r\n\r\n%s", size, make([]byte, downstream.UploadStartBytes+1))
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
-			if err != nil || resp.StatusCode != http.StatusRequestTimeout || time.Since(began) > 3*time.Second {
-				t.Errorf("silent: %v, %v after %v", resp, err, time.Since(began))
+			if err != nil || resp.StatusCode != http.StatusRequestTimeout || time.Since(start) > 3*time.Second {
+				t.Errorf("stalled body: got %v, error %v after %v; want 408 within 3s", resp, err, time.Since(start))
 			}
 		})
-		both.Wait()
+		wg.Wait()
 		awaitStats(t, at.Control.Addr().String(), map[string]float64{"app_open_requests": 0})
 	})
 }
 
-// Many long answers to clients that don't read leave the node its memory and its other clients.
+// Responses to clients that don't read are not buffered whole in the node, and other clients are served meanwhile.
 func TestStalledReadersHoldLittleMemory(t *testing.T) {
 	t.Parallel()
-	const answers = 40
-	long := noise(4 << 20)
-	var given atomic.Int64
+	const responses = 40
+	large := randomBytes(4 << 20)
+	var written atomic.Int64
 	server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("X-Request-Id") == "small" {
 			return
 		}
-		w.Header().Set("Content-Length", fmt.Sprint(len(long)))
-		for at := 0; at < len(long); at += http1.CopyBufferBytes {
-			if _, err := w.Write(long[at : at+http1.CopyBufferBytes]); err != nil {
+		w.Header().Set("Content-Length", fmt.Sprint(len(large)))
+		for at := 0; at < len(large); at += http1.CopyBufferBytes {
+			if _, err := w.Write(large[at : at+http1.CopyBufferBytes]); err != nil {
 				return
 			}
-			given.Add(http1.CopyBufferBytes)
+			written.Add(http1.CopyBufferBytes)
 		}
 	})
 	node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
-	for i := range answers {
+	for i := range responses {
 		conn, err := net.Dial("tcp", node)
 		if err != nil {
 			t.Fatal(err)
@@ -329,18 +332,18 @@
 	}
 	resp, _ := do(t, clientRequest(t, node, "GET", "read", "small", ""))
 	if resp.StatusCode != http.StatusOK {
-		t.Errorf("another client got %d", resp.StatusCode)
+		t.Errorf("another client: status %d, want 200", resp.StatusCode)
 	}
-	if all := int64(answers * len(long)); given.Load() >= all {
-		t.Error("the answers were taken whole, though nobody reads them")
+	if total := int64(responses * len(large)); written.Load() >= total {
+		t.Error("the node took all bytes of the responses, though no client reads them")
 	}
 }
 
-// An answer that ends with its connection is whole, short or long.
+// A response that ends with its connection is complete, whether short or long.
 func TestResponseEndingWithItsConnectionPasses(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		for _, size := range []int{5, 3 * http1.MaxBufferedBodyBytes} {
-			want := noise(size)
+			want := randomBytes(size)
 			server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 				if nodetest.ReadRequest(r) {
 					_, _ = io.WriteString(c, "HTTP/1.0 200 OK\r\n\r\n")
@@ -348,17 +351,17 @@
 				}
 			})
 			node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
-			for i := range 2 { // the connection is of no further use
+			for i := range 2 { // the second request needs a new connection
 				resp, got := do(t, clientRequest(t, node, "GET", "read", fmt.Sprint("r", i), ""))
 				if resp.StatusCode != http.StatusOK || got != string(want) {
-					t.Errorf("%d bytes: status %d, %d bytes came back", size, resp.StatusCode, len(got))
+					t.Errorf("response of %d bytes: status %d, want 200 and the same body; got %d bytes", size, resp.StatusCode, len(got))
 				}
 			}
 		}
 	})
 }
 
-// A client that waits to be told to send its body is told so only if the body is wanted.
+// A client that sends Expect: 100-continue gets 100 only if its request is accepted, else the final status.
 func TestExpectedContinueComesOnlyWhereWanted(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -366,7 +369,7 @@
 			_, _ = fmt.Fprint(w, n)
 		})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
-		for _, c := range []struct{ class, length, first string }{
+		for _, c := range []struct{ class, length, wantStatus string }{
 			{"pay", "3", " 100 "}, {"pay", fmt.Sprint(downstream.MaxBodyBytes + 1), " 413 "}, {"unknown", "3", " 400 "},
 		} {
 			conn := nodetest.Dial(t, node)
@@ -374,18 +377,19 @@
 			_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: e%s%s\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"+
 				"Expect: 100-continue\r\nContent-Length: %s\r\n\r\n", c.class, c.length, c.class, c.length)
 			r := bufio.NewReader(conn)
-			first, err := r.ReadString('\n')
-			if err != nil || !strings.Contains(first, c.first) {
-				t.Errorf("%s, length %s: got %q, %v", c.class, c.length, first, err)
+			statusLine, err := r.ReadString('\n')
+			if err != nil || !strings.Contains(statusLine, c.wantStatus) {
+				t.Errorf("class %s, Content-Length %s: got %q, error %v; want status%s", c.class, c.length,
+					statusLine, err, c.wantStatus)
 			}
-			if c.first != " 100 " {
+			if c.wantStatus != " 100 " {
 				continue
 			}
 			_, _ = io.WriteString(conn, "sum")
 			_, _ = r.ReadString('\n')
 			resp, err := http.ReadResponse(r, nil)
 			if err != nil || resp.StatusCode != http.StatusOK {
-				t.Errorf("after the body: %v, %v", resp, err)
+				t.Errorf("response after the body: got %v, error %v; want 200", resp, err)
 			}
 		}
 	})
--- a/internal/node/client_connections_test.go
+++ b/internal/node/client_connections_test.go
@@ -16,48 +16,48 @@
 	"sloerail/internal/node/config"
 )
 
-// Who connects and sends no whole request is rid of, with or without an answer, in 3 s.
+// A client that sends no complete request is disconnected within 3 s, with or without a response.
 func TestSlowClientsAreDisconnectedInTime(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
-		var all sync.WaitGroup
+		var wg sync.WaitGroup
 		for _, sent := range []string{"", "P", head, head + "Content-Length: 9\r\n\r\n", head + "Content-Length: 9\r\n\r\nbo",
 			head + "Transfer-Encoding: chunked\r\n\r\n4\r\nab",
 			strings.Replace(head, "pay", "unknown", 1) + "Content-Length: 9\r\n\r\nbo"} {
-			all.Go(func() {
-				began := time.Now()
-				talk(t, node, sent)
-				if took := time.Since(began); took > 3*time.Second {
-					t.Errorf("%.60q...: held its connection for %v", sent, took)
+			wg.Go(func() {
+				start := time.Now()
+				sendRaw(t, node, sent)
+				if took := time.Since(start); took > 3*time.Second {
+					t.Errorf("%.60q...: the connection was closed after %v, want at most 3s", sent, took)
 				}
 			})
 		}
-		all.Wait()
+		wg.Wait()
 	})
 }
 
-// A malformed request ends its connection, whatever else was sent along.
+// A request with an unknown class closes its connection: a request sent behind it is not forwarded.
 func TestMalformedRequestEndsItsConnection(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		servers := &recorder{}
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, servers.ServeHTTP))))
 		head := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
-		talk(t, node, fmt.Sprintf(head, 1, "reads")+fmt.Sprintf(head, 2, "read"))
-		if got := servers.take(); got != "" {
-			t.Errorf("%q reached the server from behind a malformed request", got)
+		sendRaw(t, node, fmt.Sprintf(head, 1, "reads")+fmt.Sprintf(head, 2, "read"))
+		if got := servers.takeIDs(); got != "" {
+			t.Errorf("requests that reached the server behind a malformed one: got %q, want none", got)
 		}
 	})
 }
 
-// Peers that use up the clients' part of the descriptors don't cost a client its open connection.
+// A client keeps its open connection when silent peers use up the clients' part of the descriptors.
 func TestSilentConnectionsLeaveClientsAlone(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 		c.Sockets = config.MinSockets
 		node, _ := startNode(t, c)
 		client := keepAliveClient(t)
-		ask := func(id string) *http.Response {
+		get := func(id string) *http.Response {
 			resp, err := client.Do(clientRequest(t, node, "GET", "read", id, ""))
 			if err != nil {
 				t.Fatal(err)
@@ -66,14 +66,14 @@
 			nodetest.CloseOnce(t, resp.Body)
 			return resp
 		}
-		ask("first")
+		get("first")
 		var held []net.Conn
 		for range (config.MinSockets-ownSockets)*2/3 + 5 {
 			peer := nodetest.Dial(t, node)
 			defer nodetest.CloseOnce(t, peer)
 			held = append(held, peer)
 		}
-		// Connections are taken in turn: once the last one is told that it is one too many, all are in.
+		// Connections are accepted in order: once the last one is rejected as over the limit, all have been accepted.
 		last := held[len(held)-1]
 		if err := clientRequest(t, node, "GET", "read", "last", "").Write(last); err != nil {
 			t.Fatal(err)
@@ -81,15 +81,17 @@
 		got := make([]byte, len("HTTP/1.1 503"))
 		_ = last.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 		if _, err := io.ReadFull(last, got); err != nil || string(got) != "HTTP/1.1 503" {
-			t.Fatalf("the last of too many peers: %q, %v", got, err)
+			t.Fatalf("connection over the limit: got %q, error %v; want HTTP/1.1 503", got, err)
 		}
-		if resp := ask("second"); resp.StatusCode != http.StatusOK || resp.Close {
-			t.Errorf("a client from before: %d, connection closed: %v", resp.StatusCode, resp.Close)
+		if resp := get("second"); resp.StatusCode != http.StatusOK || resp.Close {
+			t.Errorf("client connected before the peers: status %d, closes its connection %v; want 200, false",
+				resp.StatusCode, resp.Close)
 		}
 	})
 }
 
-// An idle connection ends in time, also after a body that came in pieces and set deadlines of its own.
+// An idle connection is closed after IdleTimeout, also if the body of its last request arrived in pieces and set other
+// read deadlines.
 func TestIdleConnectionsTimeOut(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
@@ -102,7 +104,7 @@
 		}
 		_ = c.SetReadDeadline(time.Now().Add(2 * downstream.IdleTimeout))
 		if got, err := io.ReadAll(c); err != nil || !strings.HasPrefix(string(got), "HTTP/1.1 200 ") {
-			t.Errorf("got %q, %v; want an answer and then the end", got, err)
+			t.Errorf("got %q, error %v; want a response with status 200 and then EOF", got, err)
 		}
 	})
 }
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -25,26 +25,26 @@
 	"time"
 )
 
-// The tests of this file have real connections: what a kernel does as one ends is part of what they try.
+// The tests of this file use real connections, since they depend on what the kernel does when a connection ends.
 // docs/endings.md has a row for each.
 
-// arrivals notes when requests reach a server.
+// arrivals is a server that records when requests reach it.
 type arrivals struct {
-	mu sync.Mutex
-	at []time.Time
+	mu    sync.Mutex
+	times []time.Time
 }
 
 func (a *arrivals) ServeHTTP(http.ResponseWriter, *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.at = append(a.at, time.Now())
+	a.times = append(a.times, time.Now())
 }
 
-// after counts those that came later than a time.
-func (a *arrivals) after(t time.Time) (n int) {
+// countAfter returns the number of requests that arrived after t.
+func (a *arrivals) countAfter(t time.Time) (n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	for _, at := range a.at {
+	for _, at := range a.times {
 		if at.After(t) {
 			n++
 		}
@@ -52,20 +52,20 @@
 	return n
 }
 
-// listCall is one that a list service got, and its answer is the test's to give.
+// listCall is a call to the list service, which the test answers through respond.
 type listCall struct {
-	at    time.Time
-	query map[string][]string
-	serve chan<- http.HandlerFunc
+	receivedAt time.Time
+	query      map[string][]string
+	respond    chan<- http.HandlerFunc
 }
 
-// give answers the call with a list.
-func (c listCall) give(list string) {
-	c.serve <- func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, list) }
+// sendList answers the call with a list.
+func (c listCall) sendList(list string) {
+	c.respond <- func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, list) }
 }
 
-// wait is for how long the call may be held.
-func (c listCall) wait(t *testing.T) time.Duration {
+// maxWait returns how long the list service may hold the call, from its wait parameter.
+func (c listCall) maxWait(t *testing.T) time.Duration {
 	t.Helper()
 	ms, err := strconv.Atoi(c.query["wait"][0])
 	if err != nil {
@@ -74,120 +74,122 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// listService hands its calls to the test. One that is not answered is held until its caller leaves.
+// listService starts a list service that passes its calls to the test. A call that the test doesn't answer is held until
+// its caller disconnects.
 func listService(t *testing.T) (addr string, calls <-chan listCall) {
 	t.Helper()
-	all := make(chan listCall, 1000)
+	received := make(chan listCall, 1000)
 	return nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
-		serve := make(chan http.HandlerFunc, 1)
-		all <- listCall{time.Now(), r.URL.Query(), serve}
+		respond := make(chan http.HandlerFunc, 1)
+		received <- listCall{time.Now(), r.URL.Query(), respond}
 		select {
-		case answer := <-serve:
+		case answer := <-respond:
 			answer(w, r)
 		case <-r.Context().Done():
 		}
-	}), all
+	}), received
 }
 
-// listed is an entry of a list that says where its server is.
-func listed(id, addr, phase string) string {
+// listEntry returns an entry of a list with the server's address.
+func listEntry(id, addr, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"k","cell":1,"phase":%q,"up_since_ms":0}`, id, addr, phase)
 }
 
-// leavingTest is a node with a server that begins to drain while the node's watch is broken, one that stays, and
-// clients.
-type leavingTest struct {
+// drainTest runs a node with two servers: one begins to drain while the node's watch is broken, the other stays healthy.
+type drainTest struct {
 	*testing.T
 	config.Config
-	leaving, staying arrivals
-	first            string // the address of the one that leaves
-	calls            <-chan listCall
-	changes          chan Change
-	node             string
-	asked            int
+	draining, healthy arrivals
+	drainingAddr      string // the address of the draining server
+	calls             <-chan listCall
+	changes           chan Change
+	node              string
+	requests          int
 }
 
-func newLeavingTest(t *testing.T, subscribe bool, adjust ...func(*config.Config)) *leavingTest {
+func newDrainTest(t *testing.T, subscribe bool, adjust ...func(*config.Config)) *drainTest {
 	t.Helper()
-	l := &leavingTest{T: t, changes: make(chan Change, 1)}
-	l.first = nodetest.HTTPServer(t, l.leaving.ServeHTTP)
-	l.Config = testConfig(t, nodetest.KnownList(l.first, nodetest.HTTPServer(t, l.staying.ServeHTTP)))
-	l.Discovery, l.calls = listService(t)
-	l.Settings.SubscribeList = subscribe
+	d := &drainTest{T: t, changes: make(chan Change, 1)}
+	d.drainingAddr = nodetest.HTTPServer(t, d.draining.ServeHTTP)
+	d.Config = testConfig(t, nodetest.KnownList(d.drainingAddr, nodetest.HTTPServer(t, d.healthy.ServeHTTP)))
+	d.Discovery, d.calls = listService(t)
+	d.Settings.SubscribeList = subscribe
 	for _, f := range adjust {
-		f(&l.Config)
+		f(&d.Config)
 	}
-	l.node, _ = startNodeAt(t, l.Config, Listeners{Clients: nodetest.Listener(t)}, l.changes)
-	return l
+	d.node, _ = startNodeAt(t, d.Config, Listeners{Clients: nodetest.Listener(t)}, d.changes)
+	return d
 }
 
-// ask sends one request.
-func (l *leavingTest) ask() {
-	l.Helper()
-	l.asked++
-	resp, _ := do(l.T, clientRequest(l.T, l.node, "GET", "read", fmt.Sprint("r", l.asked), ""))
+// sendRequest sends a request to the node and expects status 200.
+func (d *drainTest) sendRequest() {
+	d.Helper()
+	d.requests++
+	resp, _ := do(d.T, clientRequest(d.T, d.node, "GET", "read", fmt.Sprint("r", d.requests), ""))
 	if resp.StatusCode != http.StatusOK {
-		l.Errorf("request %d: status %d", l.asked, resp.StatusCode)
+		d.Errorf("request %d: status %d, want 200", d.requests, resp.StatusCode)
 	}
 }
 
-// drains has clients ask on until the node knows from its further calls that the first server drains. Nothing may be
-// sent there later than the settings' grace after that counts as told, which a zero time leaves to the answer.
-func (l *leavingTest) drains(told time.Time, further <-chan listCall, list func(c listCall) string) {
-	l.Helper()
-	for began, given := time.Now(), false; !given || l.staying.after(time.Time{}) == 0; {
-		l.ask()
+// checkDrain sends requests until the node has learned from one of calls, answered with list, that the first server
+// drains. No request may reach that server later than DrainGrace after notifiedAt, the time at which the change counts as
+// delivered to the node. A zero notifiedAt stands for the time of the answer.
+func (d *drainTest) checkDrain(notifiedAt time.Time, calls <-chan listCall, list func(c listCall) string) {
+	d.Helper()
+	for start, listSent := time.Now(), false; !listSent || d.healthy.countAfter(time.Time{}) == 0; {
+		d.sendRequest()
 		select {
-		case c := <-further:
-			if !given {
-				c.give(list(c))
-				if given = true; told.IsZero() {
-					told = time.Now()
+		case c := <-calls:
+			if !listSent {
+				c.sendList(list(c))
+				if listSent = true; notifiedAt.IsZero() {
+					notifiedAt = time.Now()
 				}
 			}
 		default:
 		}
-		if time.Since(began) > nodetest.Timeout {
-			l.Fatal("the list is never asked for anew")
+		if time.Since(start) > nodetest.Timeout {
+			d.Fatalf("list sent to the node: %v; no request reached the healthy server within %v", listSent, nodetest.Timeout)
 		}
-		time.Sleep(10 * time.Millisecond) // between requests
+		time.Sleep(10 * time.Millisecond)
 	}
-	if l.leaving.after(time.Time{}) == 0 {
-		l.Error("the draining server never had a request: nothing was tried")
+	if d.draining.countAfter(time.Time{}) == 0 {
+		d.Error("the draining server got no request, want at least one: the test checked nothing")
 	}
-	if late := l.leaving.after(told.Add(l.Settings.Rules.DrainGrace)); late > 0 {
-		l.Errorf("%d requests were sent to a draining server later than %v after it counts as told", late,
-			l.Settings.Rules.DrainGrace)
+	if late := d.draining.countAfter(notifiedAt.Add(d.Settings.Rules.DrainGrace)); late > 0 {
+		d.Errorf("%d requests reached the draining server later than %v after the change counted as delivered, want 0", late,
+			d.Settings.Rules.DrainGrace)
 	}
 }
 
-// change is the answer that a watch gets once the first server drains.
-func (l *leavingTest) change(listCall) string {
-	return nodetest.ListChange(8, listed("s0", l.first, "draining"))
+// drainUpdate returns the list that tells the node that the first server drains.
+func (d *drainTest) drainUpdate(listCall) string {
+	return nodetest.ListChange(8, listEntry("s0", d.drainingAddr, "draining"))
 }
 
-// A watch that falls silent is opened anew in time for what it missed: that counts as told 6 s after the silence
-// began, or 2 s after the wait was over. So is one whose answer breaks off in the middle and stays open.
+// A watch that gets no response, or part of one on a connection that stays open, is replaced in time for the changes that
+// it missed. These count as delivered 6 s after the watch began, or 2 s after its wait is over if that is later.
 func TestSilentWatchKeepsDrains(t *testing.T) {
 	for _, subscribe := range []bool{true, false} {
-		for _, half := range []bool{false, true} {
-			t.Run(fmt.Sprintf("asked %v/half an answer %v", subscribe, half), func(t *testing.T) {
+		for _, partial := range []bool{false, true} {
+			t.Run(fmt.Sprintf("subscribe %v/partial list %v", subscribe, partial), func(t *testing.T) {
 				t.Parallel()
-				l := newLeavingTest(t, subscribe)
-				silent := nodetest.Receive(t, "the watch that falls silent", l.calls)
-				if half {
-					silent.serve <- answerHalf
+				d := newDrainTest(t, subscribe)
+				silent := nodetest.Receive(t, "the watch that gets no complete response", d.calls)
+				if partial {
+					silent.respond <- sendPartialList
 				}
-				l.drains(silent.at.Add(max(6*time.Second, silent.wait(t)+2*time.Second)), l.calls, l.change)
+				d.checkDrain(silent.receivedAt.Add(max(6*time.Second, silent.maxWait(t)+2*time.Second)), d.calls, d.drainUpdate)
 			})
 		}
 	}
 }
 
-// A watch that ends in another way than by an answer is opened anew as well. Where lists are pushed, what its agent
-// has counts as told at once, whether a watch is open or not, and when the service is back; else as it is written.
+// A watch that fails (reset, rejected, malformed or endless response) is opened again. With SubscribeList, where lists are
+// pushed, a change counts as delivered as soon as the list service has it and is reachable, whether a watch is open or
+// not: here when it answers the next call. Without SubscribeList, a change counts as delivered when it is written.
 func TestBrokenWatchKeepsDrains(t *testing.T) {
-	breaks := map[string]http.HandlerFunc{
+	failures := map[string]http.HandlerFunc{
 		"reset":   resetCall,
 		"refused": rejectCall,
 		"rubbish": func(w http.ResponseWriter, _ *http.Request) {
@@ -201,60 +203,60 @@
 			}
 		},
 	}
-	for name, broken := range breaks {
+	for name, fail := range failures {
 		for _, subscribe := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s/asked %v", name, subscribe), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/subscribe %v", name, subscribe), func(t *testing.T) {
 				t.Parallel()
-				l := newLeavingTest(t, subscribe)
-				over := make(chan struct{}, 2)
+				d := newDrainTest(t, subscribe)
+				ended := make(chan struct{}, 2)
 				for range 2 {
-					nodetest.Receive(t, "a watch", l.calls).serve <- func(w http.ResponseWriter, r *http.Request) {
-						broken(w, r)
-						over <- struct{}{}
+					nodetest.Receive(t, "a watch", d.calls).respond <- func(w http.ResponseWriter, r *http.Request) {
+						fail(w, r)
+						ended <- struct{}{}
 					}
-					l.ask()
-					nodetest.Receive(t, "the end of the watch", over)
+					d.sendRequest()
+					nodetest.Receive(t, "the failure of the watch", ended)
 				}
-				told := time.Now()
+				notifiedAt := time.Now()
 				if subscribe {
-					told = time.Time{}
+					notifiedAt = time.Time{}
 				}
-				l.drains(told, l.calls, l.change)
+				d.checkDrain(notifiedAt, d.calls, d.drainUpdate)
 			})
 		}
 	}
 }
 
-// A node whose configuration names another discovery is told what that has 4 s after the signal, also where the
-// first call to it falls silent.
+// After a reload with another discovery address, the list of the new service counts as delivered 4 s after the signal,
+// also if the first call to it gets no response. The node asks the new service for a complete list.
 func TestMovedDiscoveryKeepsDrains(t *testing.T) {
 	for _, subscribe := range []bool{true, false} {
 		for _, silent := range []bool{false, true} {
-			t.Run(fmt.Sprintf("asked %v/silent %v", subscribe, silent), func(t *testing.T) {
+			t.Run(fmt.Sprintf("subscribe %v/silent %v", subscribe, silent), func(t *testing.T) {
 				t.Parallel()
-				l := newLeavingTest(t, subscribe)
-				nodetest.Receive(t, "a watch at the old address", l.calls)
-				next := l.Config
+				d := newDrainTest(t, subscribe)
+				nodetest.Receive(t, "a watch at the old address", d.calls)
+				next := d.Config
 				addr, calls := listService(t)
 				next.Discovery = addr
-				l.changes <- Change{Config: next}
+				d.changes <- Change{Config: next}
 				signal := time.Now()
 				if silent {
-					nodetest.Receive(t, "the call that falls silent", calls)
+					nodetest.Receive(t, "the call that gets no response", calls)
 				}
-				l.drains(signal.Add(4*time.Second), calls, func(c listCall) string {
+				d.checkDrain(signal.Add(4*time.Second), calls, func(c listCall) string {
 					if c.query["index"] != nil {
-						t.Errorf("asked the new address for what is newer than %v of the old one", c.query["index"])
+						t.Errorf("call to the new address has index %v of the old one, want none", c.query["index"])
 					}
-					return fmt.Sprintf(`{"revision":3,"complete":true,"members":[%s,%s]}`, listed("s0", l.first, "draining"),
-						listed("s1", l.Known.Endpoints[1].Address, "up"))
+					return fmt.Sprintf(`{"revision":3,"complete":true,"members":[%s,%s]}`, listEntry("s0", d.drainingAddr, "draining"),
+						listEntry("s1", d.Known.Endpoints[1].Address, "up"))
 				})
 			})
 		}
 	}
 }
 
-// testClient is one connection to a node, as a client has it.
+// testClient is a client's connection to a node.
 type testClient struct {
 	nodetest.Conn
 	t    *testing.T
@@ -277,22 +279,22 @@
 	}
 }
 
-// answered reads a whole answer.
-func (c *testClient) answered() *http.Response {
+// readResponse reads a complete response and discards its body.
+func (c *testClient) readResponse() *http.Response {
 	c.t.Helper()
 	resp, err := http.ReadResponse(c.r, nil)
 	if err != nil {
-		c.t.Fatal("no whole answer: ", err)
+		c.t.Fatal("read the head of the response: ", err)
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil {
-		c.t.Fatal("no whole answer: ", err)
+		c.t.Fatal("read the body of the response: ", err)
 	}
 	return resp
 }
 
-// stopping runs a server around a module that sends each request once, and tells it to stop as a node is told, without
-// the clock that a node's end keeps: the order of things is the test's.
-func stopping(t *testing.T, server string) (node string, l *loop, drain func()) {
+// startDrainable starts a server whose module sends each request once. drain puts it into the state of a stopping node,
+// without the timers of a node's shutdown, so that the test controls the order of events.
+func startDrainable(t *testing.T, server string) (node string, l *loop, drain func()) {
 	t.Helper()
 	l, _ = startLoop(t, server, sendsOnce)
 	s := newServer(l)
@@ -302,86 +304,86 @@
 	}
 }
 
-// An answer tells that its connection ends wherever the node was told to stop by then, and not only where it was
-// when the request came: else the client goes on using a connection for which no time is left.
+// A response that is sent while the node stops closes its connection, also if the request arrived before the stop:
+// otherwise the client goes on to use a connection that the node is about to close.
 func TestAnswersOfAStoppingNodeEndTheirConnections(t *testing.T) {
 	t.Parallel()
-	server, got, letGo := nodetest.HoldingServer(t)
-	node, l, drain := stopping(t, server)
+	server, received, release := nodetest.HoldingServer(t)
+	node, l, drain := startDrainable(t, server)
 	clients := []*testClient{newTestClient(t, node), newTestClient(t, node)}
 	for i, c := range clients {
 		c.send("POST", "pay", fmt.Sprint("r", i), "sum")
-		nodetest.Receive(t, "the attempt", got)
+		nodetest.Receive(t, "the attempt", received)
 	}
 	drain()
-	letGo()
+	release()
 	for i, c := range clients {
-		if resp := c.answered(); resp.StatusCode != http.StatusOK || !resp.Close {
-			t.Errorf("request %d: status %d, ends its connection: %v", i, resp.StatusCode, resp.Close)
+		if resp := c.readResponse(); resp.StatusCode != http.StatusOK || !resp.Close {
+			t.Errorf("request %d: status %d, closes its connection %v; want 200, true", i, resp.StatusCode, resp.Close)
 		}
 	}
-	nodetest.Await(t, "rest", l.atRest)
+	nodetest.Await(t, "an idle loop", l.isIdle)
 }
 
-// What is failed at a node's end ends its connection too, and a request that comes after that gets a refusal: there
-// is no time to send it on, and its connection would be cut with no answer.
+// At the end of the drain time, open requests fail with 502 and close their connections. A request that arrives later is
+// rejected with 503: there is no time left to forward it, and its connection would be closed without a response.
 func TestRequestAfterTheLoopFinishedIsRejected(t *testing.T) {
 	t.Parallel()
-	server, got, letGo := nodetest.HoldingServer(t)
-	node, l, drain := stopping(t, server)
+	server, received, release := nodetest.HoldingServer(t)
+	node, l, drain := startDrainable(t, server)
 	failed, late := newTestClient(t, node), newTestClient(t, node)
 	failed.send("POST", "pay", "failed", "sum")
-	nodetest.Receive(t, "the attempt", got)
+	nodetest.Receive(t, "the attempt", received)
 	drain()
 	l.send(failUnanswered{})
-	if resp := failed.answered(); resp.StatusCode != http.StatusBadGateway || !resp.Close {
-		t.Errorf("the last of what was open: status %d, ends its connection: %v", resp.StatusCode, resp.Close)
+	if resp := failed.readResponse(); resp.StatusCode != http.StatusBadGateway || !resp.Close {
+		t.Errorf("open request at the end: status %d, closes its connection %v; want 502, true", resp.StatusCode, resp.Close)
 	}
 	late.send("POST", "pay", "late", "sum")
-	if resp := late.answered(); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Errorf("what came after: status %d, ends its connection: %v", resp.StatusCode, resp.Close)
+	if resp := late.readResponse(); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
+		t.Errorf("request after the end: status %d, closes its connection %v; want 503, true", resp.StatusCode, resp.Close)
 	}
 	select {
-	case id := <-got:
-		t.Errorf("%s was sent on", id)
+	case id := <-received:
+		t.Errorf("request %s reached the server after the end, want none", id)
 	default:
 	}
-	letGo()
-	nodetest.Await(t, "rest", l.atRest)
+	release()
+	nodetest.Await(t, "an idle loop", l.isIdle)
 }
 
-// leaver is a module that holds each request until it is given the sign, tries again what failed, and
-// sends nothing for a client that it knows to have left. Handling the request "busy" takes until idle is closed.
-type leaver struct {
-	at      string // the waiting that is tried
-	cancels bool
-	busy    chan struct{}
-	idle    chan struct{}
-	held    []string
-	signed  bool
-	out     atomic.Int32 // attempts
+// holdingModule is a module that holds each request until a FleetSize event, repeats failed attempts, and sends nothing
+// for a client that it knows to have disconnected. Handling the request "busy" blocks until releaseLoop is closed.
+type holdingModule struct {
+	waitPoint   string // what the request waits for when its client disconnects
+	cancels     bool
+	loopBusy    chan struct{}
+	releaseLoop chan struct{}
+	held        []string
+	released    bool
+	inFlight    atomic.Int32 // attempts without an outcome
 }
 
-func (m *leaver) answer(_ policy.Time, ev policy.Event) []policy.Action {
+func (m *holdingModule) handle(_ policy.Time, ev policy.Event) []policy.Action {
 	switch e := ev.(type) {
 	case policy.Request:
 		if e.ID == "busy" {
-			close(m.busy)
-			<-m.idle
-		} else if !m.signed && (m.at == "a server" || m.at == "its body") {
+			close(m.loopBusy)
+			<-m.releaseLoop
+		} else if !m.released && (m.waitPoint == "a server" || m.waitPoint == "its body") {
 			m.held = append(m.held, e.ID)
 			return nil
 		}
-		return m.send(e.ID)
+		return m.sendAttempts(e.ID)
 	case policy.FleetSize:
-		m.signed = true
+		m.released = true
 		ids := m.held
 		m.held = nil
-		return m.send(ids...)
+		return m.sendAttempts(ids...)
 	case policy.Outcome:
-		m.out.Add(-1)
+		m.inFlight.Add(-1)
 		if !e.RequestEnded && e.Code != policy.OK {
-			return m.send(e.ID)
+			return m.sendAttempts(e.ID)
 		}
 	case policy.ClientCancelled:
 		m.held = slices.DeleteFunc(m.held, func(id string) bool { return id == e.ID })
@@ -392,36 +394,37 @@
 	return nil
 }
 
-func (m *leaver) send(ids ...string) (acts []policy.Action) {
+func (m *holdingModule) sendAttempts(ids ...string) (acts []policy.Action) {
 	for _, id := range ids {
-		m.out.Add(1)
+		m.inFlight.Add(1)
 		acts = append(acts, sends(id, 1)...)
 	}
 	return acts
 }
 
-// atRest tells whether a loop has no request and its connections to servers are idle.
-func (l *loop) atRest() bool {
+// isIdle reports whether the loop has no open request and all its connections to servers are idle.
+func (l *loop) isIdle() bool {
 	open, idle := l.up.ConnCounts()
 	return open == idle && l.fig.open.Load() == 0
 }
 
-// A request whose client has left while it waited is not sent on 0.1 s later, whatever it waited for, however the
-// client left, with bytes of a further request behind it or none, and whether or not attempts may be cancelled.
+// A request whose client disconnects while it waits is not forwarded later than disconnectDetectionTime after that. The
+// test varies what the request waits for, close or reset, the bytes of a further request behind it, and whether the module
+// cancels attempts.
 func TestRequestOfAClientThatLeftIsNotForwarded(t *testing.T) {
-	for _, at := range []string{"a server", "a further attempt", "a connection", "its body", "the loop"} {
+	for _, waitPoint := range []string{"a server", "a further attempt", "a connection", "its body", "the loop"} {
 		for _, method := range []string{"GET", "POST"} {
-			for _, behind := range []int{0, 3, 9000} {
+			for _, extraBytes := range []int{0, 3, 9000} {
 				for _, reset := range []bool{false, true} {
 					for _, cancels := range []bool{false, true} {
-						if at == "its body" && (method == "GET" || behind > 0) {
-							continue // it has none, or it is what is behind
+						if waitPoint == "its body" && (method == "GET" || extraBytes > 0) {
+							continue // a GET has no body, and bytes behind would be part of the body
 						}
-						name := fmt.Sprintf("%s/%s/%d behind/reset %v/cancels %v", at, method, behind, reset, cancels)
+						name := fmt.Sprintf("%s/%s/%d bytes behind/reset %v/cancels %v", waitPoint, method, extraBytes, reset, cancels)
 						t.Run(name, func(t *testing.T) {
 							t.Parallel()
-							leaves(t, &leaver{at: at, cancels: cancels, busy: make(chan struct{}), idle: make(chan struct{})},
-								method, behind, reset)
+							testClientLeaves(t, &holdingModule{waitPoint: waitPoint, cancels: cancels, loopBusy: make(chan struct{}),
+								releaseLoop: make(chan struct{})}, method, extraBytes, reset)
 						})
 					}
 				}
@@ -430,67 +433,69 @@
 	}
 }
 
-func leaves(t *testing.T, m *leaver, method string, behind int, reset bool) {
-	tries, fails := make(chan string, 100), make(chan struct{})
+// testClientLeaves disconnects a client while its request waits at m.waitPoint, and checks that the request is not
+// forwarded afterwards.
+func testClientLeaves(t *testing.T, m *holdingModule, method string, extraBytes int, reset bool) {
+	received, failFirst := make(chan string, 100), make(chan struct{})
 	server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
-		tries <- r.Header.Get("X-Request-Id")
-		if m.at == "a further attempt" && r.Header.Get("X-Request-Id") == "r1" {
-			<-fails
+		received <- r.Header.Get("X-Request-Id")
+		if m.waitPoint == "a further attempt" && r.Header.Get("X-Request-Id") == "r1" {
+			<-failFirst
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	})
-	l, module := startLoop(t, server, m.answer)
-	dials, up := make(chan struct{}, 10), make(chan struct{})
-	if m.at == "a connection" {
+	l, module := startLoop(t, server, m.handle)
+	dials, connect := make(chan struct{}, 10), make(chan struct{})
+	if m.waitPoint == "a connection" {
 		l.dialWith(t, func(_ context.Context, network, addr string) (net.Conn, error) {
 			dials <- struct{}{}
-			<-up // it comes up late, whoever waits
+			<-connect // completes only after the client has disconnected
 			return net.Dial(network, addr)
 		})
 	}
 	node := serveAt(t, newServer(l))
-	if m.at == "the loop" {
+	if m.waitPoint == "the loop" {
 		newTestClient(t, node).send("GET", "read", "busy", "")
-		nodetest.Receive(t, "a busy loop", m.busy)
+		nodetest.Receive(t, "a busy loop", m.loopBusy)
 	}
 
 	c := newTestClient(t, node)
 	m.sendRequest(c, method)
-	switch m.at { // until it waits there
+	switch m.waitPoint { // wait until the request waits there
 	case "a further attempt":
-		nodetest.Receive(t, "the first attempt", tries)
+		nodetest.Receive(t, "the first attempt", received)
 	case "a connection":
-		nodetest.Receive(t, "the dialling", dials)
+		nodetest.Receive(t, "a dial", dials)
 	case "the loop":
-		nodetest.Await(t, "its arrival", func() bool { return l.fig.open.Load() == 2 })
+		nodetest.Await(t, "two open requests", func() bool { return l.fig.open.Load() == 2 })
 	default:
-		nodetest.Await(t, "the request", func() bool { return slices.Contains(module.events(), "request r1") })
+		nodetest.Await(t, "the request at the module", func() bool { return slices.Contains(module.events(), "request r1") })
 	}
-	c.leave(behind, reset)
-	time.Sleep(leftTerm)
-	close(up)
-	close(fails)
-	close(m.idle)
+	c.disconnect(extraBytes, reset)
+	time.Sleep(disconnectDetectionTime)
+	close(connect)
+	close(failFirst)
+	close(m.releaseLoop)
 	l.send(fleetSizeChanged{})
 	stays := newTestClient(t, node)
 	stays.send("GET", "read", "stays", "")
-	if resp := stays.answered(); resp.StatusCode != http.StatusOK {
-		t.Errorf("a client that stays: status %d", resp.StatusCode)
+	if resp := stays.readResponse(); resp.StatusCode != http.StatusOK {
+		t.Errorf("client that stays connected: status %d, want 200", resp.StatusCode)
 	}
-	nodetest.Await(t, "all to end", func() bool { return m.out.Load() == 0 && l.atRest() })
-	for len(tries) > 0 {
-		if <-tries == "r1" {
-			t.Errorf("sent on for a client that left %v before", leftTerm)
+	nodetest.Await(t, "all outcomes and an idle loop", func() bool { return m.inFlight.Load() == 0 && l.isIdle() })
+	for len(received) > 0 {
+		if <-received == "r1" {
+			t.Errorf("the request was forwarded %v after its client disconnected", disconnectDetectionTime)
 		}
 	}
 }
 
-// sendRequest sends a request, or a part of one that is to wait for its body.
-func (m *leaver) sendRequest(c *testClient, method string) {
+// sendRequest sends a request, or a part of one where the request is to wait for its body.
+func (m *holdingModule) sendRequest(c *testClient, method string) {
 	c.t.Helper()
 	class, body := map[string]string{"GET": "read", "POST": "pay"}[method], map[string]string{"POST": "sum"}[method]
-	if m.at != "its body" {
+	if m.waitPoint != "its body" {
 		c.send(method, class, "r1", body)
 		return
 	}
@@ -501,10 +506,10 @@
 	}
 }
 
-// leave closes the connection, behind some bytes of a further request, and with a reset or without.
-func (c *testClient) leave(behind int, reset bool) {
+// disconnect writes extraBytes of a further request and closes the connection, with a reset if reset is set.
+func (c *testClient) disconnect(extraBytes int, reset bool) {
 	c.t.Helper()
-	if _, err := io.WriteString(c, strings.Repeat("G", behind)); err != nil {
+	if _, err := io.WriteString(c, strings.Repeat("G", extraBytes)); err != nil {
 		c.t.Fatal(err)
 	}
 	if reset {
@@ -515,33 +520,33 @@
 	nodetest.CloseOnce(c.t, c)
 }
 
-// leftTerm is how long after a client's leaving no attempt begins for it.
-const leftTerm = 100 * time.Millisecond
+// disconnectDetectionTime is how long after a client's disconnect the node may still start an attempt for it.
+const disconnectDetectionTime = 100 * time.Millisecond
 
-// A client that has gone by the time at which its request is read has gone for good, though nobody has looked at its
-// connection since: the reader may get its turn only after the loop and the attempt have had theirs. The first read
-// here waits until the client has been away for the term, and the second one for the attempt's end.
+// A request is not forwarded if its client disconnected before the request was read. The node's reader may be scheduled
+// only after the loop and the attempt have run, so nothing else has noticed the disconnect. To force this order, the
+// first read waits until the client has been gone for disconnectDetectionTime, the second for the end of the attempt.
 func TestRequestReadAfterItsClientLeftIsNotForwarded(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		t.Run(fmt.Sprintf("reset %v", reset), func(t *testing.T) {
 			t.Parallel()
-			var got arrivals
-			l, module := startLoop(t, nodetest.HTTPServer(t, got.ServeHTTP), sendsOnce)
-			gone, over := make(chan struct{}), make(chan struct{})
+			var received arrivals
+			l, module := startLoop(t, nodetest.HTTPServer(t, received.ServeHTTP), sendsOnce)
+			clientGone, attemptDone := make(chan struct{}), make(chan struct{})
 			var warm atomic.Bool
-			node := serveOn(t, newServer(l), hookedReads{nodetest.Listener(t), func(read string) {
+			node := serveOn(t, newServer(l), hookedListener{nodetest.Listener(t), func(read string) {
 				switch {
 				case !warm.Load():
 				case strings.Contains(read, "X-Request-Id: r1"):
-					<-over
+					<-attemptDone
 				case read == "":
-					<-gone
+					<-clientGone
 				}
 			}, func(error) {}})
-			first := newTestClient(t, node) // leaves a connection to the server, over which nothing needs time
+			first := newTestClient(t, node) // opens a connection to the server, so that the next attempt needs no dial
 			first.send("GET", "read", "r0", "")
-			first.answered()
-			nodetest.Await(t, "rest", l.atRest)
+			first.readResponse()
+			nodetest.Await(t, "an idle loop", l.isIdle)
 			time.Sleep(reuseDelay)
 			warm.Store(true)
 			c := newTestClient(t, node)
@@ -552,22 +557,22 @@
 				}
 			}
 			nodetest.CloseOnce(t, c)
-			time.Sleep(leftTerm)
-			close(gone)
-			if !reset { // else nothing of the request is left to read
+			time.Sleep(disconnectDetectionTime)
+			close(clientGone)
+			if !reset { // a reset discards the unread request
 				nodetest.Await(t, "the attempt's end", func() bool { return len(module.events()) >= 5 })
 			}
-			close(over)
-			nodetest.Await(t, "rest", l.atRest)
-			if n := got.after(time.Time{}); n > 1 {
-				t.Errorf("sent on for a client that left %v before", leftTerm)
+			close(attemptDone)
+			nodetest.Await(t, "an idle loop", l.isIdle)
+			if n := received.countAfter(time.Time{}); n > 1 {
+				t.Errorf("the request was forwarded %v after its client disconnected", disconnectDetectionTime)
 			}
 		})
 	}
 }
 
-// An attempt whose connection comes up only after its server was told to leave, is gone or has started anew is not
-// written there: it never ran, and is decided anew.
+// An attempt whose connection is established only after its server began to drain, was removed or restarted is not sent
+// there: it counts as never run, and the module decides on another attempt.
 func TestLateConnectionToADrainingServerIsNotUsed(t *testing.T) {
 	for name, change := range map[string]string{
 		"draining": `"phase":"draining","up_since_ms":0`,
@@ -576,195 +581,199 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var leaving, staying arrivals
-			first, second := nodetest.HTTPServer(t, leaving.ServeHTTP), nodetest.HTTPServer(t, staying.ServeHTTP)
-			to := "s0"
-			l, module := startLoop(t, first, func(_ policy.Time, ev policy.Event) []policy.Action {
+			var changed, other arrivals
+			changedAddr, otherAddr := nodetest.HTTPServer(t, changed.ServeHTTP), nodetest.HTTPServer(t, other.ServeHTTP)
+			target := "s0"
+			l, module := startLoop(t, changedAddr, func(_ policy.Time, ev policy.Event) []policy.Action {
 				switch e := ev.(type) {
 				case policy.Request:
-					return []policy.Action{{Kind: policy.Send, ID: e.ID, Server: to}}
+					return []policy.Action{{Kind: policy.Send, ID: e.ID, Server: target}}
 				case policy.EndpointList:
 					if e.Kind == policy.ListUpdate {
-						to = "s1"
+						target = "s1"
 					}
 				case policy.Outcome:
 					if !e.RequestEnded && e.Code != policy.OK {
-						return []policy.Action{{Kind: policy.Send, ID: e.ID, Server: to}}
+						return []policy.Action{{Kind: policy.Send, ID: e.ID, Server: target}}
 					}
 				}
 				return nil
 			})
-			dials, up := make(chan struct{}, 10), make(chan struct{})
+			dials, connect := make(chan struct{}, 10), make(chan struct{})
 			l.dialWith(t, func(_ context.Context, network, addr string) (net.Conn, error) {
 				dials <- struct{}{}
-				<-up
+				<-connect
 				return net.Dial(network, addr)
 			})
 			c := newTestClient(t, serveAt(t, newServer(l)))
 			c.send("POST", "pay", "r1", "sum")
-			nodetest.Receive(t, "the dialling", dials)
-			list, err := discovery.ParseList([]byte(nodetest.ListChange(8, fmt.Sprintf(`{"id":"s0","host_port":%q,%s}`, first, change), listed("s1", second, "up"))))
+			nodetest.Receive(t, "a dial", dials)
+			list, err := discovery.ParseList([]byte(nodetest.ListChange(8, fmt.Sprintf(`{"id":"s0","host_port":%q,%s}`, changedAddr, change), listEntry("s1", otherAddr, "up"))))
 			if err != nil {
 				t.Fatal(err)
 			}
 			l.send(endpointUpdate{discovery.Update{Kind: policy.ListUpdate, Endpoints: list.Endpoints}})
-			if _, ok := query(l, func(reply chan<- time.Duration) event { return tailRequest{reply} }); !ok { // the list is in
-				t.Fatal("the loop has ended")
+			// The reply comes after the loop has applied the list.
+			if _, ok := query(l, func(reply chan<- time.Duration) event { return tailRequest{reply} }); !ok {
+				t.Fatal("the loop ended before it applied the list")
 			}
-			close(up)
-			if resp := c.answered(); resp.StatusCode != http.StatusOK {
-				t.Errorf("status %d", resp.StatusCode)
+			close(connect)
+			if resp := c.readResponse(); resp.StatusCode != http.StatusOK {
+				t.Errorf("request tried again on the other server: status %d, want 200", resp.StatusCode)
 			}
-			if n, m := leaving.after(time.Time{}), staying.after(time.Time{}); n != 0 || m != 1 {
-				t.Errorf("%d sent to the leaving server and %d to the other, want 0 and 1", n, m)
+			if n, m := changed.countAfter(time.Time{}), other.countAfter(time.Time{}); n != 0 || m != 1 {
+				t.Errorf("requests: got %d at the changed server and %d at the other, want 0 and 1", n, m)
 			}
 			module.has(t, "list 2", "request r1", "list 1", fmt.Sprintf("outcome r1 0 code %d ended false", policy.ConnectFailed),
 				"outcome r1 1 code 0 ended true")
-			nodetest.Await(t, "rest", l.atRest)
+			nodetest.Await(t, "an idle loop", l.isIdle)
 		})
 	}
 }
 
-// hookedReads is a listener whose connections call a function before each read, with what they have read until then,
-// and one behind each read.
-type hookedReads struct {
+// hookedListener is a listener whose connections call beforeRead before each read, with the bytes read so far, and
+// afterRead after each read, with its error.
+type hookedListener struct {
 	net.Listener
-	before func(got string)
-	behind func(err error)
+	beforeRead func(got string)
+	afterRead  func(err error)
 }
 
-type hookedRead struct {
+type hookedConn struct {
 	net.Conn
-	hooks hookedReads
-	got   []byte
+	hooks    hookedListener
+	received []byte
 }
 
-func (l hookedReads) Accept() (net.Conn, error) {
+func (l hookedListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
-	return &hookedRead{Conn: c, hooks: l}, err
+	return &hookedConn{Conn: c, hooks: l}, err
 }
 
-func (c *hookedRead) NetConn() net.Conn { return c.Conn }
+func (c *hookedConn) NetConn() net.Conn { return c.Conn }
 
-func (c *hookedRead) Read(p []byte) (int, error) {
-	c.hooks.before(string(c.got))
+func (c *hookedConn) Read(p []byte) (int, error) {
+	c.hooks.beforeRead(string(c.received))
 	n, err := c.Conn.Read(p)
-	c.got = append(c.got, p[:n]...)
-	c.hooks.behind(err)
+	c.received = append(c.received, p[:n]...)
+	c.hooks.afterRead(err)
 	return n, err
 }
 
-// A request of which the node has read a part when it ends its idle connections is no idle connection: it is answered.
+// A connection on which the node has read part of a request is not closed as idle at shutdown: the request is answered.
 func TestHalfReadRequestOutlivesTheEndOfIdleConnections(t *testing.T) {
 	t.Parallel()
 	l, _ := startLoop(t, nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}), sendsOnce)
 	s := newServer(l)
 	head := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r2\r\nX-Class: read\r\n"
-	ended := make(chan struct{})
-	endThere := sync.OnceFunc(func() {
+	idleClosed := make(chan struct{})
+	closeIdle := sync.OnceFunc(func() {
 		s.Draining.Store(true)
 		s.CloseIdle()
-		close(ended)
+		close(idleClosed)
 	})
-	c := newTestClient(t, serveOn(t, s, hookedReads{nodetest.Listener(t), func(got string) {
-		if strings.HasSuffix(got, head) { // and the node waits for the rest
-			endThere()
+	c := newTestClient(t, serveOn(t, s, hookedListener{nodetest.Listener(t), func(got string) {
+		if strings.HasSuffix(got, head) { // the node waits for the rest
+			closeIdle()
 		}
 	}, func(error) {}}))
 	c.send("GET", "read", "r1", "")
-	if resp := c.answered(); resp.StatusCode != http.StatusOK || resp.Close {
-		t.Fatalf("status %d, to end: %v", resp.StatusCode, resp.Close)
+	if resp := c.readResponse(); resp.StatusCode != http.StatusOK || resp.Close {
+		t.Fatalf("first request: status %d, closes its connection %v; want 200, false", resp.StatusCode, resp.Close)
 	}
 	if _, err := io.WriteString(c, head); err != nil {
 		t.Fatal(err)
 	}
-	nodetest.Receive(t, "the end of idle connections", ended)
+	nodetest.Receive(t, "the close of idle connections", idleClosed)
 	if _, err := io.WriteString(c, "X-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	if resp := c.answered(); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("status %d, to end: %v", resp.StatusCode, resp.Close)
+	if resp := c.readResponse(); resp.StatusCode != http.StatusOK || !resp.Close {
+		t.Errorf("half-read request: status %d, closes its connection %v; want 200, true", resp.StatusCode, resp.Close)
 	}
-	nodetest.Await(t, "rest", l.atRest)
+	nodetest.Await(t, "an idle loop", l.isIdle)
 }
 
-// A request that reaches a connection in the moment in which the node gives that up as idle is the client's to send
-// again: nothing of it reaches a server, and no answer begins.
+// A request that arrives at the moment in which the node closes its connection as idle gets no response and reaches no
+// server, so that the client can safely send it again.
 func TestRequestOnAnEvictedConnectionIsNotForwarded(t *testing.T) {
-	for name, giveUp := range map[string]func(*server){
-		"the node's end": func(s *server) { s.CloseIdle() },
-		"making room": func(s *server) {
+	for name, evict := range map[string]func(*server){
+		"node shutdown": func(s *server) { s.CloseIdle() },
+		"eviction for new clients": func(s *server) {
 			s.ClientConns().EvictQuietest(time.Now().Add(downstream.MinIdleTime))
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var got arrivals
-			l, _ := startLoop(t, nodetest.HTTPServer(t, got.ServeHTTP), sendsOnce)
+			var received arrivals
+			l, _ := startLoop(t, nodetest.HTTPServer(t, received.ServeHTTP), sendsOnce)
 			s := newServer(l)
 			var c *testClient
-			crossed := make(chan struct{})
-			c = newTestClient(t, serveOn(t, s, hookedReads{nodetest.Listener(t), func(string) {}, func(err error) {
-				if errors.Is(err, os.ErrDeadlineExceeded) { // it is given up, and not yet closed
+			sent := make(chan struct{})
+			c = newTestClient(t, serveOn(t, s, hookedListener{nodetest.Listener(t), func(string) {}, func(err error) {
+				if errors.Is(err, os.ErrDeadlineExceeded) { // the connection is given up, but not yet closed
 					c.send("POST", "pay", "r2", "sum")
-					close(crossed)
+					close(sent)
 				}
 			}}))
 			c.send("POST", "pay", "r1", "sum")
-			c.answered()
+			c.readResponse()
 			nodetest.Await(t, "an idle connection", func() bool { return s.ClientConns().CountIdle() == 1 })
-			giveUp(s)
-			nodetest.Receive(t, "the request that crosses", crossed)
+			evict(s)
+			nodetest.Receive(t, "the request on the evicted connection", sent)
 			if b, err := c.r.ReadByte(); err == nil {
-				t.Errorf("an answer begins with %q", b)
+				t.Errorf("got a response that begins with %q, want none", b)
 			}
-			nodetest.Await(t, "rest", func() bool { return l.atRest() && s.ClientConns().Count() == 0 })
-			if n := got.after(time.Time{}); n != 1 {
-				t.Errorf("the server got %d requests, want 1", n)
+			nodetest.Await(t, "an idle loop and no client connections", func() bool {
+				return l.isIdle() && s.ClientConns().Count() == 0
+			})
+			if n := received.countAfter(time.Time{}); n != 1 {
+				t.Errorf("requests that reached the server: got %d, want 1", n)
 			}
 		})
 	}
 }
 
-// A last answer reaches its client whatever lies unread behind the request: a close over that would reset the
-// connection, and take the answer along.
+// The last response on a connection reaches its client although unread bytes follow the request: to close the connection
+// with unread bytes would reset it, and the client would lose the response.
 func TestLastAnswerIsNotResetByUnreadBytes(t *testing.T) {
-	for _, class := range []string{"read", "unknown"} { // which is refused
-		for _, behind := range []int{0, 3, 4000, 300_000} {
-			t.Run(fmt.Sprint(class, " ", behind), func(t *testing.T) {
+	for _, class := range []string{"read", "unknown"} { // unknown is rejected
+		for _, extraBytes := range []int{0, 3, 4000, 300_000} {
+			t.Run(fmt.Sprint(class, " ", extraBytes), func(t *testing.T) {
 				t.Parallel()
-				server, got, letGo := nodetest.HoldingServer(t)
+				server, received, release := nodetest.HoldingServer(t)
 				node, _ := startNode(t, testConfig(t, nodetest.KnownList(server)))
 				c := newTestClient(t, node)
 				var text strings.Builder
 				if err := clientRequest(t, node, "GET", class, "r1", "", "Connection", "close").Write(&text); err != nil {
 					t.Fatal(err)
 				}
-				text.WriteString(strings.Repeat("G", behind))
+				text.WriteString(strings.Repeat("G", extraBytes))
 				all := text.String()
-				first := min(len(all), 10_000) // which the kernels hold, whoever reads
-				if _, err := io.WriteString(c, all[:first]); err != nil {
+				firstLen := min(len(all), 10_000) // fits into the socket buffers, even if the node doesn't read
+				if _, err := io.WriteString(c, all[:firstLen]); err != nil {
 					t.Fatal(err)
 				}
-				go func() { _, _ = io.WriteString(c, all[first:]) }()
+				go func() { _, _ = io.WriteString(c, all[firstLen:]) }()
 				if class == "read" {
-					nodetest.Receive(t, "the attempt", got)
-					letGo()
+					nodetest.Receive(t, "the attempt", received)
+					release()
 				}
-				if resp := c.answered(); !resp.Close {
-					t.Errorf("status %d, and the connection is to go on", resp.StatusCode)
+				if resp := c.readResponse(); !resp.Close {
+					t.Errorf("response with status %d keeps its connection open, want Connection: close", resp.StatusCode)
 				}
 				if _, err := c.r.ReadByte(); err != io.EOF {
-					t.Errorf("behind the answer: %v, want the end", err)
+					t.Errorf("read after the response: got error %v, want EOF", err)
 				}
 			})
 		}
 	}
 }
 
-// openConns counts the connections that a server holds.
+// openConns counts the open connections of a server.
 type openConns struct{ n atomic.Int32 }
 
+// serve returns a handler that counts its connection as open, reads a request and calls f.
 func (o *openConns) serve(f func(net.Conn)) func(net.Conn, *bufio.Reader) {
 	return func(c net.Conn, r *bufio.Reader) {
 		o.n.Add(1)
@@ -775,10 +784,10 @@
 	}
 }
 
-// An answer that never ends is ended by its request's time: the client gets an error then, whatever piece of the
-// answer comes on and on, and the server's connection is closed.
+// A response that never ends, in whatever part, times out at the request's deadline: the client gets 502 or 504, and the
+// connection to the server is closed.
 func TestEndlessResponseTimesOut(t *testing.T) {
-	for name, a := range map[string]struct{ first, again string }{
+	for name, a := range map[string]struct{ prefix, repeat string }{
 		"no head":        {"", ""},
 		"half a line":    {"HTTP/1.1 2", ""},
 		"fields":         {"HTTP/1.1 200 OK\r\n", "X-A: b\r\n"},
@@ -792,36 +801,36 @@
 			t.Parallel()
 			var conns openConns
 			addr := nodetest.RawServer(t, conns.serve(func(c net.Conn) {
-				_, err := io.WriteString(c, a.first)
-				if a.again == "" {
-					_, _ = io.Copy(io.Discard, c) // until the node hangs up
+				_, err := io.WriteString(c, a.prefix)
+				if a.repeat == "" {
+					_, _ = io.Copy(io.Discard, c) // until the node closes the connection
 				}
-				for err == nil && a.again != "" {
-					_, err = io.WriteString(c, a.again)
+				for err == nil && a.repeat != "" {
+					_, err = io.WriteString(c, a.repeat)
 					time.Sleep(time.Millisecond)
 				}
 			}))
 			node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 			c := newTestClient(t, node)
-			began := time.Now()
+			start := time.Now()
 			c.send("POST", "pay", "r1", "sum", "X-Deadline-Ms", "300")
-			if resp := c.answered(); resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusGatewayTimeout {
-				t.Errorf("status %d", resp.StatusCode)
+			if resp := c.readResponse(); resp.StatusCode != http.StatusBadGateway && resp.StatusCode != http.StatusGatewayTimeout {
+				t.Errorf("endless response: status %d, want 502 or 504", resp.StatusCode)
 			}
-			if took := time.Since(began); took > 3*time.Second { // a busy machine's, not the node's
-				t.Errorf("answered after %v", took)
+			if took := time.Since(start); took > 3*time.Second { // leaves room for a busy machine
+				t.Errorf("endless response with a deadline of 300ms: answered after %v, want at most 3s", took)
 			}
-			nodetest.Await(t, "the end of the attempt", func() bool { return conns.n.Load() == 0 })
+			nodetest.Await(t, "the close of the connections to the server", func() bool { return conns.n.Load() == 0 })
 			c.send("POST", "pay", "r2", "sum", "X-Deadline-Ms", "300")
-			if resp := c.answered(); resp.StatusCode == http.StatusOK {
-				t.Errorf("the next request: status %d", resp.StatusCode)
+			if resp := c.readResponse(); resp.StatusCode == http.StatusOK {
+				t.Errorf("next request on the connection: status %d, want an error", resp.StatusCode)
 			}
 		})
 	}
 }
 
-// An answer that is passed on as it comes and never ends goes on for as long as its client takes it: once that has
-// left, nothing of it stays.
+// A streamed response that never ends is forwarded until its client disconnects; then the connection to the server is
+// closed and the request ends.
 func TestStreamedResponseEndsWithItsClient(t *testing.T) {
 	t.Parallel()
 	var conns openConns
@@ -842,5 +851,5 @@
 		t.Fatal(err)
 	}
 	nodetest.CloseOnce(t, c)
-	nodetest.Await(t, "the end of the flood", func() bool { return conns.n.Load() == 0 && l.atRest() })
+	nodetest.Await(t, "the end of the streamed response", func() bool { return conns.n.Load() == 0 && l.isIdle() })
 }
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -13,8 +13,8 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// talk writes text to the node piece by piece and returns all that comes back until the node closes.
-func talk(t *testing.T, node string, pieces ...string) string {
+// sendRaw writes pieces to the node on a new connection and returns all that the node sends until it closes.
+func sendRaw(t *testing.T, node string, pieces ...string) string {
 	t.Helper()
 	c := nodetest.Dial(t, node)
 	defer nodetest.CloseOnce(t, c)
@@ -24,12 +24,12 @@
 	_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 	got, err := io.ReadAll(c)
 	if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		t.Errorf("%.60q: the connection stays open", pieces)
+		t.Errorf("%.60q: the node did not close the connection in time", pieces)
 	}
 	return string(got)
 }
 
-// recorder is a server that notes the ids of what reaches it.
+// recorder is a server that records the IDs of its requests.
 type recorder struct {
 	mu  sync.Mutex
 	ids []string
@@ -42,7 +42,8 @@
 	r.ids = append(r.ids, req.Header.Get("X-Request-Id"))
 }
 
-func (r *recorder) take() string {
+// takeIDs returns the recorded IDs, separated by blanks, and clears them.
+func (r *recorder) takeIDs() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	ids := strings.Join(r.ids, " ")
@@ -50,7 +51,8 @@
 	return ids
 }
 
-// What stands inside one request's body is never another request, however its length is stated.
+// Text in a request's body is never taken for another request, whatever the request states about its length (request
+// smuggling).
 func TestBodyIsNeverARequest(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		servers := &recorder{}
@@ -60,28 +62,28 @@
 		chunked := "0\r\n\r\n" + inner
 		length := fmt.Sprintf("Content-Length: %d\r\n", len(chunked))
 		pay := fmt.Sprintf("POST /api"+head, 1, "outer", "pay")
-		for name, c := range map[string]struct{ request, served string }{
-			"length and chunks":        {pay + length + "Transfer-Encoding: chunked\r\n\r\n" + chunked, ""},
-			"chunks and length":        {pay + "transfer-encoding: chunked\r\n" + length + "\r\n" + chunked, ""},
-			"for a GET":                {strings.Replace(pay, "pay", "read", 1) + length + "Transfer-Encoding: chunked\r\n\r\n" + chunked, ""},
-			"bare line feeds":          {strings.ReplaceAll(pay+length+"Transfer-Encoding: chunked\r\n\r\n", "\r\n", "\n") + chunked, ""},
-			"lengths that differ":      {pay + length + "Content-Length: 5\r\n\r\n" + chunked, ""},
-			"a length twice":           {pay + length + length + "\r\n" + chunked, ""},
-			"a list of lengths":        {pay + "Content-Length: 5, 5\r\n\r\n" + chunked, ""},
-			"codings twice":            {pay + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked, ""},
-			"a folded coding":          {pay + length + "X: y\r\n Transfer-Encoding: chunked\r\n\r\n" + chunked, ""},
-			"chunks of HTTP/1.0":       {strings.Replace(pay, "1.1", "1.0", 1) + "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + inner, ""},
-			"sent with a good request": {pay + "Content-Length: 3\r\n\r\nsum" + strings.Replace(pay, "outer", "o2", 1) + length + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
-			"in the body of a length":  {pay + length + "Connection: close\r\n\r\n" + chunked, "outer"},
-			"behind honest chunks":     {pay + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
+		for name, c := range map[string]struct{ request, wantServed string }{
+			"length and chunked":          {pay + length + "Transfer-Encoding: chunked\r\n\r\n" + chunked, ""},
+			"chunked and length":          {pay + "transfer-encoding: chunked\r\n" + length + "\r\n" + chunked, ""},
+			"length and chunked on a GET": {strings.Replace(pay, "pay", "read", 1) + length + "Transfer-Encoding: chunked\r\n\r\n" + chunked, ""},
+			"bare line feeds":             {strings.ReplaceAll(pay+length+"Transfer-Encoding: chunked\r\n\r\n", "\r\n", "\n") + chunked, ""},
+			"two different lengths":       {pay + length + "Content-Length: 5\r\n\r\n" + chunked, ""},
+			"the same length twice":       {pay + length + length + "\r\n" + chunked, ""},
+			"a list of lengths":           {pay + "Content-Length: 5, 5\r\n\r\n" + chunked, ""},
+			"chunked twice":               {pay + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked, ""},
+			"chunked in a folded header":  {pay + length + "X: y\r\n Transfer-Encoding: chunked\r\n\r\n" + chunked, ""},
+			"chunked over HTTP/1.0":       {strings.Replace(pay, "1.1", "1.0", 1) + "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + inner, ""},
+			"behind a valid request":      {pay + "Content-Length: 3\r\n\r\nsum" + strings.Replace(pay, "outer", "o2", 1) + length + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
+			"in a body with a length":     {pay + length + "Connection: close\r\n\r\n" + chunked, "outer"},
+			"behind valid chunks":         {pay + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
 		} {
-			answers := talk(t, node, c.request)
-			refused := strings.Count(answers, "HTTP/1.1 400 ")
-			if got := servers.take(); got != c.served {
-				t.Errorf("%s: %q reached the server, want %q", name, got, c.served)
+			responses := sendRaw(t, node, c.request)
+			rejected := strings.Count(responses, "HTTP/1.1 400 ")
+			if got := servers.takeIDs(); got != c.wantServed {
+				t.Errorf("%s: requests that reached the server: got %q, want %q", name, got, c.wantServed)
 			}
-			if wants := c.served == "" || name == "sent with a good request"; wants && refused != 1 {
-				t.Errorf("%s: answered %q, want one 400", name, answers)
+			if wantRejected := c.wantServed == "" || name == "behind a valid request"; wantRejected && rejected != 1 {
+				t.Errorf("%s: responses %q, want one with status 400", name, responses)
 			}
 		}
 	})
--- a/internal/node/list_outage_test.go
+++ b/internal/node/list_outage_test.go
@@ -16,7 +16,7 @@
 	"sloerail/internal/node/config"
 )
 
-// The ways in which a call to the list service ends without a list.
+// Handlers that end a call to the list service without a list.
 
 func rejectCall(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) }
 
@@ -28,79 +28,80 @@
 	if conn, ok := c.(*net.TCPConn); ok {
 		_ = conn.SetLinger(0)
 	}
-	_ = c.Close() // a reset
+	_ = c.Close() // SetLinger(0) makes it a reset
 }
 
-func staySilent(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
+func hangCall(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
 
-func answerHalf(w http.ResponseWriter, r *http.Request) {
+func sendPartialList(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.WriteString(w, `{"revision":8,"compl`)
 	_ = http.NewResponseController(w).Flush()
 	<-r.Context().Done()
 }
 
-// outage is a time in which no call to the list service brings a list.
+// outage describes an outage of the list service, during which no call returns a list.
 type outage struct {
-	fails  http.HandlerFunc // nil: connections are refused
-	calls  int              // that fail so
-	busy   int              // calls that the service turns away once it is back
-	queued time.Duration    // for which it keeps the next one waiting for its turn
-	within time.Duration    // the settings' bound on asking; 0 for none
+	fail          http.HandlerFunc // serves the calls; nil refuses connections
+	failedCalls   int              // calls that fail this way
+	rejectedCalls int              // calls answered with 503 after the outage
+	queueTime     time.Duration    // time for which the next call is queued
+	pollInterval  time.Duration    // PollInterval of the settings; 0 if not set
 }
 
-// keepsDrains has a server begin to drain at the end of an outage, which is the moment at which the node can last have
-// learned that its last call has failed, or is out in vain. Six seconds later that counts as told, or sooner where the
-// settings bound that.
-func (o outage) keepsDrains(t *testing.T, subscribe bool) {
+// checkDrain lets a server begin to drain at the end of the outage, which is when the node's last failing call was made
+// or refused. The change counts as delivered to the node MaxNotificationDelay (6 s) later, or after the PollInterval of
+// the settings if that is shorter.
+func (o outage) checkDrain(t *testing.T, subscribe bool) {
 	refused := make(chan time.Time, 1000)
-	down := make(chan struct{}) // closed once the service takes connections
-	l := newLeavingTest(t, subscribe, func(c *config.Config) {
-		c.Settings.Rules.PollInterval = o.within
-		c.Dial = refuseUntil(c, down, refused)
-		if o.fails != nil {
-			close(down)
+	reachable := make(chan struct{}) // closed when the service accepts connections
+	d := newDrainTest(t, subscribe, func(c *config.Config) {
+		c.Settings.Rules.PollInterval = o.pollInterval
+		c.Dial = refuseUntil(c, reachable, refused)
+		if o.fail != nil {
+			close(reachable)
 		}
 	})
-	var back time.Time
-	for range o.calls {
-		if o.fails == nil {
-			back = nodetest.Receive(t, "a refused connection", refused)
+	var outageEnd time.Time
+	for range o.failedCalls {
+		if o.fail == nil {
+			outageEnd = nodetest.Receive(t, "a refused connection", refused)
 			continue
 		}
-		c := nodetest.Receive(t, "a call that fails", l.calls)
-		back = c.at
+		c := nodetest.Receive(t, "a call that fails", d.calls)
+		outageEnd = c.receivedAt
 		failed := make(chan struct{})
-		c.serve <- func(w http.ResponseWriter, r *http.Request) { close(failed); o.fails(w, r) }
-		nodetest.Receive(t, "the failure", failed)
+		c.respond <- func(w http.ResponseWriter, r *http.Request) { close(failed); o.fail(w, r) }
+		nodetest.Receive(t, "the start of the failure", failed)
 	}
-	if o.fails == nil {
-		close(down)
+	if o.fail == nil {
+		close(reachable)
 	}
-	for range o.busy {
-		nodetest.Receive(t, "a call that is turned away", l.calls).serve <- rejectCall
+	for range o.rejectedCalls {
+		nodetest.Receive(t, "a call to answer with 503", d.calls).respond <- rejectCall
 	}
-	told := discovery.MaxNotificationDelay
-	if o.within > 0 {
-		told = min(told, o.within)
+	delay := discovery.MaxNotificationDelay
+	if o.pollInterval > 0 {
+		delay = min(delay, o.pollInterval)
 	}
-	further := l.calls
-	if o.queued > 0 {
-		turn, c := make(chan listCall, 1), nodetest.Receive(t, "a call that waits for its turn", l.calls)
-		time.AfterFunc(o.queued, func() { turn <- c })
-		further = turn
+	nextCalls := d.calls
+	if o.queueTime > 0 {
+		queued, c := make(chan listCall, 1), nodetest.Receive(t, "a call to queue", d.calls)
+		time.AfterFunc(o.queueTime, func() { queued <- c })
+		nextCalls = queued
 	}
-	l.drains(back.Add(told), further, l.change)
+	d.checkDrain(outageEnd.Add(delay), nextCalls, d.drainUpdate)
 }
 
-// refuseUntil dials as c does, and for the list service to where nobody listens until up is closed.
-func refuseUntil(c *config.Config, up <-chan struct{}, refused chan<- time.Time) config.DialFunc {
+// refuseUntil returns c's dial function, except that connections to the list service are refused until reachable is
+// closed. It sends the time of each refusal to refused.
+func refuseUntil(c *config.Config, reachable <-chan struct{}, refused chan<- time.Time) config.DialFunc {
 	dial, service := c.Dialer(time.Second), c.Discovery
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if addr != service {
 			return dial(ctx, network, addr)
 		}
 		select {
-		case <-up:
+		case <-reachable:
 			return dial(ctx, network, addr)
 		default:
 		}
@@ -110,37 +111,38 @@
 	}
 }
 
-// Whatever became of the calls meanwhile, a change counts as told 6 s after the list service had it and could be
-// reached, sooner where the settings bound that. Only the least grace of any site is left beyond.
+// After an outage of the list service, however calls failed during it, the node knows a change in time: the change counts
+// as delivered 6 s after the service has it and is reachable, or sooner if the settings bound that. Beyond this, only the
+// smallest drain grace of any site is allowed.
 func TestChangesArriveInTimeAfterAnyOutage(t *testing.T) {
 	for name, o := range map[string]outage{
-		"refused":            {calls: 5, busy: 2},
-		"reset":              {fails: resetCall, calls: 5, busy: 2},
-		"turned away":        {fails: rejectCall, calls: 5, busy: 2},
-		"silent":             {fails: staySilent, calls: 2, busy: 2},
-		"silent, then busy":  {fails: staySilent, calls: 2, busy: 1, queued: discovery.MaxQueueTime},
-		"half answered":      {fails: answerHalf, calls: 2, busy: 2},
-		"silent, bound 2 s":  {fails: staySilent, calls: 2, busy: 1, within: 2 * time.Second},
-		"refused, bound 2 s": {calls: 5, busy: 1, within: 2 * time.Second},
+		"refused":             {failedCalls: 5, rejectedCalls: 2},
+		"reset":               {fail: resetCall, failedCalls: 5, rejectedCalls: 2},
+		"calls rejected":      {fail: rejectCall, failedCalls: 5, rejectedCalls: 2},
+		"silent":              {fail: hangCall, failedCalls: 2, rejectedCalls: 2},
+		"silent, then queued": {fail: hangCall, failedCalls: 2, rejectedCalls: 1, queueTime: discovery.MaxQueueTime},
+		"partial list":        {fail: sendPartialList, failedCalls: 2, rejectedCalls: 2},
+		"silent, bound 2 s":   {fail: hangCall, failedCalls: 2, rejectedCalls: 1, pollInterval: 2 * time.Second},
+		"refused, bound 2 s":  {failedCalls: 5, rejectedCalls: 1, pollInterval: 2 * time.Second},
 	} {
 		for _, subscribe := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s/asked %v", name, subscribe), func(t *testing.T) {
+			t.Run(fmt.Sprintf("%s/subscribe %v", name, subscribe), func(t *testing.T) {
 				t.Parallel()
-				o.keepsDrains(t, subscribe)
+				o.checkDrain(t, subscribe)
 			})
 		}
 	}
 }
 
-// The same holds when the service was away for many minutes: no pause grows with them.
+// The same holds after an outage of many minutes: no pause between calls grows with its length.
 func TestChangesArriveInTimeAfterLongOutage(t *testing.T) {
 	for name, o := range map[string]outage{
-		"refused": {calls: 900, busy: 2},
-		"silent":  {fails: staySilent, calls: 300, busy: 2},
+		"refused": {failedCalls: 900, rejectedCalls: 2},
+		"silent":  {fail: hangCall, failedCalls: 300, rejectedCalls: 2},
 	} {
 		for _, subscribe := range []bool{true, false} {
-			t.Run(fmt.Sprintf("%s/asked %v", name, subscribe), func(t *testing.T) {
-				nodetest.Bubble(t, func(t *testing.T) { o.keepsDrains(t, subscribe) })
+			t.Run(fmt.Sprintf("%s/subscribe %v", name, subscribe), func(t *testing.T) {
+				nodetest.Bubble(t, func(t *testing.T) { o.checkDrain(t, subscribe) })
 			})
 		}
 	}
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -18,7 +18,8 @@
 	"sloerail/policy"
 )
 
-// A request goes through the whole node and back, in each class's form.
+// A request of each class passes the whole node: method, URI, headers and body reach the server, and its response the
+// client.
 func TestServesEachClass(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -35,13 +36,14 @@
 		} {
 			resp, body := do(t, clientRequest(t, node, c.method, c.class, "r-"+c.class, c.body))
 			if resp.StatusCode != 200 || body != c.want || resp.Header.Get("Content-Type") != "application/x-test" {
-				t.Errorf("%s: %d %q, header %v", c.class, resp.StatusCode, body, resp.Header)
+				t.Errorf("class %s: got status %d, body %q, header %v; want 200, %q", c.class, resp.StatusCode, body,
+					resp.Header, c.want)
 			}
 		}
 	})
 }
 
-// What is wrong with a request is the client's fault, promises nothing, and reaches no server.
+// An invalid request is answered with a 4xx status and reaches no server, and its request ID can be used again.
 func TestBadRequestsReachNoServer(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
@@ -53,37 +55,37 @@
 			headers             []string
 			want                int
 		}{
-			"no id":          {"GET", "read", "", []string{"X-Request-Id", ""}, 400},
-			"long id":        {"GET", "read", "", []string{"X-Request-Id", big}, 400},
-			"spaced id":      {"GET", "read", "", []string{"X-Request-Id", "a b"}, 400},
-			"no class":       {"GET", "read", "", []string{"X-Class", ""}, 400},
-			"unknown class":  {"GET", "read", "", []string{"X-Class", "other"}, 400},
-			"no deadline":    {"GET", "read", "", []string{"X-Deadline-Ms", ""}, 400},
-			"zero deadline":  {"GET", "read", "", []string{"X-Deadline-Ms", "0"}, 400},
-			"minus deadline": {"GET", "read", "", []string{"X-Deadline-Ms", "-5"}, 400},
-			"word deadline":  {"GET", "read", "", []string{"X-Deadline-Ms", "soon"}, 400},
-			"far deadline":   {"GET", "read", "", []string{"X-Deadline-Ms", "99999999999999999999"}, 400},
-			"POST for read":  {"POST", "read", "x", nil, 405},
-			"GET for pay":    {"GET", "pay", "", nil, 405},
-			"PUT for undo":   {"PUT", "undo", "x", nil, 405},
-			"undo, no key":   {"POST", "undo", "x", []string{"Idempotency-Key", ""}, 400},
-			"GET with body":  {"GET", "read", "x", nil, 400},
+			"no id":                {"GET", "read", "", []string{"X-Request-Id", ""}, 400},
+			"long id":              {"GET", "read", "", []string{"X-Request-Id", big}, 400},
+			"id with a space":      {"GET", "read", "", []string{"X-Request-Id", "a b"}, 400},
+			"no class":             {"GET", "read", "", []string{"X-Class", ""}, 400},
+			"unknown class":        {"GET", "read", "", []string{"X-Class", "other"}, 400},
+			"no deadline":          {"GET", "read", "", []string{"X-Deadline-Ms", ""}, 400},
+			"zero deadline":        {"GET", "read", "", []string{"X-Deadline-Ms", "0"}, 400},
+			"negative deadline":    {"GET", "read", "", []string{"X-Deadline-Ms", "-5"}, 400},
+			"non-numeric deadline": {"GET", "read", "", []string{"X-Deadline-Ms", "soon"}, 400},
+			"overflowing deadline": {"GET", "read", "", []string{"X-Deadline-Ms", "99999999999999999999"}, 400},
+			"POST for read":        {"POST", "read", "x", nil, 405},
+			"GET for pay":          {"GET", "pay", "", nil, 405},
+			"PUT for undo":         {"PUT", "undo", "x", nil, 405},
+			"undo, no key":         {"POST", "undo", "x", []string{"Idempotency-Key", ""}, 400},
+			"GET with body":        {"GET", "read", "x", nil, 400},
 		} {
 			resp, _ := do(t, clientRequest(t, node, c.method, c.class, "r1", c.body, c.headers...))
 			if resp.StatusCode != c.want {
-				t.Errorf("%s: %d, want %d", name, resp.StatusCode, c.want)
+				t.Errorf("%s: status %d, want %d", name, resp.StatusCode, c.want)
 			}
 		}
 		if n := reached.Load(); n != 0 {
-			t.Errorf("%d requests reached the server", n)
+			t.Errorf("%d invalid requests reached the server, want 0", n)
 		}
 		if resp, _ := do(t, clientRequest(t, node, "GET", "read", "r1", "")); resp.StatusCode != 200 {
-			t.Errorf("a good request with that id afterwards: %d", resp.StatusCode)
+			t.Errorf("valid request with the same ID: status %d, want 200", resp.StatusCode)
 		}
 	})
 }
 
-// A tenant past its share is told at once when to come back.
+// A request over its tenant's quota is rejected with 429 and a Retry-After of at least 1 s.
 func TestRejectionHasRetryAfter(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -95,15 +97,16 @@
 			}
 			wait, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
 			if resp.StatusCode != http.StatusTooManyRequests || err != nil || wait < 1 {
-				t.Errorf("%d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+				t.Errorf("rejection: status %d, Retry-After %q; want 429 and at least 1", resp.StatusCode,
+					resp.Header.Get("Retry-After"))
 			}
 			return
 		}
-		t.Error("a tenant with next to no share was never refused")
+		t.Error("no request of 20 over the tenant's quota was rejected")
 	})
 }
 
-// An unsafe request that may have run is neither sent again nor refused.
+// An unsafe request that may have run is not sent again, and its status (neither 429 nor 503) doesn't say that it can be.
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
@@ -115,23 +118,23 @@
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr, addr)))
 		resp, _ := do(t, clientRequest(t, node, "POST", "pay", "r1", "sum"))
 		if s := resp.StatusCode; s < 400 || s == http.StatusTooManyRequests || s == http.StatusServiceUnavailable {
-			t.Errorf("status %d, want a failure that promises nothing", s)
+			t.Errorf("status %d, want a failure other than 429 and 503", s)
 		}
 		if n := reached.Load(); n != 1 {
-			t.Errorf("sent %d times", n)
+			t.Errorf("attempts that reached a server: got %d, want 1", n)
 		}
 	})
 }
 
-// The module hears that a client has left, and can call its attempts off.
+// The module gets an event when a client disconnects, and can cancel the request's attempts.
 func TestClientLeavingReachesTheBalancer(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		got, closed := make(chan struct{}), make(chan struct{})
+		received, cancelled := make(chan struct{}), make(chan struct{})
 		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			_, _ = io.Copy(io.Discard, r.Body)
-			close(got)
+			close(received)
 			<-r.Context().Done()
-			close(closed)
+			close(cancelled)
 		})
 		l, module := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
@@ -144,24 +147,24 @@
 		})
 		node := serveAt(t, newServer(l))
 		c := nodetest.Dial(t, node)
-		// The deadline is far off, so that nothing else ends the attempt.
+		// The deadline is an hour away, so that only the cancellation ends the attempt.
 		if err := clientRequest(t, node, "POST", "pay", "r1", "sum", "X-Deadline-Ms", "3600000").Write(c); err != nil {
 			t.Fatal(err)
 		}
-		nodetest.Receive(t, "the attempt", got)
+		nodetest.Receive(t, "the attempt at the server", received)
 		nodetest.CloseOnce(t, c)
-		nodetest.Receive(t, "its end", closed)
+		nodetest.Receive(t, "the cancelled attempt at the server", cancelled)
 		module.has(t, "list 2", "request r1", "lapsed r1",
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 	})
 }
 
-// A client that closes has gone away: it is not told that it was served, also where it still reads.
+// A client that closes its write side counts as disconnected: it gets no response, even if it still reads.
 func TestClientThatLeftIsNotServed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		hold := make(chan struct{})
-		defer close(hold)
-		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
+		release := make(chan struct{})
+		defer close(release)
+		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-release })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		c := nodetest.Dial(t, node)
 		defer nodetest.CloseOnce(t, c)
@@ -173,12 +176,13 @@
 		}
 		_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 		if got, err := io.ReadAll(c); err != nil || len(got) > 0 {
-			t.Errorf("got %q, %v", got, err)
+			t.Errorf("after the client closed its write side: got %q, %v; want no bytes", got, err)
 		}
 	})
 }
 
-// Over its part of the descriptors a node refuses, and gives the connection up.
+// A client connection beyond the clients' part of the descriptors is answered with 503 and closed; once others close,
+// requests are served again.
 func TestClientsOverTheLimitAreRejected(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
@@ -186,7 +190,7 @@
 		c := testConfig(t, nodetest.KnownList(addr))
 		c.Sockets = config.MinSockets
 		node, _ := startNode(t, c)
-		side := (config.MinSockets - ownSockets) / 2
+		perSide := (config.MinSockets - ownSockets) / 2
 		var held []net.Conn
 		defer func() {
 			for _, c := range held {
@@ -197,32 +201,33 @@
 			c := nodetest.Dial(t, node)
 			held = append(held, c)
 		}
-		for range side {
+		for range perSide {
 			hold()
 		}
-		nodetest.Await(t, "a refusal", func() bool {
+		nodetest.Await(t, "a 503 that closes its connection", func() bool {
 			resp, _ := do(t, clientRequest(t, node, "GET", "read", fmt.Sprint(time.Now().UnixNano()), ""))
 			if resp.StatusCode == http.StatusServiceUnavailable && resp.Close {
 				return true
 			}
-			hold() // the node drops silent connections in time
+			hold() // the node closes silent connections after a while
 			return false
 		})
 		for _, c := range held {
 			nodetest.CloseOnce(t, c)
 		}
 		before := reached.Load()
-		nodetest.Await(t, "service again", func() bool {
+		nodetest.Await(t, "a served request after the connections closed", func() bool {
 			resp, _ := do(t, clientRequest(t, node, "GET", "read", fmt.Sprint(time.Now().UnixNano()), ""))
 			return resp.StatusCode == 200
 		})
 		if reached.Load() == before {
-			t.Error("served without a server")
+			t.Error("got a 200 for a request that reached no server")
 		}
 	})
 }
 
-// While a node stops, its answers end their connections, and the front is told that it isn't ready.
+// While a node drains, its responses close their connections and the readiness check fails, unless a successor process
+// has superseded it.
 func TestStoppingNodeEndsConnections(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -233,7 +238,7 @@
 		close(s.soleListener)
 		client := keepAliveClient(t)
 		for _, state := range []struct{ draining, superseded, ready bool }{
-			{ready: true}, {draining: true}, {draining: true, superseded: true, ready: true}, // the node serves on
+			{ready: true}, {draining: true}, {draining: true, superseded: true, ready: true}, // the successor serves
 		} {
 			draining := state.draining
 			s.Stopping.Store(draining)
@@ -246,7 +251,8 @@
 			}
 			nodetest.CloseOnce(t, resp.Body)
 			if resp.StatusCode != 200 || resp.Close != draining {
-				t.Errorf("draining %v: %d, ends its connection: %v", draining, resp.StatusCode, resp.Close)
+				t.Errorf("draining %v: status %d, closes its connection %v; want 200, %v", draining, resp.StatusCode,
+					resp.Close, draining)
 			}
 			resp, err = oneRequestClient(t).Get("http://" + node + downstream.ReadyPath)
 			if err != nil {
@@ -254,63 +260,64 @@
 			}
 			nodetest.CloseOnce(t, resp.Body)
 			if ready := resp.StatusCode == 200; ready != state.ready || s.acceptsNewClients() == draining {
-				t.Errorf("%+v: ready %v, taking %v", state, ready, s.acceptsNewClients())
+				t.Errorf("%+v: ready %v, accepts new clients %v; want %v, %v", state, ready,
+					s.acceptsNewClients(), state.ready, !draining)
 			}
 		}
 	})
 }
 
-// A node that is told to stop takes in what comes for a while, answers what it holds, and ends.
+// A stopping node accepts connections for minAcceptTime, answers the open requests, and ends only then.
 func TestStopsInOrder(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		hold, held := make(chan struct{}), make(chan struct{}, 2)
+		release, received := make(chan struct{}), make(chan struct{}, 2)
 		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 			if r.Header.Get("X-Request-Id") == "slow" {
-				held <- struct{}{}
-				<-hold
+				received <- struct{}{}
+				<-release
 			}
 		})
 		node, stop := startNode(t, testConfig(t, nodetest.KnownList(addr)))
-		slow := make(chan int, 1)
+		slowStatus := make(chan int, 1)
 		go func() {
 			resp, err := oneRequestClient(t).Do(clientRequest(t, node, "GET", "read", "slow", ""))
 			if err != nil {
-				slow <- 0
+				slowStatus <- 0
 				return
 			}
 			nodetest.CloseOnce(t, resp.Body)
-			slow <- resp.StatusCode
+			slowStatus <- resp.StatusCode
 		}()
-		nodetest.Receive(t, "the slow request", held)
-		ended, began := make(chan error, 1), time.Now()
-		go func() { ended <- stop() }()
-		nodetest.Await(t, "the end of accepting", func() bool {
+		nodetest.Receive(t, "the slow request", received)
+		stopErr, start := make(chan error, 1), time.Now()
+		go func() { stopErr <- stop() }()
+		nodetest.Await(t, "a refused connection", func() bool {
 			c, err := nodetest.Dialer(t)(t.Context(), "tcp", node)
 			if err == nil {
 				nodetest.CloseOnce(t, c)
 			}
 			return err != nil
 		})
-		if took := time.Since(began); took < 400*time.Millisecond {
-			t.Errorf("accepted for %v only: clients still come then", took)
+		if took := time.Since(start); took < 400*time.Millisecond {
+			t.Errorf("connections were accepted for %v after the stop, want at least 400ms: clients still connect then", took)
 		}
 		select {
-		case err := <-ended:
-			t.Fatalf("ended with a request open: %v", err)
+		case err := <-stopErr:
+			t.Fatalf("the node ended with an open request: %v", err)
 		default:
 		}
-		close(hold)
-		if status := nodetest.Receive(t, "the slow answer", slow); status != 200 {
-			t.Errorf("status %d", status)
+		close(release)
+		if status := nodetest.Receive(t, "the response to the slow request", slowStatus); status != 200 {
+			t.Errorf("slow request: status %d, want 200", status)
 		}
-		if err := nodetest.Receive(t, "the end", ended); err != nil {
+		if err := nodetest.Receive(t, "the end of the node", stopErr); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// brief configures a node whose clients wait 1.5 s at most.
-func brief(t *testing.T) config.Config {
+// shortDeadlineConfig returns a configuration in which each class has a deadline of 1.5 s.
+func shortDeadlineConfig(t *testing.T) config.Config {
 	c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 	for i := range c.Settings.Classes {
 		c.Settings.Classes[i].LatencyObjective, c.Settings.Classes[i].Deadline = 200*time.Millisecond, 1500*time.Millisecond
@@ -318,11 +325,11 @@
 	return c
 }
 
-// A node that is told to stop serves its clients on the connections they have until what comes could
-// no longer be answered in time; meanwhile the front is told that it isn't ready.
+// A stopping node serves requests on its open connections for as long as they can be answered in time; meanwhile its
+// readiness check fails.
 func TestStoppingNodeServesOn(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		node, stop := startNode(t, brief(t))
+		node, stop := startNode(t, shortDeadlineConfig(t))
 		client := keepAliveClient(t)
 		get := func(req *http.Request) (*http.Response, error) {
 			resp, err := client.Do(req)
@@ -332,116 +339,117 @@
 			}
 			return resp, err
 		}
-		ended, began := make(chan error, 1), time.Now()
-		go func() { ended <- stop() }()
+		stopErr, start := make(chan error, 1), time.Now()
+		go func() { stopErr <- stop() }()
 		probe, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+node+downstream.ReadyPath, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
-		nodetest.Await(t, "a front that is told", func() bool {
+		nodetest.Await(t, "a failing readiness check", func() bool {
 			resp, err := get(probe)
 			return err != nil || resp.StatusCode == http.StatusServiceUnavailable
 		})
-		for n := 0; time.Since(began) < 1200*time.Millisecond; n++ {
+		for n := 0; time.Since(start) < 1200*time.Millisecond; n++ {
 			resp, err := get(clientRequest(t, node, "GET", "read", fmt.Sprint("r", n), ""))
 			if err != nil || resp.StatusCode != http.StatusOK || resp.Close {
-				t.Fatalf("after %v: %v, %+v", time.Since(began), err, resp)
+				t.Fatalf("request %v after the stop: error %v, response %+v; want 200 on an open connection",
+					time.Since(start), err, resp)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
-		if err := nodetest.Receive(t, "the end", ended); err != nil {
+		if err := nodetest.Receive(t, "the end of the node", stopErr); err != nil {
 			t.Error(err)
 		}
-		if took := time.Since(began); took > 2200*time.Millisecond {
-			t.Errorf("ended after %v, want before the node is killed", took)
+		if took := time.Since(start); took > 2200*time.Millisecond {
+			t.Errorf("the node ended %v after the stop, want at most 2.2s: it is killed later", took)
 		}
 	})
 }
 
-// No input panics the node: after noise of each kind it still serves.
+// Malformed input gets an error status or a closed connection, and the node serves valid requests afterwards.
 func TestMalformedInputIsRejectedOrClosed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
-		for _, noise := range []string{"", "\r\n\r\n", "\x00\x01\x02\r\n\r\n", "GET", "GET / HTTP/9.9\r\n\r\n",
+		for _, input := range []string{"", "\r\n\r\n", "\x00\x01\x02\r\n\r\n", "GET", "GET / HTTP/9.9\r\n\r\n",
 			"GET / HTTP/1.1\r\n\r\n", "POST /a HTTP/1.1\r\nHost: a\r\nContent-Length: -1\r\n\r\n",
 			"OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n", "CONNECT a:1 HTTP/1.1\r\nHost: a\r\n\r\n",
 			"POST /a HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Deadline-Ms: 9\r\nContent-Length: 5\r\n\r\nab",
 			"GET / HTTP/1.1\r\nHost: a\r\nX: " + strings.Repeat("x", 1<<20)} {
 			c := nodetest.Dial(t, node)
-			_, _ = io.WriteString(c, noise) // the node may close before all is written
+			_, _ = io.WriteString(c, input) // the node may close before all is written
 			_ = c.CloseWrite()
 			_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 			got, err := io.ReadAll(c)
 			nodetest.CloseOnce(t, c)
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
-				t.Errorf("%.40q: the connection stays open", noise)
+				t.Errorf("%.40q: the node did not close the connection in time", input)
 			}
 			if len(got) > 0 && !strings.HasPrefix(string(got), "HTTP/1.1 4") && !strings.HasPrefix(string(got), "HTTP/1.1 5") {
-				t.Errorf("%.40q: answered %.60q", noise, got)
+				t.Errorf("%.40q: response %.60q, want status 4xx or 5xx", input, got)
 			}
 		}
 		if resp, _ := do(t, clientRequest(t, node, "GET", "read", "r1", "")); resp.StatusCode != 200 {
-			t.Errorf("status %d", resp.StatusCode)
+			t.Errorf("valid request after malformed input: status %d, want 200", resp.StatusCode)
 		}
 	})
 }
 
-// A connection that came just before a stopping node takes no more of them is still heard.
+// A connection accepted just before a stopping node closes its listener is still served.
 func TestConnectionAcceptedBeforeTheListenerClosesIsServed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		node, stop := startNode(t, brief(t))
-		ended := make(chan error, 1)
-		go func() { ended <- stop() }()
+		node, stop := startNode(t, shortDeadlineConfig(t))
+		stopErr := make(chan error, 1)
+		go func() { stopErr <- stop() }()
 		end := minAcceptTime + 1500*time.Millisecond
 		time.Sleep(end - 150*time.Millisecond)
 		conn := nodetest.Dial(t, node)
-		time.Sleep(100 * time.Millisecond) // no further connection is taken by now
+		time.Sleep(100 * time.Millisecond) // the listener is closed by now
 		if _, err := nodetest.Dialer(t)(t.Context(), "tcp", node); err == nil {
-			t.Error("a connection is taken at the end")
+			t.Error("the node accepted a connection after it should have closed its listener")
 		}
 		if err := clientRequest(t, node, "GET", "read", "last", "").Write(conn); err != nil {
 			t.Fatal(err)
 		}
 		if resp, err := http.ReadResponse(bufio.NewReader(conn), nil); err != nil || resp.StatusCode != http.StatusOK {
-			t.Errorf("the last request: %+v, %v", resp, err)
+			t.Errorf("request on the last connection: response %+v, error %v; want 200", resp, err)
 		}
-		if err := nodetest.Receive(t, "the end", ended); err != nil {
+		if err := nodetest.Receive(t, "the end of the node", stopErr); err != nil {
 			t.Error(err)
 		}
 	})
 }
 
-// A connection that came over the limit is served if it has a place by the time of its request, also once no further
-// descriptors are on their way from a process before this one.
+// A connection accepted over the limit is served if the limit has room for it when its request arrives. This holds also
+// when no more descriptors are expected from a predecessor process.
 func TestConnectionOverTheLimitIsServedOnceThereIsRoom(t *testing.T) {
-	server, got, letGo := nodetest.HoldingServer(t)
+	server, received, release := nodetest.HoldingServer(t)
 	l, _ := startLoop(t, server, sendsOnce)
 	s := newServer(l)
 	node := serveAt(t, s)
 	descriptors := l.up.Descriptors()
-	descriptors.SetTotal(4) // of which two are the clients'
+	descriptors.SetTotal(4) // two of them for clients
 	for i := range 2 {
 		newTestClient(t, node).send("GET", "read", fmt.Sprint("r", i), "")
 	}
-	nodetest.Receive(t, "a request", got)
+	nodetest.Receive(t, "a request at the server", received)
 	late := newTestClient(t, node)
 	nodetest.Await(t, "the connection over the limit", func() bool { return s.ClientConns().Count() == 3 })
 	descriptors.SetTotal(config.MinSockets)
 	late.send("GET", "read", "late", "")
-	letGo()
-	if resp := late.answered(); resp.StatusCode != http.StatusOK {
-		t.Errorf("status %d", resp.StatusCode)
+	release()
+	if resp := late.readResponse(); resp.StatusCode != http.StatusOK {
+		t.Errorf("request on the connection over the limit: status %d, want 200", resp.StatusCode)
 	}
 }
 
-// Either side has its part of the descriptors, however many clients are in; while two processes share them, no
-// more clients than have a place are let in.
+// Servers have their minimum of descriptors however many clients are connected. While two processes share the
+// descriptors, the limit on clients is at most MaxClients; afterwards it is higher.
 func TestEachSideHasItsMinimumOfDescriptors(t *testing.T) {
-	s := testDescriptors(30)
-	s.SetClients(40)
-	if got := s.ForServers(); got != s.MinPerSide() {
-		t.Errorf("%d for servers beside 40 clients, want %d", got, s.MinPerSide())
+	descriptors := testDescriptors(30)
+	descriptors.SetClients(40)
+	if got := descriptors.ForServers(); got != descriptors.MinPerSide() {
+		t.Errorf("descriptors for servers with 40 clients of 30 descriptors: got %d, want %d", got, descriptors.MinPerSide())
 	}
 	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
 	h := &hotRestart{config: testConfig(t, nodetest.KnownList("127.0.0.1:9")), server: newServer(l), transport: l.up,
@@ -449,8 +457,8 @@
 	for _, sharing := range []bool{true, false} {
 		h.server.AwaitingDescriptors.Store(sharing)
 		h.shareSockets()
-		if most := l.up.Descriptors().MaxClients(); (h.clients.Limit() > most) == sharing {
-			t.Errorf("sharing %v: %d clients are let in, %d have a place", sharing, h.clients.Limit(), most)
+		if maxClients := l.up.Descriptors().MaxClients(); (h.clients.Limit() > maxClients) == sharing {
+			t.Errorf("sharing descriptors %v: limit of %d clients, MaxClients %d", sharing, h.clients.Limit(), maxClients)
 		}
 	}
 }
