--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -63,7 +63,7 @@
 	t.Helper()
 	for end := time.Now().Add(Timeout); !condition(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("timed out after %v waiting for %s", Timeout, what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 	}
 }
@@ -75,7 +75,7 @@
 	case v := <-ch:
 		return v
 	case <-time.After(Timeout):
-		t.Fatalf("timed out after %v waiting for %s", Timeout, what)
+		t.Fatalf("timed out waiting for %s", what)
 		panic("unreachable")
 	}
 }
