--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -7,33 +7,32 @@
 	"sloerail/policy"
 )
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result struct {
 	Code       policy.Code
-	Response   Response  // for policy.OK
-	LoadReport []float64 // in the order of TransportConfig.LoadReportFields, NaN where absent; nil for no report
+	Response   Response  // set if Code is policy.OK
+	LoadReport []float64 // in the order of TransportConfig.LoadReportFields, NaN for absent fields; nil without a report
 }
 
-// Attempt is one request to one server.
+// Attempt describes one request to one server.
 type Attempt struct {
 	Request  *Request
-	Timeout  time.Duration // that the server hears it has for the response
+	Timeout  time.Duration // sent to the server as the time it has for the response
 	Lifetime *Lifetime
 	Observer Observer
 }
 
 // Observer connects an attempt to its client. The goroutine that runs Transport.Do calls it.
 type Observer interface {
-	// ClientDisconnected reports whether the client has left. It doesn't block.
+	// ClientDisconnected reports whether the client has disconnected. It doesn't block.
 	ClientDisconnected() bool
-	// NotSent hears that nothing was sent, since the client had left.
+	// NotSent is called when nothing was sent because the client had disconnected.
 	NotSent()
-	// ResponseStarted takes a response whose body is streamed. Do returns once its Stream was copied, or is closed.
+	// ResponseStarted takes a response whose body is streamed. Do returns once its Stream is copied or abandoned.
 	ResponseStarted(Response)
 }
 
-// Do makes one attempt at a server, and returns when it has the complete response, the response was streamed, or the
-// Lifetime has ended.
+// Do makes one attempt at a server. It returns when the response is complete or streamed, or when the Lifetime ends.
 func (t *Transport) Do(server string, a Attempt) Result {
 	c, err := t.acquire(a.Lifetime, server)
 	if err != nil {
@@ -50,7 +49,7 @@
 	return result
 }
 
-// roundTrip writes the request to c and reads the response. It reports whether c can serve another request then.
+// roundTrip writes the request to c and reads the response. It reports whether c can be reused for another request.
 func (t *Transport) roundTrip(c *serverConn, a Attempt) (_ Result, reusable bool) {
 	w := &requestWriter{requestsSent: t.requestsSent}
 	if err := w.writeBuffered(c, a); err != nil {
@@ -82,7 +81,7 @@
 	return result, reusable
 }
 
-// streamResponse hands over a response whose body is streamed, and waits until that has ended.
+// streamResponse passes a streamed response to the Observer, and waits until the stream ends.
 func streamResponse(c *serverConn, a Attempt, resp response) error {
 	stream := newResponseStream(resp.remaining, a.Lifetime.cancelWith)
 	started := resp.Response
@@ -95,7 +94,7 @@
 	case <-cancelled:
 		closeQuietly(c)
 		if stream.abandon() {
-			return errAttemptTimeout // whatever the cause was: the Lifetime has it
+			return errAttemptTimeout // a placeholder: failureCode uses the cause recorded in the Lifetime
 		}
 		return <-stream.done
 	}
--- a/internal/node/upstream/descriptor_queue.go
+++ b/internal/node/upstream/descriptor_queue.go
@@ -6,22 +6,22 @@
 	"time"
 )
 
-// descriptorWaitTimeout is how long an attempt waits for a descriptor: twice the time between two reports of a process
-// that hands its descriptors over. An attempt that failed at once would have the balancer try other servers in vain, all
-// within a moment, and then reject the request.
+// descriptorWaitTimeout is how long an attempt waits for a descriptor: twice the interval at which a process that hands
+// over its descriptors sends reports. If attempts failed at once, the balancer would use up its tries on other servers
+// within moments, all for the same shortage, and reject the request.
 const descriptorWaitTimeout = 100 * time.Millisecond
 
-// descriptorQueue holds the attempts that wait for a descriptor, in the order in which they came.
+// descriptorQueue is a FIFO queue of attempts that wait for a descriptor. Transport.mu guards it.
 type descriptorQueue struct{ waiters []chan struct{} }
 
-// join adds a waiter to the end. The channel is closed when its turn comes.
+// join adds a waiter at the end. The returned channel is closed when its turn comes.
 func (q *descriptorQueue) join() chan struct{} {
 	turn := make(chan struct{})
 	q.waiters = append(q.waiters, turn)
 	return turn
 }
 
-// leave removes a waiter. A turn that had come meanwhile and was not used goes to the next.
+// leave removes a waiter. If its turn has come but was not used, the next waiter gets it.
 func (q *descriptorQueue) leave(turn chan struct{}, used bool) {
 	if i := slices.Index(q.waiters, turn); i >= 0 {
 		q.waiters = slices.Delete(q.waiters, i, i+1)
@@ -30,7 +30,7 @@
 	}
 }
 
-// wake has the first waiter look again.
+// wake removes the first waiter and makes it retry.
 func (q *descriptorQueue) wake() {
 	if len(q.waiters) > 0 {
 		close(q.waiters[0])
@@ -44,8 +44,8 @@
 	}
 }
 
-// awaitDescriptor reserves a connection to the server once a descriptor is free for it, until descriptorWait is over or
-// l is cancelled.
+// awaitDescriptor reserves a connection to the server as soon as a descriptor is free. It gives up with errNoDescriptor
+// after descriptorWait or when l is cancelled.
 func (t *Transport) awaitDescriptor(l *Lifetime, id string) (*serverPool, *serverConn, error) {
 	cancelled := l.whenCancelled()
 	timeout := time.NewTimer(t.descriptorWait)
@@ -54,7 +54,7 @@
 		t.mu.Lock()
 		turn := t.waiters.join()
 		t.mu.Unlock()
-		p, c, err := t.reserve(id) // what came free before the turn was noted has woken nobody
+		p, c, err := t.reserve(id) // a descriptor released before join woke no waiter
 		if errors.Is(err, errNoDescriptor) {
 			select {
 			case <-turn:
--- a/internal/node/upstream/descriptor_queue_test.go
+++ b/internal/node/upstream/descriptor_queue_test.go
@@ -8,51 +8,52 @@
 	"sloerail/policy"
 )
 
-// An attempt that finds no descriptor waits for the one that another attempt is about to let go of. It is no failure of
-// the server.
+// An attempt that finds no free descriptor waits until another attempt releases one, rather than fail as if the server
+// had refused it.
 func TestAttemptWaitsForADescriptor(t *testing.T) {
-	server, got, letGo := nodetest.HoldingServer(t)
-	u := testTransport(t, server)
-	u.descriptorWait = nodetest.Timeout
-	u.descriptors.SetTotal(minSideDivisor) // of which one is the servers'
-	u.descriptors.SetClients(10 * minSideDivisor)
+	server, received, release := nodetest.HoldingServer(t)
+	tr := newTestTransport(t, server)
+	tr.descriptorWait = nodetest.Timeout
+	tr.descriptors.SetTotal(minSideDivisor) // leaves one for servers
+	tr.descriptors.SetClients(10 * minSideDivisor)
 	codes := make(chan policy.Code, 3)
-	attempt := func(id string) { codes <- doAttempt(t, u, testRequest(http.MethodGet, id, "")).Code }
+	attempt := func(id string) { codes <- doAttempt(t, tr, newTestRequest(http.MethodGet, id, "")).Code }
 	go attempt("r1")
-	nodetest.Receive(t, "the first attempt", got)
+	nodetest.Receive(t, "the first request at the server", received)
 	for _, id := range []string{"r2", "r3"} {
 		go attempt(id)
 	}
-	nodetest.Await(t, "both others to wait or to fail", func() bool {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		return len(u.waiters.waiters) == 2 || len(codes) == 2
+	nodetest.Await(t, "both other attempts to wait or to fail", func() bool {
+		tr.mu.Lock()
+		defer tr.mu.Unlock()
+		return len(tr.waiters.waiters) == 2 || len(codes) == 2
 	})
-	letGo()
+	release()
 	for range 3 {
-		if code := nodetest.Receive(t, "an outcome", codes); code != policy.OK {
-			t.Errorf("code %v", code)
+		if code := nodetest.Receive(t, "an attempt to end", codes); code != policy.OK {
+			t.Errorf("attempt: got code %v, want policy.OK", code)
 		}
 	}
-	if open, idle := u.counts("s0"); open != idle || len(u.waiters.waiters) > 0 {
-		t.Errorf("%d connections are counted, %d are idle, %d attempts wait", open, idle, len(u.waiters.waiters))
+	if open, idle := tr.connCounts("s0"); open != idle || len(tr.waiters.waiters) > 0 {
+		t.Errorf("after all attempts ended: got %d connections open, %d idle, and %d attempts waiting; want all idle and none waiting",
+			open, idle, len(tr.waiters.waiters))
 	}
 }
 
-// One that waits in vain fails, and leaves nothing behind.
+// An attempt that gets no descriptor in time fails, and leaves neither a connection nor a waiter behind.
 func TestAttemptFailsWithoutADescriptor(t *testing.T) {
-	server, got, letGo := nodetest.HoldingServer(t)
-	u := testTransport(t, server)
-	u.descriptors.SetTotal(minSideDivisor)
-	u.descriptors.SetClients(minSideDivisor)
-	go doAttempt(t, u, testRequest(http.MethodGet, "r1", ""))
-	nodetest.Receive(t, "the first attempt", got)
-	if r := doAttempt(t, u, testRequest(http.MethodGet, "r2", "")); r.Code != policy.ConnectFailed {
-		t.Errorf("code %v, want %v", r.Code, policy.ConnectFailed)
+	server, received, release := nodetest.HoldingServer(t)
+	tr := newTestTransport(t, server)
+	tr.descriptors.SetTotal(minSideDivisor)
+	tr.descriptors.SetClients(minSideDivisor)
+	go doAttempt(t, tr, newTestRequest(http.MethodGet, "r1", ""))
+	nodetest.Receive(t, "the first request at the server", received)
+	if r := doAttempt(t, tr, newTestRequest(http.MethodGet, "r2", "")); r.Code != policy.ConnectFailed {
+		t.Errorf("attempt without a descriptor: got code %v, want %v", r.Code, policy.ConnectFailed)
 	}
-	letGo()
-	nodetest.Await(t, "rest", func() bool { open, idle := u.counts("s0"); return open == idle })
-	if len(u.waiters.waiters) > 0 {
-		t.Errorf("%d attempts wait", len(u.waiters.waiters))
+	release()
+	nodetest.Await(t, "all connections to be idle", func() bool { open, idle := tr.connCounts("s0"); return open == idle })
+	if len(tr.waiters.waiters) > 0 {
+		t.Errorf("waiting attempts: got %d, want 0", len(tr.waiters.waiters))
 	}
 }
--- a/internal/node/upstream/descriptors.go
+++ b/internal/node/upstream/descriptors.go
@@ -2,38 +2,39 @@
 
 import "sync/atomic"
 
-// minSideDivisor makes a third of the descriptors for connections either side's, whatever the other wants: each request
-// in flight needs one on both. Beyond that, each side has what the other leaves.
+// minSideDivisor guarantees a third of the connection descriptors to each side, clients and servers, since each request
+// in flight needs one on both. Beyond that, each side may use what the other leaves.
 const minSideDivisor = 3
 
-// Descriptors shares descriptors out between the connections of clients and of servers. The counts may be off by the
-// connections that open at the same moment; the node sets descriptors aside for that.
+// Descriptors divides the file descriptors between client connections and server connections. Connections that open at
+// the same moment can exceed the limits; the node reserves descriptors for that.
 type Descriptors struct{ total, clients, servers atomic.Int64 }
 
-// SetTotal sets how many descriptors both sides may have together; one for each side at least.
+// SetTotal sets the number of descriptors that both sides share. It is raised to minSideDivisor if n is less, so that
+// each side has at least one.
 func (d *Descriptors) SetTotal(n int) { d.total.Store(int64(max(minSideDivisor, n))) }
 
-// SetClients sets how many connections clients have now.
+// SetClients sets the number of open client connections.
 func (d *Descriptors) SetClients(n int) { d.clients.Store(int64(n)) }
 
-// MinPerSide is how many connections either side may have in any case.
+// MinPerSide returns the number of connections that each side may always have.
 func (d *Descriptors) MinPerSide() int { return int(d.total.Load()) / minSideDivisor }
 
-// ForClients is how many connections clients may have now.
+// ForClients returns the current limit of client connections.
 func (d *Descriptors) ForClients() int {
 	return int(d.total.Load()) - max(d.MinPerSide(), int(d.servers.Load()))
 }
 
-// ForServers is how many connections to servers may be open now. It is MinPerSide also where more clients are connected
-// than ForClients: the descriptors that the node sets aside for itself pay for those.
+// ForServers returns the current limit of server connections. It is at least MinPerSide, even while there are more client
+// connections than ForClients allows: those use descriptors that the node reserves for itself.
 func (d *Descriptors) ForServers() int {
 	return max(d.MinPerSide(), int(d.total.Load())-int(d.clients.Load()))
 }
 
-// MaxClients is what ForClients is at best.
+// MaxClients returns the highest possible value of ForClients.
 func (d *Descriptors) MaxClients() int { return int(d.total.Load()) - d.MinPerSide() }
 
-// addOpen counts connections that open or, below 0, close. t.mu is held.
+// addOpen adds n to the number of open connections; n is negative when connections close. t.mu is held.
 func (t *Transport) addOpen(n int) {
 	t.openConns += n
 	t.descriptors.servers.Store(int64(t.openConns))
@@ -42,7 +43,7 @@
 	}
 }
 
-// connLimit is how many connections may be open now. t.mu is held.
+// connLimit returns the current limit of open connections. t.mu is held.
 func (t *Transport) connLimit() int {
 	if t.maxConns > 0 {
 		return min(t.maxConns, t.descriptors.ForServers())
@@ -50,7 +51,7 @@
 	return t.descriptors.ForServers()
 }
 
-// CloseExcessIdle closes idle connections beyond MinPerSide, for clients that want the descriptors.
+// CloseExcessIdle closes idle connections while more than MinPerSide are open, to free descriptors for clients.
 func (t *Transport) CloseExcessIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,8 +59,9 @@
 	}
 }
 
-// LimitConnections closes idle connections while more than target are open, and sets and returns a limit of spare
-// connections above what is open then, or above target if that is more. It stands until LiftLimit.
+// LimitConnections closes idle connections while more than target are open. It then limits the open connections to spare
+// more than remain open, or spare more than target if that is higher, and returns the limit. The limit applies until
+// LiftLimit.
 func (t *Transport) LimitConnections(target, spare int) (limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -69,7 +71,7 @@
 	return t.maxConns
 }
 
-// LiftLimit ends the limit that LimitConnections set.
+// LiftLimit removes the limit set by LimitConnections.
 func (t *Transport) LiftLimit() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/upstream/doc.go
+++ b/internal/node/upstream/doc.go
@@ -1,10 +1,11 @@
-// Package upstream makes attempts at servers: one request to one server, over a connection that it pools.
+// Package upstream makes attempts. An attempt sends one request to one server, over a pooled connection.
 //
-// The way of an attempt: Transport.Do (attempt.go) takes a connection of the server's pool or dials one (server_pool.go),
-// once a descriptor is free for it (descriptors.go, descriptor_queue.go); writes the request (request.go, wire.go) and
-// streams the rest of a long body; reads the response (response.go), and hands a long one over as it comes
-// (response_stream.go). A Lifetime (lifetime.go) ends the attempt at its deadline or when it is cancelled.
+// The steps of an attempt: Transport.Do (attempt.go) takes a connection from the server's pool or dials one
+// (server_pool.go), after waiting for a free descriptor if necessary (descriptors.go, descriptor_queue.go). It writes the
+// request (request.go, wire.go) and streams the rest of a long body. It reads the response (response.go) and streams a
+// long one to the client (response_stream.go). A Lifetime (lifetime.go) ends the attempt at its deadline or when it is
+// cancelled.
 //
-// The package decides nothing: which server gets a request, and whether it is tried again, are the caller's decisions.
-// It knows neither the event loop nor clients: an attempt meets its client through Observer and BodyStream.
+// The caller decides which server gets a request and whether to retry it. The package depends on neither the event loop
+// nor client connections: an attempt reaches its client through Observer and BodyStream.
 package upstream
--- a/internal/node/upstream/lifetime.go
+++ b/internal/node/upstream/lifetime.go
@@ -11,25 +11,24 @@
 	"sloerail/policy"
 )
 
-// errAttemptTimeout cancels an attempt whose server has stalled, or whose time is up.
-var errAttemptTimeout = errors.New("upstream: the attempt's time is up")
+// errAttemptTimeout cancels an attempt whose server stalled or whose deadline passed.
+var errAttemptTimeout = errors.New("upstream: attempt timed out")
 
-// Lifetime bounds one attempt: it ends at its deadline, or is cancelled. Unlike that of a context, its deadline can
-// be moved. CancelUnlessConnected ends only an attempt that has no connection. Its methods may be called from any
-// goroutine; none blocks.
+// Lifetime bounds one attempt by a deadline and by cancellation. Unlike the deadline of a context, this deadline can be
+// moved. Its methods may be called from any goroutine and don't block.
 type Lifetime struct {
 	mu         sync.Mutex
 	deadline   time.Time     // zero for none
-	cause      error         // why it was cancelled; the first cause stands
-	conn       net.Conn      // while the attempt has one
-	cancelDial func()        // while a connection is dialed
-	cancelled  chan struct{} // closed with the cause; nil until whenCancelled is called
+	cause      error         // why it was cancelled; only the first cause is kept
+	conn       net.Conn      // the attempt's connection; nil while it has none
+	cancelDial func()        // cancels the dial in progress
+	cancelled  chan struct{} // closed when cause is set; nil until whenCancelled is called
 }
 
-// NewLifetime makes a Lifetime with a deadline; zero for none.
+// NewLifetime returns a Lifetime with a deadline; zero means none.
 func NewLifetime(deadline time.Time) *Lifetime { return &Lifetime{deadline: deadline} }
 
-// SetDeadline moves the deadline; zero for none.
+// SetDeadline moves the deadline; zero means none.
 func (l *Lifetime) SetDeadline(deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -38,11 +37,11 @@
 	}
 }
 
-// Cancel ends the attempt: its reads and writes fail, and it then closes its connection, which tells the server that
-// nobody waits.
+// Cancel ends the attempt. Its reads and writes fail, and the attempt then closes its connection, which tells the server
+// that the response is no longer wanted.
 func (l *Lifetime) Cancel() { l.cancelWith(context.Canceled) }
 
-// CancelUnlessConnected ends the attempt if it has no connection: nothing was written then.
+// CancelUnlessConnected ends the attempt if it has no connection, and so has written nothing.
 func (l *Lifetime) CancelUnlessConnected() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -73,7 +72,7 @@
 	}
 }
 
-// startDial notes how to cancel dialing, and returns the deadline.
+// startDial sets the function that cancels the dial, and returns the deadline.
 func (l *Lifetime) startDial(cancel func()) (deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,8 +82,8 @@
 	return l.deadline
 }
 
-// attach binds the connection that the attempt uses to the deadline. It returns the cause of a Lifetime that was
-// cancelled before.
+// attach sets the attempt's connection and applies the deadline to it. If the Lifetime is already cancelled, it returns
+// the cause.
 func (l *Lifetime) attach(c net.Conn) error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +95,8 @@
 	return c.SetDeadline(l.deadline)
 }
 
-// detach gives up the connection, and reports whether it may serve others: the Lifetime was not cancelled.
+// detach releases the connection from the Lifetime. It reports whether the connection may be reused, which it may unless
+// the Lifetime was cancelled.
 func (l *Lifetime) detach() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +104,8 @@
 	return l.cause == nil
 }
 
-// whenCancelled returns a channel that is closed once the Lifetime is cancelled. It replaces that of an earlier call.
+// whenCancelled returns a channel that is closed when the Lifetime is cancelled. Only the channel of the last call is
+// closed.
 func (l *Lifetime) whenCancelled() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,8 +115,8 @@
 	return l.cancelled
 }
 
-// failureCode is the outcome of an attempt that ended with err and no response. One whose last byte was never written
-// can't have run, also where its time is up; when unsure, it may have run.
+// failureCode returns the outcome of an attempt that ended with err and no response. mayHaveRun is false only if the
+// request's last byte was never written; the outcome then says that the request did not run, even after a timeout.
 func (l *Lifetime) failureCode(err error, mayHaveRun bool) policy.Code {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/upstream/request.go
+++ b/internal/node/upstream/request.go
@@ -13,41 +13,41 @@
 	"sloerail/internal/node/http1"
 )
 
-// stallTimeout is how long a server may neither take nor send anything in the middle of a body.
+// stallTimeout is how long a server may stall in the middle of a body: neither read the request nor send the response.
 const stallTimeout = 5 * time.Second
 
-var errBodyClosed = errors.New("upstream: the attempt no longer reads the request's body")
+var errBodyClosed = errors.New("upstream: request body read after the attempt ended")
 
-// Request is what servers get of a client's request. It isn't changed while attempts use it.
+// Request is a client's request as forwarded to servers. It must not change while attempts use it.
 type Request struct {
 	ID             string
 	Method         string
-	Path           string // and query, as they came
+	Path           string // path and query, unchanged from the client's request
 	Host           string
-	IdempotencyKey string // by which servers drop repeats; empty for none
-	ContentType    string // empty for none
-	Body           []byte // as much of it as is buffered
-	Stream         BodyStream
-	Length         int64 // of the complete body in bytes, where Stream is set; -1 where it is unknown
+	IdempotencyKey string     // lets servers drop repeated requests; empty for none
+	ContentType    string     // empty for none
+	Body           []byte     // the buffered part of the body
+	Stream         BodyStream // the rest of the body; nil if Body is complete
+	Length         int64      // length of the complete body in bytes if Stream is set; -1 if unknown
 }
 
-// BodyStream is the part of a request's body that is read while it is sent; a Request whose Body is complete has none.
-// One attempt at a time reads it.
+// BodyStream is the part of a request's body that is read from the client while it is sent. One attempt at a time reads
+// it.
 type BodyStream interface {
 	// Read returns io.EOF at the end of the complete body.
 	io.Reader
-	// Begin hears that an attempt is about to read: the request can't be sent again from then on.
+	// Begin is called before an attempt reads. The request can't be sent again after that.
 	Begin()
-	// End hears why an attempt can read nothing more: nil for the end of the complete body.
+	// End is called when an attempt can read nothing more: with nil at the end of the complete body, else with the reason.
 	End(err error)
-	// Complete reports whether all of it was read.
+	// Complete reports whether the whole body was read.
 	Complete() bool
 }
 
 // isChunked reports whether the body is written in chunks.
 func (r *Request) isChunked() bool { return r.Stream != nil && r.Length < 0 }
 
-// contentLength is the length of the complete body in bytes; -1 where it is unknown.
+// contentLength returns the length of the complete body in bytes, or -1 if it is unknown.
 func (r *Request) contentLength() int64 {
 	if r.Stream != nil {
 		return r.Length
@@ -55,18 +55,18 @@
 	return int64(len(r.Body))
 }
 
-// hasFraming reports whether the head says how long the body is. A GET without a body says nothing.
+// hasFraming reports whether the head has a field that frames the body. That of a GET without a body has none.
 func (r *Request) hasFraming() bool { return r.contentLength() != 0 || r.Method != http.MethodGet }
 
 // requestWriter writes one request.
 type requestWriter struct {
 	requestsSent *metrics.Counter
-	complete     atomic.Bool // the last byte is written: the server may have begun it
+	complete     atomic.Bool // the last byte is written, so the server may have run the request
 }
 
 var requestBuffers = sync.Pool{New: func() any { b := make([]byte, 0, 1<<10); return &b }}
 
-// writeBuffered writes the head and what is buffered of the body.
+// writeBuffered writes the head and the buffered part of the body.
 func (w *requestWriter) writeBuffered(c *serverConn, a Attempt) error {
 	b := requestBuffers.Get().(*[]byte)
 	defer requestBuffers.Put(b)
@@ -90,36 +90,36 @@
 	w.requestsSent.Inc()
 }
 
-// streamBody writes the rest of the body as it comes, while the response is read. The returned function ends that: where
-// nothing of the rest was read by then, nothing will be. The goroutine ends with the body, or once c is closed.
+// streamBody starts a goroutine that writes the rest of the body as it arrives, while the response is read. After stop
+// returns, no further read of the body begins. The goroutine ends with the body or when c is closed.
 func (w *requestWriter) streamBody(c *serverConn, a Attempt) (stop func()) {
 	body := newBodyReader(a.Request.Stream, a.Lifetime)
 	go func() {
-		to := io.Writer(c.Conn)
+		dst := io.Writer(c.Conn)
 		if a.Request.isChunked() {
-			to = http1.ChunkWriter{Conn: c}
+			dst = http1.ChunkWriter{Conn: c}
 		}
-		block := http1.GetCopyBuffer()
-		defer http1.PutCopyBuffer(block)
-		_, err := io.CopyBuffer(struct{ io.Writer }{to}, body, block[:])
+		buf := http1.GetCopyBuffer()
+		defer http1.PutCopyBuffer(buf)
+		_, err := io.CopyBuffer(struct{ io.Writer }{dst}, body, buf[:])
 		if err == nil && a.Request.isChunked() {
 			_, err = io.WriteString(c, http1.LastChunk)
 		}
 		switch {
 		case err == nil:
 			w.markComplete()
-		case body.clientFailed: // where it is the server that takes no more, its response may still come
+		case body.clientFailed: // after a failed write, the server's response may still arrive
 			a.Lifetime.cancelWith(errAttemptTimeout)
 		}
 	}()
 	return body.close
 }
 
-// bodyReader is an attempt's view of a BodyStream. It cancels the attempt if the server takes nothing for stallTimeout.
+// bodyReader reads a BodyStream for one attempt. It cancels the attempt if the server takes nothing for stallTimeout.
 type bodyReader struct {
 	stream       BodyStream
 	stallTimer   *time.Timer
-	clientFailed bool // reading did, as opposed to writing
+	clientFailed bool // reading from the client failed
 
 	mu     sync.Mutex
 	closed bool
@@ -129,7 +129,8 @@
 	return &bodyReader{stream: stream, stallTimer: time.AfterFunc(stallTimeout, func() { l.cancelWith(errAttemptTimeout) })}
 }
 
-// Read reads from the client. Time that the client takes doesn't count as the server's.
+// Read reads from the client. The stall timer is stopped meanwhile, so that a slow client doesn't count against the
+// server.
 func (r *bodyReader) Read(p []byte) (int, error) {
 	if !r.begin() {
 		return 0, errBodyClosed
@@ -152,7 +153,7 @@
 	return n, err
 }
 
-// begin reports whether the attempt may still read.
+// begin stops the stall timer and reports whether the attempt may still read.
 func (r *bodyReader) begin() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -163,7 +164,7 @@
 	return !r.closed
 }
 
-// close ends the attempt's reading. A read that is under way is the last.
+// close prevents further reads. A read in progress may still complete.
 func (r *bodyReader) close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/node/upstream/response.go
+++ b/internal/node/upstream/response.go
@@ -12,28 +12,28 @@
 	"sloerail/internal/node/http1"
 )
 
-// StreamStartBytes is how much of the body of a response that is longer than http1.MaxBufferedBodyBytes has to come
-// before it counts as begun.
+// StreamStartBytes is how much of a response body longer than http1.MaxBufferedBodyBytes must arrive before the response
+// counts as started.
 const StreamStartBytes = 4 << 10
 
-// Response is what a client gets of a server's response.
+// Response is the part of a server's response that is passed to the client.
 type Response struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	Stream      *ResponseStream // what follows Body as it comes; nil for nothing
-	Length      int64           // of the complete body in bytes; -1 where it is unknown
+	Stream      *ResponseStream // the rest of the body, streamed after Body; nil if Body is complete
+	Length      int64           // length of the complete body in bytes; -1 if unknown
 }
 
-// response is a server's response as it is read.
+// response is a server's response while it is read.
 type response struct {
 	Response
-	remaining io.Reader // what of the body is to be streamed; nil for nothing
-	keepAlive bool      // the connection goes on
+	remaining io.Reader // the part of the body to stream; nil for none
+	keepAlive bool      // the connection stays open
 	head      *http1.Head
 }
 
-// responseReader reads responses. An idle connection has none.
+// responseReader reads responses. Idle connections don't hold one.
 type responseReader struct {
 	buf   *bufio.Reader
 	heads http1.HeadReader
@@ -52,9 +52,9 @@
 	responseReaders.Put(r)
 }
 
-// readResponse reads the head of the final response, and its body unless that is to be streamed.
+// readResponse reads the head of the final response, and the part of its body that is buffered.
 func (r *responseReader) readResponse() (resp response, err error) {
-	for resp.Status < http.StatusOK { // interim responses come before it
+	for resp.Status < http.StatusOK { // skip interim responses
 		if resp.head, err = r.heads.Read(r.buf, http1.MaxHeadBytes); err != nil {
 			if errors.Is(err, io.EOF) {
 				err = io.ErrUnexpectedEOF
@@ -66,7 +66,7 @@
 			return resp, err
 		}
 		resp.Status, resp.keepAlive = status, minor == 1
-		if status == http.StatusSwitchingProtocols { // nobody asked for that
+		if status == http.StatusSwitchingProtocols { // requests never ask for an upgrade
 			return resp, http1.ErrMalformedHead
 		}
 	}
@@ -84,13 +84,13 @@
 		body = http1.NewChunkedBody(r.buf)
 	case f.Length > 0:
 		body = &http1.SizedBody{Reader: r.buf, Remaining: f.Length}
-	default: // it ends with the connection
+	default: // the end of the connection ends the body
 		body, resp.keepAlive = r.buf, false
 	}
 	return resp, resp.readBody(body)
 }
 
-// readBody buffers a body of up to http1.MaxBufferedBodyBytes, and the start of a longer one.
+// readBody buffers a body of up to http1.MaxBufferedBodyBytes, or the start of a longer one.
 func (resp *response) readBody(body io.Reader) (err error) {
 	switch {
 	case resp.Length > http1.MaxBufferedBodyBytes && resp.Status == http.StatusOK:
@@ -106,13 +106,13 @@
 			return nil
 		}
 	}
-	if resp.remaining = body; resp.Status != http.StatusOK { // no client gets the body of an error
+	if resp.remaining = body; resp.Status != http.StatusOK { // error bodies are not passed to clients
 		resp.remaining, resp.keepAlive = nil, false
 	}
 	return err
 }
 
-// parseStatusLine reads the first line of a response.
+// parseStatusLine parses the first line of a response.
 func parseStatusLine(line string) (minor, status int, err error) {
 	version, line, _ := strings.Cut(line, " ")
 	code, _, _ := strings.Cut(line, " ")
--- a/internal/node/upstream/response_stream.go
+++ b/internal/node/upstream/response_stream.go
@@ -9,22 +9,23 @@
 	"sloerail/internal/node/http1"
 )
 
-// ErrClientDisconnected marks a response that its client didn't take, or a request whose client left before it was sent.
-var ErrClientDisconnected = errors.New("the client has left")
+// ErrClientDisconnected is returned when the client disconnected before it took the response, or before its request was
+// sent.
+var ErrClientDisconnected = errors.New("client disconnected")
 
-// ResponseStream is the part of a response that reaches its client as it comes. The attempt that reads it ends with it.
+// ResponseStream streams the rest of a response body to the client. The attempt ends when the stream does.
 type ResponseStream struct {
 	body       io.Reader
-	stallTimer *time.Timer // runs while the server is waited for
+	stallTimer *time.Timer // runs during reads from the server
 	state      atomic.Int32
-	done       chan error // takes one: nil, or why the response is not complete
+	done       chan error // receives one value: nil, or why the response is incomplete
 }
 
-// The states of a ResponseStream. It is created in streamPending; the first change stands.
+// The states of a ResponseStream. The state leaves streamPending once and is final then.
 const (
 	streamPending   = iota
 	streamCopying   // CopyTo was called
-	streamAbandoned // the attempt was cancelled before that
+	streamAbandoned // the attempt was cancelled before CopyTo was called
 )
 
 func newResponseStream(body io.Reader, cancel func(cause error)) *ResponseStream {
@@ -33,31 +34,31 @@
 	return &ResponseStream{body: body, stallTimer: t, done: make(chan error, 1)}
 }
 
-// abandon keeps CopyTo from starting, and reports whether it did.
+// abandon prevents CopyTo from starting. It reports false if CopyTo has already started.
 func (s *ResponseStream) abandon() bool {
 	return s.state.CompareAndSwap(streamPending, streamAbandoned)
 }
 
-// CopyTo writes buffered, which is what has come of the body, and then the rest as it comes, to w, which writes to the
-// client and bounds each write. It is called once at most. An error that wraps ErrClientDisconnected is the client's; any
-// other is the server's, or that the attempt was cancelled.
+// CopyTo writes buffered, the start of the body, to w, and then the rest as it arrives. w writes to the client and bounds
+// each write. CopyTo is called at most once. An error that wraps ErrClientDisconnected is a failed write to the client;
+// any other means that the server failed or the attempt was cancelled.
 func (s *ResponseStream) CopyTo(w io.Writer, buffered []byte) (err error) {
 	if !s.state.CompareAndSwap(streamPending, streamCopying) {
 		return errAttemptTimeout
 	}
 	defer func() { s.done <- err }()
-	block := http1.GetCopyBuffer()
-	defer http1.PutCopyBuffer(block)
-	for piece := buffered; ; {
-		if _, err := w.Write(piece); err != nil {
+	buf := http1.GetCopyBuffer()
+	defer http1.PutCopyBuffer(buf)
+	for next := buffered; ; {
+		if _, err := w.Write(next); err != nil {
 			return errors.Join(ErrClientDisconnected, err)
 		}
-		n, err := s.read(block[:])
-		if piece = block[:n]; n > 0 {
+		n, err := s.read(buf[:])
+		if next = buf[:n]; n > 0 {
 			if err != nil && !errors.Is(err, io.EOF) {
 				return err
 			}
-			continue // an io.EOF comes again
+			continue // the next read returns io.EOF again
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
@@ -68,7 +69,7 @@
 	}
 }
 
-// read reads from the server, for stallTimeout at most: it may give the next piece only seconds later.
+// read reads from the server, and cancels the attempt if nothing arrives within stallTimeout.
 func (s *ResponseStream) read(p []byte) (int, error) {
 	s.stallTimer.Reset(stallTimeout)
 	defer s.stallTimer.Stop()
--- a/internal/node/upstream/server_pool.go
+++ b/internal/node/upstream/server_pool.go
@@ -12,61 +12,61 @@
 	"golang.org/x/sys/unix"
 )
 
-// minReuseDelay is how long a connection is not used again after a response: a server may answer twice, some milliseconds
-// apart, and the second would be taken for the answer to the next request.
+// minReuseDelay is how long a connection is not reused after a response: a server may send a second response some
+// milliseconds later, which would be taken for the response to the next request.
 const minReuseDelay = 10 * time.Millisecond
 
-// serverPool holds the idle connections to one process of one server, the last used at the end. The type of this name in
-// policy is another: it holds servers in the order of choice.
+// serverPool holds the idle connections to one process of one server, the most recently used last. It is unrelated to the
+// type of the same name in policy, which holds servers in the order of choice.
 type serverPool struct {
 	address         string
 	startedAtMillis int64 // Unix time
 	idle            []*serverConn
-	missingSince    time.Time // when the endpoint list began to lack it; zero where it is listed
+	missingSince    time.Time // when the server disappeared from the endpoint list; zero while it is listed
 	draining        bool
 }
 
-// serverConn is a connection to a server. One attempt at a time uses it.
+// serverConn is a connection to a server, used by one attempt at a time.
 type serverConn struct {
 	net.Conn
-	pool          *serverPool
-	lastUsed      time.Time
-	lastChecked   time.Time // when it was last known to be open
-	rawConn       syscall.RawConn
-	readOne       func(fd uintptr) // sets nothingToRead; held so that a check allocates nothing
-	nothingToRead bool
+	pool        *serverPool
+	lastUsed    time.Time
+	lastChecked time.Time // when it was last known to be open
+	rawConn     syscall.RawConn
+	tryRead     func(fd uintptr) // reads a byte and sets wouldBlock; stored so that isUsable doesn't allocate
+	wouldBlock  bool             // tryRead found nothing to read
 }
 
 func newServerConn(c net.Conn, p *serverPool) *serverConn {
-	made := &serverConn{Conn: c, pool: p}
+	sc := &serverConn{Conn: c, pool: p}
 	if socket, ok := c.(syscall.Conn); ok {
 		if raw, err := socket.SyscallConn(); err == nil {
-			made.rawConn = raw
+			sc.rawConn = raw
 		}
 	}
-	made.readOne = func(fd uintptr) {
+	sc.tryRead = func(fd uintptr) {
 		var b [1]byte
 		_, err := unix.Read(int(fd), b[:])
-		made.nothingToRead = errors.Is(err, unix.EAGAIN)
+		sc.wouldBlock = errors.Is(err, unix.EAGAIN)
 	}
-	return made
+	return sc
 }
 
-// isUsable reports whether an idle connection may be written to: the server has neither closed it nor sent anything
-// unasked. It doesn't block.
+// isUsable reports whether an idle connection may be written to: the server has neither closed it nor sent unsolicited
+// data. It doesn't block.
 func (c *serverConn) isUsable() bool {
 	if c.rawConn == nil {
 		return true
 	}
-	c.nothingToRead = false
-	return c.rawConn.Control(c.readOne) == nil && c.nothingToRead
+	c.wouldBlock = false
+	return c.rawConn.Control(c.tryRead) == nil && c.wouldBlock
 }
 
-// closeQuietly closes what is of no more use. The descriptor is released whatever Close returns, and nobody could act
-// on the error. Package downstream has the same function.
+// closeQuietly closes c and ignores the error: the descriptor is released in any case, and no caller could act on the
+// error. Package downstream has the same function.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// acquire takes an idle connection to the server, or dials one, for the attempt that l bounds.
+// acquire takes an idle connection to the server or dials one, and attaches it to l.
 func (t *Transport) acquire(l *Lifetime, id string) (*serverConn, error) {
 	p, c, err := t.reserve(id)
 	if errors.Is(err, errNoDescriptor) {
@@ -88,13 +88,14 @@
 		}
 	}
 	if err := l.attach(c.Conn); err != nil {
-		t.release(c, id, true) // nothing was written
+		t.release(c, id, true) // reusable: nothing was written
 		return nil, err
 	}
 	return c, nil
 }
 
-// reserve returns an idle connection, or counts one that the caller is to dial.
+// reserve returns an idle connection. If there is none, it returns a nil connection and counts one as open, which the
+// caller must dial or give back with cancelReservation.
 func (t *Transport) reserve(id string) (*serverPool, *serverConn, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -102,7 +103,7 @@
 	switch {
 	case p == nil:
 		return nil, nil, errUnknownServer
-	case p.draining: // since the balancer chose it
+	case p.draining: // it began to drain after the balancer chose it
 		return nil, nil, errServerDraining
 	}
 	now := time.Now()
@@ -131,7 +132,7 @@
 	t.addOpen(-1)
 }
 
-// dial opens a connection, until l ends.
+// dial opens a connection. It fails when l ends.
 func (t *Transport) dial(l *Lifetime, address string) (net.Conn, error) {
 	t.mu.Lock()
 	dial := t.config.Dial
@@ -145,15 +146,15 @@
 	return dial(ctx, "tcp", address)
 }
 
-// isCurrent reports whether the endpoint list still has the process that a connection was dialed to, to send to: dialing
-// may take longer than the settings' grace for draining servers.
+// isCurrent reports whether p is still the server's pool and not draining. A dial may take longer than the settings'
+// grace period for draining servers.
 func (t *Transport) isCurrent(id string, p *serverPool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.pools[id] == p && !p.draining
 }
 
-// release puts a connection back if it can serve another request, else closes it.
+// release returns a connection to its pool if it is reusable and the pool still exists, and closes it otherwise.
 func (t *Transport) release(c *serverConn, id string, reusable bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,19 +162,19 @@
 		c.lastUsed = time.Now()
 		c.lastChecked = c.lastUsed
 		c.pool.idle = append(c.pool.idle, c)
-		t.waiters.wake() // it may be closed for another
+		t.waiters.wake() // the waiter may use it or close it to dial another server
 		return
 	}
 	t.discard(c)
 }
 
-// discard closes a connection that no pool holds. t.mu is held.
+// discard closes a connection that is in no pool. t.mu is held.
 func (t *Transport) discard(c *serverConn) {
 	closeQuietly(c)
 	t.addOpen(-1)
 }
 
-// closeOldest closes the n connections of p that were idle longest. t.mu is held.
+// closeOldest closes the n connections of p that have been idle longest. t.mu is held.
 func (t *Transport) closeOldest(p *serverPool, n int) {
 	for _, c := range p.idle[:n] {
 		closeQuietly(c)
@@ -182,7 +183,7 @@
 	t.addOpen(-n)
 }
 
-// evictOldest closes the connection that was idle longest, and reports whether there was one. t.mu is held.
+// evictOldest closes the connection that has been idle longest, and reports whether there was one. t.mu is held.
 func (t *Transport) evictOldest() bool {
 	var oldest *serverPool
 	for _, p := range t.pools {
--- a/internal/node/upstream/transport.go
+++ b/internal/node/upstream/transport.go
@@ -14,52 +14,53 @@
 )
 
 const (
-	// defaultIdleTimeout is that of the servers where the settings name none.
+	// defaultIdleTimeout is the servers' idle timeout if the settings have none.
 	defaultIdleTimeout = 60 * time.Second
-	// idleCheckInterval is the time between looks at an idle connection for whether its server closed it.
+	// idleCheckInterval is the time between checks whether the server closed an idle connection.
 	idleCheckInterval = 5 * time.Second
-	// missingRetention is how long the pool of a server that the endpoint list lacks is retained under
-	// TransportConfig.RetainMissing. The balancer sends to such a server for less than that.
+	// missingRetention is how long TransportConfig.RetainMissing keeps the pool of a server missing from the endpoint
+	// list. The balancer stops sending to such a server sooner.
 	missingRetention = 10 * time.Second
 )
 
 var (
-	errUnknownServer  = errors.New("upstream: the server is not in the endpoint list")
-	errServerDraining = errors.New("upstream: the server began to drain after it was chosen")
-	// errNoDescriptor is the node's own shortage. policy can't tell it from a refused connection: both are ConnectFailed.
-	errNoDescriptor = errors.New("upstream: no descriptor is left for another connection")
+	errUnknownServer  = errors.New("upstream: server not in the endpoint list")
+	errServerDraining = errors.New("upstream: server began to drain after it was chosen")
+	// errNoDescriptor means that the node itself is out of descriptors. policy can't tell this from a refused connection:
+	// both are ConnectFailed.
+	errNoDescriptor = errors.New("upstream: no free descriptor for another connection")
 )
 
-// DialFunc opens a connection, as net.Dialer.DialContext does. It is an alias, so that a config.DialFunc is one without an
-// import of that package.
+// DialFunc opens a connection, as net.Dialer.DialContext does. It is an alias so that a config.DialFunc can be used
+// without importing package config.
 type DialFunc = func(ctx context.Context, network, address string) (net.Conn, error)
 
-// TransportConfig is what a Transport takes from the configuration of a node.
+// TransportConfig is the part of a node's configuration that a Transport uses.
 type TransportConfig struct {
 	Dial             DialFunc
-	IdleTimeout      time.Duration // after which servers close an idle connection; 0 for the default of 60 s
+	IdleTimeout      time.Duration // after which servers close an idle connection; 0 means 60 s
 	LoadReportFields []string      // names of the values of a load report, in the order of Result.LoadReport
-	RetainMissing    bool          // servers that the endpoint list lacks are still sent to for a moment
+	RetainMissing    bool          // keep the pools of servers missing from the endpoint list for missingRetention
 }
 
-// Transport makes attempts at servers, over connections that it pools itself. http.Transport sends a GET, or a request
-// with an Idempotency-Key, again by itself when a reused connection breaks, and each such copy would be an attempt that
-// the balancer never decided on. Its methods may be called from any goroutine.
+// Transport makes attempts at servers and pools the connections. http.Transport can't be used: when a reused connection
+// breaks, it retries a GET, or a request with an Idempotency-Key, by itself, and each retry would be an attempt that the
+// balancer didn't decide on. The methods of a Transport may be called from any goroutine.
 type Transport struct {
 	requestsSent   *metrics.Counter
 	descriptors    *Descriptors
-	descriptorWait time.Duration // that an attempt waits at most for a descriptor
+	descriptorWait time.Duration // how long an attempt waits for a descriptor at most
 
 	mu        sync.Mutex
 	config    TransportConfig
 	pools     map[string]*serverPool // by the server's ID
-	openConns int                    // connections, those being dialed among them
-	maxConns  int                    // that may be open, besides the descriptors' limit; 0 for no such limit
+	openConns int                    // number of connections, including those being dialed
+	maxConns  int                    // limit of openConns, in addition to that of descriptors; 0 for none
 	waiters   descriptorQueue
 }
 
-// NewTransport makes a Transport that shares descriptors with the clients' side, and counts the requests that it has
-// written completely.
+// NewTransport returns a Transport that shares descriptors with the client connections. requestsSent counts the requests
+// that it has written completely.
 func NewTransport(c TransportConfig, shared *Descriptors, requestsSent *metrics.Counter) *Transport {
 	t := &Transport{requestsSent: requestsSent, pools: make(map[string]*serverPool), descriptors: shared,
 		descriptorWait: descriptorWaitTimeout}
@@ -77,8 +78,8 @@
 	t.config = c
 }
 
-// idleTimeout is how long an idle connection is pooled: half of the servers' limit, since what is written just as the
-// server closes would end as a reset.
+// idleTimeout returns how long an idle connection is pooled: half the servers' idle timeout, since a request written just
+// as the server closes the connection would fail with a reset.
 func (t *Transport) idleTimeout() time.Duration { return t.config.IdleTimeout / 2 }
 
 func (t *Transport) loadReportFields() []string {
@@ -87,10 +88,10 @@
 	return t.config.LoadReportFields
 }
 
-// Descriptors is what the Transport shares with the clients' side.
+// Descriptors returns the descriptors that the Transport shares with the client connections.
 func (t *Transport) Descriptors() *Descriptors { return t.descriptors }
 
-// ConnCounts counts the connections, those being dialed among them, and those of them that are idle.
+// ConnCounts returns the number of connections, including those being dialed, and how many of them are idle.
 func (t *Transport) ConnCounts() (open, idle int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,8 +101,8 @@
 	return t.openConns, idle
 }
 
-// UpdateEndpoints follows the endpoint list. A server that moved or restarted gets a new pool: connections to its former
-// process are of no use.
+// UpdateEndpoints applies a change of the endpoint list to the pools. A server with a new address or start time gets a new
+// pool, and the idle connections to its former process are closed.
 func (t *Transport) UpdateEndpoints(update discovery.Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,7 +133,8 @@
 	}
 }
 
-// markMissing removes the pool of a server that the endpoint list lacks, later where such servers are retained.
+// markMissing removes the pool of a server missing from the endpoint list. With RetainMissing, CloseExpired removes it
+// later.
 func (t *Transport) markMissing(id string) {
 	switch p := t.pools[id]; {
 	case p == nil:
@@ -150,7 +152,8 @@
 	}
 }
 
-// CloseExpired closes the connections that were idle for too long, and those that their server closed.
+// CloseExpired closes connections that were idle for too long or closed by their server, and removes the pools of servers
+// that have been missing for missingRetention.
 func (t *Transport) CloseExpired(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -175,7 +178,7 @@
 	}
 }
 
-// CloseIdle closes all idle connections; those in use end with their attempts.
+// CloseIdle closes all idle connections. Connections in use are closed when their attempts end.
 func (t *Transport) CloseIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/upstream/transport_test.go
+++ b/internal/node/upstream/transport_test.go
@@ -20,21 +20,21 @@
 	"sloerail/policy"
 )
 
-func testTransport(t *testing.T, addrs ...string) *Transport {
+func newTestTransport(t *testing.T, addrs ...string) *Transport {
 	t.Helper()
 	descriptors := new(Descriptors)
 	descriptors.SetTotal(200)
 	c := TransportConfig{Dial: nodetest.Dialer(t), IdleTimeout: time.Minute}
-	if c.Dial == nil { // the machine's network
+	if c.Dial == nil { // use the network of the machine
 		c.Dial = (&net.Dialer{Timeout: 2 * time.Second}).DialContext
 	}
-	u := NewTransport(c, descriptors, metrics.NewSet().NewCounter("requests_sent"))
-	u.UpdateEndpoints(discovery.Update{Kind: policy.ListCached, Endpoints: endpoints(t, addrs...)})
-	t.Cleanup(u.CloseIdle)
-	return u
+	tr := NewTransport(c, descriptors, metrics.NewSet().NewCounter("requests_sent"))
+	tr.UpdateEndpoints(discovery.Update{Kind: policy.ListCached, Endpoints: listedEndpoints(t, addrs...)})
+	t.Cleanup(tr.CloseIdle)
+	return tr
 }
 
-func endpoints(t *testing.T, addrs ...string) []discovery.Endpoint {
+func listedEndpoints(t *testing.T, addrs ...string) []discovery.Endpoint {
 	t.Helper()
 	l, err := discovery.ParseList([]byte(nodetest.KnownList(addrs...)))
 	if err != nil {
@@ -43,7 +43,7 @@
 	return l.Endpoints
 }
 
-func testRequest(method, id string, body string) *Request {
+func newTestRequest(method, id string, body string) *Request {
 	r := &Request{ID: id, Method: method, Path: "/api?q=a%20b", Host: "origin.svc", Body: []byte(body)}
 	if method == http.MethodPost {
 		r.IdempotencyKey = "k-" + id
@@ -51,47 +51,50 @@
 	return r
 }
 
-// presentClient is a client that waits for its response, which isn't streamed.
-type presentClient struct{ t *testing.T }
+// connectedClient is the Observer of a client that stays connected and expects a buffered response.
+type connectedClient struct{ t *testing.T }
 
-func (presentClient) ClientDisconnected() bool { return false }
+func (connectedClient) ClientDisconnected() bool { return false }
 
-func (c presentClient) NotSent() { c.t.Error("nothing was sent") }
+func (c connectedClient) NotSent() { c.t.Error("NotSent called, want the request to be sent") }
 
-func (c presentClient) ResponseStarted(Response) { c.t.Error("the response is streamed") }
+func (c connectedClient) ResponseStarted(Response) {
+	c.t.Error("ResponseStarted called, want a buffered response")
+}
 
 // doAttempt makes one attempt at s0.
-func doAttempt(t *testing.T, u *Transport, r *Request) Result {
+func doAttempt(t *testing.T, tr *Transport, r *Request) Result {
 	t.Helper()
-	return u.Do("s0", Attempt{Request: r, Timeout: nodetest.Timeout, Lifetime: NewLifetime(time.Now().Add(nodetest.Timeout)),
-		Observer: presentClient{t}})
+	return tr.Do("s0", Attempt{Request: r, Timeout: nodetest.Timeout, Lifetime: NewLifetime(time.Now().Add(nodetest.Timeout)),
+		Observer: connectedClient{t}})
 }
 
-func (u *Transport) counts(id string) (open, idle int) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if p := u.pools[id]; p != nil {
+// connCounts returns the number of connections to all servers and the number of idle ones to the server id.
+func (tr *Transport) connCounts(id string) (open, idle int) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	if p := tr.pools[id]; p != nil {
 		idle = len(p.idle)
 	}
-	return u.openConns, idle
+	return tr.openConns, idle
 }
 
-// sinceUsed has all idle connections end their last response so long ago.
-func (u *Transport) sinceUsed(ago time.Duration) {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	for _, p := range u.pools {
+// setIdleTime makes all idle connections appear idle for d.
+func (tr *Transport) setIdleTime(d time.Duration) {
+	tr.mu.Lock()
+	defer tr.mu.Unlock()
+	for _, p := range tr.pools {
 		for _, c := range p.idle {
-			c.lastUsed = time.Now().Add(-ago)
+			c.lastUsed = time.Now().Add(-d)
 		}
 	}
 }
 
-// Only "full" with X-Not-Run, and what never got its last byte written, has not run for certain.
+// Of all responses, only a 503 or a 504 with X-Not-Run says that the request did not run.
 func TestOutcomeOfEachResponse(t *testing.T) {
-	for _, c := range []struct {
-		answer string
-		want   policy.Code
+	for _, tc := range []struct {
+		response string
+		want     policy.Code
 	}{
 		{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", policy.OK},
 		{"HTTP/1.1 103 Early Hints\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", policy.OK},
@@ -102,23 +105,23 @@
 		{"HTTP/1.1 500 E\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", policy.ServerError},
 		{"HTTP/1.1 302 F\r\nLocation: /other\r\nContent-Length: 0\r\n\r\n", policy.ServerError},
 		{"HTTP/1.1 204 N\r\n\r\n", policy.ServerError},
-		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", policy.Reset}, // ends early
+		{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", policy.Reset}, // body cut short
 		{"nonsense\r\n\r\n", policy.Reset},
 		{"", policy.Reset},
 	} {
-		var sent atomic.Int32
-		addr := nodetest.RawServer(t, func(c2 net.Conn, r *bufio.Reader) {
+		var received atomic.Int32
+		addr := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 			if nodetest.ReadRequest(r) {
-				sent.Add(1)
-				_, _ = io.WriteString(c2, c.answer)
+				received.Add(1)
+				_, _ = io.WriteString(c, tc.response)
 			}
 		})
-		r := doAttempt(t, testTransport(t, addr), testRequest(http.MethodGet, "r1", ""))
-		if r.Code != c.want || sent.Load() != 1 {
-			t.Errorf("%.60q: code %v after %d requests, want %v after 1", c.answer, r.Code, sent.Load(), c.want)
+		r := doAttempt(t, newTestTransport(t, addr), newTestRequest(http.MethodGet, "r1", ""))
+		if r.Code != tc.want || received.Load() != 1 {
+			t.Errorf("response %.60q: got code %v after %d requests, want %v after 1", tc.response, r.Code, received.Load(), tc.want)
 		}
-		if c.want == policy.OK && string(r.Response.Body) != "ok" {
-			t.Errorf("%.60q: body %q", c.answer, r.Response.Body)
+		if tc.want == policy.OK && string(r.Response.Body) != "ok" {
+			t.Errorf("response %.60q: got body %q, want ok", tc.response, r.Response.Body)
 		}
 	}
 }
@@ -132,16 +135,16 @@
 	if err := ln.Close(); err != nil {
 		t.Fatal(err)
 	}
-	u := testTransport(t, addr)
-	if r := doAttempt(t, u, testRequest(http.MethodGet, "r1", "")); r.Code != policy.ConnectFailed {
-		t.Errorf("code %v", r.Code)
+	tr := newTestTransport(t, addr)
+	if r := doAttempt(t, tr, newTestRequest(http.MethodGet, "r1", "")); r.Code != policy.ConnectFailed {
+		t.Errorf("attempt at a closed port: got code %v, want policy.ConnectFailed", r.Code)
 	}
-	if open, _ := u.counts("s0"); open != 0 {
-		t.Errorf("%d connections are still counted", open)
+	if open, _ := tr.connCounts("s0"); open != 0 {
+		t.Errorf("connections counted after a refused dial: got %d, want 0", open)
 	}
 }
 
-// net/http's own client would send either of these again by itself.
+// An attempt on a reused connection that breaks is not retried. The client of net/http would retry both methods.
 func TestBrokenReusedConnectionIsNotSentAgain(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		var requests, conns atomic.Int32
@@ -149,114 +152,117 @@
 			conns.Add(1)
 			for nodetest.ReadRequest(r) {
 				if requests.Add(1) > 1 {
-					return // breaks the connection under the second
+					return // close the connection during the second request
 				}
 				_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 			}
 		})
-		u := testTransport(t, addr)
-		if r := doAttempt(t, u, testRequest(method, "r1", "")); r.Code != policy.OK {
-			t.Fatalf("%s: first code %v", method, r.Code)
+		tr := newTestTransport(t, addr)
+		if r := doAttempt(t, tr, newTestRequest(method, "r1", "")); r.Code != policy.OK {
+			t.Fatalf("%s: first request: got code %v, want policy.OK", method, r.Code)
 		}
-		u.sinceUsed(minReuseDelay)
-		if r := doAttempt(t, u, testRequest(method, "r2", "")); r.Code != policy.Reset {
-			t.Errorf("%s: code %v, want a reset", method, r.Code)
+		tr.setIdleTime(minReuseDelay)
+		if r := doAttempt(t, tr, newTestRequest(method, "r2", "")); r.Code != policy.Reset {
+			t.Errorf("%s: second request: got code %v, want policy.Reset", method, r.Code)
 		}
 		if conns.Load() != 1 || requests.Load() != 2 {
-			t.Errorf("%s: %d connections, %d requests; want 1 and 2", method, conns.Load(), requests.Load())
+			t.Errorf("%s: server saw %d connections and %d requests, want 1 and 2", method, conns.Load(), requests.Load())
 		}
 	}
 }
 
-// halfConn fails each write after some bytes, as a connection does that breaks in between.
-type halfConn struct {
+// failingConn closes its connection when a write exceeds the remaining bytes, and writes only those.
+type failingConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
-func (c *halfConn) Write(p []byte) (int, error) {
-	if len(p) > c.left {
-		n, _ := c.Conn.Write(p[:c.left])
-		c.left = 0
+func (c *failingConn) Write(p []byte) (int, error) {
+	if len(p) > c.remaining {
+		n, _ := c.Conn.Write(p[:c.remaining])
+		c.remaining = 0
 		return n, errors.Join(net.ErrClosed, c.Close())
 	}
-	c.left -= len(p)
+	c.remaining -= len(p)
 	return c.Conn.Write(p)
 }
 
-// What broke off before its last byte was written has not run, wherever that was.
+// A connection that breaks before the request's last byte is written gives ConnectFailed, wherever it breaks.
 func TestUnwrittenLastByteIsConnectFailed(t *testing.T) {
 	addr := nodetest.RawServer(t, func(_ net.Conn, r *bufio.Reader) { nodetest.ReadRequest(r) })
-	for _, c := range []struct{ left, body int }{
+	for _, tc := range []struct{ written, body int }{
 		{0, 0}, {20, 0}, {20, 20000}, {6000, 20000}, {20, 100}, {200, 100},
 	} {
-		u := testTransport(t, addr)
-		p := u.pools["s0"]
+		tr := newTestTransport(t, addr)
+		p := tr.pools["s0"]
 		tcp, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		made := newServerConn(&halfConn{tcp, c.left}, p)
-		made.lastUsed = time.Now().Add(-minReuseDelay)
-		p.idle, u.openConns = []*serverConn{made}, 1
-		x := testRequest(http.MethodPost, "r1", strings.Repeat("b", c.body))
-		if r := doAttempt(t, u, x); r.Code != policy.ConnectFailed {
-			t.Errorf("%+v: code %v, want could not connect", c, r.Code)
+		sc := newServerConn(&failingConn{tcp, tc.written}, p)
+		sc.lastUsed = time.Now().Add(-minReuseDelay)
+		p.idle, tr.openConns = []*serverConn{sc}, 1
+		req := newTestRequest(http.MethodPost, "r1", strings.Repeat("b", tc.body))
+		if r := doAttempt(t, tr, req); r.Code != policy.ConnectFailed {
+			t.Errorf("connection that breaks at %+v bytes: got code %v, want policy.ConnectFailed", tc, r.Code)
 		}
 	}
 }
 
 func TestTimeOutAndCancelCloseTheConnection(t *testing.T) {
 	for want, end := range map[policy.Code]func(*Lifetime){
-		policy.TimedOut:  func(f *Lifetime) { f.SetDeadline(time.Now()) },
-		policy.Cancelled: func(f *Lifetime) { f.Cancel() },
+		policy.TimedOut:  func(l *Lifetime) { l.SetDeadline(time.Now()) },
+		policy.Cancelled: func(l *Lifetime) { l.Cancel() },
 	} {
-		got, closed := make(chan struct{}), make(chan struct{})
+		received, closed := make(chan struct{}), make(chan struct{})
 		addr := nodetest.RawServer(t, func(_ net.Conn, r *bufio.Reader) {
 			nodetest.ReadRequest(r)
-			close(got)
-			_, _ = r.ReadByte() // returns when the node closes
+			close(received)
+			_, _ = r.ReadByte() // returns when the transport closes the connection
 			close(closed)
 		})
-		u := testTransport(t, addr)
-		f := NewLifetime(time.Now().Add(nodetest.Timeout))
+		tr := newTestTransport(t, addr)
+		l := NewLifetime(time.Now().Add(nodetest.Timeout))
 		done := make(chan Result, 1)
 		go func() {
-			done <- u.Do("s0", Attempt{Request: testRequest(http.MethodGet, "r1", ""), Timeout: nodetest.Timeout, Lifetime: f, Observer: presentClient{t}})
+			done <- tr.Do("s0", Attempt{Request: newTestRequest(http.MethodGet, "r1", ""), Timeout: nodetest.Timeout, Lifetime: l, Observer: connectedClient{t}})
 		}()
-		nodetest.Receive(t, "the request", got)
-		end(f)
-		if r := nodetest.Receive(t, "the outcome", done); r.Code != want {
-			t.Errorf("code %v, want %v", r.Code, want)
+		nodetest.Receive(t, "the request at the server", received)
+		end(l)
+		if r := nodetest.Receive(t, "the attempt to end", done); r.Code != want {
+			t.Errorf("ended attempt: got code %v, want %v", r.Code, want)
 		}
-		nodetest.Receive(t, "the close", closed)
-		if open, idle := u.counts("s0"); open != 0 || idle != 0 {
-			t.Errorf("%d open, %d idle", open, idle)
+		nodetest.Receive(t, "the server's connection to close", closed)
+		if open, idle := tr.connCounts("s0"); open != 0 || idle != 0 {
+			t.Errorf("connections after the attempt: got %d open and %d idle, want none", open, idle)
 		}
 	}
 }
 
-// What the server gets is the client's request, with nothing of the machine's own about it.
+// The server gets the client's request unchanged. The environment's proxy setting has no effect, and no User-Agent or
+// Accept-Encoding is added.
 func TestRequestIsForwardedUnchanged(t *testing.T) {
 	t.Setenv("HTTP_PROXY", "http://127.0.0.1:9")
-	got := make(chan *http.Request, 1)
+	received := make(chan *http.Request, 1)
 	var body atomic.Value
 	addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
 		b, _ := io.ReadAll(r.Body)
 		body.Store(string(b))
-		got <- r
+		received <- r
 	})
-	r := doAttempt(t, testTransport(t, addr), testRequest(http.MethodPost, "r1", "hello"))
+	r := doAttempt(t, newTestTransport(t, addr), newTestRequest(http.MethodPost, "r1", "hello"))
 	if r.Code != policy.OK {
-		t.Fatalf("code %v", r.Code)
+		t.Fatalf("got code %v, want policy.OK", r.Code)
 	}
-	req := <-got
+	req := <-received
 	if req.Method != "POST" || req.RequestURI != "/api?q=a%20b" || req.Host != "origin.svc" || body.Load() != "hello" {
-		t.Errorf("got %s %s of %s with %q", req.Method, req.RequestURI, req.Host, body.Load())
+		t.Errorf("received request: got %s %s for host %s with body %q, want POST /api?q=a%%20b for host origin.svc with body hello",
+			req.Method, req.RequestURI, req.Host, body.Load())
 	}
 	if req.Header.Get("X-Request-Id") != "r1" || req.Header.Get("Idempotency-Key") != "k-r1" ||
 		req.Header.Get("X-Deadline-Ms") == "" || req.Header.Get("Accept-Encoding") != "" || req.UserAgent() != "" {
-		t.Errorf("header %v", req.Header)
+		t.Errorf("received header: got %v, want X-Request-Id r1, Idempotency-Key k-r1, X-Deadline-Ms, and neither Accept-Encoding nor User-Agent",
+			req.Header)
 	}
 }
 
@@ -268,93 +274,93 @@
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx")
 		}
 	})
-	u := testTransport(t, addr)
+	tr := newTestTransport(t, addr)
 	for i := range 3 {
-		doAttempt(t, u, testRequest(http.MethodGet, fmt.Sprint("r", i), ""))
-		u.sinceUsed(minReuseDelay)
+		doAttempt(t, tr, newTestRequest(http.MethodGet, fmt.Sprint("r", i), ""))
+		tr.setIdleTime(minReuseDelay)
 	}
 	if n := conns.Load(); n != 1 {
-		t.Errorf("%d connections for three requests in turn", n)
+		t.Errorf("connections for three sequential requests: got %d, want 1", n)
 	}
-	u.CloseExpired(time.Now().Add(u.idleTimeout() - time.Second))
-	if _, idle := u.counts("s0"); idle != 1 {
-		t.Errorf("%d idle connections before their time is up, want 1", idle)
+	tr.CloseExpired(time.Now().Add(tr.idleTimeout() - time.Second))
+	if _, idle := tr.connCounts("s0"); idle != 1 {
+		t.Errorf("idle connections 1 s before the idle timeout: got %d, want 1", idle)
 	}
-	u.CloseExpired(time.Now().Add(u.idleTimeout() + time.Second))
-	if open, idle := u.counts("s0"); open != 0 || idle != 0 {
-		t.Errorf("%d open, %d idle after the sweep", open, idle)
+	tr.CloseExpired(time.Now().Add(tr.idleTimeout() + time.Second))
+	if open, idle := tr.connCounts("s0"); open != 0 || idle != 0 {
+		t.Errorf("connections 1 s after the idle timeout: got %d open and %d idle, want none", open, idle)
 	}
-	if u.idleTimeout() > 30*time.Second {
-		t.Errorf("idle connections are kept for %v, too near the settings' 60 s", u.idleTimeout())
+	if tr.idleTimeout() > 30*time.Second {
+		t.Errorf("idle timeout: got %v, want at most 30 s, half of the servers' 60 s", tr.idleTimeout())
 	}
 }
 
-// A connection that the server closed while it was idle is not written to.
+// A connection that the server closed while it was idle is replaced by a new one.
 func TestClosedIdleConnectionIsReplaced(t *testing.T) {
 	addr := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 		if nodetest.ReadRequest(r) {
 			_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 		}
 	})
-	u := testTransport(t, addr)
-	doAttempt(t, u, testRequest(http.MethodGet, "r1", ""))
-	nodetest.Await(t, "the close to be noticed", func() bool {
-		u.mu.Lock()
-		defer u.mu.Unlock()
-		idle := u.pools["s0"].idle
+	tr := newTestTransport(t, addr)
+	doAttempt(t, tr, newTestRequest(http.MethodGet, "r1", ""))
+	nodetest.Await(t, "the server's close to be detected", func() bool {
+		tr.mu.Lock()
+		defer tr.mu.Unlock()
+		idle := tr.pools["s0"].idle
 		return len(idle) == 0 || !idle[0].isUsable()
 	})
-	if r := doAttempt(t, u, testRequest(http.MethodGet, "r2", "")); r.Code != policy.OK {
-		t.Errorf("code %v", r.Code)
+	if r := doAttempt(t, tr, newTestRequest(http.MethodGet, "r2", "")); r.Code != policy.OK {
+		t.Errorf("request after the server closed the idle connection: got code %v, want policy.OK", r.Code)
 	}
 }
 
 func TestDescriptorsLimitConnections(t *testing.T) {
-	hold := make(chan struct{})
-	slow := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-hold })
+	release := make(chan struct{})
+	slow := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-release })
 	fast := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-	u := testTransport(t, fast, slow)
-	u.maxConns = 1
-	if r := doAttempt(t, u, testRequest(http.MethodGet, "r1", "")); r.Code != policy.OK {
-		t.Fatalf("code %v", r.Code)
+	tr := newTestTransport(t, fast, slow)
+	tr.maxConns = 1
+	if r := doAttempt(t, tr, newTestRequest(http.MethodGet, "r1", "")); r.Code != policy.OK {
+		t.Fatalf("first request: got code %v, want policy.OK", r.Code)
 	}
-	// The idle connection to the first server makes room for one to the second.
+	// The idle connection to the first server is closed to dial the second.
 	done := make(chan Result, 1)
 	go func() {
-		done <- u.Do("s1", Attempt{Request: testRequest(http.MethodGet, "r2", ""), Timeout: nodetest.Timeout, Lifetime: NewLifetime(time.Time{}), Observer: presentClient{t}})
+		done <- tr.Do("s1", Attempt{Request: newTestRequest(http.MethodGet, "r2", ""), Timeout: nodetest.Timeout, Lifetime: NewLifetime(time.Time{}), Observer: connectedClient{t}})
 	}()
-	nodetest.Await(t, "the eviction", func() bool { open, idle := u.counts("s0"); return open == 1 && idle == 0 })
-	if r := doAttempt(t, u, testRequest(http.MethodGet, "r3", "")); r.Code != policy.ConnectFailed {
-		t.Errorf("code %v beyond the limit, want could not connect", r.Code)
+	nodetest.Await(t, "the idle connection to be closed", func() bool { open, idle := tr.connCounts("s0"); return open == 1 && idle == 0 })
+	if r := doAttempt(t, tr, newTestRequest(http.MethodGet, "r3", "")); r.Code != policy.ConnectFailed {
+		t.Errorf("request over the connection limit: got code %v, want policy.ConnectFailed", r.Code)
 	}
-	close(hold)
-	if r := nodetest.Receive(t, "the slow answer", done); r.Code != policy.OK {
-		t.Errorf("code %v", r.Code)
+	close(release)
+	if r := nodetest.Receive(t, "the slow server's response", done); r.Code != policy.OK {
+		t.Errorf("request to the slow server: got code %v, want policy.OK", r.Code)
 	}
 }
 
-// What was open to a server's former process, or address, is given up.
+// Idle connections are closed when their server restarts, is removed, or is missing from a complete list.
 func TestListChangesDropIdleConnections(t *testing.T) {
 	addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-	base := endpoints(t, addr)[0]
+	base := listedEndpoints(t, addr)[0]
 	restarted, removed := base, base
 	restarted.StartedAtMillis = 5
 	removed.Availability = policy.Removed
-	for name, c := range map[string]struct {
-		n    discovery.Update
-		want int
+	for name, tc := range map[string]struct {
+		update discovery.Update
+		want   int
 	}{
-		"same":      {discovery.Update{Kind: policy.ListUpdate, Endpoints: []discovery.Endpoint{base}}, 1},
-		"restarted": {discovery.Update{Kind: policy.ListUpdate, Endpoints: []discovery.Endpoint{restarted}}, 0},
-		"removed":   {discovery.Update{Kind: policy.ListUpdate, Endpoints: []discovery.Endpoint{removed}}, 0},
-		"no news":   {discovery.Update{Kind: policy.ListUpdate}, 1},
-		"missing":   {discovery.Update{Kind: policy.ListReplace}, 0},
+		"unchanged endpoint": {discovery.Update{Kind: policy.ListUpdate, Endpoints: []discovery.Endpoint{base}}, 1},
+		"restarted endpoint": {discovery.Update{Kind: policy.ListUpdate, Endpoints: []discovery.Endpoint{restarted}}, 0},
+		"removed endpoint":   {discovery.Update{Kind: policy.ListUpdate, Endpoints: []discovery.Endpoint{removed}}, 0},
+		"empty update":       {discovery.Update{Kind: policy.ListUpdate}, 1},
+		"empty list":         {discovery.Update{Kind: policy.ListReplace}, 0},
 	} {
-		u := testTransport(t, addr)
-		doAttempt(t, u, testRequest(http.MethodGet, "r1", ""))
-		u.UpdateEndpoints(c.n)
-		if open, _ := u.counts("s0"); open != c.want {
-			t.Errorf("%s: %d open, want %d", name, open, c.want)
+		tr := newTestTransport(t, addr)
+		doAttempt(t, tr, newTestRequest(http.MethodGet, "r1", ""))
+		tr.UpdateEndpoints(tc.update)
+		if open, _ := tr.connCounts("s0"); open != tc.want {
+			t.Errorf("open connections after %s: got %d, want %d", name, open, tc.want)
 		}
 	}
 }
@@ -362,88 +368,88 @@
 func TestParseLoadReport(t *testing.T) {
 	names := []string{"util", "queue"}
 	if got := parseLoadReport("inflight=7, queue=2,util=0.61", names); got[0] != 0.61 || got[1] != 2 {
-		t.Errorf("got %v", got)
+		t.Errorf("report with all fields: got %v, want [0.61 2]", got)
 	}
 	if got := parseLoadReport("util=x,,=", names); !math.IsNaN(got[0]) || !math.IsNaN(got[1]) {
-		t.Errorf("got %v", got)
+		t.Errorf("report without valid fields: got %v, want [NaN NaN]", got)
 	}
 	if got := parseLoadReport("", names); got != nil {
-		t.Errorf("got %v", got)
+		t.Errorf("empty report: got %v, want nil", got)
 	}
 }
 
-// An attempt whose turn comes only after its server was told to leave is not written, over a kept connection either:
-// the module's choice may have waited for a processor for as long as the settings' grace.
+// An attempt at a server that began to drain after it was chosen is not sent, even over an idle connection. The chosen
+// attempt may wait for a processor longer than the settings' grace period for draining servers.
 func TestAttemptIsNotSentToAServerThatDrainsByThen(t *testing.T) {
 	t.Parallel()
-	var got atomic.Int32
-	addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { got.Add(1) })
-	u := testTransport(t, addr)
-	if r := doAttempt(t, u, testRequest(http.MethodGet, "r1", "")); r.Code != policy.OK {
-		t.Fatalf("first code %v", r.Code)
+	var received atomic.Int32
+	addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { received.Add(1) })
+	tr := newTestTransport(t, addr)
+	if r := doAttempt(t, tr, newTestRequest(http.MethodGet, "r1", "")); r.Code != policy.OK {
+		t.Fatalf("request before draining: got code %v, want policy.OK", r.Code)
 	}
-	if _, idle := u.counts("s0"); idle != 1 {
-		t.Fatalf("%d idle connections: nothing is tried", idle)
+	if _, idle := tr.connCounts("s0"); idle != 1 {
+		t.Fatalf("idle connections before draining: got %d, want 1", idle)
 	}
-	leaving := endpoints(t, addr)
-	leaving[0].Availability = policy.Draining
-	u.UpdateEndpoints(discovery.Update{Kind: policy.ListUpdate, Endpoints: leaving})
-	if r := doAttempt(t, u, testRequest(http.MethodGet, "r2", "")); r.Code != policy.ConnectFailed {
-		t.Errorf("code %v, want %v: it never ran", r.Code, policy.ConnectFailed)
+	draining := listedEndpoints(t, addr)
+	draining[0].Availability = policy.Draining
+	tr.UpdateEndpoints(discovery.Update{Kind: policy.ListUpdate, Endpoints: draining})
+	if r := doAttempt(t, tr, newTestRequest(http.MethodGet, "r2", "")); r.Code != policy.ConnectFailed {
+		t.Errorf("request to a draining server: got code %v, want %v", r.Code, policy.ConnectFailed)
 	}
-	if n := got.Load(); n != 1 {
-		t.Errorf("the server got %d requests, want the one from before", n)
+	if n := received.Load(); n != 1 {
+		t.Errorf("requests received by the server: got %d, want 1", n)
 	}
-	if open, idle := u.counts("s0"); open != idle {
-		t.Errorf("%d connections are counted, %d are idle", open, idle)
+	if open, idle := tr.connCounts("s0"); open != idle {
+		t.Errorf("connections after all attempts ended: got %d open and %d idle, want all idle", open, idle)
 	}
 }
 
-// A server's second response to a request, late by some milliseconds, is not taken for the response to the next one: a
-// connection rests after each response, and what says something meanwhile is not used again.
+// A second response to the same request, some milliseconds late, is not taken for the response to the next request: a
+// connection is not reused for minReuseDelay after a response, nor if unsolicited data has arrived.
 func TestLateSecondResponseIsNotUsed(t *testing.T) {
-	for name, late := range map[string]bool{"at the next request": true, "while it rests": false} {
+	for name, late := range map[string]bool{"during the next request": true, "while idle": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var conns atomic.Int32
-			second := make(chan struct{})
+			sendSecond := make(chan struct{})
 			addr := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
-				say := func(body string) { // the transport may have closed the connection by then
+				respond := func(body string) { // ignores errors: the transport may have closed the connection
 					_, _ = fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n%s", body)
 				}
 				if conns.Add(1) > 1 {
 					nodetest.ReadRequest(r)
-					say("two")
+					respond("two")
 					return
 				}
 				nodetest.ReadRequest(r)
-				say("one")
+				respond("one")
 				if late {
 					nodetest.ReadRequest(r)
 				} else {
-					<-second
+					<-sendSecond
 				}
-				say("one")
+				respond("one")
 				_, _ = r.ReadByte()
 			})
-			u := testTransport(t, addr)
-			if r := doAttempt(t, u, testRequest(http.MethodGet, "r1", "")); r.Code != policy.OK || string(r.Response.Body) != "one" {
-				t.Fatalf("first: code %v, %q", r.Code, r.Response.Body)
+			tr := newTestTransport(t, addr)
+			if r := doAttempt(t, tr, newTestRequest(http.MethodGet, "r1", "")); r.Code != policy.OK || string(r.Response.Body) != "one" {
+				t.Fatalf("first request: got code %v and body %q, want policy.OK and one", r.Code, r.Response.Body)
 			}
-			if u.sinceUsed(-nodetest.Timeout); !late { // just used, however long this test waits
-				close(second)
-				nodetest.Await(t, "the second answer", func() bool {
-					u.mu.Lock()
-					defer u.mu.Unlock()
-					return !u.pools["s0"].idle[0].isUsable()
+			if tr.setIdleTime(-nodetest.Timeout); !late { // keeps the connection within minReuseDelay, however slow the test
+				close(sendSecond)
+				nodetest.Await(t, "the second response to the first request", func() bool {
+					tr.mu.Lock()
+					defer tr.mu.Unlock()
+					return !tr.pools["s0"].idle[0].isUsable()
 				})
-				u.sinceUsed(time.Second)
+				tr.setIdleTime(time.Second)
 			}
-			if r := doAttempt(t, u, testRequest(http.MethodGet, "r2", "")); r.Code != policy.OK || string(r.Response.Body) != "two" {
-				t.Errorf("next: code %v, %q", r.Code, r.Response.Body)
+			if r := doAttempt(t, tr, newTestRequest(http.MethodGet, "r2", "")); r.Code != policy.OK || string(r.Response.Body) != "two" {
+				t.Errorf("second request: got code %v and body %q, want policy.OK and two", r.Code, r.Response.Body)
 			}
 			if n := conns.Load(); n != 2 {
-				t.Errorf("%d connections, want 2", n)
+				t.Errorf("connections at the server: got %d, want 2", n)
 			}
 		})
 	}
--- a/internal/node/upstream/wire.go
+++ b/internal/node/upstream/wire.go
@@ -10,16 +10,17 @@
 	"sloerail/policy"
 )
 
-// Header fields between a node and its servers.
+// Header fields of requests to servers and of their responses.
 const (
 	requestIDHeader      = "X-Request-Id"
 	idempotencyKeyHeader = "Idempotency-Key"
-	timeoutHeader        = "X-Deadline-Ms" // milliseconds that the server has for the response
+	timeoutHeader        = "X-Deadline-Ms" // milliseconds that the server has to respond
 	loadReportHeader     = "X-Load"        // name=value,name=value
-	notRunHeader         = "X-Not-Run"     // "1" beside an error: the request had no effect
+	notRunHeader         = "X-Not-Run"     // "1" in an error response: the request had no effect
 )
 
-// appendRequestHead appends the head of the request that a server gets; nothing is added in the client's name.
+// appendRequestHead appends the head of the request to a server. It adds no fields such as User-Agent that would pose as
+// the client's.
 func appendRequestHead(b []byte, a Attempt) []byte {
 	r := a.Request
 	b = append(b, r.Method...)
@@ -38,25 +39,26 @@
 	return append(b, "\r\n\r\n"...)
 }
 
-// outcome is what a complete response says of its attempt.
+// outcome returns the attempt's outcome according to a complete response.
 func (resp *response) outcome() policy.Code {
 	switch resp.Status {
 	case http.StatusOK:
 		return policy.OK
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if resp.head.Get(notRunHeader) == "1" { // without it, it may have run
+		if resp.head.Get(notRunHeader) == "1" { // without the field, the request may have run
 			return policy.Overloaded
 		}
 	}
 	return policy.ServerError
 }
 
-// loadReport is the load report of a response, in the order of fields.
+// loadReport returns the response's load report, in the order of fields.
 func (resp *response) loadReport(fields []string) []float64 {
 	return parseLoadReport(resp.head.Get(loadReportHeader), fields)
 }
 
-// parseLoadReport reads a load report into the order of fields, NaN where one is absent; nil where there is none.
+// parseLoadReport returns the values of a load report in the order of fields, with NaN for absent or invalid ones. It
+// returns nil if there is no report or no field is wanted.
 func parseLoadReport(text string, fields []string) []float64 {
 	if text == "" || len(fields) == 0 {
 		return nil
