--- a/internal/node/downstream/client_conn.go
+++ b/internal/node/downstream/client_conn.go
@@ -17,45 +17,46 @@
 )
 
 const (
-	// headTimeout is for the head of a request from its first byte, or from the connect.
+	// headTimeout bounds the reading of a request's head, from its first byte or, for a first request, from the connect.
 	headTimeout = 2300 * time.Millisecond
-	// IdleTimeout is how long a connection may be without a request.
+	// IdleTimeout is how long a connection may have no request.
 	IdleTimeout = 60 * time.Second
-	// earlyResponseLinger is how long a client may go on sending after a response that came before its body's end.
+	// earlyResponseLinger is how long a client may continue to send after a response sent before the end of its request.
 	earlyResponseLinger = 2 * time.Second
-	// lastResponseLinger is how long a client may take to read the last response of a connection that it may not expect
-	// to end.
+	// lastResponseLinger is how long a client may take to read the last response of a connection that it may expect to
+	// stay open.
 	lastResponseLinger = 500 * time.Millisecond
 )
 
-// clientConn is a client's connection. One goroutine reads it, request after request, and so sees the client leave while
-// its response is awaited. Another writes the responses; both end with the connection.
+// clientConn is a client's connection. One goroutine reads the requests one after the other, and so notices if the client
+// disconnects before its response. Another writes the responses. Both end with the connection.
 type clientConn struct {
 	net.Conn
 	server          *Server
 	tracked         *trackedConn
-	lastReceived    atomic.Int64 // when bytes last came, in Unix nanoseconds; 0 for never
+	lastReceived    atomic.Int64 // when bytes last arrived, in Unix nanoseconds; 0 for never
 	reader          *bufio.Reader
 	heads           http1.HeadReader
 	readDeadline    time.Time     // zero for none
 	reply           chan Response // from the handler, for the current request
 	responseWritten chan bool     // from the writer, after each response: whether the connection stays open
-	closed          chan struct{} // closed at the connection's end
+	closed          chan struct{} // closed when the connection ends
 
-	// The current request: set before the handler has it, and read by the writer once that has answered.
-	exchange           *Exchange
-	closeAfterResponse bool
-	http10             bool // the request is HTTP/1.0
-	responsePending    atomic.Bool
-	writeBuffer        []byte
-	writeDeadline      time.Time
-	bytesSent          int64 // over the connection's life, streamed responses left out
-	boundsEveryWrite   bool  // set by a streamed response, which bytesSent doesn't count
+	// The fields of the current request are set before it is passed to the handler, and read by the writer after the
+	// handler has responded.
+	exchange              *Exchange
+	closeAfterResponse    bool
+	http10                bool // the request is HTTP/1.0
+	responsePending       atomic.Bool
+	writeBuffer           []byte
+	writeDeadline         time.Time
+	bytesSent             int64 // over the connection's life, without streamed responses
+	requiresWriteDeadline bool  // set by a streamed response, since bytesSent doesn't count it
 }
 
 var readBuffers = sync.Pool{New: func() any { return bufio.NewReader(nil) }}
 
-// newClientConn tracks a connection. serve has to follow.
+// newClientConn returns a clientConn for conn and tracks it. The caller must then call serve.
 func (s *Server) newClientConn(conn net.Conn) *clientConn {
 	c := &clientConn{Conn: conn, server: s, reader: readBuffers.Get().(*bufio.Reader), reply: make(chan Response, 1),
 		responseWritten: make(chan bool, 1), closed: make(chan struct{})}
@@ -70,8 +71,8 @@
 	defer s.conns.Done()
 	var writer sync.WaitGroup
 	defer func() {
-		if cause := recover(); cause != nil { // ends this connection, and not the node
-			slog.Error("a client's connection panicked", "cause", cause, "stack", string(debug.Stack()))
+		if cause := recover(); cause != nil { // a panic ends this connection only, not the node
+			slog.Error("panic while serving a client connection", "cause", cause, "stack", string(debug.Stack()))
 		}
 		closeQuietly(c)
 		close(c.closed)
@@ -81,15 +82,15 @@
 		c.reader.Reset(nil)
 		readBuffers.Put(c.reader)
 	}()
-	c.boundRead(time.Now().Add(headTimeout))
+	c.updateReadDeadline(time.Now().Add(headTimeout))
 	for first := true; ; first = false {
 		h, err := c.heads.Read(c.reader, http1.MaxHeadBytes)
 		if err != nil {
 			c.rejectUnreadable(err)
 			return
 		}
-		if s.clientConns.setState(c.tracked, http.StateActive) { // the request has come in time for the connection to stay
-			c.boundRead(time.Time{})
+		if s.clientConns.setState(c.tracked, http.StateActive) { // evicted, but the request came first: it stays open
+			c.updateReadDeadline(time.Time{})
 		}
 		m, problem := parseRequest(h)
 		if problem != nil {
@@ -103,14 +104,14 @@
 			return
 		}
 		s.clientConns.startRequest(c.tracked)
-		c.boundHead()
+		c.startHeadTimeout()
 	}
 }
 
 // NetConn returns the connection that c wraps.
 func (c *clientConn) NetConn() net.Conn { return c.Conn }
 
-// Read notes when bytes come.
+// Read reads from the connection and records when bytes arrive.
 func (c *clientConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
@@ -119,42 +120,43 @@
 	return n, err
 }
 
-// boundRead sets the deadline for reading; zero for none.
-func (c *clientConn) boundRead(deadline time.Time) {
+// updateReadDeadline sets the read deadline; zero means none.
+func (c *clientConn) updateReadDeadline(deadline time.Time) {
 	c.readDeadline = deadline
 	_ = c.SetReadDeadline(deadline) // fails only on a closed connection, where the next read fails too
 }
 
-// boundHead bounds the reading of a further head, whose first byte is there.
-func (c *clientConn) boundHead() {
-	if b, _ := c.reader.Peek(c.reader.Buffered()); !bytes.Contains(b, headEnd) { // nearly always all of it is there
-		c.boundRead(time.Now().Add(headTimeout))
+// startHeadTimeout bounds the reading of a further request's head, whose first byte has arrived.
+func (c *clientConn) startHeadTimeout() {
+	if b, _ := c.reader.Peek(c.reader.Buffered()); !bytes.Contains(b, headEnd) { // usually the whole head has arrived
+		c.updateReadDeadline(time.Now().Add(headTimeout))
 	}
 }
 
 var headEnd = []byte("\r\n\r\n")
 
-// rejectUnreadable answers a request whose head can't be read. A client that sent nothing, or is too slow, gets no response.
+// rejectUnreadable responds to a malformed or too long head. After any other read error, such as a timeout, the client
+// gets no response.
 func (c *clientConn) rejectUnreadable(err error) {
 	switch {
 	case errors.Is(err, http1.ErrMalformedHead):
-		c.sendError(&requestError{status: http.StatusBadRequest, text: "malformed request"}, true)
+		c.sendError(&requestError{status: http.StatusBadRequest, text: "malformed request head"}, true)
 	case errors.Is(err, http1.ErrHeadTooLong):
-		c.sendError(&requestError{status: http.StatusRequestHeaderFieldsTooLarge, text: "the head is over 16 KiB"}, true)
+		c.sendError(&requestError{status: http.StatusRequestHeaderFieldsTooLarge, text: "request head over 16 KiB"}, true)
 	}
 }
 
-// handle serves one request, and waits for the next. It reports whether there is one.
+// handle serves one request and waits for the next. It reports whether there is a next one.
 func (c *clientConn) handle(m requestHead) bool {
 	s := c.server
-	// Over its share of the descriptors the node still answers, and gets the descriptor back.
-	full := !s.awaitCapacity(c.tracked)
+	// A connection over the limit still gets a response, and closes with it to free its descriptor.
+	overLimit := !s.awaitCapacity(c.tracked)
 	c.http10 = m.minor == 0
-	c.closeAfterResponse = full || c.isLastRequest(&m)
+	c.closeAfterResponse = overLimit || c.isLastRequest(&m)
 	if m.isReadinessCheck() {
 		return c.handleReadinessCheck(m)
 	}
-	if full {
+	if overLimit {
 		c.rejectRequest(&m, &requestError{status: http.StatusServiceUnavailable, text: "too many connections"})
 		return false
 	}
@@ -175,19 +177,19 @@
 	}
 	open := <-c.responseWritten
 	if !open {
-		c.linger(lastResponseLinger) // bytes of a further request may be unread
+		c.linger(lastResponseLinger) // part of a further request may be unread
 	}
 	return open
 }
 
-// isLastRequest reports whether the connection ends with the response to m.
+// isLastRequest reports whether the connection ends after the response to m.
 func (c *clientConn) isLastRequest(m *requestHead) bool {
-	// Clients of a stopping node keep their connections: closing them would move their load to the other nodes.
+	// A stopping node keeps its connections, since closing them would move their load to the other nodes.
 	crowded := !c.server.Stopping.Load() && c.server.clientConns.isCrowded(c.tracked)
 	return m.Close || c.http10 && !m.KeepAlive || m.Chunked || crowded
 }
 
-// rejectRequest answers a request that isn't handed on.
+// rejectRequest responds with an error to a request that isn't passed to the handler.
 func (c *clientConn) rejectRequest(m *requestHead, problem *requestError) {
 	handler := c.server.handler
 	class, _, known := handler.Terms().Class(m.class, m.method, m.idempotencyKey != "")
@@ -197,37 +199,37 @@
 	c.sendError(problem, m.Chunked || m.Length > int64(c.reader.Buffered()))
 }
 
-// awaitUpload waits until an attempt has read the body, and reports whether that is complete.
+// awaitUpload waits until nothing more of the body is read, and reports whether the body is complete.
 func (c *clientConn) awaitUpload(u *upload) bool {
 	<-u.done
 	if u.complete.Load() {
 		return true
 	}
-	if <-c.responseWritten { // the handler knows that the body is incomplete, and answers
+	if <-c.responseWritten { // the handler responds to the incomplete body
 		c.linger(earlyResponseLinger)
 	}
 	return false
 }
 
-// handleReadinessCheck tells a load balancer whether the node takes clients.
+// handleReadinessCheck responds to a load balancer's readiness check.
 func (c *clientConn) handleReadinessCheck(m requestHead) bool {
-	a := Response{Status: http.StatusOK}
+	resp := Response{Status: http.StatusOK}
 	if !c.server.handler.NodeReady() {
-		a.Status = http.StatusServiceUnavailable
+		resp.Status = http.StatusServiceUnavailable
 	}
-	c.closeAfterResponse = c.closeAfterResponse || m.Length != 0 // a body isn't read
-	if err := c.sendResponse(a); err != nil || c.closeAfterResponse {
+	c.closeAfterResponse = c.closeAfterResponse || m.Length != 0 // the body stays unread
+	if err := c.sendResponse(resp); err != nil || c.closeAfterResponse {
 		return false
 	}
 	c.server.clientConns.setState(c.tracked, http.StateIdle)
 	return c.awaitNextRequest(nil)
 }
 
-// awaitNextRequest waits for the next request, and tells the handler if the client of x leaves before it is answered. It
-// reports whether there is a next one. x is nil where the last request needed no handler.
+// awaitNextRequest waits for the next request and reports whether there is one. It notifies the handler if the client
+// disconnects before the response to x. x is nil if the last request needed no handler.
 func (c *clientConn) awaitNextRequest(x *Exchange) bool {
 	if c.readDeadline.IsZero() {
-		c.boundRead(time.Now().Add(IdleTimeout / 2))
+		c.updateReadDeadline(time.Now().Add(IdleTimeout / 2))
 	}
 	for c.reader.Buffered() == 0 {
 		_, err := c.reader.Peek(1)
@@ -239,35 +241,35 @@
 				x.disconnected.Store(true)
 				c.server.handler.HandleDisconnect(x)
 			}
-			return false // also a client that only stopped sending has left
+			return false // a client that only closed its sending side counts as disconnected too
 		case c.server.clientConns.isExpired(c.tracked, time.Now()) || c.server.closing.Load() && !c.responsePending.Load():
 			return false
 		}
-		// The deadline was that of an earlier wait, or the current request takes long.
-		c.boundRead(time.Now().Add(IdleTimeout / 2))
+		// The deadline was set by an earlier wait, or the current request takes long.
+		c.updateReadDeadline(time.Now().Add(IdleTimeout / 2))
 	}
 	return true
 }
 
-// finishRequest counts the current request as ended, once.
+// finishRequest counts the current request as ended, unless it already has.
 func (c *clientConn) finishRequest() {
 	if c.responsePending.CompareAndSwap(true, false) {
 		c.server.handler.AddOpenRequests(-1)
 	}
 }
 
-// linger reads for a while what a client still sends after its last response: closing over unread bytes would reset the
-// connection, and the client might lose the response.
+// linger closes the sending side and discards, for up to d, what the client still sends after its last response. Closing
+// with unread bytes would reset the connection, and the client might lose the response.
 func (c *clientConn) linger(d time.Duration) {
-	half, ok := underlyingConn(c).(interface{ CloseWrite() error })
-	if !ok || half.CloseWrite() != nil {
+	closer, ok := underlyingConn(c).(interface{ CloseWrite() error })
+	if !ok || closer.CloseWrite() != nil {
 		return
 	}
-	c.boundRead(time.Now().Add(d))
-	block := http1.GetCopyBuffer()
-	defer http1.PutCopyBuffer(block)
+	c.updateReadDeadline(time.Now().Add(d))
+	buf := http1.GetCopyBuffer()
+	defer http1.PutCopyBuffer(buf)
 	for {
-		if _, err := c.Conn.Read(block[:]); err != nil {
+		if _, err := c.Conn.Read(buf[:]); err != nil {
 			return
 		}
 	}
--- a/internal/node/downstream/client_conns.go
+++ b/internal/node/downstream/client_conns.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	// minSilentTime is how long a connection whose request is awaited may be without a byte before it can lose its
-	// descriptor to another: a client has its request at hand, and a slow one sends it piece by piece.
+	// minSilentTime is how long a connection must have sent nothing, while its request is awaited, before it can be
+	// evicted. A client that connects has its request ready, and even a slow one keeps sending parts of it.
 	minSilentTime = 500 * time.Millisecond
-	// MinIdleTime is the same for a connection that was answered.
+	// MinIdleTime is how long a connection must have been idle after a response before it can be evicted.
 	MinIdleTime = 2 * time.Second
-	// crowdedDivisor makes connections end with their first response once a quarter of the limit is open: each that
-	// stays idle can't be evicted for MinIdleTime, and new clients come meanwhile.
+	// crowdedDivisor sets how many connections are too many: above a quarter of the limit, connections close with their
+	// first response. An idle connection can't be evicted for MinIdleTime, and new clients connect meanwhile.
 	crowdedDivisor = 4
 )
 
-// ClientConns tracks the connections of clients. Once as many are open as there are descriptors for, it evicts those
-// that have nothing to do, to make room for new ones. Its methods may be called from any goroutine; none blocks.
+// ClientConns tracks the connections of clients. At the limit, it evicts idle and silent connections to make room for new
+// ones. Its methods may be called from any goroutine and don't block.
 type ClientConns struct {
 	limit   func() int
 	onCount func(n int) // called with the number of connections when it changes
-	reclaim func()      // called at the limit, to raise it where others hold idle descriptors
+	reclaim func()      // called at the limit, to raise it by reclaiming descriptors that others hold idle
 
 	mu            sync.Mutex
 	conns         map[net.Conn]*trackedConn
 	closeWhenIdle bool
 }
 
-// trackedConn is what ClientConns knows of a connection. ClientConns.mu guards it.
+// trackedConn is the state of a connection. ClientConns.mu guards it.
 type trackedConn struct {
 	conn         net.Conn
 	state        http.ConnState
-	since        time.Time // when it got its state
-	requests     int       // that it has begun
-	requestStart time.Time // its request's first byte, or the connect if that is its first request
-	awaitsInput  bool      // the rest of a head or of a body is to come
-	overLimit    bool      // it came at the limit, and no other could be evicted
-	evicted      bool      // it ends unless a request comes in time
+	since        time.Time // when it entered the state
+	requests     int       // number of requests received
+	requestStart time.Time // time of the current request's first byte, or of the connect for the first request
+	awaitsInput  bool      // the rest of a head or a body is still expected
+	overLimit    bool      // opened at the limit, when no other connection could be evicted
+	evicted      bool      // ends unless a request arrives first
 }
 
-// NewClientConns makes a ClientConns. limit returns how many connections may be open; onCount is called with the number
-// of connections when it changes, and reclaim when a connection comes at the limit. They are called under a lock, and
-// must not block or call back.
+// NewClientConns returns a ClientConns. limit returns how many connections may be open. onCount is called with the number
+// of connections when it changes, and reclaim when a connection opens at the limit. They are called under a lock, and
+// must not block or call methods of the ClientConns.
 func NewClientConns(limit func() int, onCount func(n int), reclaim func()) *ClientConns {
 	return &ClientConns{limit: limit, onCount: onCount, reclaim: reclaim, conns: make(map[net.Conn]*trackedConn)}
 }
 
-// add tracks a new connection, before anything is read from it.
+// add tracks a new connection. It must be called before anything is read from the connection.
 func (cc *ClientConns) add(c net.Conn) *trackedConn {
 	now := time.Now()
 	cc.mu.Lock()
@@ -65,7 +65,7 @@
 	return t
 }
 
-// isAdmitted reports whether a connection that came over the limit is within it by now; it stays so from then on.
+// isAdmitted reports whether a connection that opened over the limit is now within it. Once admitted, it stays so.
 func (cc *ClientConns) isAdmitted(t *trackedConn) bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -75,7 +75,7 @@
 	return !t.overLimit
 }
 
-// setState sets what a connection does now, and reports whether it was evicted before.
+// setState sets the state of a connection, cancels its eviction, and reports whether it had been evicted.
 func (cc *ClientConns) setState(t *trackedConn, state http.ConnState) (wasEvicted bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -95,7 +95,7 @@
 	return wasEvicted
 }
 
-// startRequest notes the first byte of a further request: its connection isn't closed as an idle one from then on.
+// startRequest records the first byte of a further request. The connection counts as active from then on.
 func (cc *ClientConns) startRequest(t *trackedConn) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -103,14 +103,14 @@
 	t.state, t.since, t.requestStart, t.awaitsInput, t.evicted = http.StateActive, now, now, true, false
 }
 
-// isExpired reports whether a connection without a request is to end.
+// isExpired reports whether a connection must end because it was evicted or idle for IdleTimeout.
 func (cc *ClientConns) isExpired(t *trackedConn, now time.Time) bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return t.evicted || t.state == http.StateIdle && now.Sub(t.since) >= IdleTimeout
 }
 
-// remove ends the tracking of a connection that is closed.
+// remove stops tracking a closed connection.
 func (cc *ClientConns) remove(c net.Conn) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -118,13 +118,13 @@
 	cc.onCount(len(cc.conns))
 }
 
-// ConnContext tracks a new connection of an http.Server; it fits http.Server.ConnContext.
+// ConnContext tracks a new connection of an http.Server. It is used as http.Server.ConnContext.
 func (cc *ClientConns) ConnContext(ctx context.Context, c net.Conn) context.Context {
 	cc.add(c)
 	return ctx
 }
 
-// ConnState follows the connections of an http.Server; it fits http.Server.ConnState.
+// ConnState updates the state of an http.Server's connection. It is used as http.Server.ConnState.
 func (cc *ClientConns) ConnState(c net.Conn, state http.ConnState) {
 	if state == http.StateClosed || state == http.StateHijacked {
 		cc.remove(c)
@@ -138,37 +138,37 @@
 	}
 }
 
-// requestStartOf is when the request of a connection began.
-func (cc *ClientConns) requestStartOf(t *trackedConn) time.Time {
+// requestStartTime returns when the current request of a connection began.
+func (cc *ClientConns) requestStartTime(t *trackedConn) time.Time {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return t.requestStart
 }
 
-// Count is how many connections there are.
+// Count returns the number of connections.
 func (cc *ClientConns) Count() int {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return len(cc.conns)
 }
 
-// isCrowded reports whether a request's connection is to end with the response, since many are open. A client that has come
-// back for a second request uses its connection, and goes on with it.
+// isCrowded reports whether a connection must end with its response because too many are open. A connection that has
+// received a second request stays open, since its client does reuse it.
 func (cc *ClientConns) isCrowded(t *trackedConn) bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return t.requests < 2 && len(cc.conns) > cc.limit()/crowdedDivisor
 }
 
-// setAwaitsInput notes that a request's body is awaited, or no longer.
+// setAwaitsInput sets whether more of a request's body is expected.
 func (cc *ClientConns) setAwaitsInput(t *trackedConn, on bool) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	t.awaitsInput = on
 }
 
-// closeIdle ends all connections that were answered and have no further request, and those that get there later. New
-// connections stay: their request may be on its way.
+// closeIdle ends all connections that are idle after a response, and from now on each one that becomes idle. New
+// connections stay open, since their first request may be on its way.
 func (cc *ClientConns) closeIdle() {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -178,7 +178,7 @@
 	}
 }
 
-// wakeIfIdle has the reader of a connection without a request see that it is to end.
+// wakeIfIdle interrupts the pending read of an idle connection, so that its reader notices that it must end.
 func (t *trackedConn) wakeIfIdle() {
 	if t.state == http.StateIdle {
 		_ = t.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
@@ -194,31 +194,31 @@
 	}
 }
 
-// quietFor is how long a connection has been without what is awaited from it, and whether that is long enough to evict
-// it.
-func (t *trackedConn) quietFor(c net.Conn, now time.Time) (span time.Duration, enough bool) {
-	span = now.Sub(t.since)
+// quietFor returns how long a connection has been idle, or silent while its request is awaited, and whether it can be
+// evicted.
+func (t *trackedConn) quietFor(c net.Conn, now time.Time) (quietTime time.Duration, evictable bool) {
+	quietTime = now.Sub(t.since)
 	awaited := t.state == http.StateNew || t.state == http.StateActive && t.awaitsInput
 	if f, ok := c.(*clientConn); ok && awaited {
-		span = min(span, now.Sub(time.Unix(0, f.lastReceived.Load())))
+		quietTime = min(quietTime, now.Sub(time.Unix(0, f.lastReceived.Load())))
 	}
 	switch {
 	case t.evicted:
-		return span, false
+		return quietTime, false
 	case awaited:
-		return span, span >= minSilentTime
+		return quietTime, quietTime >= minSilentTime
 	}
-	return span, t.state == http.StateIdle && span >= MinIdleTime
+	return quietTime, t.state == http.StateIdle && quietTime >= MinIdleTime
 }
 
-// EvictQuietest ends the connection that was quiet for longest, and reports whether one was for long enough.
+// EvictQuietest evicts the connection that has been idle or silent for longest, and reports whether one could be evicted.
 func (cc *ClientConns) EvictQuietest(now time.Time) bool {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
 	return cc.evictQuietest(now)
 }
 
-// CountIdle is how many connections have no request.
+// CountIdle returns the number of idle connections.
 func (cc *ClientConns) CountIdle() (n int) {
 	cc.mu.Lock()
 	defer cc.mu.Unlock()
@@ -232,19 +232,19 @@
 
 // evictQuietest is EvictQuietest with mu held.
 func (cc *ClientConns) evictQuietest(now time.Time) bool {
-	var oldest net.Conn
+	var quietest net.Conn
 	var longest time.Duration
 	for c, t := range cc.conns {
-		if span, enough := t.quietFor(c, now); enough && span > longest {
-			oldest, longest = c, span
+		if quietTime, evictable := t.quietFor(c, now); evictable && quietTime > longest {
+			quietest, longest = c, quietTime
 		}
 	}
-	if oldest == nil {
+	if quietest == nil {
 		return false
 	}
-	cc.conns[oldest].evicted = true
-	// Only a read that waits fails by this, and its reader then closes the connection. Where a request has just come in,
-	// the reader sets the deadline anew, and the request is served.
-	_ = oldest.SetReadDeadline(now) // fails only on a closed connection
+	cc.conns[quietest].evicted = true
+	// This makes a pending read fail, and the reader then closes the connection. If a request has just arrived, the reader
+	// resets the deadline and the request is served.
+	_ = quietest.SetReadDeadline(now) // fails only on a closed connection
 	return true
 }
--- a/internal/node/downstream/client_conns_test.go
+++ b/internal/node/downstream/client_conns_test.go
@@ -11,16 +11,16 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// At the limit, the connection that was without a request for longest makes room; one in use, or
-// quiet only for a moment, does not.
+// At the limit, the connection that has been idle or silent for longest is evicted. A connection in use, or one that has
+// been quiet only for a moment, is not.
 func TestQuietConnectionsAreEvicted(t *testing.T) {
 	now := time.Now()
 	at := func(ago time.Duration, state http.ConnState) *trackedConn {
 		return &trackedConn{state: state, since: now.Add(-ago)}
 	}
-	for name, c := range map[string]struct {
-		open []*trackedConn
-		shed int // the one that ends; -1 for none
+	for name, tc := range map[string]struct {
+		open        []*trackedConn
+		wantEvicted int // index in open of the connection to evict; -1 for none
 	}{
 		"longest":           {[]*trackedConn{at(3*time.Second, http.StateIdle), at(4*time.Second, http.StateIdle)}, 1},
 		"silent":            {[]*trackedConn{at(time.Second, http.StateIdle), at(time.Second, http.StateNew)}, 1},
@@ -28,33 +28,33 @@
 		"all in use":        {[]*trackedConn{at(time.Minute, http.StateActive), at(time.Minute, http.StateActive)}, -1},
 		"for a moment only": {[]*trackedConn{at(time.Second, http.StateIdle), at(time.Millisecond, http.StateNew)}, -1},
 	} {
-		s := NewClientConns(func() int { return len(c.open) }, func(int) {}, func() {})
-		var ends []net.Conn
-		for _, p := range c.open {
-			mine, theirs := net.Pipe()
-			nodetest.CloseAtEnd(t, mine, theirs)
-			s.conns[mine] = p
-			ends = append(ends, mine)
+		cc := NewClientConns(func() int { return len(tc.open) }, func(int) {}, func() {})
+		var opened []net.Conn
+		for _, tracked := range tc.open {
+			conn, client := net.Pipe()
+			nodetest.CloseAtEnd(t, conn, client)
+			cc.conns[conn] = tracked
+			opened = append(opened, conn)
 		}
-		next, far := net.Pipe()
-		nodetest.CloseAtEnd(t, next, far)
-		if over := s.add(next).overLimit; over != (c.shed < 0) {
-			t.Errorf("%s: the next is over the limit: %v", name, over)
+		next, nextClient := net.Pipe()
+		nodetest.CloseAtEnd(t, next, nextClient)
+		if over := cc.add(next).overLimit; over != (tc.wantEvicted < 0) {
+			t.Errorf("%s: new connection over the limit: got %v, want the opposite", name, over)
 		}
-		for i, end := range ends {
-			if s.conns[end].evicted != (i == c.shed) {
-				t.Errorf("%s: connection %d made room: %v", name, i, s.conns[end].evicted)
+		for i, c := range opened {
+			if cc.conns[c].evicted != (i == tc.wantEvicted) {
+				t.Errorf("%s: connection %d evicted: got %v, want the opposite", name, i, cc.conns[c].evicted)
 			}
 		}
-		if c.shed >= 0 {
-			if _, err := ends[c.shed].Read(make([]byte, 1)); err == nil {
-				t.Errorf("%s: the one that made room can still be read", name)
+		if tc.wantEvicted >= 0 {
+			if _, err := opened[tc.wantEvicted].Read(make([]byte, 1)); err == nil {
+				t.Errorf("%s: read of the evicted connection succeeded, want an error", name)
 			}
 		}
 	}
 }
 
-// A connection whose response crosses the node's end is not forgotten: it ends as well.
+// A connection that becomes idle only after closeIdle, because its response was still being written, ends as well.
 func TestConnectionIdleJustAfterCloseIdleIsWoken(t *testing.T) {
 	t.Parallel()
 	ln := nodetest.Listener(t)
@@ -65,14 +65,14 @@
 		t.Fatal(err)
 	}
 	nodetest.CloseAtEnd(t, conn)
-	all := NewClientConns(func() int { return 10 }, func(int) {}, func() {})
-	p := all.add(conn)
-	all.setState(p, http.StateActive)
-	all.closeIdle()
+	cc := NewClientConns(func() int { return 10 }, func(int) {}, func() {})
+	tracked := cc.add(conn)
+	cc.setState(tracked, http.StateActive)
+	cc.closeIdle()
 	_ = conn.SetReadDeadline(time.Now().Add(nodetest.Timeout))
-	all.setState(p, http.StateIdle) // its response is written
-	began := time.Now()
-	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(began) > nodetest.Timeout/2 {
-		t.Errorf("read for %v: %v", time.Since(began), err)
+	cc.setState(tracked, http.StateIdle) // as after the response
+	start := time.Now()
+	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(start) > nodetest.Timeout/2 {
+		t.Errorf("read of the idle connection after %v: got error %v, want an immediate deadline error", time.Since(start), err)
 	}
 }
--- a/internal/node/downstream/connection_limiter.go
+++ b/internal/node/downstream/connection_limiter.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// ConnectionLimiter is a listener that bounds how many of its connections are open at a time. While it is paused it
-// accepts none: they go to the other process that shares the socket.
+// ConnectionLimiter is a listener that limits how many of its connections are open at a time. While paused, it accepts
+// none, and leaves new connections to the other process that shares the socket.
 type ConnectionLimiter struct {
 	net.Listener
 	mu      sync.Mutex
@@ -21,14 +21,15 @@
 	closed  bool
 }
 
-// NewConnectionLimiter accepts up to limit connections at a time from l.
+// NewConnectionLimiter returns a ConnectionLimiter that accepts connections from l, up to limit at a time.
 func NewConnectionLimiter(l net.Listener, limit int) *ConnectionLimiter {
 	cl := &ConnectionLimiter{Listener: l, limit: limit}
 	cl.changed = sync.NewCond(&cl.mu)
 	return cl
 }
 
-// Accept waits until a connection may be open, and for one. It returns net.ErrClosed after Close.
+// Accept waits until fewer connections than the limit are open, and then for the next one. It returns net.ErrClosed after
+// Close.
 func (cl *ConnectionLimiter) Accept() (net.Conn, error) {
 	for {
 		if err := cl.acquire(); err != nil {
@@ -39,7 +40,7 @@
 			return &limitedConn{Conn: c, limiter: cl}, nil
 		}
 		cl.release()
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // that is how SetPaused wakes it
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // SetPaused interrupts it by a deadline
 			return nil, err
 		}
 	}
@@ -65,7 +66,7 @@
 	cl.changed.Broadcast()
 }
 
-// SetLimit sets how many connections may be open. Those over it stay open.
+// SetLimit sets how many connections may be open at a time. Connections already open over the new limit stay open.
 func (cl *ConnectionLimiter) SetLimit(limit int) {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -73,14 +74,14 @@
 	cl.changed.Broadcast()
 }
 
-// Limit is how many connections may be open.
+// Limit returns how many connections may be open at a time.
 func (cl *ConnectionLimiter) Limit() int {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	return cl.limit
 }
 
-// SetPaused stops accepting, or starts it again. It returns errors.ErrUnsupported where the listener has no deadline.
+// SetPaused pauses or resumes accepting. It returns errors.ErrUnsupported if the listener has no SetDeadline method.
 func (cl *ConnectionLimiter) SetPaused(paused bool) error {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
@@ -105,7 +106,7 @@
 	return cl.Listener.Close()
 }
 
-// limitedConn is a connection that its limiter counts until it is closed.
+// limitedConn is a connection that counts towards the limiter's limit until it is closed.
 type limitedConn struct {
 	net.Conn
 	limiter  *ConnectionLimiter
@@ -115,7 +116,7 @@
 // NetConn returns the connection that c wraps.
 func (c *limitedConn) NetConn() net.Conn { return c.Conn }
 
-// Close closes the connection. It is counted as closed once.
+// Close closes the connection. Only the first call releases it from the limit.
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
 	if c.released.CompareAndSwap(false, true) {
--- a/internal/node/downstream/exchange.go
+++ b/internal/node/downstream/exchange.go
@@ -11,36 +11,37 @@
 	"sloerail/policy"
 )
 
-// MaxRequestIDBytes bounds the ID of a request; the protocol's own IDs are far shorter.
+// MaxRequestIDBytes bounds the length of a request ID. IDs made according to the protocol are far shorter.
 const MaxRequestIDBytes = 128
 
-// maxTimeoutMillis bounds how long a client may say that it waits.
+// maxTimeoutMillis bounds the timeout that a client may set, in milliseconds.
 const maxTimeoutMillis = 3_600_000
 
-// Exchange is one request of a client and the way back for its response. Its exported fields aren't changed once a Handler
-// has it. Its methods may be called from any goroutine.
+// Exchange is one request of a client and the channel for its response. Its exported fields must not change once it is
+// passed to a Handler. Its methods may be called from any goroutine.
 type Exchange struct {
 	Request    policy.Request
-	Forwarded  upstream.Request // what servers get of it
-	ReceivedAt policy.Time      // when its last byte was read; of a streamed body, when its start was
-	Timeout    time.Duration    // that the client waits from then
-	Terms      Terms            // by which it was read
-	Reply      chan Response    // takes one response, without blocking
+	Forwarded  upstream.Request // the request as sent to servers
+	ReceivedAt policy.Time      // when the request was read; with a streamed body, when the buffered part was
+	Timeout    time.Duration    // how long the client waits from ReceivedAt
+	Terms      Terms            // the rules by which the request was read
+	Reply      chan Response    // takes one response without blocking
 
-	upload           *upload // Forwarded.Stream; nil where the body is buffered
-	tally            Tally   // of its class
+	upload           *upload // equals Forwarded.Stream; nil if the body is buffered
+	tally            Tally   // counts the responses to the request's class
 	disconnected     atomic.Bool
-	isClosedByClient func() bool // asks the client's socket; nil where there is none
+	isClosedByClient func() bool // polls the client's socket; nil if there is none
 }
 
-// Disconnected reports whether the client is known to have left.
+// Disconnected reports whether the client is known to have disconnected.
 func (x *Exchange) Disconnected() bool { return x.disconnected.Load() }
 
-// BodyConsumed reports whether an attempt has read of a streamed body: the request can't be sent again then.
+// BodyConsumed reports whether an attempt has read from a streamed body. The request can't be sent again after that.
 func (x *Exchange) BodyConsumed() bool { return x.upload != nil && x.upload.consumed.Load() }
 
-// CheckDisconnected reports whether the client has left, and asks its socket: the connection's reader doesn't see that while the
-// body waits for a server, behind bytes of a further request, or before its goroutine is scheduled.
+// CheckDisconnected polls the client's socket and reports whether the client has disconnected. The connection's reader
+// doesn't notice this while the body waits for a server, while bytes of a further request precede the close, or before
+// its goroutine is scheduled.
 func (x *Exchange) CheckDisconnected() bool {
 	if x.isClosedByClient != nil && x.isClosedByClient() {
 		x.disconnected.Store(true)
@@ -48,26 +49,27 @@
 	return x.disconnected.Load()
 }
 
-// Response is what a client gets. An empty field or a zero is left out of the head, but for Status and Length.
+// Response is a response to a client. The head omits fields that are empty or zero, except for Status and Length.
 type Response struct {
 	Status        int
 	Body          []byte
-	Stream        *upstream.ResponseStream // what follows Body as it comes; nil for nothing
-	Length        int64                    // of the complete body in bytes, where there is a Stream; -1 where it is unknown
+	Stream        *upstream.ResponseStream // the rest of the body, streamed after Body; nil if Body is complete
+	Length        int64                    // length of the complete body in bytes if Stream is set; -1 if unknown
 	ContentType   string
 	RetryAfter    time.Duration
-	AllowedMethod string // beside http.StatusMethodNotAllowed
+	AllowedMethod string // set with http.StatusMethodNotAllowed
 }
 
-// requestError is what is wrong with a request, and how that is answered.
+// requestError is the error response to an invalid request.
 type requestError struct {
 	status        int
 	text          string
-	allowedMethod string // beside http.StatusMethodNotAllowed
-	incomplete    bool   // it never came completely, so it isn't counted among its class's
+	allowedMethod string // set with http.StatusMethodNotAllowed
+	incomplete    bool   // the request didn't arrive completely, and isn't counted by its class's Tally
 }
 
-// readRequest checks a request and reads its body, or the start of a long one. What it returns may reach servers.
+// readRequest validates a request and reads its body, or the start of a long one. The returned Exchange is safe to
+// forward to servers.
 func (s *Server) readRequest(c *clientConn, r *requestHead) (x *Exchange, problem *requestError) {
 	id := r.id
 	if !isValidRequestID(id) {
@@ -76,17 +78,18 @@
 	terms := s.handler.Terms()
 	class, former, ok := terms.Class(r.class, r.method, r.idempotencyKey != "")
 	if !ok {
-		return nil, &requestError{status: http.StatusBadRequest, text: "X-Class: unknown"}
+		return nil, &requestError{status: http.StatusBadRequest, text: "X-Class: unknown class"}
 	}
 	timeout, err := strconv.ParseUint(r.timeoutMillis, 10, 64)
 	if err != nil || timeout == 0 || timeout > maxTimeoutMillis {
-		return nil, &requestError{status: http.StatusBadRequest, text: "X-Deadline-Ms: want whole milliseconds above 0"}
+		return nil, &requestError{status: http.StatusBadRequest, text: "X-Deadline-Ms: want whole milliseconds from 1 to 3600000"}
 	}
 	method := MethodFor(class)
 	if r.method != method {
-		return nil, &requestError{status: http.StatusMethodNotAllowed, text: "this class takes " + method, allowedMethod: method}
+		return nil, &requestError{status: http.StatusMethodNotAllowed, text: "X-Class: this class requires method " + method,
+			allowedMethod: method}
 	}
-	// Servers drop the repeats of a key: without one, a second attempt could take effect twice.
+	// Servers drop repeated requests with the same key. Without a key, a second attempt could take effect twice.
 	if class.RetrySafety == policy.IdempotencyKeyed && r.idempotencyKey == "" {
 		return nil, &requestError{status: http.StatusBadRequest, text: "Idempotency-Key: missing"}
 	}
@@ -96,9 +99,9 @@
 		return nil, &requestError{status: status, text: text, incomplete: true}
 	}
 	if method == http.MethodGet && len(body) > 0 {
-		return nil, &requestError{status: http.StatusBadRequest, text: "a GET has no body"}
+		return nil, &requestError{status: http.StatusBadRequest, text: "a GET request must not have a body"}
 	}
-	hint, _ := strconv.ParseUint(r.costHint, 10, 32) // an estimate: one that can't be read counts as none
+	hint, _ := strconv.ParseUint(r.costHint, 10, 32) // only an estimate: an invalid value counts as none
 	x = &Exchange{
 		Request: policy.Request{ID: id, Class: class.Name, Tenant: r.tenant, Key: r.affinityKey,
 			EstimatedWork: time.Duration(hint) * time.Microsecond, ClientRetry: r.retry == "1",
@@ -116,7 +119,7 @@
 	return x, nil
 }
 
-// readBody reads a body, or the start of a long one, whose remainder an attempt reads from the upload.
+// readBody reads a body. Of a long one it reads the start, and returns an upload from which an attempt reads the rest.
 func (s *Server) readBody(c *clientConn, r *requestHead) (body []byte, _ *upload, err error) {
 	if r.Length == 0 {
 		return nil, nil, nil
@@ -139,7 +142,7 @@
 	if r.Length > http1.MaxBufferedBodyBytes {
 		maxBytes = UploadStartBytes
 	}
-	u := newUpload(c, r.openBody(c.reader), s.clientConns.requestStartOf(c.tracked))
+	u := newUpload(c, r.openBody(c.reader), s.clientConns.requestStartTime(c.tracked))
 	body, complete, err := u.buffer(maxBytes, r.Length)
 	if complete || err != nil {
 		return body, nil, err
@@ -147,7 +150,7 @@
 	return body, u, nil
 }
 
-// isValidRequestID reports whether an ID can be a key of the open requests and stand in a header field.
+// isValidRequestID reports whether an ID can be used as the key of an open request and in a header field.
 func isValidRequestID(id string) bool {
 	for i := 0; i < len(id); i++ {
 		if id[i] <= ' ' || id[i] > '~' {
@@ -157,7 +160,7 @@
 	return id != "" && len(id) <= MaxRequestIDBytes
 }
 
-// MethodFor is the method of the requests of a class: it follows from what a request may do.
+// MethodFor returns the method that requests of a class must use: GET if they are idempotent, else POST.
 func MethodFor(c policy.Class) string {
 	if c.RetrySafety == policy.Idempotent {
 		return http.MethodGet
--- a/internal/node/downstream/request_body.go
+++ b/internal/node/downstream/request_body.go
@@ -13,59 +13,59 @@
 const (
 	// MaxBodyBytes bounds the body of a request.
 	MaxBodyBytes = 32 << 20
-	// UploadStartBytes is how much of a body that is longer than http1.MaxBufferedBodyBytes is read before the request
-	// is handed on.
+	// UploadStartBytes is how much of a body longer than http1.MaxBufferedBodyBytes is read before the request is passed
+	// to the Handler.
 	UploadStartBytes = 16 << 10
 
-	// A request may take requestTimeout from its first byte, or from the connect. Its body may take longer while it
-	// comes at minBodyBytesPerSecond, and bodyGrace more. A client that sends half a request, or a few bytes at a time,
-	// is so disconnected within 3 s of the connect.
+	// A request may take requestTimeout from its first byte or, for a first request, from the connect. Its body may take
+	// longer: bodyGrace, plus the time that it takes at minBodyBytesPerSecond. So a client that sends part of a request,
+	// or a few bytes at a time, is disconnected within 3 s of the connect.
 	requestTimeout        = 2600 * time.Millisecond
 	bodyGrace             = 600 * time.Millisecond
 	minBodyBytesPerSecond = 51_200 // four fifths of what clients are expected to send at least
 )
 
 var (
-	// ErrBodyTooLong is a request whose body is over MaxBodyBytes.
-	ErrBodyTooLong = errors.New("downstream: the body is over 32 MiB")
+	// ErrBodyTooLong is returned for a request body over MaxBodyBytes.
+	ErrBodyTooLong = errors.New("downstream: request body over 32 MiB")
 
-	errAlreadyResponded = errors.New("downstream: the client has its response")
+	errAlreadyResponded = errors.New("downstream: request body read after the response")
 )
 
-// upload is the body of a client's request. One goroutine at a time reads it: the connection's what is buffered, then that
-// of an attempt the remainder, as upstream.BodyStream.
+// upload is the body of a client's request. One goroutine at a time reads it: first the connection's, which reads the
+// buffered part, and then an attempt's, which reads the rest through the interface upstream.BodyStream.
 type upload struct {
 	body         io.Reader
 	conn         *clientConn
-	headTimeLeft time.Duration // what the head has left of requestTimeout
+	headTimeLeft time.Duration // the part of requestTimeout that remained after the head
 	complete     atomic.Bool
-	consumed     atomic.Bool // an attempt has read of it: it can't be written again
+	consumed     atomic.Bool // an attempt has read from it, so it can't be sent again
 	stopped      atomic.Bool
 	done         chan struct{} // closed once nothing more is read
-	onEnd        func(error)   // called once: with nil when an attempt has read the last byte, else with why it can't
+	onEnd        func(error)   // called once: with nil when an attempt has read the last byte, else with the reason
 
 	mu         sync.Mutex
 	received   int64         // bytes
-	clientTime time.Duration // spent waiting for the client; what a server takes is not the client's time
+	clientTime time.Duration // time spent waiting for the client; waiting for a server doesn't count
 	err        error         // why nothing more is read; io.EOF at the end of the body
 }
 
-// newUpload reads body from the connection c, for a request that began at a time.
-func newUpload(c *clientConn, body io.Reader, began time.Time) *upload {
-	return &upload{body: body, conn: c, headTimeLeft: requestTimeout - time.Since(began), done: make(chan struct{})}
+// newUpload returns an upload that reads body from the connection c. The request's first byte arrived at startedAt.
+func newUpload(c *clientConn, body io.Reader, startedAt time.Time) *upload {
+	return &upload{body: body, conn: c, headTimeLeft: requestTimeout - time.Since(startedAt), done: make(chan struct{})}
 }
 
-// Read reads for as long as the client is within its time.
+// Read reads from the body. It fails once the client has exceeded its time.
 func (u *upload) Read(p []byte) (int, error) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.err != nil {
 		return 0, u.err
 	}
-	from := time.Now()
-	left := max(u.headTimeLeft, bodyGrace+time.Duration(u.received)*time.Second/minBodyBytesPerSecond) - u.clientTime
-	err := u.conn.SetReadDeadline(from.Add(left))
-	if err == nil && u.stopped.Load() { // after the deadline is set: stop sets its own
+	start := time.Now()
+	timeout := max(u.headTimeLeft, bodyGrace+time.Duration(u.received)*time.Second/minBodyBytesPerSecond) - u.clientTime
+	err := u.conn.SetReadDeadline(start.Add(timeout))
+	if err == nil && u.stopped.Load() { // checked after the deadline is set, which may replace the one set by stop
 		err = errAlreadyResponded
 	}
 	n := 0
@@ -73,7 +73,7 @@
 		n, err = u.body.Read(p)
 	}
 	u.received += int64(n)
-	u.clientTime += time.Since(from)
+	u.clientTime += time.Since(start)
 	if u.received > MaxBodyBytes {
 		n, err = 0, ErrBodyTooLong
 	}
@@ -83,17 +83,18 @@
 	return n, err
 }
 
-// end notes why nothing more is read.
+// end records why nothing more is read.
 func (u *upload) end(err error) {
 	u.err = err
 	if errors.Is(err, io.EOF) {
 		u.complete.Store(true)
-		u.conn.boundRead(time.Time{}) // the connection is read on, to see the client leave
+		u.conn.updateReadDeadline(time.Time{}) // reading continues, to notice if the client disconnects
 	}
 	close(u.done)
 }
 
-// buffer reads up to maxBytes of a body of a length, -1 if that is unknown, and reports whether that was all.
+// buffer reads up to maxBytes of a body, and reports whether the body is complete. length is the length of the body, or
+// -1 if it is unknown.
 func (u *upload) buffer(maxBytes int, length int64) (body []byte, complete bool, err error) {
 	if length < 0 || length >= int64(maxBytes) {
 		length = min(int64(maxBytes), UploadStartBytes) - 1
@@ -115,7 +116,7 @@
 	return body, false, nil
 }
 
-// stop ends reading once the client is answered, and waits for a read that is under way.
+// stop ends reading after the response, and waits for a read in progress.
 func (u *upload) stop() {
 	u.stopped.Store(true)
 	_ = u.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
@@ -126,26 +127,26 @@
 	}
 }
 
-// Begin hears that an attempt reads: the request can't be sent again from then on.
+// Begin records that an attempt reads the body, so that the request isn't sent again.
 func (u *upload) Begin() { u.consumed.Store(true) }
 
-// End hears that an attempt can read nothing more.
+// End reports to onEnd that an attempt can read nothing more, unless the response has already been sent.
 func (u *upload) End(err error) {
 	if u.onEnd != nil && !u.stopped.Load() {
 		u.onEnd(err)
 	}
 }
 
-// Complete reports whether all of the body was read.
+// Complete reports whether the whole body was read.
 func (u *upload) Complete() bool { return u.complete.Load() }
 
-// BodyErrorStatus is the response to a request whose body couldn't be read.
+// BodyErrorStatus returns the status and text of the response to a request whose body couldn't be read.
 func BodyErrorStatus(err error) (status int, problem string) {
 	switch {
 	case errors.Is(err, ErrBodyTooLong):
-		return http.StatusRequestEntityTooLarge, "the body is over 32 MiB"
+		return http.StatusRequestEntityTooLarge, "request body over 32 MiB"
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return http.StatusRequestTimeout, "the body comes too slowly"
+		return http.StatusRequestTimeout, "request body sent too slowly"
 	}
-	return http.StatusBadRequest, "the body can't be read"
+	return http.StatusBadRequest, "malformed or incomplete request body"
 }
--- a/internal/node/downstream/request_head.go
+++ b/internal/node/downstream/request_head.go
@@ -12,31 +12,32 @@
 	"sloerail/internal/node/http1"
 )
 
-// Header fields between clients and a node.
+// Header fields of clients' requests.
 const (
 	requestIDHeader      = "X-Request-Id"
 	classHeader          = "X-Class"
 	tenantHeader         = "X-Tenant"
-	timeoutHeader        = "X-Deadline-Ms" // whole milliseconds that the client waits
+	timeoutHeader        = "X-Deadline-Ms" // how long the client waits, in whole milliseconds
 	idempotencyKeyHeader = "Idempotency-Key"
 	affinityKeyHeader    = "X-Key"       // requests with the same key are best served by the same server
 	costHintHeader       = "X-Cost-Hint" // estimated work in microseconds
-	retryHeader          = "X-Retry"     // "1" for a request that the client sends again
+	retryHeader          = "X-Retry"     // "1" if the client repeats an earlier request
 )
 
-// requestHead is a client's request as it came: the head, and how its body is framed.
+// requestHead is the parsed head of a client's request.
 type requestHead struct {
 	http1.Framing
-	minor           int    // of HTTP/1
-	method          string // this and the following fields are empty where the head lacks them
-	path            string // and query
-	host            string
-	expectsContinue bool // the client sends the body only once it is asked to
+	minor           int // minor version of HTTP/1
+	method          string
+	path            string // path and query
+	host            string // empty if absent
+	expectsContinue bool   // the client waits for 100 Continue before it sends the body
 
+	// The values of header fields, empty if absent.
 	id, class, tenant, timeoutMillis, idempotencyKey, affinityKey, costHint, retry, contentType string
 }
 
-// parseRequest reads a head, or says what is wrong with it.
+// parseRequest converts a head to a requestHead. problem is nil if the head is valid.
 func parseRequest(h *http1.Head) (m requestHead, problem *requestError) {
 	target, problem := m.setRequestLine(h.FirstLine)
 	if problem != nil {
@@ -66,7 +67,7 @@
 	return &requestError{status: http.StatusBadRequest, text: "malformed request line"}
 }
 
-// setRequestLine takes the method and the version from the first line, and returns the target.
+// setRequestLine sets the method and the version from the first line, and returns the target.
 func (m *requestHead) setRequestLine(line string) (target string, problem *requestError) {
 	method, line, _ := strings.Cut(line, " ")
 	target, version, ok := strings.Cut(line, " ")
@@ -74,13 +75,13 @@
 		return "", malformedRequestLine()
 	}
 	if m.minor, ok = http1.ParseVersion(version); !ok {
-		return "", &requestError{status: http.StatusHTTPVersionNotSupported, text: "want HTTP/1.1"}
+		return "", &requestError{status: http.StatusHTTPVersionNotSupported, text: "unsupported HTTP version: want HTTP/1.1"}
 	}
 	m.method = method
 	return target, nil
 }
 
-// setHostAndExpect takes those two fields, of which only some values are valid.
+// setHostAndExpect validates the Host and Expect fields, and sets host and expectsContinue.
 func (m *requestHead) setHostAndExpect(h *http1.Head) *requestError {
 	hosts := 0
 	for _, f := range h.Fields {
@@ -94,7 +95,7 @@
 	}
 	m.host = h.Get("Host")
 	if hosts > 1 || hosts == 0 && m.minor > 0 || !httpguts.ValidHostHeader(m.host) {
-		return &requestError{status: http.StatusBadRequest, text: "Host: want exactly one"}
+		return &requestError{status: http.StatusBadRequest, text: "Host: want exactly one valid value"}
 	}
 	return nil
 }
@@ -105,7 +106,7 @@
 	return path == ReadyPath && (m.method == http.MethodGet || m.method == http.MethodHead)
 }
 
-// setTarget takes the path and the query, which servers get as they came, and reports whether the target is valid.
+// setTarget sets the path and query, which are forwarded unchanged, and reports whether the target is valid.
 func (m *requestHead) setTarget(target string) bool {
 	for i := 0; i < len(target); i++ {
 		if target[i] <= ' ' || target[i] > '~' {
@@ -120,7 +121,7 @@
 		_, err := url.ParseRequestURI(target)
 		return err == nil
 	}
-	u, err := url.ParseRequestURI(target) // a whole URL, as sent to a proxy
+	u, err := url.ParseRequestURI(target) // an absolute URL, as sent to a proxy
 	if err != nil || u.Host == "" {
 		return false
 	}
@@ -128,7 +129,7 @@
 	return true
 }
 
-// openBody reads the body from r.
+// openBody returns a reader of the body, which follows in r.
 func (m *requestHead) openBody(r *bufio.Reader) io.Reader {
 	if m.Chunked {
 		return http1.NewChunkedBody(r)
--- a/internal/node/downstream/response_writer.go
+++ b/internal/node/downstream/response_writer.go
@@ -17,13 +17,14 @@
 
 const (
 	// responseWriteTimeout is the least time that a client has to read a buffered response or the head of a streamed one.
-	// boundWrite may give it twice as long, to set fewer deadlines.
+	// extendWriteDeadline may allow twice as long, to set fewer deadlines.
 	responseWriteTimeout = 5 * time.Second
 	// blockWriteTimeout is how long a client may take to read one block of a streamed response.
 	blockWriteTimeout = 10 * time.Second
-	// minSendBufferBytes is what the kernel takes for a client that reads nothing, from a new connection.
+	// minSendBufferBytes is how much the kernel accepts on a new connection whose client reads nothing.
 	minSendBufferBytes = 4 << 10
-	// clientSendBufferBytes is the kernel's buffer for a streamed response: small, so that a client's progress is seen.
+	// clientSendBufferBytes is the size of the kernel's send buffer for a streamed response. It is small so that the
+	// writes reflect the client's progress.
 	clientSendBufferBytes = 64 << 10
 )
 
@@ -31,14 +32,14 @@
 func (c *clientConn) writeResponses() {
 	for {
 		select {
-		case a := <-c.reply:
-			complete, early := c.writeResponse(a)
+		case resp := <-c.reply:
+			complete, early := c.writeResponse(resp)
 			open := complete && (early || !c.closeAfterResponse)
 			c.finishRequest()
 			if open && !c.closeAfterResponse {
 				c.server.clientConns.setState(c.tracked, http.StateIdle)
 			}
-			if !open && (!complete || !c.hasPollEvent(unix.POLLIN)) { // else the reader finds the bytes, and lingers
+			if !open && (!complete || !c.hasPollEvent(unix.POLLIN)) { // otherwise the reader finds the bytes and lingers
 				closeQuietly(c)
 			}
 			c.responseWritten <- open
@@ -51,55 +52,55 @@
 	}
 }
 
-// writeResponse writes a response, and reports whether it was written completely, and whether it came before the end of the
-// request's body: then the connection is read on, so that the client gets the response.
-func (c *clientConn) writeResponse(a Response) (complete, early bool) {
+// writeResponse writes a response. It reports whether it was written completely, and whether it was early, that is,
+// before the end of the request's body. After an early response, reading continues so that the client gets the response.
+func (c *clientConn) writeResponse(resp Response) (complete, early bool) {
 	x := c.exchange
 	early = x.upload != nil && !x.upload.complete.Load()
 	if early {
 		x.upload.stop()
 		c.closeAfterResponse = true
 	}
-	if a.Stream != nil {
-		return c.streamResponse(a), false
+	if resp.Stream != nil {
+		return c.streamResponse(resp), false
 	}
-	if !early || a.Status >= http.StatusInternalServerError {
-		x.tally.Count(a.Status)
+	if !early || resp.Status >= http.StatusInternalServerError {
+		x.tally.Count(resp.Status)
 	}
-	a.Length = int64(len(a.Body))
-	return c.sendResponse(a) == nil, early
+	resp.Length = int64(len(resp.Body))
+	return c.sendResponse(resp) == nil, early
 }
 
-// streamResponse writes a response whose body comes bit by bit, and reports whether that was complete. One that breaks off
-// ends the connection, so that the client can tell.
-func (c *clientConn) streamResponse(a Response) bool {
+// streamResponse writes a streamed response, and reports whether it was complete. An incomplete response ends the
+// connection, so that the client notices.
+func (c *clientConn) streamResponse(resp Response) bool {
 	conn := tcpConn(c)
 	if conn != nil {
-		_ = conn.SetWriteBuffer(clientSendBufferBytes) // if this fails, a slow client's progress is noticed later
+		_ = conn.SetWriteBuffer(clientSendBufferBytes) // if this fails, a slow client is only noticed later
 	}
-	to := io.Writer(c.Conn)
-	if a.Length < 0 && c.http10 {
-		c.closeAfterResponse = true // HTTP/1.0 has no chunks: the body ends with the connection
-	} else if a.Length < 0 {
-		to = http1.ChunkWriter{Conn: c}
+	body := io.Writer(c.Conn)
+	if resp.Length < 0 && c.http10 {
+		c.closeAfterResponse = true // HTTP/1.0 has no chunked bodies: the end of the connection ends the body
+	} else if resp.Length < 0 {
+		body = http1.ChunkWriter{Conn: c}
 	}
-	c.writeDeadline, c.boundsEveryWrite = time.Time{}, true
-	c.boundWrite(responseWriteTimeout)
-	if _, err := c.Write(c.responseHead(a)); err != nil {
-		closeQuietly(c) // so that no body follows half a head
+	c.writeDeadline, c.requiresWriteDeadline = time.Time{}, true
+	c.extendWriteDeadline(responseWriteTimeout)
+	if _, err := c.Write(c.responseHead(resp)); err != nil {
+		closeQuietly(c) // so that no body is sent after an incomplete head
 	}
-	err := a.Stream.CopyTo(blockWriter{conn: c, to: to}, a.Body)
-	if err == nil && a.Length < 0 && !c.http10 {
+	err := resp.Stream.CopyTo(blockWriter{conn: c, body: body}, resp.Body)
+	if err == nil && resp.Length < 0 && !c.http10 {
 		_, err = io.WriteString(c, http1.LastChunk)
 	}
 	c.writeDeadline = time.Time{}
 	switch {
 	case err == nil || errors.Is(err, upstream.ErrClientDisconnected):
-		c.exchange.tally.Count(a.Status)
+		c.exchange.tally.Count(resp.Status)
 	default:
 		c.exchange.tally.Count(http.StatusBadGateway)
-		if conn != nil && a.Length < 0 && c.http10 { // a plain close would mean a complete body
-			_ = conn.SetLinger(0) // the close resets the connection then; fails only on a closed one
+		if conn != nil && resp.Length < 0 && c.http10 { // a normal close would mark the body as complete
+			_ = conn.SetLinger(0) // makes the close reset the connection; fails only on a closed one
 		}
 	}
 	return err == nil
@@ -108,20 +109,21 @@
 // blockWriter writes the blocks of a streamed response, each bounded by blockWriteTimeout.
 type blockWriter struct {
 	conn net.Conn  // the client's
-	to   io.Writer // writes to conn
+	body io.Writer // writes to conn
 }
 
 func (w blockWriter) Write(block []byte) (int, error) {
 	if err := w.conn.SetWriteDeadline(time.Now().Add(blockWriteTimeout)); err != nil {
 		return 0, err
 	}
-	return w.to.Write(block)
+	return w.body.Write(block)
 }
 
-// boundWrite bounds the next write: a client that reads nothing must not block the writer for ever. To set fewer deadlines,
-// one may end at up to twice the time, and the first few bytes of a connection have none.
-func (c *clientConn) boundWrite(d time.Duration) {
-	if !c.boundsEveryWrite && c.bytesSent <= minSendBufferBytes {
+// extendWriteDeadline ensures that the next write has a deadline at least d away, so that a client that reads nothing
+// can't block the writer forever. To set fewer deadlines, it sets them 2*d ahead. It sets none for the first
+// minSendBufferBytes of a connection unless requiresWriteDeadline is set.
+func (c *clientConn) extendWriteDeadline(d time.Duration) {
+	if !c.requiresWriteDeadline && c.bytesSent <= minSendBufferBytes {
 		return
 	}
 	now := time.Now()
@@ -132,18 +134,18 @@
 }
 
 // sendResponse writes a response whose body is buffered.
-func (c *clientConn) sendResponse(a Response) error {
-	b := c.responseHead(a)
-	c.bytesSent += int64(len(b) + len(a.Body))
-	c.boundWrite(responseWriteTimeout)
+func (c *clientConn) sendResponse(resp Response) error {
+	b := c.responseHead(resp)
+	c.bytesSent += int64(len(b) + len(resp.Body))
+	c.extendWriteDeadline(responseWriteTimeout)
 	var err error
-	c.writeBuffer, err = http1.WriteMessage(c, b, a.Body)
+	c.writeBuffer, err = http1.WriteMessage(c, b, resp.Body)
 	return err
 }
 
-// responseHead makes the head of a response. Whether the connection stays open is decided here, and not when the request
-// came: a node that began to drain since has no time for another one.
-func (c *clientConn) responseHead(a Response) []byte {
+// responseHead returns the head of a response. It decides here whether the connection stays open, not when the request
+// arrives, because a node that began to drain in between must not take another request.
+func (c *clientConn) responseHead(resp Response) []byte {
 	c.closeAfterResponse = c.closeAfterResponse || c.server.Draining.Load()
 	b := append(c.writeBuffer[:0], "HTTP/1."...)
 	if c.http10 {
@@ -152,18 +154,18 @@
 		b = append(b, '1')
 	}
 	b = append(b, ' ')
-	b = strconv.AppendInt(b, int64(a.Status), 10)
+	b = strconv.AppendInt(b, int64(resp.Status), 10)
 	b = append(b, ' ')
-	b = append(b, http.StatusText(a.Status)...)
+	b = append(b, http.StatusText(resp.Status)...)
 	b = append(b, "\r\nDate: "...)
-	b = append(b, dateText(time.Now())...)
-	b = http1.AppendField(b, "Content-Type", a.ContentType)
-	b = http1.AppendField(b, "Allow", a.AllowedMethod)
-	if a.RetryAfter > 0 {
-		b = http1.AppendField(b, "Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', -1, 64))
+	b = append(b, formatDate(time.Now())...)
+	b = http1.AppendField(b, "Content-Type", resp.ContentType)
+	b = http1.AppendField(b, "Allow", resp.AllowedMethod)
+	if resp.RetryAfter > 0 {
+		b = http1.AppendField(b, "Retry-After", strconv.FormatFloat(resp.RetryAfter.Seconds(), 'f', -1, 64))
 	}
-	if a.Length >= 0 || !c.http10 {
-		b = http1.AppendBodyFraming(b, a.Length)
+	if resp.Length >= 0 || !c.http10 {
+		b = http1.AppendBodyFraming(b, resp.Length)
 	}
 	switch {
 	case c.closeAfterResponse:
@@ -176,32 +178,32 @@
 	return b
 }
 
-// dated is the text of a Date field for one second.
-type dated struct {
+// cachedDate is the value of the Date field for one second.
+type cachedDate struct {
 	second int64
 	text   string
 }
 
-var lastDate atomic.Pointer[dated]
+var lastDate atomic.Pointer[cachedDate]
 
-// dateText is the text of a Date field.
-func dateText(now time.Time) string {
+// formatDate returns the value of the Date field.
+func formatDate(now time.Time) string {
 	d := lastDate.Load()
 	if d == nil || d.second != now.Unix() {
-		d = &dated{now.Unix(), now.UTC().Format(http.TimeFormat)}
+		d = &cachedDate{now.Unix(), now.UTC().Format(http.TimeFormat)}
 		lastDate.Store(d)
 	}
 	return d.text
 }
 
-// sendError answers an invalid request and ends the connection; at once where nothing is unread, since its descriptor
-// is wanted.
+// sendError responds to an invalid request. The connection ends afterwards: at once to free its descriptor, unless bytes
+// of the client are unread.
 func (c *clientConn) sendError(problem *requestError, unread bool) {
 	c.closeAfterResponse = true
-	a := Response{Status: problem.status, Body: []byte(problem.text + "\n"), ContentType: "text/plain; charset=utf-8",
+	resp := Response{Status: problem.status, Body: []byte(problem.text + "\n"), ContentType: "text/plain; charset=utf-8",
 		AllowedMethod: problem.allowedMethod}
-	a.Length = int64(len(a.Body))
-	if c.sendResponse(a) != nil || problem.status == http.StatusRequestTimeout { // its time is up
+	resp.Length = int64(len(resp.Body))
+	if c.sendResponse(resp) != nil || problem.status == http.StatusRequestTimeout { // a timed-out client gets no more time
 		return
 	}
 	if unread || c.hasPollEvent(unix.POLLIN) {
@@ -209,14 +211,14 @@
 	}
 }
 
-// sendContinue answers Expect: 100-continue.
+// sendContinue sends 100 Continue if the client waits for it.
 func (c *clientConn) sendContinue(m *requestHead) error {
 	if !m.expectsContinue || m.minor == 0 || c.reader.Buffered() > 0 {
 		return nil
 	}
 	const text = "HTTP/1.1 100 Continue\r\n\r\n"
 	c.bytesSent += int64(len(text))
-	c.boundWrite(responseWriteTimeout)
+	c.extendWriteDeadline(responseWriteTimeout)
 	_, err := io.WriteString(c, text)
 	return err
 }
--- a/internal/node/downstream/server.go
+++ b/internal/node/downstream/server.go
@@ -11,73 +11,75 @@
 	"sloerail/policy"
 )
 
-// ReadyPath is where a load balancer asks whether the node takes clients.
+// ReadyPath is the path of the readiness check, by which a load balancer asks whether the node takes clients.
 const ReadyPath = "/health/ready"
 
 const (
-	// minAcceptBackoff is the pause after a failed accept, doubled up to maxAcceptBackoff.
+	// minAcceptBackoff is the pause after a failed accept. It doubles with each further failure, up to maxAcceptBackoff.
 	minAcceptBackoff = 5 * time.Millisecond
 	maxAcceptBackoff = 250 * time.Millisecond
-	// capacityWaitTimeout is how long a request whose connection came over the limit waits for a descriptor, while
-	// descriptors come from the process that this one replaces.
+	// capacityWaitTimeout is how long a request on a connection over the limit waits for a descriptor, while the
+	// predecessor of this process hands over descriptors.
 	capacityWaitTimeout  = 100 * time.Millisecond
 	capacityPollInterval = 5 * time.Millisecond
 )
 
-// Handler takes what a Server reads. Its methods are called from many goroutines.
+// Handler handles the requests that a Server reads. Its methods are called from many goroutines.
 type Handler interface {
-	// HandleRequest takes a request. It answers with Exchange.Reply.
+	// HandleRequest takes a request. The response is sent on Exchange.Reply.
 	HandleRequest(*Exchange)
-	// HandleDisconnect hears that the client left before it was answered.
+	// HandleDisconnect is called when the client disconnects before its response is written.
 	HandleDisconnect(*Exchange)
-	// HandleBodyEnd hears that nothing more of a streamed body is read: nil where it is complete.
+	// HandleBodyEnd is called when the reading of a streamed body ends: with nil if the body is complete, else with the
+	// reason.
 	HandleBodyEnd(x *Exchange, err error)
 	// NodeReady reports whether the node takes clients, for ReadyPath.
 	NodeReady() bool
-	// Now is the time on the clock of Exchange.ReceivedAt.
+	// Now returns the current time on the clock of Exchange.ReceivedAt.
 	Now() policy.Time
-	// Terms are the rules for requests that are read now.
+	// Terms returns the current rules for reading requests.
 	Terms() Terms
-	// Tally counts the responses to requests of a class.
+	// Tally returns the counter of responses to requests of a class.
 	Tally(class string) Tally
-	// AddOpenRequests counts requests that were taken, and, below 0, that ended.
+	// AddOpenRequests adds n to the number of open requests; n is negative when requests end.
 	AddOpenRequests(n int)
 }
 
-// Terms are the rules by which requests are read. Equal values are the same rules.
+// Terms are the rules for reading requests. Two values are equal if the rules are the same.
 type Terms interface {
-	// Class is that of a request; former where the request has the form from before a change of the configuration.
+	// Class returns the class of a request. former reports that the request matches the class only as configured before
+	// a change.
 	Class(name, method string, hasKey bool) (c policy.Class, former, ok bool)
 }
 
-// Tally counts responses by their status.
+// Tally counts responses by status.
 type Tally interface{ Count(status int) }
 
-// Server takes requests from clients, hands them to a Handler, and writes its responses.
+// Server reads requests from clients, passes them to a Handler, and writes the responses.
 type Server struct {
-	// Stopping is set once the node is told to stop: clients that come again are kept then, since the other nodes would
-	// have to bear them.
+	// Stopping is set once the node is told to stop. Connections are then no longer closed for being too many, since
+	// their clients would move to the other nodes.
 	Stopping atomic.Bool
-	// Draining is set when responses are to end their connections.
+	// Draining is set when each response must close its connection.
 	Draining atomic.Bool
-	// AwaitingDescriptors is set while another process releases descriptors to this one bit by bit.
+	// AwaitingDescriptors is set while another process gradually releases descriptors to this one.
 	AwaitingDescriptors atomic.Bool
 
 	handler     Handler
-	closing     atomic.Bool // connections end as soon as they have no request
+	closing     atomic.Bool // set when connections must end as soon as they have no request
 	clientConns *ClientConns
 	conns       sync.WaitGroup
 }
 
-// NewServer makes a Server that keeps track of its connections in conns.
+// NewServer returns a Server that tracks its connections in conns.
 func NewServer(h Handler, conns *ClientConns) *Server { return &Server{handler: h, clientConns: conns} }
 
-// ClientConns are the connections of the server.
+// ClientConns returns the connections of the server.
 func (s *Server) ClientConns() *ClientConns { return s.clientConns }
 
-// Accept serves the connections that come at l, and returns nil once l is closed. Shutdown ends the connections.
+// Accept serves connections from l, and returns nil once l is closed. The connections then continue until Shutdown.
 func (s *Server) Accept(l net.Listener) error {
-	s.conns.Add(1) // so that Shutdown, which comes after l is closed, waits for what is accepted last
+	s.conns.Add(1) // so that Shutdown, called after l is closed, waits for the connections accepted last
 	defer s.conns.Done()
 	backoff := minAcceptBackoff
 	for {
@@ -89,8 +91,8 @@
 			go s.newClientConn(conn).serve()
 		case errors.Is(err, net.ErrClosed):
 			return nil
-		case errors.As(err, &netErr): // no descriptor is left, or the client has gone again
-			slog.Warn("accepting a client failed", "error", err)
+		case errors.As(err, &netErr): // no free descriptor, or the client has already disconnected
+			slog.Warn("failed to accept a client connection", "error", err)
 			time.Sleep(backoff)
 			backoff = min(maxAcceptBackoff, 2*backoff)
 		default:
@@ -99,7 +101,7 @@
 	}
 }
 
-// Shutdown ends the connections that have no request, waits for the others until end, and closes what is still open then.
+// Shutdown ends the connections that have no request, waits for the others until end, and then closes those still open.
 func (s *Server) Shutdown(end time.Time) {
 	s.CloseIdle()
 	closed := make(chan struct{})
@@ -117,14 +119,14 @@
 	}
 }
 
-// CloseIdle ends the connections that have no request, from now on.
+// CloseIdle ends the connections that have no request, now and in the future.
 func (s *Server) CloseIdle() {
 	s.closing.Store(true)
 	s.clientConns.closeIdle()
 }
 
-// awaitCapacity reports whether a connection is within the limit. One that came over it waits for a moment while another
-// process releases descriptors.
+// awaitCapacity reports whether a connection is within the limit. For a connection over the limit, it waits up to
+// capacityWaitTimeout while another process releases descriptors.
 func (s *Server) awaitCapacity(t *trackedConn) bool {
 	end := time.Now().Add(capacityWaitTimeout)
 	for t.overLimit && !s.clientConns.isAdmitted(t) {
--- a/internal/node/downstream/socket.go
+++ b/internal/node/downstream/socket.go
@@ -7,10 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// isClosedByClient reports whether the client has closed or reset the connection, also behind unread bytes. It asks the socket.
+// isClosedByClient reports whether the client has closed or reset the connection, even if there are unread bytes before
+// the close. It polls the socket.
 func (c *clientConn) isClosedByClient() bool { return c.hasPollEvent(unix.POLLRDHUP) }
 
-// hasPollEvent reports whether poll finds one of its events at the socket, or the socket is closed. It doesn't block.
+// hasPollEvent reports whether polling the socket returns event or an error condition, or the socket is closed. It
+// doesn't block.
 func (c *clientConn) hasPollEvent(event int16) (found bool) {
 	conn := tcpConn(c)
 	if conn == nil {
@@ -20,15 +22,15 @@
 	if err != nil {
 		return false
 	}
-	look := func(fd uintptr) {
+	poll := func(fd uintptr) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: event}}
 		n, err := unix.Poll(p, 0)
 		found = n > 0 && err == nil
 	}
-	return raw.Control(look) != nil || found
+	return raw.Control(poll) != nil || found
 }
 
-// underlyingConn unwraps a connection.
+// underlyingConn returns the innermost connection that c wraps.
 func underlyingConn(c net.Conn) net.Conn {
 	for {
 		outer, ok := c.(interface{ NetConn() net.Conn })
@@ -39,12 +41,12 @@
 	}
 }
 
-// tcpConn is the TCP connection under c; nil where there is none.
+// tcpConn returns the TCP connection that c wraps, or nil if there is none.
 func tcpConn(c net.Conn) *net.TCPConn {
 	socket, _ := underlyingConn(c).(*net.TCPConn)
 	return socket
 }
 
-// closeQuietly closes what is of no more use. The descriptor is released whatever Close returns, and nobody could act
-// on the error. Package upstream has the same function.
+// closeQuietly closes c and ignores the error: the descriptor is released in any case, and no caller could act on the
+// error. Package upstream has the same function.
 func closeQuietly(c io.Closer) { _ = c.Close() }
--- a/internal/node/upstream/transport.go
+++ b/internal/node/upstream/transport.go
@@ -101,8 +101,8 @@
 	return t.openConns, idle
 }
 
-// UpdateEndpoints applies a change of the endpoint list to the pools. A server with a new address or start time gets a new
-// pool, and the idle connections to its former process are closed.
+// UpdateEndpoints applies a change of the endpoint list to the pools. A server with a new address or start time gets a
+// new pool, and the idle connections to its former process are closed.
 func (t *Transport) UpdateEndpoints(update discovery.Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
