--- a/internal/node/http1/limits.go
+++ b/internal/node/http1/limits.go
@@ -3,15 +3,15 @@
 import "sync"
 
 const (
-	// MaxHeadBytes bounds the first line and the fields of a message.
+	// MaxHeadBytes bounds the head of a message: its first line and its fields.
 	MaxHeadBytes = 16 << 10
-	// MaxBufferedBodyBytes bounds what is held of a body. A longer one is streamed.
+	// MaxBufferedBodyBytes bounds a buffered body. A longer one is streamed.
 	MaxBufferedBodyBytes = 64 << 10
-	// CopyBufferBytes is how much of a streamed body is in hand at a time.
+	// CopyBufferBytes is the size of a CopyBuffer.
 	CopyBufferBytes = 16 << 10
 )
 
-// CopyBuffer holds a piece of a streamed body.
+// CopyBuffer holds the part of a streamed body that is being copied.
 type CopyBuffer = [CopyBufferBytes]byte
 
 var copyBuffers = sync.Pool{New: func() any { return new(CopyBuffer) }}
--- a/internal/node/http1/message.go
+++ b/internal/node/http1/message.go
@@ -1,6 +1,6 @@
-// Package http1 reads and writes the parts of HTTP/1.1 messages that both sides of a node share: heads, the framing
-// of bodies, and chunks. Readers of HTTP/1.1 differ on odd heads, and what one takes for a body another takes for a
-// request (request smuggling); so odd heads are errors here.
+// Package http1 reads and writes the parts of HTTP/1.1 messages that both sides of a node share: heads, body framing and
+// chunks. It rejects irregular heads: parsers interpret them differently, so that one may take for a request what another
+// takes for a body (request smuggling).
 package http1
 
 import (
@@ -16,15 +16,15 @@
 )
 
 var (
-	// ErrMalformedHead is a first line or a field that is not HTTP/1.1.
+	// ErrMalformedHead is returned for a first line or a field that is not valid HTTP/1.1.
 	ErrMalformedHead = errors.New("malformed head")
-	// ErrHeadTooLong is a head, or the trailer of a chunked body, over its limit.
-	ErrHeadTooLong = errors.New("the head is too long")
-	// ErrAmbiguousFraming is a head by which a body may end in more than one place.
-	ErrAmbiguousFraming = errors.New("the head leaves open where its body ends")
+	// ErrHeadTooLong is returned for a head, or the trailer of a chunked body, that is over its limit.
+	ErrHeadTooLong = errors.New("head or trailer too long")
+	// ErrAmbiguousFraming is returned for a head that doesn't determine where the body ends.
+	ErrAmbiguousFraming = errors.New("ambiguous body framing: want one Content-Length or Transfer-Encoding: chunked")
 )
 
-// Head is the first line and the fields of a message. Its strings are parts of one text.
+// Head is the first line and the header fields of a message. Its strings are slices of a single string.
 type Head struct {
 	FirstLine string
 	Fields    []Field
@@ -33,41 +33,41 @@
 // Field is one header field.
 type Field struct{ Name, Value string }
 
-// HeadReader reads heads one after the other, and reuses its buffers for that.
+// HeadReader reads successive heads and reuses its buffers.
 type HeadReader struct {
-	text []byte
+	buf  []byte
 	head Head
 }
 
-// Read reads a head up to its blank line, of at most maxBytes. The head is valid until the next call. It returns
-// ErrMalformedHead, ErrHeadTooLong, io.ErrUnexpectedEOF for a head that breaks off, or the error of r.
+// Read reads a head of at most maxBytes, up to its blank line. The head is valid until the next call. Read returns
+// ErrMalformedHead, ErrHeadTooLong, io.ErrUnexpectedEOF for an incomplete head, or the error of r.
 func (h *HeadReader) Read(r *bufio.Reader, maxBytes int) (*Head, error) {
-	h.text = h.text[:0]
+	h.buf = h.buf[:0]
 	for start := 0; ; {
 		piece, err := r.ReadSlice('\n')
-		h.text = append(h.text, piece...)
-		if len(h.text) > maxBytes {
+		h.buf = append(h.buf, piece...)
+		if len(h.buf) > maxBytes {
 			return nil, ErrHeadTooLong
 		}
 		if err == bufio.ErrBufferFull {
 			continue
 		}
 		if err != nil {
-			if err == io.EOF && len(h.text) > 0 {
+			if err == io.EOF && len(h.buf) > 0 {
 				err = io.ErrUnexpectedEOF
 			}
 			return nil, err
 		}
-		if line := h.text[start:]; blank(line) {
+		if line := h.buf[start:]; isBlankLine(line) {
 			if start > 0 {
-				return h.parse(string(h.text[:start]))
+				return h.parse(string(h.buf[:start]))
 			}
-			h.text = h.text[:0] // stray line ends before a message
+			h.buf = h.buf[:0] // skip empty lines before a message
 			if maxBytes -= len(line); maxBytes <= 0 {
 				return nil, ErrHeadTooLong
 			}
 		}
-		start = len(h.text)
+		start = len(h.buf)
 	}
 }
 
@@ -79,7 +79,7 @@
 		line, text = cutLine(text)
 		name, value, found := strings.Cut(line, ":")
 		value = strings.Trim(value, " \t")
-		// A folded line has no name to begin with, or one with a space in it.
+		// This also rejects folded lines, which have no name or one that contains a space.
 		if !found || !httpguts.ValidHeaderFieldName(name) || !httpguts.ValidHeaderFieldValue(value) {
 			return nil, ErrMalformedHead
 		}
@@ -88,15 +88,16 @@
 	return &h.head, nil
 }
 
-// blank reports whether a line, its end included, has nothing in it.
-func blank(line []byte) bool { return len(line) == 1 || len(line) == 2 && line[0] == '\r' }
+// isBlankLine reports whether a line, given with its line end, is empty.
+func isBlankLine(line []byte) bool { return len(line) == 1 || len(line) == 2 && line[0] == '\r' }
 
+// cutLine splits text after its first line, and removes the line end.
 func cutLine(text string) (line, remaining string) {
 	line, remaining, _ = strings.Cut(text, "\n")
 	return strings.TrimSuffix(line, "\r"), remaining
 }
 
-// Get returns the first value of a field, or "". The case of the name doesn't matter.
+// Get returns the value of the first field with the name, or "". The case of the name doesn't matter.
 func (h *Head) Get(name string) string {
 	for i := range h.Fields {
 		if len(h.Fields[i].Name) == len(name) && strings.EqualFold(h.Fields[i].Name, name) {
@@ -117,15 +118,16 @@
 	return 0, false
 }
 
-// Framing is what a head says of the message's body and of its connection.
+// Framing describes how a head frames the body, and what it asks for the connection.
 type Framing struct {
-	Length    int64 // in bytes; -1 where the head has no Content-Length
+	Length    int64 // in bytes; -1 without Content-Length
 	Chunked   bool
 	Close     bool // Connection: close
 	KeepAlive bool // Connection: keep-alive
 }
 
-// Framing reads the fields that frame the body. Two lengths, or a length beside chunks, are ErrAmbiguousFraming.
+// Framing evaluates the fields Content-Length, Transfer-Encoding and Connection. It returns ErrAmbiguousFraming for an
+// invalid or repeated length, for a length together with chunks, and for a transfer coding other than chunked.
 func (h *Head) Framing() (f Framing, err error) {
 	f.Length = -1
 	codings := 0
@@ -154,7 +156,7 @@
 }
 
 func hasToken(list, token string) bool {
-	if len(list) == len(token) { // nearly always
+	if len(list) == len(token) { // the usual case
 		return strings.EqualFold(list, token)
 	}
 	for part := range strings.SplitSeq(list, ",") {
@@ -166,14 +168,14 @@
 }
 
 const (
-	maxTrailerBytes       = 4 << 10  // after the last chunk
-	maxCoalescedBodyBytes = 16 << 10 // of a body that goes into one write with its head
+	maxTrailerBytes       = 4 << 10  // bounds the trailer after the last chunk
+	maxCoalescedBodyBytes = 16 << 10 // bounds a body that is written together with its head
 )
 
 // LastChunk ends a chunked body that has no trailer.
 const LastChunk = "0\r\n\r\n"
 
-// AppendField appends the line end before a field and the field; nothing where the value is empty.
+// AppendField appends a line end and the field. It appends nothing if the value is empty.
 func AppendField(b []byte, name, value string) []byte {
 	if value == "" {
 		return b
@@ -184,7 +186,7 @@
 	return append(b, value...)
 }
 
-// AppendBodyFraming appends Content-Length, or Transfer-Encoding: chunked for a length below 0.
+// AppendBodyFraming appends Content-Length, or Transfer-Encoding: chunked if length is negative.
 func AppendBodyFraming(b []byte, length int64) []byte {
 	if length < 0 {
 		return append(b, "\r\nTransfer-Encoding: chunked"...)
@@ -192,8 +194,8 @@
 	return strconv.AppendInt(append(b, "\r\nContent-Length: "...), length, 10)
 }
 
-// WriteMessage writes a message; a small body goes into one write with its head. It returns the head's buffer,
-// which may have grown, for reuse.
+// WriteMessage writes a message. It writes a small body together with the head. It returns the buffer of the head, which
+// may have grown, for reuse.
 func WriteMessage(w io.Writer, head, body []byte) ([]byte, error) {
 	if len(body) <= maxCoalescedBodyBytes {
 		head, body = append(head, body...), nil
@@ -205,7 +207,7 @@
 	return head, err
 }
 
-// ChunkWriter writes each piece as a chunk. LastChunk ends the body.
+// ChunkWriter writes a chunked body, one chunk per Write. LastChunk must follow to end the body.
 type ChunkWriter struct{ net.Conn }
 
 // Write writes p as one chunk.
@@ -221,50 +223,50 @@
 	return len(p), nil
 }
 
-// ChunkedBody reads a chunked body and its trailer, and nothing beyond.
+// ChunkedBody reads a chunked body and its trailer, and nothing after them.
 type ChunkedBody struct {
-	r    *bufio.Reader
-	data io.Reader
-	end  error
+	r       *bufio.Reader
+	chunks  io.Reader
+	readErr error
 }
 
-// NewChunkedBody reads a chunked body from r.
+// NewChunkedBody returns a ChunkedBody that reads from r.
 func NewChunkedBody(r *bufio.Reader) *ChunkedBody {
-	return &ChunkedBody{r: r, data: httputil.NewChunkedReader(r)}
+	return &ChunkedBody{r: r, chunks: httputil.NewChunkedReader(r)}
 }
 
 // Read reads the content of the chunks. It returns io.EOF only after a complete trailer.
 func (b *ChunkedBody) Read(p []byte) (int, error) {
-	if b.end != nil {
-		return 0, b.end
+	if b.readErr != nil {
+		return 0, b.readErr
 	}
-	n, err := b.data.Read(p)
+	n, err := b.chunks.Read(p)
 	if err == io.EOF {
-		err = b.trailer()
+		err = b.readTrailer()
 	}
-	b.end = err
+	b.readErr = err
 	return n, err
 }
 
-// trailer reads on to the blank line that ends a body.
-func (b *ChunkedBody) trailer() error {
-	for left, start := maxTrailerBytes, true; ; {
+// readTrailer reads up to the blank line that ends the body, and returns io.EOF there.
+func (b *ChunkedBody) readTrailer() error {
+	for remaining, lineStart := maxTrailerBytes, true; ; {
 		line, err := b.r.ReadSlice('\n')
-		if left -= len(line); left < 0 {
+		if remaining -= len(line); remaining < 0 {
 			return ErrHeadTooLong
 		}
 		switch {
 		case err == bufio.ErrBufferFull:
-			start = false
+			lineStart = false
 			continue
 		case err == io.EOF:
 			return io.ErrUnexpectedEOF
 		case err != nil:
 			return err
-		case start && blank(line):
+		case lineStart && isBlankLine(line):
 			return io.EOF
 		}
-		start = true
+		lineStart = true
 	}
 }
 
@@ -274,7 +276,7 @@
 	Remaining int64
 }
 
-// Read returns io.ErrUnexpectedEOF where Reader ends before the body.
+// Read reads the body. It returns io.ErrUnexpectedEOF if Reader ends before the body does.
 func (b *SizedBody) Read(p []byte) (int, error) {
 	if b.Remaining <= 0 {
 		return 0, io.EOF
