--- a/internal/node/upstream/lifetime.go
+++ b/internal/node/upstream/lifetime.go
@@ -95,8 +95,8 @@
 	return c.SetDeadline(l.deadline)
 }
 
-// detach releases the connection from the Lifetime. It reports whether the connection may be reused, which it may unless
-// the Lifetime was cancelled.
+// detach releases the connection from the Lifetime. It reports whether the connection may be reused, which is false after
+// a cancellation.
 func (l *Lifetime) detach() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/upstream/request.go
+++ b/internal/node/upstream/request.go
@@ -55,7 +55,7 @@
 	return int64(len(r.Body))
 }
 
-// hasFraming reports whether the head has a field that frames the body. That of a GET without a body has none.
+// hasFraming reports whether the head has a field that frames the body. The head of a GET without a body has none.
 func (r *Request) hasFraming() bool { return r.contentLength() != 0 || r.Method != http.MethodGet }
 
 // requestWriter writes one request.
@@ -153,7 +153,7 @@
 	return n, err
 }
 
-// begin stops the stall timer and reports whether the attempt may still read.
+// begin stops the stall timer and reports whether the attempt may still read. If so, it calls Begin of the stream.
 func (r *bodyReader) begin() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
