--- a/internal/node/downstream/client_conn.go
+++ b/internal/node/downstream/client_conn.go
@@ -140,9 +140,9 @@
 func (c *clientConn) rejectUnreadable(err error) {
 	switch {
 	case errors.Is(err, http1.ErrMalformedHead):
-		c.sendError(&requestError{status: http.StatusBadRequest, text: "malformed request head"}, true)
+		c.sendError(&requestError{status: http.StatusBadRequest, text: "malformed request"}, true)
 	case errors.Is(err, http1.ErrHeadTooLong):
-		c.sendError(&requestError{status: http.StatusRequestHeaderFieldsTooLarge, text: "request head over 16 KiB"}, true)
+		c.sendError(&requestError{status: http.StatusRequestHeaderFieldsTooLarge, text: "the head is over 16 KiB"}, true)
 	}
 }
 
--- a/internal/node/downstream/exchange.go
+++ b/internal/node/downstream/exchange.go
@@ -78,16 +78,15 @@
 	terms := s.handler.Terms()
 	class, former, ok := terms.Class(r.class, r.method, r.idempotencyKey != "")
 	if !ok {
-		return nil, &requestError{status: http.StatusBadRequest, text: "X-Class: unknown class"}
+		return nil, &requestError{status: http.StatusBadRequest, text: "X-Class: unknown"}
 	}
 	timeout, err := strconv.ParseUint(r.timeoutMillis, 10, 64)
 	if err != nil || timeout == 0 || timeout > maxTimeoutMillis {
-		return nil, &requestError{status: http.StatusBadRequest, text: "X-Deadline-Ms: want whole milliseconds from 1 to 3600000"}
+		return nil, &requestError{status: http.StatusBadRequest, text: "X-Deadline-Ms: want whole milliseconds above 0"}
 	}
 	method := MethodFor(class)
 	if r.method != method {
-		return nil, &requestError{status: http.StatusMethodNotAllowed, text: "X-Class: this class requires method " + method,
-			allowedMethod: method}
+		return nil, &requestError{status: http.StatusMethodNotAllowed, text: "this class takes " + method, allowedMethod: method}
 	}
 	// Servers drop repeated requests with the same key. Without a key, a second attempt could take effect twice.
 	if class.RetrySafety == policy.IdempotencyKeyed && r.idempotencyKey == "" {
@@ -99,7 +98,7 @@
 		return nil, &requestError{status: status, text: text, incomplete: true}
 	}
 	if method == http.MethodGet && len(body) > 0 {
-		return nil, &requestError{status: http.StatusBadRequest, text: "a GET request must not have a body"}
+		return nil, &requestError{status: http.StatusBadRequest, text: "a GET has no body"}
 	}
 	hint, _ := strconv.ParseUint(r.costHint, 10, 32) // only an estimate: an invalid value counts as none
 	x = &Exchange{
--- a/internal/node/downstream/request_body.go
+++ b/internal/node/downstream/request_body.go
@@ -144,9 +144,9 @@
 func BodyErrorStatus(err error) (status int, problem string) {
 	switch {
 	case errors.Is(err, ErrBodyTooLong):
-		return http.StatusRequestEntityTooLarge, "request body over 32 MiB"
+		return http.StatusRequestEntityTooLarge, "the body is over 32 MiB"
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return http.StatusRequestTimeout, "request body sent too slowly"
+		return http.StatusRequestTimeout, "the body comes too slowly"
 	}
-	return http.StatusBadRequest, "malformed or incomplete request body"
+	return http.StatusBadRequest, "the body can't be read"
 }
--- a/internal/node/downstream/request_head.go
+++ b/internal/node/downstream/request_head.go
@@ -75,7 +75,7 @@
 		return "", malformedRequestLine()
 	}
 	if m.minor, ok = http1.ParseVersion(version); !ok {
-		return "", &requestError{status: http.StatusHTTPVersionNotSupported, text: "unsupported HTTP version: want HTTP/1.1"}
+		return "", &requestError{status: http.StatusHTTPVersionNotSupported, text: "want HTTP/1.1"}
 	}
 	m.method = method
 	return target, nil
@@ -95,7 +95,7 @@
 	}
 	m.host = h.Get("Host")
 	if hosts > 1 || hosts == 0 && m.minor > 0 || !httpguts.ValidHostHeader(m.host) {
-		return &requestError{status: http.StatusBadRequest, text: "Host: want exactly one valid value"}
+		return &requestError{status: http.StatusBadRequest, text: "Host: want exactly one"}
 	}
 	return nil
 }
--- a/internal/node/http1/message.go
+++ b/internal/node/http1/message.go
@@ -20,8 +20,8 @@
 	ErrMalformedHead = errors.New("malformed head")
 	// ErrHeadTooLong is returned for a head, or the trailer of a chunked body, that is over its limit.
 	ErrHeadTooLong = errors.New("head or trailer too long")
-	// ErrAmbiguousFraming is returned for a head that doesn't determine where the body ends.
-	ErrAmbiguousFraming = errors.New("ambiguous body framing: want one Content-Length or Transfer-Encoding: chunked")
+	// ErrAmbiguousFraming is returned for a head that doesn't determine where the body ends. Clients get its text.
+	ErrAmbiguousFraming = errors.New("the head leaves open where its body ends")
 )
 
 // Head is the first line and the header fields of a message. Its strings are slices of a single string.
