--- a/internal/node/config/scope_test.go
+++ b/internal/node/config/scope_test.go
@@ -33,10 +33,10 @@
 		long = append(long, fmt.Sprintf("%q", fmt.Sprint(strings.Repeat("s", 100), i)))
 	}
 	for section, want := range map[string]string{
-		`{}`:                              "scope.services: names no service",
-		`{"services":[]}`:                 "scope.services: names no service",
+		`{}`:                              "scope.services: want at least one service",
+		`{"services":[]}`:                 "scope.services: want at least one service",
 		`{"services":["a",""]}`:           "scope.services[1]: want 1 to",
-		`{"services":["a","b","a"]}`:      `scope.services[2]: "a" is there twice`,
+		`{"services":["a","b","a"]}`:      `scope.services[2]: "a" is listed twice`,
 		`{"services":["a b"]}`:            "scope.services[0]: want printable",
 		`{"services":["a,b"]}`:            "scope.services[0]: want printable",
 		`{"services":["a"],"subset":0}`:   "scope.subset: want 1 to",
@@ -45,8 +45,8 @@
 		`{"services":["a"],"subsets":3}`:  "subsets",
 		`{"services":"a"}`:                "scope: json",
 		`[]`:                              "scope: json",
-		`{"services":[` + strings.Join(many, ",") + `]}`: "scope.services: want 256 at most",
-		`{"services":[` + strings.Join(long, ",") + `]}`: "scope.services: want 8192 bytes at most",
+		`{"services":[` + strings.Join(many, ",") + `]}`: "scope.services: want at most 256 services",
+		`{"services":[` + strings.Join(long, ",") + `]}`: "scope.services: want at most 8192 bytes",
 	} {
 		text := strings.Replace(nodetest.ConfigText, `"seed"`, `"scope":`+section+`,"seed"`, 1)
 		_, err := Load(configFile(t, text))
--- a/internal/node/discovery/backoff.go
+++ b/internal/node/discovery/backoff.go
@@ -8,26 +8,26 @@
 
 const (
 	minBackoff = 25 * time.Millisecond
-	// maxBackoff is short because the operators count the grace of a draining server from when the list service can
-	// tell of it, also while the node pauses. A Target with Subscribe doesn't pause here: the node's policy decides when
-	// to subscribe again (resubscribeBackoffBase in policy/endpoint_list.go).
+	// maxBackoff is short because operators count the grace of a draining server from when the list service can report
+	// the drain, even if the node waits for its backoff then. A Target with Subscribe doesn't use this backoff: policy
+	// decides when to subscribe again (resubscribeBackoffBase in policy/endpoint_list.go).
 	maxBackoff = 200 * time.Millisecond
 )
 
-// backoff is the pause between failed calls, which doubles up to maxBackoff. The zero pause means that the last call
-// succeeded.
+// backoff is the pause after a failed call. It doubles with each failure in a row, up to maxBackoff. A pause of 0 means
+// that the last call succeeded.
 type backoff struct {
 	pause  time.Duration
-	jitter *rand.Rand // spreads the calls of many nodes
+	jitter *rand.Rand // spreads the retries of many nodes
 }
 
-// reset starts over after a success.
+// reset clears the pause after a success.
 func (b *backoff) reset() { b.pause = 0 }
 
 // firstFailure reports whether no call has failed since the last success.
 func (b *backoff) firstFailure() bool { return b.pause == 0 }
 
-// wait pauses between half of the backoff and the whole, or until ctx ends.
+// wait increases the pause and sleeps for a random 50 to 100 % of it, or until ctx ends.
 func (b *backoff) wait(ctx context.Context) {
 	b.pause = nextBackoff(b.pause)
 	timer := time.NewTimer(time.Duration((0.5 + 0.5*b.jitter.Float64()) * float64(b.pause)))
@@ -38,7 +38,7 @@
 	}
 }
 
-// nextBackoff is the backoff after one more failure in a row.
+// nextBackoff returns the backoff after another failure in a row.
 func nextBackoff(last time.Duration) time.Duration {
 	return min(maxBackoff, max(minBackoff, 2*last))
 }
--- a/internal/node/discovery/cache.go
+++ b/internal/node/discovery/cache.go
@@ -19,28 +19,28 @@
 	"sloerail/policy"
 )
 
-// The file of the cached list is one line (cacheHeader and a checksum of the rest) and the list in the JSON of the list
-// service. Other versions of the program read it. It is written to another name and renamed, so that a crash leaves a
-// whole file.
+// The cache file holds a line with cacheHeader and a checksum of the rest, and then the list in the JSON of the list
+// service. Other versions of the program read it. It is written to a temporary file and renamed, so that a crash never
+// leaves a partial file.
 
 const (
 	cacheHeader      = "sloerail list 1 "
-	maxCacheAge      = 24 * time.Hour // the servers of an older list have likely been replaced
-	minCacheInterval = time.Second    // between writes
+	maxCacheAge      = 24 * time.Hour // the servers of an older list have probably been replaced
+	minCacheInterval = time.Second    // minimum time between writes
 	checksumBase     = 16
 )
 
-// listCache keeps the list as last received, and writes it to its file. One goroutine uses it.
+// listCache holds the current list and writes it to its file. It is not safe for concurrent use.
 type listCache struct {
 	path        string
 	endpoints   map[string]Endpoint
 	revision    int64
 	savedAt     time.Time
-	dirty       bool // something has changed since the last write
-	writeFailed bool // the last write failed, which was logged
+	dirty       bool // changed since the last write
+	writeFailed bool // the last write failed, and this was logged
 }
 
-// newListCache is for the file at path; nil if that is empty.
+// newListCache returns a cache that holds known and writes to path. It returns nil if path is empty.
 func newListCache(path string, known List) *listCache {
 	if path == "" {
 		return nil
@@ -51,7 +51,7 @@
 	return c
 }
 
-// apply takes a list or what changed in it.
+// apply replaces the list with a full list, or applies changes to it.
 func (c *listCache) apply(list List) {
 	if list.Complete {
 		clear(c.endpoints)
@@ -66,7 +66,7 @@
 	c.revision, c.dirty = list.Revision, true
 }
 
-// save writes what has changed, unless the last write is less than minCacheInterval ago and this one is not forced.
+// save writes the list if it has changed. Without force, it skips a write within minCacheInterval of the last one.
 func (c *listCache) save(force bool) {
 	now := time.Now()
 	if !c.dirty || !force && now.Sub(c.savedAt) < minCacheInterval {
@@ -75,12 +75,12 @@
 	c.savedAt = now
 	err := renameio.WriteFile(c.path, c.encode(now), 0o600)
 	if err != nil && !c.writeFailed {
-		slog.Warn("discovery: writing the cached list failed", "file", c.path, "error", err)
+		slog.Warn("discovery: failed to write the cached list", "file", c.path, "error", err)
 	}
 	c.dirty, c.writeFailed = err != nil, err != nil
 }
 
-// encode is the content of the file.
+// encode returns the content of the cache file.
 func (c *listCache) encode(now time.Time) []byte {
 	list := wireList{Revision: &c.revision, Complete: true, SavedAtMillis: now.UnixMilli(), Endpoints: []wireEndpoint{}}
 	for _, id := range slices.Sorted(maps.Keys(c.endpoints)) {
@@ -92,7 +92,7 @@
 
 func checksum(raw []byte) string { return strconv.FormatUint(xxhash.Sum64(raw), checksumBase) }
 
-// readCachedList reads the file at path.
+// readCachedList reads and validates the cache file at path.
 func readCachedList(path string, now time.Time) (List, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -113,12 +113,13 @@
 		return List{}, err
 	}
 	if age := now.Sub(time.UnixMilli(saved.AtMillis)); age < 0 || age > maxCacheAge {
-		return List{}, fmt.Errorf("%w: it is %v old", ErrCacheAge, age.Round(time.Second))
+		return List{}, fmt.Errorf("%w: want 0s to %v, got %v", ErrCacheAge, maxCacheAge, age.Round(time.Second))
 	}
 	return ParseList(body)
 }
 
-// RestoreList is the list to start with: the cached one, if there is one that is not older than the known one.
+// RestoreList returns the list to start with: the cached list at path if it is valid and not older than known, else
+// known.
 func RestoreList(path string, known List) List {
 	if path == "" {
 		return known
--- a/internal/node/discovery/cache_test.go
+++ b/internal/node/discovery/cache_test.go
@@ -15,20 +15,20 @@
 	"sloerail/policy"
 )
 
-// runClient runs discovery by a configuration until the test ends, or stop is called.
+// runClient runs a client until the test ends or stop is called.
 func runClient(t *testing.T, c ClientConfig) (updates chan Update, stop func()) {
 	t.Helper()
 	updates = make(chan Update, 100)
-	d := NewClient(c, func(u Update) { updates <- u })
+	client := NewClient(c, func(u Update) { updates <- u })
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { d.Run(ctx); close(ended) }()
-	stop = func() { cancel(); nodetest.Receive(t, "the end of discovery", ended) }
+	done := make(chan struct{})
+	go func() { client.Run(ctx); close(done) }()
+	stop = func() { cancel(); nodetest.Receive(t, "the end of Run", done) }
 	t.Cleanup(stop)
 	return updates, stop
 }
 
-// A replica that fails, and one that lags behind the list held, give way to the next one.
+// The client tries the next replica if one fails, or if its list is older than the current list.
 func TestFailedReplicaGivesWayToTheNext(t *testing.T) {
 	replica := func(revision int, ids ...string) string {
 		first := true
@@ -38,44 +38,44 @@
 				return
 			}
 			first = false
-			var all []string
+			var entries []string
 			for _, id := range ids {
-				all = append(all, nodetest.ListEntry(id, "up"))
+				entries = append(entries, nodetest.ListEntry(id, "up"))
 			}
 			w.Header().Set(epochHeader, "1")
-			_, _ = io.WriteString(w, nodetest.ListChange(revision, all...))
+			_, _ = io.WriteString(w, nodetest.ListChange(revision, entries...))
 		})
 	}
-	good, stale, best := replica(40, "a"), replica(30, "old"), replica(50, "b")
-	c := testClientConfig(t, "127.0.0.1:9,"+good+","+stale+","+best) // nobody is at the first
+	current, stale, newer := replica(40, "a"), replica(30, "old"), replica(50, "b")
+	c := testClientConfig(t, "127.0.0.1:9,"+current+","+stale+","+newer) // nothing listens at the first address
 	c.Seed = 0
-	d := NewClient(c, func(Update) {})
+	client := NewClient(c, func(Update) {})
 	for _, want := range []string{"", "a", "", "b"} {
 		ctx, cancel := context.WithTimeout(context.Background(), nodetest.Timeout)
-		l, err := d.watch(ctx)
+		list, err := client.watch(ctx)
 		cancel()
 		if want == "" {
 			if err == nil {
-				t.Errorf("took %+v", l)
+				t.Errorf("watch of replica %d: got list %+v, want an error", client.replica, list)
 			}
-		} else if err != nil || l.Endpoints[0].ID != want {
-			t.Errorf("got %+v, %v; want %s", l, err, want)
+		} else if err != nil || list.Endpoints[0].ID != want {
+			t.Errorf("watch of replica %d: got %+v, error %v; want a list with server %s", client.replica, list, err, want)
 		} else {
-			d.Apply(l)
+			client.Apply(list)
 		}
-		d.replica = (d.replica + 1) % len(d.addresses)
+		client.replica = (client.replica + 1) % len(client.addresses)
 	}
 }
 
-// The list is cached over the node's end, and used by the next start if it is newer than that of the configuration.
+// The cached list survives a restart of the node, which uses it unless the list in the configuration is newer.
 func TestCachedListSurvivesARestart(t *testing.T) {
-	calls := make(chan string, 2)
-	calls <- nodetest.ListChange(41, nodetest.ListEntry("a", "up"), nodetest.ListEntry("b", "draining"))
-	calls <- nodetest.ListChange(42, nodetest.ListEntry("a", "removed"))
+	answers := make(chan string, 2)
+	answers <- nodetest.ListChange(41, nodetest.ListEntry("a", "up"), nodetest.ListEntry("b", "draining"))
+	answers <- nodetest.ListChange(42, nodetest.ListEntry("a", "removed"))
 	c := testClientConfig(t, nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case a := <-calls:
-			_, _ = io.WriteString(w, a)
+		case answer := <-answers:
+			_, _ = io.WriteString(w, answer)
 		default:
 			<-r.Context().Done()
 		}
@@ -83,80 +83,81 @@
 	c.CacheFile = filepath.Join(t.TempDir(), "list")
 	updates, stop := runClient(t, c)
 	nodetest.Receive(t, "the first change", updates)
-	nodetest.Receive(t, "the second", updates)
-	// Both came within a second, and the watch goes on: the second is cached all the same, with no end of the node.
-	nodetest.Await(t, "the second change in the file", func() bool {
-		l, err := readCachedList(c.CacheFile, time.Now())
-		return err == nil && l.Revision == 42
+	nodetest.Receive(t, "the second change", updates)
+	// Both came within minCacheInterval, and the watch continues: the second one is cached too, before the client stops.
+	nodetest.Await(t, "the second change in the cache file", func() bool {
+		list, err := readCachedList(c.CacheFile, time.Now())
+		return err == nil && list.Revision == 42
 	})
 	stop()
 	c.Known.Revision = 40
 	got := RestoreList(c.CacheFile, c.Known)
 	if got.Revision != 42 || !got.Complete || len(got.Endpoints) != 2 {
-		t.Fatalf("cached %+v", got)
+		t.Fatalf("restored list: got %+v, want a full list of revision 42 with 2 endpoints", got)
 	}
-	for _, m := range got.Endpoints {
-		if m.ID == "b" && m.Availability != policy.Draining || m.ID == "a" {
-			t.Errorf("cached %+v", m)
+	for _, endpoint := range got.Endpoints {
+		if endpoint.ID == "b" && endpoint.Availability != policy.Draining || endpoint.ID == "a" {
+			t.Errorf("restored endpoint: got %+v, want b draining and a removed", endpoint)
 		}
 	}
 	c.Known.Revision = 43
 	if got := RestoreList(c.CacheFile, c.Known); got.Revision != 43 {
-		t.Errorf("an older list was used: %+v", got)
+		t.Errorf("restored list with revision 43 known: got %+v, want the known list", got)
 	}
 }
 
-// A cached list that is cut, flipped, of another version, too old or from the future is rejected.
+// A cached list that is truncated, corrupted, of another version, too old or from the future is rejected.
 func TestDamagedCachedListsAreRejected(t *testing.T) {
 	c := testClientConfig(t, "127.0.0.1:9")
 	c.CacheFile = filepath.Join(t.TempDir(), "list")
 	now := time.Now()
-	good := newListCache(c.CacheFile, c.Known).encode(now)
+	valid := newListCache(c.CacheFile, c.Known).encode(now)
 	write := func(raw []byte) {
 		if err := os.WriteFile(c.CacheFile, raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	write(good)
+	write(valid)
 	if _, err := readCachedList(c.CacheFile, now); err != nil {
 		t.Fatal(err)
 	}
 	for _, then := range []time.Time{now.Add(-time.Minute), now.Add(maxCacheAge + time.Minute)} {
 		if _, err := readCachedList(c.CacheFile, then); err == nil {
-			t.Errorf("a list of %v was read at %v", now, then)
+			t.Errorf("list saved at %v and read at %v: got no error, want one", now, then)
 		}
 	}
-	for i := range good {
-		write(good[:i])
+	for i := range valid {
+		write(valid[:i])
 		if _, err := readCachedList(c.CacheFile, now); err == nil {
-			t.Fatalf("cut at byte %d, and read", i)
+			t.Fatalf("list truncated to %d bytes: got no error, want one", i)
 		}
-		flipped := bytes.Clone(good)
+		flipped := bytes.Clone(valid)
 		flipped[i] ^= 1
 		write(flipped)
 		if _, err := readCachedList(c.CacheFile, now); err == nil {
-			t.Fatalf("byte %d flipped, and read", i)
+			t.Fatalf("list with a bit flipped in byte %d: got no error, want one", i)
 		}
 	}
 	write([]byte(fmt.Sprintf("%s0\n{}", cacheHeader)))
 	if got := RestoreList(c.CacheFile, c.Known); got.Revision != c.Known.Revision {
-		t.Errorf("started with %+v", got)
+		t.Errorf("list restored from a file with a wrong checksum: got %+v, want the known list", got)
 	}
 }
 
-// The cached list is read and written back byte for byte. Commit 4650eee wrote the golden file.
+// The format of the cached list doesn't change: the golden file, written by commit 4650eee, is read and written back
+// byte for byte.
 func TestCachedListKeepsItsForm(t *testing.T) {
 	saved := time.UnixMilli(1800000000456)
 	c := testClientConfig(t, "127.0.0.1:9")
 	c.CacheFile = filepath.Join("testdata", "list_file.txt")
-	l, err := readCachedList(c.CacheFile, saved.Add(time.Minute))
+	list, err := readCachedList(c.CacheFile, saved.Add(time.Minute))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(l.Endpoints) != 3 || l.Endpoints[0].Availability != policy.Running || l.Endpoints[1].Availability != policy.Draining {
-		t.Errorf("read %+v", l)
+	if len(list.Endpoints) != 3 || list.Endpoints[0].Availability != policy.Running || list.Endpoints[1].Availability != policy.Draining {
+		t.Errorf("golden list: got %+v, want 3 endpoints, the first running and the second draining", list)
 	}
-	k := newListCache(c.CacheFile, c.Known)
-	k.apply(l)
-	nodetest.SameBytes(t, "the file", k.encode(saved), nodetest.Golden(t, "list_file.txt"))
+	cache := newListCache(c.CacheFile, c.Known)
+	cache.apply(list)
+	nodetest.SameBytes(t, "the cached list", cache.encode(saved), nodetest.Golden(t, "list_file.txt"))
 }
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -14,56 +14,56 @@
 	"sloerail/policy"
 )
 
-// jitterStream sets the random numbers of the backoff apart from others that have the same seed.
+// jitterStream separates the random numbers of the backoff from others with the same seed.
 const jitterStream = 0xd1
 
-// Client watches the list service. SetWatching and Retarget may be called from other goroutines than Run's, each from
-// one at a time; they don't block.
+// Client watches the list service. SetWatching and Retarget don't block and may be called while Run runs, each by one
+// goroutine at a time.
 type Client struct {
 	http          *http.Client
 	notify        func(Update)
-	watchRequests chan bool   // the newest call of SetWatching that Run has not seen yet
-	retargets     chan Target // the newest call of Retarget that Run has not seen yet
+	watchRequests chan bool   // the latest SetWatching call that Run has not handled yet
+	retargets     chan Target // the latest Retarget call that Run has not handled yet
 
-	// Run's goroutine alone uses what follows.
+	// The fields below are used by Run's goroutine only.
 	addresses []string // host:port of the replicas
-	replica   int      // the index of the one that is called
+	replica   int      // index of the replica to call
 	subscribe bool
 	timeouts  Timeouts
 	scope     scope
-	revision  int64 // of the list held
+	revision  int64 // of the current list
 	cache     *listCache
 	backoff   backoff
 }
 
-// Target is what the configuration says of the list service.
+// Target is the part of a Client's configuration that a reload can change.
 type Target struct {
-	Addresses string // host:port of the replicas, which commas separate
-	Subscribe bool   // watch only while SetWatching asks for it, and notify of failures
+	Addresses string // host:port of the replicas, separated by commas
+	Subscribe bool   // watch only while SetWatching has turned it on, and notify of failures
 	Timeouts  Timeouts
-	Scope     string // the query that ParseScope made; empty for the whole list
+	Scope     string // the query that ParseScope returned; empty for no scope
 }
 
-// NewTarget is the list service at the addresses under the settings.
+// NewTarget returns a Target for the replicas at addresses, separated by commas, with the timeouts of the settings.
 func NewTarget(addresses, scope string, settings policy.Settings) Target {
 	return Target{Addresses: addresses, Subscribe: settings.SubscribeList, Timeouts: newTimeouts(settings), Scope: scope}
 }
 
-// ClientConfig is what a Client starts with.
+// ClientConfig is the initial configuration of a Client.
 type ClientConfig struct {
 	Target
-	CacheFile string // where the list is cached on disk; empty for nowhere
-	Known     List   // the list as last known, from whose revision on the client watches
-	Seed      uint64 // spreads nodes over the replicas, and their calls after failures
+	CacheFile string // path of the cached list; empty for no cache
+	Known     List   // the last known list; the client watches for newer revisions
+	Seed      uint64 // spreads nodes over the replicas, and their retries over time
 	Dial      func(ctx context.Context, network, addr string) (net.Conn, error)
 }
 
-// NewClient makes a client that passes what it learns to notify, from Run's goroutine.
+// NewClient returns a client that passes each Update to notify, which Run and Apply call.
 func NewClient(c ClientConfig, notify func(Update)) *Client {
 	addresses, scope := strings.Split(c.Addresses, ","), scope{query: c.Scope}
 	return &Client{
 		http: &http.Client{
-			// A Transport of its own, so neither a proxy nor the requests share its connection.
+			// A separate Transport: it uses no proxy, and shares no connection with the requests that the node forwards.
 			Transport:     &http.Transport{DisableCompression: true, MaxConnsPerHost: 1, DialContext: c.Dial},
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
@@ -81,7 +81,8 @@
 	}
 }
 
-// SetWatching turns watching on or off, for a Target with Subscribe. It replaces an earlier call that Run has not seen.
+// SetWatching turns watching on or off, for a Target with Subscribe. It replaces an earlier call that Run has not
+// handled yet.
 func (c *Client) SetWatching(on bool) {
 	select {
 	case <-c.watchRequests:
@@ -90,7 +91,7 @@
 	c.watchRequests <- on
 }
 
-// Retarget follows a changed configuration. It replaces an earlier call that Run has not seen.
+// Retarget switches to another Target. It replaces an earlier call that Run has not handled yet.
 func (c *Client) Retarget(target Target) {
 	select {
 	case <-c.retargets:
@@ -99,7 +100,7 @@
 	c.retargets <- target
 }
 
-// Run watches until ctx ends.
+// Run watches the list service until ctx ends.
 func (c *Client) Run(ctx context.Context) {
 	defer c.http.CloseIdleConnections()
 	if c.cache != nil {
@@ -126,7 +127,8 @@
 	}
 }
 
-// nextWatchState is whether to watch now. It waits for a call of SetWatching only while there is nothing to watch.
+// nextWatchState reports whether to watch now. While watching is off, it waits for SetWatching, Retarget or the end of
+// ctx.
 func (c *Client) nextWatchState(ctx context.Context, watching bool) bool {
 	if watching {
 		select {
@@ -141,13 +143,14 @@
 		return on
 	case target := <-c.retargets:
 		c.applyTarget(target)
-		return true // the new address is not the one that failed
+		return true // the failed call was to the former target
 	case <-ctx.Done():
 		return false
 	}
 }
 
-// handleFailure chooses the replica to call next, pauses if it has to, and reports whether to go on watching.
+// handleFailure selects the replica for the next call, waits for the backoff if there is one, and reports whether to
+// continue watching.
 func (c *Client) handleFailure(ctx context.Context, err error) (watching bool) {
 	if errors.Is(err, ErrRetargeted) || errors.Is(err, ErrScopeMismatch) {
 		c.backoff.reset()
@@ -155,7 +158,7 @@
 	}
 	c.replica = (c.replica + 1) % len(c.addresses)
 	switch {
-	case errors.Is(err, ErrTimeout): // a change may have come meanwhile: there is no time to pause
+	case errors.Is(err, ErrTimeout): // retry at once: a change may have come during the call
 		slog.Warn("discovery: watch timed out", "after", c.callTimeout(), "error", err)
 		return true
 	case c.subscribe: // the node decides when to watch again
@@ -170,8 +173,8 @@
 	return true
 }
 
-// applyTarget goes over to another configuration. Revisions at another address or of another scope need not be
-// comparable with the one held, so the whole list is fetched there.
+// applyTarget switches to another target. Revisions at another address or in another scope may not be comparable with
+// the current one, so the next call asks for the full list.
 func (c *Client) applyTarget(target Target) {
 	if addresses := strings.Split(target.Addresses, ","); !slices.Equal(addresses, c.addresses) || target.Scope != c.scope.query {
 		slog.Info("discovery: list service changed", "address", target.Addresses, "scope", target.Scope)
@@ -182,7 +185,7 @@
 	c.http.CloseIdleConnections()
 }
 
-// watchOrRetarget watches once. A call of Retarget ends the watch with ErrRetargeted.
+// watchOrRetarget makes one call. Retarget aborts it with ErrRetargeted.
 func (c *Client) watchOrRetarget(ctx context.Context) (List, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -193,7 +196,7 @@
 		defer close(done)
 		list, err = c.watch(ctx)
 	}()
-	var saveDue <-chan time.Time // for changes that came since the cache was last written
+	var saveDue <-chan time.Time // for changes since the cache was last written
 	if c.cache != nil && c.cache.dirty {
 		saveDue = time.After(minCacheInterval)
 	}
@@ -213,9 +216,9 @@
 	}
 }
 
-// Apply takes a list that a watch brought, and passes it on. An answer without changes is passed on only with
-// Subscribe, where the node waits for one. Run calls it; a caller that feeds lists itself, as a hollow node does, must
-// not call Run, for both use the same state without a lock.
+// Apply updates the revision and the cache with an answer of the list service, and notifies the node. For an answer
+// without changes it notifies only with Subscribe, where the node waits for an answer. Run calls it; a caller that feeds
+// lists itself, as a hollow node does, must not call Run, because both use the same state without a lock.
 func (c *Client) Apply(list List) {
 	c.revision = max(0, list.Revision)
 	if c.cache != nil {
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -14,7 +14,7 @@
 	"sloerail/policy"
 )
 
-// testClientConfig is that of a client of the list service at the addresses.
+// testClientConfig returns the configuration of a client of the list service at the addresses.
 func testClientConfig(t *testing.T, addresses string) ClientConfig {
 	t.Helper()
 	known, err := ParseList([]byte(nodetest.KnownList("127.0.0.1:9")))
@@ -28,42 +28,43 @@
 	return ClientConfig{Target: NewTarget(addresses, "", policy.Settings{}), Known: known, Seed: 0x1f, Dial: dial}
 }
 
-// startWatch plays answers to the calls in turn, then holds the rest, and returns what the client notified of
-// and the queries that it made. An answer that is no JSON object is sent with status 503.
-func startWatch(t *testing.T, subscribe bool, answers ...string) (d *Client, updates chan Update, queries chan string) {
+// startWatch runs a client against a list service that plays answers in turn and holds further calls. It returns the
+// client, its updates and the index parameters of its calls. An answer that isn't a JSON object is sent with status 503.
+func startWatch(t *testing.T, subscribe bool, answers ...string) (client *Client, updates chan Update, queries chan string) {
 	t.Helper()
 	queries, updates = make(chan string, 100), make(chan Update, 100)
-	calls := make(chan string, len(answers))
-	for _, a := range answers {
-		calls <- a
+	pending := make(chan string, len(answers))
+	for _, answer := range answers {
+		pending <- answer
 	}
 	addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		queries <- r.URL.Query().Get("index")
 		select {
-		case a := <-calls:
-			if !strings.HasPrefix(a, "{") {
+		case answer := <-pending:
+			if !strings.HasPrefix(answer, "{") {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
-			_, _ = io.WriteString(w, a)
+			_, _ = io.WriteString(w, answer)
 		default:
 			<-r.Context().Done()
 		}
 	})
 	c := testClientConfig(t, addr)
 	c.Subscribe = subscribe
-	d = NewClient(c, func(u Update) { updates <- u })
+	client = NewClient(c, func(u Update) { updates <- u })
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan struct{})
-	go func() { d.Run(ctx); close(ended) }()
-	t.Cleanup(func() { cancel(); nodetest.Receive(t, "the end of discovery", ended) })
-	return d, updates, queries
+	done := make(chan struct{})
+	go func() { client.Run(ctx); close(done) }()
+	t.Cleanup(func() { cancel(); nodetest.Receive(t, "the end of Run", done) })
+	return client, updates, queries
 }
 
+// wantRevisions checks the index parameters of the next calls.
 func wantRevisions(t *testing.T, queries chan string, want ...string) {
 	t.Helper()
 	for i, w := range want {
-		if got := nodetest.Receive(t, "a call", queries); got != w {
-			t.Errorf("call %d asked for what is newer than %s, want %s", i, got, w)
+		if got := nodetest.Receive(t, "a call to the list service", queries); got != w {
+			t.Errorf("index of call %d: got %q, want %q", i, got, w)
 		}
 	}
 }
@@ -73,64 +74,64 @@
 		_, updates, queries := startWatch(t, false, nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(9), nodetest.ListChange(10, nodetest.ListEntry("s1", "draining")),
 			`{"revision":11,"complete":true,"members":[`+nodetest.ListEntry("s2", "up")+`]}`)
 		for i, want := range []struct {
-			kind   policy.ListKind
-			server string
-			phase  policy.Availability
+			kind         policy.ListKind
+			id           string
+			availability policy.Availability
 		}{{policy.ListUpdate, "s1", policy.Running}, {policy.ListUpdate, "s1", policy.Draining},
 			{policy.ListReplace, "s2", policy.Running}} {
-			n := nodetest.Receive(t, "an update", updates)
-			if n.Kind != want.kind || len(n.Endpoints) != 1 || n.Endpoints[0].ID != want.server ||
-				n.Endpoints[0].Availability != want.phase {
-				t.Errorf("update %d: %+v", i, n)
+			update := nodetest.Receive(t, "an update", updates)
+			if update.Kind != want.kind || len(update.Endpoints) != 1 || update.Endpoints[0].ID != want.id ||
+				update.Endpoints[0].Availability != want.availability {
+				t.Errorf("update %d: got %+v, want %+v", i, update, want)
 			}
 		}
 		wantRevisions(t, queries, "7", "8", "9", "10", "11")
 	})
 }
 
-// A pushed list that can't be had, or read, leaves the last one in force, and says nothing.
+// Without Subscribe, failed calls and malformed lists leave the last list in use and cause no update.
 func TestFailuresKeepTheLastList(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		_, updates, queries := startWatch(t, false, "down", `{"revision":`, nodetest.ListChange(9, nodetest.ListEntry("s1", "odd")), `{"members":[]}`,
 			nodetest.ListChange(8, nodetest.ListEntry("s1", "up")))
-		if n := nodetest.Receive(t, "an update", updates); n.Kind != policy.ListUpdate || n.Endpoints[0].ID != "s1" {
-			t.Errorf("update %+v", n)
+		if update := nodetest.Receive(t, "an update", updates); update.Kind != policy.ListUpdate || update.Endpoints[0].ID != "s1" {
+			t.Errorf("update after the failures: got %+v, want a change of s1", update)
 		}
 		wantRevisions(t, queries, "7", "7", "7", "7", "7", "8")
 		if len(updates) != 0 {
-			t.Errorf("notified also of %+v", <-updates)
+			t.Errorf("got a further update %+v, want none", <-updates)
 		}
 	})
 }
 
-// With Subscribe the node says when to watch, and is notified of each failure once.
+// With Subscribe, the node decides when to watch, and is notified of each failure once.
 func TestSubscribedClientNotifiesOfFailures(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		d, updates, queries := startWatch(t, true, "down", nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(8))
-		d.SetWatching(true)
-		if n := nodetest.Receive(t, "the failure", updates); n.Kind != policy.ListUnavailable {
-			t.Errorf("update %+v", n)
+		client, updates, queries := startWatch(t, true, "down", nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(8))
+		client.SetWatching(true)
+		if update := nodetest.Receive(t, "the failure", updates); update.Kind != policy.ListUnavailable {
+			t.Errorf("update after a failed watch: got %+v, want kind %v", update, policy.ListUnavailable)
 		}
 		wantRevisions(t, queries, "7")
 		if len(queries) != 0 {
-			t.Error("called again before the module asked")
+			t.Errorf("calls after a failure and before SetWatching: got %d, want 0", len(queries))
 		}
-		d.SetWatching(true)
-		if n := nodetest.Receive(t, "the change", updates); n.Kind != policy.ListUpdate || len(n.Endpoints) != 1 {
-			t.Errorf("update %+v", n)
+		client.SetWatching(true)
+		if update := nodetest.Receive(t, "the change", updates); update.Kind != policy.ListUpdate || len(update.Endpoints) != 1 {
+			t.Errorf("update after SetWatching: got %+v, want a change of 1 endpoint", update)
 		}
 		wantRevisions(t, queries, "7", "8", "8")
 	})
 }
 
-// The agent of a pushed list may hold a drain as soon as it is back; a node that pauses past the
-// rule's grace would go on sending to that server.
+// The list service may have a drain to report as soon as it is back. A node with a backoff beyond the drain grace would
+// keep sending requests to that server.
 func TestBackoffStaysWithinTheGraceOfDrains(t *testing.T) {
 	last := time.Duration(0)
 	for i := range 20 {
 		next := nextBackoff(last)
 		if next < last || next <= 0 || next > 200*time.Millisecond {
-			t.Fatalf("pause %d: %v after %v", i, next, last)
+			t.Fatalf("backoff %d: got %v after %v, want it positive, not shorter and at most 200ms", i, next, last)
 		}
 		last = next
 	}
@@ -148,62 +149,63 @@
 		nodetest.ListChange(1, `{"id":"a","phase":"up","host_port":"127.0.0.1:9","up_since_ms":1e99}`): "members[0].up_since_ms",
 	} {
 		if _, err := ParseList([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", raw, err, want)
+			t.Errorf("list %s: got error %v, want one that contains %q", raw, err, want)
 		}
 	}
 }
 
-// When the list service's address changes, the client hangs up on the old one, takes the whole list from the new
-// one, whose revisions may be others, and watches there.
+// When the address of the list service changes, the client ends its call to the old one, fetches the full list from the
+// new one, whose revisions may differ, and watches there.
 func TestRetarget(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		times := newTimeouts(policy.Settings{})
+		timeouts := newTimeouts(policy.Settings{})
 		for _, subscribe := range []bool{false, true} {
-			d, updates, queries := startWatch(t, subscribe)
+			client, updates, queries := startWatch(t, subscribe)
 			if subscribe {
-				d.SetWatching(true)
+				client.SetWatching(true)
 			}
 			wantRevisions(t, queries, "7")
-			moved := make(chan string, 100)
-			d.Retarget(Target{nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
-				moved <- r.URL.RawQuery
+			newQueries := make(chan string, 100)
+			client.Retarget(Target{nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+				newQueries <- r.URL.RawQuery
 				if r.URL.RawQuery == "" {
 					_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+nodetest.ListEntry("s9", "draining")+`]}`)
 					return
 				}
 				<-r.Context().Done()
-			}), subscribe, times, ""})
-			if n := nodetest.Receive(t, "the list", updates); n.Kind != policy.ListReplace || n.Endpoints[0].ID != "s9" {
-				t.Errorf("subscribe %v: update %+v", subscribe, n)
+			}), subscribe, timeouts, ""})
+			if update := nodetest.Receive(t, "the list", updates); update.Kind != policy.ListReplace || update.Endpoints[0].ID != "s9" {
+				t.Errorf("subscribe %v: update after Retarget: got %+v, want a full list with s9", subscribe, update)
 			}
-			for _, want := range []string{"", fmt.Sprint("index=3&wait=", times.Wait.Milliseconds())} {
-				if got := nodetest.Receive(t, "a call to the new address", moved); got != want {
-					t.Errorf("subscribe %v: asked for %q, want %q", subscribe, got, want)
+			for _, want := range []string{"", fmt.Sprint("index=3&wait=", timeouts.Wait.Milliseconds())} {
+				if got := nodetest.Receive(t, "a call to the new address", newQueries); got != want {
+					t.Errorf("subscribe %v: query to the new address: got %q, want %q", subscribe, got, want)
 				}
 			}
 			if len(queries) != 0 || len(updates) != 0 {
-				t.Errorf("subscribe %v: the old address was called again, or a failure notified", subscribe)
+				t.Errorf("subscribe %v: after Retarget: got %d calls to the old address and %d further updates, want none",
+					subscribe, len(queries), len(updates))
 			}
 		}
 	})
 }
 
-// A change of the address is followed at once also while the node waits before it watches again after a failure.
+// Retarget takes effect at once also while the client waits for SetWatching after a failure.
 func TestRetargetAfterAFailure(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		d, updates, _ := startWatch(t, true, "down")
-		d.SetWatching(true)
-		if n := nodetest.Receive(t, "the failure", updates); n.Kind != policy.ListUnavailable {
-			t.Fatalf("update %+v", n)
+		client, updates, _ := startWatch(t, true, "down")
+		client.SetWatching(true)
+		if update := nodetest.Receive(t, "the failure", updates); update.Kind != policy.ListUnavailable {
+			t.Fatalf("update after a failed watch: got %+v, want kind %v", update, policy.ListUnavailable)
 		}
-		d.Retarget(Target{nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
+		client.Retarget(Target{nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.RawQuery != "" {
 				<-r.Context().Done()
 			}
 			_, _ = io.WriteString(w, `{"revision":3,"complete":true,"members":[`+nodetest.ListEntry("s9", "up")+`]}`)
 		}), true, newTimeouts(policy.Settings{}), ""})
-		if n := nodetest.Receive(t, "the list", updates); n.Kind != policy.ListReplace {
-			t.Errorf("update %+v", n)
+		if update := nodetest.Receive(t, "the list", updates); update.Kind != policy.ListReplace {
+			t.Errorf("update after Retarget: got %+v, want a full list", update)
 		}
 	})
 }
--- a/internal/node/discovery/doc.go
+++ b/internal/node/discovery/doc.go
@@ -1,7 +1,7 @@
-// Package discovery keeps a node's endpoint list up to date: it watches the list service, and caches the list on disk.
+// Package discovery keeps a node's endpoint list up to date: it watches the list service and caches the list on disk.
 //
-// A Client watches one replica of the list service at a time, by long polls from one goroutine (client.go, watch.go).
-// Each answer becomes an Update for the node. After a failure it tries the next replica (backoff.go, timeouts.go). The
-// scope of a configuration bounds which servers the list service names (scope.go). The JSON of the list service is read
-// and written in wire.go alone. The cached list serves a start without the list service (cache.go).
+// A Client long-polls one replica of the list service at a time, from one goroutine (client.go, watch.go). Each answer
+// becomes an Update for the node. After a failure the client tries the next replica (backoff.go, timeouts.go). The scope
+// in the configuration limits the servers that the list service returns (scope.go). The JSON of the list service is read
+// and written in wire.go only. With the cached list, a node starts without the list service (cache.go).
 package discovery
--- a/internal/node/discovery/errors.go
+++ b/internal/node/discovery/errors.go
@@ -5,50 +5,50 @@
 	"fmt"
 )
 
-// Conditions of a watch that callers and the retry loop tell apart by errors.Is.
+// Errors of a watch or of the cached list, for use with errors.Is.
 var (
-	// ErrRetargeted ends a watch because the configuration names another list service or scope.
-	ErrRetargeted = errors.New("the list service was changed")
-	// ErrTimeout is a watch whose answer did not come in time.
-	ErrTimeout = errors.New("no answer in time")
-	// ErrStaleReplica is an answer of a replica that is behind the list held.
-	ErrStaleReplica = errors.New("the replica lags behind")
-	// ErrScopeMismatch is an answer that can't be added to the list held: only one of the two is scoped.
-	ErrScopeMismatch = errors.New("the answer is of another scope than the list held")
-	// ErrListTooLong is an answer over maxListBytes.
-	ErrListTooLong = fmt.Errorf("the list is over %d bytes", maxListBytes)
-	// ErrMalformedList is an answer that is no list. What it wraps names the field.
+	// ErrRetargeted means that Retarget aborted the watch.
+	ErrRetargeted = errors.New("watch aborted: the configuration was reloaded")
+	// ErrTimeout means that the list service did not answer within the timeout.
+	ErrTimeout = errors.New("no answer within the timeout")
+	// ErrStaleReplica means that the list of the replica is older than the current list.
+	ErrStaleReplica = errors.New("stale replica")
+	// ErrScopeMismatch means that changes can't be applied to the current list: only one of the two is scoped.
+	ErrScopeMismatch = errors.New("the changes and the current list have different scopes")
+	// ErrListTooLong means that an answer exceeds maxListBytes.
+	ErrListTooLong = fmt.Errorf("list exceeds %d bytes", maxListBytes)
+	// ErrMalformedList means that an answer is not a valid list. The wrapped error names the field.
 	ErrMalformedList = errors.New("malformed list")
-	// ErrCacheVersion is a cached list of an unknown version.
-	ErrCacheVersion = errors.New("no list of this version")
-	// ErrCacheChecksum is a cached list that was damaged.
-	ErrCacheChecksum = errors.New("the checksum doesn't match")
-	// ErrCacheAge is a cached list that is too old, or from the future.
-	ErrCacheAge = errors.New("out of date")
+	// ErrCacheVersion means that the format of a cached list is unknown.
+	ErrCacheVersion = errors.New("unknown format or version")
+	// ErrCacheChecksum means that a cached list is damaged.
+	ErrCacheChecksum = errors.New("checksum mismatch")
+	// ErrCacheAge means that a cached list is too old, or from the future.
+	ErrCacheAge = errors.New("age out of range")
 )
 
-// WatchError is a watch that brought no list.
+// WatchError is the error of a failed watch.
 type WatchError struct {
 	Address string // host:port of the replica
 	Err     error
 }
 
-// Error names the replica and the cause.
+// Error returns the address of the replica and the cause.
 func (e *WatchError) Error() string { return "discovery: watch " + e.Address + ": " + e.Err.Error() }
 
-// Unwrap is the cause.
+// Unwrap returns the cause.
 func (e *WatchError) Unwrap() error { return e.Err }
 
-// StatusError is an answer of the list service with another status than 200.
+// StatusError is an answer of the list service with a status other than 200.
 type StatusError struct {
 	Status string // for example "404 Not Found"
 	Reason string // the first line of the body, for calls with a scope
 }
 
-// Error names the status, and the reason if there is one.
+// Error returns the status, and the reason if there is one.
 func (e *StatusError) Error() string {
 	if e.Reason == "" {
-		return "answered " + e.Status
+		return "unexpected status " + e.Status
 	}
-	return "answered " + e.Status + ": " + e.Reason
+	return "unexpected status " + e.Status + ": " + e.Reason
 }
--- a/internal/node/discovery/errors_test.go
+++ b/internal/node/discovery/errors_test.go
@@ -14,7 +14,7 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// A watch that brings no list names the replica, and its cause can be told apart.
+// The error of a failed watch names the replica, and errors.Is finds the cause.
 func TestFailedWatchesNameTheReplicaAndTheCause(t *testing.T) {
 	answer := func(body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -23,7 +23,7 @@
 		}
 	}
 	for name, c := range map[string]struct {
-		serve http.HandlerFunc // nil: nobody listens
+		serve http.HandlerFunc // nil if nothing listens
 		want  error
 	}{
 		"refused":   {nil, syscall.ECONNREFUSED},
@@ -38,35 +38,35 @@
 				if c.serve != nil {
 					addr = nodetest.HTTPServer(t, c.serve)
 				}
-				d := NewClient(testClientConfig(t, addr), func(Update) {})
-				defer d.http.CloseIdleConnections()
-				_, err := d.watch(context.Background())
-				var watch *WatchError
-				if !errors.Is(err, c.want) || !errors.As(err, &watch) || watch.Address != addr {
-					t.Errorf("got %v", err)
+				client := NewClient(testClientConfig(t, addr), func(Update) {})
+				defer client.http.CloseIdleConnections()
+				_, err := client.watch(context.Background())
+				var watchErr *WatchError
+				if !errors.Is(err, c.want) || !errors.As(err, &watchErr) || watchErr.Address != addr {
+					t.Errorf("got error %v, want a WatchError of %s that wraps %v", err, addr, c.want)
 				}
-				if field := (*decode.FieldError)(nil); name == "malformed" && (!errors.As(err, &field) || field.Field != "revision") {
-					t.Errorf("%v doesn't give the field", err)
+				if fieldErr := (*decode.FieldError)(nil); name == "malformed" && (!errors.As(err, &fieldErr) || fieldErr.Field != "revision") {
+					t.Errorf("got error %v, want it to wrap a FieldError of revision", err)
 				}
 			})
 		})
 	}
 }
 
-// Why a cached list is rejected can be told apart.
+// errors.Is finds the cause why a cached list is rejected.
 func TestRejectedCachedListsGiveTheCause(t *testing.T) {
 	c := testClientConfig(t, "127.0.0.1:9")
 	now := time.Now()
-	whole := string(newListCache("any", c.Known).encode(now))
+	valid := string(newListCache("any", c.Known).encode(now))
 	for text, want := range map[string]error{
 		"sloerail list 2 0\n{}": ErrCacheVersion,
 		"":                      ErrCacheVersion,
-		strings.Replace(whole, `"s0"`, `"s1"`, 1):                       ErrCacheChecksum,
+		strings.Replace(valid, `"s0"`, `"s1"`, 1):                       ErrCacheChecksum,
 		string(newListCache("any", c.Known).encode(now.Add(time.Hour))): ErrCacheAge,
 	} {
 		path := nodetest.WriteFile(t, text)
 		if _, err := readCachedList(path, now); !errors.Is(err, want) {
-			t.Errorf("%.40q: got %v, want %v", text, err, want)
+			t.Errorf("cached list %.40q: got error %v, want %v", text, err, want)
 		}
 	}
 }
--- a/internal/node/discovery/scope.go
+++ b/internal/node/discovery/scope.go
@@ -16,27 +16,27 @@
 )
 
 const (
-	// The list service has the same bounds and header names in internal/registry, which a node doesn't import: it would
+	// These bounds and header names are the same in internal/registry, which a node doesn't import because that would
 	// link raft.
-	maxScopeServices    = 256 // that the list service takes in one call
+	maxScopeServices    = 256 // accepted by the list service in one call
 	maxServiceNameBytes = 256
 	maxScopeQueryBytes  = 8 << 10 // in one call
-	maxSubset           = 150_000 // servers that the list service holds
-	maxReasonBytes      = 256     // of a rejection, in the log
+	maxSubset           = 150_000 // the most servers that the list service holds
+	maxReasonBytes      = 256     // of the reason for a rejection, for the log
 
-	scopedHeader  = "X-Registry-Scoped"           // in answers that are of the scope that the call named
-	unknownHeader = "X-Registry-Unknown-Services" // services of the scope that the list service doesn't know
+	scopedHeader          = "X-Registry-Scoped"           // set in answers that are limited to the scope of the call
+	unknownServicesHeader = "X-Registry-Unknown-Services" // services of the scope that the list service doesn't know
 )
 
-// scopeSection is the section "scope" of the configuration. It bounds which servers of a large fleet the list service
-// names: those of the services that the node's routes need and, of each of these, a subset that the list service chooses
-// by the node's position. The node filters nothing itself.
+// scopeSection is the section "scope" of the configuration. It limits the servers that the list service returns from a
+// large fleet to the services that the node's routes need and, for each service, to a subset that the list service
+// chooses by the node's position. The node itself filters nothing.
 type scopeSection struct {
 	Services []string `json:"services"`
-	Subset   *int     `json:"subset"` // servers of each service; all of them if it is missing
+	Subset   *int     `json:"subset"` // servers of each service; all servers if missing
 }
 
-// ParseScope reads the section "scope", and returns the query that it adds to calls. The settings have been checked.
+// ParseScope parses the section "scope" and returns the query that it adds to calls. The settings must be valid.
 func ParseScope(raw json.RawMessage, settings policy.Settings) (query string, err error) {
 	var section scopeSection
 	if err := decode.Section("scope", raw, &section); err != nil {
@@ -57,17 +57,17 @@
 	}
 	query = values.Encode()
 	if len(query) > maxScopeQueryBytes {
-		return "", decode.Errorf("scope.services", "want %d bytes at most in a call, got %d", maxScopeQueryBytes, len(query))
+		return "", decode.Errorf("scope.services", "want at most %d bytes in a call, got %d", maxScopeQueryBytes, len(query))
 	}
 	return query, nil
 }
 
 func (s scopeSection) checkServices() error {
 	if len(s.Services) == 0 {
-		return decode.Errorf("scope.services", "names no service, and the node would have no server")
+		return decode.Errorf("scope.services", "want at least one service, got none: the node would have no servers")
 	}
 	if len(s.Services) > maxScopeServices {
-		return decode.Errorf("scope.services", "want %d at most, got %d", maxScopeServices, len(s.Services))
+		return decode.Errorf("scope.services", "want at most %d services, got %d", maxScopeServices, len(s.Services))
 	}
 	for i, name := range s.Services {
 		field := fmt.Sprintf("scope.services[%d]", i)
@@ -75,35 +75,35 @@
 			return decode.Errorf(field, "%v", err)
 		}
 		if slices.Index(s.Services, name) < i {
-			return decode.Errorf(field, "%q is there twice", name)
+			return decode.Errorf(field, "%q is listed twice", name)
 		}
 	}
 	return nil
 }
 
-// checkServiceName reports why a name can't be that of a service in the list: validateService in internal/registry has
-// the same rule.
+// checkServiceName returns an error if the list service would reject the name of a service. validateService in
+// internal/registry has the same rule.
 func checkServiceName(name string) error {
 	if name == "" || len(name) > maxServiceNameBytes {
 		return fmt.Errorf("want 1 to %d bytes, got %d", maxServiceNameBytes, len(name))
 	}
 	for _, c := range []byte(name) {
 		if c <= ' ' || c > '~' || c == ',' {
-			return fmt.Errorf("want printable ASCII with no space and no comma, got %q", name)
+			return fmt.Errorf("want printable ASCII without spaces and commas, got %q", name)
 		}
 	}
 	return nil
 }
 
-// scope is a client's scope, and what the last answers said of it. The zero value is for none.
+// scope is the scope of a Client, and the state of the last answers with regard to it. The zero value is no scope.
 type scope struct {
-	query           string // added to each call; empty for none
-	scoped          bool   // the list held is of the scope, and not the whole
-	unsupported     bool   // the last whole list was not of the scope, which was logged
-	unknownServices string // as the last answer named them
+	query           string // added to each call; empty for no scope
+	scoped          bool   // the current list is limited to the scope
+	unsupported     bool   // the last full list was not limited to the scope, and this was logged
+	unknownServices string // unknownServicesHeader of the last answer
 }
 
-// appendTo adds the scope to the URL of a call.
+// appendTo returns the URL of a call with the scope added.
 func (s *scope) appendTo(url string) string {
 	switch {
 	case s.query == "":
@@ -114,7 +114,8 @@
 	return url + "?" + s.query
 }
 
-// firstRevision is the revision to start with. A known list need not be of the scope, so a scoped one is fetched whole.
+// firstRevision returns the revision to start with. With a scope the full list is fetched, because the known list may be
+// of another scope.
 func (s *scope) firstRevision(known int64) int64 {
 	if s.query == "" {
 		return known
@@ -122,7 +123,8 @@
 	return UnknownRevision
 }
 
-// statusError is for an answer with another status than 200. For calls with a scope the body says why.
+// statusError returns the error for an answer with a status other than 200. For calls with a scope, the first line of
+// the body is the reason.
 func (s *scope) statusError(resp *http.Response) error {
 	if s.query == "" {
 		return &StatusError{Status: resp.Status}
@@ -135,8 +137,9 @@
 	return &StatusError{Status: resp.Status, Reason: line}
 }
 
-// check notes what an answer says of the scope. Changes of a scope that are added to a whole list would leave servers
-// outside of the scope there for good, drained or not: ErrScopeMismatch has the whole list fetched.
+// check records whether an answer is limited to the scope. If changes within the scope were applied to an unscoped list,
+// servers outside of the scope would stay in it for good, drained or not: after ErrScopeMismatch the full list is
+// fetched.
 func (s *scope) check(header http.Header, complete bool) error {
 	if s.query == "" {
 		return nil
@@ -149,7 +152,7 @@
 		slog.Warn("discovery: the list service doesn't support the scope, using all servers that it lists")
 	}
 	s.scoped, s.unsupported = scoped, !scoped
-	if unknown := header.Get(unknownHeader); unknown != s.unknownServices {
+	if unknown := header.Get(unknownServicesHeader); unknown != s.unknownServices {
 		s.unknownServices = unknown
 		if unknown != "" {
 			slog.Warn("discovery: the list service doesn't know some services of the scope", "services", unknown)
--- a/internal/node/discovery/timeouts.go
+++ b/internal/node/discovery/timeouts.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// MaxNotificationDelay is the time after which the operators count a change as delivered to the node, from when the
-	// list service had it and could be reached, whatever became of the calls meanwhile. The settings may name less.
+	// MaxNotificationDelay is the time after which operators count a change as delivered to the node. It starts when the
+	// list service has the change and is reachable, whether or not calls fail after that. The settings may set less.
 	MaxNotificationDelay = 6 * time.Second
-	// MaxQueueTime is the longest that the list service queues a call; it rejects what would wait for longer.
+	// MaxQueueTime is the longest time for which the list service queues a call; it rejects calls that would wait longer.
 	MaxQueueTime = 2 * time.Second
-	// minWatchTimeout is given to a watch however little the settings leave: a service that answers is not silent.
+	// minWatchTimeout is the minimum timeout of a watch, whatever the settings: a list service that answers normally must
+	// not time out.
 	minWatchTimeout = time.Second
-	// fullListTimeout bounds a call for the whole list: the operators count what a changed address of the list service
-	// brings as delivered 4 s after the signal.
+	// fullListTimeout bounds a call for the full list: when the address of the list service changes, operators count the
+	// list from the new address as delivered 4 s after the signal.
 	fullListTimeout = 2500 * time.Millisecond
 )
 
 // Timeouts bound the calls to the list service.
 type Timeouts struct {
-	Wait     time.Duration // for which a watch asks the list service to hold it
-	Watch    time.Duration // for the answer to a watch
-	FullList time.Duration // for the answer to a call for the whole list
+	Wait     time.Duration // how long a watch asks the list service to hold it
+	Watch    time.Duration // until a watch is answered
+	FullList time.Duration // until a call for the full list is answered
 }
 
-// newTimeouts gives half of the time after which a change counts as delivered to a watch that times out, and the other half
-// to the one that follows: watches of many nodes that time out together wait for their turns, and those that are
-// rejected are repeated. The wait of a watch is short, so that MaxQueueTime and more is left beyond it wherever that
-// fits: a watch that is answered within its wait costs the service next to nothing, a new one is work.
+// newTimeouts returns the timeouts for the settings. Half of the notification delay is for a watch that times out, and
+// half for the next one: when the watches of many nodes time out together, the list service queues the next ones, and
+// those that it rejects are repeated. Wait is short, so that more than MaxQueueTime remains after it where that fits: a
+// watch that is answered within its wait costs the list service almost nothing, whereas a new watch is work.
 func newTimeouts(s policy.Settings) Timeouts {
 	delay := MaxNotificationDelay
 	if interval := s.Rules.PollInterval; interval > 0 {
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -12,13 +12,14 @@
 
 const (
 	listPath = "/registry/instances"
-	// epochHeader is in the answers of our own list service, whose revisions only grow.
+	// epochHeader is set in the answers of sloerail's own list service, whose revisions never decrease.
 	epochHeader = "X-Registry-Epoch"
 	// maxListBytes bounds an answer of the list service.
 	maxListBytes = 8 << 20
 )
 
-// watch makes one call, which waits for something newer than the revision held. Its error is a *WatchError.
+// watch makes one call, which the list service holds until there is something newer than the current revision. The error
+// is a *WatchError.
 func (c *Client) watch(ctx context.Context) (List, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.callTimeout(), ErrTimeout)
 	defer cancel()
@@ -32,7 +33,7 @@
 	return List{}, &WatchError{Address: c.addresses[c.replica], Err: err}
 }
 
-// callTimeout is how long the next call may take.
+// callTimeout returns the timeout of the next call.
 func (c *Client) callTimeout() time.Duration {
 	if c.revision == UnknownRevision {
 		return c.timeouts.FullList
@@ -40,7 +41,7 @@
 	return c.timeouts.Watch
 }
 
-// callURL is that of the next call.
+// callURL returns the URL of the next call.
 func (c *Client) callURL() string {
 	u := "http://" + c.addresses[c.replica] + listPath
 	if c.revision != UnknownRevision {
@@ -49,7 +50,7 @@
 	return c.scope.appendTo(u)
 }
 
-// fetch reads one answer.
+// fetch makes the next call and reads the answer.
 func (c *Client) fetch(ctx context.Context) (List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.callURL(), nil)
 	if err != nil {
@@ -57,12 +58,12 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		if call := (*url.Error)(nil); errors.As(err, &call) { // WatchError names the address
+		if call := (*url.Error)(nil); errors.As(err, &call) { // WatchError names the address already
 			err = call.Err
 		}
 		return List{}, err
 	}
-	defer func() { _ = resp.Body.Close() }() // what matters of it was read
+	defer func() { _ = resp.Body.Close() }() // all that is needed has been read
 	if resp.StatusCode != http.StatusOK {
 		return List{}, c.scope.statusError(resp)
 	}
@@ -71,7 +72,7 @@
 		return List{}, err
 	}
 	if resp.Header.Get(epochHeader) != "" && list.Revision < c.revision {
-		return List{}, fmt.Errorf("%w: revision %d after %d", ErrStaleReplica, list.Revision, c.revision)
+		return List{}, fmt.Errorf("%w: got revision %d, already have %d", ErrStaleReplica, list.Revision, c.revision)
 	}
 	if err := c.scope.check(resp.Header, list.Complete); err != nil {
 		c.revision = UnknownRevision
@@ -80,7 +81,7 @@
 	return list, nil
 }
 
-// readList reads the body of an answer.
+// readList reads and parses the body of an answer.
 func readList(body io.Reader) (List, error) {
 	raw, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
 	if err != nil {
--- a/internal/node/discovery/wire.go
+++ b/internal/node/discovery/wire.go
@@ -8,15 +8,15 @@
 	"sloerail/policy"
 )
 
-// wireList is a list in the JSON of the list service, and in the file of the cached list.
+// wireList is the JSON of a List, as sent by the list service and as stored in the cache file.
 type wireList struct {
 	Revision      *int64         `json:"revision"`
 	Complete      bool           `json:"complete"`
-	SavedAtMillis int64          `json:"saved_ms,omitempty"` // of a cached list, in Unix milliseconds
+	SavedAtMillis int64          `json:"saved_ms,omitempty"` // in Unix milliseconds; cached lists only
 	Endpoints     []wireEndpoint `json:"members"`
 }
 
-// wireEndpoint is an entry of a wireList.
+// wireEndpoint is the JSON of an Endpoint.
 type wireEndpoint struct {
 	ID              string   `json:"id"`
 	Address         string   `json:"host_port"`
@@ -24,30 +24,30 @@
 	Kind            string   `json:"flavor"`
 	Cell            int64    `json:"cell"`
 	State           string   `json:"phase"`
-	Weight          *float64 `json:"size"` // 1 if it is missing
+	Weight          *float64 `json:"size"` // 1 if missing
 	StartedAtMillis float64  `json:"up_since_ms"`
 }
 
-// The words for the state of an endpoint.
+// Values of wireEndpoint.State.
 const (
 	stateRunning  = "up"
 	stateDraining = "draining"
 	stateRemoved  = "removed"
 )
 
-// maxStartMillis bounds the start time of an endpoint: JSON numbers beyond it are not exact.
+// maxStartMillis bounds the start time of an endpoint: larger JSON numbers are not exact.
 const maxStartMillis = 1 << 53
 
-var availabilities = map[string]policy.Availability{
+var availabilityByState = map[string]policy.Availability{
 	stateRunning: policy.Running, stateDraining: policy.Draining, stateRemoved: policy.Removed,
 }
 
-var states = map[policy.Availability]string{
+var stateByAvailability = map[policy.Availability]string{
 	policy.Running: stateRunning, policy.Draining: stateDraining, policy.Removed: stateRemoved,
 }
 
-// ParseList reads an answer of the list service. A list with one bad entry is rejected as a whole, because that entry
-// may be of a server that drains. The error is a *decode.FieldError where a field can't be used.
+// ParseList parses an answer of the list service. One invalid entry rejects the whole list, because the entry may be for
+// a server that is draining. The error is a *decode.FieldError if it concerns a single field.
 func ParseList(raw []byte) (List, error) {
 	var wire wireList
 	if err := decode.JSON(raw, &wire); err != nil {
@@ -67,17 +67,18 @@
 	return list, nil
 }
 
-// endpoint checks w and maps it to the standard type; path is where it stands in the list, for errors.
+// endpoint validates w and converts it to an Endpoint. path is the path of the entry, for errors.
 func (w wireEndpoint) endpoint(path string) (Endpoint, error) {
 	if w.ID == "" {
 		return Endpoint{}, decode.Errorf(path+".id", "missing")
 	}
-	availability, ok := availabilities[w.State]
+	availability, ok := availabilityByState[w.State]
 	if !ok {
-		return Endpoint{}, decode.Errorf(path+".phase", "unknown word %q", w.State)
+		return Endpoint{}, decode.Errorf(path+".phase", "want up, draining or removed, got %q", w.State)
 	}
 	if !(w.StartedAtMillis >= 0 && w.StartedAtMillis < maxStartMillis) { // NaN is out of range too
-		return Endpoint{}, decode.Errorf(path+".up_since_ms", "out of range")
+		return Endpoint{}, decode.Errorf(path+".up_since_ms", "want 0 or more and less than %d, got %v",
+			int64(maxStartMillis), w.StartedAtMillis)
 	}
 	if availability != policy.Removed {
 		if err := decode.CheckAddress(w.Address); err != nil {
@@ -96,16 +97,16 @@
 	}, nil
 }
 
-// wire maps e to the JSON of the list service.
+// wire converts e to the JSON of the list service.
 func (e Endpoint) wire() wireEndpoint {
 	return wireEndpoint{ID: e.ID, Address: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell,
-		State: states[e.Availability], Weight: &e.Weight, StartedAtMillis: float64(e.StartedAtMillis)}
+		State: stateByAvailability[e.Availability], Weight: &e.Weight, StartedAtMillis: float64(e.StartedAtMillis)}
 }
 
-// encode writes a list as the file of the cached list holds it.
+// encode returns the JSON of the list for the cache file.
 func (l wireList) encode() []byte {
 	raw, err := json.Marshal(l)
-	if err != nil { // its fields are plain numbers and strings, which always can be written
+	if err != nil { // can't happen: all fields are numbers, booleans and strings
 		panic(err)
 	}
 	return raw
