--- a/internal/node/hotrestart/frozen_test.go
+++ b/internal/node/hotrestart/frozen_test.go
@@ -12,30 +12,29 @@
 	"sloerail/policy"
 )
 
-// The tests in this file pin forms that another version of the program reads. The golden files were written by the code
-// of commit 4650eee; they are never written anew.
+// The tests in this file check formats that other versions of the program read. The golden files were written by the
+// code of commit 4650eee; they must not be regenerated.
 
-// The state that a process hands over, and the messages in which it says what it still holds, are read whole and written
-// back byte for byte.
+// The state of a hand-over and the progress messages are read without unknown keys and written back byte for byte.
 func TestHandoverMessagesKeepTheirForm(t *testing.T) {
 	for _, name := range []string{"handover_state.json", "handover_progress.json"} {
 		want := nodetest.Golden(t, name)
-		strict := json.NewDecoder(bytes.NewReader(want))
-		strict.DisallowUnknownFields()
-		var in State
-		if err := strict.Decode(&in); err != nil {
+		decoder := json.NewDecoder(bytes.NewReader(want))
+		decoder.DisallowUnknownFields()
+		var state State
+		if err := decoder.Decode(&state); err != nil {
 			t.Fatalf("%s: %v", name, err)
 		}
 		var got []byte
 		var err error
 		if name == "handover_state.json" {
-			got, err = json.Marshal(in)
-			if a := in.Endpoints; len(a) != 2 || a[0].Availability != policy.Draining || a[1].Availability != policy.Removed {
-				t.Errorf("%s: endpoints %+v", name, a)
+			got, err = json.Marshal(state)
+			if endpoints := state.Endpoints; len(endpoints) != 2 || endpoints[0].Availability != policy.Draining || endpoints[1].Availability != policy.Removed {
+				t.Errorf("%s: got endpoints %+v, want one draining and one removed", name, endpoints)
 			}
 		} else {
 			var out bytes.Buffer
-			err = json.NewEncoder(&out).Encode(in)
+			err = json.NewEncoder(&out).Encode(state)
 			got = out.Bytes()
 		}
 		if err != nil {
@@ -45,7 +44,7 @@
 	}
 }
 
-// The socket at which a successor calls is where other versions look for it.
+// The path of the socket for successors is the one that other versions use.
 func TestHandoverSocketPath(t *testing.T) {
 	for _, c := range []struct{ address, dir, want string }{
 		{"127.0.0.1:8080", "/tmp/n0", "/tmp/n0/wayhold-127.0.0.1-8080.sock"},
@@ -57,12 +56,12 @@
 		{"127.0.0.1:8080", "", ""},
 	} {
 		if got := (Identity{Address: c.address, Dir: c.dir}).SocketPath(); got != c.want {
-			t.Errorf("address %q, folder %q: %q, want %q", c.address, c.dir, got, c.want)
+			t.Errorf("socket path for address %q and folder %q: got %q, want %q", c.address, c.dir, got, c.want)
 		}
 	}
 }
 
-// scriptedPredecessor hands the listening socket and the text of a state to the first successor that calls.
+// scriptedPredecessor sends the listening socket and the JSON of a state to the first successor that connects.
 func scriptedPredecessor(t *testing.T, id Identity, clients net.Listener, state []byte) (successor <-chan *net.UnixConn, wrote <-chan error) {
 	t.Helper()
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: id.SocketPath(), Net: "unix"})
@@ -95,55 +94,55 @@
 	return conns, done
 }
 
-// A predecessor of any version meets a successor that takes its messages and answers with one byte.
+// A successor reads the messages of a predecessor of any version, and writes one byte.
 func TestHandoverTranscriptOfTheSuccessor(t *testing.T) {
 	clients, id := testNode(t)
 	state := bytes.Replace(nodetest.Golden(t, "handover_state.json"), []byte(`"Listen":"127.0.0.1:8080"`), []byte(`"Listen":"`+id.Address+`"`), 1)
 	conns, wrote := scriptedPredecessor(t, id, clients, state)
-	p, err := TakeOver(id)
+	predecessor, err := TakeOver(id)
 	if err != nil {
-		t.Fatalf("no hand-over: %v", err)
+		t.Fatalf("TakeOver: %v", err)
 	}
 	if err := nodetest.Receive(t, "the predecessor's messages", wrote); err != nil {
 		t.Fatal(err)
 	}
-	defer nodetest.Close(t, p.Clients)
-	got, err := json.Marshal(p.State)
+	defer nodetest.Close(t, predecessor.Clients)
+	got, err := json.Marshal(predecessor.State)
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodetest.SameBytes(t, "what the successor took", got, state)
-	if p.Clients.Addr().String() != id.Address {
-		t.Errorf("the listening socket is at %v", p.Clients.Addr())
+	nodetest.SameBytes(t, "the state that the successor received", got, state)
+	if predecessor.Clients.Addr().String() != id.Address {
+		t.Errorf("address of the listening socket: got %v, want %s", predecessor.Clients.Addr(), id.Address)
 	}
 
 	conn := nodetest.Receive(t, "the connection", conns)
 	received := make(chan Progress, 8)
-	go p.Follow(func() {}, func(of Progress, ended bool) {
+	go predecessor.Follow(func() {}, func(progress Progress, ended bool) {
 		if ended {
 			close(received)
 			return
 		}
-		received <- of
+		received <- progress
 	})
-	word := make([]byte, 16)
-	if n, err := conn.Read(word); err != nil || string(word[:n]) != "S" {
-		t.Fatalf("the successor wrote %q, %v", word[:n], err)
+	buf := make([]byte, 16)
+	if n, err := conn.Read(buf); err != nil || string(buf[:n]) != "S" {
+		t.Fatalf("read from the successor: got %q, error %v, want \"S\"", buf[:n], err)
 	}
 	progress := nodetest.Golden(t, "handover_progress.json")
 	if _, err := conn.Write(progress); err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	took := nodetest.Receive(t, "the progress", received)
-	if err := json.NewEncoder(&out).Encode(State{Sockets: took.Sockets, InFlight: took.InFlight}); err != nil {
+	last := nodetest.Receive(t, "the progress", received)
+	if err := json.NewEncoder(&out).Encode(State{Sockets: last.Sockets, InFlight: last.InFlight}); err != nil {
 		t.Fatal(err)
 	}
-	nodetest.SameBytes(t, "what the successor received", out.Bytes(), progress)
+	nodetest.SameBytes(t, "the progress that the successor received", out.Bytes(), progress)
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
-	if left, more := <-received; more {
-		t.Errorf("after the predecessor's end: %+v", left)
+	if further, more := <-received; more {
+		t.Errorf("after the end of the predecessor: got progress %+v, want none", further)
 	}
 }
--- a/internal/node/hotrestart/hotrestart_test.go
+++ b/internal/node/hotrestart/hotrestart_test.go
@@ -15,14 +15,14 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// testNode is a node with a clients' listener and a folder.
+// testNode returns the clients' listener and the identity of a new node.
 func testNode(t *testing.T) (net.Listener, Identity) {
 	t.Helper()
 	clients := nodetest.Listener(t)
 	return clients, Identity{Name: "n0", Address: clients.Addr().String(), Dir: t.TempDir()}
 }
 
-// fakeProcess notes what Serve asks of it.
+// fakeProcess is a Process that records calls of StopAccepting and Resume.
 type fakeProcess struct {
 	clients net.Listener
 	stopped chan struct{}
@@ -50,7 +50,7 @@
 
 func (p *fakeProcess) Resume(successorServed bool) { p.resumed <- successorServed }
 
-// serve has the process await successors until the test ends, or stop is called.
+// serve runs Serve for the process until the test ends or stop is called.
 func (p *fakeProcess) serve(t *testing.T, id Identity) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -67,7 +67,7 @@
 		stopped = true
 	}
 	t.Cleanup(stop)
-	nodetest.Await(t, "the socket for a successor", func() bool {
+	nodetest.Await(t, "the socket for successors", func() bool {
 		conn, err := net.Dial("unix", id.SocketPath())
 		if err != nil {
 			return false
@@ -75,84 +75,85 @@
 		nodetest.Close(t, conn)
 		return true
 	})
-	nodetest.Receive(t, "the end of that call", p.resumed)
+	nodetest.Receive(t, "Resume after the trial connection", p.resumed)
 	return stop
 }
 
-// The state comes over, and from when the successor serves what its predecessor still holds does too.
+// A successor receives the state and, once it serves, its predecessor's progress.
 func TestSuccessorTakesStateAndProgress(t *testing.T) {
 	clients, id := testNode(t)
 	process := newFakeProcess(clients)
 	stop := process.serve(t, id)
-	p, err := TakeOver(id)
+	predecessor, err := TakeOver(id)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nodetest.Close(t, p.Clients)
-	if s := p.State; s.Version != protocolVersion || s.Name != id.Name || s.Address != id.Address || s.Sockets != 7 {
-		t.Errorf("took %+v", s)
+	defer nodetest.Close(t, predecessor.Clients)
+	if s := predecessor.State; s.Version != protocolVersion || s.Name != id.Name || s.Address != id.Address || s.Sockets != 7 {
+		t.Errorf("state: got %+v, want version %d, node %s at %s and 7 sockets", s, protocolVersion, id.Name, id.Address)
 	}
 	if len(process.stopped) != 0 {
-		t.Error("the predecessor stopped accepting before its successor served")
+		t.Error("StopAccepting was called before the successor served")
 	}
-	yielded, received, ended := make(chan struct{}), make(chan Progress, 100), make(chan struct{})
-	go p.Follow(func() { close(yielded) }, func(of Progress, over bool) {
-		if over {
-			close(ended)
+	yielded, received, finished := make(chan struct{}), make(chan Progress, 100), make(chan struct{})
+	go predecessor.Follow(func() { close(yielded) }, func(progress Progress, ended bool) {
+		if ended {
+			close(finished)
 			return
 		}
-		received <- of
+		received <- progress
 	})
-	nodetest.Receive(t, "the predecessor's stop", process.stopped)
-	nodetest.Receive(t, "the word that it yields", yielded)
-	if got := nodetest.Receive(t, "its progress", received); got.Sockets != 9 || !maps.Equal(got.InFlight, map[string]int{"s0": 2}) {
-		t.Errorf("received %+v", got)
+	nodetest.Receive(t, "StopAccepting", process.stopped)
+	nodetest.Receive(t, "the call of yielded", yielded)
+	if got := nodetest.Receive(t, "the progress", received); got.Sockets != 9 || !maps.Equal(got.InFlight, map[string]int{"s0": 2}) {
+		t.Errorf("progress: got %+v, want 9 sockets and 2 attempts in flight at s0", got)
 	}
 	stop()
-	nodetest.Receive(t, "the word of its end", ended)
+	nodetest.Receive(t, "the predecessor's end", finished)
 	if len(process.resumed) != 0 {
-		t.Error("the predecessor resumed though it was stopped")
+		t.Error("Resume was called after the context of Serve ended")
 	}
 }
 
-// A successor that goes away leaves the node to its predecessor, which learns whether the successor had served.
+// The predecessor resumes when its successor goes away, and is told whether the successor had served.
 func TestPredecessorResumesWithoutItsSuccessor(t *testing.T) {
 	clients, id := testNode(t)
 	process := newFakeProcess(clients)
 	process.serve(t, id)
 	for _, served := range []bool{false, true} {
-		p, err := TakeOver(id)
+		predecessor, err := TakeOver(id)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if served {
-			go p.Follow(func() {}, func(Progress, bool) {})
-			nodetest.Receive(t, "the predecessor's stop", process.stopped)
+			go predecessor.Follow(func() {}, func(Progress, bool) {})
+			nodetest.Receive(t, "StopAccepting", process.stopped)
 		}
-		nodetest.Close(t, p.Clients)
-		nodetest.Close(t, p)
-		if got := nodetest.Receive(t, "the predecessor's resumption", process.resumed); got != served {
-			t.Errorf("served %v: resumed with %v", served, got)
+		nodetest.Close(t, predecessor.Clients)
+		nodetest.Close(t, predecessor)
+		if got := nodetest.Receive(t, "Resume", process.resumed); got != served {
+			t.Errorf("argument of Resume: got %v, want %v", got, served)
 		}
 	}
 }
 
-// Why there is no hand-over can be told apart.
+// The error of a failed TakeOver gives the cause.
 func TestFailedTakeOverGivesTheCause(t *testing.T) {
 	clients, id := testNode(t)
 	if _, err := TakeOver(id); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("without a predecessor: %v", err)
+		t.Errorf("without a predecessor: got error %v, want %v", err, fs.ErrNotExist)
 	}
 	newFakeProcess(clients).serve(t, id)
 	other := id
 	other.Name = "n1"
 	_, err := TakeOver(other)
 	if !errors.Is(err, ErrOtherNode) || !strings.Contains(err.Error(), `"n0" at `+id.Address+", version 1") {
-		t.Errorf("from another node: %v", err)
+		t.Errorf("with a predecessor of another node: got error %v, want %v with the node's name, address and version",
+			err, ErrOtherNode)
 	}
 }
 
-// What comes in place of the listening socket is named, and no descriptor of it stays open.
+// Control messages without exactly one descriptor are an error that says what came, and leave no descriptor open.
 func TestWrongRightsAreNamed(t *testing.T) {
 	t.Parallel()
 	var pipe [2]int
@@ -164,24 +165,24 @@
 			t.Error(err)
 		}
 	}()
-	again, err := unix.Dup(pipe[1])
+	duplicate, err := unix.Dup(pipe[1])
 	if err != nil {
 		t.Fatal(err)
 	}
-	two := unix.UnixRights(pipe[1], again)
+	twoDescriptors := unix.UnixRights(pipe[1], duplicate)
 	for name, c := range map[string]struct {
 		rights []byte
 		want   string
 	}{
-		"nothing": {nil, "got 0"}, "cut short": {two[:4], "listening socket: "}, "two sockets": {two, "got 2"},
+		"nothing": {nil, "got 0"}, "cut short": {twoDescriptors[:4], "listening socket: "}, "two sockets": {twoDescriptors, "got 2"},
 	} {
 		l, err := listenerFrom(c.rights)
 		if l != nil || !errors.Is(err, ErrListeningSocket) || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "%!") {
-			t.Errorf("%s: listener %v, error %v", name, l, err)
+			t.Errorf("%s: got listener %v, error %v, want no listener and %v with %q", name, l, err, ErrListeningSocket, c.want)
 		}
 	}
-	// Only where both of its other ends are closed does a pipe end.
+	// A read returns 0 bytes only once both write descriptors of the pipe are closed.
 	if n, err := unix.Read(pipe[0], make([]byte, 1)); n != 0 || err != nil {
-		t.Errorf("a descriptor that came unasked is still open: %d, %v", n, err)
+		t.Errorf("read of the pipe, whose write descriptors should be closed: got %d bytes, error %v, want 0 and none", n, err)
 	}
 }
--- a/internal/node/hotrestart/serve.go
+++ b/internal/node/hotrestart/serve.go
@@ -14,36 +14,38 @@
 )
 
 const (
-	startTimeout = 10 * time.Second // for a successor to serve; after that it counts as gone
-	stateByte    = '\n'             // comes before the state, with the listening socket
+	startTimeout = 10 * time.Second // for a successor to start serving; after that it counts as gone
+	stateByte    = '\n'             // sent before the state, with the listening socket attached
 
-	// ProgressInterval is the time between two messages of a predecessor: half of what an attempt waits for a descriptor
-	// (descriptorWaitTimeout in internal/node/upstream), so that one message at least may grant it meanwhile.
+	// ProgressInterval is the time between two Progress messages. It is half of the time for which an attempt waits for a
+	// descriptor (descriptorWaitTimeout in internal/node/upstream), so that at least one message can grant it in that time.
 	ProgressInterval = 50 * time.Millisecond
 )
 
-// Process is a serving process that a successor may take over from. Serve calls the methods one at a time.
+// Process is a serving process that can hand over to a successor. Serve calls the methods one at a time.
 type Process interface {
-	// ClientsSocket is the clients' listening socket.
+	// ClientsSocket returns the clients' listening socket.
 	ClientsSocket() (syscall.RawConn, error)
-	// Snapshot is the state to hand over, and makes room for the successor. Serve fills in the identity.
+	// Snapshot returns the state to hand over, and releases resources for the successor. Serve fills in the version and
+	// the identity.
 	Snapshot() (State, error)
-	// StopAccepting leaves new clients to the successor, which serves.
+	// StopAccepting stops accepting clients: the successor accepts them now.
 	StopAccepting() error
-	// Progress is what the process still holds, and releases what it doesn't need.
+	// Progress releases descriptors that the process doesn't need, and returns what it still holds.
 	Progress() Progress
-	// Resume goes on as the only process: the successor is gone, after it has served or before.
+	// Resume makes the process serve alone again after its successor has gone. successorServed reports whether the
+	// successor had started serving.
 	Resume(successorServed bool)
 }
 
-// Serve hands over to successors until ctx ends, one at a time. A successor that is gone before ctx ends leaves the
-// process the only one again.
+// Serve hands over to successors, one at a time, until ctx ends. If a successor goes away before that, the process
+// resumes.
 func Serve(ctx context.Context, id Identity, process Process) error {
 	listener, err := listenForSuccessor(id.SocketPath())
 	if err != nil {
 		return fmt.Errorf("hot restart: listen for a successor: %w", err)
 	}
-	stop := context.AfterFunc(ctx, func() { _ = listener.Close() }) // which ends AcceptUnix
+	stop := context.AfterFunc(ctx, func() { _ = listener.Close() }) // unblocks AcceptUnix
 	defer stop()
 	for {
 		conn, err := listener.AcceptUnix()
@@ -51,15 +53,15 @@
 			if ctx.Err() != nil {
 				return nil
 			}
-			return fmt.Errorf("hot restart: await a successor: %w", err)
+			return fmt.Errorf("hot restart: accept a successor: %w", err)
 		}
 		serveSuccessor(ctx, id, process, conn)
 	}
 }
 
-// serveSuccessor hands over to the process at the other end of conn, for as long as that lives.
+// serveSuccessor hands over to the process at the other end of conn, and returns when that process has gone or ctx ends.
 func serveSuccessor(ctx context.Context, id Identity, process Process, conn *net.UnixConn) {
-	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // which ends reads and writes
+	stop := context.AfterFunc(ctx, func() { _ = conn.Close() }) // unblocks reads and writes
 	defer stop()
 	err := sendState(id, process, conn)
 	served := false
@@ -70,11 +72,11 @@
 	if ctx.Err() != nil {
 		return
 	}
-	slog.Warn("hot restart: the successor is gone, serving on", "error", err, "it had served", served)
+	slog.Warn("hot restart: the successor has gone, this process continues to serve", "error", err, "it had served", served)
 	process.Resume(served)
 }
 
-// sendState writes what a successor needs: the listening socket and the state.
+// sendState sends the listening socket and the state to a successor.
 func sendState(id Identity, process Process, conn *net.UnixConn) error {
 	if err := conn.SetWriteDeadline(time.Now().Add(stepTimeout)); err != nil {
 		return err
@@ -105,8 +107,8 @@
 	return err
 }
 
-// followSuccessor waits until the successor serves, and then sends it what this process still holds. It returns once
-// the successor is gone.
+// followSuccessor waits until the successor serves, stops accepting clients, and then sends Progress messages until the
+// successor has gone.
 func followSuccessor(process Process, conn *net.UnixConn) (served bool, err error) {
 	if err := conn.SetReadDeadline(time.Now().Add(startTimeout)); err != nil {
 		return false, err
@@ -115,7 +117,7 @@
 	if _, err := io.ReadFull(conn, readySignal); err != nil {
 		return false, err
 	}
-	slog.Info("hot restart: a successor serves, accepting no new clients")
+	slog.Info("hot restart: the successor serves, this process accepts no new clients")
 	if err := process.StopAccepting(); err != nil {
 		return true, err
 	}
@@ -126,7 +128,7 @@
 	ended := make(chan struct{})
 	go func() {
 		defer close(ended)
-		_, readErr = conn.Read(readySignal) // a successor sends no more: it returns when that is gone
+		_, readErr = conn.Read(readySignal) // the successor sends nothing more: Read returns when it has gone
 	}()
 	defer func() {
 		_ = conn.Close() // ends the read
--- a/internal/node/hotrestart/socket.go
+++ b/internal/node/hotrestart/socket.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// socketPrefix begins the name of the socket, in $TMPDIR, at which a successor calls: the program's former name.
-	// The process at the other end may be of another version, which looks there, so it stays as it is.
+	// socketPrefix is the prefix of the socket's name in $TMPDIR, where successors connect. It is the program's former
+	// name and must not change, because processes of other versions use it too.
 	socketPrefix = "wayhold-"
 	socketSuffix = ".sock"
 	socketMode   = 0o600
 )
 
-// Identity says which node a process is one of.
+// Identity identifies the node that a process belongs to.
 type Identity struct {
 	Name    string
 	Address string // host:port of the clients' listener
-	Dir     string // a folder that all processes of the node share; empty for none
+	Dir     string // folder that all processes of the node share; empty for none
 }
 
-// SocketPath is where the process that serves at the clients' address awaits its successor, of any version. It is empty
-// if there is no such place, and the node can't be handed over.
+// SocketPath returns the path of the Unix socket where the serving process awaits its successor. All versions use the
+// same path. It is empty if the node can't be handed over, because it has no folder or no fixed port.
 func (id Identity) SocketPath() string {
 	if _, port, err := net.SplitHostPort(id.Address); err != nil || port == "0" || id.Dir == "" {
 		return ""
@@ -34,8 +34,8 @@
 	return filepath.Join(id.Dir, socketPrefix+strings.ReplaceAll(id.Address, ":", "-")+socketSuffix)
 }
 
-// unixAddr is the address of a Unix socket. One whose path is too long is named by way of its folder,
-// which stays open until done is called.
+// unixAddr returns the address of the Unix socket at path. If path is too long for an address, the address refers to the
+// folder by its descriptor, which stays open until done is called.
 func unixAddr(path string) (addr *net.UnixAddr, done func() error, err error) {
 	if len(path) < len(syscall.RawSockaddrUnix{}.Path) {
 		return &net.UnixAddr{Name: path, Net: "unix"}, func() error { return nil }, nil
@@ -48,28 +48,28 @@
 	return &net.UnixAddr{Name: name, Net: "unix"}, dir.Close, nil
 }
 
-// listenForSuccessor makes the socket at which a successor calls. It takes the former one's place only once it is
-// there.
+// listenForSuccessor creates the socket where a successor connects. It creates it at a temporary path and renames it, so
+// that it replaces the former socket only once it exists.
 func listenForSuccessor(path string) (*net.UnixListener, error) {
-	temporary := path + "." + strconv.Itoa(os.Getpid())
-	addr, done, err := unixAddr(temporary)
+	tempPath := path + "." + strconv.Itoa(os.Getpid())
+	addr, done, err := unixAddr(tempPath)
 	if err != nil {
 		return nil, err
 	}
-	if err := os.Remove(temporary); err != nil && !errors.Is(err, os.ErrNotExist) {
+	if err := os.Remove(tempPath); err != nil && !errors.Is(err, os.ErrNotExist) {
 		return nil, errors.Join(err, done())
 	}
 	listener, err := net.ListenUnix("unix", addr)
 	if err != nil {
 		return nil, errors.Join(err, done())
 	}
-	listener.SetUnlinkOnClose(false) // by then the path may be a successor's
+	listener.SetUnlinkOnClose(false) // by then a successor's socket may be at the path
 	err = done()
 	if err == nil {
-		err = os.Chmod(temporary, socketMode)
+		err = os.Chmod(tempPath, socketMode)
 	}
 	if err == nil {
-		err = os.Rename(temporary, path)
+		err = os.Rename(tempPath, path)
 	}
 	if err != nil {
 		return nil, errors.Join(err, listener.Close())
--- a/internal/node/hotrestart/state.go
+++ b/internal/node/hotrestart/state.go
@@ -7,22 +7,23 @@
 	"sloerail/policy"
 )
 
-// protocolVersion is that of the messages. A process of another one starts without the state.
+// protocolVersion is the version of the messages. A successor with another version starts without the state.
 const protocolVersion = 1
 
-// State is what a process hands over to its successor. The clients' listening socket comes with the byte before it. The
-// process at the other end may be of another version: the keys are fixed.
+// State is the state that a process hands over to its successor, after stateByte with the clients' listening socket.
+// Later messages have Sockets and InFlight only (Progress). The keys are fixed, because the other process may be of
+// another version.
 type State struct {
 	Version   int             `json:"Version"`
 	Name      string          `json:"Name"`
 	Address   string          `json:"Listen"`
 	Endpoints []endpointState `json:"Members"`
 	Policy    policy.Snapshot `json:"Knowledge"`
-	Sockets   int             `json:"Sockets"` // descriptors that the successor may hold for now
-	InFlight  map[string]int  `json:"Out"`     // the predecessor's attempts at each server
+	Sockets   int             `json:"Sockets"` // descriptors that the successor may hold at first
+	InFlight  map[string]int  `json:"Out"`     // the predecessor's attempts in flight, by server
 }
 
-// endpointState is an endpoint in a State. The keys are fixed.
+// endpointState is the JSON of an endpoint in a State. The keys are fixed.
 type endpointState struct {
 	ID              string              `json:"Server"`
 	Zone            string              `json:"Zone"`
@@ -45,14 +46,14 @@
 		Zone: s.Zone, Kind: s.Kind, Cell: s.Cell, Weight: s.Weight, StartedAt: s.StartedAt, Availability: s.Availability}}
 }
 
-// SetEndpointList puts the endpoint list into the state.
+// SetEndpointList adds the endpoints to the state.
 func (s *State) SetEndpointList(endpoints iter.Seq[discovery.Endpoint]) {
 	for e := range endpoints {
 		s.Endpoints = append(s.Endpoints, newEndpointState(e))
 	}
 }
 
-// EndpointList is the endpoint list of the state.
+// EndpointList returns the endpoint list of the state.
 func (s *State) EndpointList() (all []discovery.Endpoint) {
 	for _, e := range s.Endpoints {
 		all = append(all, e.endpoint())
@@ -60,8 +61,8 @@
 	return all
 }
 
-// Progress is what a predecessor still holds while its successor serves.
+// Progress reports what a predecessor leaves to its successor and what it still holds, while the successor serves.
 type Progress struct {
 	Sockets  int            // descriptors that the successor may hold now
-	InFlight map[string]int // the predecessor's attempts at each server
+	InFlight map[string]int // the predecessor's attempts in flight, by server
 }
--- a/internal/node/hotrestart/takeover.go
+++ b/internal/node/hotrestart/takeover.go
@@ -16,32 +16,33 @@
 
 const (
 	stepTimeout   = time.Second // for each step of a hand-over
-	maxStateBytes = 16 << 20    // of all messages of a predecessor in sum, its progress included
-	readyByte     = 'S'         // a successor writes it once it serves
+	maxStateBytes = 16 << 20    // total of all messages of a predecessor, including Progress
+	readyByte     = 'S'         // sent by a successor once it serves
 )
 
-// Errors of a hand-over that callers tell apart by errors.Is.
+// Errors of a hand-over, for use with errors.Is.
 var (
-	// ErrOtherNode is a process that serves another node, or speaks another version of the protocol.
-	ErrOtherNode = errors.New("the process can't hand over to this one")
-	// ErrListeningSocket is a message that does not bring exactly the clients' listening socket.
-	ErrListeningSocket = errors.New("the listening socket")
+	// ErrOtherNode means that the serving process belongs to another node, or has another version of the protocol.
+	ErrOtherNode = errors.New("the serving process has another identity or protocol version")
+	// ErrListeningSocket means that a message does not contain exactly the clients' listening socket.
+	ErrListeningSocket = errors.New("receive the listening socket")
 )
 
-// Predecessor is the process that served before this one, as its successor sees it.
+// Predecessor is the process that serves before this one, seen from the successor.
 type Predecessor struct {
-	State    State        // as of the hand-over
-	Clients  net.Listener // the clients'
+	State    State        // at the time of the hand-over
+	Clients  net.Listener // the clients' listener
 	conn     *net.UnixConn
 	messages *json.Decoder
 }
 
-// TakeOver asks the process that serves now for its state. The error is an os.ErrNotExist if there is none.
+// TakeOver receives the listening socket and the state from the serving process. If there is no such process, the error
+// wraps os.ErrNotExist.
 func TakeOver(id Identity) (*Predecessor, error) {
 	path := id.SocketPath()
 	p, err := dialPredecessor(path)
 	if err != nil {
-		return nil, fmt.Errorf("hot restart: connect to %s: %w", path, err)
+		return nil, fmt.Errorf("hot restart: connect to the predecessor at %s: %w", path, err)
 	}
 	if err := p.receive(id); err != nil {
 		return nil, fmt.Errorf("hot restart: take over: %w", errors.Join(err, p.conn.Close()))
@@ -55,8 +56,8 @@
 		return nil, err
 	}
 	conn, err := net.DialUnix("unix", nil, addr)
-	if closed := done(); err == nil && closed != nil {
-		return nil, errors.Join(closed, conn.Close())
+	if closeErr := done(); err == nil && closeErr != nil {
+		return nil, errors.Join(closeErr, conn.Close())
 	}
 	if err != nil {
 		return nil, err
@@ -80,8 +81,9 @@
 	}
 	p.messages = json.NewDecoder(io.LimitReader(p.conn, maxStateBytes))
 	err = p.messages.Decode(&p.State)
-	if s := p.State; err == nil && (s.Version != protocolVersion || s.Name != id.Name || s.Address != id.Address) {
-		err = fmt.Errorf("%w: it is %q at %s, version %d", ErrOtherNode, s.Name, s.Address, s.Version)
+	if got := p.State; err == nil && (got.Version != protocolVersion || got.Name != id.Name || got.Address != id.Address) {
+		err = fmt.Errorf("%w: got %q at %s, version %d, want %q at %s, version %d", ErrOtherNode,
+			got.Name, got.Address, got.Version, id.Name, id.Address, protocolVersion)
 	}
 	if err == nil {
 		err = p.conn.SetDeadline(time.Time{})
@@ -93,7 +95,8 @@
 	return nil
 }
 
-// listenerFrom is the listening socket in a control message. Any other descriptor that came is closed.
+// listenerFrom returns the listening socket in a control message. If the message holds further descriptors, it closes all
+// of them and returns an error.
 func listenerFrom(rights []byte) (net.Listener, error) {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
@@ -115,31 +118,31 @@
 	}
 	unix.CloseOnExec(fds[0])
 	f := os.NewFile(uintptr(fds[0]), "clients")
-	listener, err := net.FileListener(f) // which duplicates the descriptor
-	if closed := f.Close(); err == nil && closed != nil {
-		return nil, errors.Join(closed, listener.Close())
+	listener, err := net.FileListener(f) // duplicates the descriptor
+	if closeErr := f.Close(); err == nil && closeErr != nil {
+		return nil, errors.Join(closeErr, listener.Close())
 	}
 	return listener, err
 }
 
-// Close gives the predecessor up, which then serves on.
+// Close disconnects from the predecessor, which then continues to serve.
 func (p *Predecessor) Close() error { return p.conn.Close() }
 
-// Follow notifies the predecessor that this process serves, and follows what it still holds until it has ended or Close
-// is called. It calls yielded once: when the predecessor leaves new clients to this process, or takes too long to say
-// so. It calls progress with each message, and with ended when the predecessor holds nothing any more.
-func (p *Predecessor) Follow(yielded func(), progress func(of Progress, ended bool)) {
-	defer func() { _ = p.conn.Close() }() // by then it has ended, or Close was called
+// Follow notifies the predecessor that this process serves, and receives Progress messages until the predecessor has
+// ended or Close is called. It calls yielded once: when the predecessor has confirmed that it accepts no more clients,
+// has not done so within stepTimeout, or has ended. It calls progress for each message, and at last with ended set.
+func (p *Predecessor) Follow(yielded func(), progress func(report Progress, ended bool)) {
+	defer func() { _ = p.conn.Close() }() // the predecessor has ended, or Close was called
 	yielded = sync.OnceFunc(yielded)
 	defer yielded()
 	if _, err := p.conn.Write([]byte{readyByte}); err != nil {
-		slog.Warn("hot restart: the predecessor ended early", "error", err)
+		slog.Warn("hot restart: failed to notify the predecessor that this process serves", "error", err)
 	}
-	late := time.AfterFunc(stepTimeout, func() {
-		slog.Warn("hot restart: the predecessor doesn't confirm that it stopped accepting", "after", stepTimeout)
+	confirmTimer := time.AfterFunc(stepTimeout, func() {
+		slog.Warn("hot restart: the predecessor has not confirmed that it stopped accepting clients", "after", stepTimeout)
 		yielded()
 	})
-	defer late.Stop()
+	defer confirmTimer.Stop()
 	for {
 		var message State
 		if err := p.messages.Decode(&message); err != nil {
@@ -147,7 +150,7 @@
 			progress(Progress{}, true)
 			return
 		}
-		if late.Stop() {
+		if confirmTimer.Stop() {
 			yielded()
 		}
 		progress(Progress{Sockets: message.Sockets, InFlight: message.InFlight}, false)
