--- a/internal/node/config/config.go
+++ b/internal/node/config/config.go
@@ -1,7 +1,7 @@
-// Package config reads a node's configuration file, checks it, and says what a reload of it may change.
+// Package config reads and validates a node's configuration file, and determines what a reload may change.
 //
-// The file is JSON (file.go). Sections of their own are those of the fleet (fleet.go), of zones (zones.go) and of the
-// list service's scope (internal/node/discovery). Errors are one line and name the field as the file does.
+// The file is JSON (file.go). The sections "fleet" (fleet.go), "places" (zones.go) and "scope" (internal/node/discovery)
+// are parsed separately. Errors are one line and name the field as in the file.
 package config
 
 import (
@@ -16,36 +16,37 @@
 	"sloerail/policy"
 )
 
-// Config is what a node starts with, or goes over to at a reload.
+// Config is the configuration of a node.
 type Config struct {
 	Name      string
 	Listen    string // host:port of the clients' listener
-	Discovery string // host:port of the list service's replicas, which commas separate
-	ListFile  string // where the endpoint list is cached on disk; empty for nowhere
+	Discovery string // host:port of the list service's replicas, separated by commas
+	ListFile  string // path of the cached endpoint list; empty for no cache
 	Control   string // host:port of the operators' listener; empty for none
-	SharedDir string // a folder that all processes of the node share, for hot restarts; empty for none
+	SharedDir string // folder that all processes of the node share, for hot restarts; empty for none
 	Seed      uint64
 	Cores     float64 // processor time that the node may use, in cores
 	MemoryMB  int64
 	Sockets   int // file descriptors that the node's processes may hold together
 	Known     discovery.List
 	Settings  policy.Settings
-	Scope     string             // the query that the section "scope" adds to calls; empty for the whole list
-	Fleet     *membership.Config // the node's part in a fleet; nil for none
+	Scope     string             // the query that the section "scope" adds to calls of the list service; empty for no scope
+	Fleet     *membership.Config // membership in a fleet; nil for none
 
-	MaxOpen        int           // requests without their answer; 0 for no limit
+	MaxOpen        int           // most unanswered requests; 0 for no limit
 	ConnectTimeout time.Duration // for a new connection to a server
 
-	// Dial opens connections; nil for the machine's network.
+	// Dial opens connections; nil for a net.Dialer.
 	Dial DialFunc
 
-	keys any // the keys of the file, which the next one has to have too
+	keys any // the keys of the file, which a reload must keep
 }
 
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Dialer opens connections that come up within the timeout. TCP's keep-alive is off: nothing here depends on it.
+// Dialer returns c.Dial, or a net.Dialer with the timeout if it is nil. TCP keep-alive is off because nothing depends on
+// it.
 func (c Config) Dialer(timeout time.Duration) DialFunc {
 	if c.Dial != nil {
 		return c.Dial
@@ -53,7 +54,7 @@
 	return (&net.Dialer{Timeout: timeout, KeepAlive: -1}).DialContext
 }
 
-// Load reads the file that ROUTER_CONFIG names. The other variables, where set, override the file.
+// Load reads the file that ROUTER_CONFIG names. The other environment variables override the file where they are set.
 func Load(getenv func(string) string) (Config, error) {
 	c, err := readFile(getenv, nil)
 	if err != nil {
--- a/internal/node/config/file.go
+++ b/internal/node/config/file.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	// MinSockets is what a node can work with at all: a few descriptors for itself, and some for clients and servers.
+	// MinSockets is the minimum of limits.sockets: a few descriptors for the node itself, and some for clients and servers.
 	MinSockets = 64
 
 	maxCores              = 1024
 	defaultConnectTimeout = 250 * time.Millisecond
 )
 
-// file is the configuration file. Sections are read by the parts that they are for.
+// file is the JSON of the configuration file. Raw sections are parsed separately.
 type file struct {
 	Name          string          `json:"name"`
 	Listen        string          `json:"listen"`
@@ -46,7 +46,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// nodeSettings are those of the settings that bind the node and not policy.
+// nodeSettings holds the settings that apply to the node and not to policy.
 type nodeSettings struct {
 	Limits struct {
 		MaxOpen          float64 `json:"maxOpen"`
@@ -54,19 +54,19 @@
 	} `json:"limits"`
 }
 
-// readFile reads the file that ROUTER_CONFIG names. It has to have the keys that the one before had.
-func readFile(getenv func(string) string, keysBefore any) (Config, error) {
+// readFile reads the file that ROUTER_CONFIG names. The file must have all of previousKeys.
+func readFile(getenv func(string) string, previousKeys any) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
-		return Config{}, errors.New("ROUTER_CONFIG: not set")
+		return Config{}, errors.New("environment variable ROUTER_CONFIG: not set")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		return Config{}, fmt.Errorf("ROUTER_CONFIG: %w", err)
 	}
-	keys, err := keysOf(raw)
+	keys, err := parseKeys(raw)
 	if err == nil {
-		err = checkKeys("", keysBefore, keys)
+		err = checkKeys("", previousKeys, keys)
 	}
 	if err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
@@ -79,7 +79,7 @@
 	return c, nil
 }
 
-// Parse reads the text of a configuration file.
+// Parse parses the text of a configuration file.
 func Parse(raw []byte) (Config, error) {
 	var f file
 	if err := decode.JSON(raw, &f); err != nil {
@@ -112,16 +112,16 @@
 func (l fileLimits) check() error {
 	switch {
 	case !(l.Cores > 0) || l.Cores > maxCores:
-		return decode.Errorf("limits.cores", "want more than 0, got %v", l.Cores)
+		return decode.Errorf("limits.cores", "want more than 0 and at most %d, got %v", maxCores, l.Cores)
 	case !(l.MemoryMB >= 1) || l.MemoryMB > math.MaxInt32:
-		return decode.Errorf("limits.memory_mb", "want 1 or more, got %v", l.MemoryMB)
+		return decode.Errorf("limits.memory_mb", "want 1 to %d, got %v", math.MaxInt32, l.MemoryMB)
 	case l.Sockets < MinSockets:
 		return decode.Errorf("limits.sockets", "want %d or more, got %d", MinSockets, l.Sockets)
 	}
 	return nil
 }
 
-// parseSettings reads the settings, and the section of zones, which is a part of policy's settings.
+// parseSettings parses the settings, and the section "places", which becomes a part of policy's settings.
 func (c *Config) parseSettings(f file) (err error) {
 	if c.Settings, err = simwire.ParseSettings(f.Settings); err != nil {
 		return fmt.Errorf("settings.%w", err)
@@ -132,13 +132,13 @@
 			return err
 		}
 	}
-	if _, err := policy.New(c.Settings, 0, 0); err != nil { // policy checks its settings
+	if _, err := policy.New(c.Settings, 0, 0); err != nil { // validates the settings
 		return fmt.Errorf("settings: %w", err)
 	}
 	return c.parseNodeSettings(f.Settings)
 }
 
-// parseNodeSettings reads those settings that policy leaves to the node.
+// parseNodeSettings parses the settings that apply to the node and not to policy.
 func (c *Config) parseNodeSettings(settings []byte) error {
 	var s nodeSettings
 	if err := decode.JSON(settings, &s); err != nil {
@@ -146,9 +146,9 @@
 	}
 	switch l := s.Limits; {
 	case l.MaxOpen < 0 || l.MaxOpen > math.MaxInt32:
-		return decode.Errorf("settings.limits.maxOpen", "want 0 or more, got %v", l.MaxOpen)
+		return decode.Errorf("settings.limits.maxOpen", "want 0 to %d, got %v", math.MaxInt32, l.MaxOpen)
 	case l.ConnectTimeoutMs < 0 || l.ConnectTimeoutMs > math.MaxInt32:
-		return decode.Errorf("settings.limits.connectTimeout", "want 0 or more, got %v", l.ConnectTimeoutMs)
+		return decode.Errorf("settings.limits.connectTimeout", "want 0 to %d ms, got %v", math.MaxInt32, l.ConnectTimeoutMs)
 	}
 	c.MaxOpen, c.ConnectTimeout = int(s.Limits.MaxOpen), millis(s.Limits.ConnectTimeoutMs)
 	if c.ConnectTimeout == 0 {
@@ -157,7 +157,7 @@
 	return nil
 }
 
-// parseSections reads the sections of the list service's scope and of the fleet, where there are any.
+// parseSections parses the sections "scope" and "fleet", where present.
 func (c *Config) parseSections(f file) (err error) {
 	if len(f.Scope) > 0 {
 		if c.Scope, err = discovery.ParseScope(f.Scope, c.Settings); err != nil {
--- a/internal/node/config/fleet.go
+++ b/internal/node/config/fleet.go
@@ -18,7 +18,8 @@
 	ProbeMs   float64  `json:"probe_ms"`
 }
 
-// parseFleet reads the section. An unknown key is an error: a misspelt one could leave the fleet open to anyone.
+// parseFleet parses the section "fleet". An unknown key is an error, because a misspelt one could leave the fleet open
+// to anyone.
 func parseFleet(raw json.RawMessage, c Config) (*membership.Config, error) {
 	var s fleetSection
 	if err := decode.Section("fleet", raw, &s); err != nil {
@@ -29,7 +30,7 @@
 	return fleet, fleet.Validate()
 }
 
-// sameFleet reports whether two configurations ask for the same membership. Another one needs a new process.
+// sameFleet reports whether two configurations have the same membership. A change of it needs a new process.
 func sameFleet(a, b *membership.Config) bool {
 	if a == nil || b == nil {
 		return a == b
--- a/internal/node/config/keys.go
+++ b/internal/node/config/keys.go
@@ -8,13 +8,13 @@
 	"sloerail/internal/node/decode"
 )
 
-// optionalKeys may be absent from a file though the one before had them, or are needed by some entries alone.
+// optionalKeys are the keys that a reload may drop, or that only some entries of a list need.
 var optionalKeys = []string{"control", "aimStretch", "warmKeys", "passesDeadline", "servedOn", "localitiesOnly",
 	"group", "window", "fleet", "places", "ease_lists", "list_file", "scope", "minExtra", "budgetShare", "ratioSpan"}
 
-// keysOf is the JSON of a configuration, whose keys the next one has to have. Those of the known list are left out: the
-// list service's form binds them.
-func keysOf(raw []byte) (any, error) {
+// parseKeys parses the JSON of a configuration, whose keys a reload must keep. It leaves out the keys of the known list,
+// because the protocol of the list service defines them.
+func parseKeys(raw []byte) (any, error) {
 	var all map[string]any
 	if err := json.Unmarshal(raw, &all); err != nil {
 		return nil, err
@@ -25,7 +25,7 @@
 	return all, nil
 }
 
-// hasKey reports whether a configuration has a key; the path leads there.
+// hasKey reports whether a configuration has a value other than null at the path.
 func hasKey(keys any, path ...string) bool {
 	for _, key := range path {
 		object, _ := keys.(map[string]any)
@@ -34,21 +34,21 @@
 	return keys != nil
 }
 
-// checkKeys reports the first key that now lacks though before has it; path leads to both.
-func checkKeys(path string, before, now any) error {
-	switch before := before.(type) {
+// checkKeys returns an error for the first key found that previous has and current lacks. path is the path of both.
+func checkKeys(path string, previous, current any) error {
+	switch previous := previous.(type) {
 	case map[string]any:
-		object, ok := now.(map[string]any)
+		object, ok := current.(map[string]any)
 		if !ok {
 			return decode.Errorf(path, "want an object")
 		}
-		return checkObject(path, before, object)
+		return checkObject(path, previous, object)
 	case []any:
-		list, ok := now.([]any)
+		list, ok := current.([]any)
 		if !ok {
 			return decode.Errorf(path, "want a list")
 		}
-		common := commonKeys(before)
+		common := commonKeys(previous)
 		for i, entry := range list {
 			if err := checkKeys(path+"["+strconv.Itoa(i)+"]", common, entry); err != nil {
 				return err
@@ -58,26 +58,28 @@
 	return nil
 }
 
-func checkObject(path string, before, now map[string]any) error {
-	for key, value := range before {
+// checkObject is checkKeys for two JSON objects.
+func checkObject(path string, previous, current map[string]any) error {
+	for key, value := range previous {
 		if value == nil || slices.Contains(optionalKeys, key) {
 			continue
 		}
-		at := key
+		keyPath := key
 		if path != "" {
-			at = path + "." + key
+			keyPath = path + "." + key
 		}
-		if now[key] == nil {
-			return decode.Errorf(at, "missing")
+		if current[key] == nil {
+			return decode.Errorf(keyPath, "missing")
 		}
-		if err := checkKeys(at, value, now[key]); err != nil {
+		if err := checkKeys(keyPath, value, current[key]); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// commonKeys are those that all entries of a list have; nil if they are no objects, or there are none.
+// commonKeys returns an object with the keys that all entries of a list have; nil if the list is empty or an entry is
+// not an object.
 func commonKeys(list []any) any {
 	var common map[string]any
 	for i, entry := range list {
--- a/internal/node/config/reload.go
+++ b/internal/node/config/reload.go
@@ -7,31 +7,31 @@
 	"sloerail/internal/node/decode"
 )
 
-// Reload reads the file that ROUTER_CONFIG names after a change. The other variables override the file at the start
-// alone, and not here. A file that lacks a key that the one before had is rejected as a whole. The name and the fleet
-// need a new process: they stay as before, and a change of the fleet is logged. The node reads listen, control, seed,
-// limits, list_file and known at its start alone: a change of them in the file is neither used nor logged. They have
-// nothing to do with settings.limits, which is taken over.
-func Reload(getenv func(string) string, before Config) (Config, error) {
-	c, err := readFile(getenv, before.keys)
+// Reload reads the file that ROUTER_CONFIG names after a change. The other environment variables override the file only
+// at the start, not here. A file that lacks a key of the previous one is rejected as a whole. The name and the fleet
+// need a new process: they stay as before, and a change of the fleet is logged. The node uses listen, control, seed,
+// limits, list_file and known only at its start: a change of them is neither used nor logged. This does not include
+// settings.limits, which a reload applies.
+func Reload(getenv func(string) string, previous Config) (Config, error) {
+	c, err := readFile(getenv, previous.keys)
 	if err != nil {
 		return Config{}, err
 	}
 	if err := c.checkReloaded(); err != nil {
 		return Config{}, fmt.Errorf("configuration: %w", err)
 	}
-	c.Name, c.Dial = before.Name, before.Dial
+	c.Name, c.Dial = previous.Name, previous.Dial
 	if c.Fleet != nil {
 		c.Fleet.Name = c.Name
 	}
-	if !sameFleet(before.Fleet, c.Fleet) {
-		slog.Warn("the configuration is taken but for a part", "error", "fleet: what has changed there takes a new process")
-		c.Fleet = before.Fleet
+	if !sameFleet(previous.Fleet, c.Fleet) {
+		slog.Warn("configuration partly reloaded", "error", "fleet: a change takes effect only in a new process")
+		c.Fleet = previous.Fleet
 	}
 	return c, nil
 }
 
-// checkReloaded checks what a file in use must not lose, though a first one may be without it.
+// checkReloaded checks fields that a reload must set, though the first file may lack them.
 func (c Config) checkReloaded() error {
 	if err := decode.CheckAddresses(c.Discovery); err != nil {
 		return fmt.Errorf("discovery: %w", err)
@@ -41,7 +41,7 @@
 	}
 	for _, class := range c.Settings.Classes {
 		if class.Name == "" {
-			return decode.Errorf("settings.services", "one has no name")
+			return decode.Errorf("settings.services", "a service has no name")
 		}
 	}
 	return nil
--- a/internal/node/config/reload_test.go
+++ b/internal/node/config/reload_test.go
@@ -8,7 +8,7 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// loadFile loads a configuration from a file of its own, whose later texts reload reads.
+// loadFile loads a configuration from a new file. reload overwrites the file and reloads it.
 func loadFile(t *testing.T, text string) (c Config, reload func(text string) (Config, error)) {
 	t.Helper()
 	path := nodetest.WriteFile(t, text)
@@ -25,17 +25,17 @@
 	}
 }
 
-// A broken file is rejected, with the name of the field where there is one.
+// A reload of an invalid file is rejected with an error that names the field, where there is one.
 func TestReloadRejectsBrokenFiles(t *testing.T) {
-	good := nodetest.FillConfig(nodetest.KnownList("127.0.0.1:9"), nodetest.Settings)
-	_, reload := loadFile(t, good)
-	if _, err := reload(good); err != nil {
-		t.Fatalf("the same file again: %v", err)
+	valid := nodetest.FillConfig(nodetest.KnownList("127.0.0.1:9"), nodetest.Settings)
+	_, reload := loadFile(t, valid)
+	if _, err := reload(valid); err != nil {
+		t.Fatalf("reload of an unchanged file: %v", err)
 	}
 	for name, c := range map[string]struct{ old, new, want string }{
-		"empty":              {good, "", "JSON"},
-		"cut short":          {good, good[:len(good)/2], "unexpected end of JSON"},
-		"not an object":      {good, "[]", ""},
+		"empty":              {valid, "", "JSON"},
+		"cut short":          {valid, valid[:len(valid)/2], "unexpected end of JSON"},
+		"not an object":      {valid, "[]", ""},
 		"no discovery":       {`"discovery":"127.0.0.1:8500",`, "", "discovery"},
 		"bad discovery":      {`127.0.0.1:8500`, "nowhere", "discovery"},
 		"no limits":          {`"limits":{"cores":1.0,"memory_mb":192,"sockets":1024},`, "", "limits"},
@@ -51,20 +51,20 @@
 		"no deadline":        {`"aim":4000,"deadline":9000,"repeat":"free"`, `"aim":4000,"repeat":"free"`, "deadline"},
 		"deadline of 0":      {`"deadline":9000,"repeat":"free"`, `"deadline":0,"repeat":"free"`, "deadline"},
 		"negative deadline":  {`"deadline":9000,"repeat":"free"`, `"deadline":-5,"repeat":"free"`, "deadline"},
-		"deadline in words":  {`"deadline":9000,"repeat":"free"`, `"deadline":"9000","repeat":"free"`, "settings.services[0].deadline"},
+		"deadline as string": {`"deadline":9000,"repeat":"free"`, `"deadline":"9000","repeat":"free"`, "settings.services[0].deadline"},
 		"unknown effect":     {`"repeat":"free"`, `"repeat":"often"`, "settings.services[0].repeat"},
 		"no attempts":        {`"maxAttempts":3,`, "", "settings.limits.maxAttempts"},
 		"attempts of 0":      {`"maxAttempts":3`, `"maxAttempts":0`, "settings.limits.maxAttempts"},
 		"negative attempts":  {`"maxAttempts":3`, `"maxAttempts":-1`, "attempts"},
-		"half an attempt":    {`"maxAttempts":3`, `"maxAttempts":1.5`, "settings.limits.maxAttempts"},
-		"attempts in words":  {`"maxAttempts":3`, `"maxAttempts":"3"`, "settings.limits.maxAttempts"},
+		"attempts of 1.5":    {`"maxAttempts":3`, `"maxAttempts":1.5`, "settings.limits.maxAttempts"},
+		"attempts as string": {`"maxAttempts":3`, `"maxAttempts":"3"`, "settings.limits.maxAttempts"},
 		"settings no object": {nodetest.Settings, `7`, "settings"},
 	} {
-		if !strings.Contains(good, c.old) {
-			t.Fatalf("%s: the file has no %q", name, c.old)
+		if !strings.Contains(valid, c.old) {
+			t.Fatalf("%s: the valid file does not contain %q", name, c.old)
 		}
-		if _, err := reload(strings.Replace(good, c.old, c.new, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got %v, want it to name %q", name, err, c.want)
+		if _, err := reload(strings.Replace(valid, c.old, c.new, 1)); err == nil || !strings.Contains(err.Error(), c.want) {
+			t.Errorf("%s: got error %v, want one that contains %q", name, err, c.want)
 		}
 	}
 }
--- a/internal/node/config/scope_test.go
+++ b/internal/node/config/scope_test.go
@@ -14,23 +14,23 @@
 		`{"services":["a"]}`:                 "service=a",
 	} {
 		text := strings.Replace(nodetest.ConfigText, `"seed"`, `"scope":`+section+`,"seed"`, 1)
-		c, err := Load(configFile(t, text))
+		c, err := Load(configEnv(t, text))
 		if err != nil || c.Scope != want {
-			t.Errorf("%s: %q, %v, want %q", section, c.Scope, err, want)
+			t.Errorf("section %s: got scope %q, error %v, want scope %q", section, c.Scope, err, want)
 		}
 	}
-	if c, err := Load(configFile(t, nodetest.ConfigText)); err != nil || c.Scope != "" {
-		t.Errorf("without the section: %q, %v", c.Scope, err)
+	if c, err := Load(configEnv(t, nodetest.ConfigText)); err != nil || c.Scope != "" {
+		t.Errorf("without the section: got scope %q, error %v, want no scope", c.Scope, err)
 	}
 }
 
 func TestBadScopeNamesTheField(t *testing.T) {
-	var many, long []string
-	for i := range 257 { // one more than a call may name
-		many = append(many, fmt.Sprintf("%q", fmt.Sprint("s", i)))
+	var manyServices, longNames []string
+	for i := range 257 { // one more than the limit
+		manyServices = append(manyServices, fmt.Sprintf("%q", fmt.Sprint("s", i)))
 	}
 	for i := range 100 {
-		long = append(long, fmt.Sprintf("%q", fmt.Sprint(strings.Repeat("s", 100), i)))
+		longNames = append(longNames, fmt.Sprintf("%q", fmt.Sprint(strings.Repeat("s", 100), i)))
 	}
 	for section, want := range map[string]string{
 		`{}`:                              "scope.services: want at least one service",
@@ -45,31 +45,31 @@
 		`{"services":["a"],"subsets":3}`:  "subsets",
 		`{"services":"a"}`:                "scope: json",
 		`[]`:                              "scope: json",
-		`{"services":[` + strings.Join(many, ",") + `]}`: "scope.services: want at most 256 services",
-		`{"services":[` + strings.Join(long, ",") + `]}`: "scope.services: want at most 8192 bytes",
+		`{"services":[` + strings.Join(manyServices, ",") + `]}`: "scope.services: want at most 256 services",
+		`{"services":[` + strings.Join(longNames, ",") + `]}`:    "scope.services: want at most 8192 bytes",
 	} {
 		text := strings.Replace(nodetest.ConfigText, `"seed"`, `"scope":`+section+`,"seed"`, 1)
-		_, err := Load(configFile(t, text))
+		_, err := Load(configEnv(t, text))
 		if err == nil || !strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.80s: got %v, want one line that names %q", section, err, want)
+			t.Errorf("section %.80s: got error %v, want one line that contains %q", section, err, want)
 		}
 	}
 }
 
-// The section may come, change and go with a SIGHUP.
+// A reload may add, change and remove the section "scope".
 func TestScopeIsReloaded(t *testing.T) {
-	plain := nodetest.FillConfig(nodetest.KnownList("127.0.0.1:9"), nodetest.Settings)
-	with := strings.Replace(plain, `"seed"`, `"scope":{"services":["a"]},"seed"`, 1)
-	c, reload := loadFile(t, with)
+	withoutScope := nodetest.FillConfig(nodetest.KnownList("127.0.0.1:9"), nodetest.Settings)
+	withScope := strings.Replace(withoutScope, `"seed"`, `"scope":{"services":["a"]},"seed"`, 1)
+	c, reload := loadFile(t, withScope)
 	if c.Scope != "service=a" {
-		t.Errorf("loaded %q", c.Scope)
+		t.Errorf("scope at the start: got %q, want %q", c.Scope, "service=a")
 	}
-	for text, want := range map[string]string{plain: "", with: "service=a", strings.Replace(with, `["a"]`, `["b"]`, 1): "service=b"} {
+	for text, want := range map[string]string{withoutScope: "", withScope: "service=a", strings.Replace(withScope, `["a"]`, `["b"]`, 1): "service=b"} {
 		if c, err := reload(text); err != nil || c.Scope != want {
-			t.Errorf("reloaded %q, %v, want %q", c.Scope, err, want)
+			t.Errorf("scope after a reload: got %q, error %v, want %q", c.Scope, err, want)
 		}
 	}
-	if _, err := reload(strings.Replace(with, `["a"]`, `[]`, 1)); err == nil || !strings.Contains(err.Error(), "scope.services") {
-		t.Errorf("an empty scope: %v", err)
+	if _, err := reload(strings.Replace(withScope, `["a"]`, `[]`, 1)); err == nil || !strings.Contains(err.Error(), "scope.services") {
+		t.Errorf("reload with an empty scope: got error %v, want one that contains scope.services", err)
 	}
 }
--- a/internal/node/config/version.go
+++ b/internal/node/config/version.go
@@ -7,20 +7,21 @@
 	revisionDigits = 12
 )
 
-// Version is that of this build: the source's revision as the tool chain knows it, with "+" if the source had changes.
+// Version returns the version of this build: the source revision that the Go tool recorded, with "+" if the source had
+// uncommitted changes.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return unknownVersion
 	}
-	version, changed := unknownVersion, ""
+	version, suffix := unknownVersion, ""
 	for _, s := range info.Settings {
 		switch {
 		case s.Key == "vcs.revision" && len(s.Value) >= revisionDigits:
 			version = s.Value[:revisionDigits]
 		case s.Key == "vcs.modified" && s.Value == "true":
-			changed = "+"
+			suffix = "+"
 		}
 	}
-	return version + changed
+	return version + suffix
 }
--- a/internal/node/config/zones.go
+++ b/internal/node/config/zones.go
@@ -8,23 +8,23 @@
 	"sloerail/policy"
 )
 
-// Costs of sending a request to another zone, where the section names none. A request within a zone costs nothing.
+// Default costs of sending a request to another zone. A request within a zone costs nothing.
 const (
 	defaultSameRegionCost  = 1.0
 	defaultOtherRegionCost = 3.0
 )
 
-// zonesSection is the section "places", which has policy judge the health of zones.
+// zonesSection is the section "places". With it, policy tracks the health of zones.
 type zonesSection struct {
-	Regions         map[string][]string           `json:"regions"` // the zones of each
+	Regions         map[string][]string           `json:"regions"` // the zones of each region
 	SameRegionCost  *float64                      `json:"same_region"`
 	OtherRegionCost *float64                      `json:"other_region"`
 	Costs           map[string]map[string]float64 `json:"costs"` // from one zone to another
 	ClassRegions    map[string][]string           `json:"only"`  // the regions that a class is bound to
 }
 
-// parseZones reads the section into the settings. An unknown key is an error: with a misspelt one a class could leave
-// the regions that it is bound to.
+// parseZones parses the section "places" into the settings. An unknown key is an error, because with a misspelt one a
+// class could leave the regions that it is bound to.
 func parseZones(raw json.RawMessage, settings *policy.Settings) error {
 	var s zonesSection
 	if err := decode.Section("places", raw, &s); err != nil {
@@ -39,7 +39,7 @@
 	for region, zones := range s.Regions {
 		for _, zone := range zones {
 			if other, ok := topology.RegionOfZone[zone]; ok {
-				return decode.Errorf("places.regions", "zone %q is in %s and %s", zone, min(other, region), max(other, region))
+				return decode.Errorf("places.regions", "zone %q is in two regions, %s and %s", zone, min(other, region), max(other, region))
 			}
 			topology.RegionOfZone[zone] = region
 		}
@@ -60,19 +60,19 @@
 	return *v
 }
 
-// bindClass binds one of the classes to regions.
+// bindClass binds the class with the name to regions.
 func (s zonesSection) bindClass(classes []policy.Class, name string, regions []string) error {
 	i := slices.IndexFunc(classes, func(c policy.Class) bool { return c.Name == name })
 	if i < 0 {
-		return decode.Errorf("places.only", "there is no class %q", name)
+		return decode.Errorf("places.only", "unknown class %q", name)
 	}
 	for _, region := range regions {
 		if _, ok := s.Regions[region]; !ok {
-			return decode.Errorf("places.only."+name, "there is no region %q", region)
+			return decode.Errorf("places.only."+name, "unknown region %q", region)
 		}
 	}
 	if len(regions) == 0 {
-		return decode.Errorf("places.only."+name, "names no region")
+		return decode.Errorf("places.only."+name, "want at least one region, got none")
 	}
 	classes[i].Regions = regions
 	return nil
--- a/internal/node/decode/decode.go
+++ b/internal/node/decode/decode.go
@@ -1,4 +1,4 @@
-// Package decode reads what comes from files and from services, with errors that name the field.
+// Package decode parses input from files and services, with errors that name the field.
 package decode
 
 import (
@@ -11,21 +11,22 @@
 	"strings"
 )
 
-// FieldError is a field whose value can't be used. Packages simwire and registry have types of this name for their own input.
+// FieldError is the error of an invalid or missing field. Packages simwire and registry have types of this name for
+// their own input.
 type FieldError struct {
-	Field  string // as the file or the protocol names it, for example "members[3].host_port"
+	Field  string // its path in the file or the message, for example "members[3].host_port"
 	Reason string
 }
 
-// Error names the field and the reason.
+// Error returns the field and the reason.
 func (e *FieldError) Error() string { return e.Field + ": " + e.Reason }
 
-// Errorf is a FieldError whose reason is formatted as by fmt.Sprintf.
+// Errorf returns a FieldError with a reason formatted as by fmt.Sprintf.
 func Errorf(field, format string, args ...any) *FieldError {
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// JSON reads raw into to. A value of the wrong type is a FieldError.
+// JSON unmarshals raw into to. The error for a field of the wrong type is a FieldError.
 func JSON(raw []byte, to any) error {
 	err := json.Unmarshal(raw, to)
 	if bad := (*json.UnmarshalTypeError)(nil); errors.As(err, &bad) && bad.Field != "" {
@@ -34,7 +35,7 @@
 	return err
 }
 
-// Section reads a section of the configuration, in which an unknown key is an error.
+// Section unmarshals a section of the configuration into to. An unknown key is an error.
 func Section(name string, raw []byte, to any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
@@ -44,7 +45,7 @@
 	return nil
 }
 
-// CheckAddress reports whether addr is a host and a numeric port.
+// CheckAddress returns an error unless addr is a host and a numeric port.
 func CheckAddress(addr string) error {
 	host, port, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// CheckAddresses checks each of a list of addresses that commas separate.
+// CheckAddresses checks each address of a list separated by commas.
 func CheckAddresses(addrs string) error {
 	for addr := range strings.SplitSeq(addrs, ",") {
 		if err := CheckAddress(addr); err != nil {
--- a/internal/node/decode/decode_test.go
+++ b/internal/node/decode/decode_test.go
@@ -14,10 +14,10 @@
 	err := JSON([]byte(`{"limits":{"sockets":"many"}}`), &to)
 	var bad *FieldError
 	if !errors.As(err, &bad) || bad.Field != "limits.sockets" || bad.Error() != "limits.sockets: want int, got string" {
-		t.Errorf("got %v", err)
+		t.Errorf("string for an int: got error %v, want a FieldError of limits.sockets", err)
 	}
 	if err := JSON([]byte(`{"limits"`), &to); err == nil || errors.As(err, &bad) {
-		t.Errorf("a text that is cut off: %v", err)
+		t.Errorf("truncated JSON: got error %v, want one that is not a FieldError", err)
 	}
 }
 
@@ -26,11 +26,11 @@
 		Known int `json:"known"`
 	}
 	if err := Section("part", []byte(`{"known":1}`), &to); err != nil || to.Known != 1 {
-		t.Errorf("read %+v, %v", to, err)
+		t.Errorf("section without unknown keys: got %+v, error %v, want Known 1", to, err)
 	}
 	err := Section("part", []byte(`{"knwon":1}`), &to)
 	if want := `part: json: unknown field "knwon"`; err == nil || err.Error() != want {
-		t.Errorf("got %v, want %s", err, want)
+		t.Errorf("section with an unknown key: got error %v, want %s", err, want)
 	}
 }
 
@@ -41,7 +41,7 @@
 		"127.0.0.1:80,": false, "127.0.0.1:80,nowhere": false,
 	} {
 		if err := CheckAddresses(addrs); (err == nil) != ok {
-			t.Errorf("%q: %v", addrs, err)
+			t.Errorf("addresses %q: got error %v, want valid %v", addrs, err, ok)
 		}
 	}
 }
