--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -65,7 +65,7 @@
 	if registered {
 		return a.Client.Do(ctx, http.MethodPut, a.path()+"/"+leaseResource, nil, nil, 0)
 	}
-	return a.Client.Do(ctx, http.MethodPut, a.path(), registrationOf(a.Endpoint, a.TTL), nil, 0)
+	return a.Client.Do(ctx, http.MethodPut, a.path(), newRegistration(a.Endpoint, a.TTL), nil, 0)
 }
 
 // deregister drains the endpoint and removes it. It blocks for drain and the calls; ctx of Run has ended by then.
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -127,9 +127,9 @@
 
 // Watch calls a path whose response may take as long as wait.
 func (c *Client) Watch(ctx context.Context, path string, wait time.Duration, list *EndpointList) error {
-	patient := *c
-	patient.http.Timeout = wait + callTimeout
-	err := patient.Do(ctx, http.MethodGet, path, nil, list, 0)
-	c.current = patient.current
+	watchClient := *c
+	watchClient.http.Timeout = wait + callTimeout
+	err := watchClient.Do(ctx, http.MethodGet, path, nil, list, 0)
+	c.current = watchClient.current
 	return err
 }
--- a/internal/registry/errors_test.go
+++ b/internal/registry/errors_test.go
@@ -9,9 +9,9 @@
 
 func TestErrorsAreTestedByCondition(t *testing.T) {
 	for _, test := range []struct {
-		err  error
-		is   []error
-		text string // of the response
+		err       error
+		sentinels []error
+		text      string // of the response
 	}{
 		{&NotLeaderError{LeaderAddress: "10.2.0.2:8500"}, []error{ErrNotLeader}, "this replica is not the leader"},
 		{&CommitError{Reason: raft.ErrEnqueueTimeout}, []error{ErrNotCommitted, raft.ErrEnqueueTimeout},
@@ -23,9 +23,9 @@
 		{ResultTooManyInstances.Err(), []error{ErrTooManyInstances}, "registry: too many instances"},
 		{ResultCode("of a later version").Err(), []error{ErrUnknownCommand}, "registry: unknown command"},
 	} {
-		for _, condition := range test.is {
-			if !errors.Is(test.err, condition) {
-				t.Errorf("%v is not %v", test.err, condition)
+		for _, sentinel := range test.sentinels {
+			if !errors.Is(test.err, sentinel) {
+				t.Errorf("%v is not %v", test.err, sentinel)
 			}
 		}
 		if got := errorText(test.err); got != test.text {
@@ -40,8 +40,8 @@
 func TestFieldErrorsNameTheField(t *testing.T) {
 	invalid := testEndpoint("s0")
 	invalid.Size = -1
-	var field *FieldError
-	if err := invalid.Validate(); !errors.As(err, &field) || field.Field != "size" {
+	var fieldErr *FieldError
+	if err := invalid.Validate(); !errors.As(err, &fieldErr) || fieldErr.Field != "size" {
 		t.Errorf("got %v, want a FieldError of size", err)
 	}
 }
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -16,7 +16,7 @@
 type freshness struct {
 	mu           sync.Mutex
 	appliedIndex uint64
-	tickedAt     time.Time        // when the last tick that this replica committed as the leader began; zero for never
+	lastTickAt   time.Time        // when the last tick that this replica committed as the leader began; zero for never
 	caughtUpAt   time.Time        // as of when a follower has all that its leader had; zero for never
 	pending      []leaderProgress // that this replica hasn't caught up with, oldest first
 }
@@ -28,10 +28,10 @@
 }
 
 // tickCommitted records that a quorum has a tick that the leader began at a time.
-func (f *freshness) tickCommitted(began time.Time) {
+func (f *freshness) tickCommitted(startedAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.tickedAt = began
+	f.lastTickAt = startedAt
 }
 
 // progressReceived records the command that the leader had applied as of a time.
@@ -66,7 +66,7 @@
 	defer f.mu.Unlock()
 	asOf := f.caughtUpAt
 	if isLeader {
-		asOf = f.tickedAt
+		asOf = f.lastTickAt
 	}
 	return time.Since(asOf), !asOf.IsZero()
 }
--- a/internal/registry/golden_http_test.go
+++ b/internal/registry/golden_http_test.go
@@ -23,10 +23,10 @@
 )
 
 // varying are the parts of responses that differ from run to run.
-var varying = regexp.MustCompile(`"(age_ms|index)":[0-9]+|(?m)^(X-Registry-Age-Ms: |registry_age_seconds )[0-9.e+-]+$`)
+var varyingParts = regexp.MustCompile(`"(age_ms|index)":[0-9]+|(?m)^(X-Registry-Age-Ms: |registry_age_seconds )[0-9.e+-]+$`)
 
 // transcript writes a call and its response: the status, the headers that have a meaning here, and the body.
-func transcript(t *testing.T, b *strings.Builder, method, url, path, body string, header map[string]string) {
+func recordCall(t *testing.T, b *strings.Builder, method, url, path, body string, header map[string]string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url+path, strings.NewReader(body))
 	if err != nil {
@@ -48,8 +48,8 @@
 	fmt.Fprintf(b, "%s\n\n", readBody(t, resp))
 }
 
-func masked(text string) string {
-	return varying.ReplaceAllStringFunc(text, func(part string) string {
+func maskVaryingParts(text string) string {
+	return varyingParts.ReplaceAllStringFunc(text, func(part string) string {
 		return strings.TrimRight(part, "0123456789.e+-") + "N"
 	})
 }
@@ -57,11 +57,11 @@
 // TestGoldenResponses goes through the calls that nodes, agents and operators make, wrong ones among them.
 func TestGoldenResponses(t *testing.T) {
 	r := openLeader(t, t.TempDir())
-	replica := NewServer(r, ServerConfig{})
-	server, control := httptest.NewServer(replica), httptest.NewServer(replica.adminHandler())
+	server := NewServer(r, ServerConfig{})
+	apiServer, adminServer := httptest.NewServer(server), httptest.NewServer(server.adminHandler())
 	defer func() {
-		server.Close()
-		control.Close()
+		apiServer.Close()
+		adminServer.Close()
 		if err := r.Close(); err != nil {
 			t.Error(err)
 		}
@@ -123,11 +123,11 @@
 		{method: "POST", path: "/registry/replicas/r1"},
 		{method: "DELETE", path: "/registry/replicas/r9"},
 	} {
-		transcript(t, &b, call.method, server.URL, call.path, call.body, call.header)
+		recordCall(t, &b, call.method, apiServer.URL, call.path, call.body, call.header)
 	}
-	transcript(t, &b, "GET", control.URL, "/healthcheck", "", nil)
-	transcript(t, &b, "GET", control.URL, "/stats", "", nil)
-	golden.Check(t, "answers.txt", []byte(masked(b.String())))
+	recordCall(t, &b, "GET", adminServer.URL, "/healthcheck", "", nil)
+	recordCall(t, &b, "GET", adminServer.URL, "/stats", "", nil)
+	golden.Check(t, "answers.txt", []byte(maskVaryingParts(b.String())))
 }
 
 // TestGoldenRejections has the responses of a replica without a leader, and of one without capacity.
@@ -137,11 +137,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	replica := NewServer(r, ServerConfig{MaxWatches: 1})
-	server, control := httptest.NewServer(replica), httptest.NewServer(replica.adminHandler())
+	server := NewServer(r, ServerConfig{MaxWatches: 1})
+	apiServer, adminServer := httptest.NewServer(server), httptest.NewServer(server.adminHandler())
 	defer func() {
-		server.Close()
-		control.Close()
+		apiServer.Close()
+		adminServer.Close()
 		if err := r.Close(); err != nil {
 			t.Error(err)
 		}
@@ -150,28 +150,28 @@
 	for _, call := range [][2]string{{"GET", "/registry/instances"}, {"GET", "/registry/instances?service=a"},
 		{"PUT", "/registry/instances/s0/lease"}, {"GET", "/registry/fresh"}, {"GET", "/registry/status"},
 		{"DELETE", "/registry/replicas/r9"}} {
-		transcript(t, &b, call[0], server.URL, call[1], "", nil)
+		recordCall(t, &b, call[0], apiServer.URL, call[1], "", nil)
 	}
-	transcript(t, &b, "GET", control.URL, "/healthcheck", "", nil)
-	transcript(t, &b, "GET", control.URL, "/stats", "", nil)
-	replica.watches <- struct{}{}
-	transcript(t, &b, "GET", server.URL, "/registry/instances?index=1&wait=1000", "", nil)
-	for range cap(replica.writes) {
-		replica.writes <- struct{}{}
+	recordCall(t, &b, "GET", adminServer.URL, "/healthcheck", "", nil)
+	recordCall(t, &b, "GET", adminServer.URL, "/stats", "", nil)
+	server.watches <- struct{}{}
+	recordCall(t, &b, "GET", apiServer.URL, "/registry/instances?index=1&wait=1000", "", nil)
+	for range cap(server.writes) {
+		server.writes <- struct{}{}
 	}
-	transcript(t, &b, "DELETE", server.URL, "/registry/instances/s0", "", nil)
+	recordCall(t, &b, "DELETE", apiServer.URL, "/registry/instances/s0", "", nil)
 	for _, err := range []error{&NotLeaderError{LeaderAddress: "10.2.0.2:8500"}, &NotLeaderError{}, ErrNotCommitted} {
-		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.respondWrite(w, req, "s0", Result{}, err) }))
+		b.WriteString(recordResponse(func(w http.ResponseWriter, req *http.Request) { server.respondWrite(w, req, "s0", Result{}, err) }))
 	}
 	for _, code := range []ResultCode{ResultNotFound, ResultVersionMismatch, ResultTooManyInstances, ResultUnknownCommand} {
 		result := Result{Code: code, Instance: Instance{Version: 7}}
-		b.WriteString(recorded(func(w http.ResponseWriter, req *http.Request) { replica.respondWrite(w, req, "s0", result, code.Err()) }))
+		b.WriteString(recordResponse(func(w http.ResponseWriter, req *http.Request) { server.respondWrite(w, req, "s0", result, code.Err()) }))
 	}
-	golden.Check(t, "refusals.txt", []byte(masked(b.String())))
+	golden.Check(t, "refusals.txt", []byte(maskVaryingParts(b.String())))
 }
 
 // recorded returns a handler's response to a write.
-func recorded(handle http.HandlerFunc) string {
+func recordResponse(handle http.HandlerFunc) string {
 	w := httptest.NewRecorder()
 	handle(w, httptest.NewRequest("PUT", "/registry/instances/s0/lease?x=1", nil))
 	var b strings.Builder
@@ -228,16 +228,16 @@
 
 // TestStoredFieldsHaveExplicitKeys fails where a stored or sent form takes a key from a Go name.
 func TestStoredFieldsHaveExplicitKeys(t *testing.T) {
-	for tag, forms := range map[string][]any{
+	for tag, values := range map[string][]any{
 		"cbor": {Command{}, snapshotImage{}, Instance{}, Endpoint{}, Result{}, change{}, Placement{}, cachedResponse{}},
 		"json": {EndpointList{}, Endpoint{}, registration{}, WriteResponse{}, Status{}, ReplicaStatus{}, progressResponse{}},
 		"toml": {Config{}},
 	} {
-		for _, form := range forms {
-			of := reflect.TypeOf(form)
-			for field := range of.Fields() {
+		for _, value := range values {
+			valueType := reflect.TypeOf(value)
+			for field := range valueType.Fields() {
 				if key, _, _ := strings.Cut(field.Tag.Get(tag), ","); key == "" {
-					t.Errorf("%s.%s has no explicit %s key", of, field.Name, tag)
+					t.Errorf("%s.%s has no explicit %s key", valueType, field.Name, tag)
 				}
 			}
 		}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -77,15 +77,15 @@
 
 func TestGoldenCommands(t *testing.T) {
 	all := append(slices.Clone(goldenCommands), goldenNewEpoch)
-	var now strings.Builder
+	var encoded strings.Builder
 	for _, n := range all {
 		raw, err := cbor.Marshal(n.command)
 		if err != nil {
 			t.Fatal(err)
 		}
-		fmt.Fprintf(&now, "%s %x\n", n.name, raw)
+		fmt.Fprintf(&encoded, "%s %x\n", n.name, raw)
 	}
-	golden.Check(t, "commands.cbor.hex", []byte(now.String()))
+	golden.Check(t, "commands.cbor.hex", []byte(encoded.String()))
 	lines := strings.Split(strings.TrimSpace(string(golden.Read(t, "commands.cbor.hex"))), "\n")
 	if len(lines) != len(all) {
 		t.Fatalf("%d commands in the file, want %d", len(lines), len(all))
@@ -106,8 +106,8 @@
 // TestGoldenSnapshot reads a snapshot with several instances, whose maps are written in any order.
 func TestGoldenSnapshot(t *testing.T) {
 	s := goldenStore()
-	var now bytes.Buffer
-	if err := s.WriteSnapshot(&now); err != nil {
+	var encoded bytes.Buffer
+	if err := s.WriteSnapshot(&encoded); err != nil {
 		t.Fatal(err)
 	}
 	raw := golden.Read(t, "snapshot")
@@ -116,8 +116,8 @@
 		t.Fatal(err)
 	}
 	checkSameStore(t, s, restored)
-	if before, now := canonicalImage(t, raw), canonicalImage(t, now.Bytes()); !bytes.Equal(before, now) {
-		t.Errorf("a snapshot is written otherwise:\ngolden %x\nnow    %x", before, now)
+	if want, got := canonicalImage(t, raw), canonicalImage(t, encoded.Bytes()); !bytes.Equal(want, got) {
+		t.Errorf("a snapshot is written otherwise:\ngolden %x\nnow    %x", want, got)
 	}
 }
 
@@ -127,25 +127,25 @@
 	for _, id := range []string{"s0", "s1"} {
 		s.Apply(Command{Kind: DeregisterInstance, ID: id})
 	}
-	var now bytes.Buffer
-	if err := s.WriteSnapshot(&now); err != nil {
+	var encoded bytes.Buffer
+	if err := s.WriteSnapshot(&encoded); err != nil {
 		t.Fatal(err)
 	}
 	if len(s.instances) != 1 || len(s.replicaAddresses) != 1 {
 		t.Fatalf("%d instances and %d peers: the order of their keys isn't given", len(s.instances), len(s.replicaAddresses))
 	}
-	golden.Check(t, "snapshot-one", now.Bytes())
+	golden.Check(t, "snapshot-one", encoded.Bytes())
 	raw := golden.Read(t, "snapshot-one")
 	restored, err := ReadSnapshot(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
 	checkSameStore(t, s, restored)
-	var again bytes.Buffer
-	if err := restored.WriteSnapshot(&again); err != nil {
+	var reencoded bytes.Buffer
+	if err := restored.WriteSnapshot(&reencoded); err != nil {
 		t.Fatal(err)
 	}
-	if !bytes.Equal(raw, again.Bytes()) {
+	if !bytes.Equal(raw, reencoded.Bytes()) {
 		t.Error("a snapshot that was read is written otherwise")
 	}
 }
@@ -167,9 +167,9 @@
 // canonicalImage is the body of a snapshot with the keys of its maps sorted.
 func canonicalImage(t *testing.T, snapshot []byte) []byte {
 	t.Helper()
-	const head = 14 + 1 + 8 + 8 // mark, version, length, hash
+	const headerBytes = 14 + 1 + 8 + 8 // mark, version, length, hash
 	var generic any
-	if err := cbor.Unmarshal(snapshot[head:], &generic); err != nil {
+	if err := cbor.Unmarshal(snapshot[headerBytes:], &generic); err != nil {
 		t.Fatal(err)
 	}
 	mode, err := cbor.CanonicalEncOptions().EncMode()
@@ -184,19 +184,19 @@
 }
 
 // openLeader opens the only replica of a data directory, and waits until it is the leader.
-func openLeader(t *testing.T, folder string) *Replica {
+func openLeader(t *testing.T, dataDir string) *Replica {
 	t.Helper()
 	addr, transport := raft.NewInmemTransport("r0.raft")
-	r, err := Open(ReplicaConfig{ID: "r0", RaftAddress: string(addr), APIAddress: "10.2.0.1:8500", DataDir: folder,
+	r, err := Open(ReplicaConfig{ID: "r0", RaftAddress: string(addr), APIAddress: "10.2.0.1:8500", DataDir: dataDir,
 		InitialReplicas: map[string]string{"r0": string(addr)}, transport: transport})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for until := time.Now().Add(maxWatchWait); ; time.Sleep(tickInterval / 10) {
+	for deadline := time.Now().Add(maxWatchWait); ; time.Sleep(tickInterval / 10) {
 		if age, ok := r.Age(); ok && age < defaultMaxAge {
 			return r
 		}
-		if time.Now().After(until) {
+		if time.Now().After(deadline) {
 			t.Fatal("the replica doesn't become the leader")
 		}
 	}
@@ -204,25 +204,25 @@
 
 // TestGoldenFolder opens a copy of a replica's folder: a snapshot, and commands after it.
 func TestGoldenFolder(t *testing.T) {
-	folder := t.TempDir()
-	unpack(t, golden.Read(t, "folder.tar.gz"), folder)
-	r := openLeader(t, folder)
+	dataDir := t.TempDir()
+	extractTarGz(t, golden.Read(t, "folder.tar.gz"), dataDir)
+	r := openLeader(t, dataDir)
 	defer func() {
 		if err := r.Close(); err != nil {
 			t.Error(err)
 		}
 	}()
 	var list EndpointList
-	var peers map[string]string
-	r.store.view(func(s *Store) { list, peers = s.FullList(), maps.Clone(s.replicaAddresses) })
+	var addresses map[string]string
+	r.store.view(func(s *Store) { list, addresses = s.FullList(), maps.Clone(s.replicaAddresses) })
 	s1, s3 := goldenEndpoint("s1", "pay"), goldenEndpoint("s3", "pay")
 	s1.Phase = PhaseDraining
 	want := EndpointList{Revision: 1<<32 + 7, Complete: true, Endpoints: []Endpoint{goldenEndpoint("s0", ""), s1, s3}}
 	if diff := cmp.Diff(want, list); diff != "" {
 		t.Error("the list differs (-want +got):", diff)
 	}
-	if want := map[string]string{"r0": "10.2.0.1:8500", "r1": "10.2.0.2:8500"}; !maps.Equal(want, peers) {
-		t.Errorf("the replicas' addresses are %v, want %v", peers, want)
+	if want := map[string]string{"r0": "10.2.0.1:8500", "r1": "10.2.0.2:8500"}; !maps.Equal(want, addresses) {
+		t.Errorf("the replicas' addresses are %v, want %v", addresses, want)
 	}
 	result, err := r.Propose(Command{Kind: SetInstancePhase, RequestID: "q5", ID: "s1", Phase: PhaseDraining})
 	if err != nil || result.Revision != 1<<32+5 {
@@ -233,26 +233,26 @@
 	}
 }
 
-func unpack(t *testing.T, raw []byte, folder string) {
+func extractTarGz(t *testing.T, raw []byte, dir string) {
 	t.Helper()
-	zip, err := gzip.NewReader(bytes.NewReader(raw))
+	uncompressed, err := gzip.NewReader(bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for archive := tar.NewReader(zip); ; {
-		head, err := archive.Next()
+	for tarReader := tar.NewReader(uncompressed); ; {
+		header, err := tarReader.Next()
 		if errors.Is(err, io.EOF) {
 			return
 		}
 		if err != nil {
 			t.Fatal(err)
 		}
-		path := filepath.Join(folder, head.Name)
-		if head.FileInfo().IsDir() {
+		path := filepath.Join(dir, header.Name)
+		if header.FileInfo().IsDir() {
 			err = os.MkdirAll(path, 0o700)
 		} else {
 			var data []byte
-			if data, err = io.ReadAll(archive); err == nil {
+			if data, err = io.ReadAll(tarReader); err == nil {
 				err = errors.Join(os.MkdirAll(filepath.Dir(path), 0o700), os.WriteFile(path, data, 0o600))
 			}
 		}
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -28,7 +28,7 @@
 }
 
 // touchedServices returns the services that the endpoint was in before and is in after the change.
-func (c change) touchedServices() (services []string) {
+func (c change) affectedServices() (services []string) {
 	if c.Endpoint.Service != "" {
 		services = append(services, c.Endpoint.Service)
 	}
--- a/internal/registry/http_list.go
+++ b/internal/registry/http_list.go
@@ -97,8 +97,8 @@
 
 // respondList responds with the list since a revision, unless it is unchanged since. It responds 503 where the list may
 // be too old.
-func (s *Server) respondList(w http.ResponseWriter, since int64, evenUnchanged bool) (responded bool) {
-	raw, epoch := s.replica.store.encodedList(since, evenUnchanged)
+func (s *Server) respondList(w http.ResponseWriter, since int64, evenIfUnchanged bool) (responded bool) {
+	raw, epoch := s.replica.store.encodedList(since, evenIfUnchanged)
 	if raw == nil {
 		return false
 	}
@@ -132,7 +132,7 @@
 
 // respondScoped responds with the scoped list since a revision, unless it is unchanged up to the revision that is
 // returned.
-func (s *Server) respondScoped(w http.ResponseWriter, scope *Scope, since int64, evenUnchanged bool) (revision int64, responded bool) {
+func (s *Server) respondScoped(w http.ResponseWriter, scope *Scope, since int64, evenIfUnchanged bool) (revision int64, responded bool) {
 	view, err := s.replica.store.scopedView(scope, since)
 	if err != nil {
 		s.respondUnknownServices(w, err)
@@ -141,7 +141,7 @@
 	s.scopedLists.acquire() // one change wakes many watches, and raft needs processor time too
 	list, changed := view.list()
 	s.scopedLists.release()
-	if !changed && !evenUnchanged {
+	if !changed && !evenIfUnchanged {
 		return list.Revision, false
 	}
 	raw := mustMarshalJSON(list)
--- a/internal/registry/http_list_test.go
+++ b/internal/registry/http_list_test.go
@@ -41,7 +41,7 @@
 }
 
 // propose has the replica carry out commands, and returns its revision after them.
-func propose(t *testing.T, r *Replica, commands ...Command) (revision int64) {
+func mustPropose(t *testing.T, r *Replica, commands ...Command) (revision int64) {
 	t.Helper()
 	for _, c := range commands {
 		result, err := r.Propose(c)
@@ -90,7 +90,7 @@
 // Without a scope and without services, responses are in the platform's form, byte for byte.
 func TestFullListHasThePlatformsForm(t *testing.T) {
 	r, url := startServer(t)
-	revision := propose(t, r, registerCommandFor("s0", DefaultTTL))
+	revision := mustPropose(t, r, registerCommandFor("s0", DefaultTTL))
 	got := get(t, url)
 	want := fmt.Sprintf(`{"revision":%d,"complete":true,"members":[{"id":"s0","host_port":"10.0.0.1:9000","locality":"a",`+
 		`"flavor":"","cell":0,"phase":"up","size":1,"up_since_ms":0}]}`, revision)
@@ -103,9 +103,9 @@
 // revision.
 func TestScopedWatchRespondsToChangesInItsScope(t *testing.T) {
 	r, url := startServer(t)
-	at := propose(t, r, registerInService("a0", "a"), registerInService("b0", "b"))
+	revision := mustPropose(t, r, registerInService("a0", "a"), registerInService("b0", "b"))
 	full := get(t, url+"?service=a")
-	if l := full.list(t); !l.Complete || l.Revision != at || len(l.Endpoints) != 1 || l.Endpoints[0].Service != "a" {
+	if l := full.list(t); !l.Complete || l.Revision != revision || len(l.Endpoints) != 1 || l.Endpoints[0].Service != "a" {
 		t.Errorf("the list of a is %+v", l)
 	}
 	if full.header.Get(scopedHeader) == "" || full.header.Get(unknownServicesHeader) != "" {
@@ -113,21 +113,23 @@
 	}
 	watch := func(wait time.Duration) chan response {
 		received := make(chan response, 1)
-		go func() { received <- get(t, fmt.Sprintf("%s?service=a&index=%d&wait=%d", url, at, wait.Milliseconds())) }()
+		go func() {
+			received <- get(t, fmt.Sprintf("%s?service=a&index=%d&wait=%d", url, revision, wait.Milliseconds()))
+		}()
 		return received
 	}
 	pending := watch(maxWatchWait)
-	awaitWatcher(t, r, "a")
+	waitForWatcher(t, r, "a")
 	notified := r.store.nextChange()
-	outside := propose(t, r, Command{Kind: SetInstancePhase, ID: "b0", Phase: PhaseDraining})
+	outsideRevision := mustPropose(t, r, Command{Kind: SetInstancePhase, ID: "b0", Phase: PhaseDraining})
 	<-notified
-	within := propose(t, r, Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
-	checkChanges(t, <-pending, within, "a0")
-	at = outside // before a0's change
-	checkChanges(t, <-watch(maxWatchWait), within, "a0")
-	at = within
-	outside = propose(t, r, Command{Kind: SetInstancePhase, ID: "b0", Phase: PhaseUp})
-	checkChanges(t, <-watch(0), outside) // at its timeout
+	scopeRevision := mustPropose(t, r, Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
+	checkChanges(t, <-pending, scopeRevision, "a0")
+	revision = outsideRevision // before a0's change
+	checkChanges(t, <-watch(maxWatchWait), scopeRevision, "a0")
+	revision = scopeRevision
+	outsideRevision = mustPropose(t, r, Command{Kind: SetInstancePhase, ID: "b0", Phase: PhaseUp})
+	checkChanges(t, <-watch(0), outsideRevision) // at its timeout
 }
 
 // checkChanges fails unless a watch got the changes of some endpoints and a revision.
@@ -144,13 +146,13 @@
 }
 
 // awaitWatcher waits until a watch of a service waits.
-func awaitWatcher(t *testing.T, r *Replica, service string) {
+func waitForWatcher(t *testing.T, r *Replica, service string) {
 	t.Helper()
-	for until := time.Now().Add(maxWatchWait); time.Now().Before(until); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(maxWatchWait); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 		r.store.mu.Lock()
-		n := len(r.store.scoped.byService[service])
+		waiting := len(r.store.scoped.byService[service])
 		r.store.mu.Unlock()
-		if n > 0 {
+		if waiting > 0 {
 			return
 		}
 	}
@@ -170,15 +172,15 @@
 	}
 	a, cancelA := r.store.watchServices([]string{"a"})
 	b, cancelB := r.store.watchServices([]string{"b", "c"})
-	propose(t, r, registerInService("a0", "a"))
+	mustPropose(t, r, registerInService("a0", "a"))
 	<-a
 	if notified(b) {
 		t.Error("a change of service a notified a watch of b and c")
 	}
-	propose(t, r, registerInService("a0", "c")) // it leaves one service for another
+	mustPropose(t, r, registerInService("a0", "c")) // it leaves one service for another
 	<-a
 	<-b
-	propose(t, r, Command{Kind: BeginEpoch})
+	mustPropose(t, r, Command{Kind: BeginEpoch})
 	<-a
 	<-b
 	cancelA()
@@ -191,18 +193,18 @@
 // An unknown service is not an empty one: 404 if all are unknown, else the header names them.
 func TestUnknownServicesAreNotAnEmptyList(t *testing.T) {
 	r, url := startServer(t)
-	if a := get(t, url+"?service=a,b"); a.status != http.StatusNotFound || a.body != "service: unknown: a, b\n" {
-		t.Errorf("an empty replica answers %d %q", a.status, a.body)
+	if got := get(t, url+"?service=a,b"); got.status != http.StatusNotFound || got.body != "service: unknown: a, b\n" {
+		t.Errorf("an empty replica answers %d %q", got.status, got.body)
 	}
-	at := propose(t, r, registerInService("a0", "a"))
-	some := get(t, url+"?service=b&service=a")
-	if l := some.list(t); len(l.Endpoints) != 1 || some.header.Get(unknownServicesHeader) != "b" {
-		t.Errorf("got %+v with %v", l, some.header)
+	revision := mustPropose(t, r, registerInService("a0", "a"))
+	partial := get(t, url+"?service=b&service=a")
+	if l := partial.list(t); len(l.Endpoints) != 1 || partial.header.Get(unknownServicesHeader) != "b" {
+		t.Errorf("got %+v with %v", l, partial.header)
 	}
-	if a := get(t, fmt.Sprintf("%s?service=b&index=%d&wait=1000", url, at)); a.status != http.StatusNotFound {
-		t.Errorf("a watch of an unknown service is answered %d", a.status)
+	if got := get(t, fmt.Sprintf("%s?service=b&index=%d&wait=1000", url, revision)); got.status != http.StatusNotFound {
+		t.Errorf("a watch of an unknown service is answered %d", got.status)
 	}
-	propose(t, r, Command{Kind: DeregisterInstance, ID: "a0"})
+	mustPropose(t, r, Command{Kind: DeregisterInstance, ID: "a0"})
 	if l := get(t, url+"?service=a").list(t); !l.Complete || len(l.Endpoints) != 0 {
 		t.Errorf("the list of a service whose last server was removed is %+v", l)
 	}
@@ -212,8 +214,8 @@
 	_, url := startServer(t)
 	for _, query := range []string{"service=", "service=a&subset=0", "service=a&subset=2&position=3&nodes=3", "subset=3",
 		"service=a&index=x"} {
-		if a := get(t, url+"?"+query); a.status != http.StatusBadRequest || strings.Count(a.body, "\n") != 1 {
-			t.Errorf("%s: %d %q", query, a.status, a.body)
+		if got := get(t, url+"?"+query); got.status != http.StatusBadRequest || strings.Count(got.body, "\n") != 1 {
+			t.Errorf("%s: %d %q", query, got.status, got.body)
 		}
 	}
 	req, err := http.NewRequest(http.MethodPut, url+"/s0", strings.NewReader(`{"host_port":"10.0.0.1:9000","service":"a b"}`))
--- a/internal/registry/http_replicas.go
+++ b/internal/registry/http_replicas.go
@@ -20,7 +20,7 @@
 	replicas, leader, err := s.replica.Configuration()
 	status := Status{ID: s.replica.config.ID, Leader: leader, AgeMs: -1, Watches: s.counters.watches.Load(),
 		Lists: s.counters.lists.Load(), Writes: s.counters.writes.Load(),
-		CallsRejected: s.counters.callsRejected.Load(), CallsRejectedStale: s.counters.callsTooStale.Load()}
+		CallsRejected: s.counters.callsRejected.Load(), CallsRejectedStale: s.counters.callsRejectedStale.Load()}
 	if age, known := s.replica.Age(); known {
 		status.AgeMs = age.Milliseconds()
 	}
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -92,6 +92,6 @@
 	default:
 		s.counters.writes.Add(1)
 		w.Header().Set("ETag", etag(result.Instance.Version))
-		respondJSON(w, writeResponseOf(id, result))
+		respondJSON(w, newWriteResponse(id, result))
 	}
 }
--- a/internal/registry/lessor_test.go
+++ b/internal/registry/lessor_test.go
@@ -85,8 +85,8 @@
 		if ids := expireAll(l, instances); len(ids) != minMassExpirations {
 			t.Fatalf("%v expired, want %d", ids, minMassExpirations)
 		}
-		for passed := time.Duration(0); passed < wait; passed += maxClockStep {
-			l.advance(min(maxClockStep, wait-passed))
+		for elapsed := time.Duration(0); elapsed < wait; elapsed += maxClockStep {
+			l.advance(min(maxClockStep, wait-elapsed))
 		}
 		if ids := expireAll(l, instances); (len(ids) == 0) != suspended || l.suspended != suspended {
 			t.Errorf("one more after %v: %v expired, suspended %v, want %v", wait, ids, l.suspended, suspended)
--- a/internal/registry/measure_test.go
+++ b/internal/registry/measure_test.go
@@ -68,7 +68,7 @@
 // scopedBytes returns the length of what a scoped watcher gets, 0 for no response.
 func scopedBytes(t *testing.T, s *Store, scope *Scope, since int64) int {
 	t.Helper()
-	view, err := s.scoped(scope, since)
+	view, err := s.newScopedView(scope, since)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -113,26 +113,26 @@
 // large service either.
 func TestMeasureScope(t *testing.T) {
 	const replaced = 300
-	var first int
+	var firstBytes int
 	for _, n := range measuredSizes(t) {
 		f, scope := newFleet(n), nodeScope(20)
-		list, services, part := encodedBytes(t, f.store.FullList()), scopedBytes(t, f.store, nodeScope(0), -1), scopedBytes(t, f.store, scope, -1)
+		fullListBytes, servicesBytes, subsetsBytes := encodedBytes(t, f.store.FullList()), scopedBytes(t, f.store, nodeScope(0), -1), scopedBytes(t, f.store, scope, -1)
 		var ids []string
 		for _, e := range f.store.FullList().Endpoints {
 			ids = append(ids, e.ID)
 		}
-		var full, scoped int
-		for _, at := range f.rng.Perm(len(ids))[:replaced] {
-			fullBytes, partBytes := f.replace(t, scope, ids[at])
-			full, scoped = full+fullBytes, scoped+partBytes
+		var fullTotal, scopedTotal int
+		for _, i := range f.rng.Perm(len(ids))[:replaced] {
+			full, scoped := f.replace(t, scope, ids[i])
+			fullTotal, scopedTotal = fullTotal+full, scopedTotal+scoped
 		}
 		t.Logf("%6d instances: whole list %9d bytes, its five services %8d, subsets of 20 %6d; a replacement %4d and %7.2f",
-			n, list, services, part, full/replaced, float64(scoped)/replaced)
-		if first == 0 {
-			first = part
+			n, fullListBytes, servicesBytes, subsetsBytes, fullTotal/replaced, float64(scopedTotal)/replaced)
+		if firstBytes == 0 {
+			firstBytes = subsetsBytes
 		}
-		if ratio := float64(part) / float64(first); ratio > 1.1 {
-			t.Errorf("a scoped list of %d bytes at %d instances is %.2f times that at the first size", part, n, ratio)
+		if ratio := float64(subsetsBytes) / float64(firstBytes); ratio > 1.1 {
+			t.Errorf("a scoped list of %d bytes at %d instances is %.2f times that at the first size", subsetsBytes, n, ratio)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 	for _, n := range measuredSizes(t) {
 		var f *fleet
 		before := heapBytes()
-		fill := measure(func() { f = newFleet(n) })
+		registerAll := measure(func() { f = newFleet(n) })
 		memory := heapBytes() - before
 		id := f.store.FullList().Endpoints[n/2].ID
 		renew := measure(func() {
@@ -156,7 +156,7 @@
 			}
 		}) / 1000
 		tick := measure(func() { f.store.Apply(Command{Kind: AdvanceClock, Elapsed: tickInterval}) })
-		lead := measure(func() { f.store.Apply(Command{Kind: RestartLeases}) })
+		restart := measure(func() { f.store.Apply(Command{Kind: RestartLeases}) })
 		full := measure(func() { encodedBytes(t, f.store.FullList()) })
 		view := measure(func() { scopedBytes(t, f.store, nodeScope(20), -1) })
 		watchers := measure(func() { f.notifyWatchers(t, 1000) })
@@ -173,7 +173,7 @@
 			}
 		})
 		t.Logf("%6d instances: %3d MB, registered in %v each, renewed in %v, tick %v, new leader %v, whole list %v, scoped list %v, a drain in the large service sent to 1,000 watchers %v, snapshot %.1f MB written in %v, read in %v",
-			n, memory>>20, (fill / time.Duration(n)).Round(10*time.Nanosecond), renew, tick, lead, full, view, watchers, float64(length)/1e6, write, read)
+			n, memory>>20, (registerAll / time.Duration(n)).Round(10*time.Nanosecond), renew, tick, restart, full, view, watchers, float64(length)/1e6, write, read)
 	}
 }
 
--- a/internal/registry/scoped_list.go
+++ b/internal/registry/scoped_list.go
@@ -39,7 +39,7 @@
 // scoped collects what a scoped list since a revision is computed from. The list will be complete for a revision that
 // is negative, in the future, of another epoch, or from which the history can't be resumed. If all services of the
 // scope are unknown the error is *UnknownServicesError.
-func (s *Store) scoped(scope *Scope, since int64) (*scopedView, error) {
+func (s *Store) newScopedView(scope *Scope, since int64) (*scopedView, error) {
 	view := &scopedView{scope: scope, revision: s.revision}
 	for _, name := range scope.Services {
 		if s.services[name] == nil {
@@ -52,7 +52,7 @@
 	view.complete = s.needsFullScope(scope, since)
 	for _, name := range scope.Services {
 		index := s.services[name]
-		if index == nil || !view.complete && index.changed <= since {
+		if index == nil || !view.complete && index.lastChange <= since {
 			continue
 		}
 		service := scopedService{name: name, current: index.currentView(s.instances)}
@@ -75,21 +75,21 @@
 	// Changes of other services may be compacted without harm. Those of an unknown service may have been its last.
 	return slices.ContainsFunc(scope.Services, func(name string) bool {
 		index := s.services[name]
-		return index == nil || index.changed > since
+		return index == nil || index.lastChange > since
 	})
 }
 
 // list computes the list; changed is false if nothing in the scope changed.
 func (v *scopedView) list() (list EndpointList, changed bool) {
-	inScope, left := make(map[string]Endpoint), make(map[string]Endpoint)
+	inScope, removed := make(map[string]Endpoint), make(map[string]Endpoint)
 	for _, service := range v.services {
 		if v.complete {
 			service.addAll(v.scope, inScope)
 		} else {
-			service.addChanges(v.scope, inScope, left)
+			service.addChanges(v.scope, inScope, removed)
 		}
 	}
-	for id, endpoint := range left {
+	for id, endpoint := range removed {
 		// One that is in both changed its service, and is in scope by the other service.
 		if _, ok := inScope[id]; !ok {
 			endpoint.Phase = PhaseRemoved
@@ -117,7 +117,7 @@
 
 // addChanges adds the endpoints that changed in the scope or entered it, and those that left it. An endpoint may leave
 // a subset though it is still up.
-func (s scopedService) addChanges(scope *Scope, inScope, left map[string]Endpoint) {
+func (s scopedService) addChanges(scope *Scope, inScope, removed map[string]Endpoint) {
 	newest := newestEndpoints(s.changes)
 	current := s.current.byID()
 	// Where a subset takes the whole service, as it is and as it was, there is nothing to choose.
@@ -126,7 +126,7 @@
 			if now, exists := current[id]; exists {
 				inScope[id] = now
 			} else {
-				left[id] = endpoint
+				removed[id] = endpoint
 			}
 		}
 		return
@@ -146,7 +146,7 @@
 		if !exists {
 			endpoint = newest[id]
 		}
-		left[id] = endpoint
+		removed[id] = endpoint
 	}
 }
 
--- a/internal/registry/scoped_list_test.go
+++ b/internal/registry/scoped_list_test.go
@@ -49,31 +49,31 @@
 
 // scopedWatcher applies the changes of a scope.
 type scopedWatcher struct {
-	scope *Scope
-	at    int64
-	seen  map[string]Endpoint
+	scope     *Scope
+	revision  int64
+	endpoints map[string]Endpoint
 }
 
 func newScopedWatcher(scope *Scope) *scopedWatcher {
-	return &scopedWatcher{scope: scope, at: -1, seen: make(map[string]Endpoint)}
+	return &scopedWatcher{scope: scope, revision: -1, endpoints: make(map[string]Endpoint)}
 }
 
 // poll applies the changes since the watcher's revision.
 func (w *scopedWatcher) poll(s *Store) (l EndpointList, err error) {
-	view, err := s.scoped(w.scope, w.at)
+	view, err := s.newScopedView(w.scope, w.revision)
 	if err != nil {
 		return EndpointList{}, err
 	}
 	l, _ = view.list()
 	if l.Complete {
-		clear(w.seen)
+		clear(w.endpoints)
 	}
 	for _, e := range l.Endpoints {
-		if w.seen[e.ID] = e; e.Phase == PhaseRemoved {
-			delete(w.seen, e.ID)
+		if w.endpoints[e.ID] = e; e.Phase == PhaseRemoved {
+			delete(w.endpoints, e.ID)
 		}
 	}
-	w.at = l.Revision
+	w.revision = l.Revision
 	return l, nil
 }
 
@@ -84,40 +84,40 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l, slices.Sorted(maps.Keys(w.seen))
+	return l, slices.Sorted(maps.Keys(w.endpoints))
 }
 
 // checkSlots fails unless the slots of each service are unique, and a new instance has the lowest that was free.
 func checkSlots(t *rapid.T, before, after map[string]Instance) {
-	taken := make(map[string]map[int]string)
-	for id, i := range after {
-		service := i.Endpoint.Service
-		if taken[service] == nil {
-			taken[service] = make(map[int]string)
+	usedSlots := make(map[string]map[int]string)
+	for id, instance := range after {
+		service := instance.Endpoint.Service
+		if usedSlots[service] == nil {
+			usedSlots[service] = make(map[int]string)
 		}
-		if other, ok := taken[service][i.Slot]; ok && service != "" {
-			t.Fatalf("%s and %s both have slot %d of %s", id, other, i.Slot, service)
+		if other, ok := usedSlots[service][instance.Slot]; ok && service != "" {
+			t.Fatalf("%s and %s both have slot %d of %s", id, other, instance.Slot, service)
 		}
-		taken[service][i.Slot] = id
+		usedSlots[service][instance.Slot] = id
 	}
-	for id, i := range after {
+	for id, instance := range after {
 		previous, existed := before[id]
-		stays := existed && previous.Endpoint.Service == i.Endpoint.Service
+		sameService := existed && previous.Endpoint.Service == instance.Endpoint.Service
 		switch {
-		case i.Endpoint.Service == "" && i.Slot != 0:
-			t.Fatalf("%s has no service, and slot %d", id, i.Slot)
-		case stays && previous.Slot != i.Slot:
-			t.Fatalf("%s had slot %d, and now %d", id, previous.Slot, i.Slot)
-		case i.Endpoint.Service != "" && !stays:
-			checkNoLowerSlotIsFree(t, taken[i.Endpoint.Service], i)
+		case instance.Endpoint.Service == "" && instance.Slot != 0:
+			t.Fatalf("%s has no service, and slot %d", id, instance.Slot)
+		case sameService && previous.Slot != instance.Slot:
+			t.Fatalf("%s had slot %d, and now %d", id, previous.Slot, instance.Slot)
+		case instance.Endpoint.Service != "" && !sameService:
+			checkNoLowerSlotIsFree(t, usedSlots[instance.Endpoint.Service], instance)
 		}
 	}
 }
 
-func checkNoLowerSlotIsFree(t *rapid.T, taken map[int]string, i Instance) {
-	for slot := range i.Slot {
-		if _, ok := taken[slot]; !ok {
-			t.Fatalf("%s got slot %d of %s, and %d is free", i.Endpoint.ID, i.Slot, i.Endpoint.Service, slot)
+func checkNoLowerSlotIsFree(t *rapid.T, usedSlots map[int]string, instance Instance) {
+	for slot := range instance.Slot {
+		if _, ok := usedSlots[slot]; !ok {
+			t.Fatalf("%s got slot %d of %s, and %d is free", instance.Endpoint.ID, instance.Slot, instance.Endpoint.Service, slot)
 		}
 	}
 }
@@ -136,10 +136,10 @@
 			s.Apply(drawServiceCommand(t))
 			checkSlots(t, before, s.instances)
 			if rapid.IntRange(0, 9).Draw(t, "restored") == 0 {
-				s = restored(t, s)
+				s = snapshotRoundTrip(t, s)
 			}
-			if oldest := rapid.IntRange(0, 20).Draw(t, "compacts"); oldest > 0 && oldest <= len(s.history.changes)/2 {
-				s.compact(oldest, s.history.changes[oldest-1].Revision)
+			if count := rapid.IntRange(0, 20).Draw(t, "compacts"); count > 0 && count <= len(s.history.changes)/2 {
+				s.compact(count, s.history.changes[count-1].Revision)
 			}
 			for _, w := range watchers {
 				if rapid.IntRange(0, 3).Draw(t, "polls") == 0 {
@@ -161,7 +161,7 @@
 	if errors.As(err, &unknown) {
 		return
 	}
-	if diff := cmp.Diff(full.seen, w.seen); diff != "" || err != nil {
+	if diff := cmp.Diff(full.endpoints, w.endpoints); diff != "" || err != nil {
 		t.Fatalf("%v; scope %+v: a watcher differs from a full list (-list +watcher): %s", err, w.scope, diff)
 	}
 }
@@ -177,8 +177,8 @@
 		s.Apply(Command{Kind: SetInstancePhase, ID: "b0", Phase: []string{PhaseDraining, PhaseUp}[i%2]})
 	}
 	before := *w
-	if l, _ := w.mustPoll(t, s); l.Complete || len(l.Endpoints) != 0 || l.Revision != s.revision || before.at >= s.history.compactedRevision {
-		t.Errorf("got %+v at revision %d below the compacted %d", l, before.at, s.history.compactedRevision)
+	if l, _ := w.mustPoll(t, s); l.Complete || len(l.Endpoints) != 0 || l.Revision != s.revision || before.revision >= s.history.compactedRevision {
+		t.Errorf("got %+v at revision %d below the compacted %d", l, before.revision, s.history.compactedRevision)
 	}
 	s.Apply(Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
 	if l, _ := before.mustPoll(t, s); !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Phase != PhaseDraining {
@@ -201,7 +201,7 @@
 		}
 		s.Apply(Command{Kind: DeregisterInstance, ID: removed})
 		s.compact(len(s.history.changes), s.revision)
-		if l, got := w.mustPoll(t, restored(t, s)); !l.Complete || !slices.Equal(got, want) {
+		if l, got := w.mustPoll(t, snapshotRoundTrip(t, s)); !l.Complete || !slices.Equal(got, want) {
 			t.Errorf("after %q was removed got %+v, and has %v", removed, l, got)
 		}
 	}
@@ -215,17 +215,17 @@
 		s.Apply(registerInService(fmt.Sprint("s", i), "a"))
 	}
 	w := newScopedWatcher(&Scope{Services: []string{"a"}, SubsetSize: 2, Client: subset.Client{Count: 4}})
-	_, first := w.mustPoll(t, s)
-	s.Apply(Command{Kind: SetInstancePhase, ID: first[0], Phase: PhaseDraining})
-	if _, during := w.mustPoll(t, s); w.seen[first[0]].Phase != PhaseDraining || len(first) != 2 || len(during) < 3 {
-		t.Errorf("at first %v; while one drains, the watcher has %v", first, w.seen)
+	_, initial := w.mustPoll(t, s)
+	s.Apply(Command{Kind: SetInstancePhase, ID: initial[0], Phase: PhaseDraining})
+	if _, during := w.mustPoll(t, s); w.endpoints[initial[0]].Phase != PhaseDraining || len(initial) != 2 || len(during) < 3 {
+		t.Errorf("at first %v; while one drains, the watcher has %v", initial, w.endpoints)
 	}
-	s.Apply(Command{Kind: DeregisterInstance, ID: first[0]})
-	if _, after := w.mustPoll(t, s); len(after) != 2 || slices.Contains(after, first[0]) {
-		t.Errorf("after %s was removed, the watcher has %v", first[0], after)
+	s.Apply(Command{Kind: DeregisterInstance, ID: initial[0]})
+	if _, after := w.mustPoll(t, s); len(after) != 2 || slices.Contains(after, initial[0]) {
+		t.Errorf("after %s was removed, the watcher has %v", initial[0], after)
 	}
 	s.Apply(registerInService("s9", "a"))
-	if _, last := w.mustPoll(t, s); !slices.Equal(last, slices.Sorted(slices.Values([]string{"s9", first[1]}))) {
-		t.Errorf("with s9 in the place of %s, the watcher has %v, and had %v", first[0], last, first)
+	if _, final := w.mustPoll(t, s); !slices.Equal(final, slices.Sorted(slices.Values([]string{"s9", initial[1]}))) {
+		t.Errorf("with s9 in the place of %s, the watcher has %v, and had %v", initial[0], final, initial)
 	}
 }
--- a/internal/registry/serve.go
+++ b/internal/registry/serve.go
@@ -16,31 +16,31 @@
 		return err
 	}
 	server := NewServer(replica, ServerConfig{MaxWatches: c.MaxWatches})
-	listeners := []*http.Server{server.HTTPServer(c.ListenAddress)}
+	httpServers := []*http.Server{server.HTTPServer(c.ListenAddress)}
 	if c.AdminAddress != "" {
-		listeners = append(listeners,
+		httpServers = append(httpServers,
 			&http.Server{Addr: c.AdminAddress, Handler: server.adminHandler(), ReadHeaderTimeout: readTimeout})
 	}
 	slog.Info("registry: replica started", "id", c.ID, "listen", c.ListenAddress, "raft", c.RaftAddress, "folder", c.DataDir)
-	return errors.Join(serveAll(ctx, listeners), replica.Close())
+	return errors.Join(serveAll(ctx, httpServers), replica.Close())
 }
 
 // serveAll runs servers until ctx ends or one of them fails, and returns the first error.
 func serveAll(ctx context.Context, servers []*http.Server) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ended := make(chan error, len(servers))
+	results := make(chan error, len(servers))
 	for _, server := range servers {
-		go func() { ended <- listenAndServe(ctx, server) }()
+		go func() { results <- listenAndServe(ctx, server) }()
 	}
-	first := <-ended // nil if ctx ended
+	firstErr := <-results // nil if ctx ended
 	cancel()
 	for range len(servers) - 1 {
-		if err := <-ended; first == nil {
-			first = err
+		if err := <-results; firstErr == nil {
+			firstErr = err
 		}
 	}
-	return first
+	return firstErr
 }
 
 // listenAndServe serves at the server's address until ctx ends.
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -43,9 +43,9 @@
 
 // counters are what a Server has done since its start, and the watches that wait at it now.
 type counters struct {
-	watches                      atomic.Int64 // that wait now: the only one that falls
-	lists, writes                atomic.Uint64
-	callsRejected, callsTooStale atomic.Uint64
+	watches                           atomic.Int64 // that wait now: the only one that falls
+	lists, writes                     atomic.Uint64
+	callsRejected, callsRejectedStale atomic.Uint64
 }
 
 // limiter bounds what is in progress at a time.
@@ -137,7 +137,7 @@
 func (s *Server) checkAge(w http.ResponseWriter) bool {
 	age, known := s.replica.Age()
 	if !s.isFresh(age, known) {
-		s.counters.callsTooStale.Add(1)
+		s.counters.callsRejectedStale.Add(1)
 		unavailable(w, ErrStale)
 		return false
 	}
--- a/internal/registry/service_index.go
+++ b/internal/registry/service_index.go
@@ -11,10 +11,10 @@
 
 // serviceIndex has the slots of one service and its part of the history.
 type serviceIndex struct {
-	slots   slotTable
-	changes []change // those in the history that touch the service, oldest first; elements are never overwritten
-	changed int64    // the last revision that touched the service, or a later one
-	view    *serviceView
+	slots      slotTable
+	changes    []change // those in the history that touch the service, oldest first; elements are never overwritten
+	lastChange int64    // the last revision that touched the service, or a later one
+	view       *serviceView
 }
 
 // allocateSlot gives the lowest free slot of a service to an instance. Without a service the slot is always 0.
@@ -39,10 +39,10 @@
 
 // record adds a change to the services that it touches.
 func (s serviceIndexes) record(c change) {
-	for _, service := range c.touchedServices() {
+	for _, service := range c.affectedServices() {
 		index := s[service]
 		index.changes = append(index.changes, c)
-		index.changed = c.Revision
+		index.lastChange = c.Revision
 		index.view = nil
 	}
 }
@@ -51,7 +51,7 @@
 // changes is unknown from then on.
 func (s serviceIndexes) compact(dropped []change, revision int64) {
 	for _, c := range dropped {
-		for _, service := range c.touchedServices() {
+		for _, service := range c.affectedServices() {
 			if index := s[service]; index != nil && index.compact(revision) {
 				delete(s, service)
 			}
@@ -82,7 +82,7 @@
 		index.slots.rebuildFree()
 	}
 	for _, c := range h.changes {
-		for _, service := range c.touchedServices() {
+		for _, service := range c.affectedServices() {
 			indexes.ensure(service, h.compactedRevision)
 		}
 		indexes.record(c)
@@ -99,15 +99,15 @@
 	if other := index.slots.restore(id, slot); other != "" {
 		return fmt.Errorf("instances %q and %q: both have slot %d of %q", min(id, other), max(id, other), slot, service)
 	}
-	index.changed = max(index.changed, instance.Version)
+	index.lastChange = max(index.lastChange, instance.Version)
 	return nil
 }
 
 // ensure returns the index of a service, a new one that last changed at the given revision where there is none.
-func (s serviceIndexes) ensure(service string, changed int64) *serviceIndex {
+func (s serviceIndexes) ensure(service string, lastChange int64) *serviceIndex {
 	index := s[service]
 	if index == nil {
-		index = &serviceIndex{changed: changed}
+		index = &serviceIndex{lastChange: lastChange}
 		s[service] = index
 	}
 	return index
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -71,7 +71,7 @@
 }
 
 // storeOf returns the store whose stored form an image is.
-func storeOf(image snapshotImage) (*Store, error) {
+func storeFromImage(image snapshotImage) (*Store, error) {
 	s := &Store{
 		revision:         image.Revision,
 		instances:        image.Instances,
@@ -124,7 +124,7 @@
 	if err := imageDecoder.Unmarshal(raw, &image); err != nil {
 		return nil, fmt.Errorf("snapshot: %w: %w", ErrCorrupt, err)
 	}
-	s, err := storeOf(image)
+	s, err := storeFromImage(image)
 	if err != nil {
 		return nil, fmt.Errorf("snapshot: %w: %w", ErrCorrupt, err)
 	}
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -14,7 +14,7 @@
 )
 
 // restored returns a store as its snapshot is read.
-func restored(t rapid.TB, s *Store) *Store {
+func snapshotRoundTrip(t rapid.TB, s *Store) *Store {
 	t.Helper()
 	var b bytes.Buffer
 	if err := s.WriteSnapshot(&b); err != nil {
@@ -46,13 +46,13 @@
 		Endpoint previousEndpoint `cbor:"2,keyasint"`
 	}
 	type previousImage struct {
-		Revision  int64                       `cbor:"1,keyasint"`
-		Instances map[string]previousInstance `cbor:"3,keyasint"`
-		History   []previousChange            `cbor:"4,keyasint"`
-		Floor     int64                       `cbor:"5,keyasint"`
+		Revision          int64                       `cbor:"1,keyasint"`
+		Instances         map[string]previousInstance `cbor:"3,keyasint"`
+		History           []previousChange            `cbor:"4,keyasint"`
+		CompactedRevision int64                       `cbor:"5,keyasint"`
 	}
-	e, at := previousEndpoint{ID: "s0", HostPort: "10.0.0.1:9000", Phase: PhaseUp}, int64(1)<<epochShift+1
-	raw, err := cbor.Marshal(previousImage{at, map[string]previousInstance{"s0": {e, at}}, []previousChange{{at, e}}, at - 1})
+	endpoint, revision := previousEndpoint{ID: "s0", HostPort: "10.0.0.1:9000", Phase: PhaseUp}, int64(1)<<epochShift+1
+	raw, err := cbor.Marshal(previousImage{revision, map[string]previousInstance{"s0": {endpoint, revision}}, []previousChange{{revision, endpoint}}, revision - 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,7 +68,7 @@
 		t.Fatal(err)
 	}
 	var read previousImage
-	if err := cbor.Unmarshal(raw, &read); err != nil || read.Instances["s0"].Endpoint != e || len(read.History) != 2 {
+	if err := cbor.Unmarshal(raw, &read); err != nil || read.Instances["s0"].Endpoint != endpoint || len(read.History) != 2 {
 		t.Errorf("the previous version reads %+v, %v", read, err)
 	}
 }
@@ -80,7 +80,7 @@
 		id := fmt.Sprint("s", i)
 		s.instances[id] = Instance{Endpoint: registerInService(id, "a").Endpoint, Slot: i}
 	}
-	if read := restored(t, s); read.Apply(registerCommandFor("one more", DefaultTTL)).Code != ResultTooManyInstances {
+	if read := snapshotRoundTrip(t, s); read.Apply(registerCommandFor("one more", DefaultTTL)).Code != ResultTooManyInstances {
 		t.Error("one more was registered")
 	}
 }
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -16,8 +16,8 @@
 	return Endpoint{ID: id, Address: "10.0.0.1:9000", Zone: "a", Phase: PhaseUp, Size: 1}
 }
 
-func registerCommandFor(id string, lease time.Duration) Command {
-	return Command{Kind: RegisterInstance, Endpoint: testEndpoint(id), TTL: lease}
+func registerCommandFor(id string, ttl time.Duration) Command {
+	return Command{Kind: RegisterInstance, Endpoint: testEndpoint(id), TTL: ttl}
 }
 
 // drawCommand returns any command, invalid ones among them.
@@ -40,7 +40,7 @@
 func TestWatchersConvergeAndSnapshotsRestoreTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewStore()
-		seen, at := make(map[string]Endpoint), int64(-1)
+		endpoints, revision := make(map[string]Endpoint), int64(-1)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c, before := drawCommand(t), s.revision
 			first := s.Apply(c)
@@ -48,14 +48,14 @@
 				t.Fatalf("revision %d after %d", s.revision, before)
 			}
 			if c.RequestID != "" {
-				then := s.revision
-				if again := s.Apply(c); again != first || s.revision != then {
+				afterFirst := s.revision
+				if again := s.Apply(c); again != first || s.revision != afterFirst {
 					t.Fatalf("a retry of %+v got %+v, the first %+v", c, again, first)
 				}
 			}
 			if rapid.Bool().Draw(t, "watches") {
-				applyChanges(s, seen, &at)
-				if got, want := slices.Sorted(maps.Keys(seen)), slices.Sorted(maps.Keys(s.instances)); !slices.Equal(got, want) {
+				applyChanges(s, endpoints, &revision)
+				if got, want := slices.Sorted(maps.Keys(endpoints)), slices.Sorted(maps.Keys(s.instances)); !slices.Equal(got, want) {
 					t.Fatalf("a watcher has %v, the store %v", got, want)
 				}
 			}
@@ -75,22 +75,22 @@
 }
 
 // applyChanges updates what a watcher at a revision has.
-func applyChanges(s *Store, seen map[string]Endpoint, at *int64) {
-	l, _ := s.ChangesSince(*at)
+func applyChanges(s *Store, endpoints map[string]Endpoint, revision *int64) {
+	l, _ := s.ChangesSince(*revision)
 	if l.Complete {
-		clear(seen)
+		clear(endpoints)
 	}
 	for _, e := range l.Endpoints {
-		if seen[e.ID] = e; e.Phase == PhaseRemoved {
-			delete(seen, e.ID)
+		if endpoints[e.ID] = e; e.Phase == PhaseRemoved {
+			delete(endpoints, e.ID)
 		}
 	}
-	*at = l.Revision
+	*revision = l.Revision
 }
 
-func advanceClock(s *Store, span time.Duration) {
-	for ; span > 0; span -= maxClockStep {
-		s.Apply(Command{Kind: AdvanceClock, Elapsed: min(span, maxClockStep)})
+func advanceClock(s *Store, elapsed time.Duration) {
+	for ; elapsed > 0; elapsed -= maxClockStep {
+		s.Apply(Command{Kind: AdvanceClock, Elapsed: min(elapsed, maxClockStep)})
 	}
 }
 
@@ -123,24 +123,24 @@
 func TestWatchResumesFromHistoryWithinAnEpoch(t *testing.T) {
 	s := NewStore()
 	s.Apply(registerCommandFor("a", DefaultTTL))
-	old := s.revision
+	oldRevision := s.revision
 	copied := *s
 	s.Apply(registerCommandFor("b", DefaultTTL))
-	if l, _ := s.ChangesSince(old); l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "b" {
+	if l, _ := s.ChangesSince(oldRevision); l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "b" {
 		t.Errorf("a change is sent as %+v", l)
 	}
 	if l, changed := s.ChangesSince(s.revision + 5); !changed || !l.Complete {
 		t.Errorf("a watch at a future revision gets %+v", l)
 	}
-	at := s.revision
+	revision := s.revision
 	copied.Apply(Command{Kind: BeginEpoch})
-	if l, changed := copied.ChangesSince(at); !changed || !l.Complete || copied.revision <= at {
+	if l, changed := copied.ChangesSince(revision); !changed || !l.Complete || copied.revision <= revision {
 		t.Errorf("a watch of the previous epoch gets %+v at revision %d", l, copied.revision)
 	}
 	for i := range maxHistoryChanges + 10 {
 		s.Apply(Command{Kind: SetInstancePhase, ID: "a", Phase: []string{PhaseUp, PhaseDraining}[i%2]})
 	}
-	if l, _ := s.ChangesSince(old); !l.Complete || len(s.history.changes) > maxHistoryChanges {
+	if l, _ := s.ChangesSince(oldRevision); !l.Complete || len(s.history.changes) > maxHistoryChanges {
 		t.Errorf("%d changes in the history, and a watch before them gets %+v", len(s.history.changes), l)
 	}
 }
--- a/internal/registry/watchable_store.go
+++ b/internal/registry/watchable_store.go
@@ -42,27 +42,27 @@
 func (w *watchableStore) apply(c Command, index uint64) Result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	revision, suspended := w.store.revision, w.store.leases.suspended
+	revision, wasSuspended := w.store.revision, w.store.leases.suspended
 	result := w.store.Apply(c)
 	w.store.appliedIndex = index
 	w.onIndexChange(index)
-	if w.store.leases.suspended && !suspended {
+	if w.store.leases.suspended && !wasSuspended {
 		slog.Error("registry: lease expiry suspended, too many leases expire at once", "instances", len(w.store.instances))
 	}
 	if w.store.revision != revision {
-		w.touchSince(revision)
+		w.markChangedSince(revision)
 		w.scheduleNotification()
 	}
 	return result
 }
 
 // touchSince marks the scoped watches that changes after a revision concern. The lock is held.
-func (w *watchableStore) touchSince(revision int64) {
+func (w *watchableStore) markChangedSince(revision int64) {
 	if revision < w.store.history.compactedRevision { // a new epoch, or more changes than the history holds
-		w.scoped.touchAll()
+		w.scoped.markAllChanged()
 		return
 	}
-	w.scoped.touch(w.store.history.since(revision))
+	w.scoped.markChanged(w.store.history.since(revision))
 }
 
 // replace puts another store in the place of this one.
@@ -71,7 +71,7 @@
 	defer w.mu.Unlock()
 	w.store = store
 	w.onIndexChange(store.appliedIndex)
-	w.scoped.touchAll()
+	w.scoped.markAllChanged()
 	w.scheduleNotification()
 }
 
@@ -122,10 +122,10 @@
 
 // encodedList returns the list since a revision as it is sent, encoded once for all callers, and the epoch. It is nil
 // where nothing changed since, unless evenUnchanged.
-func (w *watchableStore) encodedList(since int64, evenUnchanged bool) (raw []byte, epoch int64) {
+func (w *watchableStore) encodedList(since int64, evenIfUnchanged bool) (raw []byte, epoch int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if since == w.store.revision && !evenUnchanged {
+	if since == w.store.revision && !evenIfUnchanged {
 		return nil, 0
 	}
 	raw, ok := w.encoded[since]
@@ -150,7 +150,7 @@
 func (w *watchableStore) scopedView(scope *Scope, since int64) (*scopedView, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.store.scoped(scope, since)
+	return w.store.newScopedView(scope, since)
 }
 
 // snapshot returns the store as WriteSnapshot writes it.
--- a/internal/registry/watcher_group.go
+++ b/internal/registry/watcher_group.go
@@ -4,8 +4,8 @@
 // watches whose services it touches. The zero value is ready. It has no lock: watchableStore guards it.
 type watcherGroup struct {
 	byService  map[string]map[*watcher]bool
-	touched    map[string]bool // services that changed since the last notify
-	touchedAll bool            // all of them did
+	changed    map[string]bool // services that changed since the last notify
+	allChanged bool            // all of them did
 }
 
 // watcher is one watch that waits.
@@ -16,7 +16,7 @@
 
 func (g *watcherGroup) add(services []string) *watcher {
 	if g.byService == nil {
-		g.byService, g.touched = make(map[string]map[*watcher]bool), make(map[string]bool)
+		g.byService, g.changed = make(map[string]map[*watcher]bool), make(map[string]bool)
 	}
 	w := &watcher{notify: make(chan struct{}, 1), services: services}
 	for _, service := range services {
@@ -38,28 +38,28 @@
 }
 
 // touch marks the services of some changes for the next notify.
-func (g *watcherGroup) touch(changes []change) {
+func (g *watcherGroup) markChanged(changes []change) {
 	for _, c := range changes {
-		for _, service := range c.touchedServices() {
+		for _, service := range c.affectedServices() {
 			if g.byService[service] != nil {
-				g.touched[service] = true
+				g.changed[service] = true
 			}
 		}
 	}
 }
 
 // touchAll marks all services, for a state that was replaced as a whole.
-func (g *watcherGroup) touchAll() { g.touchedAll = true }
+func (g *watcherGroup) markAllChanged() { g.allChanged = true }
 
 // notify wakes the watches of the marked services, and clears the marks. It doesn't block.
 func (g *watcherGroup) notify() {
-	if g.touchedAll {
+	if g.allChanged {
 		for service := range g.byService {
-			g.touched[service] = true
+			g.changed[service] = true
 		}
-		g.touchedAll = false
+		g.allChanged = false
 	}
-	for service := range g.touched {
+	for service := range g.changed {
 		for w := range g.byService[service] {
 			select {
 			case w.notify <- struct{}{}:
@@ -67,5 +67,5 @@
 			}
 		}
 	}
-	clear(g.touched)
+	clear(g.changed)
 }
--- a/internal/registry/watcher_group_test.go
+++ b/internal/registry/watcher_group_test.go
@@ -16,7 +16,7 @@
 	var g watcherGroup
 	a, b := g.add([]string{"a", "shared"}), g.add([]string{"b", "shared"})
 	for range 3 {
-		g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
+		g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
 		g.notify()
 	}
 	if !isNotified(a) || isNotified(a) || isNotified(b) {
@@ -26,7 +26,7 @@
 	if isNotified(a) {
 		t.Error("notified again without a change")
 	}
-	g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "shared"}}})
+	g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "shared"}}})
 	g.notify()
 	if !isNotified(a) || !isNotified(b) {
 		t.Error("a change of a shared service: want both watchers notified")
@@ -36,7 +36,7 @@
 func TestMovedEndpointNotifiesBothServices(t *testing.T) {
 	var g watcherGroup
 	before, after := g.add([]string{"before"}), g.add([]string{"after"})
-	g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "after"}, Previous: &Placement{Service: "before"}}})
+	g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "after"}, Previous: &Placement{Service: "before"}}})
 	g.notify()
 	if !isNotified(before) || !isNotified(after) {
 		t.Error("want the watchers of both services notified")
@@ -46,7 +46,7 @@
 func TestTouchAllNotifiesEveryWatcherOnce(t *testing.T) {
 	var g watcherGroup
 	a, b := g.add([]string{"a"}), g.add([]string{"b"})
-	g.touchAll()
+	g.markAllChanged()
 	g.notify()
 	if !isNotified(a) || !isNotified(b) {
 		t.Error("want all watchers notified")
@@ -61,7 +61,7 @@
 	var g watcherGroup
 	a := g.add([]string{"a", "b"})
 	g.remove(a)
-	g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
+	g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
 	g.notify()
 	if isNotified(a) || len(g.byService) != 0 {
 		t.Errorf("a removed watcher: services %v remain, or it was notified", g.byService)
--- a/internal/registry/wire.go
+++ b/internal/registry/wire.go
@@ -49,7 +49,7 @@
 }
 
 // registrationOf returns the body that registers an endpoint.
-func registrationOf(e Endpoint, ttl time.Duration) registration {
+func newRegistration(e Endpoint, ttl time.Duration) registration {
 	return registration{Address: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Phase: e.Phase, Size: &e.Size,
 		StartTimeMs: e.StartTimeMs, TTLMs: ttl.Milliseconds(), Service: e.Service}
 }
@@ -94,7 +94,7 @@
 	Phase    string `json:"phase"`
 }
 
-func writeResponseOf(id string, result Result) WriteResponse {
+func newWriteResponse(id string, result Result) WriteResponse {
 	return WriteResponse{ID: id, Version: result.Instance.Version, Revision: result.Revision,
 		TTLMs: result.Instance.TTL.Milliseconds(), Phase: result.Instance.Endpoint.Phase}
 }
