--- a/internal/registry/admin.go
+++ b/internal/registry/admin.go
@@ -6,8 +6,8 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// gauges are the metrics of a replica. Those in _total are counters: they are exposed as gauges too, because a Status
-// already has their values. The names are frozen for operators; "held" leases are those whose expiry is suspended.
+// gauges lists the metrics of a replica. Those that end in _total are counters, exposed as gauges because a Status
+// already has their values. The names are frozen for operators; registry_leases_held is 1 while expiry is suspended.
 var gauges = []struct {
 	name  string
 	value func(Status) float64
@@ -36,7 +36,7 @@
 	set := metrics.NewSet()
 	for _, gauge := range gauges {
 		set.NewGauge(gauge.name, func() float64 {
-			status, _ := s.Status() // on an error the leader is missing, and the rest is valid
+			status, _ := s.Status() // on an error only the leader and the replicas are missing
 			return gauge.value(status)
 		})
 	}
--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// renewalsPerTTL is how often a lease is renewed within its TTL, so that some renewals may fail.
+// renewalsPerTTL is the number of lease renewals per TTL. It is above 1 so that some renewals may fail.
 const renewalsPerTTL = 3
 
 // Agent registers one endpoint and renews its lease.
@@ -19,9 +19,9 @@
 	TTL      time.Duration
 }
 
-// Run registers the endpoint and renews its lease until ctx ends; then it sets the endpoint draining, waits for drain,
-// and deregisters it. It registers again where the lease is lost, and retries for as long as the registry is
-// unreachable. It returns early only if the registry rejects the endpoint as invalid, with a StatusError.
+// Run registers the endpoint and renews its lease until ctx ends. It then sets the endpoint's phase to draining, waits
+// for drain, and deregisters the endpoint. Run registers again if the lease is lost, and retries while the registry is
+// unreachable. It returns early only if the registry rejects the endpoint as invalid; the error is then a StatusError.
 func (a *Agent) Run(ctx context.Context, drain time.Duration) error {
 	registered := false
 	wait := time.Duration(0)
@@ -68,7 +68,7 @@
 	return a.Client.Do(ctx, http.MethodPut, a.path(), newRegistration(a.Endpoint, a.TTL), nil, 0)
 }
 
-// deregister drains the endpoint and removes it. It blocks for drain and the calls; ctx of Run has ended by then.
+// deregister sets the endpoint to draining, waits for drain and removes it. It has its own context, as Run's has ended.
 func (a *Agent) deregister(drain time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drain+2*callTimeout)
 	defer cancel()
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -15,54 +15,57 @@
 )
 
 const (
-	callTimeout      = 3 * time.Second // for one attempt
-	maxAttempts      = 8               // of one call, each at the next address
+	callTimeout      = 3 * time.Second // per attempt
+	maxAttempts      = 8               // per call, each at the next address
 	minBackoff       = 50 * time.Millisecond
 	maxBackoff       = 2 * time.Second
 	maxResponseBytes = 64 << 20
-	maxErrorBytes    = 256 // of a response's text in an error
+	maxErrorBytes    = 256 // of a response body in a StatusError
 )
 
-// Client calls the registry at one of several addresses, and fails over to the next. One goroutine uses it.
+// Client calls the registry at one of several addresses and fails over to the next. It is not safe for concurrent use.
 type Client struct {
 	addresses []string
-	current   int // index of the address that is called
+	current   int // index of the address to call
 	http      http.Client
 }
 
-// NewClient returns a client of the replicas at these addresses, which begins at a random one.
+// NewClient returns a client for the replicas at the given addresses. It starts with a random one.
 func NewClient(addresses []string) *Client {
-	transport := http.DefaultTransport.(*http.Transport).Clone() // a shared one keeps two idle connections for all clients
+	// A shared transport would keep only two idle connections per address for all clients.
+	transport := http.DefaultTransport.(*http.Transport).Clone()
 	transport.Proxy = nil
 	return &Client{addresses: addresses, current: mathrand.IntN(len(addresses)),
 		http: http.Client{Timeout: callTimeout, Transport: transport}}
 }
 
-// StatusError is a response with another status than 200.
+// StatusError reports a response with a status other than 200.
 type StatusError struct {
 	StatusCode int
 	Message    string // the first bytes of the body
 }
 
-func (e StatusError) Error() string { return fmt.Sprintf("answered %d: %s", e.StatusCode, e.Message) }
+func (e StatusError) Error() string {
+	return fmt.Sprintf("registry responded with status %d: %s", e.StatusCode, e.Message)
+}
 
-// isFinal reports whether the same call would get the same response from another replica, or later.
+// isFinal reports whether a retry, at this or another replica, would get the same response.
 func isFinal(err error) bool {
 	var status StatusError
 	return errors.As(err, &status) && status.StatusCode != http.StatusServiceUnavailable
 }
 
-// Do calls a path with a body (nil for none), and decodes the response into out (nil for none). ifMatch is the version
-// that a write requires, 0 for any. An attempt without a response that can be read and decoded, or with the status 503,
-// is retried at the next address with exponential backoff, until ctx ends or maxAttempts; any other status is final.
-// All attempts have one request id, so that a retried write is carried out once. The error of a response with another
-// status than 200 is a StatusError.
+// Do calls path with the body in (nil for none) and decodes the response into out (nil to discard it). ifMatch is the
+// instance version that a write requires, 0 for any. If there is no response, or one that can't be decoded or has the
+// status 503, Do retries at the next address with exponential backoff, until ctx ends or maxAttempts is reached. Any
+// other status is final. All attempts share one request ID, so that a retried write is carried out once. A response
+// with a status other than 200 is returned as a StatusError.
 func (c *Client) Do(ctx context.Context, method, path string, in, out any, ifMatch int64) error {
 	call := clientCall{method: method, path: path, requestID: rand.Text(), ifMatch: ifMatch}
 	if in != nil {
 		var err error
 		if call.body, err = json.Marshal(in); err != nil {
-			return fmt.Errorf("registry: encode a call: %w", err)
+			return fmt.Errorf("registry: encode request body: %w", err)
 		}
 	}
 	backoff := minBackoff
@@ -72,7 +75,7 @@
 			return err
 		}
 		c.current = (c.current + 1) % len(c.addresses)
-		// Jitter, as all clients of a replica lose it at the same moment.
+		// Jitter spreads the retries, as all clients of a replica lose it at the same moment.
 		select {
 		case <-time.After(backoff/2 + mathrand.N(backoff)):
 		case <-ctx.Done():
@@ -82,7 +85,7 @@
 	}
 }
 
-// clientCall is what all attempts of a call have in common.
+// clientCall holds what all attempts of a call share.
 type clientCall struct {
 	method, path string
 	requestID    string
@@ -121,11 +124,11 @@
 
 func closeBody(resp *http.Response) {
 	if err := resp.Body.Close(); err != nil {
-		slog.Debug("registry: close a response", "error", err)
+		slog.Debug("registry: closing a response body failed", "error", err)
 	}
 }
 
-// Watch calls a path whose response may take as long as wait.
+// Watch calls path and decodes the response into list. The response may take as long as wait.
 func (c *Client) Watch(ctx context.Context, path string, wait time.Duration, list *EndpointList) error {
 	watchClient := *c
 	watchClient.http.Timeout = wait + callTimeout
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -14,27 +14,27 @@
 	DefaultTTL = 15 * time.Second
 )
 
-// CommandKind says what a command does. Its values are stored.
+// CommandKind selects what a command does. Its values are stored in the raft log.
 type CommandKind uint8
 
-// The kinds of commands, with the fields that each reads.
+// The kinds of commands, with the fields that each uses.
 const (
-	RegisterInstance   CommandKind = iota + 1 // Endpoint, TTL: a new instance, or new values of one, with a new lease
+	RegisterInstance   CommandKind = iota + 1 // Endpoint, TTL: add or replace an instance, with a new lease
 	RenewLease                                // ID
 	SetInstancePhase                          // ID, Phase
 	DeregisterInstance                        // ID
 	AdvanceClock                              // Elapsed: lease time that passed at the leader
-	RestartLeases                             // a leader was elected: each lease gets its whole TTL again
-	BeginEpoch                                // the state was restored from a copy of an older one
-	SetReplicaAddress                         // ID, Endpoint.Address: where a replica serves HTTP; empty to delete it
+	RestartLeases                             // a leader was elected: renew each lease for its full TTL
+	BeginEpoch                                // the data directory was restored from an older copy
+	SetReplicaAddress                         // ID, Endpoint.Address: HTTP address of a replica; empty to delete it
 )
 
-// Command is one change of the Store. Its CBOR form is what the raft log holds.
+// Command is one change to the Store. The raft log holds it in CBOR.
 type Command struct {
 	Kind      CommandKind   `cbor:"1,keyasint"`
-	RequestID string        `cbor:"2,keyasint,omitempty"` // a retry with the same id gets the first response
+	RequestID string        `cbor:"2,keyasint,omitempty"` // a retry with the same ID gets the first result
 	ID        string        `cbor:"3,keyasint,omitempty"` // of an instance or a replica
-	IfMatch   int64         `cbor:"4,keyasint,omitempty"` // version that the instance must have; 0 for any
+	IfMatch   int64         `cbor:"4,keyasint,omitempty"` // required version of the instance; 0 for any
 	Endpoint  Endpoint      `cbor:"5,keyasint,omitempty"`
 	TTL       time.Duration `cbor:"6,keyasint,omitempty"`
 	Phase     string        `cbor:"7,keyasint,omitempty"`
@@ -48,10 +48,10 @@
 	return c, err
 }
 
-// ResultCode is the outcome of a command. Its values are stored, and are the text of HTTP responses.
+// ResultCode is the outcome of a command. Its values are stored, and sent as the text of HTTP responses.
 type ResultCode string
 
-// The outcomes. All but ResultOK left the state unchanged.
+// The result codes. A command with any code but ResultOK left the state unchanged.
 const (
 	ResultOK               ResultCode = ""
 	ResultNotFound         ResultCode = "not found"
@@ -60,7 +60,7 @@
 	ResultUnknownCommand   ResultCode = "unknown command"
 )
 
-// Errors that a command was rejected with.
+// Errors of rejected commands.
 var (
 	ErrInstanceNotFound = errors.New("registry: instance not found")
 	ErrVersionMismatch  = errors.New("registry: instance has another version")
@@ -68,7 +68,7 @@
 	ErrUnknownCommand   = errors.New("registry: unknown command")
 )
 
-// Err returns the error for an outcome, nil for ResultOK.
+// Err returns the error for the result code, nil for ResultOK.
 func (c ResultCode) Err() error {
 	switch c {
 	case ResultOK:
@@ -87,6 +87,6 @@
 // Result is the outcome of a command.
 type Result struct {
 	Code     ResultCode `cbor:"1,keyasint,omitempty"`
-	Instance Instance   `cbor:"2,keyasint"` // after the command; on ResultVersionMismatch as it is
+	Instance Instance   `cbor:"2,keyasint"` // after the command; for ResultVersionMismatch, the current one
 	Revision int64      `cbor:"3,keyasint"` // of the Store after the command
 }
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -10,19 +10,19 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// maxWatchesLimit bounds what a configuration may ask for.
+// maxWatchesLimit is the upper bound of Config.MaxWatches.
 const maxWatchesLimit = 100_000
 
 // Config is the configuration file of a replica. The addresses are host:port.
 type Config struct {
 	ID              string            `toml:"id"`
 	ListenAddress   string            `toml:"listen"`  // for nodes, agents and operators
-	RaftAddress     string            `toml:"raft"`    // where the other replicas reach this one
-	RaftBindAddress string            `toml:"bind"`    // where to listen for them; empty for raft
+	RaftAddress     string            `toml:"raft"`    // at which the other replicas reach this one
+	RaftBindAddress string            `toml:"bind"`    // to listen on for the other replicas; empty for RaftAddress
 	AdminAddress    string            `toml:"control"` // for health and metrics; empty for none
 	DataDir         string            `toml:"folder"`
-	MaxWatches      int               `toml:"watches"` // that wait at a time; 0 for 4,096
-	InitialReplicas map[string]string `toml:"peers"`   // id to raft of the first replicas; empty for one that is added later
+	MaxWatches      int               `toml:"watches"` // concurrent watches; 0 for 4,096
+	InitialReplicas map[string]string `toml:"peers"`   // initial replicas, ID to RaftAddress; empty if added later
 }
 
 // DefaultConfig returns the configuration of a single replica on this machine.
@@ -31,7 +31,7 @@
 		DataDir: "registry-r0", InitialReplicas: map[string]string{"r0": "127.0.0.1:8501"}}
 }
 
-// LoadConfig reads a file in TOML, without unknown keys. The error names the file and the line or key.
+// LoadConfig reads a TOML file and rejects unknown keys. Errors name the file and the line or key.
 func LoadConfig(path string) (Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -93,10 +93,10 @@
 		return nil
 	}
 	if c.InitialReplicas[c.ID] != c.RaftAddress {
-		return invalidField("peers."+c.ID, "want this replica's raft, %q, got %q", c.RaftAddress, c.InitialReplicas[c.ID])
+		return invalidField("peers."+c.ID, "want the address in raft, %q, got %q", c.RaftAddress, c.InitialReplicas[c.ID])
 	}
 	if count%2 == 0 {
-		return invalidField("peers", "want an odd number, got %d", count)
+		return invalidField("peers", "want an odd number of replicas, got %d", count)
 	}
 	return nil
 }
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -6,7 +6,7 @@
 	"strconv"
 )
 
-// Phases of an endpoint, as the platform names them.
+// Phases of an endpoint. The values are the platform's.
 const (
 	PhaseUp       = "up"
 	PhaseDraining = "draining"
@@ -16,10 +16,10 @@
 const (
 	maxFieldBytes  = 256       // of one text field
 	maxSize        = 1e6       // of Endpoint.Size
-	maxStartTimeMs = 1<<53 - 1 // the largest whole number that every JSON reader keeps exact
+	maxStartTimeMs = 1<<53 - 1 // the largest integer that every JSON reader represents exactly
 )
 
-// Endpoint is one server in the list. Its tags are the platform's keys (JSON) and the keys of stored data (CBOR).
+// Endpoint is one server in the list. The JSON tags are the platform's keys, the CBOR tags the keys of stored data.
 type Endpoint struct {
 	ID          string  `json:"id" cbor:"1,keyasint"`
 	Address     string  `json:"host_port" cbor:"2,keyasint"`
@@ -28,18 +28,18 @@
 	Cell        int64   `json:"cell" cbor:"5,keyasint"`                        // rack
 	Phase       string  `json:"phase" cbor:"6,keyasint"`                       // one of the Phase constants
 	Size        float64 `json:"size" cbor:"7,keyasint"`                        // capacity relative to other endpoints
-	StartTimeMs int64   `json:"up_since_ms" cbor:"8,keyasint"`                 // Unix time; 0 for long ago
+	StartTimeMs int64   `json:"up_since_ms" cbor:"8,keyasint"`                 // Unix time in ms; 0 for long ago
 	Service     string  `json:"service,omitempty" cbor:"9,keyasint,omitempty"` // empty for none
 }
 
-// EndpointList is the list or, if it isn't complete, the changes since the revision that a watch named.
+// EndpointList is the full list or, if Complete is false, the changes since the revision that a watch gave.
 type EndpointList struct {
 	Revision  int64      `json:"revision"`
 	Complete  bool       `json:"complete"`
 	Endpoints []Endpoint `json:"members"` // sorted by ID
 }
 
-// FieldError is a field or parameter with an invalid value. Callers show Field, the key as the caller gave it.
+// FieldError reports a field or parameter with an invalid value. Field is the key as the caller wrote it.
 type FieldError struct {
 	Field  string
 	Reason string
@@ -89,7 +89,7 @@
 	return err == nil
 }
 
-// validatePhase accepts the phases that a caller may set.
+// validatePhase returns an error for a phase that a caller may not set.
 func validatePhase(phase string) error {
 	if phase != PhaseUp && phase != PhaseDraining {
 		return invalidField("phase", "want %s or %s, got %q", PhaseUp, PhaseDraining, phase)
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// validateService accepts names that can stand in a query's comma-separated list. checkServiceName in
-// internal/node/discovery has the same rule, for a node must not link this package's raft.
+// validateService accepts the names that fit into a comma-separated query parameter. checkServiceName in
+// internal/node/discovery duplicates the rule, because a node must not link this package's raft.
 func validateService(name string) error {
 	if name == "" || len(name) > maxFieldBytes {
 		return invalidField("service", "want 1 to %d bytes, got %d", maxFieldBytes, len(name))
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -6,39 +6,39 @@
 )
 
 var (
-	// ErrNotLeader is a write, or a question to the leader, at a replica that isn't the leader. The error that wraps
-	// it is a *NotLeaderError.
+	// ErrNotLeader is returned for a write, or a call that only the leader serves, at another replica. A
+	// *NotLeaderError wraps it.
 	ErrNotLeader = errors.New("registry: not the leader")
 
-	// ErrNotCommitted is a command that a quorum didn't store in time. It may still be carried out later: a retry
-	// with the same RequestID gets the result, whichever it was.
+	// ErrNotCommitted is returned if a quorum didn't store a command in time. The command may still be carried out
+	// later: a retry with the same RequestID gets its result in either case.
 	ErrNotCommitted = errors.New("registry: not committed by a quorum in time")
 
-	// ErrNoTick is an ErrNotCommitted: the leader is new, and no quorum has stored a tick of its lease time yet, so it
-	// can't tell how old its list is.
-	ErrNoTick = fmt.Errorf("%w: the leader's first tick", ErrNotCommitted)
+	// ErrNoTick wraps ErrNotCommitted. A new leader returns it until a quorum has stored the first tick of its lease
+	// time, because until then it can't tell how old its list is.
+	ErrNoTick = fmt.Errorf("%w: first tick of the new leader", ErrNotCommitted)
 
-	// ErrStale is a list that is older than a replica may serve, or whose age the replica can't tell.
-	ErrStale = errors.New("registry: list not fresh")
+	// ErrStale is returned if the list is older than a replica may serve, or if its age is unknown.
+	ErrStale = errors.New("registry: list is too old or of unknown age")
 
-	// ErrTooManyCalls is a call beyond what a replica serves at a time.
+	// ErrTooManyCalls is returned for a call over one of the limits on concurrent calls.
 	ErrTooManyCalls = errors.New("registry: too many calls")
 )
 
-// NotLeaderError has where to go instead.
+// NotLeaderError wraps ErrNotLeader and carries the leader's address.
 type NotLeaderError struct {
-	LeaderAddress string // host:port where the leader serves HTTP; empty where there is none now
+	LeaderAddress string // HTTP host:port of the leader; empty if there is none or it is unknown
 }
 
 func (e *NotLeaderError) Error() string { return ErrNotLeader.Error() }
 
-// Unwrap makes the error an ErrNotLeader.
+// Unwrap returns ErrNotLeader.
 func (e *NotLeaderError) Unwrap() error { return ErrNotLeader }
 
-// CommitError is an ErrNotCommitted with raft's reason.
+// CommitError wraps ErrNotCommitted and raft's reason.
 type CommitError struct{ Reason error }
 
 func (e *CommitError) Error() string { return ErrNotCommitted.Error() + ": " + e.Reason.Error() }
 
-// Unwrap makes the error both an ErrNotCommitted and its reason.
+// Unwrap returns ErrNotCommitted and the reason.
 func (e *CommitError) Unwrap() []error { return []error{ErrNotCommitted, e.Reason} }
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -11,12 +11,12 @@
 	"time"
 )
 
-// progressPollInterval is how often a follower polls the leader's progress. It is also how fresh a follower's
-// list is.
+// progressPollInterval is the interval at which a follower polls the leader's progress. It limits how fresh a
+// follower's list is.
 const progressPollInterval = 250 * time.Millisecond
 
-// progress returns the last command that this replica has applied, and the list's age. The error is ErrNotLeader, or
-// ErrNoTick where this leader has committed no tick yet.
+// progress returns the index of the last command that this replica has applied, and the age of its list. The error is
+// ErrNotLeader, or ErrNoTick if this leader has not committed a tick yet.
 func (r *Replica) progress() (progressResponse, error) {
 	age, known := r.Age()
 	if !r.isLeader() {
@@ -46,12 +46,12 @@
 			continue
 		}
 		if err := r.pollLeader(ctx, client); err != nil {
-			slog.Debug("registry: poll the leader", "id", r.config.ID, "error", err)
+			slog.Debug("registry: polling the leader failed", "id", r.config.ID, "error", err)
 		}
 	}
 }
 
-// pollLeader fetches the leader's progress. Without a leader it does nothing.
+// pollLeader fetches and records the leader's progress. It does nothing if no leader is known.
 func (r *Replica) pollLeader(ctx context.Context, client *http.Client) error {
 	var notLeader *NotLeaderError
 	if !errors.As(r.notLeaderError(), &notLeader) || notLeader.LeaderAddress == "" {
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-// maxPendingProgress bounds the polls of the leader that a follower hasn't caught up with.
+// maxPendingProgress bounds the poll results of the leader that a follower hasn't caught up with.
 const maxPendingProgress = 64
 
-// freshness knows how old this replica's list may be. Its methods may be called from any goroutine and don't block.
+// freshness tracks how old this replica's list may be. Its methods are safe for concurrent use and don't block.
 //
-// A leader's list is as fresh as the last tick that it committed: one that is cut off commits none. A follower polls
-// which command its leader has applied, and is as fresh as that poll once it has applied the same one. The time of the
-// last contact would not do, as it says nothing of how far the follower lags.
+// A leader's list is as fresh as the last tick that it committed: a leader that is cut off commits none. A follower
+// polls the index of the last command that the leader has applied. Its list is as fresh as that poll once it has
+// applied the same command. The time of the last contact doesn't suffice, as it doesn't tell how far the follower lags.
 type freshness struct {
 	mu           sync.Mutex
 	appliedIndex uint64
-	lastTickAt   time.Time        // when the last tick that this replica committed as the leader began; zero for never
-	caughtUpAt   time.Time        // as of when a follower has all that its leader had; zero for never
-	pending      []leaderProgress // that this replica hasn't caught up with, oldest first
+	lastTickAt   time.Time        // start of the last tick that this replica committed as the leader; zero for none
+	caughtUpAt   time.Time        // time up to which a follower has all that its leader had; zero for none
+	pending      []leaderProgress // not caught up with yet, oldest first
 }
 
-// leaderProgress is the command that the leader had applied as of a time.
+// leaderProgress is the index of the last command that the leader had applied at a time.
 type leaderProgress struct {
 	index uint64
 	asOf  time.Time
 }
 
-// tickCommitted records that a quorum has a tick that the leader began at a time.
+// tickCommitted records that a quorum has stored a tick that the leader began at startedAt.
 func (f *freshness) tickCommitted(startedAt time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.lastTickAt = startedAt
 }
 
-// progressReceived records the command that the leader had applied as of a time.
+// progressReceived records the index of the last command that the leader had applied at asOf.
 func (f *freshness) progressReceived(index uint64, asOf time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,7 +45,7 @@
 	f.catchUp()
 }
 
-// applied records the last command that this replica has applied.
+// applied records the index of the last command that this replica has applied.
 func (f *freshness) applied(index uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -60,7 +60,7 @@
 	}
 }
 
-// age returns how old the list may be at most; known is false where the replica has no way to tell.
+// age returns the maximum age of the list; known is false if the replica can't tell.
 func (f *freshness) age(isLeader bool) (age time.Duration, known bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -116,8 +116,8 @@
 		t.Fatal(err)
 	}
 	checkSameStore(t, s, restored)
-	if want, got := canonicalImage(t, raw), canonicalImage(t, encoded.Bytes()); !bytes.Equal(want, got) {
-		t.Errorf("a snapshot is written otherwise:\ngolden %x\nnow    %x", want, got)
+	if want, encoded := canonicalImage(t, raw), canonicalImage(t, encoded.Bytes()); !bytes.Equal(want, encoded) {
+		t.Errorf("a snapshot is written otherwise:\ngolden %x\nnow    %x", want, encoded)
 	}
 }
 
--- a/internal/registry/http_list.go
+++ b/internal/registry/http_list.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// listCall is a GET of the list.
+// listCall is a parsed GET of the list.
 type listCall struct {
 	isWatch bool
-	since   int64         // revision that the caller of a watch has
-	wait    time.Duration // for a watch without changes
+	since   int64         // revision that a watching caller has
+	wait    time.Duration // maximum time that a watch waits for a change
 	scope   *Scope        // nil for the full list
 }
 
@@ -32,7 +32,7 @@
 		wait: min(maxWatchWait, max(0, time.Duration(waitMs)*time.Millisecond))}, nil
 }
 
-// parseOptionalInt returns 0 for an empty text.
+// parseOptionalInt parses a whole number; an empty text is 0.
 func parseOptionalInt(text string) (int64, error) {
 	if text == "" {
 		return 0, nil
@@ -42,7 +42,7 @@
 
 func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
 
-// handleList responds with the list, or, to a watch, with the changes since the caller's revision once there are any.
+// handleList responds with the list. A watch gets the changes since its revision once there are any, or at its timeout.
 func (s *Server) handleList(w http.ResponseWriter, req *http.Request) {
 	call, err := parseListCall(req)
 	if err != nil {
@@ -77,7 +77,7 @@
 	s.watchList(w, req, call, timeout.C)
 }
 
-// watchList waits until there is a change since the caller's revision, or until the timeout.
+// watchList responds once there is a change since the caller's revision, or at the timeout.
 func (s *Server) watchList(w http.ResponseWriter, req *http.Request, call listCall, timeout <-chan time.Time) {
 	timedOut := false
 	for {
@@ -95,8 +95,8 @@
 	}
 }
 
-// respondList responds with the list since a revision, unless it is unchanged since. It responds 503 where the list may
-// be too old.
+// respondList responds with the list since a revision, or with 503 if the list may be too old. It sends nothing and
+// returns false if the list is unchanged since, unless evenIfUnchanged is set.
 func (s *Server) respondList(w http.ResponseWriter, since int64, evenIfUnchanged bool) (responded bool) {
 	raw, epoch := s.replica.store.encodedList(since, evenIfUnchanged)
 	if raw == nil {
@@ -108,9 +108,9 @@
 	return true
 }
 
-// watchScoped waits until there is a change in the scope since the caller's revision, or until the timeout.
+// watchScoped responds once there is a change in the scope since the caller's revision, or at the timeout.
 func (s *Server) watchScoped(w http.ResponseWriter, req *http.Request, call listCall, timeout <-chan time.Time) {
-	changes, cancel := s.replica.store.watchServices(call.scope.Services) // before the list is read
+	changes, cancel := s.replica.store.watchServices(call.scope.Services) // before the list is read, so that no change is missed
 	defer cancel()
 	timedOut := false
 	since := call.since
@@ -130,15 +130,15 @@
 	}
 }
 
-// respondScoped responds with the scoped list since a revision, unless it is unchanged up to the revision that is
-// returned.
+// respondScoped responds with the scoped list since a revision. If nothing in the scope changed, and evenIfUnchanged is
+// not set, it sends nothing and returns false with the revision up to which the scope is unchanged.
 func (s *Server) respondScoped(w http.ResponseWriter, scope *Scope, since int64, evenIfUnchanged bool) (revision int64, responded bool) {
 	view, err := s.replica.store.scopedView(scope, since)
 	if err != nil {
 		s.respondUnknownServices(w, err)
 		return 0, true
 	}
-	s.scopedLists.acquire() // one change wakes many watches, and raft needs processor time too
+	s.scopedLists.acquire() // one change wakes many watches, and raft needs CPU time too
 	list, changed := view.list()
 	s.scopedLists.release()
 	if !changed && !evenIfUnchanged {
@@ -156,7 +156,7 @@
 	return 0, true
 }
 
-// respondUnknownServices responds 404, which a caller doesn't take for an empty list.
+// respondUnknownServices responds 404, so that a caller doesn't mistake unknown services for an empty list.
 func (s *Server) respondUnknownServices(w http.ResponseWriter, err error) {
 	if s.checkAge(w) {
 		http.Error(w, err.Error(), http.StatusNotFound)
@@ -173,6 +173,6 @@
 	w.Header().Set(epochHeader, formatInt(epoch))
 	s.counters.lists.Add(1)
 	if _, err := w.Write(raw); err != nil {
-		slog.Debug("registry: send a list", "error", err)
+		slog.Debug("registry: sending a list failed", "error", err)
 	}
 }
--- a/internal/registry/http_replicas.go
+++ b/internal/registry/http_replicas.go
@@ -5,7 +5,7 @@
 	"net/http"
 )
 
-// handleProgress responds to a follower that polls the leader.
+// handleProgress serves the leader's progress to followers.
 func (s *Server) handleProgress(w http.ResponseWriter) {
 	progress, err := s.replica.progress()
 	if err != nil {
@@ -15,7 +15,7 @@
 	respondJSON(w, progress)
 }
 
-// Status returns the state of the replica. On an error of raft the replicas and the leader are missing in it.
+// Status returns the state of the replica. On an error of raft, the replicas and the leader are missing.
 func (s *Server) Status() (Status, error) {
 	replicas, leader, err := s.replica.Configuration()
 	status := Status{ID: s.replica.config.ID, Leader: leader, AgeMs: -1, Watches: s.counters.watches.Load(),
@@ -69,7 +69,7 @@
 		return body, err
 	}
 	if id == "" || len(id) > maxFieldBytes || body.RaftAddress == "" || body.APIAddress == "" {
-		return body, errors.New("want an id, raft and calls")
+		return body, errors.New("want an id in the path, and raft and calls in the body")
 	}
 	return body, nil
 }
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -6,10 +6,10 @@
 	"strings"
 )
 
-// errMethodNotAllowed is a call with a method or path that isn't among those of instances or replicas.
+// errMethodNotAllowed is returned for a method and path that don't name a write of an instance.
 var errMethodNotAllowed = errors.New("method not allowed")
 
-// handleInstance carries out a write: PUT of an instance, of its lease or of its phase, and DELETE.
+// handleInstance carries out a write: PUT of an instance, its lease or its phase, or DELETE of an instance.
 func (s *Server) handleInstance(w http.ResponseWriter, req *http.Request, path string) {
 	id, resource, _ := strings.Cut(path, "/")
 	c, err := instanceCommand(req, id, resource)
@@ -29,7 +29,7 @@
 	s.respondWrite(w, req, id, result, err)
 }
 
-// instanceCommand reads a write. The error is errMethodNotAllowed, or says what is invalid.
+// instanceCommand parses a write. The error is errMethodNotAllowed, or describes what is invalid.
 func instanceCommand(req *http.Request, id, resource string) (Command, error) {
 	version, err := ifMatch(req)
 	if err != nil {
@@ -44,7 +44,7 @@
 	case req.Method == http.MethodPut && resource == "":
 		c, err = registerCommand(req, id)
 	case req.Method == http.MethodPut && resource == leaseResource:
-		c, requestID = Command{Kind: RenewLease, ID: id}, "" // a retry is harmless without one
+		c, requestID = Command{Kind: RenewLease, ID: id}, "" // a repeated renewal is harmless
 	case req.Method == http.MethodPut && resource == phaseResource:
 		c, err = phaseCommand(req, id)
 	case req.Method == http.MethodDelete && resource == "":
@@ -72,7 +72,7 @@
 	return Command{Kind: SetInstancePhase, ID: id, Phase: body.Phase}, validatePhase(body.Phase)
 }
 
-// respondWrite responds with the outcome of a write. A replica that isn't the leader redirects to the one that is.
+// respondWrite responds with the outcome of a write. A replica that isn't the leader redirects to the leader.
 func (s *Server) respondWrite(w http.ResponseWriter, req *http.Request, id string, result Result, err error) {
 	var notLeader *NotLeaderError
 	switch {
@@ -84,8 +84,8 @@
 		w.Header().Set("ETag", etag(result.Instance.Version))
 		http.Error(w, string(result.Code), http.StatusPreconditionFailed)
 	case errors.Is(err, ErrTooManyInstances), errors.Is(err, ErrUnknownCommand):
-		// Neither succeeds when it is repeated: the store is full, or this replica's version doesn't know the command.
-		// A 503 would have clients retry.
+		// Neither succeeds on a retry: the store is full, or this replica's version doesn't know the command. A 503
+		// would make clients retry.
 		http.Error(w, string(result.Code), http.StatusInsufficientStorage)
 	case err != nil:
 		unavailable(w, err)
--- a/internal/registry/leader.go
+++ b/internal/registry/leader.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// tickInterval is how often the leader advances lease time. It is also how fresh a leader's list is.
+// tickInterval is the interval at which the leader advances lease time. It limits how fresh a leader's list is.
 const tickInterval = 200 * time.Millisecond
 
 // runLeader advances lease time while this replica is the leader, until ctx ends. A newly elected leader first restarts
@@ -14,7 +14,7 @@
 func (r *Replica) runLeader(ctx context.Context) {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
-	var lastTick time.Time // the last that was committed; zero while this replica isn't the leader
+	var lastTick time.Time // start of the last committed tick; zero while this replica isn't the leader
 	for {
 		select {
 		case <-ctx.Done():
@@ -28,19 +28,19 @@
 		now := time.Now()
 		if lastTick.IsZero() {
 			if err := r.assumeLeadership(); err != nil {
-				slog.Warn("registry: can't assume leadership", "id", r.config.ID, "error", err)
+				slog.Warn("registry: assuming leadership failed", "id", r.config.ID, "error", err)
 				continue
 			}
 			slog.Info("registry: became leader", "id", r.config.ID)
 		} else if _, err := r.Propose(Command{Kind: AdvanceClock, Elapsed: now.Sub(lastTick)}); err != nil {
-			continue // the next tick counts for both
+			continue // the next tick covers both intervals
 		}
 		lastTick = now
 		r.freshness.tickCommitted(now)
 	}
 }
 
-// assumeLeadership restarts the leases, and says where the leader serves HTTP.
+// assumeLeadership restarts the leases and publishes the leader's HTTP address.
 func (r *Replica) assumeLeadership() error {
 	first := Command{Kind: RestartLeases}
 	if r.newEpoch {
--- a/internal/registry/lessor.go
+++ b/internal/registry/lessor.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// Leases that expire in a mass are more often the registry's fault than the servers', so expiry is suspended
-	// where more than maxExpiringFraction of the instances, and more than minMassExpirations, expire within
+	// If many leases expire together, the fault is more often the registry's than the servers'. Expiry is therefore
+	// suspended if more than maxExpiringFraction of the instances, and more than minMassExpirations, expire within
 	// expirationWindow.
 	maxExpiringFraction = 0.3
 	minMassExpirations  = 3
 	expirationWindow    = 30 * time.Second
 
-	// maxClockStep bounds what one AdvanceClock counts for, however late it is: agents can't renew while the leader
-	// stands still, so their leases must not run out for it.
+	// maxClockStep bounds the lease time that one AdvanceClock adds, however late it is: agents can't renew while the
+	// leader is stalled, so their leases must not expire because of it.
 	maxClockStep = 5 * time.Second
 )
 
-// lessor decides when leases expire. It has lease time, the sum of the time that passed at all leaders, in which
-// deadlines are given: a replica's own clock plays no part. It is a part of the Store and as pure.
+// lessor decides when leases expire. Deadlines are in lease time, the sum of the time that passed at all leaders: a
+// replica's own clock plays no part. The lessor is part of the Store and, like it, has no clock and does no I/O.
 type lessor struct {
 	now               time.Duration   // lease time
 	recentExpirations []time.Duration // lease times of expirations within expirationWindow, oldest first
-	suspended         bool            // expiry is suspended: leases are over, and no instance is removed
+	suspended         bool            // too many leases are overdue, and no instance is removed
 }
 
-// grant starts or renews an instance's lease for its whole TTL.
+// grant starts or renews an instance's lease for its full TTL.
 func (l *lessor) grant(instance *Instance) { instance.Deadline = l.now + instance.TTL }
 
-// restart grants all leases anew: nobody could renew while there was no leader.
+// restart renews all leases, because agents could not renew them while there was no leader.
 func (l *lessor) restart(instances map[string]Instance) {
 	for id, instance := range instances {
 		l.grant(&instance)
@@ -39,7 +39,7 @@
 	l.recentExpirations, l.suspended = nil, false
 }
 
-// advance lets lease time pass.
+// advance adds elapsed to lease time, at most maxClockStep.
 func (l *lessor) advance(elapsed time.Duration) {
 	l.now += min(max(0, elapsed), maxClockStep)
 	l.recentExpirations = slices.DeleteFunc(l.recentExpirations, func(at time.Duration) bool {
@@ -47,7 +47,7 @@
 	})
 }
 
-// expire returns the instances whose leases have expired, sorted by ID, none while expiry is suspended. The caller
+// expire returns the instances whose leases have expired, sorted by ID, or none if expiry is suspended. The caller
 // removes them.
 func (l *lessor) expire(instances map[string]Instance) []Instance {
 	var overdue []Instance
--- a/internal/registry/raft_log.go
+++ b/internal/registry/raft_log.go
@@ -21,7 +21,7 @@
 	path string
 }
 
-// openLog opens the log in a data directory, and reads all of it once.
+// openLog opens the log in a data directory and verifies all of its entries.
 func openLog(dataDir string) (*checksummedLog, error) {
 	path := filepath.Join(dataDir, logFileName)
 	store, err := raftboltdb.NewBoltStore(path)
@@ -35,7 +35,7 @@
 	return log, nil
 }
 
-// checksum covers all that raft stores of an entry but the checksum itself, which is in Extensions.
+// checksum covers all stored fields of an entry except Extensions, which holds the checksum.
 func checksum(entry *raft.Log) []byte {
 	const prefixBytes = 8 + 8 + 1 // index, term, type
 	covered := make([]byte, 0, prefixBytes+len(entry.Data))
@@ -57,7 +57,7 @@
 	return l.BoltStore.StoreLogs(entries)
 }
 
-// GetLog reads an entry. One that changed since it was stored is ErrCorrupt.
+// GetLog reads an entry. The error is ErrCorrupt if the entry changed since it was stored.
 func (l *checksummedLog) GetLog(index uint64, entry *raft.Log) error {
 	if err := l.BoltStore.GetLog(index, entry); err != nil {
 		return err
@@ -68,7 +68,7 @@
 	return nil
 }
 
-// verify reads all entries.
+// verify reads all entries and returns an error if one is missing or corrupt.
 func (l *checksummedLog) verify() error {
 	first, err := l.FirstIndex()
 	if err != nil {
@@ -82,7 +82,7 @@
 		var entry raft.Log
 		err := l.GetLog(index, &entry)
 		if errors.Is(err, raft.ErrLogNotFound) {
-			return fmt.Errorf("%s: command %d: %w: missing, of %d to %d", l.path, index, ErrCorrupt, first, last)
+			return fmt.Errorf("%s: command %d: %w: missing in the range %d to %d", l.path, index, ErrCorrupt, first, last)
 		}
 		if err != nil {
 			return err
--- a/internal/registry/raft_transport.go
+++ b/internal/registry/raft_transport.go
@@ -13,11 +13,11 @@
 
 const (
 	replicaCallTimeout    = time.Second // for a call between replicas
-	maxPooledReplicaConns = 3           // to each replica
+	maxPooledReplicaConns = 3           // per replica
 )
 
-// streamLayer makes raft's connections. They leave from the address that is bound, so that others can tell by it
-// which replica calls.
+// streamLayer opens raft's connections. Their source is the bound IP address, so that other replicas can tell which
+// replica calls.
 type streamLayer struct {
 	net.Listener
 	localIP   net.IP
@@ -36,7 +36,7 @@
 	return &streamLayer{Listener: listener, localIP: listener.Addr().(*net.TCPAddr).IP, advertise: advertised}, nil
 }
 
-// Addr returns where other replicas reach this one.
+// Addr returns the address at which other replicas reach this one.
 func (s *streamLayer) Addr() net.Addr { return s.advertise }
 
 // Dial opens a connection to another replica.
@@ -48,7 +48,7 @@
 	return dialer.Dial("tcp", string(address))
 }
 
-// newTransport listens for the other replicas.
+// newTransport listens for connections from the other replicas.
 func newTransport(c ReplicaConfig, logger hclog.Logger) (*raft.NetworkTransport, error) {
 	streams, err := listenStreams(cmp.Or(c.RaftBindAddress, c.RaftAddress), c.RaftAddress)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return raft.NewNetworkTransportWithLogger(streams, maxPooledReplicaConns, replicaCallTimeout, logger), nil
 }
 
-// newRaftLogger passes raft's warnings on to the program's log.
+// newRaftLogger forwards raft's warnings and errors to the program's log.
 func newRaftLogger() hclog.Logger {
 	return hclog.New(&hclog.LoggerOptions{Output: raftLogWriter{}, Level: hclog.Warn, DisableTime: true})
 }
@@ -66,7 +66,7 @@
 
 var _ io.Writer = raftLogWriter{}
 
-// Write takes one line.
+// Write logs one line.
 func (raftLogWriter) Write(line []byte) (int, error) {
 	slog.Warn("registry: raft", "message", string(line[:max(0, len(line)-1)]))
 	return len(line), nil
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -14,13 +14,13 @@
 
 const (
 	commitTimeout      = 2 * time.Second        // for a quorum to store a command
-	heartbeatTimeout   = 500 * time.Millisecond // a follower without a heartbeat for that long starts an election
-	leaderLeaseTimeout = 250 * time.Millisecond // a leader without a quorum's answers for that long steps down
+	heartbeatTimeout   = 500 * time.Millisecond // after which a follower without a heartbeat starts an election
+	leaderLeaseTimeout = 250 * time.Millisecond // after which a leader without responses from a quorum steps down
 
-	retainedSnapshots = 2               // on disk: the one before the newest serves where the newest can't be read
-	snapshotInterval  = 2 * time.Minute // between checks whether a snapshot is due
+	retainedSnapshots = 2               // on disk: the older one is used if the newest can't be read
+	snapshotInterval  = 2 * time.Minute // between checks for whether a snapshot is due
 	snapshotThreshold = 8192            // commands after which a snapshot is due
-	trailingCommands  = 4096            // kept in the log behind a snapshot, for replicas that lag
+	trailingCommands  = 4096            // kept in the log after a snapshot, for replicas that lag
 )
 
 // ReplicaConfig is the configuration of a replica.
@@ -31,31 +31,31 @@
 	APIAddress      string // host:port where clients reach this one
 	DataDir         string
 
-	// InitialReplicas maps the id of each of the first replicas, this one included, to its RaftAddress. Only an empty
-	// data directory needs it.
+	// InitialReplicas maps the ID of each initial replica, including this one, to its RaftAddress. It is used only if
+	// the data directory is empty.
 	InitialReplicas map[string]string
 
-	NewEpoch bool // the data directory is a copy of an older one
+	NewEpoch bool // the data directory was restored from an older copy
 
 	transport raft.Transport // nil for TCP
 }
 
-// Replica has one copy of the list. Its methods may be called from any goroutine.
+// Replica holds one copy of the list. Its methods are safe for concurrent use.
 type Replica struct {
 	config    ReplicaConfig
 	raft      *raft.Raft
 	log       *checksummedLog
-	transport io.Closer // nil if it isn't ours
+	transport io.Closer // nil if it was passed in ReplicaConfig
 	store     *watchableStore
 	freshness *freshness
-	newEpoch  bool // the first leadership begins an epoch; runLeader's alone
+	newEpoch  bool // the first leadership begins an epoch; used by runLeader only
 
-	cancel     context.CancelFunc // ends the goroutines in background
+	cancel     context.CancelFunc // stops the background goroutines
 	background sync.WaitGroup
 }
 
-// Open starts a replica in its data directory, which it makes if it is missing. Close ends it. The error is ErrCorrupt
-// for a log that changed on disk.
+// Open starts a replica in its data directory, which it creates if it is missing. Close stops the replica. The error is
+// ErrCorrupt if the log changed on disk.
 func Open(c ReplicaConfig) (*Replica, error) {
 	if err := os.MkdirAll(c.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
@@ -76,7 +76,7 @@
 	return r, nil
 }
 
-// Close ends the replica and its goroutines. It blocks until they have ended.
+// Close stops the replica and its goroutines, and blocks until they have ended.
 func (r *Replica) Close() error {
 	r.cancel()
 	err := r.raft.Shutdown().Error()
@@ -124,7 +124,7 @@
 	return c
 }
 
-// bootstrap names the first replicas in an empty data directory.
+// bootstrap stores the initial replicas in an empty data directory.
 func (r *Replica) bootstrap(c *raft.Config, snapshots raft.SnapshotStore, transport raft.Transport) error {
 	exists, err := raft.HasExistingState(r.log, r.log.BoltStore, snapshots)
 	if err != nil || exists || len(r.config.InitialReplicas) == 0 {
@@ -140,14 +140,14 @@
 func (r *Replica) isLeader() bool { return r.raft.State() == raft.Leader }
 
 // Propose has a quorum store a command, and returns its result once this replica has carried it out. It blocks for
-// commitTimeout at most. The error is ErrNotLeader, ErrNotCommitted, or that of the result's code.
+// commitTimeout at most. The error is ErrNotLeader, ErrNotCommitted, or the error of the result's code.
 func (r *Replica) Propose(c Command) (Result, error) {
 	if !r.isLeader() {
 		return Result{}, r.notLeaderError()
 	}
 	raw, err := encodeCommand(c)
 	if err != nil {
-		return Result{}, fmt.Errorf("registry: encode a command: %w", err)
+		return Result{}, fmt.Errorf("registry: encode command: %w", err)
 	}
 	future := r.raft.Apply(raw, commitTimeout)
 	if err := future.Error(); err != nil {
@@ -157,7 +157,7 @@
 	return result, result.Code.Err()
 }
 
-// commitError maps an error of raft.
+// commitError converts an error of raft to a *NotLeaderError or a *CommitError.
 func (r *Replica) commitError(err error) error {
 	if errors.Is(err, raft.ErrNotLeader) {
 		return r.notLeaderError()
@@ -165,7 +165,7 @@
 	return &CommitError{Reason: err}
 }
 
-// notLeaderError returns a *NotLeaderError with the leader's address as this replica knows it.
+// notLeaderError returns a *NotLeaderError with the leader's address, if this replica knows it.
 func (r *Replica) notLeaderError() error {
 	_, id := r.raft.LeaderWithID()
 	if string(id) == r.config.ID {
@@ -174,16 +174,16 @@
 	return &NotLeaderError{LeaderAddress: r.apiAddress(string(id))}
 }
 
-// apiAddress returns where a replica serves HTTP, empty for one that is unknown.
+// apiAddress returns the HTTP address of a replica, empty if it is unknown.
 func (r *Replica) apiAddress(id string) (address string) {
 	r.store.view(func(s *Store) { address = s.replicaAddresses[id] })
 	return address
 }
 
-// Age returns how old this replica's list may be at most; known is false where the replica has no way to tell.
+// Age returns the maximum age of this replica's list; known is false if the replica can't tell.
 func (r *Replica) Age() (age time.Duration, known bool) { return r.freshness.age(r.isLeader()) }
 
-// AddReplica makes a replica a member of the quorum, on the leader alone. It blocks for twice commitTimeout at most.
+// AddReplica makes a replica a voting member. Only the leader can. It blocks for twice commitTimeout at most.
 func (r *Replica) AddReplica(id, raftAddress, apiAddress string) error {
 	future := r.raft.AddVoter(raft.ServerID(id), raft.ServerAddress(raftAddress), 0, commitTimeout)
 	if err := future.Error(); err != nil {
@@ -193,7 +193,7 @@
 	return err
 }
 
-// RemoveReplica ends a replica's membership, on the leader alone. It blocks for twice commitTimeout at most.
+// RemoveReplica ends a replica's membership. Only the leader can. It blocks for twice commitTimeout at most.
 func (r *Replica) RemoveReplica(id string) error {
 	if err := r.raft.RemoveServer(raft.ServerID(id), 0, commitTimeout).Error(); err != nil {
 		return r.commitError(err)
@@ -202,7 +202,7 @@
 	return err
 }
 
-// Configuration returns the replicas that raft counts, and the leader's id, empty for none.
+// Configuration returns the replicas of raft's configuration, and the leader's ID, empty if none is known.
 func (r *Replica) Configuration() (replicas []raft.Server, leader string, err error) {
 	future := r.raft.GetConfiguration()
 	if err := future.Error(); err != nil {
--- a/internal/registry/response_cache.go
+++ b/internal/registry/response_cache.go
@@ -2,10 +2,10 @@
 
 import "slices"
 
-// maxCachedResponses bounds the requests whose retries are recognized.
+// maxCachedResponses bounds the number of requests whose retries are recognized.
 const maxCachedResponses = 8192
 
-// responseCache holds results by request id, so that a retried write is carried out once.
+// responseCache holds results by request ID, so that a retried write is carried out once.
 type responseCache struct {
 	byRequest map[string]Result
 	ordered   []cachedResponse // oldest first
@@ -24,7 +24,7 @@
 	return cache
 }
 
-// lookup returns the result of an earlier command with a request id. The empty id is never found.
+// lookup returns the result of an earlier command with the same request ID. An empty ID is never found.
 func (c *responseCache) lookup(requestID string) (Result, bool) {
 	if requestID == "" {
 		return Result{}, false
@@ -33,7 +33,7 @@
 	return result, ok
 }
 
-// add stores the result of a command. One without a request id isn't stored.
+// add stores the result of a command. A result without a request ID isn't stored.
 func (c *responseCache) add(requestID string, result Result) {
 	if requestID == "" {
 		return
--- a/internal/registry/scope.go
+++ b/internal/registry/scope.go
@@ -9,9 +9,9 @@
 	"sloerail/internal/subset"
 )
 
-// Bounds on what a call may ask for.
+// Bounds on the parameters of a scope.
 const (
-	maxScopeServices = 256     // as in internal/node/discovery, which checks it before the call
+	maxScopeServices = 256     // same as in internal/node/discovery, which checks it before the call
 	maxSubsetClients = 100_000 // nodes among which a service is divided
 )
 
@@ -24,19 +24,19 @@
 	zoneParam     = "zone"
 )
 
-// Scope is the part of the list that a node needs: some services and, where SubsetSize is above 0, of each of them the
-// subset that the node connects to.
+// Scope selects the part of the list that a node needs: some services and, if SubsetSize is above 0, only the subset of
+// each service that the node connects to.
 type Scope struct {
 	Services   []string // sorted, without duplicates
 	SubsetSize int      // 0 for all of each service
 	Client     subset.Client
 }
 
-// parseScope reads the scope of a call. It is nil for the full list, which a call without these parameters asks for.
-// Errors are *FieldError.
+// parseScope reads the scope of a call. It returns nil, which selects the full list, for a call without scope
+// parameters. Errors are *FieldError.
 func parseScope(query url.Values) (*Scope, error) {
 	if !query.Has(serviceParam) {
-		return nil, rejectParams(query, "wants a service beside it", subsetParam, positionParam, nodesParam, zoneParam)
+		return nil, rejectParams(query, "requires the parameter service", subsetParam, positionParam, nodesParam, zoneParam)
 	}
 	services, err := parseServices(query[serviceParam])
 	if err != nil {
@@ -46,7 +46,7 @@
 	return scope, scope.parseSubset(query)
 }
 
-// parseServices reads names that are repeated, separated by commas, or both.
+// parseServices reads service names from a parameter that may be repeated, hold names separated by commas, or both.
 func parseServices(values []string) ([]string, error) {
 	var names []string
 	for _, value := range values {
@@ -65,10 +65,10 @@
 	return names, nil
 }
 
-// parseSubset reads which part of each service the caller connects to.
+// parseSubset reads the parameters of the subset that the caller connects to.
 func (scope *Scope) parseSubset(query url.Values) error {
 	if !query.Has(subsetParam) {
-		return rejectParams(query, "wants a subset beside it", positionParam, nodesParam, zoneParam)
+		return rejectParams(query, "requires the parameter subset", positionParam, nodesParam, zoneParam)
 	}
 	var err error
 	if scope.SubsetSize, err = parseIntParam(query, subsetParam, 1, maxInstances); err != nil {
@@ -86,7 +86,7 @@
 	return nil
 }
 
-// rejectParams returns an error for the first of some parameters that is given.
+// rejectParams returns an error for the first of the named parameters that is in the query.
 func rejectParams(query url.Values, reason string, names ...string) error {
 	for _, name := range names {
 		if query.Has(name) {
--- a/internal/registry/scoped_list.go
+++ b/internal/registry/scoped_list.go
@@ -9,22 +9,22 @@
 	"sloerail/internal/subset"
 )
 
-// fullListRevision is the revision to pass for a full list.
+// fullListRevision, passed as a revision, requests the full list.
 const fullListRevision = -1
 
-// UnknownServicesError is a scope of which nothing is known: neither instances nor changes in the history.
+// UnknownServicesError reports a scope whose services all have neither instances nor changes in the history.
 type UnknownServicesError struct{ Services []string }
 
 func (e *UnknownServicesError) Error() string {
 	return "service: unknown: " + strings.Join(e.Services, ", ")
 }
 
-// scopedView is what a scoped list is computed from. It shares nothing with the store that changes, so that the list
-// is computed without the store's lock.
+// scopedView holds the input of a scoped list. It shares no mutable state with the store, so that the list can be
+// computed without the store's lock.
 type scopedView struct {
 	scope    *Scope
 	revision int64
-	complete bool // the list will have all of the scope, not the changes
+	complete bool // the list will hold the whole scope instead of the changes
 	unknown  []string
 	services []scopedService
 }
@@ -36,9 +36,9 @@
 	changes []change // since the watcher's revision; unused in a complete view
 }
 
-// scoped collects what a scoped list since a revision is computed from. The list will be complete for a revision that
-// is negative, in the future, of another epoch, or from which the history can't be resumed. If all services of the
-// scope are unknown the error is *UnknownServicesError.
+// newScopedView collects the input of a scoped list since a revision. The list will be complete if the revision is
+// negative, in the future or of another epoch, or if the history doesn't reach back to it. If all services of the scope
+// are unknown, the error is *UnknownServicesError.
 func (s *Store) newScopedView(scope *Scope, since int64) (*scopedView, error) {
 	view := &scopedView{scope: scope, revision: s.revision}
 	for _, name := range scope.Services {
@@ -64,7 +64,7 @@
 	return view, nil
 }
 
-// needsFullScope reports whether a watcher at a revision can't be resumed by changes alone.
+// needsFullScope reports whether a watcher at a revision needs the whole scope, because changes alone don't suffice.
 func (s *Store) needsFullScope(scope *Scope, since int64) bool {
 	if since < 0 || since > s.revision || epochOf(since) != s.Epoch() {
 		return true
@@ -72,7 +72,7 @@
 	if since >= s.history.compactedRevision {
 		return false
 	}
-	// Changes of other services may be compacted without harm. Those of an unknown service may have been its last.
+	// Compacted changes of other services do no harm. Those of an unknown service may have included its last ones.
 	return slices.ContainsFunc(scope.Services, func(name string) bool {
 		index := s.services[name]
 		return index == nil || index.lastChange > since
@@ -90,7 +90,7 @@
 		}
 	}
 	for id, endpoint := range removed {
-		// One that is in both changed its service, and is in scope by the other service.
+		// An endpoint in both maps moved to another service of the scope.
 		if _, ok := inScope[id]; !ok {
 			endpoint.Phase = PhaseRemoved
 			inScope[id] = endpoint
@@ -102,7 +102,7 @@
 	return list, v.complete || len(inScope) > 0
 }
 
-// addAll adds the endpoints in scope.
+// addAll adds all endpoints in scope.
 func (s scopedService) addAll(scope *Scope, inScope map[string]Endpoint) {
 	if scope.SubsetSize == 0 {
 		for _, endpoint := range s.current.endpoints {
@@ -115,12 +115,12 @@
 	}
 }
 
-// addChanges adds the endpoints that changed in the scope or entered it, and those that left it. An endpoint may leave
-// a subset though it is still up.
+// addChanges adds the endpoints that changed in the scope or entered it to inScope, and those that left it to removed.
+// An endpoint may leave a subset while it is still up.
 func (s scopedService) addChanges(scope *Scope, inScope, removed map[string]Endpoint) {
 	newest := newestEndpoints(s.changes)
 	current := s.current.byID()
-	// Where a subset takes the whole service, as it is and as it was, there is nothing to choose.
+	// If the subset includes the whole service, both now and before the changes, there is nothing to choose.
 	if scope.SubsetSize == 0 || len(current)+len(newest) <= scope.SubsetSize {
 		for id, endpoint := range newest {
 			if now, exists := current[id]; exists {
@@ -152,7 +152,7 @@
 
 // previousServers returns the servers as they were before the changes.
 func (s scopedService) previousServers() subsetServers {
-	changed := make(map[string]*Placement) // before the first change of each
+	changed := make(map[string]*Placement) // placement before the first change of each endpoint
 	for _, c := range s.changes {
 		if _, seen := changed[c.Endpoint.ID]; !seen {
 			changed[c.Endpoint.ID] = c.Previous
--- a/internal/registry/scoped_list_test.go
+++ b/internal/registry/scoped_list_test.go
@@ -49,18 +49,18 @@
 
 // scopedWatcher applies the changes of a scope.
 type scopedWatcher struct {
-	scope     *Scope
-	revision  int64
-	endpoints map[string]Endpoint
+	scope        *Scope
+	lastRevision int64
+	endpoints    map[string]Endpoint
 }
 
 func newScopedWatcher(scope *Scope) *scopedWatcher {
-	return &scopedWatcher{scope: scope, revision: -1, endpoints: make(map[string]Endpoint)}
+	return &scopedWatcher{scope: scope, lastRevision: -1, endpoints: make(map[string]Endpoint)}
 }
 
 // poll applies the changes since the watcher's revision.
 func (w *scopedWatcher) poll(s *Store) (l EndpointList, err error) {
-	view, err := s.newScopedView(w.scope, w.revision)
+	view, err := s.newScopedView(w.scope, w.lastRevision)
 	if err != nil {
 		return EndpointList{}, err
 	}
@@ -73,7 +73,7 @@
 			delete(w.endpoints, e.ID)
 		}
 	}
-	w.revision = l.Revision
+	w.lastRevision = l.Revision
 	return l, nil
 }
 
@@ -177,8 +177,8 @@
 		s.Apply(Command{Kind: SetInstancePhase, ID: "b0", Phase: []string{PhaseDraining, PhaseUp}[i%2]})
 	}
 	before := *w
-	if l, _ := w.mustPoll(t, s); l.Complete || len(l.Endpoints) != 0 || l.Revision != s.revision || before.revision >= s.history.compactedRevision {
-		t.Errorf("got %+v at revision %d below the compacted %d", l, before.revision, s.history.compactedRevision)
+	if l, _ := w.mustPoll(t, s); l.Complete || len(l.Endpoints) != 0 || l.Revision != s.revision || before.lastRevision >= s.history.compactedRevision {
+		t.Errorf("got %+v at revision %d below the compacted %d", l, before.lastRevision, s.history.compactedRevision)
 	}
 	s.Apply(Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
 	if l, _ := before.mustPoll(t, s); !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Phase != PhaseDraining {
--- a/internal/registry/serve.go
+++ b/internal/registry/serve.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// Serve runs a replica until ctx ends or an address can't be served. newEpoch says that the data directory is a copy of
-// an older one: watchers then get the full list.
+// Serve runs a replica until ctx ends or serving an address fails. newEpoch means that the data directory was restored
+// from an older copy: watchers then get the full list.
 func Serve(ctx context.Context, c Config, newEpoch bool) error {
 	replica, err := Open(ReplicaConfig{ID: c.ID, RaftAddress: c.RaftAddress, RaftBindAddress: c.RaftBindAddress,
 		APIAddress: c.ListenAddress, DataDir: c.DataDir, InitialReplicas: c.InitialReplicas, NewEpoch: newEpoch})
@@ -47,7 +47,7 @@
 func listenAndServe(ctx context.Context, server *http.Server) error {
 	stop := context.AfterFunc(ctx, func() {
 		if err := server.Close(); err != nil {
-			slog.Debug("registry: close a server", "address", server.Addr, "error", err)
+			slog.Debug("registry: closing an HTTP server failed", "address", server.Addr, "error", err)
 		}
 	})
 	defer stop()
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -12,8 +12,8 @@
 
 const (
 	maxWatchWait      = time.Minute // the platform's bound on how long a watch waits
-	maxListResponses  = 256         // lists that are sent at a time
-	maxWrites         = 64          // commands in flight, beside the lists so that registration has its own capacity
+	maxListResponses  = 256         // lists sent concurrently
+	maxWrites         = 64          // commands in flight; separate, so that lists take no capacity from registration
 	defaultMaxWatches = 4096
 	defaultMaxAge     = 2 * time.Second
 
@@ -25,35 +25,35 @@
 
 // ServerConfig bounds what a replica serves.
 type ServerConfig struct {
-	MaxWatches int           // that wait at a time; 0 for 4,096
-	MaxAge     time.Duration // of a list; 0 for 2 s
+	MaxWatches int           // concurrent watches; 0 for 4,096
+	MaxAge     time.Duration // of a list that is served; 0 for 2 s
 }
 
-// Server answers the HTTP calls of nodes, agents and operators.
+// Server serves the HTTP calls of nodes, agents and operators.
 type Server struct {
 	replica *Replica
 	config  ServerConfig
 
-	watches       limiter // that wait
+	watches       limiter
 	listResponses limiter
 	writes        limiter
-	scopedLists   limiter // that are computed, at most one for each core
+	scopedLists   limiter // being computed, at most one per core
 	counters      counters
 }
 
-// counters are what a Server has done since its start, and the watches that wait at it now.
+// counters counts the calls of a Server since its start, and the watches that wait now.
 type counters struct {
-	watches                           atomic.Int64 // that wait now: the only one that falls
+	watches                           atomic.Int64 // waiting now: the only counter that decreases
 	lists, writes                     atomic.Uint64
 	callsRejected, callsRejectedStale atomic.Uint64
 }
 
-// limiter bounds what is in progress at a time.
+// limiter bounds the number of operations in progress.
 type limiter chan struct{}
 
 func newLimiter(limit int) limiter { return make(limiter, limit) }
 
-// tryAcquire doesn't block. Where it returns true, release has to follow.
+// tryAcquire doesn't block. If it returns true, the caller must call release.
 func (l limiter) tryAcquire() bool {
 	select {
 	case l <- struct{}{}:
@@ -63,12 +63,12 @@
 	}
 }
 
-// acquire blocks until there is capacity. release has to follow.
+// acquire blocks until there is capacity. The caller must call release.
 func (l limiter) acquire() { l <- struct{}{} }
 
 func (l limiter) release() { <-l }
 
-// NewServer returns the HTTP side of a replica.
+// NewServer returns a server for a replica.
 func NewServer(r *Replica, c ServerConfig) *Server {
 	if c.MaxAge == 0 {
 		c.MaxAge = defaultMaxAge
@@ -86,7 +86,7 @@
 		IdleTimeout: 2 * maxWatchWait, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
 }
 
-// ServeHTTP answers one call.
+// ServeHTTP dispatches a call to its handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	path, isGet := req.URL.Path, req.Method == http.MethodGet
 	instance, isInstance := strings.CutPrefix(path, instancesPath+"/")
@@ -112,18 +112,18 @@
 // setReadDeadline bounds how long a caller may take to send its body.
 func setReadDeadline(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
-		slog.Debug("registry: set a read deadline", "error", err)
+		slog.Debug("registry: setting a read deadline failed", "error", err)
 	}
 }
 
 // setWriteDeadline bounds how long a caller may take to read the response.
 func setWriteDeadline(w http.ResponseWriter) {
 	if err := http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
-		slog.Debug("registry: set a write deadline", "error", err)
+		slog.Debug("registry: setting a write deadline failed", "error", err)
 	}
 }
 
-// acquire takes a place in a limiter, or rejects the call.
+// acquire takes capacity of a limiter, or rejects the call and returns false.
 func (s *Server) acquire(w http.ResponseWriter, l limiter) bool {
 	if l.tryAcquire() {
 		return true
@@ -133,7 +133,7 @@
 	return false
 }
 
-// checkAge rejects the call where this replica's list may be too old to serve.
+// checkAge rejects the call and returns false if this replica's list may be too old to serve.
 func (s *Server) checkAge(w http.ResponseWriter) bool {
 	age, known := s.replica.Age()
 	if !s.isFresh(age, known) {
@@ -147,7 +147,7 @@
 
 func (s *Server) isFresh(age time.Duration, known bool) bool { return known && age <= s.config.MaxAge }
 
-// unavailable responds 503: another replica, or this one later, can serve the call.
+// unavailable responds 503: another replica, or this one later, may serve the call.
 func unavailable(w http.ResponseWriter, err error) {
 	w.Header().Set("Retry-After", retryAfterSeconds)
 	http.Error(w, errorText(err), http.StatusServiceUnavailable)
@@ -160,6 +160,6 @@
 func respondJSON(w http.ResponseWriter, body any) {
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(body); err != nil {
-		slog.Debug("registry: send a response", "error", err)
+		slog.Debug("registry: sending a response failed", "error", err)
 	}
 }
--- a/internal/registry/service_index.go
+++ b/internal/registry/service_index.go
@@ -5,19 +5,19 @@
 	"slices"
 )
 
-// serviceIndexes are the parts of a Store by service, for scoped lists. They are derived from the instances and the
-// history, and not in snapshots.
+// serviceIndexes holds the index of each service, for scoped lists. The indexes are derived from the instances and the
+// history, and are not stored in snapshots.
 type serviceIndexes map[string]*serviceIndex
 
-// serviceIndex has the slots of one service and its part of the history.
+// serviceIndex holds the slots of one service and its part of the history.
 type serviceIndex struct {
 	slots      slotTable
-	changes    []change // those in the history that touch the service, oldest first; elements are never overwritten
-	lastChange int64    // the last revision that touched the service, or a later one
+	changes    []change // those in the history that affect the service, oldest first; elements are never overwritten
+	lastChange int64    // last revision that affected the service, or a later one
 	view       *serviceView
 }
 
-// allocateSlot gives the lowest free slot of a service to an instance. Without a service the slot is always 0.
+// allocateSlot assigns the lowest free slot of a service to an instance. Without a service the slot is always 0.
 func (s serviceIndexes) allocateSlot(service, id string) int {
 	if service == "" {
 		return 0
@@ -37,7 +37,7 @@
 	}
 }
 
-// record adds a change to the services that it touches.
+// record adds a change to the services that it affects.
 func (s serviceIndexes) record(c change) {
 	for _, service := range c.affectedServices() {
 		index := s[service]
@@ -47,8 +47,8 @@
 	}
 }
 
-// compact drops the changes up to a revision, which the history has dropped. A service with neither instances nor
-// changes is unknown from then on.
+// compact drops the changes up to a revision, as the history did. A service that is left with neither instances nor
+// changes becomes unknown.
 func (s serviceIndexes) compact(dropped []change, revision int64) {
 	for _, c := range dropped {
 		for _, service := range c.affectedServices() {
@@ -59,7 +59,7 @@
 	}
 }
 
-// compact drops the changes up to a revision; empty is true if nothing is known of the service any more.
+// compact drops the changes up to a revision; empty is true if neither instances nor changes are left.
 func (index *serviceIndex) compact(revision int64) (empty bool) {
 	if remaining := changesSince(index.changes, revision); len(remaining) < len(index.changes) {
 		index.changes = slices.Clone(remaining)
@@ -67,7 +67,7 @@
 	return len(index.changes) == 0 && index.slots.empty()
 }
 
-// restoreServiceIndexes builds the indexes of a state that was read from a snapshot.
+// restoreServiceIndexes builds the indexes for the instances and the history read from a snapshot.
 func restoreServiceIndexes(instances map[string]Instance, h history) (serviceIndexes, error) {
 	indexes := make(serviceIndexes)
 	for id, instance := range instances {
@@ -97,13 +97,13 @@
 	}
 	index := s.ensure(service, compactedRevision)
 	if other := index.slots.restore(id, slot); other != "" {
-		return fmt.Errorf("instances %q and %q: both have slot %d of %q", min(id, other), max(id, other), slot, service)
+		return fmt.Errorf("instances %q and %q: both have slot %d of service %q", min(id, other), max(id, other), slot, service)
 	}
 	index.lastChange = max(index.lastChange, instance.Version)
 	return nil
 }
 
-// ensure returns the index of a service, a new one that last changed at the given revision where there is none.
+// ensure returns the index of a service. If there is none, it adds one with the given lastChange.
 func (s serviceIndexes) ensure(service string, lastChange int64) *serviceIndex {
 	index := s[service]
 	if index == nil {
--- a/internal/registry/service_view.go
+++ b/internal/registry/service_view.go
@@ -6,11 +6,11 @@
 	"sloerail/internal/subset"
 )
 
-// maxCachedRings bounds the rings that are stored with a view: callers choose the subset sizes and the revisions.
+// maxCachedRings bounds the rings cached in a view, because callers choose the subset sizes and the revisions.
 const maxCachedRings = 8
 
 // serviceView is a service at one revision. All callers share it, from any goroutine and without the store's lock:
-// its endpoints and servers never change, and its lock guards the rings alone.
+// its endpoints and servers never change, and mu guards only the rings.
 type serviceView struct {
 	endpoints []Endpoint // by ascending slot
 	servers   subsetServers
@@ -20,7 +20,7 @@
 	rings map[ringsKey]*subsetRings
 }
 
-// currentView returns the view of a service as it is now. The store's lock is held.
+// currentView returns the view of a service at the current revision. The caller holds the store's lock.
 func (index *serviceIndex) currentView(instances map[string]Instance) *serviceView {
 	if index.view != nil {
 		return index.view
@@ -45,19 +45,19 @@
 	return view
 }
 
-// ringsKey identifies rings: their subset size, and whether they are of the servers as they are or before a change.
+// ringsKey identifies rings by subset size, and by whether they hold the current servers or those before a change.
 type ringsKey struct {
 	subsetSize  int
-	firstChange int64 // revision of the change; 0 for the servers as they are
+	firstChange int64 // revision of the change; 0 for the current servers
 }
 
-// currentRings returns the rings of the servers as they are.
+// currentRings returns the rings of the current servers.
 func (v *serviceView) currentRings(subsetSize int) *subsetRings {
 	return v.cachedRings(ringsKey{subsetSize: subsetSize}, func() subsetServers { return v.servers })
 }
 
-// previousRings returns the rings of the servers as they were before some changes. Watchers whose revision is just
-// before the first of them share these.
+// previousRings returns the rings of the servers as they were before some changes. All watchers at the revision just
+// before the first change share them.
 func (v *serviceView) previousRings(subsetSize int, changes []change, previous func() subsetServers) *subsetRings {
 	return v.cachedRings(ringsKey{subsetSize: subsetSize, firstChange: changes[0].Revision}, previous)
 }
@@ -76,10 +76,10 @@
 	return rings
 }
 
-// subsetServers are the servers that subsets are chosen from.
+// subsetServers holds the servers from which subsets are chosen.
 type subsetServers struct {
 	all    []subset.Server
-	active []subset.Server // those that aren't draining
+	active []subset.Server // not draining
 }
 
 func (s *subsetServers) add(server subset.Server, phase string) {
@@ -89,7 +89,7 @@
 	}
 }
 
-// subsetRings choose subsets of one size.
+// subsetRings chooses subsets of one size.
 type subsetRings struct {
 	all    *subset.Ring
 	active *subset.Ring // nil while no server is draining
@@ -103,8 +103,9 @@
 	return rings
 }
 
-// choose returns the ids of a client's servers. While some are draining it is a subset of all joined with a subset of
-// the active ones: the client is notified of the drain, and has the replacement before the draining server is removed.
+// choose returns the IDs of a client's servers. While some servers are draining, the result joins a subset of all
+// servers with a subset of the active ones: the client sees the drain, and has a replacement before the draining server
+// is removed.
 func (r *subsetRings) choose(client subset.Client) map[string]bool {
 	chosen := make(map[string]bool)
 	for _, id := range r.all.Choose(client) {
--- a/internal/registry/slots.go
+++ b/internal/registry/slots.go
@@ -2,14 +2,14 @@
 
 import "container/heap"
 
-// slotTable gives each instance of a service a slot: a number that is unique within the service, and the lowest that
-// was free, so that a replacement takes the place of the instance that it replaces.
+// slotTable assigns a slot to each instance of a service: a number that is unique within the service, and the lowest
+// that was free, so that a replacement takes the slot of the instance that it replaces.
 type slotTable struct {
 	ids  []string // by slot; empty where the slot is free
-	free slotHeap // the free slots among them
+	free slotHeap // free slots
 }
 
-// allocate gives the lowest free slot to an instance.
+// allocate assigns the lowest free slot to an instance.
 func (t *slotTable) allocate(id string) (slot int) {
 	if t.free.Len() == 0 {
 		t.ids = append(t.ids, id)
@@ -25,8 +25,8 @@
 	heap.Push(&t.free, slot)
 }
 
-// restore puts an instance into the slot that it had when a snapshot was written. It returns the other instance that
-// is in that slot already, empty for none. Call rebuildFree after the last.
+// restore assigns an instance the slot that it had when a snapshot was written. It returns the ID of the instance that
+// already has that slot, empty for none. Call rebuildFree after the last restore.
 func (t *slotTable) restore(id string, slot int) (other string) {
 	if missing := slot + 1 - len(t.ids); missing > 0 {
 		t.ids = append(t.ids, make([]string, missing)...)
@@ -36,7 +36,7 @@
 	return other
 }
 
-// rebuildFree finds the free slots.
+// rebuildFree rebuilds the heap of free slots.
 func (t *slotTable) rebuildFree() {
 	t.free = nil
 	for slot, id := range t.ids {
@@ -48,7 +48,7 @@
 
 func (t *slotTable) empty() bool { return t.free.Len() == len(t.ids) }
 
-// slotHeap is a container/heap with the lowest slot first.
+// slotHeap implements heap.Interface with the lowest slot first.
 type slotHeap []int
 
 func (h slotHeap) Len() int           { return len(h) }
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -12,11 +12,11 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrCorrupt is stored data that is cut, changed or not the registry's: a snapshot, or an entry of the raft log.
+// ErrCorrupt is returned for a snapshot or raft log entry that is truncated, changed or not written by the registry.
 var ErrCorrupt = errors.New("corrupt data")
 
-// A snapshot is a magic string, a version, the length and the checksum of what follows, and an image in CBOR. It is
-// read as a whole or not at all.
+// A snapshot consists of a magic string, a version, the length and the checksum of the image, and the image in CBOR. It
+// is read as a whole or not at all.
 const (
 	snapshotMagic   = "sloerail list\x00"
 	snapshotVersion = 1
@@ -45,7 +45,7 @@
 	AppliedIndex      uint64              `cbor:"10,keyasint"`
 }
 
-// imageDecoder reads images: the library's own bound on the pairs of a map is below maxInstances.
+// imageDecoder decodes images. The library's default bound on the pairs of a map is below maxInstances.
 var imageDecoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxMapPairs: maxInstances}.DecMode()
 	if err != nil {
@@ -54,7 +54,7 @@
 	return mode
 }()
 
-// image returns the stored form. It shares the store's maps and slices.
+// image returns the stored form of the store. It shares the store's maps and slices.
 func (s *Store) image() snapshotImage {
 	return snapshotImage{
 		Revision:          s.revision,
@@ -70,7 +70,7 @@
 	}
 }
 
-// storeOf returns the store whose stored form an image is.
+// storeFromImage returns the store for a stored form.
 func storeFromImage(image snapshotImage) (*Store, error) {
 	s := &Store{
 		revision:         image.Revision,
@@ -92,7 +92,7 @@
 	return s, err
 }
 
-// WriteSnapshot writes the store so that ReadSnapshot reads it.
+// WriteSnapshot writes the store in the format that ReadSnapshot reads.
 func (s *Store) WriteSnapshot(w io.Writer) error {
 	raw, err := cbor.Marshal(s.image())
 	if err != nil {
@@ -107,14 +107,14 @@
 	return nil
 }
 
-// snapshotHeader returns what is written before an encoded image.
+// snapshotHeader returns the header for an encoded image.
 func snapshotHeader(image []byte) []byte {
 	header := append([]byte(snapshotMagic), snapshotVersion)
 	header = binary.BigEndian.AppendUint64(header, uint64(len(image)))
 	return binary.BigEndian.AppendUint64(header, xxhash.Sum64(image))
 }
 
-// ReadSnapshot reads a store as WriteSnapshot wrote it. Whatever else it reads is ErrCorrupt.
+// ReadSnapshot reads a store that WriteSnapshot wrote. The error is ErrCorrupt for any other data.
 func ReadSnapshot(r io.Reader) (*Store, error) {
 	raw, err := readImage(r)
 	if err != nil {
@@ -135,21 +135,21 @@
 func readImage(r io.Reader) ([]byte, error) {
 	header := make([]byte, headerBytes)
 	if _, err := io.ReadFull(r, header); err != nil {
-		return nil, fmt.Errorf("cut in its header: %w", err)
+		return nil, fmt.Errorf("truncated in the header: %w", err)
 	}
 	if !bytes.HasPrefix(header, []byte(snapshotMagic)) {
-		return nil, errors.New("byte 0: not a snapshot of the registry")
+		return nil, errors.New("byte 0: not a registry snapshot")
 	}
 	if version := header[versionOffset]; version != snapshotVersion {
-		return nil, fmt.Errorf("version %d, and this program reads %d", version, snapshotVersion)
+		return nil, fmt.Errorf("unsupported version %d, want %d", version, snapshotVersion)
 	}
 	length := binary.BigEndian.Uint64(header[lengthOffset:])
 	if length > maxImageBytes {
-		return nil, fmt.Errorf("byte %d: a length of %d, over %d", lengthOffset, length, maxImageBytes)
+		return nil, fmt.Errorf("byte %d: image length is %d, want at most %d", lengthOffset, length, maxImageBytes)
 	}
 	raw, end := make([]byte, length), headerBytes+int(length)
 	if n, err := io.ReadFull(r, raw); err != nil {
-		return nil, fmt.Errorf("cut at byte %d of %d: %w", headerBytes+n, end, err)
+		return nil, fmt.Errorf("truncated at byte %d of %d: %w", headerBytes+n, end, err)
 	}
 	if xxhash.Sum64(raw) != binary.BigEndian.Uint64(header[checksumOffset:]) {
 		return nil, fmt.Errorf("bytes %d to %d: checksum mismatch", headerBytes, end)
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxInstances = 150_000 // and maxSubset in internal/node/discovery
+	maxInstances = 150_000 // same as maxSubset in internal/node/discovery
 
 	// epochShift is the number of bits of a revision below its epoch. All revisions of an epoch are above those of
 	// the epoch before it.
@@ -17,15 +17,15 @@
 // Instance is an endpoint with its lease.
 type Instance struct {
 	Endpoint Endpoint      `cbor:"1,keyasint"`
-	Version  int64         `cbor:"2,keyasint"` // the revision that last changed the endpoint
+	Version  int64         `cbor:"2,keyasint"` // revision that last changed the endpoint
 	TTL      time.Duration `cbor:"3,keyasint"`
-	Deadline time.Duration `cbor:"4,keyasint"`           // in lease time; the lease is over from then on
-	Slot     int           `cbor:"5,keyasint,omitempty"` // unique within its service, the lowest that was free
+	Deadline time.Duration `cbor:"4,keyasint"`           // lease time at which the lease expires
+	Slot     int           `cbor:"5,keyasint,omitempty"` // unique within its service, the lowest free when assigned
 }
 
-// Store is the replicated state machine: the same commands in the same order give the same state at each replica. It
-// has no clock (time comes in as AdvanceClock commands of the leader) and does no I/O. Make one with NewStore. It isn't
-// safe for concurrent use: watchableStore guards it.
+// Store is the replicated state machine: the same commands in the same order produce the same state at each replica. It
+// has no clock (the leader sends the time in AdvanceClock commands) and does no I/O. Use NewStore to create one. It is
+// not safe for concurrent use: watchableStore guards it.
 type Store struct {
 	revision         int64
 	instances        map[string]Instance // by endpoint ID
@@ -33,8 +33,8 @@
 	history          history
 	responses        responseCache
 	services         serviceIndexes
-	replicaAddresses map[string]string // where each replica serves HTTP, by replica ID
-	appliedIndex     uint64            // raft's index of the last command
+	replicaAddresses map[string]string // HTTP address of each replica, by replica ID
+	appliedIndex     uint64            // raft index of the last command
 }
 
 // NewStore returns an empty store in its first epoch.
@@ -50,13 +50,13 @@
 	}
 }
 
-// Epoch is the part of the revision that grows when a store is restored from a copy. Within an epoch no watcher sees
-// the revision go back.
+// Epoch returns the part of the revision that grows when a store is restored from an older copy. Within an epoch no
+// watcher sees the revision decrease.
 func (s *Store) Epoch() int64 { return epochOf(s.revision) }
 
 func epochOf(revision int64) int64 { return revision >> epochShift }
 
-// Apply carries out a command. A command whose RequestID was answered before changes nothing and gets that result.
+// Apply carries out a command. If the result for its RequestID is cached, Apply changes nothing and returns that result.
 func (s *Store) Apply(c Command) Result {
 	if cached, ok := s.responses.lookup(c.RequestID); ok {
 		return cached
@@ -107,7 +107,7 @@
 	return s.put(registered)
 }
 
-// update carries out a command on an instance that has to exist.
+// update applies a command to an instance. It returns ResultNotFound if the instance does not exist.
 func (s *Store) update(c Command, apply func(Instance) Result) Result {
 	instance, exists := s.instances[c.ID]
 	switch {
@@ -137,8 +137,8 @@
 	return Result{Instance: instance}
 }
 
-// publish gives an instance whose endpoint is new or changed a slot in its service and a version, and records the
-// change for watches. The instance as it was is still in s.instances.
+// publish sets the slot and the version of an instance whose endpoint is new or changed, and records the change for
+// watches. s.instances must still hold the previous state of the instance.
 func (s *Store) publish(instance *Instance) {
 	var previous *Placement
 	current, exists := s.instances[instance.Endpoint.ID]
@@ -162,7 +162,7 @@
 	return Result{Instance: instance}
 }
 
-// record makes a revision of a change.
+// record records a change under a new revision.
 func (s *Store) record(endpoint Endpoint, previous *Placement) (revision int64) {
 	s.revision++
 	c := change{Revision: s.revision, Endpoint: endpoint, Previous: previous}
@@ -174,13 +174,13 @@
 	return s.revision
 }
 
-// compact drops the oldest changes. Watches at a revision below the given one need the full list from then on.
+// compact drops the oldest changes. Watches at a revision below the given one then need the full list.
 func (s *Store) compact(count int, revision int64) {
 	dropped := s.history.compact(count, revision)
 	s.services.compact(dropped, revision)
 }
 
-// advanceClock lets lease time pass, and removes the instances whose leases expired.
+// advanceClock advances lease time, and removes the instances whose leases expired.
 func (s *Store) advanceClock(elapsed time.Duration) {
 	s.leases.advance(elapsed)
 	for _, instance := range s.leases.expire(s.instances) {
@@ -211,8 +211,8 @@
 	return list
 }
 
-// ChangesSince returns the newest state of each endpoint that changed after a revision; changed is false if none did.
-// A revision of another epoch, of the future, or before the compacted one gets the full list.
+// ChangesSince returns the latest state of each endpoint that changed after a revision; changed is false if none did.
+// For a revision of another epoch, in the future, or before the compacted one, it returns the full list.
 func (s *Store) ChangesSince(revision int64) (list EndpointList, changed bool) {
 	if revision == s.revision {
 		return EndpointList{Revision: s.revision, Endpoints: []Endpoint{}}, false
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -40,7 +40,7 @@
 func TestWatchersConvergeAndSnapshotsRestoreTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewStore()
-		endpoints, revision := make(map[string]Endpoint), int64(-1)
+		endpoints, lastRevision := make(map[string]Endpoint), int64(-1)
 		for range rapid.IntRange(1, 60).Draw(t, "commands") {
 			c, before := drawCommand(t), s.revision
 			first := s.Apply(c)
@@ -54,7 +54,7 @@
 				}
 			}
 			if rapid.Bool().Draw(t, "watches") {
-				applyChanges(s, endpoints, &revision)
+				applyChanges(s, endpoints, &lastRevision)
 				if got, want := slices.Sorted(maps.Keys(endpoints)), slices.Sorted(maps.Keys(s.instances)); !slices.Equal(got, want) {
 					t.Fatalf("a watcher has %v, the store %v", got, want)
 				}
@@ -75,8 +75,8 @@
 }
 
 // applyChanges updates what a watcher at a revision has.
-func applyChanges(s *Store, endpoints map[string]Endpoint, revision *int64) {
-	l, _ := s.ChangesSince(*revision)
+func applyChanges(s *Store, endpoints map[string]Endpoint, lastRevision *int64) {
+	l, _ := s.ChangesSince(*lastRevision)
 	if l.Complete {
 		clear(endpoints)
 	}
@@ -85,7 +85,7 @@
 			delete(endpoints, e.ID)
 		}
 	}
-	*revision = l.Revision
+	*lastRevision = l.Revision
 }
 
 func advanceClock(s *Store, elapsed time.Duration) {
@@ -132,9 +132,9 @@
 	if l, changed := s.ChangesSince(s.revision + 5); !changed || !l.Complete {
 		t.Errorf("a watch at a future revision gets %+v", l)
 	}
-	revision := s.revision
+	currentRevision := s.revision
 	copied.Apply(Command{Kind: BeginEpoch})
-	if l, changed := copied.ChangesSince(revision); !changed || !l.Complete || copied.revision <= revision {
+	if l, changed := copied.ChangesSince(currentRevision); !changed || !l.Complete || copied.revision <= currentRevision {
 		t.Errorf("a watch of the previous epoch gets %+v at revision %d", l, copied.revision)
 	}
 	for i := range maxHistoryChanges + 10 {
--- a/internal/registry/watchable_store.go
+++ b/internal/registry/watchable_store.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	notifyDelay     = 20 * time.Millisecond // changes within it wake the watches once
-	maxEncodedLists = 256                   // callers choose the revisions
+	notifyDelay     = 20 * time.Millisecond // changes within this delay wake the watches once
+	maxEncodedLists = 256                   // bounded because callers choose the revisions
 )
 
-// watchableStore guards a Store and notifies watches of its changes. Raft's goroutine applies commands, and calls of
-// the HTTP side read; none of its methods blocks for longer than the lock.
+// watchableStore guards a Store and notifies watches of its changes. Raft's goroutine applies commands, and HTTP
+// handlers read. Its methods block only for the lock.
 type watchableStore struct {
 	mu            sync.Mutex
 	store         *Store
 	changed       chan struct{}    // closed at the next notification
-	scoped        watcherGroup     // watches of a part of the list
-	notification  *time.Timer      // pending; nil while nothing has changed
-	encoded       map[int64][]byte // lists as they are sent, by the revision that they begin at
+	scoped        watcherGroup     // watches of scoped lists
+	notification  *time.Timer      // pending; nil if there is none
+	encoded       map[int64][]byte // encoded lists by the revision at which they begin
 	onIndexChange func(appliedIndex uint64)
 }
 
-// newWatchableStore returns an empty store. onIndexChange is called, with the lock held, after each command and each
-// replacement of the store; it must not call the store.
+// newWatchableStore returns an empty store. onIndexChange is called with the lock held, after each command and each
+// replacement of the store. It must not call the store.
 func newWatchableStore(onIndexChange func(appliedIndex uint64)) *watchableStore {
 	return &watchableStore{store: NewStore(), changed: make(chan struct{}), encoded: make(map[int64][]byte),
 		onIndexChange: onIndexChange}
 }
 
-// view calls do with the store, which must not outlive the call.
+// view calls do with the store. do must not retain the store.
 func (w *watchableStore) view(do func(*Store)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -42,11 +42,11 @@
 func (w *watchableStore) apply(c Command, index uint64) Result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	revision, wasSuspended := w.store.revision, w.store.leases.suspended
+	revision, suspended := w.store.revision, w.store.leases.suspended
 	result := w.store.Apply(c)
 	w.store.appliedIndex = index
 	w.onIndexChange(index)
-	if w.store.leases.suspended && !wasSuspended {
+	if w.store.leases.suspended && !suspended {
 		slog.Error("registry: lease expiry suspended, too many leases expire at once", "instances", len(w.store.instances))
 	}
 	if w.store.revision != revision {
@@ -56,7 +56,7 @@
 	return result
 }
 
-// touchSince marks the scoped watches that changes after a revision concern. The lock is held.
+// markChangedSince marks the scoped watches that the changes after a revision affect. The caller holds the lock.
 func (w *watchableStore) markChangedSince(revision int64) {
 	if revision < w.store.history.compactedRevision { // a new epoch, or more changes than the history holds
 		w.scoped.markAllChanged()
@@ -65,7 +65,7 @@
 	w.scoped.markChanged(w.store.history.since(revision))
 }
 
-// replace puts another store in the place of this one.
+// replace replaces the store.
 func (w *watchableStore) replace(store *Store) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -75,7 +75,7 @@
 	w.scheduleNotification()
 }
 
-// scheduleNotification drops the encoded lists, and wakes the watches after notifyDelay. The lock is held.
+// scheduleNotification drops the encoded lists, and wakes the watches after notifyDelay. The caller holds the lock.
 func (w *watchableStore) scheduleNotification() {
 	clear(w.encoded)
 	if w.notification == nil {
@@ -92,7 +92,7 @@
 	w.scoped.notify()
 }
 
-// close cancels a pending notification. Raft has been shut down, so that no other follows.
+// close cancels a pending notification. Raft must be shut down already, so that no other follows.
 func (w *watchableStore) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,8 +120,8 @@
 	}
 }
 
-// encodedList returns the list since a revision as it is sent, encoded once for all callers, and the epoch. It is nil
-// where nothing changed since, unless evenUnchanged.
+// encodedList returns the list since a revision, encoded once for all callers, and the epoch. raw is nil if nothing
+// changed since, unless evenIfUnchanged is set.
 func (w *watchableStore) encodedList(since int64, evenIfUnchanged bool) (raw []byte, epoch int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -146,14 +146,14 @@
 	return list
 }
 
-// scopedView collects what a scoped list since a revision is computed from, without the lock.
+// scopedView returns the input of a scoped list since a revision. The list is then computed without the lock.
 func (w *watchableStore) scopedView(scope *Scope, since int64) (*scopedView, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.store.newScopedView(scope, since)
 }
 
-// snapshot returns the store as WriteSnapshot writes it.
+// snapshot returns a snapshot in the format of WriteSnapshot.
 func (w *watchableStore) snapshot() ([]byte, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/registry/watcher_group.go
+++ b/internal/registry/watcher_group.go
@@ -1,14 +1,14 @@
 package registry
 
-// watcherGroup holds the scoped watches that wait, by the services that they name, so that a change wakes only the
-// watches whose services it touches. The zero value is ready. It has no lock: watchableStore guards it.
+// watcherGroup holds the waiting scoped watches by service, so that a change wakes only the watches of the services that
+// it affects. The zero value is ready to use. It has no lock: watchableStore guards it.
 type watcherGroup struct {
 	byService  map[string]map[*watcher]bool
 	changed    map[string]bool // services that changed since the last notify
-	allChanged bool            // all of them did
+	allChanged bool            // all services changed
 }
 
-// watcher is one watch that waits.
+// watcher is one waiting watch.
 type watcher struct {
 	notify   chan struct{} // buffers one value, which stands for all changes until it is received
 	services []string
@@ -37,7 +37,7 @@
 	}
 }
 
-// touch marks the services of some changes for the next notify.
+// markChanged marks the services that some changes affect for the next notify.
 func (g *watcherGroup) markChanged(changes []change) {
 	for _, c := range changes {
 		for _, service := range c.affectedServices() {
@@ -48,10 +48,10 @@
 	}
 }
 
-// touchAll marks all services, for a state that was replaced as a whole.
+// markAllChanged marks all services, after the whole state was replaced.
 func (g *watcherGroup) markAllChanged() { g.allChanged = true }
 
-// notify wakes the watches of the marked services, and clears the marks. It doesn't block.
+// notify wakes the watches of the marked services and clears the marks. It doesn't block.
 func (g *watcherGroup) notify() {
 	if g.allChanged {
 		for service := range g.byService {
--- a/internal/registry/wire.go
+++ b/internal/registry/wire.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// The paths, headers and bodies of the HTTP protocol, and their one mapping to the package's types. Endpoint and
-// EndpointList are sent as they are.
+// This file defines the paths, headers and bodies of the HTTP protocol, and maps them to the package's types. Endpoint
+// and EndpointList are sent as they are.
 
 const (
 	instancesPath = "/registry/instances"
@@ -25,9 +25,9 @@
 
 	requestIDHeader       = "X-Request-Id"
 	epochHeader           = "X-Registry-Epoch"
-	ageHeader             = "X-Registry-Age-Ms"           // how old the list may be at most
-	scopedHeader          = "X-Registry-Scoped"           // the list is of the scope that the call named
-	unknownServicesHeader = "X-Registry-Unknown-Services" // those of the scope of which nothing is known
+	ageHeader             = "X-Registry-Age-Ms"           // maximum age of the list
+	scopedHeader          = "X-Registry-Scoped"           // present if the list is scoped
+	unknownServicesHeader = "X-Registry-Unknown-Services" // unknown services of the scope
 
 	revisionParam = "index"
 	waitParam     = "wait" // ms
@@ -43,12 +43,12 @@
 	Cell        int64    `json:"cell"`
 	Phase       string   `json:"phase"`       // empty for PhaseUp
 	Size        *float64 `json:"size"`        // nil for 1
-	StartTimeMs int64    `json:"up_since_ms"` // Unix time
+	StartTimeMs int64    `json:"up_since_ms"` // Unix time in ms
 	TTLMs       int64    `json:"lease_ms"`    // 0 for DefaultTTL
 	Service     string   `json:"service,omitempty"`
 }
 
-// registrationOf returns the body that registers an endpoint.
+// newRegistration returns the body that registers an endpoint.
 func newRegistration(e Endpoint, ttl time.Duration) registration {
 	return registration{Address: e.Address, Zone: e.Zone, Kind: e.Kind, Cell: e.Cell, Phase: e.Phase, Size: &e.Size,
 		StartTimeMs: e.StartTimeMs, TTLMs: ttl.Milliseconds(), Service: e.Service}
@@ -73,8 +73,8 @@
 	return c, c.Endpoint.Validate()
 }
 
-// phaseBody is the body of a PUT of an instance's phase. It is an alias, as a defined type's name would show in the
-// responses to bodies with a wrong type.
+// phaseBody is the body of a PUT of an instance's phase. It is an alias because the name of a defined type would appear
+// in the response to a body with a wrong type.
 type phaseBody = struct {
 	Phase string `json:"phase"`
 }
@@ -99,23 +99,23 @@
 		TTLMs: result.Instance.TTL.Milliseconds(), Phase: result.Instance.Endpoint.Phase}
 }
 
-// progressResponse is what the leader tells a follower: the last command that it has applied, and how old its list may
-// be.
+// progressResponse is the leader's response to a follower: the index of the last command that the leader has applied,
+// and the maximum age of its list.
 type progressResponse struct {
 	Index uint64 `json:"index"`
 	AgeMs int64  `json:"age_ms"`
 }
 
-// Status is the state of a replica for operators.
+// Status describes the state of a replica to operators.
 type Status struct {
 	ID                 string          `json:"id"`
-	Leader             string          `json:"leader"` // id; empty for none that this replica knows
+	Leader             string          `json:"leader"` // ID; empty if this replica knows none
 	Epoch              int64           `json:"epoch"`
 	Revision           int64           `json:"revision"`
 	Instances          int             `json:"instances"`
 	ExpirySuspended    bool            `json:"leases_held"` // too many leases expire at once, and no instance is removed
-	AgeMs              int64           `json:"age_ms"`      // -1: unknown, and no list is served
-	Watches            int64           `json:"watches"`     // that wait now
+	AgeMs              int64           `json:"age_ms"`      // -1 if unknown; no list is then served
+	Watches            int64           `json:"watches"`     // waiting now
 	Lists              uint64          `json:"lists"`
 	Writes             uint64          `json:"writes"`
 	CallsRejected      uint64          `json:"calls_turned_away"`   // for lack of capacity
@@ -123,14 +123,14 @@
 	Replicas           []ReplicaStatus `json:"replicas"`
 }
 
-// ReplicaStatus is one of the replicas that raft counts.
+// ReplicaStatus describes a replica of raft's configuration.
 type ReplicaStatus struct {
 	ID          string `json:"id"`
 	RaftAddress string `json:"raft"`
 	APIAddress  string `json:"calls"`
 }
 
-// readJSON reads a call's body, without unknown fields.
+// readJSON decodes a call's body and rejects unknown fields.
 func readJSON(req *http.Request, body any) error {
 	decoder := json.NewDecoder(io.LimitReader(req.Body, maxBodyBytes))
 	decoder.DisallowUnknownFields()
@@ -140,7 +140,7 @@
 	return nil
 }
 
-// mustMarshalJSON encodes a list, whose types have no value that can't be encoded: sizes are validated.
+// mustMarshalJSON encodes a list. Encoding can't fail, because sizes are validated to be finite.
 func mustMarshalJSON(list EndpointList) []byte {
 	raw, err := json.Marshal(list)
 	if err != nil {
@@ -164,7 +164,7 @@
 
 func etag(version int64) string { return strconv.Quote(strconv.FormatInt(version, 10)) }
 
-// errorText returns the text of a 503 response, which is a part of the protocol.
+// errorText returns the text of a 503 response. The texts are part of the protocol.
 func errorText(err error) string {
 	const notLeader, notCommitted = "this replica is not the leader", "not kept by most replicas in time"
 	var commit *CommitError
