--- a/internal/registry/errors_test.go
+++ b/internal/registry/errors_test.go
@@ -25,15 +25,15 @@
 	} {
 		for _, sentinel := range test.sentinels {
 			if !errors.Is(test.err, sentinel) {
-				t.Errorf("%v is not %v", test.err, sentinel)
+				t.Errorf("errors.Is(%v, %v): got false, want true", test.err, sentinel)
 			}
 		}
 		if got := errorText(test.err); got != test.text {
-			t.Errorf("the response to %v is %q, want %q", test.err, got, test.text)
+			t.Errorf("response text of error %v: got %q, want %q", test.err, got, test.text)
 		}
 	}
 	if err := ResultOK.Err(); err != nil {
-		t.Errorf("ResultOK is the error %v", err)
+		t.Errorf("error of ResultOK: got %v, want nil", err)
 	}
 }
 
@@ -42,6 +42,6 @@
 	invalid.Size = -1
 	var fieldErr *FieldError
 	if err := invalid.Validate(); !errors.As(err, &fieldErr) || fieldErr.Field != "size" {
-		t.Errorf("got %v, want a FieldError of size", err)
+		t.Errorf("validating an endpoint with a negative size: got error %v, want a FieldError for the field size", err)
 	}
 }
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -9,23 +9,23 @@
 	f := new(freshness)
 	f.applied(7)
 	if _, known := f.age(false); known {
-		t.Error("the age is known before the leader was polled")
+		t.Error("follower's age before the first poll of the leader: got a known age, want unknown")
 	}
 	f.progressReceived(9, time.Now().Add(-time.Second))
 	f.applied(8)
 	if _, known := f.age(false); known {
-		t.Error("the age is known, and command 9 isn't applied")
+		t.Error("follower's age before command 9 is applied: got a known age, want unknown")
 	}
 	f.applied(9)
 	if age, known := f.age(false); !known || age < time.Second || age > time.Minute {
-		t.Errorf("age %v, known %v, want that of the poll", age, known)
+		t.Errorf("follower's age after command 9 is applied: got %v, known %v; want at least the second since the poll", age, known)
 	}
 	f.progressReceived(20, time.Now())
 	if age, _ := f.age(false); age < time.Second {
-		t.Errorf("age %v, and command 20 isn't applied", age)
+		t.Errorf("follower's age before command 20 is applied: got %v, want at least the second since the first poll", age)
 	}
 	if _, known := f.age(true); known {
-		t.Error("as the leader it has committed no tick")
+		t.Error("leader's age without a committed tick: got a known age, want unknown")
 	}
 }
 
@@ -33,10 +33,10 @@
 	f := new(freshness)
 	f.tickCommitted(time.Now().Add(-time.Second))
 	if age, known := f.age(true); !known || age < time.Second || age > time.Minute {
-		t.Errorf("age %v, known %v, want that of the tick", age, known)
+		t.Errorf("leader's age: got %v, known %v; want at least the second since its tick", age, known)
 	}
 	if _, known := f.age(false); known {
-		t.Error("as a follower it has not polled a leader")
+		t.Error("follower's age without a poll of the leader: got a known age, want unknown")
 	}
 }
 
@@ -46,10 +46,10 @@
 		f.progressReceived(index+1, time.Now())
 	}
 	if len(f.pending) != maxPendingProgress {
-		t.Errorf("%d polls are pending, want %d", len(f.pending), maxPendingProgress)
+		t.Errorf("pending polls: got %d, want %d", len(f.pending), maxPendingProgress)
 	}
 	f.applied(2 * maxPendingProgress)
 	if _, known := f.age(false); !known || len(f.pending) != 0 {
-		t.Errorf("caught up, and %d polls are pending", len(f.pending))
+		t.Errorf("pending polls after all commands are applied: got %d, want 0 and a known age", len(f.pending))
 	}
 }
--- a/internal/registry/golden_http_test.go
+++ b/internal/registry/golden_http_test.go
@@ -22,10 +22,11 @@
 	"sloerail/internal/golden"
 )
 
-// varying are the parts of responses that differ from run to run.
+// varyingParts matches the parts of responses that differ between runs.
 var varyingParts = regexp.MustCompile(`"(age_ms|index)":[0-9]+|(?m)^(X-Registry-Age-Ms: |registry_age_seconds )[0-9.e+-]+$`)
 
-// transcript writes a call and its response: the status, the headers that have a meaning here, and the body.
+// recordCall makes a call and writes it with its response: the status, all headers but Date and Content-Length, and the
+// body.
 func recordCall(t *testing.T, b *strings.Builder, method, url, path, body string, header map[string]string) {
 	t.Helper()
 	req, err := http.NewRequest(method, url+path, strings.NewReader(body))
@@ -54,7 +55,7 @@
 	})
 }
 
-// TestGoldenResponses goes through the calls that nodes, agents and operators make, wrong ones among them.
+// TestGoldenResponses checks the responses to the calls of nodes, agents and operators, including invalid calls.
 func TestGoldenResponses(t *testing.T) {
 	r := openLeader(t, t.TempDir())
 	server := NewServer(r, ServerConfig{})
@@ -130,7 +131,7 @@
 	golden.Check(t, "answers.txt", []byte(maskVaryingParts(b.String())))
 }
 
-// TestGoldenRejections has the responses of a replica without a leader, and of one without capacity.
+// TestGoldenRejections checks the responses of a replica without a leader, and of one without capacity.
 func TestGoldenRejections(t *testing.T) {
 	addr, transport := raft.NewInmemTransport("r0.raft")
 	r, err := Open(ReplicaConfig{ID: "r0", RaftAddress: string(addr), DataDir: t.TempDir(), transport: transport})
@@ -170,7 +171,7 @@
 	golden.Check(t, "refusals.txt", []byte(maskVaryingParts(b.String())))
 }
 
-// recorded returns a handler's response to a write.
+// recordResponse returns a handler's response to a write.
 func recordResponse(handle http.HandlerFunc) string {
 	w := httptest.NewRecorder()
 	handle(w, httptest.NewRequest("PUT", "/registry/instances/s0/lease?x=1", nil))
@@ -183,7 +184,7 @@
 	return b.String()
 }
 
-// TestGoldenAgentCalls has the calls of an agent through the life of a server.
+// TestGoldenAgentCalls checks the calls of an agent from registration to deregistration.
 func TestGoldenAgentCalls(t *testing.T) {
 	var mu sync.Mutex
 	var b strings.Builder
@@ -215,7 +216,7 @@
 	golden.Check(t, "agent-calls.txt", []byte(b.String()))
 }
 
-// TestGoldenConfig reads a replica's file with all keys.
+// TestGoldenConfig checks that a replica's configuration file with all keys is read.
 func TestGoldenConfig(t *testing.T) {
 	got, err := LoadConfig(filepath.Join("testdata", "replica.toml"))
 	want := Config{ID: "r1", ListenAddress: "10.2.0.2:8500", RaftAddress: "10.2.0.2:8501", RaftBindAddress: "0.0.0.0:8501", AdminAddress: "10.2.0.2:8502",
@@ -226,7 +227,7 @@
 	}
 }
 
-// TestStoredFieldsHaveExplicitKeys fails where a stored or sent form takes a key from a Go name.
+// TestStoredFieldsHaveExplicitKeys checks that no stored or sent type takes a key from the name of a Go field.
 func TestStoredFieldsHaveExplicitKeys(t *testing.T) {
 	for tag, values := range map[string][]any{
 		"cbor": {Command{}, snapshotImage{}, Instance{}, Endpoint{}, Result{}, change{}, Placement{}, cachedResponse{}},
@@ -237,7 +238,7 @@
 			valueType := reflect.TypeOf(value)
 			for field := range valueType.Fields() {
 				if key, _, _ := strings.Cut(field.Tag.Get(tag), ","); key == "" {
-					t.Errorf("%s.%s has no explicit %s key", valueType, field.Name, tag)
+					t.Errorf("field %s.%s has no explicit %s key", valueType, field.Name, tag)
 				}
 			}
 		}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -23,22 +23,22 @@
 	"sloerail/internal/golden"
 )
 
-// The files in testdata are stored and sent forms as an earlier release wrote them. Replicas, agents and nodes of
-// that release run beside newer ones, so the forms must not change: these tests read the files, and write them again
-// byte for byte where the form is deterministic.
+// The files in testdata hold stored and sent data as an earlier release wrote it. Replicas, agents and nodes of that
+// release run alongside newer ones, so the formats must not change: these tests read the files, and where the encoding
+// is deterministic, they write the same bytes again.
 
 func goldenEndpoint(id, service string) Endpoint {
 	return Endpoint{ID: id, Address: "10.1.0.18:9000", Zone: "cairo-1", Kind: "big-box", Cell: 3, Phase: PhaseUp, Size: 1.5,
 		StartTimeMs: 1_700_000_000_123, Service: service}
 }
 
-// namedCommand is a command with a label for the golden file.
+// namedCommand is a command with its label in the golden file.
 type namedCommand struct {
 	name    string
 	command Command
 }
 
-// goldenCommands has each kind, with few and with many fields. Applied in this order they fill a state.
+// goldenCommands holds commands of each kind, with few and with many fields. goldenStore applies them in this order.
 var goldenCommands = []namedCommand{
 	{"lead", Command{Kind: RestartLeases}},
 	{"set-peer-r0", Command{Kind: SetReplicaAddress, ID: "r0", Endpoint: Endpoint{Address: "10.2.0.1:8500"}}},
@@ -88,7 +88,7 @@
 	golden.Check(t, "commands.cbor.hex", []byte(encoded.String()))
 	lines := strings.Split(strings.TrimSpace(string(golden.Read(t, "commands.cbor.hex"))), "\n")
 	if len(lines) != len(all) {
-		t.Fatalf("%d commands in the file, want %d", len(lines), len(all))
+		t.Fatalf("commands in commands.cbor.hex: got %d, want %d", len(lines), len(all))
 	}
 	for i, line := range lines {
 		_, text, _ := strings.Cut(line, " ")
@@ -98,12 +98,12 @@
 		}
 		var got Command
 		if err := cbor.Unmarshal(raw, &got); err != nil || got != all[i].command {
-			t.Errorf("%s is read as %+v, %v", line, got, err)
+			t.Errorf("decoding command %s: got %+v, error %v; want the command as written", line, got, err)
 		}
 	}
 }
 
-// TestGoldenSnapshot reads a snapshot with several instances, whose maps are written in any order.
+// TestGoldenSnapshot compares a snapshot with several instances. Maps are written in random order, so it sorts their keys.
 func TestGoldenSnapshot(t *testing.T) {
 	s := goldenStore()
 	var encoded bytes.Buffer
@@ -117,11 +117,11 @@
 	}
 	checkSameStore(t, s, restored)
 	if want, encoded := canonicalImage(t, raw), canonicalImage(t, encoded.Bytes()); !bytes.Equal(want, encoded) {
-		t.Errorf("a snapshot is written otherwise:\ngolden %x\nnow    %x", want, encoded)
+		t.Errorf("a new snapshot with sorted keys differs from the golden file:\nwant %x\ngot  %x", want, encoded)
 	}
 }
 
-// TestGoldenSnapshotBytes writes a snapshot whose maps have one key each, byte for byte.
+// TestGoldenSnapshotBytes compares a snapshot byte for byte. Its maps have one key each, so that the order is fixed.
 func TestGoldenSnapshotBytes(t *testing.T) {
 	s := goldenStore()
 	for _, id := range []string{"s0", "s1"} {
@@ -132,7 +132,7 @@
 		t.Fatal(err)
 	}
 	if len(s.instances) != 1 || len(s.replicaAddresses) != 1 {
-		t.Fatalf("%d instances and %d peers: the order of their keys isn't given", len(s.instances), len(s.replicaAddresses))
+		t.Fatalf("%d instances and %d replica addresses: want 1 of each, so that the order of keys is fixed", len(s.instances), len(s.replicaAddresses))
 	}
 	golden.Check(t, "snapshot-one", encoded.Bytes())
 	raw := golden.Read(t, "snapshot-one")
@@ -146,30 +146,30 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(raw, reencoded.Bytes()) {
-		t.Error("a snapshot that was read is written otherwise")
+		t.Error("writing a restored snapshot again: got other bytes than those in snapshot-one")
 	}
 }
 
-// checkSameStore compares what is stored in a snapshot, and what is derived from it.
+// checkSameStore fails unless the data stored in a snapshot, and the data derived from it, are the same.
 func checkSameStore(t *testing.T, want, got *Store) {
 	t.Helper()
 	if diff := cmp.Diff(want.image(), got.image(), cmp.AllowUnexported(snapshotImage{}, change{}, cachedResponse{})); diff != "" {
-		t.Error("the store differs (-want +got):", diff)
+		t.Error("stored data differs (-want +got):", diff)
 	}
 	if !maps.Equal(want.responses.byRequest, got.responses.byRequest) {
-		t.Error("the cached responses differ:", cmp.Diff(want.responses.byRequest, got.responses.byRequest))
+		t.Error("cached responses differ (-want +got):", cmp.Diff(want.responses.byRequest, got.responses.byRequest))
 	}
 	if diff := cmp.Diff(want.FullList(), got.FullList()); diff != "" {
-		t.Error("the lists differ (-want +got):", diff)
+		t.Error("full lists differ (-want +got):", diff)
 	}
 }
 
-// canonicalImage is the body of a snapshot with the keys of its maps sorted.
+// canonicalImage returns the image in a snapshot, encoded with sorted map keys.
 func canonicalImage(t *testing.T, snapshot []byte) []byte {
 	t.Helper()
-	const headerBytes = 14 + 1 + 8 + 8 // mark, version, length, hash
+	const headerLength = 14 + 1 + 8 + 8 // magic, version, length, checksum
 	var generic any
-	if err := cbor.Unmarshal(snapshot[headerBytes:], &generic); err != nil {
+	if err := cbor.Unmarshal(snapshot[headerLength:], &generic); err != nil {
 		t.Fatal(err)
 	}
 	mode, err := cbor.CanonicalEncOptions().EncMode()
@@ -183,7 +183,7 @@
 	return raw
 }
 
-// openLeader opens the only replica of a data directory, and waits until it is the leader.
+// openLeader opens a single replica in a data directory, and waits until it is the leader.
 func openLeader(t *testing.T, dataDir string) *Replica {
 	t.Helper()
 	addr, transport := raft.NewInmemTransport("r0.raft")
@@ -197,12 +197,12 @@
 			return r
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the replica doesn't become the leader")
+			t.Fatal("timed out waiting for the replica to become the leader")
 		}
 	}
 }
 
-// TestGoldenFolder opens a copy of a replica's folder: a snapshot, and commands after it.
+// TestGoldenFolder opens a copy of a replica's data directory, which holds a snapshot and later commands.
 func TestGoldenFolder(t *testing.T) {
 	dataDir := t.TempDir()
 	extractTarGz(t, golden.Read(t, "folder.tar.gz"), dataDir)
@@ -219,17 +219,17 @@
 	s1.Phase = PhaseDraining
 	want := EndpointList{Revision: 1<<32 + 7, Complete: true, Endpoints: []Endpoint{goldenEndpoint("s0", ""), s1, s3}}
 	if diff := cmp.Diff(want, list); diff != "" {
-		t.Error("the list differs (-want +got):", diff)
+		t.Error("list of the opened replica differs (-want +got):", diff)
 	}
 	if want := map[string]string{"r0": "10.2.0.1:8500", "r1": "10.2.0.2:8500"}; !maps.Equal(want, addresses) {
-		t.Errorf("the replicas' addresses are %v, want %v", addresses, want)
+		t.Errorf("HTTP addresses of the replicas: got %v, want %v", addresses, want)
 	}
 	result, err := r.Propose(Command{Kind: SetInstancePhase, RequestID: "q5", ID: "s1", Phase: PhaseDraining})
 	if err != nil || result.Revision != 1<<32+5 {
-		t.Errorf("a request that was answered before gets %+v, %v, want its first result", result, err)
+		t.Errorf("retry of request q5: got %+v, error %v; want its first result, at revision 1<<32+5", result, err)
 	}
 	if result, err := r.Propose(Command{Kind: DeregisterInstance, ID: "s0"}); err != nil || result.Revision != want.Revision+1 {
-		t.Errorf("the next change gives %+v, %v", result, err)
+		t.Errorf("deregistering s0: got %+v, error %v; want the revision after that of the list", result, err)
 	}
 }
 
--- a/internal/registry/http_list_test.go
+++ b/internal/registry/http_list_test.go
@@ -15,7 +15,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// startServer serves the list of a single replica, which is the leader.
+// startServer starts a server for a single replica, and waits until that is the leader. url is the URL of the list.
 func startServer(t *testing.T) (r *Replica, url string) {
 	t.Helper()
 	addr, transport := raft.NewInmemTransport("")
@@ -40,7 +40,7 @@
 	return r, server.URL + instancesPath
 }
 
-// propose has the replica carry out commands, and returns its revision after them.
+// mustPropose has the replica carry out commands, and returns the revision after the last one.
 func mustPropose(t *testing.T, r *Replica, commands ...Command) (revision int64) {
 	t.Helper()
 	for _, c := range commands {
@@ -53,7 +53,7 @@
 	return revision
 }
 
-// response is the response to a call.
+// response holds the response to a call.
 type response struct {
 	status int
 	header http.Header
@@ -82,12 +82,12 @@
 func (r response) list(t *testing.T) (l EndpointList) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(r.body), &l); err != nil || r.status != http.StatusOK {
-		t.Fatalf("%d %s: %v", r.status, r.body, err)
+		t.Fatalf("decoding a list: status %d, body %s, error %v", r.status, r.body, err)
 	}
 	return l
 }
 
-// Without a scope and without services, responses are in the platform's form, byte for byte.
+// Without a scope and without services, the response has the platform's format, byte for byte.
 func TestFullListHasThePlatformsForm(t *testing.T) {
 	r, url := startServer(t)
 	revision := mustPropose(t, r, registerCommandFor("s0", DefaultTTL))
@@ -95,21 +95,21 @@
 	want := fmt.Sprintf(`{"revision":%d,"complete":true,"members":[{"id":"s0","host_port":"10.0.0.1:9000","locality":"a",`+
 		`"flavor":"","cell":0,"phase":"up","size":1,"up_since_ms":0}]}`, revision)
 	if got.body != want || got.header.Get(scopedHeader) != "" {
-		t.Errorf("got %s\nwant %s", got.body, want)
+		t.Errorf("full list: got %s\nwant %s, and no header for scoped lists", got.body, want)
 	}
 }
 
-// A scoped watch waits through changes outside its scope, responds to those within, and at its timeout has the newest
-// revision.
+// A scoped watch ignores changes outside its scope, responds to those in it, and returns the latest revision at its
+// timeout.
 func TestScopedWatchRespondsToChangesInItsScope(t *testing.T) {
 	r, url := startServer(t)
 	revision := mustPropose(t, r, registerInService("a0", "a"), registerInService("b0", "b"))
 	full := get(t, url+"?service=a")
 	if l := full.list(t); !l.Complete || l.Revision != revision || len(l.Endpoints) != 1 || l.Endpoints[0].Service != "a" {
-		t.Errorf("the list of a is %+v", l)
+		t.Errorf("list of service a: got %+v, want the complete list of a0 at the current revision", l)
 	}
 	if full.header.Get(scopedHeader) == "" || full.header.Get(unknownServicesHeader) != "" {
-		t.Errorf("headers %v", full.header)
+		t.Errorf("headers of the list of service a: got %v, want it marked as scoped, without unknown services", full.header)
 	}
 	watch := func(wait time.Duration) chan response {
 		received := make(chan response, 1)
@@ -132,7 +132,7 @@
 	checkChanges(t, <-watch(0), outsideRevision) // at its timeout
 }
 
-// checkChanges fails unless a watch got the changes of some endpoints and a revision.
+// checkChanges fails unless a watch got the changes of the given endpoints and the given revision.
 func checkChanges(t *testing.T, got response, revision int64, ids ...string) {
 	t.Helper()
 	list := got.list(t)
@@ -141,11 +141,11 @@
 		changed = append(changed, endpoint.ID)
 	}
 	if list.Complete || list.Revision != revision || !slices.Equal(changed, ids) {
-		t.Errorf("got %+v, want changes of %v at revision %d", list, ids, revision)
+		t.Errorf("response to a watch: got %+v, want the changes of %v at revision %d", list, ids, revision)
 	}
 }
 
-// awaitWatcher waits until a watch of a service waits.
+// waitForWatcher blocks until a watch of a service is registered.
 func waitForWatcher(t *testing.T, r *Replica, service string) {
 	t.Helper()
 	for deadline := time.Now().Add(maxWatchWait); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -156,10 +156,10 @@
 			return
 		}
 	}
-	t.Fatal("no watch waits")
+	t.Fatal("timed out waiting for a watch to be registered")
 }
 
-// Only watches of services that changed are notified, and all are in a new epoch.
+// A change notifies only the watches of its services. A new epoch notifies all watches.
 func TestOnlyWatchesOfChangedServicesAreNotified(t *testing.T) {
 	r, _ := startServer(t)
 	notified := func(changes <-chan struct{}) bool {
@@ -177,7 +177,7 @@
 	if notified(b) {
 		t.Error("a change of service a notified a watch of b and c")
 	}
-	mustPropose(t, r, registerInService("a0", "c")) // it leaves one service for another
+	mustPropose(t, r, registerInService("a0", "c")) // moves from service a to service c
 	<-a
 	<-b
 	mustPropose(t, r, Command{Kind: BeginEpoch})
@@ -186,27 +186,27 @@
 	cancelA()
 	cancelB()
 	if len(r.store.scoped.byService) != 0 {
-		t.Errorf("%d services have no watch, and are still registered", len(r.store.scoped.byService))
+		t.Errorf("services registered after all watches were cancelled: got %d, want 0", len(r.store.scoped.byService))
 	}
 }
 
-// An unknown service is not an empty one: 404 if all are unknown, else the header names them.
+// Unknown services differ from empty ones: the status is 404 if all are unknown; otherwise a header names them.
 func TestUnknownServicesAreNotAnEmptyList(t *testing.T) {
 	r, url := startServer(t)
 	if got := get(t, url+"?service=a,b"); got.status != http.StatusNotFound || got.body != "service: unknown: a, b\n" {
-		t.Errorf("an empty replica answers %d %q", got.status, got.body)
+		t.Errorf("list of unknown services: got status %d, body %q, want 404 and both names", got.status, got.body)
 	}
 	revision := mustPropose(t, r, registerInService("a0", "a"))
 	partial := get(t, url+"?service=b&service=a")
 	if l := partial.list(t); len(l.Endpoints) != 1 || partial.header.Get(unknownServicesHeader) != "b" {
-		t.Errorf("got %+v with %v", l, partial.header)
+		t.Errorf("list of services a and b: got %+v with headers %v, want a0 and b named as unknown", l, partial.header)
 	}
 	if got := get(t, fmt.Sprintf("%s?service=b&index=%d&wait=1000", url, revision)); got.status != http.StatusNotFound {
-		t.Errorf("a watch of an unknown service is answered %d", got.status)
+		t.Errorf("watch of an unknown service: got status %d, want 404", got.status)
 	}
 	mustPropose(t, r, Command{Kind: DeregisterInstance, ID: "a0"})
 	if l := get(t, url+"?service=a").list(t); !l.Complete || len(l.Endpoints) != 0 {
-		t.Errorf("the list of a service whose last server was removed is %+v", l)
+		t.Errorf("list of a service after its last server was removed: got %+v, want a complete, empty list", l)
 	}
 }
 
@@ -215,7 +215,7 @@
 	for _, query := range []string{"service=", "service=a&subset=0", "service=a&subset=2&position=3&nodes=3", "subset=3",
 		"service=a&index=x"} {
 		if got := get(t, url+"?"+query); got.status != http.StatusBadRequest || strings.Count(got.body, "\n") != 1 {
-			t.Errorf("%s: %d %q", query, got.status, got.body)
+			t.Errorf("query %s: got status %d, body %q, want 400 and one line", query, got.status, got.body)
 		}
 	}
 	req, err := http.NewRequest(http.MethodPut, url+"/s0", strings.NewReader(`{"host_port":"10.0.0.1:9000","service":"a b"}`))
@@ -227,6 +227,6 @@
 		t.Fatal(err)
 	}
 	if body := readBody(t, resp); resp.StatusCode != http.StatusBadRequest || !strings.HasPrefix(body, "service: ") {
-		t.Errorf("an invalid service is answered %d %q", resp.StatusCode, body)
+		t.Errorf("registration with an invalid service: got status %d, body %q, want 400 and the field service", resp.StatusCode, body)
 	}
 }
--- a/internal/registry/http_write_test.go
+++ b/internal/registry/http_write_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// What the HTTP side puts into the raft log has to be the same at all versions that run beside each other.
+// All versions that run at the same time must write the same commands into the raft log.
 func TestWritesAreTheseCommands(t *testing.T) {
 	endpoint := testEndpoint("s0")
 	for _, test := range []struct {
@@ -28,7 +28,7 @@
 		req.Header.Set("If-Match", `"7"`)
 		id, resource, _ := strings.Cut(test.path, "/")
 		if got, err := instanceCommand(req, id, resource); err != nil || got != test.want {
-			t.Errorf("%s %s %s: %+v, %v; want %+v", test.method, test.path, test.body, got, err, test.want)
+			t.Errorf("command for %s %s %s: got %+v, error %v; want %+v", test.method, test.path, test.body, got, err, test.want)
 		}
 	}
 }
--- a/internal/registry/lessor_test.go
+++ b/internal/registry/lessor_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// grantLeases returns n instances whose leases were granted now.
+// grantLeases returns n instances with leases that start now.
 func grantLeases(l *lessor, n int, ttl time.Duration) map[string]Instance {
 	instances := make(map[string]Instance)
 	for i := range n {
@@ -18,7 +18,7 @@
 	return instances
 }
 
-// expireAll removes the instances whose leases expired, as the Store does, and returns their ids.
+// expireAll removes the instances whose leases expired, as the Store does, and returns their IDs.
 func expireAll(l *lessor, instances map[string]Instance) (ids []string) {
 	for _, instance := range l.expire(instances) {
 		delete(instances, instance.Endpoint.ID)
@@ -32,11 +32,11 @@
 	instances := grantLeases(l, 1, 4*time.Second)
 	l.advance(4*time.Second - 1)
 	if ids := expireAll(l, instances); ids != nil {
-		t.Errorf("%v expired before the deadline", ids)
+		t.Errorf("expired before the deadline: got %v, want none", ids)
 	}
 	l.advance(1)
 	if ids := expireAll(l, instances); !slices.Equal(ids, []string{"s00"}) {
-		t.Errorf("%v expired at the deadline, want s00", ids)
+		t.Errorf("expired at the deadline: got %v, want [s00]", ids)
 	}
 }
 
@@ -46,10 +46,10 @@
 		expiring, renewing int
 		suspended          bool
 	}{
-		{"all of a few", minMassExpirations, 0, false},
+		{"all, but too few", minMassExpirations, 0, false},
 		{"all", minMassExpirations + 1, 0, true},
-		{"the largest fraction", 6, 14, false},
-		{"over the largest fraction", 7, 13, true},
+		{"the maximum fraction", 6, 14, false},
+		{"over the maximum fraction", 7, 13, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l := new(lessor)
@@ -66,7 +66,7 @@
 				want = 0
 			}
 			if len(expired) != want || l.suspended != test.suspended {
-				t.Errorf("%d expired, suspended %v; want %d, %v", len(expired), l.suspended, want, test.suspended)
+				t.Errorf("got %d expired, suspended %v; want %d expired, suspended %v", len(expired), l.suspended, want, test.suspended)
 			}
 		})
 	}
@@ -83,41 +83,41 @@
 		}
 		l.advance(time.Second)
 		if ids := expireAll(l, instances); len(ids) != minMassExpirations {
-			t.Fatalf("%v expired, want %d", ids, minMassExpirations)
+			t.Fatalf("leases expired at their deadline: got %v, want %d of them", ids, minMassExpirations)
 		}
 		for elapsed := time.Duration(0); elapsed < wait; elapsed += maxClockStep {
 			l.advance(min(maxClockStep, wait-elapsed))
 		}
 		if ids := expireAll(l, instances); (len(ids) == 0) != suspended || l.suspended != suspended {
-			t.Errorf("one more after %v: %v expired, suspended %v, want %v", wait, ids, l.suspended, suspended)
+			t.Errorf("last lease, %v after the others: got %v expired, suspended %v; want suspended %v", wait, ids, l.suspended, suspended)
 		}
 	}
 }
 
-// After a restart neither earlier expirations nor a suspension count.
+// A restart clears earlier expirations and a suspension.
 func TestRestartGrantsAllLeasesAnew(t *testing.T) {
 	l := new(lessor)
 	instances := grantLeases(l, minMassExpirations, time.Second)
 	instances["last"] = Instance{Endpoint: testEndpoint("last"), TTL: 2 * time.Second, Deadline: 2 * time.Second}
 	l.advance(time.Second)
 	if ids := expireAll(l, instances); len(ids) != minMassExpirations {
-		t.Fatalf("%v expired, want %d", ids, minMassExpirations)
+		t.Fatalf("leases expired at their deadline: got %v, want %d of them", ids, minMassExpirations)
 	}
 	l.advance(time.Second)
 	if ids := expireAll(l, instances); len(ids) != 0 || !l.suspended {
-		t.Fatalf("%v expired, suspended %v: the last one completes a mass", ids, l.suspended)
+		t.Fatalf("last lease after earlier expirations: got %v expired, suspended %v; want none, suspended", ids, l.suspended)
 	}
 	l.restart(instances)
 	if l.suspended {
-		t.Error("still suspended after a restart")
+		t.Error("expiry after a restart: got suspended, want resumed")
 	}
 	l.advance(2*time.Second - 1)
 	if ids := expireAll(l, instances); len(ids) != 0 {
-		t.Errorf("%v expired before its new deadline", ids)
+		t.Errorf("expired before the new deadline: got %v, want none", ids)
 	}
 	l.advance(1)
 	if ids := expireAll(l, instances); !slices.Equal(ids, []string{"last"}) {
-		t.Errorf("%v expired, want the last one: earlier expirations are to count no more", ids)
+		t.Errorf("expired at the new deadline: got %v, want [last], as earlier expirations no longer count", ids)
 	}
 }
 
@@ -126,6 +126,6 @@
 	l.advance(time.Hour)
 	l.advance(-time.Hour)
 	if l.now != maxClockStep {
-		t.Errorf("the clock is at %v, want %v", l.now, maxClockStep)
+		t.Errorf("lease time after a step of an hour: got %v, want %v", l.now, maxClockStep)
 	}
 }
