--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -103,7 +103,8 @@
 	}
 }
 
-// TestGoldenSnapshot compares a snapshot with several instances. Maps are written in random order, so it sorts their keys.
+// TestGoldenSnapshot compares a snapshot with several instances. It sorts the keys of maps, which are written in any
+// order.
 func TestGoldenSnapshot(t *testing.T) {
 	s := goldenStore()
 	var encoded bytes.Buffer
--- a/internal/registry/measure_test.go
+++ b/internal/registry/measure_test.go
@@ -15,14 +15,14 @@
 	"sloerail/internal/subset"
 )
 
-var sizes = flag.String("sizes", "1000,2000,4000", "instances in the measurements, separated by commas")
+var sizes = flag.String("sizes", "1000,2000,4000", "numbers of instances to measure, separated by commas")
 
 const (
-	smallService = 50 // instances of each service but the large one, which has a tenth of all
+	smallService = 50 // instances of each small service; the large one has a tenth of all
 	measuredSeed = 7
 )
 
-// fleet is a list of n instances in a large service and many small ones.
+// fleet is a store with instances in one large service and many small ones.
 type fleet struct {
 	store *Store
 	next  int
@@ -43,19 +43,19 @@
 
 func (f *fleet) add(service string) {
 	f.next++
-	id := fmt.Sprintf("s-%08x", uint32(f.next)*2654435761) // odd, so that no two are alike
+	id := fmt.Sprintf("s-%08x", uint32(f.next)*2654435761) // the factor is odd, so that IDs are unique
 	f.store.Apply(Command{Kind: RegisterInstance, TTL: DefaultTTL, Endpoint: Endpoint{ID: id, Address: fmt.Sprintf("10.%d.%d.%d:9000",
 		f.next>>16, f.next>>8&255, f.next&255), Zone: fmt.Sprint("zone-", f.next%20), Kind: "m2", Cell: int64(f.next % 500),
 		Phase: PhaseUp, Size: 1, StartTimeMs: 1_700_000_000_000, Service: service}})
 }
 
-// nodeScope is what the measured node needs: the large service and four others.
+// nodeScope returns the scope of the measured node: the large service and four others.
 func nodeScope(size int) *Scope {
 	return &Scope{Services: []string{"large", "service-0", "service-1", "service-2", "service-3"}, SubsetSize: size,
 		Client: subset.Client{Position: 1234, Count: 5100, Zone: "zone-3"}}
 }
 
-// encodedBytes returns the length of a list as it is sent.
+// encodedBytes returns the length of an encoded list.
 func encodedBytes(t *testing.T, l EndpointList) int {
 	t.Helper()
 	raw, err := json.Marshal(l)
@@ -65,7 +65,7 @@
 	return len(raw)
 }
 
-// scopedBytes returns the length of what a scoped watcher gets, 0 for no response.
+// scopedBytes returns the length of the list that a scoped watcher gets, 0 for no response.
 func scopedBytes(t *testing.T, s *Store, scope *Scope, since int64) int {
 	t.Helper()
 	view, err := s.newScopedView(scope, since)
@@ -79,8 +79,8 @@
 	return encodedBytes(t, l)
 }
 
-// replace drains an instance, deregisters it, and registers a replacement. It returns the bytes that a watcher of the
-// full list and one of the scope get of it.
+// replace drains an instance, deregisters it, and registers a replacement. It returns how many bytes of changes a
+// watcher of the full list and a watcher of the scope get.
 func (f *fleet) replace(t *testing.T, scope *Scope, id string) (full, scoped int) {
 	t.Helper()
 	step := func(do func()) {
@@ -109,8 +109,8 @@
 	return all
 }
 
-// What a node is sent grows with its scope, and not with the number of instances; with a subset, not with the size of a
-// large service either.
+// The bytes sent to a node grow with its scope, not with the number of instances. With a subset, they don't grow with
+// the size of a large service either.
 func TestMeasureScope(t *testing.T) {
 	const replaced = 300
 	var firstBytes int
@@ -126,18 +126,18 @@
 			full, scoped := f.replace(t, scope, ids[i])
 			fullTotal, scopedTotal = fullTotal+full, scopedTotal+scoped
 		}
-		t.Logf("%6d instances: whole list %9d bytes, its five services %8d, subsets of 20 %6d; a replacement %4d and %7.2f",
+		t.Logf("%6d instances: full list %9d bytes, five services %8d, subsets of 20 %6d; changes of a replacement: full list %4d, subsets %7.2f",
 			n, fullListBytes, servicesBytes, subsetsBytes, fullTotal/replaced, float64(scopedTotal)/replaced)
 		if firstBytes == 0 {
 			firstBytes = subsetsBytes
 		}
 		if ratio := float64(subsetsBytes) / float64(firstBytes); ratio > 1.1 {
-			t.Errorf("a scoped list of %d bytes at %d instances is %.2f times that at the first size", subsetsBytes, n, ratio)
+			t.Errorf("scoped list of %d bytes at %d instances: got %.2f times the length at the first size, want at most 1.1", subsetsBytes, n, ratio)
 		}
 	}
 }
 
-// What the list costs a replica.
+// TestMeasureStore logs the time and memory that a replica spends on the list.
 func TestMeasureStore(t *testing.T) {
 	measure := func(do func()) time.Duration {
 		start := time.Now()
@@ -172,12 +172,12 @@
 				t.Fatal(err)
 			}
 		})
-		t.Logf("%6d instances: %3d MB, registered in %v each, renewed in %v, tick %v, new leader %v, whole list %v, scoped list %v, a drain in the large service sent to 1,000 watchers %v, snapshot %.1f MB written in %v, read in %v",
+		t.Logf("%6d instances: %3d MB, registered in %v each, renewed in %v, tick %v, new leader %v, full list %v, scoped list %v, a drain in the large service for 1,000 watchers %v, snapshot %.1f MB written in %v, read in %v",
 			n, memory>>20, (registerAll / time.Duration(n)).Round(10*time.Nanosecond), renew, tick, restart, full, view, watchers, float64(length)/1e6, write, read)
 	}
 }
 
-// notifyWatchers computes what each of n nodes gets of a change of the large service.
+// notifyWatchers computes the changes that each of n nodes gets after a change in the large service.
 func (f *fleet) notifyWatchers(t *testing.T, n int) {
 	before := f.store.revision
 	f.store.Apply(Command{Kind: SetInstancePhase, ID: f.store.services["large"].slots.ids[0], Phase: PhaseDraining})
@@ -188,7 +188,7 @@
 	}
 }
 
-// heapBytes returns the memory that is in use after a collection.
+// heapBytes returns the size of the heap after a garbage collection.
 func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
--- a/internal/registry/scope_test.go
+++ b/internal/registry/scope_test.go
@@ -39,7 +39,7 @@
 			t.Fatal(err)
 		}
 		if _, err := parseScope(values); err == nil || !strings.HasPrefix(err.Error(), want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.60s: got %v, want one line that begins %q", query, err, want)
+			t.Errorf("query %.60s: got error %v, want one line that starts with %q", query, err, want)
 		}
 	}
 	scope, err := parseScope(url.Values{"service": {"b,a", "a"}, "subset": {"2"}, "nodes": {"3"}, "position": {"1"}, "zone": {"z"}})
@@ -48,6 +48,6 @@
 		t.Error(err, diff)
 	}
 	if scope, err := parseScope(url.Values{"index": {"3"}, "other": {"x"}}); scope != nil || err != nil {
-		t.Errorf("a call without a scope: %+v, %v", scope, err)
+		t.Errorf("query without a scope: got %+v, error %v, want nil for both", scope, err)
 	}
 }
--- a/internal/registry/scoped_list_test.go
+++ b/internal/registry/scoped_list_test.go
@@ -20,7 +20,7 @@
 	return c
 }
 
-// drawServiceCommand returns any command on instances of a few services, also one that moves them to another.
+// drawServiceCommand returns any command on instances of a few services, including moves between services.
 func drawServiceCommand(t *rapid.T) Command {
 	c := drawCommand(t)
 	c.ID = fmt.Sprint("s", rapid.IntRange(0, 11).Draw(t, "instance"))
@@ -37,7 +37,7 @@
 	return c
 }
 
-// drawScope returns some of the services, with or without subsets.
+// drawScope returns a scope of some of the services, with or without subsets.
 func drawScope(t *rapid.T) *Scope {
 	scope := &Scope{Services: rapid.SampledFrom([][]string{{"a"}, {"a", "b"}, {"b"}, {"a", "none"}}).Draw(t, "scope")}
 	if scope.SubsetSize = rapid.IntRange(0, 3).Draw(t, "size"); scope.SubsetSize > 0 {
@@ -47,7 +47,7 @@
 	return scope
 }
 
-// scopedWatcher applies the changes of a scope.
+// scopedWatcher tracks the endpoints of a scope by applying its changes.
 type scopedWatcher struct {
 	scope        *Scope
 	lastRevision int64
@@ -58,7 +58,7 @@
 	return &scopedWatcher{scope: scope, lastRevision: -1, endpoints: make(map[string]Endpoint)}
 }
 
-// poll applies the changes since the watcher's revision.
+// poll applies the changes since the watcher's revision, and returns them.
 func (w *scopedWatcher) poll(s *Store) (l EndpointList, err error) {
 	view, err := s.newScopedView(w.scope, w.lastRevision)
 	if err != nil {
@@ -77,7 +77,7 @@
 	return l, nil
 }
 
-// mustPoll polls, and returns the ids that the watcher then has.
+// mustPoll polls, and also returns the IDs that the watcher then has.
 func (w *scopedWatcher) mustPoll(t *testing.T, s *Store) (EndpointList, []string) {
 	t.Helper()
 	l, err := w.poll(s)
@@ -87,7 +87,7 @@
 	return l, slices.Sorted(maps.Keys(w.endpoints))
 }
 
-// checkSlots fails unless the slots of each service are unique, and a new instance has the lowest that was free.
+// checkSlots fails unless slots are unique within each service and stable, and a new instance has the lowest free one.
 func checkSlots(t *rapid.T, before, after map[string]Instance) {
 	usedSlots := make(map[string]map[int]string)
 	for id, instance := range after {
@@ -96,7 +96,7 @@
 			usedSlots[service] = make(map[int]string)
 		}
 		if other, ok := usedSlots[service][instance.Slot]; ok && service != "" {
-			t.Fatalf("%s and %s both have slot %d of %s", id, other, instance.Slot, service)
+			t.Fatalf("instances %s and %s both have slot %d of service %s", id, other, instance.Slot, service)
 		}
 		usedSlots[service][instance.Slot] = id
 	}
@@ -105,9 +105,9 @@
 		sameService := existed && previous.Endpoint.Service == instance.Endpoint.Service
 		switch {
 		case instance.Endpoint.Service == "" && instance.Slot != 0:
-			t.Fatalf("%s has no service, and slot %d", id, instance.Slot)
+			t.Fatalf("slot of instance %s without a service: got %d, want 0", id, instance.Slot)
 		case sameService && previous.Slot != instance.Slot:
-			t.Fatalf("%s had slot %d, and now %d", id, previous.Slot, instance.Slot)
+			t.Fatalf("slot of instance %s changed from %d to %d within its service", id, previous.Slot, instance.Slot)
 		case instance.Endpoint.Service != "" && !sameService:
 			checkNoLowerSlotIsFree(t, usedSlots[instance.Endpoint.Service], instance)
 		}
@@ -117,13 +117,13 @@
 func checkNoLowerSlotIsFree(t *rapid.T, usedSlots map[int]string, instance Instance) {
 	for slot := range instance.Slot {
 		if _, ok := usedSlots[slot]; !ok {
-			t.Fatalf("%s got slot %d of %s, and %d is free", instance.Endpoint.ID, instance.Slot, instance.Endpoint.Service, slot)
+			t.Fatalf("instance %s got slot %d of service %s, but slot %d is free", instance.Endpoint.ID, instance.Slot, instance.Endpoint.Service, slot)
 		}
 	}
 }
 
-// A watcher that applies the changes of a scope has, at each revision, what a full list of the scope has; slots are
-// unique, the lowest that is free, and stable; a snapshot restores all of this.
+// A watcher that applies the changes of a scope has, at each revision, the same endpoints as a complete list of the
+// scope. Slots are unique, stable, and the lowest free ones. A snapshot restores all of this.
 func TestScopedWatchersHaveWhatAFullListHas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewStore()
@@ -150,23 +150,23 @@
 	})
 }
 
-// check polls, and fails unless the watcher then has what a full list has.
+// check polls, and fails unless the watcher then has the same endpoints as a complete list.
 func (w *scopedWatcher) check(t *rapid.T, s *Store) {
 	full := newScopedWatcher(w.scope)
 	_, err := full.poll(s)
 	if _, watchErr := w.poll(s); (err == nil) != (watchErr == nil) {
-		t.Fatalf("a full list: %v; a watcher: %v", err, watchErr)
+		t.Fatalf("errors differ: complete list %v, watcher %v", err, watchErr)
 	}
 	var unknown *UnknownServicesError
 	if errors.As(err, &unknown) {
 		return
 	}
 	if diff := cmp.Diff(full.endpoints, w.endpoints); diff != "" || err != nil {
-		t.Fatalf("%v; scope %+v: a watcher differs from a full list (-list +watcher): %s", err, w.scope, diff)
+		t.Fatalf("error %v; scope %+v: the watcher differs from a complete list (-list +watcher): %s", err, w.scope, diff)
 	}
 }
 
-// A watcher gets no changes outside its scope, also when there were more than the history holds.
+// A watcher gets no changes outside its scope, even if there were more than the history holds.
 func TestChangesOutsideAScopeAreNotSent(t *testing.T) {
 	s := NewStore()
 	s.Apply(registerInService("a0", "a"))
@@ -178,16 +178,16 @@
 	}
 	before := *w
 	if l, _ := w.mustPoll(t, s); l.Complete || len(l.Endpoints) != 0 || l.Revision != s.revision || before.lastRevision >= s.history.compactedRevision {
-		t.Errorf("got %+v at revision %d below the compacted %d", l, before.lastRevision, s.history.compactedRevision)
+		t.Errorf("changes outside the scope: got %+v at revision %d, compacted revision %d; want no changes at a compacted revision", l, before.lastRevision, s.history.compactedRevision)
 	}
 	s.Apply(Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
 	if l, _ := before.mustPoll(t, s); !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Phase != PhaseDraining {
-		t.Errorf("a change in the scope after compaction is sent as %+v", l)
+		t.Errorf("change in the scope after compaction: got %+v, want a complete list with a0 draining", l)
 	}
 }
 
-// A watcher gets the complete list in a new epoch, and where its revision was compacted: also if the service that changed
-// is unknown now, and at a replica that has read a snapshot since.
+// A watcher gets the complete list in a new epoch, and if its revision was compacted. This holds even if the changed
+// service is now unknown, and at a replica that was restored from a snapshot.
 func TestScopedListIsCompleteWhereHistoryWasCompacted(t *testing.T) {
 	for removed, want := range map[string][]string{"a1": {"a0", "b0"}, "b0": {"a0", "a1"}, "": {"a0", "a1", "b0"}} {
 		s := NewStore()
@@ -202,13 +202,13 @@
 		s.Apply(Command{Kind: DeregisterInstance, ID: removed})
 		s.compact(len(s.history.changes), s.revision)
 		if l, got := w.mustPoll(t, snapshotRoundTrip(t, s)); !l.Complete || !slices.Equal(got, want) {
-			t.Errorf("after %q was removed got %+v, and has %v", removed, l, got)
+			t.Errorf("after %q was removed: got %+v, the watcher has %v, want a complete list of the others", removed, l, got)
 		}
 	}
 }
 
-// Watchers whose subset has a server get its drain, and its replacement with it. The server that gets its slot is in the
-// subsets that it was in.
+// While a server of its subset drains, a watcher gets the drain together with a replacement. A new server that gets the
+// slot of the removed one is in the same subsets.
 func TestSubsetIncludesTheReplacementWhileAServerDrains(t *testing.T) {
 	s := NewStore()
 	for i := range 8 {
@@ -218,14 +218,14 @@
 	_, initial := w.mustPoll(t, s)
 	s.Apply(Command{Kind: SetInstancePhase, ID: initial[0], Phase: PhaseDraining})
 	if _, during := w.mustPoll(t, s); w.endpoints[initial[0]].Phase != PhaseDraining || len(initial) != 2 || len(during) < 3 {
-		t.Errorf("at first %v; while one drains, the watcher has %v", initial, w.endpoints)
+		t.Errorf("subset of 2, at first %v: while one drains got %v, want the draining server and a replacement", initial, w.endpoints)
 	}
 	s.Apply(Command{Kind: DeregisterInstance, ID: initial[0]})
 	if _, after := w.mustPoll(t, s); len(after) != 2 || slices.Contains(after, initial[0]) {
-		t.Errorf("after %s was removed, the watcher has %v", initial[0], after)
+		t.Errorf("subset of 2 after %s was removed: got %v, want 2 other servers", initial[0], after)
 	}
 	s.Apply(registerInService("s9", "a"))
 	if _, final := w.mustPoll(t, s); !slices.Equal(final, slices.Sorted(slices.Values([]string{"s9", initial[1]}))) {
-		t.Errorf("with s9 in the place of %s, the watcher has %v, and had %v", initial[0], final, initial)
+		t.Errorf("subset with s9 in the slot of %s: got %v, want s9 in its place in %v", initial[0], final, initial)
 	}
 }
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -13,7 +13,7 @@
 	"pgregory.net/rapid"
 )
 
-// restored returns a store as its snapshot is read.
+// snapshotRoundTrip writes a snapshot of a store, and returns the store read from it.
 func snapshotRoundTrip(t rapid.TB, s *Store) *Store {
 	t.Helper()
 	var b bytes.Buffer
@@ -25,14 +25,14 @@
 		t.Fatal(err)
 	}
 	if !maps.Equal(s.instances, read.instances) {
-		t.Fatal("a snapshot doesn't restore the store:", cmp.Diff(s.instances, read.instances))
+		t.Fatal("instances read from a snapshot differ (-want +got):", cmp.Diff(s.instances, read.instances))
 	}
 	return read
 }
 
-// A snapshot from before there were services is read, and a program of that version reads a present one.
+// A snapshot of the version without services is read, and that version reads a current snapshot.
 func TestSnapshotsAreCompatibleWithThePreviousVersion(t *testing.T) {
-	type previousEndpoint struct { // the keys that matter here
+	type previousEndpoint struct { // only the keys that matter here
 		ID       string `cbor:"1,keyasint"`
 		HostPort string `cbor:"2,keyasint"`
 		Phase    string `cbor:"6,keyasint"`
@@ -60,20 +60,20 @@
 	if err != nil || len(s.FullList().Endpoints) != 1 {
 		t.Fatal(err)
 	}
-	s.Apply(registerInService("s0", "a")) // its agent has a service now
+	s.Apply(registerInService("s0", "a")) // its agent now sets a service
 	if _, got := newScopedWatcher(&Scope{Services: []string{"a"}}).mustPoll(t, s); len(got) != 1 {
-		t.Errorf("in its service are %v", got)
+		t.Errorf("list of service a: got %v, want s0 alone", got)
 	}
 	if raw, err = cbor.Marshal(s.image()); err != nil {
 		t.Fatal(err)
 	}
 	var read previousImage
 	if err := cbor.Unmarshal(raw, &read); err != nil || read.Instances["s0"].Endpoint != endpoint || len(read.History) != 2 {
-		t.Errorf("the previous version reads %+v, %v", read, err)
+		t.Errorf("snapshot read by the previous version: got %+v, error %v; want s0 as written and 2 changes", read, err)
 	}
 }
 
-// A snapshot of as many instances as there may be is read.
+// A snapshot with maxInstances instances is read.
 func TestSnapshotOfMaxInstancesIsRead(t *testing.T) {
 	s := NewStore()
 	for i := range maxInstances {
@@ -81,7 +81,7 @@
 		s.instances[id] = Instance{Endpoint: registerInService(id, "a").Endpoint, Slot: i}
 	}
 	if read := snapshotRoundTrip(t, s); read.Apply(registerCommandFor("one more", DefaultTTL)).Code != ResultTooManyInstances {
-		t.Error("one more was registered")
+		t.Error("registering one instance over maxInstances: want ResultTooManyInstances")
 	}
 }
 
@@ -98,12 +98,12 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadSnapshot(&b); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("slots %v: %v, want %q", slots, err, want)
+			t.Errorf("slots %v: got error %v, want one with %q", slots, err, want)
 		}
 	}
 }
 
-// A snapshot that is cut at any byte, or has any byte flipped, is rejected.
+// A snapshot that is truncated at any byte, or has a bit of any byte flipped, is rejected.
 func TestCorruptSnapshotsAreRejected(t *testing.T) {
 	s := NewStore()
 	s.Apply(registerCommandFor("a", DefaultTTL))
@@ -113,12 +113,12 @@
 	}
 	for i := range b.Len() {
 		if _, err := ReadSnapshot(bytes.NewReader(b.Bytes()[:i])); !errors.Is(err, ErrCorrupt) || !strings.HasPrefix(err.Error(), "snapshot: ") {
-			t.Fatalf("cut at byte %d: %v", i, err)
+			t.Fatalf("snapshot truncated at byte %d: got error %v, want ErrCorrupt", i, err)
 		}
 		flipped := bytes.Clone(b.Bytes())
 		flipped[i] ^= 0x40
 		if _, err := ReadSnapshot(bytes.NewReader(flipped)); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("byte %d flipped: %v", i, err)
+			t.Fatalf("snapshot with a bit of byte %d flipped: got error %v, want ErrCorrupt", i, err)
 		}
 	}
 }
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -20,7 +20,7 @@
 	return Command{Kind: RegisterInstance, Endpoint: testEndpoint(id), TTL: ttl}
 }
 
-// drawCommand returns any command, invalid ones among them.
+// drawCommand returns any command, including invalid ones.
 func drawCommand(t *rapid.T) Command {
 	id := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "id"))
 	c := Command{Kind: CommandKind(rapid.IntRange(0, 9).Draw(t, "kind")), ID: id, Endpoint: testEndpoint(id), Phase: PhaseDraining,
@@ -35,8 +35,8 @@
 	return c
 }
 
-// A watcher that applies changes has the list, however many it skips; revisions never go back; a retry is harmless; a
-// snapshot restores the store.
+// A watcher that applies changes has the full list, however many revisions it skips. Revisions never decrease, a retry
+// changes nothing, and a snapshot restores the store.
 func TestWatchersConvergeAndSnapshotsRestoreTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewStore()
@@ -45,18 +45,18 @@
 			c, before := drawCommand(t), s.revision
 			first := s.Apply(c)
 			if s.revision < before {
-				t.Fatalf("revision %d after %d", s.revision, before)
+				t.Fatalf("revision after a command: got %d, want at least %d", s.revision, before)
 			}
 			if c.RequestID != "" {
 				afterFirst := s.revision
 				if again := s.Apply(c); again != first || s.revision != afterFirst {
-					t.Fatalf("a retry of %+v got %+v, the first %+v", c, again, first)
+					t.Fatalf("retry of %+v: got %+v, want the first result %+v and no change", c, again, first)
 				}
 			}
 			if rapid.Bool().Draw(t, "watches") {
 				applyChanges(s, endpoints, &lastRevision)
 				if got, want := slices.Sorted(maps.Keys(endpoints)), slices.Sorted(maps.Keys(s.instances)); !slices.Equal(got, want) {
-					t.Fatalf("a watcher has %v, the store %v", got, want)
+					t.Fatalf("instances of a watcher: got %v, want %v", got, want)
 				}
 			}
 		}
@@ -69,12 +69,12 @@
 			t.Fatal(err)
 		}
 		if diff := cmp.Diff(s.FullList(), restored.FullList()); diff != "" || restored.leases.now != s.leases.now || len(restored.responses.byRequest) != len(s.responses.byRequest) {
-			t.Fatal("a snapshot doesn't restore the store:", diff)
+			t.Fatal("list, lease time or cached responses read from a snapshot differ; list (-want +got):", diff)
 		}
 	})
 }
 
-// applyChanges updates what a watcher at a revision has.
+// applyChanges updates the endpoints and the revision of a watcher.
 func applyChanges(s *Store, endpoints map[string]Endpoint, lastRevision *int64) {
 	l, _ := s.ChangesSince(*lastRevision)
 	if l.Complete {
@@ -105,18 +105,18 @@
 			s.Apply(Command{Kind: RenewLease, ID: fmt.Sprint("s", n)})
 		}
 		if i == 3 && len(s.instances) != 18 {
-			t.Fatalf("%d instances after two leases expired, want 18", len(s.instances))
+			t.Fatalf("instances after two leases expired: got %d, want 18", len(s.instances))
 		}
 	}
 	advanceClock(s, time.Minute)
 	if len(s.instances) != 18 || !s.leases.suspended {
-		t.Errorf("%d instances left, suspended %v: expiry of all leases at once is to be suspended", len(s.instances), s.leases.suspended)
+		t.Errorf("all leases overdue at once: got %d instances, suspended %v, want 18 and suspended", len(s.instances), s.leases.suspended)
 	}
 	s.Apply(Command{Kind: RenewLease, ID: "s0"})
 	s.Apply(Command{Kind: RestartLeases})
 	advanceClock(s, 9*time.Second)
 	if len(s.instances) != 18 || s.leases.suspended {
-		t.Errorf("%d instances, suspended %v: a new leader is to grant all leases anew", len(s.instances), s.leases.suspended)
+		t.Errorf("leases renewed by a new leader: got %d instances, suspended %v, want 18 and not suspended", len(s.instances), s.leases.suspended)
 	}
 }
 
@@ -127,20 +127,20 @@
 	copied := *s
 	s.Apply(registerCommandFor("b", DefaultTTL))
 	if l, _ := s.ChangesSince(oldRevision); l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "b" {
-		t.Errorf("a change is sent as %+v", l)
+		t.Errorf("changes after the registration of a: got %+v, want b alone", l)
 	}
 	if l, changed := s.ChangesSince(s.revision + 5); !changed || !l.Complete {
-		t.Errorf("a watch at a future revision gets %+v", l)
+		t.Errorf("watch at a future revision: got %+v, want the full list", l)
 	}
 	currentRevision := s.revision
 	copied.Apply(Command{Kind: BeginEpoch})
 	if l, changed := copied.ChangesSince(currentRevision); !changed || !l.Complete || copied.revision <= currentRevision {
-		t.Errorf("a watch of the previous epoch gets %+v at revision %d", l, copied.revision)
+		t.Errorf("watch of the previous epoch: got %+v at revision %d, want the full list at a higher revision", l, copied.revision)
 	}
 	for i := range maxHistoryChanges + 10 {
 		s.Apply(Command{Kind: SetInstancePhase, ID: "a", Phase: []string{PhaseUp, PhaseDraining}[i%2]})
 	}
 	if l, _ := s.ChangesSince(oldRevision); !l.Complete || len(s.history.changes) > maxHistoryChanges {
-		t.Errorf("%d changes in the history, and a watch before them gets %+v", len(s.history.changes), l)
+		t.Errorf("watch at a compacted revision: history has %d changes, got %+v, want the full list", len(s.history.changes), l)
 	}
 }
--- a/internal/registry/watcher_group_test.go
+++ b/internal/registry/watcher_group_test.go
@@ -20,11 +20,11 @@
 		g.notify()
 	}
 	if !isNotified(a) || isNotified(a) || isNotified(b) {
-		t.Error("three changes of service a: want its watcher notified once, and no other")
+		t.Error("three changes of service a: want its watcher notified once, and no other watcher")
 	}
 	g.notify()
 	if isNotified(a) {
-		t.Error("notified again without a change")
+		t.Error("second notify without a change: got a notification, want none")
 	}
 	g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "shared"}}})
 	g.notify()
@@ -39,7 +39,7 @@
 	g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "after"}, Previous: &Placement{Service: "before"}}})
 	g.notify()
 	if !isNotified(before) || !isNotified(after) {
-		t.Error("want the watchers of both services notified")
+		t.Error("endpoint moved between services: want the watchers of both notified")
 	}
 }
 
@@ -49,11 +49,11 @@
 	g.markAllChanged()
 	g.notify()
 	if !isNotified(a) || !isNotified(b) {
-		t.Error("want all watchers notified")
+		t.Error("markAllChanged: want all watchers notified")
 	}
 	g.notify()
 	if isNotified(a) || isNotified(b) {
-		t.Error("notified again without a change")
+		t.Error("second notify without a change: got a notification, want none")
 	}
 }
 
@@ -64,6 +64,6 @@
 	g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
 	g.notify()
 	if isNotified(a) || len(g.byService) != 0 {
-		t.Errorf("a removed watcher: services %v remain, or it was notified", g.byService)
+		t.Errorf("removed watcher: want no notification and no services left, got services %v", g.byService)
 	}
 }
