--- a/internal/registry/serve.go
+++ b/internal/registry/serve.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// Serve runs a replica until ctx ends or an address can't be served. newEpoch says that the data directory is a copy of
-// an older one: watchers then get the full list.
+// Serve runs a replica until ctx ends or serving an address fails. newEpoch means that the data directory was restored
+// from an older copy: watchers then get the full list.
 func Serve(ctx context.Context, c Config, newEpoch bool) error {
 	replica, err := Open(ReplicaConfig{ID: c.ID, RaftAddress: c.RaftAddress, RaftBindAddress: c.RaftBindAddress,
 		APIAddress: c.ListenAddress, DataDir: c.DataDir, InitialReplicas: c.InitialReplicas, NewEpoch: newEpoch})
@@ -16,38 +16,38 @@
 		return err
 	}
 	server := NewServer(replica, ServerConfig{MaxWatches: c.MaxWatches})
-	listeners := []*http.Server{server.HTTPServer(c.ListenAddress)}
+	httpServers := []*http.Server{server.HTTPServer(c.ListenAddress)}
 	if c.AdminAddress != "" {
-		listeners = append(listeners,
+		httpServers = append(httpServers,
 			&http.Server{Addr: c.AdminAddress, Handler: server.adminHandler(), ReadHeaderTimeout: readTimeout})
 	}
 	slog.Info("registry: replica started", "id", c.ID, "listen", c.ListenAddress, "raft", c.RaftAddress, "folder", c.DataDir)
-	return errors.Join(serveAll(ctx, listeners), replica.Close())
+	return errors.Join(serveAll(ctx, httpServers), replica.Close())
 }
 
 // serveAll runs servers until ctx ends or one of them fails, and returns the first error.
 func serveAll(ctx context.Context, servers []*http.Server) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	ended := make(chan error, len(servers))
+	results := make(chan error, len(servers))
 	for _, server := range servers {
-		go func() { ended <- listenAndServe(ctx, server) }()
+		go func() { results <- listenAndServe(ctx, server) }()
 	}
-	first := <-ended // nil if ctx ended
+	firstErr := <-results // nil if ctx ended
 	cancel()
 	for range len(servers) - 1 {
-		if err := <-ended; first == nil {
-			first = err
+		if err := <-results; firstErr == nil {
+			firstErr = err
 		}
 	}
-	return first
+	return firstErr
 }
 
 // listenAndServe serves at the server's address until ctx ends.
 func listenAndServe(ctx context.Context, server *http.Server) error {
 	stop := context.AfterFunc(ctx, func() {
 		if err := server.Close(); err != nil {
-			slog.Debug("registry: close a server", "address", server.Addr, "error", err)
+			slog.Debug("registry: closing an HTTP server failed", "address", server.Addr, "error", err)
 		}
 	})
 	defer stop()
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -13,8 +13,8 @@
 	"pgregory.net/rapid"
 )
 
-// restored returns a store as its snapshot is read.
-func restored(t rapid.TB, s *Store) *Store {
+// snapshotRoundTrip writes a snapshot of a store, and returns the store read from it.
+func snapshotRoundTrip(t rapid.TB, s *Store) *Store {
 	t.Helper()
 	var b bytes.Buffer
 	if err := s.WriteSnapshot(&b); err != nil {
@@ -25,14 +25,14 @@
 		t.Fatal(err)
 	}
 	if !maps.Equal(s.instances, read.instances) {
-		t.Fatal("a snapshot doesn't restore the store:", cmp.Diff(s.instances, read.instances))
+		t.Fatal("instances read from a snapshot differ (-want +got):", cmp.Diff(s.instances, read.instances))
 	}
 	return read
 }
 
-// A snapshot from before there were services is read, and a program of that version reads a present one.
+// A snapshot of the version without services is read, and that version reads a current snapshot.
 func TestSnapshotsAreCompatibleWithThePreviousVersion(t *testing.T) {
-	type previousEndpoint struct { // the keys that matter here
+	type previousEndpoint struct { // only the keys that matter here
 		ID       string `cbor:"1,keyasint"`
 		HostPort string `cbor:"2,keyasint"`
 		Phase    string `cbor:"6,keyasint"`
@@ -46,13 +46,13 @@
 		Endpoint previousEndpoint `cbor:"2,keyasint"`
 	}
 	type previousImage struct {
-		Revision  int64                       `cbor:"1,keyasint"`
-		Instances map[string]previousInstance `cbor:"3,keyasint"`
-		History   []previousChange            `cbor:"4,keyasint"`
-		Floor     int64                       `cbor:"5,keyasint"`
+		Revision          int64                       `cbor:"1,keyasint"`
+		Instances         map[string]previousInstance `cbor:"3,keyasint"`
+		History           []previousChange            `cbor:"4,keyasint"`
+		CompactedRevision int64                       `cbor:"5,keyasint"`
 	}
-	e, at := previousEndpoint{ID: "s0", HostPort: "10.0.0.1:9000", Phase: PhaseUp}, int64(1)<<epochShift+1
-	raw, err := cbor.Marshal(previousImage{at, map[string]previousInstance{"s0": {e, at}}, []previousChange{{at, e}}, at - 1})
+	endpoint, revision := previousEndpoint{ID: "s0", HostPort: "10.0.0.1:9000", Phase: PhaseUp}, int64(1)<<epochShift+1
+	raw, err := cbor.Marshal(previousImage{revision, map[string]previousInstance{"s0": {endpoint, revision}}, []previousChange{{revision, endpoint}}, revision - 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -60,28 +60,28 @@
 	if err != nil || len(s.FullList().Endpoints) != 1 {
 		t.Fatal(err)
 	}
-	s.Apply(registerInService("s0", "a")) // its agent has a service now
+	s.Apply(registerInService("s0", "a")) // its agent now sets a service
 	if _, got := newScopedWatcher(&Scope{Services: []string{"a"}}).mustPoll(t, s); len(got) != 1 {
-		t.Errorf("in its service are %v", got)
+		t.Errorf("list of service a: got %v, want s0 alone", got)
 	}
 	if raw, err = cbor.Marshal(s.image()); err != nil {
 		t.Fatal(err)
 	}
 	var read previousImage
-	if err := cbor.Unmarshal(raw, &read); err != nil || read.Instances["s0"].Endpoint != e || len(read.History) != 2 {
-		t.Errorf("the previous version reads %+v, %v", read, err)
+	if err := cbor.Unmarshal(raw, &read); err != nil || read.Instances["s0"].Endpoint != endpoint || len(read.History) != 2 {
+		t.Errorf("snapshot read by the previous version: got %+v, error %v; want s0 as written and 2 changes", read, err)
 	}
 }
 
-// A snapshot of as many instances as there may be is read.
+// A snapshot with maxInstances instances is read.
 func TestSnapshotOfMaxInstancesIsRead(t *testing.T) {
 	s := NewStore()
 	for i := range maxInstances {
 		id := fmt.Sprint("s", i)
 		s.instances[id] = Instance{Endpoint: registerInService(id, "a").Endpoint, Slot: i}
 	}
-	if read := restored(t, s); read.Apply(registerCommandFor("one more", DefaultTTL)).Code != ResultTooManyInstances {
-		t.Error("one more was registered")
+	if read := snapshotRoundTrip(t, s); read.Apply(registerCommandFor("one more", DefaultTTL)).Code != ResultTooManyInstances {
+		t.Error("registering one instance over maxInstances: want ResultTooManyInstances")
 	}
 }
 
@@ -98,12 +98,12 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadSnapshot(&b); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("slots %v: %v, want %q", slots, err, want)
+			t.Errorf("slots %v: got error %v, want one with %q", slots, err, want)
 		}
 	}
 }
 
-// A snapshot that is cut at any byte, or has any byte flipped, is rejected.
+// A snapshot that is truncated at any byte, or has a bit of any byte flipped, is rejected.
 func TestCorruptSnapshotsAreRejected(t *testing.T) {
 	s := NewStore()
 	s.Apply(registerCommandFor("a", DefaultTTL))
@@ -113,12 +113,12 @@
 	}
 	for i := range b.Len() {
 		if _, err := ReadSnapshot(bytes.NewReader(b.Bytes()[:i])); !errors.Is(err, ErrCorrupt) || !strings.HasPrefix(err.Error(), "snapshot: ") {
-			t.Fatalf("cut at byte %d: %v", i, err)
+			t.Fatalf("snapshot truncated at byte %d: got error %v, want ErrCorrupt", i, err)
 		}
 		flipped := bytes.Clone(b.Bytes())
 		flipped[i] ^= 0x40
 		if _, err := ReadSnapshot(bytes.NewReader(flipped)); !errors.Is(err, ErrCorrupt) {
-			t.Fatalf("byte %d flipped: %v", i, err)
+			t.Fatalf("snapshot with a bit of byte %d flipped: got error %v, want ErrCorrupt", i, err)
 		}
 	}
 }
--- a/internal/registry/watcher_group_test.go
+++ b/internal/registry/watcher_group_test.go
@@ -16,17 +16,17 @@
 	var g watcherGroup
 	a, b := g.add([]string{"a", "shared"}), g.add([]string{"b", "shared"})
 	for range 3 {
-		g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
+		g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
 		g.notify()
 	}
 	if !isNotified(a) || isNotified(a) || isNotified(b) {
-		t.Error("three changes of service a: want its watcher notified once, and no other")
+		t.Error("three changes of service a: want its watcher notified once, and no other watcher")
 	}
 	g.notify()
 	if isNotified(a) {
-		t.Error("notified again without a change")
+		t.Error("second notify without a change: got a notification, want none")
 	}
-	g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "shared"}}})
+	g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "shared"}}})
 	g.notify()
 	if !isNotified(a) || !isNotified(b) {
 		t.Error("a change of a shared service: want both watchers notified")
@@ -36,24 +36,24 @@
 func TestMovedEndpointNotifiesBothServices(t *testing.T) {
 	var g watcherGroup
 	before, after := g.add([]string{"before"}), g.add([]string{"after"})
-	g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "after"}, Previous: &Placement{Service: "before"}}})
+	g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "after"}, Previous: &Placement{Service: "before"}}})
 	g.notify()
 	if !isNotified(before) || !isNotified(after) {
-		t.Error("want the watchers of both services notified")
+		t.Error("endpoint moved between services: want the watchers of both notified")
 	}
 }
 
 func TestTouchAllNotifiesEveryWatcherOnce(t *testing.T) {
 	var g watcherGroup
 	a, b := g.add([]string{"a"}), g.add([]string{"b"})
-	g.touchAll()
+	g.markAllChanged()
 	g.notify()
 	if !isNotified(a) || !isNotified(b) {
-		t.Error("want all watchers notified")
+		t.Error("markAllChanged: want all watchers notified")
 	}
 	g.notify()
 	if isNotified(a) || isNotified(b) {
-		t.Error("notified again without a change")
+		t.Error("second notify without a change: got a notification, want none")
 	}
 }
 
@@ -61,9 +61,9 @@
 	var g watcherGroup
 	a := g.add([]string{"a", "b"})
 	g.remove(a)
-	g.touch([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
+	g.markChanged([]change{{Endpoint: Endpoint{ID: "s0", Service: "a"}}})
 	g.notify()
 	if isNotified(a) || len(g.byService) != 0 {
-		t.Errorf("a removed watcher: services %v remain, or it was notified", g.byService)
+		t.Errorf("removed watcher: want no notification and no services left, got services %v", g.byService)
 	}
 }
