--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -1,4 +1,4 @@
-// Command sloerail-node is one request-routing node on real sockets. ROUTER_CONFIG names its configuration.
+// Command sloerail-node runs a request-routing node. The environment variable ROUTER_CONFIG names its configuration file.
 package main
 
 import (
@@ -18,7 +18,7 @@
 )
 
 func main() {
-	slog.SetLogLoggerLevel(slog.LevelDebug) // net/http logs stray bytes from the list service by the log package
+	slog.SetLogLoggerLevel(slog.LevelDebug) // net/http logs unsolicited bytes from the list service with the log package
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "sloerail-node:", err)
@@ -26,40 +26,40 @@
 	}
 }
 
-// profileVariable names the file for a CPU profile. It has the program's former name, and is kept for
-// those who set it.
+// profileVariable is the environment variable that names the file for a CPU profile. It contains the program's former
+// name, and is kept for existing setups.
 const profileVariable = "WAYHOLD_PROFILE"
 
 func run() error {
-	// SIGHUP would end the process if it came before the handler is installed.
-	changed := make(chan os.Signal, 1)
-	signal.Notify(changed, syscall.SIGHUP)
-	defer signal.Stop(changed)
+	// Without a handler, a SIGHUP during the start would end the process.
+	hangups := make(chan os.Signal, 1)
+	signal.Notify(hangups, syscall.SIGHUP)
+	defer signal.Stop(hangups)
 	c, err := config.Load(os.Getenv)
 	if err != nil {
 		return err
 	}
 	runtime.GOMAXPROCS(int(max(1, math.Ceil(c.Cores))))
-	endProfile, err := profile(os.Getenv(profileVariable))
+	stopProfile, err := startProfile(os.Getenv(profileVariable))
 	if err != nil {
 		return err
 	}
-	defer endProfile()
+	defer stopProfile()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	at, err := node.Listen(context.WithoutCancel(ctx), c) // Run handles a stop, also one that comes now
+	listeners, err := node.Listen(context.WithoutCancel(ctx), c) // a signal during Listen is left to Run
 	if err != nil {
 		return err
 	}
-	slog.Info("listening", "name", c.Name, "address", at.Clients.Addr(), "servers", len(c.Known.Endpoints),
+	slog.Info("listening", "name", c.Name, "address", listeners.Clients.Addr(), "servers", len(c.Known.Endpoints),
 		"cores", c.Cores, "memory_mb", c.MemoryMB, "sockets", c.Sockets, "max_open", c.MaxOpen)
 	changes := make(chan node.Change)
-	go follow(ctx, c, changed, changes)
-	return node.Run(ctx, c, at, changes)
+	go reloadOnHangup(ctx, c, hangups, changes)
+	return node.Run(ctx, c, listeners, changes)
 }
 
-// profile writes a CPU profile to the file at path, until end is called; an empty path is for none.
-func profile(path string) (end func(), err error) {
+// startProfile writes a CPU profile to the file at path until stop is called. It does nothing if path is empty.
+func startProfile(path string) (stop func(), err error) {
 	if path == "" {
 		return func() {}, nil
 	}
@@ -78,12 +78,12 @@
 	}, nil
 }
 
-// follow reads the configuration again at each signal, until ctx ends. A file has to have the keys of the last one that
-// was taken.
-func follow(ctx context.Context, c config.Config, changed <-chan os.Signal, changes chan<- node.Change) {
+// reloadOnHangup reloads the configuration at each signal until ctx ends. A reloaded file must have the keys of the last
+// accepted one.
+func reloadOnHangup(ctx context.Context, c config.Config, hangups <-chan os.Signal, changes chan<- node.Change) {
 	for {
 		select {
-		case <-changed:
+		case <-hangups:
 		case <-ctx.Done():
 			return
 		}
--- a/cmd/sloerail-node/main_test.go
+++ b/cmd/sloerail-node/main_test.go
@@ -15,20 +15,20 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// long is more than any step takes; nothing waits for it unless the test fails.
-const long = 30 * time.Second
+// testTimeout is longer than any step of a test takes, and is reached only if the test fails.
+const testTimeout = 30 * time.Second
 
-func await(t *testing.T, what string, from <-chan struct{}) {
+func await(t *testing.T, what string, ch <-chan struct{}) {
 	t.Helper()
 	select {
-	case <-from:
-	case <-time.After(long):
-		t.Fatalf("waited in vain for %s", what)
+	case <-ch:
+	case <-time.After(testTimeout):
+		t.Fatalf("timed out waiting for %s", what)
 	}
 }
 
-// registry holds each call until the caller hangs up.
-func registry(t *testing.T) (addr string, called <-chan struct{}) {
+// newBlockingRegistry starts a registry that holds each call until the caller disconnects, and signals it on called.
+func newBlockingRegistry(t *testing.T) (addr string, called <-chan struct{}) {
 	t.Helper()
 	calls := make(chan struct{}, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -39,11 +39,11 @@
 	return s.Listener.Addr().String(), calls
 }
 
-// On SIGHUP the node takes discovery's address from the changed file, also where ROUTER_DISCOVERY
-// named the old one; a file that makes no sense changes nothing, and neither ends the node.
-func TestHangupMovesDiscovery(t *testing.T) {
-	before, calledBefore := registry(t)
-	after, calledAfter := registry(t)
+// On SIGHUP the node takes the discovery address from the changed file, even if ROUTER_DISCOVERY names the old one. An
+// invalid file changes nothing. Neither file ends the node.
+func TestHangupChangesDiscoveryAddress(t *testing.T) {
+	oldAddr, oldCalled := newBlockingRegistry(t)
+	newAddr, newCalled := newBlockingRegistry(t)
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(discovery string) {
 		text := fmt.Sprintf(`{"name":"n0","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",
@@ -59,27 +59,27 @@
 			t.Fatal(err)
 		}
 	}
-	write(before)
+	write(oldAddr)
 	t.Setenv("ROUTER_CONFIG", path)
-	t.Setenv("ROUTER_DISCOVERY", before)
-	ended := make(chan struct{})
+	t.Setenv("ROUTER_DISCOVERY", oldAddr)
+	done := make(chan struct{})
 	var err error
-	go func() { err = run(); close(ended) }()
-	await(t, "a call to the first address", calledBefore)
+	go func() { err = run(); close(done) }()
+	await(t, "a call to the old discovery address", oldCalled)
 	write("nowhere")
 	hangup()
-	write(after)
+	write(newAddr)
 	hangup()
-	await(t, "a call to the second address", calledAfter)
+	await(t, "a call to the new discovery address", newCalled)
 	if err := syscall.Kill(os.Getpid(), syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	if await(t, "the node's end", ended); err != nil {
+	if await(t, "the node to stop", done); err != nil {
 		t.Error(err)
 	}
 }
 
-// An address for operators that can't be had is a failed start, and says so in one line.
+// A control address that can't be bound fails the start with an error of one line.
 func TestControlAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -97,7 +97,7 @@
 	for _, addr := range []string{taken.Addr().String(), "nowhere"} {
 		t.Setenv("ROUTER_CONTROL", addr)
 		if err := run(); err == nil || !strings.Contains(err.Error(), "control: ") || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v", addr, err)
+			t.Errorf("control address %s: got error %v, want one line that contains 'control: '", addr, err)
 		}
 	}
 }
--- a/cmd/sloerail-node/process_test.go
+++ b/cmd/sloerail-node/process_test.go
@@ -21,14 +21,13 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// The tests of this file run the node as a process of its own, under the limit on descriptors that its configuration
-// names.
+// The tests of this file run the node in a process of its own, with the descriptor limit that its configuration names.
 
-// limitedTo names the variable by which the test program runs as a node of so many descriptors.
-const limitedTo = "WAYHOLD_TEST_SOCKETS"
+// socketLimitVariable is the environment variable that makes the test program run as a node with this descriptor limit.
+const socketLimitVariable = "WAYHOLD_TEST_SOCKETS"
 
 func TestMain(m *testing.M) {
-	text := os.Getenv(limitedTo)
+	text := os.Getenv(socketLimitVariable)
 	if text == "" {
 		os.Exit(m.Run())
 	}
@@ -37,31 +36,31 @@
 		err = syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: n, Max: n})
 	}
 	if err != nil {
-		fmt.Fprintln(os.Stderr, limitedTo, err)
+		fmt.Fprintln(os.Stderr, socketLimitVariable, err)
 		os.Exit(2)
 	}
 	main()
 }
 
-// logBuffer takes in what a process writes.
+// logBuffer collects the log of a process. It is safe for concurrent use.
 type logBuffer struct {
 	mu  sync.Mutex
-	all bytes.Buffer
+	buf bytes.Buffer
 }
 
 func (l *logBuffer) Write(p []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.Write(p)
+	return l.buf.Write(p)
 }
 
 func (l *logBuffer) String() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.all.String()
+	return l.buf.String()
 }
 
-// process is a node at an address, started any number of times.
+// process runs a node at a fixed address. It can be started again after a kill.
 type process struct {
 	t       *testing.T
 	addr    string
@@ -71,7 +70,7 @@
 	running *exec.Cmd
 }
 
-// freeAddress is one at which nobody listens.
+// freeAddress returns a loopback address on which nothing listens.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,8 +84,8 @@
 func newProcess(t *testing.T, discovery, server string, sockets int) *process {
 	t.Helper()
 	p := &process{t: t, addr: freeAddress(t), sockets: sockets}
-	scratch := t.TempDir()
-	path := filepath.Join(scratch, "config.json")
+	dir := t.TempDir()
+	path := filepath.Join(dir, "config.json")
 	text := fmt.Sprintf(`{"name":"n0","listen":%q,"discovery":%q,"seed":"1f",
 		"limits":{"cores":0.25,"memory_mb":64,"sockets":%d},
 		"known":{"revision":7,"complete":true,"members":[
@@ -100,29 +99,29 @@
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p.env = append(os.Environ(), "ROUTER_CONFIG="+path, "TMPDIR="+scratch, limitedTo+"="+strconv.Itoa(sockets))
+	p.env = append(os.Environ(), "ROUTER_CONFIG="+path, "TMPDIR="+dir, socketLimitVariable+"="+strconv.Itoa(sockets))
 	t.Cleanup(p.kill)
 	return p
 }
 
-// start runs the node, and returns how long it took to be ready.
+// start starts the node and returns how long it took to become ready.
 func (p *process) start() time.Duration {
 	p.t.Helper()
 	p.running = exec.Command(os.Args[0])
 	p.running.Env, p.running.Stderr = p.env, &p.log
-	began := time.Now()
+	started := time.Now()
 	if err := p.running.Start(); err != nil {
 		p.t.Fatal(err)
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-	for time.Since(began) < long {
+	for time.Since(started) < testTimeout {
 		status, err := p.get(client, "/health/ready", "")
 		if err == nil && status == http.StatusOK {
-			return time.Since(began)
+			return time.Since(started)
 		}
-		time.Sleep(5 * time.Millisecond) // between looks
+		time.Sleep(5 * time.Millisecond) // poll interval
 	}
-	p.t.Fatalf("the node never became ready: %s", &p.log)
+	p.t.Fatalf("node did not become ready; log:\n%s", &p.log)
 	return 0
 }
 
@@ -134,7 +133,7 @@
 	}
 }
 
-// get sends a request and returns the status of its answer.
+// get sends a request and returns the status of the response.
 func (p *process) get(client *http.Client, path, id string) (status int, err error) {
 	req, err := http.NewRequestWithContext(p.t.Context(), http.MethodGet, "http://"+p.addr+path, nil)
 	if err != nil {
@@ -147,13 +146,13 @@
 	if err != nil {
 		return 0, err
 	}
-	defer func() { _ = resp.Body.Close() }() // it is read whole
+	defer func() { _ = resp.Body.Close() }() // the body is read to its end
 	_, err = io.Copy(io.Discard, resp.Body)
 	return resp.StatusCode, err
 }
 
-// keepAsking sends request after request over a connection that it keeps, and tells of those that are served.
-func (p *process) keepAsking(ctx context.Context, served chan<- struct{}) {
+// sendRequests sends requests over one connection until ctx ends, and signals each 200 response on served.
+func (p *process) sendRequests(ctx context.Context, served chan<- struct{}) {
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
 	for n := 0; ctx.Err() == nil; n++ {
@@ -161,38 +160,39 @@
 		if err == nil && status == http.StatusOK {
 			select {
 			case served <- struct{}{}:
-			default: // nobody waits for it
+			default: // no receiver
 			}
 		}
 		time.Sleep(10 * time.Millisecond) // between requests
 	}
 }
 
-// crowd keeps n connections at addr that say nothing whole, in place of those that are closed, until the test ends.
-func crowd(t *testing.T, addr string, n int) {
+// openIdleConnections keeps n connections to addr open until the test ends, and replaces those that are closed. Half of
+// them send an incomplete request, the others nothing.
+func openIdleConnections(t *testing.T, addr string, n int) {
 	t.Helper()
-	ended := make(chan struct{})
-	var all sync.WaitGroup
-	t.Cleanup(all.Wait)
-	t.Cleanup(func() { close(ended) })
+	done := make(chan struct{})
+	var connections sync.WaitGroup
+	t.Cleanup(connections.Wait)
+	t.Cleanup(func() { close(done) })
 	for i := range n {
-		all.Go(func() {
+		connections.Go(func() {
 			for {
-				c, err := net.DialTimeout("tcp", addr, long)
+				c, err := net.DialTimeout("tcp", addr, testTimeout)
 				if err == nil {
 					if i%2 == 0 {
 						_, _ = io.WriteString(c, "GET /api HTTP/1.1\r\nHost: a\r\n")
 					}
-					stop := make(chan struct{})
-					go func() { _, _ = io.Copy(io.Discard, c); close(stop) }()
+					closed := make(chan struct{})
+					go func() { _, _ = io.Copy(io.Discard, c); close(closed) }()
 					select {
-					case <-stop:
-					case <-ended:
+					case <-closed:
+					case <-done:
 					}
 					_ = c.Close() // the node may have closed it
 				}
 				select {
-				case <-ended:
+				case <-done:
 					return
 				case <-time.After(10 * time.Millisecond):
 				}
@@ -201,11 +201,11 @@
 	}
 }
 
-// Idle clients that fill the descriptors while the list service is down leave one for the call at its return, and
-// those for connections to servers.
+// Idle clients that use up the descriptors while the list service is down leave one for the call to the service when it
+// is back, and those for connections to servers.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		w.Header().Set("Connection", "close") // so that each request needs a descriptor of its own
+		w.Header().Set("Connection", "close") // so that each request needs a new descriptor
 	}))
 	t.Cleanup(server.Close)
 	served := make(chan struct{})
@@ -213,64 +213,64 @@
 	const sockets = 128
 	p := newProcess(t, discovery, server.Listener.Addr().String(), sockets)
 	p.start()
-	asking, stop := context.WithCancel(t.Context())
+	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go p.keepAsking(asking, served)
-	await(t, "a request to reach a server", served)
-	crowd(t, p.addr, 3*sockets)
+	go p.sendRequests(ctx, served)
+	await(t, "a request to be served", served)
+	openIdleConnections(t, p.addr, 3*sockets)
 	for began := time.Now(); strings.Count(p.log.String(), "watch failed") < 3; time.Sleep(10 * time.Millisecond) {
-		if time.Since(began) > long {
-			t.Fatalf("no call for the list fails: %s", &p.log)
+		if time.Since(began) > testTimeout {
+			t.Fatalf("fewer than 3 failed calls to the list service; log:\n%s", &p.log)
 		}
 	}
-	full := 0
-	for began := time.Now(); full < sockets/2 && time.Since(began) < long; time.Sleep(10 * time.Millisecond) {
+	maxOpen := 0
+	for began := time.Now(); maxOpen < sockets/2 && time.Since(began) < testTimeout; time.Sleep(10 * time.Millisecond) {
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.running.Process.Pid))
 		if err != nil {
 			t.Fatal(err)
 		}
-		full = max(full, len(open))
+		maxOpen = max(maxOpen, len(open))
 	}
-	if full < sockets/2 {
-		t.Errorf("the node holds %d descriptors at most: nothing is tried", full)
+	if maxOpen < sockets/2 {
+		t.Errorf("node held at most %d descriptors: too few to test that they run out", maxOpen)
 	}
 	called := make(chan struct{}, 1000)
 	l, err := net.Listen("tcp", discovery)
 	if err != nil {
 		t.Fatal(err)
 	}
-	back := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	registry := httptest.NewUnstartedServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		called <- struct{}{}
 		<-r.Context().Done()
 	}))
-	nodetest.Close(t, back.Listener)
-	back.Listener = l
-	back.Start()
-	t.Cleanup(back.Close)
-	await(t, "the call at the service's return", called)
+	nodetest.Close(t, registry.Listener)
+	registry.Listener = l
+	registry.Start()
+	t.Cleanup(registry.Close)
+	await(t, "a call to the list service after its return", called)
 	for range 3 {
-		await(t, "a request to reach a server", served)
+		await(t, "a request to be served", served)
 	}
 	if text := p.log.String(); strings.Contains(text, "too many open files") || strings.Contains(text, "no descriptor") {
-		t.Errorf("descriptors ran out: %s", text)
+		t.Errorf("node ran out of descriptors; log:\n%s", text)
 	}
 }
 
-// A process that is started again after a kill is ready at once, whatever the list service does.
+// A process that is restarted after a kill becomes ready within readyTimeout, whatever the list service does.
 func TestRestartedProcessIsReady(t *testing.T) {
-	const restarts, within = 10, 10 * time.Second
-	services := map[string]http.HandlerFunc{
-		"silent":      func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
-		"turns away":  func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-		"half answer": halfAnswer,
-		"refusing":    nil,
+	const restarts, readyTimeout = 10, 10 * time.Second
+	handlers := map[string]http.HandlerFunc{
+		"silent":        func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
+		"returns 503":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+		"half response": writeTruncatedResponse,
+		"refusing":      nil,
 	}
-	for name, serve := range services {
+	for name, handler := range handlers {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			discovery := freeAddress(t)
-			if serve != nil {
-				s := httptest.NewServer(serve)
+			if handler != nil {
+				s := httptest.NewServer(handler)
 				t.Cleanup(s.Close)
 				t.Cleanup(s.CloseClientConnections)
 				discovery = s.Listener.Addr().String()
@@ -278,19 +278,19 @@
 			p := newProcess(t, discovery, "127.0.0.1:9", 64)
 			late := 0
 			for range restarts {
-				if took := p.start(); took > within {
+				if took := p.start(); took > readyTimeout {
 					late++
 				}
 				p.kill()
 			}
 			if late > restarts/10 {
-				t.Errorf("%d of %d restarted processes were not ready within %v", late, restarts, within)
+				t.Errorf("%d of %d restarted processes were not ready within %v", late, restarts, readyTimeout)
 			}
 		})
 	}
 }
 
-func halfAnswer(w http.ResponseWriter, r *http.Request) {
+func writeTruncatedResponse(w http.ResponseWriter, r *http.Request) {
 	_, _ = io.WriteString(w, `{"revision":8,"compl`)
 	_ = http.NewResponseController(w).Flush()
 	<-r.Context().Done()
--- a/cmd/sloerail-node/versions_test.go
+++ b/cmd/sloerail-node/versions_test.go
@@ -20,17 +20,17 @@
 	"time"
 )
 
-// otherNode names the variable with the path of another build of the node's program. Hand-overs between the two are
-// tried where it is set.
-const otherNode = "SLOERAIL_OTHER_NODE"
+// otherNodeVariable is the environment variable with the path of another build of the node's program. The tests of
+// hand-overs between the two builds are skipped if it is not set.
+const otherNodeVariable = "SLOERAIL_OTHER_NODE"
 
 const (
-	serversOfVersionsTest = 3
-	// retryPhase begins the ids of requests of which the first server fails some, so that they are retried.
-	retryPhase = "retried"
+	versionsTestServers = 3
+	// retriedPrefix begins the ids of requests that the first server may fail, so that they are retried.
+	retriedPrefix = "retried"
 )
 
-// versionsTest is a node whose process is replaced by one of another version, with clients.
+// versionsTest runs a node with clients, and replaces its process by one of another version.
 type versionsTest struct {
 	*testing.T
 	dir, config, addr string
@@ -49,14 +49,14 @@
 	v := &versionsTest{T: t, dir: t.TempDir(), addr: freeAddress(t)}
 	v.config = filepath.Join(v.dir, "config.json")
 	var endpoints string
-	for i := range serversOfVersionsTest {
-		var runs sync.Map
+	for i := range versionsTestServers {
+		var requestIDs sync.Map
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			if _, again := runs.LoadOrStore(r.Header.Get("X-Request-Id"), true); again && r.Method == http.MethodPost {
-				t.Errorf("%s ran twice", r.Header.Get("X-Request-Id"))
+			if _, again := requestIDs.LoadOrStore(r.Header.Get("X-Request-Id"), true); again && r.Method == http.MethodPost {
+				t.Errorf("POST request %s reached a server twice", r.Header.Get("X-Request-Id"))
 			}
-			time.Sleep(5 * time.Millisecond) // the work
-			if i == 0 && r.Method == http.MethodGet && strings.HasPrefix(r.Header.Get("X-Request-Id"), retryPhase) &&
+			time.Sleep(5 * time.Millisecond) // simulated work
+			if i == 0 && r.Method == http.MethodGet && strings.HasPrefix(r.Header.Get("X-Request-Id"), retriedPrefix) &&
 				strings.HasSuffix(r.Header.Get("X-Request-Id"), "0") {
 				w.WriteHeader(http.StatusInternalServerError)
 			}
@@ -80,13 +80,13 @@
 	return v
 }
 
-// start runs a program as a further process of the node, until it is ready at its own address for operators.
+// start starts a program as the next process of the node, and waits until it is ready at its own control address.
 func (v *versionsTest) start(program string) *nodeProcess {
 	v.Helper()
 	p := &nodeProcess{control: freeAddress(v.T), command: exec.Command(program), log: new(logBuffer)}
 	p.command.Env = append(os.Environ(), "ROUTER_CONFIG="+v.config, "TMPDIR="+v.dir, "ROUTER_CONTROL="+p.control)
 	if program == os.Args[0] {
-		p.command.Env = append(p.command.Env, limitedTo+"=512")
+		p.command.Env = append(p.command.Env, socketLimitVariable+"=512")
 	}
 	p.command.Stderr = p.log
 	if err := p.command.Start(); err != nil {
@@ -98,7 +98,7 @@
 			_ = p.command.Wait()
 		}
 	})
-	for began := time.Now(); time.Since(began) < long; time.Sleep(5 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < testTimeout; time.Sleep(5 * time.Millisecond) {
 		resp, err := http.Get("http://" + p.control + "/healthcheck")
 		if err != nil {
 			continue
@@ -108,23 +108,23 @@
 			return p
 		}
 	}
-	v.Fatalf("%s never became ready: %s", program, p.log)
+	v.Fatalf("%s did not become ready; log:\n%s", program, p.log)
 	return nil
 }
 
-// stop ends a process as SIGTERM does, and waits for it.
+// stop sends SIGTERM to a process and waits for it to exit.
 func (v *versionsTest) stop(p *nodeProcess) {
 	v.Helper()
 	if err := p.command.Process.Signal(syscall.SIGTERM); err != nil {
 		v.Fatal(err)
 	}
 	if err := p.command.Wait(); err != nil {
-		v.Errorf("the process ended with %v: %s", err, p.log)
+		v.Errorf("process after SIGTERM: got %v, want exit code 0; log:\n%s", err, p.log)
 	}
 }
 
-// ask sends one request and returns the status of its answer.
-func (v *versionsTest) ask(client *http.Client, method, class, tenant, id string) (int, error) {
+// send sends one request and returns the status of the response.
+func (v *versionsTest) send(client *http.Client, method, class, tenant, id string) (int, error) {
 	req, err := http.NewRequestWithContext(v.Context(), method, "http://"+v.addr+"/api", nil)
 	if err != nil {
 		return 0, err
@@ -141,9 +141,9 @@
 	return resp.StatusCode, err
 }
 
-// startClients has clients send requests, half of them over a new connection each, until the returned function is
-// called. A request that gets no 200 fails the test.
-func (v *versionsTest) startClients(phase string) (stop func()) {
+// startClients starts clients that send requests until stop is called; half of the clients open a new connection for
+// each request. A request without a 200 response fails the test.
+func (v *versionsTest) startClients(prefix string) (stop func()) {
 	ctx, cancel := context.WithCancel(v.Context())
 	var clients sync.WaitGroup
 	for n := range 16 {
@@ -155,10 +155,10 @@
 				if n >= 12 {
 					method, class = http.MethodGet, "read"
 				}
-				status, err := v.ask(client, method, class, "t", fmt.Sprintf("%s-%d-%d", phase, n, i))
+				status, err := v.send(client, method, class, "t", fmt.Sprintf("%s-%d-%d", prefix, n, i))
 				if err != nil || status != http.StatusOK {
 					v.failed.Add(1)
-					v.Errorf("%s: status %d, %v", phase, status, err)
+					v.Errorf("request id prefix %s: got status %d, error %v; want 200", prefix, status, err)
 				}
 				v.served.Add(1)
 			}
@@ -167,19 +167,19 @@
 	return func() { cancel(); clients.Wait() }
 }
 
-// awaitServed waits for so many further answers.
+// awaitServed waits for n more requests to end.
 func (v *versionsTest) awaitServed(n int64) {
 	v.Helper()
-	from := v.served.Load()
-	for began := time.Now(); v.served.Load() < from+n; time.Sleep(5 * time.Millisecond) {
-		if time.Since(began) > long {
-			v.Fatalf("%d answers in %v", v.served.Load()-from, long)
+	start := v.served.Load()
+	for began := time.Now(); v.served.Load() < start+n; time.Sleep(5 * time.Millisecond) {
+		if time.Since(began) > testTimeout {
+			v.Fatalf("only %d of the awaited requests ended within %v", v.served.Load()-start, testTimeout)
 		}
 	}
 }
 
-// learned is what a test compares of a handed-over state.
-type learned struct {
+// balancerState is the part of a handed-over state that the tests compare.
+type balancerState struct {
 	Buckets []struct {
 		Tenant, Class string
 		Tokens        int64
@@ -189,9 +189,9 @@
 	Extra   []int64
 }
 
-// stateOf asks the process that serves for its state, as a successor that then leaves. The clients' listening socket
-// that comes along is dropped.
-func (v *versionsTest) stateOf() learned {
+// readState connects to the serving process as a successor, reads its state and disconnects. The clients' listening
+// socket that comes with the state is dropped.
+func (v *versionsTest) readState() balancerState {
 	v.Helper()
 	path := filepath.Join(v.dir, fmt.Sprintf("wayhold-%s.sock", replaceColon(v.addr)))
 	conn, err := net.Dial("unix", path)
@@ -199,13 +199,13 @@
 		v.Fatal(err)
 	}
 	defer func() { _ = conn.Close() }()
-	if err := conn.SetDeadline(time.Now().Add(long)); err != nil {
+	if err := conn.SetDeadline(time.Now().Add(testTimeout)); err != nil {
 		v.Fatal(err)
 	}
 	if _, err := io.ReadFull(conn, make([]byte, 1)); err != nil {
 		v.Fatal(err)
 	}
-	var state struct{ Knowledge learned }
+	var state struct{ Knowledge balancerState }
 	if err := json.NewDecoder(conn).Decode(&state); err != nil {
 		v.Fatal(err)
 	}
@@ -217,7 +217,7 @@
 	return host + "-" + port
 }
 
-func (l learned) tokens(tenant string) (all []int64) {
+func (l balancerState) tokens(tenant string) (all []int64) {
 	for _, b := range l.Buckets {
 		if b.Tenant == tenant {
 			all = append(all, b.Tokens)
@@ -226,20 +226,20 @@
 	return all
 }
 
-// versionOrders are the programs of a node's processes, one after the other.
-func versionOrders(t *testing.T) map[string][]string {
+// programSequences returns the programs of a node's successive processes, by the name of the subtest.
+func programSequences(t *testing.T) map[string][]string {
 	t.Helper()
-	this, other := os.Args[0], os.Getenv(otherNode)
+	this, other := os.Args[0], os.Getenv(otherNodeVariable)
 	if other == "" {
-		t.Skip(otherNode + " names no other build of the node's program")
+		t.Skip(otherNodeVariable + " is not set to the path of another build of the node's program")
 	}
 	return map[string][]string{"other, this, other": {other, this, other}, "this, other, this": {this, other, this}}
 }
 
-// Under load a process is replaced by one of another version, and that by one of the first again: each request gets its
-// answer, and none runs twice.
+// Under load a process is replaced by one of another version, and that one by the first version again: each request is
+// answered, and none runs twice.
 func TestHandOverBetweenVersionsUnderLoad(t *testing.T) {
-	for name, programs := range versionOrders(t) {
+	for name, programs := range programSequences(t) {
 		t.Run(name, func(t *testing.T) {
 			v := newVersionsTest(t)
 			process := v.start(programs[0])
@@ -247,8 +247,8 @@
 			for _, program := range programs[1:] {
 				v.awaitServed(1000)
 				next := v.start(program)
-				if !strings.Contains(next.log.String(), "taking over") { // the word of all versions
-					t.Errorf("%s did not take over: %s", program, next.log)
+				if !strings.Contains(next.log.String(), "taking over") { // all versions log this
+					t.Errorf("%s did not take over from the running process; log:\n%s", program, next.log)
 				}
 				v.awaitServed(200)
 				v.stop(process)
@@ -261,37 +261,37 @@
 	}
 }
 
-// A process of another version takes over the quotas used up, the concurrency limits of servers and the retry budget.
+// A process of another version takes over the tokens of quotas, the concurrency limits of servers and the retry budget.
 func TestHandOverBetweenVersionsKeepsState(t *testing.T) {
-	for name, programs := range versionOrders(t) {
+	for name, programs := range programSequences(t) {
 		t.Run(name, func(t *testing.T) {
 			v := newVersionsTest(t)
 			process := v.start(programs[0])
 			once := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
-			v.useUpQuota(once)
+			v.exhaustQuota(once)
 			for i, program := range programs[1:] {
-				stop := v.startClients(fmt.Sprint(retryPhase, i))
+				stop := v.startClients(fmt.Sprint(retriedPrefix, i))
 				v.awaitServed(1000)
 				stop()
-				before := v.stateOf()
+				before := v.readState()
 				next := v.start(program)
-				v.checkKept(before, v.stateOf())
+				v.checkStateKept(before, v.readState())
 				v.stop(process)
 				process = next
-				status, err := v.ask(once, http.MethodGet, "read", "tiny", fmt.Sprint("again-", i))
+				status, err := v.send(once, http.MethodGet, "read", "tiny", fmt.Sprint("again-", i))
 				if err != nil || status != http.StatusTooManyRequests {
-					t.Errorf("after replacement %d: status %d for tiny, %v, want 429", i, status, err)
+					t.Errorf("after replacement %d: got status %d, error %v for tenant tiny; want 429", i, status, err)
 				}
 			}
 		})
 	}
 }
 
-// useUpQuota asks on for the tenant tiny until its bucket is empty.
-func (v *versionsTest) useUpQuota(client *http.Client) {
+// exhaustQuota sends requests of the tenant tiny until its token bucket is empty.
+func (v *versionsTest) exhaustQuota(client *http.Client) {
 	v.Helper()
 	for n := range 100 {
-		status, err := v.ask(client, http.MethodGet, "read", "tiny", fmt.Sprint("tiny-", n))
+		status, err := v.send(client, http.MethodGet, "read", "tiny", fmt.Sprint("tiny-", n))
 		if err != nil {
 			v.Fatal(err)
 		}
@@ -299,42 +299,44 @@
 			return
 		}
 	}
-	v.Fatal("the quota of tiny is never used up")
+	v.Fatal("quota of tenant tiny is not exhausted after 100 requests")
 }
 
-// checkKept compares what a successor knows with what its predecessor knew just before, with no requests since.
-func (v *versionsTest) checkKept(before, after learned) {
+// checkStateKept compares the state of a successor with that of its predecessor before the hand-over. No requests are
+// sent in between.
+func (v *versionsTest) checkStateKept(before, after balancerState) {
 	v.Helper()
-	if was, is := before.tokens("tiny"), after.tokens("tiny"); len(was) == 0 || !slices.Equal(was, is) {
-		v.Errorf("tokens of tiny: %v, want %v", is, was)
+	if want, got := before.tokens("tiny"), after.tokens("tiny"); len(want) == 0 || !slices.Equal(want, got) {
+		v.Errorf("tokens of tenant tiny: got %v, want %v", got, want)
 	}
-	for id, was := range before.Servers {
-		if is := after.Servers[id]; is != was || was.Threshold <= 0 {
-			v.Errorf("server %s: %+v, want %+v", id, is, was)
+	for id, want := range before.Servers {
+		if got := after.Servers[id]; got != want || want.Threshold <= 0 {
+			v.Errorf("server %s: got %+v, want %+v with a threshold above 0", id, got, want)
 		}
 	}
-	if len(before.Servers) != serversOfVersionsTest {
-		v.Errorf("%d servers", len(before.Servers))
+	if len(before.Servers) != versionsTestServers {
+		v.Errorf("servers in the predecessor's state: got %d, want all of the test", len(before.Servers))
 	}
 	v.checkTimes("accepted requests", before.Took, after.Took)
 	v.checkTimes("retries", before.Extra, after.Extra)
-	v.Logf("kept: tokens of tiny %v, %v, %d of %d accepted requests and %d of %d retries of the budget", after.tokens("tiny"),
-		after.Servers, len(after.Took), len(before.Took), len(after.Extra), len(before.Extra))
+	v.Logf("kept: tokens of tenant tiny %v, servers %v, %d of %d accepted requests and %d of %d retries of the budget",
+		after.tokens("tiny"), after.Servers, len(after.Took), len(before.Took), len(after.Extra), len(before.Extra))
 }
 
-// checkTimes compares times of the retry budget, which are relative to when a state was written. Old ones may have left
-// the budget's window meanwhile.
+// checkTimes compares the times of the retry budget, which are relative to the time at which a state is written. Old
+// ones may have left the budget's window in between.
 func (v *versionsTest) checkTimes(what string, before, after []int64) {
 	v.Helper()
 	if len(after) == 0 || len(after) > len(before) {
-		v.Errorf("%s: %d, want up to %d", what, len(after), len(before))
+		v.Errorf("%s: got %d times, want 1 to %d", what, len(after), len(before))
 		return
 	}
 	before = before[len(before)-len(after):]
-	passed := before[0] - after[0]
+	elapsed := before[0] - after[0]
 	for i := range after {
-		if before[i]-after[i] != passed || passed <= 0 {
-			v.Errorf("%s: the %dth is %d, was %d, with %d passed since", what, i, after[i], before[i], passed)
+		if before[i]-after[i] != elapsed || elapsed <= 0 {
+			v.Errorf("%s: time %d: got %d, was %d; want all shifted by the same positive amount as the first, %d",
+				what, i, after[i], before[i], elapsed)
 			return
 		}
 	}
--- a/cmd/sloerail-simadapter/main.go
+++ b/cmd/sloerail-simadapter/main.go
@@ -1,5 +1,5 @@
 // Command sloerail-simadapter runs instances of the decision module for the operators' simulator: it reads batches of
-// lines on standard input, routes events to instances, and writes their actions on standard output.
+// lines from standard input, passes events to the instances, and writes their actions to standard output.
 package main
 
 import (
@@ -17,14 +17,14 @@
 )
 
 const (
-	// bufferBytes is the size of the buffers of standard input and output: batches can run to megabytes.
+	// bufferBytes is the size of the buffers of standard input and output: a batch can have several megabytes.
 	bufferBytes = 1 << 20
 
 	// gcPercent trades memory for CPU: the live heap is small, and CPU per request is limited.
 	gcPercent = 800
 )
 
-// Errors of the order of lines.
+// Errors in the sequence of lines.
 var (
 	errInputEnded = errors.New("input ended inside a batch")
 	errNesting    = errors.New("message outside of a batch, or a batch inside another")
@@ -38,16 +38,16 @@
 	}
 }
 
-// adapter holds the instances of one process. It is for one goroutine.
+// adapter holds the instances of one process. It is not safe for concurrent use.
 type adapter struct {
 	decoder   simwire.Decoder
 	balancers map[int]*policy.Balancer // by node
-	now       policy.Time              // of the batch
+	now       policy.Time              // time of the current batch
 	inBatch   bool
-	reply     []byte // to the batch so far
+	reply     []byte // to the current batch so far
 }
 
-// serve answers batches until the end of input. Errors name the line.
+// serve replies to batches until the input ends. Errors contain the line number.
 func serve(in io.Reader, out io.Writer) error {
 	a := adapter{balancers: make(map[int]*policy.Balancer)}
 	lines := lineReader{buffered: bufio.NewReaderSize(in, bufferBytes)}
@@ -94,7 +94,7 @@
 	long     []byte // reused for lines that are longer than the buffer
 }
 
-// next returns the next line without its end; it is valid until the next call.
+// next returns the next line without its line ending. The slice is valid until the next call.
 func (r *lineReader) next() ([]byte, error) {
 	line, err := r.buffered.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -108,7 +108,7 @@
 	return bytes.TrimRight(line, "\r\n"), err
 }
 
-// handleLine carries out one line and reports whether it ended a batch.
+// handleLine processes one line and reports whether it ended a batch.
 func (a *adapter) handleLine(raw []byte) (batchEnded bool, err error) {
 	line, err := a.decoder.Decode(raw)
 	if err != nil {
@@ -132,7 +132,7 @@
 	case simwire.Shutdown:
 		delete(a.balancers, line.Node)
 	case simwire.Event:
-		// An event for a node that was shut down, or that has failed, is dropped.
+		// Events for a node that was shut down or has failed are dropped.
 		if balancer := a.balancers[line.Node]; balancer != nil {
 			a.deliver(line.Node, balancer, line.Event)
 		}
@@ -140,12 +140,12 @@
 	return false, nil
 }
 
-// deliver hands one event to an instance. A panic ends that instance alone, and is reported in the reply.
+// deliver passes one event to an instance. A panic removes only that instance, and is reported in the reply.
 func (a *adapter) deliver(node int, balancer *policy.Balancer, event policy.Event) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			text := strings.ReplaceAll(fmt.Sprint(cause), "\n", " ")
-			fmt.Fprintf(os.Stderr, "instance %d: %s\n%s", node, text, debug.Stack())
+			fmt.Fprintf(os.Stderr, "instance %d: panic: %s\n%s", node, text, debug.Stack())
 			a.reply = simwire.AppendFailure(a.reply, node, text)
 			delete(a.balancers, node)
 		}
--- a/cmd/sloerail-simadapter/transcript_test.go
+++ b/cmd/sloerail-simadapter/transcript_test.go
@@ -7,8 +7,8 @@
 	"sloerail/internal/golden"
 )
 
-// TestTranscriptIsFrozen replays lines that the simulator sent, with every message and every key of the settings, and
-// compares the replies byte for byte: the names on the wire, and the decisions, stay as they are.
+// TestTranscriptIsFrozen replays recorded lines of the simulator, with every message and every key of the settings, and
+// compares the replies byte for byte. Names on the wire and decisions must not change.
 func TestTranscriptIsFrozen(t *testing.T) {
 	in := golden.Read(t, "transcript.in")
 	var out bytes.Buffer
@@ -19,7 +19,7 @@
 	for _, name := range []string{"mark", "eob", "configure", "list", "peersKnown", "ingress", "healthResult", "shutdown",
 		"lapsed", "headers", "neighbourSays", "reminder", "completed"} {
 		if !bytes.Contains(in, []byte(`["`+name+`"`)) {
-			t.Errorf("the transcript has no %s", name)
+			t.Errorf("transcript.in has no message %s", name)
 		}
 	}
 }
