--- a/cmd/sloerail/demo.go
+++ b/cmd/sloerail/demo.go
@@ -10,24 +10,24 @@
 )
 
 func newDemo() *cobra.Command {
-	d := testcluster.DemoSpec{Duration: 20 * time.Second, Nodes: 3, Seed: 1}
+	spec := testcluster.DemoSpec{Duration: 20 * time.Second, Nodes: 3, Seed: 1}
 	cmd := &cobra.Command{
 		Use:   "demo",
-		Short: "Play a fleet through the death of a node on this machine, with nothing else needed",
-		Long: "Start stand-in app boxes, list and clients and real nodes on loopback, kill a node and bring it back, and\n" +
-			"show what came of the requests. It takes the Go tool chain and this source tree, for it builds the node.",
+		Short: "Run a demo fleet on this machine, and kill and restart one of its nodes",
+		Long: "Start real nodes and emulated servers, clients and list service on loopback, kill and restart a node, and\n" +
+			"show the outcome of the requests. The command needs the Go toolchain and this source tree, to build the node.",
 		Example: "  go run ./cmd/sloerail demo\n  sloerail demo --for 60s --nodes 6 --seed 7",
-		Args:    args(cobra.NoArgs),
+		Args:    positionalArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if err := d.Check(); err != nil {
+			if err := spec.Check(); err != nil {
 				return fmt.Errorf("%w: %w", errUsage, err)
 			}
-			return testcluster.Demo(cmd.Context(), cmd.OutOrStdout(), d)
+			return testcluster.Demo(cmd.Context(), cmd.OutOrStdout(), spec)
 		},
 	}
 	f := cmd.Flags()
-	f.DurationVar(&d.Duration, "for", d.Duration, "how long clients come")
-	f.IntVar(&d.Nodes, "nodes", d.Nodes, "nodes of the fleet")
-	f.Uint64Var(&d.Seed, "seed", d.Seed, "of what is drawn")
+	f.DurationVar(&spec.Duration, "for", spec.Duration, "how long the clients send requests")
+	f.IntVar(&spec.Nodes, "nodes", spec.Nodes, "number of nodes in the fleet")
+	f.Uint64Var(&spec.Seed, "seed", spec.Seed, "seed of the random choices")
 	return cmd
 }
--- a/cmd/sloerail/experiment.go
+++ b/cmd/sloerail/experiment.go
@@ -14,10 +14,10 @@
 	"sloerail/internal/simulation"
 )
 
-var errNotReached = errors.New("not all measures are reached")
+var errOutOfBounds = errors.New("a measure is out of its bounds, or a rule was broken")
 
 func newExperiment() *cobra.Command {
-	cmd := &cobra.Command{Use: "experiment", Short: "Ask questions of the decision module over many seeds, in virtual time"}
+	cmd := &cobra.Command{Use: "experiment", Short: "Run experiments on the decision module: many seeds, in virtual time"}
 	cmd.AddCommand(newPairExperiment(), newZonesExperiment())
 	return cmd
 }
@@ -29,18 +29,18 @@
 	cmd := &cobra.Command{
 		Use:   "pair PROGRAM [SCENARIO...]",
 		Short: "Compare this program with another build of it, on the same scenarios and seeds",
-		Long: "Play scenarios by this program and by another build of it, with the same seeds, and tell by how much G (the part\n" +
-			"of the worth that is served in time: whole run, worst 10 s, worst class) differs, with a 95% interval. Without\n" +
-			"names all scenarios that come with this program are played. Ends with 1 if a rule was broken by this program.",
+		Long: "Run scenarios with this program and another build of it, on the same seeds, and report the difference of G (the\n" +
+			"fraction of the value served in time: whole run, worst 10 s, worst class), with a 95% interval. Without names,\n" +
+			"run all built-in scenarios. Exit with 1 if this program broke a rule.",
 		Example: "  sloerail experiment pair /tmp/before/sloerail --seeds 50\n" +
 			"  sloerail experiment pair ./old zone-lost zone-errors --seeds 200 --json",
-		Args: args(cobra.MinimumNArgs(1)),
+		Args: positionalArgs(cobra.MinimumNArgs(1)),
 		RunE: func(cmd *cobra.Command, names []string) error {
-			all, err := seedsFrom(first, seeds)
+			seedList, err := seedRange(first, seeds)
 			if err != nil {
 				return err
 			}
-			own, err := os.Executable()
+			executable, err := os.Executable()
 			if err != nil {
 				return err
 			}
@@ -48,27 +48,27 @@
 			if len(scenarios) == 0 {
 				scenarios = simulation.Shipped()
 			}
-			pairs, err := simulation.Pairs(cmd.Context(), own, names[0], scenarios, all)
+			pairs, err := simulation.Pairs(cmd.Context(), executable, names[0], scenarios, seedList)
 			if err != nil {
 				return err
 			}
 			return reportPairs(cmd.OutOrStdout(), pairs, asJSON)
 		},
 	}
-	seedFlags(cmd, &first, &seeds, 20)
+	addSeedFlags(cmd, &first, &seeds, 20)
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print the figures as JSON")
 	return cmd
 }
 
-func seedFlags(cmd *cobra.Command, first *uint64, count *int, defaultCount int) {
-	cmd.Flags().IntVar(count, "seeds", defaultCount, "how many")
-	cmd.Flags().Uint64Var(first, "first", 1, "the first of them")
+func addSeedFlags(cmd *cobra.Command, first *uint64, count *int, defaultCount int) {
+	cmd.Flags().IntVar(count, "seeds", defaultCount, "number of seeds")
+	cmd.Flags().Uint64Var(first, "first", 1, "first seed")
 }
 
-// maxSeeds bounds an experiment.
+// maxSeeds bounds the number of seeds of an experiment.
 const maxSeeds = 1000
 
-func seedsFrom(first uint64, count int) (seeds []uint64, err error) {
+func seedRange(first uint64, count int) (seeds []uint64, err error) {
 	if count < 1 || count > maxSeeds {
 		return nil, fmt.Errorf("%w: seeds: want 1 to %d, got %d", errUsage, maxSeeds, count)
 	}
@@ -89,7 +89,8 @@
 }
 
 func printPairs(out io.Writer, pairs []simulation.Pair) {
-	t := newTable(out, "scenario", "G", "G of the other", "difference (95%)", "p", "rules broken", "by the other")
+	t := newTable(out, "scenario", "G", "G of the other build", "difference (95%)", "p", "rules broken",
+		"rules broken by the other build")
 	for _, p := range pairs {
 		t.AppendRow(table.Row{p.Scenario, fmt.Sprintf("%.3f", p.OurG), fmt.Sprintf("%.3f", p.TheirG),
 			fmt.Sprintf("%+.4f ±%.4f", p.Mean, p.HalfInterval), fmt.Sprintf("%.3f", p.P), p.OurBroken, p.TheirBroken})
@@ -103,24 +104,24 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "zones",
-		Short: "Measure how zones are left and come back to, against judging servers one by one",
-		Long: "Measure how zones are left and come back to, with the same seeds for places judged and for servers judged one by\n" +
-			"one. Ends with 1 if the mean of a measure is not where it has to be, or a rule was broken.",
+		Short: "Measure how zones are evacuated and restored, compared with evaluating servers one by one",
+		Long: "Measure how zones are evacuated and restored, with nodes that evaluate zones and nodes that evaluate servers\n" +
+			"alone, on the same seeds. Exit with 1 if a measure's mean is out of its bounds, or a rule was broken.",
 		Example: "  sloerail experiment zones --seeds 10",
-		Args:    args(cobra.NoArgs),
+		Args:    positionalArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all, err := seedsFrom(first, seeds)
+			seedList, err := seedRange(first, seeds)
 			if err != nil {
 				return err
 			}
-			rows, err := simulation.MeasureZones(simulation.ZoneMeasures(), all, true)
+			rows, err := simulation.MeasureZones(simulation.ZoneMeasures(), seedList, true)
 			if err != nil {
 				return err
 			}
 			return reportRows(cmd.OutOrStdout(), rows, asJSON)
 		},
 	}
-	seedFlags(cmd, &first, &seeds, 10)
+	addSeedFlags(cmd, &first, &seeds, 10)
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print the figures of all seeds as JSON")
 	return cmd
 }
@@ -131,13 +132,13 @@
 	}
 	for _, r := range rows {
 		if !r.Reached() {
-			return errNotReached
+			return errOutOfBounds
 		}
 	}
 	return nil
 }
 
-// jsonRow is a row as --json prints it: JSON has no infinities, so that a figure without a value is -1.
+// jsonRow is a row as --json prints it. A figure without a value is -1, as JSON has no infinities.
 type jsonRow struct {
 	Measure string    `json:"measure"`
 	Places  []float64 `json:"places"`
@@ -164,7 +165,7 @@
 }
 
 func printRows(out io.Writer, rows []simulation.Row) {
-	t := newTable(out, "measure", "to reach", "places: mean (least to most)", "servers alone", "rules broken", "reached")
+	t := newTable(out, "measure", "required mean", "places: mean (min to max)", "servers alone", "rules broken", "reached")
 	for _, r := range rows {
 		want := ""
 		if !math.IsInf(r.Min, 0) && r.Min > 0 {
--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -21,14 +21,14 @@
 	"sloerail/internal/simulation"
 )
 
-// TestCommandsAndFlagsAreFrozen pins what scripts write: commands, their arguments, flags, shorthands and defaults. A hidden
-// alias counts as well.
+// TestCommandsAndFlagsAreFrozen pins the interface for scripts: commands, arguments, flags, shorthands and defaults, also
+// hidden aliases.
 func TestCommandsAndFlagsAreFrozen(t *testing.T) {
 	var out bytes.Buffer
-	var list func(cmd *cobra.Command)
-	list = func(cmd *cobra.Command) {
+	var describe func(cmd *cobra.Command)
+	describe = func(cmd *cobra.Command) {
 		fmt.Fprintf(&out, "%s | use %q aliases %v hidden %v\n", cmd.CommandPath(), cmd.Use, cmd.Aliases, cmd.Hidden)
-		flag := func(of string) func(f *pflag.Flag) {
+		describeFlag := func(of string) func(f *pflag.Flag) {
 			return func(f *pflag.Flag) {
 				fmt.Fprintf(&out, "  %s --%s shorthand %q type %s default %q without value %q hidden %v\n", of, f.Name, f.Shorthand,
 					f.Value.Type(), f.DefValue, f.NoOptDefVal, f.Hidden)
@@ -36,21 +36,21 @@
 		}
 		cmd.InitDefaultHelpFlag()
 		cmd.InitDefaultVersionFlag()
-		cmd.LocalNonPersistentFlags().VisitAll(flag("flag"))
-		cmd.PersistentFlags().VisitAll(flag("persistent"))
+		cmd.LocalNonPersistentFlags().VisitAll(describeFlag("flag"))
+		cmd.PersistentFlags().VisitAll(describeFlag("persistent"))
 		for _, sub := range cmd.Commands() {
-			list(sub)
+			describe(sub)
 		}
 	}
 	root := newRoot()
 	root.InitDefaultHelpCmd()
 	root.InitDefaultCompletionCmd()
-	list(root)
+	describe(root)
 	golden.Check(t, "commands.txt", out.Bytes())
 }
 
-// answering serves a fixed answer at a path, and 404 at others.
-func answering(t *testing.T, path string, answer any) string {
+// serveJSON starts a server that responds with response at path, and with 404 elsewhere. It returns its address.
+func serveJSON(t *testing.T, path string, response any) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != path {
@@ -58,7 +58,7 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(answer)
+		_ = json.NewEncoder(w).Encode(response)
 	}))
 	t.Cleanup(s.Close)
 	return strings.TrimPrefix(s.URL, "http://")
@@ -71,16 +71,17 @@
 			State: membership.Alive, SinceMs: 61000}}}
 }
 
-// TestJSONOfNodesAndListIsFrozen pins --json of the commands that ask, with servers that answer in place of a fleet.
+// TestJSONOfNodesAndListIsFrozen pins the --json output of the commands that query nodes and the list service. Stub
+// servers respond in place of a fleet.
 func TestJSONOfNodesAndListIsFrozen(t *testing.T) {
-	fleet := answering(t, "/fleet", goldenFleetView())
-	places := answering(t, "/places", []node.PlaceView{
+	fleet := serveJSON(t, "/fleet", goldenFleetView())
+	places := serveJSON(t, "/places", []node.PlaceView{
 		{Zone: "a", Region: "r", State: "left", Cost: 1.5, Share: 0.25, Servers: 6, Left: 2, Ill: 4.5, Heard: 8, TriedInMs: 1200, Why: "ill"},
 		{Zone: "b", Region: "r", State: "well"}})
-	list := answering(t, "/registry/instances", registry.EndpointList{Revision: 41, Complete: true, Endpoints: []registry.Endpoint{
+	list := serveJSON(t, "/registry/instances", registry.EndpointList{Revision: 41, Complete: true, Endpoints: []registry.Endpoint{
 		{ID: "s-0", Address: "10.0.0.1:9000", Zone: "a", Kind: "big-box", Cell: 3, Phase: "up", Size: 1.5, StartTimeMs: 1700000000123,
 			Service: "svc"}, {ID: "s-1"}}})
-	status := answering(t, "/registry/status", registry.Status{ID: "r0", Leader: "r1", Epoch: 2, Revision: 41, Instances: 20, ExpirySuspended: true,
+	status := serveJSON(t, "/registry/status", registry.Status{ID: "r0", Leader: "r1", Epoch: 2, Revision: 41, Instances: 20, ExpirySuspended: true,
 		AgeMs: 5, Watches: 6, Lists: 7, Writes: 8, CallsRejected: 9, CallsRejectedStale: 10,
 		Replicas: []registry.ReplicaStatus{{ID: "r0", RaftAddress: "10.0.0.1:8501", APIAddress: "10.0.0.1:8500"}}})
 	for _, c := range []struct {
@@ -95,15 +96,15 @@
 		{"registry-list.json", "registry list --json --to ", list, 0},
 		{"registry-status.json", "registry status --json --to ", status, 0},
 	} {
-		got, out, errs := call(t.Context(), strings.Fields(c.args+c.address)...)
+		got, out, errs := runCommand(t.Context(), strings.Fields(c.args+c.address)...)
 		if got != c.status {
-			t.Errorf("%s: status %d, want %d; %s", c.args, got, c.status, errs)
+			t.Errorf("sloerail %s: got exit code %d, want %d; stderr: %s", c.args, got, c.status, errs)
 		}
 		golden.Check(t, c.file, []byte(strings.ReplaceAll(out, c.address, "ADDRESS")))
 	}
 }
 
-// TestJSONOfExperimentsIsFrozen pins what the commands that measure print.
+// TestJSONOfExperimentsIsFrozen pins the --json output of the commands that measure.
 func TestJSONOfExperimentsIsFrozen(t *testing.T) {
 	pairs := []simulation.Pair{{Scenario: "all", Mean: 0.5, HalfInterval: 0.25, P: 0.125, OurG: 0.75, TheirG: 0.625, OurBroken: 1, TheirBroken: 2}}
 	row := simulation.Row{Measure: simulation.Measure{Name: "calm: attempts that cross", Max: 1}, WithTopology: []float64{0, 0.5}, WithoutTopology: []float64{1, 2}}
@@ -117,21 +118,21 @@
 		{"pair.json", func(out *bytes.Buffer) error { return reportPairs(out, pairs, true) }, "1 rules were broken"},
 		{"zones.json", func(out *bytes.Buffer) error { return reportRows(out, []simulation.Row{row}, true) }, ""},
 		{"scale.json", func(out *bytes.Buffer) error { return reportScale(out, report, scaleFlags{asJSON: true}) },
-			"stopped before all was measured: called off"},
+			"stopped before all points were measured: called off"},
 		{"simulate.json", func(out *bytes.Buffer) error { return reportOutcome(out, outcome, 1, true) }, "3 rules were broken"},
 	} {
 		var out bytes.Buffer
 		err := c.print(&out)
 		if (err != nil || c.err != "") && fmt.Sprint(err) != c.err {
-			t.Errorf("%s: error %v, want %q", c.file, err, c.err)
+			t.Errorf("%s: got error %v, want %q", c.file, err, c.err)
 		}
 		golden.Check(t, c.file, out.Bytes())
 	}
 }
 
-// TestExitCodesAreFrozen: 0 for what is so, 1 for what is not so or could not be done, 2 for wrong use.
+// TestExitCodesAreFrozen pins the exit codes: 0 for success, 1 for a failure or a failed check, 2 for invalid usage.
 func TestExitCodesAreFrozen(t *testing.T) {
-	status := answering(t, "/registry/status", registry.Status{ID: "r0", AgeMs: -1})
+	status := serveJSON(t, "/registry/status", registry.Status{ID: "r0", AgeMs: -1})
 	for args, want := range map[string]int{
 		"": 0, "--help": 0, "--version": 0, "version": 0, "simulate": 0, "scale": 0, "experiment": 0, "registry": 0, "help members": 0,
 		"members 127.0.0.1:1": 1, "places 127.0.0.1:1": 1, "registry list --to 127.0.0.1:1x": 1, "registry status --to " + status: 1,
@@ -141,8 +142,8 @@
 		"experiment zones more": 2, "registry list more": 2, "registry add a": 2, "registry remove": 2, "register": 2, "register a/b 10.0.0.1:1": 2,
 		"register s nowhere": 2, "demo --for 1s": 2, "demo --nodes 1": 2, "demo more": 2,
 	} {
-		if got, _, errs := call(t.Context(), strings.Fields(args)...); got != want {
-			t.Errorf("%q: status %d, want %d; %s", args, got, want, errs)
+		if got, _, errs := runCommand(t.Context(), strings.Fields(args)...); got != want {
+			t.Errorf("arguments %q: got exit code %d, want %d; stderr: %s", args, got, want, errs)
 		}
 	}
 }
--- a/cmd/sloerail/main.go
+++ b/cmd/sloerail/main.go
@@ -1,5 +1,5 @@
-// Command sloerail is the operators' command line. Results go to standard output, errors to standard error. The exit code
-// is 0 for success, 1 for a failure or a check that doesn't hold, and 2 for wrong use.
+// Command sloerail is the command-line tool for operators. Results go to standard output, errors to standard error. The
+// exit code is 0 for success, 1 for a failure or a failed check, and 2 for invalid usage.
 package main
 
 import (
@@ -15,8 +15,8 @@
 	"sloerail/internal/node/config"
 )
 
-// errUsage is for wrong flags, arguments or input files: exit code 2.
-var errUsage = errors.New("wrong use")
+// errUsage marks invalid flags, arguments or input files: exit code 2.
+var errUsage = errors.New("invalid usage")
 
 func main() {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -27,7 +27,7 @@
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "sloerail",
-		Short:         "Look after a fleet of request-routing nodes",
+		Short:         "Operate a fleet of request-routing nodes",
 		Version:       config.Version(),
 		SilenceErrors: true,
 		SilenceUsage:  true,
@@ -40,7 +40,7 @@
 
 func newVersion() *cobra.Command {
 	return &cobra.Command{
-		Use: "version", Short: "Print the version of this build", Args: args(cobra.NoArgs),
+		Use: "version", Short: "Print the version of this build", Args: positionalArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			_, err := fmt.Fprintln(cmd.OutOrStdout(), config.Version())
 			return err
@@ -48,10 +48,10 @@
 	}
 }
 
-// args marks the errors of a check of arguments as errUsage.
-func args(check cobra.PositionalArgs) cobra.PositionalArgs {
-	return func(cmd *cobra.Command, given []string) error {
-		if err := check(cmd, given); err != nil {
+// positionalArgs marks the errors of a check of arguments as errUsage.
+func positionalArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
+	return func(cmd *cobra.Command, args []string) error {
+		if err := check(cmd, args); err != nil {
 			return fmt.Errorf("%w: %w", errUsage, err)
 		}
 		return nil
--- a/cmd/sloerail/main_test.go
+++ b/cmd/sloerail/main_test.go
@@ -13,8 +13,8 @@
 	"sloerail/internal/node"
 )
 
-// fleetAt answers as a node's second address does.
-func fleetAt(t *testing.T, v node.FleetView) string {
+// serveFleetView starts a server that responds as a node's control address does, and returns its address.
+func serveFleetView(t *testing.T, v node.FleetView) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/fleet" {
@@ -27,7 +27,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func view(self string, names ...string) (v node.FleetView) {
+func newFleetView(self string, names ...string) (v node.FleetView) {
 	v.Node, v.Reachable, v.QuotaNodes = self, len(names), len(names)
 	for _, n := range names {
 		v.Members = append(v.Members, node.FleetMember{Name: n, Zone: "a", State: membership.Alive, SinceMs: 61_000})
@@ -36,21 +36,21 @@
 }
 
 func TestCommands(t *testing.T) {
-	a, b := fleetAt(t, view("n0", "n0", "n1")), fleetAt(t, view("n1", "n0", "n1"))
-	lone := view("n2", "n2")
-	lone.Partitioned, lone.QuotaNodes = true, 3
-	c := fleetAt(t, lone)
-	none := httptest.NewServer(http.NotFoundHandler())
-	t.Cleanup(none.Close)
-	for _, call := range []struct {
+	a, b := serveFleetView(t, newFleetView("n0", "n0", "n1")), serveFleetView(t, newFleetView("n1", "n0", "n1"))
+	partitioned := newFleetView("n2", "n2")
+	partitioned.Partitioned, partitioned.QuotaNodes = true, 3
+	c := serveFleetView(t, partitioned)
+	noFleet := httptest.NewServer(http.NotFoundHandler())
+	t.Cleanup(noFleet.Close)
+	for _, tc := range []struct {
 		args      string
 		status    int
 		out, errs string
 	}{
-		{"members " + a + " " + b, 0, "n1 hears 2, quotas by 2", ""},
+		{"members " + a + " " + b, 0, "node n1 reaches 2 nodes, quotas divided by 2", ""},
 		{"members " + a + " " + c, 1, "CUT OFF", "the views differ"},
 		{"members --json " + a, 0, `"state":"alive"`, ""},
-		{"members " + strings.TrimPrefix(none.URL, "http://"), 1, "of no fleet", "no view from"},
+		{"members " + strings.TrimPrefix(noFleet.URL, "http://"), 1, "not part of a fleet", "no view from"},
 		{"members", 2, "", "at least 1 arg"},
 		{"members --wach " + a, 2, "", "unknown flag"},
 		{"nonsense", 2, "", "unknown command"},
@@ -59,9 +59,10 @@
 		{"completion bash", 0, "bash completion", ""},
 	} {
 		var out, errs bytes.Buffer
-		status := run(context.Background(), strings.Fields(call.args), &out, &errs)
-		if status != call.status || !strings.Contains(out.String(), call.out) || !strings.Contains(errs.String(), call.errs) {
-			t.Errorf("%s: status %d\n%s\n%s", call.args, status, out.String(), errs.String())
+		status := run(context.Background(), strings.Fields(tc.args), &out, &errs)
+		if status != tc.status || !strings.Contains(out.String(), tc.out) || !strings.Contains(errs.String(), tc.errs) {
+			t.Errorf("sloerail %s: unexpected exit code %d or output\nstdout: %s\nstderr: %s",
+				tc.args, status, out.String(), errs.String())
 		}
 	}
 }
--- a/cmd/sloerail/members.go
+++ b/cmd/sloerail/members.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	callTimeout      = 2 * time.Second // of a call at an administrative address
-	watchInterval    = time.Second     // between looks of members --watch
+	requestTimeout   = 2 * time.Second // of a request to a control address
+	watchInterval    = time.Second     // between updates of members --watch
 	maxResponseBytes = 4 << 20
 )
 
 var (
-	errDiffer  = errors.New("the views differ")
-	errNoFleet = errors.New("the node there is of no fleet")
+	errViewsDiffer = errors.New("the views differ")
+	errNoFleet     = errors.New("the node is not part of a fleet")
 )
 
 func newMembers() *cobra.Command {
 	var watch, asJSON bool
 	cmd := &cobra.Command{
 		Use:   "members ADDR...",
-		Short: "Show which nodes of the fleet are present, as the nodes at these second addresses see it",
-		Long: "Show which nodes of the fleet are present, as the nodes at these second addresses (control in their\n" +
-			"configuration) see it. Ends with 1 if one gives no answer, or if two views differ in who is there.",
+		Short: "Show the members of the fleet, as seen by the nodes at these control addresses",
+		Long: "Show the members of the fleet, as seen by the nodes at these addresses (control in their configuration). Exit\n" +
+			"with 1 if a node does not respond, or if two views differ in the members that are present.",
 		Example: "  sloerail members 10.0.0.4:9100 10.0.0.5:9100\n  sloerail members 10.0.0.4:9100 --watch\n" +
 			"  sloerail members 10.0.0.4:9100 --json",
-		Args: args(cobra.MinimumNArgs(1)),
+		Args: positionalArgs(cobra.MinimumNArgs(1)),
 		RunE: func(cmd *cobra.Command, addrs []string) error {
 			for {
 				err := showMembers(cmd.Context(), cmd.OutOrStdout(), addrs, asJSON)
@@ -57,25 +57,25 @@
 			}
 		},
 	}
-	cmd.Flags().BoolVar(&watch, "watch", false, "show it again each second, until interrupted")
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print the nodes' answers as a JSON list, one line a look")
+	cmd.Flags().BoolVar(&watch, "watch", false, "repeat every second until interrupted")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the nodes' responses as a JSON list, one line per update")
 	return cmd
 }
 
-// memberResponse is the response of one address, or why there is none.
-type memberResponse struct {
+// membersResponse is the response from one address, or the error in its place.
+type membersResponse struct {
 	Address string          `json:"address"`
 	View    *node.FleetView `json:"view,omitempty"`
 	Error   string          `json:"error,omitempty"`
 }
 
-// showMembers prints the views of the nodes at all addresses. It is an error for one to be missing or to differ.
+// showMembers prints the views of the nodes at all addresses. It returns an error if a view is missing or differs.
 func showMembers(ctx context.Context, out io.Writer, addrs []string, asJSON bool) error {
-	responses := make([]memberResponse, len(addrs))
+	responses := make([]membersResponse, len(addrs))
 	forEachAddress(addrs, func(i int, addr string) {
-		responses[i] = memberResponse{Address: addr, View: new(node.FleetView)}
+		responses[i] = membersResponse{Address: addr, View: new(node.FleetView)}
 		if err := getJSON(ctx, addr, "/fleet", errNoFleet, responses[i].View); err != nil {
-			responses[i] = memberResponse{Address: addr, Error: err.Error()}
+			responses[i] = membersResponse{Address: addr, Error: err.Error()}
 		}
 	})
 	if err := output.Show(out, responses, asJSON, func(p *output.Printer) { printMembers(p, responses) }); err != nil {
@@ -84,34 +84,35 @@
 	return compareViews(responses)
 }
 
-// compareViews returns an error where views are missing, or differ in the members that are present.
-func compareViews(responses []memberResponse) error {
-	var unanswered []string
-	var first *memberResponse
-	for i, a := range responses {
+// compareViews returns an error if views are missing, or differ in the members that are present.
+func compareViews(responses []membersResponse) error {
+	var failed []string
+	var first *membersResponse
+	for i, r := range responses {
 		switch {
-		case a.Error != "":
-			unanswered = append(unanswered, a.Address)
+		case r.Error != "":
+			failed = append(failed, r.Address)
 		case first == nil:
 			first = &responses[i]
-		case !slices.Equal(first.View.Present(), a.View.Present()):
-			return fmt.Errorf("%w: %s and %s", errDiffer, first.Address, a.Address)
+		case !slices.Equal(first.View.Present(), r.View.Present()):
+			return fmt.Errorf("%w: %s and %s", errViewsDiffer, first.Address, r.Address)
 		}
 	}
-	if len(unanswered) > 0 {
-		return fmt.Errorf("no view from %s", strings.Join(unanswered, ", "))
+	if len(failed) > 0 {
+		return fmt.Errorf("no view from %s", strings.Join(failed, ", "))
 	}
 	return nil
 }
 
-func printMembers(p *output.Printer, responses []memberResponse) {
-	for _, a := range responses {
-		if a.Error != "" {
-			p.Printf("%s: %s\n\n", a.Address, a.Error)
+func printMembers(p *output.Printer, responses []membersResponse) {
+	for _, r := range responses {
+		if r.Error != "" {
+			p.Printf("%s: %s\n\n", r.Address, r.Error)
 			continue
 		}
-		v := a.View
-		p.Printf("%s: %s hears %d, quotas by %d, view %d%s\n", a.Address, v.Node, v.Reachable, v.QuotaNodes, v.View, warnings(v))
+		v := r.View
+		p.Printf("%s: node %s reaches %d nodes, quotas divided by %d, view %d%s\n",
+			r.Address, v.Node, v.Reachable, v.QuotaNodes, v.View, warnings(v))
 		t := newTable(p, "name", "zone", "state", "for", "incarnation", "version", "address")
 		for _, m := range v.Members {
 			t.AppendRow(table.Row{m.Name, m.Zone, m.State, (time.Duration(m.SinceMs) * time.Millisecond).Round(time.Second),
@@ -124,15 +125,15 @@
 
 func warnings(v *node.FleetView) (text string) {
 	if v.Partitioned {
-		text += "; CUT OFF: it hears half or less, and keeps its part of quotas"
+		text += "; CUT OFF: half of the nodes or fewer are reachable, share of quotas unchanged"
 	}
 	if v.Superseded {
-		text += "; SUPERSEDED: a later process bears its name"
+		text += "; SUPERSEDED: a later process has the same name"
 	}
 	return text
 }
 
-// forEachAddress calls do for all addresses concurrently, and returns once all calls have.
+// forEachAddress calls do for all addresses concurrently, and returns when all calls have returned.
 func forEachAddress(addrs []string, do func(i int, addr string)) {
 	var calls sync.WaitGroup
 	for i, addr := range addrs {
@@ -141,9 +142,9 @@
 	calls.Wait()
 }
 
-// getJSON decodes the response of an administrative address. errNotFound is returned for a 404.
+// getJSON decodes the response of a control address into result. It returns errNotFound for a 404.
 func getJSON(ctx context.Context, addr, path string, errNotFound error, result any) error {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -158,10 +159,10 @@
 	case resp.StatusCode == http.StatusNotFound:
 		return errNotFound
 	case resp.StatusCode != http.StatusOK:
-		return fmt.Errorf("it answered %s", resp.Status)
+		return fmt.Errorf("unexpected response status %s", resp.Status)
 	}
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxResponseBytes)).Decode(result); err != nil {
-		return fmt.Errorf("what came can not be read: %w", err)
+		return fmt.Errorf("decoding the response: %w", err)
 	}
 	return nil
 }
--- a/cmd/sloerail/registry.go
+++ b/cmd/sloerail/registry.go
@@ -14,14 +14,15 @@
 	"sloerail/internal/registry"
 )
 
-// watchWait bounds one watch call, after which the next follows.
-const watchWait = 30 * time.Second
+// watchTimeout is how long one watch call waits for a change, before the next call.
+const watchTimeout = 30 * time.Second
 
 func newRegistry() *cobra.Command {
-	var to []string
-	root := &cobra.Command{Use: "registry", Short: "Run the list service, and look after it"}
-	root.PersistentFlags().StringSliceVar(&to, "to", []string{registry.DefaultConfig().ListenAddress}, "addresses of the replicas")
-	client := func() *registry.Client { return registry.NewClient(to) }
+	var addresses []string
+	root := &cobra.Command{Use: "registry", Short: "Run and manage the list service"}
+	root.PersistentFlags().StringSliceVar(&addresses, "to", []string{registry.DefaultConfig().ListenAddress},
+		"addresses of the replicas")
+	client := func() *registry.Client { return registry.NewClient(addresses) }
 	root.AddCommand(newServe(), newList(client), newWatch(client), newStatus(client), newAdd(client), newRemove(client))
 	return root
 }
@@ -30,7 +31,7 @@
 	var file string
 	var newEpoch bool
 	cmd := &cobra.Command{
-		Use: "serve", Short: "Run one replica until it is told to stop", Args: args(cobra.NoArgs),
+		Use: "serve", Short: "Run one replica until interrupted", Args: positionalArgs(cobra.NoArgs),
 		Example: "  sloerail registry serve\n  sloerail registry serve --config r1.toml\n" +
 			"  sloerail registry serve --config r1.toml --new-epoch",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -44,15 +45,16 @@
 			return registry.Serve(cmd.Context(), c, newEpoch)
 		},
 	}
-	cmd.Flags().StringVar(&file, "config", "", "a TOML file; without it, a single replica on this machine")
-	cmd.Flags().BoolVar(&newEpoch, "new-epoch", false, "the folder is a copy of an older one: watchers take the whole list anew")
+	cmd.Flags().StringVar(&file, "config", "", "TOML configuration file; without it, run a single replica on this machine")
+	cmd.Flags().BoolVar(&newEpoch, "new-epoch", false,
+		"the data folder is a copy of an older one: watchers must fetch the whole list again")
 	return cmd
 }
 
 func newList(client func() *registry.Client) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use: "list", Short: "Show the servers that are in the list", Args: args(cobra.NoArgs),
+		Use: "list", Short: "Show the servers in the list", Args: positionalArgs(cobra.NoArgs),
 		Example: "  sloerail registry list --to 10.2.0.1:8500,10.2.0.2:8500",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var l registry.EndpointList
@@ -62,27 +64,27 @@
 			return showList(cmd.OutOrStdout(), l, asJSON)
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print it as the service gives it")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the response of the service as JSON")
 	return cmd
 }
 
 func newWatch(client func() *registry.Client) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use: "watch", Short: "Show the list, and each change as it comes, until interrupted", Args: args(cobra.NoArgs),
+		Use: "watch", Short: "Show the list, then each change, until interrupted", Args: positionalArgs(cobra.NoArgs),
 		Example: "  sloerail registry watch --json",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			c, at := client(), int64(-1)
+			c, revision := client(), int64(-1)
 			for cmd.Context().Err() == nil {
 				var l registry.EndpointList
-				path := fmt.Sprintf("/registry/instances?index=%d&wait=%d", at, watchWait.Milliseconds())
-				if err := c.Watch(cmd.Context(), path, watchWait, &l); err != nil {
+				path := fmt.Sprintf("/registry/instances?index=%d&wait=%d", revision, watchTimeout.Milliseconds())
+				if err := c.Watch(cmd.Context(), path, watchTimeout, &l); err != nil {
 					if cmd.Context().Err() != nil {
 						return nil
 					}
 					return err
 				}
-				if at = l.Revision; l.Complete || len(l.Endpoints) > 0 {
+				if revision = l.Revision; l.Complete || len(l.Endpoints) > 0 {
 					if err := showList(cmd.OutOrStdout(), l, asJSON); err != nil {
 						return err
 					}
@@ -91,7 +93,7 @@
 			return nil
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print answers as the service gives them, one a line")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the responses of the service as JSON, one per line")
 	return cmd
 }
 
@@ -111,7 +113,7 @@
 func newStatus(client func() *registry.Client) *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
-		Use: "status", Short: "Show the replicas, who leads, and how old the list may be", Args: args(cobra.NoArgs),
+		Use: "status", Short: "Show the replicas, the leader, and the age of the list", Args: positionalArgs(cobra.NoArgs),
 		Example: "  sloerail registry status --to 10.2.0.1:8500",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			var s registry.Status
@@ -123,12 +125,12 @@
 				return err
 			}
 			if s.Leader == "" || s.AgeMs < 0 {
-				return fmt.Errorf("%s can't tell that its list is fresh", s.ID)
+				return fmt.Errorf("replica %s has no leader, or does not know the age of its list", s.ID)
 			}
 			return nil
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print it as JSON")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the status as JSON")
 	return cmd
 }
 
@@ -136,7 +138,7 @@
 	p.Printf("%s: leader %q, epoch %d, revision %d, %d instances, %d watches, age %d ms\n", s.ID, s.Leader,
 		s.Epoch, s.Revision, s.Instances, s.Watches, s.AgeMs)
 	if s.ExpirySuspended {
-		p.Println("LEASES RUN OUT IN A MASS: nobody is removed")
+		p.Println("LEASE EXPIRY SUSPENDED: too many leases expire at once, and no instance is removed")
 	}
 	t := newTable(p, "replica", "raft", "calls")
 	for _, r := range s.Replicas {
@@ -147,55 +149,56 @@
 
 func newAdd(client func() *registry.Client) *cobra.Command {
 	return &cobra.Command{
-		Use: "add ID RAFT CALLS", Short: "Make a replica that runs one of those that keep the list",
-		Example: "  sloerail registry add r2 10.2.0.3:8501 10.2.0.3:8500", Args: args(cobra.ExactArgs(3)),
-		RunE: func(cmd *cobra.Command, a []string) error {
-			in := map[string]string{"raft": a[1], "calls": a[2]}
-			return client().Do(cmd.Context(), http.MethodPut, "/registry/replicas/"+a[0], in, nil, 0)
+		Use: "add ID RAFT CALLS", Short: "Add a running replica to those that keep the list",
+		Example: "  sloerail registry add r2 10.2.0.3:8501 10.2.0.3:8500", Args: positionalArgs(cobra.ExactArgs(3)),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			body := map[string]string{"raft": args[1], "calls": args[2]}
+			return client().Do(cmd.Context(), http.MethodPut, "/registry/replicas/"+args[0], body, nil, 0)
 		},
 	}
 }
 
 func newRemove(client func() *registry.Client) *cobra.Command {
 	return &cobra.Command{
-		Use: "remove ID", Short: "Take a replica out, a dead one say", Args: args(cobra.ExactArgs(1)),
+		Use: "remove ID", Short: "Remove a replica, such as a dead one", Args: positionalArgs(cobra.ExactArgs(1)),
 		Example: "  sloerail registry remove r1 --to 10.2.0.1:8500",
-		RunE: func(cmd *cobra.Command, a []string) error {
-			return client().Do(cmd.Context(), http.MethodDelete, "/registry/replicas/"+a[0], nil, nil, 0)
+		RunE: func(cmd *cobra.Command, args []string) error {
+			return client().Do(cmd.Context(), http.MethodDelete, "/registry/replicas/"+args[0], nil, nil, 0)
 		},
 	}
 }
 
 func newRegister() *cobra.Command {
-	var to []string
+	var addresses []string
 	var drain time.Duration
-	a := registry.Agent{Endpoint: registry.Endpoint{Phase: registry.PhaseUp}}
+	agent := registry.Agent{Endpoint: registry.Endpoint{Phase: registry.PhaseUp}}
 	cmd := &cobra.Command{
 		Use:   "register ID HOST:PORT",
-		Short: "Keep a server in the list: register, renew, and at SIGTERM drain and take out",
+		Short: "Keep a server in the list: register it, renew its lease, and drain and deregister it on SIGTERM",
 		Example: "  sloerail register s-17 10.1.0.18:9000 --zone a --kind big-box --cell 3 --to 10.2.0.1:8500,10.2.0.2:8500\n" +
 			"  sloerail register s-17 10.1.0.18:9000 --lease 10s --drain 5s",
-		Args: args(cobra.ExactArgs(2)),
-		RunE: func(cmd *cobra.Command, given []string) error {
-			a.Client = registry.NewClient(to)
-			a.Endpoint.ID, a.Endpoint.Address, a.Endpoint.StartTimeMs = given[0], given[1], time.Now().UnixMilli()
-			if err := a.Endpoint.Validate(); err != nil {
+		Args: positionalArgs(cobra.ExactArgs(2)),
+		RunE: func(cmd *cobra.Command, args []string) error {
+			agent.Client = registry.NewClient(addresses)
+			agent.Endpoint.ID, agent.Endpoint.Address, agent.Endpoint.StartTimeMs = args[0], args[1], time.Now().UnixMilli()
+			if err := agent.Endpoint.Validate(); err != nil {
 				return fmt.Errorf("%w: %w", errUsage, err)
 			}
-			if strings.Contains(a.Endpoint.ID, "/") {
-				return fmt.Errorf("%w: id: want no slash", errUsage)
+			if strings.Contains(agent.Endpoint.ID, "/") {
+				return fmt.Errorf("%w: id: a slash is not allowed", errUsage)
 			}
-			return a.Run(cmd.Context(), drain)
+			return agent.Run(cmd.Context(), drain)
 		},
 	}
 	f := cmd.Flags()
-	f.StringSliceVar(&to, "to", []string{registry.DefaultConfig().ListenAddress}, "addresses of the list service's replicas")
-	f.StringVar(&a.Endpoint.Zone, "zone", "", "zone that the server is in")
-	f.StringVar(&a.Endpoint.Kind, "kind", "", "kind of server")
-	f.Int64Var(&a.Endpoint.Cell, "cell", 0, "cell (rack) that the server is in")
-	f.StringVar(&a.Endpoint.Service, "service", "", "service that the server belongs to; empty for none")
-	f.Float64Var(&a.Endpoint.Size, "size", 1, "size of the server beside others")
-	f.DurationVar(&a.TTL, "lease", registry.DefaultTTL, "without a word for so long, the server leaves the list")
-	f.DurationVar(&drain, "drain", 5*time.Second, "from the drain at SIGTERM to the end")
+	f.StringSliceVar(&addresses, "to", []string{registry.DefaultConfig().ListenAddress},
+		"addresses of the list service's replicas")
+	f.StringVar(&agent.Endpoint.Zone, "zone", "", "zone of the server")
+	f.StringVar(&agent.Endpoint.Kind, "kind", "", "kind of server")
+	f.Int64Var(&agent.Endpoint.Cell, "cell", 0, "cell (rack) of the server")
+	f.StringVar(&agent.Endpoint.Service, "service", "", "service of the server; empty for none")
+	f.Float64Var(&agent.Endpoint.Size, "size", 1, "size of the server relative to others")
+	f.DurationVar(&agent.TTL, "lease", registry.DefaultTTL, "how long the server stays in the list without a renewal")
+	f.DurationVar(&drain, "drain", 5*time.Second, "time between draining on SIGTERM and leaving the list")
 	return cmd
 }
--- a/cmd/sloerail/run.go
+++ b/cmd/sloerail/run.go
@@ -16,7 +16,7 @@
 	exitUsage   = 2
 )
 
-// run is the program: it returns the exit code.
+// run runs the program with the given arguments and returns the exit code.
 func run(ctx context.Context, arguments []string, out, errs io.Writer) int {
 	root := newRoot()
 	root.SetArgs(arguments)
@@ -27,7 +27,7 @@
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, errUsage) || strings.HasPrefix(err.Error(), "unknown command"): // cobra has no type for it
+	case errors.Is(err, errUsage) || strings.HasPrefix(err.Error(), "unknown command"): // cobra has no error type for it
 		printer.Printf("sloerail: %v\nsloerail: see 'sloerail --help'\n", err)
 		return exitUsage
 	}
--- a/cmd/sloerail/scale.go
+++ b/cmd/sloerail/scale.go
@@ -16,7 +16,7 @@
 	"sloerail/internal/scaletest"
 )
 
-// scaleFlags are the flags of the command.
+// scaleFlags are the flags of the scale command.
 type scaleFlags struct {
 	scaletest.Options
 	seed   uint64
@@ -28,13 +28,13 @@
 	var flags scaleFlags
 	cmd := &cobra.Command{
 		Use:   "scale SCENARIO",
-		Short: "Measure how a node's costs grow with the size of what it serves",
-		Long: "Measure hollow nodes (the code that ships, without the sockets of requests) at several sizes of one dimension,\n" +
-			"and fit a law to each measure: a scenario that comes with the program, by its name, or a TOML file. Without a\n" +
-			"name it lists those that come with the program. Interrupted, it shows what was measured so far, and ends with 1.",
+		Short: "Measure how the costs of a node grow with the size of the deployment",
+		Long: "Measure hollow nodes (the production code, without sockets for requests) at several sizes of a dimension, and\n" +
+			"fit a law to each measure. SCENARIO is the name of a built-in scenario or a TOML file; without it, list the\n" +
+			"built-in scenarios. If interrupted, show the measurements so far and exit with 1.",
 		Example: "  sloerail scale servers\n  sloerail scale nodes --for 2m --most 100 --plot nodes.svg\n" +
 			"  sloerail scale my.toml --seed 7 --json | jq .laws",
-		Args: args(cobra.MaximumNArgs(1)),
+		Args: positionalArgs(cobra.MaximumNArgs(1)),
 		RunE: func(cmd *cobra.Command, names []string) error {
 			if len(names) == 0 {
 				return listScales(cmd.OutOrStdout())
@@ -43,11 +43,11 @@
 		},
 	}
 	f := cmd.Flags()
-	f.DurationVar(&flags.MaxDuration, "for", 0, "the whole run takes no longer; 0 for what the scenario says")
-	f.IntVar(&flags.MaxSize, "most", 0, "leave out larger sizes; 0 for none")
-	f.Uint64Var(&flags.seed, "seed", 0, "of all chances, in place of the scenario's")
-	f.BoolVar(&flags.asJSON, "json", false, "print all that was measured as JSON")
-	f.StringVar(&flags.plot, "plot", "", "draw the measures and their laws into this SVG file")
+	f.DurationVar(&flags.MaxDuration, "for", 0, "maximum duration of the whole run; 0 for that of the scenario")
+	f.IntVar(&flags.MaxSize, "most", 0, "largest size to measure; 0 for no limit")
+	f.Uint64Var(&flags.seed, "seed", 0, "random seed, in place of the scenario's")
+	f.BoolVar(&flags.asJSON, "json", false, "print the report as JSON")
+	f.StringVar(&flags.plot, "plot", "", "plot the measures and their laws to this SVG file")
 	return cmd
 }
 
@@ -77,7 +77,7 @@
 	if cmd.Flags().Changed("seed") {
 		s.Seed = flags.seed
 	}
-	slog.SetLogLoggerLevel(slog.LevelError) // many nodes in one process would each log the faults
+	slog.SetLogLoggerLevel(slog.LevelError) // else each of many nodes in this process would log the faults
 	options := flags.Options
 	options.Progress = scaleProgress(cmd.ErrOrStderr(), s.Dimension)
 	report, err := scaletest.Run(cmd.Context(), s, options)
@@ -107,11 +107,11 @@
 			bar = progressbar.NewOptions(p.Points, progressbar.OptionSetWriter(errs), progressbar.OptionClearOnFinish())
 		}
 		bar.Describe(fmt.Sprintf("%s %d, run %d", dimension, p.Size, p.Run))
-		_ = bar.Set(p.Done) // a bar that can't be drawn is no reason to stop
+		_ = bar.Set(p.Done) // a failure to draw the bar must not stop the run
 	}
 }
 
-// reportScale prints a report. It is an error for the report to be incomplete.
+// reportScale prints a report. It returns an error if the report is incomplete.
 func reportScale(out io.Writer, r *scaletest.Report, flags scaleFlags) error {
 	if flags.plot != "" && len(r.Measurements) > 0 {
 		if err := writePlot(r, flags.plot); err != nil {
@@ -131,7 +131,7 @@
 		}
 	}
 	if r.Stopped != "" {
-		return fmt.Errorf("stopped before all was measured: %s", r.Stopped)
+		return fmt.Errorf("stopped before all points were measured: %s", r.Stopped)
 	}
 	return nil
 }
--- a/cmd/sloerail/scale_report.go
+++ b/cmd/sloerail/scale_report.go
@@ -15,9 +15,9 @@
 
 func printScale(out *output.Printer, r *scaletest.Report) {
 	s := r.Scenario
-	out.Printf("%s: %s\nseed %d, %d runs, begun %s, %d cores, %.1f GB, %s\n", s.Name, s.What, s.Seed, s.Runs,
+	out.Printf("%s: %s\nseed %d, %d runs, started %s, %d cores, %.1f GB, %s\n", s.Name, s.What, s.Seed, s.Runs,
 		r.Began.Format("2006-01-02 15:04:05 UTC"), r.Machine.Cores, float64(r.Machine.Memory)/1e9, r.Machine.Go)
-	out.Printf("held: %s\n", fixedSizesOf(s))
+	out.Printf("held constant: %s\n", formatFixedSizes(s))
 	printValues(out, r)
 	printRatios(out, r)
 	printLaws(out, r)
@@ -28,24 +28,24 @@
 	out.Printf("dimensions not measured: %s\n", strings.Join(missing, ", "))
 }
 
-// fixedSizesOf lists the sizes that don't grow.
-func fixedSizesOf(s scaletest.Scenario) string {
-	h := s.Fixed
-	var all []string
+// formatFixedSizes lists the sizes that the scenario holds constant.
+func formatFixedSizes(s scaletest.Scenario) string {
+	fixed := s.Fixed
+	var sizes []string
 	for _, v := range []struct {
-		of    scaletest.Dimension
-		value float64
-		what  string
+		dimension scaletest.Dimension
+		value     float64
+		label     string
 	}{
-		{scaletest.Servers, float64(h.Servers), "servers"}, {scaletest.Tenants, float64(h.Tenants), "tenants"},
-		{scaletest.Nodes, float64(h.Nodes), "nodes"}, {scaletest.Changes, h.Changes, "changes a minute"},
-		{"requests", h.Requests, "requests a second"},
+		{scaletest.Servers, float64(fixed.Servers), "servers"}, {scaletest.Tenants, float64(fixed.Tenants), "tenants"},
+		{scaletest.Nodes, float64(fixed.Nodes), "nodes"}, {scaletest.Changes, fixed.Changes, "changes a minute"},
+		{"requests", fixed.Requests, "requests a second"},
 	} {
-		if v.of != s.Dimension && v.value > 0 {
-			all = append(all, fmt.Sprintf("%v %s", v.value, v.what))
+		if v.dimension != s.Dimension && v.value > 0 {
+			sizes = append(sizes, fmt.Sprintf("%v %s", v.value, v.label))
 		}
 	}
-	return strings.Join(all, ", ")
+	return strings.Join(sizes, ", ")
 }
 
 // printValues prints the table of measurements: the mean of the runs, and their range.
@@ -61,7 +61,7 @@
 			for _, size := range r.Sizes() {
 				values := r.Values(m, source, size)
 				measured = measured || len(values) > 0
-				row = append(row, cell(values))
+				row = append(row, formatCell(values))
 			}
 			if measured {
 				t.AppendRow(row)
@@ -71,8 +71,8 @@
 	t.Render()
 }
 
-// cell is the mean of the runs and, where they differ, their range.
-func cell(values []float64) string {
+// formatCell formats the mean of the runs and, if they differ, their range.
+func formatCell(values []float64) string {
 	if len(values) == 0 {
 		return ""
 	}
@@ -82,19 +82,19 @@
 	}
 	lowest, highest := slices.Min(values), slices.Max(values)
 	if lowest == highest {
-		return short(lowest)
+		return formatFigure(lowest)
 	}
-	return fmt.Sprintf("%s\n%s to %s", short(sum/float64(len(values))), short(lowest), short(highest))
+	return fmt.Sprintf("%s\n%s to %s", formatFigure(sum/float64(len(values))), formatFigure(lowest), formatFigure(highest))
 }
 
-// short formats a figure with three significant digits and a unit prefix.
-func short(v float64) string {
+// formatFigure formats a figure with three significant digits and a unit prefix.
+func formatFigure(v float64) string {
 	for _, scale := range []struct {
-		of     float64
-		letter string
+		factor float64
+		prefix string
 	}{{1e9, "G"}, {1e6, "M"}, {1e3, "k"}} {
-		if v >= scale.of {
-			return strconv.FormatFloat(v/scale.of, 'g', 3, 64) + scale.letter
+		if v >= scale.factor {
+			return strconv.FormatFloat(v/scale.factor, 'g', 3, 64) + scale.prefix
 		}
 	}
 	return strconv.FormatFloat(v, 'g', 3, 64)
@@ -107,29 +107,29 @@
 	}
 	t := newTable(out, "measure", "unit", string(r.Scenario.Dimension), "hollow", "process", "process / hollow")
 	for _, v := range r.Ratios {
-		t.AppendRow(table.Row{v.Name, string(v.Unit), v.Size, short(v.Hollow), short(v.Process), fmt.Sprintf("%.2f", v.Ratio)})
+		t.AppendRow(table.Row{v.Name, string(v.Unit), v.Size, formatFigure(v.Hollow), formatFigure(v.Process), fmt.Sprintf("%.2f", v.Ratio)})
 	}
 	t.Render()
 }
 
 // printLaws prints the table of laws and their values at the target.
 func printLaws(out io.Writer, r *scaletest.Report) {
-	t := newTable(out, "measure", "unit", "of", "law", "formula", "residual rms, worst", "over sizes",
-		"exponent at the end", fmt.Sprintf("at %s (95%%)", short(r.Scenario.Target)), "beyond measured", "budget", "reached at")
+	t := newTable(out, "measure", "unit", "of", "law", "formula", "residual rms, worst", "fitted sizes",
+		"exponent at the end", fmt.Sprintf("at %s (95%%)", formatFigure(r.Scenario.Target)), "times the largest size", "budget", "budget reached at")
 	for _, l := range r.Laws {
 		row := table.Row{l.Name, string(l.Unit), string(l.Source), string(l.Why), "", "", fmt.Sprintf("%d to %d", l.From, l.To),
 			fmt.Sprintf("%.2f", l.Exponent), "", "", "", ""}
 		if l.Law != "" {
 			row[3], row[4] = string(l.Law), l.Formula()
 			row[5] = fmt.Sprintf("%.1f%%, %.1f%%", 100*l.Residual, 100*l.Worst)
-			row[8] = fmt.Sprintf("%s (%s to %s)", short(l.AtTarget), short(l.Low), short(l.High))
+			row[8] = fmt.Sprintf("%s (%s to %s)", formatFigure(l.AtTarget), formatFigure(l.Low), formatFigure(l.High))
 			row[9] = fmt.Sprintf("x%.3g", l.Beyond)
 		}
 		if l.Limit > 0 {
-			row[10] = short(l.Limit)
+			row[10] = formatFigure(l.Limit)
 			switch {
 			case l.Reaches > 0:
-				row[11] = short(l.Reaches)
+				row[11] = formatFigure(l.Reaches)
 			case l.Law != "":
 				row[11] = "never"
 			}
--- a/cmd/sloerail/scale_test.go
+++ b/cmd/sloerail/scale_test.go
@@ -38,18 +38,18 @@
 	return path
 }
 
-// call runs the program.
-func call(ctx context.Context, args ...string) (status int, out, errs string) {
+// runCommand runs the program and returns its exit code and output.
+func runCommand(ctx context.Context, args ...string) (status int, out, errs string) {
 	var o, e bytes.Buffer
 	status = run(ctx, args, &o, &e)
 	return status, o.String(), e.String()
 }
 
-func TestScaleRefusesBadUse(t *testing.T) {
+func TestScaleRejectsInvalidUsage(t *testing.T) {
 	mistyped := writeScenario(t, strings.Replace(tinyScenario, "runs", "runz", 1))
-	for _, bad := range []struct {
-		args []string
-		says string
+	for _, tc := range []struct {
+		args    []string
+		message string
 	}{
 		{[]string{"scale", "routes"}, "not measured yet"},
 		{[]string{"scale", "nowhere"}, "no such file"},
@@ -57,18 +57,18 @@
 		{[]string{"scale", "servers", "--for", "-1s"}, "for, most"},
 		{[]string{"scale", "servers", "--fro", "1s"}, "unknown flag"},
 	} {
-		status, out, errs := call(t.Context(), bad.args...)
-		if status != 2 || out != "" || !strings.Contains(errs, bad.says) {
-			t.Errorf("%v: status %d, %q", bad.args, status, errs)
+		status, out, errs := runCommand(t.Context(), tc.args...)
+		if status != 2 || out != "" || !strings.Contains(errs, tc.message) {
+			t.Errorf("arguments %v: got exit code %d, stderr %q; want 2 and an error that names the reason", tc.args, status, errs)
 		}
 	}
 }
 
-func TestScaleShowsWhatItMeasured(t *testing.T) {
+func TestScalePrintsMeasurements(t *testing.T) {
 	path, plot := writeScenario(t, tinyScenario), filepath.Join(t.TempDir(), "plot.svg")
-	status, out, errs := call(t.Context(), "scale", path, "--seed", "9", "--plot", plot)
+	status, out, errs := runCommand(t.Context(), "scale", path, "--seed", "9", "--plot", plot)
 	if status != 0 {
-		t.Fatalf("status %d, %s", status, errs)
+		t.Fatalf("got exit code %d, want 0; stderr: %s", status, errs)
 	}
 	for _, want := range []string{"seed 9", "decision CPU", "whole list", "linear", "dimensions not measured: services"} {
 		if !strings.Contains(out, want) {
@@ -76,30 +76,31 @@
 		}
 	}
 	if svg, err := os.ReadFile(plot); err != nil || !bytes.Contains(svg, []byte("<svg")) {
-		t.Errorf("the plot: %v", err)
+		t.Errorf("plot is not an SVG file, or is unreadable: %v", err)
 	}
 	if !strings.Contains(errs, "5 of 5: servers 80, run 1") {
-		t.Errorf("progress: %s", errs)
+		t.Errorf("progress lacks the last point: %s", errs)
 	}
 }
 
-func TestScaleThatIsCalledOffShowsWhatItHas(t *testing.T) {
+func TestCancelledScalePrintsPartialReport(t *testing.T) {
 	path := writeScenario(t, tinyScenario)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	status, out, errs := call(ctx, "scale", path, "--json")
+	status, out, errs := runCommand(ctx, "scale", path, "--json")
 	var r scaletest.Report
 	if err := json.Unmarshal([]byte(out), &r); err != nil {
 		t.Fatal(err)
 	}
 	if status != 1 || r.Stopped == "" || !strings.Contains(errs, "stopped") {
-		t.Errorf("status %d, stopped %q, %s", status, r.Stopped, errs)
+		t.Errorf("cancelled run: got exit code %d, stopped %q, stderr %q; want 1 and a reason in both",
+			status, r.Stopped, errs)
 	}
 }
 
-func TestScaleListsItsScenarios(t *testing.T) {
-	status, out, _ := call(t.Context(), "scale")
+func TestScaleListsScenarios(t *testing.T) {
+	status, out, _ := runCommand(t.Context(), "scale")
 	if status != 0 || !strings.Contains(out, "tenants") || !strings.Contains(out, "routes     not measured yet") {
-		t.Errorf("status %d:\n%s", status, out)
+		t.Errorf("got exit code %d, want 0 and a list with tenants and routes:\n%s", status, out)
 	}
 }
--- a/cmd/sloerail/simulate.go
+++ b/cmd/sloerail/simulate.go
@@ -16,12 +16,12 @@
 	var asJSON, noPlaces bool
 	cmd := &cobra.Command{
 		Use:   "simulate SCENARIO",
-		Short: "Play a scenario in virtual time, with the decision module called in process",
-		Long: "Play a scenario in virtual time: one that comes with the program, by its name, or a TOML file. Ends with 1 if a\n" +
-			"rule was broken. Without a name it lists those that come with the program.",
+		Short: "Simulate a scenario in virtual time, with the decision module in the same process",
+		Long: "Simulate a scenario in virtual time. SCENARIO is the name of a built-in scenario or a TOML file; without it, list\n" +
+			"the built-in scenarios. Exit with 1 if a rule was broken.",
 		Example: "  sloerail simulate zone-lost\n  sloerail simulate zone-errors --seed 7 --every 5\n" +
 			"  sloerail simulate my.toml --json | jq .classes",
-		Args: args(cobra.MaximumNArgs(1)),
+		Args: positionalArgs(cobra.MaximumNArgs(1)),
 		RunE: func(cmd *cobra.Command, names []string) error {
 			if len(names) == 0 {
 				return listScenarios(cmd.OutOrStdout())
@@ -38,10 +38,10 @@
 			return reportOutcome(cmd.OutOrStdout(), w.Run(), every, asJSON)
 		},
 	}
-	cmd.Flags().Uint64Var(&seed, "seed", 1, "of all chances")
-	cmd.Flags().IntVar(&every, "every", 1, "seconds in a line")
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print all that came of it as JSON")
-	cmd.Flags().BoolVar(&noPlaces, "no-places", false, "tell the nodes no places: servers are judged one by one")
+	cmd.Flags().Uint64Var(&seed, "seed", 1, "random seed")
+	cmd.Flags().IntVar(&every, "every", 1, "seconds per line of the table")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the outcome as JSON")
+	cmd.Flags().BoolVar(&noPlaces, "no-places", false, "run the nodes without places: servers are evaluated one by one")
 	return cmd
 }
 
@@ -57,7 +57,7 @@
 	return p.Err()
 }
 
-// reportOutcome prints what came of a run. The error says that rules were broken.
+// reportOutcome prints the outcome of a run. It returns an error if rules were broken.
 func reportOutcome(out io.Writer, o *simulation.Outcome, every int, asJSON bool) error {
 	if err := output.Show(out, o, asJSON, func(p *output.Printer) { printOutcome(p, o, every) }); err != nil {
 		return err
--- a/cmd/sloerail/zones.go
+++ b/cmd/sloerail/zones.go
@@ -15,65 +15,66 @@
 	"sloerail/internal/output"
 )
 
-var errNoTopology = errors.New("its configuration names no places")
+var errNoZones = errors.New("no places in the node's configuration")
 
 func newZones() *cobra.Command {
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "places ADDR...",
-		Short: "Show what the nodes at these second addresses make of each zone: its state, share, evidence, and why",
-		Long: "Show what the nodes at these second addresses (control in their configuration) make of each zone. Ends with 1 if\n" +
-			"one gives no answer.",
+		Short: "Show the state of each zone, as seen by the nodes at these control addresses",
+		Long: "Show the state of each zone, its share of requests and its recent failures, as seen by the nodes at these\n" +
+			"addresses (control in their configuration). Exit with 1 if a node does not respond.",
 		Example: "  sloerail places 10.0.0.4:9100 10.0.0.5:9100\n  sloerail places 10.0.0.4:9100 --json",
-		Args:    args(cobra.MinimumNArgs(1)),
+		Args:    positionalArgs(cobra.MinimumNArgs(1)),
 		RunE: func(cmd *cobra.Command, addrs []string) error {
 			return showZones(cmd.Context(), cmd.OutOrStdout(), addrs, asJSON)
 		},
 	}
-	cmd.Flags().BoolVar(&asJSON, "json", false, "print the nodes' answers as a JSON list")
+	cmd.Flags().BoolVar(&asJSON, "json", false, "print the nodes' responses as a JSON list")
 	return cmd
 }
 
-// zonesResponse is the response of one address, or why there is none.
+// zonesResponse is the response from one address, or the error in its place.
 type zonesResponse struct {
 	Address string           `json:"address"`
 	Places  []node.PlaceView `json:"places,omitempty"`
 	Error   string           `json:"error,omitempty"`
 }
 
-// showZones prints the nodes' views of their zones. It is an error for one to be missing.
+// showZones prints the nodes' views of the zones. It returns an error if a view is missing.
 func showZones(ctx context.Context, out io.Writer, addrs []string, asJSON bool) error {
 	responses := make([]zonesResponse, len(addrs))
 	forEachAddress(addrs, func(i int, addr string) {
 		responses[i].Address = addr
-		if err := getJSON(ctx, addr, "/places", errNoTopology, &responses[i].Places); err != nil {
+		if err := getJSON(ctx, addr, "/places", errNoZones, &responses[i].Places); err != nil {
 			responses[i].Error = err.Error()
 		}
 	})
-	var unanswered []string
-	for _, a := range responses {
-		if a.Error != "" {
-			unanswered = append(unanswered, a.Address)
+	var failed []string
+	for _, r := range responses {
+		if r.Error != "" {
+			failed = append(failed, r.Address)
 		}
 	}
 	if err := output.Show(out, responses, asJSON, func(p *output.Printer) { printZones(p, responses) }); err != nil {
 		return err
 	}
-	if len(unanswered) > 0 {
-		return fmt.Errorf("no places from %s", strings.Join(unanswered, ", "))
+	if len(failed) > 0 {
+		return fmt.Errorf("no view of places from %s", strings.Join(failed, ", "))
 	}
 	return nil
 }
 
 func printZones(p *output.Printer, responses []zonesResponse) {
-	for _, a := range responses {
-		if a.Error != "" {
-			p.Printf("%s: %s\n\n", a.Address, a.Error)
+	for _, r := range responses {
+		if r.Error != "" {
+			p.Printf("%s: %s\n\n", r.Address, r.Error)
 			continue
 		}
-		p.Printf("%s:\n", a.Address)
-		t := newTable(p, "zone", "region", "cost", "servers", "state", "share", "ill/heard lately", "left lately", "tried in", "left last for")
-		for _, zone := range a.Places {
+		p.Printf("%s:\n", r.Address)
+		t := newTable(p, "zone", "region", "cost", "servers", "state", "share",
+			"recent failures/responses", "recent evacuations", "next probe in", "cause of last evacuation")
+		for _, zone := range r.Places {
 			probeIn := ""
 			if zone.State == "left" {
 				probeIn = (time.Duration(zone.TriedInMs) * time.Millisecond).Round(100 * time.Millisecond).String()
