--- a/internal/cpuload/main.go
+++ b/internal/cpuload/main.go
@@ -1,4 +1,4 @@
-// Command cpuload keeps all cores busy for a while, to see whether tests depend on how fast the machine is.
+// Command cpuload keeps all cores busy for some time, to show whether tests depend on the speed of the machine.
 //
 //	go run ./internal/cpuload -for 30s
 package main
@@ -13,14 +13,14 @@
 )
 
 const (
-	maxDuration          = time.Hour // whatever the flag says
+	maxDuration          = time.Hour // upper bound of -for
 	maxGoroutinesPerCore = 16
-	stepsPerCheck        = 1 << 16 // computed between two looks at the clock
+	stepsPerCheck        = 1 << 16 // computed between two reads of the clock
 )
 
 func main() {
-	duration := flag.Duration("for", 30*time.Second, "how long to keep them busy; an hour at most")
-	perCore := flag.Int("times", 2, "spinning goroutines a core")
+	duration := flag.Duration("for", 30*time.Second, "how long to keep the cores busy, at most an hour")
+	perCore := flag.Int("times", 2, "spinning goroutines per core")
 	flag.Parse()
 	if *duration <= 0 || *duration > maxDuration || *perCore < 1 || *perCore > maxGoroutinesPerCore {
 		fmt.Fprintf(os.Stderr, "cpuload: want -for above 0 and up to %v, got %v, and -times 1 to %d, got %d\n",
@@ -30,14 +30,14 @@
 	goroutines := runtime.NumCPU() * *perCore
 	runtime.GOMAXPROCS(goroutines) // a spinning goroutine holds its processor
 	deadline := time.Now().Add(*duration)
-	var running sync.WaitGroup
+	var spinners sync.WaitGroup
 	for range goroutines {
-		running.Go(func() { spinUntil(deadline) })
+		spinners.Go(func() { spinUntil(deadline) })
 	}
-	running.Wait()
+	spinners.Wait()
 }
 
-// spinUntil computes without a pause until the deadline.
+// spinUntil computes without pausing until the deadline.
 func spinUntil(deadline time.Time) {
 	for x := uint64(1); time.Now().Before(deadline); {
 		for range stepsPerCheck {
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,4 +1,4 @@
-// Package golden compares what tests produce with files that an earlier version wrote. Only tests import it.
+// Package golden compares the output of tests with golden files that an earlier version wrote. Only tests import it.
 package golden
 
 import (
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-var update = flag.Bool("update", false, "write the golden files anew: for a form that changes on purpose, and for no other")
+var update = flag.Bool("update", false, "rewrite the golden files; only for an intended change of a format")
 
-// Check fails the test unless got is, byte for byte, the named file of the package's testdata folder.
+// Check fails the test unless got equals the named file of the package's testdata folder byte for byte.
 func Check(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
@@ -23,11 +23,11 @@
 		}
 	}
 	if want := Read(t, name); string(got) != string(want) {
-		t.Errorf("%s differs from what was written\ngot  %s\nwant %s", path, got, want)
+		t.Errorf("output differs from golden file %s\ngot  %s\nwant %s", path, got, want)
 	}
 }
 
-// Read returns the named file of the package's testdata folder.
+// Read returns the content of the named file of the package's testdata folder.
 func Read(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", name))
--- a/internal/output/output_test.go
+++ b/internal/output/output_test.go
@@ -8,32 +8,33 @@
 
 var errFull = errors.New("no space left")
 
-// limited fails once it has taken so many writes.
-type limited struct {
+// limitedWriter fails once it has taken a number of writes.
+type limitedWriter struct {
 	strings.Builder
-	left int
+	remaining int
 }
 
-func (l *limited) Write(b []byte) (int, error) {
-	if l.left == 0 {
+func (l *limitedWriter) Write(b []byte) (int, error) {
+	if l.remaining == 0 {
 		return 0, errFull
 	}
-	l.left--
+	l.remaining--
 	return l.Builder.Write(b)
 }
 
 func TestPrinterKeepsTheFirstError(t *testing.T) {
-	to := &limited{left: 1}
-	p := NewPrinter(to)
+	w := &limitedWriter{remaining: 1}
+	p := NewPrinter(w)
 	p.Printf("%d\n", 1)
 	if p.Err() != nil {
 		t.Fatal(p.Err())
 	}
 	p.Println(2)
-	to.left = 1
+	w.remaining = 1
 	p.Println(3)
-	if !errors.Is(p.Err(), errFull) || to.String() != "1\n" {
-		t.Errorf("%v, wrote %q", p.Err(), to.String())
+	if !errors.Is(p.Err(), errFull) || w.String() != "1\n" {
+		t.Errorf("after a failed write: got error %v, output %q; want the first error and the first line",
+			p.Err(), w.String())
 	}
 }
 
@@ -44,20 +45,21 @@
 		table.Render()
 	}
 	for _, c := range []struct {
-		asJSON bool
-		left   int
-		want   string
-		err    error
+		asJSON    bool
+		remaining int
+		want      string
+		err       error
 	}{
 		{true, 9, "[1]\n", nil},
 		{false, 9, "│ n0   │", nil},
 		{true, 0, "", errFull},
 		{false, 0, "", errFull},
 	} {
-		to := &limited{left: c.left}
-		err := Show(to, []int{1}, c.asJSON, text)
-		if !errors.Is(err, c.err) || !strings.Contains(to.String(), c.want) {
-			t.Errorf("JSON %v with room for %d: %v, wrote %q", c.asJSON, c.left, err, to.String())
+		w := &limitedWriter{remaining: c.remaining}
+		err := Show(w, []int{1}, c.asJSON, text)
+		if !errors.Is(err, c.err) || !strings.Contains(w.String(), c.want) {
+			t.Errorf("Show with asJSON %v to a writer that takes %d writes: got error %v, output %q",
+				c.asJSON, c.remaining, err, w.String())
 		}
 	}
 }
--- a/internal/priority/queue.go
+++ b/internal/priority/queue.go
@@ -1,12 +1,12 @@
-// Package priority has a typed priority queue over container/heap.
+// Package priority implements a typed priority queue on container/heap.
 package priority
 
 import "container/heap"
 
-// Ordered is what a queue can hold: Before tells whether an item is to be taken before another.
+// Ordered is the constraint on items of a queue. Before reports whether an item is taken before another.
 type Ordered[T any] interface{ Before(other T) bool }
 
-// Queue holds items, the first to be taken at index 0; the others are in heap order. The zero value is empty.
+// Queue holds items in heap order: index 0 holds the item that is taken next. The zero value is an empty queue.
 type Queue[T Ordered[T]] []T
 
 // Add puts an item into the queue.
@@ -18,16 +18,16 @@
 // items implements heap.Interface.
 type items[T Ordered[T]] []T
 
-func (s items[T]) Len() int           { return len(s) }
-func (s items[T]) Less(i, j int) bool { return s[i].Before(s[j]) }
-func (s items[T]) Swap(i, j int)      { s[i], s[j] = s[j], s[i] }
-func (s *items[T]) Push(x any)        { *s = append(*s, x.(T)) }
-
-func (s *items[T]) Pop() any {
-	var none T
-	last := len(*s) - 1
-	x := (*s)[last]
-	(*s)[last] = none // so that it can be collected
-	*s = (*s)[:last]
+func (h items[T]) Len() int           { return len(h) }
+func (h items[T]) Less(i, j int) bool { return h[i].Before(h[j]) }
+func (h items[T]) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *items[T]) Push(x any)        { *h = append(*h, x.(T)) }
+
+func (h *items[T]) Pop() any {
+	var zero T
+	n := len(*h) - 1
+	x := (*h)[n]
+	(*h)[n] = zero // lets the garbage collector free the item
+	*h = (*h)[:n]
 	return x
 }
--- a/internal/priority/queue_test.go
+++ b/internal/priority/queue_test.go
@@ -11,7 +11,7 @@
 
 func (n number) Before(other number) bool { return n < other }
 
-// Items come out in order, whatever is added and taken meanwhile.
+// Items are taken in order, whatever is added and taken in between.
 func TestTakesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[number]
@@ -20,7 +20,7 @@
 			slices.Sort(want)
 			first := q[0]
 			if got := q.Take(); got != want[0] || first != got {
-				t.Fatalf("took %d, the first was %d, want %d", got, first, want[0])
+				t.Fatalf("Take: got %d, with %d at index 0; want %d for both", got, first, want[0])
 			}
 			want = want[1:]
 		}
@@ -36,7 +36,7 @@
 			take()
 		}
 		if len(q) != 0 {
-			t.Fatalf("%v is left", q)
+			t.Fatalf("queue after all items are taken: got %v, want none", q)
 		}
 	})
 }
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario reads TOML files strictly, and scenarios that come with the program by their names.
+// Package scenario decodes TOML files strictly, and finds built-in scenarios by their names.
 package scenario
 
 import (
@@ -13,51 +13,52 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode reads TOML into a value. A key that the value has no field for is an error that names it: one that is misspelt
-// would mean something else.
-func Decode(raw []byte, into any) error {
-	err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(into)
+// Decode decodes TOML into v. A key that v has no field for is an error that names it: ignored, a misspelt key would
+// change the meaning of the file.
+func Decode(raw []byte, v any) error {
+	err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(v)
 	var strict *toml.StrictMissingError
-	var bad *toml.DecodeError
+	var decodeErr *toml.DecodeError
 	switch {
 	case errors.As(err, &strict) && len(strict.Errors) > 0:
 		return fmt.Errorf("unknown key %s", strings.Join(strict.Errors[0].Key(), "."))
-	case errors.As(err, &bad) && len(bad.Key()) > 0:
-		return fmt.Errorf("%s: %w", strings.Join(bad.Key(), "."), err)
+	case errors.As(err, &decodeErr) && len(decodeErr.Key()) > 0:
+		return fmt.Errorf("%s: %w", strings.Join(decodeErr.Key(), "."), err)
 	}
 	return err
 }
 
-// Library is a folder "scenarios" of TOML files that come with the program.
+// Library holds the built-in scenarios: TOML files in the folder "scenarios" of Files.
 type Library struct{ Files fs.FS }
 
-// Names lists the scenarios of the library.
-func (l Library) Names() (all []string) {
+// Names returns the names of the library's scenarios.
+func (l Library) Names() (names []string) {
 	files, err := fs.Glob(l.Files, "scenarios/*.toml")
 	if err != nil { // the pattern is fixed
 		panic(err)
 	}
 	for _, file := range files {
-		all = append(all, strings.TrimSuffix(path.Base(file), ".toml"))
+		names = append(names, strings.TrimSuffix(path.Base(file), ".toml"))
 	}
-	return all
+	return names
 }
 
-// Read reads a scenario of the library by its name, or a file, and has parse make a value of it.
+// Read parses the scenario of the library with this name or, if there is none, the file with this path.
 func Read[T any](l Library, name string, parse func(raw []byte) (T, error)) (T, error) {
-	var none T
+	var zero T
 	raw, err := fs.ReadFile(l.Files, "scenarios/"+name+".toml")
 	if err != nil {
 		if raw, err = os.ReadFile(name); errors.Is(err, fs.ErrNotExist) {
-			return none, fmt.Errorf("scenario %q: no such file, nor one of %s", name, strings.Join(l.Names(), ", "))
+			return zero, fmt.Errorf("scenario %q: no such file or built-in scenario; built in are %s",
+				name, strings.Join(l.Names(), ", "))
 		}
 	}
 	if err != nil {
-		return none, fmt.Errorf("scenario %q: %w", name, err)
+		return zero, fmt.Errorf("scenario %q: %w", name, err)
 	}
 	value, err := parse(raw)
 	if err != nil {
-		return none, fmt.Errorf("scenario %q: %w", name, err)
+		return zero, fmt.Errorf("scenario %q: %w", name, err)
 	}
 	return value, nil
 }
