--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -10,17 +10,17 @@
 	"sloerail/policy"
 )
 
-// attempt is one attempt of a node at a server.
+// attempt is one attempt that a node sends to a server.
 type attempt struct {
 	request *request
-	number  int // from 0, of the request
+	number  int // index among the attempts of the request, from 0
 	server  *server
 	sentAt  time.Duration
-	jobID   string // at the server
-	ended   bool   // at the node
+	jobID   string // ID of its job at the server
+	ended   bool   // the node has its outcome
 }
 
-// latencyBetween is the latency one way between two zones.
+// latencyBetween returns the one-way latency between two zones.
 func latencyBetween(a, b string) time.Duration {
 	if a == b {
 		return sameZoneLatency
@@ -28,64 +28,66 @@
 	return crossZoneLatency
 }
 
+// latency returns the one-way latency between the node and the server of the attempt.
 func (a *attempt) latency() time.Duration {
 	return latencyBetween(a.request.node.zone, a.server.Spec.Zone)
 }
 
-// unreachable tells whether nothing passes between a zone and a server.
-func (s *Simulation) unreachable(zone string, to *server) bool {
-	return to.connectTimeout ||
-		slices.ContainsFunc(s.partitions, func(f Fault) bool { return f.Separates(zone, to.Spec.Zone) })
+// unreachable reports whether a zone and a server can't communicate.
+func (s *Simulation) unreachable(zone string, target *server) bool {
+	return target.connectTimeout ||
+		slices.ContainsFunc(s.partitions, func(f Fault) bool { return f.Separates(zone, target.Spec.Zone) })
 }
 
+// sendAttempt sends an attempt of a request to the server that a node has chosen.
 func (s *Simulation) sendAttempt(n *node, action policy.Action) {
-	r, to := n.requests[action.ID], s.serversByID[action.Server]
-	if r == nil || to == nil {
+	r, target := n.requests[action.ID], s.serversByID[action.Server]
+	if r == nil || target == nil {
 		s.outcome.Errors++
 		return
 	}
-	a := &attempt{request: r, number: r.attemptCount, server: to, sentAt: s.now, jobID: fmt.Sprintf("%s/%d", action.ID, r.attemptCount)}
+	a := &attempt{request: r, number: r.attemptCount, server: target, sentAt: s.now, jobID: fmt.Sprintf("%s/%d", action.ID, r.attemptCount)}
 	r.attemptCount++
 	r.attempt = a
-	s.outcome.RecordAttempt(s.now, r.clientAttempt.Class.Name, n.zone, to.Spec.Zone)
+	s.outcome.RecordAttempt(s.now, r.clientAttempt.Class.Name, n.zone, target.Spec.Zone)
 	deadline := r.clientAttempt.SendAt + r.clientAttempt.Timeout
 	if action.AttemptDeadline != 0 {
 		deadline = max(s.now, min(action.AttemptDeadline, deadline))
 	}
 	s.at(deadline, func() { s.endAttempt(a, policy.TimedOut, nil) })
-	if s.unreachable(n.zone, to) {
+	if s.unreachable(n.zone, target) {
 		s.after(connectTimeout, func() { s.endAttempt(a, policy.ConnectFailed, nil) })
 		return
 	}
 	s.after(a.latency(), func() { s.arrive(a) })
 }
 
-// arrive is the arrival of an attempt's last byte at its server.
+// arrive delivers the last byte of an attempt to its server.
 func (s *Simulation) arrive(a *attempt) {
-	n, to := a.request.node, a.server
+	n, target := a.request.node, a.server
 	switch {
-	case a.ended, s.unreachable(n.zone, to):
+	case a.ended, s.unreachable(n.zone, target):
 		return
-	case to.down:
+	case target.down:
 		s.after(a.latency(), func() { s.endAttempt(a, policy.ConnectFailed, nil) })
 		return
 	}
 	client := a.request.clientAttempt
-	s.Checker.AttemptArrived(s.now, n.name, client.ID, to.Server)
-	switch to.Offer(s.now, emulator.Job{ID: a.jobID, Key: client.Key, Work: client.Work}) {
+	s.Checker.AttemptArrived(s.now, n.name, client.ID, target.Server)
+	switch target.Offer(s.now, emulator.Job{ID: a.jobID, Key: client.Key, Work: client.Work}) {
 	case emulator.Rejected:
-		s.Checker.AttemptEnded(client.ID, to.Spec.ID, true)
+		s.Checker.AttemptEnded(client.ID, target.Spec.ID, true)
 		s.reply(a, policy.Overloaded)
 	case emulator.Failed:
-		s.Checker.AttemptEnded(client.ID, to.Spec.ID, false)
+		s.Checker.AttemptEnded(client.ID, target.Spec.ID, false)
 		s.reply(a, policy.ServerError)
 	default:
-		to.attempts[a.jobID] = a
-		s.scheduleCompletions(to)
+		target.attempts[a.jobID] = a
+		s.scheduleCompletions(target)
 	}
 }
 
-// reply carries a server's response to the node.
+// reply sends a server's response to the node, unless it gets lost.
 func (s *Simulation) reply(a *attempt, code policy.Code) {
 	if a.server.responseLost || s.unreachable(a.request.node.zone, a.server) {
 		return
@@ -94,7 +96,7 @@
 	s.after(a.latency(), func() { s.endAttempt(a, code, report) })
 }
 
-// endAttempt ends an attempt at its node; only the first end counts.
+// endAttempt reports the outcome of an attempt to its node. Later outcomes of the same attempt have no effect.
 func (s *Simulation) endAttempt(a *attempt, code policy.Code, report []float64) {
 	if a.ended {
 		return
@@ -102,7 +104,7 @@
 	a.ended = true
 	r := a.request
 	r.attempt = nil
-	if code == policy.TimedOut || code == policy.Cancelled { // it may still run
+	if code == policy.TimedOut || code == policy.Cancelled { // the server may still run it
 		s.Checker.AttemptEnded(r.clientAttempt.ID, a.server.Spec.ID, false)
 	}
 	requestEnded := r.answered
@@ -114,5 +116,5 @@
 	}
 	s.deliver(r.node, policy.Outcome{ID: r.clientAttempt.ID, Server: a.server.Spec.ID, Attempt: a.number, Code: code,
 		Latency: s.now - a.sentAt, RequestEnded: requestEnded || code == policy.OK, LoadReport: report})
-	s.releaseIfDone(r)
+	s.removeIfDone(r)
 }
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -10,45 +10,46 @@
 	"sloerail/internal/emulator"
 )
 
-// Fault is something that goes wrong for a time, once or several times.
+// Fault is a temporary failure or a change of load, which may repeat.
 type Fault struct {
 	At       Duration  `toml:"at"`
 	Length   Duration  `toml:"for"`
 	Kind     FaultKind `toml:"do"`
-	Zone     string    `toml:"zone"`  // of the servers or nodes; empty for all zones
-	Fraction float64   `toml:"part"`  // of the requests that fail, or of the servers that are affected; 0 counts as 1
-	Factor   float64   `toml:"times"` // how many times slower, or more load
+	Zone     string    `toml:"zone"`  // of the affected servers, nodes or clients; empty for all zones
+	Fraction float64   `toml:"part"`  // of the requests for Errors, of the servers for other kinds; 0 stands for 1
+	Factor   float64   `toml:"times"` // of the service times for Slow, of the request rate for LoadIncrease
 
-	RepeatEvery Duration `toml:"every"` // between its begins
-	Repeats     int      `toml:"count"` // begins in all; 0 counts as 1
+	RepeatEvery Duration `toml:"every"` // time between starts
+	Repeats     int      `toml:"count"` // total number of starts; 0 stands for 1
 }
 
-// FaultKind names a fault.
+// FaultKind is the kind of a fault, as scenario files name it.
 type FaultKind string
 
-// The kinds of faults.
+// Kinds of fault.
 const (
-	Crash          FaultKind = "lost"   // servers refuse connections; they return past their slow start
-	CrashRestart   FaultKind = "cold"   // the same, but they return as new processes, in slow start
-	ConnectTimeout FaultKind = "silent" // connections to servers don't come up
-	ResponseLost   FaultKind = "mute"   // requests reach servers, and responses are lost
-	Partition      FaultKind = "apart"  // a zone is cut off from the others, both ways
-	Errors         FaultKind = "errors" // a fraction of the requests fails at once
+	Crash          FaultKind = "lost"   // servers refuse connections, and return past their slow start
+	CrashRestart   FaultKind = "cold"   // like Crash, but the servers return as new processes, in slow start
+	ConnectTimeout FaultKind = "silent" // connection attempts to servers time out
+	ResponseLost   FaultKind = "mute"   // requests reach servers, but responses are lost
+	Partition      FaultKind = "apart"  // a zone is cut off from the others, in both directions
+	Errors         FaultKind = "errors" // a fraction of the requests fails immediately
 	Slow           FaultKind = "slow"   // servers are several times slower
-	Unlisted       FaultKind = "vanish" // servers are removed from the list, and run on
-	Drain          FaultKind = "drain"  // servers drain and are removed; they return as new processes
+	Unlisted       FaultKind = "vanish" // servers are removed from the list, but keep running
+	Drain          FaultKind = "drain"  // servers drain, are removed, and return as new processes
 	NodesDown      FaultKind = "nodes"  // nodes are killed
-	LoadIncrease   FaultKind = "load"   // clients send several times as many requests
+	LoadIncrease   FaultKind = "load"   // clients send requests at a multiple of their rate
 )
 
 var faultKinds = []FaultKind{Crash, CrashRestart, ConnectTimeout, ResponseLost, Partition, Errors, Slow, Unlisted, Drain, NodesDown, LoadIncrease}
 
+// check returns an error that names the first invalid key. The zones are those of the scenario.
 func (f Fault) check(zones []string) error {
 	switch {
 	case !slices.Contains(faultKinds, f.Kind):
-		return fmt.Errorf("do: unknown fault %q", f.Kind)
+		return fmt.Errorf("do: unknown kind of fault %q", f.Kind)
 	case f.Zone != "" && !slices.Contains(zones, f.Zone):
-		return fmt.Errorf("zone: there is no zone %q", f.Zone)
+		return fmt.Errorf("zone: unknown zone %q", f.Zone)
 	}
 	if err := f.checkTimes(); err != nil {
 		return err
@@ -64,15 +65,15 @@
 
 func (f Fault) checkTimes() error {
 	if f.At.Duration < 0 || f.Length.Duration < 0 {
-		return errors.New("at, for: want 0 or more")
+		return errors.New("at, for: want durations of 0 or more")
 	}
 	if f.RepeatEvery.Duration < 0 || f.Repeats < 0 || f.Repeats > 1 && f.RepeatEvery.Duration <= f.Length.Duration {
-		return errors.New("every, count: want a time longer than for, and 0 or more")
+		return errors.New("every, count: want 0 or more, and every longer than for if count is above 1")
 	}
 	return nil
 }
 
-// fraction is Fraction, or 1 where that is absent.
+// fraction returns Fraction, or 1 if it is absent.
 func (f Fault) fraction() float64 {
 	if f.Fraction == 0 {
 		return 1
@@ -80,15 +81,15 @@
 	return f.Fraction
 }
 
-// StartTimes are when a fault begins, from the scenario's begin on.
-func (f Fault) StartTimes() (all []time.Duration) {
+// StartTimes returns the times at which the fault starts, relative to the start of the scenario.
+func (f Fault) StartTimes() (times []time.Duration) {
 	for i := range max(1, f.Repeats) {
-		all = append(all, f.At.Duration+time.Duration(i)*f.RepeatEvery.Duration)
+		times = append(times, f.At.Duration+time.Duration(i)*f.RepeatEvery.Duration)
 	}
-	return all
+	return times
 }
 
-// Describe is the timeline's text for the begin of a fault, or its end.
+// Describe returns the text of the timeline entry for the start or the end of the fault.
 func (f Fault) Describe(on bool) string {
 	if on {
 		return fmt.Sprintf("%s %s begins", f.Kind, f.Zone)
@@ -96,7 +97,7 @@
 	return fmt.Sprintf("%s %s ends", f.Kind, f.Zone)
 }
 
-// ApplyTo begins or ends a fault that is the server's own; other kinds of fault change nothing.
+// ApplyTo starts or ends the fault of a server itself, which is Errors or Slow. Other kinds have no effect here.
 func (f Fault) ApplyTo(server *emulator.ServerFault, on bool) {
 	switch f.Kind {
 	case Errors:
@@ -110,20 +111,20 @@
 	}
 }
 
-// Separates tells whether a Partition cuts two zones off from each other.
+// Separates reports whether a Partition cuts two zones off from each other.
 func (f Fault) Separates(a, b string) bool {
 	return a != b && (f.Zone == "" || f.Zone == a || f.Zone == b)
 }
 
-// Affected selects the servers that a fault is about.
-func (f Fault) Affected(servers []emulator.ServerSpec) (all []emulator.ServerSpec) {
+// Affected returns the servers that the fault affects.
+func (f Fault) Affected(servers []emulator.ServerSpec) (affected []emulator.ServerSpec) {
 	for _, server := range servers {
 		if f.Zone == "" || server.Zone == f.Zone {
-			all = append(all, server)
+			affected = append(affected, server)
 		}
 	}
 	if f.Kind != Errors {
-		all = all[:int(math.Ceil(f.fraction()*float64(len(all))))]
+		affected = affected[:int(math.Ceil(f.fraction()*float64(len(affected))))]
 	}
-	return all
+	return affected
 }
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// beginFault begins a fault, and schedules its end.
+// beginFault starts a fault and schedules its end.
 func (s *Simulation) beginFault(f Fault) {
 	s.outcome.RecordTimeline(s.now, "", f.Describe(true))
 	servers := s.affectedServers(f)
@@ -18,6 +18,7 @@
 	}
 }
 
+// affectedServers returns the servers that a fault affects.
 func (s *Simulation) affectedServers(f Fault) (servers []*server) {
 	for _, spec := range f.Affected(s.ServerSpecs(s.seed)) {
 		servers = append(servers, s.serversByID[spec.ID])
@@ -25,7 +26,7 @@
 	return servers
 }
 
-// applyFault begins or ends a fault.
+// applyFault starts or ends a fault.
 func (s *Simulation) applyFault(f Fault, servers []*server, on bool) {
 	switch f.Kind {
 	case LoadIncrease:
@@ -58,7 +59,7 @@
 	}
 }
 
-// setPartition cuts zones off from each other, or ends that.
+// setPartition cuts zones off from each other, or reconnects them.
 func (s *Simulation) setPartition(f Fault, on bool) {
 	if on {
 		s.partitions = append(s.partitions, f)
--- a/internal/simulation/form_test.go
+++ b/internal/simulation/form_test.go
@@ -12,7 +12,7 @@
 	"sloerail/internal/golden"
 )
 
-// goldenScenario has every key and every kind of fault.
+// goldenScenario returns a scenario with every key and every kind of fault.
 func goldenScenario() Scenario {
 	reports := false
 	s := Scenario{Name: "golden", Description: "every key", Length: Duration{90 * time.Second}, Rate: 12.5, WorkScale: 1.25, Topology: true, Quota: 400,
@@ -37,23 +37,23 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, goldenScenario()) {
-		t.Errorf("read %+v", read)
+		t.Errorf("parsed golden scenario: got %+v, want the value that was written", read)
 	}
 	if got, want := len(goldenScenario().Faults), len(faultKinds); got != want {
-		t.Errorf("%d kinds of fault in the file, of %d", got, want)
+		t.Errorf("kinds of fault in the golden scenario: got %d, want %d", got, want)
 	}
 }
 
-// goldenOutcome has every key.
+// goldenOutcome returns an outcome with every key.
 func goldenOutcome() Outcome {
-	sum := Totals{Requests: 10, InTime: 7, Late: 1, Failed: 2, Value: 12.5, ServedValue: 8.75}
+	totals := Totals{Requests: 10, InTime: 7, Late: 1, Failed: 2, Value: 12.5, ServedValue: 8.75}
 	return Outcome{
 		Seconds: []Second{
-			{Totals: sum, Attempts: 12, CrossZone: 3, Overloaded: 1, Utilization: 0.75, AttemptsByZone: map[string]map[string]int{"a": {"a": 9, "b": 3}},
+			{Totals: totals, Attempts: 12, CrossZone: 3, Overloaded: 1, Utilization: 0.75, AttemptsByZone: map[string]map[string]int{"a": {"a": 9, "b": 3}},
 				Work: map[string]map[string]float64{"a": {"meter-read": 1.5, "bill-charge": 0.5}}},
 			newSecond(),
 		},
-		Classes:  map[string]Totals{"meter-read": sum},
+		Classes:  map[string]Totals{"meter-read": totals},
 		Timeline: []TimelineEntry{{At: 1.25, Node: "n0", Text: "place a is left: 5 of 6 ill"}},
 		Broken:   1, BrokenRules: []string{"1.000 s: c1: a second final answer, 200"}, Errors: 4,
 		AttemptsByZone: map[string]map[string]int{"meter-read": {"a": 9, "b": 3}},
@@ -73,25 +73,25 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, goldenOutcome()) {
-		t.Errorf("read %+v", read)
+		t.Errorf("decoded golden outcome: got %+v, want the value that was written", read)
 	}
 }
 
-// A seed plays the same scenario to the same outcome in later versions, byte for byte.
-func TestPlayedOutcomeIsFrozen(t *testing.T) {
+// A scenario and a seed give the same outcome in all versions, byte for byte.
+func TestSeededOutcomeIsFrozen(t *testing.T) {
 	s, err := Read("zone-errors")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Length = Duration{4 * time.Second}
 	s.Faults[0].At = Duration{time.Second}
-	w, err := New(s, 39)
+	sim, err := New(s, 39)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := w.Run()
-	o.Timeline = slices.DeleteFunc(o.Timeline, func(m TimelineEntry) bool { return m.Node != "" }) // what nodes log may change
-	raw, err := json.Marshal(o)
+	outcome := sim.Run()
+	outcome.Timeline = slices.DeleteFunc(outcome.Timeline, func(entry TimelineEntry) bool { return entry.Node != "" }) // log lines of nodes may change
+	raw, err := json.Marshal(outcome)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simulation/load_balancer.go
+++ b/internal/simulation/load_balancer.go
@@ -10,19 +10,22 @@
 // loadBalancer spreads the requests of a zone's clients over the nodes of that zone.
 type loadBalancer struct {
 	zone      string
-	generator *generator // at the present rate
+	generator *generator // generates requests at the current rate
 	spec      emulator.ClientSpec
 	nodes     []*node
 	nextNode  int
 }
 
-// generator is clients that arrive at one rate. One whose arrivals have stopped still has its retries.
+// generator sends the requests of clients that arrive at a constant rate. After its arrivals stop, it still sends their
+// retries.
 type generator struct {
 	*loadBalancer
 	clients *emulator.Clients
-	nextDue time.Duration // of the event that sends their next attempts; 0 for none
+	nextDue time.Duration // time of the event that sends the next attempts; 0 for none
 }
 
+// addLoadBalancer adds the load balancer of a zone, with clients that start at the scenario's rate. A zone without nodes
+// gets none.
 func (s *Simulation) addLoadBalancer(i int, z Zone, seed uint64) {
 	if z.Nodes == 0 {
 		return
@@ -37,7 +40,7 @@
 	s.startClients(lb, 1, seed*1000+uint64(i))
 }
 
-// startClients replaces the clients of a load balancer by ones with several times the scenario's rate.
+// startClients replaces the clients of a load balancer by clients that send at rateFactor times the scenario's rate.
 func (s *Simulation) startClients(lb *loadBalancer, rateFactor float64, seed uint64) {
 	spec := lb.spec
 	spec.Rate *= rateFactor
@@ -51,7 +54,7 @@
 	s.scheduleClients(lb.generator)
 }
 
-// scheduleClients schedules the sending of the next attempts.
+// scheduleClients schedules the event that sends the next attempts.
 func (s *Simulation) scheduleClients(g *generator) {
 	at, ok := g.clients.Next()
 	if !ok || g.nextDue > 0 && g.nextDue <= at {
@@ -60,7 +63,7 @@
 	g.nextDue = at
 	s.at(at, func() {
 		if g.nextDue != at {
-			return // an earlier event was scheduled since
+			return // an earlier event has replaced this one
 		}
 		g.nextDue = 0
 		for _, attempt := range g.clients.TakeDue(s.now) {
@@ -70,7 +73,7 @@
 	})
 }
 
-// pickNode takes nodes in turn that aren't known to be down; nil where all are.
+// pickNode returns the next node, round robin, that isn't known to be down, or nil if all are.
 func (lb *loadBalancer) pickNode(nodes []*node) *node {
 	for range nodes {
 		lb.nextNode++
@@ -81,7 +84,7 @@
 	return nil
 }
 
-// endClientAttempt hands the response, or status 0 for none, to the clients.
+// endClientAttempt passes the response of a client attempt to the clients, with status 0 if there is none.
 func (s *Simulation) endClientAttempt(g *generator, attempt *emulator.ClientAttempt, status int, retryAfter time.Duration) {
 	stats := g.clients.Stats[attempt.Class.Name]
 	before := *stats
@@ -90,7 +93,7 @@
 	s.scheduleClients(g)
 }
 
-// setLoadFactor changes the rate of the clients that a fault is about: to several times the scenario's, or back.
+// setLoadFactor multiplies the rate of the clients that a LoadIncrease affects by its factor, or sets it back.
 func (s *Simulation) setLoadFactor(f Fault, on bool) {
 	rateFactor := 1.0
 	if on {
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -8,42 +8,43 @@
 	"sync"
 )
 
-// Row is a measure over several seeds, with nodes that evaluate zones and with nodes that evaluate servers alone.
+// Row holds the values of a measure over several seeds, with and without topology. Nodes with topology evaluate zones;
+// nodes without it evaluate only servers.
 type Row struct {
 	Measure
 	WithTopology, WithoutTopology []float64 // by seed
-	Broken                        int       // rules, over all runs with topology
+	Broken                        int       // rules broken in all runs with topology
 }
 
-// Reached tells whether the mean is within the measure's bounds, and no rule was broken.
+// Reached reports whether the mean with topology is within the measure's bounds and no rule was broken.
 func (r Row) Reached() bool {
 	mean, _, _ := MeanMinMax(r.WithTopology)
 	return mean >= r.Min && mean <= r.Max && r.Broken == 0
 }
 
-// MeanMinMax returns the mean, the least and the greatest of some figures.
-func MeanMinMax(figures []float64) (mean, least, greatest float64) {
-	for _, figure := range figures {
-		mean += figure / float64(len(figures))
+// MeanMinMax returns the mean, the minimum and the maximum of values, which must not be empty.
+func MeanMinMax(values []float64) (mean, minimum, maximum float64) {
+	for _, value := range values {
+		mean += value / float64(len(values))
 	}
-	return mean, slices.Min(figures), slices.Max(figures)
+	return mean, slices.Min(values), slices.Max(values)
 }
 
-// runKey names one run of MeasureZones.
+// runKey identifies a run of MeasureZones.
 type runKey struct {
 	scenario string
 	seed     uint64
 	topology bool
 }
 
-// MeasureZones plays all scenarios that the measures need, with each seed, on all cores: with topology and, if that is
-// asked for, without it too.
+// MeasureZones runs all scenarios that the measures need with each seed, on all cores, and returns a row for each measure.
+// If withoutTopology is set, it also runs them without topology.
 func MeasureZones(measures []Measure, seeds []uint64, withoutTopology bool) ([]Row, error) {
 	topologies := []bool{true, false}
 	if !withoutTopology {
 		topologies = topologies[:1]
 	}
-	runs, err := playAll(runKeys(measures, seeds, topologies))
+	runs, err := runAll(runKeys(measures, seeds, topologies))
 	if err != nil {
 		return nil, err
 	}
@@ -56,11 +57,11 @@
 				if baseline, ok := runs[runKey{BaselineOf(m.Scenario), seed, topology}]; ok {
 					run.Baseline = baseline.Outcome
 				}
-				if figure := m.Of(run); topology {
-					row.WithTopology = append(row.WithTopology, figure)
+				if value := m.Of(run); topology {
+					row.WithTopology = append(row.WithTopology, value)
 					row.Broken += run.Broken
 				} else {
-					row.WithoutTopology = append(row.WithoutTopology, figure)
+					row.WithoutTopology = append(row.WithoutTopology, value)
 				}
 			}
 		}
@@ -69,7 +70,7 @@
 	return rows, nil
 }
 
-// runKeys are the runs that the measures need, each once.
+// runKeys returns the keys of all runs that the measures need, without duplicates.
 func runKeys(measures []Measure, seeds []uint64, topologies []bool) (keys []runKey) {
 	seen := make(map[runKey]bool)
 	for _, m := range measures {
@@ -90,10 +91,11 @@
 	return keys
 }
 
-func playAll(keys []runKey) (map[runKey]Run, error) {
-	played := make([]Run, len(keys))
-	err := onAllCores(len(keys), func(i int) (err error) {
-		played[i], err = playOnce(keys[i].scenario, keys[i].seed, keys[i].topology)
+// runAll runs the keys on all cores.
+func runAll(keys []runKey) (map[runKey]Run, error) {
+	results := make([]Run, len(keys))
+	err := runParallel(len(keys), func(i int) (err error) {
+		results[i], err = runScenario(keys[i].scenario, keys[i].seed, keys[i].topology)
 		return err
 	})
 	if err != nil {
@@ -101,12 +103,13 @@
 	}
 	runs := make(map[runKey]Run, len(keys))
 	for i, key := range keys {
-		runs[key] = played[i]
+		runs[key] = results[i]
 	}
 	return runs, nil
 }
 
-func playOnce(name string, seed uint64, topology bool) (Run, error) {
+// runScenario reads a scenario and runs it.
+func runScenario(name string, seed uint64, topology bool) (Run, error) {
 	scenario, err := Read(name)
 	if err != nil {
 		return Run{}, err
@@ -119,16 +122,16 @@
 	return Run{Scenario: scenario, Outcome: s.Run()}, nil
 }
 
-// onAllCores calls do for 0 to n-1, as many at a time as there are cores, and returns the first error. After an error
-// no further call begins.
-func onAllCores(n int, do func(i int) error) error {
+// runParallel calls do for each of 0 to n-1, up to GOMAXPROCS at a time, and returns the first error. It starts no calls
+// after an error.
+func runParallel(n int, do func(i int) error) error {
 	var mu sync.Mutex
-	var failed error
+	var firstErr error
 	next := 0
-	take := func() (i int, ok bool) {
+	nextIndex := func() (i int, ok bool) {
 		mu.Lock()
 		defer mu.Unlock()
-		if failed != nil || next >= n {
+		if firstErr != nil || next >= n {
 			return 0, false
 		}
 		next++
@@ -137,15 +140,15 @@
 	var workers sync.WaitGroup
 	for range min(n, runtime.GOMAXPROCS(0)) {
 		workers.Go(func() {
-			for i, ok := take(); ok; i, ok = take() {
+			for i, ok := nextIndex(); ok; i, ok = nextIndex() {
 				if err := do(i); err != nil {
 					mu.Lock()
-					failed = cmp.Or(failed, err)
+					firstErr = cmp.Or(firstErr, err)
 					mu.Unlock()
 				}
 			}
 		})
 	}
 	workers.Wait()
-	return failed
+	return firstErr
 }
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -13,23 +13,23 @@
 )
 
 const (
-	maxAttempts   = 6                     // of a node for one client attempt
-	timeoutMargin = 10 * time.Millisecond // by which a node's timeout ends before its client's
+	maxAttempts   = 6                     // of a node for each client attempt
+	timeoutMargin = 10 * time.Millisecond // by which a node's timeout is shorter than its client's
 
-	// Costs of a request in another zone, for nodes that are given the regions.
+	// Crossing costs of a request to another zone, for nodes with topology.
 	sameRegionCost, otherRegionCost = 1, 3
 )
 
-// node is one node: its instance of the decision module, and the requests that it has.
+// node is a node: its policy.Balancer and the requests that it handles.
 type node struct {
 	name, zone string
 	balancer   *policy.Balancer
 	requests   map[string]*request
 	down       bool
-	knownDown  bool // to the load balancers
+	knownDown  bool // the load balancers know that the node is down
 }
 
-// request is a client attempt at a node, until it is answered and no attempt of the node is in flight.
+// request is a client attempt at a node. It is kept until it has its response and the node has no attempt in flight.
 type request struct {
 	clientAttempt *emulator.ClientAttempt
 	generator     *generator
@@ -39,6 +39,7 @@
 	answered      bool
 }
 
+// addNodes adds the nodes of all zones, and gives each the list of servers.
 func (s *Simulation) addNodes(seed uint64) error {
 	count := 0
 	for _, z := range s.Zones {
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// settings are those of the node with an index among so many, as the operators' pages and the topology of the scenario
-// give them.
+// settings returns the settings of the node with this index among count nodes. They have the values of the operators'
+// documentation and, if the scenario sets it, the topology.
 func (s *Simulation) settings(z Zone, index, count int) policy.Settings {
 	settings := policy.Settings{NodeIndex: index, NodeCount: count, Zone: z.Name, WeightByWork: true,
 		Allowed: policy.Allowed{MaxAttempts: maxAttempts, RetryAfter: true, MaxRetryAfter: 3 * time.Second, IdleTimeout: time.Minute},
@@ -87,7 +88,7 @@
 var retrySafeties = map[emulator.RetrySafety]policy.RetrySafety{
 	emulator.Idempotent: policy.Idempotent, emulator.IdempotencyKeyed: policy.IdempotencyKeyed}
 
-// policyClass is a class of the clients as the nodes' settings have it.
+// policyClass converts a class of the clients to a class of the nodes' settings, with its bindings.
 func (s *Simulation) policyClass(c emulator.Class) policy.Class {
 	class := policy.Class{Name: c.Name, LatencyObjective: c.LatencyObjective, Deadline: c.Deadline,
 		RetrySafety: retrySafeties[c.RetrySafety], DedupWindow: c.DedupWindow, PriorityWeight: c.PriorityWeight}
@@ -99,18 +100,19 @@
 	return class
 }
 
-// deliver hands an event to a node's decisions, and carries out their actions.
+// deliver passes an event to a node's balancer and executes the actions that it returns. A node that is down ignores it.
 func (s *Simulation) deliver(n *node, event policy.Event) {
 	if n.down {
 		return
 	}
-	// A copy, because carrying out an action may deliver the next event, for which Handle reuses its slice.
+	// Clone the slice: executing an action may deliver another event, for which Handle reuses it.
 	for _, action := range slices.Clone(n.balancer.Handle(s.now, event)) {
-		s.carryOut(n, action)
+		s.execute(n, action)
 	}
 }
 
-func (s *Simulation) carryOut(n *node, action policy.Action) {
+// execute executes an action of a node.
+func (s *Simulation) execute(n *node, action policy.Action) {
 	switch action.Kind {
 	case policy.Send:
 		s.sendAttempt(n, action)
@@ -133,7 +135,8 @@
 	}
 }
 
-// dispatchAttempt hands a client attempt to a node of its zone, or to any node while that zone has none.
+// dispatchAttempt sends a client attempt to a node of its zone, or to a node of any zone if all nodes of its zone are
+// known to be down.
 func (s *Simulation) dispatchAttempt(g *generator, attempt *emulator.ClientAttempt) {
 	if attempt.Number == 0 {
 		s.outcome.RecordRequest(g.zone, attempt)
@@ -155,10 +158,10 @@
 		Timeout: attempt.Timeout - timeoutMargin, ClientRetry: attempt.Number > 0, Write: attempt.Class.RetrySafety != emulator.Idempotent})
 }
 
-// errNoNode is for a client attempt while no node is up.
-var errNoNode = errors.New("no node")
+// errNoNode is the error of a client attempt that finds no running node.
+var errNoNode = errors.New("no node is up")
 
-// cancel is the end of a client's timeout.
+// cancel ends a request whose client timed out.
 func (s *Simulation) cancel(r *request) {
 	if r.answered {
 		return
@@ -167,10 +170,10 @@
 	s.deliver(r.node, policy.ClientCancelled{ID: r.clientAttempt.ID})
 	s.Checker.RequestTimedOut(r.clientAttempt.ID)
 	s.endClientAttempt(r.generator, r.clientAttempt, 0, 0)
-	s.releaseIfDone(r)
+	s.removeIfDone(r)
 }
 
-// respond gives a client attempt its final response.
+// respond sends the final response of a client attempt.
 func (s *Simulation) respond(n *node, id string, status int, retryAfter time.Duration) {
 	r := n.requests[id]
 	if r == nil || r.answered {
@@ -179,16 +182,17 @@
 	r.answered = true
 	s.Checker.ResponseReceived(s.now, id, status)
 	s.endClientAttempt(r.generator, r.clientAttempt, status, retryAfter)
-	s.releaseIfDone(r)
+	s.removeIfDone(r)
 }
 
-func (s *Simulation) releaseIfDone(r *request) {
+// removeIfDone removes a request from its node once it has its response and no attempt in flight.
+func (s *Simulation) removeIfDone(r *request) {
 	if r.answered && r.attempt == nil {
 		delete(r.node.requests, r.clientAttempt.ID)
 	}
 }
 
-// setNodesDown kills the nodes of a zone, or starts new ones in their place.
+// setNodesDown kills the nodes of a zone, or replaces them by new ones.
 func (s *Simulation) setNodesDown(zone string, down bool) {
 	for i, n := range s.nodes {
 		switch {
@@ -201,10 +205,11 @@
 	}
 }
 
+// killNode stops a node and ends its requests without a response. Load balancers know after detectionDelay.
 func (s *Simulation) killNode(n *node) {
 	n.down = true
 	s.after(detectionDelay, func() { n.knownDown = n.down })
-	for _, id := range slices.Sorted(maps.Keys(n.requests)) { // in one order, so that a seed gives one run
+	for _, id := range slices.Sorted(maps.Keys(n.requests)) { // in a fixed order, so that runs with the same seed are equal
 		r := n.requests[id]
 		r.answered = true
 		s.Checker.ConnectionBroken(s.now, id, true)
@@ -213,10 +218,11 @@
 	clear(n.requests)
 }
 
+// restartNode replaces the balancer of a killed node by a new one.
 func (s *Simulation) restartNode(index int, n *node) {
 	zone := s.Zones[slices.IndexFunc(s.Zones, func(z Zone) bool { return z.Name == n.zone })]
 	balancer, err := policy.New(s.settings(zone, index, len(s.nodes)), s.now, uint64(s.sequence))
-	if err != nil { // the same settings were accepted before
+	if err != nil { // these settings were accepted when the node was added
 		panic(err)
 	}
 	n.balancer, n.down, n.knownDown = balancer, false, false
--- a/internal/simulation/paired_comparison.go
+++ b/internal/simulation/paired_comparison.go
@@ -14,16 +14,17 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Weights of G, as the operators weigh theirs; their weight of the worst-served tenant goes to the whole run.
+// Weights of G. They are the operators' weights, except that the operators' weight of the worst-served tenant is added to
+// the weight of the whole run.
 const (
-	fullWeight  = 0.45
-	worstWeight = 0.35 // of the worst window
-	classWeight = 0.20 // of the worst-served class
-	worstWindow = 10 * time.Second
+	wholeRunWeight    = 0.45
+	worstWindowWeight = 0.35 // of the worst window of worstWindowLength
+	worstClassWeight  = 0.20 // of the worst-served class
+	worstWindowLength = 10 * time.Second
 )
 
-// G is one figure for a run: the fraction of the value that was served in time, over the whole run, in its worst window
-// and in its worst-served class.
+// G returns the score of a run, from 0 to 1: the weighted mean of the fractions of the value that were served in time over
+// the whole run, in its worst window and in its worst-served class.
 func (o *Outcome) G() float64 {
 	seconds := len(o.Seconds)
 	for seconds > 0 && o.Seconds[seconds-1].Requests == 0 {
@@ -31,30 +32,30 @@
 	}
 	end := time.Duration(seconds) * time.Second
 	worst := 1.0
-	for at := time.Duration(0); at+worstWindow <= end; at += time.Second {
-		worst = min(worst, o.Between(at, at+worstWindow).ServedFraction())
+	for at := time.Duration(0); at+worstWindowLength <= end; at += time.Second {
+		worst = min(worst, o.Between(at, at+worstWindowLength).ServedFraction())
 	}
 	class := 1.0
 	for _, totals := range o.Classes {
 		class = min(class, totals.ServedFraction())
 	}
-	return fullWeight*o.Between(0, end).ServedFraction() + worstWeight*worst + classWeight*class
+	return wholeRunWeight*o.Between(0, end).ServedFraction() + worstWindowWeight*worst + worstClassWeight*class
 }
 
-// Pair compares two programs on the same scenario and seeds.
+// Pair is the comparison of two programs on the same scenario and seeds.
 type Pair struct {
 	Scenario     string    `json:"scenario"`
-	Ours, Theirs []float64 `json:"-"`
-	Mean         float64   `json:"mean"` // of our G less theirs
-	HalfInterval float64   `json:"half"` // half of its 95% interval
-	P            float64   `json:"p"`    // probability of a mean so far from 0 by chance
+	Ours, Theirs []float64 `json:"-"`    // G by seed
+	Mean         float64   `json:"mean"` // of the differences of G by seed, ours minus theirs
+	HalfInterval float64   `json:"half"` // half the width of the 95% confidence interval of Mean
+	P            float64   `json:"p"`    // two-sided p-value of Mean being 0
 	OurG         float64   `json:"g"`
 	TheirG       float64   `json:"g_theirs"`
 	OurBroken    int       `json:"rules_broken"`
 	TheirBroken  int       `json:"rules_broken_theirs"`
 }
 
-// computeStatistics computes Student's statistics of the differences by seed.
+// computeStatistics computes the means and the paired t-test of the differences by seed.
 func (p *Pair) computeStatistics() {
 	differences := make([]float64, len(p.Ours))
 	for i := range differences {
@@ -71,10 +72,10 @@
 	}
 }
 
-// simulateTimeout bounds one simulation by another program.
+// simulateTimeout bounds a run of a program's simulate command.
 const simulateTimeout = 5 * time.Minute
 
-// simulate plays a scenario by a program's simulate command.
+// simulate runs a scenario with a program's simulate command, and returns the outcome that it prints.
 func simulate(ctx context.Context, program, scenario string, seed uint64) (*Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, simulateTimeout)
 	defer cancel()
@@ -84,25 +85,25 @@
 	}
 	o := new(Outcome)
 	if err := json.Unmarshal(raw, o); err != nil {
-		return nil, fmt.Errorf("%s simulate %s, seed %d: its answer: %w", program, scenario, seed, err)
+		return nil, fmt.Errorf("%s simulate %s, seed %d: decode output: %w", program, scenario, seed, err)
 	}
 	return o, nil
 }
 
-// rulesBroken tells whether a simulation ended with the status that stands for broken rules.
+// rulesBroken reports whether a simulation exited with status 1, which means that rules were broken.
 func rulesBroken(err error) bool {
 	var exit *exec.ExitError
 	return errors.As(err, &exit) && exit.ExitCode() == 1
 }
 
-// Pairs plays each scenario with each seed by our program and by another one, on all cores. It returns a comparison for
-// each scenario, and then one of all.
+// Pairs runs each scenario with each seed with both programs, on all cores. It returns a comparison for each scenario,
+// followed by one of all scenarios.
 func Pairs(ctx context.Context, ours, theirs string, scenarios []string, seeds []uint64) ([]Pair, error) {
 	programs := []string{ours, theirs}
-	outcomes := make([]*Outcome, len(scenarios)*len(seeds)*len(programs)) // in the order of these
-	err := onAllCores(len(outcomes), func(i int) (err error) {
-		k := i / len(programs)
-		outcomes[i], err = simulate(ctx, programs[i%len(programs)], scenarios[k/len(seeds)], seeds[k%len(seeds)])
+	outcomes := make([]*Outcome, len(scenarios)*len(seeds)*len(programs)) // ordered by scenario, seed and program
+	err := runParallel(len(outcomes), func(i int) (err error) {
+		pair := i / len(programs)
+		outcomes[i], err = simulate(ctx, programs[i%len(programs)], scenarios[pair/len(seeds)], seeds[pair%len(seeds)])
 		return err
 	})
 	if err != nil {
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// event is something to run at a time. Events of one time run in the order in which they were scheduled.
+// event is a function that is scheduled for a time. Events with the same time run in the order of their scheduling.
 type event struct {
 	at       time.Duration
 	sequence int
@@ -14,11 +14,11 @@
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// at schedules an event; one in the past runs next.
+// at schedules run for a time. If the time is in the past, it schedules run for now.
 func (s *Simulation) at(t time.Duration, run func()) {
 	s.sequence++
 	s.queue.Add(event{max(t, s.now), s.sequence, run})
 }
 
-// after schedules an event at a time from now.
+// after schedules run for the time d from now.
 func (s *Simulation) after(d time.Duration, run func()) { s.at(s.now+d, run) }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,6 +1,6 @@
-// Package simulation plays scenarios of nodes, servers and clients in virtual time, measures their outcomes, and compares
-// two programs by them. Servers, clients and the checker are those of internal/emulator; nodes are instances of package
-// policy. Nothing here is linked into a node.
+// Package simulation runs scenarios of nodes, servers and clients in virtual time, measures their outcomes and compares
+// two programs by these outcomes. Servers, clients and the checker come from internal/emulator; each node is a
+// policy.Balancer. The package is not linked into the node program.
 package simulation
 
 import (
@@ -14,34 +14,34 @@
 	"sloerail/internal/scenario"
 )
 
-// Duration is a time.Duration that a file spells as "2.5s".
+// Duration is a time.Duration that files hold as a string such as "2.5s".
 type Duration struct{ time.Duration }
 
-// UnmarshalText reads a duration as time.ParseDuration does.
+// UnmarshalText parses a duration with time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) (err error) {
 	d.Duration, err = time.ParseDuration(string(text))
 	return err
 }
 
-// MarshalText writes what UnmarshalText reads.
+// MarshalText formats a duration for UnmarshalText.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// Scenario describes a fleet and the faults in it. Absent keys are the middle of the operators' ranges.
+// Scenario describes a fleet and its faults. Values that it doesn't set are in the middle of the operators' ranges.
 type Scenario struct {
 	Name        string         `toml:"name"`
 	Description string         `toml:"what"`
 	Length      Duration       `toml:"for"`
-	Rate        float64        `toml:"rate"`    // requests a second near each node
-	WorkScale   float64        `toml:"work"`    // multiplies the work of the classes; 1 unless given
-	Topology    bool           `toml:"places"`  // the nodes have the regions, and evaluate zones
-	Quota       float64        `toml:"quota"`   // requests a second of all tenants; ten times the rate unless given
-	Reports     *bool          `toml:"reports"` // servers send load reports; true unless given
+	Rate        float64        `toml:"rate"`    // requests per second per node, from the clients of its zone
+	WorkScale   float64        `toml:"work"`    // multiplies the work of the classes; the default is 1
+	Topology    bool           `toml:"places"`  // nodes know the region of each zone, and evaluate zones
+	Quota       float64        `toml:"quota"`   // requests per second of all tenants; the default is ten times the rate
+	Reports     *bool          `toml:"reports"` // servers send load reports; the default is true
 	Zones       []Zone         `toml:"zones"`
 	Faults      []Fault        `toml:"faults"`
 	Bindings    []ClassBinding `toml:"bound"`
 }
 
-// Zone is a zone with its servers and nodes.
+// Zone describes a zone, with its numbers of servers and nodes.
 type Zone struct {
 	Name    string `toml:"name"`
 	Region  string `toml:"region"`
@@ -57,18 +57,18 @@
 }
 
 //go:embed scenarios/*.toml
-var shipped embed.FS
+var builtinFiles embed.FS
 
-// library holds the scenarios that come with the program.
-var library = scenario.Library{Files: shipped}
+// builtin is the library of built-in scenarios.
+var builtin = scenario.Library{Files: builtinFiles}
 
-// Shipped are the names of the scenarios that come with the program.
-func Shipped() []string { return library.Names() }
+// Shipped returns the names of the built-in scenarios.
+func Shipped() []string { return builtin.Names() }
 
-// Read reads a scenario: one that comes with the program by its name, or a file.
-func Read(name string) (Scenario, error) { return scenario.Read(library, name, Parse) }
+// Read reads a built-in scenario by its name, or a scenario file by its path.
+func Read(name string) (Scenario, error) { return scenario.Read(builtin, name, Parse) }
 
-// Parse reads a scenario. Unknown keys are errors, because a misspelt one would play another scenario.
+// Parse parses and checks a scenario. Unknown keys are errors, because ignoring a misspelt key would run another scenario.
 func Parse(raw []byte) (Scenario, error) {
 	s := Scenario{WorkScale: 1}
 	if err := scenario.Decode(raw, &s); err != nil {
@@ -77,14 +77,14 @@
 	return s, s.Check()
 }
 
-// Bounds of a scenario.
+// Bounds of a scenario, and the number of servers in a cell.
 const (
-	maxNodes      = 400 // in all zones
-	maxServers    = 400 // in all zones
-	maxDuration   = time.Hour
-	maxRate       = 1e5 // requests a second near each node
-	maxWorkScale  = 1e3
-	serversOfCell = 4
+	maxNodes       = 400 // in all zones
+	maxServers     = 400 // in all zones
+	maxDuration    = time.Hour
+	maxRate        = 1e5 // requests per second per node
+	maxWorkScale   = 1e3
+	serversPerCell = 4
 )
 
 // Check returns an error that names the first key that is invalid.
@@ -108,61 +108,61 @@
 	return nil
 }
 
-// checkZones checks the zones, and returns their names.
+// checkZones checks the zones and returns their names.
 func checkZones(zones []Zone) (names []string, err error) {
 	nodes, servers := 0, 0
 	for i, z := range zones {
 		if z.Name == "" || slices.Contains(names, z.Name) {
-			return nil, fmt.Errorf("zones[%d].name: missing or named twice", i)
+			return nil, fmt.Errorf("zones[%d].name: missing or used by another zone", i)
 		}
 		if z.Nodes < 0 || z.Servers < 0 {
-			return nil, fmt.Errorf("zones[%d]: nodes and boxes: want 0 or more", i)
+			return nil, fmt.Errorf("zones[%d]: nodes, boxes: want 0 or more", i)
 		}
 		names, nodes, servers = append(names, z.Name), nodes+z.Nodes, servers+z.Servers
 	}
 	if nodes < 1 || nodes > maxNodes {
-		return nil, fmt.Errorf("zones: want 1 to %d nodes in all, got %d", maxNodes, nodes)
+		return nil, fmt.Errorf("zones: want 1 to %d nodes in total, got %d", maxNodes, nodes)
 	}
 	if servers < 1 || servers > maxServers {
-		return nil, fmt.Errorf("zones: want 1 to %d boxes in all, got %d", maxServers, servers)
+		return nil, fmt.Errorf("zones: want 1 to %d boxes in total, got %d", maxServers, servers)
 	}
 	return names, nil
 }
 
-// ServerSpecs are the servers of a scenario, with speeds drawn from a seed.
-func (s Scenario) ServerSpecs(seed uint64) (all []emulator.ServerSpec) {
+// ServerSpecs returns the servers of a scenario. The seed determines their speeds.
+func (s Scenario) ServerSpecs(seed uint64) (specs []emulator.ServerSpec) {
 	rng := rand.New(rand.NewPCG(seed, 0xb0e5))
 	for zone, z := range s.Zones {
 		for i := range z.Servers {
 			spec := emulator.DefaultServer(fmt.Sprintf("%s-%02d", z.Name, i), z.Name)
-			spec.Cell = int64(100*zone + i/serversOfCell)
-			if i%5 == 1 || i%5 == 3 { // two in five, in every zone
+			spec.Cell = int64(100*zone + i/serversPerCell)
+			if i%5 == 1 || i%5 == 3 { // 2 of 5 servers in each zone
 				spec.Kind, spec.Cores, spec.MaxRequests = "small-box", 5, 56
 				spec.Speed = 0.77 + 0.23*rng.Float64()
 			} else {
 				spec.Speed = 1.5 + 0.6*rng.Float64()
 			}
-			all = append(all, spec)
+			specs = append(specs, spec)
 		}
 	}
-	return all
+	return specs
 }
 
-// Tenants are the same in all scenarios.
+// Tenants returns the tenants, which are the same in all scenarios.
 func (s Scenario) Tenants() []emulator.Tenant {
 	return []emulator.Tenant{{Name: "east", Share: 0.6}, {Name: "west", Share: 0.4}}
 }
 
-// Clients are those near so many nodes, whose requests begin until a time.
+// Clients returns the specification of the clients of the given number of nodes. Requests start no later than until.
 func (s Scenario) Clients(nodes int, until time.Duration) emulator.ClientSpec {
 	return emulator.ClientSpec{Rate: s.Rate * float64(nodes), Classes: emulator.Classes(), WorkScale: s.WorkScale, Tenants: s.Tenants(),
 		MaxRetries: 3, RetryDelay: 100 * time.Millisecond, Until: until}
 }
 
-// quotaPerRate is the quota of a scenario that gives none, as a multiple of its rate: no tenant is limited by it.
+// quotaPerRate is the default quota of a scenario, as a multiple of its rate. It is high enough to limit no tenant.
 const quotaPerRate = 10
 
-// QuotaFor is the quota of all tenants over so many nodes.
+// QuotaFor returns the total quota of all tenants, in requests per second, for the given number of nodes.
 func (s Scenario) QuotaFor(nodes int) float64 {
 	if s.Quota > 0 {
 		return s.Quota
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -9,22 +9,23 @@
 	"sloerail/policy"
 )
 
-// drainTime is how long a server that drains stays in the list until it is removed.
+// drainTime is how long a draining server stays in the list before it is removed.
 const drainTime = 5 * time.Second
 
-// server is an emulated server with what the network and the list make of it.
+// server is an emulated server with the state of its network connections and of its entry in the list.
 type server struct {
 	*emulator.Server
-	attempts       map[string]*attempt // in progress, by job
+	attempts       map[string]*attempt // in progress, by job ID
 	seed           uint64
-	incarnation    int // of its process
+	incarnation    int // counts the restarts of the process
 	down           bool
-	connectTimeout bool // connections to it don't come up
+	connectTimeout bool // connection attempts to it time out
 	responseLost   bool
 	phase          string // in the list
 	reports        []timedReport
 }
 
+// timedReport is a load report with the time when the server made it.
 type timedReport struct {
 	at   time.Duration
 	load emulator.LoadReport
@@ -38,55 +39,56 @@
 	}
 }
 
-// scheduleCompletions completes a server's jobs when they are due.
-func (s *Simulation) scheduleCompletions(of *server) {
-	at, ok := of.Next()
+// scheduleCompletions schedules an event that completes the next jobs of a server when they are due.
+func (s *Simulation) scheduleCompletions(srv *server) {
+	at, ok := srv.Next()
 	if !ok {
 		return
 	}
-	incarnation := of.incarnation
+	incarnation := srv.incarnation
 	s.at(at, func() {
-		if of.incarnation != incarnation {
+		if srv.incarnation != incarnation {
 			return
 		}
-		for _, job := range of.Advance(s.now) {
-			a := of.attempts[job.ID]
-			delete(of.attempts, job.ID)
+		for _, job := range srv.Advance(s.now) {
+			a := srv.attempts[job.ID]
+			delete(srv.attempts, job.ID)
 			if a != nil && !a.ended {
-				s.Checker.AttemptEnded(a.request.clientAttempt.ID, of.Spec.ID, false)
+				s.Checker.AttemptEnded(a.request.clientAttempt.ID, srv.Spec.ID, false)
 				s.reply(a, policy.OK)
 			}
 		}
-		s.scheduleCompletions(of)
+		s.scheduleCompletions(srv)
 	})
 }
 
-// loadReport is the load report in a server's response: as it was some time ago.
-func (s *Simulation) loadReport(of *server) []float64 {
+// loadReport returns the load report of a server's response: the newest one that is at least reportDelay old, or nil if
+// there is none.
+func (s *Simulation) loadReport(srv *server) []float64 {
 	if !s.hasReports() {
 		return nil
 	}
-	newest := of.LoadReport(s.now)
-	if n := len(of.reports); n == 0 || of.reports[n-1].load != newest {
-		of.reports = append(of.reports, timedReport{s.now, newest})
+	newest := srv.LoadReport(s.now)
+	if n := len(srv.reports); n == 0 || srv.reports[n-1].load != newest {
+		srv.reports = append(srv.reports, timedReport{s.now, newest})
 	}
-	for len(of.reports) > 1 && of.reports[1].at <= s.now-reportDelay {
-		of.reports = of.reports[1:]
+	for len(srv.reports) > 1 && srv.reports[1].at <= s.now-reportDelay {
+		srv.reports = srv.reports[1:]
 	}
-	if report := of.reports[0]; report.at <= s.now-reportDelay {
+	if report := srv.reports[0]; report.at <= s.now-reportDelay {
 		return []float64{report.load.LatencyMs, report.load.Util, report.load.QPS}
 	}
 	return nil
 }
 
-// endpoints is the list as it is now.
-func (s *Simulation) endpoints() (all []policy.Endpoint) {
+// endpoints returns the current list of servers.
+func (s *Simulation) endpoints() (listed []policy.Endpoint) {
 	for _, server := range s.servers {
 		if e := server.endpoint(); e.Availability != policy.Removed {
-			all = append(all, e)
+			listed = append(listed, e)
 		}
 	}
-	return all
+	return listed
 }
 
 var availabilities = map[string]policy.Availability{
@@ -97,7 +99,7 @@
 		StartedAt: s.Started(), Availability: availabilities[s.phase]}
 }
 
-// notifyNodes notifies each node of these servers' state, after a delay of its own.
+// notifyNodes sends each node the state of these servers, after a random delay of up to maxListDelay for each node.
 func (s *Simulation) notifyNodes(servers []*server) {
 	for _, n := range s.nodes {
 		s.after(time.Duration(s.rng.Int64N(int64(maxListDelay))), func() {
@@ -117,7 +119,7 @@
 	}
 }
 
-// setUnlisted removes servers from the list while they run on, or puts them back.
+// setUnlisted removes servers from the list, although they keep running, or puts them back.
 func (s *Simulation) setUnlisted(servers []*server, unlisted bool) {
 	phase := emulator.Up
 	if unlisted {
@@ -127,7 +129,7 @@
 	s.notifyNodes(servers)
 }
 
-// drain drains servers and removes them from the list, or has them return as new processes.
+// drain marks servers as draining and removes them from the list after drainTime, or returns them as new processes.
 func (s *Simulation) drain(servers []*server, on bool) {
 	if !on {
 		for _, server := range servers {
@@ -145,8 +147,8 @@
 	})
 }
 
-// setDown ends a server's process with the attempts that it has, or has it return; then, if newProcess is set, in slow
-// start.
+// setDown stops a server's process and resets its attempts, or starts it again. If newProcess is set, it starts again in
+// slow start.
 func (s *Simulation) setDown(server *server, down, newProcess bool) {
 	server.down = down
 	if !down {
@@ -155,7 +157,7 @@
 		}
 		return
 	}
-	for _, job := range slices.Sorted(maps.Keys(server.attempts)) { // in one order, so that a seed gives one run
+	for _, job := range slices.Sorted(maps.Keys(server.attempts)) { // in a fixed order, so that runs with the same seed are equal
 		a := server.attempts[job]
 		s.Checker.AttemptEnded(a.request.clientAttempt.ID, server.Spec.ID, false)
 		s.after(a.latency(), func() { s.endAttempt(a, policy.Reset, nil) })
@@ -163,6 +165,7 @@
 	s.restart(server, server.Started())
 }
 
+// restart replaces a server by a new process without attempts and load reports; started 0 means past its slow start.
 func (s *Simulation) restart(server *server, started time.Duration) {
 	server.incarnation++
 	server.Server = emulator.NewServer(server.Spec, started, server.seed+uint64(server.incarnation))
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -8,41 +8,42 @@
 	"sloerail/internal/priority"
 )
 
-// Times of the model, in the middle of the ranges that the operators' pages give.
+// Durations of the model, in the middle of the ranges that the operators' documentation gives.
 const (
 	sameZoneLatency  = 250 * time.Microsecond // one way
 	crossZoneLatency = 4 * time.Millisecond   // one way
 	connectTimeout   = 250 * time.Millisecond
-	reportDelay      = 300 * time.Millisecond // the least age of a load report at a node
-	maxListDelay     = 800 * time.Millisecond // until a node is notified of a change of the list
-	detectionDelay   = 300 * time.Millisecond // until load balancers know that a node is down
-	maxSettleTime    = 10 * time.Minute       // beyond the scenario's length, for requests in flight
+	reportDelay      = 300 * time.Millisecond // minimum age of a load report that a node receives
+	maxListDelay     = 800 * time.Millisecond // maximum delay of a list change on its way to a node
+	detectionDelay   = 300 * time.Millisecond // delay until load balancers know that a node is down
+	maxSettleTime    = 10 * time.Minute       // for requests in flight at the end of the scenario's length
 )
 
-// origin is the clock's time at the begin of a run: not 0, which stands for long ago.
+// origin is the time on the clock at the start of a run. It is not 0, because a server start time of 0 means long ago.
 const origin = time.Hour
 
-// Simulation is a scenario under way. It is not safe for concurrent use, and is the same for the same seed.
+// Simulation is one run of a scenario. Runs of the same scenario with the same seed are equal. It is not safe for
+// concurrent use.
 type Simulation struct {
 	Scenario
 	Checker *emulator.Checker
 
 	now           time.Duration
 	queue         priority.Queue[event]
-	sequence      int // of the newest event, or of clients
+	sequence      int // last number given to an event or to clients
 	seed          uint64
 	rng           *rand.Rand
 	nodes         []*node
 	servers       []*server
 	serversByID   map[string]*server
-	partitions    []Fault // that cut zones off now
+	partitions    []Fault // active faults of kind Partition
 	loadBalancers []*loadBalancer
 	generators    []*generator
 	classes       []emulator.Class
 	outcome       *Outcome
 }
 
-// New prepares a scenario to be run. The error names the key that is invalid.
+// New creates a run of a scenario. If the scenario is invalid, the error names the first invalid key.
 func New(scenario Scenario, seed uint64) (*Simulation, error) {
 	if err := scenario.Check(); err != nil {
 		return nil, err
@@ -69,7 +70,7 @@
 	return s, nil
 }
 
-// Run plays the scenario to its end, and returns its outcome.
+// Run runs the scenario to its end and returns its outcome.
 func (s *Simulation) Run() *Outcome {
 	end := origin + s.Length.Duration + maxSettleTime
 	for len(s.queue) > 0 && s.queue[0].at <= end && !s.finished() {
@@ -82,7 +83,8 @@
 	return s.outcome
 }
 
-// finished tells whether the scenario's length is over and no request is in flight. Timers of the nodes never end.
+// finished reports whether the scenario's length is over and no request is in flight. The queue doesn't show this: it
+// never gets empty, because the nodes keep setting timers.
 func (s *Simulation) finished() bool {
 	if s.now <= origin+s.Length.Duration {
 		return false
@@ -100,10 +102,10 @@
 	return true
 }
 
-// hasReports tells whether servers send load reports.
+// hasReports reports whether servers send load reports.
 func (s *Simulation) hasReports() bool { return s.Reports == nil || *s.Reports }
 
-// sampleServers records the state of the servers in the present second.
+// sampleServers records the state of the servers in the current second.
 func (s *Simulation) sampleServers() {
 	second := s.outcome.second(s.now)
 	var cores, busyCores int
--- a/internal/simulation/zone_measures.go
+++ b/internal/simulation/zone_measures.go
@@ -10,7 +10,7 @@
 	"sloerail/internal/emulator"
 )
 
-// Measure is a figure of a run that has to be within bounds.
+// Measure is a requirement: a value computed from a run, with the bounds that it must be within.
 type Measure struct {
 	Name     string
 	Scenario string
@@ -18,106 +18,111 @@
 	Of       func(r Run) float64
 }
 
-// Run is a scenario with its outcome.
+// Run is a scenario and its outcome.
 type Run struct {
 	Scenario
 	*Outcome
-	Baseline *Outcome // of BaselineOf the scenario, with the same seed; nil for none
+	Baseline *Outcome // outcome of the scenario that BaselineOf names, with the same seed; nil for none
 }
 
-// Times of the fault in the shipped scenarios of zones.
+// Start and end of the fault in the built-in zone scenarios.
 const (
-	faultAt  = 15 * time.Second
-	faultEnd = 30 * time.Second
+	faultStart = 15 * time.Second
+	faultEnd   = 30 * time.Second
 )
 
-// unbounded is the bound of a measure that has none.
+// unbounded is the upper bound of a measure without one; -unbounded is the lower bound.
 var unbounded = math.Inf(1)
 
-// ZoneMeasures are the requirements on the handling of zones; docs/zones.md explains them.
+// ZoneMeasures returns the requirements on the handling of zones. docs/zones.md explains them.
 func ZoneMeasures() []Measure {
 	measures := slices.Concat(oneZoneMeasures(), evacuationMeasures(), largeFleetMeasures())
 	for _, name := range []string{"all-slow", "all-errors", "one-bad"} {
-		measures = append(measures, Measure{name + ": places left meanwhile", name, 0, 0, func(r Run) float64 {
-			return float64(r.evacuations(faultAt, faultEnd))
+		measures = append(measures, Measure{name + ": zone evacuations during the fault", name, 0, 0, func(r Run) float64 {
+			return float64(r.evacuations(faultStart, faultEnd))
 		}})
 	}
 	return measures
 }
 
-// oneZoneMeasures are those of the loss and return of one zone or region.
+// oneZoneMeasures returns the measures of the loss and return of one zone or region.
 func oneZoneMeasures() []Measure {
 	return []Measure{
-		{"zone lost: served from 2 s on, against before", "zone-lost", 0.98, unbounded, Run.servedRatio},
-		{"zone lost: requests that failed, less those under way, for each node and server", "zone-lost", -unbounded, 1, func(r Run) float64 {
-			return float64(r.Between(faultAt-2*time.Second, faultEnd).Failed-r.Interrupted) / float64(r.nodesAndServers())
+		{"zone lost: value served from 2 s after the fault, relative to before", "zone-lost", 0.98, unbounded, Run.servedRatio},
+		{"zone lost: failed requests, minus interrupted attempts, per node and server", "zone-lost", -unbounded, 1, func(r Run) float64 {
+			return float64(r.Between(faultStart-2*time.Second, faultEnd).Failed-r.Interrupted) / float64(r.nodesAndServers())
 		}},
-		{"zone lost: crossing attempts against the least possible", "zone-lost", 0, 1.15, func(r Run) float64 {
+		{"zone lost: cross-zone attempts, relative to the minimum", "zone-lost", 0, 1.15, func(r Run) float64 {
 			s := r.Between(20*time.Second, faultEnd)
-			return float64(s.CrossZone) / float64(sum(s.AttemptsByZone["a"]))
+			return float64(s.CrossZone) / float64(sumCounts(s.AttemptsByZone["a"]))
 		}},
-		{"calm: attempts that cross", "calm", 0, 0, func(r Run) float64 {
+		{"calm: cross-zone attempts", "calm", 0, 0, func(r Run) float64 {
 			return float64(r.Between(0, r.Length.Duration).CrossZone)
 		}},
-		{"overflow: crossing attempts against what is beyond 0.8 of the own zone", "overflow", 0, 1.15, overflowRatio},
-		{"return: growing took, against the law", "zone-lost", 0.8, 1.2, func(r Run) float64 { return r.growthRatio("a") }},
-		{"return: from the zone's return to the last whole share, s", "zone-lost", 0, unbounded, func(r Run) float64 {
+		{"overflow: cross-zone attempts, relative to the load above 0.8 of the own zone's capacity", "overflow", 0, 1.15, overflowRatio},
+		{"return: duration of the ramp, relative to the design", "zone-lost", 0.8, 1.2, func(r Run) float64 { return r.growthRatio("a") }},
+		{"return: time from the return of the zone until all nodes send its whole share, s", "zone-lost", 0, unbounded, func(r Run) float64 {
 			return r.lastLogged("zone a has its whole") - faultEnd.Seconds()
 		}},
-		{"return: requests that failed", "zone-lost", 0, 0.005, func(r Run) float64 { return r.failedFraction(faultEnd, faultEnd+15*time.Second) }},
-		{"return cold: requests that failed", "zone-cold", 0, 0.005, func(r Run) float64 { return r.failedFraction(faultEnd, faultEnd+25*time.Second) }},
-		{"flapping: times left by one node in a minute", "zone-flap", 0, 3, func(r Run) float64 { return float64(r.maxEvacuations()) }},
-		{"flapping: served against a zone that stays away", "zone-flap", 0.95, unbounded, func(r Run) float64 {
-			return r.servedFraction(faultAt, 75*time.Second) / r.Baseline.Between(faultAt, 75*time.Second).ServedFraction()
+		{"return: fraction of requests that failed", "zone-lost", 0, 0.005,
+			func(r Run) float64 { return r.failedFraction(faultEnd, faultEnd+15*time.Second) }},
+		{"return cold: fraction of requests that failed", "zone-cold", 0, 0.005,
+			func(r Run) float64 { return r.failedFraction(faultEnd, faultEnd+25*time.Second) }},
+		{"flapping: maximum evacuations by one node in a minute", "zone-flap", 0, 3, func(r Run) float64 { return float64(r.maxEvacuations()) }},
+		{"flapping: value served, relative to a zone that stays away", "zone-flap", 0.95, unbounded, func(r Run) float64 {
+			return r.servedFraction(faultStart, 75*time.Second) / r.Baseline.Between(faultStart, 75*time.Second).ServedFraction()
 		}},
-		{"region lost, room for half: worth served against the greatest possible", "region-lost", 0.9, unbounded, regionLossRatio},
-		{"region lost: boxes elsewhere choked", "region-lost", 0, 0, func(r Run) float64 {
-			return float64(r.Between(faultAt, 35*time.Second).Overloaded)
+		{"region lost, capacity for half: value served, relative to the maximum", "region-lost", 0.9, unbounded, regionLossRatio},
+		{"region lost: overloaded servers in other regions", "region-lost", 0, 0, func(r Run) float64 {
+			return float64(r.Between(faultStart, 35*time.Second).Overloaded)
 		}},
 	}
 }
 
-// evacuationMeasures are those of zones that fail in other ways.
+// evacuationMeasures returns the measures of zones that fail in other ways.
 func evacuationMeasures() (measures []Measure) {
 	for _, name := range []string{"zone-errors", "zone-slow", "zone-silent", "zone-mute"} {
-		measures = append(measures, stillSent(name, "a", 5*time.Second))
+		measures = append(measures, residualTraffic(name, "a", 5*time.Second))
 	}
 	for _, name := range []string{"two-in-turn", "zone-apart", "zone-vanish", "zone-drain", "large-lost"} {
-		measures = append(measures, Measure{name + ": served from 2 s on, against before", name, 0.98, unbounded, Run.servedRatio})
+		measures = append(measures, Measure{name + ": value served from 2 s after the fault, relative to before", name, 0.98, unbounded,
+			Run.servedRatio})
 	}
-	measures = append(measures, Measure{"lost-and-load: served from 2 s on, against before, with 0.93 of what is left asked for", "lost-and-load", 0.9,
-		unbounded, Run.servedRatio})
+	measures = append(measures, Measure{"lost-and-load: value served from 2 s after the fault, relative to before, at 0.93 of the remaining capacity",
+		"lost-and-load", 0.9, unbounded, Run.servedRatio})
 	return measures
 }
 
-// largeFleetMeasures are those of 60 zones.
+// largeFleetMeasures returns the measures of a fleet with 60 zones.
 func largeFleetMeasures() (measures []Measure) {
 	for i, name := range []string{"large-lost", "large-errors"} {
-		from := time.Duration(i+1) * 5 * time.Second // each node gets 6 responses a second
-		measures = append(measures, stillSent(name, "z00", from), Measure{name + ": attempts of the other zones that cross", name, 0, 0.02,
+		from := time.Duration(i+1) * 5 * time.Second // each node gets 6 responses per second
+		measures = append(measures, residualTraffic(name, "z00", from), Measure{name + ": fraction of cross-zone attempts by the other zones", name, 0, 0.02,
 			func(r Run) float64 {
-				s := r.Between(faultAt, faultEnd)
-				return float64(s.CrossZone-sum(s.AttemptsByZone["z00"])+s.AttemptsByZone["z00"]["z00"]) / float64(s.Attempts)
+				s := r.Between(faultStart, faultEnd)
+				return float64(s.CrossZone-sumCounts(s.AttemptsByZone["z00"])+s.AttemptsByZone["z00"]["z00"]) / float64(s.Attempts)
 			}})
 	}
 	return measures
 }
 
-// stillSent measures the fraction of a zone's attempts that still go there, from so long after the fault on.
-func stillSent(scenario, zone string, after time.Duration) Measure {
-	return Measure{fmt.Sprintf("%s: share of the zone's requests still sent there from %v on", scenario, after), scenario, 0, 0.05,
+// residualTraffic returns the measure of the fraction of a zone's attempts that still go to the zone itself, counted from
+// the given duration after the start of the fault until its end.
+func residualTraffic(scenario, zone string, after time.Duration) Measure {
+	return Measure{fmt.Sprintf("%s: fraction of the zone's attempts that stay in the zone from %v after the fault", scenario, after), scenario, 0, 0.05,
 		func(r Run) float64 {
-			to := r.Between(faultAt+after, faultEnd).AttemptsByZone[zone]
-			return float64(to[zone]) / float64(sum(to))
+			counts := r.Between(faultStart+after, faultEnd).AttemptsByZone[zone]
+			return float64(counts[zone]) / float64(sumCounts(counts))
 		}}
 }
 
-// servedRatio is the fraction served from 2 s after the fault on, over that before.
+// servedRatio returns the fraction of the value served from 2 s after the start of the fault, divided by the fraction
+// before the fault.
 func (r Run) servedRatio() float64 {
-	return r.servedFraction(faultAt+2*time.Second, faultEnd) / r.servedFraction(5*time.Second, faultAt-time.Second)
+	return r.servedFraction(faultStart+2*time.Second, faultEnd) / r.servedFraction(5*time.Second, faultStart-time.Second)
 }
 
-// BaselineOf names the scenario that the measures of another compare with; empty for none.
+// BaselineOf returns the name of the scenario that the measures of a scenario compare with, or "" if there is none.
 func BaselineOf(scenario string) string {
 	if scenario == "zone-flap" {
 		return "zone-away"
@@ -125,23 +130,25 @@
 	return ""
 }
 
-func sum(to map[string]int) (n int) {
-	for _, k := range to {
-		n += k
+func sumCounts(counts map[string]int) (n int) {
+	for _, count := range counts {
+		n += count
 	}
 	return n
 }
 
+// servedFraction returns the fraction of the value of the requests started in [from, to) that was served in time.
 func (r Run) servedFraction(from, to time.Duration) float64 {
 	return r.Between(from, to).ServedFraction()
 }
 
+// failedFraction returns the fraction of the requests started in [from, to) that failed.
 func (r Run) failedFraction(from, to time.Duration) float64 {
 	s := r.Between(from, to)
 	return float64(s.Failed) / float64(max(1, s.Requests))
 }
 
-// nodesAndServers is how many nodes there are and servers are affected, in all.
+// nodesAndServers returns the number of all nodes plus the number of servers in the first zone, which the fault affects.
 func (r Run) nodesAndServers() (n int) {
 	for _, z := range r.Zones {
 		n += z.Nodes
@@ -149,20 +156,20 @@
 	return n + r.Zones[0].Servers
 }
 
-// lastLogged is when a node last logged a text with this prefix, in seconds.
+// lastLogged returns the time of the last log line of a node with this prefix, in seconds, or 0 if there is none.
 func (r Run) lastLogged(prefix string) (at float64) {
-	for _, m := range r.Timeline {
-		if strings.HasPrefix(m.Text, prefix) {
-			at = m.At
+	for _, entry := range r.Timeline {
+		if strings.HasPrefix(entry.Text, prefix) {
+			at = entry.At
 		}
 	}
 	return at
 }
 
-// isEvacuation tells whether a node has logged that it evacuated a zone.
+// isEvacuation reports whether the entry is the log line of a node that evacuates a zone.
 func (e TimelineEntry) isEvacuation() bool { return strings.Contains(e.Text, " evacuated: ") }
 
-// evacuations counts how often nodes evacuated zones between two times.
+// evacuations returns the number of zone evacuations by all nodes in [from, to).
 func (r Run) evacuations(from, to time.Duration) (n int) {
 	for _, entry := range r.Timeline {
 		if entry.At >= from.Seconds() && entry.At < to.Seconds() && entry.isEvacuation() {
@@ -172,7 +179,7 @@
 	return n
 }
 
-// maxEvacuations is how often the node with the most evacuations evacuated zones.
+// maxEvacuations returns the number of zone evacuations by the node with the most.
 func (r Run) maxEvacuations() (highest int) {
 	counts := make(map[string]int)
 	for _, entry := range r.Timeline {
@@ -184,15 +191,16 @@
 	return highest
 }
 
-// Ramp of a zone's share after its return, by design: from rampStart to 1, growing e-fold in rampTimeConstant.
+// Designed ramp of a zone's share after its return: exponential from rampStart to 1, by a factor of e in each
+// rampTimeConstantSeconds.
 const (
 	rampStart               = 1.0 / 20
 	rampTimeConstantSeconds = 2
 )
 
-// growthRatio is the mean duration of the nodes' recovery ramps of a zone, over that by design.
+// growthRatio returns the mean duration of the nodes' recovery ramps for a zone, divided by the designed duration.
 func (r Run) growthRatio(zone string) float64 {
-	began, total, ramps := make(map[string]float64), 0.0, 0 // began by node, in seconds
+	began, total, ramps := make(map[string]float64), 0.0, 0 // began holds the start of the ramp by node, in seconds
 	for _, entry := range r.Timeline {
 		switch {
 		case strings.HasPrefix(entry.Text, "zone "+zone+" recovers"):
@@ -205,26 +213,27 @@
 	return total / float64(max(1, ramps)) / (rampTimeConstantSeconds * math.Log(1/rampStart))
 }
 
-// overflowRatio is the cross-zone attempts over those that the own zone has no capacity for, at 0.8 of its cores.
+// overflowRatio returns the number of cross-zone attempts, divided by the number of attempts that exceed 0.8 of the
+// capacity of zone a.
 func overflowRatio(r Run) float64 {
 	const maxUtilization = 0.8
 	from, to := 20*time.Second, 35*time.Second
 	s := r.Between(from, to)
 	work := 0.0
-	for _, ofClass := range s.Work["a"] {
-		work += ofClass
+	for _, classWork := range s.Work["a"] {
+		work += classWork
 	}
 	capacity := maxUtilization * r.Cores["a"] * (to - from).Seconds()
-	excess := max(0, 1-capacity/work) * float64(sum(s.AttemptsByZone["a"]))
+	excess := max(0, 1-capacity/work) * float64(sumCounts(s.AttemptsByZone["a"]))
 	return float64(s.CrossZone) / excess
 }
 
-// regionLossRatio is the value that was served over the greatest possible: the classes with the highest priority weight
-// first, up to all cores of the zone that is left.
+// regionLossRatio returns the value that was served, divided by the maximum possible: the classes in descending order of
+// priority weight, up to the capacity of zone c, which is left.
 func regionLossRatio(r Run) float64 {
-	from, to := faultAt+3*time.Second, 35*time.Second
+	from, to := faultStart+3*time.Second, 35*time.Second
 	s := r.Between(from, to)
-	capacity, greatest := r.Cores["c"]*(to-from).Seconds(), 0.0
+	capacity, maxValue := r.Cores["c"]*(to-from).Seconds(), 0.0
 	classes := emulator.Classes()
 	slices.SortFunc(classes, func(a, b emulator.Class) int { return int(b.PriorityWeight - a.PriorityWeight) })
 	for _, class := range classes {
@@ -234,7 +243,7 @@
 		}
 		served := min(work, capacity)
 		capacity -= served
-		greatest += served * class.PriorityWeight
+		maxValue += served * class.PriorityWeight
 	}
-	return s.ServedValue / greatest
+	return s.ServedValue / maxValue
 }
