--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -6,72 +6,73 @@
 	"time"
 )
 
-// Rules are what the checker holds nodes to.
+// Rules are the limits that the checker enforces on nodes.
 type Rules struct {
-	AnswerGrace      time.Duration // beyond an attempt's timeout, for its final response
-	DrainGrace       time.Duration // after a node was notified, for its last request to a server that drains
-	OverloadMultiple float64       // times the capacity of a server in slow start: the most that nodes may send it
-	OverloadDuration time.Duration // over which OverloadMultiple is measured
+	AnswerGrace      time.Duration // time after a client attempt's timeout by which its final response must arrive
+	DrainGrace       time.Duration // time after the notification of a node in which it may still send to a draining server
+	OverloadMultiple float64       // maximum work sent to a server in slow start, as a multiple of its capacity
+	OverloadDuration time.Duration // window over which OverloadMultiple is measured
 }
 
-// DefaultRules are those of the operators' pages, with some slack for sockets.
+// DefaultRules returns the rules of the operators' documentation, with some slack for sockets.
 func DefaultRules() Rules {
 	return Rules{AnswerGrace: 50 * time.Millisecond, DrainGrace: 1550 * time.Millisecond, OverloadMultiple: 2.5,
 		OverloadDuration: 3 * time.Second}
 }
 
-// maxMessages bounds the violations, and the errors of connections, whose texts are retained.
+// maxMessages is the maximum number of violation messages, and of connection errors, that are retained.
 const maxMessages = 100
 
-// Checker reads what clients, nodes and servers did, in order of time, and finds the rules that were broken.
+// Checker receives the actions of clients, nodes and servers in order of time, and finds violations of the rules.
 type Checker struct {
-	Accepted, Answered, Unanswered int      // attempts of clients
-	ConnectionFailures             int      // the same: those that reached no node
-	ConnectionErrors               []string // of them, at nodes that weren't killed
-	Attempts                       int      // that reached servers
+	Accepted, Answered, Unanswered int      // client attempts
+	ConnectionFailures             int      // client attempts that reached no node
+	ConnectionErrors               []string // errors of those at nodes that weren't killed
+	Attempts                       int      // attempts of nodes that reached servers
 
 	rules          Rules
 	requests       map[string]*requestRecord
-	drainingSince  map[[2]string]Time // by node and server: when the node was notified
-	slowStartWork  map[string]*workWindow
+	drainingSince  map[[2]string]Time     // when the node was notified, by node and server
+	slowStartWork  map[string]*workWindow // by server
 	violations     []string
 	violationCount int
 }
 
-// requestRecord is what is known of one client attempt.
+// requestRecord is the recorded state of a client attempt.
 type requestRecord struct {
 	attempt   *ClientAttempt // nil until RequestAccepted
-	deadline  Time           // for its response
+	deadline  Time           // for its final response
 	responses int
 	attempts  []attemptRecord
 }
 
-// attemptRecord is one attempt of a node at a server.
+// attemptRecord is the recorded state of an attempt that a node sent to a server.
 type attemptRecord struct {
 	server, cell string
 	arrivedAt    Time
 	ended        bool
-	notRun       bool // the server has rejected it
+	notRun       bool // the server rejected it
 }
 
-// NewChecker makes a checker that has seen nothing.
+// NewChecker returns a checker without records.
 func NewChecker(rules Rules) *Checker {
 	return &Checker{rules: rules, requests: make(map[string]*requestRecord), drainingSince: make(map[[2]string]Time),
 		slowStartWork: make(map[string]*workWindow)}
 }
 
-// Violations are the rules broken so far, each with what broke it; count includes those beyond maxMessages.
+// Violations returns a message for each violation so far, up to maxMessages, and the count of all violations.
 func (c *Checker) Violations() (messages []string, count int) { return c.violations, c.violationCount }
 
-func (c *Checker) violate(now Time, format string, args ...any) {
+// addViolation counts a violation, and retains its message if there are fewer than maxMessages.
+func (c *Checker) addViolation(now Time, format string, args ...any) {
 	c.violationCount++
 	if len(c.violations) < maxMessages {
 		c.violations = append(c.violations, fmt.Sprintf("%.3f s: ", now.Seconds())+fmt.Sprintf(format, args...))
 	}
 }
 
-// request returns the record of a client attempt. It may be made by what a node sends to a server: that can be
-// recorded before the client's own last byte.
+// request returns the record of a client attempt, and creates it if it is missing: a node's attempt at a server can be
+// recorded before the last byte from the client.
 func (c *Checker) request(id string) *requestRecord {
 	record := c.requests[id]
 	if record == nil {
@@ -88,39 +89,39 @@
 	record.attempt, record.deadline = a, now+a.Timeout+c.rules.AnswerGrace
 }
 
-// ResponseReceived records a complete final response at a client.
+// ResponseReceived records that a client received a complete final response.
 func (c *Checker) ResponseReceived(now Time, id string, status int) {
 	record := c.requests[id]
 	if record == nil {
-		c.violate(now, "%s: answered, and never taken", id)
+		c.addViolation(now, "%s: response to a request that no node accepted", id)
 		return
 	}
 	c.Answered++
 	if record.responses++; record.responses > 1 {
-		c.violate(now, "%s: a second final answer, %d", id, status)
+		c.addViolation(now, "%s: second final response, status %d", id, status)
 	}
 	if now > record.deadline {
-		c.violate(now, "%s: answered %v late", id, now-record.deadline)
+		c.addViolation(now, "%s: response %v late", id, now-record.deadline)
 	}
 	if status == http.StatusOK && !record.mayHaveRun() {
-		c.violate(now, "%s: 200, and no server served it", id)
+		c.addViolation(now, "%s: status 200, but no server ran the request", id)
 	}
 	rejected := status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 	if rejected && record.mayHaveRun() && record.attempt.Class.RetrySafety != Idempotent {
-		c.violate(now, "%s: refused though it may have run", id)
+		c.addViolation(now, "%s: rejected with status 429 or 503, but may have run", id)
 	}
 }
 
-// ConnectionBroken records that a client's connection ended without a complete response: a violation unless its node
-// was killed.
+// ConnectionBroken records that a client's connection was closed without a complete response. This is a violation unless
+// the node was killed.
 func (c *Checker) ConnectionBroken(now Time, id string, killed bool) {
 	c.Unanswered++
 	if !killed {
-		c.violate(now, "%s: its connection ended with no answer", id)
+		c.addViolation(now, "%s: connection closed without a complete response", id)
 	}
 }
 
-// ConnectionFailed records a client attempt that reached no node: its connection was refused, or ended before any
+// ConnectionFailed records a client attempt that reached no node: its connection was refused, or was closed before any
 // response.
 func (c *Checker) ConnectionFailed(now Time, id string, why error, killed bool) {
 	if c.ConnectionFailures++; !killed && len(c.ConnectionErrors) < maxMessages {
@@ -128,13 +129,14 @@
 	}
 }
 
-// RequestTimedOut records that a client attempt had no response by its timeout and the grace.
+// RequestTimedOut records that a client attempt got no response within its timeout and the grace.
 func (c *Checker) RequestTimedOut(id string) {
 	if record := c.requests[id]; record != nil && record.responses == 0 {
 		c.Unanswered++
 	}
 }
 
+// mayHaveRun reports whether a server may have run the request: whether there is an attempt that no server rejected.
 func (r *requestRecord) mayHaveRun() bool {
 	for _, a := range r.attempts {
 		if !a.notRun {
@@ -144,11 +146,11 @@
 	return false
 }
 
-// AttemptArrived records that the last byte of a node's attempt has reached a server.
+// AttemptArrived records that the last byte of a node's attempt reached a server.
 func (c *Checker) AttemptArrived(now Time, node, id string, server *Server) {
 	c.Attempts++
 	if since, ok := c.drainingSince[[2]string{node, server.Spec.ID}]; ok && now-since > c.rules.DrainGrace {
-		c.violate(now, "%s: %s sends to %s, which drains since %v", id, node, server.Spec.ID, now-since)
+		c.addViolation(now, "%s: node %s sends to server %s, which has been draining for %v", id, node, server.Spec.ID, now-since)
 	}
 	record := c.request(id)
 	attempt := attemptRecord{server: server.Spec.ID, cell: fmt.Sprint(server.Spec.Zone, "/", server.Spec.Cell), arrivedAt: now}
@@ -159,25 +161,27 @@
 	c.checkSlowStart(now, id, server, record)
 }
 
-// checkRetry checks an attempt against an earlier one of the same request.
+// checkRetry checks a retry against an earlier attempt of the same request.
 func (c *Checker) checkRetry(id string, record *requestRecord, earlier, retry attemptRecord) {
 	now := retry.arrivedAt
 	if !earlier.ended {
-		c.violate(now, "%s: an attempt at %s while one at %s is out", id, retry.server, earlier.server)
+		c.addViolation(now, "%s: attempt at server %s while the attempt at server %s is in flight", id, retry.server, earlier.server)
 	}
 	if earlier.notRun || record.attempt == nil {
 		return
 	}
 	class := record.attempt.Class
-	switch outside := earlier.cell != retry.cell || now-earlier.arrivedAt > class.DedupWindow; {
+	switch outsideDedup := earlier.cell != retry.cell || now-earlier.arrivedAt > class.DedupWindow; {
 	case class.RetrySafety == NonIdempotent:
-		c.violate(now, "%s: a second copy at %s of what may have run at %s", id, retry.server, earlier.server)
-	case class.RetrySafety == IdempotencyKeyed && outside:
-		c.violate(now, "%s: a copy at %s, outside of the group and window of %s", id, retry.server, earlier.server)
+		c.addViolation(now, "%s: retry at server %s of a non-idempotent request that may have run at server %s",
+			id, retry.server, earlier.server)
+	case class.RetrySafety == IdempotencyKeyed && outsideDedup:
+		c.addViolation(now, "%s: retry at server %s, outside the cell or the dedup window of the attempt at server %s",
+			id, retry.server, earlier.server)
 	}
 }
 
-// checkSlowStart checks what all nodes together send to a server in slow start.
+// checkSlowStart checks the work that all nodes together send to a server in slow start.
 func (c *Checker) checkSlowStart(now Time, id string, server *Server, record *requestRecord) {
 	capacity := server.Capacity(now)
 	if capacity >= 1 {
@@ -196,13 +200,13 @@
 	sum := window.add(now, work, c.rules.OverloadDuration)
 	maxRate := server.Spec.Speed * float64(server.Spec.Cores) * capacity * c.rules.OverloadMultiple
 	if maxWork := time.Duration(maxRate * float64(c.rules.OverloadDuration)); sum > maxWork {
-		c.violate(now, "%s: the cold %s was sent %v of work in %v, and bears %v", id, server.Spec.ID, sum,
+		c.addViolation(now, "%s: server %s in slow start got %v of work in %v, want at most %v", id, server.Spec.ID, sum,
 			c.rules.OverloadDuration, maxWork)
 	}
 }
 
-// AttemptEnded records the end of a node's attempt: a response, or a timeout or cancellation by the node. notRun says
-// that the server has rejected it.
+// AttemptEnded records the end of a node's attempt: a response, or a timeout or cancellation by the node. notRun means
+// that the server rejected the attempt.
 func (c *Checker) AttemptEnded(id, server string, notRun bool) {
 	record := c.requests[id]
 	if record == nil {
@@ -216,7 +220,7 @@
 	}
 }
 
-// ChangeNotified records that a node was notified of a server's phase.
+// ChangeNotified records that a node was notified of a server's new phase.
 func (c *Checker) ChangeNotified(now Time, node, server, phase string) {
 	key := [2]string{node, server}
 	if phase == Up {
@@ -226,14 +230,14 @@
 	}
 }
 
-// workWindow sums work over a sliding window of time.
+// workWindow sums work over a sliding time window.
 type workWindow struct {
 	at   []Time
 	work []time.Duration
 	sum  time.Duration
 }
 
-// add returns the sum of the work within the last span, with what is added.
+// add adds work and returns the sum of the work in the last span, including the work added.
 func (w *workWindow) add(now Time, work, span time.Duration) time.Duration {
 	w.at, w.work, w.sum = append(w.at, now), append(w.work, work), w.sum+work
 	for w.at[0] < now-span {
--- a/internal/emulator/classes.go
+++ b/internal/emulator/classes.go
@@ -2,29 +2,29 @@
 
 import "time"
 
-// RetrySafety says how often a request of a class may run.
+// RetrySafety specifies whether a request of a class may run more than once.
 type RetrySafety string
 
-// The words that settings have for it.
+// Values of RetrySafety, as settings spell them.
 const (
 	Idempotent       RetrySafety = "free"        // any number of times
-	IdempotencyKeyed RetrySafety = "guarded"     // again within a cell and a window, whose servers drop repeats of its key
-	NonIdempotent    RetrySafety = "single_shot" // once
+	IdempotencyKeyed RetrySafety = "guarded"     // again within a cell and a window, where servers drop repeats of its key
+	NonIdempotent    RetrySafety = "single_shot" // at most once
 )
 
-// Class is a class of requests as clients send them.
+// Class describes a class of requests that clients send.
 type Class struct {
 	Name             string
-	Share            float64       // of the requests, in proportion to the other classes'
-	MinWork, MaxWork time.Duration // of a core of speed 1, by request
-	LatencyObjective time.Duration // for the time from the first attempt on
-	Deadline         time.Duration // the same; no attempts after it
+	Share            float64       // of the requests, relative to the shares of the other classes
+	MinWork, MaxWork time.Duration // range of the work of a request, in time of a core of speed 1
+	LatencyObjective time.Duration // for the time from the first attempt to the response
+	Deadline         time.Duration // after the first attempt; no attempts start after it
 	PriorityWeight   float64       // value of a request that is served in time
 	RetrySafety      RetrySafety
-	DedupWindow      time.Duration // of IdempotencyKeyed classes
+	DedupWindow      time.Duration // for IdempotencyKeyed classes; 0 for others
 }
 
-// Classes are those of the operators' pages.
+// Classes returns the classes of the operators' documentation.
 func Classes() []Class {
 	const ms = time.Millisecond
 	return []Class{
@@ -34,8 +34,8 @@
 	}
 }
 
-// Tenant is a customer.
+// Tenant is a customer whose clients send requests.
 type Tenant struct {
 	Name  string
-	Share float64 // of the requests, in proportion to the other tenants'
+	Share float64 // of the requests, relative to the shares of the other tenants
 }
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -9,46 +9,46 @@
 	"sloerail/internal/priority"
 )
 
-// defaultTimeoutFraction is the timeout of an attempt where a ClientSpec has none.
+// defaultTimeoutFraction is the TimeoutFraction of a ClientSpec that has none.
 const defaultTimeoutFraction = 0.55
 
-// ClientSpec says how clients behave.
+// ClientSpec specifies how clients behave.
 type ClientSpec struct {
-	Rate            float64 // requests a second, on average
+	Rate            float64 // mean requests per second
 	Classes         []Class
 	Tenants         []Tenant
-	WorkScale       float64       // multiplies the work of the classes; 0 counts as 1
-	MaxRetries      int           // for a request
-	RetryDelay      time.Duration // before a retry, unless the response says a longer one
-	TimeoutFraction float64       // of the class's deadline: how long an attempt waits; 0 stands for a default
-	Until           Time          // requests begin no later
+	WorkScale       float64       // multiplies the work of the classes; 0 stands for 1
+	MaxRetries      int           // maximum retries of a request
+	RetryDelay      time.Duration // before a retry, unless Retry-After is longer
+	TimeoutFraction float64       // attempt timeout, relative to the class's deadline; 0 stands for defaultTimeoutFraction
+	Until           Time          // no requests start later
 }
 
-// ClientAttempt is one HTTP request of a client: the first for what it asks, or a retry.
+// ClientAttempt is one HTTP request of a client: the first attempt of a request, or a retry.
 type ClientAttempt struct {
 	ID      string
 	Number  int // 0 for the first
 	Class   *Class
 	Tenant  string
-	Key     string        // the idempotency key, the same for retries; empty for none
-	Work    time.Duration // of a core of speed 1
-	Timeout time.Duration // the client waits no longer
+	Key     string        // idempotency key, the same for retries; empty for none
+	Work    time.Duration // time of a core of speed 1
+	Timeout time.Duration // time from SendAt until the client stops waiting
 	SendAt  Time
 
 	request *request
 	ended   bool
 }
 
-// request is what the first attempt of a request and its retries share.
+// request is the state that the attempts of a request share.
 type request struct {
 	startedAt Time
 	retries   int
 }
 
-// RequestStart is when the first attempt of the request was due.
+// RequestStart returns the time when the first attempt of the request was due.
 func (a *ClientAttempt) RequestStart() Time { return a.request.startedAt }
 
-// Before orders attempts by time, and then by their IDs, so that a seed gives the same order each time.
+// Before orders attempts by time and then by ID, so that a seed always gives the same order.
 func (a *ClientAttempt) Before(other *ClientAttempt) bool {
 	if a.SendAt != other.SendAt {
 		return a.SendAt < other.SendAt
@@ -56,7 +56,7 @@
 	return a.ID < other.ID
 }
 
-// Clients generate an open load: requests arrive at their rate, however long responses take.
+// Clients generates open-loop load: the rate of requests doesn't depend on how long responses take.
 type Clients struct {
 	Stats map[string]*ClientStats // by class
 
@@ -68,17 +68,17 @@
 	lastID      int
 }
 
-// ClientStats count requests by how they ended, with their retries counted in.
+// ClientStats counts requests by outcome. A request and its retries count once.
 type ClientStats struct {
 	Requests   int
 	InTime     int // served within the class's latency objective
-	Late       int // served after it
+	Late       int // served after the latency objective
 	Failed     int
-	Rejections int // attempts that were answered 429 or 503
+	Rejections int // attempts with a 429 or 503 response
 }
 
-// NewClients makes clients whose requests begin after a time. The name begins their attempts' IDs, so that those of
-// several Clients differ.
+// NewClients returns clients whose requests start after from. The name is the prefix of their attempts' IDs, and must be
+// unique among Clients that are used together.
 func NewClients(name string, spec ClientSpec, from Time, seed uint64) *Clients {
 	c := &Clients{spec: spec, rng: rand.New(rand.NewPCG(seed, 0xc1)), nextArrival: from, name: name,
 		Stats: make(map[string]*ClientStats)}
@@ -95,11 +95,12 @@
 	return c
 }
 
+// interArrival draws the time until the next request from an exponential distribution.
 func (c *Clients) interArrival() time.Duration {
 	return time.Duration(c.rng.ExpFloat64() / c.spec.Rate * float64(time.Second))
 }
 
-// Next is when the next attempt is due; ok is false while none is.
+// Next returns the time when the next attempt is due. ok is false if there is none.
 func (c *Clients) Next() (at Time, ok bool) {
 	switch {
 	case len(c.retries) > 0 && (c.nextArrival > c.spec.Until || c.retries[0].SendAt <= c.nextArrival):
@@ -110,10 +111,10 @@
 	return 0, false
 }
 
-// StopArrivals ends the arrival of requests; those that have begun go on.
+// StopArrivals stops the arrival of new requests. Requests that have started are still retried.
 func (c *Clients) StopArrivals() { c.spec.Until = c.nextArrival - 1 }
 
-// TakeDue returns the attempts that are due by now, for the driver to send.
+// TakeDue removes and returns the attempts that are due by now. The driver sends them.
 func (c *Clients) TakeDue(now Time) []*ClientAttempt {
 	var due []*ClientAttempt
 	for at, ok := c.Next(); ok && at <= now; at, ok = c.Next() {
@@ -127,7 +128,7 @@
 	return due
 }
 
-// newRequest makes the first attempt of a request.
+// newRequest returns the first attempt of a new request.
 func (c *Clients) newRequest(at Time) *ClientAttempt {
 	classes, tenants := c.spec.Classes, c.spec.Tenants
 	class := &classes[weightedChoice(c.rng, len(classes), func(i int) float64 { return classes[i].Share })]
@@ -151,13 +152,13 @@
 	return fmt.Sprintf("%s-%08x", c.name, c.lastID)
 }
 
-// timeout is how long an attempt waits: a fraction of its class's deadline, and never beyond the deadline.
+// timeout returns the timeout of an attempt: TimeoutFraction of its class's deadline, or less if the deadline is earlier.
 func (c *Clients) timeout(a *ClientAttempt) time.Duration {
 	timeout := time.Duration(c.spec.TimeoutFraction * float64(a.Class.Deadline))
 	return min(timeout, a.request.startedAt+a.Class.Deadline-a.SendAt)
 }
 
-// weightedChoice draws one of n indices, each with a chance in proportion to its weight.
+// weightedChoice draws one of n indices with probabilities in proportion to their weights.
 func weightedChoice(rng *rand.Rand, n int, weight func(int) float64) int {
 	sum := 0.0
 	for i := range n {
@@ -172,8 +173,8 @@
 	return n - 1
 }
 
-// AttemptEnded takes the response to an attempt: its status, or 0 for none before its timeout or the end of its
-// connection, and its Retry-After, or 0 for none. Further calls for the same attempt have no effect.
+// AttemptEnded ends an attempt and schedules its retry, if any. The status is 0 if the attempt timed out or its connection
+// was closed without a response; retryAfter is 0 if the response has none. Further calls for the attempt have no effect.
 func (c *Clients) AttemptEnded(now Time, a *ClientAttempt, status int, retryAfter time.Duration) {
 	if a.ended {
 		return
@@ -192,19 +193,20 @@
 		stats.Rejections++
 	}
 	retryAt := now + max(c.spec.RetryDelay, retryAfter)
-	// What may have run and must not run twice isn't sent again.
-	safe := rejected || a.Class.RetrySafety != NonIdempotent
-	if !safe || a.request.retries >= c.spec.MaxRetries || retryAt >= a.request.startedAt+a.Class.Deadline {
+	// A non-idempotent request that may have run is not retried.
+	retrySafe := rejected || a.Class.RetrySafety != NonIdempotent
+	if !retrySafe || a.request.retries >= c.spec.MaxRetries || retryAt >= a.request.startedAt+a.Class.Deadline {
 		stats.Failed++
 		return
 	}
 	c.addRetry(a, retryAt)
 }
 
-func (c *Clients) addRetry(of *ClientAttempt, at Time) {
-	of.request.retries++
-	retry := *of
-	retry.SendAt, retry.Number, retry.ended, retry.ID = at, of.request.retries, false, c.nextID()
+// addRetry schedules the next attempt of the request of an attempt.
+func (c *Clients) addRetry(attempt *ClientAttempt, at Time) {
+	attempt.request.retries++
+	retry := *attempt
+	retry.SendAt, retry.Number, retry.ended, retry.ID = at, attempt.request.retries, false, c.nextID()
 	retry.Timeout = c.timeout(&retry)
 	c.retries.Add(&retry)
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -16,228 +16,228 @@
 		Work: 100 * ms}
 }
 
-// Each rule's violation is found, and what is allowed isn't reported.
+// The checker reports a violation of each rule, and nothing else.
 func TestCheckerFindsEachViolation(t *testing.T) {
 	warm := func(id string) *Server { return NewServer(DefaultServer(id, "a"), 0, 1) }
 	starting := NewServer(DefaultServer("cold", "a"), time.Second, 1)
 	a, b := warm("a"), warm("b")
 	b.Spec.Cell = 1
 	for _, c := range []struct {
-		name string
-		do   func(c *Checker)
-		want string // empty for nothing
+		name   string
+		record func(c *Checker)
+		want   string // part of the messages; empty for no violation
 	}{
-		{"an answer in time", func(c *Checker) {
+		{"response in time", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", NonIdempotent))
 			c.AttemptArrived(0, "n", "x", a)
 			c.AttemptEnded("x", "a", false)
 			c.ResponseReceived(time.Second, "x", 200)
 		}, ""},
-		{"a late answer", func(c *Checker) {
+		{"late response", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", Idempotent))
 			c.ResponseReceived(1100*ms, "x", 503)
 		}, "late"},
-		{"two answers", func(c *Checker) {
+		{"two responses", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", Idempotent))
 			c.ResponseReceived(1, "x", 503)
 			c.ResponseReceived(2, "x", 503)
-		}, "second final answer"},
-		{"an answer out of nothing", func(c *Checker) {
+		}, "second final response"},
+		{"response without an attempt at a server", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", Idempotent))
 			c.ResponseReceived(1, "x", 200)
-		}, "no server served"},
-		{"a connection cut off", func(c *Checker) {
+		}, "no server ran"},
+		{"connection closed by a running node", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", Idempotent))
 			c.ConnectionBroken(1, "x", false)
-		}, "no answer"},
-		{"a connection of a killed node", func(c *Checker) {
+		}, "without a complete response"},
+		{"connection closed by a killed node", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", Idempotent))
 			c.ConnectionBroken(1, "x", true)
 		}, ""},
-		{"a second copy of what must not run twice", func(c *Checker) {
+		{"retry of a non-idempotent request that may have run", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", NonIdempotent))
 			c.AttemptArrived(1, "n", "x", a)
 			c.AttemptEnded("x", "a", false)
 			c.AttemptArrived(2, "n", "x", b)
-		}, "second copy"},
-		{"another try after it was turned away", func(c *Checker) {
+		}, "retry at server b of a non-idempotent request"},
+		{"retry of a non-idempotent request after a rejection", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", NonIdempotent))
 			c.AttemptArrived(1, "n", "x", a)
 			c.AttemptEnded("x", "a", true)
 			c.AttemptArrived(2, "n", "x", b)
 		}, ""},
-		{"a repeat in another cell", func(c *Checker) {
+		{"retry with an idempotency key in another cell", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", IdempotencyKeyed))
 			c.AttemptArrived(1, "n", "x", a)
 			c.AttemptEnded("x", "a", false)
 			c.AttemptArrived(2, "n", "x", b)
-		}, "outside of the group"},
-		{"a repeat in the same cell", func(c *Checker) {
+		}, "outside the cell"},
+		{"retry with an idempotency key in the same cell", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", IdempotencyKeyed))
 			c.AttemptArrived(1, "n", "x", a)
 			c.AttemptEnded("x", "a", false)
 			c.AttemptArrived(2, "n", "x", a)
 		}, ""},
-		{"two attempts out", func(c *Checker) {
+		{"two attempts in flight", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", Idempotent))
 			c.AttemptArrived(1, "n", "x", a)
 			c.AttemptArrived(2, "n", "x", b)
-		}, "is out"},
-		{"refused after it may have run", func(c *Checker) {
+		}, "is in flight"},
+		{"rejection of a non-idempotent request that may have run", func(c *Checker) {
 			c.RequestAccepted(0, clientAttempt("x", NonIdempotent))
 			c.AttemptArrived(1, "n", "x", a)
 			c.AttemptEnded("x", "a", false)
 			c.ResponseReceived(2, "x", 503)
-		}, "refused though"},
-		{"a draining server", func(c *Checker) {
+		}, "but may have run"},
+		{"attempt at a draining server after the grace", func(c *Checker) {
 			c.ChangeNotified(0, "n", "a", Draining)
 			c.RequestAccepted(time.Second, clientAttempt("x", Idempotent))
 			c.AttemptArrived(2*time.Second, "n", "x", a)
-		}, "which drains"},
-		{"a draining server, told to another node", func(c *Checker) {
+		}, "which has been draining"},
+		{"attempt at a draining server by a node that was not notified", func(c *Checker) {
 			c.ChangeNotified(0, "m", "a", Draining)
 			c.RequestAccepted(time.Second, clientAttempt("x", Idempotent))
 			c.AttemptArrived(2*time.Second, "n", "x", a)
 		}, ""},
-		{"a cold server", func(c *Checker) {
+		{"overload of a server in slow start", func(c *Checker) {
 			for i := range 200 {
 				id := fmt.Sprint("x", i)
 				c.RequestAccepted(time.Second, clientAttempt(id, Idempotent))
 				c.AttemptArrived(time.Second+Time(i)*ms, fmt.Sprint("n", i%3), id, starting)
 			}
-		}, "the cold cold was sent"},
+		}, "server cold in slow start got"},
 	} {
 		checker := NewChecker(DefaultRules())
-		c.do(checker)
-		all, n := checker.Violations()
-		if got := strings.Join(all, "; "); (c.want == "") != (n == 0) || !strings.Contains(got, c.want) {
-			t.Errorf("%s: %d violations: %s", c.name, n, got)
+		c.record(checker)
+		violations, count := checker.Violations()
+		if got := strings.Join(violations, "; "); (c.want == "") != (count == 0) || !strings.Contains(got, c.want) {
+			t.Errorf("%s: got %d violations: %q, want %q", c.name, count, got, c.want)
 		}
 	}
 }
 
-// A server completes what it accepts, once, and never faster than its cores can.
+// A server completes each accepted job once, and not faster than its cores allow.
 func TestServerCompletesEachAcceptedJobOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		spec := DefaultServer("s", "a")
 		spec.Cores, spec.MaxRequests = rapid.IntRange(1, 4).Draw(t, "cores"), rapid.IntRange(1, 20).Draw(t, "max requests")
-		b := NewServer(spec, Time(rapid.IntRange(0, 3).Draw(t, "started"))*time.Second, 1)
+		server := NewServer(spec, Time(rapid.IntRange(0, 3).Draw(t, "started"))*time.Second, 1)
 		var now Time
 		var work time.Duration
-		accepted, done := 0, make(map[string]bool)
-		finish := func(all []CompletedJob) {
-			for _, d := range all {
-				if done[d.ID] {
-					t.Fatalf("%s is done twice", d.ID)
+		accepted, completed := 0, make(map[string]bool)
+		addCompleted := func(jobs []CompletedJob) {
+			for _, job := range jobs {
+				if completed[job.ID] {
+					t.Fatalf("job %s completed twice", job.ID)
 				}
-				done[d.ID] = true
+				completed[job.ID] = true
 			}
 		}
 		for i := range rapid.IntRange(1, 60).Draw(t, "jobs") {
 			now += Time(rapid.IntRange(0, 300).Draw(t, "gap")) * ms
-			finish(b.Advance(now))
+			addCompleted(server.Advance(now))
 			j := Job{ID: fmt.Sprint("j", i), Work: Time(rapid.IntRange(1, 500).Draw(t, "work")) * ms}
-			if b.Offer(now, j) == Accepted {
+			if server.Offer(now, j) == Accepted {
 				accepted, work = accepted+1, work+j.Work
 			}
-			if b.InProgress() > spec.MaxRequests {
-				t.Fatalf("%d in progress, want %d at most", b.InProgress(), spec.MaxRequests)
+			if server.InProgress() > spec.MaxRequests {
+				t.Fatalf("jobs in progress: got %d, want at most %d", server.InProgress(), spec.MaxRequests)
 			}
 		}
 		end := now
-		for at, ok := b.Next(); ok; at, ok = b.Next() {
+		for at, ok := server.Next(); ok; at, ok = server.Next() {
 			end = at
-			finish(b.Advance(at))
+			addCompleted(server.Advance(at))
 		}
-		if shortest := time.Duration(float64(work) / spec.Speed / float64(spec.Cores)); len(done) != accepted || end+ms < shortest {
-			t.Fatalf("%d of %d done by %v, and the work takes %v", len(done), accepted, end, shortest)
+		if shortest := time.Duration(float64(work) / spec.Speed / float64(spec.Cores)); len(completed) != accepted || end+ms < shortest {
+			t.Fatalf("completed jobs: got %d, want %d; end: got %v, want at least %v", len(completed), accepted, end, shortest)
 		}
 	})
 }
 
-// A server that is overloaded for long turns slower, and recovers once it has been mostly idle.
+// A server becomes slower after it has been overloaded for OverloadAfter, and recovers after it has been mostly idle.
 func TestOverloadedServerSlows(t *testing.T) {
-	b := NewServer(DefaultServer("s", "a"), 0, 1)
-	for i := range b.Spec.MaxRequests {
-		b.Offer(0, Job{ID: fmt.Sprint(i), Work: 10 * time.Second})
+	server := NewServer(DefaultServer("s", "a"), 0, 1)
+	for i := range server.Spec.MaxRequests {
+		server.Offer(0, Job{ID: fmt.Sprint(i), Work: 10 * time.Second})
 	}
-	b.Advance(b.Spec.OverloadAfter)
-	if !b.Slowed() {
-		t.Fatal("an overloaded server isn't slowed")
+	server.Advance(server.Spec.OverloadAfter)
+	if !server.Slowed() {
+		t.Fatal("Slowed() of an overloaded server: got false, want true")
 	}
-	for at, ok := b.Next(); ok; at, ok = b.Next() {
-		b.Advance(at)
+	for at, ok := server.Next(); ok; at, ok = server.Next() {
+		server.Advance(at)
 	}
-	b.Advance(10 * time.Hour)
-	if b.Advance(10*time.Hour + b.Spec.OverloadRecovery); b.Slowed() {
-		t.Error("an idle server stays slowed")
+	server.Advance(10 * time.Hour)
+	if server.Advance(10*time.Hour + server.Spec.OverloadRecovery); server.Slowed() {
+		t.Error("Slowed() of a server that has been idle for OverloadRecovery: got true, want false")
 	}
 }
 
-// A repeat of a key has no effect for a time; a new key has.
+// Within the DedupWindow, a server drops a job that repeats a key, but runs a job with a new key.
 func TestServerDropsRepeatsOfAKey(t *testing.T) {
-	b := NewServer(DefaultServer("s", "a"), 0, 1)
-	var effects []bool
+	server := NewServer(DefaultServer("s", "a"), 0, 1)
+	var executed []bool
 	for i, key := range []string{"k", "k", "l"} {
-		b.Offer(Time(i)*time.Second, Job{ID: fmt.Sprint(i), Key: key, Work: ms})
-		for _, d := range b.Advance(Time(i)*time.Second + 100*ms) {
-			effects = append(effects, d.Executed)
+		server.Offer(Time(i)*time.Second, Job{ID: fmt.Sprint(i), Key: key, Work: ms})
+		for _, job := range server.Advance(Time(i)*time.Second + 100*ms) {
+			executed = append(executed, job.Executed)
 		}
 	}
-	if fmt.Sprint(effects) != "[true false true]" {
-		t.Errorf("effects %v", effects)
+	if fmt.Sprint(executed) != "[true false true]" {
+		t.Errorf("executed jobs for keys k, k, l: got %v, want [true false true]", executed)
 	}
 }
 
-// A seed gives the same clients each time; each request is retried no longer than its deadline, and what may
-// have run and must not run twice isn't sent again.
-func TestClientsFollowTheirSeedAndDeadlines(t *testing.T) {
-	play := func() string {
+// A seed always gives the same attempts. No attempt waits beyond the deadline of its request, and a non-idempotent request
+// that may have run is not retried.
+func TestClientsFollowSeedAndDeadlines(t *testing.T) {
+	run := func() string {
 		c := NewClients("c", ClientSpec{Rate: 50, Classes: Classes(), MaxRetries: 3, RetryDelay: 50 * ms, Until: 10 * time.Second}, 0, 7)
-		var log strings.Builder
-		unsafe := make(map[*request]bool)
+		var trace strings.Builder
+		mayHaveRun := make(map[*request]bool)
 		for at, ok := c.Next(); ok; at, ok = c.Next() {
-			for _, try := range c.TakeDue(at) {
-				fmt.Fprintln(&log, try.ID, try.Number, try.Class.Name, try.SendAt, try.Timeout, try.Work)
-				if try.SendAt+try.Timeout > try.request.startedAt+try.Class.Deadline {
-					t.Fatalf("%s waits beyond its deadline", try.ID)
+			for _, attempt := range c.TakeDue(at) {
+				fmt.Fprintln(&trace, attempt.ID, attempt.Number, attempt.Class.Name, attempt.SendAt, attempt.Timeout, attempt.Work)
+				if attempt.SendAt+attempt.Timeout > attempt.request.startedAt+attempt.Class.Deadline {
+					t.Fatalf("attempt %s waits beyond the deadline of its request", attempt.ID)
 				}
-				if unsafe[try.request] {
-					t.Fatalf("%s is sent again though it may have run", try.ID)
+				if mayHaveRun[attempt.request] {
+					t.Fatalf("attempt %s retries a non-idempotent request that may have run", attempt.ID)
 				}
-				status := []int{200, 503, 502, 0}[len(log.String())%4]
-				if (status == 502 || status == 0) && try.Class.RetrySafety == NonIdempotent {
-					unsafe[try.request] = true
+				status := []int{200, 503, 502, 0}[len(trace.String())%4]
+				if (status == 502 || status == 0) && attempt.Class.RetrySafety == NonIdempotent {
+					mayHaveRun[attempt.request] = true
 				}
-				c.AttemptEnded(try.SendAt+ms, try, status, 0)
+				c.AttemptEnded(attempt.SendAt+ms, attempt, status, 0)
 			}
 		}
-		return log.String()
+		return trace.String()
 	}
-	if first := play(); first != play() || strings.Count(first, "\n") < 500 {
-		t.Error("a seed gives other clients the second time, or too few")
+	if first := run(); first != run() || strings.Count(first, "\n") < 500 {
+		t.Error("two runs with the same seed: got different attempts or fewer than 500, want the same, at least 500")
 	}
 }
 
-// A client that follows the list by its changes comes to the same list.
-func TestListChangesAddUp(t *testing.T) {
+// A watcher that applies the changes from Since has the same entries as the complete list.
+func TestListChangesYieldCompleteList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l, seen, at := NewList(), make(map[string]string), int64(-1)
+		list, phases, revision := NewList(), make(map[string]string), int64(-1)
 		for range rapid.IntRange(1, 50).Draw(t, "changes") {
 			id := fmt.Sprint("s", rapid.IntRange(0, 4).Draw(t, "id"))
-			l.Set(Entry{ID: id, Phase: rapid.SampledFrom([]string{Up, Draining, Removed}).Draw(t, "phase")})
+			list.Set(Entry{ID: id, Phase: rapid.SampledFrom([]string{Up, Draining, Removed}).Draw(t, "phase")})
 			if rapid.Bool().Draw(t, "looks") {
-				a, _ := l.Since(at)
-				if at = a.Revision; a.Complete {
-					clear(seen)
+				response, _ := list.Since(revision)
+				if revision = response.Revision; response.Complete {
+					clear(phases)
 				}
-				for _, e := range a.Members {
-					if seen[e.ID] = e.Phase; e.Phase == Removed {
-						delete(seen, e.ID)
+				for _, e := range response.Members {
+					if phases[e.ID] = e.Phase; e.Phase == Removed {
+						delete(phases, e.ID)
 					}
 				}
-				if complete := l.Snapshot(); len(complete.Members) != len(seen) {
-					t.Fatalf("seen %v, and there are %v", seen, complete.Members)
+				if complete := list.Snapshot(); len(complete.Members) != len(phases) {
+					t.Fatalf("entries from changes: got %v, want those of %v", phases, complete.Members)
 				}
 			}
 		}
--- a/internal/emulator/form_test.go
+++ b/internal/emulator/form_test.go
@@ -8,8 +8,8 @@
 	"sloerail/internal/golden"
 )
 
-// goldenAnswer has every key and every phase.
-func goldenAnswer() ListResponse {
+// goldenResponse returns a response with every key and every phase.
+func goldenResponse() ListResponse {
 	return ListResponse{Revision: 7, Complete: true, Members: []Entry{
 		{ID: "s-0", HostPort: "10.0.0.1:9000", Locality: "a", Flavor: "big-box", Cell: 3, Phase: Up, Size: 1.5, UpSince: 1700000000123},
 		{ID: "s-1", HostPort: "10.0.0.2:9000", Locality: "b", Flavor: "small-box", Cell: -1, Phase: Draining, Size: 1},
@@ -17,10 +17,10 @@
 	}}
 }
 
-// What the stand-in for the list service answers is in the form of the service.
+// Responses of the emulated list service have the format of the platform's list service.
 func TestListFormIsFrozen(t *testing.T) {
-	for file, answer := range map[string]ListResponse{"list.json": goldenAnswer(), "empty.json": NewList().Snapshot()} {
-		raw, err := json.Marshal(answer)
+	for file, response := range map[string]ListResponse{"list.json": goldenResponse(), "empty.json": NewList().Snapshot()} {
+		raw, err := json.Marshal(response)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -29,13 +29,13 @@
 		if err := json.Unmarshal(golden.Read(t, file), &read); err != nil {
 			t.Fatal(err)
 		}
-		if !reflect.DeepEqual(read, answer) {
-			t.Errorf("%s: read %+v", file, read)
+		if !reflect.DeepEqual(read, response) {
+			t.Errorf("%s: decoded golden response: got %+v, want the value that was written", file, read)
 		}
 	}
 }
 
-// Settings hold these words.
+// Settings contain these words, so they must not change.
 func TestRetrySafetyWordsAreFrozen(t *testing.T) {
 	for got, want := range map[RetrySafety]string{Idempotent: "free", IdempotencyKeyed: "guarded", NonIdempotent: "single_shot"} {
 		if string(got) != want {
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// Entry is one server of the list, in the form of the platform's list service.
+// Entry is a server in the list, in the format of the platform's list service.
 type Entry struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -14,42 +14,43 @@
 	Cell     int64   `json:"cell"`
 	Phase    string  `json:"phase"`
 	Size     float64 `json:"size"`        // the weight
-	UpSince  int64   `json:"up_since_ms"` // Unix time of its start; 0 for unknown
+	UpSince  int64   `json:"up_since_ms"` // Unix time of its start in milliseconds; 0 if unknown
 }
 
-// Phases of an entry.
+// Values of Entry.Phase.
 const (
 	Up       = "up"
 	Draining = "draining"
 	Removed  = "removed"
 )
 
-// ListResponse is the response to a watch or poll, in the form of the platform's list service.
+// ListResponse is the response to a watch or poll, in the format of the platform's list service.
 type ListResponse struct {
 	Revision int64   `json:"revision"`
-	Complete bool    `json:"complete"` // else the members are those that have changed
+	Complete bool    `json:"complete"` // if false, Members holds only the changed entries
 	Members  []Entry `json:"members"`
 }
 
-// maxChanges bounds the changes that are retained; a watch from an older revision gets the complete list.
+// maxChanges is the maximum number of retained changes. A watch from an older revision gets the complete list.
 const maxChanges = 1024
 
-// List is a stand-in for the platform's list service.
+// List emulates the platform's list service.
 type List struct {
 	entries  map[string]Entry
-	changes  []change // oldest first, one a revision
+	changes  []change // oldest first, one for each revision
 	revision int64
 }
 
+// change is the entry that a revision set.
 type change struct {
 	revision int64
 	entry    Entry
 }
 
-// NewList makes an empty list.
+// NewList returns an empty list.
 func NewList() *List { return &List{entries: make(map[string]Entry)} }
 
-// Set adds or changes an entry; one whose phase is Removed leaves the list.
+// Set adds or replaces an entry, or removes it if its phase is Removed.
 func (l *List) Set(e Entry) {
 	l.revision++
 	if l.entries[e.ID] = e; e.Phase == Removed {
@@ -60,7 +61,7 @@
 	}
 }
 
-// SetPhase changes the phase of a server that is in the list.
+// SetPhase changes the phase of an entry. It has no effect if the list has no entry with this ID.
 func (l *List) SetPhase(id, phase string) {
 	if e, ok := l.entries[id]; ok {
 		e.Phase = phase
@@ -70,11 +71,11 @@
 
 // Snapshot returns the complete list.
 func (l *List) Snapshot() ListResponse {
-	return ListResponse{Revision: l.revision, Complete: true, Members: inOrder(l.entries)}
+	return ListResponse{Revision: l.revision, Complete: true, Members: sortedByID(l.entries)}
 }
 
-// Since returns the entries that have changed after a revision; ok is false where none has. A revision that the list
-// never had, or whose changes are no longer retained, gets the complete list.
+// Since returns the entries that have changed after a revision. ok is false if there are none. Since returns the complete
+// list if the revision is newer than the list, or if its changes are no longer retained.
 func (l *List) Since(revision int64) (response ListResponse, ok bool) {
 	if revision == l.revision {
 		return ListResponse{Revision: l.revision, Members: []Entry{}}, false
@@ -88,14 +89,14 @@
 			newest[c.entry.ID] = c.entry
 		}
 	}
-	return ListResponse{Revision: l.revision, Members: inOrder(newest)}, true
+	return ListResponse{Revision: l.revision, Members: sortedByID(newest)}, true
 }
 
-// inOrder returns entries in the order of their IDs; never nil, because nil is null in JSON.
-func inOrder(entries map[string]Entry) []Entry {
-	ordered := make([]Entry, 0, len(entries))
+// sortedByID returns the entries in order of their IDs. The result is never nil, because nil is null in JSON.
+func sortedByID(entries map[string]Entry) []Entry {
+	sorted := make([]Entry, 0, len(entries))
 	for _, id := range slices.Sorted(maps.Keys(entries)) {
-		ordered = append(ordered, entries[id])
+		sorted = append(sorted, entries[id])
 	}
-	return ordered
+	return sorted
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -1,6 +1,6 @@
-// Package emulator emulates what surrounds a node: servers, the list service, clients, and a checker of the rules
-// that nodes have to keep. Each part is a state machine that is handed the time and does no I/O, so that it can be
-// driven by sockets in real time as well as by virtual time. Nothing here is safe for concurrent use.
+// Package emulator emulates the environment of a node: servers, the list service and clients. It also has a checker of
+// the rules that nodes must follow. Each part is a state machine that gets the time as an argument and does no I/O, so
+// that it can run with sockets in real time as well as in virtual time. Nothing here is safe for concurrent use.
 package emulator
 
 import (
@@ -10,7 +10,7 @@
 	"sloerail/internal/priority"
 )
 
-// Time is a time on the driver's clock, from any origin.
+// Time is a time on the driver's clock, relative to an arbitrary origin.
 type Time = time.Duration
 
 // ServerSpec describes a server.
@@ -18,94 +18,94 @@
 	ID, Zone, Kind string
 	Cell           int64
 	Cores          int
-	Speed          float64 // of a core; 1 is the unit of work
-	MaxRequests    int     // running and queued; more are rejected
+	Speed          float64 // of each core, relative to the core that work is measured by
+	MaxRequests    int     // running and queued; further requests are rejected
 
-	SlowStartMinCapacity float64       // fraction of its capacity that it starts with
-	SlowStartDuration    time.Duration // until it has its full capacity
+	SlowStartMinCapacity float64       // fraction of the full capacity at the start
+	SlowStartDuration    time.Duration // time from the start until full capacity
 
-	OverloadAt       float64       // queued requests for each core, beyond which it is overloaded
-	OverloadAfter    time.Duration // for which it has to be overloaded to become slower
-	OverloadSlowdown float64       // how many times slower it then is
-	OverloadRecovery time.Duration // for which it has to be mostly idle to recover
+	OverloadAt       float64       // the server is overloaded with more queued requests per core
+	OverloadAfter    time.Duration // time overloaded until it becomes slower
+	OverloadSlowdown float64       // factor by which it is then slower
+	OverloadRecovery time.Duration // time mostly idle until it recovers
 
 	DedupWindow    time.Duration // within which repeats of a key are dropped
 	ReportInterval time.Duration // between load reports
 }
 
-// DefaultServer is a server in the middle of the ranges that the operators state for theirs.
+// DefaultServer returns the specification of a server in the middle of the ranges that the operators state.
 func DefaultServer(id, zone string) ServerSpec {
 	return ServerSpec{ID: id, Zone: zone, Kind: "big-box", Cores: 7, Speed: 1.8, MaxRequests: 64, SlowStartMinCapacity: 0.13,
 		SlowStartDuration: 24 * time.Second, OverloadAt: 2, OverloadAfter: 2 * time.Second, OverloadSlowdown: 2.9,
 		OverloadRecovery: 3 * time.Second, DedupWindow: 12 * time.Second, ReportInterval: time.Second}
 }
 
-// ServerFault is what is wrong with a server that runs.
+// ServerFault describes the faults of a running server.
 type ServerFault struct {
-	ErrorFraction float64 // of its requests, which fail at once
-	Slowdown      float64 // how many times slower it is; 0 counts as 1
+	ErrorFraction float64 // fraction of the requests that fail immediately
+	Slowdown      float64 // factor by which the server is slower; 0 stands for 1
 }
 
-// Job is one attempt that a server is offered.
+// Job is an attempt that is offered to a server.
 type Job struct {
 	ID, Key string
-	Work    time.Duration // of a core of speed 1
+	Work    time.Duration // time of a core of speed 1
 }
 
-// Verdict is a server's immediate answer to an offered job.
+// Verdict is a server's immediate decision on an offered job.
 type Verdict uint8
 
-// Verdicts.
+// Values of Verdict.
 const (
-	Accepted Verdict = iota // it will be among the CompletedJobs
-	Rejected                // it never runs
-	Failed                  // it may have run
+	Accepted Verdict = iota // Advance returns it later as a CompletedJob
+	Rejected                // it doesn't run
+	Failed                  // it failed immediately, and may have run
 )
 
-// CompletedJob is a job that a server has finished.
+// CompletedJob is a job that a server has completed.
 type CompletedJob struct {
 	Job
 	At       Time
-	Executed bool // false for a repeat of a key, which was dropped
+	Executed bool // false for a dropped repeat of a key
 }
 
-// LoadReport is a server's load report: means over the last ReportInterval.
+// LoadReport is a server's load report. Its values are means over the last ReportInterval.
 type LoadReport struct{ LatencyMs, Util, QPS float64 }
 
-// Server is one process that serves requests.
+// Server is an emulated server process.
 type Server struct {
 	Spec     ServerSpec
 	Fault    ServerFault
 	Draining bool
 
 	rng             *rand.Rand
-	started         Time // 0 for long ago: slow start is over
+	started         Time // 0 for long ago, past slow start
 	running         priority.Queue[runningJob]
 	queued          []Job
-	keyStarts       map[string]Time // by key, when its first job started
-	overloadedSince Time            // notSince for not
+	keyStarts       map[string]Time // when the first job of a key started, by key
+	overloadedSince Time            // unsetTime if not overloaded
 	slowed          bool
-	idleSince       Time // when a slowed server became mostly idle; notSince for not
+	idleSince       Time // when a slowed server became mostly idle; unsetTime if it is not
 
 	report            LoadReport
 	reportedAt        Time
-	busy, serviceTime time.Duration // of cores and of completed jobs, since the last report
-	completed         int           // the same
+	busy, serviceTime time.Duration // sums over cores and over completed jobs since the last report
+	completed         int           // jobs since the last report
 }
 
-// notSince stands for a condition that doesn't hold.
-const notSince Time = -1
+// unsetTime is the start time of a condition that doesn't hold.
+const unsetTime Time = -1
 
-// NewServer makes a server that starts at a time; 0 stands for long ago. The seed decides which requests fail.
+// NewServer returns a server that started at a time, 0 for long ago. The seed determines which requests fail.
 func NewServer(spec ServerSpec, started Time, seed uint64) *Server {
-	return &Server{Spec: spec, started: started, overloadedSince: notSince, idleSince: notSince, keyStarts: make(map[string]Time),
+	return &Server{Spec: spec, started: started, overloadedSince: unsetTime, idleSince: unsetTime, keyStarts: make(map[string]Time),
 		rng: rand.New(rand.NewPCG(seed, 0xb0))}
 }
 
-// Started is when the server's process started; 0 for long ago.
+// Started returns the time when the server's process started, 0 for long ago.
 func (s *Server) Started() Time { return s.started }
 
-// Capacity is the fraction of its full capacity that the server has: below 1 in slow start.
+// Capacity returns the server's current fraction of its full capacity, which is below 1 in slow start.
 func (s *Server) Capacity(now Time) float64 {
 	if s.started == 0 || now >= s.started+s.Spec.SlowStartDuration {
 		return 1
@@ -114,19 +114,19 @@
 	return s.Spec.SlowStartMinCapacity + (1-s.Spec.SlowStartMinCapacity)*max(0, age)
 }
 
-// coreSpeed is how many times faster than one core of speed 1 a core of the server is now.
+// coreSpeed returns the current speed of a core of the server, relative to a core of speed 1.
 func (s *Server) coreSpeed(now Time) float64 {
-	v := s.Spec.Speed * s.Capacity(now)
+	speed := s.Spec.Speed * s.Capacity(now)
 	if s.Fault.Slowdown > 1 {
-		v /= s.Fault.Slowdown
+		speed /= s.Fault.Slowdown
 	}
 	if s.slowed {
-		v /= s.Spec.OverloadSlowdown
+		speed /= s.Spec.OverloadSlowdown
 	}
-	return v
+	return speed
 }
 
-// Offer hands the server an attempt whose last byte has arrived.
+// Offer offers the server a job whose last byte has arrived.
 func (s *Server) Offer(now Time, j Job) Verdict {
 	s.updateOverload(now)
 	switch {
@@ -151,7 +151,7 @@
 	}
 }
 
-// Next is when the next job completes; ok is false while the server has none.
+// Next returns the time when the next job completes. ok is false if the server has no jobs.
 func (s *Server) Next() (at Time, ok bool) {
 	if len(s.running) == 0 {
 		return 0, false
@@ -159,13 +159,13 @@
 	return s.running[0].endsAt, true
 }
 
-// Advance returns the jobs that are completed by now, in order. Nothing cancels a job: one whose client has gone runs
-// to its end.
+// Advance returns the jobs that have completed by now, in order of completion. Jobs are never cancelled: they run to their
+// end even if the client has disconnected.
 func (s *Server) Advance(now Time) []CompletedJob {
 	var completed []CompletedJob
 	for len(s.running) > 0 && s.running[0].endsAt <= now {
 		j := s.running.Take()
-		s.busy += j.endsAt - max(j.startedAt, s.reportedAt) // earlier time is in an earlier report
+		s.busy += j.endsAt - max(j.startedAt, s.reportedAt) // the time before reportedAt is in an earlier report
 		s.serviceTime += j.endsAt - j.startedAt
 		s.completed++
 		completed = append(completed, CompletedJob{Job: j.Job, At: j.endsAt, Executed: s.firstOfKey(j)})
@@ -176,7 +176,7 @@
 	return completed
 }
 
-// firstOfKey tells whether a job is the first with its key within the DedupWindow.
+// firstOfKey reports whether a job is the first with its key within the DedupWindow, and removes expired keys.
 func (s *Server) firstOfKey(j runningJob) bool {
 	if j.Key == "" {
 		return true
@@ -194,38 +194,39 @@
 	return true
 }
 
-// updateOverload makes the server slower once it has been overloaded for long, and lets it recover.
+// updateOverload slows the server down once it has been overloaded for OverloadAfter, and ends the slowdown once it has
+// been mostly idle for OverloadRecovery.
 func (s *Server) updateOverload(now Time) {
 	if float64(len(s.queued)) > s.Spec.OverloadAt*float64(s.Spec.Cores) {
-		if s.overloadedSince == notSince {
+		if s.overloadedSince == unsetTime {
 			s.overloadedSince = now
 		}
 		if now-s.overloadedSince >= s.Spec.OverloadAfter {
-			s.slowed, s.idleSince = true, notSince
+			s.slowed, s.idleSince = true, unsetTime
 		}
 	} else {
-		s.overloadedSince = notSince
+		s.overloadedSince = unsetTime
 	}
 	if !s.slowed {
 		return
 	}
 	switch mostlyIdle := len(s.running) <= s.Spec.Cores/4 && len(s.queued) == 0; {
 	case !mostlyIdle:
-		s.idleSince = notSince
-	case s.idleSince == notSince:
+		s.idleSince = unsetTime
+	case s.idleSince == unsetTime:
 		s.idleSince = now
 	case now-s.idleSince >= s.Spec.OverloadRecovery:
-		s.slowed, s.idleSince = false, notSince
+		s.slowed, s.idleSince = false, unsetTime
 	}
 }
 
-// Slowed tells whether the server is slower because it was overloaded.
+// Slowed reports whether the server is slower because of an overload.
 func (s *Server) Slowed() bool { return s.slowed }
 
-// InProgress is how many jobs run or are queued.
+// InProgress returns the number of running and queued jobs.
 func (s *Server) InProgress() int { return len(s.running) + len(s.queued) }
 
-// LoadReport returns the newest load report, which it makes once the last is older than the ReportInterval.
+// LoadReport returns the latest load report. It makes a new one if the latest is at least a ReportInterval old.
 func (s *Server) LoadReport(now Time) LoadReport {
 	if span := now - s.reportedAt; span >= s.Spec.ReportInterval {
 		busy := s.busy
@@ -242,11 +243,11 @@
 	return s.report
 }
 
-// runningJob is a job on a core.
+// runningJob is a job that runs on a core.
 type runningJob struct {
 	Job
 	startedAt, endsAt Time
 }
 
-// Before orders jobs by their ends.
+// Before orders jobs by the time of their end.
 func (j runningJob) Before(other runningJob) bool { return j.endsAt < other.endsAt }
