--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -1,5 +1,5 @@
 // Package simwire translates between the simulator's line protocol and the types of package policy.
-// It decides nothing. The protocol's own names stand in names.go, and where a field or key is read.
+// It makes no routing decisions. The names of the protocol are in names.go, and in the code that reads a field or key.
 package simwire
 
 import (
@@ -8,20 +8,20 @@
 	"sloerail/policy"
 )
 
-// LineKind tells the lines of the protocol apart.
+// LineKind is the kind of a line of the protocol.
 type LineKind uint8
 
-// The kinds of line.
+// Values of LineKind.
 const (
-	BatchStart LineKind = iota // opens a batch: Now is set
-	BatchEnd                   // closes a batch
-	ListStored                 // an endpoint list was stored under its number; nothing to route
+	BatchStart LineKind = iota // start of a batch; Now is set
+	BatchEnd                   // end of a batch
+	ListStored                 // Decode stored an endpoint list under its number; there is nothing else to do
 	Configure                  // Node, Seed and Settings are set
 	Shutdown                   // Node is set
 	Event                      // Node and Event are set
 )
 
-// Line is one decoded line.
+// Line is a decoded line.
 type Line struct {
 	Kind     LineKind
 	Now      policy.Time
@@ -32,25 +32,26 @@
 }
 
 const (
-	maxLists    = 16      // numbers of lists in the protocol, from 0
-	maxInterned = 1 << 14 // strings; bounded because servers come and go without end
+	maxLists    = 16      // list numbers in the protocol are 0 to maxLists-1
+	maxInterned = 1 << 14 // interned strings; bounded because new servers keep coming
 )
 
-// Decoder reads lines. It stores the endpoint lists that the simulator sends once for all instances, and shares the
-// strings that come again and again. The zero value is ready to use; a Decoder is not safe for concurrent use.
+// Decoder decodes lines. It stores the endpoint lists, which the simulator sends once for all instances, and interns
+// strings that occur repeatedly. The zero value is ready to use. A Decoder is not safe for concurrent use.
 type Decoder struct {
 	parser   fastjson.Parser
 	lists    [maxLists]storedList
 	interned map[string]string
 }
 
+// storedList is an endpoint list, with present set once the simulator has sent it.
 type storedList struct {
 	endpoints []policy.Endpoint
 	present   bool
 }
 
-// Decode reads one line. Its errors are of one line of text: ErrNotJSON, a *FieldError for a line that is no message,
-// or a *MessageError that wraps a *FieldError or ErrUnknownMessage.
+// Decode decodes a line. The error text is a single line. The error wraps ErrNotJSON, is a *FieldError if the line is not a
+// message, or is a *MessageError that wraps a *FieldError or ErrUnknownMessage.
 func (d *Decoder) Decode(line []byte) (Line, error) {
 	value, err := d.parser.ParseBytes(line)
 	if err != nil {
@@ -75,7 +76,7 @@
 	return decoded, nil
 }
 
-// message reads the fields of a message; the caller checks f.err.
+// message decodes the fields of a message. The caller checks f.err.
 func (d *Decoder) message(name string, f *fields) (Line, error) {
 	switch name {
 	case messageBatchStart:
@@ -99,13 +100,14 @@
 	return line, err
 }
 
-// intern returns the text of a string value, shared with earlier values of the same text. It is empty for nil.
+// intern returns the text of a string value, which shares memory with earlier values of the same text. It returns "" for
+// nil.
 func (d *Decoder) intern(value *fastjson.Value) string {
 	if value == nil {
 		return ""
 	}
 	raw := value.GetStringBytes()
-	if shared, ok := d.interned[string(raw)]; ok { // the compiler makes no copy for this look-up
+	if shared, ok := d.interned[string(raw)]; ok { // the compiler makes no copy for this lookup
 		return shared
 	}
 	if d.interned == nil || len(d.interned) >= maxInterned {
--- a/internal/simwire/encode.go
+++ b/internal/simwire/encode.go
@@ -8,7 +8,7 @@
 	"sloerail/policy"
 )
 
-// AppendAction appends the line for one action of an instance.
+// AppendAction appends the line for an action of an instance.
 func AppendAction(b []byte, node int, action policy.Action) []byte {
 	b = append(b, `["`...)
 	b = append(b, actionNames[action.Kind]...)
@@ -43,16 +43,16 @@
 	return append(b, "]\n"...)
 }
 
-// AppendFailure appends the line that reports a crash of an instance's decisions.
+// AppendFailure appends the line that reports the crash of an instance.
 func AppendFailure(b []byte, node int, text string) []byte {
 	b = strconv.AppendInt(append(b, `["`+lineInstanceFailed+`",`...), int64(node), 10)
 	return append(appendString(b, text), "]\n"...)
 }
 
-// AppendReplyEnd appends the line that closes the reply to a batch.
+// AppendReplyEnd appends the line that ends the reply to a batch.
 func AppendReplyEnd(b []byte) []byte { return append(b, `["`+lineReplyEnd+`"]`+"\n"...) }
 
-// appendMilliseconds appends a time in milliseconds, cut to whole microseconds.
+// appendMilliseconds appends a comma and a duration in milliseconds, truncated to whole microseconds.
 func appendMilliseconds(b []byte, d time.Duration) []byte {
 	return strconv.AppendFloat(append(b, ','), float64(d/time.Microsecond)/1e3, 'f', -1, 64)
 }
@@ -62,7 +62,7 @@
 	b = append(b, ',')
 	for i := 0; i < len(s); i++ {
 		if c := s[i]; c < 0x20 || c == '"' || c == '\\' || c >= 0x7f {
-			quoted, _ := json.Marshal(s) // a string always encodes
+			quoted, _ := json.Marshal(s) // encoding a string never fails
 			return append(b, quoted...)
 		}
 	}
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,7 +8,7 @@
 	"sloerail/policy"
 )
 
-// event reads a message for an instance's decisions. It is on the path of each request.
+// event decodes a message that is an event for an instance. It is on the hot path of each request.
 func (d *Decoder) event(name string, f *fields) (policy.Event, error) {
 	switch name {
 	case messageRequest:
@@ -33,7 +33,7 @@
 	return nil, ErrUnknownMessage
 }
 
-// settings reads the configuration of an instance; it is empty where the field is missing, which f.err says.
+// settings decodes the settings of an instance. If the field is missing, it sets f.err and returns empty settings.
 func (f *fields) settings(i int) (policy.Settings, error) {
 	value := f.required(i, "conf", fastjson.TypeObject)
 	if value == nil {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -8,26 +8,27 @@
 	"github.com/valyala/fastjson"
 )
 
-// maxMilliseconds is the longest time read, about 146 years: half of what a time.Duration holds, so that the sum of
-// two doesn't overflow.
+// maxMilliseconds is the maximum duration accepted, about 146 years: half the maximum of time.Duration, so that the sum of
+// two durations doesn't overflow.
 const maxMilliseconds = math.MaxInt64 / 2e6
 
-// fields reads the values of a message by their positions, and records the first error in err.
-// A method returns the zero value for what it can't read. The required ones fail where the value is absent or null,
-// the optional ones don't.
+// fields reads the values of a message by position, and records the first error in err.
+// Its methods return the zero value if the value is absent, null or invalid. An absent or null value is an error,
+// except for loadReport and the methods whose names begin with optional.
 type fields struct {
 	values  []*fastjson.Value
 	decoder *Decoder
 	err     error
 }
 
+// fail records an error for a field unless there is an earlier one.
 func (f *fields) fail(field, format string, args ...any) {
 	if f.err == nil {
 		f.err = &FieldError{field, fmt.Sprintf(format, args...)}
 	}
 }
 
-// optional returns the value at position i, or nil where it is absent or null.
+// optional returns the value at position i, or nil if it is absent, null or of another type.
 func (f *fields) optional(i int, field string, want fastjson.Type) *fastjson.Value {
 	if i >= len(f.values) || f.values[i].Type() == fastjson.TypeNull {
 		return nil
@@ -40,6 +41,7 @@
 	return value
 }
 
+// required is like optional, but an absent or null value is an error.
 func (f *fields) required(i int, field string, want fastjson.Type) *fastjson.Value {
 	value := f.optional(i, field, want)
 	if value == nil {
@@ -56,7 +58,7 @@
 	return textOf(f.optional(i, field, fastjson.TypeString))
 }
 
-// textOf returns the text of a string value, empty for nil.
+// textOf returns the text of a string value, or "" for nil.
 func textOf(value *fastjson.Value) string {
 	if value == nil {
 		return ""
@@ -64,7 +66,7 @@
 	return string(value.GetStringBytes())
 }
 
-// internedText reads a string that comes again and again, without a copy for each.
+// internedText reads a string that occurs repeatedly, without allocating a copy for each occurrence.
 func (f *fields) internedText(i int, field string) string {
 	return f.decoder.intern(f.required(i, field, fastjson.TypeString))
 }
@@ -111,7 +113,7 @@
 	return false
 }
 
-// duration reads a time in milliseconds.
+// duration reads a duration in milliseconds.
 func (f *fields) duration(i int, field string) time.Duration {
 	return f.durationOf(f.required(i, field, fastjson.TypeNumber), field)
 }
@@ -132,12 +134,12 @@
 	return fromMilliseconds(milliseconds)
 }
 
-// fromMilliseconds rounds to microseconds, the resolution of the protocol.
+// fromMilliseconds converts milliseconds to a duration, rounded to microseconds, the resolution of the protocol.
 func fromMilliseconds(milliseconds float64) time.Duration {
 	return time.Duration(math.Round(milliseconds*1e3)) * time.Microsecond
 }
 
-// loadReport reads a server's load report: a number for each field of the settings' report, NaN for an absent one.
+// loadReport reads a server's load report: a number for each of the settings' ReportFields, NaN for null.
 func (f *fields) loadReport(i int) []float64 {
 	value := f.optional(i, "metrics", fastjson.TypeArray)
 	if value == nil {
--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -12,14 +12,14 @@
 	"sloerail/policy"
 )
 
-// goldenLines are the lines of a file of testdata.
+// goldenLines returns the lines of a file in testdata.
 func goldenLines(t *testing.T, file string) []string {
 	t.Helper()
 	return strings.Split(strings.TrimSuffix(string(golden.Read(t, file)), "\n"), "\n")
 }
 
-// everySetting is what the line with every key says.
-func everySetting() policy.Settings {
+// allSettings returns the settings of the line in events.jsonl that has every key.
+func allSettings() policy.Settings {
 	return policy.Settings{NodeIndex: 1, NodeCount: 4, Zone: "a", SubscribeList: true, WeightByWork: true,
 		Classes: []policy.Class{
 			{Name: "x", LatencyObjective: 250*ms + 500*time.Microsecond, ObjectivePerWork: 1.5, Deadline: 600 * ms, RetrySafety: policy.IdempotencyKeyed,
@@ -38,29 +38,30 @@
 	}
 }
 
-func onlyRetryBudget(b policy.RetryBudget) policy.Settings {
+// retryBudgetSettings returns settings that have only a retry budget.
+func retryBudgetSettings(b policy.RetryBudget) policy.Settings {
 	return policy.Settings{Rules: policy.Rules{RetryBudget: &b}}
 }
 
-// everyLine is what the lines of events.jsonl say, in order.
-func everyLine() []Line {
-	members := []policy.Endpoint{
+// allLines returns the lines of events.jsonl in decoded form, in order.
+func allLines() []Line {
+	endpoints := []policy.Endpoint{
 		{ID: "s1", Zone: "a", Kind: "big-box", Weight: 1, Availability: policy.Running},
 		{ID: "s2", Zone: "b", Kind: "small-box", Cell: 7, Weight: 1.5, StartedAt: 6100*ms + 500*time.Microsecond,
 			Availability: policy.Draining},
 		{ID: "s3", Weight: 1, Availability: policy.Removed},
 	}
-	all := []Line{
+	lines := []Line{
 		{Kind: BatchStart, Now: 8412*ms + 250*time.Microsecond},
 		{Kind: ListStored},
 		{Kind: ListStored},
 		{Kind: Configure, Node: 3, Seed: 7},
-		{Kind: Configure, Node: 3, Seed: 1<<64 - 1, Settings: everySetting()},
+		{Kind: Configure, Node: 3, Seed: 1<<64 - 1, Settings: allSettings()},
 		{Kind: Configure, Node: 4, Seed: 1},
 		{Kind: Configure, Node: 4, Seed: 1},
-		{Kind: Configure, Node: 4, Seed: 1, Settings: onlyRetryBudget(policy.RetryBudget{MinRetries: 5})},
-		{Kind: Configure, Node: 4, Seed: 1, Settings: onlyRetryBudget(policy.RetryBudget{RetryRatio: 0.5})},
-		{Kind: Configure, Node: 4, Seed: 1, Settings: onlyRetryBudget(policy.RetryBudget{Window: 6 * time.Second})},
+		{Kind: Configure, Node: 4, Seed: 1, Settings: retryBudgetSettings(policy.RetryBudget{MinRetries: 5})},
+		{Kind: Configure, Node: 4, Seed: 1, Settings: retryBudgetSettings(policy.RetryBudget{RetryRatio: 0.5})},
+		{Kind: Configure, Node: 4, Seed: 1, Settings: retryBudgetSettings(policy.RetryBudget{Window: 6 * time.Second})},
 	}
 	outcome := func(code policy.Code) policy.Event {
 		return policy.Outcome{ID: "id", Server: "s1", Code: code, Latency: ms}
@@ -68,8 +69,8 @@
 	for _, event := range []policy.Event{
 		policy.Request{ID: "id", Class: "x", Tenant: "t", Key: "k", Timeout: 240 * ms, EstimatedWork: 12 * ms, ClientRetry: true, Write: true},
 		policy.Request{ID: "id", Class: "x", Timeout: 240 * ms},
-		policy.EndpointList{Kind: policy.ListReplace, Endpoints: members},
-		policy.EndpointList{Kind: policy.ListUpdate, Endpoints: members},
+		policy.EndpointList{Kind: policy.ListReplace, Endpoints: endpoints},
+		policy.EndpointList{Kind: policy.ListUpdate, Endpoints: endpoints},
 		policy.EndpointList{Kind: policy.ListCached, Endpoints: []policy.Endpoint{}},
 		policy.EndpointList{Kind: policy.ListUnavailable},
 		policy.Timer{Token: 1 << 63},
@@ -83,41 +84,41 @@
 		policy.ProbeResult{Server: "s1", Code: policy.TimedOut, Latency: 1500 * time.Microsecond},
 		policy.PeerMessage{From: 2, Body: `hi "7" ü`},
 	} {
-		all = append(all, Line{Kind: Event, Node: 3, Event: event})
+		lines = append(lines, Line{Kind: Event, Node: 3, Event: event})
 	}
-	return append(all, Line{Kind: Shutdown, Node: 3}, Line{Kind: BatchEnd})
+	return append(lines, Line{Kind: Shutdown, Node: 3}, Line{Kind: BatchEnd})
 }
 
-// TestEveryMessageIsFrozen reads lines that hold every message, every key of the settings and every word.
+// TestEveryMessageIsFrozen decodes lines that hold every message, every key of the settings and every name of a value.
 func TestEveryMessageIsFrozen(t *testing.T) {
-	lines, want := goldenLines(t, "events.jsonl"), everyLine()
+	lines, want := goldenLines(t, "events.jsonl"), allLines()
 	if len(lines) != len(want) {
-		t.Fatalf("%d lines, want %d", len(lines), len(want))
+		t.Fatalf("lines in events.jsonl: got %d, want %d", len(lines), len(want))
 	}
 	var d Decoder
 	for i, line := range lines {
 		if got := decode(t, &d, line); !reflect.DeepEqual(got, want[i]) {
-			t.Errorf("%s\n got %+v\nwant %+v", line, got, want[i])
+			t.Errorf("Decode(%s)\n got %+v\nwant %+v", line, got, want[i])
 		}
 	}
 }
 
-// TestEveryFieldOfAMessageIsFrozen replays lines of which each has one value that can't be read: the errors name every
-// message, field and key.
+// TestEveryFieldOfAMessageIsFrozen decodes lines that each have one invalid value. The errors name every message, field
+// and key.
 func TestEveryFieldOfAMessageIsFrozen(t *testing.T) {
 	var out bytes.Buffer
 	for _, line := range goldenLines(t, "faults.jsonl") {
 		var d Decoder
 		_, err := d.Decode([]byte(line))
 		if err == nil {
-			t.Errorf("%s: no error", line)
+			t.Errorf("Decode(%s): got no error, want one", line)
 		}
 		fmt.Fprintln(&out, err)
 	}
 	golden.Check(t, "faults.golden", out.Bytes())
 }
 
-// TestEveryActionIsFrozen writes every action, with each value that may be left out both ways.
+// TestEveryActionIsFrozen encodes every action, and actions with optional values both with and without them.
 func TestEveryActionIsFrozen(t *testing.T) {
 	var out []byte
 	for _, a := range []policy.Action{
@@ -141,8 +142,8 @@
 	out = AppendReplyEnd(AppendFailure(out, 3, `a "b"`))
 	golden.Check(t, "actions.golden", out)
 	for kind, name := range actionNames {
-		if !bytes.Contains(out, []byte(`["`+name+`",`)) && name != "" { // a kind without a name is never written here
-			t.Errorf("action %d, %s, is not among those written", kind, name)
+		if !bytes.Contains(out, []byte(`["`+name+`",`)) && name != "" { // a kind without a name is never encoded
+			t.Errorf("action kind %d (%s) is not among the encoded lines", kind, name)
 		}
 	}
 }
--- a/internal/simwire/lists.go
+++ b/internal/simwire/lists.go
@@ -8,14 +8,14 @@
 	"sloerail/policy"
 )
 
-// storeList stores an endpoint list under its number, for later messages to name.
+// storeList decodes an endpoint list and stores it under its number, by which later messages refer to it.
 func (d *Decoder) storeList(f *fields) error {
 	number := f.listNumber(0)
 	records := f.required(1, "records", fastjson.TypeArray)
 	if f.err != nil {
 		return f.err
 	}
-	// A new slice each time: instances go on reading the previous one.
+	// Allocate a new slice each time: instances still read the previous one.
 	endpoints := make([]policy.Endpoint, 0, len(records.GetArray()))
 	for i, record := range records.GetArray() {
 		endpoint, err := d.endpoint(record)
@@ -28,6 +28,7 @@
 	return nil
 }
 
+// listNumber reads the number of a list, from 0 to maxLists-1.
 func (f *fields) listNumber(i int) int {
 	number := f.int(i, "buffer")
 	if f.err == nil && (number < 0 || number >= maxLists) {
@@ -37,6 +38,7 @@
 	return number
 }
 
+// endpoint decodes a record of an endpoint list.
 func (d *Decoder) endpoint(record *fastjson.Value) (policy.Endpoint, error) {
 	if record.Type() != fastjson.TypeArray {
 		return policy.Endpoint{}, &FieldError{"entry", "want an array, got " + record.Type().String()}
@@ -59,7 +61,7 @@
 	return endpoint, f.err
 }
 
-// endpointList reads the message that hands a stored list to an instance.
+// endpointList decodes the message that passes a stored list to an instance.
 func (d *Decoder) endpointList(f *fields) (policy.EndpointList, error) {
 	word := f.internedText(1, "how")
 	kind, ok := listKinds[word]
--- a/internal/simwire/names.go
+++ b/internal/simwire/names.go
@@ -19,7 +19,7 @@
 	messageEndpointList    = "peersKnown"
 )
 
-// Names of the lines that answer a batch, beside the actions'.
+// Names of the lines in the reply to a batch, other than actions.
 const (
 	lineInstanceFailed = "broken"
 	lineReplyEnd       = "yield"
@@ -32,30 +32,30 @@
 	policy.Log: "sayLog", policy.WatchList: "listen", policy.FetchList: "readList",
 }
 
-// outcomeCodes are the words for how an attempt or a health check ended.
+// outcomeCodes are the outcome codes of attempts and health checks, by name.
 var outcomeCodes = map[string]policy.Code{
 	"done": policy.OK, "err": policy.ServerError, "busy": policy.Overloaded, "etimedout": policy.TimedOut,
 	"econnrefused": policy.ConnectFailed, "econnreset": policy.Reset,
 	"ecanceled": policy.Cancelled, "skipped": policy.NotAttempted,
 }
 
-// listKinds are the words for what an endpoint list stands for.
+// listKinds are the kinds of endpoint lists, by name.
 var listKinds = map[string]policy.ListKind{
 	"replace": policy.ListReplace, "update": policy.ListUpdate,
 	"restored": policy.ListCached, "unavailable": policy.ListUnavailable,
 }
 
-// availabilities are the words for the states of a server in a list.
+// availabilities are the states of a server in a list, by name.
 var availabilities = map[string]policy.Availability{
 	"Running": policy.Running, "Stopping": policy.Draining, "Deleted": policy.Removed,
 }
 
-// Words of the settings; the empty one stands for an absent key.
+// Values of the settings, by name. The empty name stands for an absent key.
 var (
 	retrySafeties = map[string]policy.RetrySafety{"": policy.NonIdempotent, "single_shot": policy.NonIdempotent,
 		"guarded": policy.IdempotencyKeyed, "free": policy.Idempotent}
 	dedupScopes = map[string]policy.DedupScope{"": policy.DedupPerCell, "cell": policy.DedupPerCell,
 		"zone": policy.DedupPerZone, "all": policy.DedupEverywhere}
-	subscribesByMode   = map[string]bool{"": false, "automatic": false, "subscribe": true}
-	weighsWorkByMethod = map[string]bool{"": false, "request": false, "work": true}
+	subscribeByMode      = map[string]bool{"": false, "automatic": false, "subscribe": true}
+	weightByWorkByMethod = map[string]bool{"": false, "request": false, "work": true}
 )
--- a/internal/simwire/object.go
+++ b/internal/simwire/object.go
@@ -9,15 +9,15 @@
 	"github.com/valyala/fastjson"
 )
 
-// object reads the keys of a JSON object, and records the first error in err. Keys that nobody reads are skipped, and
-// an absent or null key gives the zero value.
+// object reads the keys of a JSON object, and records the first error in err. Unknown keys are ignored, and an absent or
+// null key gives the zero value.
 type object struct {
 	value *fastjson.Value
-	path  string // of the object within the settings, with a dot at its end
+	path  string // path of the object within the settings, with a trailing dot
 	err   *error
 }
 
-// get returns the value of a key, nil where it is absent, null or of none of the wanted types.
+// get returns the value of a key, or nil if it is absent, null or of none of the wanted types. Another type is an error.
 func (o object) get(key string, want ...fastjson.Type) *fastjson.Value {
 	value := o.value.Get(key)
 	if value == nil || value.Type() == fastjson.TypeNull {
@@ -30,18 +30,20 @@
 	return value
 }
 
+// fail records an error for a key unless there is an earlier one.
 func (o object) fail(key, format string, args ...any) {
 	if *o.err == nil {
 		*o.err = &FieldError{o.path + key, fmt.Sprintf(format, args...)}
 	}
 }
 
+// object returns the object under a key. It is empty if the key is absent.
 func (o object) object(key string) object {
 	return object{value: o.get(key, fastjson.TypeObject), path: o.path + key + ".", err: o.err}
 }
 
-// each calls read for the objects of an array, up to the first element that is none.
-func (o object) each(key string, read func(object)) {
+// forEach calls read for each object of an array. It stops with an error at the first element that is not an object.
+func (o object) forEach(key string, read func(object)) {
 	value := o.get(key, fastjson.TypeArray)
 	if value == nil {
 		return
@@ -63,6 +65,7 @@
 	return 0
 }
 
+// integer reads a whole number within the range of an int32.
 func (o object) integer(key string) int {
 	number := o.number(key)
 	if number != math.Trunc(number) || math.Abs(number) > math.MaxInt32 {
@@ -72,7 +75,7 @@
 	return int(number)
 }
 
-// duration reads a time in milliseconds.
+// duration reads a duration in milliseconds.
 func (o object) duration(key string) time.Duration {
 	milliseconds := o.number(key)
 	if math.Abs(milliseconds) > maxMilliseconds {
@@ -84,6 +87,7 @@
 
 func (o object) text(key string) string { return textOf(o.get(key, fastjson.TypeString)) }
 
+// texts reads an array of strings.
 func (o object) texts(key string) []string {
 	value := o.get(key, fastjson.TypeArray)
 	if value == nil {
@@ -105,7 +109,7 @@
 	return value != nil && value.Type() == fastjson.TypeTrue
 }
 
-// enum reads a word and looks it up in a table, in which the empty word stands for an absent key.
+// enum reads a string and returns its value in a table, where the empty string stands for an absent key.
 func enum[T any](o object, key string, table map[string]T) T {
 	text := o.text(key)
 	constant, ok := table[text]
--- a/internal/simwire/settings.go
+++ b/internal/simwire/settings.go
@@ -8,8 +8,8 @@
 	"sloerail/policy"
 )
 
-// ParseSettings reads the settings object on its own, as a node's configuration file holds it. Its errors are
-// ErrNotJSON, a *FieldError, or one for a value that is no object.
+// ParseSettings parses a settings object that is not part of a message, as in a node's configuration file. The error wraps
+// ErrNotJSON, is a *FieldError, or says that the value is not an object.
 func ParseSettings(raw []byte) (policy.Settings, error) {
 	value, err := fastjson.ParseBytes(raw)
 	if err != nil {
@@ -26,11 +26,11 @@
 	root := object{value: value, err: &err}
 	settings := policy.Settings{
 		NodeIndex: root.integer("position"), NodeCount: root.integer("groupSize"), Zone: root.text("zone"),
-		SubscribeList: enum(root, "registryMode", subscribesByMode),
-		WeightByWork:  enum(root, "worthBy", weighsWorkByMethod),
+		SubscribeList: enum(root, "registryMode", subscribeByMode),
+		WeightByWork:  enum(root, "worthBy", weightByWorkByMethod),
 	}
-	root.each("services", func(o object) { settings.Classes = append(settings.Classes, parseClass(o)) })
-	root.each("tenants", func(o object) {
+	root.forEach("services", func(o object) { settings.Classes = append(settings.Classes, parseClass(o)) })
+	root.forEach("tenants", func(o object) {
 		settings.Tenants = append(settings.Tenants, policy.Tenant{
 			Name: o.text("name"), Quota: o.number("quotaRps"), Share: o.number("fraction")})
 	})
@@ -68,7 +68,7 @@
 	}
 }
 
-// parseRetryBudget returns nil, for no bound on retries, where all keys of the rule are absent.
+// parseRetryBudget returns nil, which means no limit on retries, if all keys of the budget are absent.
 func parseRetryBudget(o object) *policy.RetryBudget {
 	present := false
 	for _, key := range []string{"minExtra", "budgetShare", "ratioSpan"} {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -14,11 +14,11 @@
 
 func decode(t *testing.T, d *Decoder, line string) Line {
 	t.Helper()
-	l, err := d.Decode([]byte(line))
+	decoded, err := d.Decode([]byte(line))
 	if err != nil {
-		t.Fatalf("%s: %v", line, err)
+		t.Fatalf("Decode(%s): %v", line, err)
 	}
-	return l
+	return decoded
 }
 
 func TestDecodesEveryEvent(t *testing.T) {
@@ -60,7 +60,7 @@
 			Event: policy.EndpointList{Kind: policy.ListUnavailable}}},
 	} {
 		if got := decode(t, &d, c.line); !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%s\n got %+v\nwant %+v", c.line, got, c.want)
+			t.Errorf("Decode(%s)\n got %+v\nwant %+v", c.line, got, c.want)
 		}
 	}
 }
@@ -69,16 +69,16 @@
 	notRun := map[string]bool{"busy": true, "econnrefused": true, "skipped": true}
 	var d Decoder
 	for word := range outcomeCodes {
-		l := decode(t, &d, `["completed",1,"id",0,"s","`+word+`",1,false]`)
-		if got := l.Event.(policy.Outcome).Code.ProvesNotRun(); got != notRun[word] {
-			t.Errorf("%s: NotRun %v", word, got)
+		decoded := decode(t, &d, `["completed",1,"id",0,"s","`+word+`",1,false]`)
+		if got := decoded.Event.(policy.Outcome).Code.ProvesNotRun(); got != notRun[word] {
+			t.Errorf("ProvesNotRun() of code %s: got %v, want the opposite", word, got)
 		}
 	}
 }
 
 func TestDecodesSettings(t *testing.T) {
 	var d Decoder
-	l := decode(t, &d, `["configure",2,7,{"position":1,"groupSize":4,"zone":"a","registryMode":"subscribe",`+
+	decoded := decode(t, &d, `["configure",2,7,{"position":1,"groupSize":4,"zone":"a","registryMode":"subscribe",`+
 		`"services":[{"name":"x","aim":250,"deadline":600,"repeat":"guarded","group":"zone","window":5000,"new":1,`+
 		`"servedOn":["k1","k2"],"localitiesOnly":["a"]},{"name":"y","servedOn":null}],"worthBy":"work",`+
 		`"tenants":[{"name":"t","quotaRps":42,"fraction":0.4}],"limits":{"maxAttempts":4,"cancelling":true,"connIdle":5000},`+
@@ -92,13 +92,13 @@
 		Allowed:      policy.Allowed{MaxAttempts: 4, Cancel: true, IdleTimeout: 5 * time.Second},
 		Rules: policy.Rules{SlowStartMinCapacity: 0.17, SlowStartDuration: 23 * time.Second,
 			RetryBudget: &policy.RetryBudget{MinRetries: 5, RetryRatio: 0.15, Window: 5 * time.Second}}, ReportFields: []string{"util"}}
-	if l.Seed != 7 || !reflect.DeepEqual(l.Settings, want) {
-		t.Errorf("got seed %d, %+v\nwant %+v", l.Seed, l.Settings, want)
+	if decoded.Seed != 7 || !reflect.DeepEqual(decoded.Settings, want) {
+		t.Errorf("configure message: got seed %d, %+v\nwant %+v", decoded.Seed, decoded.Settings, want)
 	}
 }
 
-// A node's configuration holds the settings on their own; they read the same.
-func TestParsesSettingsAlone(t *testing.T) {
+// Settings in a node's configuration parse to the same value as settings in a message.
+func TestParseSettingsMatchesDecode(t *testing.T) {
 	const conf = `{"position":1,"groupSize":4,"services":[{"name":"x","deadline":600,"repeat":"free"}]}`
 	got, err := ParseSettings([]byte(conf))
 	if err != nil {
@@ -106,11 +106,11 @@
 	}
 	var d Decoder
 	if want := decode(t, &d, `["configure",2,7,`+conf+`]`).Settings; !reflect.DeepEqual(got, want) {
-		t.Errorf("got %+v\nwant %+v", got, want)
+		t.Errorf("ParseSettings: got %+v\nwant %+v", got, want)
 	}
 	for raw, want := range map[string]string{`{`: "not JSON", `[]`: "want an object", `{"zone":1}`: "zone"} {
 		if _, err := ParseSettings([]byte(raw)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", raw, err, want)
+			t.Errorf("%s: got error %v, want one that contains %q", raw, err, want)
 		}
 	}
 }
@@ -143,12 +143,13 @@
 		var d Decoder
 		_, err := d.Decode([]byte(line))
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: got %v, want it to name %q", line, err, want)
+			t.Errorf("%s: got error %v, want one that contains %q", line, err, want)
 		}
 	}
 }
 
-func TestErrorsTellConditionsApart(t *testing.T) {
+// Callers can test errors with errors.Is and errors.As.
+func TestErrorTypes(t *testing.T) {
 	var d Decoder
 	if _, err := d.Decode([]byte(`{`)); !errors.Is(err, ErrNotJSON) {
 		t.Errorf("got %v, want ErrNotJSON", err)
@@ -156,30 +157,30 @@
 	_, err := d.Decode([]byte(`["surprise",1]`))
 	var message *MessageError
 	if !errors.Is(err, ErrUnknownMessage) || !errors.As(err, &message) || message.Message != "surprise" {
-		t.Errorf("got %v, want ErrUnknownMessage of surprise", err)
+		t.Errorf("got %v, want ErrUnknownMessage for message surprise", err)
 	}
 	_, err = d.Decode([]byte(`["configure",1,2,{"services":[{"repeat":"odd"}]}]`))
 	var field *FieldError
 	if !errors.As(err, &field) || field.Field != "services[0].repeat" {
-		t.Errorf("got %v, want an error of services[0].repeat", err)
+		t.Errorf("got %v, want a FieldError for services[0].repeat", err)
 	}
 }
 
-// A list that takes a number anew must not change what instances already hold.
+// Storing a list under a number that is in use must not change the previous list, which instances still hold.
 func TestListsAreNotOverwritten(t *testing.T) {
 	var d Decoder
 	decode(t, &d, `["list",0,[[null,"Running",1,"k","a",0,"s1"]]]`)
 	first := decode(t, &d, `["peersKnown",3,"replace",1,0]`).Event.(policy.EndpointList)
 	decode(t, &d, `["list",0,[[null,"Running",1,"k","a",0,"s2"]]]`)
 	if first.Endpoints[0].ID != "s1" {
-		t.Error("the older list changed")
+		t.Error("storing list 0 again changed the endpoints of the previous list 0")
 	}
 }
 
 func TestEncodesEveryAction(t *testing.T) {
 	for _, c := range []struct {
-		act  policy.Action
-		want string
+		action policy.Action
+		want   string
 	}{
 		{policy.Action{Kind: policy.Send, ID: "id", Server: "s", AttemptDeadline: 8492*ms + 250*time.Microsecond},
 			`["handOff",3,"id","s",8492.25]`},
@@ -196,16 +197,16 @@
 		{policy.Action{Kind: policy.WatchList, Enabled: true}, `["listen",3,true]`},
 		{policy.Action{Kind: policy.FetchList}, `["readList",3]`},
 	} {
-		if got := string(AppendAction(nil, 3, c.act)); got != c.want+"\n" {
-			t.Errorf("got %swant %s", got, c.want)
+		if got := string(AppendAction(nil, 3, c.action)); got != c.want+"\n" {
+			t.Errorf("AppendAction: got %swant %s", got, c.want)
 		}
 	}
 	if got := string(AppendReplyEnd(AppendFailure(nil, 3, `a "b"`))); got != "[\"broken\",3,\"a \\\"b\\\"\"]\n[\"yield\"]\n" {
-		t.Errorf("got %s", got)
+		t.Errorf("AppendFailure and AppendReplyEnd: got %s", got)
 	}
 }
 
-// Whatever the line, the decoder returns a line or a plain one-line error.
+// For any input, Decode returns a line or an error whose text is a single line.
 func FuzzDecode(f *testing.F) {
 	for _, s := range []string{`["mark",1]`, `["ingress",3,"id","c","t","k",240.0,12.0,true,true]`,
 		`["list",0,[[1,"Running",1,"k","a",0,"s"]]]`, `["peersKnown",3,"update",1,0]`,
@@ -215,7 +216,7 @@
 	f.Fuzz(func(t *testing.T, line []byte) {
 		var d Decoder
 		if _, err := d.Decode(line); err != nil && strings.Contains(err.Error(), "\n") {
-			t.Errorf("error of more than one line: %q", err)
+			t.Errorf("error text has more than one line: %q", err)
 		}
 	})
 }
