--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -94,7 +94,7 @@
 	case err != nil:
 		return err
 	case s.Length.Duration <= 0 || s.Length.Duration > maxDuration:
-		return fmt.Errorf("for: want up to %v, got %v", maxDuration, s.Length)
+		return fmt.Errorf("for: want more than 0 and up to %v, got %v", maxDuration, s.Length)
 	case !(s.Rate > 0) || s.Rate > maxRate:
 		return fmt.Errorf("rate: want more than 0, got %v", s.Rate)
 	case !(s.WorkScale > 0) || s.WorkScale > maxWorkScale:
