--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -13,39 +13,39 @@
 
 const (
 	bindRetryDelay = 50 * time.Millisecond  // the other process of a hot restart may still be bound
-	leaveTimeout   = 500 * time.Millisecond // for each of the two announcements
+	leaveTimeout   = 500 * time.Millisecond // for each of the two announcements by gossip
 	updateTimeout  = 500 * time.Millisecond // bounds the goroutine that announces a new incarnation
 )
 
-// Agent is one process's part in the gossip of its fleet. Make it with New and run it with Run. The other methods may
-// be called from any goroutine at any time, and don't wait for the network.
+// Agent takes part in the gossip of a fleet for one process. Create it with New and run it with Run. The other methods
+// may be called from any goroutine at any time and don't wait for the network.
 type Agent struct {
-	config    Config
-	log       *limitedLog
-	members   *memberTable
-	exchanges exchangeSchedule
-	network   networkStats
-	roles     chan role // holds the role that was requested last, until Run takes it
+	config       Config
+	log          *limitedLog
+	members      *memberTable
+	exchanges    exchangeSchedule
+	network      networkStats
+	roleRequests chan role // holds the last requested role until Run takes it
 
 	refutedSuspicions, nameConflicts atomic.Uint64
 
-	mu          sync.Mutex             // may be held while a lock of another field is taken, not the other way round
-	list        *memberlist.Memberlist // nil unless this process is the node's member
+	mu          sync.Mutex             // must be taken before the locks of other fields
+	list        *memberlist.Memberlist // nil unless this process is the member for its node
 	incarnation uint64
 	leaving     bool
-	background  sync.WaitGroup // goroutines that use list; none starts while list is nil
+	background  sync.WaitGroup // goroutines that use list; none may start while list is nil
 }
 
-// role is what this process is for its node.
+// role says whether this process is the fleet member for its node.
 type role uint8
 
 const (
-	roleMember  role = iota // the node's member
-	roleStandby             // not the member: another process of the node is, under the same name
-	roleLeft                // not the member, and the node announced that it leaves
+	roleMember  role = iota // this process is the member
+	roleStandby             // another process of the node is the member, under the same name
+	roleLeft                // the node announced its leave and is not a member
 )
 
-// New makes a process's part in its fleet. Nothing is bound before Run. The error is a *ConfigError.
+// New creates an Agent. It binds no sockets; Run does. The error is a *ConfigError.
 func New(c Config) (*Agent, error) {
 	if err := c.Validate(); err != nil {
 		return nil, err
@@ -53,18 +53,18 @@
 	if c.now == nil {
 		c.now = time.Now
 	}
-	a := &Agent{config: c, roles: make(chan role, 1)}
+	a := &Agent{config: c, roleRequests: make(chan role, 1)}
 	if a.config.newTransport == nil {
 		a.config.newTransport = func() (memberlist.NodeAwareTransport, error) { return listen(a.config, &a.network) }
 	}
 	a.log = newLimitedLog(slog.Default(), c.now)
 	a.members = newMemberTable(c.Name, c.now, a.log.memberChanged)
-	a.incarnation = uint64(max(1, c.now().UnixMilli())) // so that a restarted process is later than the one before
+	a.incarnation = uint64(max(1, c.now().UnixMilli())) // a restarted process gets a higher incarnation than its predecessor
 	return a, nil
 }
 
-// Run takes part in the gossip until ctx ends, and then announces that the node leaves. Failures are logged and
-// retried: requests are served without membership too.
+// Run takes part in the gossip until ctx ends, then announces that the node leaves. Failures are logged and retried, as
+// requests are served even without membership.
 func (a *Agent) Run(ctx context.Context) {
 	current := roleMember
 	for ctx.Err() == nil {
@@ -74,7 +74,7 @@
 		}
 		list, err := a.startMemberlist()
 		if err != nil {
-			a.log.log(slog.LevelWarn, "fleet: membership not started, retrying", "error", err)
+			a.log.log(slog.LevelWarn, "fleet: cannot start membership, retrying", "error", err)
 			current = a.awaitRole(ctx, current, time.After(bindRetryDelay))
 			continue
 		}
@@ -82,10 +82,10 @@
 	}
 }
 
-// awaitRole returns the role that is requested next, or current once ctx ends or timeout fires.
+// awaitRole waits for a requested role and returns it, or returns current when ctx ends or timeout fires.
 func (a *Agent) awaitRole(ctx context.Context, current role, timeout <-chan time.Time) role {
 	select {
-	case requested := <-a.roles:
+	case requested := <-a.roleRequests:
 		return requested
 	case <-timeout:
 	case <-ctx.Done():
@@ -93,7 +93,7 @@
 	return current
 }
 
-// participate is the node's member until ctx ends or another role is requested, and returns the new role.
+// participate acts as the member for the node until ctx ends or another role is requested, and returns the new role.
 func (a *Agent) participate(ctx context.Context, list *memberlist.Memberlist) role {
 	a.setMemberlist(list)
 	defer a.shutdown(list)
@@ -106,7 +106,7 @@
 		case <-joinTimer.C:
 			a.joinAndExchange(list)
 			joinTimer.Reset(joinInterval/2 + rand.N(joinInterval))
-		case requested := <-a.roles:
+		case requested := <-a.roleRequests:
 			switch requested {
 			case roleStandby:
 				slog.Info("fleet: standing by for another process of this node", "node", a.config.Name)
@@ -128,7 +128,7 @@
 	a.list, a.leaving = list, false
 }
 
-// shutdown ends list and the goroutines that use it.
+// shutdown stops list and waits for the goroutines that use it.
 func (a *Agent) shutdown(list *memberlist.Memberlist) {
 	a.setMemberlist(nil)
 	if err := list.Shutdown(); err != nil {
@@ -137,7 +137,7 @@
 	a.background.Wait()
 }
 
-// leave announces that this node leaves, so that the others don't take its end for a failure.
+// leave announces that this node leaves, so that other members don't treat its exit as a failure.
 func (a *Agent) leave(list *memberlist.Memberlist) {
 	a.mu.Lock()
 	a.leaving = true
@@ -146,10 +146,10 @@
 	if list.NumMembers() <= 1 {
 		return
 	}
-	// Gossip misses a member now and then, so each one gets the announcement directly as well.
+	// Gossip occasionally misses a member, so each member also receives the announcement directly.
 	for _, m := range list.Members() {
 		if m.Name != a.config.Name {
-			_ = list.SendBestEffort(m, announcement) // the gossip below repeats it
+			_ = list.SendBestEffort(m, announcement) // the gossip below repeats the announcement
 		}
 	}
 	if err := list.UpdateNode(leaveTimeout); err != nil {
@@ -160,30 +160,31 @@
 	}
 }
 
-// Yield gives the node's membership up to another process of it, without an announcement. Resume takes it back.
+// Yield hands the node's membership over to another process of the node, without announcing a leave. Resume takes it
+// back.
 func (a *Agent) Yield() { a.requestRole(roleStandby) }
 
-// Resume makes this process the node's member again.
+// Resume makes this process the member for its node again.
 func (a *Agent) Resume() { a.requestRole(roleMember) }
 
-// requestRole replaces a request that Run hasn't taken yet.
+// requestRole requests a role from Run, in place of a request that Run hasn't taken yet.
 func (a *Agent) requestRole(requested role) {
 	for {
 		select {
-		case a.roles <- requested:
+		case a.roleRequests <- requested:
 			return
 		default:
 		}
 		select {
-		case <-a.roles:
+		case <-a.roleRequests:
 		default:
 		}
 	}
 }
 
-// View returns the fleet as this node sees it now.
+// View returns the current view of the fleet.
 func (a *Agent) View() View { return a.members.view() }
 
-// Subscribe returns a channel that holds the newest view after each change. A view that nobody has read is replaced
-// by the next one; the gossip never waits for a reader.
+// Subscribe returns a channel that receives the newest view after each change. A newer view replaces one that hasn't been
+// read; the gossip never waits for a reader.
 func (a *Agent) Subscribe() <-chan View { return a.members.subscribe() }
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -19,7 +19,7 @@
 	lossRate  = flag.Float64("loss", 0.1, "fraction of the datagrams and streams that is lost in TestVirtualFleet")
 )
 
-// cpuTime is the processor time that this process has used.
+// cpuTime returns the CPU time used by this process so far.
 func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
@@ -28,9 +28,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-func percentile(all []time.Duration, p float64) time.Duration {
-	slices.Sort(all)
-	return all[min(len(all)-1, int(p*float64(len(all))))]
+func percentile(durations []time.Duration, p float64) time.Duration {
+	slices.Sort(durations)
+	return durations[min(len(durations)-1, int(p*float64(len(durations))))]
 }
 
 func (v *virtualFleet) sentBytes() (sum uint64) {
@@ -40,7 +40,7 @@
 	return sum
 }
 
-// idleCost is what a member costs while nothing changes.
+// idleCost is the mean cost of a member while the fleet doesn't change.
 type idleCost struct {
 	bytesPerSecond float64
 	cpuFraction    float64 // of one core
@@ -63,7 +63,7 @@
 	return cost
 }
 
-// In virtual time a fleet finds itself, is cheap while nothing changes, sees a death in time, and a split heals.
+// A fleet in virtual time joins, costs little while idle, detects a death in time, and heals after a partition.
 func TestVirtualFleet(t *testing.T) {
 	n := *fleetSize
 	synctest.Test(t, func(t *testing.T) {
@@ -71,11 +71,11 @@
 		defer v.shutdown()
 		joined := v.awaitPresent(t, time.Minute, n, indexes(n)...)
 		v.network.setLoss(*lossRate)
-		time.Sleep(20*time.Second + 2*time.Duration(n)*exchangesAfterChange*exchangeIntervalPerMember) // exchanges after joining are over
+		time.Sleep(20*time.Second + 2*time.Duration(n)*exchangesAfterChange*exchangeIntervalPerMember) // end of exchanges
 		idle := v.measureIdle()
 		for i := range v.agents {
 			if deaths := v.deaths(i); len(deaths) > 0 {
-				t.Errorf("member %d saw deaths while all were alive: %v", i, deaths)
+				t.Errorf("member %d: views show deaths %v while all members are alive", i, deaths)
 			}
 		}
 
@@ -88,22 +88,24 @@
 			detection = append(detection, v.deaths(i)[nodeName(victim)].Sub(killed))
 		}
 
-		v.network.setSide(1, indexes(n/2)...)
+		v.network.setPartition(1, indexes(n/2)...)
 		v.awaitPresent(t, time.Minute, n/2, indexes(n/2)...)
-		v.network.setSide(0, indexes(n/2)...)
+		v.network.setPartition(0, indexes(n/2)...)
 		healed := v.awaitPresent(t, 30*time.Second, n-1, indexes(n-1)...)
 
 		p50, p99 := percentile(detection, 0.5), percentile(detection, 0.99)
-		t.Logf("%d members, %.0f%% lost: joined %v, a death known p50 %v p99 %v, split healed %v, "+
-			"%.0f bytes/s, %.2f%% of a core and %.2f MB a node", n, *lossRate*100, joined, p50, p99, healed,
+		t.Logf("%d members, %.0f%% loss: joined in %v, death detected p50 %v p99 %v, partition healed in %v, "+
+			"%.0f bytes/s, %.2f%% of a core and %.2f MiB per node", n, *lossRate*100, joined, p50, p99, healed,
 			idle.bytesPerSecond, idle.cpuFraction*100, idle.heapMiB)
 		if p99 > 4*time.Second || idle.bytesPerSecond > 4000 {
-			t.Errorf("p99 %v, want under 4 s; %.0f bytes/s, want under 4000", p99, idle.bytesPerSecond)
+			t.Errorf("death detection p99: got %v, want at most 4 s; idle traffic per member: got %.0f bytes/s, want at most 4000",
+				p99, idle.bytesPerSecond)
 		}
 	})
 }
 
-// A member that announces its leave has left, and comes back as a later process. A view's revision only grows.
+// A member that announces its leave is shown as left, not dead, and can rejoin as a later process. View revisions only
+// increase.
 func TestLeavingMemberIsLeftNotDead(t *testing.T) {
 	withFleet(t, 7, func(t *testing.T, v *virtualFleet) {
 		before := v.agents[0].View()
@@ -112,18 +114,18 @@
 		time.Sleep(10 * time.Second)
 		for _, i := range []int{0, 1, 2, 4, 5, 6} {
 			if s := v.state(i, "n0003"); s != Left {
-				t.Errorf("member %d sees it as %s", i, s)
+				t.Errorf("member %d: state of the leaving member: got %s, want left", i, s)
 			}
 		}
 		v.start(3)
 		v.awaitPresent(t, 10*time.Second, 7, indexes(7)...)
 		if after := v.agents[0].View(); after.Revision <= before.Revision {
-			t.Errorf("revision %d after revision %d", after.Revision, before.Revision)
+			t.Errorf("view revision after the rejoin: got %d, want above %d", after.Revision, before.Revision)
 		}
 	})
 }
 
-// Of two processes under one name the later is the member for all, and the earlier learns of it and leaves.
+// Of two processes with the same name, all members see the later one; the earlier one learns of it and leaves.
 func TestLaterProcessSupersedesEarlierOfSameName(t *testing.T) {
 	withFleet(t, 5, func(t *testing.T, v *virtualFleet) {
 		time.Sleep(time.Second)
@@ -138,23 +140,23 @@
 		v.running.Go(func() { later.Run(ctx) })
 		time.Sleep(30 * time.Second)
 		if !v.agents[2].View().Superseded || v.agents[2].Stats().NameConflicts != 1 {
-			t.Errorf("the earlier process is not superseded: %+v", v.agents[2].Stats())
+			t.Errorf("earlier process: want it superseded with one name conflict, got stats %+v", v.agents[2].Stats())
 		}
 		if later.View().Superseded {
-			t.Error("the later process is superseded")
+			t.Error("later process: superseded, want it to remain the member")
 		}
 		for _, i := range []int{0, 1, 3, 4} {
 			view := v.agents[i].View()
 			at := slices.IndexFunc(view.Members, func(m Member) bool { return m.Name == "n0002" })
 			if m := view.Members[at]; m.Address != c.Bind || m.State != Alive || m.Incarnation != later.incarnation {
-				t.Errorf("member %d sees %+v", i, m)
+				t.Errorf("member %d: want the later process alive, got %+v", i, m)
 			}
 		}
 		stop()
 	})
 }
 
-// A process that takes the name over from another of its node is the same member, later, and nobody sees a death.
+// When a process takes over the name from another process of its node, members see a higher incarnation and no death.
 func TestNameHandoverCausesNoDeath(t *testing.T) {
 	withFleet(t, 5, func(t *testing.T, v *virtualFleet) {
 		time.Sleep(time.Second)
@@ -166,11 +168,11 @@
 		time.Sleep(10 * time.Second)
 		for i := range v.agents {
 			if deaths := v.deaths(i); len(deaths) > 0 {
-				t.Errorf("member %d saw deaths: %v", i, deaths)
+				t.Errorf("member %d: views show deaths %v during the hand-over", i, deaths)
 			}
 			for _, m := range v.agents[i].View().Members {
 				if m.Name == "n0002" && (m.Incarnation != later.incarnation || later.incarnation <= earlier.incarnation) {
-					t.Errorf("member %d sees incarnation %d, and it is %d after %d",
+					t.Errorf("member %d: got incarnation %d, want the later process's %d, above the earlier process's %d",
 						i, m.Incarnation, later.incarnation, earlier.incarnation)
 				}
 			}
@@ -178,23 +180,23 @@
 	})
 }
 
-// A process that yielded is no member until it resumes.
+// A process that yielded isn't a member until it resumes.
 func TestResumeAfterYield(t *testing.T) {
 	withFleet(t, 5, func(t *testing.T, v *virtualFleet) {
 		v.agents[2].Yield()
 		v.awaitPresent(t, 20*time.Second, 4, 0, 1, 3, 4)
 		if s := v.state(0, "n0002"); s != Dead {
-			t.Errorf("a process that yielded without a successor is %s, want %s", s, Dead)
+			t.Errorf("state of a process that yielded without a successor: got %s, want %s", s, Dead)
 		}
 		v.agents[2].Resume()
 		v.awaitPresent(t, 20*time.Second, 5, indexes(5)...)
 	})
 }
 
-// Metadata and user messages of the next version change nothing but the presence of the member.
+// User messages of the next version are ignored; a member with metadata of the next version is still present.
 func TestMessagesOfOtherVersionsAreIgnored(t *testing.T) {
 	if _, err := decodeMetadata([]byte{metadataVersion + 1, 0xa0}); err == nil {
-		t.Error("metadata of another version was read")
+		t.Error("decodeMetadata of another version succeeded, want an error")
 	}
 	a, err := New(Config{Name: "n", Bind: "10.0.0.1:7946"})
 	if err != nil {
@@ -210,6 +212,6 @@
 	d.NotifyJoin(&memberlist.Node{Name: "next", Addr: ip, Port: 7946, Meta: []byte{metadataVersion + 1, 1, 2}})
 	v := a.View()
 	if v.Superseded || len(v.Members) != 1 || v.Members[0].State != Alive {
-		t.Errorf("%+v", v)
+		t.Errorf("view after unknown messages: got %+v, want one alive member and not superseded", v)
 	}
 }
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -22,27 +22,27 @@
 	maxProbeInterval     = time.Minute
 )
 
-// Config says who a node is in its fleet and how it is reached.
+// Config holds a node's identity in its fleet, its addresses and its gossip settings.
 type Config struct {
 	Name, Zone, Version string
 
-	Bind          string        // host:port for datagrams and streams
-	Advertise     string        // host:port under which others reach Bind; empty for Bind itself
-	Join          []string      // host:port of the seeds; the other members are learned from them
-	Label         string        // of the fleet; packets with another label are dropped
-	KeyFile       string        // base64 keys of 16, 24 or 32 bytes, one a line, the first encrypts; empty: no encryption
-	AllowedCIDRs  []string      // networks that members may be in; empty for any
-	ProbeInterval time.Duration // between the probes that this node sends; 0 for 200 ms
+	Bind          string        // host:port for datagrams and streams; the host is an IP address
+	Advertise     string        // host:port under which others reach this node; empty for Bind
+	Join          []string      // host:port of the seeds, from which this node learns of the other members
+	Label         string        // name of the fleet; packets with another label are dropped
+	KeyFile       string        // base64 keys of 16, 24 or 32 bytes, one per line; the first encrypts; empty: none
+	AllowedCIDRs  []string      // networks that members must be in; empty for any
+	ProbeInterval time.Duration // between two probes sent by this node; 0 for 200 ms
 
-	// OnProbe gets the round-trip time of each answered probe. It is called from memberlist's probe goroutine
-	// and must not block. May be nil.
+	// OnProbe is called with the round-trip time of each answered probe, from memberlist's probe goroutine, and must not
+	// block. It may be nil.
 	OnProbe func(roundTrip time.Duration)
 
 	newTransport func() (memberlist.NodeAwareTransport, error) // nil for sockets
 	now          func() time.Time                              // nil for time.Now
 }
 
-// Equal reports whether two configurations ask for the same membership. OnProbe and Version don't count.
+// Equal reports whether two configurations give the same membership. It ignores OnProbe and Version.
 func (c Config) Equal(o Config) bool {
 	return c.Name == o.Name && c.Zone == o.Zone && c.Bind == o.Bind && c.Advertise == o.Advertise &&
 		slices.Equal(c.Join, o.Join) && c.Label == o.Label && c.KeyFile == o.KeyFile &&
@@ -52,7 +52,7 @@
 // ConfigError is the error of Config.Validate.
 type ConfigError struct {
 	Field string // key in the "fleet" section of the node's configuration file
-	Err   error  // what is wrong with its value
+	Err   error  // why the value is invalid
 }
 
 // Error returns the field's path in the configuration file and the reason.
@@ -65,7 +65,7 @@
 	return &ConfigError{Field: field, Err: fmt.Errorf(format, args...)}
 }
 
-// Validate returns a *ConfigError for the first field whose value can't be used. It reads the key file.
+// Validate returns a *ConfigError for the first field with an invalid value. It reads the key file.
 func (c Config) Validate() error {
 	if c.Name == "" || len(c.Name) > maxNameBytes {
 		return configErrorf("name", "want 1 to %d bytes, got %d", maxNameBytes, len(c.Name))
@@ -73,8 +73,9 @@
 	if err := c.validateAddresses(); err != nil {
 		return err
 	}
-	if len(c.Label) > maxLabelBytes || strings.ContainsFunc(c.Label, isOutsideLabel) {
-		return configErrorf("label", "want up to %d letters, digits, dots, dashes and underlines, got %q", maxLabelBytes, c.Label)
+	if len(c.Label) > maxLabelBytes || strings.ContainsFunc(c.Label, isInvalidLabelRune) {
+		return configErrorf("label", "want up to %d letters, digits, dots, dashes and underscores, got %q",
+			maxLabelBytes, c.Label)
 	}
 	if _, err := memberlist.ParseCIDRs(c.AllowedCIDRs); err != nil {
 		return configErrorf("allow", "%w", err)
@@ -102,12 +103,12 @@
 		}
 	}
 	if bindIP.IsUnspecified() && c.Advertise == "" {
-		return configErrorf("advertise", "missing, for bind names no single address")
+		return configErrorf("advertise", "required when bind is an unspecified address")
 	}
 	return nil
 }
 
-func isOutsideLabel(r rune) bool {
+func isInvalidLabelRune(r rune) bool {
 	isLetterOrDigit := r >= 'a' && r <= 'z' || r >= 'A' && r <= 'Z' || r >= '0' && r <= '9'
 	return !isLetterOrDigit && !strings.ContainsRune("._-", r)
 }
@@ -121,7 +122,7 @@
 	return addr.IP, addr.Port, nil
 }
 
-// hostOf returns the host of "host:port", or nothing if address has another form.
+// hostOf returns the host of "host:port", or "" if address has another form.
 func hostOf(address string) string {
 	host, _, err := net.SplitHostPort(address)
 	if err != nil {
@@ -132,7 +133,7 @@
 
 var errBadKey = errors.New("want a base64 key of 16, 24 or 32 bytes")
 
-// keyring reads the key file; nil without one.
+// keyring returns the keys of the key file, or nil if none is configured.
 func (c Config) keyring() (*memberlist.Keyring, error) {
 	if c.KeyFile == "" {
 		return nil, nil
--- a/internal/membership/config_test.go
+++ b/internal/membership/config_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-func TestValidateNamesTheField(t *testing.T) {
-	good := Config{Name: "n", Bind: "10.0.0.1:7946", Join: []string{"10.0.0.2:7946"}, AllowedCIDRs: []string{"10.0.0.0/8"}}
-	if err := good.Validate(); err != nil {
+func TestValidateReportsField(t *testing.T) {
+	valid := Config{Name: "n", Bind: "10.0.0.1:7946", Join: []string{"10.0.0.2:7946"}, AllowedCIDRs: []string{"10.0.0.0/8"}}
+	if err := valid.Validate(); err != nil {
 		t.Fatal(err)
 	}
 	keys := t.TempDir() + "/keys"
@@ -18,8 +18,8 @@
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
-		field, text string
-		change      func(*Config)
+		field, wantText string
+		change          func(*Config)
 	}{
 		{"name", "fleet.name", func(c *Config) { c.Name = "" }},
 		{"bind", "fleet.bind", func(c *Config) { c.Bind = "10.0.0.1" }},
@@ -30,24 +30,24 @@
 		{"probe_ms", "fleet.probe_ms", func(c *Config) { c.ProbeInterval = time.Millisecond }},
 		{"key_file", "keys:2", func(c *Config) { c.KeyFile = keys }},
 	} {
-		config := good
+		config := valid
 		c.change(&config)
 		err := config.Validate()
 		if configErr, ok := errors.AsType[*ConfigError](err); !ok || configErr.Field != c.field {
-			t.Errorf("error %v, want a ConfigError for field %s", err, c.field)
-		} else if !strings.Contains(err.Error(), c.text) {
-			t.Errorf("error %v, want %s in it", err, c.text)
+			t.Errorf("Validate: got error %v, want a ConfigError for field %s", err, c.field)
+		} else if !strings.Contains(err.Error(), c.wantText) {
+			t.Errorf("Validate: got error %v, want it to contain %s", err, c.wantText)
 		}
 	}
 }
 
-func TestValidateWrapsTheReason(t *testing.T) {
+func TestValidateWrapsReason(t *testing.T) {
 	c := Config{Name: "n", Bind: "10.0.0.1:7946", KeyFile: t.TempDir() + "/none"}
 	if err := c.Validate(); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("error %v for a missing key file", err)
+		t.Errorf("missing key file: got error %v, want os.ErrNotExist", err)
 	}
 	c.KeyFile = "testdata/bad-keys"
 	if err := c.Validate(); !errors.Is(err, errBadKey) {
-		t.Errorf("error %v for a bad key", err)
+		t.Errorf("invalid key: got error %v, want errBadKey", err)
 	}
 }
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -7,8 +7,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// delegate takes memberlist's callbacks. They come from several of memberlist's goroutines, mostly with its lock held,
-// so none of them blocks or calls memberlist: what has to is started in the background.
+// delegate implements memberlist's callbacks. Several goroutines of memberlist call them, mostly with memberlist's lock
+// held, so none of them blocks or calls memberlist; such work runs in a background goroutine.
 type delegate struct{ agent *Agent }
 
 var (
@@ -19,7 +19,7 @@
 	_ memberlist.PingDelegate     = delegate{}
 )
 
-// NodeMeta returns this node's metadata; memberlist calls it at the start and for each UpdateNode.
+// NodeMeta returns this node's metadata. memberlist calls it at startup and for each UpdateNode.
 func (d delegate) NodeMeta(limit int) []byte {
 	a := d.agent
 	a.mu.Lock()
@@ -28,13 +28,13 @@
 	return m.encodeWithin(limit)
 }
 
-// NotifyJoin is called when a member is new or back; NotifyUpdate, when its metadata changed; NotifyLeave, when it was
-// found dead or left.
+// NotifyJoin is called when a member joins or comes back, NotifyUpdate when its metadata changes, and NotifyLeave when it
+// leaves or is declared dead.
 func (d delegate) NotifyJoin(n *memberlist.Node)   { d.agent.updateMember(n, Alive) }
 func (d delegate) NotifyUpdate(n *memberlist.Node) { d.agent.updateMember(n, Alive) }
 func (d delegate) NotifyLeave(n *memberlist.Node)  { d.agent.updateMember(n, Dead) }
 
-// NotifyPingComplete is called when a member answered a probe.
+// NotifyPingComplete is called when a member answers a probe.
 func (d delegate) NotifyPingComplete(n *memberlist.Node, roundTrip time.Duration, _ []byte) {
 	a := d.agent
 	if a.config.OnProbe != nil {
@@ -44,7 +44,7 @@
 	a.members.setSuspicion(n.Name, Suspect, Alive)
 }
 
-// NotifyMsg is called for each user message. Those of another version or of an unknown kind are ignored.
+// NotifyMsg is called for each user message. Messages of another version or an unknown kind are ignored.
 func (d delegate) NotifyMsg(raw []byte) {
 	m, ok := decodeUserMessage(raw)
 	if !ok {
@@ -58,24 +58,24 @@
 	}
 }
 
-// Nothing of this program travels in acknowledgements, in gossip or in push/pull states.
+// This program adds no data to acknowledgements, gossip or push/pull states.
 func (d delegate) AckPayload() []byte                { return nil }
 func (d delegate) GetBroadcasts(_, _ int) [][]byte   { return nil }
 func (d delegate) LocalState(bool) []byte            { return nil }
 func (d delegate) MergeRemoteState(_ []byte, _ bool) {}
 
-// updateMember takes a member as memberlist reports it. One whose metadata can't be read is a member all the same.
+// updateMember stores a member reported by memberlist, even if its metadata can't be decoded.
 func (a *Agent) updateMember(n *memberlist.Node, state State) {
 	m, err := decodeMetadata(n.Meta)
 	if err != nil {
-		a.log.log(slog.LevelWarn, "fleet: member metadata unreadable", "node", n.Name, "error", err)
+		a.log.log(slog.LevelWarn, "fleet: cannot decode member metadata", "node", n.Name, "error", err)
 	}
-	if a.members.update(memberOf(n, m, state)) {
+	if a.members.update(newMember(n, m, state)) {
 		a.exchanges.membersChanged(a.config.now())
 	}
 }
 
-// handleLogEvent takes what memberlist reports in its log alone.
+// handleLogEvent handles an event that memberlist reports only in its log.
 func (a *Agent) handleLogEvent(event logEvent, node string) {
 	switch event {
 	case memberSuspected:
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -19,7 +19,7 @@
 	m.Run()
 }
 
-// virtualFleet is a fleet in one process and virtual time.
+// virtualFleet is a fleet that runs in one process and in virtual time.
 type virtualFleet struct {
 	network   *memNetwork
 	agents    []*Agent
@@ -28,11 +28,11 @@
 	observers []observer
 }
 
-// observer records the deaths in the views of one member.
+// observer records the deaths and suspicions in the views of one member.
 type observer struct {
-	mu      sync.Mutex
-	deaths  map[string]time.Time // first seen, by name
-	suspect map[string]bool      // names that were suspected before they were dead
+	mu         sync.Mutex
+	deaths     map[string]time.Time // when first seen, by name
+	suspicions map[string]bool      // names seen as suspect before they were seen as dead
 }
 
 func startFleet(n int, seed uint64) *virtualFleet {
@@ -45,7 +45,7 @@
 
 func nodeName(i int) string { return fmt.Sprintf("n%04d", i) }
 
-// start starts a member's process, in the place of the one before it if there was one.
+// start starts a process for member i, in place of an earlier one if there is any.
 func (v *virtualFleet) start(i int) *Agent {
 	c := Config{Name: nodeName(i), Zone: fmt.Sprint("z", i%3), Version: "test", Bind: memAddress(i),
 		Join: []string{memAddress(0), memAddress(1), memAddress(2)}}
@@ -67,7 +67,7 @@
 	return a
 }
 
-// newAgent makes an agent on the network in memory.
+// newAgent creates an agent on the in-memory network.
 func (v *virtualFleet) newAgent(c Config) (*Agent, error) {
 	var a *Agent
 	c.newTransport = func() (memberlist.NodeAwareTransport, error) {
@@ -80,7 +80,7 @@
 func (o *observer) reset() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.deaths, o.suspect = make(map[string]time.Time), make(map[string]bool)
+	o.deaths, o.suspicions = make(map[string]time.Time), make(map[string]bool)
 }
 
 func (o *observer) watch(ctx context.Context, views <-chan View) {
@@ -103,28 +103,28 @@
 		case m.State == Dead && !known:
 			o.deaths[m.Name] = time.Now()
 		case m.State == Suspect && !known:
-			o.suspect[m.Name] = true
+			o.suspicions[m.Name] = true
 		}
 	}
 }
 
-// deaths returns when a member's views first showed others as dead.
+// deaths returns the times when the views of member i first showed other members as dead, by name.
 func (v *virtualFleet) deaths(i int) map[string]time.Time {
 	v.observers[i].mu.Lock()
 	defer v.observers[i].mu.Unlock()
 	return maps.Clone(v.observers[i].deaths)
 }
 
-// suspected reports whether a member's views showed another as suspect while it wasn't dead yet.
+// suspected reports whether the views of member i showed another member as suspect before they showed it as dead.
 func (v *virtualFleet) suspected(i int, name string) bool {
 	v.observers[i].mu.Lock()
 	defer v.observers[i].mu.Unlock()
-	return v.observers[i].suspect[name]
+	return v.observers[i].suspicions[name]
 }
 
-// kill ends a member without an announcement.
+// kill isolates and stops member i, without an announcement.
 func (v *virtualFleet) kill(i int) {
-	v.network.setSide(-1-i, i)
+	v.network.setPartition(-1-i, i)
 	v.agents[i].Yield()
 }
 
@@ -133,19 +133,19 @@
 		stop()
 	}
 	v.running.Wait()
-	time.Sleep(time.Minute) // memberlist's own last timers
+	time.Sleep(time.Minute) // lets memberlist's remaining timers expire
 }
 
 func (v *virtualFleet) presentCount(i int) int { return v.agents[i].View().PresentCount() }
 
-// awaitPresent waits until each of these members sees so many present, and returns how long that took.
+// awaitPresent waits until each of the given members sees count members present, and returns how long that took.
 func (v *virtualFleet) awaitPresent(t *testing.T, timeout time.Duration, count int, members ...int) time.Duration {
 	t.Helper()
 	start := time.Now()
 	for _, i := range members {
 		for v.presentCount(i) != count {
 			if time.Since(start) > timeout {
-				t.Fatalf("member %d sees %d present after %v, want %d: %+v",
+				t.Fatalf("member %d: got %d members present after %v, want %d: %+v",
 					i, v.presentCount(i), timeout, count, v.agents[i].View())
 			}
 			time.Sleep(50 * time.Millisecond)
@@ -154,7 +154,7 @@
 	return time.Since(start)
 }
 
-// state returns a member's state in another's view; empty if it isn't there.
+// state returns a member's state in the observer's view, or "" if it isn't in the view.
 func (v *virtualFleet) state(observer int, name string) State {
 	for _, m := range v.agents[observer].View().Members {
 		if m.Name == name {
@@ -172,7 +172,7 @@
 	return all
 }
 
-// withFleet runs a test in virtual time with a fleet whose members all see each other.
+// withFleet runs a test in virtual time with a fleet of n members that all see each other.
 func withFleet(t *testing.T, n int, test func(t *testing.T, v *virtualFleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	joinInterval = time.Second // mean time between attempts to join one absent peer; each is spread by half of it
+	joinInterval = time.Second // mean time between attempts to join an absent peer; each interval varies by up to half of it
 
-	exchangesAfterChange      = 2                     // push/pull exchanges after the last change of the members
-	minExchangeInterval       = 2 * time.Second       // between two of them,
-	exchangeIntervalPerMember = 50 * time.Millisecond // plus this for each member, since states grow with the fleet
-	lossyExchangeMultiplier   = 3                     // of that interval, while loss is high: see take
+	exchangesAfterChange      = 2                     // push/pull exchanges after the latest change of the members
+	minExchangeInterval       = 2 * time.Second       // mean interval between two exchanges,
+	exchangeIntervalPerMember = 50 * time.Millisecond // plus this for each peer, since states grow with the fleet
+	lossyExchangeMultiplier   = 3                     // multiplies that interval while loss is high: see take
 )
 
-// joinAndExchange joins one peer that is absent, a failed member or a seed: after a partition, or where two parts of a
-// fleet start apart, gossip alone wouldn't bring them together. It also exchanges whole states with a present member
-// when that is due, for an update may have missed some members.
+// joinAndExchange joins one absent peer, which is a dead member or a seed: gossip alone can't merge two parts of a fleet
+// that were partitioned or started separately. When an exchange is due, it also exchanges full states with a present
+// member, since an update may have missed some members.
 func (a *Agent) joinAndExchange(list *memberlist.Memberlist) {
 	own := list.LocalNode().FullAddress().Addr
 	present, absent := a.members.peerAddresses(own)
@@ -31,7 +31,7 @@
 		}
 	}
 	if len(present) > 0 && a.exchanges.take(a.config.now(), len(present), a.network.probeLoss.isHigh()) {
-		// A failed exchange isn't repeated: there are others, and memberlist's own.
+		// A failed exchange isn't retried: further exchanges follow, and memberlist runs its own.
 		_, _ = list.Join([]string{randomOf(present)})
 	}
 	if len(absent) == 0 {
@@ -45,12 +45,12 @@
 
 func randomOf(addresses []string) string { return addresses[rand.IntN(len(addresses))] }
 
-// exchangeSchedule decides when this node starts a push/pull exchange besides memberlist's periodic ones.
+// exchangeSchedule decides when this node starts push/pull exchanges in addition to memberlist's periodic ones.
 type exchangeSchedule struct {
 	mu          sync.Mutex
-	changedAt   time.Time // last change of a member's state or incarnation
+	changedAt   time.Time // latest change of a member's state or incarnation
 	exchangedAt time.Time
-	remaining   int // exchanges to come for that change
+	remaining   int // exchanges left for that change
 }
 
 func (s *exchangeSchedule) membersChanged(now time.Time) {
@@ -59,9 +59,9 @@
 	s.changedAt, s.remaining = now, exchangesAfterChange
 }
 
-// take reports whether an exchange is due now, and counts it as done. While loss is high, exchanges go on after those
-// of the last change. The first call after an exchange then demands the longer interval, and later calls the usual one:
-// a known fault, listed under "Open" in docs/membership.md.
+// take reports whether an exchange is due now, and if so counts it as done. While loss is high, exchanges continue after
+// those for the latest change. The first call after an exchange then requires the longer interval, but later calls only
+// the usual one: a known fault, listed under "Open" in docs/membership.md.
 func (s *exchangeSchedule) take(now time.Time, peers int, lossIsHigh bool) bool {
 	interval := minExchangeInterval + time.Duration(peers)*exchangeIntervalPerMember
 	interval = interval/2 + rand.N(interval)
--- a/internal/membership/logging.go
+++ b/internal/membership/logging.go
@@ -8,12 +8,12 @@
 )
 
 const (
-	logInterval = 10 * time.Second // between two lines of one kind
-	maxLogKinds = 256              // kinds that are limited apart; further ones share one limit
+	logInterval = 10 * time.Second // between two lines of the same kind
+	maxLogKinds = 256              // kinds with a limit of their own; all further kinds share one limit
 )
 
-// limitedLog writes to the program's log at most one line of each kind in logInterval, so that a member that sends
-// garbage can't fill it. Lines that are not written are counted. Its methods may be called from any goroutine.
+// limitedLog writes at most one line of each kind per logInterval to the program's log, so that a member that sends
+// invalid data can't flood it. It counts the suppressed lines. Its methods may be called from any goroutine.
 type limitedLog struct {
 	logger *slog.Logger
 	now    func() time.Time
@@ -27,7 +27,7 @@
 	return &limitedLog{logger: logger, now: now, lastWritten: make(map[string]time.Time)}
 }
 
-// allow reports whether a line of a kind may be written now, and counts it.
+// allow reports whether a line of a kind may be written now, and records the time of the line or counts it as suppressed.
 func (l *limitedLog) allow(kind string) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,7 +49,7 @@
 	return l.suppressed
 }
 
-// log writes a line whose message is its kind.
+// log writes a line, with its message as its kind.
 func (l *limitedLog) log(level slog.Level, message string, args ...any) {
 	l.logKind(message, level, message, args...)
 }
--- a/internal/membership/logging_test.go
+++ b/internal/membership/logging_test.go
@@ -8,17 +8,17 @@
 	"time"
 )
 
-// newTestLog returns a log whose lines go to out, with a clock that stands at now.
+// newTestLog returns a log that writes to out, with now as its clock.
 func newTestLog(out *strings.Builder, now *time.Time) *limitedLog {
 	return newLimitedLog(slog.New(slog.NewTextHandler(out, nil)), func() time.Time { return *now })
 }
 
-// Lines that differ in names and numbers alone are of one kind, and that kind is written once in logInterval.
+// Lines that differ only in names and numbers are of the same kind, which is written once per logInterval.
 func TestLogLinesOfOneKindAreRateLimited(t *testing.T) {
 	var out strings.Builder
 	now := time.Unix(0, 0)
 	l := newTestLog(&out, &now)
-	w := &memberlistLog{to: l, onEvent: func(logEvent, string) {}}
+	w := &memberlistLog{limited: l, onEvent: func(logEvent, string) {}}
 	write := func(i int) {
 		t.Helper()
 		_, err := fmt.Fprintf(w,
@@ -31,16 +31,16 @@
 		write(i)
 	}
 	if n := strings.Count(out.String(), "\n"); n != 1 || l.suppressedLines() != 999 {
-		t.Errorf("%d lines, %d suppressed", n, l.suppressedLines())
+		t.Errorf("1000 lines of one kind: got %d written and %d suppressed, want 1 and 999", n, l.suppressedLines())
 	}
 	now = now.Add(logInterval)
 	write(1)
 	if n := strings.Count(out.String(), "\n"); n != 2 {
-		t.Errorf("%d lines after the interval", n)
+		t.Errorf("lines written after the interval: got %d, want 2", n)
 	}
 }
 
-// The number of kinds that are told apart is bounded.
+// The number of kinds with a limit of their own is bounded.
 func TestLogKindsAreBounded(t *testing.T) {
 	var out strings.Builder
 	now := time.Unix(0, 0)
@@ -49,11 +49,11 @@
 		l.log(slog.LevelWarn, fmt.Sprint("kind ", i))
 	}
 	if n := strings.Count(out.String(), "\n"); n != maxLogKinds+1 {
-		t.Errorf("%d lines of %d kinds, want %d", n, 2*maxLogKinds, maxLogKinds+1)
+		t.Errorf("got %d lines of %d kinds, want %d", n, 2*maxLogKinds, maxLogKinds+1)
 	}
 }
 
-// On-call pages and the tests with real processes search the log for this line's beginning.
+// On-call runbooks and tests with real processes match the beginning of this log line.
 func TestMemberStateChangeHasAStableLogLine(t *testing.T) {
 	var out strings.Builder
 	now := time.Unix(0, 0)
@@ -61,6 +61,6 @@
 	l.memberChanged(Member{Name: "n1", State: Suspect}, Member{Name: "n1", State: Dead, Zone: "a", Incarnation: 7})
 	const want = `level=INFO msg="fleet: member state changed" state=dead node=n1 address="" zone=a previous_state=suspect incarnation=7`
 	if !strings.Contains(out.String(), want) {
-		t.Errorf("log line is %q, want %q in it", out.String(), want)
+		t.Errorf("log line: got %q, want it to contain %q", out.String(), want)
 	}
 }
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -9,33 +9,34 @@
 )
 
 const (
-	// Members that left or failed stay in the view at least so long: they are removed at the next change after it.
+	// leftRetention and deadRetention are the minimum times that absent members stay in the view. They are removed at
+	// the first change after that.
 	leftRetention = 5 * time.Minute
 	deadRetention = time.Hour
-	// maxMembers bounds the absent members only: beyond it those absent for longest are dropped. Present members are
-	// never dropped, however many they are.
+	// maxMembers limits the members of the table. Above it, the members absent for longest are dropped. Present members
+	// are never dropped, even if they alone exceed it.
 	maxMembers = 4096
 )
 
-// memberTable owns the members that this node knows and publishes each change as a new view. Its methods may be
-// called from any goroutine and don't wait for subscribers.
+// memberTable holds the members known to this node and publishes each change as a new view. Its methods may be called
+// from any goroutine and don't wait for subscribers.
 type memberTable struct {
 	self string
 	now  func() time.Time
-	// onReported is called for each change of a state or an incarnation that gossip reports; a suspicion is this node's
-	// own, and isn't reported. It is called with the lock held, so that log lines have the order of the changes. before
-	// is the zero value for a new member.
-	onReported func(before, after Member)
+	// onTransition is called for each change of a state or an incarnation that gossip reports. This node's own suspicions
+	// don't count. It is called with the lock held, so that log lines follow the order of the changes. before is the
+	// zero value for a new member.
+	onTransition func(before, after Member)
 
 	mu          sync.Mutex
 	members     map[string]Member
 	revision    uint64
 	superseded  bool
-	subscribers []chan View // each holds the newest view at most
+	subscribers []chan View // each buffers at most the newest view
 }
 
-func newMemberTable(self string, now func() time.Time, onReported func(before, after Member)) *memberTable {
-	return &memberTable{self: self, now: now, onReported: onReported, members: make(map[string]Member)}
+func newMemberTable(self string, now func() time.Time, onTransition func(before, after Member)) *memberTable {
+	return &memberTable{self: self, now: now, onTransition: onTransition, members: make(map[string]Member)}
 }
 
 func (t *memberTable) view() View {
@@ -60,15 +61,15 @@
 	return views
 }
 
-// address returns where a member is reached; empty for an unknown one.
+// address returns a member's address, or "" if the member is unknown.
 func (t *memberTable) address(name string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.members[name].Address
 }
 
-// peerAddresses returns, sorted, the addresses of the members that are present and of those that failed, without
-// this node's own.
+// peerAddresses returns the sorted addresses of the present members and of the dead ones, except own, this node's
+// address.
 func (t *memberTable) peerAddresses(own string) (present, dead []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,7 +87,7 @@
 	return present, dead
 }
 
-// update stores a member as gossip reports it and returns whether its state or incarnation changed.
+// update stores a member reported by gossip and returns whether its state or incarnation changed.
 func (t *memberTable) update(m Member) (transitioned bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,14 +108,14 @@
 	}
 	t.members[m.Name] = m
 	if transitioned {
-		t.onReported(before, m)
+		t.onTransition(before, m)
 	}
 	t.publishLocked()
 	return transitioned
 }
 
-// setSuspicion begins or ends this node's own suspicion of a member, which goes from one state to another; in any
-// other state it stays.
+// setSuspicion starts or ends this node's own suspicion of a member: it moves the member from one state to the other. A
+// member in any other state is unchanged.
 func (t *memberTable) setSuspicion(name string, from, to State) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -127,8 +128,8 @@
 	t.publishLocked()
 }
 
-// announceLeave records that an incarnation of a member leaves. The announcement may arrive after the member was
-// found dead, which it corrects; Since stays that of the death, and onReported isn't called.
+// announceLeave records that an incarnation of a member leaves. If the announcement arrives after the member was
+// declared dead, the state changes to Left; Since remains the time of death, and onTransition isn't called.
 func (t *memberTable) announceLeave(name string, incarnation uint64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -147,7 +148,7 @@
 	}
 }
 
-// supersede records that a later process has this node's name; false if that was known.
+// supersede records that a later process uses this node's name. It returns false if that was recorded before.
 func (t *memberTable) supersede() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,7 +166,7 @@
 	return t.revision
 }
 
-// publishLocked starts a new revision and replaces the views that no subscriber has read yet.
+// publishLocked starts a new revision and sends its view to each subscriber, in place of a view not yet read.
 func (t *memberTable) publishLocked() {
 	t.revision++
 	t.removeExpiredLocked()
@@ -178,7 +179,8 @@
 	}
 }
 
-// removeExpiredLocked drops absent members after their retention, and those absent for longest above maxMembers.
+// removeExpiredLocked drops the absent members whose retention has passed and, while the table has more than maxMembers,
+// those absent for longest.
 func (t *memberTable) removeExpiredLocked() {
 	now := t.now()
 	maps.DeleteFunc(t.members, func(_ string, m Member) bool {
--- a/internal/membership/member_table_test.go
+++ b/internal/membership/member_table_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// newTestTable returns a table with a clock that the test moves, and the transitions that it reported.
+// newTestTable returns a table with now as its clock, and the transitions that it reports.
 func newTestTable(now *time.Time) (*memberTable, *[]string) {
 	transitions := new([]string)
 	t := newMemberTable("self", func() time.Time { return *now }, func(before, after Member) {
@@ -29,12 +29,12 @@
 		transitioned bool
 		published    bool
 	}{
-		{"the same", alive, Alive, false, false},
+		{"no change", alive, Alive, false, false},
 		{"another zone", with(func(m *Member) { m.Zone = "b" }), Alive, false, true},
 		{"a later incarnation", with(func(m *Member) { m.Incarnation = 2 }), Alive, true, true},
 		{"a death", with(func(m *Member) { m.State = Dead }), Dead, true, true},
 		{"a leave", with(func(m *Member) { m.leaving = true }), Left, true, true},
-		{"a death of one that leaves", with(func(m *Member) { m.State, m.leaving = Dead, true }), Left, true, true},
+		{"a death of a leaving member", with(func(m *Member) { m.State, m.leaving = Dead, true }), Left, true, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			now := time.Unix(1000, 0)
@@ -43,23 +43,23 @@
 			before := table.view()
 			now = now.Add(time.Second)
 			if got := table.update(c.update); got != c.transitioned {
-				t.Errorf("transitioned %v, want %v", got, c.transitioned)
+				t.Errorf("update reports a transition: got %v, want %v", got, c.transitioned)
 			}
 			after := table.view()
 			if published := after.Revision > before.Revision; published != c.published {
-				t.Errorf("published %v, want %v", published, c.published)
+				t.Errorf("view published: got %v, want %v", published, c.published)
 			}
 			if m := after.Members[0]; m.State != c.wantState || m.Since.Equal(now) != c.transitioned {
-				t.Errorf("member is %+v, want state %s", m, c.wantState)
+				t.Errorf("member: got %+v, want state %s and Since changed only by a transition", m, c.wantState)
 			}
 			if reported := len(*transitions) == 2; reported != c.transitioned {
-				t.Errorf("transitions %v", *transitions)
+				t.Errorf("transitions reported, including the first update: got %v", *transitions)
 			}
 		})
 	}
 }
 
-// An announcement counts for its own incarnation, before and after the member was found dead.
+// An announcement applies only to its own incarnation, before and after the member is declared dead.
 func TestMemberTableAnnounceLeave(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table, _ := newTestTable(&now)
@@ -67,36 +67,36 @@
 	table.update(dead)
 	table.announceLeave("n1", 1)
 	if s := table.view().Members[0].State; s != Dead {
-		t.Errorf("state %s after an announcement of another incarnation", s)
+		t.Errorf("state after an announcement of another incarnation: got %s, want dead", s)
 	}
 	table.announceLeave("n1", 2)
 	if s := table.view().Members[0].State; s != Left {
-		t.Errorf("state %s after a late announcement", s)
+		t.Errorf("state after a late announcement: got %s, want left", s)
 	}
 
 	table.update(Member{Name: "n2", Incarnation: 1, State: Alive})
 	table.announceLeave("n2", 1)
 	if s := table.view().Members[1].State; s != Alive {
-		t.Errorf("state %s before the leave itself", s)
+		t.Errorf("state after an announcement by an alive member: got %s, want alive", s)
 	}
 	table.update(Member{Name: "n2", Incarnation: 1, State: Dead})
 	if s := table.view().Members[1].State; s != Left {
-		t.Errorf("state %s after an early announcement", s)
+		t.Errorf("state after an early announcement and a death: got %s, want left", s)
 	}
 	table.update(Member{Name: "n2", Incarnation: 2, State: Alive})
 	if s := table.view().Members[1].State; s != Alive {
-		t.Errorf("state %s of a later incarnation", s)
+		t.Errorf("state of a later incarnation: got %s, want alive", s)
 	}
 }
 
-func TestMemberTableTransitionNeedsTheFromState(t *testing.T) {
+func TestMemberTableSuspicionRequiresFromState(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table, _ := newTestTable(&now)
 	table.update(Member{Name: "n1", State: Dead})
 	table.setSuspicion("n1", Alive, Suspect)
 	table.setSuspicion("n2", Alive, Suspect)
 	if v := table.view(); len(v.Members) != 1 || v.Members[0].State != Dead {
-		t.Errorf("%+v", v)
+		t.Errorf("view after suspicions of a dead and an unknown member: got %+v, want one dead member", v)
 	}
 }
 
@@ -117,14 +117,14 @@
 		table, _ := newTestTable(&now)
 		table.update(Member{Name: "n1", State: c.state})
 		now = now.Add(c.after)
-		table.update(Member{Name: "n2", State: Alive}) // expiry happens at changes
+		table.update(Member{Name: "n2", State: Alive}) // members expire only on changes
 		if got := len(table.view().Members) - 1; got != c.want {
-			t.Errorf("%s for %v: %d members, want %d", c.state, c.after, got, c.want)
+			t.Errorf("member %s for %v: got %d such members, want %d", c.state, c.after, got, c.want)
 		}
 	}
 }
 
-// Above maxMembers no absent member is added, and present ones push out those absent for longest.
+// A full table accepts no new absent member, and a new present member displaces the one absent for longest.
 func TestMemberTableIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table, _ := newTestTable(&now)
@@ -141,24 +141,24 @@
 	}
 	table.update(Member{Name: "alive", State: Alive})
 	if len(table.members) != maxMembers {
-		t.Errorf("%d members, want %d", len(table.members), maxMembers)
+		t.Errorf("members in a full table: got %d, want %d", len(table.members), maxMembers)
 	}
 	if _, ok := table.members[nodeName(7)]; ok {
-		t.Error("the member that is dead for longest is still there")
+		t.Error("the member dead for longest is still in the table")
 	}
 	if _, ok := table.members[nodeName(9)]; !ok {
-		t.Error("the member that died later is gone")
+		t.Error("the member that died later was removed")
 	}
 }
 
-// A subscriber that reads nothing finds the newest view, and one that comes late the present one.
+// A subscriber that reads late gets the newest view, and a new subscriber gets the current one.
 func TestMemberTableSubscribersGetTheNewestView(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table, _ := newTestTable(&now)
 	early := table.subscribe()
 	select {
 	case v := <-early:
-		t.Errorf("view %+v before the first change", v)
+		t.Errorf("got view %+v before the first change, want none", v)
 	default:
 	}
 	for i := range 5 {
@@ -168,10 +168,10 @@
 		select {
 		case v := <-views:
 			if v.Revision != 5 || len(v.Members) != 5 {
-				t.Errorf("%s subscriber got %+v", name, v)
+				t.Errorf("%s subscriber: got view %+v, want revision 5 with 5 members", name, v)
 			}
 		default:
-			t.Errorf("%s subscriber got no view", name)
+			t.Errorf("%s subscriber: got no view", name)
 		}
 	}
 }
--- a/internal/membership/memberlist_log.go
+++ b/internal/membership/memberlist_log.go
@@ -6,17 +6,17 @@
 	"strings"
 )
 
-// memberlistLog is the writer behind memberlist's logger. It passes lines on to the program's log, and reads events
-// off them.
+// memberlistLog is the writer of memberlist's logger. It forwards warnings and errors to the program's log and parses
+// events from the lines.
 type memberlistLog struct {
-	to *limitedLog
-	// onEvent is called from the goroutine of memberlist that logs, possibly with memberlist's lock held.
+	limited *limitedLog
+	// onEvent is called from the memberlist goroutine that logs, possibly with memberlist's lock held.
 	onEvent func(event logEvent, node string)
 }
 
 func (l *memberlistLog) logger() *log.Logger { return log.New(l, "", 0) }
 
-// levelPrefixes are how memberlist marks its levels. Its errors are warnings here: requests are served on.
+// levelPrefixes maps memberlist's level prefixes to levels. Its errors become warnings, as requests are still served.
 var levelPrefixes = []struct {
 	prefix string
 	level  slog.Level
@@ -27,7 +27,7 @@
 	{"[ERR] ", slog.LevelWarn},
 }
 
-// Write takes one line from memberlist.
+// Write handles one log line of memberlist.
 func (l *memberlistLog) Write(p []byte) (int, error) {
 	line := strings.TrimSpace(string(p))
 	level := slog.LevelWarn
@@ -42,14 +42,14 @@
 		l.onEvent(event, node)
 	}
 	if level > slog.LevelInfo {
-		l.to.logKind(kindOfLine(line), level, "fleet: memberlist reported a problem", "line", line)
+		l.limited.logKind(kindOfLine(line), level, "fleet: memberlist reported a problem", "line", line)
 	}
 	return len(p), nil
 }
 
 const maxKindFields = 5
 
-// kindOfLine returns the first fields of a line that are no names, addresses or numbers.
+// kindOfLine returns the first fields of a line that contain no digits and don't look like addresses or values.
 func kindOfLine(line string) string {
 	var kind []string
 	for field := range strings.FieldsSeq(line) {
@@ -65,18 +65,18 @@
 	return strings.Join(kind, " ")
 }
 
-// logEvent is an event that memberlist reports in its log alone: v0.7.0 has no callback for any of them.
+// logEvent is an event that memberlist reports only in its log: v0.7.0 has no callback for any of them.
 type logEvent uint8
 
 const (
 	noLogEvent       logEvent = iota
 	probeUnanswered           // a direct probe of a member timed out
-	memberSuspected           // this node's probes of a member, direct and indirect, all failed
-	suspicionRefuted          // another member suspected this node, which answered
+	memberSuspected           // all of this node's probes of a member, direct and indirect, failed
+	suspicionRefuted          // this node refuted a suspicion by another member
 )
 
-// parseLogEvent returns the event that a line reports, and the member's name for memberSuspected. This is the one
-// place where text is matched. TestMemberlistStillLogsEvents fails if a new version of memberlist words it otherwise.
+// parseLogEvent returns the event that a line reports and, for memberSuspected, the member's name. Only this function
+// matches memberlist's texts. TestMemberlistStillLogsEvents fails if a new version of memberlist changes them.
 func parseLogEvent(line string) (event logEvent, node string) {
 	if name, ok := textBetween(line, "Suspect ", " has failed, no acks received"); ok {
 		return memberSuspected, name
--- a/internal/membership/memberlist_log_test.go
+++ b/internal/membership/memberlist_log_test.go
@@ -18,10 +18,10 @@
 	} {
 		var out strings.Builder
 		now := time.Unix(0, 0)
-		w := &memberlistLog{to: newTestLog(&out, &now), onEvent: func(logEvent, string) {}}
+		w := &memberlistLog{limited: newTestLog(&out, &now), onEvent: func(logEvent, string) {}}
 		w.logger().Print(c.line)
 		if got := out.String(); c.want == "" && got != "" || !strings.Contains(got, c.want) {
-			t.Errorf("%q is logged as %q, want %q", c.line, got, c.want)
+			t.Errorf("log output for %q: got %q, want %q", c.line, got, c.want)
 		}
 	}
 }
@@ -40,7 +40,7 @@
 		{"", noLogEvent, ""},
 	} {
 		if event, node := parseLogEvent(c.line); event != c.event || node != c.node {
-			t.Errorf("%q is event %d of %q, want %d of %q", c.line, event, node, c.event, c.node)
+			t.Errorf("parseLogEvent(%q): got event %d for node %q, want %d for %q", c.line, event, node, c.event, c.node)
 		}
 	}
 }
@@ -51,7 +51,7 @@
 	return l.rate
 }
 
-// memberlist's log still has the lines that parseLogEvent reads.
+// memberlist still logs the lines that parseLogEvent parses.
 func TestMemberlistStillLogsEvents(t *testing.T) {
 	withFleet(t, 7, func(t *testing.T, v *virtualFleet) {
 		const victim = 6
@@ -63,20 +63,20 @@
 			lossy = lossy || v.agents[i].network.probeLoss.lossRate() > 0
 		}
 		if !suspected {
-			t.Error("no member suspected a killed member before it was dead")
+			t.Error("no member suspected the killed member before declaring it dead")
 		}
 		if !lossy {
-			t.Error("no direct probe of a killed member counts as lost")
+			t.Error("no member counted a direct probe of the killed member as lost")
 		}
 
-		v.network.setLoss(0.5) // members come to suspect others that answer
+		v.network.setLoss(0.5) // members suspect others that are alive
 		time.Sleep(30 * time.Second)
 		var refuted uint64
 		for i := range victim {
 			refuted += v.agents[i].Stats().RefutedSuspicions
 		}
 		if refuted == 0 {
-			t.Error("no suspicion was refuted at a loss of 0.5")
+			t.Error("no suspicion was refuted at a loss of 0.5, want at least one")
 		}
 	})
 }
--- a/internal/membership/memnet_test.go
+++ b/internal/membership/memnet_test.go
@@ -11,47 +11,47 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// memNetwork is a network in memory, for virtual time: datagrams take memLatency and may be lost, streams may fail
-// to connect, and sides are partitioned from each other.
+// memNetwork is an in-memory network for virtual time. Datagrams take memLatency and may be lost, streams may fail to
+// connect, and members in different partitions can't reach each other.
 type memNetwork struct {
-	mu    sync.Mutex
-	rng   *rand.Rand
-	loss  float64
-	nodes map[string]*memTransport // by address
-	side  map[string]int           // by address
+	mu        sync.Mutex
+	rng       *rand.Rand
+	loss      float64
+	nodes     map[string]*memTransport // by address
+	partition map[string]int           // by address
 }
 
 const memLatency = time.Millisecond
 
 func newMemNetwork(seed uint64) *memNetwork {
-	return &memNetwork{rng: rand.New(rand.NewPCG(seed, 7)), nodes: make(map[string]*memTransport), side: make(map[string]int)}
+	return &memNetwork{rng: rand.New(rand.NewPCG(seed, 7)), nodes: make(map[string]*memTransport), partition: make(map[string]int)}
 }
 
 func memAddress(i int) string { return fmt.Sprintf("10.0.%d.%d:7946", i/250, 1+i%250) }
 
-// route returns the transport that something from one address to another reaches, nil if it is lost.
+// route returns the transport at an address, or nil if the datagram or stream is lost or no transport is there.
 func (n *memNetwork) route(from, to string) *memTransport {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.side[from] != n.side[to] || n.rng.Float64() < n.loss {
+	if n.partition[from] != n.partition[to] || n.rng.Float64() < n.loss {
 		return nil
 	}
 	return n.nodes[to]
 }
 
-// setLoss sets the fraction of datagrams and of stream connects that is lost.
+// setLoss sets the fraction of datagrams and stream connects that are lost.
 func (n *memNetwork) setLoss(loss float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss = loss
 }
 
-// setSide puts members on a side; nothing passes between two sides.
-func (n *memNetwork) setSide(side int, members ...int) {
+// setPartition moves members to a partition; no traffic passes between partitions.
+func (n *memNetwork) setPartition(partition int, members ...int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, i := range members {
-		n.side[memAddress(i)] = side
+		n.partition[memAddress(i)] = partition
 	}
 }
 
@@ -61,7 +61,7 @@
 	n.nodes[t.address] = t
 }
 
-// remove takes t away unless another transport has its address by now.
+// remove removes t unless another transport has taken over its address.
 func (n *memNetwork) remove(t *memTransport) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -70,7 +70,7 @@
 	}
 }
 
-// memTransport is one member's end.
+// memTransport is the transport of one member on a memNetwork.
 type memTransport struct {
 	network *memNetwork
 	address string
@@ -104,14 +104,14 @@
 	if to == nil {
 		return
 	}
-	from, _ := net.ResolveUDPAddr("udp", t.address) // memAddress made it
+	from, _ := net.ResolveUDPAddr("udp", t.address) // no error: memAddress created the address
 	p := &memberlist.Packet{Buf: append([]byte(nil), b...), From: from}
 	time.AfterFunc(memLatency, func() {
 		p.Timestamp = time.Now()
 		select {
 		case to.packets <- p:
 		case <-to.closing:
-		default: // a full socket buffer
+		default: // dropped, like at a full socket buffer
 		}
 	})
 }
--- a/internal/membership/name_conflict.go
+++ b/internal/membership/name_conflict.go
@@ -6,12 +6,12 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Of two processes under one node name, the one with the higher incarnation is the member. The other learns it from
-// the gossip itself, or by a user message from a member that sees both, and leaves.
+// Of two processes with the same node name, the one with the higher incarnation is the member. The other leaves when it
+// learns of the conflict, either from the gossip or from a user message of a member that sees both.
 
-// NotifyAlive is called for each alive message about a member. One with this node's name and address and a higher
-// incarnation comes from an earlier process whose clock was ahead, or, where a hot restart was taken back, from the
-// successor that is gone: this process takes an incarnation above it.
+// NotifyAlive is called for each alive message about a member. A message with this node's name and address and a higher
+// incarnation comes from an earlier process whose clock was ahead or, after a cancelled hot restart, from the successor
+// that has exited. This process then takes an incarnation above it.
 func (d delegate) NotifyAlive(n *memberlist.Node) error {
 	a := d.agent
 	if n.Name != a.config.Name {
@@ -19,7 +19,7 @@
 	}
 	m, err := decodeMetadata(n.Meta)
 	if err != nil {
-		return nil // an error here would make memberlist drop the message
+		return nil // on an error memberlist would drop the message
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -29,12 +29,12 @@
 	a.incarnation = m.Incarnation + 1
 	list := a.list
 	a.background.Go(func() {
-		_ = list.UpdateNode(updateTimeout) // the timeout ends only the wait: memberlist goes on sending the update
+		_ = list.UpdateNode(updateTimeout) // the timeout ends only the wait; memberlist continues to send the update
 	})
 	return nil
 }
 
-// NotifyConflict is called when another address uses a member's name.
+// NotifyConflict is called when a second address claims the name of a member.
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	a := d.agent
 	known, err := decodeMetadata(existing.Meta)
@@ -52,7 +52,7 @@
 	a.sendSuperseded(*existing, claimed.Incarnation)
 }
 
-// sendSuperseded lets the earlier of two processes know of the later one, as often as a log line may be written.
+// sendSuperseded tells the earlier of two processes about the later one, at most once per logInterval.
 func (a *Agent) sendSuperseded(earlier memberlist.Node, laterIncarnation uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -62,11 +62,11 @@
 	}
 	message := userMessage{kindSuperseded, laterIncarnation, earlier.Name}.encode()
 	a.background.Go(func() {
-		_ = list.SendBestEffort(&earlier, message) // the next conflict repeats it
+		_ = list.SendBestEffort(&earlier, message) // repeated at the next conflict
 	})
 }
 
-// supersede makes this process leave for a later one with its name.
+// supersede makes this process leave the fleet in favor of a later process with the same name.
 func (a *Agent) supersede(laterIncarnation uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,5 +76,5 @@
 	a.nameConflicts.Add(1)
 	slog.Error("fleet: superseded by a later process with this node's name, leaving",
 		"node", a.config.Name, "incarnation", a.incarnation, "later_incarnation", laterIncarnation)
-	a.requestRole(roleLeft) // so that the name is free for the other process
+	a.requestRole(roleLeft) // frees the name for the other process
 }
--- a/internal/membership/probe_loss.go
+++ b/internal/membership/probe_loss.go
@@ -6,14 +6,15 @@
 )
 
 const (
-	lossSampleWeight = 1.0 / 16              // of one probe in the rate, which so averages over some 16
-	highLossRate     = 0.05                  // of direct probes; above it datagrams are duplicated
-	duplicateDelay   = 10 * time.Millisecond // apart, because losses come in bursts
+	lossSampleWeight = 1.0 / 16              // weight of one probe; the rate averages about 16 probes
+	highLossRate     = 0.05                  // fraction of lost direct probes above which datagrams are duplicated
+	duplicateDelay   = 10 * time.Millisecond // between the copies, because losses come in bursts
 )
 
-// probeLoss estimates the fraction of this node's direct probes that go unanswered, and sends the datagrams of the
-// transport, for the one depends on the other alone. While the loss is high, each datagram is sent twice: a failed probe then takes more losses at once, and a refutation arrives before its suspicion's
-// timeout. Its methods may be called from any goroutine.
+// probeLoss estimates the fraction of this node's direct probes that go unanswered, and sends the transport's datagrams,
+// since duplication depends only on that estimate. While the loss is high, each datagram is sent twice: more losses at
+// once are then needed to fail a probe, and a refutation arrives before the suspicion times out. Its methods may be
+// called from any goroutine.
 type probeLoss struct {
 	mu   sync.Mutex
 	rate float64 // moving average of lost (1) and answered (0) probes
@@ -34,8 +35,8 @@
 	return l.rate > highLossRate
 }
 
-// send writes a datagram, and a copy of it after duplicateDelay while the loss is high. That second write may come
-// up to duplicateDelay after the transport's shutdown, so write must bear a closed socket.
+// send writes a datagram and, while the loss is high, a copy of it after duplicateDelay. The second write may happen up
+// to duplicateDelay after the transport's shutdown, so write must tolerate a closed socket.
 func (l *probeLoss) send(datagram []byte, write func([]byte)) {
 	write(datagram)
 	if l.isHigh() {
--- a/internal/membership/probe_loss_test.go
+++ b/internal/membership/probe_loss_test.go
@@ -12,24 +12,25 @@
 func TestProbeLossIsHighAboveItsThreshold(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		lossPeriod int // one probe of so many is lost; 0 for none
+		lossPeriod int // one of this many probes is lost; 0 for none
 		want       bool
 	}{
 		{"no loss", 0, false},
-		{"one of a hundred", 100, false},
-		{"one of five", 5, true},
+		{"1% loss", 100, false},
+		{"20% loss", 5, true},
 	} {
 		var l probeLoss
 		for i := range 1000 {
 			l.recordProbe(c.lossPeriod == 0 || i%c.lossPeriod != 0)
 		}
 		if got := l.isHigh(); got != c.want {
-			t.Errorf("%s: high %v, want %v", c.name, got, c.want)
+			t.Errorf("%s: isHigh: got %v, want %v", c.name, got, c.want)
 		}
 	}
 }
 
-// While loss is high a datagram is sent again after duplicateDelay, as it was when it was first sent.
+// While loss is high, a datagram is sent again after duplicateDelay, with its original content even if the caller reuses
+// the buffer.
 func TestDatagramsAreDuplicatedWhileLossIsHigh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var l probeLoss
@@ -49,14 +50,14 @@
 		l.send(datagram, write)
 		time.Sleep(2 * duplicateDelay)
 		if sent := sentSoFar(); len(sent) != 1 {
-			t.Fatalf("sent %q without loss", sent)
+			t.Fatalf("datagrams sent without loss: got %q, want one", sent)
 		}
 		l.recordProbe(false)
 		l.send(datagram, write)
 		copy(datagram, "two")
 		time.Sleep(2 * duplicateDelay)
 		if sent := sentSoFar(); len(sent) != 3 || string(sent[2]) != "one" {
-			t.Errorf("sent %q while loss is high", sent)
+			t.Errorf("datagrams sent in total: got %q, want 3 with equal content", sent)
 		}
 	})
 }
--- a/internal/membership/protocol.go
+++ b/internal/membership/protocol.go
@@ -8,25 +8,25 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Parameters of SWIM and Lifeguard. Together they let a probe bear a round trip, a pause of a third of a second and
-// lost datagrams, and have a failure known within two seconds.
+// Parameters of SWIM and Lifeguard. Together they make probes tolerate a round trip, a pause of a third of a second and
+// lost datagrams, and make a failure known within two seconds.
 const (
-	directProbeDivisor = 2 // the direct probe takes this part of a probe interval, indirect probes the rest
+	directProbeDivisor = 2 // a direct probe times out after probe interval / this; indirect probes use the rest
 
-	gossipInterval     = 100 * time.Millisecond // while there are updates to send
-	gossipFanout       = 3                      // members that get them each time
-	gossipToDeadPeriod = time.Minute            // in which a dead member still gets them, so that it can refute
+	gossipInterval     = 100 * time.Millisecond // between gossip rounds while there are updates to send
+	gossipFanout       = 3                      // members that receive the updates in each round
+	gossipToDeadPeriod = time.Minute            // a dead member still receives updates, so that it can refute
 
-	suspicionMultiplier           = 4 // minimum of the timeout: this times log10(members), in probe intervals
-	suspicionMaxTimeoutMultiplier = 5 // maximum of the timeout, while nobody confirms: this times the minimum
-	retransmitMultiplier          = 6 // an update is sent this times log10(members) times
+	suspicionMultiplier           = 4 // minimum timeout: this * log10(members) probe intervals
+	suspicionMaxTimeoutMultiplier = 5 // maximum timeout, while no member confirms: this * the minimum
+	retransmitMultiplier          = 6 // an update is sent this * log10(members) times
 
 	pushPullInterval    = 2 * time.Minute // longer in large fleets; exchangeSchedule adds exchanges after changes
-	streamTimeout       = time.Second     // to connect, and for each read and write
-	deadNodeReclaimTime = time.Second     // after a death, until its name may be used at another address
+	streamTimeout       = time.Second     // for connecting, and for each read and write
+	deadNodeReclaimTime = time.Second     // after a death, before another address may use the name
 )
 
-// startMemberlist binds the addresses and becomes a member that doesn't know the others yet.
+// startMemberlist binds the addresses and starts memberlist, which doesn't know any other member yet.
 func (a *Agent) startMemberlist() (*memberlist.Memberlist, error) {
 	config, err := a.memberlistConfig()
 	if err != nil {
@@ -72,9 +72,9 @@
 	c.PushPullInterval = pushPullInterval
 	c.TCPTimeout = streamTimeout
 	c.DeadNodeReclaimTime = deadNodeReclaimTime
-	c.EnableCompression = false // its CPU time costs more than the bytes that it saves inside a fleet's network
+	c.EnableCompression = false // its CPU time costs more than the bytes it saves on the fleet's network
 
-	c.Logger = (&memberlistLog{to: a.log, onEvent: a.handleLogEvent}).logger()
+	c.Logger = (&memberlistLog{limited: a.log, onEvent: a.handleLogEvent}).logger()
 	d := delegate{a}
 	c.Delegate, c.Events, c.Alive, c.Conflict, c.Ping = d, d, d, d, d
 	return c, nil
--- a/internal/membership/stats.go
+++ b/internal/membership/stats.go
@@ -2,16 +2,16 @@
 
 import "sync/atomic"
 
-// Stats are counters of one process's membership since its start.
+// Stats holds the membership counters of one process since its start.
 type Stats struct {
 	SentBytes, ReceivedBytes uint64 // in datagrams and streams
 	ViewChanges              uint64
-	RefutedSuspicions        uint64 // suspicions of this node that it answered
-	NameConflicts            uint64 // times that a later process had this node's name
-	SuppressedLogLines       uint64 // counted and not written
+	RefutedSuspicions        uint64 // suspicions of this node that it refuted
+	NameConflicts            uint64 // times this process was superseded by a later one with its name
+	SuppressedLogLines       uint64 // dropped by the rate limit
 }
 
-// Stats returns the counters so far.
+// Stats returns the current counters.
 func (a *Agent) Stats() Stats {
 	return Stats{
 		SentBytes:          a.network.sentBytes.Load(),
@@ -23,8 +23,8 @@
 	}
 }
 
-// networkStats is what the transport counts, and the loss that it adapts to. It outlives a transport: a process that
-// resumes its membership goes on counting.
+// networkStats holds the transport's byte counters and the probe loss that it adapts to. It outlives a transport, so a
+// process that resumes its membership keeps its counts.
 type networkStats struct {
 	sentBytes, receivedBytes atomic.Uint64
 	probeLoss                probeLoss
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -14,18 +14,18 @@
 	maxDatagramBytes   = 64 << 10
 	receiveBufferBytes = 256 << 10
 	maxQueuedDatagrams = 64                    // between the socket and memberlist
-	maxInboundStreams  = 12                    // open at a time; more are closed at once, and their senders try again
-	maxOutboundStreams = 4                     // that memberlist opens at a time
-	acceptRetryDelay   = 50 * time.Millisecond // leaves descriptors that run short to clients
+	maxInboundStreams  = 12                    // open at a time; further ones are closed, and their senders retry
+	maxOutboundStreams = 4                     // opened by memberlist at a time
+	acceptRetryDelay   = 50 * time.Millisecond // when descriptors run short, leaves them to clients
 	listenerCount      = 2                     // one for datagrams, one for streams
 )
 
-// MaxDescriptors is how many file descriptors membership uses at most.
+// MaxDescriptors is the maximum number of file descriptors that membership uses.
 const MaxDescriptors = listenerCount + maxInboundStreams + maxOutboundStreams
 
-// transport implements memberlist.NodeAwareTransport. It differs from memberlist's own in three ways: outbound streams
-// leave from the bound address, so that others can tell who connects; a datagram takes the memory that it needs, not
-// 64 KiB; and bytes are counted. memberlist calls its methods from any of its goroutines.
+// transport implements memberlist.NodeAwareTransport. It differs from memberlist's own transport in three ways: outbound
+// streams use the bound IP as their source, so that peers can identify the sender; a datagram occupies only its own size
+// in memory, not 64 KiB; and it counts bytes. memberlist calls its methods from any of its goroutines.
 type transport struct {
 	bindIP    net.IP
 	advertise *net.UDPAddr
@@ -37,14 +37,14 @@
 
 	inboundStreams atomic.Int64
 	closing        chan struct{}
-	loops          sync.WaitGroup // receive and accept, which end at Shutdown
+	loops          sync.WaitGroup // receive and accept; they end on Shutdown
 	shutdownOnce   sync.Once
 	shutdownErr    error
 }
 
 var _ memberlist.NodeAwareTransport = (*transport)(nil)
 
-// listen binds for datagrams and streams.
+// listen binds the sockets for datagrams and streams and starts to receive.
 func listen(c Config, stats *networkStats) (*transport, error) {
 	bind, err := net.ResolveUDPAddr("udp", c.Bind)
 	if err != nil {
@@ -70,13 +70,13 @@
 	if t.udp, err = net.ListenUDP("udp", bind); err != nil {
 		return nil, errors.Join(err, t.tcp.Close())
 	}
-	_ = t.udp.SetReadBuffer(receiveBufferBytes) // with a smaller buffer more is lost, which gossip makes up for
+	_ = t.udp.SetReadBuffer(receiveBufferBytes) // a smaller buffer loses more datagrams, which gossip tolerates
 	t.loops.Go(t.receive)
 	t.loops.Go(t.accept)
 	return t, nil
 }
 
-// receive passes datagrams on until Shutdown.
+// receive passes received datagrams to memberlist until Shutdown.
 func (t *transport) receive() {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -84,7 +84,7 @@
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil || n == 0 { // for example an ICMP error of a member whose process ended
+		if err != nil || n == 0 { // for example an ICMP error because a member's process has ended
 			continue
 		}
 		t.stats.receivedBytes.Add(uint64(n))
@@ -97,7 +97,7 @@
 	}
 }
 
-// accept passes inbound streams on until Shutdown.
+// accept passes inbound streams to memberlist until Shutdown.
 func (t *transport) accept() {
 	for {
 		conn, err := t.tcp.AcceptTCP()
@@ -126,7 +126,7 @@
 	}
 }
 
-// FinalAdvertiseAddr returns where others reach this member.
+// FinalAdvertiseAddr returns the address under which others reach this member.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	ip := t.advertise.IP
 	if v4 := ip.To4(); v4 != nil {
@@ -135,7 +135,7 @@
 	return ip, t.advertise.Port, nil
 }
 
-// WriteTo sends a datagram. One that can't be sent counts as lost: the probes find out.
+// WriteTo sends a datagram. A failed write is ignored like a lost datagram: probes detect the loss.
 func (t *transport) WriteTo(datagram []byte, address string) (time.Time, error) {
 	to, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
@@ -159,7 +159,7 @@
 // StreamCh returns the channel of inbound streams.
 func (t *transport) StreamCh() <-chan net.Conn { return t.streams }
 
-// DialTimeout opens a stream; it blocks for timeout at most.
+// DialTimeout opens a stream. It blocks for at most timeout.
 func (t *transport) DialTimeout(address string, timeout time.Duration) (net.Conn, error) {
 	d := net.Dialer{Timeout: timeout}
 	if !t.bindIP.IsUnspecified() {
@@ -172,12 +172,12 @@
 	return countedConn{conn, t.stats}, nil
 }
 
-// DialAddressTimeout opens a stream to a member; it blocks for timeout at most.
+// DialAddressTimeout opens a stream to a member. It blocks for at most timeout.
 func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
 	return t.DialTimeout(a.Addr, timeout)
 }
 
-// Shutdown closes the sockets and waits for the loops to end. Streams that memberlist hasn't taken are closed.
+// Shutdown closes the sockets, waits for the loops to end, and closes the streams that memberlist hasn't taken.
 func (t *transport) Shutdown() error {
 	t.shutdownOnce.Do(func() {
 		close(t.closing)
@@ -199,7 +199,7 @@
 	}
 }
 
-// countedConn counts the bytes of a stream.
+// countedConn counts the bytes read from and written to a stream.
 type countedConn struct {
 	net.Conn
 	stats *networkStats
@@ -217,7 +217,7 @@
 	return n, err
 }
 
-// inboundStream counts as open until it is closed.
+// inboundStream decrements the count of open inbound streams when it is closed.
 type inboundStream struct {
 	countedConn
 	open      *atomic.Int64
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -5,43 +5,43 @@
 	"time"
 )
 
-// State is what this node knows of a member.
+// State is a member's state as this node sees it.
 type State string
 
-// Suspect is this node's own finding that its probes go unanswered. A suspicion by other members isn't reported:
-// it ends in Dead, or is refuted.
+// Suspect means that this node's own probes go unanswered. Suspicions by other members aren't reported: they end in
+// Dead or are refuted.
 const (
 	Alive   State = "alive"
 	Suspect State = "suspect"
-	Left    State = "left" // announced that it leaves
+	Left    State = "left" // announced its leave
 	Dead    State = "dead" // failed without an announcement
 )
 
 // isPresent reports whether a member in this state is part of the fleet.
 func (s State) isPresent() bool { return s == Alive || s == Suspect }
 
-// Member is one node as another sees it.
+// Member describes a node of the fleet as this node sees it.
 type Member struct {
 	Name        string
 	Address     string // host:port
 	Zone        string
 	Version     string // of the program
-	Incarnation uint64 // of the process; of two processes with one name the higher is the member
+	Incarnation uint64 // of the process; the higher of two processes with the same name is the member
 	State       State
-	Since       time.Time // when State or Incarnation last changed, but for a death corrected to Left
+	Since       time.Time // when State or Incarnation last changed; a correction from Dead to Left doesn't count
 
-	leaving bool // this incarnation announced that it leaves
+	leaving bool // this incarnation announced its leave
 }
 
-// View is the fleet as one node sees it at one moment.
+// View is a snapshot of the fleet as one node sees it.
 type View struct {
-	Revision   uint64 // grows with each change while the node's process lives
-	Self       string // name of the node that sees it
-	Superseded bool   // a later process has this node's name, and this one has left
+	Revision   uint64 // increases with each change during the life of the process
+	Self       string // name of the node that has this view
+	Superseded bool   // a later process uses this node's name, and this process has left
 	Members    []Member
 }
 
-// PresentCount counts the members that are alive or suspected, this node included.
+// PresentCount returns the number of alive or suspected members, including this node.
 func (v View) PresentCount() (count int) {
 	for _, m := range v.Members {
 		if m.State.isPresent() {
@@ -51,7 +51,8 @@
 	return count
 }
 
-// PresentInZone counts the present members in this node's own zone, itself included; 0 if it isn't in the view.
+// PresentInZone returns the number of present members in this node's zone, including this node, or 0 if this node isn't
+// in the view.
 func (v View) PresentInZone() (count int) {
 	self := slices.IndexFunc(v.Members, func(m Member) bool { return m.Name == v.Self })
 	if self < 0 {
--- a/internal/membership/view_test.go
+++ b/internal/membership/view_test.go
@@ -20,7 +20,7 @@
 	} {
 		v := View{Self: c.self, Members: members}
 		if present, inZone := v.PresentCount(), v.PresentInZone(); present != c.present || inZone != c.inZone {
-			t.Errorf("%s: %d present, %d in its zone, want %d, %d", c.self, present, inZone, c.present, c.inZone)
+			t.Errorf("self %s: got %d present and %d in its zone, want %d and %d", c.self, present, inZone, c.present, c.inZone)
 		}
 	}
 }
--- a/internal/membership/wire.go
+++ b/internal/membership/wire.go
@@ -11,16 +11,16 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// The forms in this file are exchanged between nodes of different versions of this program. Golden files in
-// testdata hold them.
+// Nodes that run different versions of this program exchange the encodings in this file. Golden files in testdata
+// pin them.
 
 const (
 	metadataVersion = 1
 	messageVersion  = 1
 )
 
-// metadata is what a node says of itself besides its name and address: one byte of version, then CBOR. Fields are
-// only ever added.
+// metadata describes a node beyond its name and address. It is encoded as one version byte followed by CBOR. Fields may
+// be added, but not removed or changed.
 type metadata struct {
 	Zone        string `cbor:"1,keyasint,omitempty"`
 	Version     string `cbor:"2,keyasint,omitempty"`
@@ -36,7 +36,7 @@
 	return append([]byte{metadataVersion}, raw...)
 }
 
-// encodeWithin leaves zone and version out if they don't fit into so many bytes.
+// encodeWithin encodes m without zone and version if the full encoding exceeds maxBytes.
 func (m metadata) encodeWithin(maxBytes int) []byte {
 	if raw := m.encode(); len(raw) <= maxBytes {
 		return raw
@@ -47,14 +47,14 @@
 
 var errNoMetadata = errors.New("member sent no metadata")
 
-// versionError is the error for metadata of a version that this program doesn't know.
+// versionError reports metadata of an unsupported version.
 type versionError struct{ version byte }
 
 func (e *versionError) Error() string {
-	return fmt.Sprintf("metadata has version %d, want %d", e.version, metadataVersion)
+	return fmt.Sprintf("unsupported metadata version %d, want %d", e.version, metadataVersion)
 }
 
-// decodeMetadata returns errNoMetadata, a *versionError or an error of CBOR.
+// decodeMetadata decodes metadata. The error is errNoMetadata, a *versionError or a CBOR decoding error.
 func decodeMetadata(raw []byte) (m metadata, err error) {
 	if len(raw) == 0 {
 		return m, errNoMetadata
@@ -68,8 +68,8 @@
 	return m, nil
 }
 
-// memberOf maps memberlist's node and its metadata to a member, without the time since when.
-func memberOf(n *memberlist.Node, m metadata, state State) Member {
+// newMember converts a memberlist node and its metadata to a Member without Since.
+func newMember(n *memberlist.Node, m metadata, state State) Member {
 	return Member{
 		Name:        n.Name,
 		Address:     net.JoinHostPort(n.Addr.String(), strconv.Itoa(int(n.Port))),
@@ -85,15 +85,15 @@
 type messageKind byte
 
 const (
-	kindSuperseded messageKind = 'S' // a later process has the receiver's name
-	kindLeaving    messageKind = 'G' // the sender's process leaves the fleet
+	kindSuperseded messageKind = 'S' // a later process uses the receiver's name
+	kindLeaving    messageKind = 'G' // the sender leaves the fleet
 )
 
-// userMessage is sent from one member directly to another, outside the gossip: one byte of version, one of kind,
-// eight of incarnation (big endian), and the name.
+// userMessage is sent directly from one member to another, outside the gossip. It is encoded as a version byte, a kind
+// byte, eight bytes of incarnation (big endian), and the name.
 type userMessage struct {
 	kind        messageKind
-	incarnation uint64 // of the process that supersedes or leaves
+	incarnation uint64 // of the superseding or leaving process
 	name        string // of the node
 }
 
@@ -104,7 +104,7 @@
 	return append(header, m.name...)
 }
 
-// decodeUserMessage returns false for a message that is too short or of another version.
+// decodeUserMessage decodes a message. It returns false if the message is too short or has another version.
 func decodeUserMessage(raw []byte) (userMessage, bool) {
 	if len(raw) < messageHeaderBytes || raw[0] != messageVersion {
 		return userMessage{}, false
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -15,7 +15,7 @@
 	"sloerail/internal/golden"
 )
 
-// wireMetadata are the forms that a node's metadata can take. Other versions of the program read and write them.
+// wireMetadata lists the kinds of metadata that nodes send. Other versions of the program read and write them.
 var wireMetadata = []struct {
 	name     string
 	metadata metadata
@@ -27,7 +27,7 @@
 	{"no-zone", metadata{Version: "1.2.3", Incarnation: 1<<64 - 1, Leaving: true}},
 }
 
-// wireMessages are the user messages between members.
+// wireMessages lists the user messages between members.
 var wireMessages = []struct {
 	name    string
 	message userMessage
@@ -43,7 +43,7 @@
 	golden.Check(t, file, []byte(strings.Join(lines, "\n")+"\n"))
 }
 
-// readGolden returns the values of a golden file by name.
+// readGolden returns the decoded values of a golden file by name.
 func readGolden(t *testing.T, file string) map[string][]byte {
 	t.Helper()
 	values := make(map[string][]byte)
@@ -67,7 +67,7 @@
 	written := readGolden(t, "metadata.hex")
 	for _, c := range wireMetadata {
 		if got, err := decodeMetadata(written[c.name]); err != nil || got != c.metadata {
-			t.Errorf("%s: decoded %+v, %v, want %+v", c.name, got, err, c.metadata)
+			t.Errorf("%s: decodeMetadata: got %+v, error %v, want %+v", c.name, got, err, c.metadata)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 	checkGolden(t, "messages.hex", lines)
 }
 
-// A node whose zone and version don't fit into the limit leaves both out. Nodes add nothing to push/pull states,
+// A node omits zone and version if they don't fit into the limit. Nodes add no data to push/pull states,
 // acknowledgements or gossip.
 func TestDelegatePayloadsMatchGoldenFile(t *testing.T) {
 	a, err := New(Config{Name: "node-1", Zone: strings.Repeat("z", 300), Version: strings.Repeat("v", 300), Bind: "10.0.0.1:7946"})
@@ -103,13 +103,13 @@
 		lines = append(lines, strings.TrimSpace(fmt.Sprintf("%s %x", c.name, c.payload)))
 	}
 	if b := d.GetBroadcasts(2, 1400); b != nil {
-		t.Errorf("broadcasts %x, want none", b)
+		t.Errorf("GetBroadcasts: got %x, want none", b)
 	}
 	checkGolden(t, "payloads.hex", lines)
 }
 
-// A received user message from the golden file has its effect.
-func TestGoldenUserMessagesAreUnderstood(t *testing.T) {
+// The user messages in the golden file take effect when received.
+func TestGoldenUserMessagesTakeEffect(t *testing.T) {
 	written := readGolden(t, "messages.hex")
 	a, err := New(Config{Name: "self", Bind: "10.0.0.1:7946"})
 	if err != nil {
@@ -121,20 +121,20 @@
 	d := delegate{a}
 	d.NotifyMsg(written["superseded-no-name"])
 	if a.View().Superseded {
-		t.Error("superseded by an earlier incarnation")
+		t.Error("process was superseded by an earlier incarnation")
 	}
 	d.NotifyMsg(written["leaving"])
 	if got := a.View().Members[0].State; got != Left {
-		t.Errorf("state after the leaving message is %q, want %q", got, Left)
+		t.Errorf("state after the leaving message: got %q, want %q", got, Left)
 	}
 	d.NotifyMsg(written["superseded"])
 	if !a.View().Superseded {
-		t.Error("not superseded by a later incarnation")
+		t.Error("process was not superseded by a later incarnation")
 	}
 }
 
-// The states' names stand in the admin address's JSON, and the fields' names in the errors that an operator reads
-// for a deploy file.
+// State names appear in the JSON of the admin address, and field names in the errors that operators read about a deploy
+// file.
 func TestNamesMatchGoldenFile(t *testing.T) {
 	raw, err := json.Marshal([]State{Alive, Suspect, Left, Dead})
 	if err != nil {
@@ -160,13 +160,13 @@
 
 func TestDecodeMetadataErrors(t *testing.T) {
 	if _, err := decodeMetadata(nil); !errors.Is(err, errNoMetadata) {
-		t.Errorf("error %v for no metadata", err)
+		t.Errorf("no metadata: got error %v, want errNoMetadata", err)
 	}
 	_, err := decodeMetadata([]byte{metadataVersion + 1, 0xa0})
 	if version, ok := errors.AsType[*versionError](err); !ok || version.version != metadataVersion+1 {
-		t.Errorf("error %v for another version", err)
+		t.Errorf("another version: got error %v, want a versionError with that version", err)
 	}
 	if _, err := decodeMetadata([]byte{metadataVersion, 0xff}); err == nil {
-		t.Error("bad CBOR was read")
+		t.Error("decodeMetadata of invalid CBOR succeeded, want an error")
 	}
 }
