--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -11,7 +11,7 @@
 //	delegate.go           memberlist's callbacks
 //	name_conflict.go      two processes with the same node name
 //	member_table.go       the known members and the subscribers to their changes
-//	view.go               the view that other packages read
+//	view.go               the immutable view that other packages read
 //	wire.go               encoding of metadata and user messages
 //	transport.go          datagrams and streams
 //	probe_loss.go         probe loss estimate, and duplication of datagrams while it is high
--- a/internal/subset/circle.go
+++ b/internal/subset/circle.go
@@ -6,71 +6,71 @@
 	"slices"
 )
 
-// circle holds servers in an order in which a run of them, taken from a client's point on, is a subset.
+// circle holds servers in such an order that each run of consecutive servers, starting at a client's point, is a subset.
 //
-// The key of a slot divides the servers by halves of the circle, quarters and so on, as a binary tree does, down to
-// cells that hold a few subsets. A cell spaces its servers evenly and mixes their zones. So a change moves servers
-// within its own cell, and the cells keep their places while the tree is about in balance, as it is while the slots
-// in use are about consecutive. Where it isn't, lengths follow the counts.
+// The bits of a slot's key divide the servers into halves of the circle, quarters and so on, like a binary tree, down to
+// cells that hold a few subsets. A cell spaces its servers evenly and interleaves their zones. A change of a server thus
+// moves servers only within its cell, and the cells stay in place while the tree is roughly balanced, which it is while
+// the slots in use are roughly consecutive. Where the tree is unbalanced, the lengths of the halves follow their counts.
 type circle struct {
 	servers []member
 	cells   []cell
 }
 
-// member is a server with the number of its zone in the Ring.
+// member is a server with the index of its zone in Ring.zoneCounts.
 type member struct {
 	Server
 	zone int
 }
 
-// cell is a stretch of the circle over which its servers are spaced evenly.
+// cell is an arc of the circle whose servers are spaced evenly.
 type cell struct {
-	start  uint64 // where it begins, in units of 2^-64 of the circle
-	length uint64 // in the same units; 0 stands for the whole circle
-	first  int    // its first server, as an index into circle.servers
+	start  uint64 // in units of 2^-64 of the circle
+	length uint64 // in the same units; 0 means the whole circle
+	first  int    // index of its first server in circle.servers
 	count  int
 }
 
 const (
-	// goldenStep is 2^64 divided by the golden ratio: its multiples by consecutive slots are spread with low
-	// discrepancy, and so are the multiples by every second slot, every third one and so on.
-	goldenStep = 0x9E3779B97F4A7C15
+	// goldenRatioStep is 2^64 divided by the golden ratio. Its multiples by consecutive slots are spread with low
+	// discrepancy, and so are its multiples by every second slot, every third slot and so on.
+	goldenRatioStep = 0x9E3779B97F4A7C15
 
-	// subsetsPerCell bounds the servers of a cell, in subset sizes. A larger cell is more even, and moves more
-	// clients when one of its servers changes.
-	subsetsPerCell = 4
+	// maxSubsetsPerCell limits the servers of a cell to this many subset sizes. Larger cells spread the load more evenly,
+	// but move more clients when one of their servers changes.
+	maxSubsetsPerCell = 4
 
-	// evenCellServers is a count of servers that one cell may always hold, for the sake of small subsets.
-	evenCellServers = 64
+	// minCellLimit is the number of servers that a cell may hold however small the subsets are.
+	minCellLimit = 64
 
-	// Two halves of a stretch whose counts differ by no more than imbalanceServers + count/imbalanceShare get the
-	// same length. Beyond that the lengths follow the excess.
-	imbalanceServers = 2
-	imbalanceShare   = 128
+	// The halves of an arc with count servers get the same length if their counts differ by at most
+	// toleratedImbalance + count/imbalanceDivisor. Beyond that, the lengths follow the excess.
+	toleratedImbalance = 2
+	imbalanceDivisor   = 128
 
 	keyBits = 64
 )
 
-// newCircle arranges the servers for runs of the given length. It keeps and reorders the slice.
-func newCircle(servers []member, run int) *circle {
+// newCircle arranges the servers for subsets of runLength servers. It takes over the slice and reorders it.
+func newCircle(servers []member, runLength int) *circle {
 	slices.SortFunc(servers, func(a, b member) int {
 		return cmp.Or(cmp.Compare(a.key(), b.key()), cmp.Compare(a.Slot, b.Slot), cmp.Compare(a.ID, b.ID))
 	})
 	c := &circle{servers: servers}
-	c.divide(0, len(servers), 0, 0, 0, max(evenCellServers, run*subsetsPerCell))
+	c.divide(0, len(servers), 0, 0, 0, max(minCellLimit, runLength*maxSubsetsPerCell))
 	return c
 }
 
 func (m member) key() uint64 {
-	return uint64(m.Slot) * goldenStep
+	return uint64(m.Slot) * goldenRatioStep
 }
 
-// divide appends the cells of servers[first:end]: their keys agree in the leading depth bits, and they have the part
-// of the circle that begins at start and has the given length.
-func (c *circle) divide(first, end, depth int, start, length uint64, largest int) {
+// divide appends the cells of servers[first:end], whose keys agree in the leading depth bits. They occupy the arc from
+// start with the given length.
+func (c *circle) divide(first, end, depth int, start, length uint64, maxCellSize int) {
 	count := end - first
-	if count <= largest || depth == keyBits {
-		mixZones(c.servers[first:end])
+	if count <= maxCellSize || depth == keyBits {
+		interleaveZones(c.servers[first:end])
 		c.cells = append(c.cells, cell{start: start, length: length, first: first, count: count})
 		return
 	}
@@ -79,17 +79,18 @@
 		return cmp.Compare(m.key()&bit, bit)
 	})
 	if lower == 0 || lower == count {
-		c.divide(first, end, depth+1, start, length, largest)
+		c.divide(first, end, depth+1, start, length, maxCellSize)
 		return
 	}
-	lowerLength := part(length, lowerHalfWeight(lower, count), 2*uint64(count))
-	c.divide(first, first+lower, depth+1, start, lowerLength, largest)
-	c.divide(first+lower, end, depth+1, start+lowerLength, length-lowerLength, largest)
+	lowerLength := mulDiv(length, lowerHalfWeight(lower, count), 2*uint64(count))
+	c.divide(first, first+lower, depth+1, start, lowerLength, maxCellSize)
+	c.divide(first+lower, end, depth+1, start+lowerLength, length-lowerLength, maxCellSize)
 }
 
-// lowerHalfWeight returns the length of a stretch's left half, in parts of which the stretch has twice its count.
+// lowerHalfWeight returns the length of the lower half of an arc with count servers, of which it holds lower, in units of
+// 1/(2*count) of the arc's length.
 func lowerHalfWeight(lower, count int) uint64 {
-	tolerated := imbalanceServers + count/imbalanceShare
+	tolerated := toleratedImbalance + count/imbalanceDivisor
 	switch imbalance := 2*lower - count; {
 	case imbalance > tolerated:
 		return uint64(count + imbalance - tolerated)
@@ -100,9 +101,9 @@
 	}
 }
 
-// part returns length*numerator/denominator for numerator < denominator, where a length of 0 stands for the whole
-// circle. Integers keep the result the same on every processor.
-func part(length, numerator, denominator uint64) uint64 {
+// mulDiv returns length*numerator/denominator for numerator < denominator, where a length of 0 means the whole circle. It
+// uses integers, so that the result is the same on every processor.
+func mulDiv(length, numerator, denominator uint64) uint64 {
 	high, low := bits.Mul64(length, numerator)
 	if length == 0 {
 		high = numerator
@@ -111,11 +112,11 @@
 	return quotient
 }
 
-// mixZones orders the servers of a cell so that each run of them has each zone in about its share.
-func mixZones(servers []member) {
+// interleaveZones orders the servers of a cell so that each run contains every zone in roughly its share.
+func interleaveZones(servers []member) {
 	type ranked struct {
 		member
-		rank, count int // its rank in the zone's part of the cell, and the servers in that part
+		rank, count int // its rank among the servers of its zone in the cell, and their number
 	}
 	counts := make(map[int]int)
 	order := make([]ranked, len(servers))
@@ -127,7 +128,7 @@
 		order[i].count = counts[order[i].zone]
 	}
 	slices.SortStableFunc(order, func(a, b ranked) int {
-		// (2 rank + 1) / (2 count) is the middle of the place of one among count.
+		// (2*rank + 1) / (2*count) is the middle of the interval of a rank among count.
 		return cmp.Or(cmp.Compare((2*a.rank+1)*b.count, (2*b.rank+1)*a.count), cmp.Compare(a.zone, b.zone))
 	})
 	for i, entry := range order {
@@ -135,8 +136,8 @@
 	}
 }
 
-// at returns the server that has the point in its place, as an index into circle.servers.
-func (c *circle) at(point uint64) int {
+// serverAt returns the index in circle.servers of the server whose interval contains the point.
+func (c *circle) serverAt(point uint64) int {
 	index, found := slices.BinarySearchFunc(c.cells, point, func(each cell, point uint64) int {
 		return cmp.Compare(each.start, point)
 	})
@@ -152,7 +153,7 @@
 	return hit.first + int(offset)
 }
 
-// appendRun appends count servers from the index on.
+// appendRun appends count consecutive servers, starting at index.
 func (c *circle) appendRun(chosen []member, index, count int) []member {
 	for i := range count {
 		chosen = append(chosen, c.servers[(index+i)%len(c.servers)])
--- a/internal/subset/compare_test.go
+++ b/internal/subset/compare_test.go
@@ -13,7 +13,8 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// algorithm is one way to choose subsets, written from its published description for the comparison alone.
+// algorithm is a way to choose subsets. Except for this package, they are implemented from published descriptions, only
+// for the comparison.
 type algorithm struct {
 	name   string
 	assign func(fleet) assignment
@@ -47,8 +48,8 @@
 	return slots
 }
 
-// shuffledRounds gives each round of clients the servers in another order, cut into subsets; servers that don't fill
-// a subset are left out of the round.
+// shuffledRounds shuffles the servers for each round of clients and cuts them into subsets. Servers that don't fill a
+// subset are omitted in that round.
 func shuffledRounds(f fleet) assignment {
 	result := make(assignment, f.clients)
 	subsets := len(f.servers) / f.size
@@ -65,7 +66,7 @@
 	return result
 }
 
-// rendezvous gives each client the servers with the highest hashes of the pair.
+// rendezvous gives each client the servers with the highest hashes of the client-server pair.
 func rendezvous(f fleet) assignment {
 	type scored struct {
 		slot  int
@@ -76,7 +77,7 @@
 	for position := range result {
 		seed := hash(position)
 		for i, server := range f.servers {
-			scores[i] = scored{server.Slot, mix(seed ^ uint64(server.Slot)*goldenStep)}
+			scores[i] = scored{server.Slot, mix(seed ^ uint64(server.Slot)*goldenRatioStep)}
 		}
 		slices.SortFunc(scores, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 		for _, each := range scores[:f.size] {
@@ -86,28 +87,28 @@
 	return result
 }
 
-// mix is the finishing step of splitmix64.
+// mix is the finalizer of splitmix64.
 func mix(value uint64) uint64 {
 	value = (value ^ value>>30) * 0xBF58476D1CE4E5B9
 	value = (value ^ value>>27) * 0x94D049BB133111EB
 	return value ^ value>>31
 }
 
-// aperture spaces clients and servers evenly on a ring; a client takes the servers from its place on. The published
-// form weighs the first and the last server by the part that it covers; load by 1/size doesn't.
+// aperture spaces clients and servers evenly on a ring; a client takes the servers that follow its point. The published
+// version weights the first and the last server by the part covered; here all servers count 1/size.
 func aperture(f fleet) assignment {
 	slots := slotsOf(f)
 	slices.SortFunc(slots, func(a, b int) int { return cmp.Compare(hash(a), hash(b)) })
-	return runs(f, slots, func(position int) int { return position * len(slots) / f.clients })
+	return assignRuns(f, slots, func(position int) int { return position * len(slots) / f.clients })
 }
 
-// corputRing places clients and servers by the van der Corput sequence; a client takes the next servers.
+// corputRing places clients and servers by the van der Corput sequence; a client takes the servers that follow its point.
 func corputRing(f fleet) assignment {
 	slots := slotsOf(f)
 	slices.SortFunc(slots, func(a, b int) int {
 		return cmp.Compare(bits.Reverse64(uint64(a)), bits.Reverse64(uint64(b)))
 	})
-	return runs(f, slots, func(position int) int {
+	return assignRuns(f, slots, func(position int) int {
 		first, _ := slices.BinarySearchFunc(slots, bits.Reverse64(uint64(position)), func(slot int, point uint64) int {
 			return cmp.Compare(bits.Reverse64(uint64(slot)), point)
 		})
@@ -115,8 +116,8 @@
 	})
 }
 
-// lotRing deals clients out in lots of clientsPerLot. Each lot has its own ring of hashed servers, on which its clients
-// stand evenly.
+// lotRing divides clients into lots of clientsPerLot. Each lot has its own ring of hashed servers, on which its clients
+// are spaced evenly.
 func lotRing(f fleet) assignment {
 	const clientsPerLot = 10
 	result := make(assignment, f.clients)
@@ -130,7 +131,7 @@
 		if index == 0 {
 			seed := hash(lot)
 			for i, server := range f.servers {
-				ring[i] = point{server.Slot, mix(seed ^ uint64(server.Slot)*goldenStep)}
+				ring[i] = point{server.Slot, mix(seed ^ uint64(server.Slot)*goldenRatioStep)}
 			}
 			slices.SortFunc(ring, func(a, b point) int { return cmp.Compare(a.at, b.at) })
 		}
@@ -143,8 +144,8 @@
 	return result
 }
 
-// runs gives each client the servers from its first one on, in the order of slots.
-func runs(f fleet, slots []int, firstOf func(position int) int) assignment {
+// assignRuns gives each client a run of servers from firstOf(position) on, in the order of slots.
+func assignRuns(f fleet, slots []int, firstOf func(position int) int) assignment {
 	result := make(assignment, f.clients)
 	for position := range result {
 		first := firstOf(position)
@@ -155,63 +156,65 @@
 	return result
 }
 
-// timesLeast is the moved pairs over the least possible, for each kind of change.
-type timesLeast struct {
+// moveRatios holds the moved pairs divided by the minimum possible, for each kind of change.
+type moveRatios struct {
 	added, removed, replaced, client float64
 }
 
-func (t timesLeast) all() []float64 {
+func (t moveRatios) all() []float64 {
 	return []float64{t.added, t.removed, t.replaced, t.client}
 }
 
-// measureChanges makes each kind of change a few times from the same fleet.
-func measureChanges(assign func(fleet) assignment, f fleet) timesLeast {
+// measureChanges applies each kind of change to the same fleet and returns the moves. It tries changes of servers several
+// times.
+func measureChanges(assign func(fleet) assignment, f fleet) moveRatios {
 	const trials = 3
 	random := rand.New(rand.NewPCG(1, 1))
 	before := assign(f)
-	var addedPairs, removedPairs, replacedPairs, addedLeast, removedLeast int
+	var addedPairs, removedPairs, replacedPairs, minAddedPairs, minRemovedPairs int
 	for range trials {
 		index := random.IntN(len(f.servers))
 		slot := f.servers[index].Slot
-		ofServer := 0
+		serverPairs := 0
 		for _, slots := range before {
 			if slices.Contains(slots, slot) {
-				ofServer++
+				serverPairs++
 			}
 		}
-		removedLeast += ofServer
-		removedPairs += moved(before, assign(f.without(index)))
-		addedLeast += f.clients * f.size / (len(f.servers) + 1)
-		addedPairs += moved(before, assign(f.with(f.servers[index].Zone)))
+		minRemovedPairs += serverPairs
+		removedPairs += movedPairs(before, assign(f.withoutServer(index)))
+		minAddedPairs += f.clients * f.size / (len(f.servers) + 1)
+		addedPairs += movedPairs(before, assign(f.withServer(f.servers[index].Zone)))
 
 		replaced := f
 		replaced.servers = slices.Clone(f.servers)
 		replaced.servers[index].ID = "replacement"
 		replaced.servers[index].Zone = f.servers[random.IntN(len(f.servers))].Zone
-		replacedPairs += ofServer + moved(before, assign(replaced))
+		replacedPairs += serverPairs + movedPairs(before, assign(replaced))
 	}
 	ratio := func(pairs, least int) float64 { return float64(pairs) / float64(max(least, 1)) }
-	return timesLeast{
-		added:    ratio(addedPairs, addedLeast),
-		removed:  ratio(removedPairs, removedLeast),
-		replaced: ratio(replacedPairs, removedLeast),
-		client:   ratio(moved(before, assign(f.withClients(f.clients+1))), f.size),
+	return moveRatios{
+		added:    ratio(addedPairs, minAddedPairs),
+		removed:  ratio(removedPairs, minRemovedPairs),
+		replaced: ratio(replacedPairs, minRemovedPairs),
+		client:   ratio(movedPairs(before, assign(f.withClients(f.clients+1))), f.size),
 	}
 }
 
-// TestCompare holds what docs/subsetting.md says of the choice: where a server has ten clients or more and no zone
-// dominates, this package alone keeps loads within 1.1 of even, moves at most movesAllowed times the least at each
-// change, and leaves no subset in one zone of several. With -v it prints the table of that page, with larger rows.
+// TestCompare checks the comparison in docs/subsetting.md: if a server has at least ten clients and no zone dominates,
+// only this package keeps loads within 1.1 times the even load, moves at most maxMoveRatio times the minimum at each
+// change, and leaves no subset in a single zone where there are several. With -v it prints the table of that page, with
+// larger rows.
 func TestCompare(t *testing.T) {
-	const movesAllowed = 20
-	judged := []fleetRow{
+	const maxMoveRatio = 20
+	checkedRows := []fleetRow{
 		{20, 100, 10, 0, inTurn(1)},
 		{250, 1000, 20, 0, inTurn(3)},
 		{1000, 500, 20, 0, inTurn(3)},
 		{1000, 500, 20, 5, uneven(5)},
 		{1000, 500, 20, 50, atRandom(20)},
 	}
-	rows := slices.Clone(judged)
+	rows := slices.Clone(checkedRows)
 	if testing.Verbose() {
 		rows = append(rows, fleetRow{100, 10, 20, 0, inTurn(3)}, fleetRow{1000, 500, 20, 0, mostIn(90)},
 			fleetRow{2000, 2000, 100, 0, inBlocks(20)}, fleetRow{20000, 5100, 50, 0, inTurn(20)})
@@ -219,15 +222,15 @@
 	printed := table.NewWriter()
 	printed.AppendHeader(table.Row{"servers, clients, size", "slots missing; zones", "algorithm", "load", "fewest clients",
 		"least outside", "in one zone", "add", "remove", "replace", "client"})
-	met := make(map[string]int)
+	rowsMet := make(map[string]int)
 	for number, row := range rows {
 		f := newFleet(row.servers, row.clients, row.size, row.missing, row.zones, 1)
 		for _, each := range algorithms() {
 			got := measure(f, each.assign(f))
 			cells := table.Row{fmt.Sprintf("%d, %d, %d", row.servers, row.clients, row.size),
 				fmt.Sprintf("%d%%; %s", row.missing, row.zones.name), each.name,
-				fmt.Sprintf("%.2f to %.2f", got.least, got.most), got.fewestClients,
-				fmt.Sprintf("%.2f", got.leastOutside), got.singleZone}
+				fmt.Sprintf("%.2f to %.2f", got.minLoad, got.maxLoad), got.minClients,
+				fmt.Sprintf("%.2f", got.minOutsideShare), got.singleZoneClients}
 			if row.servers > 2000 {
 				printed.AppendRow(append(cells, "-", "-", "-", "-"))
 				continue
@@ -237,9 +240,9 @@
 				cells = append(cells, fmt.Sprintf("%.1f", times))
 			}
 			printed.AppendRow(cells)
-			spans := got.singleZone == 0 || row.zones.name == inTurn(1).name
-			if number < len(judged) && got.most <= 1.1+1e-9 && spans && slices.Max(changes.all()) <= movesAllowed {
-				met[each.name]++
+			spans := got.singleZoneClients == 0 || row.zones.name == inTurn(1).name
+			if number < len(checkedRows) && got.maxLoad <= 1.1+1e-9 && spans && slices.Max(changes.all()) <= maxMoveRatio {
+				rowsMet[each.name]++
 			}
 		}
 	}
@@ -248,20 +251,22 @@
 		printed.RenderMarkdown()
 	}
 	for _, each := range algorithms() {
-		if chosen := each.name == "this package"; chosen != (met[each.name] == len(judged)) {
-			t.Errorf("%s meets all in %d rows of %d", each.name, met[each.name], len(judged))
+		if chosen := each.name == "this package"; chosen != (rowsMet[each.name] == len(checkedRows)) {
+			t.Errorf("%s meets all criteria in %d of %d rows; only this package should meet them in all",
+				each.name, rowsMet[each.name], len(checkedRows))
 		}
 	}
 }
 
-// fleetRow is a row of the comparison.
+// fleetRow holds the parameters of a row of the comparison.
 type fleetRow struct {
 	servers, clients, size, missing int
 	zones                           layout
 }
 
-// TestCompareSizes holds the promised evenness over a grid of sizes wherever a server has ten clients or more and no
-// zone dominates: 1.1, and 1.2 where half of the slots are missing. With -v it prints the second table of docs/subsetting.md, over the whole grid.
+// TestCompareSizes checks the maximum load over a grid of sizes where a server has at least ten clients and no zone
+// dominates: 1.1 times the even load, or 1.2 if half of the slots are missing. With -v it prints the second table of
+// docs/subsetting.md, over the whole grid.
 func TestCompareSizes(t *testing.T) {
 	servers, clients := []int{50, 200, 1000}, []int{100, 1000}
 	if testing.Verbose() {
@@ -274,16 +279,17 @@
 	for _, missing := range []int{0, 5, 50} {
 		for number, zones := range append(slices.Clone(even), mostIn(75), mostIn(90), mostIn(97)) {
 			total := measureGrid(servers, clients, missing, zones)
-			promised := 1.1
+			loadLimit := 1.1
 			if missing >= 50 {
-				promised = 1.2
+				loadLimit = 1.2
 			}
-			if number < len(even) && total.most > promised+1e-9 {
-				t.Errorf("%d%% missing, zones %s: load up to %.3f of even", missing, zones.name, total.most)
+			if number < len(even) && total.maxLoad > loadLimit+1e-9 {
+				t.Errorf("%d%% of slots missing, zones %s: maximum load: got %.3f of even, want at most 1.1 (1.2 at 50%%)",
+					missing, zones.name, total.maxLoad)
 			}
-			printed.AppendRow(table.Row{fmt.Sprintf("%d%%; %s", missing, zones.name), total.fleets, total.over,
-				fmt.Sprintf("%.2f", total.most), fmt.Sprintf("%.2f", total.fewest),
-				fmt.Sprintf("%.2f", total.outside), total.singleZone})
+			printed.AppendRow(table.Row{fmt.Sprintf("%d%%; %s", missing, zones.name), total.fleets, total.overloaded,
+				fmt.Sprintf("%.2f", total.maxLoad), fmt.Sprintf("%.2f", total.minClientsRatio),
+				fmt.Sprintf("%.2f", total.minOutside), total.singleZoneClients})
 		}
 	}
 	if testing.Verbose() {
@@ -292,14 +298,14 @@
 	}
 }
 
-// gridTotal is the worst of each measure over the fleets of a grid.
+// gridTotal holds the worst value of each measure over the fleets of a grid, and counts of fleets and clients.
 type gridTotal struct {
-	fleets, over, singleZone int
-	most, fewest, outside    float64
+	fleets, overloaded, singleZoneClients int
+	maxLoad, minClientsRatio, minOutside  float64
 }
 
 func measureGrid(servers, clients []int, missing int, zones layout) gridTotal {
-	total := gridTotal{fewest: 1, outside: 1}
+	total := gridTotal{minClientsRatio: 1, minOutside: 1}
 	for _, n := range servers {
 		for _, c := range clients {
 			for _, size := range []int{10, 20, 50, 100} {
@@ -309,13 +315,13 @@
 				f := newFleet(n, c, size, missing, zones, 2)
 				got := measure(f, ringAssignment(f))
 				total.fleets++
-				if got.most > 1.1+1e-9 {
-					total.over++
+				if got.maxLoad > 1.1+1e-9 {
+					total.overloaded++
 				}
-				total.most = max(total.most, got.most)
-				total.fewest = min(total.fewest, float64(got.fewestClients*n)/float64(c*size))
-				total.outside = min(total.outside, got.leastOutside)
-				total.singleZone += got.singleZone
+				total.maxLoad = max(total.maxLoad, got.maxLoad)
+				total.minClientsRatio = min(total.minClientsRatio, float64(got.minClients*n)/float64(c*size))
+				total.minOutside = min(total.minOutside, got.minOutsideShare)
+				total.singleZoneClients += got.singleZoneClients
 			}
 		}
 	}
--- a/internal/subset/measure_test.go
+++ b/internal/subset/measure_test.go
@@ -6,58 +6,59 @@
 	"slices"
 )
 
-// fleet is the servers of one service beside the count of its clients.
+// fleet holds the servers of one service, the number of its clients and the subset size.
 type fleet struct {
 	servers []Server
 	clients int
 	size    int
 }
 
-// assignment holds the slots of each client's servers, by position.
+// assignment holds the slots of each client's servers, indexed by the client's position.
 type assignment [][]int
 
-// evenness tells how the load of a service is spread: each server's sum over its clients of 1/subset size.
-type evenness struct {
-	most, least   float64 // load of the most and the least loaded server, over the mean
-	fewestClients int     // the least number of subsets that a server is in
-	leastOutside  float64 // over all clients and zones: the least part of a subset outside of the zone
-	singleZone    int     // clients with all servers in one zone
+// loadStats describes how evenly the load of a service is spread. A server's load is the sum of 1/(subset size) over
+// its clients.
+type loadStats struct {
+	maxLoad, minLoad  float64 // load of the most and the least loaded server, as multiples of the mean
+	minClients        int     // the lowest number of subsets that contain a server
+	minOutsideShare   float64 // the smallest fraction of a subset outside of a zone, over all clients and zones
+	singleZoneClients int     // clients whose servers are all in one zone
 }
 
-func measure(f fleet, chosen assignment) evenness {
+func measure(f fleet, chosen assignment) loadStats {
 	load := make(map[int]float64)
-	degree := make(map[int]int)
+	clientCounts := make(map[int]int)
 	zoneOf := make(map[int]string)
 	for _, server := range f.servers {
 		zoneOf[server.Slot] = server.Zone
 	}
-	result := evenness{least: 1e9, fewestClients: f.clients, leastOutside: 1}
+	result := loadStats{minLoad: 1e9, minClients: f.clients, minOutsideShare: 1}
 	for _, slots := range chosen {
 		zones := make(map[string]int)
 		for _, slot := range slots {
 			load[slot] += 1 / float64(len(slots))
-			degree[slot]++
+			clientCounts[slot]++
 			zones[zoneOf[slot]]++
 		}
 		for _, count := range zones {
-			result.leastOutside = min(result.leastOutside, 1-float64(count)/float64(len(slots)))
+			result.minOutsideShare = min(result.minOutsideShare, 1-float64(count)/float64(len(slots)))
 		}
 		if len(zones) == 1 {
-			result.singleZone++
+			result.singleZoneClients++
 		}
 	}
 	mean := float64(f.clients) / float64(len(f.servers))
 	for _, server := range f.servers {
-		result.most = max(result.most, load[server.Slot]/mean)
-		result.least = min(result.least, load[server.Slot]/mean)
-		result.fewestClients = min(result.fewestClients, degree[server.Slot])
+		result.maxLoad = max(result.maxLoad, load[server.Slot]/mean)
+		result.minLoad = min(result.minLoad, load[server.Slot]/mean)
+		result.minClients = min(result.minClients, clientCounts[server.Slot])
 	}
 	return result
 }
 
-// moved counts the pairs of client and server that are new, or gone, whichever is more. Clients in one of the
-// assignments alone count with all their pairs.
-func moved(before, after assignment) int {
+// movedPairs returns the number of client-server pairs added or the number dropped, whichever is higher. A client that is
+// in only one of the assignments counts with all its pairs.
+func movedPairs(before, after assignment) int {
 	added, dropped := 0, 0
 	for client := range max(len(before), len(after)) {
 		var old, current []int
@@ -81,7 +82,7 @@
 	return max(added, dropped)
 }
 
-// layout places the servers of a service in zones: the zone of the server in a slot.
+// layout places the servers of a service in zones: zone returns the zone of the server in a slot.
 type layout struct {
 	name string
 	zone func(slot, count int, random *rand.Rand) string
@@ -103,7 +104,7 @@
 	return layout{fmt.Sprintf("%d at random", zones), func(_, _ int, random *rand.Rand) string { return zoneName(random.IntN(zones)) }}
 }
 
-// uneven has half of the servers in the first zone, a quarter in the second, and so on.
+// uneven places half of the servers in the first zone, a quarter in the second, and so on.
 func uneven(zones int) layout {
 	return layout{fmt.Sprintf("%d uneven", zones), func(_, _ int, random *rand.Rand) string {
 		zone := 0
@@ -114,7 +115,7 @@
 	}}
 }
 
-// mostIn has the given share of the servers in one of two zones.
+// mostIn places the given percentage of the servers in the first of two zones.
 func mostIn(percent int) layout {
 	return layout{fmt.Sprintf("2, %d%% in one", percent), func(_, _ int, random *rand.Rand) string {
 		if random.IntN(100) < percent {
@@ -124,14 +125,14 @@
 	}}
 }
 
-// halfCircles has each zone in one half of the circle, so that hardly any run of servers holds both.
+// halfCircles places each of two zones in one half of the circle, so that hardly any run of servers contains both.
 func halfCircles() layout {
 	return layout{"2 half circles", func(slot, _ int, _ *rand.Rand) string {
 		return zoneName(int(member{Server: Server{Slot: slot}}.key() >> (keyBits - 1)))
 	}}
 }
 
-// newFleet makes servers in the first slots, of which the given share of a hundred is missing.
+// newFleet creates servers in consecutive slots, of which the given percentage is missing.
 func newFleet(servers, clients, size, missingPercent int, zones layout, seed uint64) fleet {
 	random := rand.New(rand.NewPCG(seed, 0))
 	result := fleet{clients: clients, size: size}
@@ -159,21 +160,21 @@
 			}
 			continue
 		}
-		for _, server := range ring.members(Client{Position: position, Count: f.clients}) {
+		for _, server := range ring.chooseSubset(Client{Position: position, Count: f.clients}) {
 			result[position] = append(result[position], server.Slot)
 		}
 	}
 	return result
 }
 
-// without returns the fleet without the server at the index.
-func (f fleet) without(index int) fleet {
+// withoutServer returns the fleet without the server at the index.
+func (f fleet) withoutServer(index int) fleet {
 	f.servers = slices.Delete(slices.Clone(f.servers), index, index+1)
 	return f
 }
 
-// with returns the fleet with another server in its lowest free slot.
-func (f fleet) with(zone string) fleet {
+// withServer returns the fleet with an additional server in its lowest free slot.
+func (f fleet) withServer(zone string) fleet {
 	used := make(map[int]bool)
 	for _, server := range f.servers {
 		used[server.Slot] = true
@@ -186,7 +187,7 @@
 	return f
 }
 
-// withClients returns the fleet with another count of clients.
+// withClients returns the fleet with the given number of clients.
 func (f fleet) withClients(clients int) fleet {
 	f.clients = clients
 	return f
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -6,36 +6,35 @@
 	"slices"
 )
 
-// Ring is an index over the servers of one service, for a caller that answers many clients after each change: it
-// costs O(n log n) to build for n servers, and each choice O(log n + size log size). It doesn't change once it is
-// built, so that any number of goroutines may choose from it at once.
+// Ring is an index over the servers of one service, for choosing the subsets of many clients. For n servers, building it
+// takes O(n log n), and each choice O(log n + size log size). It is immutable and safe for concurrent use.
 type Ring struct {
 	size int
 	all  []Server // in ID order
 
 	zoneCounts []int
 
-	// One zone may hold so much of the service that runs over all servers would often miss the others. Then it has a
-	// circle of its own, and the others share one. Else servers holds them all, and others is nil.
+	// If one zone dominates, so that runs over all servers would often miss the other zones, servers holds that zone and
+	// others holds the rest. Otherwise servers holds all, and others is nil.
 	servers, others *circle
 }
 
 const (
-	// minOthersMean is the mean count of servers outside of the largest zone in a subset, below which that zone gets a
+	// minOutsideMean is the mean number of servers outside of the largest zone in a subset below which that zone gets a
 	// circle of its own.
-	minOthersMean = 4
+	minOutsideMean = 4
 
-	// outsideShare is the part of a zone's complement that each subset holds at least: a subset has at least
-	// 1/outsideShare of the servers that it would have outside of the zone if zones were in exact proportion.
-	outsideShare = 3
+	// outsideDivisor sets the minimum number of servers outside of a zone in each subset: 1/outsideDivisor of the number
+	// that the subset would have if zones were represented proportionally.
+	outsideDivisor = 3
 
-	// maxSpanLoad bounds the load on few servers outside of a large zone, in times the even load, for the sake of
-	// subsets that span two zones.
+	// maxSpanLoad limits the load on the few servers outside of a dominating zone, as a multiple of the even load. They get
+	// more than the even load so that subsets span two zones.
 	maxSpanLoad = 2
 )
 
-// NewRing indexes the servers for subsets of at most the given size. The order of the servers doesn't matter; of
-// several with one ID a single one is kept.
+// NewRing indexes the servers for subsets of at most size servers. The order of servers doesn't matter; of several with
+// the same ID only one is kept.
 func NewRing(servers []Server, size int) *Ring {
 	ring := &Ring{size: max(size, 0), all: distinct(servers)}
 	if ring.choosesAll() || ring.size == 0 {
@@ -47,13 +46,13 @@
 		ring.servers = newCircle(members, ring.size)
 		return ring
 	}
-	inside, outside := split(members, largest)
+	inside, outside := splitByZone(members, largest)
 	ring.servers = newCircle(inside, ring.size)
 	ring.others = newCircle(outside, max(1, ring.size*len(outside)/len(members)))
 	return ring
 }
 
-// distinct returns a copy in ID order with one server an ID.
+// distinct returns a copy of servers in ID order with one server per ID.
 func distinct(servers []Server) []Server {
 	ordered := slices.Clone(servers)
 	slices.SortFunc(ordered, func(a, b Server) int {
@@ -66,7 +65,8 @@
 	return len(ring.all) <= ring.size
 }
 
-// numberZones counts the servers of each zone, and numbers zones in the order of their names.
+// numberZones numbers the zones in the order of their names, sets zoneCounts, and returns the servers with their zones'
+// numbers.
 func (ring *Ring) numberZones() []member {
 	var names []string
 	counts := make(map[string]int)
@@ -89,13 +89,13 @@
 	return members
 }
 
-// dominates tells whether runs over all servers would hold few of those outside of the zone.
+// dominates reports whether runs over all servers would contain too few servers outside of the zone.
 func (ring *Ring) dominates(zone int) bool {
 	total, inside := len(ring.all), ring.zoneCounts[zone]
-	return inside < total && 2*inside > total && ring.size > 1 && ring.size*(total-inside) < minOthersMean*total
+	return inside < total && 2*inside > total && ring.size > 1 && ring.size*(total-inside) < minOutsideMean*total
 }
 
-func split(members []member, zone int) (inside, outside []member) {
+func splitByZone(members []member, zone int) (inside, outside []member) {
 	for _, server := range members {
 		if server.zone == zone {
 			inside = append(inside, server)
@@ -106,7 +106,7 @@
 	return inside, outside
 }
 
-// Choose returns the IDs of the servers that the client connects to, in ID order, as Choose of the package does.
+// Choose returns the IDs of the servers that the client connects to, in ID order, like the function Choose.
 func (ring *Ring) Choose(client Client) []string {
 	if ring.size == 0 || len(ring.all) == 0 {
 		return nil
@@ -118,7 +118,7 @@
 		}
 		return ids
 	}
-	chosen := ring.members(client)
+	chosen := ring.chooseSubset(client)
 	ids := make([]string, len(chosen))
 	for i, server := range chosen {
 		ids[i] = server.ID
@@ -127,12 +127,12 @@
 	return ids
 }
 
-// members returns the client's subset where it is a part of the servers.
-func (ring *Ring) members(client Client) []member {
-	client = client.wrapped()
-	point := clientPoint(client, clientCell(client.Count, len(ring.all), ring.size))
+// chooseSubset returns the client's subset. There must be more than size servers.
+func (ring *Ring) chooseSubset(client Client) []member {
+	client = client.normalized()
+	point := clientPoint(client, clientCellSize(client.Count, len(ring.all), ring.size))
 	chosen := make([]member, 0, ring.size)
-	first := ring.servers.at(point)
+	first := ring.servers.serverAt(point)
 	if ring.others == nil {
 		chosen = ring.servers.appendRun(chosen, first, ring.size)
 		ring.spanZones(chosen, first)
@@ -140,19 +140,19 @@
 	}
 	outside := ring.outsideCount(client)
 	chosen = ring.servers.appendRun(chosen, first, ring.size-outside)
-	return ring.others.appendRun(chosen, ring.others.at(point), outside)
+	return ring.others.appendRun(chosen, ring.others.serverAt(point), outside)
 }
 
-// outsideCount returns how many servers outside of the dominating zone the client connects to: their share of the
-// subset, rounded down for some clients and up for others so that the mean is kept. A share below one is raised to
-// one, as far as maxSpanLoad allows.
+// outsideCount returns the number of servers outside of the dominating zone in the client's subset: their proportional
+// share, rounded down for some clients and up for others to preserve the mean. A share below one is raised towards one,
+// as far as maxSpanLoad allows.
 func (ring *Ring) outsideCount(client Client) int {
 	total := len(ring.all)
 	share := ring.size * len(ring.others.servers)
 	if share < total {
 		share = min(total, maxSpanLoad*share)
 	}
-	rounding, _ := bits.Mul64(uint64(client.Position)*goldenStep, uint64(total))
+	rounding, _ := bits.Mul64(uint64(client.Position)*goldenRatioStep, uint64(total))
 	count := share / total
 	if int(rounding) < share%total {
 		count++
@@ -160,7 +160,8 @@
 	return count
 }
 
-// spanZones exchanges surplus servers of one zone in chosen, the run from first on, for the next ones of other zones.
+// spanZones replaces the surplus servers of one zone in chosen, the run that starts at first, with the next servers of
+// other zones.
 func (ring *Ring) spanZones(chosen []member, first int) {
 	counts := make([]int, len(ring.zoneCounts))
 	for _, server := range chosen {
@@ -169,24 +170,25 @@
 	for zone, count := range counts {
 		surplus := count - (ring.size - ring.minOutside(zone))
 		if surplus > 0 {
-			ring.exchange(chosen, first+len(chosen), zone, surplus)
-			return // no two zones have more than half of the subset
+			ring.replaceSurplus(chosen, first+len(chosen), zone, surplus)
+			return // at most one zone has more than half of the subset
 		}
 	}
 }
 
-// minOutside returns how many servers of each subset are outside of the zone.
+// minOutside returns the minimum number of servers outside of the zone in each subset.
 func (ring *Ring) minOutside(zone int) int {
 	total := len(ring.all)
 	outside := total - ring.zoneCounts[zone]
 	if outside == 0 {
 		return 0
 	}
-	return min(max(1, ring.size*outside/(outsideShare*total)), ring.size/2)
+	return min(max(1, ring.size*outside/(outsideDivisor*total)), ring.size/2)
 }
 
-// exchange replaces the last surplus servers of the zone in chosen by the ones of other zones from index next on.
-func (ring *Ring) exchange(chosen []member, next, zone, surplus int) {
+// replaceSurplus replaces the last surplus servers of the zone in chosen with servers of other zones, starting at index
+// next.
+func (ring *Ring) replaceSurplus(chosen []member, next, zone, surplus int) {
 	servers := ring.servers.servers
 	for i := len(chosen) - 1; surplus > 0; i-- {
 		if chosen[i].zone != zone {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// drawFleet draws a service with slots that are consecutive but for a few, in the given zones.
+// drawFleet draws a service in the given zones; up to half of the slots are missing.
 func drawFleet(t *rapid.T, zones layout) fleet {
 	return newFleet(
 		rapid.IntRange(1, 800).Draw(t, "servers"),
@@ -37,88 +37,88 @@
 	return result
 }
 
-func TestChooseIsABoundedSetOfServersInAnyOrderOfInput(t *testing.T) {
+func TestChooseReturnsSortedSubsetForAnyInputOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t, drawLayout(t))
 		client := Client{Position: rapid.IntRange(0, f.clients-1).Draw(t, "position"), Count: f.clients}
 		chosen := Choose(f.servers, client, f.size)
 
 		if want := min(f.size, len(f.servers)); len(chosen) != want {
-			t.Fatalf("%d chosen, want %d", len(chosen), want)
+			t.Fatalf("chosen servers: got %d, want %d", len(chosen), want)
 		}
 		known := ids(f.servers)
 		for i, id := range chosen {
 			if _, found := slices.BinarySearch(known, id); !found {
-				t.Fatalf("%q isn't a server", id)
+				t.Fatalf("chosen ID %q is not among the servers", id)
 			}
 			if i > 0 && chosen[i-1] >= id {
-				t.Fatalf("%q before %q", chosen[i-1], id)
+				t.Fatalf("chosen IDs are not in order: %q before %q", chosen[i-1], id)
 			}
 		}
 
 		shuffled := slices.Clone(f.servers)
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "order"), 0))
 		random.Shuffle(len(shuffled), func(i, j int) { shuffled[i], shuffled[j] = shuffled[j], shuffled[i] })
-		given := slices.Clone(shuffled)
+		original := slices.Clone(shuffled)
 		if again := Choose(shuffled, client, f.size); !slices.Equal(chosen, again) {
-			t.Fatalf("another order of the servers gives %v, not %v", again, chosen)
+			t.Fatalf("choice from servers in another order: got %v, want %v", again, chosen)
 		}
-		if !slices.Equal(shuffled, given) {
-			t.Fatal("the caller's slice was changed")
+		if !slices.Equal(shuffled, original) {
+			t.Fatal("Choose modified the caller's slice")
 		}
 	})
 }
 
-func TestAllServersAreChosenUpToTheSize(t *testing.T) {
+func TestChooseReturnsAllServersUpToSize(t *testing.T) {
 	for _, servers := range []int{1, 9, 10} {
 		f := newFleet(servers, 7, 10, 0, inTurn(3), 1)
 		if chosen := Choose(f.servers, Client{Position: 3, Count: 7}, 10); !slices.Equal(chosen, ids(f.servers)) {
-			t.Errorf("%d servers: chosen %v", servers, chosen)
+			t.Errorf("%d servers, size 10: got %v, want all servers", servers, chosen)
 		}
 	}
 }
 
-// TestChoiceIsTheSameOnEveryMachine holds one choice as it must come out everywhere, now and later: nodes and replicas
-// of different versions have to agree.
-func TestChoiceIsTheSameOnEveryMachine(t *testing.T) {
+// TestChoiceIsStable pins one choice. It must be the same on every machine and in every version, since nodes and replicas
+// of different versions must agree.
+func TestChoiceIsStable(t *testing.T) {
 	f := newFleet(300, 50, 5, 0, inTurn(3), 1)
 	chosen := Choose(f.servers, Client{Position: 17, Count: 50}, f.size)
 	want := []string{"server-00030", "server-00085", "server-00140", "server-00208", "server-00297"}
 	if !slices.Equal(chosen, want) {
-		t.Errorf("chosen %q, want %q", chosen, want)
+		t.Errorf("chosen servers: got %q, want %q", chosen, want)
 	}
 }
 
-func TestBadInput(t *testing.T) {
+func TestChooseWithInvalidInput(t *testing.T) {
 	f := newFleet(100, 8, 10, 0, inTurn(3), 1)
-	at := func(position, count, size int) []string {
+	choose := func(position, count, size int) []string {
 		return Choose(f.servers, Client{Position: position, Count: count}, size)
 	}
 	for _, each := range []struct {
 		name      string
 		got, want []string
 	}{
-		{"size 0", at(3, 8, 0), nil},
-		{"size below 0", at(3, 8, -1), nil},
+		{"size 0", choose(3, 8, 0), nil},
+		{"size below 0", choose(3, 8, -1), nil},
 		{"no servers", Choose(nil, Client{Position: 3, Count: 8}, 10), nil},
-		{"position at the count", at(8, 8, 10), at(0, 8, 10)},
-		{"position beyond the count", at(27, 8, 10), at(3, 8, 10)},
-		{"position below 0", at(-1, 8, 10), at(7, 8, 10)},
-		{"lowest position", at(math.MinInt, 8, 10), at(0, 8, 10)},
-		{"count 0", at(5, 0, 10), at(0, 1, 10)},
-		{"count below 0", at(5, -8, 10), at(0, 1, 10)},
-		{"an ID twice", Choose(append(slices.Clone(f.servers), f.servers...), Client{Position: 3, Count: 8}, 10), at(3, 8, 10)},
+		{"position at the count", choose(8, 8, 10), choose(0, 8, 10)},
+		{"position beyond the count", choose(27, 8, 10), choose(3, 8, 10)},
+		{"position below 0", choose(-1, 8, 10), choose(7, 8, 10)},
+		{"lowest position", choose(math.MinInt, 8, 10), choose(0, 8, 10)},
+		{"count 0", choose(5, 0, 10), choose(0, 1, 10)},
+		{"count below 0", choose(5, -8, 10), choose(0, 1, 10)},
+		{"duplicate IDs", Choose(append(slices.Clone(f.servers), f.servers...), Client{Position: 3, Count: 8}, 10), choose(3, 8, 10)},
 	} {
 		if !slices.Equal(each.got, each.want) {
-			t.Errorf("%s: chosen %v, want %v", each.name, each.got, each.want)
+			t.Errorf("%s: got %v, want %v", each.name, each.got, each.want)
 		}
 	}
-	if position, count := at(0, math.MaxInt, 10), at(math.MaxInt-1, math.MaxInt, 10); len(position) != 10 || len(count) != 10 {
-		t.Errorf("the highest count: %d and %d servers chosen, want 10", len(position), len(count))
+	if position, count := choose(0, math.MaxInt, 10), choose(math.MaxInt-1, math.MaxInt, 10); len(position) != 10 || len(count) != 10 {
+		t.Errorf("highest Count at Position 0 and Count-1: got %d and %d servers, want 10 each", len(position), len(count))
 	}
 }
 
-func TestServersOfOneSlotAndFarSlots(t *testing.T) {
+func TestChooseWithDuplicateAndExtremeSlots(t *testing.T) {
 	var servers []Server
 	for i := range 300 {
 		servers = append(servers, Server{ID: fmt.Sprintf("same-%03d", i), Slot: 5})
@@ -126,13 +126,13 @@
 	}
 	for position := range 20 {
 		if chosen := Choose(servers, Client{Position: position, Count: 20}, 10); len(chosen) != 10 {
-			t.Errorf("position %d: %d chosen, want 10", position, len(chosen))
+			t.Errorf("position %d: got %d servers, want 10", position, len(chosen))
 		}
 	}
 }
 
-// TestLoadIsEven holds 1.1 of even, and nine tenths rounded down to a whole number of clients, for zones of which none
-// dominates.
+// TestLoadIsEven checks that, if no zone dominates, no server has more than 1.1 times the even load, or fewer clients
+// than 0.9 times the mean, rounded down.
 func TestLoadIsEven(t *testing.T) {
 	for _, each := range []struct{ servers, clients, size int }{
 		{20, 20, 10}, {50, 100, 10}, {200, 100, 20}, {300, 1000, 10}, {500, 5100, 10}, {1000, 1000, 10},
@@ -142,26 +142,27 @@
 			for _, zones := range []layout{inTurn(3), inBlocks(20), atRandom(3), uneven(5)} {
 				f := newFleet(each.servers, each.clients, each.size, missing, zones, 1)
 				got := measure(f, ringAssignment(f))
-				fewest := 9 * each.clients * each.size / (10 * each.servers)
-				if got.most > 1.1+1e-9 || got.fewestClients < fewest {
-					t.Errorf("%d servers, %d%% of slots missing, zones %s, %d clients, size %d: load %.3f to %.3f of even",
-						each.servers, missing, zones.name, each.clients, each.size, got.least, got.most)
+				wantClients := 9 * each.clients * each.size / (10 * each.servers)
+				if got.maxLoad > 1.1+1e-9 || got.minClients < wantClients {
+					t.Errorf("%d servers, %d%% of slots missing, zones %s, %d clients, size %d: loads %.3f to %.3f of even (at most 1.1), or too few clients",
+						each.servers, missing, zones.name, each.clients, each.size, got.minLoad, got.maxLoad)
 				}
 			}
 		}
 	}
 }
 
-// TestEveryServerIsInSubsets holds the least number of subsets that a server is in, for sizes of 10 and more: eight
-// tenths of the mean, less one for its rounding.
-func TestEveryServerIsInSubsets(t *testing.T) {
+// TestMinSubsetsPerServer checks the minimum number of subsets that contain a server, for sizes of at least 10: 0.8 times
+// the mean, minus one for rounding.
+func TestMinSubsetsPerServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t, rapid.SampledFrom([]layout{inTurn(3), atRandom(20), uneven(5), mostIn(90)}).Draw(t, "zones"))
 		f.size = max(f.size, 10)
 		got := measure(f, ringAssignment(f))
 		mean := float64(f.clients*min(f.size, len(f.servers))) / float64(len(f.servers))
-		if least := int(0.8*mean) - 1; got.fewestClients < least {
-			t.Fatalf("a server is in %d subsets, want %d at least; the mean is %.2f", got.fewestClients, least, mean)
+		if minSubsets := int(0.8*mean) - 1; got.minClients < minSubsets {
+			t.Fatalf("minimum number of subsets with a server: got %d, want at least %d; the mean is %.2f",
+				got.minClients, minSubsets, mean)
 		}
 	})
 }
@@ -186,37 +187,38 @@
 			for zone, count := range counts {
 				outside := len(f.servers) - count
 				if maxSpanLoad*f.size*outside < len(f.servers) {
-					continue // too few for every subset to hold one
+					continue // too few for every subset to contain one
 				}
-				want := min(max(1, f.size*outside/(outsideShare*len(f.servers))), f.size/2)
+				want := min(max(1, f.size*outside/(outsideDivisor*len(f.servers))), f.size/2)
 				if got := f.size - inside[zone]; got < want {
-					t.Fatalf("position %d has %d servers outside of %s, want %d at least", position, got, zone, want)
+					t.Fatalf("position %d: got %d servers outside of %s, want at least %d", position, got, zone, want)
 				}
 			}
 		}
 	})
 }
 
-func TestFewOutsideServersAreSparedTheLoadOfAll(t *testing.T) {
+func TestLoadOfSmallZoneIsLimited(t *testing.T) {
 	f := newFleet(1000, 500, 10, 0, inTurn(1), 1)
 	for i := range 2 {
 		f.servers[i].Zone = "small"
 	}
 	got := measure(f, ringAssignment(f))
-	if got.most > maxSpanLoad*1.1 {
-		t.Errorf("the two servers of the small zone have up to %.2f times the even load", got.most)
+	if got.maxLoad > maxSpanLoad*1.1 {
+		t.Errorf("maximum load of the small zone's two servers: got %.2f times the even load, want at most 1.1*maxSpanLoad",
+			got.maxLoad)
 	}
-	if got.singleZone == f.clients {
-		t.Error("no client holds a server of the small zone")
+	if got.singleZoneClients == f.clients {
+		t.Error("no subset contains a server of the small zone, want at least one")
 	}
 }
 
-// TestChangesMoveFew bounds the moved pairs of client and server at one change, where the slots in use are consecutive.
-// The least possible is one pair for each client of a server that comes or goes, and a whole subset for a client. A
-// cell that is divided or joined adds up to a quarter of its pairs and a subset;
-// another bound on the clients of a stretch adds up to a quarter of all pairs.
-func TestChangesMoveFew(t *testing.T) {
-	const times = 5
+// TestChangeMovesFewPairs limits the client-server pairs moved by one change while the slots in use are consecutive. The
+// minimum possible is one pair for each client of an added or removed server, and one subset for an added or removed
+// client. A cell that is split or merged adds up to a quarter of its pairs and a subset; a change of clientCellSize adds
+// up to a quarter of all pairs.
+func TestChangeMovesFewPairs(t *testing.T) {
+	const maxMoveRatio = 5
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(
 			rapid.IntRange(2, 800).Draw(t, "servers"),
@@ -227,48 +229,50 @@
 		f.size = min(f.size, len(f.servers)-1)
 		before := ringAssignment(f)
 		mean := f.clients*f.size/len(f.servers) + 1
-		cellPairs := mean * max(evenCellServers, subsetsPerCell*f.size)
+		cellPairs := mean * max(minCellLimit, maxSubsetsPerCell*f.size)
 		index := rapid.IntRange(0, len(f.servers)-1).Draw(t, "index")
 
-		cellOf := func(f fleet) uint64 { return clientCell(f.clients, len(f.servers), f.size) }
-		check := func(name string, after fleet, most int) {
-			if cellOf(after) != cellOf(f) {
-				most += f.clients * f.size / 4
+		cellSize := func(f fleet) uint64 { return clientCellSize(f.clients, len(f.servers), f.size) }
+		check := func(name string, after fleet, maxPairs int) {
+			if cellSize(after) != cellSize(f) {
+				maxPairs += f.clients * f.size / 4
 			}
-			if got := moved(before, ringAssignment(after)); got > most {
-				t.Fatalf("%s moves %d pairs, want %d at most", name, got, most)
+			if got := movedPairs(before, ringAssignment(after)); got > maxPairs {
+				t.Fatalf("pairs moved by %s: got %d, want at most %d", name, got, maxPairs)
 			}
 		}
-		check("an added server", f.with(f.servers[index].Zone), times*mean+cellPairs/4+f.size)
-		check("a removed server", f.without(index), times*mean+cellPairs/4+f.size)
-		check("an added client", f.withClients(f.clients+1), (times+1)*f.size)
-		check("a removed client", f.withClients(f.clients-1), (times+1)*f.size)
+		check("an added server", f.withServer(f.servers[index].Zone), maxMoveRatio*mean+cellPairs/4+f.size)
+		check("a removed server", f.withoutServer(index), maxMoveRatio*mean+cellPairs/4+f.size)
+		check("an added client", f.withClients(f.clients+1), (maxMoveRatio+1)*f.size)
+		check("a removed client", f.withClients(f.clients-1), (maxMoveRatio+1)*f.size)
 
 		replaced := f
 		replaced.servers = slices.Clone(f.servers)
 		replaced.servers[index].ID = "replacement"
-		if got := moved(before, ringAssignment(replaced)); got != 0 {
-			t.Fatalf("%d pairs of client and slot move for a replaced server, want none", got)
+		if got := movedPairs(before, ringAssignment(replaced)); got != 0 {
+			t.Fatalf("client-slot pairs moved by a replaced server: got %d, want 0", got)
 		}
 	})
 }
 
-// TestGrowthMovesFewOnTheWhole holds the mean over many changes, divisions of cells among them, to four times the least.
-func TestGrowthMovesFewOnTheWhole(t *testing.T) {
-	const times, changes = 4, 64
+// TestGrowthMovesFewPairs checks that many additions, which also split cells, move on average at most four times the
+// minimum number of pairs.
+func TestGrowthMovesFewPairs(t *testing.T) {
+	const maxMoveRatio, changes = 4, 64
 	for _, zones := range []layout{inTurn(1), inTurn(3), atRandom(3)} {
 		f := newFleet(800, 300, 20, 0, zones, 1)
-		before, total, least := ringAssignment(f), 0, 0
+		before, total, minPairs := ringAssignment(f), 0, 0
 		for range changes {
-			f = f.with(f.servers[len(f.servers)-3].Zone)
+			f = f.withServer(f.servers[len(f.servers)-3].Zone)
 			f.servers[len(f.servers)-1].ID = fmt.Sprintf("server-%05d", len(f.servers)-1)
 			after := ringAssignment(f)
-			total += moved(before, after)
-			least += f.clients * f.size / len(f.servers)
+			total += movedPairs(before, after)
+			minPairs += f.clients * f.size / len(f.servers)
 			before = after
 		}
-		if total > times*least {
-			t.Errorf("zones %s: %d added servers move %d pairs, %d are the least", zones.name, changes, total, least)
+		if total > maxMoveRatio*minPairs {
+			t.Errorf("zones %s: %d added servers move %d pairs, want at most 4 times the minimum of %d",
+				zones.name, changes, total, minPairs)
 		}
 
 		g := newFleet(800, 300, 20, 0, zones, 1)
@@ -276,42 +280,45 @@
 		for range changes {
 			g = g.withClients(g.clients + 1)
 			after := ringAssignment(g)
-			total += moved(before, after)
+			total += movedPairs(before, after)
 			before = after
 		}
-		if least := changes * g.size; total > times*least {
-			t.Errorf("zones %s: %d added clients move %d pairs, %d are the least", zones.name, changes, total, least)
+		if minPairs := changes * g.size; total > maxMoveRatio*minPairs {
+			t.Errorf("zones %s: %d added clients move %d pairs, want at most 4 times the minimum of %d",
+				zones.name, changes, total, minPairs)
 		}
 	}
 }
 
-// TestLostZone holds what remains after the loss of one of three zones: even loads again, and no subset that had lost
-// more than its stated part.
+// TestLostZone simulates the loss of one of three zones: loads are even afterwards, no subset loses more than its stated
+// fraction, and few other pairs move.
 func TestLostZone(t *testing.T) {
 	for _, zones := range []layout{inTurn(3), inBlocks(3), atRandom(3)} {
 		f := newFleet(900, 600, 20, 0, zones, 1)
 		before := ringAssignment(f)
-		if got := measure(f, before); got.leastOutside < 1.0/outsideShare*2/3 {
-			t.Errorf("zones %s: a subset loses all but %.2f of its servers", zones.name, got.leastOutside)
+		if got := measure(f, before); got.minOutsideShare < 1.0/outsideDivisor*2/3 {
+			t.Errorf("zones %s: a subset keeps only a fraction of %.2f of its servers, want at least 2/(3*outsideDivisor)",
+				zones.name, got.minOutsideShare)
 		}
-		rest := f
-		rest.servers = slices.DeleteFunc(slices.Clone(f.servers), func(s Server) bool { return s.Zone == zoneName(1) })
-		after := ringAssignment(rest)
-		if got := measure(rest, after); got.most > 1.1+1e-9 {
-			t.Errorf("zones %s: load up to %.3f of even after the loss", zones.name, got.most)
+		remaining := f
+		remaining.servers = slices.DeleteFunc(slices.Clone(f.servers), func(s Server) bool { return s.Zone == zoneName(1) })
+		after := ringAssignment(remaining)
+		if got := measure(remaining, after); got.maxLoad > 1.1+1e-9 {
+			t.Errorf("zones %s: maximum load after the loss: got %.3f times the even load, want at most 1.1",
+				zones.name, got.maxLoad)
 		}
 		lost := 0
 		for _, slots := range before {
 			for _, slot := range slots {
-				if !slices.ContainsFunc(rest.servers, func(s Server) bool { return s.Slot == slot }) {
+				if !slices.ContainsFunc(remaining.servers, func(s Server) bool { return s.Slot == slot }) {
 					lost++
 				}
 			}
 		}
-		pairs := moved(before, after)
+		pairs := movedPairs(before, after)
 		t.Logf("zones %s: %d pairs moved, %d lost", zones.name, pairs, lost)
 		if pairs > 2*lost {
-			t.Errorf("zones %s: %d pairs move for %d that were lost", zones.name, pairs, lost)
+			t.Errorf("zones %s: %d pairs move for %d lost pairs, want at most twice the lost pairs", zones.name, pairs, lost)
 		}
 	}
 }
