--- a/internal/registry/http_replicas.go
+++ b/internal/registry/http_replicas.go
@@ -69,7 +69,7 @@
 		return body, err
 	}
 	if id == "" || len(id) > maxFieldBytes || body.RaftAddress == "" || body.APIAddress == "" {
-		return body, errors.New("want an id in the path, and raft and calls in the body")
+		return body, errors.New("want an id, raft and calls")
 	}
 	return body, nil
 }
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -147,7 +147,7 @@
 	}
 	raw, err := encodeCommand(c)
 	if err != nil {
-		return Result{}, fmt.Errorf("registry: encode command: %w", err)
+		return Result{}, fmt.Errorf("registry: encode a command: %w", err)
 	}
 	future := r.raft.Apply(raw, commitTimeout)
 	if err := future.Error(); err != nil {
--- a/internal/registry/scope.go
+++ b/internal/registry/scope.go
@@ -36,7 +36,7 @@
 // parameters. Errors are *FieldError.
 func parseScope(query url.Values) (*Scope, error) {
 	if !query.Has(serviceParam) {
-		return nil, rejectParams(query, "requires the parameter service", subsetParam, positionParam, nodesParam, zoneParam)
+		return nil, rejectParams(query, "wants a service beside it", subsetParam, positionParam, nodesParam, zoneParam)
 	}
 	services, err := parseServices(query[serviceParam])
 	if err != nil {
@@ -68,7 +68,7 @@
 // parseSubset reads the parameters of the subset that the caller connects to.
 func (scope *Scope) parseSubset(query url.Values) error {
 	if !query.Has(subsetParam) {
-		return rejectParams(query, "requires the parameter subset", positionParam, nodesParam, zoneParam)
+		return rejectParams(query, "wants a subset beside it", positionParam, nodesParam, zoneParam)
 	}
 	var err error
 	if scope.SubsetSize, err = parseIntParam(query, subsetParam, 1, maxInstances); err != nil {
