--- a/policy/admission.go
+++ b/policy/admission.go
@@ -12,7 +12,6 @@
 	quotaBurst = 500 * time.Millisecond
 	// minBurst is the smallest burst of a quota, in tokens, so that a very small quota still admits a few
 	// requests at once.
-	// once.
 	minBurst = 3
 	// refillCompensation offsets the fractions of tokens that are lost by refilling in whole tokens: with a
 	// refill rate r, Poisson arrivals at a rate a are admitted at 1/(1/r + 1/a) if a is far above r, and at
