--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -40,7 +40,7 @@
 	t.Helper()
 	status, text := call(t, http.MethodGet, "http://"+adminAddr+statsPath)
 	if status != http.StatusOK {
-		t.Fatalf("%s: got status %d, want 200", statsPath, status)
+		t.Fatalf("call for the metrics: got status %d, want 200", status)
 	}
 	all := make(map[string]float64)
 	for line := range strings.Lines(text) {
@@ -70,7 +70,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			t.Fatalf("metrics after %v: got %v, want %v", nodetest.Timeout/3, got, want)
+			t.Fatalf("metrics after a third of nodetest.Timeout: got %v, want %v", got, want)
 		}
 	}
 }
@@ -182,7 +182,7 @@
 		defer nodetest.Close(t, conn)
 		writeText(t, conn, "GET "+healthPath+" HTTP/1.1\r\nHost: x\r\n\r\n")
 		if all, err := io.ReadAll(conn); err != nil || !strings.Contains(string(all), "200 OK") {
-			t.Errorf("%s: got %q, error %v, want 200 and the end of the connection", healthPath, all, err)
+			t.Errorf("health check: got %q, error %v, want status 200 and the end of the connection", all, err)
 		}
 	})
 }
--- a/internal/node/config/scope_test.go
+++ b/internal/node/config/scope_test.go
@@ -62,7 +62,7 @@
 	withScope := strings.Replace(withoutScope, `"seed"`, `"scope":{"services":["a"]},"seed"`, 1)
 	c, reload := loadFile(t, withScope)
 	if c.Scope != "service=a" {
-		t.Errorf("scope at the start: got %q, want %q", c.Scope, "service=a")
+		t.Errorf("scope at the start: got %q, want service=a", c.Scope)
 	}
 	for text, want := range map[string]string{withoutScope: "", withScope: "service=a", strings.Replace(withScope, `["a"]`, `["b"]`, 1): "service=b"} {
 		if c, err := reload(text); err != nil || c.Scope != want {
--- a/internal/node/discovery/cache_test.go
+++ b/internal/node/discovery/cache_test.go
@@ -56,10 +56,10 @@
 		cancel()
 		if want == "" {
 			if err == nil {
-				t.Errorf("watch of replica %d: got list %+v, want an error", client.replica, list)
+				t.Errorf("watch of an unreachable or stale replica: got list %+v, want an error", list)
 			}
 		} else if err != nil || list.Endpoints[0].ID != want {
-			t.Errorf("watch of replica %d: got %+v, error %v; want a list with server %s", client.replica, list, err, want)
+			t.Errorf("watch: got %+v, error %v; want a list with server %s", list, err, want)
 		} else {
 			client.Apply(list)
 		}
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -110,11 +110,11 @@
 		client, updates, queries := startWatch(t, true, "down", nodetest.ListChange(8, nodetest.ListEntry("s1", "up")), nodetest.ListChange(8))
 		client.SetWatching(true)
 		if update := nodetest.Receive(t, "the failure", updates); update.Kind != policy.ListUnavailable {
-			t.Errorf("update after a failed watch: got %+v, want kind %v", update, policy.ListUnavailable)
+			t.Errorf("update after a failed watch: got %+v, want kind ListUnavailable", update)
 		}
 		wantRevisions(t, queries, "7")
 		if len(queries) != 0 {
-			t.Errorf("calls after a failure and before SetWatching: got %d, want 0", len(queries))
+			t.Error("call for the list after a failure and before SetWatching, want none")
 		}
 		client.SetWatching(true)
 		if update := nodetest.Receive(t, "the change", updates); update.Kind != policy.ListUpdate || len(update.Endpoints) != 1 {
@@ -183,8 +183,7 @@
 				}
 			}
 			if len(queries) != 0 || len(updates) != 0 {
-				t.Errorf("subscribe %v: after Retarget: got %d calls to the old address and %d further updates, want none",
-					subscribe, len(queries), len(updates))
+				t.Errorf("subscribe %v: call to the old address or a further update after Retarget, want neither", subscribe)
 			}
 		}
 	})
@@ -196,7 +195,7 @@
 		client, updates, _ := startWatch(t, true, "down")
 		client.SetWatching(true)
 		if update := nodetest.Receive(t, "the failure", updates); update.Kind != policy.ListUnavailable {
-			t.Fatalf("update after a failed watch: got %+v, want kind %v", update, policy.ListUnavailable)
+			t.Fatalf("update after a failed watch: got %+v, want kind ListUnavailable", update)
 		}
 		client.Retarget(Target{nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			if r.URL.RawQuery != "" {
--- a/internal/node/discovery/scope_test.go
+++ b/internal/node/discovery/scope_test.go
@@ -87,7 +87,7 @@
 		first := nodetest.Receive(t, "a call to the list service", calls)
 		diff := cmp.Diff(http.Header{"User-Agent": {"Go-http-client/1.1"}}, first.Header)
 		if uri := first.URL.RequestURI(); uri != watchURI(7, "") || diff != "" {
-			t.Errorf("first call: got URI %s, want %s; headers (-want +got):\n%s", uri, watchURI(7, ""), diff)
+			t.Errorf("first call: got URI %s, want a watch from revision 7; headers (-want +got):\n%s", uri, diff)
 		}
 		wantUpdate(t, updates, policy.ListUpdate, "s9")
 		wantCalls(t, calls, watchURI(8, ""))
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -149,7 +149,7 @@
 		default:
 		}
 		if time.Since(start) > nodetest.Timeout {
-			d.Fatalf("list sent to the node: %v; no request reached the healthy server within %v", listSent, nodetest.Timeout)
+			d.Fatal("timed out: the node didn't call for the list, or sent no request to the healthy server")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -68,7 +68,7 @@
 			break
 		}
 		if server != "a" {
-			t.Fatalf("Decide(%s): got server %q, want a", id, server)
+			t.Fatalf("Decide with server a: got server %q, want a", server)
 		}
 		h.End(policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: time.Millisecond})
 	}
@@ -123,8 +123,8 @@
 	expect(policy.ListUpdate, 1)
 	got := h.Traffic()
 	if got.Answers != 2 || got.Calls < 2 || got.Received < uint64(len(whole)+len(delta)) || got.Sent == 0 {
-		t.Errorf("traffic of two lists: got %+v, want 2 answers, at least 2 calls, at least %d bytes received and some sent",
-			got, len(whole)+len(delta))
+		t.Errorf("traffic: got %+v, want 2 answers, 2 or more calls, at least the bytes of both lists received and some sent",
+			got)
 	}
 	stop()
 	if err := <-ended; err != nil {
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -90,7 +90,7 @@
 				}
 				nodetest.Close(t, resp.Body)
 				if resp.StatusCode != http.StatusOK {
-					t.Errorf("request r%d-%d: got status %d, want 200", n, i, resp.StatusCode)
+					t.Errorf("request during a hot restart: got status %d, want 200", resp.StatusCode)
 				}
 				served.Add(1)
 				time.Sleep(5 * time.Millisecond) // well under the quota
@@ -133,7 +133,7 @@
 	}
 	for i := range 3 {
 		if got := status(fmt.Sprint("before", i)); got != http.StatusOK {
-			t.Fatalf("request %d within the burst: got status %d, want 200", i, got)
+			t.Fatalf("request within the burst: got status %d, want 200", got)
 		}
 	}
 	startProcess(t, c)
@@ -151,7 +151,7 @@
 	for _, served := range []bool{false, true} {
 		listeners, err := Listen(t.Context(), c)
 		if err != nil || listeners.predecessor == nil {
-			t.Fatalf("Listen: got predecessor %v, error %v, want a hand-over", listeners.predecessor, err)
+			t.Fatalf("Listen: want a hand-over from the predecessor, got none or error %v", err)
 		}
 		if served {
 			following := make(chan struct{})
@@ -178,12 +178,12 @@
 	startProcess(t, c)
 	listeners, err := Listen(t.Context(), c)
 	if err != nil || listeners.predecessor == nil {
-		t.Fatalf("Listen: got predecessor %v, error %v, want a hand-over", listeners.predecessor, err)
+		t.Fatalf("Listen: want a hand-over from the predecessor, got none or error %v", err)
 	}
 	defer closeListeners(t, listeners)
 	if got := listeners.predecessor.State.Sockets; got < c.Sockets/4 || got > c.Sockets-reservedSocketsWhileShared(c) {
-		t.Errorf("descriptors for the successor: got %d of %d, want %d to %d", got, c.Sockets, c.Sockets/4,
-			c.Sockets-reservedSocketsWhileShared(c))
+		t.Errorf("descriptors for the successor: got %d of %d, want at least a quarter, at most all but the reserved ones",
+			got, c.Sockets)
 	}
 }
 
@@ -264,7 +264,7 @@
 	startProcess(t, c)
 	listeners, err := Listen(t.Context(), c)
 	if err != nil || listeners.predecessor == nil {
-		t.Fatalf("Listen: got predecessor %v, error %v, want a hand-over", listeners.predecessor, err)
+		t.Fatalf("Listen: want a hand-over from the predecessor, got none or error %v", err)
 	}
 	closeListeners(t, listeners)
 }
--- a/internal/node/hotrestart/frozen_test.go
+++ b/internal/node/hotrestart/frozen_test.go
@@ -113,21 +113,21 @@
 	}
 	nodetest.SameBytes(t, "the state that the successor received", got, state)
 	if predecessor.Clients.Addr().String() != id.Address {
-		t.Errorf("address of the listening socket: got %v, want %s", predecessor.Clients.Addr(), id.Address)
+		t.Errorf("address of the listening socket: got %v, want the address of the node", predecessor.Clients.Addr())
 	}
 
 	conn := nodetest.Receive(t, "the connection", conns)
 	received := make(chan Progress, 8)
-	go predecessor.Follow(func() {}, func(progress Progress, ended bool) {
+	go predecessor.Follow(func() {}, func(p Progress, ended bool) {
 		if ended {
 			close(received)
 			return
 		}
-		received <- progress
+		received <- p
 	})
 	buf := make([]byte, 16)
 	if n, err := conn.Read(buf); err != nil || string(buf[:n]) != "S" {
-		t.Fatalf("read from the successor: got %q, error %v, want \"S\"", buf[:n], err)
+		t.Fatalf("read from the successor: got %q, error %v, want S", buf[:n], err)
 	}
 	progress := nodetest.Golden(t, "handover_progress.json")
 	if _, err := conn.Write(progress); err != nil {
--- a/internal/node/hotrestart/hotrestart_test.go
+++ b/internal/node/hotrestart/hotrestart_test.go
@@ -90,7 +90,7 @@
 	}
 	defer nodetest.Close(t, predecessor.Clients)
 	if s := predecessor.State; s.Version != protocolVersion || s.Name != id.Name || s.Address != id.Address || s.Sockets != 7 {
-		t.Errorf("state: got %+v, want version %d, node %s at %s and 7 sockets", s, protocolVersion, id.Name, id.Address)
+		t.Errorf("state: got %+v, want the protocol version, the name and address of the node, and 7 sockets", s)
 	}
 	if len(process.stopped) != 0 {
 		t.Error("StopAccepting was called before the successor served")
@@ -103,7 +103,7 @@
 		}
 		received <- progress
 	})
-	nodetest.Receive(t, "StopAccepting", process.stopped)
+	nodetest.Receive(t, "the call of StopAccepting", process.stopped)
 	nodetest.Receive(t, "the call of yielded", yielded)
 	if got := nodetest.Receive(t, "the progress", received); got.Sockets != 9 || !maps.Equal(got.InFlight, map[string]int{"s0": 2}) {
 		t.Errorf("progress: got %+v, want 9 sockets and 2 attempts in flight at s0", got)
@@ -127,12 +127,12 @@
 		}
 		if served {
 			go predecessor.Follow(func() {}, func(Progress, bool) {})
-			nodetest.Receive(t, "StopAccepting", process.stopped)
+			nodetest.Receive(t, "the call of StopAccepting", process.stopped)
 		}
 		nodetest.Close(t, predecessor.Clients)
 		nodetest.Close(t, predecessor)
-		if got := nodetest.Receive(t, "Resume", process.resumed); got != served {
-			t.Errorf("argument of Resume: got %v, want %v", got, served)
+		if got := nodetest.Receive(t, "the call of Resume", process.resumed); got != served {
+			t.Errorf("successor served %v: got %v as the argument of Resume, want the same", served, got)
 		}
 	}
 }
@@ -141,15 +141,15 @@
 func TestFailedTakeOverGivesTheCause(t *testing.T) {
 	clients, id := testNode(t)
 	if _, err := TakeOver(id); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("without a predecessor: got error %v, want %v", err, fs.ErrNotExist)
+		t.Errorf("without a predecessor: got error %v, want fs.ErrNotExist", err)
 	}
 	newFakeProcess(clients).serve(t, id)
 	other := id
 	other.Name = "n1"
 	_, err := TakeOver(other)
 	if !errors.Is(err, ErrOtherNode) || !strings.Contains(err.Error(), `"n0" at `+id.Address+", version 1") {
-		t.Errorf("with a predecessor of another node: got error %v, want %v with the node's name, address and version",
-			err, ErrOtherNode)
+		t.Errorf("predecessor of another node: got error %v, want ErrOtherNode with the node's name, address and version",
+			err)
 	}
 }
 
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -67,7 +67,7 @@
 // has waits for as many events as are wanted, and checks that the events received so far are those.
 func (s *scriptedBalancer) has(t *testing.T, want ...string) {
 	t.Helper()
-	nodetest.Await(t, "the events "+strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
+	nodetest.Await(t, strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
 	if got := s.events(); !reflect.DeepEqual(got, want) {
 		t.Errorf("events received by the balancer: got\n%q, want\n%q", got, want)
 	}
@@ -138,7 +138,7 @@
 		})
 		x := l.sendRequest("r1", nodetest.Timeout)
 		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != 200 || string(a.Body) != "yes" {
-			t.Errorf("response: got status %d, body %q, want 200, \"yes\"", a.Status, a.Body)
+			t.Errorf("response: got status %d, body %q, want 200, yes", a.Status, a.Body)
 		}
 		s.has(t, "list 2", "request r1", "outcome r1 0 code 0 ended true", "timer 77")
 	})
@@ -214,7 +214,7 @@
 			t.Errorf("status: got %d, want 504", a.Status)
 		}
 		if end := x.ReceivedAt + x.Timeout; l.clock.now() > end+nodetest.Timeout/2 {
-			t.Errorf("answered %v after the client's timeout, want at most %v", l.clock.now()-end, nodetest.Timeout/2)
+			t.Errorf("answered %v after the client's timeout, want at most half of nodetest.Timeout", l.clock.now()-end)
 		}
 		s.has(t, "list 2", "request r1", "lapsed r1")
 	})
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -251,8 +251,8 @@
 			}
 			nodetest.CloseOnce(t, resp.Body)
 			if resp.StatusCode != 200 || resp.Close != draining {
-				t.Errorf("draining %v: status %d, closes its connection %v; want 200, %v", draining, resp.StatusCode,
-					resp.Close, draining)
+				t.Errorf("draining %v: status %d, closes its connection %v; want 200, and a close only if draining",
+					draining, resp.StatusCode, resp.Close)
 			}
 			resp, err = oneRequestClient(t).Get("http://" + node + downstream.ReadyPath)
 			if err != nil {
@@ -260,8 +260,8 @@
 			}
 			nodetest.CloseOnce(t, resp.Body)
 			if ready := resp.StatusCode == 200; ready != state.ready || s.acceptsNewClients() == draining {
-				t.Errorf("%+v: ready %v, accepts new clients %v; want %v, %v", state, ready,
-					s.acceptsNewClients(), state.ready, !draining)
+				t.Errorf("state %+v: ready %v, accepts new clients %v; want ready as in the state, and new clients unless draining",
+					state, ready, s.acceptsNewClients())
 			}
 		}
 	})
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -77,8 +77,7 @@
 	b.Handle(2*ms, EndpointList{Kind: ListReplace, Endpoints: all})
 	b.Handle(ms+set.Rules.DrainGrace, Timer{Token: retainTimerToken})
 	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zones.find("a").recovering {
-		t.Errorf("server a0, listed again in time: got %+v, zone recovering %v; want limit 7, zone not recovering",
-			s, b.zones.find("a").recovering)
+		t.Error("server a0, listed again in time: want it with limit 7, in a zone that isn't recovering")
 	}
 }
 
@@ -127,17 +126,16 @@
 		}
 		b.Handle(0, EndpointList{Kind: ListUpdate})
 		if w := wait(b.Handle(0, EndpointList{Kind: ListUnavailable})); w > resubscribeBackoffBase*3/2 {
-			t.Fatalf("wait after the first failure since a list: got %v, want at most %v", w,
-				resubscribeBackoffBase*3/2)
+			t.Fatalf("wait after the first failure since a list: got %v, want at most resubscribeBackoffBase*3/2", w)
 		}
 	}
 	if first > set.Rules.DrainGrace || len(seen) < 100 {
-		t.Errorf("waits of 200 first subscriptions: longest %v, %d different; want at most %v, at least 100", first,
-			len(seen), set.Rules.DrainGrace)
+		t.Errorf("waits of 200 first subscriptions: longest %v, %d different; want at most DrainGrace, 100 or more",
+			first, len(seen))
 	}
 	if later < 2*meanFailed || later > resubscribeBackoffMax*3/2 {
-		t.Errorf("longest wait after repeated failures: got %v, want %v to %v", later, 2*meanFailed,
-			resubscribeBackoffMax*3/2)
+		t.Errorf("mean first wait %v, longest later wait %v; want 2 times the mean to resubscribeBackoffMax*3/2",
+			meanFailed, later)
 	}
 }
 
@@ -175,12 +173,11 @@
 		}
 		first := actionsOf(b.Handle(0, EndpointList{Kind: ListCached}), SetTimer) // spreads the first subscriptions
 		if len(first) != 1 || len(actionsOf(b.Handle(first[0].Wait, Timer{Token: first[0].Token}), WatchList)) != 1 {
-			t.Fatalf("timers after the cached list: got %+v, want a single one that leads to a subscription", first)
+			t.Fatal("want a single timer after the cached list, and a subscription when it fires")
 		}
 		timers := actionsOf(b.Handle(2*time.Second, EndpointList{Kind: ListUnavailable}), SetTimer)
 		if len(timers) != 1 || timers[0].Wait < resubscribeBackoffBase/2 || timers[0].Wait > resubscribeBackoffBase*3/2 {
-			t.Fatalf("timers after a failed call: got %+v, want a single one with a wait of %v within 50%%", timers,
-				resubscribeBackoffBase)
+			t.Fatalf("timers after a failed call: got %+v, want one of resubscribeBackoffBase within 50%%", timers)
 		}
 		waits[timers[0].Wait] = true
 		if len(actionsOf(b.Handle(3*time.Second, Timer{Token: timers[0].Token}), WatchList)) != 1 {
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -81,8 +81,8 @@
 				observeFleet(b, &timers[i], now, sizes[side[i]])
 			}
 			if sum := sumOfQuotaParts(nodes); now-connectedAt < fleetShrinkDelay && sum > 1+1e-9 {
-				t.Fatalf("sum of quota parts at %v: got %.3f, want at most 1; last all connected at %v, sides %v",
-					now, sum, connectedAt, side)
+				t.Fatalf("sum of quota parts: got %.3f at %v, want at most 1; last all connected at %v, sides %v",
+					sum, now, connectedAt, side)
 			}
 		}
 	})
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -49,8 +49,8 @@
 
 // During a hot restart, a server's limit holds for the attempts of both processes together.
 func TestLimitsHoldOverBothProcesses(t *testing.T) {
-	old := startBalancer(t, testSettings(1), testEndpoints(2))
-	successor := startBalancer(t, testSettings(1), testEndpoints(2))
+	old, successor := startBalancer(t, testSettings(1), testEndpoints(2)),
+		startBalancer(t, testSettings(1), testEndpoints(2))
 	full := int(old.servers["s00"].concurrencyLimit)
 	for i := range full {
 		sentTo(t, old.Handle(ms, newRequest(fmt.Sprint("o", i), "free")))
--- a/policy/load_reports_test.go
+++ b/policy/load_reports_test.go
@@ -100,7 +100,7 @@
 			t.Errorf("limit scale for report %+v: got %v, want %v", report, got, c.scale)
 		}
 		if got := kind.isOverloaded(report); got != c.overloaded {
-			t.Errorf("overloaded by report %+v: got %v, want %v", report, got, c.overloaded)
+			t.Errorf("overloaded by report %+v: got %v, want the opposite", report, got)
 		}
 	}
 }
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -17,8 +17,7 @@
 	reportLoad(b, first, 1, report(900, 1, 3))
 	reportLoad(b, last, 1, report(900, 1, 3))
 	if !first.outlier.ejected || !last.outlier.ejected {
-		t.Fatalf("ejected after a report of an overload: first server %v, last server %v, want both",
-			first.outlier.ejected, last.outlier.ejected)
+		t.Fatal("want the first and the last server ejected, as both reported an overload")
 	}
 	b.now += maxEjectionTime
 	if s := b.claimProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != first {
@@ -52,7 +51,7 @@
 			}
 		}
 		if ejects != c.ejects {
-			t.Errorf("%s: ejected %v with a failure score of %v, want %v", name, ejects, state.failureScore, c.ejects)
+			t.Errorf("%s: ejected %v with a failure score of %v, want the opposite", name, ejects, state.failureScore)
 		}
 	}
 }
@@ -65,8 +64,7 @@
 			t.Errorf("ejection %d takes %v, want %v", i+1, state.ejectedUntil-time.Hour, want)
 		}
 		if state.isDue(state.ejectedUntil-1) || !state.isDue(state.ejectedUntil) {
-			t.Errorf("ejection %d: due for probation %v before its end and %v at its end, want false and true", i+1,
-				state.isDue(state.ejectedUntil-1), state.isDue(state.ejectedUntil))
+			t.Errorf("ejection %d: want the server due for probation at the end of the ejection, and not before", i+1)
 		}
 	}
 }
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -140,7 +140,7 @@
 	case Probe:
 		code, load := OK, float64(w.rng.IntN(6))
 		if !w.set.Allowed.Probe {
-			w.t.Errorf("probe without Allowed.Probe: %+v", a)
+			w.t.Errorf("probe without Allowed.Probe")
 		}
 		if w.rng.IntN(3) > 0 {
 			w.after(ms*time.Duration(w.rng.IntN(30)), func() {
@@ -161,7 +161,7 @@
 	}
 	endpoint, listed := w.list[a.Server]
 	if since, ok := w.drainingSince[a.Server]; ok && w.now > since+w.set.Rules.DrainGrace {
-		w.t.Errorf("attempt sent to %s at %v, after the drain grace: draining since %v", a.Server, w.now, since)
+		w.t.Errorf("attempt sent to %s, draining since %v, at %v, after the drain grace", a.Server, since, w.now)
 	}
 	if !listed && w.drainingSince[a.Server] == 0 {
 		w.t.Errorf("attempt sent to unknown server %q", a.Server)
@@ -179,11 +179,11 @@
 func (w *eventSimulation) checkPlacement(c Class, endpoint Endpoint, a Action) {
 	if len(c.Kinds) > 0 && !slices.Contains(c.Kinds, endpoint.Kind) ||
 		len(c.Zones) > 0 && !slices.Contains(c.Zones, endpoint.Zone) {
-		w.t.Errorf("class %q sent to %s of kind %s in zone %s, want kinds %v, zones %v", c.Name, a.Server,
-			endpoint.Kind, endpoint.Zone, c.Kinds, c.Zones)
+		w.t.Errorf("class %q sent to %s of kind %s in zone %s, want one of its kinds and zones", c.Name, a.Server,
+			endpoint.Kind, endpoint.Zone)
 	}
 	if len(c.Regions) > 0 && w.set.Topology.RegionOfZone[endpoint.Zone] != c.Regions[0] {
-		w.t.Errorf("class %q sent to %s in zone %s, want region %s", c.Name, a.Server, endpoint.Zone, c.Regions[0])
+		w.t.Errorf("class %q sent to %s in zone %s, want a zone of its region", c.Name, a.Server, endpoint.Zone)
 	}
 }
 
@@ -258,7 +258,7 @@
 		return n
 	}
 	if n, limit := within(w.retriesAt), budget.MinRetries+budget.RetryRatio*float64(within(w.requestsAt)); float64(n) > limit {
-		w.t.Errorf("retries within %v: got %d, want at most %v", budget.Window, n, limit)
+		w.t.Errorf("retries: got %d within %v, want at most %v", n, budget.Window, limit)
 	}
 }
 
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -384,8 +384,8 @@
 	}
 	got, present := float64(sends)*nodes/(span*0.05), rate*b.warmFraction(warmingUp)
 	if got < 0.5*present || got > b.settings.Rules.OverloadMultiple*present {
-		t.Errorf("all nodes send %v requests per second to a server that is warming up, want %v to %v", got,
-			0.5*present, b.settings.Rules.OverloadMultiple*present)
+		t.Errorf("all nodes send %v a second to a server that takes %v, want 0.5 to OverloadMultiple times that",
+			got, present)
 	}
 }
 
@@ -401,10 +401,10 @@
 	}{{0, 0.2, 0}, {5 * time.Second, 0.6, 0}, {10*time.Second - 1, 1, 0}, {10 * time.Second, 1, 1}} {
 		now := time.Hour + c.age
 		if got := w.warmFraction(s, now); math.Abs(got-c.fraction) > 1e-6 {
-			t.Errorf("warm fraction at the age of %v: got %v, want %v", c.age, got, c.fraction)
+			t.Errorf("warm fraction: got %v at the age of %v, want %v", got, c.age, c.fraction)
 		}
 		if w.promote(now); w.warmedUp != c.warmedUp {
-			t.Errorf("warmed-up servers at the age of %v: got %d, want %d", c.age, w.warmedUp, c.warmedUp)
+			t.Errorf("warmed-up servers: got %d at the age of %v, want %d", w.warmedUp, c.age, c.warmedUp)
 		}
 	}
 	if got := w.warmFraction(&server{}, time.Hour); got != 1 {
@@ -423,7 +423,7 @@
 		may   bool
 	}{{400 * ms, false}, {500 * ms, true}, {time.Minute, true}} {
 		if got := w.refill(time.Hour+c.after, 2, 3); got != c.may {
-			t.Errorf("request allowed after %v: got %v with %v tokens, want %v", c.after, got, w.tokens, c.may)
+			t.Errorf("request allowed after %v: got %v with %v tokens, want the opposite", c.after, got, w.tokens)
 		}
 	}
 	if w.tokens != 3 {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -122,8 +122,7 @@
 		t.Errorf("restored warm-up budget of young: got %+v, want 0.25 tokens", got)
 	}
 	if got := successor.servers["s02"].outlier; !got.ejected || got.ejectedUntil != 12*time.Second+ahead || got.ejections != 2 {
-		t.Errorf("restored outlier state of s02: got %+v, want ejected until %v, 2 ejections", got,
-			12*time.Second+ahead)
+		t.Errorf("restored outlier state of s02: got %+v, want 2 ejections, until 12 s on the former clock", got)
 	}
 	if listed, unavailable := successor.Servers(); listed != 4 || unavailable != 1 {
 		t.Errorf("servers: got %d listed, %d unavailable; want 4, 1", listed, unavailable)
@@ -150,7 +149,7 @@
 		{12 * time.Second, 12*time.Second + ahead},
 	} {
 		if got := (snapshotClock{now + ahead}).fromSnapshot(snapshotClock{now}.toSnapshot(c.at)); got != c.want {
-			t.Errorf("time %v on a clock that is %v ahead: got %v, want %v", c.at, ahead, got, c.want)
+			t.Errorf("time %v: got %v on a clock that is %v ahead, want %v", c.at, got, ahead, c.want)
 		}
 	}
 }
--- a/policy/zone_failover_test.go
+++ b/policy/zone_failover_test.go
@@ -97,8 +97,8 @@
 		f.recordProbe(z, false, now)
 	}
 	if z.isEvacuated() || z.trafficShare != initialRecoveryShare {
-		t.Fatalf("after %d successful probes: evacuated %v, traffic share %v; want false, %v", zoneProbesNeeded,
-			z.isEvacuated(), z.trafficShare, initialRecoveryShare)
+		t.Fatalf("after the successful probes: evacuated %v, traffic share %v; want false, initialRecoveryShare",
+			z.isEvacuated(), z.trafficShare)
 	}
 	f.growShare(z, now+z.growthTime)
 	if want := initialRecoveryShare * math.E; math.Abs(z.trafficShare-want) > 1e-9 {
@@ -160,7 +160,7 @@
 	c := new(classStats)
 	for range minTypicalSamples {
 		if got := c.failureLevel("k", OK, 0.1); got != noFailure {
-			t.Fatalf("failure level of a typical response: got %v, want %v", got, noFailure)
+			t.Fatalf("failure level of a typical response: got %v, want noFailure", got)
 		}
 	}
 	for _, outcome := range []struct {
