--- a/internal/testcluster/build.go
+++ b/internal/testcluster/build.go
@@ -9,18 +9,18 @@
 	"sync"
 )
 
-// errNoModule is for a caller that runs outside of this module.
+// errNoModule is returned by Build when the working directory is outside this module.
 var errNoModule = errors.New("no go.mod")
 
-// built are the programs that Build has made in this process.
+// built caches the programs that Build has compiled in this process.
 var built = struct {
 	sync.Mutex
 	paths map[string]string // by package
-	dirs  []string
+	dirs  []string          // of the programs, removed by Clean
 }{paths: make(map[string]string)}
 
-// Build builds a package of this module, which the caller's working directory has to be in, and returns the program's
-// path. Each package is built once a process.
+// Build compiles a main package of this module and returns the path of the program. The working directory must be inside
+// the module. Each package is built once per process.
 func Build(pkg string) (string, error) {
 	built.Lock()
 	defer built.Unlock()
@@ -47,7 +47,7 @@
 	return path, nil
 }
 
-// Clean removes the programs that Build has made.
+// Clean removes the programs that Build has compiled.
 func Clean() {
 	built.Lock()
 	defer built.Unlock()
@@ -58,6 +58,7 @@
 	built.dirs = nil
 }
 
+// moduleRoot returns the nearest directory at or above the working directory that contains a go.mod.
 func moduleRoot() (string, error) {
 	workingDir, err := os.Getwd()
 	if err != nil {
@@ -68,7 +69,7 @@
 			return dir, nil
 		}
 		if dir == filepath.Dir(dir) {
-			return "", fmt.Errorf("%w in or above %s", errNoModule, workingDir)
+			return "", fmt.Errorf("%w in %s or its parent directories", errNoModule, workingDir)
 		}
 	}
 }
--- a/internal/testcluster/client_conn.go
+++ b/internal/testcluster/client_conn.go
@@ -13,10 +13,10 @@
 	"sloerail/internal/emulator"
 )
 
-// Ends of an attempt without a response.
+// Errors of attempts that ended without a response.
 var (
-	errNoConnection     = errors.New("no connection")
-	errClosedUnanswered = errors.New("the connection ended with no answer") // before the first byte of a response
+	errNoConnection     = errors.New("cannot connect to the node")
+	errClosedUnanswered = errors.New("connection closed before a response") // before its first byte
 )
 
 // clientConn is a client's connection to a node, for one request at a time.
@@ -26,8 +26,9 @@
 	used   bool // has carried a request
 }
 
-// exchange sends an attempt to the node and returns its response; written is called after the last byte is written.
-// A request that crosses with the end of a reused connection is sent once more, on a new one, as HTTP clients do.
+// exchange sends an attempt to the node and returns its response. It calls written after the last byte of the request is
+// written. If a reused connection is closed before the response begins, the node may have closed it while idle, so
+// exchange sends the request once more on a new connection, as HTTP clients do.
 func (b *backend) exchange(attempt *emulator.ClientAttempt, written func()) (status int, retryAfter time.Duration, err error) {
 	deadline := time.Now().Add(attempt.Timeout)
 	for _, fresh := range []bool{false, true} {
@@ -48,7 +49,7 @@
 	return 0, 0, errClosedUnanswered
 }
 
-// connect returns an idle connection, unless fresh is set, or a new one.
+// connect returns an idle connection, or a new one if none is idle or fresh is set.
 func (b *backend) connect(deadline time.Time, fresh bool) (*clientConn, error) {
 	b.mu.Lock()
 	if n := len(b.idle); n > 0 && !fresh {
@@ -65,17 +66,18 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
+// exchangeOn does an exchange on one connection, and returns the connection to the idle ones if it stays open.
 func (b *backend) exchangeOn(conn *clientConn, attempt *emulator.ClientAttempt, deadline time.Time, written func()) (
 	status int, retryAfter time.Duration, err error) {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return 0, 0, err
 	}
 	if err := conn.writeRequest(attempt, deadline); err != nil {
-		return 0, 0, closedUnanswered(err)
+		return 0, 0, asClosedUnanswered(err)
 	}
 	written()
 	if _, err := conn.reader.Peek(1); err != nil {
-		return 0, 0, closedUnanswered(err)
+		return 0, 0, asClosedUnanswered(err)
 	}
 	response, err := http.ReadResponse(conn.reader, nil)
 	if err != nil {
@@ -86,7 +88,7 @@
 		return 0, 0, err
 	}
 	if response.StatusCode == http.StatusOK && string(body) != servedBody(attempt.ID) {
-		return 0, 0, fmt.Errorf("%s: 200 with another's answer: %q", attempt.ID, body)
+		return 0, 0, fmt.Errorf("request %s: status 200 with an unexpected body: %q", attempt.ID, body)
 	}
 	if response.Close {
 		_ = conn.Close()
@@ -117,7 +119,8 @@
 	return err
 }
 
-// servedBody is the body of a server's response to a request: it shows a response that belongs to another one.
+// servedBody returns the body of a server's response to a request. It contains the request ID, so that a client detects a
+// response to another request.
 func servedBody(id string) string { return "served " + id }
 
 func isTimeout(err error) bool {
@@ -125,8 +128,8 @@
 	return errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// closedUnanswered marks the end of a connection as one that may have crossed with a request.
-func closedUnanswered(err error) error {
+// asClosedUnanswered wraps an error in errClosedUnanswered, unless it is a timeout.
+func asClosedUnanswered(err error) error {
 	if isTimeout(err) {
 		return err
 	}
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,10 +1,9 @@
-// Package testcluster runs several processes of the program on loopback, with faults between them, for tests and
-// commands. It is no part of a node.
+// Package testcluster runs nodes and registry replicas as processes on loopback and injects faults between them, for
+// tests and commands. Nodes don't use it.
 //
-// A Cluster owns a block of loopback addresses and every process that it starts. Processes don't outlive it, however
-// it ends: each leads a process group of its own, which Close kills, and the kernel kills the process itself if the
-// cluster's process dies first. What passes between processes goes through relays, whose faults are set by
-// SetLinkFaults or by a Schedule.
+// A Cluster owns a block of loopback addresses and the processes that it starts. The processes never outlive it: each
+// leads its own process group, which Close kills, and the kernel kills the process if the cluster's process dies first.
+// Traffic between processes passes through relays, whose faults are set by SetLinkFaults or by a Schedule.
 package testcluster
 
 import (
@@ -21,27 +20,27 @@
 )
 
 const (
-	addressBlocks = 254                   // of loopback addresses: 127.77.N.0/24
-	guardPort     = 7001                  // at the first address of a block: the cluster that listens there owns the block
-	firstHost     = 2                     // of a block: the last byte of its addresses for processes
-	lastHost      = 254                   // the same
-	pollInterval  = 10 * time.Millisecond // between checks of a condition
+	addressBlocks = 254                   // blocks of loopback addresses: 127.77.N.0/24
+	guardPort     = 7001                  // the cluster that listens on this port of a block's first address owns the block
+	firstHost     = 2                     // last byte of the first address for processes in a block
+	lastHost      = 254                   // last byte of the last address for processes in a block
+	pollInterval  = 10 * time.Millisecond // between checks of a condition by Await
 )
 
-// ErrNoAddresses is for a machine on which every block of loopback addresses is in use.
-var ErrNoAddresses = errors.New("no block of loopback addresses is free")
+// ErrNoAddresses is returned by New when all blocks of loopback addresses of the machine are in use.
+var ErrNoAddresses = errors.New("all blocks of loopback addresses are in use")
 
-// errClosed is for a process that is started once its cluster is closed.
-var errClosed = errors.New("the cluster is closed")
+// errClosed is returned by Start after Close.
+var errClosed = errors.New("test cluster is closed")
 
-// Cluster starts processes and relays what passes between them. Its methods may be called from any goroutine.
+// Cluster starts processes and relays the traffic between them. Its methods are safe for concurrent use.
 type Cluster struct {
 	dir           string
-	guard         net.Listener // owns the block
+	guard         net.Listener // listens on guardPort to own the block
 	block         int
 	links         *links
 	startRequests chan startRequest
-	closed        chan struct{} // by Close
+	closed        chan struct{} // closed by Close
 	closeOnce     sync.Once
 
 	mu        sync.Mutex
@@ -50,14 +49,16 @@
 	closers   []func()
 }
 
+// startRequest asks startProcesses to start a command.
 type startRequest struct {
 	cmd   *exec.Cmd
 	reply chan error
 }
 
-// New makes a cluster that keeps its files in dir. The seed decides which datagrams and streams the links' faults hit.
+// New creates a cluster that stores its files in dir. The seed determines which datagrams and streams are affected by
+// link faults.
 func New(dir string, seed uint64) (*Cluster, error) {
-	guard, block, err := ownBlock()
+	guard, block, err := acquireBlock()
 	if err != nil {
 		return nil, err
 	}
@@ -67,9 +68,9 @@
 	return c, nil
 }
 
-// ownBlock finds a block of addresses that no other cluster on this machine owns.
-func ownBlock() (guard net.Listener, block int, err error) {
-	first := os.Getpid() // so that clusters of several processes rarely try the same block
+// acquireBlock acquires a block of addresses that no other cluster on this machine owns.
+func acquireBlock() (guard net.Listener, block int, err error) {
+	first := os.Getpid() // processes start at different blocks, so that they rarely try the same one
 	for i := range addressBlocks {
 		block = 1 + (first+i)%addressBlocks
 		guard, err = net.Listen("tcp", fmt.Sprintf("127.77.%d.1:%d", block, guardPort))
@@ -80,8 +81,8 @@
 	return nil, 0, fmt.Errorf("test cluster: %w: %w", ErrNoAddresses, err)
 }
 
-// startProcesses starts all processes from one locked thread, until Close: the kernel kills a child with the thread
-// that started it, not with its process.
+// startProcesses starts all processes from one locked OS thread, until Close. Pdeathsig requires this: the kernel kills a
+// child when the thread that started it exits, not when the thread's process does.
 func (c *Cluster) startProcesses() {
 	runtime.LockOSThread()
 	for {
@@ -94,34 +95,35 @@
 	}
 }
 
-// NewAddress returns a loopback address that nobody else uses. It panics once the block has no more.
+// NewAddress returns an unused loopback address of the block. It panics if all are in use.
 func (c *Cluster) NewAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.nextHost > lastHost {
-		panic(fmt.Sprintf("test cluster: a block has %d addresses", lastHost-firstHost+1))
+		panic(fmt.Sprintf("test cluster: all %d addresses of the block are in use", lastHost-firstHost+1))
 	}
 	c.nextHost++
 	return fmt.Sprintf("127.77.%d.%d", c.block, c.nextHost-1)
 }
 
-// anyPortAddress is where relays and emulated servers listen: no process uses the block's first address.
+// anyPortAddress returns the address at which relays and emulated servers listen, with port 0. It has the block's first
+// address, which no process uses.
 func (c *Cluster) anyPortAddress() string { return fmt.Sprintf("127.77.%d.1:0", c.block) }
 
-// Dir makes a folder among the cluster's files.
-func (c *Cluster) Dir(name string) (string, error) {
+// MakeDir creates a directory for the cluster's files and returns its path.
+func (c *Cluster) MakeDir(name string) (string, error) {
 	path := filepath.Join(c.dir, name)
 	return path, os.MkdirAll(path, 0o700)
 }
 
-// onClose has Close call a function, the last one first.
+// onClose registers a function that Close calls. Close calls them in reverse order of registration.
 func (c *Cluster) onClose(closer func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closers = append(c.closers, closer)
 }
 
-// Close kills the processes and ends the relays. It may be called more than once.
+// Close kills the processes and stops the relays. Further calls have no effect.
 func (c *Cluster) Close() {
 	c.closeOnce.Do(func() {
 		c.mu.Lock()
@@ -139,15 +141,15 @@
 	})
 }
 
-// Await checks a condition until it holds or the context ends; the error then names what was awaited.
-func Await(ctx context.Context, what string, holds func() bool) error {
+// Await polls a condition until it holds or the context ends. The error contains the description of the condition.
+func Await(ctx context.Context, description string, condition func() bool) error {
 	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			return fmt.Errorf("awaiting %s: %w", what, ctx.Err())
+			return fmt.Errorf("waiting for %s: %w", description, ctx.Err())
 		}
 	}
 	return nil
--- a/internal/testcluster/control.go
+++ b/internal/testcluster/control.go
@@ -8,21 +8,22 @@
 	"time"
 )
 
-// callTimeout bounds a call of Get.
+// callTimeout limits the duration of one call of Get.
 const callTimeout = time.Second
 
+// controlClient calls administrative addresses, on a new connection each time.
 var controlClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 
-// StatusError is a call that was answered with a status other than 2xx.
+// StatusError is the error of Get for a response with a status other than 2xx.
 type StatusError struct {
 	URL    string // without its scheme
 	Status int
 }
 
-func (e *StatusError) Error() string { return fmt.Sprintf("%s answered %d", e.URL, e.Status) }
+func (e *StatusError) Error() string { return fmt.Sprintf("GET %s: status %d", e.URL, e.Status) }
 
-// Get calls an administrative address. A JSON response is decoded into result, unless that is nil. A status other than
-// 2xx is a *StatusError.
+// Get sends a GET request to an administrative address and decodes the JSON response into result, unless result is nil.
+// For a status other than 2xx it returns a *StatusError.
 func Get(ctx context.Context, address, path string, result any) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
--- a/internal/testcluster/environment.go
+++ b/internal/testcluster/environment.go
@@ -12,22 +12,23 @@
 )
 
 const (
-	healthCheckInterval = 100 * time.Millisecond // between a load generator's health checks of a node
-	unhealthyThreshold  = 3                      // health checks that fail in a row, after which no attempts go to the node
-	maxOpenAttempts     = 4096                   // of all clients; more aren't sent, and are counted
-	maxWatchWait        = time.Minute            // of a call to the list service
-	maxListCalls        = 1 << 16                // whose times are retained
+	healthCheckInterval = 100 * time.Millisecond // between a load generator's health checks of one node
+	unhealthyThreshold  = 3                      // consecutive failed health checks after which a node gets no attempts
+	maxOpenAttempts     = 4096                   // of all clients; further attempts are skipped and counted
+	maxWatchWait        = time.Minute            // longest wait of a list watch
+	maxListCalls        = 1 << 16                // list calls whose times are retained
 )
 
-// Environment is what surrounds nodes, on sockets: servers, the list service, clients and the checker. The emulator's
-// state machines do the work; the environment gives them the time and carries bytes. It ends with its cluster.
+// Environment emulates everything that nodes talk to: servers, the list service and clients, and runs the checker. The
+// behavior is that of the emulator's state machines; the environment connects them to sockets and to the real clock. It
+// stops when its cluster is closed.
 type Environment struct {
 	Checker *emulator.Checker // guarded by WithLock
 
 	cluster    *Cluster
-	start      time.Time // of its clock
+	start      time.Time // zero of its clock
 	seed       uint64
-	ctx        context.Context // ends with the environment
+	ctx        context.Context // canceled by close
 	cancel     context.CancelFunc
 	sending    sync.WaitGroup // attempts of clients
 	background sync.WaitGroup // all other goroutines
@@ -35,25 +36,25 @@
 	mu              sync.Mutex
 	list            *emulator.List
 	servers         map[string]*server
-	listChanged     chan struct{} // closed, and replaced, at each change
+	listChanged     chan struct{} // closed and replaced on each change of the list
 	openAttempts    int
 	skippedAttempts int                 // not sent because of maxOpenAttempts
-	attemptCounts   map[[2]string]int   // of attempts that reached servers, by node and zone of the server
-	listCalls       []time.Time         // the newest maxListCalls at most
-	outcome         *simulation.Outcome // of the scenario that is played; nil for none
+	attemptCounts   map[[2]string]int   // attempts that reached servers, by node and by zone of the server
+	listCalls       []time.Time         // times of the newest calls, at most maxListCalls
+	outcome         *simulation.Outcome // of the running scenario; nil if none runs
 }
 
-// NewEnvironment makes an environment with these servers, all of them in the list and past their slow start.
+// NewEnvironment creates an environment with the given servers. All are in the list and past their slow start.
 func (c *Cluster) NewEnvironment(seed uint64, specs ...emulator.ServerSpec) *Environment {
-	w := &Environment{Checker: emulator.NewChecker(emulator.DefaultRules()), cluster: c, start: time.Now().Add(-time.Hour),
+	e := &Environment{Checker: emulator.NewChecker(emulator.DefaultRules()), cluster: c, start: time.Now().Add(-time.Hour),
 		seed: seed, list: emulator.NewList(), servers: make(map[string]*server), listChanged: make(chan struct{}),
 		attemptCounts: make(map[[2]string]int)}
-	w.ctx, w.cancel = context.WithCancel(context.Background())
+	e.ctx, e.cancel = context.WithCancel(context.Background())
 	for _, spec := range specs {
-		w.addServer(spec, 0)
+		e.addServer(spec, 0)
 	}
-	c.onClose(w.close)
-	return w
+	c.onClose(e.close)
+	return e
 }
 
 func (e *Environment) close() {
@@ -62,18 +63,19 @@
 	e.background.Wait()
 }
 
-// now is the environment's clock. It begins at an hour, because 0 stands for long ago.
+// now returns the time on the environment's clock. The clock begins at one hour, because a server start time of 0 means
+// long ago.
 func (e *Environment) now() emulator.Time { return time.Since(e.start) }
 
-// WithLock calls do with the lock held that guards servers, the list, the checker and the counts.
+// WithLock calls do with the environment's lock held, which guards servers, the list, the checker and the counts.
 func (e *Environment) WithLock(do func()) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	do()
 }
 
-// AddNode makes a node in this environment. It reaches each server and the list service by a path of its own, and
-// starts with the list as it is now: Discovery and InitialList of the spec are filled in.
+// AddNode creates a node in this environment. The node reaches each server and the list service through its own relay.
+// AddNode sets Discovery of the spec, and sets InitialList to the current list.
 func (e *Environment) AddNode(spec NodeSpec) (*Node, error) {
 	addresses := make(map[string]string)
 	e.mu.Lock()
@@ -100,8 +102,8 @@
 	return e.cluster.Node(spec)
 }
 
-// listenFor serves a party's handler to one node, and returns the address of the relay between them.
-func (e *Environment) listenFor(node, party string, h http.Handler) (at string, err error) {
+// listenFor serves the handler of a party to one node, and returns the address of the relay between them.
+func (e *Environment) listenFor(node, party string, h http.Handler) (relayAddress string, err error) {
 	ln, err := net.Listen("tcp", e.cluster.anyPortAddress())
 	if err != nil {
 		return "", err
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -12,7 +12,7 @@
 	"sloerail/internal/node"
 )
 
-// stateOf returns the state of a member in a view; empty for an unknown one.
+// stateOf returns the state of a member in a view; empty if the view lacks the member.
 func stateOf(v node.FleetView, name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -22,34 +22,34 @@
 	return ""
 }
 
-// Fleet is nodes that are members of one fleet. Gossip between each two passes through a relay.
+// Fleet is a set of nodes that are configured as members of one fleet. Gossip between them passes through relays.
 type Fleet struct {
 	Nodes   map[string]*Node
-	Names   []string // in order
+	Names   []string // in order of position
 	cluster *Cluster
 }
 
 // FleetSpec describes a fleet.
 type FleetSpec struct {
 	Nodes   int
-	Zones   []string // of the nodes, in turn
+	Zones   []string // assigned to the nodes round-robin
 	ProbeMs float64
 	Label   string
 	KeyFile string
 	Sockets int
-	Quota   float64 // requests a second of all tenants over the fleet
+	Quota   float64 // requests per second of all tenants, over the fleet
 	Classes []emulator.Class
 	Tenants []emulator.Tenant
 
-	Topology      map[string]any // the section of that name in the nodes' files; nil for none
+	Topology      map[string]any // the section "places" of the nodes' configuration files; nil for none
 	RetainMissing bool
 	PollList      bool // poll the list instead of watching it
 }
 
-// seedNodes is how many nodes of a fleet the others join by.
+// seedNodes is the number of nodes that all nodes of a fleet are configured to join.
 const seedNodes = 3
 
-// NewFleet makes the nodes of a fleet in this environment; Start starts them.
+// NewFleet creates the nodes of a fleet in this environment, without starting them.
 func (e *Environment) NewFleet(spec FleetSpec) (*Fleet, error) {
 	f := &Fleet{Nodes: make(map[string]*Node), cluster: e.cluster}
 	nameOfHost := make(map[string]string)
@@ -71,11 +71,11 @@
 	}
 	seeds := []string{}
 	for i, n := range nodes {
-		address, err := e.cluster.RelayGossip(n.Spec.Name, n.Gossip(), func(host string) string { return nameOfHost[host] })
+		address, err := e.cluster.RelayGossip(n.Spec.Name, n.GossipAddress(), func(host string) string { return nameOfHost[host] })
 		if err != nil {
 			return nil, err
 		}
-		n.Spec.Fleet = map[string]any{"bind": n.Gossip(), "advertise": address, "label": spec.Label,
+		n.Spec.Fleet = map[string]any{"bind": n.GossipAddress(), "advertise": address, "label": spec.Label,
 			"key_file": spec.KeyFile, "probe_ms": spec.ProbeMs}
 		if i < seedNodes {
 			seeds = append(seeds, address)
@@ -87,7 +87,7 @@
 	return f, nil
 }
 
-// Start starts these nodes, and waits until each takes clients.
+// Start starts the named nodes and waits until all are ready for clients.
 func (f *Fleet) Start(ctx context.Context, names ...string) error {
 	for _, name := range names {
 		if _, err := f.Nodes[name].Start(); err != nil {
@@ -108,14 +108,14 @@
 	return v, err
 }
 
-// AwaitMembership waits until each of these nodes has just these as its members that are present, and suspects none. It
-// returns how long that took.
+// AwaitMembership waits until the present members in the view of each named node are exactly the named nodes, and no
+// member is suspect. It returns how long that took.
 func (f *Fleet) AwaitMembership(ctx context.Context, names ...string) (time.Duration, error) {
 	began := time.Now()
 	want := slices.Sorted(slices.Values(names))
 	for _, name := range want {
 		var present []string
-		err := Await(ctx, name+" to agree", func() bool {
+		err := Await(ctx, name+" to have the expected members", func() bool {
 			view, err := f.View(ctx, name)
 			if err == nil {
 				present = view.Present()
@@ -124,13 +124,14 @@
 				!slices.ContainsFunc(view.Members, func(m node.FleetMember) bool { return m.State == membership.Suspect })
 		})
 		if err != nil {
-			return 0, fmt.Errorf("%w: present are %v, want %v", err, present, want)
+			return 0, fmt.Errorf("%w: present members: got %v, want %v", err, present, want)
 		}
 	}
 	return time.Since(began), nil
 }
 
-// AwaitState waits until each of these nodes has a member in a state. It returns how long that took for each.
+// AwaitState waits until a member is in the given state in the view of each named node. It returns how long that took for
+// each of them.
 func (f *Fleet) AwaitState(ctx context.Context, member, state string, names ...string) ([]time.Duration, error) {
 	began := time.Now()
 	times := make([]time.Duration, len(names))
@@ -138,9 +139,9 @@
 	for i := range indices {
 		indices[i] = i
 	}
-	err := forEach(indices, func(i int) error {
+	err := forEachConcurrent(indices, func(i int) error {
 		last := ""
-		err := Await(ctx, names[i]+" to hold "+member+" for "+state, func() bool {
+		err := Await(ctx, names[i]+" to see member "+member+" in state "+state, func() bool {
 			view, err := f.View(ctx, names[i])
 			if err == nil {
 				last = stateOf(view, member)
@@ -149,15 +150,15 @@
 			return err == nil && last == state
 		})
 		if err != nil {
-			return fmt.Errorf("%w: it is %q", err, last)
+			return fmt.Errorf("%w: last state: %q", err, last)
 		}
 		return nil
 	})
 	return times, err
 }
 
-// StateReports counts, by member, how often a node's processes have logged that it is now in a state. Of equal lines
-// within ten seconds the node logs one.
+// StateReports counts, by member, how often the processes of a node have logged that the member entered the given state.
+// A node logs identical lines at most once in ten seconds.
 func (f *Fleet) StateReports(name, state string) map[string]int {
 	reports := make(map[string]int)
 	for _, p := range f.Nodes[name].Processes() {
@@ -171,7 +172,7 @@
 	return reports
 }
 
-// DeathReports counts the deaths that all nodes have logged so far.
+// DeathReports counts the deaths of members that all nodes have logged so far.
 func (f *Fleet) DeathReports() (sum int) {
 	for _, name := range f.Names {
 		for _, n := range f.StateReports(name, "dead") {
@@ -181,12 +182,13 @@
 	return sum
 }
 
-// Others returns all nodes of the fleet but these.
+// Others returns the names of all nodes of the fleet except the given ones.
 func (f *Fleet) Others(names ...string) []string {
 	return slices.DeleteFunc(slices.Clone(f.Names), func(n string) bool { return slices.Contains(names, n) })
 }
 
-// Partition cuts the gossip between the sides. Nodes of no side are in the first, so that without sides it heals all.
+// Partition cuts the gossip between nodes of different sides, and restores it between nodes of the same side. Nodes that
+// are in no side belong to the first, so that a call without sides heals all partitions.
 func (f *Fleet) Partition(sides ...[]string) {
 	sideOf := make(map[string]int)
 	for i, names := range sides {
@@ -197,11 +199,12 @@
 	f.updateGossipFaults(func(from, to string, faults *Faults) { faults.Cut = sideOf[from] != sideOf[to] })
 }
 
-// SetLoss has a fraction of all gossip lost.
+// SetLoss sets the fraction of the gossip that is lost on every path.
 func (f *Fleet) SetLoss(fraction float64) {
 	f.updateGossipFaults(func(_, _ string, faults *Faults) { faults.Loss = fraction })
 }
 
+// updateGossipFaults changes the faults of every path between two nodes.
 func (f *Fleet) updateGossipFaults(change func(from, to string, faults *Faults)) {
 	for _, from := range f.Names {
 		for _, to := range f.Names {
--- a/internal/testcluster/form_test.go
+++ b/internal/testcluster/form_test.go
@@ -11,7 +11,7 @@
 	"sloerail/internal/golden"
 )
 
-// goldenSchedule has every kind of fault, and every key both present and absent.
+// goldenSchedule returns a schedule with every kind of fault, and with every optional key both present and absent.
 func goldenSchedule() Schedule {
 	return Schedule{
 		{At: 0, Fault: Kill, Targets: []string{"n0"}},
@@ -24,8 +24,8 @@
 	}
 }
 
-// A schedule that a failure printed has to be replayed by later versions.
-func TestScheduleFormIsFrozen(t *testing.T) {
+// Later versions must be able to replay a schedule that a failed test printed.
+func TestScheduleFormatIsStable(t *testing.T) {
 	const file = "schedule.json"
 	golden.Check(t, file, []byte(goldenSchedule().String()+"\n"))
 	raw := golden.Read(t, file)
@@ -34,28 +34,28 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, goldenSchedule()) {
-		t.Errorf("read %+v", read)
+		t.Errorf("parsed schedule: got %+v, want that of goldenSchedule", read)
 	}
 	if got := read.String() + "\n"; got != string(raw) {
-		t.Errorf("written back as %s", got)
+		t.Errorf("marshaled again: got %s, want the content of the golden file", got)
 	}
 	kinds := make(map[FaultKind]bool)
 	for _, step := range read {
 		kinds[step.Fault] = true
 	}
 	if want := []FaultKind{"kill", "pause", "replace", "restart", "part", "partOne", "lossy"}; len(kinds) != len(want) {
-		t.Errorf("kinds %v, want %v", kinds, want)
+		t.Errorf("kinds of faults in the golden file: got %v, want %v", kinds, want)
 	}
 }
 
-// A seed draws the same schedule in later versions.
-func TestDrawnScheduleIsFrozen(t *testing.T) {
+// A seed draws the same schedule in all versions.
+func TestRandomScheduleIsStable(t *testing.T) {
 	s := RandomSchedule(39, 12, time.Minute, []string{"n0", "n1", "n2"}, Kill, Pause, Replace, Restart, Partition, OneWayPartition, PacketLoss)
 	golden.Check(t, "drawn.json", []byte(s.String()+"\n"))
 }
 
-// The settings that nodes are given have the keys of the operators' settings.
-func TestNodeSettingsAreFrozen(t *testing.T) {
+// Settings returns the documented keys of the settings section.
+func TestNodeSettingsAreStable(t *testing.T) {
 	tenants := []emulator.Tenant{{Name: "east", Share: 0.5}, {Name: "west", Share: 0.25}}
 	raw, err := json.MarshalIndent(Settings(1, 3, "a", emulator.Classes(), tenants, 240), "", " ")
 	if err != nil {
@@ -64,8 +64,8 @@
 	golden.Check(t, "settings.json", append(raw, '\n'))
 }
 
-// The file of a node with every section.
-func TestNodeFileIsFrozen(t *testing.T) {
+// The configuration file of a node with every section matches the golden file.
+func TestNodeConfigFileIsStable(t *testing.T) {
 	n := Node{Listen: "127.0.0.9:8080", dir: t.TempDir(), Spec: NodeSpec{
 		Name: "n0", Discovery: "127.0.0.8:8500", ListFile: "/tmp/list", Settings: map[string]any{"position": 0},
 		Cores: 1.5, MemoryMB: 512, Sockets: 1024, Fleet: map[string]any{"bind": "127.0.0.9:7946"},
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -7,20 +7,20 @@
 	"time"
 )
 
-// Faults are what is wrong with one direction of a path. The zero value is a good one.
+// Faults describes the faults of one direction of a link. The zero value has none.
 type Faults struct {
 	Latency   time.Duration
-	Jitter    time.Duration // at most so much more latency, evenly distributed
-	Loss      float64       // fraction of the datagrams that are lost, and of new streams that are reset
-	Duplicate float64       // fraction of the datagrams that come twice
-	Replay    time.Duration // after which the duplicate comes
-	Reorder   float64       // fraction of the datagrams that later ones overtake
-	Bandwidth int           // bytes a second; 0 for no limit
-	Cut       bool          // nothing passes, and nobody is notified: streams stay open and silent
-	Reset     bool          // streams are reset at once, new ones too
+	Jitter    time.Duration // upper bound of additional latency, uniformly distributed
+	Loss      float64       // fraction of datagrams that are dropped, and of new streams that are reset
+	Duplicate float64       // fraction of datagrams that are delivered twice
+	Replay    time.Duration // additional delay of the duplicate
+	Reorder   float64       // fraction of datagrams that later ones may overtake
+	Bandwidth int           // bytes per second; 0 for no limit
+	Cut       bool          // nothing passes, and neither end is notified: streams stay open without data
+	Reset     bool          // existing and new streams are reset
 }
 
-// deliveryDelay is how long n bytes take at the path's bandwidth.
+// deliveryDelay returns how long n bytes take at the bandwidth of the path.
 func (f Faults) deliveryDelay(n int) time.Duration {
 	if f.Bandwidth <= 0 {
 		return 0
@@ -28,19 +28,19 @@
 	return time.Duration(n) * time.Second / time.Duration(f.Bandwidth)
 }
 
-// path is one direction between two parties: nodes, servers, replicas, the list service.
+// path is one direction between two parties, which are nodes, servers, registry replicas or the list service.
 type path struct{ from, to string }
 
 func (p path) reverse() path { return path{p.to, p.from} }
 
-// links owns the faults of all paths, and the sockets and goroutines of the relays.
+// links holds the faults of all paths, and the sockets and goroutines of the relays.
 type links struct {
-	relays sync.WaitGroup // goroutines
+	relays sync.WaitGroup // goroutines of the relays
 
 	mu      sync.Mutex
 	rng     *rand.Rand
 	faults  map[path]Faults
-	closers map[io.Closer]bool // sockets that are open
+	closers map[io.Closer]bool // open sockets
 	closed  bool
 }
 
@@ -48,7 +48,7 @@
 	return &links{rng: rand.New(rand.NewPCG(seed, 0x11)), faults: make(map[path]Faults), closers: make(map[io.Closer]bool)}
 }
 
-// SetLinkFaults sets the faults of the path from one party to another, in that direction.
+// SetLinkFaults sets the faults of the path from one party to another, in that direction only.
 func (c *Cluster) SetLinkFaults(from, to string, f Faults) {
 	c.links.update(path{from, to}, func(faults *Faults) { *faults = f })
 }
@@ -56,7 +56,7 @@
 // LinkFaults returns the faults of the path from one party to another.
 func (c *Cluster) LinkFaults(from, to string) Faults { return c.links.faultsOf(path{from, to}) }
 
-// update changes some of a path's faults, and leaves the others.
+// update calls change with the faults of a path and stores the result.
 func (l *links) update(p path, change func(*Faults)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,7 +71,7 @@
 	return l.faults[p]
 }
 
-// occurs draws whether something happens that happens in a fraction of the cases.
+// occurs returns true with the given probability.
 func (l *links) occurs(fraction float64) bool {
 	if fraction <= 0 {
 		return false
@@ -81,7 +81,7 @@
 	return l.rng.Float64() < fraction
 }
 
-// delay draws the latency of one datagram or block.
+// delay draws the latency of one datagram, or of one read from a stream.
 func (l *links) delay(f Faults) time.Duration {
 	if f.Jitter <= 0 {
 		return f.Latency
@@ -91,7 +91,7 @@
 	return f.Latency + time.Duration(l.rng.Int64N(int64(f.Jitter)))
 }
 
-// track has close close a socket. It returns false, with the socket closed, where close was called already.
+// track registers a socket to be closed by close. If close was called already, it closes the socket and returns false.
 func (l *links) track(socket io.Closer) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -103,6 +103,7 @@
 	return true
 }
 
+// untrack closes a socket and unregisters it.
 func (l *links) untrack(socket io.Closer) {
 	l.mu.Lock()
 	delete(l.closers, socket)
@@ -110,7 +111,7 @@
 	_ = socket.Close()
 }
 
-// close ends all relays and waits for their goroutines.
+// close closes all sockets and waits for the goroutines of the relays.
 func (l *links) close() {
 	l.mu.Lock()
 	l.closed = true
--- a/internal/testcluster/list.go
+++ b/internal/testcluster/list.go
@@ -11,14 +11,14 @@
 	"sloerail/internal/emulator"
 )
 
-// SetZoneRemoved removes the servers of a zone from the list in one change, without a drain, or puts them back.
+// SetZoneRemoved removes the servers of a zone from the list without draining them, or puts them back, in one change.
 func (e *Environment) SetZoneRemoved(zone string, removed bool) {
 	var specs []emulator.ServerSpec
 	e.EachServerInZone(zone, func(s *emulator.Server) { specs = append(specs, s.Spec) })
 	e.updateList(specs, removedOrUp(removed))
 }
 
-// removedOrUp is the phase of a server that is removed, or of one that isn't.
+// removedOrUp returns the phase Removed if removed is set, else Up.
 func removedOrUp(removed bool) string {
 	if removed {
 		return emulator.Removed
@@ -26,7 +26,7 @@
 	return emulator.Up
 }
 
-// updateList changes the phase of servers in the list, all at once, and notifies all watches.
+// updateList sets the phase of servers in the list in one change and notifies all watches.
 func (e *Environment) updateList(servers []emulator.ServerSpec, phase string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -39,7 +39,7 @@
 	e.listChanged = make(chan struct{})
 }
 
-// entry returns a server in the form of the list, without its address.
+// entry returns the list entry of a server, without its address.
 func (e *Environment) entry(s *server, phase string) emulator.Entry {
 	entry := emulator.Entry{ID: s.Spec.ID, Locality: s.Spec.Zone, Flavor: s.Spec.Kind, Cell: s.Spec.Cell, Phase: phase, Size: 1}
 	if started := s.Started(); started > 0 {
@@ -48,14 +48,14 @@
 	return entry
 }
 
-// SetPhase changes the phase of a server in the list, and notifies all watches.
+// SetPhase sets the phase of a server in the list and notifies all watches.
 func (e *Environment) SetPhase(id, phase string) {
 	var spec emulator.ServerSpec
 	e.WithLock(func() { spec = e.servers[id].Spec })
 	e.updateList([]emulator.ServerSpec{spec}, phase)
 }
 
-// ListCalls returns when nodes called the list service since a time, in order.
+// ListCalls returns the times at which nodes called the list service since the given time, in order.
 func (e *Environment) ListCalls(since time.Time) []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -71,7 +71,7 @@
 	return list
 }
 
-// listHandler is the list service for one node.
+// listHandler returns the list service of one node. A request without an index is a poll, which is answered at once.
 func (e *Environment) listHandler(node string, addresses map[string]string) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		e.recordListCall()
@@ -83,7 +83,7 @@
 			waitMs, _ := strconv.ParseInt(r.URL.Query().Get("wait"), 10, 64)
 			timeout := min(maxWatchWait, time.Duration(waitMs)*time.Millisecond)
 			if list, err = e.awaitListChange(r.Context(), index, timeout); err != nil {
-				return // the node has gone
+				return // the node closed the connection
 			}
 		}
 		w.Header().Set("Content-Type", "application/json")
@@ -98,6 +98,7 @@
 	})
 }
 
+// recordListCall records the time of a call. Beyond maxListCalls it drops the older half.
 func (e *Environment) recordListCall() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -106,7 +107,8 @@
 	}
 }
 
-// awaitListChange returns what has changed since a revision, once something has; or no change, after the timeout.
+// awaitListChange waits until the list has changed since a revision, and returns the changes. After the timeout it
+// returns an empty change.
 func (e *Environment) awaitListChange(ctx context.Context, revision int64, timeout time.Duration) (emulator.ListResponse, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/testcluster/load_generator.go
+++ b/internal/testcluster/load_generator.go
@@ -10,14 +10,14 @@
 	"sloerail/internal/emulator"
 )
 
-// LoadGenerator sends the attempts of clients to nodes, as a load balancer in front of them does: to healthy nodes in
-// turn. Its fields from clients on are guarded by the environment's lock.
+// LoadGenerator sends the attempts of emulated clients to the healthy nodes round-robin, as a load balancer in front of
+// the nodes does. The environment's lock guards the fields from clients on.
 type LoadGenerator struct {
 	env      *Environment
-	zone     string // of the clients: that of the first node
+	zone     string // of the clients, which is the zone of the first node
 	backends []*backend
 	wakeup   chan struct{}
-	done     chan struct{} // closed once run has ended
+	done     chan struct{} // closed when run returns
 
 	clients       *emulator.Clients
 	nextBackend   int
@@ -25,7 +25,7 @@
 	notReadyCount int
 }
 
-// backend is one node with its idle connections.
+// backend is one node and the idle connections to it.
 type backend struct {
 	node    *Node
 	healthy bool // guarded by the environment's lock
@@ -34,8 +34,8 @@
 	idle []*clientConn
 }
 
-// StartClients starts to send the load of spec, whose Until counts from now, to the nodes. The environment's end ends
-// it too.
+// StartClients starts clients that send the load of spec to the nodes, until spec.Until from now or until the environment
+// stops.
 func (e *Environment) StartClients(name string, spec emulator.ClientSpec, nodes ...*Node) *LoadGenerator {
 	e.mu.Lock()
 	spec.Until += e.now()
@@ -59,18 +59,18 @@
 	case <-l.done:
 		return nil
 	case <-ctx.Done():
-		return fmt.Errorf("the clients are not done: %w", ctx.Err())
+		return fmt.Errorf("waiting for the clients to finish: %w", ctx.Err())
 	}
 }
 
-// NotReadyCount is how many health checks nodes have answered with a failure.
+// NotReadyCount returns the number of health checks that nodes answered with an error status.
 func (l *LoadGenerator) NotReadyCount() int {
 	l.env.mu.Lock()
 	defer l.env.mu.Unlock()
 	return l.notReadyCount
 }
 
-// Stats counts the requests of all classes so far.
+// Stats returns the clients' counts so far, summed over all classes.
 func (l *LoadGenerator) Stats() (total emulator.ClientStats) {
 	l.env.mu.Lock()
 	defer l.env.mu.Unlock()
@@ -84,7 +84,7 @@
 	return total
 }
 
-// run sends attempts when they are due, until none is due or open any more.
+// run sends attempts when they are due, until none is pending or open.
 func (l *LoadGenerator) run() {
 	defer close(l.done)
 	timer := time.NewTimer(0)
@@ -106,7 +106,8 @@
 	}
 }
 
-// sendDue sends what is due, and returns when the next attempt is, if one is, and how many are open.
+// sendDue sends the attempts that are due. It returns the time of the next attempt, whether there is one, and the number
+// of open attempts.
 func (l *LoadGenerator) sendDue() (nextAt emulator.Time, more bool, open int) {
 	env := l.env
 	env.mu.Lock()
@@ -129,7 +130,8 @@
 	return nextAt, more, l.openAttempts
 }
 
-// pickBackend takes healthy backends in turn, or any where none is healthy. The environment's lock is held.
+// pickBackend returns the next healthy backend in turn, or the next backend if none is healthy. The environment's lock
+// must be held.
 func (l *LoadGenerator) pickBackend() *backend {
 	for range l.backends {
 		l.nextBackend++
@@ -140,7 +142,7 @@
 	return l.backends[l.nextBackend%len(l.backends)]
 }
 
-// checkHealth asks a node whether it is ready for clients, until the environment ends.
+// checkHealth polls the readiness of a node until the environment stops.
 func (l *LoadGenerator) checkHealth(b *backend) {
 	failures := 0
 	for sleep(l.env.ctx, healthCheckInterval) == nil {
@@ -158,7 +160,7 @@
 	}
 }
 
-// send sends one attempt, and reports its end to the clients and to the checker.
+// send sends one attempt and reports its outcome to the clients and to the checker.
 func (l *LoadGenerator) send(attempt *emulator.ClientAttempt, b *backend) {
 	env := l.env
 	began := time.Now()
@@ -191,7 +193,7 @@
 	signal(l.wakeup)
 }
 
-// signal wakes the receiver of a channel with room for one; a signal that is there already is enough.
+// signal wakes the receiver of a channel whose capacity is one. It does nothing if a signal is pending.
 func signal(wakeup chan<- struct{}) {
 	select {
 	case wakeup <- struct{}{}:
--- a/internal/testcluster/measure_test.go
+++ b/internal/testcluster/measure_test.go
@@ -17,60 +17,62 @@
 	"sloerail/internal/registry"
 )
 
-// The measures of docs/membership.md. They take minutes, so each asks for its flag.
+// Flags of the measurements in docs/membership.md. They take minutes, so each runs only if its flag is set.
 var (
-	kills         = flag.Int("kills", 0, "kills in TestMeasureDeathDetection, for each part of loss; 0 to skip it")
-	members       = flag.Int("members", 15, "processes in the measures")
-	quietDuration = flag.Duration("quiet", 0, "how long TestMeasureFalseDeaths looks on, for each fault; 0 to skip it")
-	listOutage    = flag.Duration("away", 0, "how long TestMeasureListOutage has no list service; 0 to skip it")
-	splitFor      = flag.Duration("split", 0, "how long TestMeasureSplitQuota splits 7 nodes 4 to 3; 0 to skip it")
+	kills         = flag.Int("kills", 0, "kills in TestMeasureDeathDetection, for each loss rate; 0 to skip it")
+	members       = flag.Int("members", 15, "nodes in the measurements")
+	quietDuration = flag.Duration("quiet", 0, "duration of TestMeasureFalseDeaths, for each fault; 0 to skip it")
+	listOutage    = flag.Duration("away", 0, "duration of the list service outage in TestMeasureListOutage; 0 to skip it")
+	splitDuration = flag.Duration("split", 0, "how long TestMeasureSplitQuota partitions 7 nodes into 4 and 3; 0 to skip it")
 )
 
-func percentile(all []time.Duration, p float64) time.Duration {
-	slices.Sort(all)
-	return all[min(len(all)-1, int(p*float64(len(all))))]
+// percentile returns the value at fraction p of the durations, which it sorts in place.
+func percentile(durations []time.Duration, p float64) time.Duration {
+	slices.Sort(durations)
+	return durations[min(len(durations)-1, int(p*float64(len(durations))))]
 }
 
-// From the kill of a process to the death being known at each other, with datagrams and streams lost.
+// Measures the time from the kill of a process until every other node knows of its death, with loss of datagrams and
+// streams.
 func TestMeasureDeathDetection(t *testing.T) {
 	if *kills == 0 {
 		t.Skip("-kills")
 	}
 	for _, loss := range []float64{0, 0.1, 0.3} {
 		t.Run(fmt.Sprintf("loss %.0f%%", loss*100), func(t *testing.T) {
-			x := newFleetHarness(t, *members, FleetSpec{}, 60)
-			x.SetLoss(loss)
+			h := newFleetHarness(t, *members, FleetSpec{}, 60)
+			h.SetLoss(loss)
 			rng := rand.New(rand.NewPCG(*seed, 3))
-			var took, healed []time.Duration
-			rightly := 0
+			var detectionTimes, healTimes []time.Duration
+			deathReports := 0
 			for range *kills {
-				victim := x.Names[rng.IntN(len(x.Names))]
-				before := x.DeathReports()
-				x.Nodes[victim].Kill()
-				took = append(took, x.awaitState(victim, "dead", x.Others(victim)...)...)
-				rightly += x.DeathReports() - before
-				x.restart(victim)
-				x.awaitMembership(x.Names...)
+				victim := h.Names[rng.IntN(len(h.Names))]
+				before := h.DeathReports()
+				h.Nodes[victim].Kill()
+				detectionTimes = append(detectionTimes, h.awaitState(victim, "dead", h.Others(victim)...)...)
+				deathReports += h.DeathReports() - before
+				h.restart(victim)
+				h.awaitMembership(h.Names...)
 			}
 			for range *kills {
-				x.Partition(x.Names[:len(x.Names)/2], x.Names[len(x.Names)/2:])
-				x.awaitMembership(x.Names[:len(x.Names)/2]...)
-				x.awaitMembership(x.Names[len(x.Names)/2:]...)
-				x.Partition()
-				healed = append(healed, x.awaitMembership(x.Names...))
+				h.Partition(h.Names[:len(h.Names)/2], h.Names[len(h.Names)/2:])
+				h.awaitMembership(h.Names[:len(h.Names)/2]...)
+				h.awaitMembership(h.Names[len(h.Names)/2:]...)
+				h.Partition()
+				healTimes = append(healTimes, h.awaitMembership(h.Names...))
 			}
-			x.finish()
-			t.Logf("%d processes, %.0f%% lost, %d kills: known dead p50 %v p99 %v worst %v; %d splits healed p50 %v p99 %v",
-				*members, loss*100, *kills, percentile(took, 0.5), percentile(took, 0.99), percentile(took, 1), *kills,
-				percentile(healed, 0.5), percentile(healed, 0.99))
-			if p99 := percentile(took, 0.99); p99 > 2*time.Second {
-				t.Errorf("p99 %v", p99)
+			h.finish()
+			t.Logf("%d processes, %.0f%% loss, %d kills: death known after p50 %v p99 %v max %v; %d partitions healed after p50 %v p99 %v",
+				*members, loss*100, *kills, percentile(detectionTimes, 0.5), percentile(detectionTimes, 0.99), percentile(detectionTimes, 1), *kills,
+				percentile(healTimes, 0.5), percentile(healTimes, 0.99))
+			if p99 := percentile(detectionTimes, 0.99); p99 > 2*time.Second {
+				t.Errorf("p99 of the time until a death is known: got %v, want at most 2 s", p99)
 			}
 		})
 	}
 }
 
-// No live member is declared dead, whatever is lost and however long processes are paused.
+// Measures how many live members are declared dead with packet loss and with paused processes: none may be.
 func TestMeasureFalseDeaths(t *testing.T) {
 	if *quietDuration == 0 {
 		t.Skip("-quiet")
@@ -79,74 +81,76 @@
 		name  string
 		loss  float64
 		pause bool
-	}{{"none", 0, false}, {"10% lost", 0.1, false}, {"30% lost", 0.3, false}, {"each stopped for 300 ms every 3 s", 0, true}} {
+	}{{"none", 0, false}, {"10% loss", 0.1, false}, {"30% loss", 0.3, false}, {"processes paused in turn for 300 ms each", 0, true}} {
 		t.Run(fault.name, func(t *testing.T) {
-			x := newFleetHarness(t, *members, FleetSpec{}, 60)
-			x.SetLoss(fault.loss)
+			h := newFleetHarness(t, *members, FleetSpec{}, 60)
+			h.SetLoss(fault.loss)
 			end := time.Now().Add(*quietDuration)
 			for time.Now().Before(end) {
 				if !fault.pause {
-					_ = sleep(x.ctx, time.Second)
+					_ = sleep(h.ctx, time.Second)
 					continue
 				}
-				for _, name := range x.Names {
-					x.pause(name, 300*time.Millisecond)
+				for _, name := range h.Names {
+					h.pause(name, 300*time.Millisecond)
 				}
 			}
-			t.Logf("%d processes for %v: %d deaths reported", *members, *quietDuration, x.DeathReports())
-			if n := x.DeathReports(); n > 0 {
-				t.Errorf("%d deaths reported while all lived", n)
+			t.Logf("%d processes for %v: %d deaths reported", *members, *quietDuration, h.DeathReports())
+			if n := h.DeathReports(); n > 0 {
+				t.Errorf("reported deaths while all nodes were alive: got %d, want 0", n)
 			}
-			x.SetLoss(0)
-			x.finish()
+			h.SetLoss(0)
+			h.finish()
 		})
 	}
 }
 
-// What a fleet split 4 to 3 admits of a quota, with twice the quota asked for at all nodes.
+// Measures which multiple of a quota a fleet admits when it is partitioned into 4 and 3 nodes and clients send twice the
+// quota.
 func TestMeasureSplitQuota(t *testing.T) {
-	if *splitFor == 0 {
+	if *splitDuration == 0 {
 		t.Skip("-split")
 	}
 	const quota = 280
-	x := newFleetHarness(t, 7, FleetSpec{Quota: quota, Sockets: 512}, 0)
-	var all []*Node
-	for _, name := range x.Names {
-		all = append(all, x.Nodes[name])
+	h := newFleetHarness(t, 7, FleetSpec{Quota: quota, Sockets: 512}, 0)
+	var nodes []*Node
+	for _, name := range h.Names {
+		nodes = append(nodes, h.Nodes[name])
 	}
-	// Without retries, for what a bucket passes of a flood is its own arithmetic: up to 1.4 times the quota.
-	load := x.w.StartClients("c", emulator.ClientSpec{Rate: 2 * quota, Classes: shortClasses(), Tenants: tenants, Until: time.Hour}, all...)
-	x.loads = append(x.loads, load)
-	over := func(what string, span time.Duration) float64 {
+	// Without retries, because of a flood of requests the token buckets themselves admit up to 1.4 times the quota.
+	load := h.env.StartClients("c", emulator.ClientSpec{Rate: 2 * quota, Classes: shortClasses(), Tenants: tenants, Until: time.Hour}, nodes...)
+	h.loads = append(h.loads, load)
+	measureAdmitted := func(phase string, span time.Duration) float64 {
 		before := load.Stats()
-		_ = sleep(x.ctx, span)
+		_ = sleep(h.ctx, span)
 		after := load.Stats()
-		part := float64(after.InTime+after.Late-before.InTime-before.Late) / span.Seconds() / quota
-		t.Logf("%s: admitted %.3f of the quota over %v", what, part, span)
-		return part
+		admitted := float64(after.InTime+after.Late-before.InTime-before.Late) / span.Seconds() / quota
+		t.Logf("%s: admitted %.3f of the quota over %v", phase, admitted, span)
+		return admitted
 	}
-	_ = sleep(x.ctx, 5*time.Second) // full buckets are spent
-	whole := over("whole", 15*time.Second)
-	four, three := x.Names[:4], x.Names[4:]
-	x.Partition(four, three)
-	x.awaitMembership(four...)
-	x.awaitMembership(three...)
-	split := over("split 4 to 3", *splitFor)
-	x.Partition()
-	x.awaitMembership(x.Names...)
-	healed := over("healed", 15*time.Second)
+	_ = sleep(h.ctx, 5*time.Second) // until the initially full token buckets are empty
+	whole := measureAdmitted("whole", 15*time.Second)
+	four, three := h.Names[:4], h.Names[4:]
+	h.Partition(four, three)
+	h.awaitMembership(four...)
+	h.awaitMembership(three...)
+	split := measureAdmitted("split 4 to 3", *splitDuration)
+	h.Partition()
+	h.awaitMembership(h.Names...)
+	healed := measureAdmitted("healed", 15*time.Second)
 	if split > whole*1.05 || healed > whole*1.05 || whole > 1.45 {
-		t.Errorf("whole %.3f, split %.3f, healed %.3f", whole, split, healed)
+		t.Errorf("admitted multiple of the quota: whole %.3f, want at most 1.45; split %.3f and healed %.3f, want at most 1.05 of whole",
+			whole, split, healed)
 	}
-	x.finish()
+	h.finish()
 }
 
-var watchersN = flag.Int("watchers", 0, "watchers in TestMeasureRegistry; 0 to skip it")
+var watcherCount = flag.Int("watchers", 0, "number of watchers in TestMeasureRegistry; 0 to skip it")
 
-// The registry under load: the delay until watchers are notified, the memory of a replica with so many watchers and
-// 2,000 servers, and the writes a second of three replicas and of one.
+// Measures a registry of one and of three replicas with 2,000 servers: the delay until watchers are notified, the memory
+// of the replicas, and the writes per second.
 func TestMeasureRegistry(t *testing.T) {
-	if *watchersN == 0 {
+	if *watcherCount == 0 {
 		t.Skip("-watchers")
 	}
 	for _, replicas := range []int{1, 3} {
@@ -154,35 +158,36 @@
 	}
 }
 
+// measureRegistry runs TestMeasureRegistry for one number of replicas.
 func measureRegistry(t *testing.T, replicas int) {
-	r, ctx := newCluster(t)
-	g, leader := startRegistry(t, r, ctx, replicas)
-	write := func(c *registry.Client, id string, n int) error {
-		return c.Do(ctx, http.MethodPut, "/registry/instances/"+id, map[string]any{"host_port": "10.0.0.1:9000",
+	cluster, ctx := newCluster(t)
+	reg, leader := startRegistry(t, cluster, ctx, replicas)
+	write := func(client *registry.Client, id string, n int) error {
+		return client.Do(ctx, http.MethodPut, "/registry/instances/"+id, map[string]any{"host_port": "10.0.0.1:9000",
 			"locality": "zone-a", "flavor": "big-box", "lease_ms": 600_000, "up_since_ms": n}, nil, 0)
 	}
 	const servers, writers = 2000, 32
-	var all sync.WaitGroup
+	var goroutines sync.WaitGroup
 	began := time.Now()
 	for w := range writers {
-		all.Go(func() {
-			c := registry.NewClient([]string{g.Address(leader)})
+		goroutines.Go(func() {
+			client := registry.NewClient([]string{reg.Address(leader)})
 			for i := w; i < servers; i += writers {
-				if err := write(c, fmt.Sprintf("server-%04d", i), 1); err != nil {
+				if err := write(client, fmt.Sprintf("server-%04d", i), 1); err != nil {
 					t.Error(err)
 				}
 			}
 		})
 	}
-	all.Wait()
-	rate := servers / time.Since(began).Seconds()
-	alone := syncsPerSecond(t, r.dir)
-	late := measureNotification(t, ctx, g, leader, write)
-	t.Logf("%d replicas: %.0f writes a second by %d writers (fsync alone %.0f); %d watchers told p50 %v p99 %v; memory %v", replicas,
-		rate, writers, alone, *watchersN, percentile(late, 0.5), percentile(late, 0.99), residentMemory(g))
+	goroutines.Wait()
+	writeRate := servers / time.Since(began).Seconds()
+	fsyncRate := syncsPerSecond(t, cluster.dir)
+	delays := measureNotification(t, ctx, reg, leader, write)
+	t.Logf("%d replicas: %.0f writes/s by %d writers (fsync alone: %.0f/s); %d watchers notified after p50 %v p99 %v; memory %v",
+		replicas, writeRate, writers, fsyncRate, *watcherCount, percentile(delays, 0.5), percentile(delays, 0.99), residentMemory(reg))
 }
 
-// syncsPerSecond measures how many writes of 4 KiB a second one file takes with an fsync after each.
+// syncsPerSecond measures how many writes of 4 KiB per second to one file are possible with an fsync after each.
 func syncsPerSecond(t *testing.T, dir string) float64 {
 	f, err := os.CreateTemp(dir, "sync")
 	if err != nil {
@@ -202,68 +207,69 @@
 	return n / time.Since(began).Seconds()
 }
 
-// measureNotification makes changes and returns how long each took to reach each watcher, from before the write on.
-func measureNotification(t *testing.T, ctx context.Context, g *Registry, leader string,
-	write func(*registry.Client, string, int) error) (late []time.Duration) {
-	under, stop := context.WithCancel(ctx)
+// measureNotification writes changes and returns, for each change and watcher, the time from before the write until the
+// watcher received the change.
+func measureNotification(t *testing.T, ctx context.Context, reg *Registry, leader string,
+	write func(*registry.Client, string, int) error) (delays []time.Duration) {
+	watchCtx, stop := context.WithCancel(ctx)
 	var mu sync.Mutex
-	var all sync.WaitGroup
+	var goroutines sync.WaitGroup
 	sent := make(map[int64]time.Time) // by up_since_ms
 	ready := 0
-	for i := range *watchersN {
-		all.Go(func() {
-			c, at := registry.NewClient([]string{g.Address(g.Names[i%len(g.Names)])}), int64(-1)
-			for first := true; under.Err() == nil; first = false {
-				var l registry.EndpointList
-				if c.Watch(under, fmt.Sprintf("/registry/instances?index=%d&wait=30000", at), 30*time.Second, &l) != nil {
+	for i := range *watcherCount {
+		goroutines.Go(func() {
+			client, revision := registry.NewClient([]string{reg.Address(reg.Names[i%len(reg.Names)])}), int64(-1)
+			for first := true; watchCtx.Err() == nil; first = false {
+				var list registry.EndpointList
+				if client.Watch(watchCtx, fmt.Sprintf("/registry/instances?index=%d&wait=30000", revision), 30*time.Second, &list) != nil {
 					continue
 				}
-				at = l.Revision
+				revision = list.Revision
 				mu.Lock()
 				if first {
 					ready++
 				}
-				for _, e := range l.Endpoints {
+				for _, e := range list.Endpoints {
 					if from, ok := sent[e.StartTimeMs]; ok && !first {
-						late = append(late, time.Since(from))
+						delays = append(delays, time.Since(from))
 					}
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	err := Await(within(t, ctx), "all watchers", func() bool { mu.Lock(); defer mu.Unlock(); return ready == *watchersN })
+	err := Await(withStepTimeout(t, ctx), "all watchers to be connected", func() bool { mu.Lock(); defer mu.Unlock(); return ready == *watcherCount })
 	if err != nil {
 		t.Fatal(err)
 	}
-	c := registry.NewClient([]string{g.Address(leader)})
+	client := registry.NewClient([]string{reg.Address(leader)})
 	const changes = 20
 	for i := range changes {
 		mu.Lock()
 		sent[int64(i+100)] = time.Now()
 		mu.Unlock()
-		if err := write(c, "server-0000", i+100); err != nil {
+		if err := write(client, "server-0000", i+100); err != nil {
 			t.Error(err)
 		}
-		err := Await(within(t, ctx), "all to be told", func() bool {
+		err := Await(withStepTimeout(t, ctx), "the change at all watchers", func() bool {
 			mu.Lock()
 			defer mu.Unlock()
-			return len(late) >= (i+1)**watchersN
+			return len(delays) >= (i+1)**watcherCount
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	t.Logf("memory while they watch: %v", residentMemory(g))
+	t.Logf("memory with all watchers connected: %v", residentMemory(reg))
 	stop()
-	all.Wait()
-	return late
+	goroutines.Wait()
+	return delays
 }
 
-// residentMemory returns the resident memory of each replica, as the kernel prints it.
-func residentMemory(g *Registry) (all []string) {
-	for _, name := range g.Names {
-		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", g.Process(name).PID()))
+// residentMemory returns the resident memory of each replica, as in VmRSS of /proc/PID/status.
+func residentMemory(reg *Registry) (all []string) {
+	for _, name := range reg.Names {
+		raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", reg.Process(name).PID()))
 		if err != nil {
 			continue
 		}
@@ -276,40 +282,40 @@
 	return all
 }
 
-// An outage of the list service under load, during which servers change: the fraction that six nodes serve, and how their
-// calls are spread once it is back.
+// Measures an outage of the list service under load, during which servers drain and are removed: the fraction of requests
+// that six nodes serve in time, and how their calls are spread after the outage.
 func TestMeasureListOutage(t *testing.T) {
 	if *listOutage == 0 {
 		t.Skip("-away")
 	}
-	for _, asked := range []bool{true, false} {
-		t.Run(fmt.Sprintf("asked %v", asked), func(t *testing.T) {
-			x := newFleetHarness(t, 6, FleetSpec{PollList: asked}, 120)
-			load := x.loads[0]
-			served := func() float64 {
+	for _, poll := range []bool{true, false} {
+		t.Run(fmt.Sprintf("poll %v", poll), func(t *testing.T) {
+			h := newFleetHarness(t, 6, FleetSpec{PollList: poll}, 120)
+			load := h.loads[0]
+			servedFraction := func() float64 {
 				before, end := load.Stats(), time.Now().Add(*listOutage)
-				_ = sleep(x.ctx, time.Until(end))
+				_ = sleep(h.ctx, time.Until(end))
 				after := load.Stats()
 				return float64(after.InTime-before.InTime) / float64(after.Requests-before.Requests)
 			}
-			link := func(f Faults) {
-				for _, name := range x.Names {
-					x.w.cluster.SetLinkFaults(name, "list", f)
-					x.w.cluster.SetLinkFaults("list", name, f)
+			setListFaults := func(f Faults) {
+				for _, name := range h.Names {
+					h.env.cluster.SetLinkFaults(name, "list", f)
+					h.env.cluster.SetLinkFaults("list", name, f)
 				}
 			}
-			x.w.SetPhase("s-00", emulator.Draining)
-			with := served()
-			x.w.SetPhase("s-00", emulator.Removed)
-			x.w.SetPhase("s-01", emulator.Draining)
-			_ = sleep(x.ctx, 3*time.Second)
-			link(Faults{Reset: true})
-			without := served()
-			back := time.Now()
-			link(Faults{})
-			_ = sleep(x.ctx, 10*time.Second)
-			calls := x.w.ListCalls(back)
-			most, last := 0, time.Duration(0)
+			h.env.SetPhase("s-00", emulator.Draining)
+			withList := servedFraction()
+			h.env.SetPhase("s-00", emulator.Removed)
+			h.env.SetPhase("s-01", emulator.Draining)
+			_ = sleep(h.ctx, 3*time.Second)
+			setListFaults(Faults{Reset: true})
+			withoutList := servedFraction()
+			restored := time.Now()
+			setListFaults(Faults{})
+			_ = sleep(h.ctx, 10*time.Second)
+			calls := h.env.ListCalls(restored)
+			maxBurst, lastNode := 0, time.Duration(0)
 			for i := range calls {
 				n := 0
 				for _, c := range calls[i:] {
@@ -317,16 +323,17 @@
 						n++
 					}
 				}
-				most = max(most, n)
+				maxBurst = max(maxBurst, n)
 			}
-			if len(calls) >= len(x.Names) {
-				last = calls[len(x.Names)-1].Sub(back)
+			if len(calls) >= len(h.Names) {
+				lastNode = calls[len(h.Names)-1].Sub(restored)
 			}
-			x.finish()
-			t.Logf("away for %v: served in time %.4f with the list service, %.4f without; %d calls in 10 s at its return, the sixth "+
-				"after %v, %d in 100 ms at most", *listOutage, with, without, len(calls), last, most)
-			if without < with-0.01 {
-				t.Errorf("%.4f served without the list service, %.4f with it", without, with)
+			h.finish()
+			t.Logf("outage of %v: fraction served in time: %.4f before, %.4f during it; %d calls in the 10 s after it, the sixth "+
+				"after %v, at most %d in 100 ms", *listOutage, withList, withoutList, len(calls), lastNode, maxBurst)
+			if withoutList < withList-0.01 {
+				t.Errorf("fraction served in time without the list service: got %.4f, want at least %.4f (with it) minus 0.01",
+					withoutList, withList)
 			}
 		})
 	}
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -15,52 +15,52 @@
 
 const (
 	clientPort        = 9000
-	controlPort       = 9100 // and those after it: each process of a node has an administrative address of its own
+	controlPort       = 9100 // of the first process; each further process of a node uses the next port
 	gossipPort        = 7946
 	nodeProgram       = "cmd/sloerail-node"
 	defaultCores      = 1
 	defaultMemoryMB   = 128
-	defaultMaxSockets = 256 // descriptors
+	defaultMaxSockets = 256 // open descriptors
 )
 
-// NodeSpec says how a node is configured. Zero values are replaced by what suits a test.
+// NodeSpec configures a node. Cores, MemoryMB and Sockets have defaults that suit a test.
 type NodeSpec struct {
 	Name          string
-	Discovery     string         // addresses of the list service, as this node reaches it
-	ListFile      string         // where it caches the list; empty for nowhere
-	InitialList   any            // that it starts with, in the list service's form; nil for an empty one
-	Settings      map[string]any // the section of that name in its file
+	Discovery     string         // comma-separated addresses at which the node reaches the list service
+	ListFile      string         // path of the cached list; empty for no cache
+	InitialList   any            // known at the start, in the list service's format; nil for an empty list
+	Settings      map[string]any // the section "settings" of the configuration file
 	Cores         float64
 	MemoryMB      int
-	Sockets       int            // descriptors that it may have open
-	Fleet         map[string]any // the section of that name; nil for none
+	Sockets       int            // limit of open descriptors
+	Fleet         map[string]any // the section "fleet"; nil for none
 	Topology      map[string]any // the section "places"; nil for none
-	Scope         map[string]any // the section of that name; nil for none
-	RetainMissing bool
-	Env           []string // beside that of the caller's process
+	Scope         map[string]any // the section "scope"; nil for none
+	RetainMissing bool           // retain servers that a list lacks for a moment: the key "ease_lists"
+	Env           []string       // environment variables in addition to the caller's
 }
 
-// zone is the zone in the node's settings.
+// zone returns the zone in the node's settings.
 func (s NodeSpec) zone() string { return fmt.Sprint(s.Settings["zone"]) }
 
-// Node is one node: the processes that follow each other under its name and addresses.
+// Node is a node, which is run by successive processes with the same name and addresses.
 type Node struct {
 	Spec    NodeSpec
 	Host    string
-	Listen  string // where clients reach it
+	Listen  string // address for clients
 	cluster *Cluster
 	dir     string
 
-	faultLock sync.Mutex // held by a schedule's fault of its processes: one at a time
+	faultLock sync.Mutex // serializes the process faults of a schedule
 
 	mu               sync.Mutex
 	processes        []*Process // newest last
-	controlAddresses []string   // of the processes
+	controlAddresses []string   // administrative addresses of the processes
 	killedAt         time.Time
-	down             bool // killed, and no other process has been ready since
+	down             bool // killed, and no process has become ready since
 }
 
-// Node makes a node, which Start starts.
+// Node creates a node without starting it.
 func (c *Cluster) Node(spec NodeSpec) (*Node, error) {
 	if spec.Cores == 0 {
 		spec.Cores = defaultCores
@@ -71,7 +71,7 @@
 	if spec.Sockets == 0 {
 		spec.Sockets = defaultMaxSockets
 	}
-	dir, err := c.Dir(spec.Name)
+	dir, err := c.MakeDir(spec.Name)
 	if err != nil {
 		return nil, err
 	}
@@ -79,10 +79,10 @@
 	return &Node{Spec: spec, Host: host, cluster: c, dir: dir, Listen: fmt.Sprintf("%s:%d", host, clientPort)}, nil
 }
 
-// Gossip is the address that the node's processes bind for gossip.
-func (n *Node) Gossip() string { return net.JoinHostPort(n.Host, fmt.Sprint(gossipPort)) }
+// GossipAddress returns the address that the node's processes bind for gossip.
+func (n *Node) GossipAddress() string { return net.JoinHostPort(n.Host, fmt.Sprint(gossipPort)) }
 
-// writeConfig writes the node's file as Spec has it now.
+// writeConfig writes the node's configuration file from the current Spec.
 func (n *Node) writeConfig() (path string, err error) {
 	spec := n.Spec
 	file := map[string]any{
@@ -112,7 +112,7 @@
 	return path, os.WriteFile(path, raw, 0o600)
 }
 
-// Start starts a process of the node. If one serves already, the new one takes over from it.
+// Start starts a process of the node. If another process of the node is serving, it hands over to the new one.
 func (n *Node) Start() (*Process, error) {
 	path, err := n.writeConfig()
 	if err != nil {
@@ -143,14 +143,14 @@
 	p.Kill()
 }
 
-// killedSince tells whether the node was down at some time since t because of Kill.
+// killedSince reports whether the node was down because of Kill at some time since t.
 func (n *Node) killedSince(t time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.down || n.killedAt.After(t)
 }
 
-// Descriptors is how many descriptors the node's processes have open together.
+// Descriptors returns the number of descriptors that the node's processes have open in total.
 func (n *Node) Descriptors() (sum int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -159,50 +159,50 @@
 			continue
 		}
 		open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", p.PID()))
-		if err == nil { // else the process has just ended
+		if err == nil { // otherwise the process has just ended
 			sum += len(open)
 		}
 	}
 	return sum
 }
 
-// Process is the newest process of the node.
+// Process returns the newest process of the node.
 func (n *Node) Process() *Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.processes[len(n.processes)-1]
 }
 
-// Processes are all processes that the node has had, the newest last.
+// Processes returns all processes of the node, including ended ones, newest last.
 func (n *Node) Processes() []*Process {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return slices.Clone(n.processes)
 }
 
-// Control is the administrative address of the node's newest process.
+// Control returns the administrative address of the node's newest process.
 func (n *Node) Control() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.controlAddresses[len(n.controlAddresses)-1]
 }
 
-// Ready waits until the newest process is ready for clients. It is an error for it to end before.
+// Ready waits until the newest process is ready for clients. It returns an error if the process ends first.
 func (n *Node) Ready(ctx context.Context) error {
 	p, address := n.Process(), n.Control()
-	err := Await(ctx, n.Spec.Name+" to take clients", func() bool {
+	err := Await(ctx, n.Spec.Name+" to be ready for clients", func() bool {
 		return p.Ended() || Get(ctx, address, "/healthcheck", nil) == nil
 	})
 	n.mu.Lock()
 	n.down = n.down && err != nil
 	n.mu.Unlock()
 	if err == nil && p.Ended() {
-		err = fmt.Errorf("%s ended at its start:\n%s", n.Spec.Name, p.Log())
+		err = fmt.Errorf("%s ended before it was ready; its log:\n%s", n.Spec.Name, p.Log())
 	}
 	return err
 }
 
-// Replace starts another process of the node, and has the previous one shut down once the new one is ready.
+// Replace starts another process of the node, waits until it is ready, and has the previous process shut down.
 func (n *Node) Replace(ctx context.Context) (previous *Process, err error) {
 	previous = n.Process()
 	if _, err := n.Start(); err != nil {
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -12,21 +12,21 @@
 	"time"
 )
 
-// maxLogBytes bounds what Log returns: the end of it.
+// maxLogBytes is the maximum size of the log tail that Log returns.
 const maxLogBytes = 64 << 10
 
-// Process is one running program. Its methods may be called from any goroutine.
+// Process is a process started by a cluster. Its methods are safe for concurrent use.
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
-	log  string        // path of the file for its output
-	done chan struct{} // closed once it has ended
+	log  string        // path of the file with its output
+	done chan struct{} // closed when the process has ended
 
 	mu  sync.Mutex
-	err error // of its exit, once done
+	err error // of its exit; valid when done is closed
 }
 
-// Start runs a program until Close, with these environment variables beside those of the caller's own process.
+// Start starts a program, which Close kills. Env is added to the environment variables of the calling process.
 func (c *Cluster) Start(name, program string, args, env []string) (*Process, error) {
 	c.mu.Lock()
 	number := len(c.processes)
@@ -56,7 +56,7 @@
 	return p, nil
 }
 
-// wait collects the process's exit; Kill and Close end it.
+// wait waits for the process to exit and records its error. Kill and Close make the process exit.
 func (p *Process) wait() {
 	err := p.cmd.Wait()
 	p.mu.Lock()
@@ -65,13 +65,13 @@
 	close(p.done)
 }
 
-// Signal sends a signal to the process. One that has ended gets none.
+// Signal sends a signal to the process. It does nothing if the process has ended.
 func (p *Process) Signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// Kill kills the process group, and waits for the process to end.
+// Kill kills the process group and waits for the process to end.
 func (p *Process) Kill() {
 	select {
-	case <-p.done: // the kernel may have reused its PID
+	case <-p.done: // the kernel may have reused the PID
 		return
 	default:
 	}
@@ -79,7 +79,7 @@
 	<-p.done
 }
 
-// Pause stops the process for a time, as a lack of CPU does, and returns after it.
+// Pause stops the process for the duration d, as CPU starvation would, and returns after it continues.
 func (p *Process) Pause(ctx context.Context, d time.Duration) {
 	p.Signal(syscall.SIGSTOP)
 	defer p.Signal(syscall.SIGCONT)
@@ -91,8 +91,8 @@
 	}
 }
 
-// ThrottleCPU lets the process run for a fraction of each slice only, until the returned function is called.
-func (p *Process) ThrottleCPU(fraction float64, slice time.Duration) (end func()) {
+// ThrottleCPU lets the process run for only a fraction of each time slice, until the returned function is called.
+func (p *Process) ThrottleCPU(fraction float64, slice time.Duration) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -107,7 +107,7 @@
 	}
 }
 
-// Wait waits for the process to end, and returns its exit's error.
+// Wait waits for the process to end and returns the error of its exit.
 func (p *Process) Wait(ctx context.Context) error {
 	select {
 	case <-p.done:
@@ -115,11 +115,11 @@
 		defer p.mu.Unlock()
 		return p.err
 	case <-ctx.Done():
-		return fmt.Errorf("%s runs on: %w", p.Name, ctx.Err())
+		return fmt.Errorf("waiting for %s to end: %w", p.Name, ctx.Err())
 	}
 }
 
-// Ended tells whether the process has ended.
+// Ended reports whether the process has ended.
 func (p *Process) Ended() bool {
 	select {
 	case <-p.done:
@@ -129,10 +129,10 @@
 	}
 }
 
-// PID is the process's ID.
+// PID returns the process ID.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Log returns the end of what the process wrote, or why that cannot be read.
+// Log returns the last maxLogBytes bytes of the output of the process, or the text of the error if it cannot be read.
 func (p *Process) Log() string {
 	f, err := os.Open(p.log)
 	if err != nil {
--- a/internal/testcluster/registry.go
+++ b/internal/testcluster/registry.go
@@ -18,7 +18,7 @@
 	cliProgram = "cmd/sloerail"
 )
 
-// Registry is the replicas of a list service. Raft between them passes through relays.
+// Registry is a list service with several replicas. Raft traffic between them passes through relays.
 type Registry struct {
 	Names   []string
 	cluster *Cluster
@@ -29,22 +29,22 @@
 
 type replica struct {
 	config  registry.Config
-	args    []string // beside those that name the configuration file
+	args    []string // in addition to the path of the configuration file
 	process *Process
 }
 
-// NewRegistry makes so many replicas, which Start starts.
+// NewRegistry creates a registry with the given number of replicas, without starting them.
 func (c *Cluster) NewRegistry(replicas int) (*Registry, error) {
-	g := &Registry{cluster: c, replicas: make(map[string]*replica)}
+	r := &Registry{cluster: c, replicas: make(map[string]*replica)}
 	nameOfHost, hosts := make(map[string]string), make([]string, replicas)
 	for i := range replicas {
 		name := fmt.Sprint("r", i)
-		g.Names, hosts[i] = append(g.Names, name), c.NewAddress()
+		r.Names, hosts[i] = append(r.Names, name), c.NewAddress()
 		nameOfHost[hosts[i]] = name
 	}
-	raftAddresses := make(map[string]string) // by name; shared by all configurations
-	for i, name := range g.Names {
-		dir, err := c.Dir("registry-" + name)
+	raftAddresses := make(map[string]string) // by replica; shared by all configurations
+	for i, name := range r.Names {
+		dir, err := c.MakeDir("registry-" + name)
 		if err != nil {
 			return nil, err
 		}
@@ -55,70 +55,71 @@
 			return nil, err
 		}
 		raftAddresses[name] = config.RaftAddress
-		g.replicas[name] = &replica{config: config}
+		r.replicas[name] = &replica{config: config}
 	}
-	return g, nil
+	return r, nil
 }
 
-// Start starts a process of a replica, with the data that it has.
-func (g *Registry) Start(name string) error {
+// Start starts a process of a replica with its existing data.
+func (r *Registry) Start(name string) error {
 	program, err := Build(cliProgram)
 	if err != nil {
 		return err
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	r := g.replicas[name]
-	raw, err := toml.Marshal(r.config)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	rep := r.replicas[name]
+	raw, err := toml.Marshal(rep.config)
 	if err != nil {
 		return err
 	}
-	file := r.config.DataDir + ".toml"
+	file := rep.config.DataDir + ".toml"
 	if err := os.WriteFile(file, raw, 0o600); err != nil {
 		return err
 	}
-	r.process, err = g.cluster.Start("registry-"+name, program, append([]string{"registry", "serve", "--config", file}, r.args...), nil)
+	rep.process, err = r.cluster.Start("registry-"+name, program, append([]string{"registry", "serve", "--config", file}, rep.args...), nil)
 	return err
 }
 
-// Process is a replica's newest process.
-func (g *Registry) Process(name string) *Process {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.replicas[name].process
+// Process returns the newest process of a replica.
+func (r *Registry) Process(name string) *Process {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.replicas[name].process
 }
 
-// Address is where a replica serves HTTP.
-func (g *Registry) Address(name string) string { return g.replicas[name].config.ListenAddress }
+// Address returns the address at which a replica serves HTTP.
+func (r *Registry) Address(name string) string { return r.replicas[name].config.ListenAddress }
 
-// DataDir is where a replica stores its data.
-func (g *Registry) DataDir(name string) string { return g.replicas[name].config.DataDir }
+// DataDir returns the directory in which a replica stores its data.
+func (r *Registry) DataDir(name string) string { return r.replicas[name].config.DataDir }
 
-// Addresses are those of all replicas.
-func (g *Registry) Addresses() (all []string) {
-	for _, name := range g.Names {
-		all = append(all, g.Address(name))
+// Addresses returns the HTTP addresses of all replicas.
+func (r *Registry) Addresses() (all []string) {
+	for _, name := range r.Names {
+		all = append(all, r.Address(name))
 	}
 	return all
 }
 
 // Status returns a replica's status.
-func (g *Registry) Status(ctx context.Context, name string) (s registry.Status, err error) {
-	err = Get(ctx, g.Address(name), "/registry/status", &s)
+func (r *Registry) Status(ctx context.Context, name string) (s registry.Status, err error) {
+	err = Get(ctx, r.Address(name), "/registry/status", &s)
 	return s, err
 }
 
-// AwaitLeader waits until a majority of replicas names the same leader, which names itself, and whose list is fresh.
-func (g *Registry) AwaitLeader(ctx context.Context) (leader string, err error) {
+// AwaitLeader waits until a majority of the replicas have a fresh list and name the same leader, and the leader names
+// itself.
+func (r *Registry) AwaitLeader(ctx context.Context) (leader string, err error) {
 	err = Await(ctx, "a leader", func() bool {
 		votes := make(map[string]int)
-		for _, name := range g.Names {
-			if s, err := g.Status(ctx, name); err == nil && s.AgeMs >= 0 && s.Leader != "" {
+		for _, name := range r.Names {
+			if s, err := r.Status(ctx, name); err == nil && s.AgeMs >= 0 && s.Leader != "" {
 				votes[s.Leader]++
 			}
 		}
 		for name, n := range votes {
-			if s, err := g.Status(ctx, name); 2*n > len(g.Names) && err == nil && s.Leader == name {
+			if s, err := r.Status(ctx, name); 2*n > len(r.Names) && err == nil && s.Leader == name {
 				leader = name
 				return true
 			}
@@ -128,12 +129,12 @@
 	return leader, err
 }
 
-// SetIsolated partitions a replica from the others, or ends that.
-func (g *Registry) SetIsolated(name string, isolated bool) {
-	for _, other := range g.Names {
+// SetIsolated partitions a replica from the others, or ends the partition.
+func (r *Registry) SetIsolated(name string, isolated bool) {
+	for _, other := range r.Names {
 		if other != name {
-			g.cluster.SetLinkFaults(name, other, Faults{Cut: isolated})
-			g.cluster.SetLinkFaults(other, name, Faults{Cut: isolated})
+			r.cluster.SetLinkFaults(name, other, Faults{Cut: isolated})
+			r.cluster.SetLinkFaults(other, name, Faults{Cut: isolated})
 		}
 	}
 }
--- a/internal/testcluster/registry_test.go
+++ b/internal/testcluster/registry_test.go
@@ -19,32 +19,32 @@
 	"sloerail/internal/registry"
 )
 
-// registration is one write to an instance, unconditional or conditional on a version.
-type registration struct {
+// writeInput is the input of one write to an instance: its ID and the version that the write requires.
+type writeInput struct {
 	id    string
-	match int64 // 0 for any
+	match int64 // required version; 0 for an unconditional write
 }
 
-// observation is the outcome of a write: the version that it made, the version that it conflicted with, or unknown.
-type observation struct {
+// writeOutcome is the outcome of a write: the new version, the conflicting version if mismatch is set, or unknown.
+type writeOutcome struct {
 	version  int64
 	mismatch bool
 	unknown  bool
 }
 
-// storedVersion is an instance's version in the model: known, or any greater one.
+// storedVersion is the version of an instance in the model. If it is not known, it is any greater version.
 type storedVersion struct {
 	version int64
 	known   bool
 }
 
-// versions is the linearizability model of writes to an instance: each takes effect once between its call and its
-// response if it succeeded; at most once if its outcome is unknown.
-var versions = porcupine.NondeterministicModel{
+// versionModel is the linearizability model of the writes to an instance. A successful write takes effect exactly once
+// between its call and its response; a write with unknown outcome takes effect at most once.
+var versionModel = porcupine.NondeterministicModel{
 	Partition: func(all []porcupine.Operation) [][]porcupine.Operation {
 		byID := make(map[string][]porcupine.Operation)
 		for _, op := range all {
-			id := op.Input.(registration).id
+			id := op.Input.(writeInput).id
 			byID[id] = append(byID[id], op)
 		}
 		var parts [][]porcupine.Operation
@@ -55,10 +55,10 @@
 	},
 	Init: func() []any { return []any{storedVersion{known: true}} },
 	Step: func(state, input, output any) []any {
-		s, in, out := state.(storedVersion), input.(registration), output.(observation)
-		may := in.match == 0 || s.known && s.version == in.match || !s.known && in.match > s.version
+		s, in, out := state.(storedVersion), input.(writeInput), output.(writeOutcome)
+		matches := in.match == 0 || s.known && s.version == in.match || !s.known && in.match > s.version
 		switch {
-		case out.unknown && may:
+		case out.unknown && matches:
 			return []any{s, storedVersion{version: s.version}}
 		case out.unknown:
 			return []any{s}
@@ -67,7 +67,7 @@
 				return []any{storedVersion{out.version, true}}
 			}
 			return nil
-		case may && out.version > s.version:
+		case matches && out.version > s.version:
 			return []any{storedVersion{out.version, true}}
 		}
 		return nil
@@ -75,270 +75,274 @@
 	Equal: func(a, b any) bool { return a == b },
 }
 
-// writers write to a few instances through all replicas until ctx ends, and record the history.
-type writers struct {
-	mu      sync.Mutex
-	history []porcupine.Operation
-	newest  map[string]int64 // acknowledged
+// writeHistory records the writes of concurrent clients to a few instances.
+type writeHistory struct {
+	mu           sync.Mutex
+	operations   []porcupine.Operation
+	acknowledged map[string]int64 // newest acknowledged version by instance
 }
 
-func (h *writers) run(ctx context.Context, g *Registry, n int, seed uint64) {
+// run has n clients write through all replicas until ctx ends.
+func (h *writeHistory) run(ctx context.Context, reg *Registry, n int, seed uint64) {
 	start := time.Now()
-	var all sync.WaitGroup
+	var goroutines sync.WaitGroup
 	for w := range n {
-		all.Go(func() {
+		goroutines.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(w)))
-			c := registry.NewClient(g.Addresses())
+			client := registry.NewClient(reg.Addresses())
 			for i := 0; ctx.Err() == nil; i++ {
-				in := registration{id: fmt.Sprint("s-", rng.IntN(3))}
+				in := writeInput{id: fmt.Sprint("s-", rng.IntN(3))}
 				if rng.IntN(2) == 0 {
 					h.mu.Lock()
-					in.match = h.newest[in.id]
+					in.match = h.acknowledged[in.id]
 					h.mu.Unlock()
 				}
 				op := porcupine.Operation{ClientId: w, Input: in, Call: int64(time.Since(start))}
-				var a registry.WriteResponse
-				err := c.Do(ctx, http.MethodPut, "/registry/instances/"+in.id, map[string]any{"host_port": "10.0.0.1:9000",
-					"lease_ms": 600_000, "up_since_ms": w*1_000_000 + i + 1}, &a, in.match) // each entry is another
-				out := observation{version: a.Version}
+				var response registry.WriteResponse
+				err := client.Do(ctx, http.MethodPut, "/registry/instances/"+in.id, map[string]any{"host_port": "10.0.0.1:9000",
+					"lease_ms": 600_000, "up_since_ms": w*1_000_000 + i + 1}, &response, in.match) // unique entries
+				out := writeOutcome{version: response.Version}
 				var refused registry.StatusError
 				switch {
 				case errors.As(err, &refused) && refused.StatusCode == http.StatusPreconditionFailed:
-					continue // it took no effect, and tells no version here
+					continue // the write had no effect, and the error contains no version
 				case err != nil:
-					out = observation{unknown: true}
+					out = writeOutcome{unknown: true}
 				}
 				op.Output, op.Return = out, int64(time.Since(start))
 				if out.unknown {
-					op.Return = int64(time.Hour) // perhaps much later
+					op.Return = int64(time.Hour) // it may take effect much later
 				}
 				h.mu.Lock()
-				if h.history = append(h.history, op); !out.unknown {
-					h.newest[in.id] = max(h.newest[in.id], out.version)
+				if h.operations = append(h.operations, op); !out.unknown {
+					h.acknowledged[in.id] = max(h.acknowledged[in.id], out.version)
 				}
 				h.mu.Unlock()
 				_ = sleep(ctx, time.Duration(rng.IntN(30))*time.Millisecond)
 			}
 		})
 	}
-	all.Wait()
+	goroutines.Wait()
 }
 
-// followList watches one replica until ctx ends, and returns an error where a revision went back within its epoch.
-func followList(ctx context.Context, at string) error {
-	c, seen := registry.NewClient([]string{at}), int64(-1)
+// watchRevisions watches the list at one replica until ctx ends. It returns an error if a revision decreases.
+func watchRevisions(ctx context.Context, address string) error {
+	client, seen := registry.NewClient([]string{address}), int64(-1)
 	for ctx.Err() == nil {
-		var l registry.EndpointList
+		var list registry.EndpointList
 		path := fmt.Sprintf("/registry/instances?index=%d&wait=500", seen)
-		if err := c.Watch(ctx, path, 500*time.Millisecond, &l); err != nil {
-			continue // away, or not fresh
+		if err := client.Watch(ctx, path, 500*time.Millisecond, &list); err != nil {
+			continue // the replica is down, or its list is not fresh
 		}
-		if l.Revision < seen {
-			return fmt.Errorf("%s: revision %d after %d", at, l.Revision, seen)
+		if list.Revision < seen {
+			return fmt.Errorf("%s: revision went back: got %d after %d", address, list.Revision, seen)
 		}
-		seen = l.Revision
+		seen = list.Revision
 	}
 	return nil
 }
 
-// startRegistry starts so many replicas, and waits for a leader.
-func startRegistry(t *testing.T, r *Cluster, ctx context.Context, n int) (g *Registry, leader string) {
+// startRegistry starts a registry with n replicas and waits for a leader.
+func startRegistry(t *testing.T, cluster *Cluster, ctx context.Context, n int) (reg *Registry, leader string) {
 	t.Helper()
-	g, err := r.NewRegistry(n)
+	reg, err := cluster.NewRegistry(n)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for _, name := range g.Names {
-		if err := g.Start(name); err != nil {
+	for _, name := range reg.Names {
+		if err := reg.Start(name); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if leader, err = g.AwaitLeader(within(t, ctx)); err != nil {
+	if leader, err = reg.AwaitLeader(withStepTimeout(t, ctx)); err != nil {
 		t.Fatal(err)
 	}
-	return g, leader
+	return reg, leader
 }
 
-// Three replicas through the death of leaders, a paused leader, a partition and the end of all of them: writes are
-// linearizable, no acknowledged one is lost, and no watcher sees a revision go back.
+// While leaders are killed, paused and isolated, and while all three replicas restart, writes are linearizable, no
+// acknowledged write is lost, and no watcher sees a revision go back.
 func TestRegistryStaysLinearizableThroughFaults(t *testing.T) {
 	t.Parallel()
-	r, ctx := newCluster(t)
-	g, _ := startRegistry(t, r, ctx, 3)
+	cluster, ctx := newCluster(t)
+	reg, _ := startRegistry(t, cluster, ctx, 3)
 	start := func(names ...string) {
 		t.Helper()
 		for _, name := range names {
-			if err := g.Start(name); err != nil {
+			if err := reg.Start(name); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
 	leader := func() string {
 		t.Helper()
-		name, err := g.AwaitLeader(within(t, ctx))
+		name, err := reg.AwaitLeader(withStepTimeout(t, ctx))
 		if err != nil {
 			t.Fatal(err)
 		}
 		return name
 	}
-	h := &writers{newest: make(map[string]int64)}
-	under, stop := context.WithCancel(ctx)
+	h := &writeHistory{acknowledged: make(map[string]int64)}
+	runCtx, stop := context.WithCancel(ctx)
 	var work sync.WaitGroup
-	work.Go(func() { h.run(under, g, 3, *seed) })
-	watchers := make(chan error, len(g.Names))
-	for _, name := range g.Names {
-		go func() { watchers <- followList(under, g.Address(name)) }()
+	work.Go(func() { h.run(runCtx, reg, 3, *seed) })
+	watchers := make(chan error, len(reg.Names))
+	for _, name := range reg.Names {
+		go func() { watchers <- watchRevisions(runCtx, reg.Address(name)) }()
 	}
-	progress := func() {
+	awaitWrites := func() {
 		t.Helper()
 		h.mu.Lock()
-		from := len(h.newest) + len(h.history)
+		from := len(h.acknowledged) + len(h.operations)
 		h.mu.Unlock()
-		err := Await(within(t, ctx), "further writes", func() bool {
+		err := Await(withStepTimeout(t, ctx), "further writes", func() bool {
 			h.mu.Lock()
 			defer h.mu.Unlock()
-			return len(h.newest)+len(h.history) > from+10
+			return len(h.acknowledged)+len(h.operations) > from+10
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	progress()
+	awaitWrites()
 	for range 2 {
 		name := leader()
 		began := time.Now()
-		g.Process(name).Kill()
+		reg.Process(name).Kill()
 		next := leader()
-		t.Logf("leader %s killed: %s leads after %v", name, next, time.Since(began).Round(time.Millisecond))
-		progress()
+		t.Logf("leader %s killed: %s is the leader after %v", name, next, time.Since(began).Round(time.Millisecond))
+		awaitWrites()
 		start(name)
 	}
 	name := leader()
-	g.Process(name).Pause(ctx, 2*time.Second) // it comes back believing that it leads
-	progress()
+	reg.Process(name).Pause(ctx, 2*time.Second) // after the pause it still believes that it is the leader
+	awaitWrites()
 	name = leader()
-	g.SetIsolated(name, true)
-	err := Await(within(t, ctx), "the cut-off leader to refuse its list", func() bool {
-		return Get(ctx, g.Address(name), "/registry/instances", nil) != nil
+	reg.SetIsolated(name, true)
+	err := Await(withStepTimeout(t, ctx), "the isolated leader to reject list requests", func() bool {
+		return Get(ctx, reg.Address(name), "/registry/instances", nil) != nil
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	progress()
-	g.SetIsolated(name, false)
-	for _, name := range g.Names {
-		g.Process(name).Kill()
+	awaitWrites()
+	reg.SetIsolated(name, false)
+	for _, name := range reg.Names {
+		reg.Process(name).Kill()
 	}
-	start(g.Names...)
+	start(reg.Names...)
 	leader()
-	progress()
+	awaitWrites()
 	stop()
 	work.Wait()
-	for range g.Names {
+	for range reg.Names {
 		if err := <-watchers; err != nil {
 			t.Error(err)
 		}
 	}
-	check(t, ctx, g, h)
+	checkHistory(t, ctx, reg, h)
 }
 
-// check requires a linearizable history, and every acknowledged write in the list.
-func check(t *testing.T, ctx context.Context, g *Registry, h *writers) {
+// checkHistory fails the test if the history is not linearizable or the list lacks an acknowledged write.
+func checkHistory(t *testing.T, ctx context.Context, reg *Registry, h *writeHistory) {
 	t.Helper()
-	if res := porcupine.CheckOperationsTimeout(versions.ToModel(), h.history, stepTimeout); res != porcupine.Ok {
-		t.Errorf("%d writes are in no order: %v", len(h.history), res)
+	if res := porcupine.CheckOperationsTimeout(versionModel.ToModel(), h.operations, stepTimeout); res != porcupine.Ok {
+		t.Errorf("linearizability check of %d writes: got %v, want Ok", len(h.operations), res)
 	}
-	if _, err := g.AwaitLeader(within(t, ctx)); err != nil {
+	if _, err := reg.AwaitLeader(withStepTimeout(t, ctx)); err != nil {
 		t.Fatal(err)
 	}
-	var l registry.EndpointList
-	c := registry.NewClient(g.Addresses())
-	for id, version := range h.newest {
-		var a registry.WriteResponse
-		if err := c.Do(ctx, http.MethodPut, "/registry/instances/"+id+"/lease", nil, &a, 0); err != nil || a.Version < version {
-			t.Errorf("%s: version %d, %v; version %d was acknowledged", id, a.Version, err, version)
+	var list registry.EndpointList
+	client := registry.NewClient(reg.Addresses())
+	for id, version := range h.acknowledged {
+		var response registry.WriteResponse
+		if err := client.Do(ctx, http.MethodPut, "/registry/instances/"+id+"/lease", nil, &response, 0); err != nil || response.Version < version {
+			t.Errorf("instance %s: got version %d, error %v, want at least the acknowledged version %d",
+				id, response.Version, err, version)
 		}
 	}
-	if err := c.Do(ctx, http.MethodGet, "/registry/instances", nil, &l, 0); err != nil || len(l.Endpoints) != len(h.newest) {
-		t.Errorf("the list has %d instances, %v; want %d", len(l.Endpoints), err, len(h.newest))
+	if err := client.Do(ctx, http.MethodGet, "/registry/instances", nil, &list, 0); err != nil || len(list.Endpoints) != len(h.acknowledged) {
+		t.Errorf("instances in the list: got %d, error %v, want %d", len(list.Endpoints), err, len(h.acknowledged))
 	}
-	t.Logf("%d writes", len(h.history))
+	t.Logf("%d writes", len(h.operations))
 }
 
-// A replica with damaged data names the file and serves nothing of it; one without data gets the list from the others.
+// A replica with damaged data exits with an error that names the file. A replica without data gets the list from the
+// others.
 func TestReplicaRefusesDamagedDataDirAndRefillsEmptyOne(t *testing.T) {
 	t.Parallel()
-	r, ctx := newCluster(t)
-	g, leader := startRegistry(t, r, ctx, 3)
-	c := registry.NewClient(g.Addresses())
+	cluster, ctx := newCluster(t)
+	reg, leader := startRegistry(t, cluster, ctx, 3)
+	client := registry.NewClient(reg.Addresses())
 	for i := range 20 {
 		body := map[string]any{"host_port": "10.0.0.1:9000", "locality": "needle"}
-		if err := c.Do(ctx, http.MethodPut, fmt.Sprint("/registry/instances/s-", i), body, nil, 0); err != nil {
+		if err := client.Do(ctx, http.MethodPut, fmt.Sprint("/registry/instances/s-", i), body, nil, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	var other string
-	for _, name := range g.Names {
+	var follower string
+	for _, name := range reg.Names {
 		if name != leader {
-			other = name
+			follower = name
 		}
 	}
-	p := g.Process(other)
+	p := reg.Process(follower)
 	p.Kill()
-	path := filepath.Join(g.DataDir(other), "commands.db")
+	path := filepath.Join(reg.DataDir(follower), "commands.db")
 	raw, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	spoilt := strings.ReplaceAll(string(raw), "needle", "noodle")
-	if err := os.WriteFile(path, []byte(spoilt), 0o600); err != nil {
+	damaged := strings.ReplaceAll(string(raw), "needle", "noodle")
+	if err := os.WriteFile(path, []byte(damaged), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Start(other); err != nil {
+	if err := reg.Start(follower); err != nil {
 		t.Fatal(err)
 	}
-	p = g.Process(other)
-	if err := p.Wait(within(t, ctx)); err == nil || !strings.Contains(p.Log(), "commands.db: command") {
-		t.Errorf("a spoilt folder: %v\n%s", err, p.Log())
+	p = reg.Process(follower)
+	if err := p.Wait(withStepTimeout(t, ctx)); err == nil || !strings.Contains(p.Log(), "commands.db: command") {
+		t.Errorf("replica with a damaged commands.db: got exit error %v, want one, and a log that names the command:\n%s",
+			err, p.Log())
 	}
-	if err := os.RemoveAll(g.DataDir(other)); err != nil {
+	if err := os.RemoveAll(reg.DataDir(follower)); err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Start(other); err != nil {
+	if err := reg.Start(follower); err != nil {
 		t.Fatal(err)
 	}
-	err = Await(within(t, ctx), "the replica to have the list again", func() bool {
-		var l registry.EndpointList
-		return Get(ctx, g.Address(other), "/registry/instances", &l) == nil && len(l.Endpoints) == 20
+	err = Await(withStepTimeout(t, ctx), "the replica to serve the list again", func() bool {
+		var list registry.EndpointList
+		return Get(ctx, reg.Address(follower), "/registry/instances", &list) == nil && len(list.Endpoints) == 20
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 }
 
-// Replicas are replaced one by one under writes, as for an upgrade: one order of writes, and none lost.
-func TestRegistryUpgradedOneByOne(t *testing.T) {
+// While replicas are restarted one by one, as in a rolling upgrade, writes are linearizable and none is lost.
+func TestRegistryRollingUpgrade(t *testing.T) {
 	t.Parallel()
-	r, ctx := newCluster(t)
-	g, _ := startRegistry(t, r, ctx, 3)
-	h := &writers{newest: make(map[string]int64)}
-	under, stop := context.WithCancel(ctx)
+	cluster, ctx := newCluster(t)
+	reg, _ := startRegistry(t, cluster, ctx, 3)
+	h := &writeHistory{acknowledged: make(map[string]int64)}
+	runCtx, stop := context.WithCancel(ctx)
 	var work sync.WaitGroup
-	work.Go(func() { h.run(under, g, 3, *seed) })
-	for _, name := range g.Names {
-		p := g.Process(name)
+	work.Go(func() { h.run(runCtx, reg, 3, *seed) })
+	for _, name := range reg.Names {
+		p := reg.Process(name)
 		p.Signal(syscall.SIGTERM)
-		if err := p.Wait(within(t, ctx)); err != nil {
-			t.Errorf("%s ended with %v", name, err)
+		if err := p.Wait(withStepTimeout(t, ctx)); err != nil {
+			t.Errorf("replica %s after SIGTERM: got exit error %v, want none", name, err)
 		}
-		if err := g.Start(name); err != nil {
+		if err := reg.Start(name); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := g.AwaitLeader(within(t, ctx)); err != nil {
+		if _, err := reg.AwaitLeader(withStepTimeout(t, ctx)); err != nil {
 			t.Fatal(err)
 		}
-		err := Await(within(t, ctx), name+" to have its list", func() bool {
-			return Get(ctx, g.Address(name), "/registry/instances", nil) == nil
+		err := Await(withStepTimeout(t, ctx), name+" to serve its list", func() bool {
+			return Get(ctx, reg.Address(name), "/registry/instances", nil) == nil
 		})
 		if err != nil {
 			t.Fatal(err)
@@ -346,68 +350,69 @@
 	}
 	stop()
 	work.Wait()
-	check(t, ctx, g, h)
+	checkHistory(t, ctx, reg, h)
 }
 
-// A registry that is restored from an older copy of its data begins a new epoch: no watcher sees a revision that it has
-// seen already, and each gets the complete list.
-func TestRegistryRestoredFromACopy(t *testing.T) {
+// A registry that is restored from an older backup of its data begins a new epoch: watchers get the complete list, with a
+// higher revision than any before.
+func TestRegistryRestoredFromBackup(t *testing.T) {
 	t.Parallel()
-	r, ctx := newCluster(t)
-	g, name := startRegistry(t, r, ctx, 1)
-	c := registry.NewClient(g.Addresses())
+	cluster, ctx := newCluster(t)
+	reg, name := startRegistry(t, cluster, ctx, 1)
+	client := registry.NewClient(reg.Addresses())
 	put := func(id string) {
 		t.Helper()
 		body := map[string]any{"host_port": "10.0.0.1:9000"}
-		if err := c.Do(ctx, http.MethodPut, "/registry/instances/"+id, body, nil, 0); err != nil {
+		if err := client.Do(ctx, http.MethodPut, "/registry/instances/"+id, body, nil, 0); err != nil {
 			t.Fatal(err)
 		}
 	}
-	restart := func(between func()) {
+	restart := func(whileStopped func()) {
 		t.Helper()
-		p := g.Process(name)
+		p := reg.Process(name)
 		p.Signal(syscall.SIGTERM)
-		if err := p.Wait(within(t, ctx)); err != nil {
-			t.Errorf("it ended with %v", err)
+		if err := p.Wait(withStepTimeout(t, ctx)); err != nil {
+			t.Errorf("replica after SIGTERM: got exit error %v, want none", err)
 		}
-		between()
-		if err := g.Start(name); err != nil {
+		whileStopped()
+		if err := reg.Start(name); err != nil {
 			t.Fatal(err)
 		}
-		if _, err := g.AwaitLeader(within(t, ctx)); err != nil {
+		if _, err := reg.AwaitLeader(withStepTimeout(t, ctx)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	copied := filepath.Join(t.TempDir(), "copy")
+	backup := filepath.Join(t.TempDir(), "copy")
 	put("s-1")
 	restart(func() {
-		if err := os.CopyFS(copied, os.DirFS(g.DataDir(name))); err != nil {
+		if err := os.CopyFS(backup, os.DirFS(reg.DataDir(name))); err != nil {
 			t.Fatal(err)
 		}
 	})
 	put("s-2")
 	put("s-3")
-	var last, now registry.EndpointList
-	if err := c.Do(ctx, http.MethodGet, "/registry/instances", nil, &last, 0); err != nil || len(last.Endpoints) != 3 {
-		t.Fatalf("%d instances, %v", len(last.Endpoints), err)
+	var before, after registry.EndpointList
+	if err := client.Do(ctx, http.MethodGet, "/registry/instances", nil, &before, 0); err != nil || len(before.Endpoints) != 3 {
+		t.Fatalf("instances before the restore: got %d, want 3; error: %v", len(before.Endpoints), err)
 	}
 	restart(func() {
-		if err := os.RemoveAll(g.DataDir(name)); err != nil {
+		if err := os.RemoveAll(reg.DataDir(name)); err != nil {
 			t.Fatal(err)
 		}
-		if err := os.CopyFS(g.DataDir(name), os.DirFS(copied)); err != nil {
+		if err := os.CopyFS(reg.DataDir(name), os.DirFS(backup)); err != nil {
 			t.Fatal(err)
 		}
-		g.replicas[name].args = []string{"--new-epoch"}
+		reg.replicas[name].args = []string{"--new-epoch"}
 	})
-	path := fmt.Sprintf("/registry/instances?index=%d&wait=200", last.Revision)
-	err := Await(within(t, ctx), "the copy", func() bool {
-		return c.Watch(ctx, path, 200*time.Millisecond, &now) == nil && now.Complete
+	path := fmt.Sprintf("/registry/instances?index=%d&wait=200", before.Revision)
+	err := Await(withStepTimeout(t, ctx), "the complete list of the backup", func() bool {
+		return client.Watch(ctx, path, 200*time.Millisecond, &after) == nil && after.Complete
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if now.Revision <= last.Revision || len(now.Endpoints) != 1 {
-		t.Errorf("the copy has revision %d and %d instances, where %d was seen before", now.Revision, len(now.Endpoints), last.Revision)
+	if after.Revision <= before.Revision || len(after.Endpoints) != 1 {
+		t.Errorf("restored list: got revision %d with %d instances, want a revision above %d with 1 instance",
+			after.Revision, len(after.Endpoints), before.Revision)
 	}
 }
--- a/internal/testcluster/relay.go
+++ b/internal/testcluster/relay.go
@@ -13,18 +13,19 @@
 	maxDatagramBytes   = 64 << 10
 	maxQueuedDatagrams = 4096                  // delayed at one relay; more are dropped, as by a full queue
 	maxStreams         = 4096                  // at one relay
-	streamBufferBytes  = 16 << 10              // read at a time from a stream
-	cutPollInterval    = 20 * time.Millisecond // between looks at whether a path is still cut
-	reorderDelay       = 5 * time.Millisecond  // for which a datagram is held back, so that later ones overtake it
+	streamBufferBytes  = 16 << 10              // size of a read from a stream
+	cutPollInterval    = 20 * time.Millisecond // between checks whether a path is still cut
+	reorderDelay       = 5 * time.Millisecond  // delay of a reordered datagram, so that later ones overtake it
 )
 
-// RelayTCP relays streams from one party to the address of another. It returns the address that the first has to
-// connect to.
+// RelayTCP relays TCP streams from one party to the address of another. It returns the relay's address, to which the
+// first party must connect.
 func (c *Cluster) RelayTCP(from, to, address string) (relayAddress string, err error) {
 	return c.relayStreamsOf(func(net.Addr) string { return from }, to, address)
 }
 
-// RelayStreams relays streams from several parties, which are told apart by the host that they connect from.
+// RelayStreams relays TCP streams from several parties to the address of another. It identifies a party by the host that
+// it connects from.
 func (c *Cluster) RelayStreams(to, address string, partyOfHost func(host string) string) (relayAddress string, err error) {
 	return c.relayStreamsOf(byHost(partyOfHost), to, address)
 }
@@ -38,8 +39,8 @@
 	return listener.Addr().String(), nil
 }
 
-// RelayGossip relays the datagrams and streams from several parties to the address that another is bound to. Parties
-// are told apart by their hosts: each has to send from its own.
+// RelayGossip relays datagrams and streams from several parties to the address that another is bound to. It identifies a
+// party by its host, so each must send from its own host.
 func (c *Cluster) RelayGossip(to, address string, partyOfHost func(host string) string) (relayAddress string, err error) {
 	relayAddress = net.JoinHostPort(c.NewAddress(), fmt.Sprint(gossipPort))
 	target, err := net.ResolveUDPAddr("udp", address)
@@ -61,6 +62,7 @@
 	return relayAddress, nil
 }
 
+// byHost returns a function that finds the party by the host of an address.
 func byHost(partyOfHost func(host string) string) func(net.Addr) string {
 	return func(a net.Addr) string {
 		host, _, _ := net.SplitHostPort(a.String())
@@ -68,7 +70,8 @@
 	}
 }
 
-// relayStreams relays the streams that a listener accepts, until close.
+// relayStreams relays the streams that a listener accepts, until the listener is closed. Streams beyond maxStreams are
+// closed.
 func (l *links) relayStreams(listener net.Listener, from func(net.Addr) string, to, address string) {
 	if !l.track(listener) {
 		return
@@ -94,8 +97,8 @@
 	})
 }
 
-// relayStream relays one stream. Over a cut path it stays open and silent until the caller's timeout or the end of
-// the cut.
+// relayStream relays one stream. If its path is cut, a new stream stays open without data until the cut ends or the
+// caller times out.
 func (l *links) relayStream(in *net.TCPConn, p path, address string) {
 	if !l.track(in) {
 		return
@@ -124,7 +127,7 @@
 	both.Wait()
 }
 
-// waitWhileCut waits until the path isn't cut; it returns false where the cluster was closed meanwhile.
+// waitWhileCut waits until the path isn't cut. It returns false if the cluster is closed meanwhile.
 func (l *links) waitWhileCut(p path) bool {
 	for l.faultsOf(p).Cut {
 		if l.isClosed() {
@@ -135,7 +138,7 @@
 	return true
 }
 
-// copyStream copies one direction of a stream, with the faults of its path.
+// copyStream copies one direction of a stream and applies the faults of its path.
 func (l *links) copyStream(to, from *net.TCPConn, p path) {
 	buffer := make([]byte, streamBufferBytes)
 	for {
@@ -167,13 +170,13 @@
 	}
 }
 
-// reset closes a connection so that the other end sees a reset, not an end of input.
+// reset closes a connection so that its peer sees a reset instead of EOF.
 func reset(conn *net.TCPConn) {
 	_ = conn.SetLinger(0)
 	_ = conn.Close()
 }
 
-// relayDatagrams relays what comes at a socket, until close.
+// relayDatagrams relays the datagrams that arrive at a socket, until the socket is closed.
 func (l *links) relayDatagrams(socket *net.UDPConn, from func(net.Addr) string, to string, target *net.UDPAddr) {
 	if !l.track(socket) {
 		return
@@ -191,15 +194,15 @@
 	})
 }
 
-// datagramRelay sends datagrams on to one target.
+// datagramRelay forwards datagrams to one target.
 type datagramRelay struct {
 	links  *links
 	socket *net.UDPConn
 	target *net.UDPAddr
-	slots  chan struct{} // one for each datagram that is delayed
+	slots  chan struct{} // holds one element per delayed datagram
 }
 
-// send sends a datagram with the faults of its path; the packet is the caller's again once it returns.
+// send forwards a datagram and applies the faults of its path. It does not retain the packet.
 func (r *datagramRelay) send(packet []byte, faults Faults) {
 	if faults.Cut || r.links.occurs(faults.Loss) {
 		return
@@ -221,6 +224,7 @@
 	}
 }
 
+// sendLater forwards a datagram after a delay, or drops it if the queue is full. It retains the packet.
 func (r *datagramRelay) sendLater(packet []byte, delay time.Duration) {
 	select {
 	case r.slots <- struct{}{}:
--- a/internal/testcluster/schedule.go
+++ b/internal/testcluster/schedule.go
@@ -9,49 +9,49 @@
 	"time"
 )
 
-// FaultKind names a fault of a schedule.
+// FaultKind is the kind of a fault in a schedule.
 type FaultKind string
 
-// The kinds of faults: of the Targets' processes,
+// Faults of the processes of Targets.
 const (
-	Kill    FaultKind = "kill"    // end it at once
-	Pause   FaultKind = "pause"   // stop it for the Duration, by SIGSTOP
-	Replace FaultKind = "replace" // hand over to another process of the node, under load
-	Restart FaultKind = "restart" // kill it, and start another one after the Duration
+	Kill    FaultKind = "kill"    // kill the process
+	Pause   FaultKind = "pause"   // stop the process with SIGSTOP for Duration
+	Replace FaultKind = "replace" // hand over to a new process of the node
+	Restart FaultKind = "restart" // kill the process, and start a new one after Duration
 )
 
-// and of the paths between Targets and Others, for the Duration.
+// Faults of the paths between Targets and Others, for Duration.
 const (
 	Partition       FaultKind = "part"    // cut both directions
 	OneWayPartition FaultKind = "partOne" // cut the direction from Targets to Others
-	PacketLoss      FaultKind = "lossy"   // lose a fraction of what passes, both ways
+	PacketLoss      FaultKind = "lossy"   // lose the fraction Loss in both directions
 )
 
 var faultKinds = []FaultKind{Kill, Pause, Replace, Restart, Partition, OneWayPartition, PacketLoss}
 
-// Step is one fault of a schedule. Its JSON keys are fixed, so that a schedule that was printed can be replayed.
+// Step is one fault of a schedule. Its JSON keys are fixed, so that printed schedules can be replayed.
 type Step struct {
-	At       time.Duration `json:"At"` // from the schedule's start
+	At       time.Duration `json:"At"` // since the start of the schedule
 	Fault    FaultKind     `json:"Do"`
 	Targets  []string      `json:"Whom"`
-	Others   []string      `json:"Among,omitempty"` // of a path fault; empty for all nodes but Targets
+	Others   []string      `json:"Among,omitempty"` // for path faults; empty for all nodes except Targets
 	Duration time.Duration `json:"For,omitempty"`
-	Loss     float64       `json:"Loss,omitempty"` // fraction, of PacketLoss
+	Loss     float64       `json:"Loss,omitempty"` // fraction, for PacketLoss
 }
 
-// Schedule is a list of faults in order of time.
+// Schedule is a list of faults in order of their times.
 type Schedule []Step
 
-// String returns the schedule as JSON that ParseSchedule reads: a failed test prints it, to be replayed.
+// String returns the schedule as JSON for ParseSchedule. A failed test prints it so that it can be replayed.
 func (s Schedule) String() string {
 	raw, err := json.Marshal(s)
-	if err != nil { // none of its types can fail
+	if err != nil { // its types always marshal
 		panic(err)
 	}
 	return string(raw)
 }
 
-// ParseSchedule reads a schedule as String wrote it.
+// ParseSchedule parses a schedule as returned by String.
 func ParseSchedule(text string) (Schedule, error) {
 	var s Schedule
 	if err := json.Unmarshal([]byte(text), &s); err != nil {
@@ -62,15 +62,16 @@
 		case !slices.Contains(faultKinds, step.Fault):
 			return nil, fmt.Errorf("schedule: step %d: unknown fault %q", i, step.Fault)
 		case len(step.Targets) == 0:
-			return nil, fmt.Errorf("schedule: step %d: whom: missing", i)
+			return nil, fmt.Errorf("schedule: step %d: Whom is empty", i)
 		case step.At < 0 || step.Duration < 0 || step.Loss < 0 || step.Loss > 1:
-			return nil, fmt.Errorf("schedule: step %d: a figure is out of range", i)
+			return nil, fmt.Errorf("schedule: step %d: At, For or Loss is out of range", i)
 		}
 	}
 	return s, nil
 }
 
-// RandomSchedule draws a schedule of n faults of these kinds for these parties, spread over a span, from a seed.
+// RandomSchedule returns a schedule of n random faults of the given kinds and parties that begin within span. The same
+// arguments return the same schedule.
 func RandomSchedule(seed uint64, n int, span time.Duration, parties []string, kinds ...FaultKind) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x5c))
 	var schedule Schedule
@@ -91,11 +92,11 @@
 	return schedule
 }
 
-// PlaySchedule carries a schedule out on these nodes, and returns once its last fault has ended. The error is the
-// first one; the faults after it are carried out all the same.
+// PlaySchedule carries out a schedule on the given nodes, and returns after all faults have ended. After an error it
+// still carries out the other faults, and returns the first error.
 func (c *Cluster) PlaySchedule(ctx context.Context, schedule Schedule, nodes map[string]*Node) error {
 	start := time.Now()
-	return forEach(schedule, func(step Step) error {
+	return forEachConcurrent(schedule, func(step Step) error {
 		if err := sleep(ctx, time.Until(start.Add(step.At))); err != nil {
 			return err
 		}
@@ -103,8 +104,8 @@
 	})
 }
 
-// forEach does something with all items at once, waits until all are done, and returns the first error.
-func forEach[T any](items []T, do func(T) error) error {
+// forEachConcurrent calls do for all items concurrently, waits for all calls, and returns the first error.
+func forEachConcurrent[T any](items []T, do func(T) error) error {
 	results := make(chan error, len(items))
 	for _, item := range items {
 		go func() { results <- do(item) }()
@@ -118,7 +119,7 @@
 	return first
 }
 
-// sleep waits, or returns the context's error once that ends.
+// sleep waits for the duration d. It returns the context's error if the context ends first.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -130,6 +131,7 @@
 	}
 }
 
+// playStep carries out one fault and returns after it has ended.
 func (c *Cluster) playStep(ctx context.Context, step Step, nodes map[string]*Node) error {
 	switch step.Fault {
 	case Partition, OneWayPartition, PacketLoss:
@@ -141,7 +143,7 @@
 	for _, name := range step.Targets {
 		node := nodes[name]
 		if node == nil {
-			return fmt.Errorf("schedule: %s: there is no node %q", step.Fault, name)
+			return fmt.Errorf("schedule: %s: unknown node %q", step.Fault, name)
 		}
 		if err := playProcessFault(ctx, step, node); err != nil {
 			return fmt.Errorf("schedule: %s %s: %w", step.Fault, name, err)
@@ -150,7 +152,7 @@
 	return nil
 }
 
-// others returns the other ends of the paths that a step is about.
+// others returns the other ends of the paths that a step affects.
 func (s Step) others(nodes map[string]*Node) []string {
 	if len(s.Others) > 0 {
 		return s.Others
@@ -164,6 +166,7 @@
 	return others
 }
 
+// playProcessFault carries out a fault of the node's newest process.
 func playProcessFault(ctx context.Context, step Step, n *Node) error {
 	n.faultLock.Lock()
 	defer n.faultLock.Unlock()
@@ -191,7 +194,7 @@
 	return nil
 }
 
-// setPathFaults begins or ends the fault of a step on the paths between its targets and others.
+// setPathFaults begins or ends the fault of a step on the paths between its targets and the others.
 func (c *Cluster) setPathFaults(step Step, others []string, on bool) {
 	change := func(faults *Faults) {
 		switch {
--- a/internal/testcluster/scope_test.go
+++ b/internal/testcluster/scope_test.go
@@ -17,100 +17,103 @@
 	"sloerail/internal/registry"
 )
 
-// scopedHarness is a node that subscribes to a subset of one service, at three replicas that list several services.
+// scopedHarness is a node that subscribes to a subset of one service, and a registry of three replicas that lists several
+// services.
 type scopedHarness struct {
-	t    *testing.T
-	ctx  context.Context
-	w    *Environment
-	g    *Registry
-	c    *registry.Client
-	node *Node
-	at   map[string]string // where the node reaches the servers
+	t         *testing.T
+	ctx       context.Context
+	env       *Environment
+	reg       *Registry
+	client    *registry.Client
+	node      *Node
+	addresses map[string]string // at which the node reaches the servers, by server
 
-	written int64 // the revision of the newest write
+	lastRevision int64 // of the newest write
 
-	mu      sync.Mutex
-	sent    map[string]int // attempts, by box
-	inScope map[string]bool
+	mu       sync.Mutex
+	attempts map[string]int  // by server
+	inScope  map[string]bool // servers that were in scope at any time
 }
 
 // scopedList is the path of the list that the node subscribes to.
 const scopedList = "/registry/instances?service=a&subset=3&position=0&nodes=1&zone=a"
 
+// newScopedHarness starts the registry and the emulated servers, and creates the node without starting it.
 func newScopedHarness(t *testing.T, servers int) *scopedHarness {
-	r, ctx := newCluster(t)
-	g, _ := startRegistry(t, r, ctx, 3)
-	x := &scopedHarness{t: t, ctx: ctx, w: r.NewEnvironment(*seed, serverSpecs(servers, "a")...), g: g, c: registry.NewClient(g.Addresses()),
-		at: make(map[string]string), sent: make(map[string]int), inScope: make(map[string]bool)}
-	n, err := x.w.AddNode(NodeSpec{Name: "n0", Settings: Settings(0, 1, "a", shortClasses(), tenants, 4000),
+	cluster, ctx := newCluster(t)
+	reg, _ := startRegistry(t, cluster, ctx, 3)
+	h := &scopedHarness{t: t, ctx: ctx, env: cluster.NewEnvironment(*seed, serverSpecs(servers, "a")...), reg: reg, client: registry.NewClient(reg.Addresses()),
+		addresses: make(map[string]string), attempts: make(map[string]int), inScope: make(map[string]bool)}
+	n, err := h.env.AddNode(NodeSpec{Name: "n0", Settings: Settings(0, 1, "a", shortClasses(), tenants, 4000),
 		Scope: map[string]any{"services": []string{"a"}, "subset": 3}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Spec.InitialList, n.Spec.Discovery, n.Spec.ListFile = nil, strings.Join(g.Addresses(), ","), n.dir+"/list"
-	x.node = n
-	for id, b := range x.w.servers {
-		if x.at[id], err = x.w.listenFor("n0", id, x.counted(id, x.w.serverHandler("n0", "a", b))); err != nil {
+	n.Spec.InitialList, n.Spec.Discovery, n.Spec.ListFile = nil, strings.Join(reg.Addresses(), ","), n.dir+"/list"
+	h.node = n
+	for id, s := range h.env.servers {
+		if h.addresses[id], err = h.env.listenFor("n0", id, h.countAttempts(id, h.env.serverHandler("n0", "a", s))); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return x
+	return h
 }
 
-// counted counts the attempts that reach a server.
-func (x *scopedHarness) counted(id string, h http.Handler) http.Handler {
+// countAttempts returns a handler that counts the attempts that reach a server.
+func (h *scopedHarness) countAttempts(id string, handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		x.mu.Lock()
-		x.sent[id]++
-		x.mu.Unlock()
-		h.ServeHTTP(w, r)
+		h.mu.Lock()
+		h.attempts[id]++
+		h.mu.Unlock()
+		handler.ServeHTTP(w, r)
 	})
 }
 
-// writeInstance changes an instance in the list.
-func (x *scopedHarness) writeInstance(method, id string, body any) {
-	x.t.Helper()
-	var a registry.WriteResponse
-	if err := x.c.Do(within(x.t, x.ctx), method, "/registry/instances/"+id, body, &a, 0); err != nil {
-		x.t.Fatal(err)
-	}
-	x.written = a.Revision
+// writeInstance sends a write request for an instance, and records the revision of the response.
+func (h *scopedHarness) writeInstance(method, id string, body any) {
+	h.t.Helper()
+	var response registry.WriteResponse
+	if err := h.client.Do(withStepTimeout(h.t, h.ctx), method, "/registry/instances/"+id, body, &response, 0); err != nil {
+		h.t.Fatal(err)
+	}
+	h.lastRevision = response.Revision
 }
 
-func (x *scopedHarness) register(id, service string) {
-	x.t.Helper()
-	x.writeInstance(http.MethodPut, id, map[string]any{"host_port": x.at[id], "locality": "a", "service": service, "lease_ms": 600_000})
+// register registers a server as an instance of a service.
+func (h *scopedHarness) register(id, service string) {
+	h.t.Helper()
+	h.writeInstance(http.MethodPut, id, map[string]any{"host_port": h.addresses[id], "locality": "a", "service": service, "lease_ms": 600_000})
 }
 
-// awaitFollowed waits until the node has the list of its scope, and returns the IDs in it.
-func (x *scopedHarness) awaitFollowed(what string) (ids []string) {
-	x.t.Helper()
-	err := Await(within(x.t, x.ctx), "the node to have its scope "+what, func() bool {
+// awaitScopedList waits until the node has the current list of its scope, and returns the IDs of the servers in it.
+func (h *scopedHarness) awaitScopedList(when string) (ids []string) {
+	h.t.Helper()
+	err := Await(withStepTimeout(h.t, h.ctx), "the node to have the list of its scope "+when, func() bool {
 		var list registry.EndpointList
-		if x.c.Do(x.ctx, http.MethodGet, scopedList, nil, &list, 0) != nil || list.Revision < x.written {
+		if h.client.Do(h.ctx, http.MethodGet, scopedList, nil, &list, 0) != nil || list.Revision < h.lastRevision {
 			return false
 		}
 		ids = ids[:0]
 		for _, e := range list.Endpoints {
 			ids = append(ids, e.ID+" "+e.Phase)
 		}
-		return slices.Equal(ids, x.subscribedServers())
+		return slices.Equal(ids, h.cachedServers())
 	})
 	if err != nil {
-		x.t.Fatal(err, x.subscribedServers())
+		h.t.Fatal(err, h.cachedServers())
 	}
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for i, server := range ids {
-		ids[i], _, _ = strings.Cut(server, " ")
-		x.inScope[ids[i]] = true
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for i, entry := range ids {
+		ids[i], _, _ = strings.Cut(entry, " ")
+		h.inScope[ids[i]] = true
 	}
 	return ids
 }
 
-// subscribedServers returns the node's list, from the file in which it caches it.
-func (x *scopedHarness) subscribedServers() (servers []string) {
-	raw, err := os.ReadFile(x.node.Spec.ListFile)
+// cachedServers returns the IDs and phases of the servers in the file in which the node caches its list.
+func (h *scopedHarness) cachedServers() (servers []string) {
+	raw, err := os.ReadFile(h.node.Spec.ListFile)
 	if err != nil {
 		return nil
 	}
@@ -125,82 +128,84 @@
 	return servers
 }
 
-// A node with a scope through the death of the registry's leader, the drain, end and replacement of servers of its subset,
-// and changes elsewhere: requests are served, drains are kept, and nothing is sent to a server outside of its scope.
+// While servers of the subset of a scoped node are drained, removed and replaced, the leader of the registry is killed, and
+// another service changes, the node serves requests, respects drains, and sends nothing to servers outside its scope.
 func TestScopedNodeSurvivesFaults(t *testing.T) {
 	t.Parallel()
-	x := newScopedHarness(t, 12)
-	for i := range 10 { // two more are there for replacements
-		x.register(fmt.Sprintf("s-%02d", i), []string{"a", "a", "b"}[i%3])
+	h := newScopedHarness(t, 12)
+	for i := range 10 { // the other two are replacements
+		h.register(fmt.Sprintf("s-%02d", i), []string{"a", "a", "b"}[i%3])
 	}
-	if _, err := x.node.Start(); err != nil {
+	if _, err := h.node.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := x.node.Ready(within(t, x.ctx)); err != nil {
+	if err := h.node.Ready(withStepTimeout(t, h.ctx)); err != nil {
 		t.Fatal(err)
 	}
-	first := x.awaitFollowed("at its start")
+	first := h.awaitScopedList("after its start")
 	if len(first) != 3 {
-		t.Fatalf("a subset of 3 has %v", first)
+		t.Fatalf("servers in a subset of 3: got %v, want 3", first)
 	}
-	load := x.w.StartClients("c", emulator.ClientSpec{Rate: 80, Classes: shortClasses(), Tenants: tenants, MaxRetries: 2,
-		RetryDelay: 100 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, x.node)
-	x.replace(first[0], "s-10")
-	leader, err := x.g.AwaitLeader(within(t, x.ctx))
+	load := h.env.StartClients("c", emulator.ClientSpec{Rate: 80, Classes: shortClasses(), Tenants: tenants, MaxRetries: 2,
+		RetryDelay: 100 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, h.node)
+	h.replace(first[0], "s-10")
+	leader, err := h.reg.AwaitLeader(withStepTimeout(t, h.ctx))
 	if err != nil {
 		t.Fatal(err)
 	}
-	x.g.Process(leader).Kill()
-	if _, err := x.g.AwaitLeader(within(t, x.ctx)); err != nil { // a loaded machine may elect for longer than clients try
+	h.reg.Process(leader).Kill()
+	if _, err := h.reg.AwaitLeader(withStepTimeout(t, h.ctx)); err != nil { // may take longer than client retries
 		t.Fatal(err)
 	}
-	x.replace(first[1], "s-11")
-	if err := x.g.Start(leader); err != nil {
+	h.replace(first[1], "s-11")
+	if err := h.reg.Start(leader); err != nil {
 		t.Fatal(err)
 	}
-	x.writeInstance(http.MethodDelete, "s-02", nil) // of the other service
-	x.awaitFollowed("after a change elsewhere")
-	x.finish(load)
+	h.writeInstance(http.MethodDelete, "s-02", nil) // of the other service
+	h.awaitScopedList("after a change of another service")
+	h.finish(load)
 }
 
-// replace drains and removes a server of the node's subset, and registers another in its place.
-func (x *scopedHarness) replace(old, next string) {
-	x.t.Helper()
-	x.writeInstance(http.MethodPut, old+"/phase", map[string]string{"phase": registry.PhaseDraining})
-	if during := x.awaitFollowed("in the drain of " + old); !slices.Contains(during, old) || len(during) < 4 {
-		x.t.Errorf("while %s drains, the node has %v", old, during)
-	}
-	x.w.WithLock(func() { x.w.Checker.ChangeNotified(x.w.now(), "n0", old, emulator.Draining) })
-	x.writeInstance(http.MethodDelete, old, nil)
-	x.awaitFollowed("after the end of " + old)
-	x.register(next, "a")
-	if after := x.awaitFollowed("with " + next); !slices.Contains(after, next) || len(after) != 3 {
-		x.t.Errorf("with %s in the place of %s, the node has %v", next, old, after)
+// replace drains and removes a server of the node's subset, and registers another one in its place.
+func (h *scopedHarness) replace(old, next string) {
+	h.t.Helper()
+	h.writeInstance(http.MethodPut, old+"/phase", map[string]string{"phase": registry.PhaseDraining})
+	if during := h.awaitScopedList("during the drain of " + old); !slices.Contains(during, old) || len(during) < 4 {
+		h.t.Errorf("servers at the node while %s drains: got %v, want it and at least 3 others",
+			old, during)
+	}
+	h.env.WithLock(func() { h.env.Checker.ChangeNotified(h.env.now(), "n0", old, emulator.Draining) })
+	h.writeInstance(http.MethodDelete, old, nil)
+	h.awaitScopedList("after the removal of " + old)
+	h.register(next, "a")
+	if after := h.awaitScopedList("after the registration of " + next); !slices.Contains(after, next) || len(after) != 3 {
+		h.t.Errorf("servers at the node after %s has replaced %s: got %v, want the new one and 2 others", next, old, after)
 	}
 }
 
-// finish ends the load, and checks what was served and sent.
-func (x *scopedHarness) finish(load *LoadGenerator) {
-	x.t.Helper()
-	err := Await(within(x.t, x.ctx), "enough requests", func() bool { return load.Stats().Requests >= 240 })
+// finish stops the clients, and checks that requests were served and that no attempt left the scope.
+func (h *scopedHarness) finish(load *LoadGenerator) {
+	h.t.Helper()
+	err := Await(withStepTimeout(h.t, h.ctx), "at least 240 requests", func() bool { return load.Stats().Requests >= 240 })
 	if err != nil {
-		x.t.Fatal(err)
-	}
-	x.w.WithLock(func() { load.clients.StopArrivals() })
-	if err := load.Wait(within(x.t, x.ctx)); err != nil {
-		x.t.Fatal(err)
-	}
-	x.w.requireNoViolations(x.t)
-	x.mu.Lock()
-	defer x.mu.Unlock()
-	for id, n := range x.sent {
-		if !x.inScope[id] {
-			x.t.Errorf("%d attempts went to %s, which was never in scope", n, id)
+		h.t.Fatal(err)
+	}
+	h.env.WithLock(func() { load.clients.StopArrivals() })
+	if err := load.Wait(withStepTimeout(h.t, h.ctx)); err != nil {
+		h.t.Fatal(err)
+	}
+	h.env.requireNoViolations(h.t)
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for id, n := range h.attempts {
+		if !h.inScope[id] {
+			h.t.Errorf("%d attempts went to server %s, which was never in scope, want 0", n, id)
 		}
 	}
-	sums := load.Stats()
-	if sums.InTime < sums.Requests/2 {
-		x.t.Errorf("clients: %+v", sums)
+	clientStats := load.Stats()
+	if clientStats.InTime < clientStats.Requests/2 {
+		h.t.Errorf("clients: got %+v, want at least half of the requests in time", clientStats)
 	}
-	x.t.Logf("clients: %+v; sent to %v; in scope at any time: %v", sums, x.sent, slices.Sorted(maps.Keys(x.inScope)))
+	h.t.Logf("clients: %+v; attempts by server: %v; servers in scope at any time: %v",
+		clientStats, h.attempts, slices.Sorted(maps.Keys(h.inScope)))
 }
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -9,13 +9,14 @@
 	"sloerail/internal/emulator"
 )
 
-// server is an emulated server that answers on sockets. The environment's lock guards it.
+// server is an emulated server that serves HTTP. The environment's lock guards it.
 type server struct {
 	*emulator.Server
 	wakeup      chan struct{}
-	completions map[string]chan emulator.CompletedJob // by request, for those that wait for a response
+	completions map[string]chan emulator.CompletedJob // by ID of requests that wait for completion
 }
 
+// addServer adds a server and lists it as up.
 func (e *Environment) addServer(spec emulator.ServerSpec, started emulator.Time) {
 	s := &server{Server: emulator.NewServer(spec, started, e.seed+uint64(len(e.servers))), wakeup: make(chan struct{}, 1),
 		completions: make(map[string]chan emulator.CompletedJob)}
@@ -24,17 +25,17 @@
 	e.background.Go(func() { e.runServer(s) })
 }
 
-// Server returns a server, to be read and changed within WithLock.
+// Server returns a server. It may be read and changed only within WithLock.
 func (e *Environment) Server(id string) *emulator.Server { return e.servers[id].Server }
 
-// AttemptCount counts the attempts of a node that have reached servers of a zone.
+// AttemptCount returns the number of attempts from a node that have reached servers of a zone.
 func (e *Environment) AttemptCount(node, zone string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.attemptCounts[[2]string{node, zone}]
 }
 
-// EachServerInZone calls do for each server of a zone, with the lock of WithLock held.
+// EachServerInZone calls do for each server of a zone, with the environment's lock held.
 func (e *Environment) EachServerInZone(zone string, do func(s *emulator.Server)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -45,7 +46,7 @@
 	}
 }
 
-// runServer completes a server's jobs when they are due, until the environment ends.
+// runServer completes the jobs of a server when they are due, until the environment stops.
 func (e *Environment) runServer(s *server) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -53,7 +54,7 @@
 		e.mu.Lock()
 		for _, job := range s.Advance(e.now()) {
 			if completion := s.completions[job.ID]; completion != nil {
-				completion <- job // has room for it
+				completion <- job // never blocks: the channel has a buffer of one
 				delete(s.completions, job.ID)
 			}
 		}
@@ -71,7 +72,7 @@
 	}
 }
 
-// serverHandler is a server for one node.
+// serverHandler returns the HTTP handler of a server for requests from one node in a zone.
 func (e *Environment) serverHandler(node, zone string, s *server) http.Handler {
 	return http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
 		id := r.Header.Get("X-Request-Id")
@@ -102,7 +103,8 @@
 	})
 }
 
-// offer hands a server an attempt that has arrived, and records it. Its completion comes on the channel.
+// offer records the arrival of an attempt and offers it to the server. The returned channel receives its completion if it
+// was accepted.
 func (e *Environment) offer(node, zone, class string, s *server, job emulator.Job) (emulator.Verdict, emulator.LoadReport, <-chan emulator.CompletedJob) {
 	done := make(chan emulator.CompletedJob, 1)
 	e.mu.Lock()
@@ -116,13 +118,13 @@
 	verdict := s.Offer(now, job)
 	if verdict == emulator.Accepted {
 		s.completions[job.ID] = done
-	} else { // recorded before the response leaves: a node that retries has received it
+	} else { // recorded before the response is sent, so before the node can retry
 		e.Checker.AttemptEnded(job.ID, s.Spec.ID, verdict == emulator.Rejected)
 	}
 	return verdict, s.LoadReport(now), done
 }
 
-// awaitCompletion answers a request once its server has completed it.
+// awaitCompletion sends the response when the server has completed the request.
 func (e *Environment) awaitCompletion(rw http.ResponseWriter, r *http.Request, s *server, id string, done <-chan emulator.CompletedJob) {
 	signal(s.wakeup)
 	select {
@@ -135,7 +137,7 @@
 	}
 }
 
-// recordAttemptEnded records the end of an attempt that may have run.
+// recordAttemptEnded records the end of an attempt that may have been executed.
 func (e *Environment) recordAttemptEnded(s *server, id string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -13,126 +13,128 @@
 	"sloerail/internal/simulation"
 )
 
-// startZoneFleet is a fleet of two nodes in each of three zones of two regions, with clients near their nodes.
+// startZoneFleet starts a fleet of two nodes in each of three zones in two regions. Each zone has clients, which send to
+// its nodes.
 func startZoneFleet(t *testing.T) *fleetHarness {
 	t.Helper()
 	names := []string{"a", "b", "c"}
-	x := startFleetHarness(t, FleetSpec{Nodes: 6, Zones: names, RetainMissing: true,
+	h := startFleetHarness(t, FleetSpec{Nodes: 6, Zones: names, RetainMissing: true,
 		Topology: map[string]any{"regions": map[string]any{"north": []string{"a", "b"}, "south": []string{"c"}}}}, serverSpecs(12, names...))
 	for i, zone := range names {
-		x.loads = append(x.loads, x.w.StartClients("c"+zone, emulator.ClientSpec{Rate: 60, Classes: shortClasses(), Tenants: tenants, MaxRetries: 3,
-			RetryDelay: 50 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, x.Nodes[x.Names[i]], x.Nodes[x.Names[i+3]]))
+		h.loads = append(h.loads, h.env.StartClients("c"+zone, emulator.ClientSpec{Rate: 60, Classes: shortClasses(), Tenants: tenants, MaxRetries: 3,
+			RetryDelay: 50 * time.Millisecond, TimeoutFraction: 0.6, Until: time.Hour}, h.Nodes[h.Names[i]], h.Nodes[h.Names[i+3]]))
 	}
-	return x
+	return h
 }
 
-// zoneView returns a node's view of a zone.
-func (x *fleetHarness) zoneView(name, zone string) (v node.PlaceView) {
-	var all []node.PlaceView
-	if err := Get(x.ctx, x.Nodes[name].Control(), "/places", &all); err != nil {
+// zoneView returns a node's view of a zone, or the zero value if there is none.
+func (h *fleetHarness) zoneView(name, zone string) (v node.PlaceView) {
+	var views []node.PlaceView
+	if err := Get(h.ctx, h.Nodes[name].Control(), "/places", &views); err != nil {
 		return v
 	}
-	for _, one := range all {
-		if one.Zone == zone {
-			v = one
+	for _, view := range views {
+		if view.Zone == zone {
+			v = view
 		}
 	}
 	return v
 }
 
-// awaitZoneState waits until these nodes have a zone in a state, and returns how long that took.
-func (x *fleetHarness) awaitZoneState(zone, state string, names ...string) time.Duration {
-	x.Helper()
+// awaitZoneState waits until all named nodes see a zone in the given state, and returns how long that took.
+func (h *fleetHarness) awaitZoneState(zone, state string, names ...string) time.Duration {
+	h.Helper()
 	began := time.Now()
 	for _, name := range names {
-		err := Await(within(x.T, x.ctx), fmt.Sprintf("%s to hold zone %s for %s", name, zone, state), func() bool {
-			return x.zoneView(name, zone).State == state
+		err := Await(withStepTimeout(h.T, h.ctx), fmt.Sprintf("%s to see zone %s in state %s", name, zone, state), func() bool {
+			return h.zoneView(name, zone).State == state
 		})
 		if err != nil {
-			x.Fatalf("%v: it is %+v", err, x.zoneView(name, zone))
+			h.Fatalf("%v: last view: %+v", err, h.zoneView(name, zone))
 		}
 	}
 	return time.Since(began)
 }
 
-// requireServed waits until so many more requests are served.
-func (x *fleetHarness) requireServed(n int) {
-	x.Helper()
+// awaitServed waits until n more requests have been served in time.
+func (h *fleetHarness) awaitServed(n int) {
+	h.Helper()
 	sum := func() (s int) {
-		for _, l := range x.loads {
+		for _, l := range h.loads {
 			s += l.Stats().InTime
 		}
 		return s
 	}
 	from := sum()
-	if err := Await(within(x.T, x.ctx), "requests to be served", func() bool { return sum() >= from+n }); err != nil {
-		x.Fatal(err)
+	if err := Await(withStepTimeout(h.T, h.ctx), "requests to be served", func() bool { return sum() >= from+n }); err != nil {
+		h.Fatal(err)
 	}
 }
 
-// crossZoneAttempts counts the attempts of the first zone's nodes at servers of the others.
-func (x *fleetHarness) crossZoneAttempts() (n int) {
-	for _, name := range []string{x.Names[0], x.Names[3]} {
-		n += x.w.AttemptCount(name, "b") + x.w.AttemptCount(name, "c")
+// crossZoneAttempts returns the number of attempts from nodes of the first zone to servers of the others.
+func (h *fleetHarness) crossZoneAttempts() (n int) {
+	for _, name := range []string{h.Names[0], h.Names[3]} {
+		n += h.env.AttemptCount(name, "b") + h.env.AttemptCount(name, "c")
 	}
 	return n
 }
 
-// Real nodes prefer their zone, evacuate one whose servers are silent or fail, serve meanwhile from the others, return to
-// it, and retain the servers of a zone that a list lacks for a moment.
-func TestFleetLeavesAZoneAndReturns(t *testing.T) {
+// Nodes prefer their own zone, evacuate it when its servers fail or are unreachable, use the other zones meanwhile, return
+// after the fault, and retain the servers of a zone that the list lacks for a moment.
+func TestFleetEvacuatesZoneAndReturns(t *testing.T) {
 	t.Parallel()
-	x := startZoneFleet(t)
-	near := []string{x.Names[0], x.Names[3]}
-	x.requireServed(600)
-	if n := x.crossZoneAttempts(); n > 0 {
-		t.Errorf("%d attempts crossed at rest", n)
+	h := startZoneFleet(t)
+	localNodes := []string{h.Names[0], h.Names[3]}
+	h.awaitServed(600)
+	if n := h.crossZoneAttempts(); n > 0 {
+		t.Errorf("attempts that left their zone without a fault: got %d, want 0", n)
 	}
-	fault := func(f emulator.ServerFault) {
-		x.w.EachServerInZone("a", func(b *emulator.Server) { b.Fault = f })
+	setServerFault := func(f emulator.ServerFault) {
+		h.env.EachServerInZone("a", func(s *emulator.Server) { s.Fault = f })
 	}
-	cut := func(on bool) {
+	setCut := func(on bool) {
 		for i := range 12 {
-			for _, name := range x.Names {
+			for _, name := range h.Names {
 				if i%3 == 0 {
 					server := fmt.Sprintf("s-%02d", i)
-					x.w.cluster.SetLinkFaults(name, server, Faults{Cut: on})
-					x.w.cluster.SetLinkFaults(server, name, Faults{Cut: on})
+					h.env.cluster.SetLinkFaults(name, server, Faults{Cut: on})
+					h.env.cluster.SetLinkFaults(server, name, Faults{Cut: on})
 				}
 			}
 		}
 	}
 	for _, fault := range []struct {
-		name    string
-		on, off func()
-		back    string // how it is to be held again: the second return takes four times as long
+		name        string
+		begin, end  func()
+		returnState string // state awaited after the fault; the second return takes four times as long
 	}{
-		{"half of the requests fail", func() { fault(emulator.ServerFault{ErrorFraction: 0.5}) }, func() { fault(emulator.ServerFault{}) }, "well"},
-		{"nothing passes, and nothing is told", func() { cut(true) }, func() { cut(false) }, "returning"},
+		{"half of the requests fail", func() { setServerFault(emulator.ServerFault{ErrorFraction: 0.5}) }, func() { setServerFault(emulator.ServerFault{}) }, "well"},
+		{"connections are cut without a reset", func() { setCut(true) }, func() { setCut(false) }, "returning"},
 	} {
-		fault.on()
-		left := x.awaitZoneState("a", "left", near...)
-		before := x.crossZoneAttempts()
-		x.requireServed(300)
-		if x.crossZoneAttempts() == before {
-			t.Errorf("%s: left, and nothing goes to the other zones", fault.name)
+		fault.begin()
+		evacuationTime := h.awaitZoneState("a", "left", localNodes...)
+		before := h.crossZoneAttempts()
+		h.awaitServed(300)
+		if h.crossZoneAttempts() == before {
+			t.Errorf("%s: no attempts to other zones after the evacuation, want some", fault.name)
 		}
-		fault.off()
-		back := x.awaitZoneState("a", fault.back, near...)
-		t.Logf("%s: left by both near nodes after %v, %s %v after its end", fault.name, left, fault.back, back)
+		fault.end()
+		returnTime := h.awaitZoneState("a", fault.returnState, localNodes...)
+		t.Logf("%s: evacuated by both local nodes after %v, in state %s %v after the fault",
+			fault.name, evacuationTime, fault.returnState, returnTime)
 	}
-	before := x.crossZoneAttempts()
-	x.w.SetZoneRemoved("a", true)
-	x.requireServed(10) // some of the nodes know, and go on
-	x.w.SetZoneRemoved("a", false)
-	x.requireServed(300)
-	t.Logf("the list lacked the zone for a moment: %d of its requests crossed", x.crossZoneAttempts()-before)
-	x.finish()
+	before := h.crossZoneAttempts()
+	h.env.SetZoneRemoved("a", true)
+	h.awaitServed(10) // some nodes have received the change by now
+	h.env.SetZoneRemoved("a", false)
+	h.awaitServed(300)
+	t.Logf("list without the zone for a moment: %d attempts left the zone", h.crossZoneAttempts()-before)
+	h.finish()
 }
 
 var scenarios = flag.String("scenarios", "", "scenarios of internal/simulation that TestMeasureScenarios plays in real time; \"all\" for those of zones")
 
-// The measures of docs/zones.md with real nodes: each scenario once, a minute or so.
+// Runs the measurements of docs/zones.md with real nodes. Each scenario runs once and takes about a minute.
 func TestMeasureScenarios(t *testing.T) {
 	if *scenarios == "" {
 		t.Skip("-scenarios")
@@ -163,16 +165,17 @@
 	}
 }
 
+// playReal runs a scenario with real nodes.
 func playReal(t *testing.T, name string) simulation.Run {
 	s, err := simulation.Read(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r, ctx := newCluster(t)
-	defer r.Close()
-	o, err := r.PlayScenario(ctx, s, *seed)
+	cluster, ctx := newCluster(t)
+	defer cluster.Close()
+	outcome, err := cluster.PlayScenario(ctx, s, *seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return simulation.Run{Scenario: s, Outcome: o}
+	return simulation.Run{Scenario: s, Outcome: outcome}
 }
