--- a/policy/actions.go
+++ b/policy/actions.go
@@ -30,7 +30,7 @@
 	Kind            ActionKind
 	ID              string
 	Server          string
-	AttemptDeadline Time // when the attempt times out; 0: at the client's deadline
+	AttemptDeadline Time // when the attempt times out; if 0, at the client's deadline
 	Wait            time.Duration
 	Token           uint64
 	Attempt         int // index among the attempts of the request, from 0
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -8,14 +8,15 @@
 const (
 	// quotaWindow is the window of the limits derived from quotas, and the Retry-After of a quota of zero.
 	quotaWindow = time.Second
-	// quotaBurst is the time in which a quota's rate fills its bucket: the longest burst within the quota.
+	// quotaBurst determines the size of the bucket of a quota: the bucket fills from empty in this time, unless
+	// minBurst makes it larger.
 	quotaBurst = 500 * time.Millisecond
 	// minBurst is the smallest burst of a quota, in tokens, so that a very small quota still admits a few
 	// requests at once.
 	minBurst = 3
-	// refillCompensation offsets the fractions of tokens that are lost by refilling in whole tokens: with a
-	// refill rate r, Poisson arrivals at a rate a are admitted at 1/(1/r + 1/a) if a is far above r, and at
-	// r * ln 2 if both are equal.
+	// refillCompensation multiplies the refill rate of a quota, because refilling in whole tokens loses
+	// fractions of tokens. With a refill rate r, Poisson arrivals at a rate a are admitted at a rate of
+	// 1/(1/r + 1/a) if a is far above r, and of r * ln 2 if both are equal.
 	refillCompensation = 1 / math.Ln2
 )
 
@@ -30,7 +31,7 @@
 }
 
 // configure sets the limits, and this node's share of each quota: 1/nodeCount of it. Without a default limit,
-// a tenant without a quota gets the smallest one.
+// a tenant without a quota gets the smallest quota.
 func (l *rateLimiter) configure(limits RateLimits, tenants []Tenant, nodeCount int) {
 	l.limits, l.tenantLimits, l.defaultLimit = limits, make(map[string]Limit), limits.Default
 	for _, tenant := range tenants {
@@ -77,7 +78,8 @@
 }
 
 // resolve returns the limit for a tenant's requests of a class, and the key of the bucket. The limit is the
-// class's own, else the tenant's share of its quota, else the default, bounded by the platform's maximum.
+// class's own, else this node's share of the tenant's quota, else the default. RateLimits.Max bounds it. If
+// there is no such limit, limited is false.
 func (l *rateLimiter) resolve(tenant, class string) (limit Limit, key bucketKey, limited bool) {
 	key.tenant = tenant
 	if classLimit, found := l.limits.PerClass[class]; found {
@@ -104,8 +106,8 @@
 	return l.buckets.add(&bucket{key: key, tokens: tokens, refilledAt: now})
 }
 
-// newBucketKey returns the key of the bucket to create for a tenant: its own, or the shared one if the tenant
-// has no quota and there are too many buckets.
+// newBucketKey returns the key of the bucket to use if there is none with the given key. It is that key or,
+// if the tenant has no quota and there are maxBuckets, the key of the shared bucket.
 func (l *rateLimiter) newBucketKey(key bucketKey) bucketKey {
 	if _, hasQuota := l.tenantLimits[key.tenant]; !hasQuota && l.buckets.isFull() {
 		return sharedBucketKey
@@ -113,7 +115,8 @@
 	return key
 }
 
-// dropRefilled examines the next few buckets, and drops those that are full by now whatever they held.
+// dropRefilled examines the next few buckets, and drops those that would be full by now even if they had been
+// empty.
 func (l *rateLimiter) dropRefilled(now Time) {
 	for range bucketsPerSweep {
 		bucket := l.buckets.current()
@@ -130,8 +133,8 @@
 }
 
 // isRefilled reports whether the time since a bucket's last refill would fill it from empty, even at the
-// lowest rate multiplier. Whatever it held, its next refill then makes it equal to a new bucket: full, with
-// that refill time. So dropping the bucket changes no decision.
+// lowest rate multiplier. Whatever such a bucket holds, its next refill makes it equal to a new one: full,
+// and refilled at that moment. So dropping the bucket changes no decision.
 func (l *rateLimiter) isRefilled(now Time, b *bucket) bool {
 	if b.key == sharedBucketKey { // used by tenants with different limits
 		return false
@@ -142,8 +145,8 @@
 		math.Floor((now-b.refilledAt).Seconds()*limit.perSecond()) >= max(1, float64(limit.Burst))
 }
 
-// handOver leaves the refills and half of the tokens of each bucket to another process of this node, or, if
-// active is false, takes the refills back.
+// handOver leaves the refills and half of the tokens of each bucket to another process of this node. If
+// active is false, it takes the refills back.
 func (l *rateLimiter) handOver(active bool) {
 	l.handedOver = active
 	if !active {
@@ -162,7 +165,8 @@
 	return l.PerWindow / l.Window.Seconds()
 }
 
-// retryAfter returns the Retry-After of a rejected request: the time to refill one token, in whole seconds.
+// retryAfter returns the Retry-After of a rejected request: the time to refill one token, in whole seconds,
+// or the window if nothing is refilled.
 func (l Limit) retryAfter() time.Duration {
 	rate := l.perSecond()
 	if rate <= 0 {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -7,7 +7,7 @@
 // latencyGain is the weight of one response in the mean latency of its server.
 const latencyGain = 0.2
 
-// dispatch sends a request to a server, queues it while one may still become usable, or gives it up.
+// dispatch sends a request to a server, queues it while a server may still become usable, or gives it up.
 func (b *Balancer) dispatch(r *request) {
 	if b.attemptsExhausted(r) || len(r.attempts) > 0 && !b.mayRetry() {
 		b.giveUp(r)
@@ -32,8 +32,8 @@
 	}
 }
 
-// claimProbe returns a server that needs a probe that r may serve as, and marks it as being probed; nil if
-// there is none.
+// claimProbe returns a server that is due for a probation request or a zone probe, if r may be that request,
+// and marks the server or its zone as being probed. It returns nil if there is no such server.
 func (b *Balancer) claimProbe(r *request) *server {
 	if s := b.claimProbation(r); s != nil {
 		return s
@@ -65,7 +65,8 @@
 	}
 }
 
-// countInFlight counts an attempt as in flight at its server (change is 1), or no longer (change is -1).
+// countInFlight counts an attempt as in flight (change is 1), or no longer (change is -1). It counts at the
+// server and, unless a.warmingUp, in the concurrency window.
 func (b *Balancer) countInFlight(a *attempt, change int) {
 	a.uncounted = change < 0
 	if a.server.inFlight += change; !a.warmingUp {
@@ -100,7 +101,7 @@
 	r.updateMayHaveRun()
 	b.observeOutcome(r, a, e)
 	switch {
-	case e.RequestEnded || r.answered || e.Code == OK:
+	case e.RequestEnded || r.ended || e.Code == OK:
 		b.finish(r)
 	case r.mayRetryAfter(e, b.now):
 		b.dispatch(r)
@@ -125,7 +126,9 @@
 	case NotAttempted:
 		return
 	case Cancelled:
-		if !a.isProbe { // the node cancelled it, unless it is a probe whose client didn't wait
+		// Cancelling an ordinary attempt says nothing about the server. A cancelled probe counts against the
+		// server: the client didn't wait for it.
+		if !a.isProbe {
 			return
 		}
 	case OK, ServerError, Overloaded:
@@ -134,11 +137,12 @@
 	b.observeResponse(a, r.class, e)
 }
 
-// observeResponse passes an outcome that reflects the server's state to each mechanism, in a fixed order:
-// some read what earlier ones changed.
+// observeResponse passes an outcome to each mechanism that measures servers or classes. The order is fixed,
+// because some mechanisms read what earlier ones have changed.
 func (b *Balancer) observeResponse(a *attempt, c *class, e Outcome) {
 	s := a.server
-	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled { // a full server hasn't failed
+	// A server that is full, or whose probe was cancelled, is no evidence that its zone has failed.
+	if s.zone != nil && e.Code != Overloaded && e.Code != Cancelled {
 		b.recordEvidence(a, c.failureLevel(s.Kind, e.Code, e.Latency.Seconds()))
 	}
 	weight := b.failureWeight(s, e.Code)
@@ -156,8 +160,8 @@
 	b.updateOutlierState(a, e.Code, weight)
 }
 
-// giveUp ends a request without a response: it rejects the request if the client may safely send it again,
-// and fails it otherwise.
+// giveUp ends a request that has no response from a server. It rejects the request if the client may safely
+// send it again, and fails it otherwise.
 func (b *Balancer) giveUp(r *request) {
 	if r.mayRejectSafely() {
 		b.reject(r, 0)
@@ -173,13 +177,13 @@
 	b.finish(r)
 }
 
-// finish marks a request as answered and cancels its attempt. It deletes the request once its attempts have
-// ended.
+// finish marks a request as ended, and cancels its pending attempt if the settings allow it. It deletes the
+// request once its attempts have ended.
 func (b *Balancer) finish(r *request) {
-	if newest := len(r.attempts) - 1; !r.answered && r.pendingAttempts > 0 && b.settings.Allowed.Cancel {
+	if newest := len(r.attempts) - 1; !r.ended && r.pendingAttempts > 0 && b.settings.Allowed.Cancel {
 		b.emit(Action{Kind: Cancel, ID: r.ID, Attempt: newest})
 	}
-	if r.answered = true; r.pendingAttempts == 0 {
+	if r.ended = true; r.pendingAttempts == 0 {
 		delete(b.requests, r.ID)
 	}
 }
--- a/policy/attempts_test.go
+++ b/policy/attempts_test.go
@@ -35,7 +35,7 @@
 		acts := b.Handle(2*ms+c.after, outcome("x", 0, first, c.code, c.after))
 		if !c.resent {
 			if len(actionsOf(acts, Send)) != 0 || len(actionsOf(acts, c.wantAction)) != 1 {
-				t.Errorf("class %s, outcome %v after %v: got %+v, want one Fail or Reject action as listed, and no Send",
+				t.Errorf("class %s, outcome %v after %v: got %+v, want one Reject (class all) or Fail, and no Send",
 					c.class, c.code, c.after, acts)
 			}
 			continue
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -9,7 +9,7 @@
 // Balancer makes the decisions of one node. It connects the mechanisms, each of which keeps its state in its
 // own file. It isn't safe for concurrent use. Create one with New.
 type Balancer struct {
-	settings Settings // in force; NodeCount is the number of nodes that share the quotas
+	settings Settings // in force, except that NodeCount is the number of nodes that share the quotas
 	now      Time     // time of the current event
 	rng      *rand.Rand
 	actions  []Action // actions for the current event
@@ -47,7 +47,7 @@
 )
 
 // New returns a Balancer for one node. The seed determines its random choices, so that the same events give
-// the same actions. The error names an invalid setting.
+// the same actions. If a setting is invalid, the error names it.
 func New(set Settings, now Time, seed uint64) (*Balancer, error) {
 	if err := validate(set); err != nil {
 		return nil, err
@@ -65,7 +65,7 @@
 }
 
 // Handle processes one event and returns the resulting actions in order. The next call reuses the slice. If
-// now is before the time of the previous event, Handle uses that time.
+// now is earlier than the previous event, Handle uses the time of that event instead.
 func (b *Balancer) Handle(now Time, ev Event) []Action {
 	b.now, b.actions = max(now, b.now), b.actions[:0]
 	switch e := ev.(type) {
@@ -155,7 +155,8 @@
 // seconds converts a number of seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// updateRatio updates an exponential moving average of the fraction of hits with one event of weight gain.
+// updateRatio updates ratio, the exponential moving average of the fraction of events that are hits, with one
+// event. The event has the weight gain.
 func updateRatio(ratio *float64, gain float64, hit bool) {
 	*ratio -= gain * *ratio
 	if hit {
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -74,9 +74,9 @@
 	return s[0].Server
 }
 
-// Requests of a restricted class are sent only to the servers of the class, at every attempt. If none of them
-// is in service, a request is queued, and rejected in time. The bound on ejections applies to the class's few
-// servers on their own.
+// Every attempt of a request of a restricted class is sent to a server of the class. If none of these servers
+// is in service, a request is queued, and rejected before its timeout. The bound on ejections applies to the
+// class's few servers on their own.
 func TestRestrictedClassUsesOnlyItsServers(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].Kinds = []string{"k1"} // s01, s04, s07 of nine
@@ -119,7 +119,7 @@
 }
 
 // New settings keep the measurements and the open requests. A request that arrived under the former settings
-// is handled by those.
+// has the class of those settings.
 func TestNewSettingsKeepMeasurementsAndOpenRequests(t *testing.T) {
 	set := testSettings(1)
 	b := startBalancer(t, set, testEndpoints(4))
@@ -137,7 +137,7 @@
 	b.Handle(ms, changed)
 	if s := b.servers["s00"]; s.concurrencyLimit != 9 ||
 		s.inFlight+b.servers["s01"].inFlight+b.servers["s02"].inFlight != 1 {
-		t.Errorf("after new settings: got concurrency limit %v, want 9 and one attempt in flight",
+		t.Errorf("after new settings: want concurrency limit 9 and one attempt in flight; got limit %v",
 			s.concurrencyLimit)
 	}
 	if got := b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != 5 {
--- a/policy/capacity_share.go
+++ b/policy/capacity_share.go
@@ -1,15 +1,16 @@
 package policy
 
 // capacityShare is this node's share of the servers' capacity, as a multiple of an even share (the capacity
-// divided by the number of nodes). The nodes near a server share all of it; each other node may use an even
-// share in addition.
+// divided by the number of nodes). A node is near a server if crossing to it costs nothing, as in the node's
+// own zone. The nodes near a server share its whole capacity; each other node may use an even share in
+// addition.
 type capacityShare struct {
 	nodeCount   float64
-	nearbyNodes float64 // nodes near this one, including itself; 0 before the first update
+	nearbyNodes float64 // nodes in this node's zone, including itself; 0 before the first update
 }
 
-// update sets the number of nodes, and the number near this one by membership. If the latter is unknown (0),
-// the nodes are assumed to be spread evenly over the zones.
+// update sets the number of nodes, and the number of reachable nodes in this node's zone. If reachableInZone
+// is unknown (0), the nodes are assumed to be spread evenly over the zones.
 func (c *capacityShare) update(nodeCount, reachableInZone, zoneCount int) {
 	c.nodeCount = float64(nodeCount)
 	if c.nearbyNodes = min(c.nodeCount, float64(reachableInZone)); c.nearbyNodes == 0 {
--- a/policy/class.go
+++ b/policy/class.go
@@ -20,7 +20,8 @@
 	*classStats
 }
 
-// classStats holds the measurements of the classes with one name. It outlives changes of the settings.
+// classStats holds the measurements of a class. A class of new settings takes over those of the former class
+// with the same name.
 type classStats struct {
 	timerIndex      int           // index of its timer; negative for a class that the settings never named
 	tailLatency     time.Duration // estimated tailQuantile of the latency, at most the objective
@@ -41,8 +42,9 @@
 
 func newClassRegistry() classRegistry { return classRegistry{stats: make(map[string]*classStats)} }
 
-// configure sets the classes of new settings, all of which may at first use every server of the pool. A class
-// without a latency objective gets its deadline as the objective.
+// configure sets the classes of new settings. At first, each may use every server of the pool; then
+// packingOrder.reset gives each restricted class a pool of its own. A class without a latency objective gets
+// its deadline as the objective.
 func (c *classRegistry) configure(classes []Class, pool *serverPool) {
 	c.former, c.byName, c.ordered = c.byName, make(map[string]*class), nil
 	for _, settings := range classes {
@@ -70,8 +72,8 @@
 	return stats
 }
 
-// find returns the class of a request by the settings in force, or by the former ones if they applied when
-// its head arrived; nil if neither names the class.
+// find returns the class of a request according to the settings in force or, if its head arrived before them,
+// the former settings. It returns nil if neither names the class.
 func (c *classRegistry) find(e Request) *class {
 	if e.FormerClass {
 		if former := c.former[e.Class]; former != nil {
--- a/policy/completion_rate.go
+++ b/policy/completion_rate.go
@@ -34,7 +34,7 @@
 }
 
 // serverPeak returns the highest recent number of responses per second from one server. The current rate
-// wouldn't do: it falls while servers fail, which would starve returning servers of requests.
+// wouldn't do: it falls while servers fail, and servers that return would then get too few requests.
 func (c *completionRate) serverPeak(now Time, servers int) float64 {
 	currentRate := c.current(now) / max(1, float64(servers))
 	c.peak = max(currentRate, c.peak*math.Exp(-(now-c.peakAt).Seconds()/peakRateDecayTime.Seconds()))
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -13,16 +13,16 @@
 	limitIncrease = 0.05
 	// slowResponseDecrease is by how many attempts a slow response lowers the limit.
 	slowResponseDecrease = 0.25
-	// failureDecrease is by how many attempts a failure lowers a learned limit or, if limits rest on load
-	// reports, the fraction by which it lowers the limit.
+	// failureDecrease is by how many attempts a failure lowers a learned limit. If limits are based on load
+	// reports, it is the fraction by which a failure lowers the limit.
 	failureDecrease = 0.3
-	// slowObjectiveFraction is the fraction of the latency objective from which a response counts as slow: it
-	// waited about as long as it was served.
+	// slowObjectiveFraction is the fraction of the latency objective from which a response counts as slow. Its
+	// request has then waited at the server for about as long as it was served.
 	slowObjectiveFraction = 0.4
 )
 
-// initialLimit returns the limit of a server without measurements. If limits rest on load reports, it is a
-// fraction of the fair limit.
+// initialLimit returns the concurrencyLimit of a server without measurements. If limits are based on load
+// reports, it is 1, the whole fair limit.
 func (b *Balancer) initialLimit() float64 {
 	if b.usesLoadReports() {
 		return 1
@@ -53,8 +53,8 @@
 	return s.totalInFlight() == 0 && now-s.lastSentAt >= seconds(s.meanLatency*(1/limit-1))
 }
 
-// updateConcurrencyLimit learns from one outcome. failureWeight is how far a failure is the server's own
-// fault.
+// updateConcurrencyLimit adjusts the limit, and the ratios of the rate multiplier, to one outcome.
+// failureWeight is how much of a failure, 0 to 1, is attributed to the server.
 func (b *Balancer) updateConcurrencyLimit(s *server, c *class, code Code, latency time.Duration,
 	failureWeight float64) {
 	step := 0.0
@@ -75,14 +75,14 @@
 	s.moveLimit(step, minLimitFraction*b.initialLimit())
 }
 
-// moveLimit moves a learned limit. Steps shrink with a limit under one, so that at any limit the same
-// fraction of the responses is slow where it settles.
+// moveLimit moves a learned limit by a step, down to lowest at most. If the limit is under one, the step is
+// multiplied by it. So a limit of any size settles at the same fraction of slow responses.
 func (s *server) moveLimit(step, lowest float64) {
 	s.limitReached = s.limitReached || step < 0
 	s.concurrencyLimit = max(lowest, s.concurrencyLimit+step*min(1, s.concurrencyLimit))
 }
 
-// scaleLimitByFailure lowers the limit after a failure, which load reports don't show.
+// scaleLimitByFailure lowers the limit after a failure, because load reports don't show failures.
 func (s *server) scaleLimitByFailure(code Code, latency time.Duration, failureWeight float64, now Time) {
 	switch code {
 	case OK:
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// The initial limits of the nodes of a small fleet add up to the same total at each server: whole limits for
-// each node would overload the first one.
+// The initial limits of the nodes of a small fleet add up to initialFleetLimit at each server. If each node
+// had this limit, together they would overload the first server.
 func TestSmallFleetSharesTheInitialLimit(t *testing.T) {
 	for nodes := 1; nodes <= maxSmallFleet; nodes++ {
 		b := startBalancer(t, testSettings(nodes), testEndpoints(4))
@@ -78,8 +78,8 @@
 	}
 }
 
-// A response after half of its objective has waited for about as long as it was served: a limit that still
-// grew would do so until servers are overloaded.
+// If a response takes half of its objective, the request has waited for about as long as it was served. If
+// the limit still grew then, it would grow until servers are overloaded.
 func TestSlowResponsesLowerTheConcurrencyLimit(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	s, c := b.order()[0], b.classes.ordered[0]
@@ -90,7 +90,7 @@
 		s.concurrencyLimit, s.inFlight = 10, 10
 		b.updateConcurrencyLimit(s, c, OK, seconds(v.objectiveFraction*c.LatencyObjective.Seconds()), 1)
 		if grew := s.concurrencyLimit > 10; grew != v.wantGrowth || s.concurrencyLimit == 10 {
-			t.Errorf("limit of 10 after a response at %v of its objective: got %v, want growth only at 0.3",
+			t.Errorf("limit of 10 after a response at %v of its objective: got %v, want more at 0.3, else less",
 				v.objectiveFraction, s.concurrencyLimit)
 		}
 	}
--- a/policy/concurrency_window.go
+++ b/policy/concurrency_window.go
@@ -13,31 +13,33 @@
 	windowTimeConstant = 3 * time.Second
 	// windowDecreaseFactor is how many times faster the window shrinks than it grows.
 	windowDecreaseFactor = 3.0
-	// utilizationGain is the weight of one report in the mean utilization: one report is far off either way.
+	// utilizationGain is the weight of one report in the mean utilization. Single reports are often far from the
+	// mean, in both directions.
 	utilizationGain = 0.1
 	// initialWindowScale and minWindowScale are the initial and the minimum scale of the window, in multiples of
 	// initialReportedLimit per server.
 	initialWindowScale = 1.0
 	minWindowScale     = 0.2
 	// initialReportedLimit is how many attempts all nodes together may have in flight at a server at first, if
-	// limits rest on load reports.
+	// limits are based on load reports.
 	initialReportedLimit = 6.0
-	// fairLimitSpread is how many times its even share of the window a node may have in flight at one server, so
-	// that it packs its load on few servers and gets reports from each often.
+	// fairLimitSpread is the multiple of a server's even share of the window that a node may have in flight at
+	// the server. As it is above 1, the node packs its load on fewer servers, and gets reports from each more
+	// often.
 	fairLimitSpread = 1.25
 	// minFairLimit is the least number of attempts that a node may have in flight at a typical server, however
 	// many nodes there are.
 	minFairLimit = 0.7
 )
 
-// concurrencyWindow bounds the attempts that this node has in flight at all servers together, if limits rest
-// on load reports. It follows the utilization of the servers, and grows only while the node needs more.
+// concurrencyWindow bounds the attempts that this node has in flight at all servers together, if limits are
+// based on load reports. It follows the utilization of the servers, and grows only while the node needs more.
 type concurrencyWindow struct {
 	scale           float64 // multiple of the window that initialReportedLimit gives
 	utilization     float64 // mean of the reports of warmed-up servers
 	reportedAt      Time    // time of the newest of those reports; 0 before the first
-	capacityWanted  bool    // a server selection since then found no capacity
-	inFlight        int     // attempts of this process in flight, without those paced by a warm-up budget
+	capacityWanted  bool    // since reportedAt, a server selection found no capacity
+	inFlight        int     // attempts of this process in flight, without those limited by a warm-up budget
 	siblingInFlight int     // the same number for the node's other process
 }
 
@@ -69,7 +71,8 @@
 	return b.window.size(b.warmedUpWeight(), b.settings.NodeCount)
 }
 
-// windowOvercommit returns the attempts in flight as a multiple of the window; 0 if there is no window.
+// windowOvercommit returns the attempts in flight as a multiple of the window. It returns 0 if limits aren't
+// based on load reports, because there is no window then.
 func (b *Balancer) windowOvercommit() float64 {
 	if !b.usesLoadReports() {
 		return 0
--- a/policy/concurrency_window_test.go
+++ b/policy/concurrency_window_test.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// A server that is overloaded or warming up is busy whatever the node does. This says nothing of the others.
+// A server that is overloaded or warming up is busy whatever the node does. So its reports say nothing about
+// the load of other servers.
 func TestWindowIgnoresOverloadedAndWarmingUpServers(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	for _, s := range b.order() {
@@ -81,13 +82,13 @@
 		reportLoad(b, b.order()[0], 1, report(100, []float64{0.4, 1}[i%2], 10))
 	}
 	if b.concurrencyWindow() < before {
-		t.Errorf("window with servers that are 0.7 busy on average: fell from %v to %v",
+		t.Errorf("window with servers that are 0.7 busy on average: went from %v to %v, want no decrease",
 			before, b.concurrencyWindow())
 	}
 }
 
 // The window is the node's share of what all nodes may have in flight, and at least one attempt.
-func TestWindowIsAPartOfTheServers(t *testing.T) {
+func TestWindowSizeIsTheNodesShare(t *testing.T) {
 	for _, c := range []struct {
 		scale, weight float64
 		nodes         int
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -5,10 +5,11 @@
 )
 
 const (
-	// maxUploadTime bounds the time for a whole request to arrive. The node ends slower uploads before that
-	// because of their rate, and bounds the whole upload by the same time (internal/node).
+	// maxUploadTime bounds the time in which a whole request arrives. internal/node has the same bound, and
+	// ends an upload earlier if its rate is too low.
 	maxUploadTime = 15 * time.Minute
-	// firstTryTolerance is how much of a first try's timeout may pass before the request reaches the node.
+	// firstTryTolerance is the difference up to which a retry's timeout counts as equal to the timeout of a
+	// first try. A part of each timeout passes before the request reaches the node.
 	firstTryTolerance = 50 * time.Millisecond
 	// queueTimeDivisor divides the latency objective to give the time that a request may wait for a server;
 	// the rest has to suffice for the response.
@@ -35,8 +36,8 @@
 	}
 }
 
-// onRequestComplete restarts the deadlines of a request that was forwarded while it arrived, and counts its
-// attempt as in flight.
+// onRequestComplete restarts the deadlines of an incomplete request whose last byte has arrived. If an
+// attempt is pending, it counts as in flight from now on, and its deadline is replaced.
 func (b *Balancer) onRequestComplete(e RequestComplete) {
 	r := b.requests[e.ID]
 	if r == nil || !r.Incomplete {
@@ -56,9 +57,9 @@
 	b.watchLatency(r)
 }
 
-// timeSinceFirstTry returns how long the client of a request has waited since its first try, from which the
-// latency objective counts. All first tries of a class have the same timeout, a fraction of the deadline. A
-// retry with a shorter timeout ends at the deadline, which tells when the first try began.
+// timeSinceFirstTry returns how long the client of a request has waited since its first try, when the latency
+// objective began to count. All first tries of a class have the same timeout, a fraction of the deadline. If
+// a retry has a shorter timeout, it ends at the deadline, and so its timeout tells when the first try began.
 func (c *class) timeSinceFirstTry(e Request) time.Duration {
 	if !e.ClientRetry {
 		c.firstTryTimeout = max(c.firstTryTimeout, e.Timeout)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -8,30 +8,31 @@
 //
 //   - [Balancer.Handle] in balancer.go passes each event to the mechanism that handles it.
 //   - onRequest in admission.go finds the request's class (class.go) and sets its deadlines (deadlines.go).
-//     It rejects the request if load of its priority is shed (load_shedding.go), or if its token bucket is
-//     empty (rateLimiter.admit in admission.go, token_buckets.go). The refill rates follow the servers'
-//     capacity (rate_multiplier.go) and the number of nodes (fleet_size.go).
+//     It rejects the request to shed load (load_shedding.go), or if the request's token bucket is empty
+//     (rateLimiter.admit in admission.go, token_buckets.go). The refill rates follow the servers' capacity
+//     (rate_multiplier.go) and the number of nodes (fleet_size.go).
 //   - dispatch in attempts.go ends a request that has used up its attempts, its time, or the node's retries
-//     (retry_budget.go). It prefers a server that needs a probe: an ejected one (outlier_detection.go) or one
-//     of an evacuated zone (zone_failover.go).
+//     (retry_budget.go). It first looks for a server to test: an ejected server that is due for a probation
+//     request (outlier_detection.go), or a server of an evacuated zone that is due for a zone probe
+//     (zone_failover.go).
 //   - pickServer in server_selection.go walks the servers in packing order (packing_order.go,
 //     server_pool.go); the first with capacity gets the attempt. The capacity depends on the limit of each
 //     server (concurrency_limit.go), the node's limit for all servers (concurrency_window.go), the node's
 //     share of a server (capacity_share.go), and how far a class may exceed the limits (overcommit.go). A
 //     server that is warming up is limited by slow_start.go, which uses the rate in completion_rate.go.
-//   - sendAttempt in attempts.go emits the Send action, and slow_attempts.go watches the attempt. Without a
-//     server, the request waits in request_queue.go.
+//   - sendAttempt in attempts.go emits the Send action, and slow_attempts.go watches the attempt. If no
+//     server may be used, the request may wait in request_queue.go.
 //   - onOutcome in attempts.go ends the attempt. observeResponse updates the measurements of the server
 //     (concurrency_limit.go, load_reports.go, outlier_detection.go, completion_rate.go), of its zone
-//     (zone_evidence.go, zone_health.go; weighEvidence in zone_failover.go decides) and of the class
-//     (class.go). An unanswered request is dispatched again if request.mayRetryAfter in request.go permits
-//     it; otherwise giveUp in attempts.go rejects or fails it.
+//     (zone_evidence.go, zone_health.go) and of the class (class.go). weighEvidence in zone_failover.go
+//     decides whether to evacuate the zone. A request without a final response is dispatched again if
+//     request.mayRetryAfter in request.go permits it; otherwise giveUp in attempts.go rejects or fails it.
 //
 // # Other events
 //
 //   - EndpointList: endpoint_list.go updates the servers, and packing_order.go the packing order.
-//   - Settings: applySettings in balancer.go passes them to each mechanism; validation.go checks those of
-//     New.
+//   - Settings: applySettings in balancer.go passes them to each mechanism; validation.go checks the settings
+//     that are passed to New.
 //   - FleetSize: fleet_size.go.
 //   - HandedOver: hot_restart.go; snapshot.go holds the state that passes to the successor.
 //   - Timer: onTimer in balancer.go.
@@ -39,9 +40,8 @@
 // # Making changes
 //
 // Each mechanism has one file with its constants, state and rules. A constant may be changed on its own; its
-// comment gives its meaning and unit. The events in recorded_events_test.go then give other actions, as
-// intended, and their file of hashes must be regenerated in the same commit. Three constraints span the
-// files:
+// comment gives its meaning and unit. As intended, the events in recorded_events_test.go then give other
+// actions. Regenerate their file of hashes in the same commit. Three constraints span the files:
 //
 //   - The order of random draws and of floating-point sums determines which actions a seed gives.
 //   - The JSON keys of [Snapshot] are frozen: processes of different versions read each other's snapshots.
--- a/policy/events.go
+++ b/policy/events.go
@@ -38,7 +38,7 @@
 	Kind         string
 	Cell         int64 // servers of a cell drop duplicates of each other's requests
 	Weight       float64
-	StartedAt    Time // last start of its process; 0 for long ago
+	StartedAt    Time // when its process last started; 0 if long ago
 	Availability Availability
 }
 
@@ -50,7 +50,7 @@
 	ListReplace     ListKind = iota // the whole list
 	ListUpdate                      // only the changed entries
 	ListCached                      // the whole list as last seen, possibly stale
-	ListUnavailable                 // a call failed or a subscription ended; no entries
+	ListUnavailable                 // no entries: the list couldn't be fetched, or the subscription has ended
 )
 
 // EndpointList is a version of the server list, or a change to it. Nodes may share Endpoints, which must not
@@ -60,13 +60,13 @@
 	Endpoints []Endpoint
 }
 
-// Request is a client's request. The node gives it exactly one final answer.
+// Request is a client's request. It gets exactly one final response, unless its client disconnects.
 type Request struct {
 	ID, Class, Tenant, Key string
 	Timeout                time.Duration // how long the client waits in this try
 	EstimatedWork          time.Duration // expected CPU time; 0 if unknown
 	ClientRetry, Write     bool
-	FormerClass            bool // its head came before the last Settings, so the former ones define its class
+	FormerClass            bool // its head arrived before the last Settings; those before them define its class
 	Incomplete             bool // its last byte is yet to arrive, and Timeout counts from RequestComplete
 }
 
@@ -104,20 +104,21 @@
 	Attempt      int
 	Code         Code
 	Latency      time.Duration
-	RequestEnded bool      // the request has its final answer
+	RequestEnded bool      // the request has its final response
 	BodyConsumed bool      // part of the request body has left the node, so the request can't be sent again
 	LoadReport   []float64 // values in the order of Settings.ReportFields; nil without a report
 }
 
-// ClientCancelled reports that the client has disconnected and needs no answer.
+// ClientCancelled reports that the client has disconnected and needs no response.
 type ClientCancelled struct{ ID string }
 
-// HandedOver reports that another process of this node takes over or, if Active is false, that it has ended
-// again; SuccessorServed then says whether it had begun to serve.
+// HandedOver reports that another process of this node, the successor, takes over. If Active is false, it
+// reports that the successor has ended again, and SuccessorServed tells whether the successor had begun to
+// serve.
 type HandedOver struct{ Active, SuccessorServed bool }
 
-// FleetSize reports how many nodes of the fleet this node reaches by membership, itself included. Until the
-// first FleetSize event, the number of nodes is that of the settings.
+// FleetSize reports how many nodes of the fleet this node reaches, including itself, according to membership.
+// Until the first FleetSize event, Settings.NodeCount is the number of nodes.
 type FleetSize struct {
 	ReachableNodes  int
 	ReachableInZone int // reachable nodes in this node's zone; 0 if unknown
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -5,14 +5,14 @@
 )
 
 const (
-	// maxShedProbability bounds the fraction of a class that is shed: some requests go on, so that returning
-	// capacity is noticed.
+	// maxShedProbability bounds the fraction of a class that is shed. The remaining requests show when there is
+	// capacity again.
 	maxShedProbability = 0.9
-	// shortageGain is the weight of one request of the highest priority in the shortage, which thus averages
-	// over about twenty of them.
+	// shortageGain is the weight of one request of the highest priority in highPriorityShortage, which thus
+	// averages over about twenty of these requests.
 	shortageGain = 0.05
-	// shortageFactor multiplies the shortage, both in the probability of shedding and where it lowers the
-	// overcommit of the lowest priority.
+	// shortageFactor multiplies highPriorityShortage in the probability of shedding, and in the reduction of
+	// the lowest priority's overcommit (maxOvercommit).
 	shortageFactor = 4.0
 )
 
@@ -33,7 +33,8 @@
 // isHighestPriority reports whether no class has a higher priority weight.
 func (l *loadShedder) isHighestPriority(weight float64) bool { return weight >= l.maxPriorityWeight }
 
-// recordDispatch updates the shortage with the first dispatch of a request.
+// recordDispatch updates the shortage with the first dispatch of a request, if the request has the highest
+// priority.
 func (l *loadShedder) recordDispatch(weight float64, foundServer bool) {
 	if l.isHighestPriority(weight) {
 		updateRatio(&l.highPriorityShortage, shortageGain, !foundServer)
@@ -50,8 +51,8 @@
 		shortageFactor*l.highPriorityShortage*(1-weight/l.maxPriorityWeight))
 }
 
-// shouldShed decides at random whether to shed a request of a class. If servers report their load, the
-// overcommit limits of the classes do so instead.
+// shouldShed decides at random whether to shed a request of a class. If limits are based on load reports,
+// none is shed at random: the overcommit bounds of the classes reject low priorities first.
 func (b *Balancer) shouldShed(c *class) bool {
 	return !b.usesLoadReports() && b.loadShedder.shouldShed(b.rng, c.PriorityWeight)
 }
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// While the highest priority finds no capacity, lower ones are shed, the lower the more. The highest is never
-// shed, and no priority is if servers report their load.
+// While the highest priority finds no capacity, requests of lower priorities are shed: the lower the
+// priority, the more. The highest priority is never shed. If limits are based on load reports, none is shed.
 func TestLowPrioritiesAreShedForTheHighest(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 5, 3
@@ -50,11 +50,12 @@
 	shedder.configure([]Class{{PriorityWeight: 1}, {PriorityWeight: 4}})
 	shedder.recordDispatch(1, false)
 	if shedder.highPriorityShortage != 0 {
-		t.Errorf("shortage after a low priority found no server: got %v, want 0", shedder.highPriorityShortage)
+		t.Errorf("shortage after a low-priority request found no server: got %v, want 0",
+			shedder.highPriorityShortage)
 	}
 	shedder.recordDispatch(4, false)
 	if shedder.highPriorityShortage != shortageGain {
-		t.Errorf("shortage after the highest priority found no server: got %v, want %v",
+		t.Errorf("shortage after a request of the highest priority found no server: got %v, want %v",
 			shedder.highPriorityShortage, shortageGain)
 	}
 	rng := rand.New(rand.NewPCG(1, 1))
--- a/policy/overcommit.go
+++ b/policy/overcommit.go
@@ -7,14 +7,16 @@
 const (
 	// maxLearnedOvercommit bounds the overcommit for the highest priority if limits are learned from responses.
 	maxLearnedOvercommit = 2.0
-	// maxReportedOvercommit is that bound if limits rest on load reports, which are closer to the capacity.
+	// maxReportedOvercommit is that bound if limits are based on load reports. These limits are closer to the
+	// capacity of the servers.
 	maxReportedOvercommit = 1.5
-	// minOvercommit is the bound for the lowest priority while the highest isn't short of capacity.
+	// minOvercommit is the bound for a priority weight of 0 while the highest priority isn't short of capacity.
 	minOvercommit = 0.8
 )
 
-// maxOvercommit returns the bound of the overcommit for a class. The lower its priority weight, the sooner
-// its requests are given up when capacity is short; beyond the bound, responses would only be late.
+// maxOvercommit returns the bound of the overcommit for a class. The lower the priority weight of the class,
+// the sooner its requests are given up when capacity is short. Beyond the bound, responses would only be
+// late.
 func (b *Balancer) maxOvercommit(c *class) float64 {
 	highest := maxLearnedOvercommit
 	if b.usesLoadReports() {
@@ -27,8 +29,8 @@
 	return lowest + (highest-lowest)*c.PriorityWeight/b.loadShedder.maxPriorityWeight
 }
 
-// serverOvercommit returns the overcommit of a server with one more attempt. A limit under one is spread over
-// time, and so is its overcommit.
+// serverOvercommit returns the overcommit of a server with one more attempt. With load reports, a limit under
+// one is spread over time: while no attempt is in flight, the overcommit falls with the time since the last.
 func (b *Balancer) serverOvercommit(s *server) float64 {
 	limit := b.effectiveLimit(s)
 	if limit < 1 && s.totalInFlight() == 0 && b.usesLoadReports() {
--- a/policy/packing_order.go
+++ b/policy/packing_order.go
@@ -18,12 +18,13 @@
 	classes       map[*class]bool // classes whose pools follow the order
 	changed       []*server       // servers that the list changed or dropped since the last update of the order
 	stale         bool            // the order must be rebuilt
-	walkOffset    float64         // where the walk of a segment begins, as a fraction of its length
+	walkOffset    float64         // where the walk of a segment begins, as a fraction of the segment's length
 }
 
-// newWalkOffset returns where a node's walk of each segment begins, as a fraction of its length. The nodes of
-// a small fleet all begin at the first server, which packs the load. Many nodes would overload it, so their
-// walks begin at steps of the golden ratio, which are spread evenly whichever nodes share a zone.
+// newWalkOffset returns where a node's walk of each segment begins, as a fraction of the segment's length.
+// The nodes of a small fleet all begin at the first server, which packs the load. Many nodes would overload
+// that server, so each node's walk begins one step of the golden ratio after the walk of the node before it.
+// These starts are spread evenly, whichever nodes share a zone.
 func newWalkOffset(nodeIndex int, largeFleet bool) float64 {
 	if !largeFleet {
 		return 0
@@ -32,8 +33,8 @@
 	return offset
 }
 
-// rotate updates where the walk of a segment begins, which depends on its length. The pools of restricted
-// classes begin at the same server.
+// rotate updates where the walk of a segment begins, after the segment's length has changed. The walks in the
+// pools of restricted classes begin at the same server, or the next one that the pool contains.
 func (o *packingOrder) rotate(g *segment) {
 	firstID := ""
 	if g.start = int(o.walkOffset * float64(len(g.servers))); g.start < len(g.servers) {
@@ -92,8 +93,8 @@
 	}
 }
 
-// refreshOrder updates the order and the sums over it from the list, and sets the initial limits of new
-// servers.
+// refreshOrder updates the order from the list, and the sums that mechanisms keep over the servers in the
+// order. It sets the initial limits of new servers.
 func (b *Balancer) refreshOrder() {
 	for _, s := range b.updateOrder() {
 		if s.concurrencyLimit == 0 {
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -42,8 +42,8 @@
 	return sim
 }
 
-// handle passes an event to the node. It ends most of the attempts that the node sends at once, with each
-// code in turn.
+// handle passes an event to the node. Most attempts that the node then sends get an outcome immediately, with
+// each code in turn. Every fifth outcome arrives later.
 func (sim *orderSimulation) handle(ev Event) {
 	for _, a := range slices.Clone(sim.b.Handle(sim.now, ev)) {
 		if a.Kind != Send {
@@ -86,8 +86,9 @@
 	return changed
 }
 
-// step passes one random event to the node. It reports whether that event updated the order from the list,
-// and no queued request ended afterwards, whose class may no longer be in use.
+// step passes one random event to the node. It reports whether the order was updated for the classes that are
+// in use now: the event updated it, and no request ended afterwards. A request that ends may be the last of a
+// class of former settings, which is then no longer in use.
 func (sim *orderSimulation) step(t *rapid.T) (aligned bool) {
 	sim.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * ms
 	event, requests := rapid.IntRange(0, 11).Draw(t, "event"), len(sim.b.requests)
@@ -382,7 +383,7 @@
 	}
 }
 
-// The nodes of a large fleet begin their walks at different servers.
+// The nodes of a large fleet begin their walks at different servers, with few exceptions.
 func TestNodesOfALargeFleetBeginAtDifferentServers(t *testing.T) {
 	firsts := map[string]bool{}
 	for n := range 6 {
--- a/policy/rate_multiplier.go
+++ b/policy/rate_multiplier.go
@@ -4,8 +4,8 @@
 	// rateIncreaseStep and rateDecreaseStep are the fractions by which one server selection moves the
 	// multiplier. As they are equal, it is steady if every second selection finds no capacity.
 	rateIncreaseStep, rateDecreaseStep = 0.02, 0.02
-	// minRateMultiplier is the lower bound of the multiplier: below it, traffic within its quota would be
-	// rejected for faults that fewer requests don't cure.
+	// minRateMultiplier is the lower bound of the multiplier. With a lower one, traffic within its quota would
+	// be rejected because of faults that fewer requests don't cure.
 	minRateMultiplier = 0.3
 	// cautiousRateMultiplier is the value above which the multiplier rises only while few responses are
 	// bad, since the other nodes may need the capacity.
@@ -13,7 +13,7 @@
 	// maxRateMultiplier is the upper bound of the multiplier: at three times its quotas, a node admits nearly
 	// everything that there is capacity for.
 	maxRateMultiplier = 3.0
-	// maxBadRatio is the fraction of bad responses, or of lost attempts, above which they count as many.
+	// maxBadRatio is the threshold for both badRatio and lostRatio.
 	maxBadRatio = 0.06
 	// badRatioGain and lostRatioGain are the weights of one response in badRatio and lostRatio, which average
 	// over about 100 and about 20 responses.
@@ -27,14 +27,19 @@
 	value          float64
 	bucketRejected bool    // a bucket rejected a request since the last server selection
 	badRatio       float64 // fraction of recent responses that were slow or failed
-	lostRatio      float64 // fraction of recent attempts that timed out or met a full server
+	lostRatio      float64 // fraction of recent attempts that ended with TimedOut or Overloaded
 }
 
 // rateConditions holds the conditions in the fleet that bound a node's multiplier.
 type rateConditions struct {
-	hasMembership     bool // nodes agree on how many share the quotas, so no node may exceed its share
-	usesLoadReports   bool // overcommit limits reject low priorities first; lower rates would reject all alike
-	minLimitsOverload bool // the minimum limits of all nodes add up to more than a server should get
+	// hasMembership is true if the nodes agree on how many share the quotas. So no node may exceed its share.
+	hasMembership bool
+	// usesLoadReports is true if limits are based on load reports. When capacity is short, the overcommit bounds
+	// then reject low priorities first, while lower refill rates would reject all priorities alike.
+	usesLoadReports bool
+	// minLimitsOverload is true if the minimum limits of all nodes for a server add up to more attempts than the
+	// server should get.
+	minLimitsOverload bool
 }
 
 // maximum returns the upper bound of the multiplier.
@@ -46,8 +51,8 @@
 }
 
 // adjust moves the multiplier after a server selection, depending on whether it found capacity. The
-// multiplier rises only if a bucket rejected a request since the last selection; otherwise it had no effect
-// to judge.
+// multiplier rises only if a bucket rejected a request since the last selection. Otherwise a higher one would
+// have admitted no more requests.
 func (m *rateMultiplier) adjust(foundCapacity bool, conditions rateConditions) {
 	manyLost := m.lostRatio > maxBadRatio && !conditions.usesLoadReports && conditions.minLimitsOverload
 	switch {
@@ -69,7 +74,7 @@
 // recordResponse updates the fraction of bad responses.
 func (m *rateMultiplier) recordResponse(bad bool) { updateRatio(&m.badRatio, badRatioGain, bad) }
 
-// recordLoss updates the fraction of lost attempts.
+// recordLoss updates the fraction of lost attempts (lostRatio).
 func (m *rateMultiplier) recordLoss(lost bool) { updateRatio(&m.lostRatio, lostRatioGain, lost) }
 
 // rateConditions returns the current conditions of this node.
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -11,7 +11,7 @@
 		b.adjustRateMultiplier(false)
 	}
 	if b.rateMultiplier.value >= 0.5 || b.rateMultiplier.value < minRateMultiplier {
-		t.Errorf("multiplier after 100 selections without capacity: got %v, want from the minimum to below 0.5",
+		t.Errorf("multiplier after 100 selections without capacity: got %v, want at least the minimum, below 0.5",
 			b.rateMultiplier.value)
 	}
 	before := b.rateMultiplier.value
@@ -37,7 +37,7 @@
 		b.Handle(now, Timer{Token: queueTimerToken})
 	}
 	if len(b.queue.requests) != 1 || before >= 1 || b.rateMultiplier.value != before {
-		t.Errorf("got %d queued requests, want 1; multiplier went from %v to %v, want one value below 1",
+		t.Errorf("got %d queued requests, want 1; multiplier %v before polls and %v after, want one value below 1",
 			len(b.queue.requests), before, b.rateMultiplier.value)
 	}
 }
@@ -66,7 +66,7 @@
 	}
 }
 
-// Nodes that share a quota admit no more than that, whatever the capacity.
+// With membership, the nodes that share a quota admit no more than the quota, whatever the capacity.
 func TestRateMultiplierIsAtMostOneWithMembership(t *testing.T) {
 	b, err := New(testSettings(1), 0, 1)
 	if err != nil {
@@ -134,7 +134,8 @@
 }
 
 // In a large fleet without load reports, even the minimum limits of all nodes together overload a server.
-// Lost attempts lower the admitted rate there until responses arrive again. A few nodes rely on their limits.
+// Lost attempts lower the admitted rate there until responses arrive again. In a small fleet, lost attempts
+// lower only the limits.
 func TestRateMultiplierFollowsLostAttemptsInLargeFleets(t *testing.T) {
 	for _, c := range []struct {
 		nodes    int
@@ -163,7 +164,7 @@
 		before := admittedFraction(OK)
 		admittedFraction(TimedOut)
 		if got := admittedFraction(TimedOut); (got < 0.6*before) != c.wantDrop {
-			t.Errorf("%d nodes: admitted %.2f while attempts time out and %.2f before, want a drop for 300 only",
+			t.Errorf("%d nodes: admitted %.2f while attempts time out, %.2f before; want below 0.6 of it only for 300",
 				c.nodes, got, before)
 		}
 		for range 5 { // the multiplier stays cautious until few of the last few hundred responses are bad
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,6 +1,6 @@
 package policy
 
-// request is a client request, kept until it has its final answer and its attempts have ended.
+// request is a client request. It is kept until it needs no more response and its attempts have ended.
 type request struct {
 	Request
 	class           *class // by the settings when its head arrived
@@ -11,7 +11,7 @@
 	attempts        []attempt
 	pendingAttempts int      // attempts without an outcome
 	mayHaveRun      *attempt // the first attempt that may have run; nil if there is none
-	answered        bool     // it has its final answer, or no longer needs one
+	ended           bool     // it has its final response, or no longer needs one
 	streaming       bool     // the response has begun
 	wasQueued       bool     // it waited for a server at least once
 }
@@ -23,7 +23,7 @@
 	finished     bool // its outcome is known
 	provenNotRun bool // the outcome proves that the server never ran it
 	isProbe      bool // it probes an ejected server or one of an evacuated zone
-	warmingUp    bool // its server was warming up
+	warmingUp    bool // the warm-up budget limited its server (isLimitedByWarmup) when it was sent
 	uncounted    bool // not counted as in flight: its request is incomplete, or its response has begun
 }
 
@@ -47,9 +47,9 @@
 	return r.class.RetrySafety == IdempotencyKeyed && r.class.DedupScope == DedupEverywhere
 }
 
-// mayRetryAfter reports whether another attempt may follow one with this outcome: there is time left, the
-// node can still send the whole request, no part of a response has gone to the client, and the class's retry
-// safety permits it.
+// mayRetryAfter reports whether another attempt may follow an attempt with this outcome. The outcome isn't
+// NotAttempted, there is time left, the node can still send the whole request, no part of a response has been
+// sent to the client, and the class's retry safety permits another attempt.
 func (r *request) mayRetryAfter(e Outcome, now Time) bool {
 	if e.Code == NotAttempted || now >= r.deadline || r.streaming || e.BodyConsumed {
 		return false
--- a/policy/request_queue.go
+++ b/policy/request_queue.go
@@ -28,7 +28,7 @@
 	return all
 }
 
-// enqueue queues a request until a server may be usable, or the request's time is up.
+// enqueue queues a request, which is dispatched again at the next poll.
 func (b *Balancer) enqueue(r *request) {
 	r.wasQueued = true
 	if b.queue.add(r) {
@@ -42,11 +42,11 @@
 	b.dispatchQueued()
 }
 
-// dispatchQueued dispatches each queued request that is still unanswered. Those that find no server are
-// queued again.
+// dispatchQueued dispatches each queued request that hasn't ended. While there is time, dispatch queues a
+// request without a server again.
 func (b *Balancer) dispatchQueued() {
 	for _, r := range b.queue.takeAll() {
-		if !r.answered {
+		if !r.ended {
 			b.dispatch(r)
 		}
 	}
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -7,14 +7,15 @@
 // defaultRetryBudget applies if the settings state none.
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
 
-// retryLimitMargin, in retries, keeps their number below the limit rather than at it, so that neither
-// rounding of the ratio nor a different treatment of entries exactly as old as the window allows one retry
-// too many.
+// retryLimitMargin, in retries, keeps the number of retries below the limit rather than at it. Otherwise,
+// rounding of the ratio could allow one retry too many. So could a check of the limit that treats entries
+// exactly as old as the window differently.
 const retryLimitMargin = 1e-9
 
-// retryBudget bounds the retries of a node: in any window there are fewer than MinRetries plus RetryRatio
-// times the requests that the node received in it. Both are counted exactly, over a sliding window. When an
-// entry is exactly as old as the window, a request no longer counts and a retry still does.
+// retryBudget bounds the retries of a node. In any window, the node makes fewer retries than MinRetries plus
+// RetryRatio times the number of requests that it received in the window. Requests and retries are counted
+// exactly, over a sliding window. If an entry is exactly as old as the window, a request no longer counts and
+// a retry still does.
 type retryBudget struct {
 	limits     RetryBudget
 	acceptedAt []Time // times of the requests received within the window, oldest first
@@ -43,7 +44,7 @@
 	return float64(len(r.retriesAt)+1) <= r.limit()-retryLimitMargin
 }
 
-// exhaust counts as many retries as the whole budget permits, since another process may have made them.
+// exhaust records as many retries as the budget permits in total, because another process may have made them.
 func (r *retryBudget) exhaust(now Time) {
 	for range int(r.limit()) {
 		r.recordRetry(now)
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// The budget counts every received request, rejected ones too, and every retry.
+// Retries stay below the minimum plus the ratio times the requests in the window. Once the requests have left
+// the window, only the minimum is left.
 func TestRetryBudgetCountsExactly(t *testing.T) {
 	set := testSettings(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0.5, Window: time.Second}
@@ -61,7 +62,7 @@
 	}
 }
 
-func TestRetryBudgetAllowsAPartOfTheRequests(t *testing.T) {
+func TestRetryBudgetBoundsRetriesWithinTheWindow(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		limits            RetryBudget
@@ -70,13 +71,14 @@
 		want              bool
 	}{
 		{"fewer than the minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 0, 0, true},
-		{"not the whole minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 1, 0, false},
+		{"reaching the minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 1, 0, false},
 		{"a fraction of the requests", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 1, 0, true},
 		{"no more than that fraction", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 2, 0, false},
-		{"requests leave the window", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 0, time.Second, false},
-		{"retries leave the window later", RetryBudget{MinRetries: 1.5, Window: time.Second},
+		{"requests as old as the window", RetryBudget{RetryRatio: 0.5, Window: time.Second},
+			5, 0, time.Second, false},
+		{"a retry as old as the window", RetryBudget{MinRetries: 1.5, Window: time.Second},
 			0, 1, time.Second, false},
-		{"retries leave the window in the end", RetryBudget{MinRetries: 1.5, Window: time.Second},
+		{"a retry older than the window", RetryBudget{MinRetries: 1.5, Window: time.Second},
 			0, 1, time.Second + 1, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
--- a/policy/server.go
+++ b/policy/server.go
@@ -1,9 +1,9 @@
 package policy
 
-// server holds the state of one listed server as this node sees it. Most fields are written by one mechanism.
-// concurrencyLimit is initialized by packing_order.go, adjusted by concurrency_limit.go and load_reports.go,
-// and reset after an ejection by outlier_detection.go. attempts.go updates meanLatency, and load_reports.go
-// also updates limitReached. snapshot.go restores the state.
+// server holds the state of one listed server as this node sees it. Most fields are written by one mechanism,
+// and restored by snapshot.go. But concurrencyLimit is initialized by packing_order.go, adjusted by
+// concurrency_limit.go and load_reports.go, and reset after an ejection by outlier_detection.go. limitReached
+// is set by concurrency_limit.go and load_reports.go. attempts.go updates meanLatency.
 type server struct {
 	Endpoint
 	zone         *zoneHealth // nil if the settings name no topology
@@ -16,11 +16,11 @@
 	lastSentAt      Time // when the newest attempt was sent
 	lastResponseAt  Time // when the newest response arrived, whatever its code
 
-	// concurrencyLimit is how many attempts this node may have in flight while the server has capacity or, if
-	// usesLoadReports, the fraction (0 to 1) of the fair limit.
+	// concurrencyLimit is how many attempts this node may have in flight at the server before the server is
+	// overcommitted. If usesLoadReports, it is the fraction (0 to 1) of the fair limit instead.
 	concurrencyLimit float64
 	limitReached     bool    // the limit reflects an outcome or a report, not only the initial guess
-	meanLatency      float64 // mean of its responses, in seconds
+	meanLatency      float64 // moving average of the latency of OK and timed-out attempts, in seconds
 	busyUntil        Time    // when it has likely ended a timed-out attempt; set only if usesLoadReports
 
 	reportedLatency float64 // latency in its newest load report, in seconds
@@ -28,15 +28,15 @@
 	reportedRate    float64 // attempts per second that it can serve, by its reports; 0 before the first
 
 	outlier              outlierState
-	connectionFaultRatio float64 // fraction of recent responses that were broken connections
+	connectionFaultRatio float64 // fraction of recent attempts that ended with Reset or ConnectFailed
 	zoneEvidence         float64 // evidence that its zone has failed, in nats
 	zoneEvidenceAt       Time    // when the evidence was last updated
 	warmupBudget         warmupBudget
 	contribution         contribution
 }
 
-// contribution is what a server in service adds to the sums of the mechanisms, so that exactly this can be
-// subtracted again whatever has changed since.
+// contribution records what a server has added to the sums of the mechanisms. Exactly this is subtracted
+// later, even if the server's state has changed by then.
 type contribution struct {
 	warmup      warmupContribution
 	outlier     outlierContribution
--- a/policy/server_pool.go
+++ b/policy/server_pool.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// serverPool is a set of servers in packing order: by the cost of crossing to them, then by ID. A change uses
-// a binary search, so that a list change is cheap at any number of servers. It is unrelated to the type of
-// this name in internal/node/upstream, which holds idle connections.
+// serverPool is a set of servers in packing order: by the cost of crossing to them, then by ID. Servers are
+// inserted and removed by binary search, so that a list change is cheap at any number of servers. This type
+// is unrelated to the serverPool of internal/node/upstream, which holds idle connections.
 type serverPool struct {
 	segments []*segment // by ascending cost
 	length   int        // number of servers in all segments
@@ -102,7 +102,7 @@
 	}
 }
 
-// isBefore reports whether s comes before other in the packing order, which must hold both.
+// isBefore reports whether s comes before other in the packing order. Both must be in service.
 func (s *server) isBefore(other *server) bool {
 	g := s.segment
 	if g != other.segment {
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -9,13 +9,16 @@
 	// maxLatencyFraction is the fraction of a request's remaining useful time that a server's usual latency may
 	// take.
 	maxLatencyFraction = 0.5
-	// reportDecayTime is the time constant with which a reported latency decays to that of the server's kind.
+	// reportDecayTime is the time constant with which a reported latency decays to the latency of the server's
+	// kind.
 	reportDecayTime = 5 * time.Second
 )
 
-// pickServer chooses a server for a request: the first usable one in packing order that has capacity, else
-// the least overcommitted one, or nil if none may be used. It also reports whether the node has capacity,
-// which is also true while the limit of the least overcommitted server is only the initial guess.
+// pickServer chooses a server for a request: one that is warming up (pickWarmingUp), else the first usable
+// server in packing order that has capacity, else the least overcommitted usable server. It returns nil if no
+// server is usable, or if even the least overcommitted one exceeds the bound of the class. hasCapacity tells
+// whether a server has capacity. It is also true if the limit of the least overcommitted server is still the
+// initial guess.
 func (b *Balancer) pickServer(r *request) (picked *server, hasCapacity bool) {
 	windowOvercommit, maxOvercommit := b.windowOvercommit(), b.maxOvercommit(r.class)
 	b.chooseZones(r)
@@ -54,9 +57,9 @@
 		b.refillWarmupBudget(s)
 }
 
-// answersInTime reports whether a server is likely to answer a request while the response is useful. Servers
-// that are warming up or overloaded take several times as long as others. The older a load report, the less
-// its latency counts.
+// answersInTime reports whether a server is likely to respond to a request while the response is useful.
+// Servers that are warming up or overloaded take several times as long as others. The older a load report,
+// the less its latency counts. Without load reports, answersInTime is always true.
 func (b *Balancer) answersInTime(r *request, s *server) bool {
 	kind := b.loads.byKind[s.Kind]
 	if kind == nil || !b.usesLoadReports() {
@@ -70,9 +73,10 @@
 	return latency <= maxLatencyFraction*(r.usefulUntil-b.now).Seconds()
 }
 
-// mayRunOn reports whether placement and retry safety permit a request at a server. A request that may have
-// run is sent again only where a duplicate does no harm: anywhere if it is idempotent, else to servers that
-// drop it, while they still remember the request.
+// mayRunOn reports whether a request may be sent to a server: the class permits the server, the request
+// hasn't been sent to it before, and retry safety permits it. A request that may have run is sent again only
+// where a duplicate does no harm. If it is idempotent, that is anywhere. If it is keyed, that is at the
+// servers of the dedup scope, while they still remember the request.
 func (r *request) mayRunOn(s *server, now Time) bool {
 	if !r.class.permits(s) {
 		return false
@@ -97,7 +101,7 @@
 	return s.Cell == r.mayHaveRun.server.Cell
 }
 
-// isNearer reports whether crossing to s costs less than crossing to other.
+// isNearer reports whether crossing to s costs less than crossing to other. Without a topology, it is false.
 func isNearer(s, other *server) bool {
 	return s.zone != nil && s.zone.crossingCost < other.zone.crossingCost
 }
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -9,7 +9,7 @@
 )
 
 // A response that comes too late is useless, so a server that is warming up or overloaded gets only requests
-// with time left. An old report of its latency is forgotten.
+// with enough time left. A reported latency loses its effect with time.
 func TestSlowServersGetOnlyRequestsWithTimeLeft(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	s := b.order()[0]
@@ -55,7 +55,7 @@
 		return best
 	}
 	if few, many := selectionTime(50), selectionTime(800); many > 64*few {
-		t.Errorf("16 times the servers take %d times as long (%v and %v), want at most 64 times",
+		t.Errorf("800 servers take %d times as long as 50 servers (%v and %v), want at most 64 times",
 			many/few, few, many)
 	}
 }
--- a/policy/slow_attempts.go
+++ b/policy/slow_attempts.go
@@ -50,7 +50,7 @@
 	return due, true
 }
 
-// watchLatency watches r's newest attempt, unless the settings don't name its class.
+// watchLatency watches r's newest attempt if settings have ever named r's class.
 func (b *Balancer) watchLatency(r *request) {
 	if r.class.timerIndex < 0 {
 		return
@@ -67,9 +67,9 @@
 	}
 }
 
-// checkSlowAttempts records a failure of each server that has answered nothing since it got an attempt that
-// is now slow. A server that answers other requests has a heavy request, not a fault. The attempt itself goes
-// on: a request has one attempt at a time.
+// checkSlowAttempts records a failure of each server that hasn't responded to any request since it got an
+// attempt that is now slow. If the server responds to other requests, the slow request is likely just
+// expensive. The slow attempt itself goes on: a request has one attempt at a time.
 func (b *Balancer) checkSlowAttempts(c *classStats) {
 	c.slowAttempts.timerSet = false
 	for {
--- a/policy/token_buckets.go
+++ b/policy/token_buckets.go
@@ -7,21 +7,22 @@
 )
 
 const (
-	// maxBuckets is the number of buckets, those of tenants with a quota included, from which on further
-	// tenants without a quota share one bucket, since clients may invent tenants.
+	// maxBuckets limits the memory that clients can use up by inventing tenants. Once there are this many
+	// buckets, including those of tenants with a quota, new tenants without a quota share one.
 	maxBuckets = 4096
 	// bucketsPerSweep is how many buckets each admission examines.
 	bucketsPerSweep = 2
-	// minBucketsToShrink and bucketShrinkRatio determine when the map of buckets is rebuilt, since a Go map
-	// never returns its memory: once it has held at least minBucketsToShrink buckets and fewer than
-	// 1/bucketShrinkRatio of the most it held are left.
+	// minBucketsToShrink and bucketShrinkRatio determine when the map of buckets is rebuilt, because a Go map
+	// never frees its memory. It is rebuilt once it has held at least minBucketsToShrink buckets, and fewer
+	// than 1/bucketShrinkRatio of its peak are left.
 	minBucketsToShrink, bucketShrinkRatio = 4096, 16
 )
 
 // bucketKey identifies a bucket. The class is empty except for classes with their own limit.
 type bucketKey struct{ tenant, class string }
 
-// sharedBucketKey is the key of the bucket that tenants beyond maxBuckets share.
+// sharedBucketKey is the key of the bucket that tenants beyond maxBuckets share. Requests without a tenant
+// or a class limit have the same key.
 var sharedBucketKey = bucketKey{}
 
 // bucket is a token bucket that holds whole tokens.
@@ -32,7 +33,8 @@
 }
 
 // refill adds the whole tokens that accrued since the last refill at a rate in tokens per second, up to the
-// burst. If less than one token accrued, the refill time stays.
+// burst. If less than one token accrued, refilledAt stays, so that the fraction isn't lost. Otherwise the
+// fraction beyond whole tokens is lost (see refillCompensation).
 func (b *bucket) refill(now Time, perSecond float64, burst int64) {
 	added := math.Floor((now - b.refilledAt).Seconds() * perSecond)
 	if added >= 1 {
@@ -40,11 +42,12 @@
 	}
 }
 
-// bucketTable holds buckets by key, and sweeps them a few at a time to drop those that are no longer needed.
+// bucketTable holds buckets by key. The caller sweeps them, a few at a time, and decides which ones to drop:
+// each is examined with current, and then kept with advance or dropped with dropCurrent.
 type bucketTable struct {
 	byKey     map[bucketKey]*bucket
-	ring      []*bucket // the same buckets, in sweep order
-	next      int       // index in ring of the next bucket to examine
+	ring      []*bucket // the same buckets, in the order of the sweep
+	position  int       // index in ring of the current bucket of the sweep
 	peakCount int       // largest number of buckets in byKey since it was created
 }
 
@@ -60,25 +63,25 @@
 // isFull reports whether there are maxBuckets or more.
 func (t *bucketTable) isFull() bool { return len(t.byKey) >= maxBuckets }
 
-// current returns the next bucket of the sweep, or nil if there is none.
+// current returns the current bucket of the sweep, or nil if there are no buckets.
 func (t *bucketTable) current() *bucket {
 	if len(t.ring) == 0 {
 		return nil
 	}
-	if t.next >= len(t.ring) {
-		t.next = 0
+	if t.position >= len(t.ring) {
+		t.position = 0
 	}
-	return t.ring[t.next]
+	return t.ring[t.position]
 }
 
 // advance moves the sweep to the next bucket.
-func (t *bucketTable) advance() { t.next++ }
+func (t *bucketTable) advance() { t.position++ }
 
 // dropCurrent drops the current bucket, and puts the last one of the ring in its place.
 func (t *bucketTable) dropCurrent() {
 	last := len(t.ring) - 1
-	delete(t.byKey, t.ring[t.next].key)
-	t.ring[t.next], t.ring[last] = t.ring[last], nil
+	delete(t.byKey, t.ring[t.position].key)
+	t.ring[t.position], t.ring[last] = t.ring[last], nil
 	t.ring = t.ring[:last]
 }
 
--- a/policy/token_buckets_test.go
+++ b/policy/token_buckets_test.go
@@ -75,7 +75,7 @@
 
 // A dropped bucket counts as handed over: the successor creates a full one, so the process that handed over
 // may use at most half of one.
-func TestDroppedBucketIsHandedOverByHalf(t *testing.T) {
+func TestProcessHasHalfOfDroppedBucketAfterHandOver(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	limit := b.rateLimiter.tenantLimits["u"]
 	for now := Time(0); now < time.Minute; now += time.Second {
@@ -171,12 +171,12 @@
 			}
 		}
 		if !c.want(admitted) {
-			t.Errorf("admitted %d of %d tenants named %s, want all with a quota, else fewer than maxBuckets",
+			t.Errorf("admitted %d of %d tenants named %s; want all if named quota, fewer than maxBuckets if free",
 				admitted, tenants, c.name)
 		}
 	}
 	if limit := tenants + 1; len(b.rateLimiter.buckets.byKey) > limit {
-		t.Errorf("buckets: got %d, want at most %d", len(b.rateLimiter.buckets.byKey), limit)
+		t.Errorf("buckets of all tenants: got %d, want at most %d", len(b.rateLimiter.buckets.byKey), limit)
 	}
 }
 
