--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -16,16 +16,17 @@
 	// maxBackoffDoublings keeps the shift in nextBackoff from overflowing.
 	maxBackoffDoublings = 8
 	// maxRetainTime is the maximum time for which servers are retained if most of their zone is missing from the
-	// list.
+	// list. Retained servers stay in service though they aren't listed.
 	maxRetainTime = 5 * time.Second
-	// initialLatencyDivisor determines the assumed mean latency of a new server: the latency objective of the
-	// first class in the settings is divided by it. This latency spaces attempts until the first responses.
+	// initialLatencyDivisor determines the mean latency that is assumed for a new server: the latency objective
+	// of the first class in the settings is divided by it. Until the first responses, the assumed latency
+	// determines how far apart attempts at the server are sent.
 	initialLatencyDivisor = 4
 )
 
-// endpointList is the state of the subscription to the list of servers, and of servers that the list lacks.
+// endpointList is the state of the subscription to the list of servers and of the listed servers as a whole.
 type endpointList struct {
-	failures    int           // failed calls in a row
+	failures    int           // failed calls for the list in a row
 	retainFor   time.Duration // how long servers are retained if most of their zone is missing
 	unavailable int           // listed servers that get no requests because they drain or are ejected
 }
@@ -118,7 +119,7 @@
 }
 
 // newServer returns a server without any measurements. Its warm-up budget starts with a random fraction of a
-// token, so that nodes that learn of a starting server together don't all send to it at once.
+// token, so that nodes that learn of a starting server at the same time don't all send to it at once.
 func (b *Balancer) newServer() *server {
 	return &server{
 		meanLatency:  b.settings.Classes[0].LatencyObjective.Seconds() / initialLatencyDivisor,
@@ -142,9 +143,9 @@
 	return missing
 }
 
-// retainMissing drops the servers that the list lacks. If more than half of a zone's running servers are
-// missing at once, without having been drained, the list is more likely wrong than the servers are gone. They
-// are then retained for a while.
+// retainMissing drops or retains the servers that the list lacks. If more than half of a zone's running
+// servers are missing at once, without having been drained, a wrong list is more likely than a loss of the
+// servers. In that case, and if the settings permit it, they are retained for a while.
 func (b *Balancer) retainMissing(missing []*server) {
 	runningInZone := make(map[string]int)
 	for _, s := range missing {
@@ -163,8 +164,8 @@
 	}
 }
 
-// releaseRetained drops the servers that have been retained for retainFor. If they are listed again later,
-// their zone recovers from a small traffic share.
+// releaseRetained drops the servers that have been retained for retainFor. If a server of their zone is
+// listed later, the zone recovers from a small traffic share.
 func (b *Balancer) releaseRetained() {
 	for _, s := range b.servers {
 		if s.missingSince > 0 && b.now-s.missingSince >= b.list.retainFor {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// changedList returns an update that sets the availability of the first n endpoints, or a whole list without
-// them.
+// changedList returns a list of the given kind: an update that sets the availability of the first n
+// endpoints, or a whole list without these endpoints.
 func changedList(all []Endpoint, kind ListKind, n int, availability Availability) EndpointList {
 	list := EndpointList{Kind: kind}
 	for i, endpoint := range all {
@@ -98,8 +98,8 @@
 	}
 }
 
-// The discovery service serves all nodes. When many nodes start together, their first subscriptions are
-// spread. Retries back off, but not so far that a node misses a drain for long.
+// When many nodes start together, their first subscriptions are spread, because one discovery service serves
+// all of them. Retries back off, but not so far that a node misses a drain for long.
 func TestListSubscriptionsAreSpreadAndBackOff(t *testing.T) {
 	set := testSettings(40)
 	set.SubscribeList = true
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -14,15 +14,16 @@
 )
 
 // fleetSize determines the number of nodes that the quotas are divided by: the number in the settings, or the
-// number that membership reaches. The number grows at once and shrinks after a delay. It doesn't shrink while
-// this node reaches half of the fleet or less, because the parts of all nodes must not exceed a quota.
+// number that are reachable by membership. The number grows at once and shrinks after a delay. It doesn't
+// shrink while this node reaches half of the fleet or less, because the parts of all nodes together must not
+// exceed a quota.
 type fleetSize struct {
 	configuredNodes int  // number of nodes in the settings
 	hasMembership   bool // whether a FleetSize event has been received
 	quotaNodes      int  // number of nodes that quotas are divided by
 	reachable       int  // nodes that this node reaches, including itself
 	reachableInZone int  // reachable nodes in this node's zone; 0 if unknown
-	shrunkSince     Time // since when more than half but not all of quotaNodes are reachable; 0 if they aren't
+	shrunkSince     Time // since when more than half but not all of quotaNodes are reachable; 0 otherwise
 	maxReachable    int  // maximum of reachable since shrunkSince
 }
 
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestFleetSizeSettlesOnTheMostThatWereReachable(t *testing.T) {
+func TestFleetSizeSettlesOnTheMaximumReachable(t *testing.T) {
 	var f fleetSize
 	f.configure(5)
 	if f.observe(1, FleetSize{ReachableNodes: 5}) {
--- a/policy/hot_restart.go
+++ b/policy/hot_restart.go
@@ -1,10 +1,11 @@
 package policy
 
-// onHandedOver hands over to another process of this node the budgets that both together may use only once:
-// refills and half of the tokens of each bucket, retries, and requests to servers that are warming up. If
-// this process takes over again from a successor that never served, it continues as before. If the successor
-// served, its use of the budgets is unknown: warm-up budgets are emptied, and nothing is retried until the
-// successor's retries have left the window of the retry budget.
+// onHandedOver hands the budgets that this process shares with another process of this node over to that
+// process, or takes them back. They are the refills and half of the tokens of each bucket, the retries, and
+// the requests to servers that are warming up. If the successor never served, this process continues as
+// before when it takes the budgets back. If the successor served, its use of the budgets is unknown: warm-up
+// budgets are emptied, and nothing is retried until the successor's retries have left the window of the retry
+// budget.
 func (b *Balancer) onHandedOver(e HandedOver) {
 	b.handedOver = e.Active
 	b.rateLimiter.handOver(e.Active)
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A process that handed over uses no retries, no refills and no warm-up budget until it takes over again. Its
-// tokens and the successor's together don't exceed the bucket.
+// A process that handed over makes no retries, refills no buckets and uses no warm-up budget until it takes
+// over again. Its tokens and the successor's together don't exceed the burst of the limit.
 func TestHandedOverProcessUsesNoSharedBudget(t *testing.T) {
 	set := testSettings(1)
 	set.Rules.RetryBudget = &RetryBudget{MinRetries: 2, RetryRatio: 0, Window: time.Second}
--- a/policy/load_reports.go
+++ b/policy/load_reports.go
@@ -14,7 +14,7 @@
 const (
 	// reportGain is the weight of one report in the averages of its server.
 	reportGain = 0.5
-	// kindLoadGain is the weight of one report in the average of the warmed-up servers of its kind.
+	// kindLoadGain is the weight of one report in the average over the warmed-up servers of its kind.
 	kindLoadGain = 0.05
 	// minInformativeUtilization is the utilization below which a report says little about the server's capacity.
 	minInformativeUtilization = 0.3
@@ -32,10 +32,10 @@
 	overloadSlope = 4.0
 	// minLimitScale is the fraction of its limit that an overloaded or failing server keeps.
 	minLimitScale = 0.1
-	// slowLatencyFactor is the multiple of the latency of its kind above which a server's limit is reduced.
+	// slowLatencyFactor is the multiple of its kind's latency above which a server's limit is reduced.
 	slowLatencyFactor = 2.0
-	// ejectLatencyFactor is the multiple of the latency of its kind above which an overloaded server is ejected.
-	// Its queue drains only if it gets no requests for a while.
+	// ejectLatencyFactor is the multiple of its kind's latency above which a server is ejected if its
+	// utilization is above the target, too. Its queue drains only if it gets no requests for a while.
 	ejectLatencyFactor = 4.0
 )
 
@@ -46,11 +46,12 @@
 	rate        float64 // requests per second
 }
 
-// serverLoad averages load reports: rate is the attempts per second that a server can serve, and latency the
-// seconds that each takes.
+// serverLoad is an average of load reports or, without a rate, of response latencies (zone_evidence.go). The
+// rate is the attempts per second that a server can serve. The latency is in seconds.
 type serverLoad struct{ samples, rate, latency float64 }
 
-// add adds a sample to the average, which is the arithmetic mean of the first samples and exponential after.
+// add adds a sample to the average. The average is the arithmetic mean of the first samples, and a moving
+// average with kindLoadGain afterwards.
 func (l *serverLoad) add(sample serverLoad) {
 	l.samples++
 	gain := max(kindLoadGain, 1/l.samples)
@@ -61,7 +62,7 @@
 // loadReports parses load reports and averages them by kind of server.
 type loadReports struct {
 	fields      int                    // number of values in a report
-	columns     reportColumns          // of the values that decisions use
+	columns     reportColumns          // where the values that decisions use are in a report
 	byKind      map[string]*serverLoad // average of the warmed-up servers of each kind
 	typicalLoad serverLoad             // average of all warmed-up servers
 }
@@ -93,7 +94,7 @@
 	return report, valid
 }
 
-// record stores the reported latency of a server and, if the report is informative, its service rate.
+// record stores the reported latency of a server and, if the utilization is informative, its service rate.
 func (l *loadReports) record(s *server, report loadReport, warmedUp bool, now Time) {
 	if report.utilization >= minInformativeUtilization && report.utilization <= maxInformativeUtilization {
 		sample := serverLoad{rate: report.rate / report.utilization, latency: report.latency}
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -13,15 +13,17 @@
 	// silenceWeight is the weight of a slow attempt while the server doesn't respond to any request. It is lower
 	// than attemptFailureWeight because the request may just be expensive.
 	silenceWeight = 0.15
-	// overloadedWeight is the weight of an Overloaded response. A server that keeps sending them has to drain
-	// its queue first.
+	// overloadedWeight is the weight of an Overloaded response. A server that keeps sending them is ejected, so
+	// that it can drain its queue.
 	overloadedWeight = 0.2
 	// ejectionScore is the failure score above which a server is ejected.
 	ejectionScore = 0.5
-	// connectionFaultGain is the weight of one response in a server's connection fault ratio.
+	// connectionFaultGain is the weight of one attempt in a server's connection fault ratio: the moving average
+	// of the fraction of attempts that end with Reset or ConnectFailed.
 	connectionFaultGain = 0.1
-	// sharedFaultFactor is the multiple of the other servers' mean connection fault ratio up to which a server's
-	// faults don't count against it, because the cause is likely the network.
+	// sharedFaultFactor bounds the connection faults that are attributed to the network. While a server's ratio
+	// is at most sharedFaultFactor times the mean of the other servers, its faults don't count against it. Above
+	// that, they count in part.
 	sharedFaultFactor = 2.0
 	// baseEjectionTime is the duration of the first ejection. Each further ejection in a row lasts twice as
 	// long, up to maxEjectionTime.
@@ -41,11 +43,11 @@
 // server (onLoadReport in load_reports.go).
 type outlierState struct {
 	failureScore       float64 // 0 to 1, decaying weight of recent failures
-	ejected            bool    // the server gets no requests, and after ejectedUntil only probation requests
+	ejected            bool    // the server gets no requests until ejectedUntil, then only probation requests
 	ejectedUntil       Time
-	ejections          int // in a row
-	probationSuccesses int // in a row
-	probationInFlight  bool
+	ejections          int  // in a row
+	probationSuccesses int  // in a row
+	probationInFlight  bool // whether a probation request, which tests the ejected server, is in flight
 }
 
 // eject ejects the server for a time that grows with each ejection in a row.
@@ -55,7 +57,8 @@
 	o.ejections++
 }
 
-// addFailure raises the failure score and reports whether the server should be ejected.
+// addFailure raises the failure score. It reports whether the score is now high enough to eject the server
+// and the server isn't ejected yet.
 func (o *outlierState) addFailure(weight float64) bool {
 	o.failureScore += weight * (1 - o.failureScore)
 	return !o.ejected && o.failureScore > ejectionScore
@@ -82,16 +85,16 @@
 	connectionFaults fixedPoint // counted in outlierDetector.connectionFaults
 }
 
-// reset clears the list and the sum.
+// reset clears the list of ejected servers and the sum of connection fault ratios.
 func (d *outlierDetector) reset() { d.connectionFaults, d.ejected = 0, nil }
 
-// add counts the connection faults of a server that enters service. The caller then calls updateEjected.
+// add counts the connection faults of a server that enters service. The caller must then call updateEjected.
 func (d *outlierDetector) add(s *server) {
 	s.contribution.outlier.connectionFaults = toFixedPoint(s.connectionFaultRatio)
 	d.connectionFaults += s.contribution.outlier.connectionFaults
 }
 
-// remove subtracts the connection faults of a server that has left service. The caller then calls
+// remove subtracts the connection faults of a server that has left service. The caller must then call
 // updateEjected.
 func (d *outlierDetector) remove(s *server) {
 	d.connectionFaults -= s.contribution.outlier.connectionFaults
@@ -116,8 +119,9 @@
 	return 0
 }
 
-// failureWeight returns how much of a failure, 0 to 1, is attributed to the server. Without it, connections
-// that break at all servers, for example because the network resets them, would cut all limits and eject as
+// failureWeight updates the server's connection fault ratio with an outcome. It returns the fraction, 0 to 1,
+// of a failure that is attributed to the server; the network accounts for the rest. Without this split, a
+// network that resets connections to all servers would lower every server's concurrency limit and eject as
 // many servers as maxEjectedFraction permits.
 func (d *outlierDetector) failureWeight(s *server, code Code, servers int) float64 {
 	fault := code == Reset || code == ConnectFailed
@@ -183,13 +187,13 @@
 	b.countUnavailable(s)
 }
 
-// failureWeight returns how much of a failure, 0 to 1, is attributed to the server.
+// failureWeight calls outlierDetector.failureWeight with the number of servers in service.
 func (b *Balancer) failureWeight(s *server, code Code) float64 {
 	return b.outliers.failureWeight(s, code, b.packing.pool.length)
 }
 
-// recordFailure adds a failure or a silence to the server's failure score and ejects the server if the score
-// is too high and mayEject permits it.
+// recordFailure adds a failure or a silence (see silenceWeight) to the server's failure score. It ejects the
+// server if the score is too high and mayEject permits it.
 func (b *Balancer) recordFailure(s *server, weight float64) {
 	if s.outlier.addFailure(weight) && b.mayEject(s) {
 		b.eject(s)
@@ -213,14 +217,15 @@
 		state.addSuccess()
 	case code == Overloaded:
 		b.recordFailure(s, overloadedWeight)
-	case code != TimedOut || s.lastResponseAt < a.sentAt: // a server that responds to others doesn't hang
+	case code != TimedOut || s.lastResponseAt < a.sentAt: // a timeout counts unless the server responded since
 		b.recordFailure(s, attemptFailureWeight*failureWeight)
 	}
 }
 
-// claimProbation returns an ejected server that is due for a probation request and marks that request as in
-// flight. It returns nil if no server is due. The request's class must be at least as safe to retry as any
-// other class that may use the server.
+// claimProbation returns an ejected server that the request should test, and marks the probation request as
+// in flight. It returns nil for a retry, and if it finds no suitable server. A suitable server is due, its
+// zone isn't evacuated, its warm-up budget permits a request, and no class that may use it is safer to retry
+// than the request's class.
 func (b *Balancer) claimProbation(r *request) *server {
 	if r.class.eligible.ejected == 0 || len(r.attempts) > 0 {
 		return nil
@@ -238,9 +243,10 @@
 	return nil
 }
 
-// probationCandidates returns the servers that claimProbation considers. Limits are based on load reports
-// only where there are many nodes, and probation requests from all of them would keep an overloaded server
-// from recovering. claimProbation then walks all servers and stops at the first one with capacity.
+// probationCandidates returns the servers that claimProbation considers. Without load reports, these are the
+// ejected servers that are due. With load reports there are many nodes, and probation requests from all of
+// them would keep an overloaded server from recovering. In that case, claimProbation walks all servers and
+// stops at the first one with capacity.
 func (b *Balancer) probationCandidates(c *class) iter.Seq[*server] {
 	if b.usesLoadReports() {
 		return c.eligible.all
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -6,8 +6,8 @@
 )
 
 // A server that is busy and far slower than its kind recovers only while it gets no requests. Probation
-// requests from many nodes would keep it from recovering, so they don't go to servers that come after one
-// with capacity.
+// requests from many nodes would keep it from recovering. A node therefore sends none to servers that come
+// after one with capacity in packing order.
 func TestOverloadedServerIsEjectedAndProbedInPackingOrder(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	for _, s := range b.order() {
@@ -28,7 +28,8 @@
 	}
 }
 
-// Two failures in a row eject a server, a single failure doesn't, and successes between them lower the score.
+// Two failures in a row eject a server, a single failure doesn't, and successes in between lower the score.
+// Silences weigh less than failures.
 func TestFailureScore(t *testing.T) {
 	const failure, silence, success = attemptFailureWeight, silenceWeight, 0.0
 	for name, c := range map[string]struct {
@@ -57,7 +58,7 @@
 }
 
 // Each further ejection in a row takes twice as long, up to maxEjectionTime.
-func TestEjectionsTakeLongerInARow(t *testing.T) {
+func TestEjectionTimeDoublesUpToTheMaximum(t *testing.T) {
 	var state outlierState
 	for i, want := range []time.Duration{time.Second, 2 * time.Second, 4 * time.Second, 8 * time.Second, 8 * time.Second} {
 		if state.eject(time.Hour); state.ejectedUntil != time.Hour+want {
@@ -69,7 +70,8 @@
 	}
 }
 
-// updateEjected keeps the list of ejected servers correct when servers are removed from its start.
+// updateEjected keeps the list of ejected servers correct when servers are removed from the start of the
+// list.
 func TestEjectedServersAreCounted(t *testing.T) {
 	var d outlierDetector
 	servers := make([]*server, 3)
@@ -77,14 +79,15 @@
 		servers[i] = &server{segment: &segment{}}
 		servers[i].outlier.eject(0)
 		if change := d.updateEjected(servers[i]); change != 1 || d.updateEjected(servers[i]) != 0 {
-			t.Fatalf("server %d ejected: the count changes by %d, want 1, and 0 in a second call", i, change)
+			t.Fatalf("server %d ejected: updateEjected returned %d, want 1 in the first call and 0 in the second",
+				i, change)
 		}
 	}
 	servers[0].outlier = outlierState{}
 	servers[1].segment = nil // no longer in service
 	for _, s := range servers[:2] {
 		if change := d.updateEjected(s); change != -1 {
-			t.Errorf("server no longer ejected or in service: the count changes by %d, want -1", change)
+			t.Errorf("server no longer ejected or in service: updateEjected returned %d, want -1", change)
 		}
 	}
 	if len(d.ejected) != 1 || d.ejected[0] != servers[2] {
@@ -92,27 +95,28 @@
 	}
 }
 
-// A cancelled probe doesn't block later probes.
-func TestCancelledProbeIsFollowedByAnother(t *testing.T) {
+// A cancelled probation request doesn't block later ones.
+func TestCancelledProbationRequestIsFollowedByAnother(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
 	b.eject(s)
 	now := s.outlier.ejectedUntil
 	if got := sentTo(t, b.Handle(now, newRequest("x", "free"))); got != "s00" {
-		t.Fatalf("first probe sent to %s, want s00", got)
+		t.Fatalf("first probation request sent to %s, want s00", got)
 	}
 	b.Handle(now+100*ms, outcome("x", 0, "s00", Cancelled, 100*ms))
 	if s.outlier.probationInFlight {
-		t.Error("cancelled probe still counts as in flight")
+		t.Error("cancelled probation request still counts as in flight")
 	}
 	now = s.outlier.ejectedUntil
 	if got := sentTo(t, b.Handle(now, newRequest("y", "free"))); got != "s00" {
-		t.Errorf("probe after a cancelled one sent to %s, want s00", got)
+		t.Errorf("probation request after a cancelled one sent to %s, want s00", got)
 	}
 }
 
-// A hung server with a full queue rejects probes at once. Such a rejection delays the next probe.
-func TestOverloadedProbeDelaysTheNext(t *testing.T) {
+// A hung server with a full queue rejects probation requests at once. Such a rejection delays the next
+// probation request.
+func TestOverloadedProbationRequestDelaysTheNext(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
 	b.eject(s)
@@ -120,11 +124,11 @@
 	b.Handle(now, newRequest("x", "free"))
 	b.Handle(now+ms, outcome("x", 0, "s00", Overloaded, ms))
 	if got := sentTo(t, b.Handle(now+2*ms, newRequest("y", "free"))); got == "s00" {
-		t.Error("request right after an Overloaded probe sent to s00, want another server")
+		t.Error("request right after an Overloaded probation request sent to s00, want another server")
 	}
 }
 
-// A timed-out request doesn't count as a failure if the server responded to others meanwhile.
+// A timeout doesn't count as a failure if the server has responded to another request since the attempt.
 func TestTimeoutAtARespondingServerIsNoFailure(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(6))
 	s := b.servers["s00"]
@@ -136,9 +140,9 @@
 	}
 }
 
-// Connection faults that affect all servers equally lower no limits and eject no servers. A server that fails
-// alone, or far more often than the others, is still ejected.
-func TestFaultsAtAllServersEjectNone(t *testing.T) {
+// Connection faults that affect all servers equally hardly lower the limits, and eject at most one server. A
+// server that fails far more often than the others is still ejected. A single fault has its full weight.
+func TestFaultsAtAllServersEjectAtMostOne(t *testing.T) {
 	simulate := func(faultRatio func(s *server) float64) *Balancer {
 		b := startBalancer(t, testSettings(1), testEndpoints(10))
 		for _, s := range b.order() {
@@ -187,6 +191,6 @@
 		}
 	}
 	if b := startBalancer(t, testSettings(1), testEndpoints(1)); b.failureWeight(b.order()[0], Reset) != 1 {
-		t.Error("failure weight of a reset at the only server is below 1")
+		t.Error("failure weight of a reset at the only server isn't 1")
 	}
 }
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -25,8 +25,8 @@
 	tasks         []task // future outcomes, timers and probe results
 	log           []string
 
-	attemptsPerFiveFailures int // on average
-	maxLatencyMs            int // of attempts
+	attemptsPerFiveFailures int // average number of attempts of which five fail
+	maxLatencyMs            int // latencies of attempts are below it
 	stepsPerArrival         int // average number of steps until requests arrive
 
 	requestsAt []Time
@@ -161,7 +161,7 @@
 	}
 	endpoint, listed := w.list[a.Server]
 	if since, ok := w.drainingSince[a.Server]; ok && w.now > since+w.set.Rules.DrainGrace {
-		w.t.Errorf("attempt sent to %s, draining since %v, at %v, after the drain grace", a.Server, since, w.now)
+		w.t.Errorf("attempt sent to %s (draining since %v) at %v, after the drain grace", a.Server, since, w.now)
 	}
 	if !listed && w.drainingSince[a.Server] == 0 {
 		w.t.Errorf("attempt sent to unknown server %q", a.Server)
--- a/policy/recorded_events_test.go
+++ b/policy/recorded_events_test.go
@@ -38,8 +38,8 @@
 	Events []recordedEvent `json:"-"`
 }
 
-// recordedEvent is one call of a Balancer. The field that is set says which call. The keys are those of the
-// files.
+// recordedEvent is one call of a Balancer. The field that is set tells which call it is. The
+// JSON keys are those in the recorded files.
 type recordedEvent struct {
 	At              int64               `json:"t"`
 	Process         int                 `json:"p,omitempty"`
@@ -226,7 +226,7 @@
 			Kinds: c.Kinds, Zones: c.Zones, Regions: c.Regions})
 	}
 	for _, t := range s.Tenants {
-		var tenant Tenant // not a conversion, which needs the same field names in both types
+		var tenant Tenant // no conversion, because it needs the same field names in both types
 		tenant.Name, tenant.Quota, tenant.Share = t.Name, t.Quota, t.Share
 		set.Tenants = append(set.Tenants, tenant)
 	}
@@ -299,7 +299,7 @@
 // replayer hands recorded events to the processes of a node.
 type replayer struct{ processes []*Balancer }
 
-// apply makes one recorded call. It returns the actions and a text for the other results of the call.
+// apply makes one recorded call. It returns the actions, and the other results of the call as a text.
 func (p *replayer) apply(e *recordedEvent) (actions []Action, result string, err error) {
 	now := Time(e.At)
 	if e.New != nil {
@@ -332,7 +332,7 @@
 // different clocks.
 func restore(to *Balancer, now Time, from *Balancer, fromNow Time) (string, error) {
 	state := from.Snapshot(fromNow)
-	slices.SortFunc(state.Buckets, func(k, l BucketSnapshot) int { // the order comes from a map
+	slices.SortFunc(state.Buckets, func(k, l BucketSnapshot) int { // Snapshot returns them in map order
 		return cmp.Or(strings.Compare(k.Tenant, l.Tenant), strings.Compare(k.Class, l.Class))
 	})
 	text, err := json.Marshal(state)
--- a/policy/recorded_scenarios_test.go
+++ b/policy/recorded_scenarios_test.go
@@ -22,7 +22,7 @@
 	queue        recorderQueue
 	order        int
 	replayer     replayer
-	clockOffsets []Time // of the processes' clocks
+	clockOffsets []Time // offset of each process's clock from r.now
 	serving      int    // process that gets the clients' requests
 	settings     recordedSettings
 	servers      []*simulatedServer
@@ -269,7 +269,8 @@
 	return append(row, make([]float64, len(r.settings.ReportFields)-3)...)
 }
 
-// list hands a process a list of the kind: of all servers or, for an update, of changed servers.
+// list hands a process a list of the given kind. A whole list contains all servers, an update those of
+// changed.
 func (r *recorder) list(process int, kind ListKind, changed ...*simulatedServer) {
 	list := &recordedList{Kind: uint8(kind)}
 	if kind == ListReplace || kind == ListCached {
@@ -490,7 +491,7 @@
 	return append(all, recordInvalidSettings())
 }
 
-// scenario is a deployment with its load and the steps that change it.
+// scenario is a deployment with its load, and the steps that change the deployment.
 type scenario struct {
 	name                 string
 	seed                 uint64
@@ -500,8 +501,8 @@
 	meanInterval         time.Duration // mean time between requests
 	burstStart, burstEnd time.Duration // period with burstFactor times as many requests
 	burstFactor          float64
-	incompleteOneIn      int               // one request in this many is incomplete at first; 0 for none
-	start                func(r *recorder) // replaces the initial cached list; nil for that list
+	incompleteOneIn      int               // one request in this many is incomplete at first; 0: none
+	start                func(r *recorder) // hands over the first list; nil: a cached list of all servers
 	steps                []scenarioStep
 }
 
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -31,18 +31,18 @@
 // Class describes one kind of request.
 type Class struct {
 	Name             string
-	LatencyObjective time.Duration // a response within it has its full value; 0 for the deadline
+	LatencyObjective time.Duration // a response within it has its full value; 0: the deadline is used
 	ObjectivePerWork float64       // the objective grows by this multiple of the request's EstimatedWork
 	Deadline         time.Duration // total time that a client waits, over all its tries
 	RetrySafety      RetrySafety
-	DedupScope       DedupScope    // for IdempotencyKeyed
-	DedupWindow      time.Duration // for IdempotencyKeyed: from the first attempt that may have run
-	LateWeight       float64       // fraction of its value that a response between objective and deadline has
-	PriorityWeight   float64       // value of a response; load of lower values is shed first
+	DedupScope       DedupScope    // only for IdempotencyKeyed
+	DedupWindow      time.Duration // only for IdempotencyKeyed; begins with the first attempt that may have run
+	LateWeight       float64       // fraction of its value that a response between objective and deadline keeps
+	PriorityWeight   float64       // value of a response; requests with a lower value are shed first
 	Streaming        bool          // the response is a stream, announced by FirstByte
-	Kinds            []string      // kinds of server that requests may be sent to; empty for any
-	Zones            []string      // zones that requests may be sent to; empty for any
-	Regions          []string      // regions, by Settings.Topology, that requests may be sent to; empty for any
+	Kinds            []string      // kinds of server that requests may be sent to; any if empty
+	Zones            []string      // zones that requests may be sent to; any if empty
+	Regions          []string      // regions of Settings.Topology that requests may be sent to; any if empty
 }
 
 // Tenant is one customer with its quota over all nodes.
@@ -61,9 +61,9 @@
 
 // RateLimits holds the layers that apply to every tenant. All are optional.
 type RateLimits struct {
-	Default  *Limit           // limit of tenants without a quota; nil for the smallest quota, or no limit
+	Default  *Limit           // for tenants without a quota; nil: the smallest quota, or no limit without quotas
 	PerClass map[string]Limit // by class, replaces the tenant's limit; each tenant has a separate bucket for it
-	Max      float64          // maximum of PerWindow and Burst of every limit; 0 for no maximum
+	Max      float64          // maximum of PerWindow and Burst of every limit; 0 means no maximum
 }
 
 // Allowed says what a node is permitted to do. Probe, Peers, RetryAfter and MaxRetryAfter are part of the
@@ -75,7 +75,7 @@
 	IdleTimeout                      time.Duration // after which idle connections are closed; 0 if unknown
 }
 
-// attemptsPerRequest returns MaxAttempts, and at least 1.
+// attemptsPerRequest returns MaxAttempts, or 1 if it is lower.
 func (a Allowed) attemptsPerRequest() int { return max(1, a.MaxAttempts) }
 
 // RetryBudget bounds a node's retries: in any Window, it makes fewer retries than MinRetries plus RetryRatio
@@ -92,10 +92,12 @@
 	DrainGrace           time.Duration // after a server drains, requests may be sent to it for this long
 	SlowStartMinCapacity float64       // fraction of its capacity, 0 to 1, that a server has when it starts
 	SlowStartDuration    time.Duration // time after its start at which a server has its full capacity
-	OverloadMultiple     float64       // a server that warms up collapses if it is sent more than this multiple
-	OverloadDuration     time.Duration // of its current capacity for this long
-	PollInterval         time.Duration // an unsubscribed node must poll the list this often
-	RetryBudget          *RetryBudget  // nil if retries aren't bounded
+	// A server that is warming up collapses if it is sent more than OverloadMultiple times its current capacity
+	// for OverloadDuration.
+	OverloadMultiple float64
+	OverloadDuration time.Duration
+	PollInterval     time.Duration // a node that doesn't subscribe to the list must poll it at least this often
+	RetryBudget      *RetryBudget  // nil: the default of retry_budget.go applies
 }
 
 // Topology contains the region of each zone and the cost, in any unit, of sending a request from one zone to
@@ -104,7 +106,7 @@
 	RegionOfZone    map[string]string
 	SameRegionCost  float64                       // between zones of one region
 	OtherRegionCost float64                       // between regions
-	ZoneCosts       map[string]map[string]float64 // exceptions, by sending and receiving zone
+	ZoneCosts       map[string]map[string]float64 // exceptions: cost by sending zone, then receiving zone
 }
 
 // cost returns the cost of sending a request from one zone to another.
@@ -137,7 +139,7 @@
 	Allowed              Allowed
 	Rules                Rules
 	SubscribeList        bool     // the node must subscribe to the list of servers
-	RetainMissing        bool     // servers that the list lacks with most of their zone are retained for a while
+	RetainMissing        bool     // if the list lacks most of a zone, its servers are retained for a while
 	WeightByWork         bool     // PriorityWeight is per unit of work, not per request; wire format only
 	ReportFields         []string // names of the values in a load report, in order
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -3,22 +3,24 @@
 import "time"
 
 const (
-	// warmupTargetFraction is the fraction of the overload bound that all nodes together send. The rest absorbs
-	// requests that arrive together by chance, expensive requests, and differences between servers.
+	// warmupTargetFraction is the fraction of the overload bound that all nodes together send to a server that
+	// is warming up. The bound is the server's current capacity, multiplied by OverloadMultiple-1 unless limits
+	// are based on load reports. The rest absorbs requests that arrive together by chance, expensive requests,
+	// and differences between servers.
 	warmupTargetFraction = 0.7
-	// minOverloadMargin is the minimum of the overload bound, as a multiple of a server's current capacity.
+	// minOverloadMargin is the minimum of the multiplier OverloadMultiple-1.
 	minOverloadMargin = 0.5
 	// minWarmupRate is the rate at which all nodes together may send to a server that is warming up, in requests
 	// per second, while the capacity of other servers is unknown.
 	minWarmupRate = 1.0
-	// warmupBurstDivisor divides the requests that the budget allows within the overload duration into the
-	// maximum burst.
+	// warmupBurstDivisor determines the maximum burst: the number of requests that the budget allows within the
+	// overload duration is divided by it.
 	warmupBurstDivisor = 4
 	// maxWarmingUpScanned is the maximum number of servers that pickWarmingUp examines. It bounds the cost of
 	// choosing a server while many servers start together.
 	maxWarmingUpScanned = 16
-	// maxShortageForSlowStart is the shortage of the highest-priority class below which its requests avoid
-	// servers that are warming up.
+	// maxShortageForSlowStart is the fraction of requests of the highest-priority class that find no server.
+	// Below it, requests of this class avoid servers that are warming up.
 	maxShortageForSlowStart = 0.05
 )
 
@@ -33,12 +35,12 @@
 	queue               serverQueue       // servers in service that are warming up, by the time when they finish
 }
 
-// serversByDistance counts servers without (near) and with a crossing cost (far).
+// serversByDistance counts the servers without a crossing cost (near) and those with one (far).
 type serversByDistance struct{ near, far int }
 
 // warmupContribution is the part of slowStart's counts and queue that comes from one server.
 type warmupContribution struct {
-	zone     *zoneHealth // that counts the server
+	zone     *zoneHealth // zone that counts the server
 	warmedUp bool        // whether the server is counted as warmed up
 	queued   bool        // whether the server is in the queue
 }
@@ -62,8 +64,8 @@
 	w.minCapacity, w.duration = rules.SlowStartMinCapacity, rules.SlowStartDuration
 }
 
-// warmFraction returns the fraction of its capacity that a server has reached at least, 1 once it has warmed
-// up.
+// warmFraction returns the fraction of its full capacity that a server of this age has at least. It is 1 once
+// the server has warmed up.
 func (w *slowStart) warmFraction(s *server, now Time) float64 {
 	age := now - s.StartedAt
 	if s.StartedAt <= 0 || age >= w.duration {
@@ -168,10 +170,12 @@
 }
 
 // refillWarmupBudget refills the budget of a server that is warming up, and reports whether the budget
-// permits a request. A server that has warmed up always gets requests. The rate at which a warmed-up server
-// completes requests, summed over all nodes, is what one server can serve. A server that is warming up gets
-// its warm fraction of that rate, multiplied by less than the overload multiple of the rules. Where limits
-// are based on load reports, the service rate of its kind replaces the completion rate.
+// permits a request. A server that has warmed up has no such limit. A process that has handed over sends
+// nothing to servers that are warming up.
+//
+// The rate at which a warmed-up server completes requests, summed over all nodes, is what one server can
+// serve. If load reports are known for the server's kind, its service rate is taken instead. A server that is
+// warming up gets its warm fraction of that rate, multiplied by less than the overload multiple of the rules.
 func (b *Balancer) refillWarmupBudget(s *server) bool {
 	fraction := b.warmFraction(s)
 	if fraction >= 1 || b.handedOver {
@@ -186,7 +190,7 @@
 	perServerRate = max(perServerRate, minWarmupRate/nodes)
 	rate := warmupTargetFraction * max(minOverloadMargin, rules.OverloadMultiple-1) * fraction * perServerRate
 	if b.usesLoadReports() {
-		// concurrencyLimit is lower while the server is overloaded or slow
+		// concurrencyLimit is a fraction here, below 1 while the server is overloaded or slow
 		rate = warmupTargetFraction * fraction * perServerRate * s.concurrencyLimit
 	}
 	maxTokens := max(1, rate*rules.OverloadDuration.Seconds()/warmupBurstDivisor)
@@ -194,9 +198,10 @@
 }
 
 // pickWarmingUp returns a server of the nearest segment that is warming up and may get a request now, or nil.
-// Without it, servers with capacity that come earlier in packing order would take all requests, and the
-// server would not have warmed up when they fail. Retries avoid servers that are warming up, and so does the
-// highest-priority class unless it is short of capacity.
+// Without this choice, servers with capacity that come earlier in packing order would take all requests, and
+// the server would not have warmed up by the time those fail. Retries avoid servers that are warming up, and
+// so does the highest-priority class unless it is short of capacity. If limits are based on load reports, the
+// result is nil.
 func (b *Balancer) pickWarmingUp(r *request) (best *server) {
 	avoidsWarmingUp := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
 		b.loadShedder.highPriorityShortage < maxShortageForSlowStart
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// slowStartFleet simulates many nodes and a few servers in virtual time, without sockets. It counts
-// independently of the balancers what all nodes together send to servers that are warming up.
+// slowStartFleet simulates many nodes and a few servers in virtual time, without sockets. It keeps
+// its own count of the requests that all nodes together send to servers that are warming up.
 type slowStartFleet struct {
 	rng        *rand.Rand
 	set        Settings
@@ -18,8 +18,8 @@
 	queue      eventQueue
 	sequence   int
 	nodes      []*Balancer
-	generation []int // of each node's process: events for an earlier process are lost
-	reachable  int   // reachable nodes by membership; 0 for no membership
+	generation []int // number of each node's current process; events for its former processes are dropped
+	reachable  int   // number of reachable nodes by membership; 0 without membership
 	servers    map[string]*slowStartServer
 	requests   int
 	served     int
@@ -176,7 +176,7 @@
 	f.now = end
 }
 
-// restartServers restarts servers. Each node gets the update at another time.
+// restartServers restarts servers. Each node gets the update at a different time.
 func (f *slowStartFleet) restartServers(ids ...string) {
 	var changed []Endpoint
 	for _, id := range ids {
@@ -188,10 +188,10 @@
 	}
 }
 
-// worstOverload returns the largest number of requests sent to a server that is warming up within the
-// overload duration, relative to the bound: N + 2*sqrt(N) + 2, where N requests reach the overload multiple
-// and the rest allows for chance. It also returns the number of all requests sent to servers that are warming
-// up.
+// worstOverload returns the largest number of requests that a server got within the overload duration while
+// it was warming up, divided by the bound. The bound is N + 2*sqrt(N) + 2: N requests reach the overload
+// multiple, and the rest allows for chance. It also returns the number of all requests sent to servers that
+// were warming up.
 func (f *slowStartFleet) worstOverload() (worst float64, sent int) {
 	span := f.set.Rules.OverloadDuration
 	for _, s := range f.servers {
@@ -208,13 +208,14 @@
 	return worst, sent
 }
 
-// slowStartCase is the number of nodes as a fleet's nodes see it, and the load on the fleet.
+// slowStartCase is a scenario: the number of nodes that the nodes of a fleet are told, the capacity of the
+// servers, and the load on the fleet.
 type slowStartCase struct {
 	name                  string
 	configured, reachable int     // nodes in the settings, and by membership (0: no membership)
 	capacity              float64 // requests per second of a server that has warmed up
 	restarting            bool    // a third of the nodes restart while servers are warming up
-	loadBefore, loadAfter float64 // load right after servers restart and later, relative to the others' capacity
+	loadBefore, loadAfter float64 // load right after servers restart, and later; 1: the others' capacity
 }
 
 const (
@@ -253,8 +254,8 @@
 }
 
 // All nodes together send a server that is warming up at most N + 2*sqrt(N) + 2 requests within the overload
-// duration, where N is the number that the settings allow. This also holds for small servers, after a burst,
-// and when nodes restart.
+// duration, where N requests reach the overload multiple of the settings. This also holds for small servers,
+// after a burst, and when nodes restart.
 func TestAllNodesTogetherStayWithinTheOverloadBound(t *testing.T) {
 	for _, c := range slowStartCases {
 		for _, reports := range []bool{false, true} {
@@ -264,7 +265,8 @@
 				for seed := range uint64(10) {
 					ratio, warmingUp := c.simulate(seed, reports).worstOverload()
 					if ratio > 1 {
-						t.Errorf("seed %d: requests to a server that is warming up are %.2f times the bound", seed, ratio)
+						t.Errorf("seed %d: requests to a server that is warming up are %.2f times the bound, want at most 1",
+							seed, ratio)
 					}
 					lowest, worst, sent = min(lowest, ratio), max(worst, ratio), sent+warmingUp
 				}
@@ -322,9 +324,9 @@
 	}
 }
 
-// A server that is warming up is chosen before the walk in packing order, which would rarely reach it behind
-// servers with capacity. It gets first attempts of all classes except the highest-priority class, and of that
-// class too while it is short of capacity.
+// A server that is warming up is chosen before the walk in packing order, because the walk would usually end
+// at a server with capacity before it. It gets the first attempts of requests of all classes except the
+// highest-priority class. Of that class, it gets first attempts only while the class is short of capacity.
 func TestWarmingUpServersAreChosenBeforeTheWalk(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
@@ -384,7 +386,7 @@
 	}
 	got, present := float64(sends)*nodes/(span*0.05), rate*b.warmFraction(warmingUp)
 	if got < 0.5*present || got > b.settings.Rules.OverloadMultiple*present {
-		t.Errorf("all nodes send %v a second to a server that takes %v, want 0.5 to OverloadMultiple times that",
+		t.Errorf("all nodes send %v requests/s to a server that can take %v, want 0.5 to OverloadMultiple times it",
 			got, present)
 	}
 }
@@ -431,8 +433,8 @@
 	}
 }
 
-// All nodes together send a server that is warming up much less than they send other servers.
-func TestWarmingUpServerGetsItsPartOfAllNodes(t *testing.T) {
+// All nodes together send a server that is warming up some attempts, but at most half of an even share.
+func TestWarmingUpServerGetsAtMostHalfOfAnEvenShare(t *testing.T) {
 	list := testEndpoints(8)
 	list[0].StartedAt = 1000 * ms
 	const nodes = 8
@@ -458,9 +460,9 @@
 	}
 }
 
-// The rate to a server that is warming up stays one time its capacity below the overload multiple, whatever
-// the multiple.
-func TestWarmupRateLeavesOneMultipleAsMargin(t *testing.T) {
+// The rate to a server that is warming up is warmupTargetFraction of its current capacity times
+// OverloadMultiple-1, or times minOverloadMargin if that is higher.
+func TestWarmupRateFollowsTheOverloadMultiple(t *testing.T) {
 	for multiple, want := range map[float64]float64{1: 0.35, 2: 0.7, 3: 1.4} {
 		set := testSettings(1)
 		set.Rules.OverloadMultiple, set.Rules.SlowStartMinCapacity, set.Rules.SlowStartDuration = multiple, 0.5, time.Hour
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -12,19 +12,19 @@
 	Classes          map[string]ClassSnapshot  `json:"Classes"` // by name
 	Servers          map[string]ServerSnapshot `json:"Servers"` // by ID
 	LoadByKind       map[string]LoadSnapshot   `json:"Kinds"`   // by kind of server
-	TypicalLoad      LoadSnapshot              `json:"Usual"`   // of all kinds
-	AcceptedAt       []Time                    `json:"Took"`    // requests that the retry budget counts
-	RetriesAt        []Time                    `json:"Extra"`   // retries that the retry budget counts
+	TypicalLoad      LoadSnapshot              `json:"Usual"`   // average over all kinds
+	AcceptedAt       []Time                    `json:"Took"`    // when requests arrived, for the retry budget
+	RetriesAt        []Time                    `json:"Extra"`   // when retries were sent, for the retry budget
 	RateMultiplier   float64                   `json:"Pace"`
 	WindowScale      float64                   `json:"Trust"`
 	Utilization      float64                   `json:"Busy"` // of the servers' cores, 0 to 1
-	BadRatio         float64                   `json:"Bad"`  // fraction of the responses, 0 to 1
+	BadRatio         float64                   `json:"Bad"`  // fraction of slow or failed responses, 0 to 1
 	CompletionRate   float64                   `json:"Done"` // responses per second
 	ReportedAt       Time                      `json:"HeardAt"`
 	CompletionRateAt Time                      `json:"DoneAt"`
 }
 
-// BucketSnapshot is the state of a token bucket with the successor's part of the tokens.
+// BucketSnapshot is the state of a token bucket with the successor's half of the tokens.
 type BucketSnapshot struct {
 	Tenant     string `json:"Tenant"`
 	Class      string `json:"Class"` // empty unless the class has its own limit
@@ -42,7 +42,7 @@
 type LoadSnapshot struct {
 	Samples float64 `json:"N"`       // reports in the averages
 	Rate    float64 `json:"Rate"`    // attempts per second that a server can serve
-	Latency float64 `json:"Latency"` // seconds
+	Latency float64 `json:"Latency"` // mean latency in seconds
 }
 
 // ServerSnapshot holds the state and measurements of a server. Latencies are in seconds.
@@ -98,9 +98,9 @@
 }
 
 // Snapshot returns the state that the successor of this process needs. It must be called before the
-// HandedOver event. Both halve the tokens, so a quarter of them would be lost in the other order. The
-// snapshot lacks zone health, the peak of the completion rate and the shortage of the highest priority, which
-// the successor measures again, and the open requests, which this process finishes.
+// HandedOver event: both halve the tokens, so in the other order a quarter of them would be lost. The
+// snapshot lacks zone health, the peak of the completion rate and the shortage of the highest priority,
+// because the successor measures them again. It lacks the open requests, because this process finishes them.
 func (b *Balancer) Snapshot(now Time) Snapshot {
 	b.now = max(now, b.now)
 	clock := snapshotClock{b.now}
@@ -160,7 +160,7 @@
 		}
 	}
 	b.rebuildOrder()
-	b.packing.stale = true // the next list sets the limits that the other process hadn't set yet
+	b.packing.stale = true // with the next list, servers without a limit get one
 }
 
 // snapshot returns the state of each bucket with the successor's half of the tokens.
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -39,9 +39,9 @@
 	return append(text, '\n')
 }
 
-// The keys of a snapshot don't change with the names of the fields, because processes of other versions read
-// them.
-func TestSnapshotKeepsItsKeys(t *testing.T) {
+// The JSON keys of a snapshot stay the same when its fields are renamed, because processes of other versions
+// read them.
+func TestSnapshotKeysAreFrozen(t *testing.T) {
 	if *record {
 		if err := os.WriteFile(snapshotFile, encodeSnapshot(t, fullSnapshot()), 0o644); err != nil {
 			t.Fatal(err)
@@ -122,7 +122,8 @@
 		t.Errorf("restored warm-up budget of young: got %+v, want 0.25 tokens", got)
 	}
 	if got := successor.servers["s02"].outlier; !got.ejected || got.ejectedUntil != 12*time.Second+ahead || got.ejections != 2 {
-		t.Errorf("restored outlier state of s02: got %+v, want 2 ejections, until 12 s on the former clock", got)
+		t.Errorf("restored outlier state of s02: got %+v, want 2 ejections and the end at 12 s of the old clock",
+			got)
 	}
 	if listed, unavailable := successor.Servers(); listed != 4 || unavailable != 1 {
 		t.Errorf("servers: got %d listed, %d unavailable; want 4, 1", listed, unavailable)
@@ -140,7 +141,7 @@
 	}
 }
 
-func TestSnapshotClockKeepsDistances(t *testing.T) {
+func TestSnapshotTimesAreConvertedToAnotherClock(t *testing.T) {
 	const now, ahead = 10 * time.Second, 40 * time.Second
 	for _, c := range []struct{ at, want Time }{
 		{0, 0}, // never
--- a/policy/zone_evidence.go
+++ b/policy/zone_evidence.go
@@ -5,36 +5,37 @@
 	"time"
 )
 
-// Each server gives evidence that its zone has failed or that it works: the log likelihood ratio of the
+// Each server gives evidence that its zone has failed or that the zone works: the log likelihood ratio of the
 // server's failures, compared with the failures of other zones at the same time. The evidence is bounded, so
-// that no single server or kind of servers suffices to evacuate a zone. zone_failover.go uses it to decide;
-// docs/zones.md describes the alternatives.
+// that no single server or kind of servers suffices to evacuate a zone. zone_failover.go decides by the
+// evidence; docs/zones.md describes the alternatives.
 
 const (
 	// baseFailureRatio is the failure ratio of a healthy zone.
 	baseFailureRatio = 0.05
-	// excessFailureRatio is added to the expected failure ratio in a zone that has failed.
+	// excessFailureRatio is how much higher the failure ratio is expected to be in a zone that has failed.
 	excessFailureRatio = 0.3
-	// maxServerEvidence bounds the evidence, in nats, that one server gives that its zone has failed, and
-	// maxContraryEvidence the evidence that it works.
+	// maxServerEvidence is the maximum evidence, in nats, that one server gives for a failure of its zone.
+	// maxContraryEvidence is the maximum that it gives against a failure.
 	maxServerEvidence   = 4.0
 	maxContraryEvidence = 1.0
 	// evidenceTTL is how long a server's evidence counts after its last update.
 	evidenceTTL = 10 * time.Second
-	// evacuateEvidence is the evidence, in nats, at which a zone is evacuated. It takes at least two servers.
+	// evacuateEvidence is the evidence, in nats, at which a zone is evacuated. At least two servers must
+	// give evidence to reach it.
 	evacuateEvidence = 2 * maxServerEvidence
 	// suspectEvidence is the evidence, in nats, at which a zone becomes suspect. One server can give it.
 	suspectEvidence = evacuateEvidence / 2
 	// exploreFraction is the fraction of a suspect zone's requests that goes to other zones.
 	exploreFraction = 0.5
-	// minComparedResponses is the least divisor of the other zones' failure ratio: with fewer responses, their
-	// failures weigh less.
+	// minComparedResponses is the minimum that the failures of the other zones are divided by to get their
+	// failure ratio. With fewer responses, the ratio is lower than measured.
 	minComparedResponses = 4.0
-	// priorResponses is the weight, in responses, of the failure ratio expected in a failed zone when it is
-	// averaged with the zone's measured ratio.
+	// priorResponses is the weight, in responses, of the prior of a zone's failure ratio. The prior is the ratio
+	// expected in a failed zone; it is averaged with the measured ratio.
 	priorResponses = 12.0
-	// betterZoneEvidence is the evidence, in nats, that other zones are better. A zone that isn't recovering is
-	// evacuated only if there is as much.
+	// betterZoneEvidence is the minimum evidence, in nats, that other zones are better. The evacuation of a zone
+	// requires it unless the zone is recovering.
 	betterZoneEvidence = 7.0
 	// slowResponseFactor is the multiple of the typical latency above which a response counts as a failure.
 	slowResponseFactor = 3.0
@@ -62,16 +63,16 @@
 
 // evidenceContribution is the part of a zone's evidence that comes from one server in service.
 type evidenceContribution struct {
-	zone     *zoneHealth // that counts the evidence
-	kind     string      // of server under which the zone counts the evidence
+	zone     *zoneHealth // zone that counts the evidence
+	kind     string      // kind of server under which the zone counts the evidence
 	evidence fixedPoint
-	counted  bool // whether the zone counts the evidence: it is recent enough
-	queued   bool // whether the server is in the queue for expiry
+	counted  bool // whether the zone counts the evidence; it stops when the evidence expires
+	queued   bool // whether the server is in zoneFailover.evidenceQueue
 }
 
 // failureLevel classifies an outcome. A response that is far slower than typical for the class and the kind
-// of server counts as a failure. The typical latency adapts slowly; if the whole fleet becomes slow, that
-// becomes typical. The latency is in seconds.
+// of server counts as a failure. The typical latency adapts slowly. If the whole fleet stays slow, the higher
+// latency becomes typical. The latency is in seconds.
 func (c *classStats) failureLevel(kind string, code Code, latency float64) failureLevel {
 	if code == ConnectFailed {
 		return connectFailure
@@ -88,7 +89,8 @@
 	return level
 }
 
-// typicalLoad returns the typical load of the class's responses from a kind of server.
+// typicalLoad returns the typical latency of the class's responses from a kind of server, with the number of
+// samples. If the class already has maxKinds kinds, another kind gets an empty result in each call.
 func (c *classStats) typicalLoad(kind string) *serverLoad {
 	typical := c.typicalByKind[kind]
 	if typical == nil {
@@ -102,13 +104,14 @@
 	return typical
 }
 
-// recordEvidence records the outcome of an attempt, or a long silence, as evidence on the zone of its server.
+// recordEvidence records the outcome of an attempt, or a long silence, as evidence about the zone of its
+// server.
 func (b *Balancer) recordEvidence(a *attempt, level failureLevel) {
 	b.zones.record(a, level, b.now)
 }
 
 // record updates the evidence of an attempt's server and then the state of its zone. While zones are
-// compared, attempts sent before the comparison began don't count, because not all zones got requests then.
+// compared, attempts sent before the comparison began don't count, because not all zones got requests before.
 func (f *zoneFailover) record(a *attempt, level failureLevel, now Time) {
 	s, z := a.server, a.server.zone
 	if z == nil || f.degraded && a.sentAt < f.compareFrom {
@@ -144,8 +147,8 @@
 
 // zoneComparison compares the other zones with one zone.
 type zoneComparison struct {
-	evidence     float64 // that the other zones are better, in nats
-	failureRatio float64 // of the other zones' responses
+	evidence     float64 // evidence, in nats, that the other zones are better
+	failureRatio float64 // failure ratio of the other zones' responses
 }
 
 // compare compares a zone with the other zones that have a traffic share of 1.
@@ -181,7 +184,7 @@
 }
 
 // countEvidence updates the server's part of its zone's evidence. A server that isn't in service or whose
-// evidence has expired counts nothing.
+// evidence has expired contributes nothing.
 func (f *zoneFailover) countEvidence(s *server, now Time) {
 	f.removeEvidence(s)
 	c := &s.contribution.evidence
@@ -196,7 +199,7 @@
 	}
 }
 
-// removeEvidence subtracts the server's evidence from its zone's.
+// removeEvidence subtracts the server's evidence from the sum of its zone, if it is counted there.
 func (f *zoneFailover) removeEvidence(s *server) {
 	if c := &s.contribution.evidence; c.counted {
 		c.counted = false
@@ -215,8 +218,7 @@
 	}
 }
 
-// clearEvidence drops the evidence of a zone's servers that the zone has failed. It keeps the evidence that
-// the zone works.
+// clearEvidence drops a zone's evidence that the zone has failed. It keeps the evidence that the zone works.
 func (f *zoneFailover) clearEvidence(z *zoneHealth, now Time) {
 	for s := range f.servers.all {
 		if s.zone != z {
--- a/policy/zone_failover.go
+++ b/policy/zone_failover.go
@@ -36,7 +36,7 @@
 )
 
 // weighEvidence changes the state of a zone according to the evidence of its servers. If servers of several
-// kinds gave evidence, it must remain positive without any one of the kinds.
+// kinds gave evidence, the sum must remain positive when any one kind is left out; otherwise it counts as 0.
 func (f *zoneFailover) weighEvidence(z *zoneHealth, failed bool, now Time) {
 	f.expireEvidence(now)
 	sum := z.evidence.float()
@@ -82,7 +82,7 @@
 	z.evacuatedUntil = now + f.evacuationTime(z)
 	z.evacuations++
 	others := f.compare(z, now)
-	// The form of the reason is frozen, with the words of the operators' pages: /places shows it.
+	// The wording of the reason is frozen, because /places shows it. It uses the words of the operators' pages.
 	z.evacuationReason = fmt.Sprintf("evidence %.1f, %.0f of %.0f answers ill, %.0f%% elsewhere (evidence %.1f)",
 		evidence, z.failures, z.total, 100*others.failureRatio, others.evidence)
 	f.logf("zone %s evacuated: %s; probes begin in %v, evacuations %d", z.name, z.evacuationReason,
@@ -96,9 +96,9 @@
 	return seconds(duration * (minEvacuationJitter + evacuationJitter*f.rng.Float64()))
 }
 
-// nextToProbe returns a server of an evacuated zone that is due for a probe, or nil. Among the servers that
-// requests of the class may probe, it returns the one whose last attempt was sent longest ago. The zone
-// counts as probed now.
+// nextToProbe returns the server that a request of the class should probe, or nil. It takes the first
+// evacuated zone that is due for a probe and has servers that mayBeProbedBy and refillBudget permit. Of these
+// servers it returns the one whose last attempt was sent longest ago. It records that the zone is probed now.
 func (f *zoneFailover) nextToProbe(c *class, now Time, refillBudget func(*server) bool) *server {
 	for _, z := range f.all {
 		if !z.isEvacuated() || now < max(z.evacuatedUntil, z.lastProbeAt+zoneProbeInterval) {
@@ -120,14 +120,15 @@
 }
 
 // mayBeProbedBy reports whether a request of the class may be sent to the server as a probe of its zone. The
-// class must be at least as safe to retry as any other class that may use the server, and the server must
-// have no attempts in flight.
+// class must be at least as safe to retry as any other class that may use the server. The server must have no
+// attempts or probation requests in flight.
 func (s *server) mayBeProbedBy(c *class) bool {
 	return c.RetrySafety >= s.retrySafety && s.totalInFlight() == 0 && !s.outlier.probationInFlight
 }
 
 // recordProbe records the outcome of a probe of an evacuated zone. A failed probe postpones the next one by
-// half the time of a further evacuation: evacuationTime already counts the current one.
+// half of evacuationTime. As z.evacuations counts the current evacuation, that is half of the time that the
+// next evacuation would take.
 func (f *zoneFailover) recordProbe(z *zoneHealth, failed bool, now Time) {
 	if z.probeSuccesses++; failed {
 		z.probeSuccesses, z.evacuatedUntil = 0, max(z.evacuatedUntil, now+f.evacuationTime(z)/2)
@@ -136,7 +137,7 @@
 	}
 }
 
-// startRecovery ends an evacuation: the zone gets initialRecoveryShare, which then grows.
+// startRecovery lets a zone recover: its traffic share starts at initialRecoveryShare and then grows.
 func (f *zoneFailover) startRecovery(z *zoneHealth, now Time) {
 	z.evacuatedUntil, z.recovering, f.degraded = 0, true, true
 	z.trafficShare, z.shareUpdatedAt = initialRecoveryShare, now
@@ -182,7 +183,7 @@
 func (b *Balancer) chooseZones(r *request) { b.zones.chooseZones(r.class, len(r.attempts) > 0, b.now) }
 
 // claimZoneProbe returns a server of an evacuated zone that the request should probe, and marks the zone as
-// probed now. It returns nil if no zone is due for a probe.
+// probed now. It returns nil for a retry, and if no zone that is due for a probe has a suitable server.
 func (b *Balancer) claimZoneProbe(r *request) *server {
 	if !b.zones.degraded || len(r.attempts) > 0 {
 		return nil
--- a/policy/zone_failover_test.go
+++ b/policy/zone_failover_test.go
@@ -26,8 +26,8 @@
 	return list
 }
 
-// The evidence of a single server doesn't evacuate a zone, and neither does that of a single kind of servers
-// in a zone with several kinds.
+// A zone isn't evacuated on the evidence of a single server or, in a zone with several kinds of servers, of a
+// single kind.
 func TestEvacuationNeedsEvidenceOfSeveralServersAndKinds(t *testing.T) {
 	for name, c := range map[string]struct {
 		fails     func(i int) bool
@@ -111,7 +111,7 @@
 }
 
 // Each evacuation soon after the previous one takes longer, up to maxEvacuationTime.
-func TestEvacuationsTakeLongerInARow(t *testing.T) {
+func TestEvacuationTimeGrowsWithEachEvacuation(t *testing.T) {
 	f := newZoneFailover("a", "b")
 	z, now := f.find("a"), time.Hour
 	for i, mean := range []time.Duration{2 * time.Second, 8 * time.Second, 32 * time.Second, time.Minute, time.Minute} {
@@ -123,9 +123,9 @@
 	}
 }
 
-// A zone with a traffic share below 1 is closed to the remaining requests and to all retries, unless the
-// class has no other zone.
-func TestZonesAreClosedToTheRestOfTheRequests(t *testing.T) {
+// A zone with a traffic share below 1 is open to that share of the first attempts, and closed to all other
+// requests. It is never closed to a class that may use no other zone.
+func TestZoneIsClosedToRequestsBeyondItsTrafficShare(t *testing.T) {
 	b := startBalancer(t, twoRegions(1), endpointsInZones(2, "a", "b"))
 	onlyA := &class{Class: Class{Zones: []string{"a"}}, eligible: &serverPool{}}
 	for _, s := range b.order() {
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestOutcomesAsEvidence(t *testing.T) {
+func TestFailureLevelOfOutcomes(t *testing.T) {
 	c := new(classStats)
 	for range minTypicalSamples {
 		if got := c.failureLevel("k", OK, 0.1); got != noFailure {
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -21,7 +21,7 @@
 	decayedAt       Time
 }
 
-// decay reduces the counts for the time since the last decay.
+// decay applies the exponential decay for the time since the last call.
 func (c *responseCounts) decay(now Time) {
 	remaining := math.Exp(-(now - c.decayedAt).Seconds() / responseDecayTime.Seconds())
 	c.failures, c.total, c.decayedAt = c.failures*remaining, c.total*remaining, now
@@ -38,31 +38,33 @@
 	responseCounts // recorded only while zones are compared
 	name, region   string
 	monitored      bool    // whether the zone may be evacuated
-	crossingCost   float64 // of sending a request to the zone from this node's zone
-	warmedUp       int     // servers in service that have warmed up; maintained by slowStart
+	crossingCost   float64 // cost of sending a request from this node's zone to the zone
+	warmedUp       int     // number of servers in service that have warmed up; maintained by slowStart
 
-	evidence       fixedPoint              // sum over the zone's servers that the zone has failed
+	evidence       fixedPoint              // sum of its servers' evidence that the zone has failed, in nats
 	evidenceByKind map[string]*evidenceSum // the same sum by kind of server
 
-	trafficShare    float64 // fraction, 0 to 1, of the requests that it would get by packing order and capacity
-	closed          bool    // the request that is being dispatched may not go to the zone
-	evacuatedUntil  Time    // when probes begin; 0 while the zone isn't evacuated
-	lastProbeAt     Time    // when a request last probed the zone
-	probeSuccesses  int     // in a row
-	serversVanished bool    // most servers were missing from the list at once, and were dropped
+	// trafficShare is the fraction, 0 to 1, that the zone gets of the requests that packing order and capacity
+	// assign to it.
+	trafficShare    float64
+	closed          bool // the zone is closed to the request that is being dispatched
+	evacuatedUntil  Time // when probes begin; 0 while the zone isn't evacuated
+	lastProbeAt     Time // when a request last probed the zone
+	probeSuccesses  int  // in a row
+	serversVanished bool // most servers were missing from the list at once, and were later dropped
 
 	recovering       bool          // the traffic share is growing after an evacuation
-	growthTime       time.Duration // in which the traffic share grows e-fold
+	growthTime       time.Duration // time in which the traffic share grows e-fold
 	shareUpdatedAt   Time          // when trafficShare was last updated while recovering
 	fullShareSince   Time          // when the last recovery reached a traffic share of 1
-	evacuations      int           // recent evacuations
-	evacuationReason string        // of the last evacuation
+	evacuations      int           // number of recent evacuations; see evacuationResetTime
+	evacuationReason string        // reason of the last evacuation
 }
 
 // isEvacuated reports whether the zone gets only probes.
 func (z *zoneHealth) isEvacuated() bool { return z != nil && z.evacuatedUntil > 0 }
 
-// isClosed reports whether the request that is being dispatched may not go to the zone.
+// isClosed reports whether the zone is closed to the request that is being dispatched.
 func (z *zoneHealth) isClosed() bool { return z != nil && z.closed }
 
 func (z *zoneHealth) regionName() string {
@@ -80,17 +82,17 @@
 	return vanished
 }
 
-// zoneFailover tracks the health of the zones and decides which fraction of their requests they get. Without
-// a topology in the settings there are no zones. It uses the Balancer's random numbers and reads the servers
-// in service from the Balancer's packing order.
+// zoneFailover tracks the health of the zones and decides the traffic share of each. Without a topology in
+// the settings there are no zones. zoneFailover uses the Balancer's random numbers and reads the servers in
+// service from the Balancer's packing order.
 type zoneFailover struct {
 	topology      *Topology
 	ownZone       string
 	all           []*zoneHealth // monitored zones, sorted by name
-	degraded      bool          // a zone may have a traffic share below 1; zones are compared meanwhile
-	compareFrom   Time          // attempts sent before it don't count in the comparison
-	evidenceQueue serverQueue   // servers with evidence, by the time of the evidence when queued
-	servers       *serverPool   // in service
+	degraded      bool          // some zone may have a traffic share below 1; while true, zones are compared
+	compareFrom   Time          // attempts sent before this time don't count in the comparison
+	evidenceQueue serverQueue   // servers with evidence, ordered by their zoneEvidenceAt when queued
+	servers       *serverPool   // servers in service
 	rng           *rand.Rand
 	logf          func(format string, args ...any) // writes a line to the node's log
 }
@@ -105,7 +107,7 @@
 }
 
 // find returns the health of a zone, and creates it for a new zone. It returns nil if the settings have no
-// topology.
+// topology. A zone beyond maxMonitoredZones gets a new, healthy state in each call.
 func (f *zoneFailover) find(name string) *zoneHealth {
 	if f.topology == nil {
 		return nil
@@ -124,7 +126,8 @@
 	return z
 }
 
-// crossingCost returns the extra cost of sending a request to the server instead of to this node's zone.
+// crossingCost returns the extra cost of sending a request to the server instead of to this node's zone, and
+// stores it in the server's zone. Without a topology, the cost is 0 in this node's zone and 1 elsewhere.
 func (f *zoneFailover) crossingCost(s *server) float64 {
 	switch {
 	case s.zone != nil:
@@ -140,12 +143,12 @@
 type ZoneState struct {
 	Zone, Region         string
 	State                string  // well, suspect, left (evacuated), returning (recovering); frozen for operators
-	Cost                 float64 // of crossing to the zone
-	TrafficShare         float64 // 0 to 1, of the requests that it would get by packing order and capacity
+	Cost                 float64 // cost of sending a request from the node's zone to the zone
+	TrafficShare         float64 // fraction, 0 to 1, of what packing order and capacity assign to the zone
 	Servers, Evacuations int
-	Failures, Responses  float64       // recent ones
+	Failures, Responses  float64       // numbers of recent ones, with exponential decay
 	RetryIn              time.Duration // until probes begin; 0 unless the zone is evacuated
-	EvacuationReason     string        // of the last evacuation
+	EvacuationReason     string        // reason of the last evacuation
 }
 
 // Zones returns the state of each monitored zone, or nil if the settings have no topology.
