--- a/internal/node/downstream/client_conn.go
+++ b/internal/node/downstream/client_conn.go
@@ -21,10 +21,11 @@
 	headTimeout = 2300 * time.Millisecond
 	// IdleTimeout is how long a connection may have no request.
 	IdleTimeout = 60 * time.Second
-	// earlyResponseLinger is how long a client may continue to send after a response sent before the end of its request.
+	// earlyResponseLinger is how long a client may continue to send its request after an early response, which is one sent
+	// before the end of the request.
 	earlyResponseLinger = 2 * time.Second
-	// lastResponseLinger is how long a client may take to read the last response of a connection that it may expect to
-	// stay open.
+	// lastResponseLinger is how long the node still reads from a connection after its last response. The client may not
+	// expect the connection to end, and may send more before it reads the response.
 	lastResponseLinger = 500 * time.Millisecond
 )
 
@@ -42,8 +43,8 @@
 	responseWritten chan bool     // from the writer, after each response: whether the connection stays open
 	closed          chan struct{} // closed when the connection ends
 
-	// The fields of the current request are set before it is passed to the handler, and read by the writer after the
-	// handler has responded.
+	// The reader's goroutine uses the fields below until it passes a request to the handler. Once the handler responds,
+	// the writer's goroutine uses them until the response is written.
 	exchange              *Exchange
 	closeAfterResponse    bool
 	http10                bool // the request is HTTP/1.0
@@ -211,7 +212,8 @@
 	return false
 }
 
-// handleReadinessCheck responds to a load balancer's readiness check.
+// handleReadinessCheck responds to a load balancer's readiness check and waits for the next request. It reports whether
+// there is a next one.
 func (c *clientConn) handleReadinessCheck(m requestHead) bool {
 	resp := Response{Status: http.StatusOK}
 	if !c.server.handler.NodeReady() {
@@ -245,21 +247,21 @@
 		case c.server.clientConns.isExpired(c.tracked, time.Now()) || c.server.closing.Load() && !c.responsePending.Load():
 			return false
 		}
-		// The deadline was set by an earlier wait, or the current request takes long.
+		// The connection isn't expired: the deadline was set by an earlier wait, or the current request takes long.
 		c.updateReadDeadline(time.Now().Add(IdleTimeout / 2))
 	}
 	return true
 }
 
-// finishRequest counts the current request as ended, unless it already has.
+// finishRequest counts the current request as ended, unless it was already counted.
 func (c *clientConn) finishRequest() {
 	if c.responsePending.CompareAndSwap(true, false) {
 		c.server.handler.AddOpenRequests(-1)
 	}
 }
 
-// linger closes the sending side and discards, for up to d, what the client still sends after its last response. Closing
-// with unread bytes would reset the connection, and the client might lose the response.
+// linger closes the sending side and discards, for up to d, what the client still sends after the last response.
+// Closing with unread bytes would reset the connection, and the client might lose the response.
 func (c *clientConn) linger(d time.Duration) {
 	closer, ok := underlyingConn(c).(interface{ CloseWrite() error })
 	if !ok || closer.CloseWrite() != nil {
--- a/internal/node/downstream/client_conns.go
+++ b/internal/node/downstream/client_conns.go
@@ -10,12 +10,13 @@
 
 const (
 	// minSilentTime is how long a connection must have sent nothing, while its request is awaited, before it can be
-	// evicted. A client that connects has its request ready, and even a slow one keeps sending parts of it.
+	// evicted. A client that connects has its request ready, and even a slow client keeps sending parts of it.
 	minSilentTime = 500 * time.Millisecond
 	// MinIdleTime is how long a connection must have been idle after a response before it can be evicted.
 	MinIdleTime = 2 * time.Second
-	// crowdedDivisor sets how many connections are too many: above a quarter of the limit, connections close with their
-	// first response. An idle connection can't be evicted for MinIdleTime, and new clients connect meanwhile.
+	// crowdedDivisor sets how many connections are too many: while more than a quarter of the limit are open, connections
+	// close with their first response. If they stayed open and idle, they couldn't be evicted for MinIdleTime, while new
+	// clients connect.
 	crowdedDivisor = 4
 )
 
@@ -24,7 +25,7 @@
 type ClientConns struct {
 	limit   func() int
 	onCount func(n int) // called with the number of connections when it changes
-	reclaim func()      // called at the limit, to raise it by reclaiming descriptors that others hold idle
+	reclaim func()      // called at the limit; may raise it, by closing connections to servers
 
 	mu            sync.Mutex
 	conns         map[net.Conn]*trackedConn
@@ -40,12 +41,12 @@
 	requestStart time.Time // time of the current request's first byte, or of the connect for the first request
 	awaitsInput  bool      // the rest of a head or a body is still expected
 	overLimit    bool      // opened at the limit, when no other connection could be evicted
-	evicted      bool      // ends unless a request arrives first
+	evicted      bool      // the connection ends unless a request arrives first
 }
 
 // NewClientConns returns a ClientConns. limit returns how many connections may be open. onCount is called with the number
-// of connections when it changes, and reclaim when a connection opens at the limit. They are called under a lock, and
-// must not block or call methods of the ClientConns.
+// of connections when it changes, and reclaim when a connection opens at the limit. All three are called under a lock,
+// and must not block or call methods of the ClientConns.
 func NewClientConns(limit func() int, onCount func(n int), reclaim func()) *ClientConns {
 	return &ClientConns{limit: limit, onCount: onCount, reclaim: reclaim, conns: make(map[net.Conn]*trackedConn)}
 }
--- a/internal/node/downstream/client_conns_test.go
+++ b/internal/node/downstream/client_conns_test.go
@@ -55,7 +55,7 @@
 }
 
 // A connection that becomes idle only after closeIdle, because its response was still being written, ends as well.
-func TestConnectionIdleJustAfterCloseIdleIsWoken(t *testing.T) {
+func TestConnectionIdleAfterCloseIdleEnds(t *testing.T) {
 	t.Parallel()
 	ln := nodetest.Listener(t)
 	client := nodetest.Dial(t, ln.Addr().String())
@@ -73,6 +73,6 @@
 	cc.setState(tracked, http.StateIdle) // as after the response
 	start := time.Now()
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(start) > nodetest.Timeout/2 {
-		t.Errorf("read of the idle connection after %v: got error %v, want an immediate deadline error", time.Since(start), err)
+		t.Errorf("read of the idle connection: returned after %v with error %v, want a deadline error at once", time.Since(start), err)
 	}
 }
--- a/internal/node/downstream/connection_limiter.go
+++ b/internal/node/downstream/connection_limiter.go
@@ -28,8 +28,8 @@
 	return cl
 }
 
-// Accept waits until fewer connections than the limit are open, and then for the next one. It returns net.ErrClosed after
-// Close.
+// Accept waits while the listener is paused or at its limit, and then for the next connection. It returns net.ErrClosed
+// after Close.
 func (cl *ConnectionLimiter) Accept() (net.Conn, error) {
 	for {
 		if err := cl.acquire(); err != nil {
@@ -40,7 +40,7 @@
 			return &limitedConn{Conn: c, limiter: cl}, nil
 		}
 		cl.release()
-		if !errors.Is(err, os.ErrDeadlineExceeded) { // SetPaused interrupts it by a deadline
+		if !errors.Is(err, os.ErrDeadlineExceeded) { // SetPaused interrupts Accept by setting a deadline
 			return nil, err
 		}
 	}
--- a/internal/node/downstream/exchange.go
+++ b/internal/node/downstream/exchange.go
@@ -23,7 +23,7 @@
 	Request    policy.Request
 	Forwarded  upstream.Request // the request as sent to servers
 	ReceivedAt policy.Time      // when the request was read; with a streamed body, when the buffered part was
-	Timeout    time.Duration    // how long the client waits from ReceivedAt
+	Timeout    time.Duration    // how long the client waits, counted from ReceivedAt
 	Terms      Terms            // the rules by which the request was read
 	Reply      chan Response    // takes one response without blocking
 
@@ -40,8 +40,8 @@
 func (x *Exchange) BodyConsumed() bool { return x.upload != nil && x.upload.consumed.Load() }
 
 // CheckDisconnected polls the client's socket and reports whether the client has disconnected. The connection's reader
-// doesn't notice this while the body waits for a server, while bytes of a further request precede the close, or before
-// its goroutine is scheduled.
+// may not have noticed this: it doesn't read while the body waits for a server, it stops at the first byte of a
+// further request, and its goroutine may not have been scheduled yet.
 func (x *Exchange) CheckDisconnected() bool {
 	if x.isClosedByClient != nil && x.isClosedByClient() {
 		x.disconnected.Store(true)
@@ -88,7 +88,8 @@
 	if r.method != method {
 		return nil, &requestError{status: http.StatusMethodNotAllowed, text: "this class takes " + method, allowedMethod: method}
 	}
-	// Servers drop repeated requests with the same key. Without a key, a second attempt could take effect twice.
+	// Servers drop repeated requests with the same key. Without a key, a second attempt could make the request take effect
+	// twice.
 	if class.RetrySafety == policy.IdempotencyKeyed && r.idempotencyKey == "" {
 		return nil, &requestError{status: http.StatusBadRequest, text: "Idempotency-Key: missing"}
 	}
@@ -118,7 +119,8 @@
 	return x, nil
 }
 
-// readBody reads a body. Of a long one it reads the start, and returns an upload from which an attempt reads the rest.
+// readBody reads a body. It reads only the start of a long one, and returns an upload from which an attempt reads the
+// rest.
 func (s *Server) readBody(c *clientConn, r *requestHead) (body []byte, _ *upload, err error) {
 	if r.Length == 0 {
 		return nil, nil, nil
--- a/internal/node/downstream/request_body.go
+++ b/internal/node/downstream/request_body.go
@@ -13,16 +13,17 @@
 const (
 	// MaxBodyBytes bounds the body of a request.
 	MaxBodyBytes = 32 << 20
-	// UploadStartBytes is how much of a body longer than http1.MaxBufferedBodyBytes is read before the request is passed
-	// to the Handler.
+	// UploadStartBytes is how much of a body is read before the request is passed to the Handler, if its Content-Length is
+	// over http1.MaxBufferedBodyBytes.
 	UploadStartBytes = 16 << 10
 
-	// A request may take requestTimeout from its first byte or, for a first request, from the connect. Its body may take
-	// longer: bodyGrace, plus the time that it takes at minBodyBytesPerSecond. So a client that sends part of a request,
-	// or a few bytes at a time, is disconnected within 3 s of the connect.
+	// A request may take requestTimeout from its first byte or, for the first request of a connection, from the connect.
+	// Its body may take the time left or, if that is longer, bodyGrace plus the time that the bytes received so far take
+	// at minBodyBytesPerSecond. So a client that sends only part of a request, or a few bytes at a time, is disconnected
+	// within 3 s of the connect.
 	requestTimeout        = 2600 * time.Millisecond
 	bodyGrace             = 600 * time.Millisecond
-	minBodyBytesPerSecond = 51_200 // four fifths of what clients are expected to send at least
+	minBodyBytesPerSecond = 51_200 // four fifths of the lowest rate expected of clients
 )
 
 var (
@@ -116,7 +117,7 @@
 	return body, false, nil
 }
 
-// stop ends reading after the response, and waits for a read in progress.
+// stop ends the reading of a body whose response is about to be sent, and waits for a read in progress.
 func (u *upload) stop() {
 	u.stopped.Store(true)
 	_ = u.conn.SetReadDeadline(time.Unix(1, 0)) // fails only on a closed connection
@@ -130,7 +131,7 @@
 // Begin records that an attempt reads the body, so that the request isn't sent again.
 func (u *upload) Begin() { u.consumed.Store(true) }
 
-// End reports to onEnd that an attempt can read nothing more, unless the response has already been sent.
+// End reports to onEnd that an attempt can read nothing more, unless stop was called.
 func (u *upload) End(err error) {
 	if u.onEnd != nil && !u.stopped.Load() {
 		u.onEnd(err)
--- a/internal/node/downstream/response_writer.go
+++ b/internal/node/downstream/response_writer.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	// responseWriteTimeout is the least time that a client has to read a buffered response or the head of a streamed one.
-	// extendWriteDeadline may allow twice as long, to set fewer deadlines.
+	// responseWriteTimeout is the minimum time that a client gets to read a buffered response or the head of a streamed
+	// one. extendWriteDeadline may allow up to twice as long, so that it sets fewer deadlines.
 	responseWriteTimeout = 5 * time.Second
 	// blockWriteTimeout is how long a client may take to read one block of a streamed response.
 	blockWriteTimeout = 10 * time.Second
-	// minSendBufferBytes is how much the kernel accepts on a new connection whose client reads nothing.
+	// minSendBufferBytes is how much the kernel accepts at least on a new connection whose client reads nothing.
 	minSendBufferBytes = 4 << 10
 	// clientSendBufferBytes is the size of the kernel's send buffer for a streamed response. It is small so that the
 	// writes reflect the client's progress.
@@ -53,7 +53,7 @@
 }
 
 // writeResponse writes a response. It reports whether it was written completely, and whether it was early, that is,
-// before the end of the request's body. After an early response, reading continues so that the client gets the response.
+// before the end of the request's body. After an early response, the connection lingers so that the client gets it.
 func (c *clientConn) writeResponse(resp Response) (complete, early bool) {
 	x := c.exchange
 	early = x.upload != nil && !x.upload.complete.Load()
--- a/internal/node/downstream/server.go
+++ b/internal/node/downstream/server.go
@@ -47,8 +47,9 @@
 
 // Terms are the rules for reading requests. Two values are equal if the rules are the same.
 type Terms interface {
-	// Class returns the class of a request. former reports that the request matches the class only as configured before
-	// a change.
+	// Class returns the class with the name; ok is false if there is none. Just after a change of the configuration, it
+	// returns the former class of that name, with former set, if the request's method and its having an idempotency
+	// key match that class.
 	Class(name, method string, hasKey bool) (c policy.Class, former, ok bool)
 }
 
@@ -101,7 +102,8 @@
 	}
 }
 
-// Shutdown ends the connections that have no request, waits for the others until end, and then closes those still open.
+// Shutdown ends the idle connections as CloseIdle does, waits for the others until end, and then closes those still
+// open.
 func (s *Server) Shutdown(end time.Time) {
 	s.CloseIdle()
 	closed := make(chan struct{})
@@ -119,7 +121,7 @@
 	}
 }
 
-// CloseIdle ends the connections that have no request, now and in the future.
+// CloseIdle ends the connections that are idle after a response, and from now on each one that becomes idle.
 func (s *Server) CloseIdle() {
 	s.closing.Store(true)
 	s.clientConns.closeIdle()
--- a/internal/node/downstream/socket.go
+++ b/internal/node/downstream/socket.go
@@ -11,8 +11,8 @@
 // the close. It polls the socket.
 func (c *clientConn) isClosedByClient() bool { return c.hasPollEvent(unix.POLLRDHUP) }
 
-// hasPollEvent reports whether polling the socket returns event or an error condition, or the socket is closed. It
-// doesn't block.
+// hasPollEvent reports whether polling the socket returns event or an error condition, or whether the socket is
+// closed. It doesn't block.
 func (c *clientConn) hasPollEvent(event int16) (found bool) {
 	conn := tcpConn(c)
 	if conn == nil {
--- a/internal/node/http1/message.go
+++ b/internal/node/http1/message.go
@@ -118,7 +118,7 @@
 	return 0, false
 }
 
-// Framing describes how a head frames the body, and what it asks for the connection.
+// Framing describes how a head frames the body, and whether it asks to close the connection or to keep it open.
 type Framing struct {
 	Length    int64 // in bytes; -1 without Content-Length
 	Chunked   bool
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -11,28 +11,31 @@
 type Result struct {
 	Code       policy.Code
 	Response   Response  // set if Code is policy.OK
-	LoadReport []float64 // in the order of TransportConfig.LoadReportFields, NaN for absent fields; nil without a report
+	LoadReport []float64 // values of TransportConfig.LoadReportFields, NaN if absent or invalid; nil without a report
 }
 
 // Attempt describes one request to one server.
 type Attempt struct {
 	Request  *Request
-	Timeout  time.Duration // sent to the server as the time it has for the response
-	Lifetime *Lifetime
+	Timeout  time.Duration // how long the server may take to respond; sent to the server
+	Lifetime *Lifetime     // ends the attempt at its deadline or by cancellation
 	Observer Observer
 }
 
-// Observer connects an attempt to its client. The goroutine that runs Transport.Do calls it.
+// Observer tells an attempt whether its client is still connected, and receives streamed responses. Its methods are
+// called by the goroutine that runs Transport.Do.
 type Observer interface {
 	// ClientDisconnected reports whether the client has disconnected. It doesn't block.
 	ClientDisconnected() bool
 	// NotSent is called when nothing was sent because the client had disconnected.
 	NotSent()
-	// ResponseStarted takes a response whose body is streamed. Do returns once its Stream is copied or abandoned.
+	// ResponseStarted receives a response whose body is streamed. Do returns when ResponseStream.CopyTo has returned, or
+	// when the attempt is cancelled before CopyTo is called.
 	ResponseStarted(Response)
 }
 
-// Do makes one attempt at a server. It returns when the response is complete or streamed, or when the Lifetime ends.
+// Do makes one attempt at a server. It returns when the response has been read or, if it is streamed, copied to the
+// client. It returns earlier if the attempt fails, the client is found to have disconnected, or the Lifetime ends.
 func (t *Transport) Do(server string, a Attempt) Result {
 	c, err := t.acquire(a.Lifetime, server)
 	if err != nil {
@@ -40,7 +43,7 @@
 	}
 	if a.Observer.ClientDisconnected() {
 		a.Lifetime.detach()
-		t.release(c, server, true)
+		t.release(c, server, true) // reusable: nothing was written
 		a.Observer.NotSent()
 		return Result{Code: policy.Cancelled}
 	}
--- a/internal/node/upstream/descriptor_queue.go
+++ b/internal/node/upstream/descriptor_queue.go
@@ -6,15 +6,16 @@
 	"time"
 )
 
-// descriptorWaitTimeout is how long an attempt waits for a descriptor: twice the interval at which a process that hands
-// over its descriptors sends reports. If attempts failed at once, the balancer would use up its tries on other servers
-// within moments, all for the same shortage, and reject the request.
+// descriptorWaitTimeout is how long an attempt waits for a descriptor. It is twice the interval at which a predecessor
+// reports how many descriptors this process may hold (hotrestart.ProgressInterval). If attempts failed at once
+// instead, the balancer would retry on other servers, use up its attempts within moments because of the same shortage,
+// and reject the request.
 const descriptorWaitTimeout = 100 * time.Millisecond
 
 // descriptorQueue is a FIFO queue of attempts that wait for a descriptor. Transport.mu guards it.
 type descriptorQueue struct{ waiters []chan struct{} }
 
-// join adds a waiter at the end. The returned channel is closed when its turn comes.
+// join adds a waiter at the end. The returned channel is closed when the waiter's turn comes.
 func (q *descriptorQueue) join() chan struct{} {
 	turn := make(chan struct{})
 	q.waiters = append(q.waiters, turn)
@@ -54,7 +55,7 @@
 		t.mu.Lock()
 		turn := t.waiters.join()
 		t.mu.Unlock()
-		p, c, err := t.reserve(id) // a descriptor released before join woke no waiter
+		p, c, err := t.reserve(id) // tries again first: a descriptor released before join woke no waiter
 		if errors.Is(err, errNoDescriptor) {
 			select {
 			case <-turn:
--- a/internal/node/upstream/descriptor_queue_test.go
+++ b/internal/node/upstream/descriptor_queue_test.go
@@ -8,9 +8,9 @@
 	"sloerail/policy"
 )
 
-// An attempt that finds no free descriptor waits until another attempt releases one, rather than fail as if the server
-// had refused it.
-func TestAttemptWaitsForADescriptor(t *testing.T) {
+// An attempt that finds no free descriptor waits until another attempt releases one. It doesn't fail as if the server
+// had refused the connection.
+func TestAttemptWaitsForFreeDescriptor(t *testing.T) {
 	server, received, release := nodetest.HoldingServer(t)
 	tr := newTestTransport(t, server)
 	tr.descriptorWait = nodetest.Timeout
@@ -41,7 +41,7 @@
 }
 
 // An attempt that gets no descriptor in time fails, and leaves neither a connection nor a waiter behind.
-func TestAttemptFailsWithoutADescriptor(t *testing.T) {
+func TestAttemptFailsIfNoDescriptorIsFreed(t *testing.T) {
 	server, received, release := nodetest.HoldingServer(t)
 	tr := newTestTransport(t, server)
 	tr.descriptors.SetTotal(minSideDivisor)
--- a/internal/node/upstream/descriptors.go
+++ b/internal/node/upstream/descriptors.go
@@ -7,7 +7,7 @@
 const minSideDivisor = 3
 
 // Descriptors divides the file descriptors between client connections and server connections. Connections that open at
-// the same moment can exceed the limits; the node reserves descriptors for that.
+// the same moment can exceed the limits; the node reserves further descriptors for them.
 type Descriptors struct{ total, clients, servers atomic.Int64 }
 
 // SetTotal sets the number of descriptors that both sides share. It is raised to minSideDivisor if n is less, so that
@@ -25,8 +25,8 @@
 	return int(d.total.Load()) - max(d.MinPerSide(), int(d.servers.Load()))
 }
 
-// ForServers returns the current limit of server connections. It is at least MinPerSide, even while there are more client
-// connections than ForClients allows: those use descriptors that the node reserves for itself.
+// ForServers returns the current limit of server connections. It is at least MinPerSide, even while there are more
+// client connections than ForClients allows: the excess ones use descriptors that the node reserves for itself.
 func (d *Descriptors) ForServers() int {
 	return max(d.MinPerSide(), int(d.total.Load())-int(d.clients.Load()))
 }
@@ -59,9 +59,9 @@
 	}
 }
 
-// LimitConnections closes idle connections while more than target are open. It then limits the open connections to spare
-// more than remain open, or spare more than target if that is higher, and returns the limit. The limit applies until
-// LiftLimit.
+// LimitConnections closes idle connections while more than target are open. It then sets and returns a limit of open
+// connections, which applies until LiftLimit: target plus spare or, if more than target remain open, their number plus
+// spare.
 func (t *Transport) LimitConnections(target, spare int) (limit int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/upstream/lifetime.go
+++ b/internal/node/upstream/lifetime.go
@@ -95,8 +95,8 @@
 	return c.SetDeadline(l.deadline)
 }
 
-// detach releases the connection from the Lifetime. It reports whether the connection may be reused, which is false after
-// a cancellation.
+// detach releases the connection from the Lifetime. It returns false if the Lifetime was cancelled: reads and writes
+// may then have been cut short.
 func (l *Lifetime) detach() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -115,8 +115,9 @@
 	return l.cancelled
 }
 
-// failureCode returns the outcome of an attempt that ended with err and no response. mayHaveRun is false only if the
-// request's last byte was never written; the outcome then says that the request did not run, even after a timeout.
+// failureCode returns the outcome of an attempt that ended with err and no complete response. mayHaveRun is false only
+// if the request's last byte was never written. The server can't have run the request then, so the outcome is
+// policy.ConnectFailed, even after a timeout. An attempt that was cancelled is policy.Cancelled in any case.
 func (l *Lifetime) failureCode(err error, mayHaveRun bool) policy.Code {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/upstream/request.go
+++ b/internal/node/upstream/request.go
@@ -13,7 +13,8 @@
 	"sloerail/internal/node/http1"
 )
 
-// stallTimeout is how long a server may stall in the middle of a body: neither read the request nor send the response.
+// stallTimeout is how long a server may take to read the next part of a request body, or to send the next part of a
+// response body.
 const stallTimeout = 5 * time.Second
 
 var errBodyClosed = errors.New("upstream: request body read after the attempt ended")
@@ -31,12 +32,12 @@
 	Length         int64      // length of the complete body in bytes if Stream is set; -1 if unknown
 }
 
-// BodyStream is the part of a request's body that is read from the client while it is sent. One attempt at a time reads
-// it.
+// BodyStream is the part of a request's body that an attempt reads from the client while it sends the request. One
+// attempt at a time reads it.
 type BodyStream interface {
 	// Read returns io.EOF at the end of the complete body.
 	io.Reader
-	// Begin is called before an attempt reads. The request can't be sent again after that.
+	// Begin is called before each Read of an attempt. The request can't be sent again after that.
 	Begin()
 	// End is called when an attempt can read nothing more: with nil at the end of the complete body, else with the reason.
 	End(err error)
@@ -91,7 +92,8 @@
 }
 
 // streamBody starts a goroutine that writes the rest of the body as it arrives, while the response is read. After stop
-// returns, no further read of the body begins. The goroutine ends with the body or when c is closed.
+// returns, no further read of the body begins. The goroutine ends at the end of the body, or when a read of the body
+// or a write to c fails.
 func (w *requestWriter) streamBody(c *serverConn, a Attempt) (stop func()) {
 	body := newBodyReader(a.Request.Stream, a.Lifetime)
 	go func() {
--- a/internal/node/upstream/response.go
+++ b/internal/node/upstream/response.go
@@ -12,8 +12,8 @@
 	"sloerail/internal/node/http1"
 )
 
-// StreamStartBytes is how much of a response body longer than http1.MaxBufferedBodyBytes must arrive before the response
-// counts as started.
+// StreamStartBytes is how much of a response body is read before the response is passed to the client, if its
+// Content-Length is over http1.MaxBufferedBodyBytes.
 const StreamStartBytes = 4 << 10
 
 // Response is the part of a server's response that is passed to the client.
--- a/internal/node/upstream/response_stream.go
+++ b/internal/node/upstream/response_stream.go
@@ -9,8 +9,8 @@
 	"sloerail/internal/node/http1"
 )
 
-// ErrClientDisconnected is returned when the client disconnected before it took the response, or before its request was
-// sent.
+// ErrClientDisconnected means that the client disconnected before it received the whole response, or before its
+// request was sent to a server.
 var ErrClientDisconnected = errors.New("client disconnected")
 
 // ResponseStream streams the rest of a response body to the client. The attempt ends when the stream does.
@@ -21,7 +21,7 @@
 	done       chan error // receives one value: nil, or why the response is incomplete
 }
 
-// The states of a ResponseStream. The state leaves streamPending once and is final then.
+// The states of a ResponseStream. The state changes once: from streamPending to one of the others.
 const (
 	streamPending   = iota
 	streamCopying   // CopyTo was called
@@ -34,14 +34,14 @@
 	return &ResponseStream{body: body, stallTimer: t, done: make(chan error, 1)}
 }
 
-// abandon prevents CopyTo from starting. It reports false if CopyTo has already started.
+// abandon prevents CopyTo from starting. It returns false if CopyTo has already started.
 func (s *ResponseStream) abandon() bool {
 	return s.state.CompareAndSwap(streamPending, streamAbandoned)
 }
 
-// CopyTo writes buffered, the start of the body, to w, and then the rest as it arrives. w writes to the client and bounds
-// each write. CopyTo is called at most once. An error that wraps ErrClientDisconnected is a failed write to the client;
-// any other means that the server failed or the attempt was cancelled.
+// CopyTo writes buffered, the start of the body, to w, and then the rest as it arrives. w writes to the client, and
+// must bound the time of each write. CopyTo is called at most once. If a write to the client fails, the error wraps
+// ErrClientDisconnected. Any other error means that the server failed or the attempt was cancelled.
 func (s *ResponseStream) CopyTo(w io.Writer, buffered []byte) (err error) {
 	if !s.state.CompareAndSwap(streamPending, streamCopying) {
 		return errAttemptTimeout
--- a/internal/node/upstream/server_pool.go
+++ b/internal/node/upstream/server_pool.go
@@ -12,8 +12,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// minReuseDelay is how long a connection is not reused after a response: a server may send a second response some
-// milliseconds later, which would be taken for the response to the next request.
+// minReuseDelay is the minimum time between a response and the reuse of its connection. A server may send a second
+// response some milliseconds after the first, and it would be taken for the response to the next request.
 const minReuseDelay = 10 * time.Millisecond
 
 // serverPool holds the idle connections to one process of one server, the most recently used last. It is unrelated to the
@@ -94,8 +94,8 @@
 	return c, nil
 }
 
-// reserve returns an idle connection. If there is none, it returns a nil connection and counts one as open, which the
-// caller must dial or give back with cancelReservation.
+// reserve returns the server's pool and an idle connection. If there is none, it returns a nil connection and counts
+// one more as open: the caller must then dial a connection or call cancelReservation.
 func (t *Transport) reserve(id string) (*serverPool, *serverConn, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,8 +146,8 @@
 	return dial(ctx, "tcp", address)
 }
 
-// isCurrent reports whether p is still the server's pool and not draining. A dial may take longer than the settings'
-// grace period for draining servers.
+// isCurrent reports whether p is still the server's pool and not draining. It is called after a dial, which may take
+// longer than the grace period for which requests may be sent to a server that began to drain.
 func (t *Transport) isCurrent(id string, p *serverPool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/upstream/transport.go
+++ b/internal/node/upstream/transport.go
@@ -43,9 +43,10 @@
 	RetainMissing    bool          // keep the pools of servers missing from the endpoint list for missingRetention
 }
 
-// Transport makes attempts at servers and pools the connections. http.Transport can't be used: when a reused connection
-// breaks, it retries a GET, or a request with an Idempotency-Key, by itself, and each retry would be an attempt that the
-// balancer didn't decide on. The methods of a Transport may be called from any goroutine.
+// Transport makes attempts at servers and pools the connections. Its methods may be called from any goroutine.
+//
+// http.Transport can't be used: when a reused connection breaks, it retries a GET, or a request with an
+// Idempotency-Key, by itself. Each such retry would be an attempt that the balancer didn't decide on.
 type Transport struct {
 	requestsSent   *metrics.Counter
 	descriptors    *Descriptors
@@ -55,7 +56,7 @@
 	config    TransportConfig
 	pools     map[string]*serverPool // by the server's ID
 	openConns int                    // number of connections, including those being dialed
-	maxConns  int                    // limit of openConns, in addition to that of descriptors; 0 for none
+	maxConns  int                    // limit of openConns, in addition to the limit by descriptors; 0 for none
 	waiters   descriptorQueue
 }
 
--- a/internal/node/upstream/transport_test.go
+++ b/internal/node/upstream/transport_test.go
@@ -90,7 +90,8 @@
 	}
 }
 
-// Of all responses, only a 503 or a 504 with X-Not-Run says that the request did not run.
+// Each response, and each failure to read one, has its outcome. Only a 503 or a 504 with X-Not-Run is
+// policy.Overloaded, which means that the request did not run.
 func TestOutcomeOfEachResponse(t *testing.T) {
 	for _, tc := range []struct {
 		response string
@@ -144,8 +145,9 @@
 	}
 }
 
-// An attempt on a reused connection that breaks is not retried. The client of net/http would retry both methods.
-func TestBrokenReusedConnectionIsNotSentAgain(t *testing.T) {
+// When a reused connection breaks, the transport doesn't retry the request. The client of net/http would retry the
+// GET, and the POST because it has an Idempotency-Key.
+func TestNoRetryWhenReusedConnectionBreaks(t *testing.T) {
 	for _, method := range []string{http.MethodGet, http.MethodPost} {
 		var requests, conns atomic.Int32
 		addr := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -171,7 +173,7 @@
 	}
 }
 
-// failingConn closes its connection when a write exceeds the remaining bytes, and writes only those.
+// failingConn writes only the remaining bytes, and closes its connection at the first write that exceeds them.
 type failingConn struct {
 	net.Conn
 	remaining int
@@ -187,8 +189,8 @@
 	return c.Conn.Write(p)
 }
 
-// A connection that breaks before the request's last byte is written gives ConnectFailed, wherever it breaks.
-func TestUnwrittenLastByteIsConnectFailed(t *testing.T) {
+// If the connection breaks before the request's last byte is written, the outcome is ConnectFailed, wherever it breaks.
+func TestIncompleteRequestIsConnectFailed(t *testing.T) {
 	addr := nodetest.RawServer(t, func(_ net.Conn, r *bufio.Reader) { nodetest.ReadRequest(r) })
 	for _, tc := range []struct{ written, body int }{
 		{0, 0}, {20, 0}, {20, 20000}, {6000, 20000}, {20, 100}, {200, 100},
@@ -204,12 +206,12 @@
 		p.idle, tr.openConns = []*serverConn{sc}, 1
 		req := newTestRequest(http.MethodPost, "r1", strings.Repeat("b", tc.body))
 		if r := doAttempt(t, tr, req); r.Code != policy.ConnectFailed {
-			t.Errorf("connection that breaks at %+v bytes: got code %v, want policy.ConnectFailed", tc, r.Code)
+			t.Errorf("connection that breaks after the written bytes of %+v: got code %v, want policy.ConnectFailed", tc, r.Code)
 		}
 	}
 }
 
-func TestTimeOutAndCancelCloseTheConnection(t *testing.T) {
+func TestDeadlineAndCancelCloseConnection(t *testing.T) {
 	for want, end := range map[policy.Code]func(*Lifetime){
 		policy.TimedOut:  func(l *Lifetime) { l.SetDeadline(time.Now()) },
 		policy.Cancelled: func(l *Lifetime) { l.Cancel() },
@@ -252,7 +254,7 @@
 	})
 	r := doAttempt(t, newTestTransport(t, addr), newTestRequest(http.MethodPost, "r1", "hello"))
 	if r.Code != policy.OK {
-		t.Fatalf("got code %v, want policy.OK", r.Code)
+		t.Fatalf("attempt: got code %v, want policy.OK", r.Code)
 	}
 	req := <-received
 	if req.Method != "POST" || req.RequestURI != "/api?q=a%20b" || req.Host != "origin.svc" || body.Load() != "hello" {
@@ -266,7 +268,7 @@
 	}
 }
 
-func TestConnectionsAreReusedUntilIdle(t *testing.T) {
+func TestConnectionsAreReusedUntilIdleTimeout(t *testing.T) {
 	var conns atomic.Int32
 	addr := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
 		conns.Add(1)
@@ -315,7 +317,7 @@
 	}
 }
 
-func TestDescriptorsLimitConnections(t *testing.T) {
+func TestConnectionLimit(t *testing.T) {
 	release := make(chan struct{})
 	slow := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-release })
 	fast := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -340,7 +342,7 @@
 }
 
 // Idle connections are closed when their server restarts, is removed, or is missing from a complete list.
-func TestListChangesDropIdleConnections(t *testing.T) {
+func TestListChangesCloseIdleConnections(t *testing.T) {
 	addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
 	base := listedEndpoints(t, addr)[0]
 	restarted, removed := base, base
@@ -378,9 +380,10 @@
 	}
 }
 
-// An attempt at a server that began to drain after it was chosen is not sent, even over an idle connection. The chosen
-// attempt may wait for a processor longer than the settings' grace period for draining servers.
-func TestAttemptIsNotSentToAServerThatDrainsByThen(t *testing.T) {
+// No request is sent to a server that began to drain after the balancer chose it, even if there is an idle connection.
+// The attempt's goroutine may wait for a processor longer than the grace period for which requests may be sent to such
+// a server.
+func TestNoRequestToServerThatBeganToDrain(t *testing.T) {
 	t.Parallel()
 	var received atomic.Int32
 	addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { received.Add(1) })
@@ -405,9 +408,9 @@
 	}
 }
 
-// A second response to the same request, some milliseconds late, is not taken for the response to the next request: a
-// connection is not reused for minReuseDelay after a response, nor if unsolicited data has arrived.
-func TestLateSecondResponseIsNotUsed(t *testing.T) {
+// A second response to the same request, some milliseconds late, is not taken for the response to the next request. A
+// connection is not reused within minReuseDelay after a response, or once unsolicited data has arrived.
+func TestSecondResponseIsNotTakenForNext(t *testing.T) {
 	for name, late := range map[string]bool{"during the next request": true, "while idle": false} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/node/upstream/wire.go
+++ b/internal/node/upstream/wire.go
@@ -19,8 +19,8 @@
 	notRunHeader         = "X-Not-Run"     // "1" in an error response: the request had no effect
 )
 
-// appendRequestHead appends the head of the request to a server. It adds no fields such as User-Agent that would pose as
-// the client's.
+// appendRequestHead appends the head of the request to a server. It adds no fields such as User-Agent, which the server
+// would take for the client's.
 func appendRequestHead(b []byte, a Attempt) []byte {
 	r := a.Request
 	b = append(b, r.Method...)
