--- a/internal/node/discovery/backoff.go
+++ b/internal/node/discovery/backoff.go
@@ -8,23 +8,23 @@
 
 const (
 	minBackoff = 25 * time.Millisecond
-	// maxBackoff is short because operators count the grace of a draining server from when the list service can report
-	// the drain, even if the node waits for its backoff then. A Target with Subscribe doesn't use this backoff: policy
-	// decides when to subscribe again (resubscribeBackoffBase in policy/endpoint_list.go).
+	// maxBackoff is short because operators count the grace period of a draining server from when the list service can
+	// report the drain, even if the node is waiting for its backoff at that time. A Target with Subscribe doesn't use
+	// this backoff: policy decides when to subscribe again (resubscribeBackoffBase in policy/endpoint_list.go).
 	maxBackoff = 200 * time.Millisecond
 )
 
 // backoff is the pause after a failed call. It doubles with each failure in a row, up to maxBackoff. A pause of 0 means
-// that the last call succeeded.
+// that there was no pause since the last reset.
 type backoff struct {
 	pause  time.Duration
 	jitter *rand.Rand // spreads the retries of many nodes
 }
 
-// reset clears the pause after a success.
+// reset clears the pause, after a success, a reload or ErrScopeMismatch.
 func (b *backoff) reset() { b.pause = 0 }
 
-// firstFailure reports whether no call has failed since the last success.
+// firstFailure reports whether there was no pause since the last reset.
 func (b *backoff) firstFailure() bool { return b.pause == 0 }
 
 // wait increases the pause and sleeps for a random 50 to 100 % of it, or until ctx ends.
--- a/internal/node/discovery/cache_test.go
+++ b/internal/node/discovery/cache_test.go
@@ -28,8 +28,9 @@
 	return updates, stop
 }
 
-// The client tries the next replica if one fails, or if its list is older than the current list.
-func TestFailedReplicaGivesWayToTheNext(t *testing.T) {
+// A watch fails at a replica that is unreachable, or whose list is older than the current list. It succeeds at the
+// replica after that one. The test itself selects the replicas.
+func TestWatchOfUnreachableOrStaleReplicaFails(t *testing.T) {
 	replica := func(revision int, ids ...string) string {
 		first := true
 		return nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -67,15 +68,15 @@
 	}
 }
 
-// The cached list survives a restart of the node, which uses it unless the list in the configuration is newer.
+// After a restart, the node uses the cached list unless the list in the configuration is newer.
 func TestCachedListSurvivesARestart(t *testing.T) {
-	answers := make(chan string, 2)
-	answers <- nodetest.ListChange(41, nodetest.ListEntry("a", "up"), nodetest.ListEntry("b", "draining"))
-	answers <- nodetest.ListChange(42, nodetest.ListEntry("a", "removed"))
+	responses := make(chan string, 2)
+	responses <- nodetest.ListChange(41, nodetest.ListEntry("a", "up"), nodetest.ListEntry("b", "draining"))
+	responses <- nodetest.ListChange(42, nodetest.ListEntry("a", "removed"))
 	c := testClientConfig(t, nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case answer := <-answers:
-			_, _ = io.WriteString(w, answer)
+		case response := <-responses:
+			_, _ = io.WriteString(w, response)
 		default:
 			<-r.Context().Done()
 		}
@@ -84,7 +85,7 @@
 	updates, stop := runClient(t, c)
 	nodetest.Receive(t, "the first change", updates)
 	nodetest.Receive(t, "the second change", updates)
-	// Both came within minCacheInterval, and the watch continues: the second one is cached too, before the client stops.
+	// The second change came within minCacheInterval of the first. It is written later, but before the client stops.
 	nodetest.Await(t, "the second change in the cache file", func() bool {
 		list, err := readCachedList(c.CacheFile, time.Now())
 		return err == nil && list.Revision == 42
@@ -93,11 +94,11 @@
 	c.Known.Revision = 40
 	got := RestoreList(c.CacheFile, c.Known)
 	if got.Revision != 42 || !got.Complete || len(got.Endpoints) != 2 {
-		t.Fatalf("restored list: got %+v, want a full list of revision 42 with 2 endpoints", got)
+		t.Fatalf("restored list: got %+v, want a complete list of revision 42 with 2 endpoints, b and the known s0", got)
 	}
 	for _, endpoint := range got.Endpoints {
 		if endpoint.ID == "b" && endpoint.Availability != policy.Draining || endpoint.ID == "a" {
-			t.Errorf("restored endpoint: got %+v, want b draining and a removed", endpoint)
+			t.Errorf("restored endpoint: got %+v, want b draining, s0, and no a", endpoint)
 		}
 	}
 	c.Known.Revision = 43
@@ -107,7 +108,7 @@
 }
 
 // A cached list that is truncated, corrupted, of another version, too old or from the future is rejected.
-func TestDamagedCachedListsAreRejected(t *testing.T) {
+func TestInvalidCachedListsAreRejected(t *testing.T) {
 	c := testClientConfig(t, "127.0.0.1:9")
 	c.CacheFile = filepath.Join(t.TempDir(), "list")
 	now := time.Now()
@@ -146,7 +147,7 @@
 
 // The format of the cached list doesn't change: the golden file, written by commit 4650eee, is read and written back
 // byte for byte.
-func TestCachedListKeepsItsForm(t *testing.T) {
+func TestCachedListFormatIsUnchanged(t *testing.T) {
 	saved := time.UnixMilli(1800000000456)
 	c := testClientConfig(t, "127.0.0.1:9")
 	c.CacheFile = filepath.Join("testdata", "list_file.txt")
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -14,7 +14,7 @@
 	"sloerail/policy"
 )
 
-// jitterStream separates the random numbers of the backoff from others with the same seed.
+// jitterStream separates the random numbers of the backoff from other random numbers with the same seed.
 const jitterStream = 0xd1
 
 // Client watches the list service. SetWatching and Retarget don't block and may be called while Run runs, each by one
@@ -39,7 +39,7 @@
 // Target is the part of a Client's configuration that a reload can change.
 type Target struct {
 	Addresses string // host:port of the replicas, separated by commas
-	Subscribe bool   // watch only while SetWatching has turned it on, and notify of failures
+	Subscribe bool   // watch only while SetWatching has turned watching on, and notify of failures
 	Timeouts  Timeouts
 	Scope     string // the query that ParseScope returned; empty for no scope
 }
@@ -143,7 +143,7 @@
 		return on
 	case target := <-c.retargets:
 		c.applyTarget(target)
-		return true // the failed call was to the former target
+		return true // watching ended with a failed call to the former target
 	case <-ctx.Done():
 		return false
 	}
@@ -177,7 +177,7 @@
 // the current one, so the next call asks for the full list.
 func (c *Client) applyTarget(target Target) {
 	if addresses := strings.Split(target.Addresses, ","); !slices.Equal(addresses, c.addresses) || target.Scope != c.scope.query {
-		slog.Info("discovery: list service changed", "address", target.Addresses, "scope", target.Scope)
+		slog.Info("discovery: list service or scope changed", "address", target.Addresses, "scope", target.Scope)
 		c.addresses, c.replica, c.revision = addresses, c.replica%len(addresses), UnknownRevision
 		c.scope = scope{query: target.Scope}
 	}
@@ -216,9 +216,9 @@
 	}
 }
 
-// Apply updates the revision and the cache with an answer of the list service, and notifies the node. For an answer
-// without changes it notifies only with Subscribe, where the node waits for an answer. Run calls it; a caller that feeds
-// lists itself, as a hollow node does, must not call Run, because both use the same state without a lock.
+// Apply updates the revision and the cache with a response of the list service, and notifies the node. For a response
+// without changes it notifies only with Subscribe, where the node waits for a response. Run calls it; a caller that
+// calls Apply itself, as a hollow node does, must not call Run, because both use the same state without a lock.
 func (c *Client) Apply(list List) {
 	c.revision = max(0, list.Revision)
 	if c.cache != nil {
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -28,23 +28,24 @@
 	return ClientConfig{Target: NewTarget(addresses, "", policy.Settings{}), Known: known, Seed: 0x1f, Dial: dial}
 }
 
-// startWatch runs a client against a list service that plays answers in turn and holds further calls. It returns the
-// client, its updates and the index parameters of its calls. An answer that isn't a JSON object is sent with status 503.
-func startWatch(t *testing.T, subscribe bool, answers ...string) (client *Client, updates chan Update, queries chan string) {
+// startWatch runs a client against a list service that sends the responses in turn and holds further calls. It returns
+// the client, its updates and the index parameters of its calls. A response that isn't a JSON object is sent with
+// status 503.
+func startWatch(t *testing.T, subscribe bool, responses ...string) (client *Client, updates chan Update, queries chan string) {
 	t.Helper()
 	queries, updates = make(chan string, 100), make(chan Update, 100)
-	pending := make(chan string, len(answers))
-	for _, answer := range answers {
-		pending <- answer
+	pending := make(chan string, len(responses))
+	for _, response := range responses {
+		pending <- response
 	}
 	addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		queries <- r.URL.Query().Get("index")
 		select {
-		case answer := <-pending:
-			if !strings.HasPrefix(answer, "{") {
+		case response := <-pending:
+			if !strings.HasPrefix(response, "{") {
 				w.WriteHeader(http.StatusServiceUnavailable)
 			}
-			_, _ = io.WriteString(w, answer)
+			_, _ = io.WriteString(w, response)
 		default:
 			<-r.Context().Done()
 		}
@@ -124,14 +125,14 @@
 	})
 }
 
-// The list service may have a drain to report as soon as it is back. A node with a backoff beyond the drain grace would
-// keep sending requests to that server.
-func TestBackoffStaysWithinTheGraceOfDrains(t *testing.T) {
+// The backoff grows to at most 200 ms. The list service may have a drain to report as soon as it is reachable again: a
+// node with a long backoff would still send requests to the draining server after its grace period.
+func TestBackoffIsBounded(t *testing.T) {
 	last := time.Duration(0)
 	for i := range 20 {
 		next := nextBackoff(last)
 		if next < last || next <= 0 || next > 200*time.Millisecond {
-			t.Fatalf("backoff %d: got %v after %v, want it positive, not shorter and at most 200ms", i, next, last)
+			t.Fatalf("backoff %d: got %v after %v, want more than 0, not less than before, and at most 200ms", i, next, last)
 		}
 		last = next
 	}
@@ -154,8 +155,8 @@
 	}
 }
 
-// When the address of the list service changes, the client ends its call to the old one, fetches the full list from the
-// new one, whose revisions may differ, and watches there.
+// When the address of the list service changes, the client aborts its call to the old address. It fetches the full list
+// from the new address, because the revisions may differ there, and then watches at the new address.
 func TestRetarget(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		timeouts := newTimeouts(policy.Settings{})
@@ -189,7 +190,7 @@
 	})
 }
 
-// Retarget takes effect at once also while the client waits for SetWatching after a failure.
+// Retarget takes effect at once even while the client waits for SetWatching after a failure.
 func TestRetargetAfterAFailure(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		client, updates, _ := startWatch(t, true, "down")
--- a/internal/node/discovery/errors.go
+++ b/internal/node/discovery/errors.go
@@ -9,15 +9,16 @@
 var (
 	// ErrRetargeted means that Retarget aborted the watch.
 	ErrRetargeted = errors.New("watch aborted: the configuration was reloaded")
-	// ErrTimeout means that the list service did not answer within the timeout.
-	ErrTimeout = errors.New("no answer within the timeout")
+	// ErrTimeout means that the list service did not respond within the timeout.
+	ErrTimeout = errors.New("no response within the timeout")
 	// ErrStaleReplica means that the list of the replica is older than the current list.
 	ErrStaleReplica = errors.New("stale replica")
-	// ErrScopeMismatch means that changes can't be applied to the current list: only one of the two is scoped.
+	// ErrScopeMismatch means that changes can't be applied to the current list: either the changes or the list are limited
+	// to the scope, but not both.
 	ErrScopeMismatch = errors.New("the changes and the current list have different scopes")
-	// ErrListTooLong means that an answer exceeds maxListBytes.
+	// ErrListTooLong means that a response exceeds maxListBytes.
 	ErrListTooLong = fmt.Errorf("list exceeds %d bytes", maxListBytes)
-	// ErrMalformedList means that an answer is not a valid list. The wrapped error names the field.
+	// ErrMalformedList means that a response is not a valid list. The wrapped error names the field.
 	ErrMalformedList = errors.New("malformed list")
 	// ErrCacheVersion means that the format of a cached list is unknown.
 	ErrCacheVersion = errors.New("unknown format or version")
@@ -39,7 +40,7 @@
 // Unwrap returns the cause.
 func (e *WatchError) Unwrap() error { return e.Err }
 
-// StatusError is an answer of the list service with a status other than 200.
+// StatusError is a response of the list service with a status other than 200.
 type StatusError struct {
 	Status string // for example "404 Not Found"
 	Reason string // the first line of the body, for calls with a scope
--- a/internal/node/discovery/errors_test.go
+++ b/internal/node/discovery/errors_test.go
@@ -15,8 +15,8 @@
 )
 
 // The error of a failed watch names the replica, and errors.Is finds the cause.
-func TestFailedWatchesNameTheReplicaAndTheCause(t *testing.T) {
-	answer := func(body string) http.HandlerFunc {
+func TestWatchErrorNamesReplicaAndCause(t *testing.T) {
+	respond := func(body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set(epochHeader, "1")
 			_, _ = io.WriteString(w, body)
@@ -28,9 +28,9 @@
 	}{
 		"refused":   {nil, syscall.ECONNREFUSED},
 		"silent":    {func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }, ErrTimeout},
-		"stale":     {answer(nodetest.ListChange(6)), ErrStaleReplica},
-		"malformed": {answer(`{"members":[]}`), ErrMalformedList},
-		"too long":  {answer(strings.Repeat(" ", maxListBytes+1)), ErrListTooLong},
+		"stale":     {respond(nodetest.ListChange(6)), ErrStaleReplica},
+		"malformed": {respond(`{"members":[]}`), ErrMalformedList},
+		"too long":  {respond(strings.Repeat(" ", maxListBytes+1)), ErrListTooLong},
 	} {
 		t.Run(name, func(t *testing.T) {
 			nodetest.Bubble(t, func(t *testing.T) {
@@ -53,7 +53,7 @@
 	}
 }
 
-// errors.Is finds the cause why a cached list is rejected.
+// errors.Is finds why a cached list is rejected.
 func TestRejectedCachedListsGiveTheCause(t *testing.T) {
 	c := testClientConfig(t, "127.0.0.1:9")
 	now := time.Now()
--- a/internal/node/discovery/scope.go
+++ b/internal/node/discovery/scope.go
@@ -24,19 +24,20 @@
 	maxSubset           = 150_000 // the most servers that the list service holds
 	maxReasonBytes      = 256     // of the reason for a rejection, for the log
 
-	scopedHeader          = "X-Registry-Scoped"           // set in answers that are limited to the scope of the call
+	scopedHeader          = "X-Registry-Scoped"           // set in responses that are limited to the scope of the call
 	unknownServicesHeader = "X-Registry-Unknown-Services" // services of the scope that the list service doesn't know
 )
 
-// scopeSection is the section "scope" of the configuration. It limits the servers that the list service returns from a
-// large fleet to the services that the node's routes need and, for each service, to a subset that the list service
-// chooses by the node's position. The node itself filters nothing.
+// scopeSection is the section "scope" of the configuration. It keeps the list of a large fleet short: the list service
+// returns only servers of the services that the node's routes need. With Subset, it returns only some servers of each
+// service, which it chooses by the node's position. The node itself filters nothing.
 type scopeSection struct {
 	Services []string `json:"services"`
-	Subset   *int     `json:"subset"` // servers of each service; all servers if missing
+	Subset   *int     `json:"subset"` // number of servers of each service; if missing, all
 }
 
-// ParseScope parses the section "scope" and returns the query that it adds to calls. The settings must be valid.
+// ParseScope parses the section "scope" and returns the query that the section adds to calls. The settings must be
+// valid.
 func ParseScope(raw json.RawMessage, settings policy.Settings) (query string, err error) {
 	var section scopeSection
 	if err := decode.Section("scope", raw, &section); err != nil {
@@ -95,12 +96,12 @@
 	return nil
 }
 
-// scope is the scope of a Client, and the state of the last answers with regard to it. The zero value is no scope.
+// scope is the scope of a Client, and what the last responses said about it. The zero value means no scope.
 type scope struct {
 	query           string // added to each call; empty for no scope
 	scoped          bool   // the current list is limited to the scope
 	unsupported     bool   // the last full list was not limited to the scope, and this was logged
-	unknownServices string // unknownServicesHeader of the last answer
+	unknownServices string // unknownServicesHeader of the last response
 }
 
 // appendTo returns the URL of a call with the scope added.
@@ -123,7 +124,7 @@
 	return UnknownRevision
 }
 
-// statusError returns the error for an answer with a status other than 200. For calls with a scope, the first line of
+// statusError returns the error for a response with a status other than 200. For calls with a scope, the first line of
 // the body is the reason.
 func (s *scope) statusError(resp *http.Response) error {
 	if s.query == "" {
@@ -137,9 +138,9 @@
 	return &StatusError{Status: resp.Status, Reason: line}
 }
 
-// check records whether an answer is limited to the scope. If changes within the scope were applied to an unscoped list,
-// servers outside of the scope would stay in it for good, drained or not: after ErrScopeMismatch the full list is
-// fetched.
+// check records whether a response is limited to the scope. It returns ErrScopeMismatch for changes within the scope
+// to an unscoped list, and the other way round; the full list is then fetched. If changes within the scope were
+// applied to an unscoped list, servers outside of the scope would stay in the list for good, even once drained.
 func (s *scope) check(header http.Header, complete bool) error {
 	if s.query == "" {
 		return nil
--- a/internal/node/discovery/scope_test.go
+++ b/internal/node/discovery/scope_test.go
@@ -16,28 +16,28 @@
 
 const testScope = "service=a&service=b&subset=20&position=3&nodes=9&zone=z"
 
-// scopedAnswer is an answer of a list service. scoped says whether it is limited to the scope.
-type scopedAnswer struct {
+// scopedResponse is a response of a list service. scoped says whether it is limited to the scope.
+type scopedResponse struct {
 	scoped bool
 	body   string
 }
 
-// startScopedWatch runs a client against a list service that plays answers in turn and holds further calls.
-func startScopedWatch(t *testing.T, scope string, answers ...scopedAnswer) (client *Client, updates chan Update, calls chan *http.Request) {
+// startScopedWatch runs a client against a list service that sends the responses in turn and holds further calls.
+func startScopedWatch(t *testing.T, scope string, responses ...scopedResponse) (client *Client, updates chan Update, calls chan *http.Request) {
 	t.Helper()
 	updates, calls = make(chan Update, 100), make(chan *http.Request, 100)
-	pending := make(chan scopedAnswer, len(answers))
-	for _, answer := range answers {
-		pending <- answer
+	pending := make(chan scopedResponse, len(responses))
+	for _, response := range responses {
+		pending <- response
 	}
 	c := testClientConfig(t, nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		calls <- r
 		select {
-		case answer := <-pending:
-			if answer.scoped {
+		case response := <-pending:
+			if response.scoped {
 				w.Header().Set(scopedHeader, "true")
 			}
-			_, _ = io.WriteString(w, answer.body)
+			_, _ = io.WriteString(w, response.body)
 		default:
 			<-r.Context().Done()
 		}
@@ -80,10 +80,10 @@
 }
 
 // Without the section "scope", calls to the list service have no scope and no further headers, whatever the headers of
-// the answers say.
+// the responses say.
 func TestCallsWithoutAScope(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, updates, calls := startScopedWatch(t, "", scopedAnswer{true, nodetest.ListChange(8, nodetest.ListEntry("s9", "up"))})
+		_, updates, calls := startScopedWatch(t, "", scopedResponse{true, nodetest.ListChange(8, nodetest.ListEntry("s9", "up"))})
 		first := nodetest.Receive(t, "a call to the list service", calls)
 		diff := cmp.Diff(http.Header{"User-Agent": {"Go-http-client/1.1"}}, first.Header)
 		if uri := first.URL.RequestURI(); uri != watchURI(7, "") || diff != "" {
@@ -98,13 +98,13 @@
 // client fetches the full list again.
 func TestCallsWithAScope(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		client, updates, calls := startScopedWatch(t, testScope, scopedAnswer{true, nodetest.FullList(30, nodetest.ListEntry("s1", "up"))},
-			scopedAnswer{true, nodetest.ListChange(31, nodetest.ListEntry("s1", "draining"))}, scopedAnswer{true, nodetest.ListChange(40)})
+		client, updates, calls := startScopedWatch(t, testScope, scopedResponse{true, nodetest.FullList(30, nodetest.ListEntry("s1", "up"))},
+			scopedResponse{true, nodetest.ListChange(31, nodetest.ListEntry("s1", "draining"))}, scopedResponse{true, nodetest.ListChange(40)})
 		wantUpdate(t, updates, policy.ListReplace, "s1")
 		wantUpdate(t, updates, policy.ListUpdate, "s1")
 		wantCalls(t, calls, listPath+"?"+testScope, watchURI(30, "&"+testScope), watchURI(31, "&"+testScope), watchURI(40, "&"+testScope))
 		if len(updates) != 0 {
-			t.Errorf("got update %+v for an answer without changes, want none", <-updates)
+			t.Errorf("got update %+v for a response without changes, want none", <-updates)
 		}
 		timeouts := newTimeouts(policy.Settings{})
 		client.Retarget(Target{Addresses: client.addresses[0], Scope: "service=c", Timeouts: timeouts})
@@ -115,15 +115,15 @@
 }
 
 // The client watches a list service that ignores the scope like any other. When one that supports scopes replaces it,
-// changes of the scope are not applied to the unscoped list: the client fetches the full list of the scope. The same
-// holds the other way round.
+// changes within the scope are not applied to the unscoped list: the client fetches the full list of the scope. The
+// same holds the other way round.
 func TestScopeSupportedAndUnsupported(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
-		_, updates, calls := startScopedWatch(t, testScope, scopedAnswer{false, nodetest.FullList(30, nodetest.ListEntry("s1", "up"), nodetest.ListEntry("s2", "up"))},
-			scopedAnswer{false, nodetest.ListChange(31, nodetest.ListEntry("s3", "up"))},
-			scopedAnswer{true, nodetest.ListChange(32, nodetest.ListEntry("s4", "up"))},
-			scopedAnswer{true, nodetest.FullList(32, nodetest.ListEntry("s1", "up"), nodetest.ListEntry("s4", "up"))},
-			scopedAnswer{false, nodetest.ListChange(33, nodetest.ListEntry("s5", "up"))})
+		_, updates, calls := startScopedWatch(t, testScope, scopedResponse{false, nodetest.FullList(30, nodetest.ListEntry("s1", "up"), nodetest.ListEntry("s2", "up"))},
+			scopedResponse{false, nodetest.ListChange(31, nodetest.ListEntry("s3", "up"))},
+			scopedResponse{true, nodetest.ListChange(32, nodetest.ListEntry("s4", "up"))},
+			scopedResponse{true, nodetest.FullList(32, nodetest.ListEntry("s1", "up"), nodetest.ListEntry("s4", "up"))},
+			scopedResponse{false, nodetest.ListChange(33, nodetest.ListEntry("s5", "up"))})
 		wantUpdate(t, updates, policy.ListReplace, "s1", "s2")
 		wantUpdate(t, updates, policy.ListUpdate, "s3")
 		wantUpdate(t, updates, policy.ListReplace, "s1", "s4")
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -12,9 +12,9 @@
 
 const (
 	listPath = "/registry/instances"
-	// epochHeader is set in the answers of sloerail's own list service, whose revisions never decrease.
+	// epochHeader is set in the responses of sloerail's own list service, whose revisions never decrease.
 	epochHeader = "X-Registry-Epoch"
-	// maxListBytes bounds an answer of the list service.
+	// maxListBytes bounds a response of the list service.
 	maxListBytes = 8 << 20
 )
 
@@ -50,7 +50,7 @@
 	return c.scope.appendTo(u)
 }
 
-// fetch makes the next call and reads the answer.
+// fetch makes the next call and reads the response.
 func (c *Client) fetch(ctx context.Context) (List, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.callURL(), nil)
 	if err != nil {
@@ -81,7 +81,7 @@
 	return list, nil
 }
 
-// readList reads and parses the body of an answer.
+// readList reads and parses the body of a response.
 func readList(body io.Reader) (List, error) {
 	raw, err := io.ReadAll(io.LimitReader(body, maxListBytes+1))
 	if err != nil {
--- a/internal/node/discovery/wire.go
+++ b/internal/node/discovery/wire.go
@@ -46,8 +46,9 @@
 	policy.Running: stateRunning, policy.Draining: stateDraining, policy.Removed: stateRemoved,
 }
 
-// ParseList parses an answer of the list service. One invalid entry rejects the whole list, because the entry may be for
-// a server that is draining. The error is a *decode.FieldError if it concerns a single field.
+// ParseList parses a response of the list service. One invalid entry makes the whole list invalid: if only the entry
+// were skipped, and it reported a drain, the node would keep sending requests to the server. The error is a
+// *decode.FieldError if it concerns a single field.
 func ParseList(raw []byte) (List, error) {
 	var wire wireList
 	if err := decode.JSON(raw, &wire); err != nil {
