--- a/internal/node/config/config.go
+++ b/internal/node/config/config.go
@@ -33,10 +33,10 @@
 	Scope     string             // the query that the section "scope" adds to calls of the list service; empty for no scope
 	Fleet     *membership.Config // membership in a fleet; nil for none
 
-	MaxOpen        int           // most unanswered requests; 0 for no limit
+	MaxOpen        int           // maximum number of requests without a response; 0 for no limit
 	ConnectTimeout time.Duration // for a new connection to a server
 
-	// Dial opens connections; nil for a net.Dialer.
+	// Dial opens connections. If it is nil, a net.Dialer is used.
 	Dial DialFunc
 
 	keys any // the keys of the file, which a reload must keep
@@ -45,8 +45,8 @@
 // DialFunc opens a connection, as net.Dialer.DialContext does.
 type DialFunc func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Dialer returns c.Dial, or a net.Dialer with the timeout if it is nil. TCP keep-alive is off because nothing depends on
-// it.
+// Dialer returns c.Dial or, if c.Dial is nil, the function of a net.Dialer with the timeout. TCP keep-alive of that
+// Dialer is off, because nothing depends on it.
 func (c Config) Dialer(timeout time.Duration) DialFunc {
 	if c.Dial != nil {
 		return c.Dial
--- a/internal/node/config/file.go
+++ b/internal/node/config/file.go
@@ -54,7 +54,7 @@
 	} `json:"limits"`
 }
 
-// readFile reads the file that ROUTER_CONFIG names. The file must have all of previousKeys.
+// readFile reads the file that ROUTER_CONFIG names. The file must have all of previousKeys except optionalKeys.
 func readFile(getenv func(string) string, previousKeys any) (Config, error) {
 	path := getenv("ROUTER_CONFIG")
 	if path == "" {
--- a/internal/node/config/fleet.go
+++ b/internal/node/config/fleet.go
@@ -30,7 +30,8 @@
 	return fleet, fleet.Validate()
 }
 
-// sameFleet reports whether two configurations have the same membership. A change of it needs a new process.
+// sameFleet reports whether two configurations have the same membership. A change of the membership needs a new
+// process.
 func sameFleet(a, b *membership.Config) bool {
 	if a == nil || b == nil {
 		return a == b
--- a/internal/node/config/reload.go
+++ b/internal/node/config/reload.go
@@ -10,8 +10,8 @@
 // Reload reads the file that ROUTER_CONFIG names after a change. The other environment variables override the file only
 // at the start, not here. A file that lacks a key of the previous one is rejected as a whole. The name and the fleet
 // need a new process: they stay as before, and a change of the fleet is logged. The node uses listen, control, seed,
-// limits, list_file and known only at its start: a change of them is neither used nor logged. This does not include
-// settings.limits, which a reload applies.
+// limits, list_file and known only at its start: a change of them is neither used nor logged. The
+// section settings.limits is another one, which a reload applies.
 func Reload(getenv func(string) string, previous Config) (Config, error) {
 	c, err := readFile(getenv, previous.keys)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return c, nil
 }
 
-// checkReloaded checks fields that a reload must set, though the first file may lack them.
+// checkReloaded checks fields that a reloaded file must set, although Load accepts a file without them.
 func (c Config) checkReloaded() error {
 	if err := decode.CheckAddresses(c.Discovery); err != nil {
 		return fmt.Errorf("discovery: %w", err)
--- a/internal/node/config/zones.go
+++ b/internal/node/config/zones.go
@@ -19,12 +19,12 @@
 	Regions         map[string][]string           `json:"regions"` // the zones of each region
 	SameRegionCost  *float64                      `json:"same_region"`
 	OtherRegionCost *float64                      `json:"other_region"`
-	Costs           map[string]map[string]float64 `json:"costs"` // from one zone to another
+	Costs           map[string]map[string]float64 `json:"costs"` // of sending a request, by sending and receiving zone
 	ClassRegions    map[string][]string           `json:"only"`  // the regions that a class is bound to
 }
 
-// parseZones parses the section "places" into the settings. An unknown key is an error, because with a misspelt one a
-// class could leave the regions that it is bound to.
+// parseZones parses the section "places" into the settings. An unknown key is an error, because a misspelt one could
+// let a class leave the regions that it is bound to.
 func parseZones(raw json.RawMessage, settings *policy.Settings) error {
 	var s zonesSection
 	if err := decode.Section("places", raw, &s); err != nil {
--- a/internal/node/decode/decode.go
+++ b/internal/node/decode/decode.go
@@ -26,20 +26,20 @@
 	return &FieldError{Field: field, Reason: fmt.Sprintf(format, args...)}
 }
 
-// JSON unmarshals raw into to. The error for a field of the wrong type is a FieldError.
-func JSON(raw []byte, to any) error {
-	err := json.Unmarshal(raw, to)
+// JSON unmarshals raw into dst. The error for a field of the wrong type is a FieldError.
+func JSON(raw []byte, dst any) error {
+	err := json.Unmarshal(raw, dst)
 	if bad := (*json.UnmarshalTypeError)(nil); errors.As(err, &bad) && bad.Field != "" {
 		return Errorf(bad.Field, "want %s, got %s", bad.Type, bad.Value)
 	}
 	return err
 }
 
-// Section unmarshals a section of the configuration into to. An unknown key is an error.
-func Section(name string, raw []byte, to any) error {
+// Section unmarshals a section of the configuration into dst. An unknown key is an error.
+func Section(name string, raw []byte, dst any) error {
 	d := json.NewDecoder(bytes.NewReader(raw))
 	d.DisallowUnknownFields()
-	if err := d.Decode(to); err != nil {
+	if err := d.Decode(dst); err != nil {
 		return fmt.Errorf("%s: %w", name, err)
 	}
 	return nil
--- a/internal/node/decode/decode_test.go
+++ b/internal/node/decode/decode_test.go
@@ -6,29 +6,29 @@
 )
 
 func TestJSONNamesTheField(t *testing.T) {
-	var to struct {
+	var dst struct {
 		Limits struct {
 			Sockets int `json:"sockets"`
 		} `json:"limits"`
 	}
-	err := JSON([]byte(`{"limits":{"sockets":"many"}}`), &to)
+	err := JSON([]byte(`{"limits":{"sockets":"many"}}`), &dst)
 	var bad *FieldError
 	if !errors.As(err, &bad) || bad.Field != "limits.sockets" || bad.Error() != "limits.sockets: want int, got string" {
 		t.Errorf("string for an int: got error %v, want a FieldError of limits.sockets", err)
 	}
-	if err := JSON([]byte(`{"limits"`), &to); err == nil || errors.As(err, &bad) {
+	if err := JSON([]byte(`{"limits"`), &dst); err == nil || errors.As(err, &bad) {
 		t.Errorf("truncated JSON: got error %v, want one that is not a FieldError", err)
 	}
 }
 
 func TestSectionRejectsUnknownKeys(t *testing.T) {
-	var to struct {
+	var dst struct {
 		Known int `json:"known"`
 	}
-	if err := Section("part", []byte(`{"known":1}`), &to); err != nil || to.Known != 1 {
-		t.Errorf("section without unknown keys: got %+v, error %v, want Known 1", to, err)
+	if err := Section("part", []byte(`{"known":1}`), &dst); err != nil || dst.Known != 1 {
+		t.Errorf("section without unknown keys: got %+v, error %v, want Known 1", dst, err)
 	}
-	err := Section("part", []byte(`{"knwon":1}`), &to)
+	err := Section("part", []byte(`{"knwon":1}`), &dst)
 	if want := `part: json: unknown field "knwon"`; err == nil || err.Error() != want {
 		t.Errorf("section with an unknown key: got error %v, want %s", err, want)
 	}
--- a/internal/node/hotrestart/frozen_test.go
+++ b/internal/node/hotrestart/frozen_test.go
@@ -16,7 +16,7 @@
 // code of commit 4650eee; they must not be regenerated.
 
 // The state of a hand-over and the progress messages are read without unknown keys and written back byte for byte.
-func TestHandoverMessagesKeepTheirForm(t *testing.T) {
+func TestHandoverMessageFormatIsUnchanged(t *testing.T) {
 	for _, name := range []string{"handover_state.json", "handover_progress.json"} {
 		want := nodetest.Golden(t, name)
 		decoder := json.NewDecoder(bytes.NewReader(want))
@@ -30,7 +30,7 @@
 		if name == "handover_state.json" {
 			got, err = json.Marshal(state)
 			if endpoints := state.Endpoints; len(endpoints) != 2 || endpoints[0].Availability != policy.Draining || endpoints[1].Availability != policy.Removed {
-				t.Errorf("%s: got endpoints %+v, want one draining and one removed", name, endpoints)
+				t.Errorf("%s: got endpoints %+v, want 2, the first draining and the second removed", name, endpoints)
 			}
 		} else {
 			var out bytes.Buffer
@@ -94,8 +94,8 @@
 	return conns, done
 }
 
-// A successor reads the messages of a predecessor of any version, and writes one byte.
-func TestHandoverTranscriptOfTheSuccessor(t *testing.T) {
+// A successor reads the golden messages of a predecessor, and writes one byte.
+func TestSuccessorReadsGoldenMessages(t *testing.T) {
 	clients, id := testNode(t)
 	state := bytes.Replace(nodetest.Golden(t, "handover_state.json"), []byte(`"Listen":"127.0.0.1:8080"`), []byte(`"Listen":"`+id.Address+`"`), 1)
 	conns, wrote := scriptedPredecessor(t, id, clients, state)
--- a/internal/node/hotrestart/hotrestart_test.go
+++ b/internal/node/hotrestart/hotrestart_test.go
@@ -153,8 +153,8 @@
 	}
 }
 
-// Control messages without exactly one descriptor are an error that says what came, and leave no descriptor open.
-func TestWrongRightsAreNamed(t *testing.T) {
+// For a control message without exactly one descriptor, the error says what is wrong, and no descriptor stays open.
+func TestListenerFromInvalidControlMessage(t *testing.T) {
 	t.Parallel()
 	var pipe [2]int
 	if err := unix.Pipe2(pipe[:], unix.O_NONBLOCK|unix.O_CLOEXEC); err != nil {
@@ -174,7 +174,7 @@
 		rights []byte
 		want   string
 	}{
-		"nothing": {nil, "got 0"}, "cut short": {twoDescriptors[:4], "listening socket: "}, "two sockets": {twoDescriptors, "got 2"},
+		"nothing": {nil, "got 0"}, "cut short": {twoDescriptors[:4], "listening socket: "}, "two descriptors": {twoDescriptors, "got 2"},
 	} {
 		l, err := listenerFrom(c.rights)
 		if l != nil || !errors.Is(err, ErrListeningSocket) || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "%!") {
--- a/internal/node/hotrestart/serve.go
+++ b/internal/node/hotrestart/serve.go
@@ -17,8 +17,9 @@
 	startTimeout = 10 * time.Second // for a successor to start serving; after that it counts as gone
 	stateByte    = '\n'             // sent before the state, with the listening socket attached
 
-	// ProgressInterval is the time between two Progress messages. It is half of the time for which an attempt waits for a
-	// descriptor (descriptorWaitTimeout in internal/node/upstream), so that at least one message can grant it in that time.
+	// ProgressInterval is the time between two Progress messages. It is half of the time that an attempt of the successor
+	// waits for a descriptor (descriptorWaitTimeout in internal/node/upstream): at least one message, which may free
+	// descriptors, arrives in that time.
 	ProgressInterval = 50 * time.Millisecond
 )
 
--- a/internal/node/hotrestart/socket.go
+++ b/internal/node/hotrestart/socket.go
@@ -48,8 +48,8 @@
 	return &net.UnixAddr{Name: name, Net: "unix"}, dir.Close, nil
 }
 
-// listenForSuccessor creates the socket where a successor connects. It creates it at a temporary path and renames it, so
-// that it replaces the former socket only once it exists.
+// listenForSuccessor creates the socket where a successor connects. The socket is created at a temporary path and then
+// renamed, so that the predecessor's socket stays in place until the new one exists.
 func listenForSuccessor(path string) (*net.UnixListener, error) {
 	tempPath := path + "." + strconv.Itoa(os.Getpid())
 	addr, done, err := unixAddr(tempPath)
--- a/internal/node/hotrestart/state.go
+++ b/internal/node/hotrestart/state.go
@@ -10,9 +10,9 @@
 // protocolVersion is the version of the messages. A successor with another version starts without the state.
 const protocolVersion = 1
 
-// State is the state that a process hands over to its successor, after stateByte with the clients' listening socket.
-// Later messages have Sockets and InFlight only (Progress). The keys are fixed, because the other process may be of
-// another version.
+// State is the message with the state that a process hands over to its successor. It follows stateByte, which is sent
+// with the clients' listening socket. Later messages are a State with only Sockets and InFlight set, from a Progress.
+// The keys are fixed, because the other process may be of another version.
 type State struct {
 	Version   int             `json:"Version"`
 	Name      string          `json:"Name"`
@@ -61,7 +61,7 @@
 	return all
 }
 
-// Progress reports what a predecessor leaves to its successor and what it still holds, while the successor serves.
+// Progress is what a predecessor reports every ProgressInterval while its successor serves.
 type Progress struct {
 	Sockets  int            // descriptors that the successor may hold now
 	InFlight map[string]int // the predecessor's attempts in flight, by server
--- a/internal/node/hotrestart/takeover.go
+++ b/internal/node/hotrestart/takeover.go
@@ -24,11 +24,11 @@
 var (
 	// ErrOtherNode means that the serving process belongs to another node, or has another version of the protocol.
 	ErrOtherNode = errors.New("the serving process has another identity or protocol version")
-	// ErrListeningSocket means that a message does not contain exactly the clients' listening socket.
+	// ErrListeningSocket means that a message does not contain exactly one descriptor, the clients' listening socket.
 	ErrListeningSocket = errors.New("receive the listening socket")
 )
 
-// Predecessor is the process that serves before this one, seen from the successor.
+// Predecessor is a successor's connection to the process that serves before it.
 type Predecessor struct {
 	State    State        // at the time of the hand-over
 	Clients  net.Listener // the clients' listener
@@ -130,7 +130,8 @@
 
 // Follow notifies the predecessor that this process serves, and receives Progress messages until the predecessor has
 // ended or Close is called. It calls yielded once: when the predecessor has confirmed that it accepts no more clients,
-// has not done so within stepTimeout, or has ended. It calls progress for each message, and at last with ended set.
+// has not confirmed it within stepTimeout, or has ended. It calls progress for each message, and once more with ended
+// set.
 func (p *Predecessor) Follow(yielded func(), progress func(report Progress, ended bool)) {
 	defer func() { _ = p.conn.Close() }() // the predecessor has ended, or Close was called
 	yielded = sync.OnceFunc(yielded)
