--- a/internal/scaletest/check.go
+++ b/internal/scaletest/check.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// KeyError says which key of a scenario, or value of a ProcessSpec, is invalid, and why.
+// KeyError reports an invalid key of a scenario, or an invalid field of a ProcessSpec.
 type KeyError struct{ Key, Reason string }
 
 func (e *KeyError) Error() string { return e.Key + ": " + e.Reason }
@@ -17,14 +17,14 @@
 	return &KeyError{key, fmt.Sprintf(format, args...)}
 }
 
-// ErrNotMeasured is for a dimension of NotMeasured.
+// ErrNotMeasured reports a dimension that is listed in NotMeasured.
 var ErrNotMeasured = errors.New("is not measured yet")
 
 func errNotMeasured(d Dimension) error {
-	return fmt.Errorf("dimension: %s %w, of the dimensions there are %s", d, ErrNotMeasured, dimensions())
+	return fmt.Errorf("dimension: %s %w, want one of %s", d, ErrNotMeasured, dimensionNames())
 }
 
-// Check returns an error that names the first key that is invalid.
+// Check validates the scenario. The error names the first invalid key.
 func (s *Scenario) Check() error {
 	for _, check := range []func() error{s.checkDimension, s.checkSizes, s.checkRuns, s.checkReplicas, s.checkFault, s.checkFixed,
 		s.checkBudgets} {
@@ -40,7 +40,7 @@
 		return errNotMeasured(s.Dimension)
 	}
 	if !slices.Contains(measuredDimensions, s.Dimension) {
-		return keyError("dimension", "unknown, want one of %s, got %q", dimensions(), s.Dimension)
+		return keyError("dimension", "unknown, want one of %s, got %q", dimensionNames(), s.Dimension)
 	}
 	return nil
 }
@@ -59,7 +59,7 @@
 		case size < 1:
 			return keyError(key, "want 1 or more, got %d", size)
 		case i > 0 && size <= s.Sizes[i-1]:
-			return keyError(key, "want more than the one before, %d, got %d", s.Sizes[i-1], size)
+			return keyError(key, "want more than the previous size, %d, got %d", s.Sizes[i-1], size)
 		case size > maxSize:
 			return keyError(key, "want at most %d %s, got %d", maxSize, s.Dimension, size)
 		}
@@ -74,9 +74,9 @@
 	case s.Runs < 1 || s.Runs > maxRuns:
 		return keyError("runs", "want 1 to %d, got %d", maxRuns, s.Runs)
 	case s.MaxDuration.Duration <= 0 || s.MaxDuration.Duration > maxScenarioDuration:
-		return keyError("for", "want more than 0 and up to %v, got %v", maxScenarioDuration, s.MaxDuration)
+		return keyError("for", "want more than 0 and at most %v, got %v", maxScenarioDuration, s.MaxDuration)
 	case s.needsSpan() && (s.Span.Duration <= 0 || s.Span.Duration > s.MaxDuration.Duration):
-		return keyError("span", "want more than 0 and up to for, %v, got %v", s.MaxDuration, s.Span)
+		return keyError("span", "want more than 0 and at most %v (key for), got %v", s.MaxDuration, s.Span)
 	case math.IsNaN(s.Target) || math.IsInf(s.Target, 0) || s.Target < 0:
 		return keyError("target", "want 0 or more, got %v", s.Target)
 	}
@@ -97,16 +97,17 @@
 	case !slices.Contains(faults, s.Fault):
 		return keyError("fault", "unknown, want one of %v, got %q", faults, s.Fault)
 	case !s.watchesRegistry():
-		return keyError("fault", "of dimensions %s and %s alone, got %s", Nodes, Changes, s.Dimension)
+		return keyError("fault", "supported only for dimensions %s and %s, got %s", Nodes, Changes, s.Dimension)
 	case s.Fault == LeaderKilled && s.Replicas < 3:
-		return keyError("replicas", "want 3 or more for %s, got %d", s.Fault, s.Replicas)
+		return keyError("replicas", "want 3 or more for fault %s, got %d", s.Fault, s.Replicas)
 	case s.Fault == ReplicasDown && (s.Outage.Duration <= 0 || s.Outage.Duration > s.MaxDuration.Duration):
-		return keyError("away", "want more than 0 and up to for, %v, got %v", s.MaxDuration, s.Outage)
+		return keyError("away", "want more than 0 and at most %v (key for), got %v", s.MaxDuration, s.Outage)
 	}
 	return nil
 }
 
-// checkFixed checks the sizes that the scenario needs: all but that of its dimension, and none for real processes.
+// checkFixed checks the fixed sizes that the scenario uses: all except the size of its own dimension. Scenarios of real
+// processes use none.
 func (s *Scenario) checkFixed() error {
 	if s.isReal() {
 		return nil
@@ -136,7 +137,7 @@
 	case s.Dimension != Tenants && (fixed.Tenants < 1 || fixed.Tenants > maxTenants):
 		return keyError("held.tenants", "want 1 to %d, got %d", maxTenants, fixed.Tenants)
 	case s.Dimension != Nodes && (fixed.Nodes < 1 || fixed.Nodes > maxNodes):
-		return keyError("held.nodes", "want 1 or more, and at most %d where they watch, got %d", maxWatchers, fixed.Nodes)
+		return keyError("held.nodes", "want 1 or more, at most %d nodes that watch a registry, got %d", maxWatchers, fixed.Nodes)
 	}
 	return nil
 }
@@ -144,7 +145,7 @@
 func (s *Scenario) checkBudgets() error {
 	for i, limit := range s.Budgets {
 		if !slices.ContainsFunc(Measures(), func(m Measure) bool { return m.Name == limit.Measure }) {
-			return keyError(fmt.Sprintf("budgets[%d].measure", i), "there is no measure %q", limit.Measure)
+			return keyError(fmt.Sprintf("budgets[%d].measure", i), "unknown measure %q", limit.Measure)
 		}
 		if !(limit.Max > 0) || math.IsInf(limit.Max, 0) {
 			return keyError(fmt.Sprintf("budgets[%d].most", i), "want more than 0, got %v", limit.Max)
@@ -162,7 +163,7 @@
 	maxSpecRequests = 5000 // a second
 )
 
-// Check returns an error that names the first value that is invalid.
+// Check validates the spec. The error names the first invalid field.
 func (s ProcessSpec) Check() error {
 	s = s.withDefaults()
 	switch {
@@ -171,9 +172,9 @@
 	case s.Routes < 1 || s.Routes > maxRoutes:
 		return keyError("routes", "want 1 to %d, got %d", maxRoutes, s.Routes)
 	case !(s.Changes > 0 && s.Changes <= maxSpecChanges):
-		return keyError("changes", "want more than 0 and up to %d a second, got %v", maxSpecChanges, s.Changes)
+		return keyError("changes", "want more than 0 and at most %d a second, got %v", maxSpecChanges, s.Changes)
 	case !(s.Requests > 0 && s.Requests <= maxSpecRequests):
-		return keyError("requests", "want more than 0 and up to %d a second, got %v", maxSpecRequests, s.Requests)
+		return keyError("requests", "want more than 0 and at most %d a second, got %v", maxSpecRequests, s.Requests)
 	case s.Replicas != 1 && s.Replicas != 3:
 		return keyError("replicas", "want 1 or 3, got %d", s.Replicas)
 	}
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -11,34 +11,34 @@
 	"sloerail/internal/registry"
 )
 
-// Fault is a fault of the registry, once in each point.
+// Fault is a fault of the registry that is injected once in each point.
 type Fault string
 
-// The faults. The zero value is none.
+// The faults. The zero value injects none.
 const (
-	LeaderKilled Fault = "leader-killed" // and not started again
-	ReplicasDown Fault = "replicas-away" // all are killed, and started again after the scenario's outage
+	LeaderKilled Fault = "leader-killed" // the leader is killed and not restarted
+	ReplicasDown Fault = "replicas-away" // all replicas are killed, and restarted after Scenario.Outage
 )
 
 var faults = []Fault{LeaderKilled, ReplicasDown}
 
 const (
-	sampleInterval = time.Second      // the windows by which traffic is compared
-	leaderTimeout  = 30 * time.Second // after a fault's end, or the point has failed
-	maxReplicas    = 7
-	instancesList  = "/registry/instances"
+	sampleInterval   = time.Second      // window over which traffic is summed
+	leaderTimeout    = 30 * time.Second // the point fails without a leader this long after the fault
+	maxReplicas      = 7
+	instanceListPath = "/registry/instances"
 )
 
 // Measures of a fault.
 var (
-	ReturnCalls    = Measure{"calls at the return, over the mean", Times} // the busiest second, of all nodes
-	ReturnBytes    = Measure{"bytes at the return, over the mean", Times} // received, the same
-	LeaderAgain    = Measure{"leader again", Milliseconds}                // from the leader's end, or the replicas' start
-	ServersRemoved = Measure{"servers removed", Count}                    // from the list, by the fault
+	PeakCallsAfterFault = Measure{"calls at the return, over the mean", Times} // of all nodes, busiest second
+	PeakBytesAfterFault = Measure{"bytes at the return, over the mean", Times} // received by all nodes, busiest second
+	LeaderElectionTime  = Measure{"leader again", Milliseconds}                // since the kill, or the replicas' restart
+	ServersRemoved      = Measure{"servers removed", Count}                    // missing from the list after the fault
 )
 
-// recordFault records the traffic of the nodes after a fault of the registry over that before it, for the scenario's span
-// each. Changes are made throughout, except while all replicas are down.
+// recordFault records the peak traffic of the nodes after a fault of the registry, relative to the mean before it. Each
+// period lasts for the scenario's span. The list changes throughout, except while all replicas are down.
 func (w *watchedRegistry) recordFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) error {
 	w.startCounting(tracker)
 	before := w.startSampling(nodes)
@@ -51,18 +51,20 @@
 	if err != nil {
 		return err
 	}
-	w.record.Record(ReturnCalls, overMean(after, steady, func(t node.Traffic) uint64 { return t.Calls }))
-	w.record.Record(ReturnBytes, overMean(after, steady, func(t node.Traffic) uint64 { return t.Received }))
+	w.record.Record(PeakCallsAfterFault, peakOverMean(after, steady, func(t node.Traffic) uint64 { return t.Calls }))
+	w.record.Record(PeakBytesAfterFault, peakOverMean(after, steady, func(t node.Traffic) uint64 { return t.Received }))
 	var list registry.EndpointList
-	if err := w.clients[0].Do(ctx, http.MethodGet, instancesList, nil, &list, 0); err != nil {
+	if err := w.clients[0].Do(ctx, http.MethodGet, instanceListPath, nil, &list, 0); err != nil {
 		return err
 	}
 	w.record.Record(ServersRemoved, float64(len(w.entries)-len(list.Endpoints)))
 	return nil
 }
 
-// injectFault lets the fault happen, and returns the traffic from its end on.
-func (w *watchedRegistry) injectFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) (samples []node.Traffic, err error) {
+// injectFault injects the scenario's fault. It returns the traffic since the leader was killed, or since the replicas were
+// restarted.
+func (w *watchedRegistry) injectFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) (
+	samples []node.Traffic, err error) {
 	leader, err := w.service.AwaitLeader(ctx)
 	if err != nil {
 		return nil, err
@@ -70,7 +72,7 @@
 	if w.scenario.Fault == LeaderKilled {
 		w.service.Process(leader).Kill()
 		sampling := w.startSampling(nodes)
-		err = w.changeWithoutLeader(ctx, tracker)
+		err = w.writeChangesDuringElection(ctx, tracker)
 		return sampling.stop(), err
 	}
 	for _, name := range w.service.Names {
@@ -89,25 +91,26 @@
 	return sampling.stop(), err
 }
 
-// changeWithoutLeader makes changes from the leader's end on; they are delayed until there is another leader.
-func (w *watchedRegistry) changeWithoutLeader(ctx context.Context, tracker *changeTracker) error {
+// writeChangesDuringElection writes changes from the time at which the leader is killed. The writes are delayed until a new
+// leader is elected.
+func (w *watchedRegistry) writeChangesDuringElection(ctx context.Context, tracker *changeTracker) error {
 	began := time.Now()
-	var waiting sync.WaitGroup
-	var noLeader error
-	waiting.Go(func() { noLeader = w.awaitLeader(ctx, began) })
+	var wg sync.WaitGroup
+	var leaderErr error
+	wg.Go(func() { leaderErr = w.awaitLeader(ctx, began) })
 	err := w.writeChanges(ctx, w.scenario.Span.Duration, tracker.changeDue)
-	waiting.Wait()
-	return cmp.Or(err, noLeader)
+	wg.Wait()
+	return cmp.Or(err, leaderErr)
 }
 
-// awaitLeader waits for a leader, and records how long that took.
+// awaitLeader waits for a leader, and records the time since began.
 func (w *watchedRegistry) awaitLeader(ctx context.Context, began time.Time) error {
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	if _, err := w.service.AwaitLeader(ctx); err != nil {
 		return err
 	}
-	w.record.Record(LeaderAgain, float64(time.Since(began).Milliseconds()))
+	w.record.Record(LeaderElectionTime, float64(time.Since(began).Milliseconds()))
 	return nil
 }
 
@@ -121,24 +124,24 @@
 	return nil
 }
 
-// sampling records the traffic of all nodes window by window, until stop.
+// sampling records the traffic of all nodes in each sampleInterval until stop is called.
 type sampling struct {
 	cancel  context.CancelFunc
-	running sync.WaitGroup
-	samples []node.Traffic // of each window
+	wg      sync.WaitGroup
+	samples []node.Traffic // one for each complete window
 }
 
 func (w *watchedRegistry) startSampling(nodes []*node.Hollow) *sampling {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &sampling{cancel: cancel}
-	last := trafficOf(nodes)
-	s.running.Go(func() {
+	last := totalTraffic(nodes)
+	s.wg.Go(func() {
 		tick := time.NewTicker(sampleInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-tick.C:
-				now := trafficOf(nodes)
+				now := totalTraffic(nodes)
 				s.samples = append(s.samples, now.Since(last))
 				last = now
 			case <-ctx.Done():
@@ -149,32 +152,33 @@
 	return s
 }
 
-// stop ends the sampling and returns the complete windows.
+// stop ends the sampling and returns the traffic of the complete windows.
 func (s *sampling) stop() []node.Traffic {
 	s.cancel()
-	s.running.Wait()
+	s.wg.Wait()
 	return s.samples
 }
 
-// trafficOf sums up the traffic of nodes.
-func trafficOf(nodes []*node.Hollow) (sum node.Traffic) {
+// totalTraffic returns the sum of the nodes' traffic.
+func totalTraffic(nodes []*node.Hollow) (sum node.Traffic) {
 	for _, n := range nodes {
 		sum = sum.Plus(n.Traffic())
 	}
 	return sum
 }
 
-// overMean is the busiest of some windows over the mean of others; 0 where there are none.
-func overMean(windows, mean []node.Traffic, of func(node.Traffic) uint64) float64 {
+// peakOverMean returns the largest value of windows divided by the mean value of baseline, or 0 if the baseline is empty or
+// all 0.
+func peakOverMean(windows, baseline []node.Traffic, value func(node.Traffic) uint64) float64 {
 	var highest, sum uint64
 	for _, t := range windows {
-		highest = max(highest, of(t))
+		highest = max(highest, value(t))
 	}
-	for _, t := range mean {
-		sum += of(t)
+	for _, t := range baseline {
+		sum += value(t)
 	}
 	if sum == 0 {
 		return 0
 	}
-	return float64(highest) / (float64(sum) / float64(len(mean)))
+	return float64(highest) / (float64(sum) / float64(len(baseline)))
 }
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -9,7 +9,7 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Law is how a measure grows with a size n. The zero value stands for none that fits.
+// Law is how a measure grows with a size n. The zero value means that no law fits.
 type Law string
 
 // The laws, each of the form a + b·f(n).
@@ -21,13 +21,13 @@
 	Power        Law = "n^p" // p above 1: worse than linear
 )
 
-// laws are tried from the slowest growth on, so that the plainer of two that fit alike is taken.
+// laws lists the laws from the slowest growth to the fastest: of two that fit about equally well, the first is chosen.
 var laws = []Law{Constant, Logarithmic, Linear, Linearithmic, Power}
 
-// The exponents that are tried for Power.
+// Range and step of the exponents that are tried for Power.
 const minPower, maxPower, powerStep = 1.05, 3.0, 0.05
 
-// term is f(n).
+// term returns f(n), without the coefficients a and b.
 func (f Fit) term(n float64) float64 {
 	switch f.Law {
 	case Logarithmic:
@@ -43,16 +43,16 @@
 }
 
 const (
-	// maxResidual bounds the deviation of the mean at any size from the law, as a fraction of the law's value there.
+	// maxResidual is the largest deviation of the mean at any size from the law, as a fraction of the law's value there.
 	maxResidual = 0.25
-	// minScoreGain is by how much a law's score has to be better than a plainer one's: 2 is the penalty of one more
-	// parameter in Akaike's criterion.
+	// minScoreGain is how much lower a law's score has to be than the score of a simpler law: 2 is the penalty for one
+	// more parameter in Akaike's information criterion.
 	minScoreGain = 2.0
 	confidence   = 0.95
-	minResidual  = 1e-9 // smaller residuals are rounding errors
+	minResidual  = 1e-9 // smaller residuals count as rounding errors
 )
 
-// Reason is why a measure has no law.
+// Reason says why no law was fitted to a measure.
 type Reason string
 
 // The reasons.
@@ -62,38 +62,38 @@
 	NotAboveZero Reason = "values not above 0"
 )
 
-// Fit is the law of one measure, fitted by least squares to the residuals as parts of the measured values: sizes
-// span factors, and so do values.
+// Fit is the law of one measure, fitted by least squares. Residuals are relative to the measured values, because sizes and
+// values span orders of magnitude.
 type Fit struct {
 	Measure
 	Source       Source  `json:"source"`
-	Law          Law     `json:"law"`           // empty for none
-	Why          Reason  `json:"why,omitempty"` // there is none
+	Law          Law     `json:"law"`           // empty if no law fits
+	Why          Reason  `json:"why,omitempty"` // why there is no law
 	A            float64 `json:"a"`
 	B            float64 `json:"b"`
-	P            float64 `json:"p,omitempty"` // of Power
+	P            float64 `json:"p,omitempty"` // exponent of Power
 	Points       int     `json:"points"`
-	From         int     `json:"from"` // the sizes that it was fitted over
+	From         int     `json:"from"` // From and To are the smallest and the largest size of the fit
 	To           int     `json:"to"`
-	Residual     float64 `json:"residual"` // root mean square, as a part of the value
-	Worst        float64 `json:"worst"`    // of the means at the sizes, the same
-	Exponent     float64 `json:"exponent"` // of the growth between the two largest sizes: 0 is constant, 1 linear
-	SizesOmitted int     `json:"left"`     // smallest sizes left out, for no law fits over all
+	Residual     float64 `json:"residual"` // root mean square, as a fraction of the value
+	Worst        float64 `json:"worst"`    // largest deviation of a mean from the law, as a fraction of the law's value
+	Exponent     float64 `json:"exponent"` // of the growth between the two largest sizes: 0 is constant, 1 is linear
+	SizesOmitted int     `json:"left"`     // number of smallest sizes left out because no law fits all sizes
 
-	weights, terms float64 // sums of the fit, for its uncertainty
-	mean           float64
+	weights, terms float64 // for PredictionInterval: sum of the weights, weighted sum of squared deviations of the terms
+	meanTerm       float64 // weighted
 }
 
-// observations are the values of one measure, by size.
+// observations holds the values of one measure and the size of each.
 type observations struct{ sizes, values []float64 }
 
-// distinct are the sizes, ascending.
-func (o observations) distinct() []float64 {
+// distinctSizes returns the sizes in ascending order, each once.
+func (o observations) distinctSizes() []float64 {
 	return slices.Compact(slices.Sorted(slices.Values(o.sizes)))
 }
 
-// from returns the observations at a size and above.
-func (o observations) from(minSize float64) (larger observations) {
+// fromSize returns the observations at minSize and above.
+func (o observations) fromSize(minSize float64) (larger observations) {
 	for i, n := range o.sizes {
 		if n >= minSize {
 			larger.sizes, larger.values = append(larger.sizes, n), append(larger.values, o.values[i])
@@ -102,45 +102,46 @@
 	return larger
 }
 
-// means are those of the values at each distinct size.
+// means returns the mean of the values at each distinct size, by ascending size.
 func (o observations) means() (all []float64) {
-	for _, n := range o.distinct() {
-		var here []float64
+	for _, n := range o.distinctSizes() {
+		var atSize []float64
 		for i, size := range o.sizes {
 			if size == n {
-				here = append(here, o.values[i])
+				atSize = append(atSize, o.values[i])
 			}
 		}
-		all = append(all, stat.Mean(here, nil))
+		all = append(all, stat.Mean(atSize, nil))
 	}
 	return all
 }
 
-// fitLaw returns the plainest law that fits. Where none does over all sizes, the smallest are left out in turn, as long as
-// enough remain: what is constant for small sizes hides a law. The fit says why where there is none.
+// fitLaw returns the simplest law that fits. If none fits all sizes, it leaves out the smallest sizes one by one while at
+// least minSizes remain: a cost that is constant at small sizes hides the law. If no law fits, Why says so.
 func fitLaw(o observations) Fit {
-	sizes := o.distinct()
-	none := Fit{Points: len(o.values), From: int(sizes[0]), To: int(sizes[len(sizes)-1]), Exponent: exponent(o), Why: NoLaw}
+	sizes := o.distinctSizes()
+	noFit := Fit{Points: len(o.values), From: int(sizes[0]), To: int(sizes[len(sizes)-1]), Exponent: exponent(o), Why: NoLaw}
 	switch {
 	case slices.ContainsFunc(o.values, func(v float64) bool { return !(v > 0) || math.IsInf(v, 0) }):
-		none.Why = NotAboveZero
-		return none
+		noFit.Why = NotAboveZero
+		return noFit
 	case len(sizes) < minSizes:
-		none.Why = TooFewSizes
-		return none
+		noFit.Why = TooFewSizes
+		return noFit
 	}
-	for left := 0; len(sizes)-left >= minSizes; left++ {
-		if f, found := plainest(o.from(sizes[left])); found {
-			f.SizesOmitted, f.Exponent = left, none.Exponent
+	for omitted := 0; len(sizes)-omitted >= minSizes; omitted++ {
+		if f, found := simplestFit(o.fromSize(sizes[omitted])); found {
+			f.SizesOmitted, f.Exponent = omitted, noFit.Exponent
 			return f
 		}
 	}
-	return none
+	return noFit
 }
 
-// exponent is that of the growth between the two largest sizes; 0 for fewer.
+// exponent returns the exponent of the growth between the two largest sizes, or 0 if there is only one size or one of the
+// two means is not above 0.
 func exponent(o observations) float64 {
-	sizes, means := o.distinct(), o.means()
+	sizes, means := o.distinctSizes(), o.means()
 	n := len(sizes)
 	if n < 2 || means[n-2] <= 0 || means[n-1] <= 0 {
 		return 0
@@ -148,11 +149,11 @@
 	return math.Log(means[n-1]/means[n-2]) / math.Log(sizes[n-1]/sizes[n-2])
 }
 
-// plainest is the law that fits best, or a plainer one that fits about as well.
-func plainest(o observations) (best Fit, found bool) {
+// simplestFit returns the law with the best score, or a simpler one whose score is within minScoreGain of it.
+func simplestFit(o observations) (best Fit, found bool) {
 	bestScore := math.Inf(1)
 	for _, law := range laws {
-		f, ok := fitLawTo(law, o)
+		f, ok := fitGivenLaw(law, o)
 		if !ok || f.Worst > maxResidual {
 			continue
 		}
@@ -163,8 +164,8 @@
 	return best, found
 }
 
-// parameters are how many a law has.
-func (l Law) parameters() int {
+// parameterCount returns the number of fitted parameters of a law.
+func (l Law) parameterCount() int {
 	switch l {
 	case Constant:
 		return 1
@@ -174,19 +175,19 @@
 	return 2
 }
 
-// score is Akaike's criterion, corrected for few points: the smaller, the better.
+// score returns Akaike's information criterion with the correction for small samples. Lower is better.
 func (f Fit) score() float64 {
-	n, k := float64(f.Points), float64(f.Law.parameters()+1) // the scatter is one more
+	n, k := float64(f.Points), float64(f.Law.parameterCount()+1) // the variance of the residuals counts as a parameter
 	return n*math.Log(max(minResidual, f.Residual)*max(minResidual, f.Residual)) + 2*k + 2*k*(k+1)/max(1, n-k-1)
 }
 
-// fitLawTo fits a law, with the exponent that leaves the least residual where the law has one.
-func fitLawTo(law Law, o observations) (best Fit, found bool) {
+// fitGivenLaw fits one law. For Power it tries all exponents and returns the fit with the smallest residual.
+func fitGivenLaw(law Law, o observations) (best Fit, found bool) {
 	if law != Power {
-		return fitOne(Fit{Law: law}, o)
+		return fitCoefficients(Fit{Law: law}, o)
 	}
 	for p := minPower; p <= maxPower; p += powerStep {
-		f, ok := fitOne(Fit{Law: law, P: p}, o)
+		f, ok := fitCoefficients(Fit{Law: law, P: p}, o)
 		if ok && (!found || f.Residual < best.Residual) {
 			best, found = f, true
 		}
@@ -194,8 +195,9 @@
 	return best, found
 }
 
-// fitOne fits one law. One that falls with the size, or is not above 0 at a measured size, is none.
-func fitOne(f Fit, o observations) (Fit, bool) {
+// fitCoefficients fits a and b of f.Law, with the exponent f.P. It returns false if the law falls with the size, or is not
+// above 0 at a measured size.
+func fitCoefficients(f Fit, o observations) (Fit, bool) {
 	terms, weights := make([]float64, len(o.sizes)), make([]float64, len(o.sizes))
 	for i, n := range o.sizes {
 		terms[i], weights[i] = f.term(n), 1/(o.values[i]*o.values[i])
@@ -208,23 +210,23 @@
 			return f, false
 		}
 	}
-	f.mean = stat.Mean(terms, weights)
+	f.meanTerm = stat.Mean(terms, weights)
 	for i, w := range weights {
 		f.weights += w
-		f.terms += w * (terms[i] - f.mean) * (terms[i] - f.mean)
+		f.terms += w * (terms[i] - f.meanTerm) * (terms[i] - f.meanTerm)
 	}
-	return f, f.residuals(o)
+	return f, f.computeResiduals(o)
 }
 
-// residuals works out how far the values are from the law; false where the law is not above 0.
-func (f *Fit) residuals(o observations) bool {
+// computeResiduals sets Residual and Worst. It returns false if the law is not above 0 at a measured size.
+func (f *Fit) computeResiduals(o observations) bool {
 	sum := 0.0
 	for i, n := range o.sizes {
-		part := (o.values[i] - f.At(n)) / o.values[i]
-		sum += part * part
+		relative := (o.values[i] - f.At(n)) / o.values[i]
+		sum += relative * relative
 	}
 	f.Residual = math.Sqrt(sum / float64(len(o.sizes)))
-	for i, n := range o.distinct() {
+	for i, n := range o.distinctSizes() {
 		at := f.At(n)
 		if at <= 0 {
 			return false
@@ -234,38 +236,39 @@
 	return true
 }
 
-// At is the law's value at a size.
+// At returns the law's value at size n.
 func (f Fit) At(n float64) float64 { return f.A + f.B*f.term(n) }
 
-// Between is where a further measurement at a size would lie, with a confidence of 95%, if the law holds there. The
-// scatter is taken to be the same part of the value at all sizes.
-func (f Fit) Between(n float64) (low, high float64) {
-	k := f.Law.parameters()
+// PredictionInterval returns the interval in which a further measurement at size n lies with a probability of 95%, if the
+// law holds there. It assumes that the relative error is the same at all sizes.
+func (f Fit) PredictionInterval(n float64) (low, high float64) {
+	k := f.Law.parameterCount()
 	if f.Points <= k {
 		return math.Inf(-1), math.Inf(1)
 	}
-	scatter := f.Residual * math.Sqrt(float64(f.Points)/float64(f.Points-k))
+	relativeError := f.Residual * math.Sqrt(float64(f.Points)/float64(f.Points-k))
 	at := f.At(n)
-	ofLaw := 1 / f.weights
+	meanVariance := 1 / f.weights
 	if f.terms > 0 {
-		away := f.term(n) - f.mean
-		ofLaw += away * away / f.terms
+		deviation := f.term(n) - f.meanTerm
+		meanVariance += deviation * deviation / f.terms
 	}
-	half := scatter * math.Sqrt(at*at+ofLaw) *
+	halfWidth := relativeError * math.Sqrt(at*at+meanVariance) *
 		distuv.StudentsT{Sigma: 1, Nu: float64(f.Points - k)}.Quantile((1+confidence)/2)
-	return at - half, at + half
+	return at - halfWidth, at + halfWidth
 }
 
-// Reaches is the size at which the law comes to a value; ok is false where it never does.
+// Reaches returns the smallest size at which the law reaches a value. It returns false if the law doesn't reach it at any
+// size up to 1e12.
 func (f Fit) Reaches(value float64) (size float64, ok bool) {
-	const most = 1e12
+	const maxSize = 1e12
 	switch {
 	case f.At(1) >= value:
 		return 1, true
-	case f.At(most) < value:
+	case f.At(maxSize) < value:
 		return 0, false
 	}
-	low, high := 0.0, math.Log(most) // of the size's logarithm
+	low, high := 0.0, math.Log(maxSize) // logarithms of sizes
 	for range 100 {
 		if middle := (low + high) / 2; f.At(math.Exp(middle)) < value {
 			low = middle
@@ -276,7 +279,7 @@
 	return math.Exp(high), true
 }
 
-// Formula is the law as people write it.
+// Formula returns the law as text for people, such as 3.5 + 0.2·n, or an empty string if there is no law.
 func (f Fit) Formula() string {
 	switch f.Law {
 	case "":
--- a/internal/scaletest/fit_test.go
+++ b/internal/scaletest/fit_test.go
@@ -8,10 +8,10 @@
 
 var testSizes = []float64{100, 300, 1000, 3000, 10_000, 30_000, 100_000}
 
-const testNoise = 0.03 // of each value
+const testNoise = 0.03 // standard deviation as a fraction of each value
 
-// observe makes three values of a function at each size, with noise from a seed.
-func observe(sizes []float64, seed uint64, of func(n float64) float64) (o observations) {
+// noisyObservations returns three values of a function at each size, with noise from a seed.
+func noisyObservations(sizes []float64, seed uint64, of func(n float64) float64) (o observations) {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	for _, n := range sizes {
 		for range 3 {
@@ -22,7 +22,7 @@
 	return o
 }
 
-func TestFitRecognisesKnownLaws(t *testing.T) {
+func TestFitRecognizesKnownLaws(t *testing.T) {
 	for _, known := range []struct {
 		law Law
 		of  func(n float64) float64
@@ -34,27 +34,28 @@
 		{Power, func(n float64) float64 { return 500 + 0.01*math.Pow(n, 1.6) }},
 	} {
 		const seeds = 40
-		recognised, within := 0, 0
+		recognized, within := 0, 0
 		for seed := range uint64(seeds) {
-			f := fitLaw(observe(testSizes, seed, known.of))
+			f := fitLaw(noisyObservations(testSizes, seed, known.of))
 			if f.Law == known.law && f.SizesOmitted == 0 {
-				recognised++
+				recognized++
 			}
 			const target = 1e6
-			if low, high := f.Between(target); low <= known.of(target) && known.of(target) <= high {
+			if low, high := f.PredictionInterval(target); low <= known.of(target) && known.of(target) <= high {
 				within++
 			}
 		}
-		if recognised < seeds*9/10 {
-			t.Errorf("%s was recognised with %d of %d seeds", known.law, recognised, seeds)
+		if recognized < seeds*9/10 {
+			t.Errorf("%s: law recognized with %d of %d seeds, want 90%% of them", known.law, recognized, seeds)
 		}
 		if within < seeds*8/10 {
-			t.Errorf("%s: the truth was within the interval with %d of %d seeds", known.law, within, seeds)
+			t.Errorf("%s: true value within the prediction interval with %d of %d seeds, want 80%% of them",
+				known.law, within, seeds)
 		}
 	}
 }
 
-func TestFitRejectsABrokenLaw(t *testing.T) {
+func TestFitFindsNoLawForOtherCurves(t *testing.T) {
 	for name, of := range map[string]func(n float64) float64{
 		"a step": func(n float64) float64 {
 			if n > 5000 {
@@ -67,45 +68,46 @@
 		"exponential":     func(n float64) float64 { return math.Exp(n / 8000) },
 	} {
 		for seed := range uint64(10) {
-			if f := fitLaw(observe(testSizes, seed, of)); f.Law != "" || f.Why != NoLaw {
-				t.Errorf("%s, seed %d: taken for %s, %s", name, seed, f.Law, f.Formula())
+			if f := fitLaw(noisyObservations(testSizes, seed, of)); f.Law != "" || f.Why != NoLaw {
+				t.Errorf("%s, seed %d: fitted law %q with formula %q, want none", name, seed, f.Law, f.Formula())
 			}
 		}
 	}
 }
 
-func TestFitLeavesOutSmallSizesThatHideTheLaw(t *testing.T) {
-	// Constant up to 300, and a steep line from then on.
-	f := fitLaw(observe(testSizes, 1, func(n float64) float64 { return 10 + 50*max(0, n-290) }))
+func TestFitOmitsSmallSizesThatHideTheLaw(t *testing.T) {
+	// Constant up to size 290, and a steep line above it.
+	f := fitLaw(noisyObservations(testSizes, 1, func(n float64) float64 { return 10 + 50*max(0, n-290) }))
 	if f.Law != Linear || f.SizesOmitted != 1 && f.SizesOmitted != 2 || f.From != int(testSizes[f.SizesOmitted]) {
-		t.Errorf("got %s over %d to %d with %d left out", f.Law, f.From, f.To, f.SizesOmitted)
+		t.Errorf("fitted law %q over sizes %d to %d with %d sizes omitted, want a linear law with 1 or 2 omitted",
+			f.Law, f.From, f.To, f.SizesOmitted)
 	}
 }
 
 func TestFitNeedsFiveSizes(t *testing.T) {
 	linear := func(n float64) float64 { return 5 * n }
-	if f := fitLaw(observe(testSizes[:4], 1, linear)); f.Why != TooFewSizes || f.Law != "" {
-		t.Errorf("four sizes: %q, %q", f.Law, f.Why)
+	if f := fitLaw(noisyObservations(testSizes[:4], 1, linear)); f.Why != TooFewSizes || f.Law != "" {
+		t.Errorf("fit of four sizes: law %q, reason %q, want only the reason TooFewSizes", f.Law, f.Why)
 	}
-	if f := fitLaw(observe(testSizes[:5], 1, linear)); f.Law != Linear {
-		t.Errorf("five sizes: %q, %q", f.Law, f.Why)
+	if f := fitLaw(noisyObservations(testSizes[:5], 1, linear)); f.Law != Linear {
+		t.Errorf("fit of five sizes: law %q, reason %q, want a linear law", f.Law, f.Why)
 	}
-	if f := fitLaw(observe(testSizes, 1, func(float64) float64 { return 0 })); f.Why != NotAboveZero {
-		t.Errorf("zeros: %q, %q", f.Law, f.Why)
+	if f := fitLaw(noisyObservations(testSizes, 1, func(float64) float64 { return 0 })); f.Why != NotAboveZero {
+		t.Errorf("fit of zeros: law %q, reason %q, want the reason NotAboveZero", f.Law, f.Why)
 	}
 }
 
-func TestReachesGivesTheSizeAtALimit(t *testing.T) {
+func TestReachesReturnsTheSizeAtAValue(t *testing.T) {
 	f := Fit{Law: Linear, A: 100, B: 2}
 	if n, ok := f.Reaches(1100); !ok || math.Abs(n-500) > 1e-6 {
-		t.Errorf("linear: %v, %v", n, ok)
+		t.Errorf("size at which 100 + 2n reaches 1100: got %v, %v, want 500, true", n, ok)
 	}
 	if n, ok := f.Reaches(50); !ok || n != 1 {
-		t.Errorf("already over: %v, %v", n, ok)
+		t.Errorf("size at which 100 + 2n reaches 50: got %v, %v, want 1, true", n, ok)
 	}
 	for _, f := range []Fit{{Law: Constant, A: 100}, {Law: Logarithmic, A: 100, B: 1}} {
 		if n, ok := f.Reaches(200); ok || n != 0 {
-			t.Errorf("%s reached twice its value at %v", f.Law, n)
+			t.Errorf("%s law: reaches twice its value at size %v, want never", f.Law, n)
 		}
 	}
 }
--- a/internal/scaletest/fleet.go
+++ b/internal/scaletest/fleet.go
@@ -13,79 +13,79 @@
 	"sloerail/internal/testcluster"
 )
 
-// The platform that is coming: its regions, its zones, and what else of it stays as it is in all scenarios.
+// Properties of the simulated platform that are the same in all scenarios.
 const (
-	regions        = 5
+	regionCount    = 5
 	zonesPerRegion = 4
 	cellSize       = 16   // servers
-	tenantRate     = 10.0 // requests a second at each node that a tenant's quota allows: none is refused for it
+	tenantRate     = 10.0 // quota of a tenant at each node, in requests a second: high enough to refuse none
 	nodeMemoryMB   = 512
 	nodeSockets    = 1024
 	configFileMode = 0o600
 )
 
-// serverKinds are the kinds of server, in turn.
+// serverKinds are assigned to servers in turn.
 var serverKinds = []string{"big-box", "small-box"}
 
-// fleet draws what a point needs from the seed: servers, tenants and the nodes' configurations.
+// fleet generates the servers, tenants and node configurations of a point from the seed.
 type fleet struct {
 	fixed FixedSizes
 	dir   string
 	rng   *rand.Rand
 }
 
-// newFleet makes the same fleet for the same seed, run and size.
+// newFleet returns a fleet that depends only on the fixed sizes, the seed and the run.
 func newFleet(fixed FixedSizes, dir string, seed uint64, run int) *fleet {
 	return &fleet{fixed: fixed, dir: dir, rng: rand.New(rand.NewPCG(seed, uint64(run)))}
 }
 
 func zoneName(i int) string {
-	return fmt.Sprintf("region-%d-zone-%d", i%regions, i/regions%zonesPerRegion)
+	return fmt.Sprintf("region-%d-zone-%d", i%regionCount, i/regionCount%zonesPerRegion)
 }
 
-// servers are the entries of the list, in zones drawn at random.
+// servers returns the entries of the list, each in a zone drawn at random.
 func (f *fleet) servers() []registry.Endpoint {
 	all := make([]registry.Endpoint, f.fixed.Servers)
 	for i := range all {
 		all[i] = registry.Endpoint{ID: fmt.Sprintf("server-%06d", i), Address: fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255),
-			Zone: zoneName(f.rng.IntN(regions * zonesPerRegion)), Kind: serverKinds[i%len(serverKinds)], Cell: int64(i / cellSize),
+			Zone: zoneName(f.rng.IntN(regionCount * zonesPerRegion)), Kind: serverKinds[i%len(serverKinds)], Cell: int64(i / cellSize),
 			Phase: registry.PhaseUp, Size: 1}
 	}
 	return all
 }
 
-// encodeList is a list as the list service answers it.
+// encodeList encodes a list as the list service sends it.
 func encodeList(revision int64, complete bool, members ...registry.Endpoint) []byte {
 	raw, err := json.Marshal(registry.EndpointList{Revision: revision, Complete: complete, Endpoints: members})
-	if err != nil { // plain fields always can be written
+	if err != nil { // can't happen: all fields are plain values
 		panic(err)
 	}
 	return raw
 }
 
-// configuration writes the file of a node, and returns its path and its size. The node is one of so many; discovery is
-// where it watches the list.
-func (f *fleet) configuration(position int, discovery string) (path string, size int, err error) {
+// writeConfig writes the configuration file of the node at a position in the fleet, and returns the file's path and its
+// size in bytes. discovery holds the addresses of the list service that the node watches.
+func (f *fleet) writeConfig(position int, discovery string) (path string, size int, err error) {
 	tenants := make([]emulator.Tenant, f.fixed.Tenants)
 	for i := range tenants {
 		tenants[i] = emulator.Tenant{Name: tenantName(i), Share: 1 / float64(len(tenants))}
 	}
-	zonesOf := make(map[string][]string)
-	for i := range regions * zonesPerRegion {
-		region := fmt.Sprintf("region-%d", i%regions)
-		zonesOf[region] = append(zonesOf[region], zoneName(i))
+	zonesByRegion := make(map[string][]string)
+	for i := range regionCount * zonesPerRegion {
+		region := fmt.Sprintf("region-%d", i%regionCount)
+		zonesByRegion[region] = append(zonesByRegion[region], zoneName(i))
 	}
 	quota := tenantRate * float64(len(tenants)*f.fixed.Nodes)
-	file := map[string]any{
+	fileContent := map[string]any{
 		"name": fmt.Sprintf("node-%05d", position), "listen": "127.0.0.1:0", "discovery": discovery,
 		"seed":   fmt.Sprintf("%x", f.rng.Uint64()),
 		"limits": map[string]any{"cores": 1, "memory_mb": nodeMemoryMB, "sockets": nodeSockets},
 		"known":  map[string]any{"revision": 0, "complete": true, "members": []any{}},
-		"settings": testcluster.Settings(position, f.fixed.Nodes, zoneName(position%(regions*zonesPerRegion)), emulator.Classes(), tenants,
-			quota),
-		"places": map[string]any{"regions": zonesOf},
+		"settings": testcluster.Settings(position, f.fixed.Nodes, zoneName(position%(regionCount*zonesPerRegion)), emulator.Classes(),
+			tenants, quota),
+		"places": map[string]any{"regions": zonesByRegion},
 	}
-	raw, err := json.Marshal(file)
+	raw, err := json.Marshal(fileContent)
 	if err != nil {
 		return "", 0, err
 	}
@@ -93,8 +93,8 @@
 	return path, len(raw), os.WriteFile(path, raw, configFileMode)
 }
 
-// fromFile is the environment of a node whose configuration is in a file.
-func fromFile(path string) func(string) string {
+// configFileEnv returns the environment of a node whose configuration file is at path.
+func configFileEnv(path string) func(string) string {
 	return func(name string) string {
 		if name == "ROUTER_CONFIG" {
 			return path
@@ -103,5 +103,5 @@
 	}
 }
 
-// load reads a node's configuration as the node's program does.
-func load(path string) (config.Config, error) { return config.Load(fromFile(path)) }
+// loadConfig reads a node's configuration file as the node's program does.
+func loadConfig(path string) (config.Config, error) { return config.Load(configFileEnv(path)) }
--- a/internal/scaletest/form_test.go
+++ b/internal/scaletest/form_test.go
@@ -12,7 +12,7 @@
 	"sloerail/internal/simulation"
 )
 
-// goldenScenario has every key.
+// goldenScenario returns a scenario with every key.
 func goldenScenario() Scenario {
 	return Scenario{Name: "golden", What: "every key", Dimension: Changes, Sizes: []int{10, 20, 40, 80, 160}, Runs: 3, Seed: 39,
 		MaxDuration: simulation.Duration{Duration: 10 * time.Minute}, Span: simulation.Duration{Duration: 1500 * time.Millisecond},
@@ -21,7 +21,7 @@
 		Budgets: []Limit{{Measure: "heap", Max: 1e8}, {Measure: "decision CPU", Max: 5000.5}}}
 }
 
-func TestScenarioFormIsFrozen(t *testing.T) {
+func TestScenarioFormatIsStable(t *testing.T) {
 	const file = "scenario.toml"
 	raw, err := toml.Marshal(goldenScenario())
 	if err != nil {
@@ -33,15 +33,15 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, goldenScenario()) {
-		t.Errorf("read %+v", read)
+		t.Errorf("scenario decoded from the golden file: got %+v, want goldenScenario()", read)
 	}
 }
 
-// goldenReport has every key, and each that may be left out both ways.
+// goldenReport returns a report with every key. Optional keys are present in one item and absent in another.
 func goldenReport() Report {
 	fit := Fit{Measure: Heap, Source: Hollow, Law: Power, A: 1.5, B: 2.5, P: 1.25, Points: 15, From: 10, To: 160, Residual: 0.125, Worst: 0.25,
 		Exponent: 1.0625, SizesOmitted: 1}
-	none := Fit{Measure: Resident, Source: Process, Why: NoLaw}
+	noFit := Fit{Measure: Resident, Source: Process, Why: NoLaw}
 	return Report{Scenario: goldenScenario(), Machine: Machine{Cores: 8, Memory: 1 << 35, Go: "go1.26"},
 		Began: time.Date(2026, 12, 3, 4, 5, 6, 7000, time.UTC),
 		Measurements: []Measurement{
@@ -50,11 +50,11 @@
 		},
 		Ratios: []Ratio{{Measure: Heap, Size: 10, Hollow: 2, Process: 3, Ratio: 1.5}},
 		Laws: []Extrapolate{{Fit: fit, Target: 20000, AtTarget: 5e6, Low: 4e6, High: 6e6, Beyond: 125, Limit: 1e8, Reaches: 3e5},
-			{Fit: none}},
+			{Fit: noFit}},
 		NotMeasured: NotMeasured, Stopped: "context canceled"}
 }
 
-func TestReportFormIsFrozen(t *testing.T) {
+func TestReportFormatIsStable(t *testing.T) {
 	const file = "report.json"
 	raw, err := json.MarshalIndent(goldenReport(), "", " ")
 	if err != nil {
@@ -66,12 +66,12 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, goldenReport()) {
-		t.Errorf("read %+v", read)
+		t.Errorf("report decoded from the golden file: got %+v, want goldenReport()", read)
 	}
 }
 
-// A report that ended with nothing leaves out what there is none of.
-func TestEmptyReportFormIsFrozen(t *testing.T) {
+// An empty report omits its optional keys.
+func TestEmptyReportFormatIsStable(t *testing.T) {
 	raw, err := json.Marshal(Report{})
 	if err != nil {
 		t.Fatal(err)
@@ -79,8 +79,8 @@
 	golden.Check(t, "empty.json", raw)
 }
 
-// Names by which runs are set beside each other.
-func TestReportNamesAreFrozen(t *testing.T) {
+// Reports of different versions are compared by these names.
+func TestReportNamesAreStable(t *testing.T) {
 	raw, err := json.MarshalIndent(map[string]any{
 		"measures": Measures(), "dimensions": measuredDimensions, "not_measured": NotMeasured, "faults": faults,
 		"sources": []Source{Hollow, Process}, "laws": []Law{Constant, Logarithmic, Linear, Linearithmic, Power},
@@ -94,8 +94,8 @@
 	golden.Check(t, "names.json", append(raw, '\n'))
 }
 
-// What writers tell the list service is in the form of the service.
-func TestRegistrationFormIsFrozen(t *testing.T) {
+// The registry has to accept the registrations of the writers.
+func TestRegistrationFormatIsStable(t *testing.T) {
 	const file = "registration.json"
 	want := registration{HostPort: "10.0.0.1:8080", Locality: "region-0-zone-0", Flavor: "big-box", Cell: 7, Phase: "up", Size: 1.5, LeaseMs: 60000}
 	raw, err := json.Marshal(want)
@@ -108,6 +108,6 @@
 		t.Fatal(err)
 	}
 	if read != want {
-		t.Errorf("read %+v", read)
+		t.Errorf("registration decoded from the golden file: got %+v, want the encoded one", read)
 	}
 }
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -1,20 +1,20 @@
-// Package scaletest measures how the costs of a node and of the registry grow. Hollow nodes run the code that ships, many
-// in one process and without the sockets of requests; a scenario names one dimension and the sizes at which it is measured, and a law is
-// fitted to each measure. Nothing here is linked into a node.
+// Package scaletest measures how the costs of a node and of the registry grow with the size of a fleet. Hollow nodes run the
+// shipped code, many in one process and without sockets for requests. A scenario names one dimension and the sizes at which
+// it is measured, and a law is fitted to each measure. Nothing in this package is linked into a node.
 package scaletest
 
 import "slices"
 
-// Source says what a measurement was taken of.
+// Source is the kind of node or process that a measurement was taken from.
 type Source string
 
 // The sources.
 const (
 	Hollow  Source = "hollow"  // a hollow node, in this process
-	Process Source = "process" // the node's program as it ships, in a process of its own
+	Process Source = "process" // the shipped programs, each in a process of its own
 )
 
-// Unit is what a value is counted in.
+// Unit is the unit of a measure.
 type Unit string
 
 // The units.
@@ -30,53 +30,53 @@
 	Times          Unit = "times"
 )
 
-// Measure is what was measured. Its name is the key by which measurements of different runs, sizes and sources are
-// set beside each other.
+// Measure is a measured quantity. Its name is the key by which measurements of different runs, sizes and sources are
+// compared.
 type Measure struct {
 	Name string `json:"measure"`
 	Unit Unit   `json:"unit"`
 }
 
-// The measures. Those of a node are of one node, unless the name says otherwise.
+// The measures. A measure of nodes is the value for one node, unless its comment says otherwise.
 var (
-	DecisionCPU      = Measure{"decision CPU", Nanoseconds}           // of a request's decision and its outcome, collector included
+	DecisionCPU      = Measure{"decision CPU", Nanoseconds}           // of a decision and its outcome, with garbage collection
 	DecisionP50      = Measure{"decision p50", Nanoseconds}           // the same in elapsed time
-	DecisionP99      = Measure{"decision p99", Nanoseconds}           //
-	DecisionRate     = Measure{"decisions a second", PerSecond}       // of one core's time
-	Refused          = Measure{"refused within quota", Percent}       // of requests that no limit should have rejected
-	ListChangeCPU    = Measure{"list change CPU", Nanoseconds}        // of a delta that names one server, read and applied
+	DecisionP99      = Measure{"decision p99", Nanoseconds}           // the same the same
+	DecisionRate     = Measure{"decisions a second", PerSecond}       // in one second of CPU time
+	Refused          = Measure{"refused within quota", Percent}       // requests rejected although no limit applied
+	ListChangeCPU    = Measure{"list change CPU", Nanoseconds}        // to read and apply a delta of one server
 	ListChangeP99    = Measure{"list change p99", Nanoseconds}        // the same in elapsed time
-	ConfigCPU        = Measure{"configuration CPU", Nanoseconds}      // of a file, read, checked and applied
-	StartCPU         = Measure{"start CPU", Nanoseconds}              // from reading a configuration to having applied the list
-	ControlCPU       = Measure{"control CPU", CorePercent}            // of a node with no requests
+	ConfigCPU        = Measure{"configuration CPU", Nanoseconds}      // to read, check and apply a configuration file
+	StartCPU         = Measure{"start CPU", Nanoseconds}              // to read the configuration and apply the first list
+	ControlCPU       = Measure{"control CPU", CorePercent}            // of a node without requests
 	RegistryCPU      = Measure{"registry CPU", CorePercent}           // of one replica
-	RegistryResident = Measure{"registry resident memory", Bytes}     // the same
-	Heap             = Measure{"heap", Bytes}                         // in use after a collection
-	Resident         = Measure{"resident memory", Bytes}              // of the whole process, its nodes and the measuring
-	ListBytes        = Measure{"whole list", Bytes}                   // as it is on the wire
-	ConfigBytes      = Measure{"configuration", Bytes}                // as it is in the file
+	RegistryResident = Measure{"registry resident memory", Bytes}     // of one replica
+	Heap             = Measure{"heap", Bytes}                         // in use after a garbage collection
+	Resident         = Measure{"resident memory", Bytes}              // of the whole process, with all hollow nodes in it
+	ListBytes        = Measure{"whole list", Bytes}                   // encoded, on the wire
+	ConfigBytes      = Measure{"configuration", Bytes}                // configuration file
 	ReceivedBytes    = Measure{"received by a node", BytesPerSecond}  // on the sockets of its list client
-	SentBytes        = Measure{"sent by a node", BytesPerSecond}      //
-	ReceivedReads    = Measure{"messages to a node", PerSecond}       // of its list client
-	SentWrites       = Measure{"messages from a node", PerSecond}     // of its list client
-	ChangeRate       = Measure{"changes a second", PerSecond}         // accepted, where the registry keeps up
-	ChangesRefused   = Measure{"changes refused", Count}              // by an overloaded registry
-	InForceP50       = Measure{"change in force p50", Milliseconds}   // from when it is due until a node has applied it
-	InForceP99       = Measure{"change in force p99", Milliseconds}   //
-	InForceLast      = Measure{"change in force, last", Milliseconds} // the latest of all changes at all nodes
-	ChangesMissed    = Measure{"changes missed", Count}               // at a node, not in force when the run ended
+	SentBytes        = Measure{"sent by a node", BytesPerSecond}      // the same the same
+	ReceivedMessages = Measure{"messages to a node", PerSecond}       // responses to its list client
+	SentMessages     = Measure{"messages from a node", PerSecond}     // calls of its list client
+	ChangeRate       = Measure{"changes a second", PerSecond}         // changes that the registry accepted
+	ChangesRefused   = Measure{"changes refused", Count}              // refused by an overloaded registry
+	InForceP50       = Measure{"change in force p50", Milliseconds}   // from a change's due time until a node has applied it
+	InForceP99       = Measure{"change in force p99", Milliseconds}   // the same the same
+	InForceLast      = Measure{"change in force, last", Milliseconds} // the slowest of all changes at all nodes
+	ChangesMissed    = Measure{"changes missed", Count}               // (change, node) pairs not in force when the run ended
 )
 
-// Measures are all measures, in the order of tables.
+// Measures returns all measures in the order in which tables show them.
 func Measures() []Measure {
 	return append([]Measure{DecisionCPU, DecisionP50, DecisionP99, DecisionRate, Refused, ListChangeCPU, ListChangeP99, ConfigCPU,
 		StartCPU, ControlCPU, RegistryCPU, RegistryResident, Heap, Resident, ListBytes, ConfigBytes, ReceivedBytes,
-		SentBytes, ReceivedReads, SentWrites, ChangeRate, ChangesRefused, InForceP50, InForceP99, InForceLast, ChangesMissed, ReturnCalls,
-		ReturnBytes, LeaderAgain, ServersRemoved},
-		realMeasures()...)
+		SentBytes, ReceivedMessages, SentMessages, ChangeRate, ChangesRefused, InForceP50, InForceP99, InForceLast,
+		ChangesMissed, PeakCallsAfterFault, PeakBytesAfterFault, LeaderElectionTime, ServersRemoved},
+		processMeasures()...)
 }
 
-// Measurement is one value at one point.
+// Measurement is the value of one measure at one point.
 type Measurement struct {
 	Dimension string  `json:"dimension"`
 	Size      int     `json:"size"`
@@ -88,26 +88,26 @@
 
 // Recorder collects the values of one point.
 type Recorder struct {
-	dimension string
-	size, run int
-	source    Source
-	all       []Measurement
+	dimension    string
+	size, run    int
+	source       Source
+	measurements []Measurement
 }
 
-// NewRecorder records what is measured at one size, in one run, of one source.
+// NewRecorder returns a recorder for measurements of one source at one size, in one run.
 func NewRecorder(dimension string, size, run int, source Source) *Recorder {
 	return &Recorder{dimension: dimension, size: size, run: run, source: source}
 }
 
 // Record adds a value.
 func (r *Recorder) Record(m Measure, value float64) {
-	r.all = append(r.all, Measurement{r.dimension, r.size, r.run, r.source, value, m})
+	r.measurements = append(r.measurements, Measurement{r.dimension, r.size, r.run, r.source, value, m})
 }
 
-// Measurements are the values so far, in order.
-func (r *Recorder) Measurements() []Measurement { return slices.Clone(r.all) }
+// Measurements returns the recorded values in the order in which they were recorded.
+func (r *Recorder) Measurements() []Measurement { return slices.Clone(r.measurements) }
 
-// forget drops the values of these measures.
-func (r *Recorder) forget(measures ...Measure) {
-	r.all = slices.DeleteFunc(r.all, func(v Measurement) bool { return slices.Contains(measures, v.Measure) })
+// discard removes the recorded values of some measures.
+func (r *Recorder) discard(measures ...Measure) {
+	r.measurements = slices.DeleteFunc(r.measurements, func(v Measurement) bool { return slices.Contains(measures, v.Measure) })
 }
--- a/internal/scaletest/plot.go
+++ b/internal/scaletest/plot.go
@@ -21,9 +21,9 @@
 	panelGap              = 3 * vg.Millimeter
 	curvePoints           = 64
 	limitWidth            = vg.Length(1.5)
-	axisMargin            = 1.3 // times the largest value, below it the smallest
-	largestTargetDrawn    = 1e9
-	smallestDrawn         = 1e-9
+	axisMargin            = 1.3 // axes end at the largest value times this, and start at the smallest value divided by it
+	maxDrawnTarget        = 1e9
+	minDrawnValue         = 1e-9
 	dashLength, dashSpace = vg.Length(4), vg.Length(3)
 )
 
@@ -32,8 +32,8 @@
 	targetColor = color.Gray{Y: 120}
 )
 
-// WriteSVG draws a panel for each measure whose values are above 0, both axes logarithmic: what was measured, the law
-// up to the target, and the budget.
+// WriteSVG draws a panel with logarithmic axes for each measure whose values are above 0. A panel shows the measured values,
+// the law up to the target, and the budget.
 func (r *Report) WriteSVG(to io.Writer) error {
 	var panels []*plot.Plot
 	for _, law := range r.Laws {
@@ -46,7 +46,7 @@
 		}
 	}
 	if len(panels) == 0 {
-		return fmt.Errorf("plot: there is nothing to draw")
+		return fmt.Errorf("plot: no measure has only values above 0")
 	}
 	rows := (len(panels) + panelColumns - 1) / panelColumns
 	grid := make([][]*plot.Plot, rows)
@@ -57,11 +57,11 @@
 	canvas := vgsvg.New(panelColumns*panelWidth, vg.Length(rows)*panelHeight)
 	tiles := draw.Tiles{Rows: rows, Cols: panelColumns, PadX: panelGap, PadY: panelGap, PadTop: panelGap,
 		PadBottom: panelGap, PadLeft: panelGap, PadRight: panelGap}
-	places := plot.Align(grid, tiles, draw.New(canvas))
+	panelCanvases := plot.Align(grid, tiles, draw.New(canvas))
 	for i, row := range grid {
 		for j, panel := range row {
 			if panel != nil {
-				panel.Draw(places[i][j])
+				panel.Draw(panelCanvases[i][j])
 			}
 		}
 	}
@@ -69,12 +69,12 @@
 	return err
 }
 
-// panel draws one measure; nil where it can't be drawn on logarithmic axes.
+// panel draws one measure. It returns nil if a value is not above 0, as the axes are logarithmic.
 func (r *Report) panel(law Extrapolate) (*plot.Plot, error) {
-	measured := observed(r.Measurements, law.Measure, law.Source)
+	measured := observationsOf(r.Measurements, law.Measure, law.Source)
 	points := make(plotter.XYs, len(measured.values))
 	for i, v := range measured.values {
-		if v <= smallestDrawn {
+		if v <= minDrawnValue {
 			return nil, nil
 		}
 		points[i] = plotter.XY{X: measured.sizes[i], Y: v}
@@ -93,7 +93,7 @@
 	if err := addLaw(p, law); err != nil {
 		return nil, err
 	}
-	if err := drawLimit(p, law); err != nil {
+	if err := addLimit(p, law); err != nil {
 		return nil, err
 	}
 	p.X.Min, p.X.Max = p.X.Min/axisMargin, p.X.Max*axisMargin
@@ -101,12 +101,12 @@
 	return p, nil
 }
 
-// lastDrawn is the size up to which a law is drawn.
-func (e Extrapolate) lastDrawn() float64 {
-	return min(largestTargetDrawn, max(float64(e.To), e.Target))
+// maxDrawnSize returns the size up to which the law is drawn.
+func (e Extrapolate) maxDrawnSize() float64 {
+	return min(maxDrawnTarget, max(float64(e.To), e.Target))
 }
 
-// addLaw draws the law, dashed beyond the sizes that it was fitted over; none where none fits.
+// addLaw draws the law, dashed beyond the largest size of the fit. If there is no law, the title says why.
 func addLaw(p *plot.Plot, law Extrapolate) error {
 	if law.Law == "" {
 		p.Title.Text += ": " + string(law.Why)
@@ -119,16 +119,16 @@
 	if law.Target <= float64(law.To) {
 		return nil
 	}
-	return addCurve(p, law, float64(law.To), law.lastDrawn(), []vg.Length{dashLength, dashSpace})
+	return addCurve(p, law, float64(law.To), law.maxDrawnSize(), []vg.Length{dashLength, dashSpace})
 }
 
-// addCurve draws the law from one size to another.
+// addCurve draws the law between two sizes.
 func addCurve(p *plot.Plot, law Extrapolate, from, to float64, dashes []vg.Length) error {
 	var curve plotter.XYs
 	low, high := math.Log(from), math.Log(to)
 	for i := range curvePoints {
 		n := math.Exp(low + (high-low)*float64(i)/(curvePoints-1))
-		if at := law.At(n); at > smallestDrawn {
+		if at := law.At(n); at > minDrawnValue {
 			curve = append(curve, plotter.XY{X: n, Y: at})
 		}
 	}
@@ -141,27 +141,27 @@
 	return nil
 }
 
-// drawLimit draws the budget, up to the target, and a line at that.
-func drawLimit(p *plot.Plot, law Extrapolate) error {
+// addLimit draws the budget up to the target, and a vertical line at the target.
+func addLimit(p *plot.Plot, law Extrapolate) error {
 	if law.Limit <= 0 {
 		return nil
 	}
-	across, err := plotter.NewLine(plotter.XYs{{X: float64(law.From), Y: law.Limit}, {X: law.lastDrawn(), Y: law.Limit}})
+	budgetLine, err := plotter.NewLine(plotter.XYs{{X: float64(law.From), Y: law.Limit}, {X: law.maxDrawnSize(), Y: law.Limit}})
 	if err != nil {
 		return err
 	}
-	across.Color, across.Width = limitColor, limitWidth
-	p.Add(across)
-	p.Legend.Add("budget", across)
+	budgetLine.Color, budgetLine.Width = limitColor, limitWidth
+	p.Add(budgetLine)
+	p.Legend.Add("budget", budgetLine)
 	if law.Target <= 0 {
 		return nil
 	}
-	up, err := plotter.NewLine(plotter.XYs{{X: law.Target, Y: p.Y.Min}, {X: law.Target, Y: p.Y.Max}})
+	targetLine, err := plotter.NewLine(plotter.XYs{{X: law.Target, Y: p.Y.Min}, {X: law.Target, Y: p.Y.Max}})
 	if err != nil {
 		return err
 	}
-	up.Color, up.Dashes = targetColor, []vg.Length{dashLength, dashSpace}
-	p.Add(up)
-	p.Legend.Add("target", up)
+	targetLine.Color, targetLine.Dashes = targetColor, []vg.Length{dashLength, dashSpace}
+	p.Add(targetLine)
+	p.Legend.Add("target", targetLine)
 	return nil
 }
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -18,58 +18,61 @@
 	"sloerail/internal/testcluster"
 )
 
-// Measures of real processes that hollow nodes don't have.
+// Measures that only real processes have, not hollow nodes.
 var (
-	PeakResident        = Measure{"peak resident memory", Bytes}            // over the life of the process
-	StartTime           = Measure{"start", Milliseconds}                    // until the node has the list and is ready for clients
-	ServersListed       = Measure{"servers listed", Count}                  // that the node has once it started
-	ListReceived        = Measure{"list taken from the service", Count}     // 1, or 0 where it came from the node's cached file
-	ChangeBytes         = Measure{"list change", Bytes}                     // on the wire, for each change
-	ElsewhereCPU        = Measure{"list change elsewhere CPU", Nanoseconds} // of servers that the node's routes don't need
-	ElsewhereBytes      = Measure{"list change elsewhere", Bytes}           // on the wire, for each change
-	RequestCPU          = Measure{"request CPU", Nanoseconds}               // of the node, for each request
+	PeakResident        = Measure{"peak resident memory", Bytes}            // since the process started
+	StartTime           = Measure{"start", Milliseconds}                    // until the node has its list and is ready
+	ServersListed       = Measure{"servers listed", Count}                  // entries in the node's list after its start
+	ListReceived        = Measure{"list taken from the service", Count}     // 1, or 0 if the configuration held the list
+	ChangeBytes         = Measure{"list change", Bytes}                     // on the wire, for one change
+	UnroutedChangeCPU   = Measure{"list change elsewhere CPU", Nanoseconds} // of servers that no route of the node uses
+	UnroutedChangeBytes = Measure{"list change elsewhere", Bytes}           // on the wire, for one such change
+	RequestCPU          = Measure{"request CPU", Nanoseconds}               // of the node, for one request
 	DirectP50           = Measure{"request without a node, p50", Nanoseconds}
 	DirectP99           = Measure{"request without a node, p99", Nanoseconds}
 	ThroughP50          = Measure{"request through a node, p50", Nanoseconds}
 	ThroughP99          = Measure{"request through a node, p99", Nanoseconds}
-	AddedP50            = Measure{"added to a request, p50", Nanoseconds} // difference of the two medians
-	AddedP99            = Measure{"added to a request, p99", Nanoseconds} // difference of the two 99th percentiles
+	AddedP50            = Measure{"added to a request, p50", Nanoseconds} // ThroughP50 - DirectP50
+	AddedP99            = Measure{"added to a request, p99", Nanoseconds} // ThroughP99 - DirectP99
 	RequestsFailed      = Measure{"requests that failed", Count}
 	RequestsSent        = Measure{"requests through a node", Count}
 	RegisterRate        = Measure{"registrations a second", PerSecond} // by all writers
 	RenewRate           = Measure{"renewals a second", PerSecond}      // by all writers
-	RenewCPU            = Measure{"renewal CPU", Nanoseconds}          // of all replicas, for each renewal
-	WatcherNotifiedP50  = Measure{"watcher told p50", Milliseconds}    // from before the write to the answer read
-	WatcherNotifiedP99  = Measure{"watcher told p99", Milliseconds}    //
-	WatcherNotifiedLast = Measure{"watcher told, last", Milliseconds}  //
-	WatcherCPU          = Measure{"watcher told CPU", Nanoseconds}     // of all replicas, for each watcher and change
-	LeaderResident      = Measure{"leader's resident memory", Bytes}   //
+	RenewCPU            = Measure{"renewal CPU", Nanoseconds}          // of all replicas, for one renewal
+	WatcherNotifiedP50  = Measure{"watcher told p50", Milliseconds}    // from a write until a watcher has read it
+	WatcherNotifiedP99  = Measure{"watcher told p99", Milliseconds}    // the same
+	WatcherNotifiedLast = Measure{"watcher told, last", Milliseconds}  // the slowest watcher of all changes
+	WatcherCPU          = Measure{"watcher told CPU", Nanoseconds}     // of all replicas, for one change and one watcher
+	LeaderResident      = Measure{"leader's resident memory", Bytes}
 )
 
-// realMeasures are those that a hollow node doesn't have, in the order of tables.
-func realMeasures() []Measure {
-	return []Measure{PeakResident, StartTime, ServersListed, ListReceived, ChangeBytes, ElsewhereCPU, ElsewhereBytes, RequestCPU, DirectP50, DirectP99, ThroughP50, ThroughP99, AddedP50, AddedP99, RequestsFailed, RequestsSent, RegisterRate, RenewRate, RenewCPU, WatcherNotifiedP50, WatcherNotifiedP99, WatcherNotifiedLast, WatcherCPU, LeaderResident}
+// processMeasures returns the measures that only real processes have, in the order in which tables show them.
+func processMeasures() []Measure {
+	return []Measure{PeakResident, StartTime, ServersListed, ListReceived, ChangeBytes, UnroutedChangeCPU, UnroutedChangeBytes,
+		RequestCPU, DirectP50, DirectP99, ThroughP50, ThroughP99, AddedP50, AddedP99, RequestsFailed, RequestsSent, RegisterRate,
+		RenewRate, RenewCPU, WatcherNotifiedP50, WatcherNotifiedP99, WatcherNotifiedLast, WatcherCPU, LeaderResident}
 }
 
-// ProcessSpec says how real processes are measured. Zero values are replaced by what suits the target.
+// ProcessSpec says how real processes are measured. Zero fields are replaced by defaults, which are derived from the target
+// fleet.
 type ProcessSpec struct {
 	Seed     uint64
-	Window   time.Duration // in which a rate is measured
-	Routes   int           // of the node; each is served by a service of its own
-	Changes  float64       // of the list, a second, while changes are measured
-	Requests float64       // a second, through the node and directly each
-	Replicas int           // of the registry
+	Window   time.Duration // duration over which rates are measured
+	Routes   int           // of the node; each route has a service of its own
+	Changes  float64       // changes of the list a second, while changes are measured
+	Requests float64       // requests a second on each of the two paths, through the node and direct
+	Replicas int           // replicas of the registry, 1 or 3
 }
 
 const (
 	defaultWindow     = 10 * time.Second
-	defaultRoutes     = 10    // 47,000 routes over 5,100 nodes are 9.2
+	defaultRoutes     = 10    // the target's 47,000 routes over 5,100 nodes are 9.2 a node
 	defaultChanges    = 1.0   // a second
-	defaultRequests   = 188.0 // 960,000 requests a second over 5,100 nodes
+	defaultRequests   = 188.0 // a second: the target's 960,000 over 5,100 nodes
 	defaultReplicas   = 1
 	targetNodes       = 5100
 	targetServers     = 150_000
-	serversPerService = 54 // of a service: 150,000 servers in 2,800 services
+	serversPerService = 54 // the target's 150,000 servers in 2,800 services
 	zoneCount         = 20
 )
 
@@ -92,16 +95,16 @@
 	return s
 }
 
-// ProcessDimension is a dimension that is measured on the programs as they ship, each in a process of its own.
+// ProcessDimension is a dimension that is measured on the shipped programs, each in a process of its own.
 type ProcessDimension struct {
 	Name     Dimension
 	MinSize  int
 	MaxSize  int
-	replicas int // of the list service; 0 for one
-	measure  func(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error
+	replicas int // of the registry, overriding ProcessSpec.Replicas; 0 keeps that
+	measure  func(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error
 }
 
-// ProcessDimensions are all there are.
+// ProcessDimensions returns all dimensions of real processes.
 func ProcessDimensions() []ProcessDimension {
 	return []ProcessDimension{
 		{Name: "real-servers", MinSize: 1, MaxSize: 200_000, measure: measureRealServers},
@@ -116,7 +119,7 @@
 	}
 }
 
-// realDimension finds one of them.
+// realDimension returns the process dimension of a name.
 func realDimension(name Dimension) (d ProcessDimension, found bool) {
 	for _, d := range ProcessDimensions() {
 		if d.Name == name {
@@ -133,7 +136,7 @@
 	return all
 }
 
-// Measure measures one size once. It builds the programs of the module in or above whose folder it runs.
+// Measure measures one size in one run. It builds the programs of the module that contains the working directory.
 func (d ProcessDimension) Measure(ctx context.Context, spec ProcessSpec, size, run int) ([]Measurement, error) {
 	if d.replicas > 0 {
 		spec.Replicas = d.replicas
@@ -149,30 +152,31 @@
 		return nil, err
 	}
 	defer func() { _ = os.RemoveAll(dir) }()
-	r, err := testcluster.New(dir, spec.Seed)
+	cluster, err := testcluster.New(dir, spec.Seed)
 	if err != nil {
 		return nil, err
 	}
-	defer r.Close()
+	defer cluster.Close()
 	rec := NewRecorder(string(d.Name), size, run, Process)
-	for _, program := range []string{"cmd/sloerail-node", "cmd/sloerail"} { // else a start would be timed with its build
+	// Build first, so that measured start times don't include the build.
+	for _, program := range []string{"cmd/sloerail-node", "cmd/sloerail"} {
 		if _, err := testcluster.Build(program); err != nil {
 			return nil, err
 		}
 	}
-	if err := d.measure(ctx, r, spec.withDefaults(), size, rec); err != nil {
+	if err := d.measure(ctx, cluster, spec.withDefaults(), size, rec); err != nil {
 		return nil, fmt.Errorf("%s, size %d: %w", d.Name, size, err)
 	}
 	return rec.Measurements(), nil
 }
 
-// usage is the resources of a process: CPU time so far, and memory.
+// usage holds the resource usage of a process: CPU time since its start, and memory.
 type usage struct {
 	cpu            time.Duration
 	resident, peak float64 // bytes
 }
 
-func usageOf(pid int) (usage, error) {
+func processUsage(pid int) (usage, error) {
 	p, err := procfs.NewProc(pid)
 	if err != nil {
 		return usage{}, err
@@ -186,10 +190,10 @@
 		return usage{}, err
 	}
 	u := usage{resident: float64(status.VmRSS), peak: float64(status.VmHWM)}
-	for _, thread := range threads { // its own clock counts nanoseconds, where the process's counts hundredths of a second
+	for _, thread := range threads { // schedstat counts in ns, while the CPU time of a whole process counts in 10 ms
 		times, err := thread.Schedstat()
 		if errors.Is(err, fs.ErrNotExist) {
-			continue // it has just ended
+			continue // the thread has just ended
 		}
 		if err != nil {
 			return usage{}, err
@@ -199,10 +203,10 @@
 	return u, nil
 }
 
-// cpuOfAll is what these processes have used together.
-func cpuOfAll(pids ...int) (sum time.Duration, err error) {
+// totalCPU returns the CPU time that the processes have used together.
+func totalCPU(pids ...int) (sum time.Duration, err error) {
 	for _, pid := range pids {
-		u, err := usageOf(pid)
+		u, err := processUsage(pid)
 		if err != nil {
 			return 0, err
 		}
@@ -211,7 +215,7 @@
 	return sum, nil
 }
 
-// sleep waits for a while, or until ctx ends.
+// sleep waits for d. If ctx ends first, it returns the error of ctx.
 func sleep(ctx context.Context, d time.Duration) error {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -225,8 +229,8 @@
 
 const statsTimeout = 2 * time.Second
 
-// figure reads one metric at a node's administrative address.
-func figure(ctx context.Context, control, name string) (float64, error) {
+// readMetric reads a metric from a node's administrative address.
+func readMetric(ctx context.Context, control, name string) (float64, error) {
 	ctx, cancel := context.WithTimeout(ctx, statsTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+control+"/stats", nil)
@@ -238,18 +242,18 @@
 		return 0, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return readFigure(resp.Body, name)
+	return parseMetric(resp.Body, name)
 }
 
-var errNoFigure = errors.New("no such figure")
+var errMetricNotFound = errors.New("metric not found")
 
-// readFigure finds a figure in the Prometheus text format.
-func readFigure(text io.Reader, name string) (float64, error) {
+// parseMetric returns the value of a metric without labels from the Prometheus text format.
+func parseMetric(text io.Reader, name string) (float64, error) {
 	lines := bufio.NewScanner(text)
 	for lines.Scan() {
 		if value, ok := strings.CutPrefix(lines.Text(), name+" "); ok {
 			return strconv.ParseFloat(value, 64)
 		}
 	}
-	return 0, errors.Join(lines.Err(), fmt.Errorf("%s: %w", name, errNoFigure))
+	return 0, errors.Join(lines.Err(), fmt.Errorf("%s: %w", name, errMetricNotFound))
 }
--- a/internal/scaletest/process_list.go
+++ b/internal/scaletest/process_list.go
@@ -17,29 +17,29 @@
 
 const (
 	listServicePort = 8500
-	maxWatchWait    = time.Minute // of a watch
+	maxWatchWait    = time.Minute // a watch waits for a change for at most this long
 )
 
-// nodeList is the list service of a node under measurement.
-type nodeList interface {
-	counted() *listCounter
-	change(ctx context.Context, server int, phase string) error
+// listSource is the list service that the measured node watches.
+type listSource interface {
+	counter() *listCounter
+	setPhase(ctx context.Context, server int, phase string) error
 }
 
-// listCounter is the server of a list, and counts its responses.
+// listCounter is the HTTP server of a list service, and counts the responses and their bytes.
 type listCounter struct {
-	address string
-	bytes   atomic.Int64 // of answers, bodies alone
-	answers atomic.Int64
-	server  *http.Server
+	address   string
+	bytes     atomic.Int64 // of response bodies
+	responses atomic.Int64
+	server    *http.Server
 }
 
-func (c *listCounter) counted() *listCounter { return c }
+func (c *listCounter) counter() *listCounter { return c }
 func (c *listCounter) close()                { _ = c.server.Close() }
 
-// serve serves a handler at a new address of the cluster.
-func (c *listCounter) serve(r *testcluster.Cluster, h http.Handler) error {
-	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", r.NewAddress(), listServicePort))
+// serve starts to serve a handler at a new address of the cluster.
+func (c *listCounter) serve(cluster *testcluster.Cluster, h http.Handler) error {
+	ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", cluster.NewAddress(), listServicePort))
 	if err != nil {
 		return err
 	}
@@ -49,31 +49,31 @@
 	return nil
 }
 
-// listService is the emulator's list on a socket, with as many servers as a run asks for.
+// listService is a stand-in for the registry that serves the emulator's list over HTTP.
 type listService struct {
 	listCounter
 
 	mu      sync.Mutex
 	list    *emulator.List
-	changed chan struct{} // closed at a change
+	changed chan struct{} // closed and replaced at each change
 }
 
-// serverName, serviceOf and zoneOf say how the servers of a run are laid out: a service's servers follow each
-// other, spread over all zones.
-func serverName(i int) string   { return fmt.Sprintf("server-%06d", i) }
-func serviceOf(i int) string    { return fmt.Sprintf("service-%04d", i/serversPerService) }
-func zoneOf(i int) string       { return fmt.Sprintf("zone-%02d", i%zoneCount) }
-func serviceCount(n int) int    { return (n + serversPerService - 1) / serversPerService }
-func routeService(i int) string { return fmt.Sprintf("service-%04d", i) }
+// serverName, serverService and serverZone give the name, the service and the zone of the server of an index. Servers of a
+// service have consecutive indexes, and consecutive servers are in different zones.
+func serverName(i int) string    { return fmt.Sprintf("server-%06d", i) }
+func serverService(i int) string { return fmt.Sprintf("service-%04d", i/serversPerService) }
+func serverZone(i int) string    { return fmt.Sprintf("zone-%02d", i%zoneCount) }
+func serviceCount(n int) int     { return (n + serversPerService - 1) / serversPerService }
+func routeService(i int) string  { return fmt.Sprintf("service-%04d", i) }
 
-// startList serves a list of n servers; address says where each of them is.
-func startList(r *testcluster.Cluster, n int, address func(i int) string) (*listService, error) {
+// startListService serves a list of n servers at the given addresses.
+func startListService(cluster *testcluster.Cluster, n int, address func(i int) string) (*listService, error) {
 	s := &listService{list: emulator.NewList(), changed: make(chan struct{})}
 	for i := range n {
-		s.list.Set(emulator.Entry{ID: serverName(i), HostPort: address(i), Locality: zoneOf(i), Flavor: serviceOf(i),
+		s.list.Set(emulator.Entry{ID: serverName(i), HostPort: address(i), Locality: serverZone(i), Flavor: serverService(i),
 			Cell: int64(i / 100), Phase: emulator.Up, Size: 1})
 	}
-	return s, s.serve(r, s)
+	return s, s.serve(cluster, s)
 }
 
 // snapshot returns the complete list.
@@ -83,8 +83,8 @@
 	return s.list.Snapshot()
 }
 
-// change changes one server's phase, and notifies all watches.
-func (s *listService) change(_ context.Context, server int, phase string) error {
+// setPhase changes a server's phase, and wakes all watches.
+func (s *listService) setPhase(_ context.Context, server int, phase string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.list.SetPhase(serverName(server), phase)
@@ -93,23 +93,23 @@
 	return nil
 }
 
-// ServeHTTP answers a call for the list, which may wait for a change.
+// ServeHTTP responds with the whole list, or, if the call has an index, waits for changes since it and responds with those.
 func (s *listService) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	index, err := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
 	watch := err == nil
 	ms, _ := strconv.ParseInt(req.URL.Query().Get("wait"), 10, 64)
-	until := time.NewTimer(min(maxWatchWait, time.Duration(ms)*time.Millisecond))
-	defer until.Stop()
+	timer := time.NewTimer(min(maxWatchWait, time.Duration(ms)*time.Millisecond))
+	defer timer.Stop()
 	for {
-		answer, changed, isNew := s.since(index, watch)
+		response, changed, isNew := s.changesSince(index, watch)
 		if isNew {
-			s.write(w, answer)
+			s.respond(w, response)
 			return
 		}
 		select {
 		case <-changed:
-		case <-until.C:
-			s.write(w, answer)
+		case <-timer.C:
+			s.respond(w, response)
 			return
 		case <-req.Context().Done():
 			return
@@ -117,23 +117,23 @@
 	}
 }
 
-func (s *listService) since(index int64, watch bool) (emulator.ListResponse, <-chan struct{}, bool) {
+func (s *listService) changesSince(index int64, watch bool) (emulator.ListResponse, <-chan struct{}, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !watch {
 		return s.list.Snapshot(), nil, true
 	}
-	answer, isNew := s.list.Since(index)
-	return answer, s.changed, isNew
+	response, isNew := s.list.Since(index)
+	return response, s.changed, isNew
 }
 
-func (s *listService) write(w http.ResponseWriter, answer emulator.ListResponse) {
-	body, err := json.Marshal(answer)
-	if err != nil { // plain fields always can be written
+func (s *listService) respond(w http.ResponseWriter, response emulator.ListResponse) {
+	body, err := json.Marshal(response)
+	if err != nil { // can't happen: all fields are plain values
 		panic(err)
 	}
 	w.Header().Set("Content-Type", "application/json")
 	n, _ := w.Write(body)
 	s.bytes.Add(int64(n))
-	s.answers.Add(1)
+	s.responses.Add(1)
 }
--- a/internal/scaletest/process_registry.go
+++ b/internal/scaletest/process_registry.go
@@ -16,73 +16,74 @@
 )
 
 const (
-	registryWriters  = 32 // half of the commands that a replica takes at a time
+	registryWriters  = 32 // half of the commands that a replica accepts at a time
 	watchedInstances = 2000
 	watchedChanges   = 20
-	fewWatchers      = 50
-	maxRenewals      = 1000             // that are timed
-	instanceLease    = 10 * time.Minute // none runs out during a run
+	instanceWatchers = 50
+	maxRenewals      = 1000             // renewals that are timed
+	instanceLease    = 10 * time.Minute // longer than a run, so that no lease expires
 	watchTimeout     = 30 * time.Second
 	maxNotifyTime    = time.Minute
 )
 
-// registryRun is a list service of real replicas under measurement.
-type registryRun struct {
+// measuredRegistry is a registry of real replicas that is measured or watched by a measured node.
+type measuredRegistry struct {
 	*testcluster.Registry
 	leader string
 }
 
-func startRegistry(ctx context.Context, r *testcluster.Cluster, replicas int) (*registryRun, error) {
-	g, err := r.NewRegistry(replicas)
+func startRegistry(ctx context.Context, cluster *testcluster.Cluster, replicas int) (*measuredRegistry, error) {
+	reg, err := cluster.NewRegistry(replicas)
 	if err != nil {
 		return nil, err
 	}
-	for _, name := range g.Names {
-		if err := g.Start(name); err != nil {
+	for _, name := range reg.Names {
+		if err := reg.Start(name); err != nil {
 			return nil, err
 		}
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	leader, err := g.AwaitLeader(ctx)
+	leader, err := reg.AwaitLeader(ctx)
 	if err != nil {
 		return nil, err
 	}
-	return &registryRun{g, leader}, nil
+	return &measuredRegistry{reg, leader}, nil
 }
 
-func (g *registryRun) pids() (all []int) {
-	for _, name := range g.Names {
-		all = append(all, g.Process(name).PID())
+func (reg *measuredRegistry) pids() (all []int) {
+	for _, name := range reg.Names {
+		all = append(all, reg.Process(name).PID())
 	}
 	return all
 }
 
-// instance is the registration of a server; startTimeMs tells one registration from another.
+// instance returns the registration of a server. startTimeMs distinguishes one registration of a server from the next.
 func instance(i, startTimeMs int) map[string]any {
-	return map[string]any{"host_port": fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), "locality": zoneOf(i),
-		"flavor": serviceOf(i), "cell": i / 100, "lease_ms": instanceLease.Milliseconds(), "up_since_ms": startTimeMs}
+	return map[string]any{"host_port": fmt.Sprintf("10.%d.%d.%d:9000", i>>16, i>>8&255, i&255), "locality": serverZone(i),
+		"flavor": serverService(i), "cell": i / 100, "lease_ms": instanceLease.Milliseconds(), "up_since_ms": startTimeMs}
 }
 
-// writeAll has all writers together make one write for each of n instances, and returns their rate.
-func (g *registryRun) writeAll(ctx context.Context, n int, write func(c *registry.Client, i int) error) (rate float64, err error) {
+// writeAll makes one write for each of n instances, shared among all writers, and returns the writes a second.
+func (reg *measuredRegistry) writeAll(ctx context.Context, n int, write func(c *registry.Client, i int) error) (rate float64, err error) {
 	errs := make([]error, registryWriters)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	began := time.Now()
 	for w := range registryWriters {
-		all.Go(func() {
-			c := registry.NewClient([]string{g.Address(g.leader)})
+		wg.Go(func() {
+			c := registry.NewClient([]string{reg.Address(reg.leader)})
 			for i := w; i < n && errs[w] == nil && ctx.Err() == nil; i += registryWriters {
 				errs[w] = write(c, i)
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	return float64(n) / time.Since(began).Seconds(), errors.Join(errors.Join(errs...), ctx.Err())
 }
 
-// put makes one write until it is taken: replicas that are short of the processor may have no leader for seconds.
-func put(ctx context.Context, c *registry.Client, path string, body any) error {
+// putWithRetry repeats a write while the registry responds 503: replicas that get too little CPU time may have no leader for
+// seconds.
+func putWithRetry(ctx context.Context, c *registry.Client, path string, body any) error {
 	for {
 		err := c.Do(ctx, http.MethodPut, path, body, nil, 0)
 		var refused registry.StatusError
@@ -92,55 +93,55 @@
 	}
 }
 
-func (g *registryRun) registerAll(ctx context.Context, n int) (rate float64, err error) {
-	return g.writeAll(ctx, n, func(c *registry.Client, i int) error {
-		return put(ctx, c, "/registry/instances/"+serverName(i), instance(i, 1))
+func (reg *measuredRegistry) registerAll(ctx context.Context, n int) (rate float64, err error) {
+	return reg.writeAll(ctx, n, func(c *registry.Client, i int) error {
+		return putWithRetry(ctx, c, "/registry/instances/"+serverName(i), instance(i, 1))
 	})
 }
 
-func (g *registryRun) renewAll(ctx context.Context, n int) (rate float64, err error) {
-	return g.writeAll(ctx, n, func(c *registry.Client, i int) error {
-		return put(ctx, c, "/registry/instances/"+serverName(i)+"/lease", nil)
+func (reg *measuredRegistry) renewAll(ctx context.Context, n int) (rate float64, err error) {
+	return reg.writeAll(ctx, n, func(c *registry.Client, i int) error {
+		return putWithRetry(ctx, c, "/registry/instances/"+serverName(i)+"/lease", nil)
 	})
 }
 
-// measureRealInstances measures the list service with so many instances and a few watchers.
-func measureRealInstances(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
-	g, err := startRegistry(ctx, r, spec.Replicas)
+// measureRealInstances measures a registry with size instances and instanceWatchers watchers.
+func measureRealInstances(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
+	reg, err := startRegistry(ctx, cluster, spec.Replicas)
 	if err != nil {
 		return err
 	}
-	rate, err := g.registerAll(ctx, size)
+	rate, err := reg.registerAll(ctx, size)
 	if err != nil {
 		return err
 	}
 	rec.Record(RegisterRate, rate)
-	before, err := cpuOfAll(g.pids()...)
+	before, err := totalCPU(reg.pids()...)
 	if err != nil {
 		return err
 	}
 	renewals := min(size, maxRenewals)
-	if rate, err = g.renewAll(ctx, renewals); err != nil {
+	if rate, err = reg.renewAll(ctx, renewals); err != nil {
 		return err
 	}
-	after, err := cpuOfAll(g.pids()...)
+	after, err := totalCPU(reg.pids()...)
 	if err != nil {
 		return err
 	}
 	rec.Record(RenewRate, rate)
 	rec.Record(RenewCPU, float64(after-before)/float64(renewals))
-	if err := measureListSize(ctx, g, rec); err != nil {
+	if err := measureListSize(ctx, reg, rec); err != nil {
 		return err
 	}
-	if err := g.measureNotification(ctx, fewWatchers, rec); err != nil {
+	if err := reg.measureNotification(ctx, instanceWatchers, rec); err != nil {
 		return err
 	}
-	return g.recordIdle(ctx, spec, rec)
+	return reg.recordIdle(ctx, spec, rec)
 }
 
-// measureListSize notes how large the list is as a node is given it.
-func measureListSize(ctx context.Context, g *registryRun, rec *Recorder) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+g.Address(g.leader)+"/registry/instances", nil)
+// measureListSize records the size of the whole list in the registry's response to a node.
+func measureListSize(ctx context.Context, reg *measuredRegistry, rec *Recorder) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+reg.Address(reg.leader)+"/registry/instances", nil)
 	if err != nil {
 		return err
 	}
@@ -154,37 +155,37 @@
 	return err
 }
 
-// measureRealWatchers measures the list service with a common number of instances and so many watchers.
-func measureRealWatchers(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
-	g, err := startRegistry(ctx, r, spec.Replicas)
+// measureRealWatchers measures a registry with watchedInstances instances and size watchers.
+func measureRealWatchers(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
+	reg, err := startRegistry(ctx, cluster, spec.Replicas)
 	if err != nil {
 		return err
 	}
-	if _, err := g.registerAll(ctx, watchedInstances); err != nil {
+	if _, err := reg.registerAll(ctx, watchedInstances); err != nil {
 		return err
 	}
-	if err := g.measureNotification(ctx, size, rec); err != nil {
+	if err := reg.measureNotification(ctx, size, rec); err != nil {
 		return err
 	}
-	return g.recordIdle(ctx, spec, rec)
+	return reg.recordIdle(ctx, spec, rec)
 }
 
-// recordIdle watches replicas that have nothing to do but to hold watches.
-func (g *registryRun) recordIdle(ctx context.Context, spec ProcessSpec, rec *Recorder) error {
+// recordIdle records CPU time and memory of replicas that only hold idle watches.
+func (reg *measuredRegistry) recordIdle(ctx context.Context, spec ProcessSpec, rec *Recorder) error {
 	began := time.Now()
-	before, err := cpuOfAll(g.pids()...)
+	before, err := totalCPU(reg.pids()...)
 	if err != nil {
 		return err
 	}
 	if err := sleep(ctx, spec.Window); err != nil {
 		return err
 	}
-	after, err := cpuOfAll(g.pids()...)
+	after, err := totalCPU(reg.pids()...)
 	if err != nil {
 		return err
 	}
-	rec.Record(RegistryCPU, 100*(after-before).Seconds()/time.Since(began).Seconds()/float64(len(g.Names)))
-	u, err := usageOf(g.Process(g.leader).PID())
+	rec.Record(RegistryCPU, 100*(after-before).Seconds()/time.Since(began).Seconds()/float64(len(reg.Names)))
+	u, err := processUsage(reg.Process(reg.leader).PID())
 	if err != nil {
 		return err
 	}
@@ -193,49 +194,49 @@
 	return nil
 }
 
-// watchers are callers of the list service that follow one instance.
+// watchers are clients that watch the registry, and the delays until they were notified of the last write.
 type watchers struct {
-	mu          sync.Mutex
-	sent        time.Time // the last write,
-	startTimeMs int64     // its mark,
-	notified    int       // how many watchers were notified of it
-	readyCount  int
-	delays      *hdrhistogram.Histogram
+	mu              sync.Mutex
+	writtenAt       time.Time // time of the last write
+	wantStartTimeMs int64     // up_since_ms of the instance in the last write
+	notified        int       // watchers that were notified of the last write
+	readyCount      int       // watchers that have the whole list
+	delays          *hdrhistogram.Histogram
 }
 
-// measureNotification makes changes under so many watchers, and records when each was notified.
-func (g *registryRun) measureNotification(ctx context.Context, n int, rec *Recorder) error {
-	under, stop := context.WithCancel(ctx)
-	var all sync.WaitGroup
-	defer all.Wait()
+// measureNotification makes watchedChanges changes under n watchers, and records the delays until each was notified.
+func (reg *measuredRegistry) measureNotification(ctx context.Context, n int, rec *Recorder) error {
+	watchCtx, stop := context.WithCancel(ctx)
+	var wg sync.WaitGroup
+	defer wg.Wait()
 	defer stop()
-	w := &watchers{delays: hdrhistogram.New(1, maxNotifyTime.Microseconds(), histogramDigit)}
+	w := &watchers{delays: hdrhistogram.New(1, maxNotifyTime.Microseconds(), latencyDigits)}
 	for i := range n {
-		all.Go(func() { w.follow(under, registry.NewClient([]string{g.Address(g.Names[i%len(g.Names)])})) })
+		wg.Go(func() { w.watch(watchCtx, registry.NewClient([]string{reg.Address(reg.Names[i%len(reg.Names)])})) })
 	}
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
-	count := func(of *int, want int) func() bool {
-		return func() bool { w.mu.Lock(); defer w.mu.Unlock(); return *of >= want }
+	atLeast := func(count *int, want int) func() bool {
+		return func() bool { w.mu.Lock(); defer w.mu.Unlock(); return *count >= want }
 	}
-	if err := testcluster.Await(ctx, "all watchers", count(&w.readyCount, n)); err != nil {
+	if err := testcluster.Await(ctx, "the whole list at all watchers", atLeast(&w.readyCount, n)); err != nil {
 		return err
 	}
-	c := registry.NewClient([]string{g.Address(g.leader)})
-	before, err := cpuOfAll(g.pids()...)
+	c := registry.NewClient([]string{reg.Address(reg.leader)})
+	before, err := totalCPU(reg.pids()...)
 	if err != nil {
 		return err
 	}
 	for change := range watchedChanges {
-		w.begin(int64(change + 100))
-		if err := put(ctx, c, "/registry/instances/"+serverName(0), instance(0, change+100)); err != nil {
+		w.expect(int64(change + 100))
+		if err := putWithRetry(ctx, c, "/registry/instances/"+serverName(0), instance(0, change+100)); err != nil {
 			return err
 		}
-		if err := testcluster.Await(ctx, "all to be told", count(&w.notified, n)); err != nil {
+		if err := testcluster.Await(ctx, "notification of all watchers", atLeast(&w.notified, n)); err != nil {
 			return err
 		}
 	}
-	after, err := cpuOfAll(g.pids()...)
+	after, err := totalCPU(reg.pids()...)
 	if err != nil {
 		return err
 	}
@@ -248,22 +249,22 @@
 	return nil
 }
 
-func (w *watchers) begin(mark int64) {
+func (w *watchers) expect(startTimeMs int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.sent, w.startTimeMs, w.notified = time.Now(), mark, 0
+	w.writtenAt, w.wantStartTimeMs, w.notified = time.Now(), startTimeMs, 0
 }
 
-// follow watches the list until ctx ends.
-func (w *watchers) follow(ctx context.Context, c *registry.Client) {
-	at := int64(-1)
+// watch watches the list until ctx ends.
+func (w *watchers) watch(ctx context.Context, c *registry.Client) {
+	revision := int64(-1)
 	for first := true; ctx.Err() == nil; {
 		var l registry.EndpointList
-		path := fmt.Sprintf("/registry/instances?index=%d&wait=%d", at, watchTimeout.Milliseconds())
+		path := fmt.Sprintf("/registry/instances?index=%d&wait=%d", revision, watchTimeout.Milliseconds())
 		if c.Watch(ctx, path, watchTimeout, &l) != nil {
 			continue
 		}
-		at = l.Revision
+		revision = l.Revision
 		w.record(l, first)
 		first = false
 	}
@@ -277,9 +278,9 @@
 		return
 	}
 	for _, e := range l.Endpoints {
-		if e.StartTimeMs == w.startTimeMs {
+		if e.StartTimeMs == w.wantStartTimeMs {
 			w.notified++
-			_ = w.delays.RecordValue(time.Since(w.sent).Microseconds())
+			_ = w.delays.RecordValue(time.Since(w.writtenAt).Microseconds())
 		}
 	}
 }
--- a/internal/scaletest/process_requests.go
+++ b/internal/scaletest/process_requests.go
@@ -17,22 +17,22 @@
 )
 
 const (
-	requestServers = 8  // listeners that stand for all servers
-	requestWorkers = 32 // clients of each of the two ways
-	warmRequests   = 200
+	requestServers = 8  // listeners that the addresses of all servers share
+	requestWorkers = 32 // concurrent requests of each path
+	warmUpRequests = 200
 	maxRequestTime = 10 * time.Second
-	histogramDigit = 3
-	answerBody     = "0123456789012345678901234567890123456789012345678901234567890123"
+	latencyDigits  = 3
+	responseBody   = "0123456789012345678901234567890123456789012345678901234567890123"
 )
 
-// startServers starts the servers of requests; they respond at once.
-func startServers(r *testcluster.Cluster) (addresses []string, end func(), err error) {
+// startServers starts servers that respond without delay.
+func startServers(cluster *testcluster.Cluster) (addresses []string, stop func(), err error) {
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		_, _ = io.Copy(io.Discard, req.Body)
 		w.Header().Set("X-Load", "latency_ms=1.0,util=0.02,qps=30")
-		_, _ = io.WriteString(w, answerBody)
+		_, _ = io.WriteString(w, responseBody)
 	})}
-	host := r.NewAddress()
+	host := cluster.NewAddress()
 	for i := range requestServers {
 		ln, err := net.Listen("tcp", fmt.Sprintf("%s:%d", host, 9000+i))
 		if err != nil {
@@ -45,41 +45,41 @@
 	return addresses, func() { _ = server.Close() }, nil
 }
 
-// route is how clients reach servers: straight or through a node.
-type route struct {
+// requestPath is how clients reach the servers, direct or through a node, with the latencies measured on it.
+type requestPath struct {
 	address   func(i int) string
 	client    *http.Client
 	latencies *hdrhistogram.Histogram
 	failed    atomic.Int64
-	mu        sync.Mutex // of took
+	mu        sync.Mutex // of latencies and firstErr
 	firstErr  error
 }
 
-func newRoute(address func(i int) string) *route {
-	return &route{address: address, latencies: hdrhistogram.New(1, maxRequestTime.Nanoseconds(), histogramDigit),
+func newRequestPath(address func(i int) string) *requestPath {
+	return &requestPath{address: address, latencies: hdrhistogram.New(1, maxRequestTime.Nanoseconds(), latencyDigits),
 		client: &http.Client{Timeout: maxRequestTime, Transport: &http.Transport{MaxIdleConnsPerHost: requestWorkers,
 			DisableCompression: true}}}
 }
 
-// sendRequest sends one request and notes how long its answer took.
-func (w *route) sendRequest(ctx context.Context, i, routes int) {
+// sendRequest sends the i-th request, and records its latency or its error.
+func (p *requestPath) sendRequest(ctx context.Context, i, routes int) {
 	began := time.Now()
-	err := w.exchange(ctx, i, routes)
+	err := p.roundTrip(ctx, i, routes)
 	took := time.Since(began)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	p.mu.Lock()
+	defer p.mu.Unlock()
 	if err != nil {
-		w.failed.Add(1)
-		if w.firstErr == nil {
-			w.firstErr = err
+		p.failed.Add(1)
+		if p.firstErr == nil {
+			p.firstErr = err
 		}
 		return
 	}
-	_ = w.latencies.RecordValue(min(took.Nanoseconds(), maxRequestTime.Nanoseconds()))
+	_ = p.latencies.RecordValue(min(took.Nanoseconds(), maxRequestTime.Nanoseconds()))
 }
 
-func (w *route) exchange(ctx context.Context, i, routes int) error {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+w.address(i)+"/", nil)
+func (p *requestPath) roundTrip(ctx context.Context, i, routes int) error {
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.address(i)+"/", nil)
 	if err != nil {
 		return err
 	}
@@ -87,7 +87,7 @@
 	req.Header.Set("X-Class", routeName(i%routes))
 	req.Header.Set("X-Tenant", tenantName(i%manyTenants))
 	req.Header.Set("X-Deadline-Ms", fmt.Sprint(nodeDeadline.Milliseconds()))
-	resp, err := w.client.Do(req)
+	resp, err := p.client.Do(req)
 	if err != nil {
 		return err
 	}
@@ -96,52 +96,51 @@
 		return err
 	}
 	if resp.StatusCode != http.StatusOK {
-		return fmt.Errorf("answered %s", resp.Status)
+		return fmt.Errorf("response status %s, want 200 OK", resp.Status)
 	}
 	return nil
 }
 
-func (w *route) reset() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.latencies.Reset()
-	w.failed.Store(0)
-	w.firstErr = nil
+func (p *requestPath) reset() {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.latencies.Reset()
+	p.failed.Store(0)
+	p.firstErr = nil
 }
 
-// measureRealRequests measures what a node that knows so many servers adds to a request: the same clients ask the same
-// servers straight and through the node, one request after the other in turns, so that whatever else the machine
-// does is in both.
-func measureRealRequests(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
-	addresses, end, err := startServers(r)
+// measureRealRequests measures the latency that a node with a list of size servers adds to a request. Requests to the same
+// servers alternate between the direct path and the path through the node, so that other load of the machine affects both.
+func measureRealRequests(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
+	addresses, stop, err := startServers(cluster)
 	if err != nil {
 		return err
 	}
-	defer end()
-	at := func(i int) string { return addresses[i%len(addresses)] }
-	list, err := startList(r, size, at)
+	defer stop()
+	address := func(i int) string { return addresses[i%len(addresses)] }
+	list, err := startListService(cluster, size, address)
 	if err != nil {
 		return err
 	}
 	defer list.close()
-	n, err := startNode(ctx, r, list, nodeSettings(spec, serviceCount(size), manyTenants), rec)
+	n, err := startNode(ctx, cluster, list, nodeSettings(spec, serviceCount(size), manyTenants), rec)
 	if err != nil {
 		return err
 	}
 	if err := sleep(ctx, min(startupDelay, spec.Window)); err != nil {
 		return err
 	}
-	direct, through := newRoute(at), newRoute(func(int) string { return n.Listen })
-	sendAlternately(ctx, spec, warmRequests, direct, through)
+	direct, through := newRequestPath(address), newRequestPath(func(int) string { return n.Listen })
+	sendAlternately(ctx, spec, warmUpRequests, direct, through)
 	direct.reset()
 	through.reset()
 	count := max(1, int(spec.Requests*spec.Window.Seconds()))
-	before, err := usageOf(n.Process().PID())
+	before, err := processUsage(n.Process().PID())
 	if err != nil {
 		return err
 	}
 	sendAlternately(ctx, spec, count, direct, through)
-	after, err := usageOf(n.Process().PID())
+	after, err := processUsage(n.Process().PID())
 	if err != nil {
 		return err
 	}
@@ -149,7 +148,7 @@
 		return err
 	}
 	if direct.failed.Load() > 0 {
-		return fmt.Errorf("%d of %d requests without a node failed: %w", direct.failed.Load(), count, direct.firstErr)
+		return fmt.Errorf("%d of %d direct requests failed: %w", direct.failed.Load(), count, direct.firstErr)
 	}
 	if through.failed.Load() > 0 {
 		slog.Warn("scale: requests through the node failed", "count", through.failed.Load(), "first", through.firstErr)
@@ -157,12 +156,12 @@
 	rec.Record(RequestCPU, float64(after.cpu-before.cpu)/float64(count))
 	rec.Record(RequestsSent, float64(count))
 	rec.Record(RequestsFailed, float64(through.failed.Load()))
-	recordTimes(rec, direct, through)
+	recordLatencies(rec, direct, through)
 	return nil
 }
 
-// recordTimes notes the percentiles of both ways, and their differences.
-func recordTimes(rec *Recorder, direct, through *route) {
+// recordLatencies records the percentiles of both paths, and their differences.
+func recordLatencies(rec *Recorder, direct, through *requestPath) {
 	for _, m := range []struct {
 		quantile               float64
 		direct, through, added Measure
@@ -174,24 +173,24 @@
 	}
 }
 
-// sendAlternately sends so many requests each way, at the rate of the spec each.
-func sendAlternately(ctx context.Context, spec ProcessSpec, count int, ways ...*route) {
-	var all sync.WaitGroup
-	slots := make(chan struct{}, len(ways)*requestWorkers)
-	tick := time.NewTicker(time.Duration(float64(time.Second) / spec.Requests / float64(len(ways))))
+// sendAlternately sends count requests on each path in turns, on each path at the rate of the spec.
+func sendAlternately(ctx context.Context, spec ProcessSpec, count int, paths ...*requestPath) {
+	var wg sync.WaitGroup
+	slots := make(chan struct{}, len(paths)*requestWorkers)
+	tick := time.NewTicker(time.Duration(float64(time.Second) / spec.Requests / float64(len(paths))))
 	defer tick.Stop()
-	for i := range count * len(ways) {
+	for i := range count * len(paths) {
 		select {
 		case <-tick.C:
 		case <-ctx.Done():
-			all.Wait()
+			wg.Wait()
 			return
 		}
 		slots <- struct{}{}
-		all.Go(func() {
+		wg.Go(func() {
 			defer func() { <-slots }()
-			ways[i%len(ways)].sendRequest(ctx, i/len(ways), spec.Routes)
+			paths[i%len(paths)].sendRequest(ctx, i/len(paths), spec.Routes)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 }
--- a/internal/scaletest/process_scoped.go
+++ b/internal/scaletest/process_scoped.go
@@ -17,70 +17,71 @@
 )
 
 const (
-	defaultSubset    = 20      // servers of each service that a node connects to
-	maxScopedServers = 150_000 // instances that the list service takes
+	defaultSubset    = 20      // size of the subset of each service that a node subscribes to
+	maxScopedServers = 150_000 // instances that a registry accepts
 )
 
-// registryList is a list service of real replicas, called through a proxy that counts what it answers.
+// registryList is a registry of real replicas behind a proxy that counts its responses.
 type registryList struct {
 	listCounter
-	run    *registryRun
-	client *registry.Client
+	measured *measuredRegistry
+	client   *registry.Client
 }
 
-func startRegistryList(ctx context.Context, r *testcluster.Cluster, replicas, n int) (*registryList, error) {
-	run, err := startRegistry(ctx, r, replicas)
+func startRegistryList(ctx context.Context, cluster *testcluster.Cluster, replicas, n int) (*registryList, error) {
+	measured, err := startRegistry(ctx, cluster, replicas)
 	if err != nil {
 		return nil, err
 	}
-	l := &registryList{run: run, client: registry.NewClient([]string{run.Address(run.leader)})}
-	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: run.Address(run.leader)})
-	proxy.ErrorLog = log.New(io.Discard, "", 0) // of nodes that close their connections when they end
-	if err := l.serve(r, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		proxy.ServeHTTP(&countingWriter{w, l.counted()}, req)
-		l.answers.Add(1)
+	l := &registryList{measured: measured, client: registry.NewClient([]string{measured.Address(measured.leader)})}
+	proxy := httputil.NewSingleHostReverseProxy(&url.URL{Scheme: "http", Host: measured.Address(measured.leader)})
+	proxy.ErrorLog = log.New(io.Discard, "", 0) // drops the errors from nodes that close their connections when they stop
+	if err := l.serve(cluster, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		proxy.ServeHTTP(&countingWriter{w, l.counter()}, req)
+		l.responses.Add(1)
 	})); err != nil {
 		return nil, err
 	}
-	_, err = run.writeAll(ctx, n, func(c *registry.Client, i int) error { return l.write(ctx, c, i, registry.PhaseUp) })
+	_, err = measured.writeAll(ctx, n, func(c *registry.Client, i int) error { return l.register(ctx, c, i, registry.PhaseUp) })
 	return l, err
 }
 
-// write registers a server of its service, in a phase.
-func (l *registryList) write(ctx context.Context, c *registry.Client, server int, phase string) error {
+// register registers a server with its service and a phase.
+func (l *registryList) register(ctx context.Context, c *registry.Client, server int, phase string) error {
 	body := instance(server, 1)
-	body["service"], body["phase"] = serviceOf(server), phase
-	return put(ctx, c, "/registry/instances/"+serverName(server), body)
+	body["service"], body["phase"] = serverService(server), phase
+	return putWithRetry(ctx, c, "/registry/instances/"+serverName(server), body)
 }
 
-func (l *registryList) change(ctx context.Context, server int, phase string) error {
-	return l.write(ctx, l.client, server, phase)
+func (l *registryList) setPhase(ctx context.Context, server int, phase string) error {
+	return l.register(ctx, l.client, server, phase)
 }
 
-// countingWriter counts the bytes of a body.
+// countingWriter counts the bytes of a response body.
 type countingWriter struct {
 	http.ResponseWriter
-	to *listCounter
+	counter *listCounter
 }
 
 func (w *countingWriter) Write(body []byte) (int, error) {
 	n, err := w.ResponseWriter.Write(body)
-	w.to.bytes.Add(int64(n))
+	w.counter.bytes.Add(int64(n))
 	return n, err
 }
 
-// Unwrap lets the proxy flush.
+// Unwrap returns the wrapped writer, so that the proxy can flush it.
 func (w *countingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
 
-// scopedNode is a node that subscribes to a subset of each service that its routes need, at a registry of so many servers.
+// scopedNode is a node that subscribes to a subset of each service that its routes use, with its registry.
 type scopedNode struct {
 	*testcluster.Node
 	list *registryList
 }
 
-// startScopedNode starts the registry, then the node, which has to list the servers of its scope.
-func startScopedNode(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) (*scopedNode, error) {
-	list, err := startRegistryList(ctx, r, spec.Replicas, size)
+// startScopedNode starts a registry with size servers, then a node. It fails unless the node lists exactly the servers of
+// its scope.
+func startScopedNode(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) (*scopedNode, error) {
+	list, err := startRegistryList(ctx, cluster, spec.Replicas, size)
 	if err != nil {
 		return nil, err
 	}
@@ -96,10 +97,10 @@
 		return nil, err
 	}
 	want := len(scoped.Endpoints)
-	n, listed, err := startAndRecord(ctx, r, testcluster.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB,
+	n, listed, err := startAndRecord(ctx, cluster, testcluster.NodeSpec{Name: "node", Discovery: list.address, MemoryMB: realNodeMemoryMB,
 		Sockets: nodeMaxSockets, Settings: settings, Scope: map[string]any{"services": services, "subset": defaultSubset}}, want, rec)
 	if err == nil && listed != want {
-		err = fmt.Errorf("the node lists %d servers, its scope has %d", listed, want)
+		err = fmt.Errorf("node lists %d servers, want the %d of its scope", listed, want)
 	}
 	rec.Record(ListBytes, float64(list.bytes.Load()))
 	if err == nil {
@@ -108,49 +109,51 @@
 	return &scopedNode{n, list}, err
 }
 
-// measureRealScoped measures a node with a scope, by the servers that there are in all.
-func measureRealScoped(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
-	n, err := startScopedNode(ctx, r, spec, size, rec)
+// measureRealScoped measures a node with a scope, by the number of servers in the registry.
+func measureRealScoped(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
+	n, err := startScopedNode(ctx, cluster, spec, size, rec)
 	if err != nil {
 		return err
 	}
 	defer n.list.close()
-	if err := measureIdle(ctx, spec, n.Node, n.list.counted(), rec); err != nil {
+	if err := measureIdle(ctx, spec, n.Node, n.list.counter(), rec); err != nil {
 		return err
 	}
-	if err := watchAllChanges(ctx, spec, n.Node, n.list, size, rec); err != nil {
+	if err := measureAllChanges(ctx, spec, n.Node, n.list, size, rec); err != nil {
 		return err
 	}
-	u, err := usageOf(n.list.run.Process(n.list.run.leader).PID())
+	u, err := processUsage(n.list.measured.Process(n.list.measured.leader).PID())
 	rec.Record(LeaderResident, u.resident)
 	return err
 }
 
-// measureRealDay measures a node with a scope while servers anywhere drain and come back at the rate of the target's
-// day.
-func measureRealDay(ctx context.Context, r *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
-	n, err := startScopedNode(ctx, r, spec, size, rec)
+// measureRealDay measures a node with a scope while servers of all services drain and come back at the target's daily rate.
+func measureRealDay(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
+	n, err := startScopedNode(ctx, cluster, spec, size, rec)
 	if err != nil {
 		return err
 	}
 	defer n.list.close()
-	under, stop := context.WithCancel(ctx)
+	changeCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	failed := make(chan error, 1)
-	go func() { failed <- n.list.changeAll(under, spec.Seed, size, dayChanges*float64(size)/targetServers) }()
-	if err := measureIdle(ctx, spec, n.Node, n.list.counted(), rec); err != nil {
+	go func() {
+		failed <- n.list.changeRandomServers(changeCtx, spec.Seed, size, dayChangeRate*float64(size)/targetServers)
+	}()
+	if err := measureIdle(ctx, spec, n.Node, n.list.counter(), rec); err != nil {
 		return err
 	}
 	stop()
 	return <-failed
 }
 
-// dayChanges is the rate of changes of the target's list, a second: 9,100 restarts a day with a drain, an end and a start
-// each, and 340 failures that are detected and repaired.
-const dayChanges = (9100*3 + 340*2) / 86400.0
+// dayChangeRate is the rate of changes of the target's list, a second: 9,100 restarts a day with three changes each (drain,
+// stop, start), and 340 failures with two (detected, repaired).
+const dayChangeRate = (9100*3 + 340*2) / 86400.0
 
-// changeAll has servers drawn from all of them drain, and each come back with the next change, until ctx ends.
-func (l *registryList) changeAll(ctx context.Context, seed uint64, n int, rate float64) error {
+// changeRandomServers drains a random server and brings it back with the next change, and so on until ctx ends. Changes come
+// at random times with the mean rate.
+func (l *registryList) changeRandomServers(ctx context.Context, seed uint64, n int, rate float64) error {
 	rng := rand.New(rand.NewPCG(seed, 0xda))
 	for server, phase := 0, registry.PhaseUp; ; {
 		if sleep(ctx, time.Duration(rng.ExpFloat64()/rate*float64(time.Second))) != nil {
@@ -161,7 +164,7 @@
 		} else {
 			phase = registry.PhaseUp
 		}
-		if err := l.change(ctx, server, phase); err != nil && ctx.Err() == nil {
+		if err := l.setPhase(ctx, server, phase); err != nil && ctx.Err() == nil {
 			return err
 		}
 	}
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -7,40 +7,40 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Report is the result of a run.
+// Report is the result of a run of a scenario.
 type Report struct {
-	Scenario     Scenario      `json:"scenario"` // its seed included
+	Scenario     Scenario      `json:"scenario"` // with the seed of the run
 	Machine      Machine       `json:"machine"`
 	Began        time.Time     `json:"began"`
 	Measurements []Measurement `json:"measurements"`
-	Ratios       []Ratio       `json:"ratios,omitempty"` // of processes to hollow nodes
+	Ratios       []Ratio       `json:"ratios,omitempty"` // of real processes to hollow nodes
 	Laws         []Extrapolate `json:"laws"`
 	NotMeasured  []Dimension   `json:"dimensions_not_measured"`
-	Stopped      string        `json:"stopped,omitempty"` // why it ended before all was measured
+	Stopped      string        `json:"stopped,omitempty"` // why the run ended early; empty if it is complete
 }
 
-// Extrapolate is a law and its value at the target.
+// Extrapolate is a law and its extrapolation to the target.
 type Extrapolate struct {
 	Fit
 	Target   float64 `json:"target,omitempty"`
 	AtTarget float64 `json:"at_target,omitempty"`
-	Low      float64 `json:"low,omitempty"` // and High: 95% of measurements there, if the law holds
+	Low      float64 `json:"low,omitempty"` // Low and High bound 95% of measurements at the target, if the law holds
 	High     float64 `json:"high,omitempty"`
-	Beyond   float64 `json:"beyond,omitempty"`  // times the largest size measured
-	Limit    float64 `json:"budget,omitempty"`  // 0 for none
-	Reaches  float64 `json:"reaches,omitempty"` // the size at which the law reaches the budget; 0 for never
+	Beyond   float64 `json:"beyond,omitempty"`  // Target as a multiple of the largest measured size
+	Limit    float64 `json:"budget,omitempty"`  // 0 if the measure has no budget
+	Reaches  float64 `json:"reaches,omitempty"` // size at which the law reaches the budget; 0 if never
 }
 
-// Ratio compares a measure of a process with that of a hollow node, at one size, by the means of the runs.
+// Ratio compares a measure of a process and of a hollow node at one size. Both values are means over the runs.
 type Ratio struct {
 	Measure
 	Size    int     `json:"size"`
 	Hollow  float64 `json:"hollow"`
 	Process float64 `json:"process"`
-	Ratio   float64 `json:"ratio"` // of the process to the hollow node
+	Ratio   float64 `json:"ratio"` // Process / Hollow
 }
 
-// ratios are those of all measures and sizes that both were measured at.
+// ratios returns the ratios of all measures and sizes with values of both sources. It omits a ratio to a hollow node's 0.
 func (r *Report) ratios() (all []Ratio) {
 	for _, m := range r.Measures() {
 		for _, size := range r.Sizes() {
@@ -58,12 +58,13 @@
 	return all
 }
 
-// noLaw are measures that no law is fitted to: a reciprocal of another, and counts that should be 0.
-var noLaw = []Measure{DecisionRate, Refused, ChangeRate, ChangesRefused, ChangesMissed, ServersRemoved, ServersListed, ListReceived,
-	RequestsSent, RequestsFailed}
+// unfittedMeasures are the measures that no law is fitted to: the reciprocal of another measure, values that the scenario
+// determines, and values that should be 0.
+var unfittedMeasures = []Measure{DecisionRate, Refused, ChangeRate, ChangesRefused, ChangesMissed, ServersRemoved, ServersListed,
+	ListReceived, RequestsSent, RequestsFailed}
 
-// observed are the values of a measure, of one source.
-func observed(all []Measurement, m Measure, source Source) (o observations) {
+// observationsOf returns the values of a measure of one source.
+func observationsOf(all []Measurement, m Measure, source Source) (o observations) {
 	for _, v := range all {
 		if v.Measure == m && v.Source == source {
 			o.sizes, o.values = append(o.sizes, float64(v.Size)), append(o.values, v.Value)
@@ -72,7 +73,7 @@
 	return o
 }
 
-// distinct returns what the measurements have, each value once, in the order in which they first came.
+// distinct returns the distinct results of value, in the order of their first occurrence.
 func distinct[T comparable](measurements []Measurement, value func(Measurement) T) (all []T) {
 	for _, m := range measurements {
 		if v := value(m); !slices.Contains(all, v) {
@@ -82,22 +83,22 @@
 	return all
 }
 
-// Sources are those that were measured, in order.
+// Sources returns the measured sources, sorted.
 func (r *Report) Sources() []Source {
 	return slices.Sorted(slices.Values(distinct(r.Measurements, func(m Measurement) Source { return m.Source })))
 }
 
-// Measures are those that were measured, in the order in which they were first.
+// Measures returns the recorded measures, in the order of their first measurement.
 func (r *Report) Measures() []Measure {
 	return distinct(r.Measurements, func(m Measurement) Measure { return m.Measure })
 }
 
-// Sizes are those that were measured, ascending.
+// Sizes returns the measured sizes in ascending order.
 func (r *Report) Sizes() []int {
 	return slices.Sorted(slices.Values(distinct(r.Measurements, func(m Measurement) int { return m.Size })))
 }
 
-// Values are those of a measure at a size, in the order of the runs.
+// Values returns the values of a measure of one source at one size, in the order of the runs.
 func (r *Report) Values(m Measure, source Source, size int) (all []float64) {
 	for _, v := range r.Measurements {
 		if v.Measure == m && v.Source == source && v.Size == size {
@@ -107,28 +108,28 @@
 	return all
 }
 
-// fit fits a law to each measure.
+// fit fits a law to each measure, and sets the results of the report.
 func (r *Report) fit() {
 	r.NotMeasured = NotMeasured
 	r.Ratios = r.ratios()
 	r.Laws = Laws(r.Measurements, r.Scenario.Target, r.Scenario.Budgets)
 }
 
-// Laws are those of each measure, of each source, and what they say of a target; a target of 0 is none. The measurements
-// are of one dimension.
+// Laws fits a law to each measure of each source, and extrapolates it to the target unless that is 0. All measurements must
+// be of one dimension.
 func Laws(all []Measurement, target float64, budgets []Limit) (laws []Extrapolate) {
 	type series struct {
 		Measure
 		Source
 	}
-	var done []series
+	var fitted []series
 	for _, v := range all {
-		of := series{v.Measure, v.Source}
-		if slices.Contains(done, of) || slices.Contains(noLaw, v.Measure) {
+		key := series{v.Measure, v.Source}
+		if slices.Contains(fitted, key) || slices.Contains(unfittedMeasures, v.Measure) {
 			continue
 		}
-		done = append(done, of)
-		laws = append(laws, extrapolate(v.Measure, v.Source, observed(all, v.Measure, v.Source), target, budgets))
+		fitted = append(fitted, key)
+		laws = append(laws, extrapolate(v.Measure, v.Source, observationsOf(all, v.Measure, v.Source), target, budgets))
 	}
 	return laws
 }
@@ -141,7 +142,7 @@
 		return e
 	}
 	e.AtTarget = f.At(e.Target)
-	e.Low, e.High = f.Between(e.Target)
+	e.Low, e.High = f.PredictionInterval(e.Target)
 	e.Beyond = e.Target / float64(f.To)
 	if e.Limit > 0 {
 		e.Reaches, _ = f.Reaches(e.Limit)
@@ -149,7 +150,7 @@
 	return e
 }
 
-// limitOf is the limit of a measure; 0 for none.
+// limitOf returns the budget of a measure, or 0 if it has none.
 func limitOf(m Measure, budgets []Limit) float64 {
 	for _, b := range budgets {
 		if b.Measure == m.Name {
--- a/internal/scaletest/requests.go
+++ b/internal/scaletest/requests.go
@@ -15,47 +15,47 @@
 )
 
 const (
-	meanServiceTime = 50 * time.Millisecond // of a server: from half of it to one and a half
-	reportUtil      = 0.5                   // of a server's cores are busy, as it reports
-	reportRate      = 100.0                 // requests a second that it takes, as it reports
+	meanServiceTime = 50 * time.Millisecond // service times of servers are from half of this to one and a half of it
+	reportUtil      = 0.5                   // share of a server's cores that it reports as busy
+	reportRate      = 100.0                 // requests a second that a server reports
 
-	timingSpan    = 400 * time.Millisecond // that steps are timed for
-	minTimedSteps = 200                    // timed in any case
-	maxTimedSteps = 50_000                 // timed at most
-	stepsPerCheck = 16                     // between checks of whether the run was cancelled
+	timingSpan    = 400 * time.Millisecond // minimum time over which steps are timed
+	minTimedSteps = 200                    // even if they take more than timingSpan
+	maxTimedSteps = 50_000                 // even if they take less than timingSpan
+	stepsPerCheck = 16                     // steps between checks for cancellation
 
-	maxStepTime       = time.Minute // that a histogram holds
+	maxStepTime       = time.Minute // largest value of a histogram
 	significantDigits = 3
 )
 
-// newHistogram holds times in nanoseconds.
+// newHistogram returns a histogram of times in nanoseconds.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxStepTime.Nanoseconds(), significantDigits)
 }
 
-// requests are the load of a hollow node, at a steady rate on the node's clock. An attempt succeeds after the time that its
-// server would have taken, so that as many are in flight as at a node that serves.
-type requests struct {
-	node     *node.Hollow
-	rng      *rand.Rand
-	interval time.Duration
-	depth    int // in flight
-	tenants  int
-	classes  []emulator.Class
+// requestLoad sends requests to a hollow node at a steady rate of the node's clock. Each attempt succeeds, and stays in flight
+// for about the mean service time, so that as many are in flight as at a node that serves requests.
+type requestLoad struct {
+	node        *node.Hollow
+	rng         *rand.Rand
+	interval    time.Duration
+	maxInFlight int // attempts in flight
+	tenants     int
+	classes     []emulator.Class
 
 	requestCount, rejectedCount int
 	inFlight                    []policy.Outcome // oldest first
 }
 
-func newRequests(n *node.Hollow, fixed FixedSizes, rng *rand.Rand) *requests {
-	return &requests{node: n, rng: rng, interval: time.Duration(float64(time.Second) / fixed.Requests),
-		depth: max(1, int(fixed.Requests*meanServiceTime.Seconds())), tenants: fixed.Tenants, classes: emulator.Classes()}
+func newRequestLoad(n *node.Hollow, fixed FixedSizes, rng *rand.Rand) *requestLoad {
+	return &requestLoad{node: n, rng: rng, interval: time.Duration(float64(time.Second) / fixed.Requests),
+		maxInFlight: max(1, int(fixed.Requests*meanServiceTime.Seconds())), tenants: fixed.Tenants, classes: emulator.Classes()}
 }
 
-// next is one request's decision, and an earlier one's outcome.
-func (r *requests) next() { r.sendRequest(tenantName(r.rng.IntN(r.tenants))) }
+// sendNext sends a request of a random tenant. Once maxInFlight attempts are in flight, it also ends the oldest.
+func (r *requestLoad) sendNext() { r.sendRequest(tenantName(r.rng.IntN(r.tenants))) }
 
-func (r *requests) sendRequest(tenant string) {
+func (r *requestLoad) sendRequest(tenant string) {
 	r.node.Advance(r.interval)
 	class := r.classes[r.rng.IntN(len(r.classes))]
 	r.requestCount++
@@ -68,38 +68,38 @@
 	latency := meanServiceTime/2 + time.Duration(r.rng.Int64N(int64(meanServiceTime)))
 	r.inFlight = append(r.inFlight, policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: latency,
 		LoadReport: []float64{float64(latency.Milliseconds()), reportUtil, reportRate}})
-	if len(r.inFlight) > r.depth {
+	if len(r.inFlight) > r.maxInFlight {
 		r.node.End(r.inFlight[0])
 		r.inFlight = r.inFlight[1:]
 	}
 }
 
-// finish ends what is in flight.
-func (r *requests) finish() {
+// finish ends all attempts in flight.
+func (r *requestLoad) finish() {
 	for _, o := range r.inFlight {
 		r.node.End(o)
 	}
 	r.inFlight = nil
 }
 
-// timing is the cost of so many steps.
+// timing is the cost of a number of steps.
 type timing struct {
-	steps int
-	cpu   time.Duration           // of them all, the collector's included
-	each  *hdrhistogram.Histogram // in elapsed time
+	steps     int
+	cpu       time.Duration           // of all steps, with garbage collection
+	histogram *hdrhistogram.Histogram // elapsed time of each step in nanoseconds
 }
 
-func (t timing) cpuEach() float64 { return float64(t.cpu) / float64(t.steps) }
+func (t timing) cpuPerStep() float64 { return float64(t.cpu) / float64(t.steps) }
 
-// perSecond is how many steps a core takes in a second.
-func (t timing) perSecond() float64 { return float64(t.steps) / t.cpu.Seconds() }
+// stepsPerCPUSecond returns the number of steps for each second of CPU time.
+func (t timing) stepsPerCPUSecond() float64 { return float64(t.steps) / t.cpu.Seconds() }
 
-// timeSteps times a step until there are enough of them.
+// timeSteps repeats a step at least minSteps times, and then until timingSpan is over or maxTimedSteps are done.
 func timeSteps(ctx context.Context, minSteps int, step func() error) (t timing, err error) {
-	t.each = newHistogram()
+	t.histogram = newHistogram()
 	cpu, began := ownCPU(), time.Now()
 	defer func() { t.cpu = ownCPU() - cpu }()
-	for at := began; t.steps < minSteps || at.Sub(began) < timingSpan && t.steps < maxTimedSteps; {
+	for last := began; t.steps < minSteps || last.Sub(began) < timingSpan && t.steps < maxTimedSteps; {
 		if t.steps%stepsPerCheck == 0 && ctx.Err() != nil {
 			return t, ctx.Err()
 		}
@@ -107,10 +107,10 @@
 			return t, err
 		}
 		now := time.Now()
-		if err := t.each.RecordValue(now.Sub(at).Nanoseconds()); err != nil {
-			return t, fmt.Errorf("a step took %v: %w", now.Sub(at), err)
+		if err := t.histogram.RecordValue(now.Sub(last).Nanoseconds()); err != nil {
+			return t, fmt.Errorf("recording a step of %v: %w", now.Sub(last), err)
 		}
-		at = now
+		last = now
 		t.steps++
 	}
 	return t, nil
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -10,68 +10,68 @@
 	"sloerail/internal/testcluster"
 )
 
-// ErrBeyondMachine is for a size that would need too much of the machine's memory.
-var ErrBeyondMachine = errors.New("over half of this machine's memory")
+// ErrBeyondMachine reports a size that needs too much of the machine's memory.
+var ErrBeyondMachine = errors.New("more than half of this machine's memory")
 
-// Options bound a run further than its scenario does.
+// Options limit a run beyond its scenario, and add progress reports and comparisons.
 type Options struct {
-	MaxDuration time.Duration  // of the whole run; 0 for the scenario's
-	MaxSize     int            // larger sizes are left out; 0 for none
-	Progress    func(Progress) // called before each point, and at the end; may be nil
-	Compare     Comparison     // measures each point by other means too; may be nil
+	MaxDuration time.Duration  // of the whole run; 0 means the scenario's
+	MaxSize     int            // larger sizes are left out; 0 means no limit
+	Progress    func(Progress) // called before each point and at the end; may be nil
+	Compare     Comparison     // also measures each point; may be nil
 }
 
-// Comparison measures a size in one run by other means than hollow nodes, such as real processes. Its values are compared
-// with those of hollow nodes that have the same measure.
+// Comparison measures one point by other means than hollow nodes, such as real processes. The report compares its values
+// with those of hollow nodes for the same measure.
 type Comparison func(ctx context.Context, s Scenario, size, run int) ([]Measurement, error)
 
-// Progress is how far a run has come.
+// Progress reports how many points of a run are done.
 type Progress struct {
 	Done, Points int
-	Size, Run    int // of the point that begins; 0 at the end
+	Size, Run    int // of the point that starts; 0 at the end
 }
 
-// measureFuncs measure one point of a dimension.
+// measureFuncs holds, for each dimension of hollow nodes, the function that measures one point.
 var measureFuncs = map[Dimension]func(context.Context, *point) error{
 	Servers: measureServers, Tenants: measureTenants, Nodes: measureWatchers, Changes: measureWatchers,
 }
 
-// Upper bounds of the memory that a size needs, to check before it is run.
+// Upper bounds of the memory that a size needs, in bytes. They are checked before a run starts.
 const (
-	serverMemory   = 4 << 10   // bytes of each server in a list, as text, as read and as known
-	realMemory     = 8 << 10   // of each server, tenant or watcher of a real process, in it and in the measuring
-	tenantMemory   = 6 << 10   // of each tenant in a configuration, the same
-	nodeMemory     = 512 << 10 // of each hollow node, beside those
-	steppedCopies  = 1         // nodes at a time
+	serverMemory   = 4 << 10   // for each server in a list: as text, decoded, and in the node
+	realMemory     = 8 << 10   // for each server, tenant or watcher of a real process, in it and in this process
+	tenantMemory   = 6 << 10   // for each tenant in a configuration: as text, decoded, and in the node
+	nodeMemory     = 512 << 10 // for each hollow node, without its servers and tenants
+	steppedCopies  = 1         // stepped nodes at a time
 	baselineMemory = 64 << 20
 )
 
-// memoryAt is an upper bound of the memory of a point, in bytes.
+// memoryAt returns an upper bound of the memory that a point of a size needs, in bytes.
 func (s *Scenario) memoryAt(size int) float64 {
 	if _, isReal := realDimension(s.Dimension); isReal {
 		return baselineMemory + float64(realMemory*size)
 	}
-	h, nodes := s.At(size), steppedCopies
+	fixed, nodes := s.At(size), steppedCopies
 	if s.needsSpan() {
-		nodes = h.Nodes
+		nodes = fixed.Nodes
 	}
-	each := float64(serverMemory*h.Servers) + float64(tenantMemory*h.Tenants) + nodeMemory
+	each := float64(serverMemory*fixed.Servers) + float64(tenantMemory*fixed.Tenants) + nodeMemory
 	return baselineMemory + float64(nodes)*each
 }
 
-// checkMemory names the first size that this machine is too small for.
+// checkMemory returns an error that names the first size that needs too much of the machine's memory.
 func (s *Scenario) checkMemory(sizes []int, m Machine) error {
 	for i, size := range sizes {
-		if need := s.memoryAt(size); need > memoryShare*float64(m.Memory) {
-			return fmt.Errorf("sizes[%d]: %d %s may take %.1f GB, %w of %.1f GB", i, size, s.Dimension, need/1e9,
+		if need := s.memoryAt(size); need > maxMemoryFraction*float64(m.Memory) {
+			return fmt.Errorf("sizes[%d]: %d %s may need %.1f GB, %w of %.1f GB", i, size, s.Dimension, need/1e9,
 				ErrBeyondMachine, float64(m.Memory)/1e9)
 		}
 	}
 	return nil
 }
 
-// Run measures a scenario. If ctx ends, or the time is up, it returns the measurements until then in a report that says why
-// it stopped.
+// Run measures a scenario. If ctx ends or the time limit is exceeded, it returns a report that has the measurements so far
+// and says why the run stopped.
 func Run(ctx context.Context, s Scenario, o Options) (*Report, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 	if o.MaxDuration > 0 {
 		limit = o.MaxDuration
 	}
-	ctx, cancel := context.WithTimeoutCause(ctx, limit, fmt.Errorf("the time of %v is up", limit))
+	ctx, cancel := context.WithTimeoutCause(ctx, limit, fmt.Errorf("time limit of %v exceeded", limit))
 	defer cancel()
 	report := &Report{Scenario: s, Machine: machine, Began: time.Now().UTC().Truncate(time.Second)}
 	report.Measurements, err = s.measureAll(ctx, sizes, dir, machine, o)
@@ -110,18 +110,19 @@
 	return report, err
 }
 
-// measureAll goes through all sizes in each run, so that a drift of the machine affects all sizes alike.
+// measureAll measures all sizes in each run, rather than all runs of each size, so that a drift of the machine's speed
+// affects all sizes alike.
 func (s *Scenario) measureAll(ctx context.Context, sizes []int, dir string, machine Machine, o Options) ([]Measurement, error) {
-	report := func(Progress) {}
+	reportProgress := func(Progress) {}
 	if o.Progress != nil {
-		report = o.Progress
+		reportProgress = o.Progress
 	}
 	var all []Measurement
 	progress := Progress{Points: s.Runs * len(sizes)}
 	for run := 1; run <= s.Runs; run++ {
 		for _, size := range sizes {
 			progress.Size, progress.Run = size, run
-			report(progress)
+			reportProgress(progress)
 			got, err := s.measure(ctx, size, run, dir)
 			if err != nil {
 				return all, fmt.Errorf("%s %d, run %d: %w", s.Dimension, size, run, err)
@@ -129,7 +130,7 @@
 			if o.Compare != nil {
 				compared, err := o.Compare(ctx, *s, size, run)
 				if err != nil {
-					return all, fmt.Errorf("%s %d, run %d, beside: %w", s.Dimension, size, run, err)
+					return all, fmt.Errorf("%s %d, run %d, comparison: %w", s.Dimension, size, run, err)
 				}
 				got = append(got, compared...)
 			}
@@ -139,17 +140,17 @@
 			if err != nil {
 				return all, err
 			}
-			if resident > memoryShare*float64(machine.Memory) {
-				return all, fmt.Errorf("%s %d: the run holds %.1f GB, %w", s.Dimension, size, resident/1e9, ErrBeyondMachine)
+			if resident > maxMemoryFraction*float64(machine.Memory) {
+				return all, fmt.Errorf("%s %d: the run uses %.1f GB, %w", s.Dimension, size, resident/1e9, ErrBeyondMachine)
 			}
 		}
 	}
 	progress.Size, progress.Run = 0, 0
-	report(progress)
+	reportProgress(progress)
 	return all, nil
 }
 
-// measure measures one point, completely or not at all.
+// measure measures one point. It returns either all of its measurements or an error.
 func (s *Scenario) measure(ctx context.Context, size, run int, dir string) ([]Measurement, error) {
 	dir, err := os.MkdirTemp(dir, fmt.Sprintf("%d-%d-", size, run))
 	if err != nil {
--- a/internal/scaletest/scenario.go
+++ b/internal/scaletest/scenario.go
@@ -10,38 +10,38 @@
 	"sloerail/internal/simulation"
 )
 
-// Dimension is what grows in a scenario while all else is fixed.
+// Dimension is the quantity that grows in a scenario while all others are fixed.
 type Dimension string
 
 // The dimensions that are measured.
 const (
-	Servers Dimension = "servers" // in the list that a node holds
+	Servers Dimension = "servers" // in a node's list
 	Tenants Dimension = "tenants" // in a node's configuration
-	Nodes   Dimension = "nodes"   // that watch one replica of a registry
-	Changes Dimension = "changes" // of the list, a minute
+	Nodes   Dimension = "nodes"   // that watch a registry
+	Changes Dimension = "changes" // of the list, in changes a minute
 )
 
-// NotMeasured are the dimensions that can't be measured yet.
+// NotMeasured lists the dimensions that can't be measured yet.
 var NotMeasured = []Dimension{"services", "routes", "restarts", "requests", "members"}
 
 var measuredDimensions = append([]Dimension{Servers, Tenants, Nodes, Changes}, realDimensions()...)
 
 // Bounds of a scenario.
 const (
-	minSizes            = 5 // that a law is fitted to
+	minSizes            = 5 // needed to fit a law
 	maxSizes            = 16
 	maxRuns             = 20
 	maxScenarioDuration = time.Hour
 
-	maxFixedRequests = 100_000   // a second at one node
-	maxTenants       = 1_000_000 // where the machine's memory allows it
-	maxServers       = 1_000_000 // the same
-	maxWatchers      = 4000      // of one replica, with the sockets of this process
-	maxInstances     = 10_000    // that a registry accepts
+	maxFixedRequests = 100_000   // requests a second at one node
+	maxTenants       = 1_000_000 // if the machine's memory allows it
+	maxServers       = 1_000_000 // if the machine's memory allows it
+	maxWatchers      = 4000      // of one replica, all with sockets of this process
+	maxInstances     = 10_000    // in a registry
 	maxChangeRate    = 60_000    // changes a minute
 )
 
-// Scenario describes what is measured, and at which sizes.
+// Scenario describes which dimension is measured, and at which sizes.
 type Scenario struct {
 	Name        string              `toml:"name" json:"name"`
 	What        string              `toml:"what" json:"what"`
@@ -49,26 +49,26 @@
 	Sizes       []int               `toml:"sizes" json:"sizes"`
 	Runs        int                 `toml:"runs" json:"runs"`
 	Seed        uint64              `toml:"seed" json:"seed"`
-	MaxDuration simulation.Duration `toml:"for" json:"for"`   // of the whole scenario, which is stopped then
-	Span        simulation.Duration `toml:"span" json:"span"` // of one point, where time has to pass
+	MaxDuration simulation.Duration `toml:"for" json:"for"`   // time limit of the whole scenario, which stops then
+	Span        simulation.Duration `toml:"span" json:"span"` // duration of one point; unused for stepped nodes
 	Fixed       FixedSizes          `toml:"held" json:"held"`
-	Replicas    int                 `toml:"replicas" json:"replicas"` // of the registry; 0 counts as 1
-	Fault       Fault               `toml:"fault" json:"fault"`       // of the registry; empty for none
-	Outage      simulation.Duration `toml:"away" json:"away"`         // of ReplicasDown
-	Target      float64             `toml:"target" json:"target"`     // the size to which laws are extrapolated; 0 for none
+	Replicas    int                 `toml:"replicas" json:"replicas"` // of the registry; 0 means 1
+	Fault       Fault               `toml:"fault" json:"fault"`       // of the registry; empty means none
+	Outage      simulation.Duration `toml:"away" json:"away"`         // how long the replicas are down, for ReplicasDown
+	Target      float64             `toml:"target" json:"target"`     // size to which laws are extrapolated; 0 means none
 	Budgets     []Limit             `toml:"budgets" json:"budgets"`
 }
 
-// FixedSizes are the sizes that don't grow. That of the scenario's dimension is ignored.
+// FixedSizes holds the sizes of the dimensions that don't grow. The size of the scenario's own dimension is ignored.
 type FixedSizes struct {
 	Servers  int     `toml:"servers" json:"servers"`
 	Tenants  int     `toml:"tenants" json:"tenants"`
-	Nodes    int     `toml:"nodes" json:"nodes"`       // that share the quotas; of dimension Changes: that run
-	Requests float64 `toml:"requests" json:"requests"` // a second at a node
-	Changes  float64 `toml:"changes" json:"changes"`   // of the list, a minute
+	Nodes    int     `toml:"nodes" json:"nodes"`       // that share the quotas; for dimension Changes, nodes that run
+	Requests float64 `toml:"requests" json:"requests"` // requests a second at one node
+	Changes  float64 `toml:"changes" json:"changes"`   // changes of the list a minute
 }
 
-// Limit is the most that a measure may be at the target.
+// Limit is the budget of a measure: the largest value allowed at the target.
 type Limit struct {
 	Measure string  `toml:"measure" json:"measure"`
 	Max     float64 `toml:"most" json:"most"`
@@ -77,13 +77,13 @@
 //go:embed scenarios/*.toml
 var shipped embed.FS
 
-// library holds the scenarios that come with the program.
+// library holds the scenarios that are built into the program.
 var library = scenario.Library{Files: shipped}
 
-// Shipped are the names of the scenarios that come with the program.
+// Shipped returns the names of the scenarios that are built into the program.
 func Shipped() []string { return library.Names() }
 
-// Read reads a scenario: one that comes with the program by its name, or a file.
+// Read reads a built-in scenario by its name, or a scenario file by its path.
 func Read(name string) (Scenario, error) {
 	if slices.Contains(NotMeasured, Dimension(name)) {
 		return Scenario{}, errNotMeasured(Dimension(name))
@@ -91,7 +91,8 @@
 	return scenario.Read(library, name, Parse)
 }
 
-// Parse reads a scenario. Unknown keys are errors, because a misspelt one would measure something else.
+// Parse decodes and checks a scenario. Unknown keys are errors, because a scenario with a misspelt key would measure
+// something else.
 func Parse(raw []byte) (Scenario, error) {
 	var s Scenario
 	if err := scenario.Decode(raw, &s); err != nil {
@@ -100,7 +101,7 @@
 	return s, s.Check()
 }
 
-func dimensions() string {
+func dimensionNames() string {
 	var all []string
 	for _, d := range measuredDimensions {
 		all = append(all, string(d))
@@ -108,30 +109,30 @@
 	return strings.Join(all, ", ")
 }
 
-// needsSpan tells whether time has to pass at a point.
+// needsSpan reports whether each point runs for the scenario's span.
 func (s *Scenario) needsSpan() bool { return s.watchesRegistry() || s.isReal() }
 
-// watchesRegistry tells whether the scenario's nodes watch a registry.
+// watchesRegistry reports whether the scenario's nodes watch a registry.
 func (s *Scenario) watchesRegistry() bool { return s.Dimension == Nodes || s.Dimension == Changes }
 
-// isReal tells whether the scenario measures the programs as they ship.
+// isReal reports whether the scenario measures the shipped programs in processes of their own.
 func (s *Scenario) isReal() bool {
 	_, found := realDimension(s.Dimension)
 	return found
 }
 
-// At returns the scenario's fixed sizes, with that of its dimension set to size.
+// At returns the scenario's fixed sizes, with its own dimension set to size.
 func (s *Scenario) At(size int) FixedSizes {
-	h := s.Fixed
+	fixed := s.Fixed
 	switch s.Dimension {
 	case Servers:
-		h.Servers = size
+		fixed.Servers = size
 	case Tenants:
-		h.Tenants = size
+		fixed.Tenants = size
 	case Nodes:
-		h.Nodes = size
+		fixed.Nodes = size
 	case Changes:
-		h.Changes = float64(size)
+		fixed.Changes = float64(size)
 	}
-	return h
+	return fixed
 }
--- a/internal/scaletest/scenario_test.go
+++ b/internal/scaletest/scenario_test.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			t.Error(err)
 		} else if s.Name != name || s.Runs < 3 {
-			t.Errorf("%s: is named %q, %d runs", name, s.Name, s.Runs)
+			t.Errorf("scenario %s: name %q, %d runs, want the name of its file and 3 or more runs", name, s.Name, s.Runs)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 	if _, err := Parse([]byte(goodScenario)); err != nil {
 		t.Fatal(err)
 	}
-	for _, bad := range []struct{ was, is, says string }{
+	for _, bad := range []struct{ old, replacement, wantPrefix string }{
 		{"runs = 3", "runz = 3", "unknown key runz"},
 		{"tenants = 5", "tenant = 5", "unknown key held.tenant"},
 		{"runs = 3", "runs = 0", "runs:"},
@@ -66,44 +66,44 @@
 		{`name = "mine"`, "", "name:"},
 		{"runs = 3", "runs = 3\nreplicas = 2", "replicas: want an odd number"},
 		{"runs = 3", "runs = 3\nfault = \"flood\"", "fault: unknown"},
-		{"runs = 3", "runs = 3\nfault = \"leader-killed\"", "fault: of dimensions nodes and changes alone"},
+		{"runs = 3", "runs = 3\nfault = \"leader-killed\"", "fault: supported only for dimensions nodes and changes"},
 		{`dimension = "servers"`, "dimension = \"nodes\"\nspan = \"1s\"\nfault = \"leader-killed\"", "replicas: want 3 or more"},
 		{`dimension = "servers"`, "dimension = \"nodes\"\nspan = \"1s\"\nfault = \"replicas-away\"", "away:"},
-		{`dimension = "servers"`, "dimension = \"real-servers\"\nspan = \"1s\"\nfault = \"replicas-away\"", "fault: of dimensions"},
+		{`dimension = "servers"`, "dimension = \"real-servers\"\nspan = \"1s\"\nfault = \"replicas-away\"", "fault: supported only for dimensions"},
 	} {
-		_, err := Parse([]byte(strings.Replace(goodScenario, bad.was, bad.is, 1)))
-		if err == nil || !strings.HasPrefix(err.Error(), bad.says) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: got %v, want %q", bad.is, err, bad.says)
+		_, err := Parse([]byte(strings.Replace(goodScenario, bad.old, bad.replacement, 1)))
+		if err == nil || !strings.HasPrefix(err.Error(), bad.wantPrefix) || strings.Contains(err.Error(), "\n") {
+			t.Errorf("scenario with %q: got error %v, want prefix %q", bad.replacement, err, bad.wantPrefix)
 		}
 	}
 }
 
-func TestReadReadsAFile(t *testing.T) {
+func TestReadAcceptsFilesAndNames(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "mine.toml")
 	if err := os.WriteFile(path, []byte(goodScenario), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if s, err := Read(path); err != nil || s.Name != "mine" {
-		t.Errorf("got %q, %v", s.Name, err)
+		t.Errorf("scenario file: got name %q, error %v, want the name in the file", s.Name, err)
 	}
 	if _, err := Read("nowhere"); err == nil || !strings.Contains(err.Error(), "servers") {
-		t.Errorf("a name that is none: %v", err)
+		t.Errorf("unknown name: got error %v, want one that lists the scenarios", err)
 	}
 	if _, err := Read("routes"); err == nil || !strings.Contains(err.Error(), "not measured yet") {
-		t.Errorf("a dimension that is not measured: %v", err)
+		t.Errorf("dimension that is not measured: got error %v, want one that says so", err)
 	}
 }
 
-func TestSizesBeyondTheMachineAreRejected(t *testing.T) {
+func TestSizesBeyondTheMachineMemoryAreRejected(t *testing.T) {
 	s, err := Parse([]byte(goodScenario))
 	if err != nil {
 		t.Fatal(err)
 	}
-	small := Machine{Memory: uint64(2*s.memoryAt(40)) + 1}
-	if err := s.checkMemory(s.Sizes, small); err == nil || !strings.HasPrefix(err.Error(), "sizes[3]:") {
-		t.Errorf("got %v, want the first size that is too large", err)
+	smallMachine := Machine{Memory: uint64(2*s.memoryAt(40)) + 1}
+	if err := s.checkMemory(s.Sizes, smallMachine); err == nil || !strings.HasPrefix(err.Error(), "sizes[3]:") {
+		t.Errorf("memory for the first three sizes: got error %v, want one that names sizes[3]", err)
 	}
-	if err := s.checkMemory(s.Sizes[:3], small); err != nil {
+	if err := s.checkMemory(s.Sizes[:3], smallMachine); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/scaletest/slope_test.go
+++ b/internal/scaletest/slope_test.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// The costs of a node that were made to follow its own work and not the fleet. The least of several turns is compared
-// within one run: what else the machine does then falls on both sizes alike, and only ever adds.
+// TestNodeCostsDoNotGrowWithTheFleet guards costs of a node that must depend on its own work and not on the number of servers.
+// It compares the lowest costs of several rounds, in which both sizes take turns: other load of the machine affects both
+// sizes alike, and can only add to a cost.
 const (
 	slopeSmall, slopeLarge = 500, 8000
 	slopeRounds            = 6
 	slopeSteps             = 200
-	maxDecisionSlope       = 2.0 // times the cost at the small size; linear growth would make it 16
+	maxDecisionSlope       = 2.0 // ratio of the costs at the two sizes; with linear growth it would be 16
 	maxListChangeSlope     = 3.0
 )
 
-// slopeNode is a hollow node of a size, with its least costs so far.
+// slopeNode is a hollow node with a list of a given size, and its lowest costs so far.
 type slopeNode struct {
 	*steppedNode
-	point          *point
-	requests       *requests
-	decision, list float64 // nanoseconds of processor time; 0 for none yet
+	point                        *point
+	requestLoad                  *requestLoad
+	decisionCost, listChangeCost float64 // nanoseconds of CPU time; 0 before the first round
 }
 
 func newSlopeNode(t *testing.T, servers int) *slopeNode {
 	t.Helper()
-	held := FixedSizes{Servers: servers, Tenants: 100, Nodes: 10, Requests: 190}
-	n := &slopeNode{point: &point{fixed: held, fleet: newFleet(held, t.TempDir(), 1, 1),
+	sizes := FixedSizes{Servers: servers, Tenants: 100, Nodes: 10, Requests: 190}
+	n := &slopeNode{point: &point{fixed: sizes, fleet: newFleet(sizes, t.TempDir(), 1, 1),
 		record: NewRecorder(string(Servers), servers, 1, Hollow)}}
 	var err error
-	if n.steppedNode, err = n.point.newStepped(); err != nil {
+	if n.steppedNode, err = n.point.newSteppedNode(); err != nil {
 		t.Fatal(err)
 	}
-	n.requests = newRequests(n.Hollow, held, n.point.fleet.rng)
+	n.requestLoad = newRequestLoad(n.Hollow, sizes, n.point.fleet.rng)
 	return n
 }
 
-// turn takes the node's costs once more.
-func (n *slopeNode) turn(t *testing.T) {
+// measureRound measures the node's costs, and keeps those that are lower than before.
+func (n *slopeNode) measureRound(t *testing.T) {
 	t.Helper()
-	least := func(least *float64, steps int, step func(i int)) {
+	recordLeast := func(least *float64, steps int, step func(i int)) {
 		before := ownCPU()
 		for i := range steps {
 			step(i)
@@ -48,10 +49,10 @@
 			*least = each
 		}
 	}
-	least(&n.decision, slopeSteps, func(int) { n.requests.next() })
-	n.requests.finish()
+	recordLeast(&n.decisionCost, slopeSteps, func(int) { n.requestLoad.sendNext() })
+	n.requestLoad.finish()
 	changes := n.point.listChanges(n.steppedNode, minChanges)
-	least(&n.list, len(changes), func(i int) {
+	recordLeast(&n.listChangeCost, len(changes), func(i int) {
 		if err := n.TakeList(changes[i]); err != nil {
 			t.Error(err)
 		}
@@ -59,29 +60,30 @@
 	n.Advance(time.Second)
 }
 
-func TestCostsDoNotFollowTheFleet(t *testing.T) {
+func TestNodeCostsDoNotGrowWithTheFleet(t *testing.T) {
 	small, large := newSlopeNode(t, slopeSmall), newSlopeNode(t, slopeLarge)
 	for range slopeRounds {
 		for _, n := range []*slopeNode{small, large} {
-			n.turn(t)
+			n.measureRound(t)
 		}
 	}
 	for _, cost := range []struct {
-		of           string
+		name         string
 		small, large float64
-		most         float64
+		maxRatio     float64
 	}{
-		{"decision and its outcome", small.decision, large.decision, maxDecisionSlope},
-		{"list change", small.list, large.list, maxListChangeSlope},
+		{"decision and its outcome", small.decisionCost, large.decisionCost, maxDecisionSlope},
+		{"list change", small.listChangeCost, large.listChangeCost, maxListChangeSlope},
 	} {
 		ratio := cost.large / cost.small
-		t.Logf("%s: %.0f ns at %d servers, %.0f ns at %d: ratio %.2f", cost.of, cost.small, slopeSmall, cost.large, slopeLarge, ratio)
-		if ratio > cost.most {
-			t.Errorf("the cost of a %s at %d servers is %.2f times that at %d, want at most %.1f", cost.of, slopeLarge, ratio,
-				slopeSmall, cost.most)
+		t.Logf("%s: %.0f ns at %d servers, %.0f ns at %d: ratio %.2f", cost.name, cost.small, slopeSmall, cost.large, slopeLarge, ratio)
+		if ratio > cost.maxRatio {
+			t.Errorf("cost of a %s: at %d servers it is %.2f times the cost at %d servers, want at most %.1f times",
+				cost.name, slopeLarge, ratio,
+				slopeSmall, cost.maxRatio)
 		}
 	}
-	if refused := small.requests.rejectedCount + large.requests.rejectedCount; refused > 0 {
-		t.Errorf("%d requests within quota were refused", refused)
+	if refused := small.requestLoad.rejectedCount + large.requestLoad.rejectedCount; refused > 0 {
+		t.Errorf("%d requests within quota were refused, want 0", refused)
 	}
 }
--- a/internal/scaletest/stepped.go
+++ b/internal/scaletest/stepped.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	unusedDiscovery     = "127.0.0.1:9" // of a node that is stepped: its list client is never run
-	minChanges          = 20            // of the list that are timed, at any size
-	preparedChangeCount = 400           // that are made ready beforehand, and come in turn
-	warmUpRounds        = 2             // times the decisions that every server's kind needs to be known
+	unusedDiscovery     = "127.0.0.1:9" // for stepped nodes, whose list client never runs
+	minChanges          = 20            // list changes that are timed at least, at any size
+	preparedChangeCount = 400           // list changes that are encoded before the timing, and repeated in turn
+	warmUpRounds        = 2             // of minTimedSteps untimed decisions, after which the node knows every kind of server
 )
 
-// point is one size in one run, under way.
+// point is the measurement of one size in one run.
 type point struct {
 	scenario Scenario
 	fixed    FixedSizes
@@ -27,30 +27,31 @@
 	dir      string
 }
 
-// steppedNode is a hollow node that one goroutine steps, with its list.
+// steppedNode is a hollow node that a single goroutine advances, with its list.
 type steppedNode struct {
 	*node.Hollow
-	path       string // of its configuration
+	path       string // of the configuration file
 	entries    []registry.Endpoint
 	revision   int64
-	heapBefore float64 // the heap before there was anything of the node
+	heapBefore float64 // heap in bytes before the node was created
 }
 
-// newStepped starts a node: configuration, then the list. What that takes is recorded.
-func (p *point) newStepped() (*steppedNode, error) {
+// newSteppedNode creates a node from its configuration and applies the list. It records the CPU time of this and the sizes
+// of both.
+func (p *point) newSteppedNode() (*steppedNode, error) {
 	s := &steppedNode{entries: p.fleet.servers(), revision: 1}
 	list := encodeList(s.revision, true, s.entries...)
-	path, size, err := p.fleet.configuration(0, unusedDiscovery)
+	path, size, err := p.fleet.writeConfig(0, unusedDiscovery)
 	if err != nil {
 		return nil, err
 	}
 	s.path, s.heapBefore = path, heapInUse()
 	cpu := ownCPU()
-	config, err := load(path)
+	nodeConfig, err := loadConfig(path)
 	if err != nil {
 		return nil, err
 	}
-	if s.Hollow, err = node.NewHollow(config, nil); err != nil {
+	if s.Hollow, err = node.NewHollow(nodeConfig, nil); err != nil {
 		return nil, err
 	}
 	s.Restore()
@@ -63,7 +64,7 @@
 	return s, nil
 }
 
-// recordMemory records what the node holds.
+// recordMemory records the heap of the node and the resident memory of this process.
 func (p *point) recordMemory(s *steppedNode) error {
 	p.record.Record(Heap, heapInUse()-s.heapBefore)
 	resident, err := ownResident()
@@ -72,29 +73,29 @@
 	return err
 }
 
-// recordDecisions times decisions, once the node knows its servers.
-func (p *point) recordDecisions(ctx context.Context, r *requests) error {
+// recordDecisions times decisions after warmUpRounds, when the node knows its servers.
+func (p *point) recordDecisions(ctx context.Context, r *requestLoad) error {
 	step := func() error {
-		r.next()
+		r.sendNext()
 		return nil
 	}
 	for range warmUpRounds * minTimedSteps {
-		r.next()
+		r.sendNext()
 	}
 	r.requestCount, r.rejectedCount = 0, 0
 	t, err := timeSteps(ctx, minTimedSteps, step)
 	if err != nil {
 		return err
 	}
-	p.record.Record(DecisionCPU, t.cpuEach())
-	p.record.Record(DecisionP50, float64(t.each.ValueAtQuantile(50)))
-	p.record.Record(DecisionP99, float64(t.each.ValueAtQuantile(99)))
-	p.record.Record(DecisionRate, t.perSecond())
+	p.record.Record(DecisionCPU, t.cpuPerStep())
+	p.record.Record(DecisionP50, float64(t.histogram.ValueAtQuantile(50)))
+	p.record.Record(DecisionP99, float64(t.histogram.ValueAtQuantile(99)))
+	p.record.Record(DecisionRate, t.stepsPerCPUSecond())
 	p.record.Record(Refused, 100*float64(r.rejectedCount)/float64(r.requestCount))
 	return nil
 }
 
-// listChanges are so many deltas of one server each, drawn at random: it drains, and then it is back.
+// listChanges returns an even number of at least count deltas. Each pair drains a random server and brings it back.
 func (p *point) listChanges(s *steppedNode, count int) [][]byte {
 	changes := make([][]byte, 0, count)
 	for len(changes) < count {
@@ -108,7 +109,7 @@
 	return changes
 }
 
-// recordListChanges times deltas of one server each.
+// recordListChanges times the application of deltas of one server each.
 func (p *point) recordListChanges(ctx context.Context, s *steppedNode) error {
 	changes := p.listChanges(s, preparedChangeCount)
 	next := 0
@@ -120,18 +121,18 @@
 	if err != nil {
 		return err
 	}
-	p.record.Record(ListChangeCPU, t.cpuEach())
-	p.record.Record(ListChangeP99, float64(t.each.ValueAtQuantile(99)))
+	p.record.Record(ListChangeCPU, t.cpuPerStep())
+	p.record.Record(ListChangeP99, float64(t.histogram.ValueAtQuantile(99)))
 	return nil
 }
 
-// measureServers measures a node by the servers in its list.
+// measureServers measures a node by the number of servers in its list.
 func measureServers(ctx context.Context, p *point) error {
-	s, err := p.newStepped()
+	s, err := p.newSteppedNode()
 	if err != nil {
 		return err
 	}
-	r := newRequests(s.Hollow, p.fixed, p.fleet.rng)
+	r := newRequestLoad(s.Hollow, p.fixed, p.fleet.rng)
 	if err := p.recordDecisions(ctx, r); err != nil {
 		return err
 	}
@@ -142,14 +143,14 @@
 	return p.recordListChanges(ctx, s)
 }
 
-// measureTenants measures a node by the tenants in its configuration, each of which sends one request before decisions are
-// timed.
+// measureTenants measures a node by the number of tenants in its configuration. Each tenant sends one request before
+// decisions are timed.
 func measureTenants(ctx context.Context, p *point) error {
-	s, err := p.newStepped()
+	s, err := p.newSteppedNode()
 	if err != nil {
 		return err
 	}
-	r := newRequests(s.Hollow, p.fixed, p.fleet.rng)
+	r := newRequestLoad(s.Hollow, p.fixed, p.fleet.rng)
 	for i := range p.fixed.Tenants {
 		if i%stepsPerCheck == 0 && ctx.Err() != nil {
 			return ctx.Err()
@@ -166,14 +167,14 @@
 	return p.recordReload(s)
 }
 
-// recordReload has the node reload its configuration.
+// recordReload records the CPU time of reloading the node's configuration.
 func (p *point) recordReload(s *steppedNode) error {
-	before, err := load(s.path)
+	before, err := loadConfig(s.path)
 	if err != nil {
 		return err
 	}
 	cpu := ownCPU()
-	next, err := config.Reload(fromFile(s.path), before)
+	next, err := config.Reload(configFileEnv(s.path), before)
 	if err != nil {
 		return err
 	}
--- a/internal/scaletest/system.go
+++ b/internal/scaletest/system.go
@@ -11,10 +11,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// memoryShare is the part of the machine's memory that a scale run may take.
-const memoryShare = 0.5
+// maxMemoryFraction is the fraction of the machine's memory that a scale run may use.
+const maxMemoryFraction = 0.5
 
-// Machine is what a report was made on.
+// Machine describes the machine of a run.
 type Machine struct {
 	Cores  int    `json:"cores"`
 	Memory uint64 `json:"memory_bytes"`
@@ -31,34 +31,34 @@
 		return Machine{}, err
 	}
 	if memory.MemTotalBytes == nil {
-		return Machine{}, errNoMemory
+		return Machine{}, errNoMemTotal
 	}
 	return Machine{Cores: runtime.NumCPU(), Memory: *memory.MemTotalBytes, Go: runtime.Version()}, nil
 }
 
-var errNoMemory = errors.New("the system doesn't tell how much memory there is")
+var errNoMemTotal = errors.New("/proc/meminfo has no MemTotal")
 
-// ownCPU is the processor time that this process has used, the garbage collector's included.
+// ownCPU returns the CPU time that this process has used, with garbage collection.
 func ownCPU() time.Duration {
 	var usage unix.Rusage
-	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil { // its arguments are fixed
+	if err := unix.Getrusage(unix.RUSAGE_SELF, &usage); err != nil { // can't happen: the arguments are valid
 		panic(err)
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// heapInUse is what is reachable on this process's heap.
+// heapInUse returns the bytes of reachable objects on this process's heap.
 func heapInUse() float64 {
 	runtime.GC()
-	runtime.GC() // the first only queues what finalizers and pools hold
+	runtime.GC() // the first collection only queues finalizers and clears pools to their victim caches
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return float64(stats.HeapAlloc)
 }
 
-// ownResident is this process's resident memory, with nothing in it that the system could have back.
+// ownResident returns this process's resident memory in bytes, after returning free memory to the system.
 func ownResident() (float64, error) {
 	debug.FreeOSMemory()
-	own, err := usageOf(os.Getpid())
+	own, err := processUsage(os.Getpid())
 	return own.resident, err
 }
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -11,47 +11,48 @@
 	"sloerail/policy"
 )
 
-// firstChangeCell is the first of the cells that mark changes by their numbers. No server is in one of them otherwise.
+// firstChangeCell is the first of the cells that encode the number of a change. Servers otherwise have lower cells.
 const firstChangeCell = 1 << 40
 
 func changeCell(change int) int64 { return firstChangeCell + int64(change) }
 
-// changeTracker follows changes of the list until each is in force at each node.
+// changeTracker records when each change of the list is in force at each node.
 type changeTracker struct {
 	nodes   int
-	servers int // that are changed in turn
-
-	mu        sync.Mutex
-	haveList  map[int]bool // nodes that have the complete list
-	first     int          // change that counts
-	began     []time.Time  // of each change that counts
-	inForce   map[nodeChange]bool
-	histogram *hdrhistogram.Histogram
-	err       error
+	servers int // changes go to the servers in turn
+
+	mu             sync.Mutex
+	haveList       map[int]bool // nodes that have received the complete list
+	first          int          // number of the first change that counts
+	dueTimes       []time.Time  // of each change that counts, from first on
+	inForce        map[nodeChange]bool
+	delayHistogram *hdrhistogram.Histogram
+	err            error
 }
 
-// nodeChange is a change at a node.
+// nodeChange identifies a change at a node. Changes are counted from changeTracker.first.
 type nodeChange struct{ node, change int }
 
 func newChangeTracker(nodes, servers int) *changeTracker {
-	return &changeTracker{nodes: nodes, servers: servers, haveList: make(map[int]bool), inForce: make(map[nodeChange]bool), histogram: newHistogram()}
+	return &changeTracker{nodes: nodes, servers: servers, haveList: make(map[int]bool),
+		inForce: make(map[nodeChange]bool), delayHistogram: newHistogram()}
 }
 
-// begin sets the first change that counts.
+// begin sets the number of the first change that counts.
 func (c *changeTracker) begin(first int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.first = first
 }
 
-// changeDue notes that the next change is due.
+// changeDue records the due time of the next change.
 func (c *changeTracker) changeDue(due time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.began = append(c.began, due)
+	c.dueTimes = append(c.dueTimes, due)
 }
 
-// listReceived notes that a node has taken a list.
+// listReceived records the changes in a list or a delta that a node has applied.
 func (c *changeTracker) listReceived(node int, l policy.EndpointList) {
 	now := time.Now()
 	c.mu.Lock()
@@ -61,44 +62,45 @@
 	}
 	for _, m := range l.Endpoints {
 		change := int(m.Cell-firstChangeCell) - c.first
-		if change < len(c.began) {
+		if change < len(c.dueTimes) {
 			c.recordInForce(node, change, now)
 		}
 	}
 }
 
-// recordInForce notes that a change is in force at a node, and with it all earlier ones of the same server, which it supersedes.
+// recordInForce records that a change is in force at a node, and with it the earlier changes of the same server that it
+// supersedes.
 func (c *changeTracker) recordInForce(node, change int, now time.Time) {
 	for ; change >= 0 && !c.inForce[nodeChange{node, change}]; change -= c.servers {
 		c.inForce[nodeChange{node, change}] = true
-		if err := c.histogram.RecordValue(now.Sub(c.began[change]).Nanoseconds()); err != nil {
+		if err := c.delayHistogram.RecordValue(now.Sub(c.dueTimes[change]).Nanoseconds()); err != nil {
 			c.err = err
 		}
 	}
 }
 
-// awaitLists waits until all nodes have the complete list.
+// awaitLists waits until all nodes have received the complete list.
 func (c *changeTracker) awaitLists(ctx context.Context) error {
-	return testcluster.Await(ctx, "all nodes to have the list", func() bool {
+	return testcluster.Await(ctx, "the complete list at all nodes", func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		return len(c.haveList) == c.nodes || c.err != nil
 	})
 }
 
-// missed counts the changes that are not in force at a node, less those that were refused. A refused change may come into
-// force all the same, because the registry doesn't know of each whether it was committed.
+// missed returns the number of changes that are not in force at a node, summed over the nodes and without refused changes. A
+// refused change may still come into force, because the registry can't always tell whether it was committed.
 func (c *changeTracker) missed(refused int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return max(0, (len(c.began)-refused)*c.nodes-len(c.inForce))
+	return max(0, (len(c.dueTimes)-refused)*c.nodes-len(c.inForce))
 }
 
-// times are those from each change to its being in force at each node.
-func (c *changeTracker) times() *hdrhistogram.Histogram {
+// delays returns the times from when each change was due until it was in force at each node, in nanoseconds.
+func (c *changeTracker) delays() *hdrhistogram.Histogram {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return hdrhistogram.Import(c.histogram.Export())
+	return hdrhistogram.Import(c.delayHistogram.Export())
 }
 
 func (c *changeTracker) fail(err error) {
--- a/internal/scaletest/watchers.go
+++ b/internal/scaletest/watchers.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	writerCount     = 8                // that register and change servers concurrently
-	leaseTTL        = 10 * time.Minute // of each server: longer than a point
-	registerTimeout = time.Minute      // all servers
-	warmUpDelay     = time.Second      // after all nodes have the list, before anything is measured
-	overheadSpan    = time.Second      // of changes without nodes, to measure the CPU time of the writers alone
-	inForceTimeout  = 30 * time.Second // after the last change, until those not in force count as missed
-	replicaName     = "r0"
-	instancesPath   = "/registry/instances/"
+	writerCount        = 8                // clients that register and change servers concurrently
+	leaseTTL           = 10 * time.Minute // lease of each server, longer than a point
+	registerTimeout    = time.Minute      // to register all servers
+	warmUpDelay        = time.Second      // between the complete list at all nodes and the first measurement
+	overheadSpan       = time.Second      // duration of changes without nodes, which measure the CPU time of the writers alone
+	inForceTimeout     = 30 * time.Second // after the last change; changes not in force by then count as missed
+	replicaName        = "r0"
+	instancePathPrefix = "/registry/instances/"
 )
 
-// measureWatchers measures one replica of the list service, a process of its own, and hollow nodes in this process that
+// measureWatchers measures a registry, whose replicas are processes of their own, and hollow nodes in this process that
 // watch it while its list changes.
 func measureWatchers(ctx context.Context, p *point) error {
 	w, err := p.newWatched(ctx)
@@ -37,7 +37,7 @@
 	}
 	defer w.close()
 	tracker := newChangeTracker(p.fixed.Nodes, p.fixed.Servers)
-	overhead, err := w.overhead(ctx)
+	writerOverhead, err := w.writerOverhead(ctx)
 	if err != nil {
 		return err
 	}
@@ -57,7 +57,7 @@
 	if w.scenario.Fault != "" {
 		err = w.recordFault(ctx, tracker, nodes)
 	} else {
-		err = w.recordSpan(ctx, tracker, nodes, overhead)
+		err = w.recordSpan(ctx, tracker, nodes, writerOverhead)
 	}
 	if err != nil {
 		return err
@@ -65,24 +65,24 @@
 	return w.recordInForce(ctx, tracker)
 }
 
-// watchedRegistry is a list service under change.
+// watchedRegistry is a registry that nodes watch while its list changes.
 type watchedRegistry struct {
 	*point
 	cluster *testcluster.Cluster
 	service *testcluster.Registry
 	clients []*registry.Client // of the writers
 	entries []registry.Endpoint
-	changes int          // made so far
-	refused atomic.Int64 // changes that the registry has rejected
+	changes int          // number of changes so far
+	refused atomic.Int64 // changes that the registry has refused
 }
 
-// newWatched starts a replica and registers the servers.
+// newWatched starts the registry's replicas and registers the servers.
 func (p *point) newWatched(ctx context.Context) (*watchedRegistry, error) {
-	r, err := testcluster.New(p.dir, p.scenario.Seed)
+	c, err := testcluster.New(p.dir, p.scenario.Seed)
 	if err != nil {
 		return nil, err
 	}
-	w := &watchedRegistry{point: p, cluster: r, entries: p.fleet.servers()}
+	w := &watchedRegistry{point: p, cluster: c, entries: p.fleet.servers()}
 	if err := w.startService(ctx); err != nil {
 		w.close()
 		return nil, err
@@ -108,7 +108,7 @@
 	return w.registerAll(ctx)
 }
 
-// registerWithRetries registers a server, again and again while the service has no room or no leader.
+// registerWithRetries registers a server, and retries while the registry is overloaded or has no leader.
 func registerWithRetries(ctx context.Context, client *registry.Client, e registry.Endpoint) error {
 	for {
 		if err := register(ctx, client, e); !isOverloaded(err) || ctx.Err() != nil {
@@ -117,27 +117,27 @@
 	}
 }
 
-// registerAll registers all servers, several at a time.
+// registerAll registers all servers, one at a time from each writer.
 func (w *watchedRegistry) registerAll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 	defer cancel()
-	var all sync.WaitGroup
-	failed := make([]error, len(w.clients))
+	var wg sync.WaitGroup
+	errs := make([]error, len(w.clients))
 	for i, client := range w.clients {
-		all.Go(func() {
-			for at := i; at < len(w.entries) && failed[i] == nil; at += len(w.clients) {
-				failed[i] = registerWithRetries(ctx, client, w.entries[at])
+		wg.Go(func() {
+			for at := i; at < len(w.entries) && errs[i] == nil; at += len(w.clients) {
+				errs[i] = registerWithRetries(ctx, client, w.entries[at])
 			}
 		})
 	}
-	all.Wait()
-	if err := cmp.Or(failed...); err != nil {
-		return fmt.Errorf("registering the servers: %w", err)
+	wg.Wait()
+	if err := cmp.Or(errs...); err != nil {
+		return fmt.Errorf("registering servers: %w", err)
 	}
 	return nil
 }
 
-// registration is what the list service takes of an instance.
+// registration is the request body that registers an instance.
 type registration struct {
 	HostPort string  `json:"host_port"`
 	Locality string  `json:"locality"`
@@ -151,58 +151,58 @@
 func register(ctx context.Context, client *registry.Client, e registry.Endpoint) error {
 	body := registration{HostPort: e.Address, Locality: e.Zone, Flavor: e.Kind, Cell: e.Cell, Phase: e.Phase,
 		Size: e.Size, LeaseMs: leaseTTL.Milliseconds()}
-	return client.Do(ctx, http.MethodPut, instancesPath+e.ID, body, nil, 0)
+	return client.Do(ctx, http.MethodPut, instancePathPrefix+e.ID, body, nil, 0)
 }
 
-// writeChange changes a server, and marks the change in the server's cell.
+// writeChange changes a server's cell to the one that encodes the change's number.
 func (w *watchedRegistry) writeChange(ctx context.Context, client *registry.Client, number int) error {
 	e := w.entries[number%len(w.entries)]
 	e.Cell = changeCell(number)
 	return register(ctx, client, e)
 }
 
-// writeChanges changes the list for a span, at the fixed rate. before is called for each change when it is due, so that the
-// time that a change waits for earlier ones counts.
-func (w *watchedRegistry) writeChanges(ctx context.Context, span time.Duration, before func(due time.Time)) error {
-	every := time.Duration(float64(time.Minute) / w.fixed.Changes)
+// writeChanges changes the list for a span, at the scenario's rate. It calls onDue when a change is due, even if the writers
+// are still busy with earlier changes, so that the time a change waits for them counts.
+func (w *watchedRegistry) writeChanges(ctx context.Context, span time.Duration, onDue func(due time.Time)) error {
+	interval := time.Duration(float64(time.Minute) / w.fixed.Changes)
 	began, first := time.Now(), w.changes
-	due := make(chan int, int(max(0, span)/every)+1) // all of the span, so that nobody waits for the writers
-	var all sync.WaitGroup
-	failed := make([]error, len(w.clients))
+	due := make(chan int, int(max(0, span)/interval)+1) // for all of the span, so that scheduling never waits for writers
+	var wg sync.WaitGroup
+	errs := make([]error, len(w.clients))
 	for i, client := range w.clients {
-		all.Go(func() {
+		wg.Go(func() {
 			for number := range due {
 				err := w.writeChange(ctx, client, number)
 				if isOverloaded(err) {
 					w.refused.Add(1)
 					continue
 				}
-				failed[i] = cmp.Or(failed[i], err)
+				errs[i] = cmp.Or(errs[i], err)
 			}
 		})
 	}
-	err := w.schedule(ctx, began, span, every, func(at time.Time) {
-		before(at)
+	err := w.schedule(ctx, began, span, interval, func(at time.Time) {
+		onDue(at)
 		due <- w.changes
 		w.changes++
 	})
 	close(due)
-	all.Wait()
-	if err := cmp.Or(failed...); err != nil {
-		return fmt.Errorf("change %d to %d: %w", first, w.changes-1, err)
+	wg.Wait()
+	if err := cmp.Or(errs...); err != nil {
+		return fmt.Errorf("changes %d to %d: %w", first, w.changes-1, err)
 	}
 	return err
 }
 
-// isOverloaded tells whether the registry rejected a change, and its retries, because it has no capacity.
+// isOverloaded reports whether the registry refused a change and its retries with status 503.
 func isOverloaded(err error) bool {
 	var refused registry.StatusError
 	return errors.As(err, &refused) && refused.StatusCode == http.StatusServiceUnavailable
 }
 
-// schedule calls do at a steady pace, until the span is over.
-func (w *watchedRegistry) schedule(ctx context.Context, began time.Time, span, every time.Duration, do func(due time.Time)) error {
-	for at := time.Duration(0); at < span; at += every {
+// schedule calls do at a fixed interval until the span is over.
+func (w *watchedRegistry) schedule(ctx context.Context, began time.Time, span, interval time.Duration, do func(due time.Time)) error {
+	for at := time.Duration(0); at < span; at += interval {
 		due := began.Add(at)
 		if err := sleep(ctx, time.Until(due)); err != nil {
 			return err
@@ -212,8 +212,8 @@
 	return sleep(ctx, time.Until(began.Add(span)))
 }
 
-// overhead is the processor time a second that changing the list takes of this process.
-func (w *watchedRegistry) overhead(ctx context.Context) (float64, error) {
+// writerOverhead returns the CPU time that this process needs to change the list, in seconds for each second.
+func (w *watchedRegistry) writerOverhead(ctx context.Context) (float64, error) {
 	cpu, began := ownCPU(), time.Now()
 	if err := w.writeChanges(ctx, overheadSpan, func(time.Time) {}); err != nil {
 		return 0, err
@@ -221,27 +221,27 @@
 	return (ownCPU() - cpu).Seconds() / time.Since(began).Seconds(), nil
 }
 
-// startNodes starts the hollow nodes; stop ends them.
+// startNodes starts the hollow nodes. stop ends them and waits until they have ended.
 func (w *watchedRegistry) startNodes(ctx context.Context, tracker *changeTracker) (nodes []*node.Hollow, stop func(), err error) {
 	for i := range w.fixed.Nodes {
-		path, _, err := w.fleet.configuration(i, strings.Join(w.service.Addresses(), ","))
+		path, _, err := w.fleet.writeConfig(i, strings.Join(w.service.Addresses(), ","))
 		if err != nil {
 			return nil, nil, err
 		}
-		config, err := load(path)
+		nodeConfig, err := loadConfig(path)
 		if err != nil {
 			return nil, nil, err
 		}
-		hollow, err := node.NewHollow(config, func(l policy.EndpointList) { tracker.listReceived(i, l) })
+		hollow, err := node.NewHollow(nodeConfig, func(l policy.EndpointList) { tracker.listReceived(i, l) })
 		if err != nil {
 			return nil, nil, err
 		}
 		nodes = append(nodes, hollow)
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	var running sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, hollow := range nodes {
-		running.Go(func() {
+		wg.Go(func() {
 			if err := hollow.Run(ctx); err != nil {
 				tracker.fail(err)
 			}
@@ -249,33 +249,33 @@
 	}
 	return nodes, func() {
 		cancel()
-		running.Wait()
+		wg.Wait()
 	}, nil
 }
 
-// resourceUsage is what was used up to a time.
+// resourceUsage holds the resources that were used up to a time.
 type resourceUsage struct {
 	at      time.Time
-	own     time.Duration // processor time
+	own     time.Duration // CPU time of this process
 	replica usage
 	traffic node.Traffic // of all nodes
 }
 
 func (w *watchedRegistry) usage(nodes []*node.Hollow) (u resourceUsage, err error) {
-	u.traffic = trafficOf(nodes)
+	u.traffic = totalTraffic(nodes)
 	u.at, u.own = time.Now(), ownCPU()
-	u.replica, err = usageOf(w.service.Process(replicaName).PID())
+	u.replica, err = processUsage(w.service.Process(replicaName).PID())
 	return u, err
 }
 
-// startCounting has the tracker count the changes from now on.
+// startCounting makes the tracker count the changes from now on, and resets the number of refused changes.
 func (w *watchedRegistry) startCounting(tracker *changeTracker) {
 	tracker.begin(w.changes)
 	w.refused.Store(0)
 }
 
-// recordSpan changes the list for the scenario's span, and records what that took.
-func (w *watchedRegistry) recordSpan(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow, overhead float64) error {
+// recordSpan changes the list for the scenario's span, and records the resources that this used.
+func (w *watchedRegistry) recordSpan(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow, writerOverhead float64) error {
 	before, err := w.usage(nodes)
 	if err != nil {
 		return err
@@ -293,7 +293,7 @@
 	refused := w.refused.Load()
 	w.record.Record(ChangeRate, (float64(w.changes-first)-float64(refused))/span)
 	w.record.Record(ChangesRefused, float64(refused))
-	own := (after.own-before.own).Seconds()/span - overhead
+	own := (after.own-before.own).Seconds()/span - writerOverhead
 	w.record.Record(ControlCPU, 100*max(0, own)/float64(len(nodes)))
 	w.record.Record(RegistryCPU, 100*(after.replica.cpu-before.replica.cpu).Seconds()/span)
 	w.record.Record(RegistryResident, after.replica.resident)
@@ -303,36 +303,38 @@
 	return err
 }
 
-// recordTraffic records what passed over so many seconds of one node.
-func (w *watchedRegistry) recordTraffic(passed node.Traffic, seconds float64) {
+// recordTraffic records traffic as rates. seconds is the measured time summed over the nodes.
+func (w *watchedRegistry) recordTraffic(delta node.Traffic, seconds float64) {
 	for _, v := range []struct {
 		measure Measure
 		count   uint64
 	}{
-		{ReceivedBytes, passed.Received}, {SentBytes, passed.Sent},
-		{ReceivedReads, passed.Answers}, {SentWrites, passed.Calls},
+		{ReceivedBytes, delta.Received}, {SentBytes, delta.Sent},
+		{ReceivedMessages, delta.Answers}, {SentMessages, delta.Calls},
 	} {
 		w.record.Record(v.measure, float64(v.count)/seconds)
 	}
 }
 
-// recordInForce waits until the changes are in force at all nodes, or have had the time for it.
+// recordInForce waits until all changes are in force at all nodes or inForceTimeout is over, and records the delays and the
+// missed changes.
 func (w *watchedRegistry) recordInForce(ctx context.Context, tracker *changeTracker) error {
-	late, cancel := context.WithTimeout(ctx, inForceTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, inForceTimeout)
 	defer cancel()
-	// Its error says that some are not in force, and those are counted below.
-	_ = testcluster.Await(late, "the changes", func() bool { return tracker.missed(int(w.refused.Load())) == 0 })
+	// An error means that some changes are not in force. Those are counted as missed below.
+	_ = testcluster.Await(waitCtx, "all changes in force at all nodes",
+		func() bool { return tracker.missed(int(w.refused.Load())) == 0 })
 	if err := ctx.Err(); err != nil {
 		return err
 	}
 	if err := tracker.failure(); err != nil {
-		return fmt.Errorf("a hollow node: %w", err)
+		return fmt.Errorf("hollow node: %w", err)
 	}
-	times := tracker.times()
+	delays := tracker.delays()
 	const perMs = float64(time.Millisecond)
-	w.record.Record(InForceP50, float64(times.ValueAtQuantile(50))/perMs)
-	w.record.Record(InForceP99, float64(times.ValueAtQuantile(99))/perMs)
-	w.record.Record(InForceLast, float64(times.Max())/perMs)
+	w.record.Record(InForceP50, float64(delays.ValueAtQuantile(50))/perMs)
+	w.record.Record(InForceP99, float64(delays.ValueAtQuantile(99))/perMs)
+	w.record.Record(InForceLast, float64(delays.Max())/perMs)
 	w.record.Record(ChangesMissed, float64(tracker.missed(int(w.refused.Load()))))
 	return nil
 }
