--- a/internal/scaletest/slope_test.go
+++ b/internal/scaletest/slope_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestNodeCostsDoNotGrowWithTheFleet guards costs of a node that must depend on its own work and not on the number of servers.
+// TestNodeCostsDoNotGrowWithTheFleet guards costs of a node that must depend on its own work, not on the number of servers.
 // It compares the lowest costs of several rounds, in which both sizes take turns: other load of the machine affects both
 // sizes alike, and can only add to a cost.
 const (
