--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -31,8 +31,8 @@
 		ev = outcome
 	}
 	listed, unavailable := l.balancer.Servers()
-	l.fig.listed.Store(int64(listed))
-	l.fig.unavailable.Store(int64(unavailable))
+	l.metrics.listed.Store(int64(listed))
+	l.metrics.unavailable.Store(int64(unavailable))
 }
 
 // execute executes one action.
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -40,7 +40,7 @@
 	})
 	mux.HandleFunc(http.MethodGet+" "+statsPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/plain; version=0.0.4; charset=utf-8")
-		l.fig.set.WritePrometheus(w)
+		l.metrics.set.WritePrometheus(w)
 	})
 	mux.HandleFunc(http.MethodGet+" "+zonesPath, l.serveZones)
 	if fleet != nil {
--- a/internal/node/attempts.go
+++ b/internal/node/attempts.go
@@ -7,8 +7,8 @@
 )
 
 // newTransport returns the transport for the node's connections to servers.
-func newTransport(c config.Config, shared *upstream.Descriptors, fig *nodeMetrics) *upstream.Transport {
-	return upstream.NewTransport(transportConfig(c), shared, fig.relayed)
+func newTransport(c config.Config, shared *upstream.Descriptors, metrics *nodeMetrics) *upstream.Transport {
+	return upstream.NewTransport(transportConfig(c), shared, metrics.relayed)
 }
 
 // transportConfig returns the settings for connections to servers.
--- a/internal/node/client_connections_test.go
+++ b/internal/node/client_connections_test.go
@@ -68,7 +68,7 @@
 		}
 		get("first")
 		var held []net.Conn
-		for range (config.MinSockets-ownSockets)*2/3 + 5 {
+		for range (config.MinSockets-baseSockets)*2/3 + 5 {
 			peer := nodetest.Dial(t, node)
 			defer nodetest.CloseOnce(t, peer)
 			held = append(held, peer)
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -29,19 +29,19 @@
 // docs/endings.md has a row for each.
 
 // arrivals is a server that records when requests reach it.
-type arrivals struct {
+type arrivalRecorder struct {
 	mu    sync.Mutex
 	times []time.Time
 }
 
-func (a *arrivals) ServeHTTP(http.ResponseWriter, *http.Request) {
+func (a *arrivalRecorder) ServeHTTP(http.ResponseWriter, *http.Request) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.times = append(a.times, time.Now())
 }
 
 // countAfter returns the number of requests that arrived after t.
-func (a *arrivals) countAfter(t time.Time) (n int) {
+func (a *arrivalRecorder) countAfter(t time.Time) (n int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, at := range a.times {
@@ -99,7 +99,7 @@
 type drainTest struct {
 	*testing.T
 	config.Config
-	draining, healthy arrivals
+	draining, healthy arrivalRecorder
 	drainingAddr      string // the address of the draining server
 	calls             <-chan listCall
 	changes           chan Change
@@ -296,7 +296,7 @@
 // without the timers of a node's shutdown, so that the test controls the order of events.
 func startDrainable(t *testing.T, server string) (node string, l *loop, drain func()) {
 	t.Helper()
-	l, _ = startLoop(t, server, sendsOnce)
+	l, _ = startLoop(t, server, sendOnce)
 	s := newServer(l)
 	return serveAt(t, s), l, func() {
 		s.Stopping.Store(true)
@@ -354,7 +354,7 @@
 
 // holdingModule is a module that holds each request until a FleetSize event, repeats failed attempts, and sends nothing
 // for a client that it knows to have disconnected. Handling the request "busy" blocks until releaseLoop is closed.
-type holdingModule struct {
+type holdingBalancer struct {
 	waitPoint   string // what the request waits for when its client disconnects
 	cancels     bool
 	loopBusy    chan struct{}
@@ -364,7 +364,7 @@
 	inFlight    atomic.Int32 // attempts without an outcome
 }
 
-func (m *holdingModule) handle(_ policy.Time, ev policy.Event) []policy.Action {
+func (m *holdingBalancer) handle(_ policy.Time, ev policy.Event) []policy.Action {
 	switch e := ev.(type) {
 	case policy.Request:
 		if e.ID == "busy" {
@@ -394,10 +394,10 @@
 	return nil
 }
 
-func (m *holdingModule) sendAttempts(ids ...string) (acts []policy.Action) {
+func (m *holdingBalancer) sendAttempts(ids ...string) (acts []policy.Action) {
 	for _, id := range ids {
 		m.inFlight.Add(1)
-		acts = append(acts, sends(id, 1)...)
+		acts = append(acts, sendActions(id, 1)...)
 	}
 	return acts
 }
@@ -405,7 +405,7 @@
 // isIdle reports whether the loop has no open request and all its connections to servers are idle.
 func (l *loop) isIdle() bool {
 	open, idle := l.up.ConnCounts()
-	return open == idle && l.fig.open.Load() == 0
+	return open == idle && l.metrics.open.Load() == 0
 }
 
 // A request whose client disconnects while it waits is not forwarded later than disconnectDetectionTime after that. The
@@ -423,7 +423,7 @@
 						name := fmt.Sprintf("%s/%s/%d bytes behind/reset %v/cancels %v", waitPoint, method, extraBytes, reset, cancels)
 						t.Run(name, func(t *testing.T) {
 							t.Parallel()
-							testClientLeaves(t, &holdingModule{waitPoint: waitPoint, cancels: cancels, loopBusy: make(chan struct{}),
+							testClientLeaves(t, &holdingBalancer{waitPoint: waitPoint, cancels: cancels, loopBusy: make(chan struct{}),
 								releaseLoop: make(chan struct{})}, method, extraBytes, reset)
 						})
 					}
@@ -435,7 +435,7 @@
 
 // testClientLeaves disconnects a client while its request waits at m.waitPoint, and checks that the request is not
 // forwarded afterwards.
-func testClientLeaves(t *testing.T, m *holdingModule, method string, extraBytes int, reset bool) {
+func testClientLeaves(t *testing.T, m *holdingBalancer, method string, extraBytes int, reset bool) {
 	received, failFirst := make(chan string, 100), make(chan struct{})
 	server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -468,7 +468,7 @@
 	case "a connection":
 		nodetest.Receive(t, "a dial", dials)
 	case "the loop":
-		nodetest.Await(t, "two open requests", func() bool { return l.fig.open.Load() == 2 })
+		nodetest.Await(t, "two open requests", func() bool { return l.metrics.open.Load() == 2 })
 	default:
 		nodetest.Await(t, "the request at the module", func() bool { return slices.Contains(module.events(), "request r1") })
 	}
@@ -492,7 +492,7 @@
 }
 
 // sendRequest sends a request, or a part of one where the request is to wait for its body.
-func (m *holdingModule) sendRequest(c *testClient, method string) {
+func (m *holdingBalancer) sendRequest(c *testClient, method string) {
 	c.t.Helper()
 	class, body := map[string]string{"GET": "read", "POST": "pay"}[method], map[string]string{"POST": "sum"}[method]
 	if m.waitPoint != "its body" {
@@ -530,11 +530,11 @@
 	for _, reset := range []bool{false, true} {
 		t.Run(fmt.Sprintf("reset %v", reset), func(t *testing.T) {
 			t.Parallel()
-			var received arrivals
-			l, module := startLoop(t, nodetest.HTTPServer(t, received.ServeHTTP), sendsOnce)
+			var received arrivalRecorder
+			l, module := startLoop(t, nodetest.HTTPServer(t, received.ServeHTTP), sendOnce)
 			clientGone, attemptDone := make(chan struct{}), make(chan struct{})
 			var warm atomic.Bool
-			node := serveOn(t, newServer(l), hookedListener{nodetest.Listener(t), func(read string) {
+			node := serveListener(t, newServer(l), hookedListener{nodetest.Listener(t), func(read string) {
 				switch {
 				case !warm.Load():
 				case strings.Contains(read, "X-Request-Id: r1"):
@@ -581,7 +581,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var changed, other arrivals
+			var changed, other arrivalRecorder
 			changedAddr, otherAddr := nodetest.HTTPServer(t, changed.ServeHTTP), nodetest.HTTPServer(t, other.ServeHTTP)
 			target := "s0"
 			l, module := startLoop(t, changedAddr, func(_ policy.Time, ev policy.Event) []policy.Action {
@@ -624,7 +624,7 @@
 			if n, m := changed.countAfter(time.Time{}), other.countAfter(time.Time{}); n != 0 || m != 1 {
 				t.Errorf("requests: got %d at the changed server and %d at the other, want 0 and 1", n, m)
 			}
-			module.has(t, "list 2", "request r1", "list 1", fmt.Sprintf("outcome r1 0 code %d ended false", policy.ConnectFailed),
+			module.expectEvents(t, "list 2", "request r1", "list 1", fmt.Sprintf("outcome r1 0 code %d ended false", policy.ConnectFailed),
 				"outcome r1 1 code 0 ended true")
 			nodetest.Await(t, "an idle loop", l.isIdle)
 		})
@@ -663,7 +663,7 @@
 // A connection on which the node has read part of a request is not closed as idle at shutdown: the request is answered.
 func TestHalfReadRequestOutlivesTheEndOfIdleConnections(t *testing.T) {
 	t.Parallel()
-	l, _ := startLoop(t, nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}), sendsOnce)
+	l, _ := startLoop(t, nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}), sendOnce)
 	s := newServer(l)
 	head := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r2\r\nX-Class: read\r\n"
 	idleClosed := make(chan struct{})
@@ -672,7 +672,7 @@
 		s.CloseIdle()
 		close(idleClosed)
 	})
-	c := newTestClient(t, serveOn(t, s, hookedListener{nodetest.Listener(t), func(got string) {
+	c := newTestClient(t, serveListener(t, s, hookedListener{nodetest.Listener(t), func(got string) {
 		if strings.HasSuffix(got, head) { // the node waits for the rest
 			closeIdle()
 		}
@@ -705,12 +705,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			var received arrivals
-			l, _ := startLoop(t, nodetest.HTTPServer(t, received.ServeHTTP), sendsOnce)
+			var received arrivalRecorder
+			l, _ := startLoop(t, nodetest.HTTPServer(t, received.ServeHTTP), sendOnce)
 			s := newServer(l)
 			var c *testClient
 			sent := make(chan struct{})
-			c = newTestClient(t, serveOn(t, s, hookedListener{nodetest.Listener(t), func(string) {}, func(err error) {
+			c = newTestClient(t, serveListener(t, s, hookedListener{nodetest.Listener(t), func(string) {}, func(err error) {
 				if errors.Is(err, os.ErrDeadlineExceeded) { // the connection is given up, but not yet closed
 					c.send("POST", "pay", "r2", "sum")
 					close(sent)
@@ -840,7 +840,7 @@
 			_, err = c.Write(make([]byte, 1<<14))
 		}
 	}))
-	l, _ := startLoop(t, addr, sendsOnce)
+	l, _ := startLoop(t, addr, sendOnce)
 	c := newTestClient(t, serveAt(t, newServer(l)))
 	c.send("GET", "read", "r1", "")
 	resp, err := http.ReadResponse(c.r, nil)
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -140,14 +140,14 @@
 	if c.Fleet == nil {
 		return nil, nil
 	}
-	probeTimes := l.fig.set.NewHistogram("app_fleet_probe_seconds")
+	probeTimes := l.metrics.set.NewHistogram("app_fleet_probe_seconds")
 	c.Fleet.OnProbe = func(took time.Duration) { probeTimes.Update(took.Seconds()) }
 	agent, err := gossip.New(*c.Fleet)
 	if err != nil {
 		return nil, err
 	}
 	m := &membership{agent, l}
-	m.registerMetrics(l.fig)
+	m.registerMetrics(l.metrics)
 	return m, nil
 }
 
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -55,8 +55,8 @@
 		}
 		return &trafficConn{Conn: conn, traffic: h.traffic}, nil
 	}
-	fig := newMetrics(c.Settings.Classes)
-	l, err := newLoop(c, clock{start: time.Now()}, newTransport(c, new(upstream.Descriptors), fig), fig)
+	metrics := newMetrics(c.Settings.Classes)
+	l, err := newLoop(c, clock{start: time.Now()}, newTransport(c, new(upstream.Descriptors), metrics), metrics)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -138,7 +138,7 @@
 	// processes share the descriptors, there is no surplus for clients over the limit: they wait to be accepted until
 	// the other process releases descriptors.
 	h.mu.Lock()
-	sockets, reserved, surplus := h.sockets, reservedSockets(h.config), ownSockets/2
+	sockets, reserved, surplus := h.sockets, reservedSockets(h.config), baseSockets/2
 	if h.server.AwaitingDescriptors.Load() {
 		reserved, surplus = reservedSocketsWhileShared(h.config), 0
 	}
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -52,7 +52,7 @@
 	ready   chan struct{}              // closed when the balancer has the known list
 	classes atomic.Pointer[classTable] // read by the clients' goroutines
 	up      *upstream.Transport
-	fig     *nodeMetrics
+	metrics     *nodeMetrics
 
 	// Only the loop's goroutine uses the fields below.
 	clock      clock
@@ -70,12 +70,12 @@
 	attemptsWG sync.WaitGroup                // attempts in flight
 }
 
-func newLoop(c config.Config, ck clock, up *upstream.Transport, fig *nodeMetrics) (*loop, error) {
+func newLoop(c config.Config, ck clock, up *upstream.Transport, metrics *nodeMetrics) (*loop, error) {
 	balancer, err := policy.New(c.Settings, ck.now(), c.Seed)
 	if err != nil {
 		return nil, err
 	}
-	l := &loop{clock: ck, balancer: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, fig: fig,
+	l := &loop{clock: ck, balancer: balancer, allowed: c.Settings.Allowed, maxOpen: c.MaxOpen, up: up, metrics: metrics,
 		events: make(chan event, eventBufferSize), done: make(chan struct{}), ready: make(chan struct{}),
 		requests: make(map[string]*request), endpoints: make(map[string]discovery.Endpoint)}
 	l.listTarget = discoveryTarget(c)
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -56,7 +56,7 @@
 		case policy.Outcome:
 			all = append(all, fmt.Sprintf("outcome %s %d code %d ended %v", e.ID, e.Attempt, e.Code, e.RequestEnded))
 		case policy.ClientCancelled:
-			all = append(all, "lapsed "+e.ID)
+			all = append(all, "cancelled "+e.ID)
 		case policy.Timer:
 			all = append(all, fmt.Sprintf("timer %d", e.Token))
 		}
@@ -65,7 +65,7 @@
 }
 
 // has waits for as many events as are wanted, and checks that the events received so far are those.
-func (s *scriptedBalancer) has(t *testing.T, want ...string) {
+func (s *scriptedBalancer) expectEvents(t *testing.T, want ...string) {
 	t.Helper()
 	nodetest.Await(t, strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
 	if got := s.events(); !reflect.DeepEqual(got, want) {
@@ -79,9 +79,9 @@
 ) (*loop, *scriptedBalancer) {
 	t.Helper()
 	c := testConfig(t, nodetest.KnownList(addr))
-	fig := newMetrics(c.Settings.Classes)
-	up := newTransport(c, testDescriptors(200), fig)
-	l, err := newLoop(c, clock{start: time.Now()}, up, fig)
+	metrics := newMetrics(c.Settings.Classes)
+	up := newTransport(c, testDescriptors(200), metrics)
+	l, err := newLoop(c, clock{start: time.Now()}, up, metrics)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -107,7 +107,7 @@
 }
 
 // sends returns n Send actions for a request, to s0.
-func sends(id string, n int) (all []policy.Action) {
+func sendActions(id string, n int) (all []policy.Action) {
 	for range n {
 		all = append(all, policy.Action{Kind: policy.Send, ID: id, Server: "s0"})
 	}
@@ -115,9 +115,9 @@
 }
 
 // sendsOnce sends each request once, to s0. It is a respond function for startLoop.
-func sendsOnce(_ policy.Time, ev policy.Event) []policy.Action {
+func sendOnce(_ policy.Time, ev policy.Event) []policy.Action {
 	if e, ok := ev.(policy.Request); ok {
-		return sends(e.ID, 1)
+		return sendActions(e.ID, 1)
 	}
 	return nil
 }
@@ -130,7 +130,7 @@
 		l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
 			case policy.Request:
-				return sends(e.ID, 1)
+				return sendActions(e.ID, 1)
 			case policy.Outcome:
 				return []policy.Action{{Kind: policy.SetTimer, Token: 77, Wait: time.Millisecond}}
 			}
@@ -140,7 +140,7 @@
 		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != 200 || string(a.Body) != "yes" {
 			t.Errorf("response: got status %d, body %q, want 200, yes", a.Status, a.Body)
 		}
-		s.has(t, "list 2", "request r1", "outcome r1 0 code 0 ended true", "timer 77")
+		s.expectEvents(t, "list 2", "request r1", "outcome r1 0 code 0 ended true", "timer 77")
 	})
 }
 
@@ -158,7 +158,7 @@
 		l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
 			case policy.Request:
-				return sends(e.ID, 4)
+				return sendActions(e.ID, 4)
 			case policy.Outcome:
 				if e.Code == policy.NotAttempted {
 					skipped <- e
@@ -185,7 +185,7 @@
 		l, s := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
 			case policy.Request:
-				return append(sends(e.ID, 1), policy.Action{Kind: policy.SetTimer, Token: 1, Wait: time.Nanosecond})
+				return append(sendActions(e.ID, 1), policy.Action{Kind: policy.SetTimer, Token: 1, Wait: time.Nanosecond})
 			case policy.Timer:
 				<-arrived // the attempt has reached the server
 				return []policy.Action{{Kind: policy.Fail, ID: "r1"}, {Kind: policy.Reject, ID: "r1"},
@@ -197,7 +197,7 @@
 		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != http.StatusBadGateway {
 			t.Errorf("status: got %d, want 502 of the first response", a.Status)
 		}
-		s.has(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotAttempted),
+		s.expectEvents(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotAttempted),
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 		if len(arrived) != 0 || len(x.Reply) != 0 {
 			t.Errorf("after the response: got %d attempts, %d responses, want none", len(arrived), len(x.Reply))
@@ -216,7 +216,7 @@
 		if end := x.ReceivedAt + x.Timeout; l.clock.now() > end+nodetest.Timeout/2 {
 			t.Errorf("answered %v after the client's timeout, want at most half of nodetest.Timeout", l.clock.now()-end)
 		}
-		s.has(t, "list 2", "request r1", "lapsed r1")
+		s.expectEvents(t, "list 2", "request r1", "cancelled r1")
 	})
 }
 
@@ -280,20 +280,20 @@
 		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != http.StatusBadGateway {
 			t.Errorf("status of the open request: got %d, want 502", a.Status)
 		}
-		s.has(t, "list 2", "request r1", "lapsed r1")
+		s.expectEvents(t, "list 2", "request r1", "cancelled r1")
 		// The ID is free again, so this is not a duplicate.
 		if a := nodetest.Receive(t, "the response",
 			l.sendRequest("r1", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("status of a request after failUnanswered: got %d, want 503", a.Status)
 		}
-		s.has(t, "list 2", "request r1", "lapsed r1")
+		s.expectEvents(t, "list 2", "request r1", "cancelled r1")
 	})
 }
 
 // A request that has ended leaves nothing in memory, even if its deadline is far off.
 func TestEndedRequestsAreDropped(t *testing.T) {
 	l := &loop{clock: clock{start: time.Now()}, requests: make(map[string]*request),
-		endpoints: make(map[string]discovery.Endpoint), fig: newMetrics(nil)}
+		endpoints: make(map[string]discovery.Endpoint), metrics: newMetrics(nil)}
 	l.balancer = &scriptedBalancer{respond: func(_ policy.Time, ev policy.Event) []policy.Action {
 		if e, ok := ev.(policy.Request); ok {
 			return []policy.Action{{Kind: policy.Reject, ID: e.ID}}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -19,10 +19,10 @@
 	ck := clock{start: time.Now()}
 	maxSockets, state := listeners.restore(&c)
 	limitMemory(c, 1)
-	fig := newMetrics(c.Settings.Classes)
-	transport := newTransport(c, new(upstream.Descriptors), fig)
+	metrics := newMetrics(c.Settings.Classes)
+	transport := newTransport(c, new(upstream.Descriptors), metrics)
 	defer transport.CloseIdle()
-	l, err := newLoop(c, ck, transport, fig)
+	l, err := newLoop(c, ck, transport, metrics)
 	if err != nil {
 		return err
 	}
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -73,7 +73,7 @@
 func (l *loop) handleChange(c Change) {
 	if c.Err != nil {
 		slog.Error("the changed configuration is not used", "error", c.Err)
-		l.fig.invalid.Inc()
+		l.metrics.invalid.Inc()
 		return
 	}
 	l.send(configChanged{c.Config})
@@ -85,7 +85,7 @@
 	l.up.Configure(transportConfig(c))
 	var names []string
 	for _, class := range c.Settings.Classes {
-		l.fig.class(class.Name)
+		l.metrics.class(class.Name)
 		names = append(names, class.Name)
 	}
 	l.classes.Store(l.classes.Load().next(c.Settings.Classes, time.Now()))
@@ -94,7 +94,7 @@
 		l.listClient.Retarget(target)
 	}
 	l.decide(c.Settings)
-	l.fig.accepted.Inc()
+	l.metrics.accepted.Inc()
 	slog.Info("configuration applied", "classes", names, "attempts", c.Settings.Allowed.MaxAttempts,
 		"discovery", c.Discovery)
 }
--- a/internal/node/resources.go
+++ b/internal/node/resources.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	ownSockets            = 32 // descriptors for the log, discovery, the runtime and the like
-	ownSocketsWhileShared = 18 // the same while two processes share the node's descriptors: 14 are in use
+	baseSockets            = 32 // descriptors for the log, discovery, the runtime and the like
+	baseSocketsWhileShared = 18 // the same while two processes share the node's descriptors: 14 are in use
 	// heapFraction is the heap's part of the memory limit. Stacks and sockets take the rest.
 	heapFraction = 0.75
 )
 
 // reservedSockets returns how many descriptors belong neither to the client side nor to the server side.
 func reservedSockets(c config.Config) int {
-	n := ownSockets
+	n := baseSockets
 	if c.Control != "" {
 		n += adminSockets
 	}
@@ -30,7 +30,7 @@
 // reservedSocketsWhileShared is reservedSockets for each of two processes that share the node's descriptors during a hot
 // restart. The reserves for short miscounts and for many connections to the admin server are split between the two.
 func reservedSocketsWhileShared(c config.Config) int {
-	n := ownSocketsWhileShared
+	n := baseSocketsWhileShared
 	if c.Control != "" {
 		n += adminSockets / 2
 	}
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -139,7 +139,7 @@
 		l, module := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
 			case policy.Request:
-				return sends(e.ID, 1)
+				return sendActions(e.ID, 1)
 			case policy.ClientCancelled:
 				return []policy.Action{{Kind: policy.Cancel, ID: e.ID}}
 			}
@@ -154,7 +154,7 @@
 		nodetest.Receive(t, "the attempt at the server", received)
 		nodetest.CloseOnce(t, c)
 		nodetest.Receive(t, "the cancelled attempt at the server", cancelled)
-		module.has(t, "list 2", "request r1", "lapsed r1",
+		module.expectEvents(t, "list 2", "request r1", "cancelled r1",
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 	})
 }
@@ -190,7 +190,7 @@
 		c := testConfig(t, nodetest.KnownList(addr))
 		c.Sockets = config.MinSockets
 		node, _ := startNode(t, c)
-		perSide := (config.MinSockets - ownSockets) / 2
+		perSide := (config.MinSockets - baseSockets) / 2
 		var held []net.Conn
 		defer func() {
 			for _, c := range held {
@@ -231,7 +231,7 @@
 func TestStoppingNodeEndsConnections(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
-		l, _ := startLoop(t, addr, sendsOnce)
+		l, _ := startLoop(t, addr, sendOnce)
 		s := newServer(l)
 		node := serveAt(t, s)
 		nodetest.Receive(t, "readiness", l.ready)
@@ -424,7 +424,7 @@
 // when no more descriptors are expected from a predecessor process.
 func TestConnectionOverTheLimitIsServedOnceThereIsRoom(t *testing.T) {
 	server, received, release := nodetest.HoldingServer(t)
-	l, _ := startLoop(t, server, sendsOnce)
+	l, _ := startLoop(t, server, sendOnce)
 	s := newServer(l)
 	node := serveAt(t, s)
 	descriptors := l.up.Descriptors()
@@ -451,7 +451,7 @@
 	if got := descriptors.ForServers(); got != descriptors.MinPerSide() {
 		t.Errorf("descriptors for servers with 40 clients of 30 descriptors: got %d, want %d", got, descriptors.MinPerSide())
 	}
-	l, _ := startLoop(t, "127.0.0.1:9", sendsOnce)
+	l, _ := startLoop(t, "127.0.0.1:9", sendOnce)
 	h := &hotRestart{config: testConfig(t, nodetest.KnownList("127.0.0.1:9")), server: newServer(l), transport: l.up,
 		clients: downstream.NewConnectionLimiter(nodetest.Listener(t), 1), sockets: 60}
 	for _, sharing := range []bool{true, false} {
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -41,10 +41,10 @@
 func (s *server) Terms() downstream.Terms { return s.loop.classes.Load() }
 
 // Tally returns the counters of the responses to requests of a class.
-func (s *server) Tally(class string) downstream.Tally { return s.loop.fig.class(class) }
+func (s *server) Tally(class string) downstream.Tally { return s.loop.metrics.class(class) }
 
 // AddOpenRequests adds n, which may be negative, to the number of open requests.
-func (s *server) AddOpenRequests(n int) { s.loop.fig.open.Add(int64(n)) }
+func (s *server) AddOpenRequests(n int) { s.loop.metrics.open.Add(int64(n)) }
 
 // acceptsNewClients reports whether this process, and no other of the node, accepts new clients.
 func (s *server) acceptsNewClients() bool {
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -113,11 +113,11 @@
 // serveAt makes s accept clients until the test ends, and returns its address.
 func serveAt(t *testing.T, s *server) (addr string) {
 	t.Helper()
-	return serveOn(t, s, nodetest.Listener(t))
+	return serveListener(t, s, nodetest.Listener(t))
 }
 
 // serveOn makes s accept clients from ln until the test ends.
-func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
+func serveListener(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
 	s.loop.up.Descriptors().SetTotal(config.MinSockets)
 	acceptErr := make(chan error, 1)
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -49,13 +49,13 @@
 func (l *loop) updateZoneMetrics(now policy.Time) {
 	for _, s := range l.balancer.Zones(now) {
 		zone := "{zone=" + strconv.Quote(s.Zone) + "}"
-		l.fig.set.GetOrCreateGauge("app_place_share"+zone, nil).Set(s.TrafficShare)
-		l.fig.set.GetOrCreateGauge("app_place_servers"+zone, nil).Set(float64(s.Servers))
-		l.fig.set.GetOrCreateGauge("app_place_left_lately"+zone, nil).Set(float64(s.Evacuations))
+		l.metrics.set.GetOrCreateGauge("app_place_share"+zone, nil).Set(s.TrafficShare)
+		l.metrics.set.GetOrCreateGauge("app_place_servers"+zone, nil).Set(float64(s.Servers))
+		l.metrics.set.GetOrCreateGauge("app_place_left_lately"+zone, nil).Set(float64(s.Evacuations))
 		away := time.Duration(0)
 		if s.State == "left" {
 			away = s.RetryIn + time.Millisecond // above 0, which stands for a zone that isn't evacuated
 		}
-		l.fig.set.GetOrCreateGauge("app_place_away_seconds"+zone, nil).Set(away.Seconds())
+		l.metrics.set.GetOrCreateGauge("app_place_away_seconds"+zone, nil).Set(away.Seconds())
 	}
 }
