--- a/internal/node/actions.go
+++ b/internal/node/actions.go
@@ -11,8 +11,8 @@
 	"sloerail/policy"
 )
 
-// decide passes an event to the balancer and executes its actions in order. It then reports the attempts that were not
-// sent to the balancer as outcomes.
+// decide passes an event to the balancer and executes the returned actions in order. If attempts were not sent, it then
+// reports their outcomes to the balancer and executes the actions returned for these.
 func (l *loop) decide(ev policy.Event) {
 	for {
 		for _, a := range l.balancer.Handle(l.clock.now(), ev) {
@@ -55,7 +55,7 @@
 	}
 }
 
-// executeOn executes an action on an open request.
+// executeForRequest executes an action on an open request.
 func (l *loop) executeForRequest(r *request, a policy.Action) {
 	switch a.Kind {
 	case policy.Reject:
@@ -74,12 +74,12 @@
 	}
 }
 
-// sendAttempt sends a request to a server, unless the request has ended or its deadline has passed, it has used up its
-// attempts, or a part of its body was already sent. An attempt that is not sent becomes a NotAttempted outcome.
+// sendAttempt sends a request to a server, unless the request has ended, its deadline has passed, its attempts are used
+// up, or an earlier attempt has read from its streamed body. The outcome of an attempt that is not sent is NotAttempted.
 func (l *loop) sendAttempt(a policy.Action) {
 	r, now := l.requests[a.ID], l.clock.now()
 	if r == nil {
-		slog.Error("the balancer sent a request that is not open")
+		slog.Error("the balancer returned a Send action for a request that is not open")
 		return
 	}
 	n := len(r.attempts)
--- a/internal/node/admin.go
+++ b/internal/node/admin.go
@@ -22,14 +22,15 @@
 )
 
 // adminServer serves health checks, metrics and views for operators at an address of its own, one request per
-// connection. Connections that send no complete request give way to new ones, and none takes descriptors from clients.
+// connection. Connections that send no complete request are closed if new ones need the room. The descriptors for all
+// connections are reserved, so that none are taken from clients.
 type adminServer struct {
 	http  http.Server
 	conns *downstream.ClientConns
 }
 
-// newAdminServer returns the admin server. acceptsNewClients decides the health check, and fleet is nil if the node is
-// in no fleet.
+// newAdminServer returns the admin server. The health check succeeds if acceptsNewClients returns true. fleet is nil if
+// the node is in no fleet.
 func newAdminServer(l *loop, acceptsNewClients func() bool, fleet *membership) *adminServer {
 	c := &adminServer{conns: downstream.NewClientConns(func() int { return adminSockets / 2 }, func(int) {}, func() {})}
 	mux := http.NewServeMux()
--- a/internal/node/admin_test.go
+++ b/internal/node/admin_test.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// The metrics count the responses to clients and the attempts sent to servers, each from 0.
+// The metrics start at 0 and count the responses to clients and the attempts sent to servers.
 func TestMetricsCountRequestsAndAttempts(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		hold, held := make(chan struct{}), make(chan struct{}, 1)
--- a/internal/node/body_streaming_test.go
+++ b/internal/node/body_streaming_test.go
@@ -62,13 +62,13 @@
 				t.Errorf("%s, %d bytes: status %d, want 200 and the same body; got %d bytes", framing, size, resp.StatusCode, len(got))
 			}
 			if framing == "length" && resp.ContentLength != int64(size) {
-				t.Errorf("response of %d bytes: Content-Length %d", size, resp.ContentLength)
+				t.Errorf("response of %d bytes: Content-Length %d, want its number of bytes", size, resp.ContentLength)
 			}
 		}
 	}
 }
 
-// A small request body or response that arrives byte by byte is forwarded as one that arrives at once.
+// A small request body or response that arrives byte by byte is forwarded like one that arrives at once.
 func TestSingleBytesPass(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -90,7 +90,7 @@
 
 // The first bytes of a long response reach the client while the server still sends, and the request's deadline no longer
 // applies once they have.
-func TestLongAnswerPassesAsItComes(t *testing.T) {
+func TestLongResponseIsStreamed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		resume := make(chan struct{})
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -119,8 +119,8 @@
 	})
 }
 
-// A long response that breaks off before StreamStartBytes has not been started towards the client: another server is
-// tried.
+// The node has sent the client nothing of a long response that breaks off before StreamStartBytes, so it tries another
+// server.
 func TestIncompleteResponseIsNotForwarded(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		incomplete := nodetest.RawServer(t, func(c net.Conn, r *bufio.Reader) {
@@ -137,7 +137,7 @@
 }
 
 // A client sees an error when a response breaks off, whatever its framing, over HTTP/1.0 and HTTP/1.1.
-func TestClientCanTellABrokenAnswer(t *testing.T) {
+func TestClientSeesBrokenOffResponse(t *testing.T) {
 	t.Parallel()
 	partialBody := strings.Repeat("x", http1.MaxBufferedBodyBytes+9)
 	for name, response := range map[string]string{
@@ -172,8 +172,8 @@
 	}
 }
 
-// A request whose streamed body was consumed in part is not tried again, since the body is no longer there to send. It is
-// tried again if nothing of the body was consumed.
+// A request whose streamed body was consumed, wholly or in part, is not tried again, since the consumed bytes can't be
+// sent again. It is tried again if nothing of the body was consumed.
 func TestConsumedBodyIsNotSentAgain(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		for _, c := range []struct {
@@ -239,7 +239,7 @@
 		}
 	}
 	if n := complete.Load(); n != 0 {
-		t.Errorf("too large requests that reached the server complete: got %d, want 0", n)
+		t.Errorf("too large requests of which the server read the whole body: got %d, want 0", n)
 	}
 }
 
@@ -250,9 +250,9 @@
 	return len(p), nil
 }
 
-// A body sent at 64 kB/s is served, although that takes longer than the request's deadline. A body that stalls ends its
-// request with 408 within 3 s, and its attempt too.
-func TestSlowBodyIsServedAndASilentOneTimesOut(t *testing.T) {
+// A request whose body arrives at 64 kB/s is served, although that takes longer than the request's deadline. A request
+// whose body stalls gets 408 within 3 s and is then no longer open.
+func TestSlowBodyIsServedAndStalledBodyTimesOut(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
@@ -339,7 +339,7 @@
 	}
 }
 
-// A response that ends with its connection is complete, whether short or long.
+// A response without a length, which ends when the server closes the connection, is forwarded whole, short or long.
 func TestResponseEndingWithItsConnectionPasses(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		for _, size := range []int{5, 3 * http1.MaxBufferedBodyBytes} {
@@ -362,7 +362,7 @@
 }
 
 // A client that sends Expect: 100-continue gets 100 only if its request is accepted, else the final status.
-func TestExpectedContinueComesOnlyWhereWanted(t *testing.T) {
+func TestContinueIsSentOnlyForAcceptedRequests(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
 			n, _ := io.Copy(io.Discard, r.Body)
--- a/internal/node/client_connections_test.go
+++ b/internal/node/client_connections_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-// A request with an unknown class closes its connection: a request sent behind it is not forwarded.
+// A request with an unknown class closes its connection: a further request on the connection is not forwarded.
 func TestMalformedRequestEndsItsConnection(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		servers := &recorder{}
@@ -45,13 +45,13 @@
 		head := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
 		sendRaw(t, node, fmt.Sprintf(head, 1, "reads")+fmt.Sprintf(head, 2, "read"))
 		if got := servers.takeIDs(); got != "" {
-			t.Errorf("requests that reached the server behind a malformed one: got %q, want none", got)
+			t.Errorf("requests that reached the server after a malformed one on the same connection: got %q, want none", got)
 		}
 	})
 }
 
-// A client keeps its open connection when silent peers use up the clients' part of the descriptors.
-func TestSilentConnectionsLeaveClientsAlone(t *testing.T) {
+// A client keeps its open connection when silent connections use up the clients' part of the descriptors.
+func TestSilentConnectionsDontDisplaceClients(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 		c.Sockets = config.MinSockets
@@ -84,14 +84,14 @@
 			t.Fatalf("connection over the limit: got %q, error %v; want HTTP/1.1 503", got, err)
 		}
 		if resp := get("second"); resp.StatusCode != http.StatusOK || resp.Close {
-			t.Errorf("client connected before the peers: status %d, closes its connection %v; want 200, false",
+			t.Errorf("client connected before the silent ones: status %d, closes its connection %v; want 200, false",
 				resp.StatusCode, resp.Close)
 		}
 	})
 }
 
-// An idle connection is closed after IdleTimeout, also if the body of its last request arrived in pieces and set other
-// read deadlines.
+// An idle connection is closed after IdleTimeout, even if the body of its last request arrived in pieces, so that other
+// read deadlines were set in between.
 func TestIdleConnectionsTimeOut(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -8,18 +8,18 @@
 )
 
 const (
-	// minAcceptTime is how long, at the least, clients can connect after the stop signal.
+	// minAcceptTime is the minimum time for which clients can still connect after the stop signal.
 	minAcceptTime = 500 * time.Millisecond
 	// maxDrainTime bounds how long a client waits for its response once the node is stopping.
 	maxDrainTime = 3 * time.Second
-	// drainPoll is how often a process that has handed over checks whether it still has clients.
+	// drainPoll is the interval at which a process that has handed over checks whether it still has clients.
 	drainPoll = 20 * time.Millisecond
-	// finalAnswerTime is the time for the responses to requests that fail at the end to reach their clients.
+	// finalAnswerTime is the time that responses have to reach the clients when the remaining requests fail at the end.
 	finalAnswerTime = 100 * time.Millisecond
 )
 
-// drain shuts down gracefully. Clients still connect for a while after the stop signal, and their requests count as
-// accepted, so the listener stays open for that time. Existing connections stay open as long as a request on them can be
+// drain shuts down gracefully. Clients still connect for a while after the stop signal, and their requests must be
+// answered, so the listener stays open for that time. Existing connections stay open as long as a request on them can be
 // answered before the node is killed: closing them earlier would only move their load to the other nodes.
 func (s *server) drain(h *hotRestart) error {
 	s.Stopping.Store(true)
@@ -39,8 +39,8 @@
 	return err
 }
 
-// lastRequestTime returns how long before the end the last requests are taken: the recent latency of slow responses, at
-// most maxUsefulLatency.
+// lastRequestTime returns how long before the end of the drain the node stops accepting connections: the recent latency
+// of slow responses, at most maxUsefulLatency. Once the loop has ended, it returns maxUsefulLatency.
 func (s *server) lastRequestTime(classes *classTable) time.Duration {
 	longest := classes.longest(maxUsefulLatency)
 	if tail, ok := query(s.loop, func(reply chan<- time.Duration) event { return tailRequest{reply} }); ok {
@@ -58,7 +58,8 @@
 	return min(longest, maxDrainTime)
 }
 
-// maxUsefulLatency returns the longest latency at which a response still counts for its class.
+// maxUsefulLatency returns the longest latency at which a response is still of use to any class. For a class whose late
+// responses have no weight, that is its latency objective, otherwise its deadline.
 func maxUsefulLatency(classes []policy.Class) time.Duration {
 	var longest time.Duration
 	for _, class := range classes {
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -28,7 +28,7 @@
 // The tests of this file use real connections, since they depend on what the kernel does when a connection ends.
 // docs/endings.md has a row for each.
 
-// arrivals is a server that records when requests reach it.
+// arrivalRecorder is a server that records when requests reach it.
 type arrivalRecorder struct {
 	mu    sync.Mutex
 	times []time.Time
@@ -131,9 +131,10 @@
 	}
 }
 
-// checkDrain sends requests until the node has learned from one of calls, answered with list, that the first server
-// drains. No request may reach that server later than DrainGrace after notifiedAt, the time at which the change counts as
-// delivered to the node. A zero notifiedAt stands for the time of the answer.
+// checkDrain sends requests to the node until one has reached the healthy server. It answers the first call c received
+// from calls with list(c), which says that the other server drains. No request may reach the draining server later than
+// DrainGrace after notifiedAt, the time at which the change counts as delivered to the node. If notifiedAt is zero, the
+// time of the answer is used.
 func (d *drainTest) checkDrain(notifiedAt time.Time, calls <-chan listCall, list func(c listCall) string) {
 	d.Helper()
 	for start, listSent := time.Now(), false; !listSent || d.healthy.countAfter(time.Time{}) == 0; {
@@ -167,9 +168,10 @@
 	return nodetest.ListChange(8, listEntry("s0", d.drainingAddr, "draining"))
 }
 
-// A watch that gets no response, or part of one on a connection that stays open, is replaced in time for the changes that
-// it missed. These count as delivered 6 s after the watch began, or 2 s after its wait is over if that is later.
-func TestSilentWatchKeepsDrains(t *testing.T) {
+// A watch that gets no response, or part of one on a connection that stays open, is replaced soon enough that the node
+// learns of the changes it missed before their drain grace is over. For the drain grace, such a change counts as
+// delivered 6 s after the watch began, or 2 s after the time in its wait parameter, whichever is later.
+func TestDrainIsLearnedAfterSilentWatch(t *testing.T) {
 	for _, subscribe := range []bool{true, false} {
 		for _, partial := range []bool{false, true} {
 			t.Run(fmt.Sprintf("subscribe %v/partial list %v", subscribe, partial), func(t *testing.T) {
@@ -185,10 +187,11 @@
 	}
 }
 
-// A watch that fails (reset, rejected, malformed or endless response) is opened again. With SubscribeList, where lists are
-// pushed, a change counts as delivered as soon as the list service has it and is reachable, whether a watch is open or
-// not: here when it answers the next call. Without SubscribeList, a change counts as delivered when it is written.
-func TestBrokenWatchKeepsDrains(t *testing.T) {
+// A watch that fails (reset, rejected, malformed or endless response) is opened again. With SubscribeList, the list
+// service pushes lists, and a change counts as delivered as soon as the service has it and is reachable, even if no
+// watch is open. In this test, that is when the service answers the next call. Without SubscribeList, a change counts as
+// delivered when it is written to the list service. In this test, that is after the second failed watch.
+func TestDrainIsLearnedAfterFailedWatch(t *testing.T) {
 	failures := map[string]http.HandlerFunc{
 		"reset":   resetCall,
 		"refused": rejectCall,
@@ -227,9 +230,9 @@
 	}
 }
 
-// After a reload with another discovery address, the list of the new service counts as delivered 4 s after the signal,
-// also if the first call to it gets no response. The node asks the new service for a complete list.
-func TestMovedDiscoveryKeepsDrains(t *testing.T) {
+// After a reload with another discovery address, the list of the new service counts as delivered 4 s after the reload,
+// even if the first call to the new service gets no response. The node asks the new service for a complete list.
+func TestDrainIsLearnedAfterDiscoveryChange(t *testing.T) {
 	for _, subscribe := range []bool{true, false} {
 		for _, silent := range []bool{false, true} {
 			t.Run(fmt.Sprintf("subscribe %v/silent %v", subscribe, silent), func(t *testing.T) {
@@ -292,8 +295,8 @@
 	return resp
 }
 
-// startDrainable starts a server whose module sends each request once. drain puts it into the state of a stopping node,
-// without the timers of a node's shutdown, so that the test controls the order of events.
+// startDrainable starts a node in front of server that makes one attempt for each request. drain puts the node into the
+// state of a stopping node, without the timers of a shutdown, so that the test controls the order of events.
 func startDrainable(t *testing.T, server string) (node string, l *loop, drain func()) {
 	t.Helper()
 	l, _ = startLoop(t, server, sendOnce)
@@ -304,9 +307,9 @@
 	}
 }
 
-// A response that is sent while the node stops closes its connection, also if the request arrived before the stop:
-// otherwise the client goes on to use a connection that the node is about to close.
-func TestAnswersOfAStoppingNodeEndTheirConnections(t *testing.T) {
+// While it stops, the node closes the client's connection after each response, even if the request arrived before the
+// stop. Otherwise the client would go on to use a connection that the node is about to close.
+func TestStoppingNodeClosesConnectionsAfterResponses(t *testing.T) {
 	t.Parallel()
 	server, received, release := nodetest.HoldingServer(t)
 	node, l, drain := startDrainable(t, server)
@@ -326,8 +329,9 @@
 }
 
 // At the end of the drain time, open requests fail with 502 and close their connections. A request that arrives later is
-// rejected with 503: there is no time left to forward it, and its connection would be closed without a response.
-func TestRequestAfterTheLoopFinishedIsRejected(t *testing.T) {
+// rejected with 503, since there is no time left to forward it. Without the 503, its connection would be closed without
+// a response.
+func TestRequestAfterDrainTimeIsRejected(t *testing.T) {
 	t.Parallel()
 	server, received, release := nodetest.HoldingServer(t)
 	node, l, drain := startDrainable(t, server)
@@ -337,26 +341,30 @@
 	drain()
 	l.send(failUnanswered{})
 	if resp := failed.readResponse(); resp.StatusCode != http.StatusBadGateway || !resp.Close {
-		t.Errorf("open request at the end: status %d, closes its connection %v; want 502, true", resp.StatusCode, resp.Close)
+		t.Errorf("open request at the end of the drain time: status %d, closes its connection %v; want 502, true",
+			resp.StatusCode, resp.Close)
 	}
 	late.send("POST", "pay", "late", "sum")
 	if resp := late.readResponse(); resp.StatusCode != http.StatusServiceUnavailable || !resp.Close {
-		t.Errorf("request after the end: status %d, closes its connection %v; want 503, true", resp.StatusCode, resp.Close)
+		t.Errorf("request after the end of the drain time: status %d, closes its connection %v; want 503, true",
+			resp.StatusCode, resp.Close)
 	}
 	select {
 	case id := <-received:
-		t.Errorf("request %s reached the server after the end, want none", id)
+		t.Errorf("request %s reached the server after the end of the drain time, want none", id)
 	default:
 	}
 	release()
 	nodetest.Await(t, "an idle loop", l.isIdle)
 }
 
-// holdingModule is a module that holds each request until a FleetSize event, repeats failed attempts, and sends nothing
-// for a client that it knows to have disconnected. Handling the request "busy" blocks until releaseLoop is closed.
+// holdingBalancer has the handler of a scripted balancer that sends each request, and sends it again after a failed
+// attempt unless the request has ended. If waitPoint is "a server" or "its body", it holds requests until a FleetSize
+// event, and drops those whose client disconnects meanwhile. Handling the request "busy" blocks until releaseLoop is
+// closed.
 type holdingBalancer struct {
 	waitPoint   string // what the request waits for when its client disconnects
-	cancels     bool
+	cancels     bool   // whether it cancels the first attempt of a request whose client disconnects
 	loopBusy    chan struct{}
 	releaseLoop chan struct{}
 	held        []string
@@ -408,19 +416,19 @@
 	return open == idle && l.metrics.open.Load() == 0
 }
 
-// A request whose client disconnects while it waits is not forwarded later than disconnectDetectionTime after that. The
-// test varies what the request waits for, close or reset, the bytes of a further request behind it, and whether the module
-// cancels attempts.
-func TestRequestOfAClientThatLeftIsNotForwarded(t *testing.T) {
+// Once a client has been disconnected for disconnectDetectionTime, its waiting request is no longer forwarded. The test
+// varies what the request waits for, whether the client closes or resets the connection, how many bytes of a next
+// request follow, and whether the balancer cancels attempts.
+func TestRequestOfDisconnectedClientIsNotForwarded(t *testing.T) {
 	for _, waitPoint := range []string{"a server", "a further attempt", "a connection", "its body", "the loop"} {
 		for _, method := range []string{"GET", "POST"} {
 			for _, extraBytes := range []int{0, 3, 9000} {
 				for _, reset := range []bool{false, true} {
 					for _, cancels := range []bool{false, true} {
 						if waitPoint == "its body" && (method == "GET" || extraBytes > 0) {
-							continue // a GET has no body, and bytes behind would be part of the body
+							continue // a GET has no body, and extra bytes would be part of the unfinished body
 						}
-						name := fmt.Sprintf("%s/%s/%d bytes behind/reset %v/cancels %v", waitPoint, method, extraBytes, reset, cancels)
+						name := fmt.Sprintf("%s/%s/%d extra bytes/reset %v/cancels %v", waitPoint, method, extraBytes, reset, cancels)
 						t.Run(name, func(t *testing.T) {
 							t.Parallel()
 							testClientLeaves(t, &holdingBalancer{waitPoint: waitPoint, cancels: cancels, loopBusy: make(chan struct{}),
@@ -445,7 +453,7 @@
 			w.WriteHeader(http.StatusInternalServerError)
 		}
 	})
-	l, module := startLoop(t, server, m.handle)
+	l, scripted := startLoop(t, server, m.handle)
 	dials, connect := make(chan struct{}, 10), make(chan struct{})
 	if m.waitPoint == "a connection" {
 		l.dialWith(t, func(_ context.Context, network, addr string) (net.Conn, error) {
@@ -462,7 +470,7 @@
 
 	c := newTestClient(t, node)
 	m.sendRequest(c, method)
-	switch m.waitPoint { // wait until the request waits there
+	switch m.waitPoint { // wait until the request is at m.waitPoint
 	case "a further attempt":
 		nodetest.Receive(t, "the first attempt", received)
 	case "a connection":
@@ -470,7 +478,7 @@
 	case "the loop":
 		nodetest.Await(t, "two open requests", func() bool { return l.metrics.open.Load() == 2 })
 	default:
-		nodetest.Await(t, "the request at the module", func() bool { return slices.Contains(module.events(), "request r1") })
+		nodetest.Await(t, "the request at the balancer", func() bool { return slices.Contains(scripted.events(), "request r1") })
 	}
 	c.disconnect(extraBytes, reset)
 	time.Sleep(disconnectDetectionTime)
@@ -486,12 +494,13 @@
 	nodetest.Await(t, "all outcomes and an idle loop", func() bool { return m.inFlight.Load() == 0 && l.isIdle() })
 	for len(received) > 0 {
 		if <-received == "r1" {
-			t.Errorf("the request was forwarded %v after its client disconnected", disconnectDetectionTime)
+			t.Errorf("the request was forwarded, though the node had %v to detect the disconnect of its client",
+				disconnectDetectionTime)
 		}
 	}
 }
 
-// sendRequest sends a request, or a part of one where the request is to wait for its body.
+// sendRequest sends a request. If m.waitPoint is "its body", it sends only a part of the body.
 func (m *holdingBalancer) sendRequest(c *testClient, method string) {
 	c.t.Helper()
 	class, body := map[string]string{"GET": "read", "POST": "pay"}[method], map[string]string{"POST": "sum"}[method]
@@ -523,15 +532,16 @@
 // disconnectDetectionTime is how long after a client's disconnect the node may still start an attempt for it.
 const disconnectDetectionTime = 100 * time.Millisecond
 
-// A request is not forwarded if its client disconnected before the request was read. The node's reader may be scheduled
-// only after the loop and the attempt have run, so nothing else has noticed the disconnect. To force this order, the
-// first read waits until the client has been gone for disconnectDetectionTime, the second for the end of the attempt.
-func TestRequestReadAfterItsClientLeftIsNotForwarded(t *testing.T) {
+// A request is not forwarded if its client disconnected before the request was read. The goroutine that would read the
+// disconnect may be scheduled only after the loop and the attempt have run, so nothing else has noticed the disconnect.
+// To force this order, the read of the request waits until the client has been gone for disconnectDetectionTime, and
+// the next read waits for the end of the attempt.
+func TestRequestReadAfterDisconnectIsNotForwarded(t *testing.T) {
 	for _, reset := range []bool{false, true} {
 		t.Run(fmt.Sprintf("reset %v", reset), func(t *testing.T) {
 			t.Parallel()
 			var received arrivalRecorder
-			l, module := startLoop(t, nodetest.HTTPServer(t, received.ServeHTTP), sendOnce)
+			l, scripted := startLoop(t, nodetest.HTTPServer(t, received.ServeHTTP), sendOnce)
 			clientGone, attemptDone := make(chan struct{}), make(chan struct{})
 			var warm atomic.Bool
 			node := serveListener(t, newServer(l), hookedListener{nodetest.Listener(t), func(read string) {
@@ -560,31 +570,32 @@
 			time.Sleep(disconnectDetectionTime)
 			close(clientGone)
 			if !reset { // a reset discards the unread request
-				nodetest.Await(t, "the attempt's end", func() bool { return len(module.events()) >= 5 })
+				nodetest.Await(t, "the attempt's end", func() bool { return len(scripted.events()) >= 5 })
 			}
 			close(attemptDone)
 			nodetest.Await(t, "an idle loop", l.isIdle)
 			if n := received.countAfter(time.Time{}); n > 1 {
-				t.Errorf("the request was forwarded %v after its client disconnected", disconnectDetectionTime)
+				t.Errorf("the request was forwarded, though it was read at least %v after its client disconnected",
+					disconnectDetectionTime)
 			}
 		})
 	}
 }
 
-// An attempt whose connection is established only after its server began to drain, was removed or restarted is not sent
-// there: it counts as never run, and the module decides on another attempt.
-func TestLateConnectionToADrainingServerIsNotUsed(t *testing.T) {
+// A connection that is established only after its server began to drain, was removed or was restarted is not used. Its
+// attempt ends with ConnectFailed, and the balancer can send another one.
+func TestConnectionToChangedServerIsNotUsed(t *testing.T) {
 	for name, change := range map[string]string{
-		"draining": `"phase":"draining","up_since_ms":0`,
-		"gone":     `"phase":"removed","up_since_ms":0`,
-		"new":      `"phase":"up","up_since_ms":1764600000000`,
+		"draining":  `"phase":"draining","up_since_ms":0`,
+		"removed":   `"phase":"removed","up_since_ms":0`,
+		"restarted": `"phase":"up","up_since_ms":1764600000000`,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var changed, other arrivalRecorder
 			changedAddr, otherAddr := nodetest.HTTPServer(t, changed.ServeHTTP), nodetest.HTTPServer(t, other.ServeHTTP)
 			target := "s0"
-			l, module := startLoop(t, changedAddr, func(_ policy.Time, ev policy.Event) []policy.Action {
+			l, scripted := startLoop(t, changedAddr, func(_ policy.Time, ev policy.Event) []policy.Action {
 				switch e := ev.(type) {
 				case policy.Request:
 					return []policy.Action{{Kind: policy.Send, ID: e.ID, Server: target}}
@@ -624,7 +635,7 @@
 			if n, m := changed.countAfter(time.Time{}), other.countAfter(time.Time{}); n != 0 || m != 1 {
 				t.Errorf("requests: got %d at the changed server and %d at the other, want 0 and 1", n, m)
 			}
-			module.expectEvents(t, "list 2", "request r1", "list 1", fmt.Sprintf("outcome r1 0 code %d ended false", policy.ConnectFailed),
+			scripted.expectEvents(t, "list 2", "request r1", "list 1", fmt.Sprintf("outcome r1 0 code %d ended false", policy.ConnectFailed),
 				"outcome r1 1 code 0 ended true")
 			nodetest.Await(t, "an idle loop", l.isIdle)
 		})
@@ -661,7 +672,7 @@
 }
 
 // A connection on which the node has read part of a request is not closed as idle at shutdown: the request is answered.
-func TestHalfReadRequestOutlivesTheEndOfIdleConnections(t *testing.T) {
+func TestPartlyReadRequestIsAnsweredAtShutdown(t *testing.T) {
 	t.Parallel()
 	l, _ := startLoop(t, nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}), sendOnce)
 	s := newServer(l)
@@ -689,13 +700,13 @@
 		t.Fatal(err)
 	}
 	if resp := c.readResponse(); resp.StatusCode != http.StatusOK || !resp.Close {
-		t.Errorf("half-read request: status %d, closes its connection %v; want 200, true", resp.StatusCode, resp.Close)
+		t.Errorf("partly read request: status %d, closes its connection %v; want 200, true", resp.StatusCode, resp.Close)
 	}
 	nodetest.Await(t, "an idle loop", l.isIdle)
 }
 
-// A request that arrives at the moment in which the node closes its connection as idle gets no response and reaches no
-// server, so that the client can safely send it again.
+// A request that arrives while the node closes its connection as idle gets no response and reaches no server, so that
+// the client can safely send it again.
 func TestRequestOnAnEvictedConnectionIsNotForwarded(t *testing.T) {
 	for name, evict := range map[string]func(*server){
 		"node shutdown": func(s *server) { s.CloseIdle() },
@@ -711,7 +722,7 @@
 			var c *testClient
 			sent := make(chan struct{})
 			c = newTestClient(t, serveListener(t, s, hookedListener{nodetest.Listener(t), func(string) {}, func(err error) {
-				if errors.Is(err, os.ErrDeadlineExceeded) { // the connection is given up, but not yet closed
+				if errors.Is(err, os.ErrDeadlineExceeded) { // the node interrupts the read of an idle connection before it closes it
 					c.send("POST", "pay", "r2", "sum")
 					close(sent)
 				}
@@ -734,9 +745,9 @@
 	}
 }
 
-// The last response on a connection reaches its client although unread bytes follow the request: to close the connection
-// with unread bytes would reset it, and the client would lose the response.
-func TestLastAnswerIsNotResetByUnreadBytes(t *testing.T) {
+// The last response on a connection reaches its client even if unread bytes follow the request. Closing a connection
+// that has unread bytes resets it, and the client would lose the response.
+func TestLastResponseArrivesDespiteUnreadBytes(t *testing.T) {
 	for _, class := range []string{"read", "unknown"} { // unknown is rejected
 		for _, extraBytes := range []int{0, 3, 4000, 300_000} {
 			t.Run(fmt.Sprint(class, " ", extraBytes), func(t *testing.T) {
@@ -784,8 +795,8 @@
 	}
 }
 
-// A response that never ends, in whatever part, times out at the request's deadline: the client gets 502 or 504, and the
-// connection to the server is closed.
+// A response that never ends, in its head, body or trailer, times out at the request's deadline: the client gets 502 or
+// 504, and the connection to the server is closed.
 func TestEndlessResponseTimesOut(t *testing.T) {
 	for name, a := range map[string]struct{ prefix, repeat string }{
 		"no head":        {"", ""},
@@ -831,7 +842,7 @@
 
 // A streamed response that never ends is forwarded until its client disconnects; then the connection to the server is
 // closed and the request ends.
-func TestStreamedResponseEndsWithItsClient(t *testing.T) {
+func TestStreamedResponseEndsWhenClientDisconnects(t *testing.T) {
 	t.Parallel()
 	var conns openConns
 	addr := nodetest.RawServer(t, conns.serve(func(c net.Conn) {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -12,7 +12,7 @@
 }
 
 // discoveryConfig returns the configuration of the list service's client. The dial timeout is MaxQueueTime, the longest
-// time that a reachable service lets a call wait.
+// time for which a reachable list service queues a call.
 func discoveryConfig(c config.Config) discovery.ClientConfig {
 	return discovery.ClientConfig{Target: discoveryTarget(c), CacheFile: c.ListFile, Known: c.Known, Seed: c.Seed,
 		Dial: c.Dialer(discovery.MaxQueueTime)}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -42,7 +42,7 @@
 		index int // the attempt's index
 		upstream.Result
 	}
-	// failUnanswered fails all requests without a response and rejects new ones. It ends a shutdown.
+	// failUnanswered fails all requests without a response and rejects new ones. It is sent at the end of a shutdown.
 	failUnanswered struct{}
 )
 
@@ -54,7 +54,7 @@
 	configChanged struct{ config.Config }
 	// fleetSizeChanged is the number of nodes that this one reaches, and how many of them are in its zone.
 	fleetSizeChanged struct{ reachable, reachableInZone int }
-	// predecessorInFlight is the predecessor's attempts in flight by server.
+	// predecessorInFlight is the number of the predecessor's attempts in flight by server.
 	predecessorInFlight struct{ inFlight map[string]int }
 	// successorGone says that a successor ended, and whether it had served clients.
 	successorGone struct{ served bool }
@@ -62,9 +62,9 @@
 
 // Queries of the balancer's state. The loop sends one reply to each.
 type (
-	// snapshotRequest asks for the state to hand over. The balancer then accounts for a successor.
+	// snapshotRequest asks for the state to hand over. From then on, the balancer accounts for a successor.
 	snapshotRequest struct{ reply chan<- hotrestart.State }
-	// inFlightRequest asks for this process's attempts in flight by server.
+	// inFlightRequest asks for the number of this process's attempts in flight by server.
 	inFlightRequest struct{ reply chan<- map[string]int }
 	// tailRequest asks for the recent latency of slow responses.
 	tailRequest struct{ reply chan<- time.Duration }
@@ -74,8 +74,8 @@
 	zonesRequest struct{ reply chan<- []policy.ZoneState }
 )
 
-// query sends the loop the event that request makes for a reply channel, and waits for the reply. ok is false once the
-// loop has ended.
+// query calls request with a new reply channel, sends the resulting event to the loop, and waits for the reply. ok is
+// false if the loop has ended.
 func query[T any](l *loop, request func(reply chan<- T) event) (v T, ok bool) {
 	reply := make(chan T, 1)
 	l.send(request(reply))
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -11,8 +11,8 @@
 	"sloerail/policy"
 )
 
-// nodeMetrics holds the node's metrics. Each is updated where its event ends, so that reading them doesn't wait for the
-// loop.
+// nodeMetrics holds the node's metrics. The code that causes a change updates the fields, and reading them doesn't wait
+// for the loop. The fleet's metrics are only registered in set, and some of them query the loop.
 type nodeMetrics struct {
 	set         *metrics.Set
 	relayed     *metrics.Counter // attempts completely written to servers
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -21,7 +21,7 @@
 	partitioned           bool
 }
 
-// followFleet sends the loop the fleet sizes of the views until ctx ends.
+// followFleet sends the loop the fleet size of each view until ctx ends.
 func (l *loop) followFleet(ctx context.Context, views <-chan gossip.View) {
 	for {
 		select {
@@ -33,15 +33,15 @@
 	}
 }
 
-// membership is this process's membership in the fleet, with its report to operators. The node has none if it is in no
-// fleet.
+// membership is this process's membership in the fleet. It also reports the fleet's state to operators. A node that is
+// in no fleet has no membership.
 type membership struct {
 	*gossip.Agent
 	loop *loop
 }
 
-// runAsMember runs the fleet's agent until ctx ends. It first waits until this process is the only one of the node that
-// accepts clients, because until then the other process is the member. It returns early if runCtx ends.
+// runAsMember waits until this process is the only one of the node that accepts clients, because until then the other
+// process is the member. It then runs the gossip agent until ctx ends. If runCtx ends first, the agent is not run.
 func (m *membership) runAsMember(ctx, runCtx context.Context, soleListener <-chan struct{}) {
 	select {
 	case <-soleListener:
@@ -50,7 +50,7 @@
 	}
 }
 
-// FleetView is the response at /fleet: one node's view of the fleet, and the fleet sizes that its balancer uses.
+// FleetView is the response at /fleet: one node's view of the fleet. QuotaNodes and Partitioned come from its balancer.
 type FleetView struct {
 	Node        string        `json:"node"`
 	View        uint64        `json:"view"`
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -73,16 +73,16 @@
 			"chunked twice":               {pay + "Transfer-Encoding: chunked\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked, ""},
 			"chunked in a folded header":  {pay + length + "X: y\r\n Transfer-Encoding: chunked\r\n\r\n" + chunked, ""},
 			"chunked over HTTP/1.0":       {strings.Replace(pay, "1.1", "1.0", 1) + "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + inner, ""},
-			"behind a valid request":      {pay + "Content-Length: 3\r\n\r\nsum" + strings.Replace(pay, "outer", "o2", 1) + length + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
+			"after a valid request":       {pay + "Content-Length: 3\r\n\r\nsum" + strings.Replace(pay, "outer", "o2", 1) + length + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
 			"in a body with a length":     {pay + length + "Connection: close\r\n\r\n" + chunked, "outer"},
-			"behind valid chunks":         {pay + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
+			"after valid chunks":          {pay + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
 		} {
 			responses := sendRaw(t, node, c.request)
 			rejected := strings.Count(responses, "HTTP/1.1 400 ")
 			if got := servers.takeIDs(); got != c.wantServed {
 				t.Errorf("%s: requests that reached the server: got %q, want %q", name, got, c.wantServed)
 			}
-			if wantRejected := c.wantServed == "" || name == "behind a valid request"; wantRejected && rejected != 1 {
+			if wantRejected := c.wantServed == "" || name == "after a valid request"; wantRejected && rejected != 1 {
 				t.Errorf("%s: responses %q, want one with status 400", name, responses)
 			}
 		}
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -16,11 +16,11 @@
 // Hollow is a node without client and server sockets, for measuring the cost of the rest of a node. Its configuration,
 // list client, event loop, connection pools, balancer and fleet membership are the production code.
 //
-// A Hollow is either run by Run on the machine's clock, or stepped from one goroutine: Restore first, then the other
-// methods in any order. Advance sets its clock forward between steps.
+// A Hollow is either run by Run on the machine's clock, or stepped from one goroutine, which calls Restore first and
+// then the other methods in any order. Advance sets the clock of a stepped Hollow forward.
 type Hollow struct {
 	loop    *loop
-	config  config.Config // kept as a node does, which needs it for its successor
+	config  config.Config // kept in memory because a node keeps it too, for its successor
 	traffic *trafficCounters
 }
 
@@ -43,8 +43,8 @@
 // trafficCounters are the counters of a Traffic.
 type trafficCounters struct{ sent, received, calls, answers atomic.Uint64 }
 
-// NewHollow returns a hollow node with a configuration from config.Load. After each list that the balancer has applied,
-// it calls onList, unless that is nil, in the same goroutine.
+// NewHollow returns a hollow node with a configuration from config.Load. If onList is not nil, it is called with each
+// list after the balancer has applied that list, in the goroutine that calls the balancer.
 func NewHollow(c config.Config, onList func(policy.EndpointList)) (*Hollow, error) {
 	h := &Hollow{config: c, traffic: new(trafficCounters)}
 	dial := c.Dialer(discovery.MaxQueueTime)
@@ -127,14 +127,14 @@
 	h.loop.fireTimers()
 }
 
-// Decide passes a request to the balancer and returns the server that it is sent to. sent is false if there is none.
+// Decide passes a request to the balancer and returns the server to send it to. sent is false if it is not to be sent.
 func (h *Hollow) Decide(r policy.Request) (server string, sent bool) { return h.handle(r) }
 
-// End reports the outcome of an attempt to the balancer. It returns the server of the retry, if there is one.
+// End reports the outcome of an attempt to the balancer. It returns the server for a retry. sent is false without one.
 func (h *Hollow) End(o policy.Outcome) (server string, sent bool) { return h.handle(o) }
 
 // handle passes an event of a request to the balancer and executes its actions, except that it returns the server of a
-// Send instead of sending. Without open requests, actions on a client's request have no effect.
+// Send instead of sending. A Hollow has no open requests, so actions on a request have no effect.
 func (h *Hollow) handle(ev policy.Event) (server string, sent bool) {
 	for _, a := range h.loop.balancer.Handle(h.loop.clock.now(), ev) {
 		if a.Kind == policy.Send {
@@ -172,7 +172,7 @@
 	callPending atomic.Bool
 }
 
-// Write writes to the connection, and counts a call if the previous one has its response.
+// Write writes to the connection, and counts a call unless one is already waiting for its response.
 func (c *trafficConn) Write(b []byte) (int, error) {
 	if !c.callPending.Swap(true) {
 		c.traffic.calls.Add(1)
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -40,8 +40,8 @@
 	return c
 }
 
-// A hollow node sends requests to listed servers and enforces a tenant's quota by its own clock, also after a
-// reconfiguration.
+// A hollow node sends requests to listed servers and enforces a tenant's quota by its own clock, also when the quota has
+// changed.
 func TestHollowNodeDecides(t *testing.T) {
 	h, err := NewHollow(hollowConfig(t, "127.0.0.1:9", 2), nil)
 	if err != nil {
@@ -89,7 +89,7 @@
 	}
 }
 
-// A running hollow node watches the list, passes it on to the balancer, and counts its traffic.
+// A running hollow node watches the list, passes it on to the balancer, and counts the traffic of the list client.
 func TestHollowNodeWatchesTheList(t *testing.T) {
 	answers := make(chan string)
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -123,7 +123,7 @@
 	expect(policy.ListUpdate, 1)
 	got := h.Traffic()
 	if got.Answers != 2 || got.Calls < 2 || got.Received < uint64(len(whole)+len(delta)) || got.Sent == 0 {
-		t.Errorf("traffic: got %+v, want 2 answers, 2 or more calls, at least the bytes of both lists received and some sent",
+		t.Errorf("traffic: got %+v, want 2 Answers, 2 or more Calls, Received at least the bytes of both lists, Sent above 0",
 			got)
 	}
 	stop()
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -14,16 +14,18 @@
 )
 
 const (
-	// maxSpareConns is how many connections beyond its current ones a process may open on either side while its
-	// successor serves. The limit is also the node's unreserved descriptors divided by spareConnsDivisor.
+	// maxSpareConns limits how many connections beyond its current ones a process may open, on the client side and on the
+	// server side each, while its successor serves. A second limit is the node's unreserved descriptors divided by
+	// spareConnsDivisor; the lower one applies, but one connection is always allowed.
 	maxSpareConns     = 8
 	spareConnsDivisor = 12
-	// maxSpareServerConns bounds the server connections that such a process keeps for its clients.
+	// maxSpareServerConns bounds the server connections that such a process keeps open even if they are idle. The number
+	// of its client connections is a second bound.
 	maxSpareServerConns = 32
-	// successorShareDivisor divides a process's descriptors: its successor gets at least that part of them, however many
-	// the process holds.
+	// successorShareDivisor sets the minimum share of a successor: it gets at least the process's descriptors divided by
+	// successorShareDivisor, however many of them the process holds.
 	successorShareDivisor = 4
-	// sharedMemoryFraction is each process's part of the memory limit while there are two.
+	// sharedMemoryFraction is each process's part of the memory limit while the node has two processes.
 	sharedMemoryFraction = 0.5
 )
 
@@ -37,10 +39,11 @@
 	fleet     *membership // nil if the node is in no fleet
 
 	mu      sync.Mutex
-	sockets int // descriptors that this process may hold
+	sockets int // descriptors that this process may hold if it has no successor
 }
 
-// run waits for the known list, takes over from the predecessor, if there is one, and serves successors until ctx ends.
+// run waits until the loop is ready, takes over from the predecessor, if there is one, and hands over to successors
+// until ctx ends.
 func (h *hotRestart) run(ctx context.Context, predecessor *hotrestart.Predecessor) {
 	select {
 	case <-h.server.loop.ready:
@@ -51,8 +54,9 @@
 	if predecessor != nil {
 		stop := context.AfterFunc(ctx, func() { _ = predecessor.Close() }) // which ends Follow
 		defer stop()
-		// The admin server reports readiness only after the predecessor has stopped accepting. A predecessor that is
-		// stopped before that would still get the front's health checks, and fail them for the whole node.
+		// The health check succeeds only after the predecessor has stopped accepting. Otherwise the predecessor could be
+		// told to stop too early: it would still get health checks of the load balancer in front, and fail them for the
+		// whole node.
 		wg.Go(func() { predecessor.Follow(func() { close(h.server.soleListener) }, h.updateSockets) })
 	} else {
 		close(h.server.soleListener)
@@ -133,10 +137,10 @@
 
 // shareSockets divides the descriptors that this process may hold between the client side and the server side.
 func (h *hotRestart) shareSockets() {
-	// The server rejects requests on connections beyond the client side's share. The limiter bounds the accepted
-	// connections, so that clients that connect and send nothing leave the server side its descriptors. While two
-	// processes share the descriptors, there is no surplus for clients over the limit: they wait to be accepted until
-	// the other process releases descriptors.
+	// The server rejects requests on connections beyond the client side's share, so the limiter accepts a surplus of
+	// connections beyond it. The limiter bounds that surplus, so that clients that connect and send nothing don't use up
+	// the server side's descriptors. While two processes share the descriptors, the surplus is 0: clients over the limit
+	// wait to be accepted until the other process releases descriptors.
 	h.mu.Lock()
 	sockets, reserved, surplus := h.sockets, reservedSockets(h.config), baseSockets/2
 	if h.server.AwaitingDescriptors.Load() {
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-// startProcess runs a node that stands for a process of a node, and waits until it can hand over.
+// startProcess runs a process of a node, here inside the test's process, and waits until it can hand over.
 func startProcess(t *testing.T, c config.Config) (listeners Listeners, stop func() error) {
 	t.Helper()
 	listeners, err := Listen(t.Context(), c)
@@ -142,7 +142,7 @@
 	}
 }
 
-// The predecessor serves again if its successor ends, before or after that started to accept clients.
+// The predecessor serves again if its successor ends, whether or not the successor had started to accept clients.
 func TestPredecessorResumes(t *testing.T) {
 	t.Parallel()
 	server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -171,7 +171,8 @@
 	}
 }
 
-// The two processes of a hot restart together hold at most the descriptors of one.
+// In a hot restart, the predecessor leaves its successor at least a quarter of the descriptors, but none of the reserved
+// ones.
 func TestHotRestartSharesDescriptors(t *testing.T) {
 	t.Parallel()
 	c := restartableConfig(t, nodetest.KnownList("127.0.0.1:9"))
--- a/internal/node/list_outage_test.go
+++ b/internal/node/list_outage_test.go
@@ -42,15 +42,15 @@
 // outage describes an outage of the list service, during which no call returns a list.
 type outage struct {
 	fail          http.HandlerFunc // serves the calls; nil refuses connections
-	failedCalls   int              // calls that fail this way
-	rejectedCalls int              // calls answered with 503 after the outage
-	queueTime     time.Duration    // time for which the next call is queued
+	failedCalls   int              // number of calls that fail this way
+	rejectedCalls int              // number of calls answered with 503 after the outage
+	queueTime     time.Duration    // time for which the call after these is queued
 	pollInterval  time.Duration    // PollInterval of the settings; 0 if not set
 }
 
-// checkDrain lets a server begin to drain at the end of the outage, which is when the node's last failing call was made
-// or refused. The change counts as delivered to the node MaxNotificationDelay (6 s) later, or after the PollInterval of
-// the settings if that is shorter.
+// checkDrain runs the outage and lets a server begin to drain at its end, which is when the node's last failing call is
+// made or refused. For the drain grace, the change counts as delivered to the node MaxNotificationDelay (6 s) after the
+// end of the outage, or the PollInterval of the settings after it if that is shorter.
 func (o outage) checkDrain(t *testing.T, subscribe bool) {
 	refused := make(chan time.Time, 1000)
 	reachable := make(chan struct{}) // closed when the service accepts connections
@@ -111,9 +111,9 @@
 	}
 }
 
-// After an outage of the list service, however calls failed during it, the node knows a change in time: the change counts
-// as delivered 6 s after the service has it and is reachable, or sooner if the settings bound that. Beyond this, only the
-// smallest drain grace of any site is allowed.
+// After an outage of the list service, the node learns of a change in time, however calls failed during the outage. The
+// change counts as delivered 6 s after the service has it and is reachable, or sooner if the settings have a shorter
+// PollInterval. From then on, the node has only the drain grace, here the smallest one of any site.
 func TestChangesArriveInTimeAfterAnyOutage(t *testing.T) {
 	for name, o := range map[string]outage{
 		"refused":             {failedCalls: 5, rejectedCalls: 2},
@@ -122,8 +122,8 @@
 		"silent":              {fail: hangCall, failedCalls: 2, rejectedCalls: 2},
 		"silent, then queued": {fail: hangCall, failedCalls: 2, rejectedCalls: 1, queueTime: discovery.MaxQueueTime},
 		"partial list":        {fail: sendPartialList, failedCalls: 2, rejectedCalls: 2},
-		"silent, bound 2 s":   {fail: hangCall, failedCalls: 2, rejectedCalls: 1, pollInterval: 2 * time.Second},
-		"refused, bound 2 s":  {failedCalls: 5, rejectedCalls: 1, pollInterval: 2 * time.Second},
+		"silent, poll 2 s":    {fail: hangCall, failedCalls: 2, rejectedCalls: 1, pollInterval: 2 * time.Second},
+		"refused, poll 2 s":   {failedCalls: 5, rejectedCalls: 1, pollInterval: 2 * time.Second},
 	} {
 		for _, subscribe := range []bool{true, false} {
 			t.Run(fmt.Sprintf("%s/subscribe %v", name, subscribe), func(t *testing.T) {
@@ -134,7 +134,7 @@
 	}
 }
 
-// The same holds after an outage of many minutes: no pause between calls grows with its length.
+// The same holds after an outage of many minutes: no pause between calls grows with the length of the outage.
 func TestChangesArriveInTimeAfterLongOutage(t *testing.T) {
 	for name, o := range map[string]outage{
 		"refused": {failedCalls: 900, rejectedCalls: 2},
--- a/internal/node/listeners.go
+++ b/internal/node/listeners.go
@@ -16,15 +16,15 @@
 	"sloerail/internal/node/config"
 )
 
-// Listeners holds a node's listening sockets and the process that it takes over from.
+// Listeners holds a process's listening sockets and the predecessor that it takes over from.
 type Listeners struct {
 	Clients     net.Listener
-	Control     net.Listener            // the admin server's; nil for none
+	Control     net.Listener            // of the admin server; nil if there is none
 	predecessor *hotrestart.Predecessor // nil if there is none
 }
 
-// Listen opens the node's listeners. If another process of the node runs and hands over, the clients' listener is taken
-// over from that process. Otherwise Listen opens a new one.
+// Listen opens the node's listeners. If another process of the node runs and hands over, its listener for clients is
+// taken over. Otherwise Listen opens a new one.
 func Listen(ctx context.Context, c config.Config) (Listeners, error) {
 	var listeners Listeners
 	var err error
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// eventBufferSize is how many events others can send without blocking while the loop is busy.
+	// eventBufferSize is how many events other goroutines can send without blocking while the loop is busy.
 	eventBufferSize = 1024
-	// maxEventBatch is the number of queued events that the loop handles before it looks at the timers again.
+	// maxEventBatch is the maximum number of queued events that the loop handles before it looks at the timers again.
 	maxEventBatch = 64
 	// sweepInterval is how often the loop closes expired idle server connections and updates the zone metrics.
 	sweepInterval = time.Second
@@ -33,8 +33,8 @@
 	// Snapshot returns the state to hand over to another process. Restore applies such a state.
 	Snapshot(now policy.Time) policy.Snapshot
 	Restore(now policy.Time, k policy.Snapshot)
-	// InFlight returns this process's attempts in flight by server. SetSiblingInFlight sets those of the node's other
-	// process.
+	// InFlight returns the number of this process's attempts in flight by server. SetSiblingInFlight sets the same
+	// numbers for the node's other process.
 	InFlight() map[string]int
 	SetSiblingInFlight(out map[string]int)
 	// FleetSize returns the number of nodes that quotas are divided by, the number of reachable nodes, and whether this
@@ -49,24 +49,24 @@
 type loop struct {
 	events  chan event
 	done    chan struct{}              // closed when the loop has ended
-	ready   chan struct{}              // closed when the balancer has the known list
+	ready   chan struct{}              // closed when the balancer has the known list and the predecessor's state, if any
 	classes atomic.Pointer[classTable] // read by the clients' goroutines
 	up      *upstream.Transport
-	metrics     *nodeMetrics
+	metrics *nodeMetrics
 
 	// Only the loop's goroutine uses the fields below.
 	clock      clock
 	balancer   balancer
 	allowed    policy.Allowed
-	maxOpen    int // limit of unanswered; 0 for none
+	maxOpen    int // limit of unanswered; 0 means unlimited
 	listClient *discovery.Client
 	listTarget discovery.Target // the list service as last configured
 	requests   map[string]*request
-	unanswered int  // requests that have no response yet
-	rejectAll  bool // the shutdown deadline has passed: no new requests
+	unanswered int  // open requests that have no response yet
+	rejectAll  bool // the shutdown deadline has passed: new requests are rejected
 	timers     timers
 	endpoints  map[string]discovery.Endpoint // the list as last received
-	unsent     []policy.Outcome              // of attempts that were not made; reported after all actions of a batch
+	unsent     []policy.Outcome              // of attempts that were not sent; reported after all actions for an event
 	attemptsWG sync.WaitGroup                // attempts in flight
 }
 
@@ -92,8 +92,8 @@
 	}
 }
 
-// run handles events until ctx ends, then cancels the attempts in flight and waits for them. The balancer gets the known
-// list first, as it expects, and then the predecessor's state, if there is one.
+// run handles events until ctx ends, then cancels the attempts in flight and waits for them. Before any event, it passes
+// the balancer the known list, which the balancer expects first, and then the predecessor's state, if there is one.
 func (l *loop) run(ctx context.Context, known []discovery.Endpoint, predecessor *hotrestart.State) {
 	defer l.attemptsWG.Wait()
 	defer l.cancelAttempts()
@@ -146,7 +146,7 @@
 	}
 }
 
-// inFlight returns this process's attempts in flight by server, or nil once the loop has ended.
+// inFlight returns the number of this process's attempts in flight by server, or nil once the loop has ended.
 func (l *loop) inFlight() map[string]int {
 	attempts, _ := query(l, func(reply chan<- map[string]int) event { return inFlightRequest{reply} })
 	return attempts
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -64,7 +64,7 @@
 	return all
 }
 
-// has waits for as many events as are wanted, and checks that the events received so far are those.
+// expectEvents waits until the balancer has received len(want) events, and checks that they are those of want.
 func (s *scriptedBalancer) expectEvents(t *testing.T, want ...string) {
 	t.Helper()
 	nodetest.Await(t, strings.Join(want, ", "), func() bool { return len(s.events()) >= len(want) })
@@ -106,7 +106,7 @@
 	return x
 }
 
-// sends returns n Send actions for a request, to s0.
+// sendActions returns n Send actions for a request, to s0.
 func sendActions(id string, n int) (all []policy.Action) {
 	for range n {
 		all = append(all, policy.Action{Kind: policy.Send, ID: id, Server: "s0"})
@@ -114,7 +114,7 @@
 	return all
 }
 
-// sendsOnce sends each request once, to s0. It is a respond function for startLoop.
+// sendOnce sends each request once, to s0. It is a respond function for startLoop.
 func sendOnce(_ policy.Time, ev policy.Event) []policy.Action {
 	if e, ok := ev.(policy.Request); ok {
 		return sendActions(e.ID, 1)
@@ -195,7 +195,7 @@
 		})
 		x := l.sendRequest("r1", nodetest.Timeout)
 		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != http.StatusBadGateway {
-			t.Errorf("status: got %d, want 502 of the first response", a.Status)
+			t.Errorf("status: got %d, want 502, that of the Fail action", a.Status)
 		}
 		s.expectEvents(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotAttempted),
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
@@ -271,7 +271,7 @@
 	})
 }
 
-// failUnanswered fails open requests, and requests after it are rejected without the balancer.
+// failUnanswered fails open requests, and later requests are rejected without asking the balancer.
 func TestFailUnanswered(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		l, s := startLoop(t, "127.0.0.1:9", func(policy.Time, policy.Event) []policy.Action { return nil })
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -63,8 +63,9 @@
 	return s.drain(restart)
 }
 
-// restore sets c.Known to the initial endpoint list: the predecessor's, or else the cached one. It returns the number of
-// descriptors that the process may hold and the predecessor's state, nil if there is no predecessor.
+// restore sets c.Known to the initial endpoint list: the predecessor's or, without a predecessor, the newer one of the
+// cached and the configured list. It returns the number of descriptors that the process may hold, and the predecessor's
+// state, which is nil if there is no predecessor.
 func (l Listeners) restore(c *config.Config) (sockets int, state *hotrestart.State) {
 	if l.predecessor == nil {
 		c.Known = discovery.RestoreList(c.ListFile, c.Known)
--- a/internal/node/nodetest/memnet.go
+++ b/internal/node/nodetest/memnet.go
@@ -141,7 +141,7 @@
 	readDeadline, writeDeadline deadline
 }
 
-// deadline wakes the calls that wait on a stream when its time has come.
+// deadline is a read or write deadline of a stream. Its timer wakes the calls that wait on the stream.
 type deadline struct {
 	at    time.Time
 	timer *time.Timer
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -15,7 +15,7 @@
 // Timeout bounds each wait of a test. It is longer than any step takes, so only a failing test reaches it.
 const Timeout = 30 * time.Second
 
-// HTTPServer starts an HTTP server on the test's network, which runs until the test ends, and returns its address.
+// HTTPServer starts an HTTP server on the test's network and returns its address. The server runs until the test ends.
 func HTTPServer(t *testing.T, h http.HandlerFunc) string {
 	t.Helper()
 	ln := Listener(t)
@@ -25,8 +25,8 @@
 	return ln.Addr().String()
 }
 
-// Listener returns a listener on the in-memory network in a Bubble, on a loopback port otherwise. It is closed when the
-// test ends.
+// Listener returns a listener on the in-memory network in a Bubble, on a loopback port otherwise. The listener is closed
+// when the test ends.
 func Listener(t testing.TB) net.Listener {
 	t.Helper()
 	if n, ok := memNets.Load(t); ok {
@@ -42,7 +42,7 @@
 	return ln
 }
 
-// CloseAtEnd closes closers when the test ends. The test may close them before.
+// CloseAtEnd closes closers when the test ends. The test may close them earlier.
 func CloseAtEnd(t testing.TB, closers ...io.Closer) {
 	t.Helper()
 	for _, c := range closers {
@@ -80,7 +80,7 @@
 	}
 }
 
-// Close closes c, and fails the test on any error, also if c is already closed.
+// Close closes c, and fails the test on any error, even the one that c is already closed.
 func Close(t testing.TB, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
--- a/internal/node/nodetest/servers.go
+++ b/internal/node/nodetest/servers.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// RawServer starts a server that calls serve for each connection, until the test ends, and returns its address.
+// RawServer starts a server that calls serve for each connection, and returns its address. The server runs until the
+// test ends.
 func RawServer(t *testing.T, serve func(net.Conn, *bufio.Reader)) string {
 	t.Helper()
 	ln := Listener(t)
@@ -41,8 +42,8 @@
 	return err == nil
 }
 
-// HoldingServer starts a server that reads each request completely, sends its ID to received, and withholds the response
-// until the test calls release.
+// HoldingServer starts a server that reads each request completely, sends the request's ID to received, and withholds
+// the response until the test calls release.
 func HoldingServer(t *testing.T) (addr string, received <-chan string, release func()) {
 	t.Helper()
 	ids, released := make(chan string, 100), make(chan struct{})
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -9,13 +9,14 @@
 	"sloerail/policy"
 )
 
-// formerClassPeriod is how long after a configuration change requests in the former form of their class are accepted.
+// formerClassPeriod is how long after a configuration change requests in the former form of their class are still
+// accepted. A class's form is the method of its requests and whether they have an idempotency key.
 const formerClassPeriod = 1200 * time.Millisecond
 
 // Change is the result of reloading the configuration.
 type Change struct {
 	Config config.Config
-	Err    error // why the file was rejected, as a whole
+	Err    error // why the whole file was rejected; nil if it was accepted
 }
 
 // classTable holds the classes that clients' requests are checked against. It is immutable: a changed configuration
@@ -35,15 +36,16 @@
 	return t
 }
 
-// next returns the table of the new classes, with those of t as the former ones.
+// next returns the table of the new classes, with the classes of t as the former ones.
 func (t *classTable) next(classes []policy.Class, now time.Time) *classTable {
 	n := newClassTable(classes)
 	n.former, n.formerUntil = &classTable{byName: t.byName, list: t.list}, now.Add(formerClassPeriod)
 	return n
 }
 
-// Class returns the class of a request by name. Just after a configuration change it is the former class of that name if
-// the request has that class's form; former reports so.
+// Class returns the class of a request by its name. For formerClassPeriod after a configuration change, it returns the
+// former class of that name if the request has the former class's form; former is then true. ok is false if there is no
+// class of that name.
 func (t *classTable) Class(name, method string, hasKey bool) (c policy.Class, former, ok bool) {
 	if t.former != nil && time.Now().Before(t.formerUntil) {
 		if c, ok := t.former.byName[name]; ok && matchesClass(c, method, hasKey) {
@@ -60,7 +62,8 @@
 	return method == downstream.MethodFor(c) && (c.RetrySafety == policy.IdempotencyKeyed) == hasKey
 }
 
-// longest returns the maximum of waitOf over the classes and, while they are valid, the former classes.
+// longest returns waitOf(current classes) or, if that is longer and the former classes are still valid, waitOf(former
+// classes).
 func (t *classTable) longest(waitOf func([]policy.Class) time.Duration) time.Duration {
 	d := waitOf(t.list)
 	if t.former != nil && time.Now().Before(t.formerUntil) {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -82,10 +82,10 @@
 		if n := fullAttempts.Swap(0); n != 3 {
 			t.Errorf("attempts of a request before the change: got %d, want 3", n)
 		}
-		checkStatus(400, status("GET", "order", "o1"), "class of the next configuration")
+		checkStatus(400, status("GET", "order", "o1"), "class that only the next configuration has")
 		change(nodetest.FillConfig(known, strings.Replace(changedSettings, `"maxAttempts":1,`, "", 1)))
 		awaitStats(t, adminAddr, map[string]float64{"app_cfg_invalid_total": 1, "app_cfg_accepted_total": 0})
-		checkStatus(400, status("GET", "order", "o2"), "class of an invalid file")
+		checkStatus(400, status("GET", "order", "o2"), "class that only an invalid file has")
 
 		began := time.Now()
 		change(nodetest.FillConfig(known, changedSettings))
@@ -111,8 +111,9 @@
 	})
 }
 
-// Just after a configuration change, a request in its class's former form is accepted as one of the former class.
-func TestFormerFormsAreTakenForAMoment(t *testing.T) {
+// For formerClassPeriod after a configuration change, a request in its class's former form is accepted as one of the
+// former class.
+func TestFormerClassFormIsAcceptedForAWhile(t *testing.T) {
 	idempotent, nonIdempotent := policy.Class{Name: "c", RetrySafety: policy.Idempotent}, policy.Class{Name: "c"}
 	removed := policy.Class{Name: "gone"}
 	now := time.Now()
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -11,18 +11,19 @@
 )
 
 const (
-	// answerMargin is how long before the client's timeout the balancer's time ends, so that its answer still reaches the
-	// client. The backstop timer answers half of the margin later. The margin is at most a fifth of the client's timeout.
+	// answerMargin is how long before the client's timeout a request's deadline is. A response at the deadline still
+	// reaches the client. If the balancer hasn't answered by the deadline, the request's backstop timer does so half a
+	// margin later. The margin is at most the client's timeout divided by answerMarginDivisor.
 	answerMargin        = 20 * time.Millisecond
 	answerMarginDivisor = 5
-	// maxUploadTime bounds a request whose body is streamed to the server. The minimum rate of a body ends it far sooner.
-	// policy has the same bound under the same name.
+	// maxUploadTime bounds the time of a request whose body is streamed to the server. A body below the minimum rate ends
+	// its request far sooner. policy has the same bound under the same name.
 	maxUploadTime = 15 * time.Minute
-	// maxReportAge is how long after the first byte of a response its load report is used.
+	// maxReportAge is how long after the start of a streamed response its load report is still used.
 	maxReportAge = time.Second
 )
 
-// request is an open request. It is kept until it is answered and all its attempts have ended.
+// request is an open request. It is kept until it has ended and all its attempts have ended too.
 type request struct {
 	*downstream.Exchange
 	deadline policy.Time // for its attempts
@@ -40,9 +41,9 @@
 	lifetime   *upstream.Lifetime
 }
 
-// startRequest passes a new request to the balancer, unless the node rejects it.
+// startRequest passes a new request to the balancer, unless its client has disconnected or the node rejects it.
 func (l *loop) startRequest(x *downstream.Exchange) {
-	if x.Disconnected() { // while the event was queued
+	if x.Disconnected() { // the client disconnected while the event was queued
 		return
 	}
 	if l.requests[x.Request.ID] != nil { // the balancer ignores a second request with the same ID
@@ -75,14 +76,15 @@
 	return min(answerMargin, r.Timeout/answerMarginDivisor)
 }
 
-// setDeadlines sets a request's deadlines, given when its last byte was received.
+// setDeadlines sets the deadline and the backstop of a request whose last byte was received at receivedAt, or will be
+// received by then at the latest.
 func (r *request) setDeadlines(receivedAt policy.Time) {
 	end := receivedAt + r.Timeout
 	r.deadline, r.backstop.due = end-r.margin(), end-r.margin()/2
 }
 
-// finishUpload starts the client's timeout for a request whose streamed body is complete. If err is set, it ends the
-// request.
+// finishUpload handles the end of a request's streamed body. If the body is complete, the client's timeout starts. If
+// err is not nil, the request fails.
 func (l *loop) finishUpload(r *request, err error) {
 	if err != nil {
 		status, _ := downstream.BodyErrorStatus(err)
@@ -147,7 +149,7 @@
 	a := &e.r.attempts[e.index]
 	e.r.pending--
 	endedAt := l.clock.now()
-	if a.answeredAt > 0 { // the time the client took to read it says nothing about the server
+	if a.answeredAt > 0 { // the time that the client takes to read the response says nothing about the server
 		if endedAt-a.answeredAt > maxReportAge {
 			e.LoadReport = nil
 		}
@@ -184,7 +186,7 @@
 		a.lifetime.CancelUnlessConnected()
 	}
 	l.unanswered--
-	if r.backstop.index >= 0 { // else it would keep the request in memory until a deadline that may be far off
+	if r.backstop.index >= 0 { // else the backstop would keep r in memory until a deadline that may be far off
 		heap.Remove(&l.timers, r.backstop.index)
 	}
 }
--- a/internal/node/resources.go
+++ b/internal/node/resources.go
@@ -10,7 +10,7 @@
 
 const (
 	baseSockets            = 32 // descriptors for the log, discovery, the runtime and the like
-	baseSocketsWhileShared = 18 // the same while two processes share the node's descriptors: 14 are in use
+	baseSocketsWhileShared = 18 // for each of two processes that share the node's descriptors: 14 of them are in use
 	// heapFraction is the heap's part of the memory limit. Stacks and sockets take the rest.
 	heapFraction = 0.75
 )
@@ -28,13 +28,13 @@
 }
 
 // reservedSocketsWhileShared is reservedSockets for each of two processes that share the node's descriptors during a hot
-// restart. The reserves for short miscounts and for many connections to the admin server are split between the two.
+// restart. The reserves for brief miscounts and for many connections to the admin server are split between the two.
 func reservedSocketsWhileShared(c config.Config) int {
 	n := baseSocketsWhileShared
 	if c.Control != "" {
 		n += adminSockets / 2
 	}
-	if c.Fleet != nil { // one of the two is the member
+	if c.Fleet != nil { // only one of the two is a member of the fleet
 		n += gossip.MaxDescriptors / 2
 	}
 	return n
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -18,8 +18,8 @@
 	"sloerail/policy"
 )
 
-// A request of each class passes the whole node: method, URI, headers and body reach the server, and its response the
-// client.
+// A request of each class passes the whole node: method, URI, headers and body reach the server, and the response
+// reaches the client.
 func TestServesEachClass(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -106,7 +106,8 @@
 	})
 }
 
-// An unsafe request that may have run is not sent again, and its status (neither 429 nor 503) doesn't say that it can be.
+// An unsafe request that may have run is not sent again. Its client doesn't get 429 or 503 either, which would say that
+// the client can send it again.
 func TestUnsafeRequestThatMayHaveRunFails(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
@@ -126,8 +127,8 @@
 	})
 }
 
-// The module gets an event when a client disconnects, and can cancel the request's attempts.
-func TestClientLeavingReachesTheBalancer(t *testing.T) {
+// The balancer gets an event when a client disconnects, and can cancel the request's attempts.
+func TestClientDisconnectReachesTheBalancer(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		received, cancelled := make(chan struct{}), make(chan struct{})
 		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -136,7 +137,7 @@
 			<-r.Context().Done()
 			close(cancelled)
 		})
-		l, module := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
+		l, scripted := startLoop(t, addr, func(_ policy.Time, ev policy.Event) []policy.Action {
 			switch e := ev.(type) {
 			case policy.Request:
 				return sendActions(e.ID, 1)
@@ -154,13 +155,13 @@
 		nodetest.Receive(t, "the attempt at the server", received)
 		nodetest.CloseOnce(t, c)
 		nodetest.Receive(t, "the cancelled attempt at the server", cancelled)
-		module.expectEvents(t, "list 2", "request r1", "cancelled r1",
+		scripted.expectEvents(t, "list 2", "request r1", "cancelled r1",
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 	})
 }
 
 // A client that closes its write side counts as disconnected: it gets no response, even if it still reads.
-func TestClientThatLeftIsNotServed(t *testing.T) {
+func TestHalfClosedClientGetsNoResponse(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		release := make(chan struct{})
 		defer close(release)
@@ -181,8 +182,8 @@
 	})
 }
 
-// A client connection beyond the clients' part of the descriptors is answered with 503 and closed; once others close,
-// requests are served again.
+// A request on a client connection beyond the clients' part of the descriptors is answered with 503, and the connection
+// is closed. Once other connections close, requests are served again.
 func TestClientsOverTheLimitAreRejected(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var reached atomic.Int32
@@ -226,8 +227,8 @@
 	})
 }
 
-// While a node drains, its responses close their connections and the readiness check fails, unless a successor process
-// has superseded it.
+// While a node drains, its responses close their connections. The readiness check fails too, unless a successor process
+// has superseded the draining one.
 func TestStoppingNodeEndsConnections(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
@@ -267,8 +268,8 @@
 	})
 }
 
-// A stopping node accepts connections for minAcceptTime, answers the open requests, and ends only then.
-func TestStopsInOrder(t *testing.T) {
+// A stopping node still accepts connections for a while, answers the open requests, and ends only then.
+func TestStoppingNodeAnswersOpenRequests(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		release, received := make(chan struct{}), make(chan struct{}, 2)
 		addr := nodetest.HTTPServer(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -327,7 +328,7 @@
 
 // A stopping node serves requests on its open connections for as long as they can be answered in time; meanwhile its
 // readiness check fails.
-func TestStoppingNodeServesOn(t *testing.T) {
+func TestStoppingNodeServesOpenConnections(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, stop := startNode(t, shortDeadlineConfig(t))
 		client := keepAliveClient(t)
@@ -361,7 +362,7 @@
 			t.Error(err)
 		}
 		if took := time.Since(start); took > 2200*time.Millisecond {
-			t.Errorf("the node ended %v after the stop, want at most 2.2s: it is killed later", took)
+			t.Errorf("the node ended %v after the stop, want at most 2.2s, before it would be killed", took)
 		}
 	})
 }
@@ -420,8 +421,8 @@
 	})
 }
 
-// A connection accepted over the limit is served if the limit has room for it when its request arrives. This holds also
-// when no more descriptors are expected from a predecessor process.
+// A connection accepted over the limit is served if the limit has room for it when its request arrives. This is also
+// true for a process that expects no more descriptors from a predecessor.
 func TestConnectionOverTheLimitIsServedOnceThereIsRoom(t *testing.T) {
 	server, received, release := nodetest.HoldingServer(t)
 	l, _ := startLoop(t, server, sendOnce)
@@ -443,8 +444,8 @@
 	}
 }
 
-// Servers have their minimum of descriptors however many clients are connected. While two processes share the
-// descriptors, the limit on clients is at most MaxClients; afterwards it is higher.
+// The server side has its minimum of descriptors however many clients are connected. While two processes share the
+// descriptors, the limit on client connections is at most MaxClients. Afterwards it is higher.
 func TestEachSideHasItsMinimumOfDescriptors(t *testing.T) {
 	descriptors := testDescriptors(30)
 	descriptors.SetClients(40)
@@ -458,7 +459,8 @@
 		h.server.AwaitingDescriptors.Store(sharing)
 		h.shareSockets()
 		if maxClients := l.up.Descriptors().MaxClients(); (h.clients.Limit() > maxClients) == sharing {
-			t.Errorf("sharing descriptors %v: limit of %d clients, MaxClients %d", sharing, h.clients.Limit(), maxClients)
+			t.Errorf("sharing descriptors %v: limit of %d clients, MaxClients %d; want a limit above MaxClients unless sharing",
+				sharing, h.clients.Limit(), maxClients)
 		}
 	}
 }
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// NodeReady reports whether the node accepts clients, in this process or, unlike acceptsNewClients, in another one of
-// the node.
+// NodeReady reports whether the node accepts clients, in this process or in its predecessor or successor. In contrast,
+// acceptsNewClients is about this process alone.
 func (s *server) NodeReady() bool {
 	if s.Stopping.Load() {
 		return s.superseded.Load()
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -99,7 +99,7 @@
 	return d
 }
 
-// reuseDelay is longer than the time for which a server connection is not reused after a response.
+// reuseDelay is a wait after which a server connection is reused. For a shorter time after a response, it is not.
 const reuseDelay = 20 * time.Millisecond
 
 // dialWith makes the loop dial new server connections with the given function.
@@ -116,7 +116,7 @@
 	return serveListener(t, s, nodetest.Listener(t))
 }
 
-// serveOn makes s accept clients from ln until the test ends.
+// serveListener makes s accept clients from ln until the test ends, and returns the address of ln.
 func serveListener(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
 	s.loop.up.Descriptors().SetTotal(config.MinSockets)
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -11,8 +11,8 @@
 type timer struct {
 	due        policy.Time
 	token      uint64
-	backstopOf *request
-	index      int // in timers; -1 once removed
+	backstopOf *request // nil for a timer of the balancer
+	index      int      // in timers; -1 once removed
 }
 
 // timers is a heap of timers, ordered by due time.
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -18,7 +18,7 @@
 	Region    string  `json:"region"`
 	State     string  `json:"state"` // well, suspect, left, returning
 	Cost      float64 `json:"cost"`  // crossing cost of a request to it
-	Share     float64 `json:"share"` // part of the requests that would go there by preference and capacity
+	Share     float64 `json:"share"` // fraction of the requests that would go there by preference and capacity
 	Servers   int     `json:"servers"`
 	Left      int     `json:"left_lately"`           // recent evacuations
 	Ill       float64 `json:"ill"`                   // recent failures, older ones weighted less
@@ -54,7 +54,7 @@
 		l.metrics.set.GetOrCreateGauge("app_place_left_lately"+zone, nil).Set(float64(s.Evacuations))
 		away := time.Duration(0)
 		if s.State == "left" {
-			away = s.RetryIn + time.Millisecond // above 0, which stands for a zone that isn't evacuated
+			away = s.RetryIn + time.Millisecond // 0 means that the zone isn't evacuated, so an evacuated zone has more
 		}
 		l.metrics.set.GetOrCreateGauge("app_place_away_seconds"+zone, nil).Set(away.Seconds())
 	}
