--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -99,7 +99,7 @@
 	return d
 }
 
-// reuseDelay is longer than the time for which a server connection is not reused after a response.
+// reuseDelay is a wait after which a server connection is reused. For a shorter time after a response, it is not.
 const reuseDelay = 20 * time.Millisecond
 
 // dialWith makes the loop dial new server connections with the given function.
@@ -113,11 +113,11 @@
 // serveAt makes s accept clients until the test ends, and returns its address.
 func serveAt(t *testing.T, s *server) (addr string) {
 	t.Helper()
-	return serveOn(t, s, nodetest.Listener(t))
+	return serveListener(t, s, nodetest.Listener(t))
 }
 
-// serveOn makes s accept clients from ln until the test ends.
-func serveOn(t *testing.T, s *server, ln net.Listener) (addr string) {
+// serveListener makes s accept clients from ln until the test ends, and returns the address of ln.
+func serveListener(t *testing.T, s *server, ln net.Listener) (addr string) {
 	t.Helper()
 	s.loop.up.Descriptors().SetTotal(config.MinSockets)
 	acceptErr := make(chan error, 1)
