--- a/internal/registry/admin.go
+++ b/internal/registry/admin.go
@@ -6,8 +6,9 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// gauges lists the metrics of a replica. Those that end in _total are counters, exposed as gauges because a Status
-// already has their values. The names are frozen for operators; registry_leases_held is 1 while expiry is suspended.
+// gauges lists the metrics of a replica. Operators use the names, so they must not change. Metrics that end in _total
+// are counters, exposed as gauges because a Status already has their values. registry_leases_held is 1 while expiry is
+// suspended.
 var gauges = []struct {
 	name  string
 	value func(Status) float64
--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// renewalsPerTTL is the number of lease renewals per TTL. It is above 1 so that some renewals may fail.
+// renewalsPerTTL is the number of lease renewals per TTL. It is above 1, so that a lease survives a failed renewal.
 const renewalsPerTTL = 3
 
 // Agent registers one endpoint and renews its lease.
@@ -20,8 +20,8 @@
 }
 
 // Run registers the endpoint and renews its lease until ctx ends. It then sets the endpoint's phase to draining, waits
-// for drain, and deregisters the endpoint. Run registers again if the lease is lost, and retries while the registry is
-// unreachable. It returns early only if the registry rejects the endpoint as invalid; the error is then a StatusError.
+// for the duration drain, and deregisters the endpoint. Run registers again if the lease is lost, and retries calls that
+// fail. It returns early only if the registry rejects the endpoint as invalid; the error is then a StatusError.
 func (a *Agent) Run(ctx context.Context, drain time.Duration) error {
 	registered := false
 	wait := time.Duration(0)
@@ -68,7 +68,8 @@
 	return a.Client.Do(ctx, http.MethodPut, a.path(), newRegistration(a.Endpoint, a.TTL), nil, 0)
 }
 
-// deregister sets the endpoint to draining, waits for drain and removes it. It has its own context, as Run's has ended.
+// deregister sets the endpoint's phase to draining, waits for the duration drain, and removes the endpoint. It uses its
+// own context, because Run's has ended.
 func (a *Agent) deregister(drain time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drain+2*callTimeout)
 	defer cancel()
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -20,7 +20,7 @@
 	minBackoff       = 50 * time.Millisecond
 	maxBackoff       = 2 * time.Second
 	maxResponseBytes = 64 << 20
-	maxErrorBytes    = 256 // of a response body in a StatusError
+	maxErrorBytes    = 256 // of the response body, kept in a StatusError
 )
 
 // Client calls the registry at one of several addresses and fails over to the next. It is not safe for concurrent use.
@@ -55,11 +55,13 @@
 	return errors.As(err, &status) && status.StatusCode != http.StatusServiceUnavailable
 }
 
-// Do calls path with the body in (nil for none) and decodes the response into out (nil to discard it). ifMatch is the
-// instance version that a write requires, 0 for any. If there is no response, or one that can't be decoded or has the
-// status 503, Do retries at the next address with exponential backoff, until ctx ends or maxAttempts is reached. Any
-// other status is final. All attempts share one request ID, so that a retried write is carried out once. A response
-// with a status other than 200 is returned as a StatusError.
+// Do calls path. It encodes in as the body, or sends none if in is nil. It decodes the response into out, or discards
+// the response if out is nil. ifMatch is the version that the instance must have for a write; 0 allows any.
+//
+// If an attempt gets no response, status 503 or a body that can't be decoded, Do retries at the next address with
+// exponential backoff, until ctx ends or maxAttempts is reached. Any other status is final. All attempts share one
+// request ID, so that a retried write is carried out once. A response with a status other than 200 is returned as a
+// StatusError.
 func (c *Client) Do(ctx context.Context, method, path string, in, out any, ifMatch int64) error {
 	call := clientCall{method: method, path: path, requestID: rand.Text(), ifMatch: ifMatch}
 	if in != nil {
@@ -128,7 +130,8 @@
 	}
 }
 
-// Watch calls path and decodes the response into list. The response may take as long as wait.
+// Watch calls path and decodes the response into list. An attempt may take callTimeout longer than wait, the time for
+// which the registry waits for a change.
 func (c *Client) Watch(ctx context.Context, path string, wait time.Duration, list *EndpointList) error {
 	watchClient := *c
 	watchClient.http.Timeout = wait + callTimeout
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -23,7 +23,7 @@
 	RenewLease                                // ID
 	SetInstancePhase                          // ID, Phase
 	DeregisterInstance                        // ID
-	AdvanceClock                              // Elapsed: lease time that passed at the leader
+	AdvanceClock                              // Elapsed: time that passed at the leader, to add to lease time
 	RestartLeases                             // a leader was elected: renew each lease for its full TTL
 	BeginEpoch                                // the data directory was restored from an older copy
 	SetReplicaAddress                         // ID, Endpoint.Address: HTTP address of a replica; empty to delete it
@@ -51,7 +51,7 @@
 // ResultCode is the outcome of a command. Its values are stored, and sent as the text of HTTP responses.
 type ResultCode string
 
-// The result codes. A command with any code but ResultOK left the state unchanged.
+// The result codes. Unless the code is ResultOK, the command left the list and the leases unchanged.
 const (
 	ResultOK               ResultCode = ""
 	ResultNotFound         ResultCode = "not found"
@@ -87,6 +87,6 @@
 // Result is the outcome of a command.
 type Result struct {
 	Code     ResultCode `cbor:"1,keyasint,omitempty"`
-	Instance Instance   `cbor:"2,keyasint"` // after the command; for ResultVersionMismatch, the current one
+	Instance Instance   `cbor:"2,keyasint"` // after the command; as it was if the command removed or rejected it
 	Revision int64      `cbor:"3,keyasint"` // of the Store after the command
 }
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -18,11 +18,11 @@
 	ID              string            `toml:"id"`
 	ListenAddress   string            `toml:"listen"`  // for nodes, agents and operators
 	RaftAddress     string            `toml:"raft"`    // at which the other replicas reach this one
-	RaftBindAddress string            `toml:"bind"`    // to listen on for the other replicas; empty for RaftAddress
-	AdminAddress    string            `toml:"control"` // for health and metrics; empty for none
+	RaftBindAddress string            `toml:"bind"`    // to listen on for the other replicas; if empty, RaftAddress is used
+	AdminAddress    string            `toml:"control"` // for health and metrics; if empty, neither is served
 	DataDir         string            `toml:"folder"`
-	MaxWatches      int               `toml:"watches"` // concurrent watches; 0 for 4,096
-	InitialReplicas map[string]string `toml:"peers"`   // initial replicas, ID to RaftAddress; empty if added later
+	MaxWatches      int               `toml:"watches"` // maximum number of concurrent watches; 0 means 4,096
+	InitialReplicas map[string]string `toml:"peers"`   // initial replicas: RaftAddress by ID; empty if added later
 }
 
 // DefaultConfig returns the configuration of a single replica on this machine.
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -7,21 +7,22 @@
 //	replica.go      proposes the Command to raft, on the leader only
 //	raft_log.go     stores it with a checksum at each replica
 //	raft_fsm.go     passes it to the store once a quorum has stored it
-//	store.go        applies it: a state machine without a clock and I/O
+//	store.go        applies it: a state machine without a clock or I/O
 //
-// A watch waits in http_list.go until watchableStore.notify in watchable_store.go wakes it; a scoped watch waits until
-// watcher_group.go does. It then responds with the changes, or with the whole list if the history lacks some of them.
+// A watch waits in http_list.go until watchableStore.notify in watchable_store.go wakes it. Scoped watches, which cover
+// only some services, are woken through watcher_group.go. The watch then responds with the changes, or with the whole
+// list if the history lacks some of the changes.
 //
 // These types own the state:
 //
-//	Store           instances and the parts below; no clock and no I/O, so that all replicas agree
+//	Store           instances and the next four types; no clock and no I/O, so that all replicas agree
 //	lessor          lease time, and whether expiry is suspended
 //	history         the changes from which watches can be resumed
 //	responseCache   results by request ID, so that a retried write is carried out once
 //	serviceIndex    slots and changes of one service, for scoped lists
 //	watchableStore  the lock around the Store, encoded lists, waiting watches
 //	freshness       how old this replica's list may be
-//	Replica         raft, its log, and the goroutines of the leader and the follower
+//	Replica         raft, its log, and the goroutines that act while it is the leader or a follower
 //	Server          limits and counters of the HTTP handlers
 //
 // Raft calls the fsm, and through it the Store, from a goroutine of its own. HTTP handlers read the Store under
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -28,11 +28,11 @@
 	Cell        int64   `json:"cell" cbor:"5,keyasint"`                        // rack
 	Phase       string  `json:"phase" cbor:"6,keyasint"`                       // one of the Phase constants
 	Size        float64 `json:"size" cbor:"7,keyasint"`                        // capacity relative to other endpoints
-	StartTimeMs int64   `json:"up_since_ms" cbor:"8,keyasint"`                 // Unix time in ms; 0 for long ago
+	StartTimeMs int64   `json:"up_since_ms" cbor:"8,keyasint"`                 // Unix time in ms; 0 means long ago
 	Service     string  `json:"service,omitempty" cbor:"9,keyasint,omitempty"` // empty for none
 }
 
-// EndpointList is the full list or, if Complete is false, the changes since the revision that a watch gave.
+// EndpointList is the full list or, if Complete is false, the changes since the revision in a watch call.
 type EndpointList struct {
 	Revision  int64      `json:"revision"`
 	Complete  bool       `json:"complete"`
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -6,16 +6,16 @@
 )
 
 var (
-	// ErrNotLeader is returned for a write, or a call that only the leader serves, at another replica. A
-	// *NotLeaderError wraps it.
+	// ErrNotLeader is returned if a replica that isn't the leader gets a write or another call that only the leader
+	// serves. A *NotLeaderError wraps it.
 	ErrNotLeader = errors.New("registry: not the leader")
 
 	// ErrNotCommitted is returned if a quorum didn't store a command in time. The command may still be carried out
 	// later: a retry with the same RequestID gets its result in either case.
 	ErrNotCommitted = errors.New("registry: not committed by a quorum in time")
 
-	// ErrNoTick wraps ErrNotCommitted. A new leader returns it until a quorum has stored the first tick of its lease
-	// time, because until then it can't tell how old its list is.
+	// ErrNoTick wraps ErrNotCommitted. The leader advances lease time by a command, the tick, at each tickInterval. A
+	// new leader returns ErrNoTick until its first tick is committed: until then, it can't tell how old its list is.
 	ErrNoTick = fmt.Errorf("%w: first tick of the new leader", ErrNotCommitted)
 
 	// ErrStale is returned if the list is older than a replica may serve, or if its age is unknown.
@@ -27,7 +27,7 @@
 
 // NotLeaderError wraps ErrNotLeader and carries the leader's address.
 type NotLeaderError struct {
-	LeaderAddress string // HTTP host:port of the leader; empty if there is none or it is unknown
+	LeaderAddress string // HTTP host:port of the leader; empty if there is no leader or its address is unknown
 }
 
 func (e *NotLeaderError) Error() string { return ErrNotLeader.Error() }
--- a/internal/registry/errors_test.go
+++ b/internal/registry/errors_test.go
@@ -7,7 +7,7 @@
 	"github.com/hashicorp/raft"
 )
 
-func TestErrorsAreTestedByCondition(t *testing.T) {
+func TestErrorsMatchTheirSentinels(t *testing.T) {
 	for _, test := range []struct {
 		err       error
 		sentinels []error
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// maxPendingProgress bounds the poll results of the leader that a follower hasn't caught up with.
+// maxPendingProgress limits how many poll results a follower keeps while it lags behind the leader. It drops the oldest.
 const maxPendingProgress = 64
 
 // freshness tracks how old this replica's list may be. Its methods are safe for concurrent use and don't block.
 //
-// A leader's list is as fresh as the last tick that it committed: a leader that is cut off commits none. A follower
+// A leader's list is as fresh as the last tick that it committed: a leader that is cut off can't commit any. A follower
 // polls the index of the last command that the leader has applied. Its list is as fresh as that poll once it has
 // applied the same command. The time of the last contact doesn't suffice, as it doesn't tell how far the follower lags.
 type freshness struct {
 	mu           sync.Mutex
 	appliedIndex uint64
-	lastTickAt   time.Time        // start of the last tick that this replica committed as the leader; zero for none
-	caughtUpAt   time.Time        // time up to which a follower has all that its leader had; zero for none
+	lastTickAt   time.Time        // start of the last tick that this replica committed as the leader; zero if none
+	caughtUpAt   time.Time        // a follower has all changes that the leader had at this time; zero if unknown
 	pending      []leaderProgress // not caught up with yet, oldest first
 }
 
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestFollowerIsAsFreshAsTheProgressItCaughtUpWith(t *testing.T) {
+func TestFollowerAgeFollowsAppliedProgress(t *testing.T) {
 	f := new(freshness)
 	f.applied(7)
 	if _, known := f.age(false); known {
@@ -18,22 +18,22 @@
 	}
 	f.applied(9)
 	if age, known := f.age(false); !known || age < time.Second || age > time.Minute {
-		t.Errorf("follower's age after command 9 is applied: got %v, known %v; want at least the second since the poll", age, known)
+		t.Errorf("follower's age after command 9 is applied: got %v, known %v; want a known age of 1 s to 1 min", age, known)
 	}
 	f.progressReceived(20, time.Now())
 	if age, _ := f.age(false); age < time.Second {
-		t.Errorf("follower's age before command 20 is applied: got %v, want at least the second since the first poll", age)
+		t.Errorf("follower's age before command 20 is applied: got %v, want at least 1 s, the age after command 9", age)
 	}
 	if _, known := f.age(true); known {
 		t.Error("leader's age without a committed tick: got a known age, want unknown")
 	}
 }
 
-func TestLeaderIsAsFreshAsItsLastCommittedTick(t *testing.T) {
+func TestLeaderAgeFollowsLastCommittedTick(t *testing.T) {
 	f := new(freshness)
 	f.tickCommitted(time.Now().Add(-time.Second))
 	if age, known := f.age(true); !known || age < time.Second || age > time.Minute {
-		t.Errorf("leader's age: got %v, known %v; want at least the second since its tick", age, known)
+		t.Errorf("leader's age: got %v, known %v; want a known age of 1 s to 1 min", age, known)
 	}
 	if _, known := f.age(false); known {
 		t.Error("follower's age without a poll of the leader: got a known age, want unknown")
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -46,8 +46,8 @@
 
 func (h *history) append(c change) { h.changes = append(h.changes, c) }
 
-// excess returns how many of the oldest changes to compact, 0 below the bound. Compaction removes half of the bound at
-// once, so that it is rare.
+// excess returns how many of the oldest changes to compact: none up to maxHistoryChanges, then all but the newest
+// maxHistoryChanges/2. Compaction is thus rare.
 func (h *history) excess() int {
 	if len(h.changes) <= maxHistoryChanges {
 		return 0
@@ -55,7 +55,7 @@
 	return len(h.changes) - maxHistoryChanges/2
 }
 
-// compact drops the oldest count changes, which end at revision, and returns them.
+// compact drops the oldest count changes and returns them. The remaining ones must be those after revision.
 func (h *history) compact(count int, revision int64) (dropped []change) {
 	dropped = h.changes[:count]
 	h.changes, h.compactedRevision = slices.Clone(h.changes[count:]), revision
--- a/internal/registry/http_list.go
+++ b/internal/registry/http_list.go
@@ -11,7 +11,7 @@
 // listCall is a parsed GET of the list.
 type listCall struct {
 	isWatch bool
-	since   int64         // revision that a watching caller has
+	since   int64         // for a watch, the revision that the caller has
 	wait    time.Duration // maximum time that a watch waits for a change
 	scope   *Scope        // nil for the full list
 }
@@ -42,7 +42,8 @@
 
 func formatInt(n int64) string { return strconv.FormatInt(n, 10) }
 
-// handleList responds with the list. A watch gets the changes since its revision once there are any, or at its timeout.
+// handleList responds with the full or a scoped list. It responds to a watch once there are changes since the caller's
+// revision, or at the watch's timeout.
 func (s *Server) handleList(w http.ResponseWriter, req *http.Request) {
 	call, err := parseListCall(req)
 	if err != nil {
@@ -95,8 +96,8 @@
 	}
 }
 
-// respondList responds with the list since a revision, or with 503 if the list may be too old. It sends nothing and
-// returns false if the list is unchanged since, unless evenIfUnchanged is set.
+// respondList responds with the list since a revision, or with 503 if the list may be too old. If nothing changed after
+// that revision, and evenIfUnchanged is not set, it sends nothing and returns false.
 func (s *Server) respondList(w http.ResponseWriter, since int64, evenIfUnchanged bool) (responded bool) {
 	raw, epoch := s.replica.store.encodedList(since, evenIfUnchanged)
 	if raw == nil {
@@ -138,7 +139,7 @@
 		s.respondUnknownServices(w, err)
 		return 0, true
 	}
-	s.scopedLists.acquire() // one change wakes many watches, and raft needs CPU time too
+	s.scopedLists.acquire() // limited: one change wakes many watches, and raft needs CPU time too
 	list, changed := view.list()
 	s.scopedLists.release()
 	if !changed && !evenIfUnchanged {
--- a/internal/registry/http_list_test.go
+++ b/internal/registry/http_list_test.go
@@ -15,7 +15,7 @@
 	"github.com/hashicorp/raft"
 )
 
-// startServer starts a server for a single replica, and waits until that is the leader. url is the URL of the list.
+// startServer starts a server for a single replica, and waits until the replica is the leader. url is that of the list.
 func startServer(t *testing.T) (r *Replica, url string) {
 	t.Helper()
 	addr, transport := raft.NewInmemTransport("")
@@ -82,13 +82,13 @@
 func (r response) list(t *testing.T) (l EndpointList) {
 	t.Helper()
 	if err := json.Unmarshal([]byte(r.body), &l); err != nil || r.status != http.StatusOK {
-		t.Fatalf("decoding a list: status %d, body %s, error %v", r.status, r.body, err)
+		t.Fatalf("response with a list: got status %d, body %s, decoding error %v; want status 200 and a list", r.status, r.body, err)
 	}
 	return l
 }
 
 // Without a scope and without services, the response has the platform's format, byte for byte.
-func TestFullListHasThePlatformsForm(t *testing.T) {
+func TestFullListFormat(t *testing.T) {
 	r, url := startServer(t)
 	revision := mustPropose(t, r, registerCommandFor("s0", DefaultTTL))
 	got := get(t, url)
@@ -186,12 +186,12 @@
 	cancelA()
 	cancelB()
 	if len(r.store.scoped.byService) != 0 {
-		t.Errorf("services registered after all watches were cancelled: got %d, want 0", len(r.store.scoped.byService))
+		t.Errorf("services that still have watches after all were cancelled: got %d, want 0", len(r.store.scoped.byService))
 	}
 }
 
 // Unknown services differ from empty ones: the status is 404 if all are unknown; otherwise a header names them.
-func TestUnknownServicesAreNotAnEmptyList(t *testing.T) {
+func TestUnknownServicesAreReported(t *testing.T) {
 	r, url := startServer(t)
 	if got := get(t, url+"?service=a,b"); got.status != http.StatusNotFound || got.body != "service: unknown: a, b\n" {
 		t.Errorf("list of unknown services: got status %d, body %q, want 404 and both names", got.status, got.body)
@@ -210,7 +210,7 @@
 	}
 }
 
-func TestInvalidCallsAreAnsweredWithOneLine(t *testing.T) {
+func TestInvalidCallsReturnOneLineError(t *testing.T) {
 	_, url := startServer(t)
 	for _, query := range []string{"service=", "service=a&subset=0", "service=a&subset=2&position=3&nodes=3", "subset=3",
 		"service=a&index=x"} {
@@ -227,6 +227,6 @@
 		t.Fatal(err)
 	}
 	if body := readBody(t, resp); resp.StatusCode != http.StatusBadRequest || !strings.HasPrefix(body, "service: ") {
-		t.Errorf("registration with an invalid service: got status %d, body %q, want 400 and the field service", resp.StatusCode, body)
+		t.Errorf("registration with an invalid service: got status %d, body %q, want 400 and an error that begins with the field, service", resp.StatusCode, body)
 	}
 }
--- a/internal/registry/http_write_test.go
+++ b/internal/registry/http_write_test.go
@@ -8,7 +8,7 @@
 )
 
 // All versions that run at the same time must write the same commands into the raft log.
-func TestWritesAreTheseCommands(t *testing.T) {
+func TestWritesProduceExpectedCommands(t *testing.T) {
 	endpoint := testEndpoint("s0")
 	for _, test := range []struct {
 		method, path, body string
--- a/internal/registry/leader.go
+++ b/internal/registry/leader.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// assumeLeadership restarts the leases and publishes the leader's HTTP address.
+// assumeLeadership restarts the leases and publishes this replica's HTTP address. It begins an epoch if newEpoch is set.
 func (r *Replica) assumeLeadership() error {
 	first := Command{Kind: RestartLeases}
 	if r.newEpoch {
--- a/internal/registry/lessor.go
+++ b/internal/registry/lessor.go
@@ -14,8 +14,8 @@
 	minMassExpirations  = 3
 	expirationWindow    = 30 * time.Second
 
-	// maxClockStep bounds the lease time that one AdvanceClock adds, however late it is: agents can't renew while the
-	// leader is stalled, so their leases must not expire because of it.
+	// maxClockStep limits the lease time that one AdvanceClock adds, even if it comes late. Agents can't renew while
+	// the leader is stalled, so a stall must not make their leases expire.
 	maxClockStep = 5 * time.Second
 )
 
@@ -39,7 +39,8 @@
 	l.recentExpirations, l.suspended = nil, false
 }
 
-// advance adds elapsed to lease time, at most maxClockStep.
+// advance adds elapsed, but at least 0 and at most maxClockStep, to lease time. It forgets the expirations that are then
+// outside of expirationWindow.
 func (l *lessor) advance(elapsed time.Duration) {
 	l.now += min(max(0, elapsed), maxClockStep)
 	l.recentExpirations = slices.DeleteFunc(l.recentExpirations, func(at time.Duration) bool {
@@ -47,8 +48,8 @@
 	})
 }
 
-// expire returns the instances whose leases have expired, sorted by ID, or none if expiry is suspended. The caller
-// removes them.
+// expire decides whether expiry is suspended. If it isn't, expire returns the instances whose leases have expired, sorted
+// by ID, and the caller removes them.
 func (l *lessor) expire(instances map[string]Instance) []Instance {
 	var overdue []Instance
 	for _, instance := range instances {
--- a/internal/registry/lessor_test.go
+++ b/internal/registry/lessor_test.go
@@ -40,16 +40,16 @@
 	}
 }
 
-func TestExpiryIsSuspendedForAMassOfLeases(t *testing.T) {
+func TestMassExpirationSuspendsExpiry(t *testing.T) {
 	for _, test := range []struct {
 		name               string
 		expiring, renewing int
 		suspended          bool
 	}{
-		{"all, but too few", minMassExpirations, 0, false},
+		{"all, but only as many as minMassExpirations", minMassExpirations, 0, false},
 		{"all", minMassExpirations + 1, 0, true},
-		{"the maximum fraction", 6, 14, false},
-		{"over the maximum fraction", 7, 13, true},
+		{"exactly the maximum fraction", 6, 14, false},
+		{"more than the maximum fraction", 7, 13, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			l := new(lessor)
@@ -72,7 +72,7 @@
 	}
 }
 
-func TestEarlierExpirationsCountWithinTheWindow(t *testing.T) {
+func TestRecentExpirationsCountTowardMassExpiration(t *testing.T) {
 	for wait, suspended := range map[time.Duration]bool{expirationWindow: true, expirationWindow + 1: false} {
 		l := new(lessor)
 		instances := grantLeases(l, minMassExpirations, time.Second)
@@ -89,13 +89,14 @@
 			l.advance(min(maxClockStep, wait-elapsed))
 		}
 		if ids := expireAll(l, instances); (len(ids) == 0) != suspended || l.suspended != suspended {
-			t.Errorf("last lease, %v after the others: got %v expired, suspended %v; want suspended %v", wait, ids, l.suspended, suspended)
+			t.Errorf("last lease, %v after the others: got %v expired, suspended %v; want suspended %v, and the lease expired only if not suspended", wait, ids, l.suspended, suspended)
 		}
 	}
 }
 
-// A restart clears earlier expirations and a suspension.
-func TestRestartGrantsAllLeasesAnew(t *testing.T) {
+// After lessor.restart, each lease runs for its full TTL again, earlier expirations no longer count, and expiry is no
+// longer suspended.
+func TestRestartRenewsAllLeases(t *testing.T) {
 	l := new(lessor)
 	instances := grantLeases(l, minMassExpirations, time.Second)
 	instances["last"] = Instance{Endpoint: testEndpoint("last"), TTL: 2 * time.Second, Deadline: 2 * time.Second}
@@ -121,11 +122,11 @@
 	}
 }
 
-func TestOneClockStepIsBounded(t *testing.T) {
+func TestClockStepIsBounded(t *testing.T) {
 	l := new(lessor)
 	l.advance(time.Hour)
 	l.advance(-time.Hour)
 	if l.now != maxClockStep {
-		t.Errorf("lease time after a step of an hour: got %v, want %v", l.now, maxClockStep)
+		t.Errorf("lease time after a step of an hour and one of minus an hour: got %v, want %v", l.now, maxClockStep)
 	}
 }
--- a/internal/registry/measure_test.go
+++ b/internal/registry/measure_test.go
@@ -109,8 +109,8 @@
 	return all
 }
 
-// The bytes sent to a node grow with its scope, not with the number of instances. With a subset, they don't grow with
-// the size of a large service either.
+// With subsets, the length of the list for a node doesn't grow with the number of instances, even if one of its services
+// is large. The test also logs the lengths of other lists and of changes.
 func TestMeasureScope(t *testing.T) {
 	const replaced = 300
 	var firstBytes int
@@ -126,7 +126,7 @@
 			full, scoped := f.replace(t, scope, ids[i])
 			fullTotal, scopedTotal = fullTotal+full, scopedTotal+scoped
 		}
-		t.Logf("%6d instances: full list %9d bytes, five services %8d, subsets of 20 %6d; changes of a replacement: full list %4d, subsets %7.2f",
+		t.Logf("%6d instances: full list %9d bytes, five services %8d, subsets of 20 %6d; bytes of changes per replaced instance: full list %4d, subsets %7.2f",
 			n, fullListBytes, servicesBytes, subsetsBytes, fullTotal/replaced, float64(scopedTotal)/replaced)
 		if firstBytes == 0 {
 			firstBytes = subsetsBytes
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	commitTimeout      = 2 * time.Second        // for a quorum to store a command
+	commitTimeout      = 2 * time.Second        // for raft to accept a command
 	heartbeatTimeout   = 500 * time.Millisecond // after which a follower without a heartbeat starts an election
 	leaderLeaseTimeout = 250 * time.Millisecond // after which a leader without responses from a quorum steps down
 
@@ -27,7 +27,7 @@
 type ReplicaConfig struct {
 	ID              string
 	RaftAddress     string // host:port where the other replicas reach this one
-	RaftBindAddress string // host:port to listen on for them; empty for RaftAddress
+	RaftBindAddress string // host:port to listen on for the other replicas; if empty, RaftAddress is used
 	APIAddress      string // host:port where clients reach this one
 	DataDir         string
 
@@ -37,7 +37,7 @@
 
 	NewEpoch bool // the data directory was restored from an older copy
 
-	transport raft.Transport // nil for TCP
+	transport raft.Transport // if nil, TCP is used
 }
 
 // Replica holds one copy of the list. Its methods are safe for concurrent use.
@@ -48,14 +48,14 @@
 	transport io.Closer // nil if it was passed in ReplicaConfig
 	store     *watchableStore
 	freshness *freshness
-	newEpoch  bool // the first leadership begins an epoch; used by runLeader only
+	newEpoch  bool // begin an epoch when this replica next becomes the leader; used by runLeader only
 
 	cancel     context.CancelFunc // stops the background goroutines
 	background sync.WaitGroup
 }
 
 // Open starts a replica in its data directory, which it creates if it is missing. Close stops the replica. The error is
-// ErrCorrupt if the log changed on disk.
+// ErrCorrupt if an entry of the log is missing or changed on disk.
 func Open(c ReplicaConfig) (*Replica, error) {
 	if err := os.MkdirAll(c.DataDir, 0o700); err != nil {
 		return nil, fmt.Errorf("folder: %w", err)
@@ -139,8 +139,9 @@
 
 func (r *Replica) isLeader() bool { return r.raft.State() == raft.Leader }
 
-// Propose has a quorum store a command, and returns its result once this replica has carried it out. It blocks for
-// commitTimeout at most. The error is ErrNotLeader, ErrNotCommitted, or the error of the result's code.
+// Propose replicates a command, and returns its result once a quorum has stored the command and this replica has carried
+// it out. commitTimeout limits only the wait until raft accepts the command. The error is ErrNotLeader, ErrNotCommitted,
+// or the error of the result's code.
 func (r *Replica) Propose(c Command) (Result, error) {
 	if !r.isLeader() {
 		return Result{}, r.notLeaderError()
@@ -183,7 +184,8 @@
 // Age returns the maximum age of this replica's list; known is false if the replica can't tell.
 func (r *Replica) Age() (age time.Duration, known bool) { return r.freshness.age(r.isLeader()) }
 
-// AddReplica makes a replica a voting member. Only the leader can. It blocks for twice commitTimeout at most.
+// AddReplica makes a replica a voting member. Only the leader can. commitTimeout limits the wait until raft accepts each
+// of its two commands.
 func (r *Replica) AddReplica(id, raftAddress, apiAddress string) error {
 	future := r.raft.AddVoter(raft.ServerID(id), raft.ServerAddress(raftAddress), 0, commitTimeout)
 	if err := future.Error(); err != nil {
@@ -193,7 +195,8 @@
 	return err
 }
 
-// RemoveReplica ends a replica's membership. Only the leader can. It blocks for twice commitTimeout at most.
+// RemoveReplica ends a replica's membership. Only the leader can. commitTimeout limits the wait until raft accepts each
+// of its two commands.
 func (r *Replica) RemoveReplica(id string) error {
 	if err := r.raft.RemoveServer(raft.ServerID(id), 0, commitTimeout).Error(); err != nil {
 		return r.commitError(err)
--- a/internal/registry/response_cache.go
+++ b/internal/registry/response_cache.go
@@ -33,7 +33,7 @@
 	return result, ok
 }
 
-// add stores the result of a command. A result without a request ID isn't stored.
+// add stores the result of a command. A result without a request ID isn't stored. A full cache drops its older half.
 func (c *responseCache) add(requestID string, result Result) {
 	if requestID == "" {
 		return
--- a/internal/registry/scope_test.go
+++ b/internal/registry/scope_test.go
@@ -11,7 +11,7 @@
 	"sloerail/internal/subset"
 )
 
-func TestInvalidScopesNameTheParameter(t *testing.T) {
+func TestInvalidScopeErrorsNameTheParameter(t *testing.T) {
 	var names []string
 	for i := range maxScopeServices + 1 {
 		names = append(names, fmt.Sprint("s", i))
--- a/internal/registry/scoped_list.go
+++ b/internal/registry/scoped_list.go
@@ -12,7 +12,7 @@
 // fullListRevision, passed as a revision, requests the full list.
 const fullListRevision = -1
 
-// UnknownServicesError reports a scope whose services all have neither instances nor changes in the history.
+// UnknownServicesError reports that no service of a scope has any instances or any changes in the history.
 type UnknownServicesError struct{ Services []string }
 
 func (e *UnknownServicesError) Error() string {
@@ -37,8 +37,8 @@
 }
 
 // newScopedView collects the input of a scoped list since a revision. The list will be complete if the revision is
-// negative, in the future or of another epoch, or if the history doesn't reach back to it. If all services of the scope
-// are unknown, the error is *UnknownServicesError.
+// negative, in the future or of another epoch, or if the history may lack changes of the scope after it. If all services
+// of the scope are unknown, the error is *UnknownServicesError.
 func (s *Store) newScopedView(scope *Scope, since int64) (*scopedView, error) {
 	view := &scopedView{scope: scope, revision: s.revision}
 	for _, name := range scope.Services {
@@ -72,7 +72,8 @@
 	if since >= s.history.compactedRevision {
 		return false
 	}
-	// Compacted changes of other services do no harm. Those of an unknown service may have included its last ones.
+	// Compacted changes of services outside the scope don't matter. If a service of the scope is unknown now, compacted
+	// changes may have removed its last instances.
 	return slices.ContainsFunc(scope.Services, func(name string) bool {
 		index := s.services[name]
 		return index == nil || index.lastChange > since
@@ -115,7 +116,7 @@
 	}
 }
 
-// addChanges adds the endpoints that changed in the scope or entered it to inScope, and those that left it to removed.
+// addChanges adds to inScope the endpoints that changed in the scope or entered it, and to removed those that left it.
 // An endpoint may leave a subset while it is still up.
 func (s scopedService) addChanges(scope *Scope, inScope, removed map[string]Endpoint) {
 	newest := newestEndpoints(s.changes)
--- a/internal/registry/scoped_list_test.go
+++ b/internal/registry/scoped_list_test.go
@@ -20,7 +20,7 @@
 	return c
 }
 
-// drawServiceCommand returns any command on instances of a few services, including moves between services.
+// drawServiceCommand draws a command on instances of a few services. It may move an instance to another service.
 func drawServiceCommand(t *rapid.T) Command {
 	c := drawCommand(t)
 	c.ID = fmt.Sprint("s", rapid.IntRange(0, 11).Draw(t, "instance"))
@@ -37,7 +37,7 @@
 	return c
 }
 
-// drawScope returns a scope of some of the services, with or without subsets.
+// drawScope draws a scope of some of the services, with or without subsets.
 func drawScope(t *rapid.T) *Scope {
 	scope := &Scope{Services: rapid.SampledFrom([][]string{{"a"}, {"a", "b"}, {"b"}, {"a", "none"}}).Draw(t, "scope")}
 	if scope.SubsetSize = rapid.IntRange(0, 3).Draw(t, "size"); scope.SubsetSize > 0 {
@@ -124,7 +124,7 @@
 
 // A watcher that applies the changes of a scope has, at each revision, the same endpoints as a complete list of the
 // scope. Slots are unique, stable, and the lowest free ones. A snapshot restores all of this.
-func TestScopedWatchersHaveWhatAFullListHas(t *testing.T) {
+func TestScopedWatchersMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewStore()
 		var watchers []*scopedWatcher
@@ -202,7 +202,7 @@
 		s.Apply(Command{Kind: DeregisterInstance, ID: removed})
 		s.compact(len(s.history.changes), s.revision)
 		if l, got := w.mustPoll(t, snapshotRoundTrip(t, s)); !l.Complete || !slices.Equal(got, want) {
-			t.Errorf("after %q was removed: got %+v, the watcher has %v, want a complete list of the others", removed, l, got)
+			t.Errorf("after removing %q (if empty, after a new epoch): got %+v, the watcher has %v, want a complete list of the others", removed, l, got)
 		}
 	}
 }
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -13,7 +13,7 @@
 const (
 	maxWatchWait      = time.Minute // the platform's bound on how long a watch waits
 	maxListResponses  = 256         // lists sent concurrently
-	maxWrites         = 64          // commands in flight; separate, so that lists take no capacity from registration
+	maxWrites         = 64          // commands in flight; has its own limit, so that lists take no capacity from writes
 	defaultMaxWatches = 4096
 	defaultMaxAge     = 2 * time.Second
 
@@ -23,10 +23,10 @@
 	retryAfterSeconds = "1"
 )
 
-// ServerConfig bounds what a replica serves.
+// ServerConfig holds limits of a Server.
 type ServerConfig struct {
-	MaxWatches int           // concurrent watches; 0 for 4,096
-	MaxAge     time.Duration // of a list that is served; 0 for 2 s
+	MaxWatches int           // concurrent watches; 0 means 4,096
+	MaxAge     time.Duration // of a list that is served; 0 means 2 s
 }
 
 // Server serves the HTTP calls of nodes, agents and operators.
@@ -80,7 +80,7 @@
 		writes: newLimiter(maxWrites), scopedLists: newLimiter(runtime.GOMAXPROCS(0))}
 }
 
-// HTTPServer returns an HTTP server for an address, with the limits that drop slow callers.
+// HTTPServer returns an HTTP server for an address. It disconnects callers that are slow or idle, or send large headers.
 func (s *Server) HTTPServer(address string) *http.Server {
 	return &http.Server{Addr: address, Handler: s, MaxHeaderBytes: maxBodyBytes, ReadHeaderTimeout: readTimeout,
 		IdleTimeout: 2 * maxWatchWait, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
--- a/internal/registry/service_index.go
+++ b/internal/registry/service_index.go
@@ -13,7 +13,7 @@
 type serviceIndex struct {
 	slots      slotTable
 	changes    []change // those in the history that affect the service, oldest first; elements are never overwritten
-	lastChange int64    // last revision that affected the service, or a later one
+	lastChange int64    // no later revision affected the service
 	view       *serviceView
 }
 
--- a/internal/registry/service_view.go
+++ b/internal/registry/service_view.go
@@ -9,8 +9,8 @@
 // maxCachedRings bounds the rings cached in a view, because callers choose the subset sizes and the revisions.
 const maxCachedRings = 8
 
-// serviceView is a service at one revision. All callers share it, from any goroutine and without the store's lock:
-// its endpoints and servers never change, and mu guards only the rings.
+// serviceView is a service at one revision. Any goroutine may use it without the store's lock: its endpoints and servers
+// never change, and mu guards the rings.
 type serviceView struct {
 	endpoints []Endpoint // by ascending slot
 	servers   subsetServers
@@ -103,9 +103,9 @@
 	return rings
 }
 
-// choose returns the IDs of a client's servers. While some servers are draining, the result joins a subset of all
-// servers with a subset of the active ones: the client sees the drain, and has a replacement before the draining server
-// is removed.
+// choose returns the IDs of a client's servers. While some servers are draining, the result is the union of a subset of
+// all servers and a subset of the active ones. The client thus sees the drain, and has a replacement before the draining
+// server is removed.
 func (r *subsetRings) choose(client subset.Client) map[string]bool {
 	chosen := make(map[string]bool)
 	for _, id := range r.all.Choose(client) {
--- a/internal/registry/slots.go
+++ b/internal/registry/slots.go
@@ -2,8 +2,8 @@
 
 import "container/heap"
 
-// slotTable assigns a slot to each instance of a service: a number that is unique within the service, and the lowest
-// that was free, so that a replacement takes the slot of the instance that it replaces.
+// slotTable assigns a slot to each instance of a service. A slot is a number that is unique within the service. An
+// instance gets the lowest free slot, so that a replacement takes the slot of the instance that it replaces.
 type slotTable struct {
 	ids  []string // by slot; empty where the slot is free
 	free slotHeap // free slots
@@ -26,7 +26,7 @@
 }
 
 // restore assigns an instance the slot that it had when a snapshot was written. It returns the ID of the instance that
-// already has that slot, empty for none. Call rebuildFree after the last restore.
+// already had that slot, or "". Call rebuildFree after the last restore.
 func (t *slotTable) restore(id string, slot int) (other string) {
 	if missing := slot + 1 - len(t.ids); missing > 0 {
 		t.ids = append(t.ids, make([]string, missing)...)
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -45,7 +45,7 @@
 	AppliedIndex      uint64              `cbor:"10,keyasint"`
 }
 
-// imageDecoder decodes images. The library's default bound on the pairs of a map is below maxInstances.
+// imageDecoder decodes images. It raises the library's limit on the pairs of a map, which is below maxInstances.
 var imageDecoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxMapPairs: maxInstances}.DecMode()
 	if err != nil {
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -30,7 +30,8 @@
 	return read
 }
 
-// A snapshot of the version without services is read, and that version reads a current snapshot.
+// This version reads snapshots of the previous version, which has no services. The previous version reads snapshots of
+// this version.
 func TestSnapshotsAreCompatibleWithThePreviousVersion(t *testing.T) {
 	type previousEndpoint struct { // only the keys that matter here
 		ID       string `cbor:"1,keyasint"`
@@ -73,7 +74,7 @@
 	}
 }
 
-// A snapshot with maxInstances instances is read.
+// A snapshot with maxInstances instances is read, and the store read from it is full.
 func TestSnapshotOfMaxInstancesIsRead(t *testing.T) {
 	s := NewStore()
 	for i := range maxInstances {
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -9,8 +9,8 @@
 const (
 	maxInstances = 150_000 // same as maxSubset in internal/node/discovery
 
-	// epochShift is the number of bits of a revision below its epoch. All revisions of an epoch are above those of
-	// the epoch before it.
+	// The bits of a revision from bit epochShift on hold its epoch, so all revisions of an epoch are above those of
+	// earlier epochs.
 	epochShift = 32
 )
 
@@ -107,7 +107,8 @@
 	return s.put(registered)
 }
 
-// update applies a command to an instance. It returns ResultNotFound if the instance does not exist.
+// update applies a command to an instance. It returns ResultNotFound if the instance does not exist, and
+// ResultVersionMismatch if the command requires another version.
 func (s *Store) update(c Command, apply func(Instance) Result) Result {
 	instance, exists := s.instances[c.ID]
 	switch {
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -20,7 +20,7 @@
 	return Command{Kind: RegisterInstance, Endpoint: testEndpoint(id), TTL: ttl}
 }
 
-// drawCommand returns any command, including invalid ones.
+// drawCommand draws a command of any kind. It may be invalid.
 func drawCommand(t *rapid.T) Command {
 	id := fmt.Sprint("s", rapid.IntRange(0, 5).Draw(t, "id"))
 	c := Command{Kind: CommandKind(rapid.IntRange(0, 9).Draw(t, "kind")), ID: id, Endpoint: testEndpoint(id), Phase: PhaseDraining,
@@ -35,8 +35,8 @@
 	return c
 }
 
-// A watcher that applies changes has the full list, however many revisions it skips. Revisions never decrease, a retry
-// changes nothing, and a snapshot restores the store.
+// A watcher that applies changes has the IDs of the full list, even if it skips revisions. Revisions never decrease, a
+// retry changes nothing, and a snapshot restores the store.
 func TestWatchersConvergeAndSnapshotsRestoreTheStore(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewStore()
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestLeasesExpireUnlessInAMass(t *testing.T) {
+func TestLeasesExpireUnlessTooManyAtOnce(t *testing.T) {
 	s := NewStore()
 	for i := range 20 {
 		s.Apply(registerCommandFor(fmt.Sprint("s", i), 10*time.Second))
--- a/internal/registry/watchable_store.go
+++ b/internal/registry/watchable_store.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	notifyDelay     = 20 * time.Millisecond // changes within this delay wake the watches once
+	notifyDelay     = 20 * time.Millisecond // from a change to the wake-up of the watches, which covers later changes too
 	maxEncodedLists = 256                   // bounded because callers choose the revisions
 )
 
@@ -92,7 +92,7 @@
 	w.scoped.notify()
 }
 
-// close cancels a pending notification. Raft must be shut down already, so that no other follows.
+// close cancels a pending notification. Raft must be shut down already, so that no further one is scheduled.
 func (w *watchableStore) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -108,7 +108,8 @@
 	return w.changed
 }
 
-// watchServices returns a channel that gets a value after each change of one of the services, until cancel is called.
+// watchServices returns a channel that gets a value after changes of one of the services, until cancel is called. One
+// value may stand for several changes.
 func (w *watchableStore) watchServices(services []string) (changes <-chan struct{}, cancel func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -120,8 +121,8 @@
 	}
 }
 
-// encodedList returns the list since a revision, encoded once for all callers, and the epoch. raw is nil if nothing
-// changed since, unless evenIfUnchanged is set.
+// encodedList returns the list since a revision, encoded once for all callers, and the epoch. If nothing changed after
+// that revision, and evenIfUnchanged is not set, raw is nil.
 func (w *watchableStore) encodedList(since int64, evenIfUnchanged bool) (raw []byte, epoch int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/registry/watcher_group.go
+++ b/internal/registry/watcher_group.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// markChanged marks the services that some changes affect for the next notify.
+// markChanged marks the services affected by changes. The next notify wakes their watches.
 func (g *watcherGroup) markChanged(changes []change) {
 	for _, c := range changes {
 		for _, service := range c.affectedServices() {
--- a/internal/registry/watcher_group_test.go
+++ b/internal/registry/watcher_group_test.go
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestTouchAllNotifiesEveryWatcherOnce(t *testing.T) {
+func TestMarkAllChangedNotifiesEveryWatcherOnce(t *testing.T) {
 	var g watcherGroup
 	a, b := g.add([]string{"a"}), g.add([]string{"b"})
 	g.markAllChanged()
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestRemovedWatcherLeavesNothing(t *testing.T) {
+func TestRemovedWatcherIsForgotten(t *testing.T) {
 	var g watcherGroup
 	a := g.add([]string{"a", "b"})
 	g.remove(a)
--- a/internal/registry/wire.go
+++ b/internal/registry/wire.go
@@ -41,10 +41,10 @@
 	Zone        string   `json:"locality"`
 	Kind        string   `json:"flavor"`
 	Cell        int64    `json:"cell"`
-	Phase       string   `json:"phase"`       // empty for PhaseUp
-	Size        *float64 `json:"size"`        // nil for 1
+	Phase       string   `json:"phase"`       // if empty, PhaseUp
+	Size        *float64 `json:"size"`        // if nil, 1
 	StartTimeMs int64    `json:"up_since_ms"` // Unix time in ms
-	TTLMs       int64    `json:"lease_ms"`    // 0 for DefaultTTL
+	TTLMs       int64    `json:"lease_ms"`    // if 0, DefaultTTL
 	Service     string   `json:"service,omitempty"`
 }
 
@@ -119,7 +119,7 @@
 	Lists              uint64          `json:"lists"`
 	Writes             uint64          `json:"writes"`
 	CallsRejected      uint64          `json:"calls_turned_away"`   // for lack of capacity
-	CallsRejectedStale uint64          `json:"calls_refused_stale"` // for a list that is too old
+	CallsRejectedStale uint64          `json:"calls_refused_stale"` // because the list was too old or of unknown age
 	Replicas           []ReplicaStatus `json:"replicas"`
 }
 
