--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	bindRetryDelay = 50 * time.Millisecond  // the other process of a hot restart may still be bound
+	bindRetryDelay = 50 * time.Millisecond  // after a failed start: the other process of a hot restart may still be bound
 	leaveTimeout   = 500 * time.Millisecond // for each of the two announcements by gossip
 	updateTimeout  = 500 * time.Millisecond // bounds the goroutine that announces a new incarnation
 )
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -22,27 +22,29 @@
 	maxProbeInterval     = time.Minute
 )
 
-// Config holds a node's identity in its fleet, its addresses and its gossip settings.
+// Config holds a node's identity in its fleet, its addresses and its gossip settings. The file at KeyFile holds one key
+// of 16, 24 or 32 bytes per line, in base64: the first encrypts, and all can decrypt.
 type Config struct {
 	Name, Zone, Version string
 
 	Bind          string        // host:port for datagrams and streams; the host is an IP address
-	Advertise     string        // host:port under which others reach this node; empty for Bind
+	Advertise     string        // host:port under which others reach this node; if empty, Bind is used
 	Join          []string      // host:port of the seeds, from which this node learns of the other members
 	Label         string        // name of the fleet; packets with another label are dropped
-	KeyFile       string        // base64 keys of 16, 24 or 32 bytes, one per line; the first encrypts; empty: none
-	AllowedCIDRs  []string      // networks that members must be in; empty for any
-	ProbeInterval time.Duration // between two probes sent by this node; 0 for 200 ms
+	KeyFile       string        // path of a file with keys; if empty, packets are not encrypted
+	AllowedCIDRs  []string      // networks that members must be in; if empty, any are allowed
+	ProbeInterval time.Duration // between two probes sent by this node; 0 means 200 ms
 
 	// OnProbe is called with the round-trip time of each answered probe, from memberlist's probe goroutine, and must not
 	// block. It may be nil.
 	OnProbe func(roundTrip time.Duration)
 
-	newTransport func() (memberlist.NodeAwareTransport, error) // nil for sockets
-	now          func() time.Time                              // nil for time.Now
+	newTransport func() (memberlist.NodeAwareTransport, error) // if nil, UDP and TCP sockets are used
+	now          func() time.Time                              // if nil, time.Now is used
 }
 
-// Equal reports whether two configurations give the same membership. It ignores OnProbe and Version.
+// Equal reports whether a node can keep its running membership if its configuration changes from c to o. It ignores
+// OnProbe, and Version, because a running program's version doesn't change.
 func (c Config) Equal(o Config) bool {
 	return c.Name == o.Name && c.Zone == o.Zone && c.Bind == o.Bind && c.Advertise == o.Advertise &&
 		slices.Equal(c.Join, o.Join) && c.Label == o.Label && c.KeyFile == o.KeyFile &&
@@ -113,7 +115,8 @@
 	return !isLetterOrDigit && !strings.ContainsRune("._-", r)
 }
 
-// parseAddress parses "IP:port". Host names are not resolved: gossip must not depend on DNS.
+// parseAddress parses "IP:port". It rejects host names, because gossip must not depend on DNS, but only after
+// net.ResolveUDPAddr has looked them up.
 func parseAddress(address string) (net.IP, int, error) {
 	addr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil || addr.IP == nil || addr.Port == 0 || net.ParseIP(hostOf(address)) == nil {
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -8,7 +8,7 @@
 )
 
 // delegate implements memberlist's callbacks. Several goroutines of memberlist call them, mostly with memberlist's lock
-// held, so none of them blocks or calls memberlist; such work runs in a background goroutine.
+// held. The callbacks therefore don't block or call memberlist, but start a background goroutine for such work.
 type delegate struct{ agent *Agent }
 
 var (
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -19,9 +19,9 @@
 	lossyExchangeMultiplier   = 3                     // multiplies that interval while loss is high: see take
 )
 
-// joinAndExchange joins one absent peer, which is a dead member or a seed: gossip alone can't merge two parts of a fleet
-// that were partitioned or started separately. When an exchange is due, it also exchanges full states with a present
-// member, since an update may have missed some members.
+// joinAndExchange joins one absent peer, a dead member or a seed, because gossip alone can't merge two parts of a fleet
+// that were partitioned or started separately. If an exchange is due, it also exchanges full states with a present
+// member, because an update may have missed some members.
 func (a *Agent) joinAndExchange(list *memberlist.Memberlist) {
 	own := list.LocalNode().FullAddress().Addr
 	present, absent := a.members.peerAddresses(own)
@@ -50,7 +50,7 @@
 	mu          sync.Mutex
 	changedAt   time.Time // latest change of a member's state or incarnation
 	exchangedAt time.Time
-	remaining   int // exchanges left for that change
+	remaining   int // exchanges left for the latest change
 }
 
 func (s *exchangeSchedule) membersChanged(now time.Time) {
@@ -60,8 +60,8 @@
 }
 
 // take reports whether an exchange is due now, and if so counts it as done. While loss is high, exchanges continue after
-// those for the latest change. The first call after an exchange then requires the longer interval, but later calls only
-// the usual one: a known fault, listed under "Open" in docs/membership.md.
+// those for the latest change. They have a known fault, listed under "Open" in docs/membership.md: the first call after
+// an exchange requires the longer interval, but later calls only the usual one.
 func (s *exchangeSchedule) take(now time.Time, peers int, lossIsHigh bool) bool {
 	interval := minExchangeInterval + time.Duration(peers)*exchangeIntervalPerMember
 	interval = interval/2 + rand.N(interval)
--- a/internal/membership/join_test.go
+++ b/internal/membership/join_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// countExchanges returns the number of exchanges that a schedule allows in a period, when asked ten times per second.
+// countExchanges calls take ten times per second for a period, and returns the number of exchanges that were due.
 func countExchanges(s *exchangeSchedule, now *time.Time, period time.Duration, peers int, lossIsHigh bool) (taken int) {
 	for end := now.Add(period); now.Before(end); *now = now.Add(100 * time.Millisecond) {
 		if s.take(*now, peers, lossIsHigh) {
@@ -16,7 +16,7 @@
 }
 
 func TestExchangeSchedule(t *testing.T) {
-	const peers = 40 // an interval takes 2 to 6 s
+	const peers = 40 // an interval is 2 to 6 s long
 	now := time.Unix(1000, 0)
 	var s exchangeSchedule
 	if n := countExchanges(&s, &now, time.Minute, peers, false); n != 0 {
--- a/internal/membership/logging_test.go
+++ b/internal/membership/logging_test.go
@@ -13,7 +13,7 @@
 	return newLimitedLog(slog.New(slog.NewTextHandler(out, nil)), func() time.Time { return *now })
 }
 
-// Lines that differ only in names and numbers are of the same kind, which is written once per logInterval.
+// Lines that differ only in an address are of the same kind. One line of each kind is written per logInterval.
 func TestLogLinesOfOneKindAreRateLimited(t *testing.T) {
 	var out strings.Builder
 	now := time.Unix(0, 0)
@@ -49,12 +49,12 @@
 		l.log(slog.LevelWarn, fmt.Sprint("kind ", i))
 	}
 	if n := strings.Count(out.String(), "\n"); n != maxLogKinds+1 {
-		t.Errorf("got %d lines of %d kinds, want %d", n, 2*maxLogKinds, maxLogKinds+1)
+		t.Errorf("written lines: got %d for %d kinds, want %d", n, 2*maxLogKinds, maxLogKinds+1)
 	}
 }
 
 // On-call runbooks and tests with real processes match the beginning of this log line.
-func TestMemberStateChangeHasAStableLogLine(t *testing.T) {
+func TestMemberStateChangeLogFormat(t *testing.T) {
 	var out strings.Builder
 	now := time.Unix(0, 0)
 	l := newTestLog(&out, &now)
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// leftRetention and deadRetention are the minimum times that absent members stay in the view. They are removed at
-	// the first change after that.
+	// leftRetention and deadRetention are the times for which members that left or died stay in the view. Such members
+	// are removed at the first change after that time.
 	leftRetention = 5 * time.Minute
 	deadRetention = time.Hour
 	// maxMembers limits the members of the table. Above it, the members absent for longest are dropped. Present members
-	// are never dropped, even if they alone exceed it.
+	// are never dropped, even if they alone exceed the limit.
 	maxMembers = 4096
 )
 
@@ -87,7 +87,8 @@
 	return present, dead
 }
 
-// update stores a member reported by gossip and returns whether its state or incarnation changed.
+// update stores a member reported by gossip and returns whether its state or incarnation changed. If the table is full,
+// update ignores a new member that is absent.
 func (t *memberTable) update(m Member) (transitioned bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/membership/member_table_test.go
+++ b/internal/membership/member_table_test.go
@@ -53,7 +53,7 @@
 				t.Errorf("member: got %+v, want state %s and Since changed only by a transition", m, c.wantState)
 			}
 			if reported := len(*transitions) == 2; reported != c.transitioned {
-				t.Errorf("transitions reported, including the first update: got %v", *transitions)
+				t.Errorf("transitions reported: got %v, want that of the first update, and a second one only if the state or incarnation changed", *transitions)
 			}
 		})
 	}
@@ -119,7 +119,7 @@
 		now = now.Add(c.after)
 		table.update(Member{Name: "n2", State: Alive}) // members expire only on changes
 		if got := len(table.view().Members) - 1; got != c.want {
-			t.Errorf("member %s for %v: got %d such members, want %d", c.state, c.after, got, c.want)
+			t.Errorf("member that was %s for %v: got %d such members in the view, want %d", c.state, c.after, got, c.want)
 		}
 	}
 }
--- a/internal/membership/memberlist_log.go
+++ b/internal/membership/memberlist_log.go
@@ -16,7 +16,8 @@
 
 func (l *memberlistLog) logger() *log.Logger { return log.New(l, "", 0) }
 
-// levelPrefixes maps memberlist's level prefixes to levels. Its errors become warnings, as requests are still served.
+// levelPrefixes maps memberlist's level prefixes to levels. An error of memberlist becomes a warning, as requests are
+// still served.
 var levelPrefixes = []struct {
 	prefix string
 	level  slog.Level
@@ -49,7 +50,8 @@
 
 const maxKindFields = 5
 
-// kindOfLine returns the first fields of a line that contain no digits and don't look like addresses or values.
+// kindOfLine returns the first maxKindFields fields of a line, without those that contain digits or look like addresses
+// or values.
 func kindOfLine(line string) string {
 	var kind []string
 	for field := range strings.FieldsSeq(line) {
--- a/internal/membership/memberlist_log_test.go
+++ b/internal/membership/memberlist_log_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestMemberlistLinesKeepTheirLevel(t *testing.T) {
+func TestOnlyMemberlistProblemsAreLogged(t *testing.T) {
 	for _, c := range []struct {
 		line, want string
 	}{
@@ -21,7 +21,7 @@
 		w := &memberlistLog{limited: newTestLog(&out, &now), onEvent: func(logEvent, string) {}}
 		w.logger().Print(c.line)
 		if got := out.String(); c.want == "" && got != "" || !strings.Contains(got, c.want) {
-			t.Errorf("log output for %q: got %q, want %q", c.line, got, c.want)
+			t.Errorf("log output for %q: got %q, want it to contain %q, or no output if that is empty", c.line, got, c.want)
 		}
 	}
 }
--- a/internal/membership/name_conflict.go
+++ b/internal/membership/name_conflict.go
@@ -11,7 +11,7 @@
 
 // NotifyAlive is called for each alive message about a member. A message with this node's name and address and a higher
 // incarnation comes from an earlier process whose clock was ahead or, after a cancelled hot restart, from the successor
-// that has exited. This process then takes an incarnation above it.
+// that has exited. This process then takes an incarnation above the message's.
 func (d delegate) NotifyAlive(n *memberlist.Node) error {
 	a := d.agent
 	if n.Name != a.config.Name {
@@ -19,7 +19,7 @@
 	}
 	m, err := decodeMetadata(n.Meta)
 	if err != nil {
-		return nil // on an error memberlist would drop the message
+		return nil // if NotifyAlive returned an error, memberlist would drop the message
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/membership/probe_loss.go
+++ b/internal/membership/probe_loss.go
@@ -11,10 +11,9 @@
 	duplicateDelay   = 10 * time.Millisecond // between the copies, because losses come in bursts
 )
 
-// probeLoss estimates the fraction of this node's direct probes that go unanswered, and sends the transport's datagrams,
-// since duplication depends only on that estimate. While the loss is high, each datagram is sent twice: more losses at
-// once are then needed to fail a probe, and a refutation arrives before the suspicion times out. Its methods may be
-// called from any goroutine.
+// probeLoss estimates the fraction of this node's direct probes that go unanswered. It also sends the transport's
+// datagrams, each of them twice while the estimate is high. A probe then fails only if more datagrams are lost at once,
+// and a refutation arrives before the suspicion times out. The methods may be called from any goroutine.
 type probeLoss struct {
 	mu   sync.Mutex
 	rate float64 // moving average of lost (1) and answered (0) probes
--- a/internal/membership/probe_loss_test.go
+++ b/internal/membership/probe_loss_test.go
@@ -57,7 +57,7 @@
 		copy(datagram, "two")
 		time.Sleep(2 * duplicateDelay)
 		if sent := sentSoFar(); len(sent) != 3 || string(sent[2]) != "one" {
-			t.Errorf("datagrams sent in total: got %q, want 3 with equal content", sent)
+			t.Errorf("datagrams sent in total: got %q, want 3, the last with its original content", sent)
 		}
 	})
 }
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -16,7 +16,7 @@
 	maxQueuedDatagrams = 64                    // between the socket and memberlist
 	maxInboundStreams  = 12                    // open at a time; further ones are closed, and their senders retry
 	maxOutboundStreams = 4                     // opened by memberlist at a time
-	acceptRetryDelay   = 50 * time.Millisecond // when descriptors run short, leaves them to clients
+	acceptRetryDelay   = 50 * time.Millisecond // after a failed accept: if descriptors run short, they are left to clients
 	listenerCount      = 2                     // one for datagrams, one for streams
 )
 
@@ -25,7 +25,7 @@
 
 // transport implements memberlist.NodeAwareTransport. It differs from memberlist's own transport in three ways: outbound
 // streams use the bound IP as their source, so that peers can identify the sender; a datagram occupies only its own size
-// in memory, not 64 KiB; and it counts bytes. memberlist calls its methods from any of its goroutines.
+// in memory, not 64 KiB; and the transport counts bytes. Several goroutines of memberlist call its methods.
 type transport struct {
 	bindIP    net.IP
 	advertise *net.UDPAddr
--- a/internal/membership/view.go
+++ b/internal/membership/view.go
@@ -26,7 +26,7 @@
 	Address     string // host:port
 	Zone        string
 	Version     string // of the program
-	Incarnation uint64 // of the process; the higher of two processes with the same name is the member
+	Incarnation uint64 // of the process; of two processes with the same name, the one with the higher value is the member
 	State       State
 	Since       time.Time // when State or Incarnation last changed; a correction from Dead to Left doesn't count
 
--- a/internal/membership/wire_test.go
+++ b/internal/membership/wire_test.go
@@ -108,7 +108,7 @@
 	checkGolden(t, "payloads.hex", lines)
 }
 
-// The user messages in the golden file take effect when received.
+// The user messages in the golden file take effect when received. A message with an earlier incarnation has no effect.
 func TestGoldenUserMessagesTakeEffect(t *testing.T) {
 	written := readGolden(t, "messages.hex")
 	a, err := New(Config{Name: "self", Bind: "10.0.0.1:7946"})
@@ -133,8 +133,7 @@
 	}
 }
 
-// State names appear in the JSON of the admin address, and field names in the errors that operators read about a deploy
-// file.
+// State names appear in the JSON of the admin address. Field names appear in errors about a node's configuration file.
 func TestNamesMatchGoldenFile(t *testing.T) {
 	raw, err := json.Marshal([]State{Alive, Suspect, Left, Dead})
 	if err != nil {
--- a/internal/subset/circle.go
+++ b/internal/subset/circle.go
@@ -8,10 +8,11 @@
 
 // circle holds servers in such an order that each run of consecutive servers, starting at a client's point, is a subset.
 //
-// The bits of a slot's key divide the servers into halves of the circle, quarters and so on, like a binary tree, down to
-// cells that hold a few subsets. A cell spaces its servers evenly and interleaves their zones. A change of a server thus
-// moves servers only within its cell, and the cells stay in place while the tree is roughly balanced, which it is while
-// the slots in use are roughly consecutive. Where the tree is unbalanced, the lengths of the halves follow their counts.
+// Each slot has a key: see member.key. The bits of the keys divide the servers into halves of the circle, quarters and so
+// on, like a binary tree, down to cells that hold a few subsets. A cell spaces its servers evenly and interleaves their
+// zones, so a change of a server moves servers only within its cell. The cells stay in place while the tree is roughly
+// balanced, that is, while the slots in use are roughly consecutive. Where the tree is unbalanced, the lengths of the
+// halves follow their numbers of servers.
 type circle struct {
 	servers []member
 	cells   []cell
@@ -40,7 +41,8 @@
 	// but move more clients when one of their servers changes.
 	maxSubsetsPerCell = 4
 
-	// minCellLimit is the number of servers that a cell may hold however small the subsets are.
+	// minCellLimit is the number of servers that a cell may hold even if subsets are smaller than
+	// minCellLimit/maxSubsetsPerCell.
 	minCellLimit = 64
 
 	// The halves of an arc with count servers get the same length if their counts differ by at most
@@ -87,8 +89,8 @@
 	c.divide(first+lower, end, depth+1, start+lowerLength, length-lowerLength, maxCellSize)
 }
 
-// lowerHalfWeight returns the length of the lower half of an arc with count servers, of which it holds lower, in units of
-// 1/(2*count) of the arc's length.
+// lowerHalfWeight returns the length of the lower half of an arc, in units of 1/(2*count) of the arc's length. The arc
+// holds count servers, and its lower half holds the number lower of them.
 func lowerHalfWeight(lower, count int) uint64 {
 	tolerated := toleratedImbalance + count/imbalanceDivisor
 	switch imbalance := 2*lower - count; {
@@ -116,7 +118,7 @@
 func interleaveZones(servers []member) {
 	type ranked struct {
 		member
-		rank, count int // its rank among the servers of its zone in the cell, and their number
+		rank, count int // rank among the cell's servers of the same zone, and the number of those servers
 	}
 	counts := make(map[int]int)
 	order := make([]ranked, len(servers))
--- a/internal/subset/client.go
+++ b/internal/subset/client.go
@@ -27,7 +27,7 @@
 
 // clientPoint returns the client's point on the circle, in units of 2^-64 of the circle. The lowest bit of the position
 // selects the half of the circle, the next bit the quarter and so on (the van der Corput sequence), down to client
-// cells of at most maxCellSize clients, which are spaced evenly.
+// cells of at most maxCellSize clients. Within a client cell, the clients are spaced evenly.
 func clientPoint(client Client, maxCellSize uint64) uint64 {
 	count, position := uint64(client.Count), uint64(client.Position)
 	var depth uint
--- a/internal/subset/compare_test.go
+++ b/internal/subset/compare_test.go
@@ -13,8 +13,8 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// algorithm is a way to choose subsets. Except for this package, they are implemented from published descriptions, only
-// for the comparison.
+// algorithm is a way to choose subsets. The other algorithms than this package's are implemented here from published
+// descriptions, for the comparison alone.
 type algorithm struct {
 	name   string
 	assign func(fleet) assignment
@@ -95,7 +95,7 @@
 }
 
 // aperture spaces clients and servers evenly on a ring; a client takes the servers that follow its point. The published
-// version weights the first and the last server by the part covered; here all servers count 1/size.
+// version weights the first and the last server by the part that the client's arc covers; here all servers count 1/size.
 func aperture(f fleet) assignment {
 	slots := slotsOf(f)
 	slices.SortFunc(slots, func(a, b int) int { return cmp.Compare(hash(a), hash(b)) })
@@ -144,7 +144,7 @@
 	return result
 }
 
-// assignRuns gives each client a run of servers from firstOf(position) on, in the order of slots.
+// assignRuns gives each client consecutive servers in the order of slots, starting at index firstOf(position).
 func assignRuns(f fleet, slots []int, firstOf func(position int) int) assignment {
 	result := make(assignment, f.clients)
 	for position := range result {
@@ -156,7 +156,7 @@
 	return result
 }
 
-// moveRatios holds the moved pairs divided by the minimum possible, for each kind of change.
+// moveRatios holds, for each kind of change, the number of moved client-server pairs divided by the minimum possible.
 type moveRatios struct {
 	added, removed, replaced, client float64
 }
@@ -165,8 +165,8 @@
 	return []float64{t.added, t.removed, t.replaced, t.client}
 }
 
-// measureChanges applies each kind of change to the same fleet and returns the moves. It tries changes of servers several
-// times.
+// measureChanges applies each kind of change to the same fleet and returns the ratios of moved pairs. Changes of servers
+// are tried for several servers, and the ratio is that of the sums.
 func measureChanges(assign func(fleet) assignment, f fleet) moveRatios {
 	const trials = 3
 	random := rand.New(rand.NewPCG(1, 1))
@@ -203,8 +203,8 @@
 
 // TestCompare checks the comparison in docs/subsetting.md: if a server has at least ten clients and no zone dominates,
 // only this package keeps loads within 1.1 times the even load, moves at most maxMoveRatio times the minimum at each
-// change, and leaves no subset in a single zone where there are several. With -v it prints the table of that page, with
-// larger rows.
+// change, and leaves no subset in a single zone where there are several zones. With -v it prints the table of that page,
+// which also has rows that are not checked.
 func TestCompare(t *testing.T) {
 	const maxMoveRatio = 20
 	checkedRows := []fleetRow{
@@ -284,7 +284,7 @@
 				loadLimit = 1.2
 			}
 			if number < len(even) && total.maxLoad > loadLimit+1e-9 {
-				t.Errorf("%d%% of slots missing, zones %s: maximum load: got %.3f of even, want at most 1.1 (1.2 at 50%%)",
+				t.Errorf("%d%% of slots missing, zones %s: maximum load: got %.3f times the even load, want at most 1.1 (1.2 if 50%% are missing)",
 					missing, zones.name, total.maxLoad)
 			}
 			printed.AppendRow(table.Row{fmt.Sprintf("%d%%; %s", missing, zones.name), total.fleets, total.overloaded,
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -20,8 +20,8 @@
 }
 
 const (
-	// minOutsideMean is the mean number of servers outside of the largest zone in a subset below which that zone gets a
-	// circle of its own.
+	// If runs over all servers would contain, on average, fewer than minOutsideMean servers outside of the largest zone,
+	// that zone dominates and gets a circle of its own.
 	minOutsideMean = 4
 
 	// outsideDivisor sets the minimum number of servers outside of a zone in each subset: 1/outsideDivisor of the number
@@ -160,8 +160,8 @@
 	return count
 }
 
-// spanZones replaces the surplus servers of one zone in chosen, the run that starts at first, with the next servers of
-// other zones.
+// spanZones replaces servers in chosen, the run that starts at first. If one zone has too many of them, servers of other
+// zones that follow the run take the place of the surplus.
 func (ring *Ring) spanZones(chosen []member, first int) {
 	counts := make([]int, len(ring.zoneCounts))
 	for _, server := range chosen {
@@ -186,8 +186,8 @@
 	return min(max(1, ring.size*outside/(outsideDivisor*total)), ring.size/2)
 }
 
-// replaceSurplus replaces the last surplus servers of the zone in chosen with servers of other zones, starting at index
-// next.
+// replaceSurplus replaces servers of the zone in chosen, from the end and surplus in number, with servers of other zones
+// at index next or later.
 func (ring *Ring) replaceSurplus(chosen []member, next, zone, surplus int) {
 	servers := ring.servers.servers
 	for i := len(chosen) - 1; surplus > 0; i-- {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -144,7 +144,7 @@
 				got := measure(f, ringAssignment(f))
 				wantClients := 9 * each.clients * each.size / (10 * each.servers)
 				if got.maxLoad > 1.1+1e-9 || got.minClients < wantClients {
-					t.Errorf("%d servers, %d%% of slots missing, zones %s, %d clients, size %d: loads %.3f to %.3f of even (at most 1.1), or too few clients",
+					t.Errorf("%d servers, %d%% of slots missing, zones %s, %d clients, size %d: got loads of %.3f to %.3f times the even load, want at most 1.1, and for each server at least 0.9 times the mean number of clients, rounded down",
 						each.servers, missing, zones.name, each.clients, each.size, got.minLoad, got.maxLoad)
 				}
 			}
@@ -205,7 +205,7 @@
 	}
 	got := measure(f, ringAssignment(f))
 	if got.maxLoad > maxSpanLoad*1.1 {
-		t.Errorf("maximum load of the small zone's two servers: got %.2f times the even load, want at most 1.1*maxSpanLoad",
+		t.Errorf("maximum load in a fleet with a zone of two servers: got %.2f times the even load, want at most 1.1*maxSpanLoad",
 			got.maxLoad)
 	}
 	if got.singleZoneClients == f.clients {
@@ -290,8 +290,8 @@
 	}
 }
 
-// TestLostZone simulates the loss of one of three zones: loads are even afterwards, no subset loses more than its stated
-// fraction, and few other pairs move.
+// TestLostZone simulates the loss of one of three zones. Each subset keeps at least 2/(3*outsideDivisor) of its servers
+// whichever zone is lost, loads are even after the loss, and at most twice as many pairs move as are lost.
 func TestLostZone(t *testing.T) {
 	for _, zones := range []layout{inTurn(3), inBlocks(3), atRandom(3)} {
 		f := newFleet(900, 600, 20, 0, zones, 1)
