--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -14,9 +14,9 @@
 	joinInterval = time.Second // mean time between attempts to join an absent peer; each interval varies by up to half of it
 
 	exchangesAfterChange      = 2                     // push/pull exchanges after the latest change of the members
-	minExchangeInterval       = 2 * time.Second       // mean interval between two exchanges,
-	exchangeIntervalPerMember = 50 * time.Millisecond // plus this for each peer, since states grow with the fleet
-	lossyExchangeMultiplier   = 3                     // multiplies that interval while loss is high: see take
+	minExchangeInterval       = 2 * time.Second       // base of the mean interval between two exchanges
+	exchangeIntervalPerMember = 50 * time.Millisecond // added to the base for each peer, since states grow with the fleet
+	lossyExchangeMultiplier   = 3                     // multiplies the mean interval while loss is high: see take
 )
 
 // joinAndExchange joins one absent peer, a dead member or a seed, because gossip alone can't merge two parts of a fleet
@@ -60,8 +60,8 @@
 }
 
 // take reports whether an exchange is due now, and if so counts it as done. While loss is high, exchanges continue after
-// those for the latest change. They have a known fault, listed under "Open" in docs/membership.md: the first call after
-// an exchange requires the longer interval, but later calls only the usual one.
+// those for the latest change. take has a known fault then, listed under "Open" in docs/membership.md: the first call
+// after an exchange requires the longer interval, but later calls only the usual one.
 func (s *exchangeSchedule) take(now time.Time, peers int, lossIsHigh bool) bool {
 	interval := minExchangeInterval + time.Duration(peers)*exchangeIntervalPerMember
 	interval = interval/2 + rand.N(interval)
--- a/internal/membership/protocol.go
+++ b/internal/membership/protocol.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Parameters of SWIM and Lifeguard. Together they make probes tolerate a round trip, a pause of a third of a second and
-// lost datagrams, and make a failure known within two seconds.
+// Parameters of SWIM and Lifeguard. Together they let probes tolerate a round trip, a pause of a third of a second and
+// lost datagrams. A failure is known within two seconds.
 const (
 	directProbeDivisor = 2 // a direct probe times out after probe interval / this; indirect probes use the rest
 
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -87,6 +87,6 @@
 // Result is the outcome of a command.
 type Result struct {
 	Code     ResultCode `cbor:"1,keyasint,omitempty"`
-	Instance Instance   `cbor:"2,keyasint"` // after the command; as it was if the command removed or rejected it
+	Instance Instance   `cbor:"2,keyasint"` // after the command; for DeregisterInstance, before it
 	Revision int64      `cbor:"3,keyasint"` // of the Store after the command
 }
--- a/internal/registry/watchable_store.go
+++ b/internal/registry/watchable_store.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	notifyDelay     = 20 * time.Millisecond // from a change to the wake-up of the watches, which covers later changes too
+	notifyDelay     = 20 * time.Millisecond // after a change, so that watches wake once for several changes
 	maxEncodedLists = 256                   // bounded because callers choose the revisions
 )
 
