--- a/internal/membership/protocol.go
+++ b/internal/membership/protocol.go
@@ -8,14 +8,14 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// Parameters of SWIM and Lifeguard. Together they make probes tolerate a round trip, a pause of a third of a second and
-// lost datagrams, and make a failure known within two seconds.
+// Parameters of SWIM and Lifeguard. Together they let probes tolerate a round trip, a pause of a third of a second and
+// lost datagrams. A failure is known within two seconds.
 const (
 	directProbeDivisor = 2 // a direct probe times out after probe interval / this; indirect probes use the rest
 
 	gossipInterval     = 100 * time.Millisecond // between gossip rounds while there are updates to send
 	gossipFanout       = 3                      // members that receive the updates in each round
-	gossipToDeadPeriod = time.Minute            // a dead member still receives updates, so that it can refute
+	gossipToDeadPeriod = time.Minute            // a dead member still receives updates for this long, so that it can refute
 
 	suspicionMultiplier           = 4 // minimum timeout: this * log10(members) probe intervals
 	suspicionMaxTimeoutMultiplier = 5 // maximum timeout, while no member confirms: this * the minimum
