--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -47,7 +47,7 @@
 	defer stopProfile()
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	listeners, err := node.Listen(context.WithoutCancel(ctx), c) // a signal during Listen is left to Run
+	listeners, err := node.Listen(context.WithoutCancel(ctx), c) // Run handles a signal that arrives during Listen
 	if err != nil {
 		return err
 	}
@@ -78,8 +78,8 @@
 	}, nil
 }
 
-// reloadOnHangup reloads the configuration at each signal until ctx ends. A reloaded file must have the keys of the last
-// accepted one.
+// reloadOnHangup reloads the configuration at each signal until ctx ends. A reloaded file is rejected if it
+// lacks a key of the last accepted one.
 func reloadOnHangup(ctx context.Context, c config.Config, hangups <-chan os.Signal, changes chan<- node.Change) {
 	for {
 		select {
--- a/cmd/sloerail-node/main_test.go
+++ b/cmd/sloerail-node/main_test.go
@@ -27,7 +27,8 @@
 	}
 }
 
-// newBlockingRegistry starts a registry that holds each call until the caller disconnects, and signals it on called.
+// newBlockingRegistry starts a registry that holds each call until the caller disconnects. The channel called gets a value
+// for each call.
 func newBlockingRegistry(t *testing.T) (addr string, called <-chan struct{}) {
 	t.Helper()
 	calls := make(chan struct{}, 100)
@@ -40,7 +41,7 @@
 }
 
 // On SIGHUP the node takes the discovery address from the changed file, even if ROUTER_DISCOVERY names the old one. An
-// invalid file changes nothing. Neither file ends the node.
+// invalid file changes nothing. The node keeps running after both reloads.
 func TestHangupChangesDiscoveryAddress(t *testing.T) {
 	oldAddr, oldCalled := newBlockingRegistry(t)
 	newAddr, newCalled := newBlockingRegistry(t)
@@ -80,7 +81,7 @@
 }
 
 // A control address that can't be bound fails the start with an error of one line.
-func TestControlAddressInUse(t *testing.T) {
+func TestUnusableControlAddressFailsStart(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/sloerail-node/process_test.go
+++ b/cmd/sloerail-node/process_test.go
@@ -21,7 +21,8 @@
 	"sloerail/internal/node/nodetest"
 )
 
-// The tests of this file run the node in a process of its own, with the descriptor limit that its configuration names.
+// The tests of this file run the node in a process of its own. The descriptor limit of the process is the one in the
+// node's configuration.
 
 // socketLimitVariable is the environment variable that makes the test program run as a node with this descriptor limit.
 const socketLimitVariable = "WAYHOLD_TEST_SOCKETS"
@@ -151,7 +152,8 @@
 	return resp.StatusCode, err
 }
 
-// sendRequests sends requests over one connection until ctx ends, and signals each 200 response on served.
+// sendRequests sends requests over one connection until ctx ends, and signals each 200 response on served if a
+// receiver waits.
 func (p *process) sendRequests(ctx context.Context, served chan<- struct{}) {
 	client := &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}
 	defer client.CloseIdleConnections()
@@ -201,8 +203,8 @@
 	}
 }
 
-// Idle clients that use up the descriptors while the list service is down leave one for the call to the service when it
-// is back, and those for connections to servers.
+// While the list service is down, idle clients use up the descriptors that are available to clients. The node keeps a
+// descriptor for calling the list service when it is back, and descriptors for connections to servers.
 func TestIdleClientsLeaveDescriptors(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Connection", "close") // so that each request needs a new descriptor
@@ -232,7 +234,7 @@
 		maxOpen = max(maxOpen, len(open))
 	}
 	if maxOpen < sockets/2 {
-		t.Errorf("node held at most %d descriptors: too few to test that they run out", maxOpen)
+		t.Errorf("descriptors held by the node: got at most %d, want at least half of its limit, or the test shows nothing", maxOpen)
 	}
 	called := make(chan struct{}, 1000)
 	l, err := net.Listen("tcp", discovery)
@@ -256,7 +258,8 @@
 	}
 }
 
-// A process that is restarted after a kill becomes ready within readyTimeout, whatever the list service does.
+// A process that is restarted after a kill becomes ready within readyTimeout, whatever the list service does. One
+// restart in ten may take longer.
 func TestRestartedProcessIsReady(t *testing.T) {
 	const restarts, readyTimeout = 10, 10 * time.Second
 	handlers := map[string]http.HandlerFunc{
@@ -284,7 +287,7 @@
 				p.kill()
 			}
 			if late > restarts/10 {
-				t.Errorf("%d of %d restarted processes were not ready within %v", late, restarts, readyTimeout)
+				t.Errorf("%d of %d restarted processes were not ready within %v, want at most one in ten", late, restarts, readyTimeout)
 			}
 		})
 	}
--- a/cmd/sloerail-node/versions_test.go
+++ b/cmd/sloerail-node/versions_test.go
@@ -26,7 +26,7 @@
 
 const (
 	versionsTestServers = 3
-	// retriedPrefix begins the ids of requests that the first server may fail, so that they are retried.
+	// retriedPrefix is the prefix of the IDs of requests that may be retried: the first server fails some GET requests with it.
 	retriedPrefix = "retried"
 )
 
@@ -167,7 +167,7 @@
 	return func() { cancel(); clients.Wait() }
 }
 
-// awaitServed waits for n more requests to end.
+// awaitServed waits until n more requests have ended, with any status.
 func (v *versionsTest) awaitServed(n int64) {
 	v.Helper()
 	start := v.served.Load()
@@ -236,8 +236,8 @@
 	return map[string][]string{"other, this, other": {other, this, other}, "this, other, this": {this, other, this}}
 }
 
-// Under load a process is replaced by one of another version, and that one by the first version again: each request is
-// answered, and none runs twice.
+// Under load a process is replaced by one of another version, and that one by the first version again. Each request
+// gets a 200 response, and no POST request reaches a server twice.
 func TestHandOverBetweenVersionsUnderLoad(t *testing.T) {
 	for name, programs := range programSequences(t) {
 		t.Run(name, func(t *testing.T) {
@@ -315,7 +315,7 @@
 		}
 	}
 	if len(before.Servers) != versionsTestServers {
-		v.Errorf("servers in the predecessor's state: got %d, want all of the test", len(before.Servers))
+		v.Errorf("servers in the predecessor's state: got %d, want one for each server of the test", len(before.Servers))
 	}
 	v.checkTimes("accepted requests", before.Took, after.Took)
 	v.checkTimes("retries", before.Extra, after.Extra)
@@ -323,8 +323,8 @@
 		after.tokens("tiny"), after.Servers, len(after.Took), len(before.Took), len(after.Extra), len(before.Extra))
 }
 
-// checkTimes compares the times of the retry budget, which are relative to the time at which a state is written. Old
-// ones may have left the budget's window in between.
+// checkTimes compares the times of the retry budget in two states. Each state has times relative to when it was written,
+// so that all times shift by the same amount. The oldest times may have left the budget's window in between.
 func (v *versionsTest) checkTimes(what string, before, after []int64) {
 	v.Helper()
 	if len(after) == 0 || len(after) > len(before) {
@@ -335,7 +335,7 @@
 	elapsed := before[0] - after[0]
 	for i := range after {
 		if before[i]-after[i] != elapsed || elapsed <= 0 {
-			v.Errorf("%s: time %d: got %d, was %d; want all shifted by the same positive amount as the first, %d",
+			v.Errorf("%s: time %d: got %d, was %d; want all times shifted by the same positive amount; the first one is shifted by %d",
 				what, i, after[i], before[i], elapsed)
 			return
 		}
--- a/cmd/sloerail-simadapter/main.go
+++ b/cmd/sloerail-simadapter/main.go
@@ -44,7 +44,7 @@
 	balancers map[int]*policy.Balancer // by node
 	now       policy.Time              // time of the current batch
 	inBatch   bool
-	reply     []byte // to the current batch so far
+	reply     []byte // lines of the reply to the current batch so far
 }
 
 // serve replies to batches until the input ends. Errors contain the line number.
--- a/cmd/sloerail-simadapter/main_test.go
+++ b/cmd/sloerail-simadapter/main_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// An instance replies in the same way in a process of its own and in one that it shares.
+// An instance gives the same replies whether it is alone in its process or shares it with another instance.
 func TestInstancesAreIndependent(t *testing.T) {
 	run := func(nodes ...string) string {
 		l := []string{`["mark",1]`, listMessage}
--- a/cmd/sloerail/experiment.go
+++ b/cmd/sloerail/experiment.go
@@ -17,7 +17,7 @@
 var errOutOfBounds = errors.New("a measure is out of its bounds, or a rule was broken")
 
 func newExperiment() *cobra.Command {
-	cmd := &cobra.Command{Use: "experiment", Short: "Run experiments on the decision module: many seeds, in virtual time"}
+	cmd := &cobra.Command{Use: "experiment", Short: "Run experiments on the decision module, in virtual time and with many seeds"}
 	cmd.AddCommand(newPairExperiment(), newZonesExperiment())
 	return cmd
 }
@@ -29,9 +29,9 @@
 	cmd := &cobra.Command{
 		Use:   "pair PROGRAM [SCENARIO...]",
 		Short: "Compare this program with another build of it, on the same scenarios and seeds",
-		Long: "Run scenarios with this program and another build of it, on the same seeds, and report the difference of G (the\n" +
-			"fraction of the value served in time: whole run, worst 10 s, worst class), with a 95% interval. Without names,\n" +
-			"run all built-in scenarios. Exit with 1 if this program broke a rule.",
+		Long: "Run scenarios with this program and another build of it, on the same seeds. Report the difference of the score G,\n" +
+			"with a 95% interval. G is the weighted mean of the fraction of the value served in time: whole run, worst 10 s,\n" +
+			"worst class. Without scenarios, run all built-in ones. Exit with 1 if this program broke a rule.",
 		Example: "  sloerail experiment pair /tmp/before/sloerail --seeds 50\n" +
 			"  sloerail experiment pair ./old zone-lost zone-errors --seeds 200 --json",
 		Args: positionalArgs(cobra.MinimumNArgs(1)),
@@ -65,7 +65,7 @@
 	cmd.Flags().Uint64Var(first, "first", 1, "first seed")
 }
 
-// maxSeeds bounds the number of seeds of an experiment.
+// maxSeeds is the maximum number of seeds of an experiment.
 const maxSeeds = 1000
 
 func seedRange(first uint64, count int) (seeds []uint64, err error) {
@@ -104,9 +104,9 @@
 	var asJSON bool
 	cmd := &cobra.Command{
 		Use:   "zones",
-		Short: "Measure how zones are evacuated and restored, compared with evaluating servers one by one",
-		Long: "Measure how zones are evacuated and restored, with nodes that evaluate zones and nodes that evaluate servers\n" +
-			"alone, on the same seeds. Exit with 1 if a measure's mean is out of its bounds, or a rule was broken.",
+		Short: "Compare nodes that evaluate zones with nodes that evaluate only servers",
+		Long: "Measure the effects of failures of zones, with nodes that evaluate zones and with nodes that evaluate only\n" +
+			"servers, on the same seeds. Exit with 1 if a measure's mean is out of its bounds, or a rule was broken.",
 		Example: "  sloerail experiment zones --seeds 10",
 		Args:    positionalArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -138,7 +138,7 @@
 	return nil
 }
 
-// jsonRow is a row as --json prints it. A figure without a value is -1, as JSON has no infinities.
+// jsonRow is a row as --json prints it. Infinite and undefined figures are -1, because JSON has neither.
 type jsonRow struct {
 	Measure string    `json:"measure"`
 	Places  []float64 `json:"places"`
--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -21,8 +21,8 @@
 	"sloerail/internal/simulation"
 )
 
-// TestCommandsAndFlagsAreFrozen pins the interface for scripts: commands, arguments, flags, shorthands and defaults, also
-// hidden aliases.
+// TestCommandsAndFlagsAreFrozen pins the interface for scripts: commands, arguments, flags, shorthands and defaults. This
+// includes hidden commands and flags.
 func TestCommandsAndFlagsAreFrozen(t *testing.T) {
 	var out bytes.Buffer
 	var describe func(cmd *cobra.Command)
@@ -49,7 +49,8 @@
 	golden.Check(t, "commands.txt", out.Bytes())
 }
 
-// serveJSON starts a server that responds with response at path, and with 404 elsewhere. It returns its address.
+// serveJSON starts a server and returns the server's address. The server returns the given response for path, and status
+// 404 for other paths.
 func serveJSON(t *testing.T, path string, response any) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/sloerail/main.go
+++ b/cmd/sloerail/main.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// positionalArgs marks the errors of a check of arguments as errUsage.
+// positionalArgs wraps a check of positional arguments, so that its errors count as errUsage.
 func positionalArgs(check cobra.PositionalArgs) cobra.PositionalArgs {
 	return func(cmd *cobra.Command, args []string) error {
 		if err := check(cmd, args); err != nil {
--- a/cmd/sloerail/main_test.go
+++ b/cmd/sloerail/main_test.go
@@ -13,7 +13,8 @@
 	"sloerail/internal/node"
 )
 
-// serveFleetView starts a server that responds as a node's control address does, and returns its address.
+// serveFleetView starts a server that returns v at /fleet, as a node's control address does. It returns the server's
+// address.
 func serveFleetView(t *testing.T, v node.FleetView) string {
 	t.Helper()
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -47,8 +48,8 @@
 		status    int
 		out, errs string
 	}{
-		{"members " + a + " " + b, 0, "node n1 reaches 2 nodes, quotas divided by 2", ""},
-		{"members " + a + " " + c, 1, "CUT OFF", "the views differ"},
+		{"members " + a + " " + b, 0, "node n1 reaches 2 nodes, quotas divided among 2 nodes", ""},
+		{"members " + a + " " + c, 1, "PARTITIONED: at most half", "the views differ"},
 		{"members --json " + a, 0, `"state":"alive"`, ""},
 		{"members " + strings.TrimPrefix(noFleet.URL, "http://"), 1, "not part of a fleet", "no view from"},
 		{"members", 2, "", "at least 1 arg"},
--- a/cmd/sloerail/members.go
+++ b/cmd/sloerail/members.go
@@ -20,8 +20,8 @@
 )
 
 const (
-	requestTimeout   = 2 * time.Second // of a request to a control address
-	watchInterval    = time.Second     // between updates of members --watch
+	requestTimeout   = 2 * time.Second // timeout of a request to a control address
+	watchInterval    = time.Second     // time between updates of members --watch
 	maxResponseBytes = 4 << 20
 )
 
@@ -35,8 +35,8 @@
 	cmd := &cobra.Command{
 		Use:   "members ADDR...",
 		Short: "Show the members of the fleet, as seen by the nodes at these control addresses",
-		Long: "Show the members of the fleet, as seen by the nodes at these addresses (control in their configuration). Exit\n" +
-			"with 1 if a node does not respond, or if two views differ in the members that are present.",
+		Long: "Show the members of the fleet, as seen by the nodes at these control addresses (configuration key: control).\n" +
+			"Exit with 1 if a node returns no view, or if two nodes disagree on which members are present.",
 		Example: "  sloerail members 10.0.0.4:9100 10.0.0.5:9100\n  sloerail members 10.0.0.4:9100 --watch\n" +
 			"  sloerail members 10.0.0.4:9100 --json",
 		Args: positionalArgs(cobra.MinimumNArgs(1)),
@@ -62,14 +62,15 @@
 	return cmd
 }
 
-// membersResponse is the response from one address, or the error in its place.
+// membersResponse is the view from one address, or the error if there is none.
 type membersResponse struct {
 	Address string          `json:"address"`
 	View    *node.FleetView `json:"view,omitempty"`
 	Error   string          `json:"error,omitempty"`
 }
 
-// showMembers prints the views of the nodes at all addresses. It returns an error if a view is missing or differs.
+// showMembers prints the views of the nodes at all addresses. It returns an error if a view is missing, or if
+// two views differ.
 func showMembers(ctx context.Context, out io.Writer, addrs []string, asJSON bool) error {
 	responses := make([]membersResponse, len(addrs))
 	forEachAddress(addrs, func(i int, addr string) {
@@ -84,7 +85,7 @@
 	return compareViews(responses)
 }
 
-// compareViews returns an error if views are missing, or differ in the members that are present.
+// compareViews returns an error if a view is missing, or if two views differ in the members that are present.
 func compareViews(responses []membersResponse) error {
 	var failed []string
 	var first *membersResponse
@@ -111,7 +112,7 @@
 			continue
 		}
 		v := r.View
-		p.Printf("%s: node %s reaches %d nodes, quotas divided by %d, view %d%s\n",
+		p.Printf("%s: node %s reaches %d nodes, quotas divided among %d nodes, view revision %d%s\n",
 			r.Address, v.Node, v.Reachable, v.QuotaNodes, v.View, warnings(v))
 		t := newTable(p, "name", "zone", "state", "for", "incarnation", "version", "address")
 		for _, m := range v.Members {
@@ -125,7 +126,7 @@
 
 func warnings(v *node.FleetView) (text string) {
 	if v.Partitioned {
-		text += "; CUT OFF: half of the nodes or fewer are reachable, share of quotas unchanged"
+		text += "; PARTITIONED: at most half of the nodes are reachable; the node keeps its previous share of the quotas"
 	}
 	if v.Superseded {
 		text += "; SUPERSEDED: a later process has the same name"
--- a/cmd/sloerail/registry.go
+++ b/cmd/sloerail/registry.go
@@ -14,7 +14,7 @@
 	"sloerail/internal/registry"
 )
 
-// watchTimeout is how long one watch call waits for a change, before the next call.
+// watchTimeout is how long a watch call waits for a change. After that, the next call starts.
 const watchTimeout = 30 * time.Second
 
 func newRegistry() *cobra.Command {
@@ -47,7 +47,7 @@
 	}
 	cmd.Flags().StringVar(&file, "config", "", "TOML configuration file; without it, run a single replica on this machine")
 	cmd.Flags().BoolVar(&newEpoch, "new-epoch", false,
-		"the data folder is a copy of an older one: watchers must fetch the whole list again")
+		"start a new epoch, so that watchers fetch the whole list again: needed if the data folder is an older copy")
 	return cmd
 }
 
@@ -196,7 +196,7 @@
 	f.StringVar(&agent.Endpoint.Zone, "zone", "", "zone of the server")
 	f.StringVar(&agent.Endpoint.Kind, "kind", "", "kind of server")
 	f.Int64Var(&agent.Endpoint.Cell, "cell", 0, "cell (rack) of the server")
-	f.StringVar(&agent.Endpoint.Service, "service", "", "service of the server; empty for none")
+	f.StringVar(&agent.Endpoint.Service, "service", "", "service that the server belongs to; empty if none")
 	f.Float64Var(&agent.Endpoint.Size, "size", 1, "size of the server relative to others")
 	f.DurationVar(&agent.TTL, "lease", registry.DefaultTTL, "how long the server stays in the list without a renewal")
 	f.DurationVar(&drain, "drain", 5*time.Second, "time between draining on SIGTERM and leaving the list")
--- a/cmd/sloerail/scale.go
+++ b/cmd/sloerail/scale.go
@@ -29,9 +29,9 @@
 	cmd := &cobra.Command{
 		Use:   "scale SCENARIO",
 		Short: "Measure how the costs of a node grow with the size of the deployment",
-		Long: "Measure hollow nodes (the production code, without sockets for requests) at several sizes of a dimension, and\n" +
-			"fit a law to each measure. SCENARIO is the name of a built-in scenario or a TOML file; without it, list the\n" +
-			"built-in scenarios. If interrupted, show the measurements so far and exit with 1.",
+		Long: "Measure hollow nodes (the production code, without sockets for requests) at several sizes of one dimension, such as\n" +
+			"the number of servers, and fit a law to each measure. SCENARIO is the name of a built-in scenario or a TOML file;\n" +
+			"without it, list the built-in scenarios. If interrupted, show the measurements so far and exit with 1.",
 		Example: "  sloerail scale servers\n  sloerail scale nodes --for 2m --most 100 --plot nodes.svg\n" +
 			"  sloerail scale my.toml --seed 7 --json | jq .laws",
 		Args: positionalArgs(cobra.MaximumNArgs(1)),
@@ -43,8 +43,8 @@
 		},
 	}
 	f := cmd.Flags()
-	f.DurationVar(&flags.MaxDuration, "for", 0, "maximum duration of the whole run; 0 for that of the scenario")
-	f.IntVar(&flags.MaxSize, "most", 0, "largest size to measure; 0 for no limit")
+	f.DurationVar(&flags.MaxDuration, "for", 0, "maximum duration of the whole run; 0 means that of the scenario")
+	f.IntVar(&flags.MaxSize, "most", 0, "largest size to measure; 0 means no limit")
 	f.Uint64Var(&flags.seed, "seed", 0, "random seed, in place of the scenario's")
 	f.BoolVar(&flags.asJSON, "json", false, "print the report as JSON")
 	f.StringVar(&flags.plot, "plot", "", "plot the measures and their laws to this SVG file")
@@ -77,7 +77,7 @@
 	if cmd.Flags().Changed("seed") {
 		s.Seed = flags.seed
 	}
-	slog.SetLogLoggerLevel(slog.LevelError) // else each of many nodes in this process would log the faults
+	slog.SetLogLoggerLevel(slog.LevelError) // otherwise each of the many nodes in this process would log the faults
 	options := flags.Options
 	options.Progress = scaleProgress(cmd.ErrOrStderr(), s.Dimension)
 	report, err := scaletest.Run(cmd.Context(), s, options)
@@ -90,7 +90,7 @@
 	return errors.Join(err, reportScale(cmd.OutOrStdout(), report, flags))
 }
 
-// scaleProgress prints the progress of a run: a bar on a terminal, else a line for each point.
+// scaleProgress prints the progress of a run: a bar on a terminal, otherwise a line for each measurement.
 func scaleProgress(errs io.Writer, dimension scaletest.Dimension) func(scaletest.Progress) {
 	file, ok := errs.(*os.File)
 	if !ok || !isatty.IsTerminal(file.Fd()) {
--- a/cmd/sloerail/scale_report.go
+++ b/cmd/sloerail/scale_report.go
@@ -115,7 +115,7 @@
 // printLaws prints the table of laws and their values at the target.
 func printLaws(out io.Writer, r *scaletest.Report) {
 	t := newTable(out, "measure", "unit", "of", "law", "formula", "residual rms, worst", "fitted sizes",
-		"exponent at the end", fmt.Sprintf("at %s (95%%)", formatFigure(r.Scenario.Target)), "times the largest size", "budget", "budget reached at")
+		"exponent at the end", fmt.Sprintf("at %s (95%%)", formatFigure(r.Scenario.Target)), "target / largest size", "budget", "budget reached at")
 	for _, l := range r.Laws {
 		row := table.Row{l.Name, string(l.Unit), string(l.Source), string(l.Why), "", "", fmt.Sprintf("%d to %d", l.From, l.To),
 			fmt.Sprintf("%.2f", l.Exponent), "", "", "", ""}
--- a/cmd/sloerail/scale_test.go
+++ b/cmd/sloerail/scale_test.go
@@ -59,7 +59,7 @@
 	} {
 		status, out, errs := runCommand(t.Context(), tc.args...)
 		if status != 2 || out != "" || !strings.Contains(errs, tc.message) {
-			t.Errorf("arguments %v: got exit code %d, stderr %q; want 2 and an error that names the reason", tc.args, status, errs)
+			t.Errorf("arguments %v: got exit code %d, stderr %q; want 2, no output, and an error with the reason", tc.args, status, errs)
 		}
 	}
 }
@@ -76,7 +76,7 @@
 		}
 	}
 	if svg, err := os.ReadFile(plot); err != nil || !bytes.Contains(svg, []byte("<svg")) {
-		t.Errorf("plot is not an SVG file, or is unreadable: %v", err)
+		t.Errorf("plot: want a readable SVG file; error reading it: %v", err)
 	}
 	if !strings.Contains(errs, "5 of 5: servers 80, run 1") {
 		t.Errorf("progress lacks the last point: %s", errs)
--- a/cmd/sloerail/simulate.go
+++ b/cmd/sloerail/simulate.go
@@ -41,7 +41,7 @@
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "random seed")
 	cmd.Flags().IntVar(&every, "every", 1, "seconds per line of the table")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print the outcome as JSON")
-	cmd.Flags().BoolVar(&noPlaces, "no-places", false, "run the nodes without places: servers are evaluated one by one")
+	cmd.Flags().BoolVar(&noPlaces, "no-places", false, "run the nodes without places: they evaluate servers, but not zones")
 	return cmd
 }
 
--- a/cmd/sloerail/zones.go
+++ b/cmd/sloerail/zones.go
@@ -23,7 +23,7 @@
 		Use:   "places ADDR...",
 		Short: "Show the state of each zone, as seen by the nodes at these control addresses",
 		Long: "Show the state of each zone, its share of requests and its recent failures, as seen by the nodes at these\n" +
-			"addresses (control in their configuration). Exit with 1 if a node does not respond.",
+			"control addresses (configuration key: control). Exit with 1 if a node returns no view.",
 		Example: "  sloerail places 10.0.0.4:9100 10.0.0.5:9100\n  sloerail places 10.0.0.4:9100 --json",
 		Args:    positionalArgs(cobra.MinimumNArgs(1)),
 		RunE: func(cmd *cobra.Command, addrs []string) error {
@@ -34,7 +34,7 @@
 	return cmd
 }
 
-// zonesResponse is the response from one address, or the error in its place.
+// zonesResponse is the view from one address, or the error if there is none.
 type zonesResponse struct {
 	Address string           `json:"address"`
 	Places  []node.PlaceView `json:"places,omitempty"`
--- a/internal/cpuload/main.go
+++ b/internal/cpuload/main.go
@@ -28,7 +28,7 @@
 		os.Exit(2)
 	}
 	goroutines := runtime.NumCPU() * *perCore
-	runtime.GOMAXPROCS(goroutines) // a spinning goroutine holds its processor
+	runtime.GOMAXPROCS(goroutines) // so that all goroutines run at once: a spinning one holds its processor
 	deadline := time.Now().Add(*duration)
 	var spinners sync.WaitGroup
 	for range goroutines {
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Rules are the limits that the checker enforces on nodes.
+// Rules are the limits that nodes must keep. The checker reports violations of them.
 type Rules struct {
-	AnswerGrace      time.Duration // time after a client attempt's timeout by which its final response must arrive
-	DrainGrace       time.Duration // time after the notification of a node in which it may still send to a draining server
+	AnswerGrace      time.Duration // how long after a client attempt's timeout the final response may arrive
+	DrainGrace       time.Duration // how long a node may send to a server after it was notified that the server drains
 	OverloadMultiple float64       // maximum work sent to a server in slow start, as a multiple of its capacity
 	OverloadDuration time.Duration // window over which OverloadMultiple is measured
 }
@@ -20,20 +20,20 @@
 		OverloadDuration: 3 * time.Second}
 }
 
-// maxMessages is the maximum number of violation messages, and of connection errors, that are retained.
+// maxMessages is the maximum number of violation messages that are retained, and the maximum number of connection errors.
 const maxMessages = 100
 
 // Checker receives the actions of clients, nodes and servers in order of time, and finds violations of the rules.
 type Checker struct {
 	Accepted, Answered, Unanswered int      // client attempts
 	ConnectionFailures             int      // client attempts that reached no node
-	ConnectionErrors               []string // errors of those at nodes that weren't killed
+	ConnectionErrors               []string // errors of these failures, except at killed nodes
 	Attempts                       int      // attempts of nodes that reached servers
 
 	rules          Rules
 	requests       map[string]*requestRecord
-	drainingSince  map[[2]string]Time     // when the node was notified, by node and server
-	slowStartWork  map[string]*workWindow // by server
+	drainingSince  map[[2]string]Time     // when the node was notified that the server drains, by node and server
+	slowStartWork  map[string]*workWindow // work sent to servers in slow start, by server
 	violations     []string
 	violationCount int
 }
@@ -41,7 +41,7 @@
 // requestRecord is the recorded state of a client attempt.
 type requestRecord struct {
 	attempt   *ClientAttempt // nil until RequestAccepted
-	deadline  Time           // for its final response
+	deadline  Time           // latest time of the final response
 	responses int
 	attempts  []attemptRecord
 }
@@ -51,7 +51,7 @@
 	server, cell string
 	arrivedAt    Time
 	ended        bool
-	notRun       bool // the server rejected it
+	notRun       bool // the server rejected the attempt
 }
 
 // NewChecker returns a checker without records.
@@ -71,8 +71,8 @@
 	}
 }
 
-// request returns the record of a client attempt, and creates it if it is missing: a node's attempt at a server can be
-// recorded before the last byte from the client.
+// request returns the record of a client attempt, and creates it if it is missing. AttemptArrived can be called before
+// RequestAccepted: a node's attempt can reach a server before the client has recorded its last byte.
 func (c *Checker) request(id string) *requestRecord {
 	record := c.requests[id]
 	if record == nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-// ConnectionFailed records a client attempt that reached no node: its connection was refused, or was closed before any
+// ConnectionFailed records a client attempt that no node accepted: its connection was refused, or was closed before any
 // response.
 func (c *Checker) ConnectionFailed(now Time, id string, why error, killed bool) {
 	if c.ConnectionFailures++; !killed && len(c.ConnectionErrors) < maxMessages {
@@ -129,14 +129,14 @@
 	}
 }
 
-// RequestTimedOut records that a client attempt got no response within its timeout and the grace.
+// RequestTimedOut records that a client stopped waiting for the response to an attempt.
 func (c *Checker) RequestTimedOut(id string) {
 	if record := c.requests[id]; record != nil && record.responses == 0 {
 		c.Unanswered++
 	}
 }
 
-// mayHaveRun reports whether a server may have run the request: whether there is an attempt that no server rejected.
+// mayHaveRun reports whether a server may have run the request: whether any of its attempts was not rejected.
 func (r *requestRecord) mayHaveRun() bool {
 	for _, a := range r.attempts {
 		if !a.notRun {
@@ -181,7 +181,7 @@
 	}
 }
 
-// checkSlowStart checks the work that all nodes together send to a server in slow start.
+// checkSlowStart checks that all nodes together don't send too much work to a server in slow start.
 func (c *Checker) checkSlowStart(now Time, id string, server *Server, record *requestRecord) {
 	capacity := server.Capacity(now)
 	if capacity >= 1 {
@@ -237,7 +237,7 @@
 	sum  time.Duration
 }
 
-// add adds work and returns the sum of the work in the last span, including the work added.
+// add adds work, and returns the sum of all work that was added within the last span of time.
 func (w *workWindow) add(now Time, work, span time.Duration) time.Duration {
 	w.at, w.work, w.sum = append(w.at, now), append(w.work, work), w.sum+work
 	for w.at[0] < now-span {
--- a/internal/emulator/classes.go
+++ b/internal/emulator/classes.go
@@ -8,7 +8,7 @@
 // Values of RetrySafety, as settings spell them.
 const (
 	Idempotent       RetrySafety = "free"        // any number of times
-	IdempotencyKeyed RetrySafety = "guarded"     // again within a cell and a window, where servers drop repeats of its key
+	IdempotencyKeyed RetrySafety = "guarded"     // any number of times within a cell and a time window, where servers drop repeats of a key
 	NonIdempotent    RetrySafety = "single_shot" // at most once
 )
 
@@ -17,8 +17,8 @@
 	Name             string
 	Share            float64       // of the requests, relative to the shares of the other classes
 	MinWork, MaxWork time.Duration // range of the work of a request, in time of a core of speed 1
-	LatencyObjective time.Duration // for the time from the first attempt to the response
-	Deadline         time.Duration // after the first attempt; no attempts start after it
+	LatencyObjective time.Duration // maximum time from the first attempt to a response in time
+	Deadline         time.Duration // time after the first attempt from which no more attempts start
 	PriorityWeight   float64       // value of a request that is served in time
 	RetrySafety      RetrySafety
 	DedupWindow      time.Duration // for IdempotencyKeyed classes; 0 for others
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -9,7 +9,7 @@
 	"sloerail/internal/priority"
 )
 
-// defaultTimeoutFraction is the TimeoutFraction of a ClientSpec that has none.
+// defaultTimeoutFraction is used if a ClientSpec has no TimeoutFraction.
 const defaultTimeoutFraction = 0.55
 
 // ClientSpec specifies how clients behave.
@@ -17,11 +17,11 @@
 	Rate            float64 // mean requests per second
 	Classes         []Class
 	Tenants         []Tenant
-	WorkScale       float64       // multiplies the work of the classes; 0 stands for 1
+	WorkScale       float64       // multiplies the work of the classes; 0 means 1
 	MaxRetries      int           // maximum retries of a request
-	RetryDelay      time.Duration // before a retry, unless Retry-After is longer
-	TimeoutFraction float64       // attempt timeout, relative to the class's deadline; 0 stands for defaultTimeoutFraction
-	Until           Time          // no requests start later
+	RetryDelay      time.Duration // delay before a retry, unless Retry-After is longer
+	TimeoutFraction float64       // attempt timeout, relative to the class's deadline; 0 means defaultTimeoutFraction
+	Until           Time          // no requests start after this time
 }
 
 // ClientAttempt is one HTTP request of a client: the first attempt of a request, or a retry.
@@ -30,7 +30,7 @@
 	Number  int // 0 for the first
 	Class   *Class
 	Tenant  string
-	Key     string        // idempotency key, the same for retries; empty for none
+	Key     string        // idempotency key, the same for retries; empty if there is none
 	Work    time.Duration // time of a core of speed 1
 	Timeout time.Duration // time from SendAt until the client stops waiting
 	SendAt  Time
@@ -77,7 +77,7 @@
 	Rejections int // attempts with a 429 or 503 response
 }
 
-// NewClients returns clients whose requests start after from. The name is the prefix of their attempts' IDs, and must be
+// NewClients returns clients whose requests start after the time from. The attempts' IDs begin with name, which must be
 // unique among Clients that are used together.
 func NewClients(name string, spec ClientSpec, from Time, seed uint64) *Clients {
 	c := &Clients{spec: spec, rng: rand.New(rand.NewPCG(seed, 0xc1)), nextArrival: from, name: name,
@@ -114,7 +114,7 @@
 // StopArrivals stops the arrival of new requests. Requests that have started are still retried.
 func (c *Clients) StopArrivals() { c.spec.Until = c.nextArrival - 1 }
 
-// TakeDue removes and returns the attempts that are due by now. The driver sends them.
+// TakeDue removes and returns the attempts that are due by now. The caller sends them.
 func (c *Clients) TakeDue(now Time) []*ClientAttempt {
 	var due []*ClientAttempt
 	for at, ok := c.Next(); ok && at <= now; at, ok = c.Next() {
@@ -152,7 +152,8 @@
 	return fmt.Sprintf("%s-%08x", c.name, c.lastID)
 }
 
-// timeout returns the timeout of an attempt: TimeoutFraction of its class's deadline, or less if the deadline is earlier.
+// timeout returns the timeout of an attempt: TimeoutFraction of the class's deadline, but at most the time until the
+// request's deadline.
 func (c *Clients) timeout(a *ClientAttempt) time.Duration {
 	timeout := time.Duration(c.spec.TimeoutFraction * float64(a.Class.Deadline))
 	return min(timeout, a.request.startedAt+a.Class.Deadline-a.SendAt)
@@ -202,7 +203,7 @@
 	c.addRetry(a, retryAt)
 }
 
-// addRetry schedules the next attempt of the request of an attempt.
+// addRetry schedules a retry of the request that the attempt belongs to.
 func (c *Clients) addRetry(attempt *ClientAttempt, at Time) {
 	attempt.request.retries++
 	retry := *attempt
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -219,7 +219,7 @@
 	}
 }
 
-// A watcher that applies the changes from Since has the same entries as the complete list.
+// A watcher that applies the changes from Since has as many entries as the complete list.
 func TestListChangesYieldCompleteList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list, phases, revision := NewList(), make(map[string]string), int64(-1)
@@ -237,7 +237,7 @@
 					}
 				}
 				if complete := list.Snapshot(); len(complete.Members) != len(phases) {
-					t.Fatalf("entries from changes: got %v, want those of %v", phases, complete.Members)
+					t.Fatalf("entries after applying the changes: got %v, want as many as in %v", phases, complete.Members)
 				}
 			}
 		}
--- a/internal/emulator/form_test.go
+++ b/internal/emulator/form_test.go
@@ -18,7 +18,7 @@
 }
 
 // Responses of the emulated list service have the format of the platform's list service.
-func TestListFormIsFrozen(t *testing.T) {
+func TestListFormatIsFrozen(t *testing.T) {
 	for file, response := range map[string]ListResponse{"list.json": goldenResponse(), "empty.json": NewList().Snapshot()} {
 		raw, err := json.Marshal(response)
 		if err != nil {
@@ -35,11 +35,11 @@
 	}
 }
 
-// Settings contain these words, so they must not change.
+// Settings contain the words for RetrySafety, so the words must not change.
 func TestRetrySafetyWordsAreFrozen(t *testing.T) {
 	for got, want := range map[RetrySafety]string{Idempotent: "free", IdempotencyKeyed: "guarded", NonIdempotent: "single_shot"} {
 		if string(got) != want {
-			t.Errorf("got %q, want %q", got, want)
+			t.Errorf("word for a RetrySafety: got %q, want %q", got, want)
 		}
 	}
 }
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -31,7 +31,8 @@
 	Members  []Entry `json:"members"`
 }
 
-// maxChanges is the maximum number of retained changes. A watch from an older revision gets the complete list.
+// maxChanges is the maximum number of retained changes. A watch from a revision before these changes
+// gets the complete list.
 const maxChanges = 1024
 
 // List emulates the platform's list service.
@@ -41,7 +42,7 @@
 	revision int64
 }
 
-// change is the entry that a revision set.
+// change is a revision, and the entry that was set in it.
 type change struct {
 	revision int64
 	entry    Entry
@@ -75,7 +76,7 @@
 }
 
 // Since returns the entries that have changed after a revision. ok is false if there are none. Since returns the complete
-// list if the revision is newer than the list, or if its changes are no longer retained.
+// list if the revision is newer than the list, or if some of the changes after it are no longer retained.
 func (l *List) Since(revision int64) (response ListResponse, ok bool) {
 	if revision == l.revision {
 		return ListResponse{Revision: l.revision, Members: []Entry{}}, false
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -10,7 +10,8 @@
 	"sloerail/internal/priority"
 )
 
-// Time is a time on the driver's clock, relative to an arbitrary origin.
+// Time is a time on the clock of the driver, the code that runs the emulator in real or virtual time. The origin of the
+// clock is arbitrary.
 type Time = time.Duration
 
 // ServerSpec describes a server.
@@ -18,19 +19,19 @@
 	ID, Zone, Kind string
 	Cell           int64
 	Cores          int
-	Speed          float64 // of each core, relative to the core that work is measured by
-	MaxRequests    int     // running and queued; further requests are rejected
+	Speed          float64 // speed of each core; work is measured in time of a core of speed 1
+	MaxRequests    int     // maximum number of running and queued requests; further ones are rejected
 
 	SlowStartMinCapacity float64       // fraction of the full capacity at the start
 	SlowStartDuration    time.Duration // time from the start until full capacity
 
-	OverloadAt       float64       // the server is overloaded with more queued requests per core
-	OverloadAfter    time.Duration // time overloaded until it becomes slower
-	OverloadSlowdown float64       // factor by which it is then slower
-	OverloadRecovery time.Duration // time mostly idle until it recovers
+	OverloadAt       float64       // queued requests per core above which the server is overloaded
+	OverloadAfter    time.Duration // how long the server must be overloaded to become slower
+	OverloadSlowdown float64       // factor by which the server becomes slower
+	OverloadRecovery time.Duration // how long a slower server must be mostly idle to recover
 
-	DedupWindow    time.Duration // within which repeats of a key are dropped
-	ReportInterval time.Duration // between load reports
+	DedupWindow    time.Duration // time within which repeats of a key are dropped
+	ReportInterval time.Duration // time between load reports
 }
 
 // DefaultServer returns the specification of a server in the middle of the ranges that the operators state.
@@ -43,7 +44,7 @@
 // ServerFault describes the faults of a running server.
 type ServerFault struct {
 	ErrorFraction float64 // fraction of the requests that fail immediately
-	Slowdown      float64 // factor by which the server is slower; 0 stands for 1
+	Slowdown      float64 // factor by which the server is slower; 0 means 1
 }
 
 // Job is an attempt that is offered to a server.
@@ -57,16 +58,16 @@
 
 // Values of Verdict.
 const (
-	Accepted Verdict = iota // Advance returns it later as a CompletedJob
-	Rejected                // it doesn't run
-	Failed                  // it failed immediately, and may have run
+	Accepted Verdict = iota // the job runs; Advance returns it later as a CompletedJob
+	Rejected                // the job doesn't run
+	Failed                  // the job failed immediately, and may have run
 )
 
 // CompletedJob is a job that a server has completed.
 type CompletedJob struct {
 	Job
 	At       Time
-	Executed bool // false for a dropped repeat of a key
+	Executed bool // false if the job was dropped as a repeat of its key
 }
 
 // LoadReport is a server's load report. Its values are means over the last ReportInterval.
@@ -79,7 +80,7 @@
 	Draining bool
 
 	rng             *rand.Rand
-	started         Time // 0 for long ago, past slow start
+	started         Time // 0 means long ago: slow start is over
 	running         priority.Queue[runningJob]
 	queued          []Job
 	keyStarts       map[string]Time // when the first job of a key started, by key
@@ -89,20 +90,21 @@
 
 	report            LoadReport
 	reportedAt        Time
-	busy, serviceTime time.Duration // sums over cores and over completed jobs since the last report
+	busy, serviceTime time.Duration // core time used, and service times of completed jobs, since the last report
 	completed         int           // jobs since the last report
 }
 
 // unsetTime is the start time of a condition that doesn't hold.
 const unsetTime Time = -1
 
-// NewServer returns a server that started at a time, 0 for long ago. The seed determines which requests fail.
+// NewServer returns a server whose process started at the given time, where 0 means long ago. The seed determines which
+// requests fail.
 func NewServer(spec ServerSpec, started Time, seed uint64) *Server {
 	return &Server{Spec: spec, started: started, overloadedSince: unsetTime, idleSince: unsetTime, keyStarts: make(map[string]Time),
 		rng: rand.New(rand.NewPCG(seed, 0xb0))}
 }
 
-// Started returns the time when the server's process started, 0 for long ago.
+// Started returns the time when the server's process started. 0 means long ago.
 func (s *Server) Started() Time { return s.started }
 
 // Capacity returns the server's current fraction of its full capacity, which is below 1 in slow start.
@@ -195,7 +197,7 @@
 }
 
 // updateOverload slows the server down once it has been overloaded for OverloadAfter, and ends the slowdown once it has
-// been mostly idle for OverloadRecovery.
+// been mostly idle for OverloadRecovery. Mostly idle means that no job is queued and at most a quarter of the cores is busy.
 func (s *Server) updateOverload(now Time) {
 	if float64(len(s.queued)) > s.Spec.OverloadAt*float64(s.Spec.Cores) {
 		if s.overloadedSince == unsetTime {
--- a/internal/output/output.go
+++ b/internal/output/output.go
@@ -9,7 +9,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// Printer writes text and keeps the first error of its writer; after an error it writes nothing more.
+// Printer writes text, and keeps the first error of its writer. After an error it writes nothing more.
 type Printer struct {
 	w   io.Writer
 	err error
--- a/internal/output/output_test.go
+++ b/internal/output/output_test.go
@@ -8,7 +8,7 @@
 
 var errFull = errors.New("no space left")
 
-// limitedWriter fails once it has taken a number of writes.
+// limitedWriter fails after a number of successful writes.
 type limitedWriter struct {
 	strings.Builder
 	remaining int
--- a/internal/scenario/scenario.go
+++ b/internal/scenario/scenario.go
@@ -13,8 +13,8 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Decode decodes TOML into v. A key that v has no field for is an error that names it: ignored, a misspelt key would
-// change the meaning of the file.
+// Decode decodes TOML into v. A key without a field in v is an error that names the key, because ignoring a misspelt key
+// would change the meaning of the file.
 func Decode(raw []byte, v any) error {
 	err := toml.NewDecoder(bytes.NewReader(raw)).DisallowUnknownFields().Decode(v)
 	var strict *toml.StrictMissingError
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -16,8 +16,8 @@
 	number  int // index among the attempts of the request, from 0
 	server  *server
 	sentAt  time.Duration
-	jobID   string // ID of its job at the server
-	ended   bool   // the node has its outcome
+	jobID   string // ID of the attempt's job at the server
+	ended   bool   // the node has the outcome of the attempt
 }
 
 // latencyBetween returns the one-way latency between two zones.
@@ -43,7 +43,7 @@
 func (s *Simulation) sendAttempt(n *node, action policy.Action) {
 	r, target := n.requests[action.ID], s.serversByID[action.Server]
 	if r == nil || target == nil {
-		s.outcome.Errors++
+		s.outcome.InvalidSends++
 		return
 	}
 	a := &attempt{request: r, number: r.attemptCount, server: target, sentAt: s.now, jobID: fmt.Sprintf("%s/%d", action.ID, r.attemptCount)}
@@ -62,7 +62,8 @@
 	s.after(a.latency(), func() { s.arrive(a) })
 }
 
-// arrive delivers the last byte of an attempt to its server.
+// arrive delivers an attempt to its server when the last byte arrives. It drops the attempt if the attempt has ended, or
+// if the server has become unreachable.
 func (s *Simulation) arrive(a *attempt) {
 	n, target := a.request.node, a.server
 	switch {
@@ -87,7 +88,7 @@
 	}
 }
 
-// reply sends a server's response to the node, unless it gets lost.
+// reply sends a server's response to the node, unless a fault makes the response get lost.
 func (s *Simulation) reply(a *attempt, code policy.Code) {
 	if a.server.responseLost || s.unreachable(a.request.node.zone, a.server) {
 		return
@@ -104,7 +105,7 @@
 	a.ended = true
 	r := a.request
 	r.attempt = nil
-	if code == policy.TimedOut || code == policy.Cancelled { // the server may still run it
+	if code == policy.TimedOut || code == policy.Cancelled { // the server may still run the attempt
 		s.Checker.AttemptEnded(r.clientAttempt.ID, a.server.Spec.ID, false)
 	}
 	requestEnded := r.answered
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -15,12 +15,12 @@
 	At       Duration  `toml:"at"`
 	Length   Duration  `toml:"for"`
 	Kind     FaultKind `toml:"do"`
-	Zone     string    `toml:"zone"`  // of the affected servers, nodes or clients; empty for all zones
-	Fraction float64   `toml:"part"`  // of the requests for Errors, of the servers for other kinds; 0 stands for 1
-	Factor   float64   `toml:"times"` // of the service times for Slow, of the request rate for LoadIncrease
+	Zone     string    `toml:"zone"`  // affected zone; empty means all zones, but no zone for NodesDown
+	Fraction float64   `toml:"part"`  // affected fraction of the requests (Errors) or of the servers (other kinds); 0 means 1
+	Factor   float64   `toml:"times"` // multiplies the service times (Slow) or the request rate (LoadIncrease)
 
 	RepeatEvery Duration `toml:"every"` // time between starts
-	Repeats     int      `toml:"count"` // total number of starts; 0 stands for 1
+	Repeats     int      `toml:"count"` // total number of starts; 0 means 1
 }
 
 // FaultKind is the kind of a fault, as scenario files name it.
@@ -28,7 +28,7 @@
 
 // Kinds of fault.
 const (
-	Crash          FaultKind = "lost"   // servers refuse connections, and return past their slow start
+	Crash          FaultKind = "lost"   // servers refuse connections, and return with their old start times, so without a new slow start
 	CrashRestart   FaultKind = "cold"   // like Crash, but the servers return as new processes, in slow start
 	ConnectTimeout FaultKind = "silent" // connection attempts to servers time out
 	ResponseLost   FaultKind = "mute"   // requests reach servers, but responses are lost
@@ -36,14 +36,14 @@
 	Errors         FaultKind = "errors" // a fraction of the requests fails immediately
 	Slow           FaultKind = "slow"   // servers are several times slower
 	Unlisted       FaultKind = "vanish" // servers are removed from the list, but keep running
-	Drain          FaultKind = "drain"  // servers drain, are removed, and return as new processes
+	Drain          FaultKind = "drain"  // servers drain, are removed from the list, and return as new processes
 	NodesDown      FaultKind = "nodes"  // nodes are killed
 	LoadIncrease   FaultKind = "load"   // clients send requests at a multiple of their rate
 )
 
 var faultKinds = []FaultKind{Crash, CrashRestart, ConnectTimeout, ResponseLost, Partition, Errors, Slow, Unlisted, Drain, NodesDown, LoadIncrease}
 
-// check returns an error that names the first invalid key. The zones are those of the scenario.
+// check returns an error that names the first invalid key, given the names of the scenario's zones.
 func (f Fault) check(zones []string) error {
 	switch {
 	case !slices.Contains(faultKinds, f.Kind):
@@ -58,7 +58,7 @@
 	case f.Fraction < 0 || f.Fraction > 1:
 		return fmt.Errorf("part: want 0 to 1, got %v", f.Fraction)
 	case f.Factor < 0 || (f.Kind == Slow || f.Kind == LoadIncrease) && f.Factor == 0:
-		return fmt.Errorf("times: want more than 0, got %v", f.Factor)
+		return fmt.Errorf("times: want 0 or more, and more than 0 for slow and load; got %v", f.Factor)
 	}
 	return nil
 }
@@ -68,7 +68,7 @@
 		return errors.New("at, for: want durations of 0 or more")
 	}
 	if f.RepeatEvery.Duration < 0 || f.Repeats < 0 || f.Repeats > 1 && f.RepeatEvery.Duration <= f.Length.Duration {
-		return errors.New("every, count: want 0 or more, and every longer than for if count is above 1")
+		return errors.New("every, count: want 0 or more; with a count above 1, want every > for")
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 	return fmt.Sprintf("%s %s ends", f.Kind, f.Zone)
 }
 
-// ApplyTo starts or ends the fault of a server itself, which is Errors or Slow. Other kinds have no effect here.
+// ApplyTo starts or ends a fault of kind Errors or Slow in a server. For other kinds it does nothing.
 func (f Fault) ApplyTo(server *emulator.ServerFault, on bool) {
 	switch f.Kind {
 	case Errors:
--- a/internal/simulation/form_test.go
+++ b/internal/simulation/form_test.go
@@ -25,7 +25,7 @@
 	return s
 }
 
-func TestScenarioFormIsFrozen(t *testing.T) {
+func TestScenarioFormatIsFrozen(t *testing.T) {
 	const file = "scenario.toml"
 	raw, err := toml.Marshal(goldenScenario())
 	if err != nil {
@@ -55,13 +55,13 @@
 		},
 		Classes:  map[string]Totals{"meter-read": totals},
 		Timeline: []TimelineEntry{{At: 1.25, Node: "n0", Text: "place a is left: 5 of 6 ill"}},
-		Broken:   1, BrokenRules: []string{"1.000 s: c1: a second final answer, 200"}, Errors: 4,
+		Broken:   1, BrokenRules: []string{"1.000 s: c1: a second final answer, 200"}, InvalidSends: 4,
 		AttemptsByZone: map[string]map[string]int{"meter-read": {"a": 9, "b": 3}},
 		Interrupted:    5, Cores: map[string]float64{"a": 75.6},
 	}
 }
 
-func TestOutcomeFormIsFrozen(t *testing.T) {
+func TestOutcomeFormatIsFrozen(t *testing.T) {
 	const file = "outcome.json"
 	raw, err := json.Marshal(goldenOutcome())
 	if err != nil {
@@ -77,7 +77,7 @@
 	}
 }
 
-// A scenario and a seed give the same outcome in all versions, byte for byte.
+// A scenario and a seed give the same outcome in all versions, byte for byte. Log lines of nodes are left out.
 func TestSeededOutcomeIsFrozen(t *testing.T) {
 	s, err := Read("zone-errors")
 	if err != nil {
@@ -90,7 +90,7 @@
 		t.Fatal(err)
 	}
 	outcome := sim.Run()
-	outcome.Timeline = slices.DeleteFunc(outcome.Timeline, func(entry TimelineEntry) bool { return entry.Node != "" }) // log lines of nodes may change
+	outcome.Timeline = slices.DeleteFunc(outcome.Timeline, func(entry TimelineEntry) bool { return entry.Node != "" }) // the texts may change
 	raw, err := json.Marshal(outcome)
 	if err != nil {
 		t.Fatal(err)
@@ -98,7 +98,7 @@
 	golden.Check(t, "played.json", raw)
 }
 
-func TestPairFormIsFrozen(t *testing.T) {
+func TestPairFormatIsFrozen(t *testing.T) {
 	pair := Pair{Scenario: "calm", Ours: []float64{1}, Theirs: []float64{2}, Mean: 0.5, HalfInterval: 0.25, P: 0.125, OurG: 0.75, TheirG: 0.625,
 		OurBroken: 1, TheirBroken: 2}
 	raw, err := json.Marshal([]Pair{pair})
--- a/internal/simulation/load_balancer.go
+++ b/internal/simulation/load_balancer.go
@@ -16,16 +16,16 @@
 	nextNode  int
 }
 
-// generator sends the requests of clients that arrive at a constant rate. After its arrivals stop, it still sends their
-// retries.
+// generator sends the requests of clients at a constant mean rate. A change of the rate replaces the generator: the old
+// one starts no more requests, but still sends retries.
 type generator struct {
 	*loadBalancer
 	clients *emulator.Clients
-	nextDue time.Duration // time of the event that sends the next attempts; 0 for none
+	nextDue time.Duration // time of the event that sends the next attempts; 0 if none is scheduled
 }
 
-// addLoadBalancer adds the load balancer of a zone, with clients that start at the scenario's rate. A zone without nodes
-// gets none.
+// addLoadBalancer adds the load balancer of a zone, and starts its clients at the scenario's rate. A zone without nodes
+// gets no load balancer.
 func (s *Simulation) addLoadBalancer(i int, z Zone, seed uint64) {
 	if z.Nodes == 0 {
 		return
@@ -73,7 +73,7 @@
 	})
 }
 
-// pickNode returns the next node, round robin, that isn't known to be down, or nil if all are.
+// pickNode picks a node by round robin and skips nodes that are known to be down. It returns nil if all of them are.
 func (lb *loadBalancer) pickNode(nodes []*node) *node {
 	for range nodes {
 		lb.nextNode++
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// endClientAttempt passes the response of a client attempt to the clients, with status 0 if there is none.
+// endClientAttempt tells the clients the status of the response to an attempt, or 0 if there is no response.
 func (s *Simulation) endClientAttempt(g *generator, attempt *emulator.ClientAttempt, status int, retryAfter time.Duration) {
 	stats := g.clients.Stats[attempt.Class.Name]
 	before := *stats
@@ -93,7 +93,7 @@
 	s.scheduleClients(g)
 }
 
-// setLoadFactor multiplies the rate of the clients that a LoadIncrease affects by its factor, or sets it back.
+// setLoadFactor multiplies the rate of the clients that a LoadIncrease affects by the fault's factor, or resets it.
 func (s *Simulation) setLoadFactor(f Fault, on bool) {
 	rateFactor := 1.0
 	if on {
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -13,10 +13,11 @@
 type Row struct {
 	Measure
 	WithTopology, WithoutTopology []float64 // by seed
-	Broken                        int       // rules broken in all runs with topology
+	Broken                        int       // total number of rule violations in the runs with topology
 }
 
-// Reached reports whether the mean with topology is within the measure's bounds and no rule was broken.
+// Reached reports whether the mean with topology is within the measure's bounds and no run with topology broke a
+// rule.
 func (r Row) Reached() bool {
 	mean, _, _ := MeanMinMax(r.WithTopology)
 	return mean >= r.Min && mean <= r.Max && r.Broken == 0
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	maxAttempts   = 6                     // of a node for each client attempt
-	timeoutMargin = 10 * time.Millisecond // by which a node's timeout is shorter than its client's
+	maxAttempts   = 6                     // maximum attempts of a node for each client attempt
+	timeoutMargin = 10 * time.Millisecond // a node's timeout is shorter than its client's by this
 
 	// Crossing costs of a request to another zone, for nodes with topology.
 	sameRegionCost, otherRegionCost = 1, 3
 )
 
-// node is a node: its policy.Balancer and the requests that it handles.
+// node is a simulated node: its policy.Balancer and the requests that it handles.
 type node struct {
 	name, zone string
 	balancer   *policy.Balancer
@@ -29,14 +29,14 @@
 	knownDown  bool // the load balancers know that the node is down
 }
 
-// request is a client attempt at a node. It is kept until it has its response and the node has no attempt in flight.
+// request is a client attempt at a node. The node keeps it until it is answered and none of its attempts is in flight.
 type request struct {
 	clientAttempt *emulator.ClientAttempt
 	generator     *generator
 	node          *node
 	attemptCount  int
-	attempt       *attempt // in flight; nil for none
-	answered      bool
+	attempt       *attempt // in flight; nil if there is none
+	answered      bool     // the client has its response, has timed out or has lost its connection
 }
 
 // addNodes adds the nodes of all zones, and gives each the list of servers.
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// settings returns the settings of the node with this index among count nodes. They have the values of the operators'
-// documentation and, if the scenario sets it, the topology.
+// settings returns the settings of the node with this index among count nodes. The values are those of the
+// operators' documentation. The topology is included if the scenario sets Topology.
 func (s *Simulation) settings(z Zone, index, count int) policy.Settings {
 	settings := policy.Settings{NodeIndex: index, NodeCount: count, Zone: z.Name, WeightByWork: true,
 		Allowed: policy.Allowed{MaxAttempts: maxAttempts, RetryAfter: true, MaxRetryAfter: 3 * time.Second, IdleTimeout: time.Minute},
@@ -100,12 +100,13 @@
 	return class
 }
 
-// deliver passes an event to a node's balancer and executes the actions that it returns. A node that is down ignores it.
+// deliver passes an event to a node's balancer and executes the actions that it returns. A node that is down ignores
+// events.
 func (s *Simulation) deliver(n *node, event policy.Event) {
 	if n.down {
 		return
 	}
-	// Clone the slice: executing an action may deliver another event, for which Handle reuses it.
+	// Clone the slice: executing an action may deliver another event, and then Handle reuses the slice.
 	for _, action := range slices.Clone(n.balancer.Handle(s.now, event)) {
 		s.execute(n, action)
 	}
@@ -185,7 +186,7 @@
 	s.removeIfDone(r)
 }
 
-// removeIfDone removes a request from its node once it has its response and no attempt in flight.
+// removeIfDone removes a request from its node once it is answered and none of its attempts is in flight.
 func (s *Simulation) removeIfDone(r *request) {
 	if r.answered && r.attempt == nil {
 		delete(r.node.requests, r.clientAttempt.ID)
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -12,28 +12,29 @@
 
 // Outcome is the result of a run. Scripts and other versions of the program read its JSON keys.
 type Outcome struct {
-	Seconds        []Second                  `json:"seconds"` // requests by their start, attempts by the time they were sent
+	Seconds        []Second                  `json:"seconds"` // requests count in the second of their start, attempts in that of their sending
 	Classes        map[string]Totals         `json:"classes"`
 	Timeline       []TimelineEntry           `json:"marks"`  // starts and ends of faults, and log lines of nodes
-	Broken         int                       `json:"broken"` // number of violations; BrokenRules may hold fewer
+	Broken         int                       `json:"broken"` // number of violations; BrokenRules has messages for the first of them
 	BrokenRules    []string                  `json:"broken_rules"`
-	Errors         int                       `json:"errors"` // attempts that nodes sent for unknown requests or to unknown servers
+	InvalidSends   int                       `json:"errors"` // Send actions of nodes with an unknown request or server
 	AttemptsByZone map[string]map[string]int `json:"sends"`  // attempts of nodes, by class and zone of the server
 	Interrupted    int                       `json:"struck"` // attempts in progress at affected servers when a fault started
-	Cores          map[string]float64        `json:"cores"`  // in cores of speed 1, by zone
+	Cores          map[string]float64        `json:"cores"`  // total capacity of the servers by zone, in cores of speed 1
 
 	origin       time.Duration // start of the run on the clock of the caller
 	classWeights map[string]float64
 }
 
-// Totals counts requests by outcome. A request and its retries count once.
+// Totals counts requests by outcome. A request and its retries count once. The value of a request is the priority weight
+// of its class times its work in core-seconds.
 type Totals struct {
 	Requests    int     `json:"asked"`
 	InTime      int     `json:"in_time"`
 	Late        int     `json:"late"`
 	Failed      int     `json:"failed"`
-	Value       float64 `json:"worth"`        // of all requests
-	ServedValue float64 `json:"worth_served"` // of the requests served in time
+	Value       float64 `json:"worth"`        // sum of the values of all requests
+	ServedValue float64 `json:"worth_served"` // sum of the values of the requests served in time
 }
 
 // Second holds the results of one second of a run.
@@ -45,7 +46,7 @@
 	Utilization    float64                   `json:"busy"`     // busy fraction of the cores of reachable servers at the end of the second
 	AttemptsByZone map[string]map[string]int `json:"to"`       // attempts by zone of the node and zone of the server
 
-	Work map[string]map[string]float64 `json:"work"` // of the requests, in core-seconds at speed 1, by zone of the clients and class
+	Work map[string]map[string]float64 `json:"work"` // total work of the requests, in core-seconds at speed 1, by zone of the clients and class
 }
 
 // TimelineEntry is the start or the end of a fault, or a log line of a node.
@@ -55,7 +56,7 @@
 	Text string  `json:"what"`
 }
 
-// maxTimelineEntries bounds an outcome; later entries are dropped.
+// maxTimelineEntries limits the size of an outcome. Further entries are dropped.
 const maxTimelineEntries = 2000
 
 // NewOutcome returns an empty outcome for a run of a scenario that starts at origin on the clock of the caller.
@@ -81,12 +82,12 @@
 	return &o.Seconds[i]
 }
 
-// requestValue returns the value of a request: the priority weight of its class times its work in core-seconds.
+// requestValue returns the value of the request that a client attempt belongs to.
 func (o *Outcome) requestValue(attempt *emulator.ClientAttempt) float64 {
 	return o.classWeights[attempt.Class.Name] * attempt.Work.Seconds()
 }
 
-// add adds a change of the counters of requests that have the value of the attempt's request each.
+// add adds delta to the counters. Each request in delta has the given value.
 func (s *Totals) add(attempt *emulator.ClientAttempt, value float64, delta emulator.ClientStats) {
 	s.Requests += delta.Requests
 	s.InTime += delta.InTime
@@ -96,7 +97,7 @@
 	s.ServedValue += value * float64(delta.InTime)
 }
 
-// record adds a change of the counters to the second in which the request started and to its class.
+// record adds delta to the counters of the second in which the request started, and to those of its class.
 func (o *Outcome) record(attempt *emulator.ClientAttempt, delta emulator.ClientStats) {
 	value := o.requestValue(attempt)
 	o.second(attempt.RequestStart()).add(attempt, value, delta)
@@ -109,7 +110,7 @@
 	return Second{AttemptsByZone: make(map[string]map[string]int), Work: make(map[string]map[string]float64)}
 }
 
-// RecordRequest records the start of a request of a zone's clients, by its first attempt.
+// RecordRequest records the start of a request, given the zone of its client and its first attempt.
 func (o *Outcome) RecordRequest(zone string, attempt *emulator.ClientAttempt) {
 	o.record(attempt, emulator.ClientStats{Requests: 1})
 	addNested(o.second(attempt.RequestStart()).Work, zone, attempt.Class.Name, attempt.Work.Seconds())
@@ -123,13 +124,14 @@
 	sums[outer][inner] += value
 }
 
-// RecordAttemptEnded records the end of a client attempt, given the statistics of its class before and after it.
+// RecordAttemptEnded records the end of a client attempt, given the statistics of its class before and
+// after the end.
 func (o *Outcome) RecordAttemptEnded(attempt *emulator.ClientAttempt, before, after emulator.ClientStats) {
 	o.record(attempt, emulator.ClientStats{InTime: after.InTime - before.InTime, Late: after.Late - before.Late,
 		Failed: after.Failed - before.Failed})
 }
 
-// RecordAttempt records an attempt that a node in zone from sends to a server in zone to.
+// RecordAttempt records an attempt that a node sends to a server. The zone of the node is from, that of the server is to.
 func (o *Outcome) RecordAttempt(now time.Duration, class, from, to string) {
 	s := o.second(now)
 	addNested(s.AttemptsByZone, from, to, 1)
@@ -146,8 +148,8 @@
 	}
 }
 
-// Between returns the sum of the seconds that overlap [from, to), relative to the start of the run. Its Overloaded is the
-// maximum of the seconds, its Utilization that of the last second.
+// Between returns the sum of the seconds that overlap [from, to), relative to the start of the run. In the sum,
+// Overloaded is the maximum of these seconds, and Utilization is the value of the last one.
 func (o *Outcome) Between(from, to time.Duration) Second {
 	total := newSecond()
 	first, end := int(from/time.Second), int(math.Ceil(to.Seconds()))
@@ -157,7 +159,7 @@
 	return total
 }
 
-// merge adds the next second to the sum.
+// merge adds other to the sum s. The seconds must be added in order of time.
 func (s *Second) merge(other *Second) {
 	s.Requests += other.Requests
 	s.InTime += other.InTime
@@ -181,7 +183,7 @@
 	}
 }
 
-// ServedFraction returns the fraction of the value that was served in time, 0 if there were no requests.
+// ServedFraction returns the fraction of the value that was served in time. It is 0 if there were no requests.
 func (s Totals) ServedFraction() float64 {
 	return s.ServedValue / max(s.Value, math.SmallestNonzeroFloat64)
 }
@@ -190,7 +192,7 @@
 func (o *Outcome) Table(seconds int) (lines []string) {
 	for i := 0; i < len(o.Seconds); i += seconds {
 		s := o.Between(time.Duration(i)*time.Second, time.Duration(i+seconds)*time.Second)
-		line := fmt.Sprintf("%4d s  requests %6d  in time %.3f  cross-zone %.3f  overloaded %d  utilization %.2f ", i, s.Requests, s.ServedFraction(),
+		line := fmt.Sprintf("%4d s  requests %6d  value in time %.3f  cross-zone %.3f  overloaded %d  utilization %.2f ", i, s.Requests, s.ServedFraction(),
 			float64(s.CrossZone)/float64(max(1, s.Attempts)), s.Overloaded, s.Utilization)
 		for _, from := range slices.Sorted(maps.Keys(s.AttemptsByZone)) {
 			for _, to := range slices.Sorted(maps.Keys(s.AttemptsByZone[from])) {
--- a/internal/simulation/paired_comparison.go
+++ b/internal/simulation/paired_comparison.go
@@ -18,7 +18,7 @@
 // the weight of the whole run.
 const (
 	wholeRunWeight    = 0.45
-	worstWindowWeight = 0.35 // of the worst window of worstWindowLength
+	worstWindowWeight = 0.35 // of the worst window with the length worstWindowLength
 	worstClassWeight  = 0.20 // of the worst-served class
 	worstWindowLength = 10 * time.Second
 )
@@ -46,9 +46,9 @@
 type Pair struct {
 	Scenario     string    `json:"scenario"`
 	Ours, Theirs []float64 `json:"-"`    // G by seed
-	Mean         float64   `json:"mean"` // of the differences of G by seed, ours minus theirs
+	Mean         float64   `json:"mean"` // mean of the differences of G, ours minus theirs, over the seeds
 	HalfInterval float64   `json:"half"` // half the width of the 95% confidence interval of Mean
-	P            float64   `json:"p"`    // two-sided p-value of Mean being 0
+	P            float64   `json:"p"`    // two-sided p-value of the paired t-test against a true mean of 0
 	OurG         float64   `json:"g"`
 	TheirG       float64   `json:"g_theirs"`
 	OurBroken    int       `json:"rules_broken"`
@@ -72,7 +72,7 @@
 	}
 }
 
-// simulateTimeout bounds a run of a program's simulate command.
+// simulateTimeout limits the duration of a program's simulate command.
 const simulateTimeout = 5 * time.Minute
 
 // simulate runs a scenario with a program's simulate command, and returns the outcome that it prints.
@@ -96,8 +96,8 @@
 	return errors.As(err, &exit) && exit.ExitCode() == 1
 }
 
-// Pairs runs each scenario with each seed with both programs, on all cores. It returns a comparison for each scenario,
-// followed by one of all scenarios.
+// Pairs runs each scenario with each seed, with both programs and on all cores. It returns a comparison for each
+// scenario, and then one over all scenarios.
 func Pairs(ctx context.Context, ours, theirs string, scenarios []string, seeds []uint64) ([]Pair, error) {
 	programs := []string{ours, theirs}
 	outcomes := make([]*Outcome, len(scenarios)*len(seeds)*len(programs)) // ordered by scenario, seed and program
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -14,11 +14,11 @@
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// at schedules run for a time. If the time is in the past, it schedules run for now.
+// at schedules run for time t, or for now if t is in the past.
 func (s *Simulation) at(t time.Duration, run func()) {
 	s.sequence++
 	s.queue.Add(event{max(t, s.now), s.sequence, run})
 }
 
-// after schedules run for the time d from now.
+// after schedules run for d after the current time.
 func (s *Simulation) after(d time.Duration, run func()) { s.at(s.now+d, run) }
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -26,7 +26,8 @@
 // MarshalText formats a duration for UnmarshalText.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
-// Scenario describes a fleet and its faults. Values that it doesn't set are in the middle of the operators' ranges.
+// Scenario describes a fleet and its faults. All else, such as the classes, has values in the middle of the ranges that
+// the operators' documentation gives.
 type Scenario struct {
 	Name        string         `toml:"name"`
 	Description string         `toml:"what"`
@@ -34,7 +35,7 @@
 	Rate        float64        `toml:"rate"`    // requests per second per node, from the clients of its zone
 	WorkScale   float64        `toml:"work"`    // multiplies the work of the classes; the default is 1
 	Topology    bool           `toml:"places"`  // nodes know the region of each zone, and evaluate zones
-	Quota       float64        `toml:"quota"`   // requests per second of all tenants; the default is ten times the rate
+	Quota       float64        `toml:"quota"`   // total requests per second of all tenants; the default is ten times the total rate
 	Reports     *bool          `toml:"reports"` // servers send load reports; the default is true
 	Zones       []Zone         `toml:"zones"`
 	Faults      []Fault        `toml:"faults"`
@@ -68,7 +69,8 @@
 // Read reads a built-in scenario by its name, or a scenario file by its path.
 func Read(name string) (Scenario, error) { return scenario.Read(builtin, name, Parse) }
 
-// Parse parses and checks a scenario. Unknown keys are errors, because ignoring a misspelt key would run another scenario.
+// Parse parses and checks a scenario. Unknown keys are errors, because ignoring a misspelt key would run a different
+// scenario than the file intends.
 func Parse(raw []byte) (Scenario, error) {
 	s := Scenario{WorkScale: 1}
 	if err := scenario.Decode(raw, &s); err != nil {
@@ -96,9 +98,9 @@
 	case s.Length.Duration <= 0 || s.Length.Duration > maxDuration:
 		return fmt.Errorf("for: want more than 0 and up to %v, got %v", maxDuration, s.Length)
 	case !(s.Rate > 0) || s.Rate > maxRate:
-		return fmt.Errorf("rate: want more than 0, got %v", s.Rate)
+		return fmt.Errorf("rate: want more than 0 and up to 1e5, got %v", s.Rate)
 	case !(s.WorkScale > 0) || s.WorkScale > maxWorkScale:
-		return fmt.Errorf("work: want more than 0, got %v", s.WorkScale)
+		return fmt.Errorf("work: want more than 0 and up to 1e3, got %v", s.WorkScale)
 	}
 	for i, f := range s.Faults {
 		if err := f.check(zones); err != nil {
@@ -153,7 +155,7 @@
 	return []emulator.Tenant{{Name: "east", Share: 0.6}, {Name: "west", Share: 0.4}}
 }
 
-// Clients returns the specification of the clients of the given number of nodes. Requests start no later than until.
+// Clients returns the specification of the clients of the given number of nodes. No requests start after the time until.
 func (s Scenario) Clients(nodes int, until time.Duration) emulator.ClientSpec {
 	return emulator.ClientSpec{Rate: s.Rate * float64(nodes), Classes: emulator.Classes(), WorkScale: s.WorkScale, Tenants: s.Tenants(),
 		MaxRetries: 3, RetryDelay: 100 * time.Millisecond, Until: until}
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -19,9 +19,9 @@
 	seed           uint64
 	incarnation    int // counts the restarts of the process
 	down           bool
-	connectTimeout bool // connection attempts to it time out
+	connectTimeout bool // connection attempts to the server time out
 	responseLost   bool
-	phase          string // in the list
+	phase          string // phase of the server's entry in the list: emulator.Up, Draining or Removed
 	reports        []timedReport
 }
 
@@ -39,7 +39,8 @@
 	}
 }
 
-// scheduleCompletions schedules an event that completes the next jobs of a server when they are due.
+// scheduleCompletions schedules an event for the time when a server's next job completes. The event then schedules the
+// one after it.
 func (s *Simulation) scheduleCompletions(srv *server) {
 	at, ok := srv.Next()
 	if !ok {
@@ -62,8 +63,8 @@
 	})
 }
 
-// loadReport returns the load report of a server's response: the newest one that is at least reportDelay old, or nil if
-// there is none.
+// loadReport returns the load report that a server's response carries: the newest report that is at least reportDelay
+// old, or nil if there is none.
 func (s *Simulation) loadReport(srv *server) []float64 {
 	if !s.hasReports() {
 		return nil
@@ -119,7 +120,7 @@
 	}
 }
 
-// setUnlisted removes servers from the list, although they keep running, or puts them back.
+// setUnlisted removes servers from the list, or puts them back. The servers run all the time.
 func (s *Simulation) setUnlisted(servers []*server, unlisted bool) {
 	phase := emulator.Up
 	if unlisted {
@@ -129,7 +130,8 @@
 	s.notifyNodes(servers)
 }
 
-// drain marks servers as draining and removes them from the list after drainTime, or returns them as new processes.
+// drain marks servers as draining, and removes them from the list after drainTime. If on is false, it restarts them and
+// puts them back into the list.
 func (s *Simulation) drain(servers []*server, on bool) {
 	if !on {
 		for _, server := range servers {
@@ -147,8 +149,8 @@
 	})
 }
 
-// setDown stops a server's process and resets its attempts, or starts it again. If newProcess is set, it starts again in
-// slow start.
+// setDown stops a server and resets its attempts, or starts the server again. If newProcess is set, the server then
+// begins a slow start.
 func (s *Simulation) setDown(server *server, down, newProcess bool) {
 	server.down = down
 	if !down {
@@ -165,7 +167,8 @@
 	s.restart(server, server.Started())
 }
 
-// restart replaces a server by a new process without attempts and load reports; started 0 means past its slow start.
+// restart replaces a server by a new process without attempts and load reports. started is the start time of the
+// process; 0 means that its slow start is over.
 func (s *Simulation) restart(server *server, started time.Duration) {
 	server.incarnation++
 	server.Server = emulator.NewServer(server.Spec, started, server.seed+uint64(server.incarnation))
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -16,10 +16,11 @@
 	reportDelay      = 300 * time.Millisecond // minimum age of a load report that a node receives
 	maxListDelay     = 800 * time.Millisecond // maximum delay of a list change on its way to a node
 	detectionDelay   = 300 * time.Millisecond // delay until load balancers know that a node is down
-	maxSettleTime    = 10 * time.Minute       // for requests in flight at the end of the scenario's length
+	maxSettleTime    = 10 * time.Minute       // maximum time, after the scenario's length, to wait for the requests in flight
 )
 
-// origin is the time on the clock at the start of a run. It is not 0, because a server start time of 0 means long ago.
+// origin is the time on the clock at the start of a run. It is not 0, because a server start time of 0 means that the
+// server's slow start is over.
 const origin = time.Hour
 
 // Simulation is one run of a scenario. Runs of the same scenario with the same seed are equal. It is not safe for
@@ -83,8 +84,8 @@
 	return s.outcome
 }
 
-// finished reports whether the scenario's length is over and no request is in flight. The queue doesn't show this: it
-// never gets empty, because the nodes keep setting timers.
+// finished reports whether the scenario's length is over, and no request is in flight or waits for a retry. The queue
+// doesn't show this: it never gets empty, because the nodes keep setting timers.
 func (s *Simulation) finished() bool {
 	if s.now <= origin+s.Length.Duration {
 		return false
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -11,7 +11,7 @@
 	"sloerail/policy"
 )
 
-// Checks a sample of the measures of docs/zones.md with one seed. All measures take minutes.
+// Checks some of the measures of docs/zones.md with one seed. Running all of them takes minutes.
 func TestZonesAreEvacuatedAndRecovered(t *testing.T) {
 	var selected []Measure
 	for _, m := range ZoneMeasures() {
@@ -99,8 +99,8 @@
 	}
 }
 
-// BenchmarkDecision measures the cost of deciding on a request and its outcome, with 300 nodes in 60 zones, with and
-// without topology.
+// BenchmarkDecision measures what a node computes for a request and its outcome, in a fleet of 300 nodes in 60 zones,
+// with and without topology.
 func BenchmarkDecision(b *testing.B) {
 	for name, topology := range map[string]bool{"places": true, "none": false} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/simulation/zone_measures.go
+++ b/internal/simulation/zone_measures.go
@@ -12,7 +12,7 @@
 
 // Measure is a requirement: a value computed from a run, with the bounds that it must be within.
 type Measure struct {
-	Name     string
+	Name     string // scripts read it from the output of the zones experiment, so names must not change
 	Scenario string
 	Min, Max float64
 	Of       func(r Run) float64
@@ -22,7 +22,7 @@
 type Run struct {
 	Scenario
 	*Outcome
-	Baseline *Outcome // outcome of the scenario that BaselineOf names, with the same seed; nil for none
+	Baseline *Outcome // outcome of the scenario that BaselineOf names, with the same seed; nil if it names none
 }
 
 // Start and end of the fault in the built-in zone scenarios.
@@ -31,14 +31,14 @@
 	faultEnd   = 30 * time.Second
 )
 
-// unbounded is the upper bound of a measure without one; -unbounded is the lower bound.
+// unbounded stands for a missing upper bound of a measure, and -unbounded for a missing lower bound.
 var unbounded = math.Inf(1)
 
 // ZoneMeasures returns the requirements on the handling of zones. docs/zones.md explains them.
 func ZoneMeasures() []Measure {
 	measures := slices.Concat(oneZoneMeasures(), evacuationMeasures(), largeFleetMeasures())
 	for _, name := range []string{"all-slow", "all-errors", "one-bad"} {
-		measures = append(measures, Measure{name + ": zone evacuations during the fault", name, 0, 0, func(r Run) float64 {
+		measures = append(measures, Measure{name + ": places left meanwhile", name, 0, 0, func(r Run) float64 {
 			return float64(r.evacuations(faultStart, faultEnd))
 		}})
 	}
@@ -48,47 +48,47 @@
 // oneZoneMeasures returns the measures of the loss and return of one zone or region.
 func oneZoneMeasures() []Measure {
 	return []Measure{
-		{"zone lost: value served from 2 s after the fault, relative to before", "zone-lost", 0.98, unbounded, Run.servedRatio},
-		{"zone lost: failed requests, minus interrupted attempts, per node and server", "zone-lost", -unbounded, 1, func(r Run) float64 {
+		{"zone lost: served from 2 s on, against before", "zone-lost", 0.98, unbounded, Run.servedRatio},
+		{"zone lost: requests that failed, less those under way, for each node and server", "zone-lost", -unbounded, 1, func(r Run) float64 {
 			return float64(r.Between(faultStart-2*time.Second, faultEnd).Failed-r.Interrupted) / float64(r.nodesAndServers())
 		}},
-		{"zone lost: cross-zone attempts, relative to the minimum", "zone-lost", 0, 1.15, func(r Run) float64 {
+		{"zone lost: crossing attempts against the least possible", "zone-lost", 0, 1.15, func(r Run) float64 {
 			s := r.Between(20*time.Second, faultEnd)
 			return float64(s.CrossZone) / float64(sumCounts(s.AttemptsByZone["a"]))
 		}},
-		{"calm: cross-zone attempts", "calm", 0, 0, func(r Run) float64 {
+		{"calm: attempts that cross", "calm", 0, 0, func(r Run) float64 {
 			return float64(r.Between(0, r.Length.Duration).CrossZone)
 		}},
-		{"overflow: cross-zone attempts, relative to the load above 0.8 of the own zone's capacity", "overflow", 0, 1.15, overflowRatio},
-		{"return: duration of the ramp, relative to the design", "zone-lost", 0.8, 1.2, func(r Run) float64 { return r.growthRatio("a") }},
-		{"return: time from the return of the zone until all nodes send its whole share, s", "zone-lost", 0, unbounded, func(r Run) float64 {
+		{"overflow: crossing attempts against what is beyond 0.8 of the own zone", "overflow", 0, 1.15, overflowRatio},
+		{"return: growing took, against the law", "zone-lost", 0.8, 1.2, func(r Run) float64 { return r.growthRatio("a") }},
+		{"return: from the zone's return to the last whole share, s", "zone-lost", 0, unbounded, func(r Run) float64 {
 			return r.lastLogged("zone a has its whole") - faultEnd.Seconds()
 		}},
-		{"return: fraction of requests that failed", "zone-lost", 0, 0.005,
+		{"return: requests that failed", "zone-lost", 0, 0.005,
 			func(r Run) float64 { return r.failedFraction(faultEnd, faultEnd+15*time.Second) }},
-		{"return cold: fraction of requests that failed", "zone-cold", 0, 0.005,
+		{"return cold: requests that failed", "zone-cold", 0, 0.005,
 			func(r Run) float64 { return r.failedFraction(faultEnd, faultEnd+25*time.Second) }},
-		{"flapping: maximum evacuations by one node in a minute", "zone-flap", 0, 3, func(r Run) float64 { return float64(r.maxEvacuations()) }},
-		{"flapping: value served, relative to a zone that stays away", "zone-flap", 0.95, unbounded, func(r Run) float64 {
+		{"flapping: times left by one node in a minute", "zone-flap", 0, 3, func(r Run) float64 { return float64(r.maxEvacuations()) }},
+		{"flapping: served against a zone that stays away", "zone-flap", 0.95, unbounded, func(r Run) float64 {
 			return r.servedFraction(faultStart, 75*time.Second) / r.Baseline.Between(faultStart, 75*time.Second).ServedFraction()
 		}},
-		{"region lost, capacity for half: value served, relative to the maximum", "region-lost", 0.9, unbounded, regionLossRatio},
-		{"region lost: overloaded servers in other regions", "region-lost", 0, 0, func(r Run) float64 {
+		{"region lost, room for half: worth served against the greatest possible", "region-lost", 0.9, unbounded, regionLossRatio},
+		{"region lost: boxes elsewhere choked", "region-lost", 0, 0, func(r Run) float64 {
 			return float64(r.Between(faultStart, 35*time.Second).Overloaded)
 		}},
 	}
 }
 
-// evacuationMeasures returns the measures of zones that fail in other ways.
+// evacuationMeasures returns the measures of other failures of zones, and of failures under high load.
 func evacuationMeasures() (measures []Measure) {
 	for _, name := range []string{"zone-errors", "zone-slow", "zone-silent", "zone-mute"} {
 		measures = append(measures, residualTraffic(name, "a", 5*time.Second))
 	}
 	for _, name := range []string{"two-in-turn", "zone-apart", "zone-vanish", "zone-drain", "large-lost"} {
-		measures = append(measures, Measure{name + ": value served from 2 s after the fault, relative to before", name, 0.98, unbounded,
+		measures = append(measures, Measure{name + ": served from 2 s on, against before", name, 0.98, unbounded,
 			Run.servedRatio})
 	}
-	measures = append(measures, Measure{"lost-and-load: value served from 2 s after the fault, relative to before, at 0.93 of the remaining capacity",
+	measures = append(measures, Measure{"lost-and-load: served from 2 s on, against before, with 0.93 of what is left asked for",
 		"lost-and-load", 0.9, unbounded, Run.servedRatio})
 	return measures
 }
@@ -96,8 +96,8 @@
 // largeFleetMeasures returns the measures of a fleet with 60 zones.
 func largeFleetMeasures() (measures []Measure) {
 	for i, name := range []string{"large-lost", "large-errors"} {
-		from := time.Duration(i+1) * 5 * time.Second // each node gets 6 responses per second
-		measures = append(measures, residualTraffic(name, "z00", from), Measure{name + ": fraction of cross-zone attempts by the other zones", name, 0, 0.02,
+		from := time.Duration(i+1) * 5 * time.Second // longer for errors: each node gets only 6 responses per second
+		measures = append(measures, residualTraffic(name, "z00", from), Measure{name + ": attempts of the other zones that cross", name, 0, 0.02,
 			func(r Run) float64 {
 				s := r.Between(faultStart, faultEnd)
 				return float64(s.CrossZone-sumCounts(s.AttemptsByZone["z00"])+s.AttemptsByZone["z00"]["z00"]) / float64(s.Attempts)
@@ -109,7 +109,7 @@
 // residualTraffic returns the measure of the fraction of a zone's attempts that still go to the zone itself, counted from
 // the given duration after the start of the fault until its end.
 func residualTraffic(scenario, zone string, after time.Duration) Measure {
-	return Measure{fmt.Sprintf("%s: fraction of the zone's attempts that stay in the zone from %v after the fault", scenario, after), scenario, 0, 0.05,
+	return Measure{fmt.Sprintf("%s: share of the zone's requests still sent there from %v on", scenario, after), scenario, 0, 0.05,
 		func(r Run) float64 {
 			counts := r.Between(faultStart+after, faultEnd).AttemptsByZone[zone]
 			return float64(counts[zone]) / float64(sumCounts(counts))
@@ -148,7 +148,8 @@
 	return float64(s.Failed) / float64(max(1, s.Requests))
 }
 
-// nodesAndServers returns the number of all nodes plus the number of servers in the first zone, which the fault affects.
+// nodesAndServers returns the number of all nodes, plus the number of servers in the first zone: the zone that the fault
+// affects.
 func (r Run) nodesAndServers() (n int) {
 	for _, z := range r.Zones {
 		n += z.Nodes
@@ -213,8 +214,8 @@
 	return total / float64(max(1, ramps)) / (rampTimeConstantSeconds * math.Log(1/rampStart))
 }
 
-// overflowRatio returns the number of cross-zone attempts, divided by the number of attempts that exceed 0.8 of the
-// capacity of zone a.
+// overflowRatio returns the number of cross-zone attempts, divided by the number of attempts from zone a that don't fit
+// into 0.8 of the capacity of zone a.
 func overflowRatio(r Run) float64 {
 	const maxUtilization = 0.8
 	from, to := 20*time.Second, 35*time.Second
@@ -228,8 +229,8 @@
 	return float64(s.CrossZone) / excess
 }
 
-// regionLossRatio returns the value that was served, divided by the maximum possible: the classes in descending order of
-// priority weight, up to the capacity of zone c, which is left.
+// regionLossRatio returns the value that was served, divided by the maximum possible value. The maximum is reached if
+// zone c, which is left, spends its capacity on the classes in descending order of priority weight.
 func regionLossRatio(r Run) float64 {
 	from, to := faultStart+3*time.Second, 35*time.Second
 	s := r.Between(from, to)
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -33,7 +33,7 @@
 
 const (
 	maxLists    = 16      // list numbers in the protocol are 0 to maxLists-1
-	maxInterned = 1 << 14 // interned strings; bounded because new servers keep coming
+	maxInterned = 1 << 14 // maximum number of interned strings; new servers would add more without end
 )
 
 // Decoder decodes lines. It stores the endpoint lists, which the simulator sends once for all instances, and interns
@@ -44,7 +44,7 @@
 	interned map[string]string
 }
 
-// storedList is an endpoint list, with present set once the simulator has sent it.
+// storedList is an endpoint list. present is set once the simulator has sent the list.
 type storedList struct {
 	endpoints []policy.Endpoint
 	present   bool
--- a/internal/simwire/errors.go
+++ b/internal/simwire/errors.go
@@ -34,7 +34,7 @@
 func (e *MessageError) Unwrap() error { return e.Err }
 
 // FieldError is the error for an invalid field of a message or key of the settings.
-// The node's other input has its own type, decode.FieldError.
+// Errors in other input of a node have the type decode.FieldError.
 type FieldError struct {
 	Field  string // path, in the names of the protocol
 	Reason string
--- a/internal/simwire/form_test.go
+++ b/internal/simwire/form_test.go
@@ -89,7 +89,8 @@
 	return append(lines, Line{Kind: Shutdown, Node: 3}, Line{Kind: BatchEnd})
 }
 
-// TestEveryMessageIsFrozen decodes lines that hold every message, every key of the settings and every name of a value.
+// TestEveryMessageIsFrozen decodes golden lines and compares the results. The lines contain every message, every key of
+// the settings and every name of a value.
 func TestEveryMessageIsFrozen(t *testing.T) {
 	lines, want := goldenLines(t, "events.jsonl"), allLines()
 	if len(lines) != len(want) {
@@ -103,8 +104,8 @@
 	}
 }
 
-// TestEveryFieldOfAMessageIsFrozen decodes lines that each have one invalid value. The errors name every message, field
-// and key.
+// TestEveryFieldOfAMessageIsFrozen decodes lines that each have one invalid value. Together, the errors
+// name every message, field and key.
 func TestEveryFieldOfAMessageIsFrozen(t *testing.T) {
 	var out bytes.Buffer
 	for _, line := range goldenLines(t, "faults.jsonl") {
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -152,17 +152,17 @@
 func TestErrorTypes(t *testing.T) {
 	var d Decoder
 	if _, err := d.Decode([]byte(`{`)); !errors.Is(err, ErrNotJSON) {
-		t.Errorf("got %v, want ErrNotJSON", err)
+		t.Errorf("error for invalid JSON: got %v, want ErrNotJSON", err)
 	}
 	_, err := d.Decode([]byte(`["surprise",1]`))
 	var message *MessageError
 	if !errors.Is(err, ErrUnknownMessage) || !errors.As(err, &message) || message.Message != "surprise" {
-		t.Errorf("got %v, want ErrUnknownMessage for message surprise", err)
+		t.Errorf("error for an unknown message: got %v, want ErrUnknownMessage for message surprise", err)
 	}
 	_, err = d.Decode([]byte(`["configure",1,2,{"services":[{"repeat":"odd"}]}]`))
 	var field *FieldError
 	if !errors.As(err, &field) || field.Field != "services[0].repeat" {
-		t.Errorf("got %v, want a FieldError for services[0].repeat", err)
+		t.Errorf("error for an invalid key: got %v, want a FieldError for services[0].repeat", err)
 	}
 }
 
