--- a/policy/actions.go
+++ b/policy/actions.go
@@ -21,7 +21,7 @@
 	SendPeerMessage    // Peer (-1 for all), Text
 	CloseIdle          // Server
 	Log                // Text
-	WatchList          // Enabled
+	WatchList          // Enabled: subscribe to the list of servers
 	FetchList          // no fields
 )
 
--- a/policy/admission.go
+++ b/policy/admission.go
@@ -20,18 +20,19 @@
 	refillCompensation = 1 / math.Ln2
 )
 
-// rateLimiter admits requests by token buckets. Each tenant has one bucket, and another for each class with
-// its own limit. It owns the limits in force and the buckets.
+// rateLimiter admits requests by token buckets. It owns the limits in force and the buckets. Each tenant has
+// one bucket, and another for each class with its own limit. Beyond maxBuckets, tenants without a quota share
+// one bucket.
 type rateLimiter struct {
 	limits       RateLimits       // layers that apply to every tenant
 	tenantLimits map[string]Limit // this node's share of each tenant's quota
 	defaultLimit *Limit           // for tenants without a quota; nil: no limit
 	buckets      bucketTable
-	handedOver   bool // another process of this node refills the buckets; set with Balancer.handedOver
+	handedOver   bool // the successor in a hot restart refills the buckets; set with Balancer.handedOver
 }
 
 // configure sets the limits, and this node's share of each quota: 1/nodeCount of it. Without a default limit,
-// a tenant without a quota gets the smallest quota.
+// a tenant without a quota gets the smallest quota, or no limit if no tenant has a quota.
 func (l *rateLimiter) configure(limits RateLimits, tenants []Tenant, nodeCount int) {
 	l.limits, l.tenantLimits, l.defaultLimit = limits, make(map[string]Limit), limits.Default
 	for _, tenant := range tenants {
@@ -51,7 +52,7 @@
 }
 
 // admit takes a token for a request of the tenant and the class, or returns how long its client should wait.
-// The multiplier scales the refill rate.
+// The multiplier scales the refill rate. A request without a limit needs no token.
 func (l *rateLimiter) admit(now Time, tenant, class string, multiplier float64) (
 	admitted bool, retryAfter time.Duration,
 ) {
@@ -78,8 +79,8 @@
 }
 
 // resolve returns the limit for a tenant's requests of a class, and the key of the bucket. The limit is the
-// class's own, else this node's share of the tenant's quota, else the default. RateLimits.Max bounds it. If
-// there is no such limit, limited is false.
+// class's own, else this node's share of the tenant's quota, else the default. RateLimits.Max bounds its
+// PerWindow and Burst. If none of the three exists, limited is false.
 func (l *rateLimiter) resolve(tenant, class string) (limit Limit, key bucketKey, limited bool) {
 	key.tenant = tenant
 	if classLimit, found := l.limits.PerClass[class]; found {
@@ -93,8 +94,8 @@
 	return limit, key, limited
 }
 
-// bucket returns the bucket for a key, and creates it if there is none. A bucket created after the hand-over
-// starts with this process's half of the burst; the successor has the other half.
+// bucket returns the bucket for a key, and creates it if there is none. A new bucket holds the burst. After
+// the hand-over it holds half of the burst, as if the other half had been left to the successor.
 func (l *rateLimiter) bucket(now Time, key bucketKey, burst int64) *bucket {
 	if known := l.buckets.byKey[key]; known != nil {
 		return known
@@ -106,8 +107,8 @@
 	return l.buckets.add(&bucket{key: key, tokens: tokens, refilledAt: now})
 }
 
-// newBucketKey returns the key of the bucket to use if there is none with the given key. It is that key or,
-// if the tenant has no quota and there are maxBuckets, the key of the shared bucket.
+// newBucketKey returns the key of the bucket to use for a key that has no bucket yet. It is the given key or,
+// if the tenant has no quota and there are maxBuckets buckets or more, the key of the shared bucket.
 func (l *rateLimiter) newBucketKey(key bucketKey) bucketKey {
 	if _, hasQuota := l.tenantLimits[key.tenant]; !hasQuota && l.buckets.isFull() {
 		return sharedBucketKey
@@ -116,7 +117,7 @@
 }
 
 // dropRefilled examines the next few buckets, and drops those that would be full by now even if they had been
-// empty.
+// empty. It then shrinks the table if few buckets are left.
 func (l *rateLimiter) dropRefilled(now Time) {
 	for range bucketsPerSweep {
 		bucket := l.buckets.current()
@@ -134,7 +135,8 @@
 
 // isRefilled reports whether the time since a bucket's last refill would fill it from empty, even at the
 // lowest rate multiplier. Whatever such a bucket holds, its next refill makes it equal to a new one: full,
-// and refilled at that moment. So dropping the bucket changes no decision.
+// and refilled at that moment. So dropping the bucket changes no decision. isRefilled is false for the shared
+// bucket, and true for a bucket whose requests no longer have a limit.
 func (l *rateLimiter) isRefilled(now Time, b *bucket) bool {
 	if b.key == sharedBucketKey { // used by tenants with different limits
 		return false
@@ -145,8 +147,8 @@
 		math.Floor((now-b.refilledAt).Seconds()*limit.perSecond()) >= max(1, float64(limit.Burst))
 }
 
-// handOver leaves the refills and half of the tokens of each bucket to another process of this node. If
-// active is false, it takes the refills back.
+// handOver leaves the refills, and half of the tokens of each bucket, to the successor. If active is false,
+// it takes back the refills, but no tokens.
 func (l *rateLimiter) handOver(active bool) {
 	l.handedOver = active
 	if !active {
@@ -165,8 +167,8 @@
 	return l.PerWindow / l.Window.Seconds()
 }
 
-// retryAfter returns the Retry-After of a rejected request: the time to refill one token, in whole seconds,
-// or the window if nothing is refilled.
+// retryAfter returns the Retry-After of a rejected request: the time to refill one token, rounded up to whole
+// seconds, or the window if nothing is refilled.
 func (l Limit) retryAfter() time.Duration {
 	rate := l.perSecond()
 	if rate <= 0 {
@@ -195,7 +197,8 @@
 	b.dispatch(r)
 }
 
-// admit takes a token for a request, or returns how long its client should wait.
+// admit takes a token for a request, or returns how long its client should wait. The rate multiplier learns
+// of a rejection.
 func (b *Balancer) admit(tenant, class string) (admitted bool, retryAfter time.Duration) {
 	admitted, retryAfter = b.rateLimiter.admit(b.now, tenant, class, b.rateMultiplier.value)
 	if !admitted {
--- a/policy/attempts.go
+++ b/policy/attempts.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// claimProbe returns a server that is due for a probation request or a zone probe, if r may be that request,
-// and marks the server or its zone as being probed. It returns nil if there is no such server.
+// claimProbe returns a server that r is to test as a probation request or a zone probe, and marks the server
+// or its zone as being probed. It returns nil if r can't serve as either.
 func (b *Balancer) claimProbe(r *request) *server {
 	if s := b.claimProbation(r); s != nil {
 		return s
@@ -41,7 +41,8 @@
 	return b.claimZoneProbe(r)
 }
 
-// attemptsExhausted reports whether a request has no attempts left, or a response would come too late.
+// attemptsExhausted reports whether a request has no attempts left, or any response would now be too late to
+// be useful.
 func (b *Balancer) attemptsExhausted(r *request) bool {
 	return len(r.attempts) >= min(r.maxAttempts, b.settings.Allowed.attemptsPerRequest()) ||
 		b.now >= r.usefulUntil
@@ -65,7 +66,7 @@
 	}
 }
 
-// countInFlight counts an attempt as in flight (change is 1), or no longer (change is -1). It counts at the
+// countInFlight counts an attempt as in flight (change is 1) or stops counting it (change is -1), at its
 // server and, unless a.warmingUp, in the concurrency window.
 func (b *Balancer) countInFlight(a *attempt, change int) {
 	a.uncounted = change < 0
@@ -74,7 +75,8 @@
 	}
 }
 
-// onFirstByte stops counting the attempt of a streamed response as in flight: the server has done its work.
+// onFirstByte records that the response to a request has begun. The attempt no longer counts as in flight,
+// because the server has done its work.
 func (b *Balancer) onFirstByte(e FirstByte) {
 	r := b.requests[e.ID]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) {
@@ -117,7 +119,8 @@
 	}
 }
 
-// observeOutcome updates the measurements of the server and the class with the outcome of an attempt.
+// observeOutcome updates the measurements of the server and the class with the outcome of an attempt, if the
+// outcome says something about the server.
 func (b *Balancer) observeOutcome(r *request, a *attempt, e Outcome) {
 	if a.isProbe {
 		a.server.outlier.probationInFlight = false
@@ -127,7 +130,7 @@
 		return
 	case Cancelled:
 		// Cancelling an ordinary attempt says nothing about the server. A cancelled probe counts against the
-		// server: the client didn't wait for it.
+		// server, because the client gave up before the server responded.
 		if !a.isProbe {
 			return
 		}
--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -20,11 +20,11 @@
 	loadShedder    loadShedder
 	retryBudget    retryBudget
 	fleetSize      fleetSize
-	handedOver     bool                // another process of this node has taken over; rateLimiter has a copy
-	requests       map[string]*request // open requests by ID
+	handedOver     bool                // the successor in a hot restart has taken over; rateLimiter has a copy
+	requests       map[string]*request // requests by ID that haven't ended or have an attempt without an outcome
 	queue          requestQueue        // requests that wait for a usable server
 
-	servers     map[string]*server // listed servers by ID
+	servers     map[string]*server // listed and retained servers by ID
 	packing     packingOrder
 	list        endpointList
 	loads       loadReports
@@ -46,8 +46,8 @@
 	firstClassTimerToken = 8
 )
 
-// New returns a Balancer for one node. The seed determines its random choices, so that the same events give
-// the same actions. If a setting is invalid, the error names it.
+// New returns a Balancer for one node. The seed and the node's index determine its random choices, so that
+// the same events give the same actions. If a setting is invalid, the error names it.
 func New(set Settings, now Time, seed uint64) (*Balancer, error) {
 	if err := validate(set); err != nil {
 		return nil, err
@@ -64,8 +64,8 @@
 	return b, nil
 }
 
-// Handle processes one event and returns the resulting actions in order. The next call reuses the slice. If
-// now is earlier than the previous event, Handle uses the time of that event instead.
+// Handle processes one event and returns the resulting actions in order. The next call reuses the returned
+// slice. If now is earlier than the previous event, Handle uses the time of that event instead.
 func (b *Balancer) Handle(now Time, ev Event) []Action {
 	b.now, b.actions = max(now, b.now), b.actions[:0]
 	switch e := ev.(type) {
@@ -93,7 +93,9 @@
 	return b.actions
 }
 
-// onSettings applies changed settings. Measurements are kept, and open requests keep their class.
+// onSettings applies changed settings. Open requests keep their class. Measurements are kept, except that a
+// changed topology resets the health of the zones. If the new settings begin to require a subscription to the
+// list, the node subscribes.
 func (b *Balancer) onSettings(set Settings) {
 	subscribes := set.SubscribeList && !b.settings.SubscribeList
 	b.applySettings(set)
@@ -141,10 +143,11 @@
 	}
 }
 
-// Servers returns the number of listed servers, and how many of them are unavailable (draining or ejected).
+// Servers returns the number of servers that are listed, or retained though the list lacks them, and how many
+// of these are unavailable (draining or ejected).
 func (b *Balancer) Servers() (listed, unavailable int) { return len(b.servers), b.list.unavailable }
 
-// TailLatency returns the longest tail latency of any class.
+// TailLatency returns the longest of the estimated tail latencies of the classes in the settings.
 func (b *Balancer) TailLatency() (longest time.Duration) {
 	for _, c := range b.classes.ordered {
 		longest = max(longest, c.tailLatency)
--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -137,7 +137,7 @@
 	b.Handle(ms, changed)
 	if s := b.servers["s00"]; s.concurrencyLimit != 9 ||
 		s.inFlight+b.servers["s01"].inFlight+b.servers["s02"].inFlight != 1 {
-		t.Errorf("after new settings: want concurrency limit 9 and one attempt in flight; got limit %v",
+		t.Errorf("after new settings: got concurrency limit %v of s00, want 9 and one attempt in flight in total",
 			s.concurrencyLimit)
 	}
 	if got := b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != 5 {
--- a/policy/capacity_share.go
+++ b/policy/capacity_share.go
@@ -18,10 +18,11 @@
 	}
 }
 
-// ofNearby returns this node's share of a server in its own zone.
+// ofNearby returns this node's share of a server that it is near.
 func (c *capacityShare) ofNearby() float64 { return c.nodeCount / c.nearbyNodes }
 
-// of returns this node's share of a server.
+// of returns this node's share of a server. It is 1, the even share, for a server that this node isn't near.
+// Without a topology, it is 1 for all servers.
 func (c *capacityShare) of(s *server) float64 {
 	if s.zone != nil && s.zone.crossingCost == 0 {
 		return c.ofNearby()
--- a/policy/class.go
+++ b/policy/class.go
@@ -13,7 +13,8 @@
 	tailStep = 0.1
 )
 
-// class is a request class of the settings, with the servers that it may use and its measurements.
+// class is a request class, with the servers that it may use and its measurements. A request whose class the
+// settings don't name gets a class of its own (classOfRequest).
 type class struct {
 	Class
 	eligible *serverPool // servers that the class may use
@@ -23,11 +24,11 @@
 // classStats holds the measurements of a class. A class of new settings takes over those of the former class
 // with the same name.
 type classStats struct {
-	timerIndex      int           // index of its timer; negative for a class that the settings never named
+	timerIndex      int           // of its timer for slow attempts; negative if settings never named the class
 	tailLatency     time.Duration // estimated tailQuantile of the latency, at most the objective
 	slowAttempts    slowAttemptWatch
 	firstTryTimeout time.Duration          // longest timeout of a client's first try
-	typicalByKind   map[string]*serverLoad // usual latency by kind of server; kept where zones are monitored
+	typicalByKind   map[string]*serverLoad // typical latency by kind of server; recorded only with a topology
 }
 
 // classRegistry holds the classes of the settings in force and of the former settings, and the measurements
@@ -57,7 +58,8 @@
 	}
 }
 
-// statsOf returns the measurements of the class with the name in the settings, adapted to these settings.
+// statsOf returns the measurements of the class that the settings name, adapted to these settings. A class
+// that the settings name for the first time gets new measurements.
 func (c *classRegistry) statsOf(settings Class) *classStats {
 	stats := c.stats[settings.Name]
 	if stats == nil {
@@ -72,8 +74,9 @@
 	return stats
 }
 
-// find returns the class of a request according to the settings in force or, if its head arrived before them,
-// the former settings. It returns nil if neither names the class.
+// find returns the class of a request. If the head of the request arrived under the former settings
+// (FormerClass) and they name the class, it is the class of the former settings. Otherwise it is the class of
+// the settings in force, or nil if they don't name it.
 func (c *classRegistry) find(e Request) *class {
 	if e.FormerClass {
 		if former := c.former[e.Class]; former != nil {
@@ -83,7 +86,8 @@
 	return c.byName[e.Class]
 }
 
-// classOfRequest returns the class of a request. A class that the settings don't name is non-idempotent.
+// classOfRequest returns the class of a request. If the settings don't name the class, the request gets a new
+// non-idempotent class that may use any server, with the request's timeout as the latency objective.
 func (b *Balancer) classOfRequest(e Request) *class {
 	if known := b.classes.find(e); known != nil {
 		return known
@@ -92,9 +96,10 @@
 		classStats: &classStats{timerIndex: -1}}
 }
 
-// classesInUse returns the classes that requests may have: those of the settings in force, those of the
-// former settings, and those of older requests that are still open. Classes that the settings never named are
-// left out: they may use any server, and their requests are never probes.
+// classesInUse returns the classes for which the packing order keeps pools and each server's retrySafety:
+// those of the settings in force, those of the former settings, and those of older requests that are still
+// open. Classes that the settings never named are left out. They need no pools, as they may use any server,
+// and they don't change any retrySafety, as they are NonIdempotent, the lowest value.
 func (b *Balancer) classesInUse() map[*class]bool {
 	inUse := make(map[*class]bool)
 	for _, c := range b.classes.ordered {
@@ -122,8 +127,9 @@
 		(len(c.Regions) == 0 || slices.Contains(c.Regions, s.zone.regionName()))
 }
 
-// observeLatency updates the estimate of the tail latency with one response: a slower one raises it and a
-// faster one lowers it, in the ratio that keeps tailQuantile of the responses below the estimate.
+// observeLatency updates the estimate of the tail latency with one response. A slower response raises the
+// estimate, up to the latency objective, and a faster one lowers it. The ratio of the two steps keeps
+// tailQuantile of the responses below the estimate.
 func (c *class) observeLatency(latency time.Duration) {
 	step := -(1 - tailQuantile)
 	if latency > c.tailLatency {
--- a/policy/completion_rate.go
+++ b/policy/completion_rate.go
@@ -22,7 +22,7 @@
 	peakAt Time
 }
 
-// record counts a response.
+// record counts a response. The argument servers is the current number of warmed-up servers.
 func (c *completionRate) record(now Time, servers int) {
 	c.rate, c.rateAt = c.current(now)+1/completionRateTime.Seconds(), now
 	c.serverPeak(now, servers)
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -30,7 +30,7 @@
 	return max(1, initialFleetLimit/float64(b.settings.NodeCount))
 }
 
-// effectiveLimit returns how many attempts this node may have in flight at a server while others have
+// effectiveLimit returns how many attempts this node may have in flight at a server while other servers have
 // capacity.
 func (b *Balancer) effectiveLimit(s *server) float64 {
 	if b.usesLoadReports() {
@@ -53,7 +53,7 @@
 	return s.totalInFlight() == 0 && now-s.lastSentAt >= seconds(s.meanLatency*(1/limit-1))
 }
 
-// updateConcurrencyLimit adjusts the limit, and the ratios of the rate multiplier, to one outcome.
+// updateConcurrencyLimit adjusts a server's limit, and the ratios of the rate multiplier, to one outcome.
 // failureWeight is how much of a failure, 0 to 1, is attributed to the server.
 func (b *Balancer) updateConcurrencyLimit(s *server, c *class, code Code, latency time.Duration,
 	failureWeight float64) {
@@ -82,7 +82,8 @@
 	s.concurrencyLimit = max(lowest, s.concurrencyLimit+step*min(1, s.concurrencyLimit))
 }
 
-// scaleLimitByFailure lowers the limit after a failure, because load reports don't show failures.
+// scaleLimitByFailure lowers the limit after a failure, because load reports don't show failures. After a
+// timeout, the server also counts as busy for as long as the attempt took. An OK outcome changes nothing.
 func (s *server) scaleLimitByFailure(code Code, latency time.Duration, failureWeight float64, now Time) {
 	switch code {
 	case OK:
--- a/policy/concurrency_window.go
+++ b/policy/concurrency_window.go
@@ -27,7 +27,7 @@
 	// the server. As it is above 1, the node packs its load on fewer servers, and gets reports from each more
 	// often.
 	fairLimitSpread = 1.25
-	// minFairLimit is the least number of attempts that a node may have in flight at a typical server, however
+	// minFairLimit is the lower bound of a node's limit for a typical server, in attempts in flight, however
 	// many nodes there are.
 	minFairLimit = 0.7
 )
@@ -43,8 +43,8 @@
 	siblingInFlight int     // the same number for the node's other process
 }
 
-// size returns the window in attempts, at least 1: the node's share of what all nodes together may have in
-// flight at the warmed-up servers.
+// size returns the window in attempts. It is the node's share of what all nodes together may have in flight
+// at the warmed-up servers, but at least 1.
 func (w *concurrencyWindow) size(warmedUpWeight float64, nodeCount int) float64 {
 	return max(1, w.scale*initialReportedLimit*warmedUpWeight/float64(nodeCount))
 }
@@ -66,7 +66,8 @@
 	w.capacityWanted, w.reportedAt = false, now
 }
 
-// concurrencyWindow returns how many attempts this node may have in flight.
+// concurrencyWindow returns the size of the window: how many attempts this node may have in flight before it
+// is overcommitted, without those limited by a warm-up budget.
 func (b *Balancer) concurrencyWindow() float64 {
 	return b.window.size(b.warmedUpWeight(), b.settings.NodeCount)
 }
@@ -80,8 +81,9 @@
 	return float64(b.window.inFlight+b.window.siblingInFlight) / b.concurrencyWindow()
 }
 
-// fairLimit returns how many attempts this node may have in flight at a server: its share of the window,
-// scaled by the server's relative capacity and its concurrency limit.
+// fairLimit returns how many attempts this node may have in flight at a server. It is the server's part of
+// the window, at least minFairLimit, multiplied by the server's relative capacity and its concurrencyLimit,
+// which is a fraction here.
 func (b *Balancer) fairLimit(s *server) float64 {
 	relativeCapacity := b.warmFraction(s)
 	if b.loads.typicalLoad.samples > 0 {
--- a/policy/concurrency_window_test.go
+++ b/policy/concurrency_window_test.go
@@ -67,12 +67,12 @@
 	reportLoad(b, b.order()[0], 20, report(900, 1, 3))
 	reportLoad(b, b.order()[1], 20, report(100, 1, 3))
 	if scale := b.concurrencyWindow() / b.warmedUpWeight() * 12 / before; scale < 0.99 {
-		t.Errorf("window relative to the former one: got %v, want at least 0.99", scale)
+		t.Errorf("window per warmed-up server, relative to before the reports: got %v, want at least 0.99", scale)
 	}
 }
 
-// Servers below the target are full at times and idle at times: their mean utilization counts. Single reports
-// would move the window down more than up.
+// A server whose mean utilization is below the target is full at times and idle at times. The window follows
+// the mean, because single reports would move it down more than up.
 func TestWindowFollowsMeanUtilization(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	reportLoad(b, b.order()[0], 5, report(100, 0.5, 10))
--- a/policy/deadlines.go
+++ b/policy/deadlines.go
@@ -19,9 +19,10 @@
 	assumedWaitDivisor = 4
 )
 
-// setDeadlines sets the deadlines of a request from its class's latency objective and its client's timeout.
-// An incomplete request gets new ones once it is complete: until then, the node ensures that its bytes keep
-// arriving, and no server works on it.
+// setDeadlines sets the deadlines of a request from its class's latency objective and its client's timeout. A
+// response after the objective is useful only if the class has a LateWeight. While a request is incomplete,
+// no server works on it and the node ensures that its bytes keep arriving. So until onRequestComplete sets
+// new deadlines, deadline and usefulUntil are maxUploadTime from now.
 func (b *Balancer) setDeadlines(r *request) {
 	objective := r.class.LatencyObjective +
 		time.Duration(r.class.ObjectivePerWork*float64(r.EstimatedWork)) -
@@ -57,9 +58,11 @@
 	b.watchLatency(r)
 }
 
-// timeSinceFirstTry returns how long the client of a request has waited since its first try, when the latency
-// objective began to count. All first tries of a class have the same timeout, a fraction of the deadline. If
-// a retry has a shorter timeout, it ends at the deadline, and so its timeout tells when the first try began.
+// timeSinceFirstTry returns how long ago the client of a request began its first try, from which the latency
+// objective counts. It returns 0 for a first try, and updates the class's longest timeout of a first try. All
+// first tries of a class have the same timeout, a fraction of the deadline. A retry with a shorter timeout
+// ends at the deadline, so its timeout tells when the first try began. The timeout of another retry, or of
+// any retry if the class has no deadline, doesn't tell, so the time is assumed (assumedWaitDivisor).
 func (c *class) timeSinceFirstTry(e Request) time.Duration {
 	if !e.ClientRetry {
 		c.firstTryTimeout = max(c.firstTryTimeout, e.Timeout)
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -11,10 +11,10 @@
 //     It rejects the request to shed load (load_shedding.go), or if the request's token bucket is empty
 //     (rateLimiter.admit in admission.go, token_buckets.go). The refill rates follow the servers' capacity
 //     (rate_multiplier.go) and the number of nodes (fleet_size.go).
-//   - dispatch in attempts.go ends a request that has used up its attempts, its time, or the node's retries
-//     (retry_budget.go). It first looks for a server to test: an ejected server that is due for a probation
-//     request (outlier_detection.go), or a server of an evacuated zone that is due for a zone probe
-//     (zone_failover.go).
+//   - dispatch in attempts.go ends a request that has no attempts or time left, or would need a retry that
+//     the node's budget doesn't allow (retry_budget.go). For other requests, it first looks for a server to
+//     test: an ejected server that is due for a probation request (outlier_detection.go), or a server of an
+//     evacuated zone that is due for a zone probe (zone_failover.go).
 //   - pickServer in server_selection.go walks the servers in packing order (packing_order.go,
 //     server_pool.go); the first with capacity gets the attempt. The capacity depends on the limit of each
 //     server (concurrency_limit.go), the node's limit for all servers (concurrency_window.go), the node's
@@ -34,14 +34,17 @@
 //   - Settings: applySettings in balancer.go passes them to each mechanism; validation.go checks the settings
 //     that are passed to New.
 //   - FleetSize: fleet_size.go.
-//   - HandedOver: hot_restart.go; snapshot.go holds the state that passes to the successor.
+//   - FirstByte and ClientCancelled: attempts.go. RequestComplete: deadlines.go.
+//   - HandedOver: hot_restart.go; snapshot.go holds the state that passes to the successor, the process that
+//     replaces this one in a hot restart.
 //   - Timer: onTimer in balancer.go.
 //
 // # Making changes
 //
 // Each mechanism has one file with its constants, state and rules. A constant may be changed on its own; its
-// comment gives its meaning and unit. As intended, the events in recorded_events_test.go then give other
-// actions. Regenerate their file of hashes in the same commit. Three constraints span the files:
+// comment gives its meaning and unit. If a change gives other actions for the recorded events, the test in
+// recorded_events_test.go fails. If that is intended, regenerate the file of action hashes in the same
+// commit. Three constraints span the files:
 //
 //   - The order of random draws and of floating-point sums determines which actions a seed gives.
 //   - The JSON keys of [Snapshot] are frozen: processes of different versions read each other's snapshots.
--- a/policy/events.go
+++ b/policy/events.go
@@ -66,7 +66,7 @@
 	Timeout                time.Duration // how long the client waits in this try
 	EstimatedWork          time.Duration // expected CPU time; 0 if unknown
 	ClientRetry, Write     bool
-	FormerClass            bool // its head arrived before the last Settings; those before them define its class
+	FormerClass            bool // its head arrived under the former settings, which define its class if known
 	Incomplete             bool // its last byte is yet to arrive, and Timeout counts from RequestComplete
 }
 
@@ -104,7 +104,7 @@
 	Attempt      int
 	Code         Code
 	Latency      time.Duration
-	RequestEnded bool      // the request has its final response
+	RequestEnded bool      // the request has its final response, or its client has disconnected
 	BodyConsumed bool      // part of the request body has left the node, so the request can't be sent again
 	LoadReport   []float64 // values in the order of Settings.ReportFields; nil without a report
 }
@@ -112,9 +112,9 @@
 // ClientCancelled reports that the client has disconnected and needs no response.
 type ClientCancelled struct{ ID string }
 
-// HandedOver reports that another process of this node, the successor, takes over. If Active is false, it
-// reports that the successor has ended again, and SuccessorServed tells whether the successor had begun to
-// serve.
+// HandedOver reports that the successor, the process that replaces this one in a hot restart, takes over. If
+// Active is false, it reports that the successor has ended, and SuccessorServed tells whether the successor
+// had begun to serve.
 type HandedOver struct{ Active, SuccessorServed bool }
 
 // FleetSize reports how many nodes of the fleet this node reaches, including itself, according to membership.
--- a/policy/load_shedding.go
+++ b/policy/load_shedding.go
@@ -19,7 +19,7 @@
 // loadShedder sheds requests of low priority while the highest priority finds no capacity.
 type loadShedder struct {
 	maxPriorityWeight    float64 // highest priority weight of any class; 0 if the settings state none
-	highPriorityShortage float64 // fraction of recent requests of that weight that found no server
+	highPriorityShortage float64 // fraction of recent requests with maxPriorityWeight that found no server
 }
 
 // configure sets the highest priority weight of the classes. The shortage is kept.
@@ -42,7 +42,7 @@
 }
 
 // shouldShed decides at random whether to shed a request. The probability rises with the shortage and falls
-// with the priority weight.
+// with the priority weight. Requests of the highest priority are never shed.
 func (l *loadShedder) shouldShed(rng *rand.Rand, weight float64) bool {
 	if l.highPriorityShortage == 0 || l.isHighestPriority(weight) {
 		return false
@@ -52,7 +52,7 @@
 }
 
 // shouldShed decides at random whether to shed a request of a class. If limits are based on load reports,
-// none is shed at random: the overcommit bounds of the classes reject low priorities first.
+// none is shed at random, because the overcommit bounds of the classes reject low priorities first.
 func (b *Balancer) shouldShed(c *class) bool {
 	return !b.usesLoadReports() && b.loadShedder.shouldShed(b.rng, c.PriorityWeight)
 }
--- a/policy/overcommit.go
+++ b/policy/overcommit.go
@@ -1,7 +1,7 @@
 package policy
 
 // Overcommit is the number of attempts in flight as a multiple of a server's limit, or of a node's window. If
-// no server has capacity, the least loaded one is overcommitted up to a bound that depends on the priority of
+// no server has capacity, the least overcommitted one is used, up to a bound that depends on the priority of
 // the class.
 
 const (
@@ -30,7 +30,8 @@
 }
 
 // serverOvercommit returns the overcommit of a server with one more attempt. With load reports, a limit under
-// one is spread over time: while no attempt is in flight, the overcommit falls with the time since the last.
+// one is spread over time: while no attempt is in flight, the overcommit falls with the time since the last
+// attempt was sent.
 func (b *Balancer) serverOvercommit(s *server) float64 {
 	limit := b.effectiveLimit(s)
 	if limit < 1 && s.totalInFlight() == 0 && b.usesLoadReports() {
--- a/policy/packing_order.go
+++ b/policy/packing_order.go
@@ -47,7 +47,8 @@
 	}
 }
 
-// insert adds a server to the pools. The caller then calls rotate for its segment.
+// insert adds a server to the pools, and sets its retrySafety. The caller then calls rotate for the server's
+// segment.
 func (o *packingOrder) insert(s *server, cost float64) {
 	s.segment = o.pool.insert(s, cost)
 	s.retrySafety = NonIdempotent
@@ -94,7 +95,7 @@
 }
 
 // refreshOrder updates the order from the list, and the sums that mechanisms keep over the servers in the
-// order. It sets the initial limits of new servers.
+// order. It gives each new server its initial limit and a random lastSentAt.
 func (b *Balancer) refreshOrder() {
 	for _, s := range b.updateOrder() {
 		if s.concurrencyLimit == 0 {
@@ -168,7 +169,8 @@
 	b.packing.rotate(g)
 }
 
-// resetSums clears the sums over the order. Changed servers may no longer be in the order or the list.
+// resetSums clears the sums over the order, and what each server has contributed to them. It also goes
+// through packing.changed, because changed servers may no longer be in the order or the list.
 func (b *Balancer) resetSums() {
 	for s := range b.packing.pool.all {
 		s.segment, s.contribution = nil, contribution{}
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -42,8 +42,8 @@
 	return sim
 }
 
-// handle passes an event to the node. Most attempts that the node then sends get an outcome immediately, with
-// each code in turn. Every fifth outcome arrives later.
+// handle passes an event to the node. Most attempts that the node then sends get an outcome immediately.
+// Every fifth outcome arrives later. The codes from OK to Reset take turns, unless all attempts succeed.
 func (sim *orderSimulation) handle(ev Event) {
 	for _, a := range slices.Clone(sim.b.Handle(sim.now, ev)) {
 		if a.Kind != Send {
@@ -307,7 +307,7 @@
 	strict := testSettings(1)
 	strict.Classes[0].RetrySafety = NonIdempotent
 	b.Handle(2*ms, strict)
-	b.Handle(3*ms, strict) // now the former settings are strict too, and the open request is older
+	b.Handle(3*ms, strict) // now the former settings are strict too: only the open request's class is idempotent
 	list := testEndpoints(4)
 	change := func(i int) *server {
 		list[i].Weight++
--- a/policy/rate_multiplier.go
+++ b/policy/rate_multiplier.go
@@ -2,13 +2,14 @@
 
 const (
 	// rateIncreaseStep and rateDecreaseStep are the fractions by which one server selection moves the
-	// multiplier. As they are equal, it is steady if every second selection finds no capacity.
+	// multiplier. As they are equal, the multiplier stays about the same while buckets reject requests and every
+	// second selection finds no capacity.
 	rateIncreaseStep, rateDecreaseStep = 0.02, 0.02
-	// minRateMultiplier is the lower bound of the multiplier. With a lower one, traffic within its quota would
-	// be rejected because of faults that fewer requests don't cure.
+	// minRateMultiplier is the lower bound of the multiplier. If the multiplier fell further, traffic within its
+	// quota would be rejected because of faults that fewer requests don't cure.
 	minRateMultiplier = 0.3
-	// cautiousRateMultiplier is the value above which the multiplier rises only while few responses are
-	// bad, since the other nodes may need the capacity.
+	// cautiousRateMultiplier is the value above which the multiplier rises only while few responses are slow or
+	// failed, and falls while many are, since the other nodes may need the capacity.
 	cautiousRateMultiplier = 1.5
 	// maxRateMultiplier is the upper bound of the multiplier: at three times its quotas, a node admits nearly
 	// everything that there is capacity for.
@@ -32,10 +33,12 @@
 
 // rateConditions holds the conditions in the fleet that bound a node's multiplier.
 type rateConditions struct {
-	// hasMembership is true if the nodes agree on how many share the quotas. So no node may exceed its share.
+	// hasMembership is true if membership tells the nodes how many of them share the quotas. No node may then
+	// exceed its share.
 	hasMembership bool
-	// usesLoadReports is true if limits are based on load reports. When capacity is short, the overcommit bounds
-	// then reject low priorities first, while lower refill rates would reject all priorities alike.
+	// usesLoadReports is true if the servers' concurrency limits are based on load reports. When capacity is
+	// short, the overcommit bounds (overcommit.go) then reject low priorities first, while lower refill rates
+	// would reject all priorities alike.
 	usesLoadReports bool
 	// minLimitsOverload is true if the minimum limits of all nodes for a server add up to more attempts than the
 	// server should get.
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -114,8 +114,8 @@
 	}
 }
 
-// With load reports, the overcommit limits reject the classes of the lowest priority when capacity is short.
-// The rates of the buckets stay, since lower ones would reject all classes alike.
+// With load reports, the overcommit bounds reject the classes of the lowest priority when capacity is short.
+// The refill rates of the buckets aren't lowered, since lower rates would reject all classes alike.
 func TestRateMultiplierIsNotLoweredWithLoadReports(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	for range 500 {
--- a/policy/request.go
+++ b/policy/request.go
@@ -1,10 +1,10 @@
 package policy
 
-// request is a client request. It is kept until it needs no more response and its attempts have ended.
+// request is a client request. It is kept until it needs no further response and its attempts have ended.
 type request struct {
 	Request
-	class           *class // by the settings when its head arrived
-	maxAttempts     int    // by the settings when its head arrived; at least 1
+	class           *class // by the settings when its head arrived, if they name the class
+	maxAttempts     int    // by the settings in force when the Request event arrived; at least 1
 	deadline        Time   // when the client stops waiting
 	usefulUntil     Time   // when a response loses its value
 	queueUntil      Time   // until when it may wait for a server
@@ -22,9 +22,9 @@
 	sentAt       Time // when it was sent or, if later, when its request was complete
 	finished     bool // its outcome is known
 	provenNotRun bool // the outcome proves that the server never ran it
-	isProbe      bool // it probes an ejected server or one of an evacuated zone
+	isProbe      bool // it is a probation request or a zone probe
 	warmingUp    bool // the warm-up budget limited its server (isLimitedByWarmup) when it was sent
-	uncounted    bool // not counted as in flight: its request is incomplete, or its response has begun
+	uncounted    bool // not in flight: its request is incomplete, or its response has begun or ended
 }
 
 // updateMayHaveRun finds the first attempt that may have run. An attempt without an outcome may have run.
@@ -47,9 +47,9 @@
 	return r.class.RetrySafety == IdempotencyKeyed && r.class.DedupScope == DedupEverywhere
 }
 
-// mayRetryAfter reports whether another attempt may follow an attempt with this outcome. The outcome isn't
-// NotAttempted, there is time left, the node can still send the whole request, no part of a response has been
-// sent to the client, and the class's retry safety permits another attempt.
+// mayRetryAfter reports whether another attempt may follow an attempt with this outcome. All of these must
+// hold: the outcome isn't NotAttempted; the deadline hasn't passed; the node can still send the whole
+// request; the response hasn't begun; and either no attempt may have run, or the class isn't NonIdempotent.
 func (r *request) mayRetryAfter(e Outcome, now Time) bool {
 	if e.Code == NotAttempted || now >= r.deadline || r.streaming || e.BodyConsumed {
 		return false
--- a/policy/request_queue.go
+++ b/policy/request_queue.go
@@ -42,8 +42,8 @@
 	b.dispatchQueued()
 }
 
-// dispatchQueued dispatches each queued request that hasn't ended. While there is time, dispatch queues a
-// request without a server again.
+// dispatchQueued dispatches each queued request that hasn't ended. A request that still finds no server is
+// queued again while there is time.
 func (b *Balancer) dispatchQueued() {
 	for _, r := range b.queue.takeAll() {
 		if !r.ended {
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -8,14 +8,14 @@
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
 
 // retryLimitMargin, in retries, keeps the number of retries below the limit rather than at it. Otherwise,
-// rounding of the ratio could allow one retry too many. So could a check of the limit that treats entries
-// exactly as old as the window differently.
+// rounding of the ratio could allow one retry too many. An observer who counts entries that are exactly as
+// old as the window differently could also find one retry too many.
 const retryLimitMargin = 1e-9
 
 // retryBudget bounds the retries of a node. In any window, the node makes fewer retries than MinRetries plus
 // RetryRatio times the number of requests that it received in the window. Requests and retries are counted
-// exactly, over a sliding window. If an entry is exactly as old as the window, a request no longer counts and
-// a retry still does.
+// exactly, over a sliding window. A request that is exactly as old as the window no longer counts; a retry of
+// that age still does.
 type retryBudget struct {
 	limits     RetryBudget
 	acceptedAt []Time // times of the requests received within the window, oldest first
@@ -44,7 +44,8 @@
 	return float64(len(r.retriesAt)+1) <= r.limit()-retryLimitMargin
 }
 
-// exhaust records as many retries as the budget permits in total, because another process may have made them.
+// exhaust records as many further retries as the current limit, rounded down, because the successor in a hot
+// restart may have made them.
 func (r *retryBudget) exhaust(now Time) {
 	for range int(r.limit()) {
 		r.recordRetry(now)
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -72,8 +72,8 @@
 	}{
 		{"fewer than the minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 0, 0, true},
 		{"reaching the minimum", RetryBudget{MinRetries: 2, Window: time.Second}, 0, 1, 0, false},
-		{"a fraction of the requests", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 1, 0, true},
-		{"no more than that fraction", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 2, 0, false},
+		{"below the ratio of the requests", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 1, 0, true},
+		{"reaching the ratio of the requests", RetryBudget{RetryRatio: 0.5, Window: time.Second}, 5, 2, 0, false},
 		{"requests as old as the window", RetryBudget{RetryRatio: 0.5, Window: time.Second},
 			5, 0, time.Second, false},
 		{"a retry as old as the window", RetryBudget{MinRetries: 1.5, Window: time.Second},
--- a/policy/server.go
+++ b/policy/server.go
@@ -1,9 +1,9 @@
 package policy
 
-// server holds the state of one listed server as this node sees it. Most fields are written by one mechanism,
-// and restored by snapshot.go. But concurrencyLimit is initialized by packing_order.go, adjusted by
-// concurrency_limit.go and load_reports.go, and reset after an ejection by outlier_detection.go. limitReached
-// is set by concurrency_limit.go and load_reports.go. attempts.go updates meanLatency.
+// server holds the state of one server, listed or retained, as this node sees it. Most fields are written by
+// one mechanism, and restored by snapshot.go. But concurrencyLimit is initialized by packing_order.go,
+// adjusted by concurrency_limit.go and load_reports.go, and reset after an ejection by outlier_detection.go.
+// limitReached is set by concurrency_limit.go and load_reports.go. attempts.go updates meanLatency.
 type server struct {
 	Endpoint
 	zone         *zoneHealth // nil if the settings name no topology
@@ -19,13 +19,13 @@
 	// concurrencyLimit is how many attempts this node may have in flight at the server before the server is
 	// overcommitted. If usesLoadReports, it is the fraction (0 to 1) of the fair limit instead.
 	concurrencyLimit float64
-	limitReached     bool    // the limit reflects an outcome or a report, not only the initial guess
+	limitReached     bool    // a failure, a slow response or a load report has adjusted the initial limit
 	meanLatency      float64 // moving average of the latency of OK and timed-out attempts, in seconds
 	busyUntil        Time    // when it has likely ended a timed-out attempt; set only if usesLoadReports
 
 	reportedLatency float64 // latency in its newest load report, in seconds
 	reportedAt      Time    // time of that report; 0 before the first
-	reportedRate    float64 // attempts per second that it can serve, by its reports; 0 before the first
+	reportedRate    float64 // attempts per second that it can serve, by its reports; 0 until a report shows it
 
 	outlier              outlierState
 	connectionFaultRatio float64 // fraction of recent attempts that ended with Reset or ConnectFailed
--- a/policy/server_pool.go
+++ b/policy/server_pool.go
@@ -6,9 +6,10 @@
 	"strings"
 )
 
-// serverPool is a set of servers in packing order: by the cost of crossing to them, then by ID. Servers are
-// inserted and removed by binary search, so that a list change is cheap at any number of servers. This type
-// is unrelated to the serverPool of internal/node/upstream, which holds idle connections.
+// serverPool is a set of servers in packing order: by the cost of sending a request from the node's zone to
+// the server's zone (crossing cost), then by ID. Servers are inserted and removed by binary search, so that a
+// list change is cheap at any number of servers. This type is unrelated to the serverPool of
+// internal/node/upstream, which holds idle connections.
 type serverPool struct {
 	segments []*segment // by ascending cost
 	length   int        // number of servers in all segments
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -16,9 +16,9 @@
 
 // pickServer chooses a server for a request: one that is warming up (pickWarmingUp), else the first usable
 // server in packing order that has capacity, else the least overcommitted usable server. It returns nil if no
-// server is usable, or if even the least overcommitted one exceeds the bound of the class. hasCapacity tells
-// whether a server has capacity. It is also true if the limit of the least overcommitted server is still the
-// initial guess.
+// server is usable, or if the overcommit of that last server or of the node's window exceeds the bound of the
+// class. hasCapacity tells whether a server with capacity was found. It is also true if the limit of the
+// least overcommitted server is still the initial guess.
 func (b *Balancer) pickServer(r *request) (picked *server, hasCapacity bool) {
 	windowOvercommit, maxOvercommit := b.windowOvercommit(), b.maxOvercommit(r.class)
 	b.chooseZones(r)
@@ -51,7 +51,7 @@
 		(!isNearer(earlier, s) || b.serverOvercommit(earlier) >= 1)
 }
 
-// isUsable reports whether a request may be sent to a server now.
+// isUsable reports whether a request may be sent to a server now, apart from the server's concurrency limit.
 func (b *Balancer) isUsable(r *request, s *server) bool {
 	return !s.outlier.ejected && !s.zone.isClosed() && r.mayRunOn(s, b.now) && b.answersInTime(r, s) &&
 		b.refillWarmupBudget(s)
@@ -59,7 +59,8 @@
 
 // answersInTime reports whether a server is likely to respond to a request while the response is useful.
 // Servers that are warming up or overloaded take several times as long as others. The older a load report,
-// the less its latency counts. Without load reports, answersInTime is always true.
+// the less its latency counts. If limits aren't based on load reports, or there are none from servers of the
+// same kind, answersInTime is true.
 func (b *Balancer) answersInTime(r *request, s *server) bool {
 	kind := b.loads.byKind[s.Kind]
 	if kind == nil || !b.usesLoadReports() {
--- a/policy/slow_attempts.go
+++ b/policy/slow_attempts.go
@@ -5,7 +5,7 @@
 )
 
 const (
-	// slowAttemptFactor is the multiple of its class's tail latency from which an attempt counts as slow.
+	// slowAttemptFactor is the multiple of the class's tail latency from which an attempt counts as slow.
 	slowAttemptFactor = 1.2
 	// minSlowTimerWait is the shortest wait of a timer, used if the oldest attempt is already due.
 	minSlowTimerWait = time.Millisecond
@@ -29,8 +29,8 @@
 
 func (w *slowAttemptWatch) add(a watchedAttempt) { w.watched = append(w.watched, a) }
 
-// armTimer returns the wait until the oldest attempt is due, if a timer is needed and not yet set. It then
-// marks the timer as set.
+// armTimer returns the wait until the oldest attempt is due, if a timer is needed and not yet set. In that
+// case, it marks the timer as set.
 func (w *slowAttemptWatch) armTimer(now Time) (wait time.Duration, needed bool) {
 	if w.timerSet || len(w.watched) == 0 {
 		return 0, false
@@ -67,9 +67,10 @@
 	}
 }
 
-// checkSlowAttempts records a failure of each server that hasn't responded to any request since it got an
-// attempt that is now slow. If the server responds to other requests, the slow request is likely just
-// expensive. The slow attempt itself goes on: a request has one attempt at a time.
+// checkSlowAttempts records a failure, also as evidence against the zone, of each server that hasn't
+// responded to any request since it got an attempt that is now slow. If the server has responded to other
+// requests, the slow request is likely just expensive. The slow attempt itself goes on, because a request has
+// only one attempt at a time.
 func (b *Balancer) checkSlowAttempts(c *classStats) {
 	c.slowAttempts.timerSet = false
 	for {
--- a/policy/token_buckets.go
+++ b/policy/token_buckets.go
@@ -10,19 +10,19 @@
 	// maxBuckets limits the memory that clients can use up by inventing tenants. Once there are this many
 	// buckets, including those of tenants with a quota, new tenants without a quota share one.
 	maxBuckets = 4096
-	// bucketsPerSweep is how many buckets each admission examines.
+	// bucketsPerSweep is how many buckets each admission examines, to drop those that would be full by now.
 	bucketsPerSweep = 2
-	// minBucketsToShrink and bucketShrinkRatio determine when the map of buckets is rebuilt, because a Go map
-	// never frees its memory. It is rebuilt once it has held at least minBucketsToShrink buckets, and fewer
-	// than 1/bucketShrinkRatio of its peak are left.
+	// minBucketsToShrink and bucketShrinkRatio determine when the map of buckets is rebuilt. It is rebuilt once
+	// it has held at least minBucketsToShrink buckets, and fewer than 1/bucketShrinkRatio of its peak are left.
+	// Without the rebuild, the memory would stay in use, because a Go map never frees its memory.
 	minBucketsToShrink, bucketShrinkRatio = 4096, 16
 )
 
 // bucketKey identifies a bucket. The class is empty except for classes with their own limit.
 type bucketKey struct{ tenant, class string }
 
-// sharedBucketKey is the key of the bucket that tenants beyond maxBuckets share. Requests without a tenant
-// or a class limit have the same key.
+// sharedBucketKey is the key of the bucket that tenants beyond maxBuckets share. A request that names no
+// tenant has the same key, unless its class has its own limit.
 var sharedBucketKey = bucketKey{}
 
 // bucket is a token bucket that holds whole tokens.
@@ -60,7 +60,7 @@
 	return b
 }
 
-// isFull reports whether there are maxBuckets or more.
+// isFull reports whether there are maxBuckets buckets or more.
 func (t *bucketTable) isFull() bool { return len(t.byKey) >= maxBuckets }
 
 // current returns the current bucket of the sweep, or nil if there are no buckets.
--- a/policy/token_buckets_test.go
+++ b/policy/token_buckets_test.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// A dropped bucket counts as handed over: the successor creates a full one, so the process that handed over
-// may use at most half of one.
+// If a bucket was dropped before the hand-over, the successor creates a full one. So the process that handed
+// over may use at most half of a bucket.
 func TestProcessHasHalfOfDroppedBucketAfterHandOver(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	limit := b.rateLimiter.tenantLimits["u"]
