--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -7,10 +7,10 @@
 )
 
 const (
-	// resubscribeBackoffBase is the mean wait before a failed subscription to the list is retried. It doubles
-	// with each further failure up to resubscribeBackoffMax, which leaves time for several tries before the
-	// node must have applied a change of the list. A node that doesn't subscribe has a separate backoff, in
-	// internal/node/discovery/backoff.go.
+	// resubscribeBackoffBase is the mean wait before a failed subscription to the list is retried. Each further
+	// failure doubles the mean, up to resubscribeBackoffMax or a quarter of the poll interval, whichever is
+	// shorter. The maximum leaves time for several tries within the time in which a node must apply a change of
+	// the list. A node that doesn't subscribe has a separate backoff, in internal/node/discovery/backoff.go.
 	resubscribeBackoffBase = 500 * time.Millisecond
 	resubscribeBackoffMax  = time.Second
 	// maxBackoffDoublings keeps the shift in nextBackoff from overflowing.
@@ -20,7 +20,7 @@
 	maxRetainTime = 5 * time.Second
 	// initialLatencyDivisor determines the mean latency that is assumed for a new server: the latency objective
 	// of the first class in the settings is divided by it. Until the first responses, the assumed latency
-	// determines how far apart attempts at the server are sent.
+	// determines how far apart attempts at the server are sent if its limit is below 1.
 	initialLatencyDivisor = 4
 )
 
@@ -31,8 +31,9 @@
 	unavailable int           // listed servers that get no requests because they drain or are ejected
 }
 
-// configure sets how long servers are retained. The time is well within drainGrace, because the node may have
-// missed that the servers drain.
+// configure sets how long servers are retained. The time is at most half of drainGrace, because a missing
+// server may be draining without the node having learned of it, and would stop serving after drainGrace. A
+// drainGrace of 0 sets no bound.
 func (l *endpointList) configure(drainGrace time.Duration) {
 	l.retainFor = maxRetainTime
 	if drainGrace > 0 {
@@ -40,7 +41,8 @@
 	}
 }
 
-// nextBackoff counts a failed call and returns the wait before the next one, spread among nodes at random.
+// nextBackoff counts a failed call and returns the wait before the next one. The wait is random, from 0.5 to
+// 1.5 times its mean, so that nodes don't all call at the same time.
 func (l *endpointList) nextBackoff(pollInterval time.Duration, rng *rand.Rand) time.Duration {
 	longest := min(resubscribeBackoffMax, cmp.Or(pollInterval/4, resubscribeBackoffMax))
 	mean := min(longest, resubscribeBackoffBase<<min(l.failures, maxBackoffDoublings))
@@ -80,8 +82,8 @@
 }
 
 // updateSubscription subscribes to the list after the cached list has been read, if the settings require it.
-// Otherwise it resets the backoff. Nodes of a large fleet spread their calls, because all of them may be
-// starting.
+// A node of a large fleet first waits for a random time, because all nodes may be starting. In all other
+// cases, updateSubscription resets the backoff.
 func (b *Balancer) updateSubscription(kind ListKind) {
 	switch {
 	case kind == ListCached && b.settings.SubscribeList && b.isLargeFleet():
@@ -145,7 +147,7 @@
 
 // retainMissing drops or retains the servers that the list lacks. If more than half of a zone's running
 // servers are missing at once, without having been drained, a wrong list is more likely than a loss of the
-// servers. In that case, and if the settings permit it, they are retained for a while.
+// servers. In that case, and if the settings permit it, the running servers are retained for a while.
 func (b *Balancer) retainMissing(missing []*server) {
 	runningInZone := make(map[string]int)
 	for _, s := range missing {
@@ -165,7 +167,7 @@
 }
 
 // releaseRetained drops the servers that have been retained for retainFor. If a server of their zone is
-// listed later, the zone recovers from a small traffic share.
+// listed later, the zone starts with a small traffic share, which then grows (startRecovery).
 func (b *Balancer) releaseRetained() {
 	for _, s := range b.servers {
 		if s.missingSince > 0 && b.now-s.missingSince >= b.list.retainFor {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -33,7 +33,7 @@
 }
 
 // Servers that are missing from the list with most of their zone are retained for half of the drain grace. If
-// they are listed again after that, their zone recovers from a small traffic share.
+// they are listed again after that, their zone starts to recover, with a small traffic share.
 func TestServersMissingWithMostOfTheirZoneAreRetained(t *testing.T) {
 	all := endpointsInZones(4, "a", "b")
 	grace := testSettings(1).Rules.DrainGrace
@@ -43,10 +43,10 @@
 		wantServers    int
 		wantRecovering bool
 	}{
-		"a zone in an update":      {true, changedList(all, ListUpdate, 4, Removed), 4, true},
-		"a zone in a whole list":   {true, changedList(all, ListReplace, 4, Running), 4, true},
-		"a smaller part of a zone": {true, changedList(all, ListUpdate, 2, Removed), 2, false},
-		"not configured":           {false, changedList(all, ListUpdate, 4, Removed), 0, false},
+		"whole zone removed by an update":      {true, changedList(all, ListUpdate, 4, Removed), 4, true},
+		"whole zone missing from a whole list": {true, changedList(all, ListReplace, 4, Running), 4, true},
+		"half of a zone removed by an update":  {true, changedList(all, ListUpdate, 2, Removed), 2, false},
+		"whole zone without RetainMissing":     {false, changedList(all, ListUpdate, 4, Removed), 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			set := twoRegions(1)
--- a/policy/fleet_size.go
+++ b/policy/fleet_size.go
@@ -9,14 +9,14 @@
 	// longer than nearly all restarts and most partitions.
 	fleetShrinkDelay = time.Minute
 	// maxSmallFleet is the maximum number of nodes that fill servers in the same order. More nodes would
-	// overload the first server, so in a larger fleet each node starts with another server.
+	// overload the first server, so in a larger fleet each node starts with a different server.
 	maxSmallFleet = 3
 )
 
-// fleetSize determines the number of nodes that the quotas are divided by: the number in the settings, or the
-// number that are reachable by membership. The number grows at once and shrinks after a delay. It doesn't
-// shrink while this node reaches half of the fleet or less, because the parts of all nodes together must not
-// exceed a quota.
+// fleetSize determines the number of nodes that the quotas are divided by. At first it is the number in the
+// settings. Then it follows the number of nodes that are reachable by membership: it grows at once and
+// shrinks after a delay. It doesn't shrink while this node reaches half of the fleet or less. In that case
+// the other nodes may still serve, and the parts of all nodes together must not exceed a quota.
 type fleetSize struct {
 	configuredNodes int  // number of nodes in the settings
 	hasMembership   bool // whether a FleetSize event has been received
@@ -52,8 +52,8 @@
 	return false
 }
 
-// settle reduces quotaNodes to the maximum of reachable nodes during the delay. It reports whether the delay
-// has passed.
+// settle reduces quotaNodes to the maximum of reachable nodes during the delay, and returns true. If no delay
+// has begun or it hasn't passed yet, settle changes nothing and returns false.
 func (f *fleetSize) settle(now Time) bool {
 	if f.shrunkSince == 0 || now-f.shrunkSince < fleetShrinkDelay {
 		return false
@@ -63,10 +63,11 @@
 }
 
 // isPartitioned reports whether this node reaches half of the fleet or less. The other nodes may still serve.
+// The result is false until the first FleetSize event.
 func (f *fleetSize) isPartitioned() bool { return f.hasMembership && 2*f.reachable <= f.quotaNodes }
 
 // FleetSize returns the number of nodes that quotas are divided by, the number of nodes that this node
-// reaches, and whether it considers itself partitioned from the others.
+// reaches (0 before the first FleetSize event), and whether it considers itself partitioned from the others.
 func (b *Balancer) FleetSize() (quotaNodes, reachable int, partitioned bool) {
 	return b.settings.NodeCount, b.fleetSize.reachable, b.fleetSize.isPartitioned()
 }
--- a/policy/load_reports.go
+++ b/policy/load_reports.go
@@ -122,7 +122,8 @@
 }
 
 // serviceRate returns the attempts per second that a server can serve. It is based on the server's own
-// reports or, without them, on the average of its kind.
+// reports, but is at most maxKindRateFactor times the average of its kind. Without own reports, it is
+// warmFraction of that average. A kind without an average gets that of all kinds.
 func (l *loadReports) serviceRate(s *server, warmFraction float64) float64 {
 	kind := l.byKind[s.Kind]
 	if kind == nil {
@@ -146,13 +147,14 @@
 	return report.utilization > targetUtilization && report.latency > ejectLatencyFactor*l.latency
 }
 
-// usesLoadReports reports whether limits are based on load reports. In a large fleet, each node sees too few
-// responses of a server to derive its limit from them. A load report shows the server's capacity, whichever
-// nodes use it.
+// usesLoadReports reports whether limits are based on load reports: in a large fleet whose reports contain
+// all values that decisions need. In a large fleet, each node sees too few responses of a server to derive
+// its limit from them. A load report shows the server's capacity, whichever nodes use it.
 func (b *Balancer) usesLoadReports() bool { return b.isLargeFleet() && b.loads.hasRequiredFields() }
 
-// onLoadReport handles the load report in an OK response. It updates the server's limit, ejects the server if
-// it is overloaded, and adjusts the node's concurrency window to the utilization.
+// onLoadReport handles the load report in a response; row is nil without one. If limits are based on load
+// reports, it updates the server's limit, ejects the server if it is overloaded and mayEject permits it, and
+// adjusts the node's concurrency window to the utilization.
 func (b *Balancer) onLoadReport(s *server, row []float64) {
 	if !b.usesLoadReports() {
 		return
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -22,8 +22,8 @@
 	// of the fraction of attempts that end with Reset or ConnectFailed.
 	connectionFaultGain = 0.1
 	// sharedFaultFactor bounds the connection faults that are attributed to the network. While a server's ratio
-	// is at most sharedFaultFactor times the mean of the other servers, its faults don't count against it. Above
-	// that, they count in part.
+	// is at most sharedFaultFactor times the mean ratio of the other servers, its faults don't count against it.
+	// Above that, they count in part.
 	sharedFaultFactor = 2.0
 	// baseEjectionTime is the duration of the first ejection. Each further ejection in a row lasts twice as
 	// long, up to maxEjectionTime.
@@ -35,17 +35,18 @@
 	// more likely the node or the network than the servers, and more ejections would overload the rest.
 	maxEjectedFraction = 0.4
 	// probationSuccessesNeeded is the number of successes in a row that end an ejection. A server that fails
-	// half of its requests rarely reaches it.
+	// half of its requests rarely has that many.
 	probationSuccessesNeeded = 3
 )
 
-// outlierState is the circuit breaker of one server. A load report that shows an overload also ejects the
-// server (onLoadReport in load_reports.go).
+// outlierState is the circuit breaker of one server. A server is ejected when its failure score rises above
+// ejectionScore, or when its load report shows an overload (onLoadReport in load_reports.go). In both cases
+// mayEject must permit it.
 type outlierState struct {
-	failureScore       float64 // 0 to 1, decaying weight of recent failures
+	failureScore       float64 // 0 to 1; each failure raises it, each success lowers it
 	ejected            bool    // the server gets no requests until ejectedUntil, then only probation requests
 	ejectedUntil       Time
-	ejections          int  // in a row
+	ejections          int  // since probation last succeeded
 	probationSuccesses int  // in a row
 	probationInFlight  bool // whether a probation request, which tests the ejected server, is in flight
 }
@@ -67,7 +68,7 @@
 // addSuccess lowers the failure score.
 func (o *outlierState) addSuccess() { o.failureScore -= attemptFailureWeight * o.failureScore }
 
-// isDue reports whether the server may get a probation request.
+// isDue reports whether the server is ejected and may get a probation request now.
 func (o *outlierState) isDue(now Time) bool {
 	return o.ejected && !o.probationInFlight && now >= o.ejectedUntil
 }
@@ -122,7 +123,8 @@
 // failureWeight updates the server's connection fault ratio with an outcome. It returns the fraction, 0 to 1,
 // of a failure that is attributed to the server; the network accounts for the rest. Without this split, a
 // network that resets connections to all servers would lower every server's concurrency limit and eject as
-// many servers as maxEjectedFraction permits.
+// many servers as maxEjectedFraction permits. Only connection faults (Reset and ConnectFailed) are split, and
+// only if there are several servers. Otherwise the result is 1.
 func (d *outlierDetector) failureWeight(s *server, code Code, servers int) float64 {
 	fault := code == Reset || code == ConnectFailed
 	others := d.trackConnectionFaults(s, fault)
@@ -173,7 +175,8 @@
 	b.ejectionChanged(s)
 }
 
-// ejectionChanged updates the counts of ejected servers after the server's state may have changed.
+// ejectionChanged updates the list and the counts of ejected servers, and the count of unavailable servers.
+// It must be called after the server was ejected or passed probation, and after it entered or left service.
 func (b *Balancer) ejectionChanged(s *server) {
 	change := b.outliers.updateEjected(s)
 	if change != 0 && s.segment != nil { // the pools no longer count a server that has left service
@@ -201,8 +204,9 @@
 }
 
 // updateOutlierState applies the outcome of an attempt. probationSuccessesNeeded successful probation
-// requests in a row end an ejection. Any failed probation request, including an Overloaded response, ejects
-// the server again.
+// requests in a row end an ejection and reset the concurrency limit. Any other outcome of a probation
+// request, including Overloaded and Cancelled, ejects the server again (observeOutcome has left out
+// NotAttempted). Other attempts change the failure score.
 func (b *Balancer) updateOutlierState(a *attempt, code Code, failureWeight float64) {
 	s, state := a.server, &a.server.outlier
 	switch {
@@ -217,7 +221,7 @@
 		state.addSuccess()
 	case code == Overloaded:
 		b.recordFailure(s, overloadedWeight)
-	case code != TimedOut || s.lastResponseAt < a.sentAt: // a timeout counts unless the server responded since
+	case code != TimedOut || s.lastResponseAt < a.sentAt: // a timeout counts if no response came since
 		b.recordFailure(s, attemptFailureWeight*failureWeight)
 	}
 }
@@ -225,7 +229,8 @@
 // claimProbation returns an ejected server that the request should test, and marks the probation request as
 // in flight. It returns nil for a retry, and if it finds no suitable server. A suitable server is due, its
 // zone isn't evacuated, its warm-up budget permits a request, and no class that may use it is safer to retry
-// than the request's class.
+// than the request's class. With load reports, no usable server with capacity may come before it in packing
+// order (see probationCandidates).
 func (b *Balancer) claimProbation(r *request) *server {
 	if r.class.eligible.ejected == 0 || len(r.attempts) > 0 {
 		return nil
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -69,7 +69,7 @@
 	if seed%2 == 1 {
 		set.Rules.RetryBudget = &RetryBudget{MinRetries: float64(rng.IntN(3)), RetryRatio: 0.05, Window: 5 * time.Second}
 	}
-	for i := range set.Classes { // windows shorter than the time during which requests are retried
+	for i := range set.Classes { // so short that some retries would come after the window
 		set.Classes[i].DedupWindow = time.Duration(20+rng.IntN(150)) * ms
 	}
 	set.RetainMissing = seed%4 == 1
@@ -215,7 +215,7 @@
 	}
 }
 
-// scheduleOutcome draws the outcome and the latency of the newest attempt.
+// scheduleOutcome draws the outcome and the latency of the newest attempt, and schedules the Outcome event.
 func (w *eventSimulation) scheduleOutcome(p *openRequest, a Action) {
 	n := len(p.attempts) - 1
 	attemptDeadline := p.deadline
--- a/policy/recorded_events_test.go
+++ b/policy/recorded_events_test.go
@@ -308,7 +308,7 @@
 		return nil, fmt.Sprint("made ", err == nil), nil
 	}
 	if e.Process >= len(p.processes) || p.processes[e.Process] == nil {
-		return nil, "", fmt.Errorf("process %d was not created before the event", e.Process)
+		return nil, "", fmt.Errorf("process %d was not created, or had invalid settings", e.Process)
 	}
 	b := p.processes[e.Process]
 	switch {
@@ -441,7 +441,7 @@
 		want := make([]string, r.Count)
 		for i := range r.Events {
 			if !events.Scan() || !lines.Scan() {
-				t.Fatalf("recording %q ends after %d of %d events", r.Name, i, r.Count)
+				t.Fatalf("recording %q: the events or their actions end after %d of %d", r.Name, i, r.Count)
 			}
 			if err := json.Unmarshal(events.Bytes(), &r.Events[i]); err != nil {
 				t.Fatal(err)
--- a/policy/recorded_scenarios_test.go
+++ b/policy/recorded_scenarios_test.go
@@ -252,7 +252,8 @@
 	return max(0.1, r.settings.SlowStartMinCapacity+(1-r.settings.SlowStartMinCapacity)*age.Seconds()/Time(r.settings.SlowStartDuration).Seconds())
 }
 
-// report draws a server's load report, with the values in the order of the settings.
+// report draws a server's load report, with the values in the order of recordedReportFields. It may return
+// nil, a report that lacks values, or that of an idle server.
 func (r *recorder) report(s *simulatedServer, latency time.Duration) []float64 {
 	if len(r.settings.ReportFields) == 0 || r.rng.IntN(10) == 0 {
 		return nil
@@ -269,8 +270,8 @@
 	return append(row, make([]float64, len(r.settings.ReportFields)-3)...)
 }
 
-// list hands a process a list of the given kind. A whole list contains all servers, an update those of
-// changed.
+// list hands a process a list of the given kind. A whole list contains all servers except removed ones, and
+// an update contains the changed servers.
 func (r *recorder) list(process int, kind ListKind, changed ...*simulatedServer) {
 	list := &recordedList{Kind: uint8(kind)}
 	if kind == ListReplace || kind == ListCached {
@@ -379,7 +380,8 @@
 	}
 }
 
-// request hands a client's request to the serving process. Some clients cancel it.
+// request hands a client's request to the serving process, at times twice. The client cancels it at its
+// timeout, or in some cases earlier, if it has no response by then.
 func (r *recorder) request(q recordedRequest) {
 	p := &simulatedRequest{recordedRequest: q, process: r.serving}
 	r.requests[q.ID] = p
@@ -458,7 +460,7 @@
 		r.after(max(recorderStep, time.Duration(r.rng.ExpFloat64()*wait)), next)
 	}
 	r.after(s.meanInterval, next)
-	for process := range 2 { // observes each process at intervals
+	for process := range 2 { // observes the first two processes at intervals
 		for at := time.Second; at < s.duration; at += 1300 * ms {
 			r.after(at, func() {
 				if process < len(r.replayer.processes) {
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -59,9 +59,9 @@
 	Burst     int64
 }
 
-// RateLimits holds the layers that apply to every tenant. All are optional.
+// RateLimits holds the limits besides the tenants' quotas. All are optional.
 type RateLimits struct {
-	Default  *Limit           // for tenants without a quota; nil: the smallest quota, or no limit without quotas
+	Default  *Limit           // for tenants without a quota; nil: the smallest quota applies, if there is any
 	PerClass map[string]Limit // by class, replaces the tenant's limit; each tenant has a separate bucket for it
 	Max      float64          // maximum of PerWindow and Burst of every limit; 0 means no maximum
 }
@@ -86,10 +86,10 @@
 	Window     time.Duration
 }
 
-// Rules holds the parameters of the service's rules.
+// Rules holds the parameters of the service's rules. "Wire format only" means that no decision depends on it.
 type Rules struct {
-	AnswerGrace          time.Duration // a response this long after the deadline is in time; wire format only
-	DrainGrace           time.Duration // after a server drains, requests may be sent to it for this long
+	AnswerGrace          time.Duration // how long after the deadline a response is in time; wire format only
+	DrainGrace           time.Duration // requests may be sent to a server for this long after it begins to drain
 	SlowStartMinCapacity float64       // fraction of its capacity, 0 to 1, that a server has when it starts
 	SlowStartDuration    time.Duration // time after its start at which a server has its full capacity
 	// A server that is warming up collapses if it is sent more than OverloadMultiple times its current capacity
@@ -109,7 +109,8 @@
 	ZoneCosts       map[string]map[string]float64 // exceptions: cost by sending zone, then receiving zone
 }
 
-// cost returns the cost of sending a request from one zone to another.
+// cost returns the cost of sending a request from one zone to another. Within a zone it is 0, unless
+// ZoneCosts sets it.
 func (t *Topology) cost(from, to string) float64 {
 	if cost, found := t.ZoneCosts[from][to]; found || from == to {
 		return cost
@@ -120,7 +121,7 @@
 	return t.OtherRegionCost
 }
 
-// region returns the region of a zone.
+// region returns the region of a zone. A zone without one, or any zone if t is nil, is a separate region.
 func (t *Topology) region(zone string) string {
 	if t != nil && t.RegionOfZone[zone] != "" {
 		return t.RegionOfZone[zone]
@@ -140,6 +141,6 @@
 	Rules                Rules
 	SubscribeList        bool     // the node must subscribe to the list of servers
 	RetainMissing        bool     // if the list lacks most of a zone, its servers are retained for a while
-	WeightByWork         bool     // PriorityWeight is per unit of work, not per request; wire format only
+	WeightByWork         bool     // PriorityWeight is per unit of work, not per request; affects no decision
 	ReportFields         []string // names of the values in a load report, in order
 }
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -10,17 +10,17 @@
 	warmupTargetFraction = 0.7
 	// minOverloadMargin is the minimum of the multiplier OverloadMultiple-1.
 	minOverloadMargin = 0.5
-	// minWarmupRate is the rate at which all nodes together may send to a server that is warming up, in requests
-	// per second, while the capacity of other servers is unknown.
+	// minWarmupRate is the lowest capacity of a warmed-up server, in requests per second, that warm-up budgets
+	// are based on. It applies while the capacity of other servers is unknown.
 	minWarmupRate = 1.0
 	// warmupBurstDivisor determines the maximum burst: the number of requests that the budget allows within the
-	// overload duration is divided by it.
+	// overload duration is divided by it. The maximum is at least one request.
 	warmupBurstDivisor = 4
 	// maxWarmingUpScanned is the maximum number of servers that pickWarmingUp examines. It bounds the cost of
 	// choosing a server while many servers start together.
 	maxWarmingUpScanned = 16
-	// maxShortageForSlowStart is the fraction of requests of the highest-priority class that find no server.
-	// Below it, requests of this class avoid servers that are warming up.
+	// maxShortageForSlowStart is a threshold for the fraction of requests of the highest-priority class that
+	// find no server. Below it, pickWarmingUp picks no server for requests of this class.
 	maxShortageForSlowStart = 0.05
 )
 
@@ -35,7 +35,8 @@
 	queue               serverQueue       // servers in service that are warming up, by the time when they finish
 }
 
-// serversByDistance counts the servers without a crossing cost (near) and those with one (far).
+// serversByDistance counts the servers in zones without a crossing cost (near) and the others (far). Without
+// a topology, all servers count as far.
 type serversByDistance struct{ near, far int }
 
 // warmupContribution is the part of slowStart's counts and queue that comes from one server.
@@ -64,8 +65,8 @@
 	w.minCapacity, w.duration = rules.SlowStartMinCapacity, rules.SlowStartDuration
 }
 
-// warmFraction returns the fraction of its full capacity that a server of this age has at least. It is 1 once
-// the server has warmed up.
+// warmFraction returns the fraction of its full capacity that a server has at least, by its age. It is 1 once
+// the server has warmed up, and if its start time is unknown.
 func (w *slowStart) warmFraction(s *server, now Time) float64 {
 	age := now - s.StartedAt
 	if s.StartedAt <= 0 || age >= w.duration {
@@ -163,19 +164,21 @@
 	return b.completions.serverPeak(b.now, b.slowStart.warmedUpServers(b.now))
 }
 
-// isLimitedByWarmup reports whether the warm-up budget alone limits the requests to the server, and not the
-// node's concurrency window.
+// isLimitedByWarmup reports whether the warm-up budget limits the requests to the server instead of the
+// node's concurrency window. It does for servers that are warming up, if limits are based on load reports.
 func (b *Balancer) isLimitedByWarmup(s *server) bool {
 	return b.usesLoadReports() && b.warmFraction(s) < 1
 }
 
 // refillWarmupBudget refills the budget of a server that is warming up, and reports whether the budget
-// permits a request. A server that has warmed up has no such limit. A process that has handed over sends
-// nothing to servers that are warming up.
+// permits a request. A server that has warmed up has no such limit. During a hot restart, a process that has
+// handed over sends nothing to servers that are warming up.
 //
-// The rate at which a warmed-up server completes requests, summed over all nodes, is what one server can
-// serve. If load reports are known for the server's kind, its service rate is taken instead. A server that is
-// warming up gets its warm fraction of that rate, multiplied by less than the overload multiple of the rules.
+// The budget is based on this node's part of the capacity of a warmed-up server. That is the rate at which
+// such a server completes requests of this node: summed over all nodes, it is what one server can serve. If
+// load reports are known for the server's kind, the service rate of the kind, divided by the number of nodes,
+// is taken instead. A server that is warming up gets its warm fraction of that rate, or more if its own
+// reports show more, multiplied by less than the overload multiple of the rules.
 func (b *Balancer) refillWarmupBudget(s *server) bool {
 	fraction := b.warmFraction(s)
 	if fraction >= 1 || b.handedOver {
@@ -198,10 +201,10 @@
 }
 
 // pickWarmingUp returns a server of the nearest segment that is warming up and may get a request now, or nil.
-// Without this choice, servers with capacity that come earlier in packing order would take all requests, and
-// the server would not have warmed up by the time those fail. Retries avoid servers that are warming up, and
-// so does the highest-priority class unless it is short of capacity. If limits are based on load reports, the
-// result is nil.
+// Of several it returns the one with the most tokens. Without this choice, servers with capacity that come
+// earlier in packing order would take all requests, and the server would not have warmed up by the time those
+// servers fail. The result is nil for a retry, for a request of the highest-priority class unless that class
+// is short of capacity, and if limits are based on load reports.
 func (b *Balancer) pickWarmingUp(r *request) (best *server) {
 	avoidsWarmingUp := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
 		b.loadShedder.highPriorityShortage < maxShortageForSlowStart
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -215,7 +215,7 @@
 	configured, reachable int     // nodes in the settings, and by membership (0: no membership)
 	capacity              float64 // requests per second of a server that has warmed up
 	restarting            bool    // a third of the nodes restart while servers are warming up
-	loadBefore, loadAfter float64 // load right after servers restart, and later; 1: the others' capacity
+	loadBefore, loadAfter float64 // load for 3 s after servers restart, and later; 1: capacity of the others
 }
 
 const (
@@ -224,11 +224,11 @@
 )
 
 var slowStartCases = []slowStartCase{
-	{name: "configured number", capacity: 10, configured: slowStartNodes, loadBefore: 0.7, loadAfter: 1.2},
+	{name: "configured node count", capacity: 10, configured: slowStartNodes, loadBefore: 0.7, loadAfter: 1.2},
 	{name: "larger servers", capacity: 20, configured: slowStartNodes, loadBefore: 0.7, loadAfter: 1.2},
 	{name: "a burst after a quiet time", capacity: 10, configured: slowStartNodes, loadBefore: 0.05, loadAfter: 2},
-	{name: "more by membership", capacity: 10, configured: 5, reachable: slowStartNodes, loadBefore: 0.05, loadAfter: 2},
-	{name: "fewer by membership", capacity: 10, configured: 60, reachable: slowStartNodes, loadBefore: 0.05, loadAfter: 2},
+	{name: "more nodes by membership than configured", capacity: 10, configured: 5, reachable: slowStartNodes, loadBefore: 0.05, loadAfter: 2},
+	{name: "fewer nodes by membership than configured", capacity: 10, configured: 60, reachable: slowStartNodes, loadBefore: 0.05, loadAfter: 2},
 	{name: "a third of the nodes restarts", capacity: 10, configured: slowStartNodes, reachable: slowStartNodes, restarting: true, loadBefore: 0.3, loadAfter: 2},
 }
 
@@ -433,7 +433,8 @@
 	}
 }
 
-// All nodes together send a server that is warming up some attempts, but at most half of an even share.
+// In the first 3 s after a server's start, all nodes together send it some attempts, but at most half of an
+// even share.
 func TestWarmingUpServerGetsAtMostHalfOfAnEvenShare(t *testing.T) {
 	list := testEndpoints(8)
 	list[0].StartedAt = 1000 * ms
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -17,10 +17,10 @@
 	RetriesAt        []Time                    `json:"Extra"`   // when retries were sent, for the retry budget
 	RateMultiplier   float64                   `json:"Pace"`
 	WindowScale      float64                   `json:"Trust"`
-	Utilization      float64                   `json:"Busy"` // of the servers' cores, 0 to 1
-	BadRatio         float64                   `json:"Bad"`  // fraction of slow or failed responses, 0 to 1
-	CompletionRate   float64                   `json:"Done"` // responses per second
-	ReportedAt       Time                      `json:"HeardAt"`
+	Utilization      float64                   `json:"Busy"`    // of the servers' cores, 0 to 1
+	BadRatio         float64                   `json:"Bad"`     // fraction of slow or failed responses, 0 to 1
+	CompletionRate   float64                   `json:"Done"`    // responses per second
+	ReportedAt       Time                      `json:"HeardAt"` // time of the newest report in Utilization
 	CompletionRateAt Time                      `json:"DoneAt"`
 }
 
@@ -38,7 +38,7 @@
 	FirstTryTimeout time.Duration `json:"FirstTry"`
 }
 
-// LoadSnapshot holds the averages of load reports of a kind of server.
+// LoadSnapshot holds the averages of load reports of a kind of server, or of all kinds.
 type LoadSnapshot struct {
 	Samples float64 `json:"N"`       // reports in the averages
 	Rate    float64 `json:"Rate"`    // attempts per second that a server can serve
@@ -65,11 +65,13 @@
 	WarmupRefilledAt Time    `json:"ColdAt"`
 }
 
-// startTimeTolerance is the maximum difference between a server's start times in two processes, each of which
-// rounds its own clock.
+// startTimeTolerance is the maximum difference between a server's start times in two processes that is
+// attributed to rounding, as each process rounds its own clock. If they differ by more, the server has
+// restarted.
 const startTimeTolerance = 20 * time.Millisecond
 
-// snapshotClock converts times between this process's clock and a snapshot taken at now.
+// snapshotClock converts times between this process's clock and a snapshot. now is the time on this process's
+// clock at which the snapshot is taken or restored.
 type snapshotClock struct{ now Time }
 
 func (c snapshotClock) toSnapshot(t Time) Time {
@@ -86,7 +88,7 @@
 	if t == 0 {
 		return 0
 	}
-	return max(1, c.now+t)
+	return max(1, c.now+t) // 0 would mean never
 }
 
 func convertTimes(times []Time, convert func(Time) Time) []Time {
--- a/policy/validation.go
+++ b/policy/validation.go
@@ -88,7 +88,8 @@
 		checkNonNegative("attempt budget: share", rules.RetryBudget.RetryRatio))
 }
 
-// validateTopology rejects negative costs, which would make a remote zone preferable to the node's own zone.
+// validateTopology rejects negative and non-finite costs. A negative cost would make a remote zone preferable
+// to the node's own zone.
 func validateTopology(topology *Topology) error {
 	if topology == nil {
 		return nil
--- a/policy/zone_evidence.go
+++ b/policy/zone_evidence.go
@@ -6,9 +6,12 @@
 )
 
 // Each server gives evidence that its zone has failed or that the zone works: the log likelihood ratio of the
-// server's failures, compared with the failures of other zones at the same time. The evidence is bounded, so
-// that no single server or kind of servers suffices to evacuate a zone. zone_failover.go decides by the
-// evidence; docs/zones.md describes the alternatives.
+// outcomes of its attempts. It compares two failure ratios: the expected one, and one that is
+// excessFailureRatio higher. The expected ratio is baseFailureRatio or, while zones are compared, the current
+// ratio of the other zones if that is higher. The evidence of a server is bounded, so that no single server
+// suffices to evacuate a zone, unless the zone is recovering. In a zone with several kinds of servers, no
+// single kind suffices either (weighEvidence). zone_failover.go decides by the evidence; docs/zones.md
+// describes the alternatives.
 
 const (
 	// baseFailureRatio is the failure ratio of a healthy zone.
@@ -21,15 +24,16 @@
 	maxContraryEvidence = 1.0
 	// evidenceTTL is how long a server's evidence counts after its last update.
 	evidenceTTL = 10 * time.Second
-	// evacuateEvidence is the evidence, in nats, at which a zone is evacuated. At least two servers must
-	// give evidence to reach it.
+	// evacuateEvidence is the evidence, in nats, at which a zone is evacuated, unless the zone is recovering. At
+	// least two servers must give evidence to reach it.
 	evacuateEvidence = 2 * maxServerEvidence
-	// suspectEvidence is the evidence, in nats, at which a zone becomes suspect. One server can give it.
+	// suspectEvidence is the evidence, in nats, at which a zone becomes suspect, and at which a recovering zone
+	// is evacuated again. One server can give it.
 	suspectEvidence = evacuateEvidence / 2
 	// exploreFraction is the fraction of a suspect zone's requests that goes to other zones.
 	exploreFraction = 0.5
-	// minComparedResponses is the minimum that the failures of the other zones are divided by to get their
-	// failure ratio. With fewer responses, the ratio is lower than measured.
+	// minComparedResponses is the least number of responses that the failures of the other zones are divided by
+	// to get their failure ratio. If those zones sent fewer responses, the ratio is lower than measured.
 	minComparedResponses = 4.0
 	// priorResponses is the weight, in responses, of the prior of a zone's failure ratio. The prior is the ratio
 	// expected in a failed zone; it is averaged with the measured ratio.
@@ -39,7 +43,8 @@
 	betterZoneEvidence = 7.0
 	// slowResponseFactor is the multiple of the typical latency above which a response counts as a failure.
 	slowResponseFactor = 3.0
-	// typicalLoadGain is the weight of one response in the typical latency, once there are many responses.
+	// typicalLoadGain is the weight of one response in the typical latency. The typical latency of the first
+	// responses is their mean, until the weight in the mean falls below typicalLoadGain.
 	typicalLoadGain = 0.005
 	// minTypicalSamples is the number of responses after which a typical latency is used.
 	minTypicalSamples = 10
@@ -110,8 +115,9 @@
 	b.zones.record(a, level, b.now)
 }
 
-// record updates the evidence of an attempt's server and then the state of its zone. While zones are
-// compared, attempts sent before the comparison began don't count, because not all zones got requests before.
+// record updates the evidence of an attempt's server and then the state of its zone. Without a topology, it
+// does nothing. While zones are compared, it ignores attempts sent before the comparison began, because
+// some zones may have got no requests until then.
 func (f *zoneFailover) record(a *attempt, level failureLevel, now Time) {
 	s, z := a.server, a.server.zone
 	if z == nil || f.degraded && a.sentAt < f.compareFrom {
@@ -137,7 +143,8 @@
 }
 
 // evidenceOf returns the log likelihood ratio of an outcome, in nats. It compares a zone whose failure ratio
-// is excessFailureRatio above the expected ratio with a zone that has the expected ratio.
+// is excessFailureRatio above the expected ratio with a zone that has the expected ratio. For a failure, the
+// log likelihood ratio is multiplied by the level.
 func evidenceOf(level failureLevel, expectedRatio float64) float64 {
 	if level == noFailure {
 		return math.Log((1 - expectedRatio - excessFailureRatio) / (1 - expectedRatio))
--- a/policy/zone_failover.go
+++ b/policy/zone_failover.go
@@ -16,11 +16,11 @@
 	initialRecoveryShare = 0.05
 	// failureShareFactor is the factor by which a failure reduces the traffic share of a recovering zone.
 	failureShareFactor = 0.8
-	// evacuationResetTime is how long a zone must have a traffic share of 1 before its evacuation count starts
-	// from 0 again.
+	// evacuationResetTime is the time after which a zone's evacuation count starts from 0 again. It is measured
+	// from the end of the zone's last recovery, when the traffic share reached 1.
 	evacuationResetTime = time.Minute
-	// baseEvacuationTime is the time from an evacuation to the first probe. Each further evacuation multiplies
-	// it by evacuationTimeFactor, up to maxEvacuationTime.
+	// baseEvacuationTime is the mean time from an evacuation to the first probe. Each further evacuation
+	// multiplies it by evacuationTimeFactor, up to maxEvacuationTime.
 	baseEvacuationTime   = 2 * time.Second
 	evacuationTimeFactor = 4
 	maxEvacuationTime    = time.Minute
@@ -37,6 +37,7 @@
 
 // weighEvidence changes the state of a zone according to the evidence of its servers. If servers of several
 // kinds gave evidence, the sum must remain positive when any one kind is left out; otherwise it counts as 0.
+// If the newest outcome is a failure (failed), the traffic share of a recovering zone falls.
 func (f *zoneFailover) weighEvidence(z *zoneHealth, failed bool, now Time) {
 	f.expireEvidence(now)
 	sum := z.evidence.float()
@@ -61,8 +62,8 @@
 	}
 }
 
-// suspect sends exploreFraction of the zone's requests to other zones. The comparison of zones starts when
-// the first zone becomes suspect.
+// suspect sends exploreFraction of the zone's requests to other zones. If zones aren't compared yet, their
+// comparison starts.
 func (f *zoneFailover) suspect(z *zoneHealth, now Time) {
 	if !f.degraded {
 		f.compareFrom = now
@@ -73,7 +74,7 @@
 	z.trafficShare, f.degraded = 1-exploreFraction, true
 }
 
-// evacuate stops requests to the zone, except probes, which start after evacuationTime.
+// evacuate stops requests to the zone, with the exception in chooseZones. Probes start after evacuationTime.
 func (f *zoneFailover) evacuate(z *zoneHealth, evidence float64, now Time) {
 	if !z.recovering && now-z.fullShareSince > evacuationResetTime {
 		z.evacuations = 0
@@ -126,9 +127,9 @@
 	return c.RetrySafety >= s.retrySafety && s.totalInFlight() == 0 && !s.outlier.probationInFlight
 }
 
-// recordProbe records the outcome of a probe of an evacuated zone. A failed probe postpones the next one by
-// half of evacuationTime. As z.evacuations counts the current evacuation, that is half of the time that the
-// next evacuation would take.
+// recordProbe records the outcome of a probe of an evacuated zone, or of another attempt that ends while the
+// zone is evacuated. After a failure, there is no probe for half of evacuationTime. As z.evacuations counts
+// the current evacuation, that is half of the time that the next evacuation would take.
 func (f *zoneFailover) recordProbe(z *zoneHealth, failed bool, now Time) {
 	if z.probeSuccesses++; failed {
 		z.probeSuccesses, z.evacuatedUntil = 0, max(z.evacuatedUntil, now+f.evacuationTime(z)/2)
@@ -190,7 +191,8 @@
 	}
 	s := b.zones.nextToProbe(r.class, b.now, b.refillWarmupBudget)
 	if s != nil {
-		s.outlier.probationInFlight = s.outlier.ejected // the probe also counts for the server's probation
+		// The zone probe of an ejected server is also its probation request.
+		s.outlier.probationInFlight = s.outlier.ejected
 	}
 	return s
 }
--- a/policy/zone_failover_test.go
+++ b/policy/zone_failover_test.go
@@ -33,10 +33,10 @@
 		fails     func(i int) bool
 		evacuated bool
 	}{
-		"one server":  {func(i int) bool { return i == 0 }, false},
-		"one kind":    {func(i int) bool { return i%2 == 0 }, false},
-		"all of them": {func(int) bool { return true }, true},
-		"all but one": {func(i int) bool { return i > 0 }, true},
+		"one server":              {func(i int) bool { return i == 0 }, false},
+		"all servers of one kind": {func(i int) bool { return i%2 == 0 }, false},
+		"all servers":             {func(int) bool { return true }, true},
+		"all servers but one":     {func(i int) bool { return i > 0 }, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			list := endpointsInZones(6, "a", "b")
@@ -140,7 +140,7 @@
 	}{
 		"first attempts": {b.classes.ordered[0], false, 400, 600},
 		"retries":        {b.classes.ordered[0], true, 1000, 1000},
-		"no other zone":  {onlyA, true, 0, 0},
+		"retries of a class without another zone": {onlyA, true, 0, 0},
 	} {
 		closed := 0
 		for range 1000 {
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -35,7 +35,7 @@
 
 // zoneHealth is the health of one zone as this node sees it.
 type zoneHealth struct {
-	responseCounts // recorded only while zones are compared
+	responseCounts // recent responses; recorded only while zones are compared (zoneFailover.degraded)
 	name, region   string
 	monitored      bool    // whether the zone may be evacuated
 	crossingCost   float64 // cost of sending a request from this node's zone to the zone
@@ -51,9 +51,9 @@
 	evacuatedUntil  Time // when probes begin; 0 while the zone isn't evacuated
 	lastProbeAt     Time // when a request last probed the zone
 	probeSuccesses  int  // in a row
-	serversVanished bool // most servers were missing from the list at once, and were later dropped
+	serversVanished bool // most servers were missing at once and then dropped; none has been listed since
 
-	recovering       bool          // the traffic share is growing after an evacuation
+	recovering       bool          // the traffic share grows after an evacuation, or as vanished servers return
 	growthTime       time.Duration // time in which the traffic share grows e-fold
 	shareUpdatedAt   Time          // when trafficShare was last updated while recovering
 	fullShareSince   Time          // when the last recovery reached a traffic share of 1
@@ -61,7 +61,8 @@
 	evacuationReason string        // reason of the last evacuation
 }
 
-// isEvacuated reports whether the zone gets only probes.
+// isEvacuated reports whether the zone is evacuated. It then gets only probes, except from requests for which
+// chooseZones finds no other open zone.
 func (z *zoneHealth) isEvacuated() bool { return z != nil && z.evacuatedUntil > 0 }
 
 // isClosed reports whether the zone is closed to the request that is being dispatched.
@@ -90,7 +91,7 @@
 	ownZone       string
 	all           []*zoneHealth // monitored zones, sorted by name
 	degraded      bool          // some zone may have a traffic share below 1; while true, zones are compared
-	compareFrom   Time          // attempts sent before this time don't count in the comparison
+	compareFrom   Time          // while zones are compared, attempts sent before this time don't count
 	evidenceQueue serverQueue   // servers with evidence, ordered by their zoneEvidenceAt when queued
 	servers       *serverPool   // servers in service
 	rng           *rand.Rand
@@ -126,8 +127,8 @@
 	return z
 }
 
-// crossingCost returns the extra cost of sending a request to the server instead of to this node's zone, and
-// stores it in the server's zone. Without a topology, the cost is 0 in this node's zone and 1 elsewhere.
+// crossingCost returns the cost of sending a request from this node's zone to the server's zone, and stores
+// it in the latter. Without a topology, the cost is 0 in this node's zone and 1 elsewhere.
 func (f *zoneFailover) crossingCost(s *server) float64 {
 	switch {
 	case s.zone != nil:
@@ -141,13 +142,15 @@
 
 // ZoneState describes a zone as the node sees it.
 type ZoneState struct {
-	Zone, Region         string
-	State                string  // well, suspect, left (evacuated), returning (recovering); frozen for operators
+	Zone, Region string
+	// State is well, suspect, left (evacuated) or returning (recovering). The words are frozen, because
+	// operators read them.
+	State                string
 	Cost                 float64 // cost of sending a request from the node's zone to the zone
 	TrafficShare         float64 // fraction, 0 to 1, of what packing order and capacity assign to the zone
 	Servers, Evacuations int
-	Failures, Responses  float64       // numbers of recent ones, with exponential decay
-	RetryIn              time.Duration // until probes begin; 0 unless the zone is evacuated
+	Failures, Responses  float64       // numbers of recent ones, decaying; counted only while zones are compared
+	RetryIn              time.Duration // until probes begin; 0 if they have begun, or the zone isn't evacuated
 	EvacuationReason     string        // reason of the last evacuation
 }
 
