--- a/cmd/sloerail-node/main.go
+++ b/cmd/sloerail-node/main.go
@@ -18,7 +18,8 @@
 )
 
 func main() {
-	slog.SetLogLoggerLevel(slog.LevelDebug) // net/http logs unsolicited bytes from the list service with the log package
+	// Hide the lines of package log, with which net/http reports unsolicited bytes from the list service.
+	slog.SetLogLoggerLevel(slog.LevelDebug)
 	slog.SetDefault(slog.New(slog.NewTextHandler(os.Stderr, nil)))
 	if err := run(); err != nil {
 		fmt.Fprintln(os.Stderr, "sloerail-node:", err)
--- a/cmd/sloerail-node/process_test.go
+++ b/cmd/sloerail-node/process_test.go
@@ -234,7 +234,7 @@
 		maxOpen = max(maxOpen, len(open))
 	}
 	if maxOpen < sockets/2 {
-		t.Errorf("descriptors held by the node: got at most %d, want at least half of its limit, or the test shows nothing", maxOpen)
+		t.Errorf("descriptors held by the node: got at most %d, want at least half of its limit; otherwise the test shows nothing", maxOpen)
 	}
 	called := make(chan struct{}, 1000)
 	l, err := net.Listen("tcp", discovery)
--- a/cmd/sloerail-node/versions_test.go
+++ b/cmd/sloerail-node/versions_test.go
@@ -26,7 +26,8 @@
 
 const (
 	versionsTestServers = 3
-	// retriedPrefix is the prefix of the IDs of requests that may be retried: the first server fails some GET requests with it.
+	// retriedPrefix is the prefix of the IDs of requests that may be retried. The first server fails GET requests whose ID
+	// begins with it and ends in 0, so that the node retries them.
 	retriedPrefix = "retried"
 )
 
@@ -236,8 +237,8 @@
 	return map[string][]string{"other, this, other": {other, this, other}, "this, other, this": {this, other, this}}
 }
 
-// Under load a process is replaced by one of another version, and that one by the first version again. Each request
-// gets a 200 response, and no POST request reaches a server twice.
+// Under load, a process is replaced by one of another version, which is then replaced by one of the first version. Each
+// request gets a 200 response, and no POST request reaches a server twice.
 func TestHandOverBetweenVersionsUnderLoad(t *testing.T) {
 	for name, programs := range programSequences(t) {
 		t.Run(name, func(t *testing.T) {
@@ -323,8 +324,9 @@
 		after.tokens("tiny"), after.Servers, len(after.Took), len(before.Took), len(after.Extra), len(before.Extra))
 }
 
-// checkTimes compares the times of the retry budget in two states. Each state has times relative to when it was written,
-// so that all times shift by the same amount. The oldest times may have left the budget's window in between.
+// checkTimes compares the times of the retry budget in two states. The times are relative to when a state was written, so
+// all of them shift by the same amount from one state to the next. The oldest times may have left the budget's window
+// before the second state was written.
 func (v *versionsTest) checkTimes(what string, before, after []int64) {
 	v.Helper()
 	if len(after) == 0 || len(after) > len(before) {
--- a/cmd/sloerail-simadapter/main.go
+++ b/cmd/sloerail-simadapter/main.go
@@ -47,7 +47,7 @@
 	reply     []byte // lines of the reply to the current batch so far
 }
 
-// serve replies to batches until the input ends. Errors contain the line number.
+// serve replies to batches until the input ends. Errors of the input contain the line number.
 func serve(in io.Reader, out io.Writer) error {
 	a := adapter{balancers: make(map[int]*policy.Balancer)}
 	lines := lineReader{buffered: bufio.NewReaderSize(in, bufferBytes)}
--- a/cmd/sloerail/experiment.go
+++ b/cmd/sloerail/experiment.go
@@ -30,8 +30,8 @@
 		Use:   "pair PROGRAM [SCENARIO...]",
 		Short: "Compare this program with another build of it, on the same scenarios and seeds",
 		Long: "Run scenarios with this program and another build of it, on the same seeds. Report the difference of the score G,\n" +
-			"with a 95% interval. G is the weighted mean of the fraction of the value served in time: whole run, worst 10 s,\n" +
-			"worst class. Without scenarios, run all built-in ones. Exit with 1 if this program broke a rule.",
+			"with a 95% interval. G is the weighted mean of the fractions of the value served in time in the whole run, in the\n" +
+			"worst 10 s and in the worst-served class. Without scenarios, run all built-in ones. Exit with 1 if this program broke a rule.",
 		Example: "  sloerail experiment pair /tmp/before/sloerail --seeds 50\n" +
 			"  sloerail experiment pair ./old zone-lost zone-errors --seeds 200 --json",
 		Args: positionalArgs(cobra.MinimumNArgs(1)),
--- a/cmd/sloerail/members.go
+++ b/cmd/sloerail/members.go
@@ -36,7 +36,7 @@
 		Use:   "members ADDR...",
 		Short: "Show the members of the fleet, as seen by the nodes at these control addresses",
 		Long: "Show the members of the fleet, as seen by the nodes at these control addresses (configuration key: control).\n" +
-			"Exit with 1 if a node returns no view, or if two nodes disagree on which members are present.",
+			"Exit with 1 if a node returns no view, or if two nodes disagree on which members are present (not with --watch).",
 		Example: "  sloerail members 10.0.0.4:9100 10.0.0.5:9100\n  sloerail members 10.0.0.4:9100 --watch\n" +
 			"  sloerail members 10.0.0.4:9100 --json",
 		Args: positionalArgs(cobra.MinimumNArgs(1)),
--- a/cmd/sloerail/registry.go
+++ b/cmd/sloerail/registry.go
@@ -199,6 +199,6 @@
 	f.StringVar(&agent.Endpoint.Service, "service", "", "service that the server belongs to; empty if none")
 	f.Float64Var(&agent.Endpoint.Size, "size", 1, "size of the server relative to others")
 	f.DurationVar(&agent.TTL, "lease", registry.DefaultTTL, "how long the server stays in the list without a renewal")
-	f.DurationVar(&drain, "drain", 5*time.Second, "time between draining on SIGTERM and leaving the list")
+	f.DurationVar(&drain, "drain", 5*time.Second, "how long the server drains after SIGTERM before it leaves the list")
 	return cmd
 }
--- a/cmd/sloerail/run.go
+++ b/cmd/sloerail/run.go
@@ -27,7 +27,7 @@
 	switch {
 	case err == nil:
 		return exitOK
-	case errors.Is(err, errUsage) || strings.HasPrefix(err.Error(), "unknown command"): // it has no error type
+	case errors.Is(err, errUsage) || strings.HasPrefix(err.Error(), "unknown command"): // cobra's error has no type of its own
 		printer.Printf("sloerail: %v\nsloerail: see 'sloerail --help'\n", err)
 		return exitUsage
 	}
--- a/cmd/sloerail/scale.go
+++ b/cmd/sloerail/scale.go
@@ -90,7 +90,8 @@
 	return errors.Join(err, reportScale(cmd.OutOrStdout(), report, flags))
 }
 
-// scaleProgress prints the progress of a run: a bar on a terminal, otherwise a line for each measurement.
+// scaleProgress returns a function that prints the progress of a run: a bar on a terminal, otherwise a line for each
+// measurement.
 func scaleProgress(errs io.Writer, dimension scaletest.Dimension) func(scaletest.Progress) {
 	file, ok := errs.(*os.File)
 	if !ok || !isatty.IsTerminal(file.Fd()) {
@@ -111,7 +112,8 @@
 	}
 }
 
-// reportScale prints a report. It returns an error if the report is incomplete.
+// reportScale prints a report, and writes the plot if the flags name a file for it and anything was measured. It returns an
+// error if the report is incomplete.
 func reportScale(out io.Writer, r *scaletest.Report, flags scaleFlags) error {
 	if flags.plot != "" && len(r.Measurements) > 0 {
 		if err := writePlot(r, flags.plot); err != nil {
--- a/internal/cpuload/main.go
+++ b/internal/cpuload/main.go
@@ -15,7 +15,7 @@
 const (
 	maxDuration          = time.Hour // upper bound of -for
 	maxGoroutinesPerCore = 16
-	stepsPerCheck        = 1 << 16 // computed between two reads of the clock
+	stepsPerCheck        = 1 << 16 // steps of the computation between two reads of the clock
 )
 
 func main() {
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -25,9 +25,9 @@
 
 // Checker receives the actions of clients, nodes and servers in order of time, and finds violations of the rules.
 type Checker struct {
-	Accepted, Answered, Unanswered int      // client attempts
-	ConnectionFailures             int      // client attempts that reached no node
-	ConnectionErrors               []string // errors of these failures, except at killed nodes
+	Accepted, Answered, Unanswered int      // client attempts that a node accepted, and of these those with and without a final response
+	ConnectionFailures             int      // client attempts that no node accepted
+	ConnectionErrors               []string // errors of these failures, without those at killed nodes; at most maxMessages
 	Attempts                       int      // attempts of nodes that reached servers
 
 	rules          Rules
@@ -129,7 +129,8 @@
 	}
 }
 
-// RequestTimedOut records that a client stopped waiting for the response to an attempt.
+// RequestTimedOut records that a client stopped waiting for the response to an attempt. It has no effect if a response was
+// received before, or if the attempt is unknown.
 func (c *Checker) RequestTimedOut(id string) {
 	if record := c.requests[id]; record != nil && record.responses == 0 {
 		c.Unanswered++
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -111,7 +111,7 @@
 		c.record(checker)
 		violations, count := checker.Violations()
 		if got := strings.Join(violations, "; "); (c.want == "") != (count == 0) || !strings.Contains(got, c.want) {
-			t.Errorf("%s: got %d violations: %q, want %q", c.name, count, got, c.want)
+			t.Errorf("%s: got %d violations: %q; want one that contains %q, or none if that is empty", c.name, count, got, c.want)
 		}
 	}
 }
@@ -155,7 +155,8 @@
 	})
 }
 
-// A server becomes slower after it has been overloaded for OverloadAfter, and recovers after it has been mostly idle.
+// A server becomes slower after it has been overloaded for OverloadAfter, and recovers after it has been mostly idle
+// for OverloadRecovery.
 func TestOverloadedServerSlows(t *testing.T) {
 	server := NewServer(DefaultServer("s", "a"), 0, 1)
 	for i := range server.Spec.MaxRequests {
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -14,7 +14,7 @@
 	Cell     int64   `json:"cell"`
 	Phase    string  `json:"phase"`
 	Size     float64 `json:"size"`        // the weight
-	UpSince  int64   `json:"up_since_ms"` // Unix time of its start in milliseconds; 0 if unknown
+	UpSince  int64   `json:"up_since_ms"` // Unix time of the server's start in milliseconds; 0 if unknown
 }
 
 // Values of Entry.Phase.
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -70,7 +70,8 @@
 	Executed bool // false if the job was dropped as a repeat of its key
 }
 
-// LoadReport is a server's load report. Its values are means over the last ReportInterval.
+// LoadReport is a server's load report. Its values are means over the time since the previous report, which is at least
+// ReportInterval. If no job completed in this time, LatencyMs is the value of the previous report.
 type LoadReport struct{ LatencyMs, Util, QPS float64 }
 
 // Server is an emulated server process.
@@ -178,7 +179,8 @@
 	return completed
 }
 
-// firstOfKey reports whether a job is the first with its key within the DedupWindow, and removes expired keys.
+// firstOfKey reports whether a job is the first with its key within the DedupWindow, and removes expired keys. It returns
+// true for a job without a key.
 func (s *Server) firstOfKey(j runningJob) bool {
 	if j.Key == "" {
 		return true
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -33,13 +33,14 @@
 	return latencyBetween(a.request.node.zone, a.server.Spec.Zone)
 }
 
-// unreachable reports whether a zone and a server can't communicate.
+// unreachable reports whether a fault of kind ConnectTimeout or Partition cuts a server off from a zone.
 func (s *Simulation) unreachable(zone string, target *server) bool {
 	return target.connectTimeout ||
 		slices.ContainsFunc(s.partitions, func(f Fault) bool { return f.Separates(zone, target.Spec.Zone) })
 }
 
-// sendAttempt sends an attempt of a request to the server that a node has chosen.
+// sendAttempt sends an attempt of a request to the server that a node has chosen. If the node doesn't have the request, or
+// there is no such server, it only counts an invalid send.
 func (s *Simulation) sendAttempt(n *node, action policy.Action) {
 	r, target := n.requests[action.ID], s.serversByID[action.Server]
 	if r == nil || target == nil {
@@ -63,7 +64,7 @@
 }
 
 // arrive delivers an attempt to its server when the last byte arrives. It drops the attempt if the attempt has ended, or
-// if the server has become unreachable.
+// if the server has become unreachable. If the server is down, the attempt ends with policy.ConnectFailed.
 func (s *Simulation) arrive(a *attempt) {
 	n, target := a.request.node, a.server
 	switch {
@@ -97,7 +98,8 @@
 	s.after(a.latency(), func() { s.endAttempt(a, code, report) })
 }
 
-// endAttempt reports the outcome of an attempt to its node. Later outcomes of the same attempt have no effect.
+// endAttempt ends an attempt with an outcome. It sends the client the response if the code is OK, and reports the outcome
+// to the node unless the node is down. Later outcomes of the same attempt have no effect.
 func (s *Simulation) endAttempt(a *attempt, code policy.Code, report []float64) {
 	if a.ended {
 		return
@@ -105,7 +107,7 @@
 	a.ended = true
 	r := a.request
 	r.attempt = nil
-	if code == policy.TimedOut || code == policy.Cancelled { // the server may still run the attempt
+	if code == policy.TimedOut || code == policy.Cancelled { // ended by the node; the server may still run the attempt
 		s.Checker.AttemptEnded(r.clientAttempt.ID, a.server.Spec.ID, false)
 	}
 	requestEnded := r.answered
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -10,13 +10,13 @@
 	"sloerail/internal/emulator"
 )
 
-// Fault is a temporary failure or a change of load, which may repeat.
+// Fault is a failure or a change of load. It lasts for Length, and may repeat.
 type Fault struct {
 	At       Duration  `toml:"at"`
-	Length   Duration  `toml:"for"`
+	Length   Duration  `toml:"for"` // 0 means until the end of the run
 	Kind     FaultKind `toml:"do"`
 	Zone     string    `toml:"zone"`  // affected zone; empty means all zones, but no zone for NodesDown
-	Fraction float64   `toml:"part"`  // affected fraction of the requests (Errors) or of the servers (other kinds); 0 means 1
+	Fraction float64   `toml:"part"`  // affected fraction of the requests (Errors) or of the servers (other faults of servers); 0 means 1
 	Factor   float64   `toml:"times"` // multiplies the service times (Slow) or the request rate (LoadIncrease)
 
 	RepeatEvery Duration `toml:"every"` // time between starts
@@ -28,11 +28,11 @@
 
 // Kinds of fault.
 const (
-	Crash          FaultKind = "lost"   // servers refuse connections, and return with their old start times, so without a new slow start
+	Crash          FaultKind = "lost"   // servers refuse connections, and return with their old start times, so that they begin no new slow start
 	CrashRestart   FaultKind = "cold"   // like Crash, but the servers return as new processes, in slow start
 	ConnectTimeout FaultKind = "silent" // connection attempts to servers time out
 	ResponseLost   FaultKind = "mute"   // requests reach servers, but responses are lost
-	Partition      FaultKind = "apart"  // a zone is cut off from the others, in both directions
+	Partition      FaultKind = "apart"  // a zone is cut off from the others, in both directions; without a zone, all zones are cut off from each other
 	Errors         FaultKind = "errors" // a fraction of the requests fails immediately
 	Slow           FaultKind = "slow"   // servers are several times slower
 	Unlisted       FaultKind = "vanish" // servers are removed from the list, but keep running
@@ -116,7 +116,8 @@
 	return a != b && (f.Zone == "" || f.Zone == a || f.Zone == b)
 }
 
-// Affected returns the servers that the fault affects.
+// Affected returns the servers that the fault affects. For Errors these are all servers of the zone, because Fraction is
+// then a fraction of the requests. For other kinds they are the first Fraction of these servers, rounded up.
 func (f Fault) Affected(servers []emulator.ServerSpec) (affected []emulator.ServerSpec) {
 	for _, server := range servers {
 		if f.Zone == "" || server.Zone == f.Zone {
--- a/internal/simulation/faults.go
+++ b/internal/simulation/faults.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// beginFault starts a fault and schedules its end.
+// beginFault starts a fault and, unless its Length is 0, schedules its end.
 func (s *Simulation) beginFault(f Fault) {
 	s.outcome.RecordTimeline(s.now, "", f.Describe(true))
 	servers := s.affectedServers(f)
--- a/internal/simulation/load_balancer.go
+++ b/internal/simulation/load_balancer.go
@@ -93,7 +93,8 @@
 	s.scheduleClients(g)
 }
 
-// setLoadFactor multiplies the rate of the clients that a LoadIncrease affects by the fault's factor, or resets it.
+// setLoadFactor sets the rate of the clients that a LoadIncrease affects to the scenario's rate times the fault's factor.
+// If on is false, it sets the scenario's rate.
 func (s *Simulation) setLoadFactor(f Fault, on bool) {
 	rateFactor := 1.0
 	if on {
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -92,7 +92,7 @@
 	return keys
 }
 
-// runAll runs the keys on all cores.
+// runAll runs the scenarios of all keys on all cores, and returns the runs by key.
 func runAll(keys []runKey) (map[runKey]Run, error) {
 	results := make([]Run, len(keys))
 	err := runParallel(len(keys), func(i int) (err error) {
--- a/internal/simulation/nodes.go
+++ b/internal/simulation/nodes.go
@@ -112,7 +112,8 @@
 	}
 }
 
-// execute executes an action of a node.
+// execute executes an action of a node. Actions that the simulation doesn't model, such as probes and messages to peers,
+// have no effect.
 func (s *Simulation) execute(n *node, action policy.Action) {
 	switch action.Kind {
 	case policy.Send:
@@ -137,7 +138,7 @@
 }
 
 // dispatchAttempt sends a client attempt to a node of its zone, or to a node of any zone if all nodes of its zone are
-// known to be down.
+// known to be down. The attempt fails if all nodes of all zones are known to be down, or if the chosen node is down.
 func (s *Simulation) dispatchAttempt(g *generator, attempt *emulator.ClientAttempt) {
 	if attempt.Number == 0 {
 		s.outcome.RecordRequest(g.zone, attempt)
@@ -159,8 +160,8 @@
 		Timeout: attempt.Timeout - timeoutMargin, ClientRetry: attempt.Number > 0, Write: attempt.Class.RetrySafety != emulator.Idempotent})
 }
 
-// errNoNode is the error of a client attempt that finds no running node.
-var errNoNode = errors.New("no node is up")
+// errNoNode is the error of a client attempt if all nodes are known to be down, or if the chosen node is down.
+var errNoNode = errors.New("no node accepts the connection")
 
 // cancel ends a request whose client timed out.
 func (s *Simulation) cancel(r *request) {
@@ -174,7 +175,7 @@
 	s.removeIfDone(r)
 }
 
-// respond sends the final response of a client attempt.
+// respond sends the final response of a client attempt. It has no effect if the attempt is already answered.
 func (s *Simulation) respond(n *node, id string, status int, retryAfter time.Duration) {
 	r := n.requests[id]
 	if r == nil || r.answered {
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -43,7 +43,7 @@
 	Attempts       int                       `json:"attempts"`
 	CrossZone      int                       `json:"crossing"` // attempts from one zone to another
 	Overloaded     int                       `json:"choked"`   // servers slowed by overload at the end of the second
-	Utilization    float64                   `json:"busy"`     // busy fraction of the cores of reachable servers at the end of the second
+	Utilization    float64                   `json:"busy"`     // busy fraction of the cores of servers that accept connections, at the end of the second
 	AttemptsByZone map[string]map[string]int `json:"to"`       // attempts by zone of the node and zone of the server
 
 	Work map[string]map[string]float64 `json:"work"` // total work of the requests, in core-seconds at speed 1, by zone of the clients and class
--- a/internal/simulation/paired_comparison.go
+++ b/internal/simulation/paired_comparison.go
@@ -24,7 +24,8 @@
 )
 
 // G returns the score of a run, from 0 to 1: the weighted mean of the fractions of the value that were served in time over
-// the whole run, in its worst window and in its worst-served class.
+// the whole run, in its worst window and in its worst-served class. Seconds without requests at the end of the run don't
+// count.
 func (o *Outcome) G() float64 {
 	seconds := len(o.Seconds)
 	for seconds > 0 && o.Seconds[seconds-1].Requests == 0 {
@@ -42,15 +43,15 @@
 	return wholeRunWeight*o.Between(0, end).ServedFraction() + worstWindowWeight*worst + worstClassWeight*class
 }
 
-// Pair is the comparison of two programs on the same scenario and seeds.
+// Pair is the comparison of two programs on the same seeds and the same scenario, or all scenarios.
 type Pair struct {
 	Scenario     string    `json:"scenario"`
-	Ours, Theirs []float64 `json:"-"`    // G by seed
-	Mean         float64   `json:"mean"` // mean of the differences of G, ours minus theirs, over the seeds
-	HalfInterval float64   `json:"half"` // half the width of the 95% confidence interval of Mean
-	P            float64   `json:"p"`    // two-sided p-value of the paired t-test against a true mean of 0
-	OurG         float64   `json:"g"`
-	TheirG       float64   `json:"g_theirs"`
+	Ours, Theirs []float64 `json:"-"`        // G by seed
+	Mean         float64   `json:"mean"`     // mean of the differences of G, ours minus theirs, over the seeds
+	HalfInterval float64   `json:"half"`     // half the width of the 95% confidence interval of Mean
+	P            float64   `json:"p"`        // two-sided p-value of the paired t-test against a true mean of 0; 1 if all differences are equal
+	OurG         float64   `json:"g"`        // mean of Ours
+	TheirG       float64   `json:"g_theirs"` // mean of Theirs
 	OurBroken    int       `json:"rules_broken"`
 	TheirBroken  int       `json:"rules_broken_theirs"`
 }
@@ -75,7 +76,8 @@
 // simulateTimeout limits the duration of a program's simulate command.
 const simulateTimeout = 5 * time.Minute
 
-// simulate runs a scenario with a program's simulate command, and returns the outcome that it prints.
+// simulate runs a scenario with a program's simulate command, and returns the outcome that it prints. Broken rules are not
+// an error.
 func simulate(ctx context.Context, program, scenario string, seed uint64) (*Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, simulateTimeout)
 	defer cancel()
@@ -90,7 +92,8 @@
 	return o, nil
 }
 
-// rulesBroken reports whether a simulation exited with status 1, which means that rules were broken.
+// rulesBroken reports whether a simulation exited with status 1. If it also printed an outcome, this means that rules were
+// broken; otherwise the command failed.
 func rulesBroken(err error) bool {
 	var exit *exec.ExitError
 	return errors.As(err, &exit) && exit.ExitCode() == 1
--- a/internal/simulation/queue.go
+++ b/internal/simulation/queue.go
@@ -14,7 +14,7 @@
 	return e.at < other.at || e.at == other.at && e.sequence < other.sequence
 }
 
-// at schedules run for time t, or for now if t is in the past.
+// at schedules run for time t, or for the current time if t is in the past.
 func (s *Simulation) at(t time.Duration, run func()) {
 	s.sequence++
 	s.queue.Add(event{max(t, s.now), s.sequence, run})
--- a/internal/simulation/servers.go
+++ b/internal/simulation/servers.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// scheduleCompletions schedules an event for the time when a server's next job completes. The event then schedules the
-// one after it.
+// scheduleCompletions schedules an event for the time when a server's next job completes. That event schedules the event
+// for the following completion.
 func (s *Simulation) scheduleCompletions(srv *server) {
 	at, ok := srv.Next()
 	if !ok {
@@ -100,7 +100,8 @@
 		StartedAt: s.Started(), Availability: availabilities[s.phase]}
 }
 
-// notifyNodes sends each node the state of these servers, after a random delay of up to maxListDelay for each node.
+// notifyNodes sends each node the state of these servers, after a random delay of up to maxListDelay for each node. The
+// state is the one at the end of the delay.
 func (s *Simulation) notifyNodes(servers []*server) {
 	for _, n := range s.nodes {
 		s.after(time.Duration(s.rng.Int64N(int64(maxListDelay))), func() {
--- a/internal/simulation/simulation.go
+++ b/internal/simulation/simulation.go
@@ -71,7 +71,8 @@
 	return s, nil
 }
 
-// Run runs the scenario to its end and returns its outcome.
+// Run runs the scenario and returns its outcome. After the scenario's length, it waits up to maxSettleTime for the requests
+// in flight and their retries.
 func (s *Simulation) Run() *Outcome {
 	end := origin + s.Length.Duration + maxSettleTime
 	for len(s.queue) > 0 && s.queue[0].at <= end && !s.finished() {
@@ -106,7 +107,7 @@
 // hasReports reports whether servers send load reports.
 func (s *Simulation) hasReports() bool { return s.Reports == nil || *s.Reports }
 
-// sampleServers records the state of the servers in the current second.
+// sampleServers records the overloaded servers and the utilization in the current second.
 func (s *Simulation) sampleServers() {
 	second := s.outcome.second(s.now)
 	var cores, busyCores int
--- a/internal/simulation/zone_measures.go
+++ b/internal/simulation/zone_measures.go
@@ -199,7 +199,8 @@
 	rampTimeConstantSeconds = 2
 )
 
-// growthRatio returns the mean duration of the nodes' recovery ramps for a zone, divided by the designed duration.
+// growthRatio returns the mean duration of the nodes' recovery ramps for a zone, divided by the designed duration. It is 0
+// if no node completed a ramp.
 func (r Run) growthRatio(zone string) float64 {
 	began, total, ramps := make(map[string]float64), 0.0, 0 // began holds the start of the ramp by node, in seconds
 	for _, entry := range r.Timeline {
@@ -230,7 +231,7 @@
 }
 
 // regionLossRatio returns the value that was served, divided by the maximum possible value. The maximum is reached if
-// zone c, which is left, spends its capacity on the classes in descending order of priority weight.
+// zone c, the only zone that isn't lost, spends its capacity on the classes in descending order of priority weight.
 func regionLossRatio(r Run) float64 {
 	from, to := faultStart+3*time.Second, 35*time.Second
 	s := r.Between(from, to)
--- a/internal/simwire/decode.go
+++ b/internal/simwire/decode.go
@@ -33,7 +33,7 @@
 
 const (
 	maxLists    = 16      // list numbers in the protocol are 0 to maxLists-1
-	maxInterned = 1 << 14 // maximum number of interned strings; new servers would add more without end
+	maxInterned = 1 << 14 // maximum number of interned strings; without it, the names of new servers would take ever more memory
 )
 
 // Decoder decodes lines. It stores the endpoint lists, which the simulator sends once for all instances, and interns
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -33,7 +33,8 @@
 	return nil, ErrUnknownMessage
 }
 
-// settings decodes the settings of an instance. If the field is missing, it sets f.err and returns empty settings.
+// settings decodes the settings of an instance. If the field is missing or not an object, it sets f.err and returns empty
+// settings.
 func (f *fields) settings(i int) (policy.Settings, error) {
 	value := f.required(i, "conf", fastjson.TypeObject)
 	if value == nil {
--- a/internal/simwire/fields.go
+++ b/internal/simwire/fields.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// optional returns the value at position i, or nil if it is absent, null or of another type.
+// optional returns the value at position i, or nil if it is absent, null or of another type. Another type is an error.
 func (f *fields) optional(i int, field string, want fastjson.Type) *fastjson.Value {
 	if i >= len(f.values) || f.values[i].Type() == fastjson.TypeNull {
 		return nil
@@ -139,7 +139,8 @@
 	return time.Duration(math.Round(milliseconds*1e3)) * time.Microsecond
 }
 
-// loadReport reads a server's load report: a number for each of the settings' ReportFields, NaN for null.
+// loadReport reads a server's load report: a number for each of the settings' ReportFields, NaN for null. It returns nil if
+// the report is absent, null or not an array.
 func (f *fields) loadReport(i int) []float64 {
 	value := f.optional(i, "metrics", fastjson.TypeArray)
 	if value == nil {
--- a/internal/simwire/lists.go
+++ b/internal/simwire/lists.go
@@ -61,7 +61,7 @@
 	return endpoint, f.err
 }
 
-// endpointList decodes the message that passes a stored list to an instance.
+// endpointList decodes the message that passes a stored list to an instance, or tells it that the list is unavailable.
 func (d *Decoder) endpointList(f *fields) (policy.EndpointList, error) {
 	word := f.internedText(1, "how")
 	kind, ok := listKinds[word]
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -202,7 +202,7 @@
 		}
 	}
 	if got := string(AppendReplyEnd(AppendFailure(nil, 3, `a "b"`))); got != "[\"broken\",3,\"a \\\"b\\\"\"]\n[\"yield\"]\n" {
-		t.Errorf("AppendFailure and AppendReplyEnd: got %s", got)
+		t.Errorf("AppendFailure and AppendReplyEnd: got %s; want a line with the escaped text, and then the line that ends the reply", got)
 	}
 }
 
