--- a/internal/scaletest/check.go
+++ b/internal/scaletest/check.go
@@ -137,7 +137,7 @@
 	case s.Dimension != Tenants && (fixed.Tenants < 1 || fixed.Tenants > maxTenants):
 		return keyError("held.tenants", "want 1 to %d, got %d", maxTenants, fixed.Tenants)
 	case s.Dimension != Nodes && (fixed.Nodes < 1 || fixed.Nodes > maxNodes):
-		return keyError("held.nodes", "want 1 or more, at most %d nodes that watch a registry, got %d", maxWatchers, fixed.Nodes)
+		return keyError("held.nodes", "want 1 or more, and at most %d if they watch a registry, got %d", maxWatchers, fixed.Nodes)
 	}
 	return nil
 }
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -24,21 +24,21 @@
 
 const (
 	sampleInterval   = time.Second      // window over which traffic is summed
-	leaderTimeout    = 30 * time.Second // the point fails without a leader this long after the fault
+	leaderTimeout    = 30 * time.Second // a point fails if the leader election takes longer
 	maxReplicas      = 7
 	instanceListPath = "/registry/instances"
 )
 
 // Measures of a fault.
 var (
-	PeakCallsAfterFault = Measure{"calls at the return, over the mean", Times} // of all nodes, busiest second
-	PeakBytesAfterFault = Measure{"bytes at the return, over the mean", Times} // received by all nodes, busiest second
+	PeakCallsAfterFault = Measure{"calls at the return, over the mean", Times} // of all nodes together, in the busiest second
+	PeakBytesAfterFault = Measure{"bytes at the return, over the mean", Times} // received by all nodes together, in the busiest second
 	LeaderElectionTime  = Measure{"leader again", Milliseconds}                // since the kill, or the replicas' restart
 	ServersRemoved      = Measure{"servers removed", Count}                    // missing from the list after the fault
 )
 
-// recordFault records the peak traffic of the nodes after a fault of the registry, relative to the mean before it. Each
-// period lasts for the scenario's span. The list changes throughout, except while all replicas are down.
+// recordFault records the peak traffic of the nodes after a fault of the registry, relative to the mean before it. It
+// changes the list for the scenario's span before the fault, and again for the span after it.
 func (w *watchedRegistry) recordFault(ctx context.Context, tracker *changeTracker, nodes []*node.Hollow) error {
 	w.startCounting(tracker)
 	before := w.startSampling(nodes)
@@ -91,8 +91,8 @@
 	return sampling.stop(), err
 }
 
-// writeChangesDuringElection writes changes from the time at which the leader is killed. The writes are delayed until a new
-// leader is elected.
+// writeChangesDuringElection writes changes for the scenario's span after the leader was killed, and records how long the
+// election of a new leader takes. Until then, writes are delayed.
 func (w *watchedRegistry) writeChangesDuringElection(ctx context.Context, tracker *changeTracker) error {
 	began := time.Now()
 	var wg sync.WaitGroup
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -21,7 +21,7 @@
 	Power        Law = "n^p" // p above 1: worse than linear
 )
 
-// laws lists the laws from the slowest growth to the fastest: of two that fit about equally well, the first is chosen.
+// laws lists the laws from the slowest growth to the fastest. If two fit about equally well, the slower growth is chosen.
 var laws = []Law{Constant, Logarithmic, Linear, Linearithmic, Power}
 
 // Range and step of the exponents that are tried for Power.
@@ -43,10 +43,11 @@
 }
 
 const (
-	// maxResidual is the largest deviation of the mean at any size from the law, as a fraction of the law's value there.
+	// maxResidual is the largest allowed deviation of the mean at any size from the law, as a fraction of the law's value
+	// there.
 	maxResidual = 0.25
-	// minScoreGain is how much lower a law's score has to be than the score of a simpler law: 2 is the penalty for one
-	// more parameter in Akaike's information criterion.
+	// minScoreGain is how much lower a law's score has to be than the score of a simpler law for the law to be chosen. 2 is
+	// the penalty for one more parameter in Akaike's information criterion.
 	minScoreGain = 2.0
 	confidence   = 0.95
 	minResidual  = 1e-9 // smaller residuals count as rounding errors
@@ -117,7 +118,7 @@
 }
 
 // fitLaw returns the simplest law that fits. If none fits all sizes, it leaves out the smallest sizes one by one while at
-// least minSizes remain: a cost that is constant at small sizes hides the law. If no law fits, Why says so.
+// least minSizes remain, because a constant cost may hide the law at small sizes. If no law fits, Why says so.
 func fitLaw(o observations) Fit {
 	sizes := o.distinctSizes()
 	noFit := Fit{Points: len(o.values), From: int(sizes[0]), To: int(sizes[len(sizes)-1]), Exponent: exponent(o), Why: NoLaw}
--- a/internal/scaletest/fit_test.go
+++ b/internal/scaletest/fit_test.go
@@ -46,10 +46,10 @@
 			}
 		}
 		if recognized < seeds*9/10 {
-			t.Errorf("%s: law recognized with %d of %d seeds, want 90%% of them", known.law, recognized, seeds)
+			t.Errorf("%s: law recognized with %d of %d seeds, want at least 90%% of them", known.law, recognized, seeds)
 		}
 		if within < seeds*8/10 {
-			t.Errorf("%s: true value within the prediction interval with %d of %d seeds, want 80%% of them",
+			t.Errorf("%s: true value within the prediction interval with %d of %d seeds, want at least 80%% of them",
 				known.law, within, seeds)
 		}
 	}
@@ -69,7 +69,7 @@
 	} {
 		for seed := range uint64(10) {
 			if f := fitLaw(noisyObservations(testSizes, seed, of)); f.Law != "" || f.Why != NoLaw {
-				t.Errorf("%s, seed %d: fitted law %q with formula %q, want none", name, seed, f.Law, f.Formula())
+				t.Errorf("%s, seed %d: fitted law %q with formula %q, want none, with the reason NoLaw", name, seed, f.Law, f.Formula())
 			}
 		}
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestFitNeedsFiveSizes(t *testing.T) {
+func TestFitNeedsFiveSizesAndPositiveValues(t *testing.T) {
 	linear := func(n float64) float64 { return 5 * n }
 	if f := fitLaw(noisyObservations(testSizes[:4], 1, linear)); f.Why != TooFewSizes || f.Law != "" {
 		t.Errorf("fit of four sizes: law %q, reason %q, want only the reason TooFewSizes", f.Law, f.Why)
@@ -107,7 +107,7 @@
 	}
 	for _, f := range []Fit{{Law: Constant, A: 100}, {Law: Logarithmic, A: 100, B: 1}} {
 		if n, ok := f.Reaches(200); ok || n != 0 {
-			t.Errorf("%s law: reaches twice its value at size %v, want never", f.Law, n)
+			t.Errorf("%s law: reaches 200 at size %v, want never", f.Law, n)
 		}
 	}
 }
--- a/internal/scaletest/measurement.go
+++ b/internal/scaletest/measurement.go
@@ -1,6 +1,7 @@
-// Package scaletest measures how the costs of a node and of the registry grow with the size of a fleet. Hollow nodes run the
-// shipped code, many in one process and without sockets for requests. A scenario names one dimension and the sizes at which
-// it is measured, and a law is fitted to each measure. Nothing in this package is linked into a node.
+// Package scaletest measures how the costs of a node and of the registry grow with the size of a fleet. Hollow nodes
+// run the shipped code, many in one process and without sockets for requests. A scenario names one dimension and the
+// sizes at which it is measured. The measurement of one size in one run is a point. A law is fitted to each measure.
+// Nothing in this package is linked into a node.
 package scaletest
 
 import "slices"
@@ -40,12 +41,12 @@
 // The measures. A measure of nodes is the value for one node, unless its comment says otherwise.
 var (
 	DecisionCPU      = Measure{"decision CPU", Nanoseconds}           // of a decision and its outcome, with garbage collection
-	DecisionP50      = Measure{"decision p50", Nanoseconds}           // the same in elapsed time
-	DecisionP99      = Measure{"decision p99", Nanoseconds}           // the same the same
-	DecisionRate     = Measure{"decisions a second", PerSecond}       // in one second of CPU time
+	DecisionP50      = Measure{"decision p50", Nanoseconds}           // elapsed time of a decision and its outcome
+	DecisionP99      = Measure{"decision p99", Nanoseconds}           // elapsed time of a decision and its outcome
+	DecisionRate     = Measure{"decisions a second", PerSecond}       // decisions in one second of CPU time
 	Refused          = Measure{"refused within quota", Percent}       // requests rejected although no limit applied
 	ListChangeCPU    = Measure{"list change CPU", Nanoseconds}        // to read and apply a delta of one server
-	ListChangeP99    = Measure{"list change p99", Nanoseconds}        // the same in elapsed time
+	ListChangeP99    = Measure{"list change p99", Nanoseconds}        // elapsed time to read and apply a delta of one server
 	ConfigCPU        = Measure{"configuration CPU", Nanoseconds}      // to read, check and apply a configuration file
 	StartCPU         = Measure{"start CPU", Nanoseconds}              // to read the configuration and apply the first list
 	ControlCPU       = Measure{"control CPU", CorePercent}            // of a node without requests
@@ -56,14 +57,14 @@
 	ListBytes        = Measure{"whole list", Bytes}                   // encoded, on the wire
 	ConfigBytes      = Measure{"configuration", Bytes}                // configuration file
 	ReceivedBytes    = Measure{"received by a node", BytesPerSecond}  // on the sockets of its list client
-	SentBytes        = Measure{"sent by a node", BytesPerSecond}      // the same the same
+	SentBytes        = Measure{"sent by a node", BytesPerSecond}      // on the sockets of its list client
 	ReceivedMessages = Measure{"messages to a node", PerSecond}       // responses to its list client
 	SentMessages     = Measure{"messages from a node", PerSecond}     // calls of its list client
 	ChangeRate       = Measure{"changes a second", PerSecond}         // changes that the registry accepted
 	ChangesRefused   = Measure{"changes refused", Count}              // refused by an overloaded registry
 	InForceP50       = Measure{"change in force p50", Milliseconds}   // from a change's due time until a node has applied it
-	InForceP99       = Measure{"change in force p99", Milliseconds}   // the same the same
-	InForceLast      = Measure{"change in force, last", Milliseconds} // the slowest of all changes at all nodes
+	InForceP99       = Measure{"change in force p99", Milliseconds}   // from a change's due time until a node has applied it
+	InForceLast      = Measure{"change in force, last", Milliseconds} // the longest of these times
 	ChangesMissed    = Measure{"changes missed", Count}               // (change, node) pairs not in force when the run ended
 )
 
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -23,9 +23,9 @@
 	PeakResident        = Measure{"peak resident memory", Bytes}            // since the process started
 	StartTime           = Measure{"start", Milliseconds}                    // until the node has its list and is ready
 	ServersListed       = Measure{"servers listed", Count}                  // entries in the node's list after its start
-	ListReceived        = Measure{"list taken from the service", Count}     // 1, or 0 if the configuration held the list
+	ListReceived        = Measure{"list taken from the service", Count}     // 1, or 0 if the node got its list from its configuration
 	ChangeBytes         = Measure{"list change", Bytes}                     // on the wire, for one change
-	UnroutedChangeCPU   = Measure{"list change elsewhere CPU", Nanoseconds} // of servers that no route of the node uses
+	UnroutedChangeCPU   = Measure{"list change elsewhere CPU", Nanoseconds} // for a change of a server that no route of the node uses
 	UnroutedChangeBytes = Measure{"list change elsewhere", Bytes}           // on the wire, for one such change
 	RequestCPU          = Measure{"request CPU", Nanoseconds}               // of the node, for one request
 	DirectP50           = Measure{"request without a node, p50", Nanoseconds}
@@ -40,8 +40,8 @@
 	RenewRate           = Measure{"renewals a second", PerSecond}      // by all writers
 	RenewCPU            = Measure{"renewal CPU", Nanoseconds}          // of all replicas, for one renewal
 	WatcherNotifiedP50  = Measure{"watcher told p50", Milliseconds}    // from a write until a watcher has read it
-	WatcherNotifiedP99  = Measure{"watcher told p99", Milliseconds}    // the same
-	WatcherNotifiedLast = Measure{"watcher told, last", Milliseconds}  // the slowest watcher of all changes
+	WatcherNotifiedP99  = Measure{"watcher told p99", Milliseconds}    // from a write until a watcher has read it
+	WatcherNotifiedLast = Measure{"watcher told, last", Milliseconds}  // the longest of these times
 	WatcherCPU          = Measure{"watcher told CPU", Nanoseconds}     // of all replicas, for one change and one watcher
 	LeaderResident      = Measure{"leader's resident memory", Bytes}
 )
@@ -190,7 +190,7 @@
 		return usage{}, err
 	}
 	u := usage{resident: float64(status.VmRSS), peak: float64(status.VmHWM)}
-	for _, thread := range threads { // schedstat counts in ns, while the CPU time of a whole process counts in 10 ms
+	for _, thread := range threads { // schedstat counts in ns, but the CPU time of a whole process in steps of 10 ms
 		times, err := thread.Schedstat()
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // the thread has just ended
--- a/internal/scaletest/process_list.go
+++ b/internal/scaletest/process_list.go
@@ -58,8 +58,8 @@
 	changed chan struct{} // closed and replaced at each change
 }
 
-// serverName, serverService and serverZone give the name, the service and the zone of the server of an index. Servers of a
-// service have consecutive indexes, and consecutive servers are in different zones.
+// serverName, serverService and serverZone return the name, the service and the zone of the server with an index.
+// Servers of a service have consecutive indexes, and consecutive servers are in different zones.
 func serverName(i int) string    { return fmt.Sprintf("server-%06d", i) }
 func serverService(i int) string { return fmt.Sprintf("service-%04d", i/serversPerService) }
 func serverZone(i int) string    { return fmt.Sprintf("zone-%02d", i%zoneCount) }
@@ -93,7 +93,8 @@
 	return nil
 }
 
-// ServeHTTP responds with the whole list, or, if the call has an index, waits for changes since it and responds with those.
+// ServeHTTP responds with the whole list to a call without an index. For a call with an index it waits for changes since
+// that index, at most for the time in the call, and responds with the changes.
 func (s *listService) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	index, err := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
 	watch := err == nil
--- a/internal/scaletest/process_registry.go
+++ b/internal/scaletest/process_registry.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	registryWriters  = 32 // half of the commands that a replica accepts at a time
+	registryWriters  = 32 // half of the commands that a replica accepts at the same time
 	watchedInstances = 2000
 	watchedChanges   = 20
 	instanceWatchers = 50
@@ -26,7 +26,7 @@
 	maxNotifyTime    = time.Minute
 )
 
-// measuredRegistry is a registry of real replicas that is measured or watched by a measured node.
+// measuredRegistry is a registry of real replicas. Either the registry is measured, or a node that watches it.
 type measuredRegistry struct {
 	*testcluster.Registry
 	leader string
@@ -194,7 +194,7 @@
 	return nil
 }
 
-// watchers are clients that watch the registry, and the delays until they were notified of the last write.
+// watchers is the state of the clients that watch the registry, with the delays until they were notified of each write.
 type watchers struct {
 	mu              sync.Mutex
 	writtenAt       time.Time // time of the last write
@@ -204,7 +204,8 @@
 	delays          *hdrhistogram.Histogram
 }
 
-// measureNotification makes watchedChanges changes under n watchers, and records the delays until each was notified.
+// measureNotification makes watchedChanges changes while n clients watch the list. It records the delays until the
+// watchers were notified, and the CPU time of the replicas.
 func (reg *measuredRegistry) measureNotification(ctx context.Context, n int, rec *Recorder) error {
 	watchCtx, stop := context.WithCancel(ctx)
 	var wg sync.WaitGroup
--- a/internal/scaletest/process_requests.go
+++ b/internal/scaletest/process_requests.go
@@ -45,13 +45,13 @@
 	return addresses, func() { _ = server.Close() }, nil
 }
 
-// requestPath is how clients reach the servers, direct or through a node, with the latencies measured on it.
+// requestPath is one of the two paths to the servers, direct or through a node, with the latencies measured on it.
 type requestPath struct {
 	address   func(i int) string
 	client    *http.Client
 	latencies *hdrhistogram.Histogram
 	failed    atomic.Int64
-	mu        sync.Mutex // of latencies and firstErr
+	mu        sync.Mutex // guards latencies and firstErr
 	firstErr  error
 }
 
@@ -173,7 +173,8 @@
 	}
 }
 
-// sendAlternately sends count requests on each path in turns, on each path at the rate of the spec.
+// sendAlternately sends count requests on each path. It alternates between the paths, and each path gets the rate of the
+// spec.
 func sendAlternately(ctx context.Context, spec ProcessSpec, count int, paths ...*requestPath) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, len(paths)*requestWorkers)
--- a/internal/scaletest/process_scoped.go
+++ b/internal/scaletest/process_scoped.go
@@ -109,7 +109,7 @@
 	return &scopedNode{n, list}, err
 }
 
-// measureRealScoped measures a node with a scope, by the number of servers in the registry.
+// measureRealScoped measures a node with a scope whose registry lists size servers.
 func measureRealScoped(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	n, err := startScopedNode(ctx, cluster, spec, size, rec)
 	if err != nil {
@@ -127,7 +127,8 @@
 	return err
 }
 
-// measureRealDay measures a node with a scope while servers of all services drain and come back at the target's daily rate.
+// measureRealDay measures a node with a scope while servers of all services drain and come back. The rate is the
+// target's daily rate, scaled to size servers.
 func measureRealDay(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	n, err := startScopedNode(ctx, cluster, spec, size, rec)
 	if err != nil {
@@ -147,12 +148,12 @@
 	return <-failed
 }
 
-// dayChangeRate is the rate of changes of the target's list, a second: 9,100 restarts a day with three changes each (drain,
-// stop, start), and 340 failures with two (detected, repaired).
+// dayChangeRate is the number of changes of the target's list per second: 9,100 restarts a day with three changes each
+// (drain, stop, start), and 340 failures with two (detected, repaired).
 const dayChangeRate = (9100*3 + 340*2) / 86400.0
 
-// changeRandomServers drains a random server and brings it back with the next change, and so on until ctx ends. Changes come
-// at random times with the mean rate.
+// changeRandomServers drains a random server, brings it back with the next change, and continues with another server
+// until ctx ends. Changes are made at random times with the given mean rate per second.
 func (l *registryList) changeRandomServers(ctx context.Context, seed uint64, n int, rate float64) error {
 	rng := rand.New(rand.NewPCG(seed, 0xda))
 	for server, phase := 0, registry.PhaseUp; ; {
--- a/internal/scaletest/process_servers.go
+++ b/internal/scaletest/process_servers.go
@@ -72,7 +72,7 @@
 	rec.discard(ServersListed, StartTime, StartCPU)
 	spec.Name, spec.InitialList = "node-with-list", list.snapshot()
 	if n, listed, err = startAndRecord(ctx, cluster, spec, want, rec); err == nil && listed < want {
-		err = fmt.Errorf("node lists %d servers, want %d, with the list from the service and from its configuration", listed, want)
+		err = fmt.Errorf("node lists %d servers, want %d, even with the list in its configuration file", listed, want)
 	}
 	rec.Record(ListReceived, 0)
 	return n, err
@@ -135,7 +135,7 @@
 		return err
 	}
 	rec.Record(ListBytes, float64(list.bytes.Load()-before))
-	runtime.GC() // collects the garbage of the list service, which shares this machine, before the measurement
+	runtime.GC() // so that collecting the garbage of the list service, in this process, does not disturb the measurement
 	if err := sleep(ctx, min(startupDelay, spec.Window)); err != nil {
 		return err
 	}
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -40,7 +40,8 @@
 	Ratio   float64 `json:"ratio"` // Process / Hollow
 }
 
-// ratios returns the ratios of all measures and sizes with values of both sources. It omits a ratio to a hollow node's 0.
+// ratios returns the ratios of all measures and sizes with values of both sources. It omits ratios to a hollow value of
+// 0.
 func (r *Report) ratios() (all []Ratio) {
 	for _, m := range r.Measures() {
 		for _, size := range r.Sizes() {
@@ -108,7 +109,7 @@
 	return all
 }
 
-// fit fits a law to each measure, and sets the results of the report.
+// fit fits a law to each measure, and sets the fields of the report that are computed from the measurements.
 func (r *Report) fit() {
 	r.NotMeasured = NotMeasured
 	r.Ratios = r.ratios()
--- a/internal/scaletest/requests.go
+++ b/internal/scaletest/requests.go
@@ -15,7 +15,7 @@
 )
 
 const (
-	meanServiceTime = 50 * time.Millisecond // service times of servers are from half of this to one and a half of it
+	meanServiceTime = 50 * time.Millisecond // service times of servers are 0.5 to 1.5 times this
 	reportUtil      = 0.5                   // share of a server's cores that it reports as busy
 	reportRate      = 100.0                 // requests a second that a server reports
 
@@ -33,8 +33,9 @@
 	return hdrhistogram.New(1, maxStepTime.Nanoseconds(), significantDigits)
 }
 
-// requestLoad sends requests to a hollow node at a steady rate of the node's clock. Each attempt succeeds, and stays in flight
-// for about the mean service time, so that as many are in flight as at a node that serves requests.
+// requestLoad sends requests to a hollow node at a steady rate on the node's clock. Each attempt succeeds and stays in
+// flight for about the mean service time, so about as many attempts are in flight as at a node that serves real
+// requests.
 type requestLoad struct {
 	node        *node.Hollow
 	rng         *rand.Rand
@@ -52,7 +53,8 @@
 		maxInFlight: max(1, int(fixed.Requests*meanServiceTime.Seconds())), tenants: fixed.Tenants, classes: emulator.Classes()}
 }
 
-// sendNext sends a request of a random tenant. Once maxInFlight attempts are in flight, it also ends the oldest.
+// sendNext sends a request of a random tenant. If more than maxInFlight attempts are then in flight, it
+// ends the oldest one.
 func (r *requestLoad) sendNext() { r.sendRequest(tenantName(r.rng.IntN(r.tenants))) }
 
 func (r *requestLoad) sendRequest(tenant string) {
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -39,10 +39,10 @@
 // Upper bounds of the memory that a size needs, in bytes. They are checked before a run starts.
 const (
 	serverMemory   = 4 << 10   // for each server in a list: as text, decoded, and in the node
-	realMemory     = 8 << 10   // for each server, tenant or watcher of a real process, in it and in this process
+	realMemory     = 8 << 10   // for each server, tenant or watcher, in the real processes and in this process
 	tenantMemory   = 6 << 10   // for each tenant in a configuration: as text, decoded, and in the node
 	nodeMemory     = 512 << 10 // for each hollow node, without its servers and tenants
-	steppedCopies  = 1         // stepped nodes at a time
+	steppedCopies  = 1         // number of stepped nodes at a time
 	baselineMemory = 64 << 20
 )
 
@@ -93,7 +93,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // it is a temporary one
+	defer func() { _ = os.RemoveAll(dir) }() // an undeleted temporary directory is not an error
 	defer testcluster.Clean()
 	limit := s.MaxDuration.Duration
 	if o.MaxDuration > 0 {
@@ -156,7 +156,7 @@
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = os.RemoveAll(dir) }() // it is a temporary one
+	defer func() { _ = os.RemoveAll(dir) }() // an undeleted temporary directory is not an error
 	if d, isReal := realDimension(s.Dimension); isReal {
 		return d.Measure(ctx, ProcessSpec{Seed: s.Seed + uint64(run), Window: s.Span.Duration}, size, run)
 	}
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -110,7 +110,7 @@
 	}
 	r, err = Run(t.Context(), smallScenario(Servers, 10, 20, 40, 80, 160), Options{MaxDuration: time.Nanosecond})
 	if err != nil || len(r.Measurements) > 0 || !strings.Contains(r.Stopped, "1ns") {
-		t.Errorf("time limit of 1 ns: %d measurements, stopped %q, error %v, want none, a reason with the limit, none",
+		t.Errorf("time limit of 1 ns: %d measurements, stopped %q, error %v, want none, a stop reason with the limit and no error",
 			len(r.Measurements), r.Stopped, err)
 	}
 }
@@ -245,7 +245,7 @@
 		}
 	}
 	if err := (&Report{}).WriteSVG(io.Discard); err == nil {
-		t.Error("WriteSVG of an empty report: got no error")
+		t.Error("WriteSVG of an empty report: got no error, want one")
 	}
 }
 
--- a/internal/scaletest/scenario.go
+++ b/internal/scaletest/scenario.go
@@ -49,8 +49,8 @@
 	Sizes       []int               `toml:"sizes" json:"sizes"`
 	Runs        int                 `toml:"runs" json:"runs"`
 	Seed        uint64              `toml:"seed" json:"seed"`
-	MaxDuration simulation.Duration `toml:"for" json:"for"`   // time limit of the whole scenario, which stops then
-	Span        simulation.Duration `toml:"span" json:"span"` // duration of one point; unused for stepped nodes
+	MaxDuration simulation.Duration `toml:"for" json:"for"`   // time limit of the whole scenario
+	Span        simulation.Duration `toml:"span" json:"span"` // duration of one point; unused for dimensions Servers and Tenants
 	Fixed       FixedSizes          `toml:"held" json:"held"`
 	Replicas    int                 `toml:"replicas" json:"replicas"` // of the registry; 0 means 1
 	Fault       Fault               `toml:"fault" json:"fault"`       // of the registry; empty means none
@@ -63,7 +63,7 @@
 type FixedSizes struct {
 	Servers  int     `toml:"servers" json:"servers"`
 	Tenants  int     `toml:"tenants" json:"tenants"`
-	Nodes    int     `toml:"nodes" json:"nodes"`       // that share the quotas; for dimension Changes, nodes that run
+	Nodes    int     `toml:"nodes" json:"nodes"`       // nodes that share the quotas; for dimension Changes, also the nodes that run
 	Requests float64 `toml:"requests" json:"requests"` // requests a second at one node
 	Changes  float64 `toml:"changes" json:"changes"`   // changes of the list a minute
 }
--- a/internal/scaletest/stepped.go
+++ b/internal/scaletest/stepped.go
@@ -12,9 +12,9 @@
 
 const (
 	unusedDiscovery     = "127.0.0.1:9" // for stepped nodes, whose list client never runs
-	minChanges          = 20            // list changes that are timed at least, at any size
+	minChanges          = 20            // minimum number of list changes that are timed, at any size
 	preparedChangeCount = 400           // list changes that are encoded before the timing, and repeated in turn
-	warmUpRounds        = 2             // of minTimedSteps untimed decisions, after which the node knows every kind of server
+	warmUpRounds        = 2             // rounds of minTimedSteps untimed decisions, after which the node knows every kind of server
 )
 
 // point is the measurement of one size in one run.
@@ -36,8 +36,8 @@
 	heapBefore float64 // heap in bytes before the node was created
 }
 
-// newSteppedNode creates a node from its configuration and applies the list. It records the CPU time of this and the sizes
-// of both.
+// newSteppedNode creates a node from its configuration and applies the list. It records the CPU time of this and the
+// sizes of the configuration and the list.
 func (p *point) newSteppedNode() (*steppedNode, error) {
 	s := &steppedNode{entries: p.fleet.servers(), revision: 1}
 	list := encodeList(s.revision, true, s.entries...)
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// measureServers measures a node by the number of servers in its list.
+// measureServers measures a node whose list has the number of servers of the point.
 func measureServers(ctx context.Context, p *point) error {
 	s, err := p.newSteppedNode()
 	if err != nil {
@@ -143,8 +143,8 @@
 	return p.recordListChanges(ctx, s)
 }
 
-// measureTenants measures a node by the number of tenants in its configuration. Each tenant sends one request before
-// decisions are timed.
+// measureTenants measures a node whose configuration has the number of tenants of the point. Each tenant sends one
+// request before decisions are timed.
 func measureTenants(ctx context.Context, p *point) error {
 	s, err := p.newSteppedNode()
 	if err != nil {
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -11,12 +11,13 @@
 	"sloerail/policy"
 )
 
-// firstChangeCell is the first of the cells that encode the number of a change. Servers otherwise have lower cells.
+// firstChangeCell is the cell for change number 0. Each change sets a server's cell to firstChangeCell plus the number of
+// the change, so that a list shows which changes it contains. Servers that were not changed have lower cells.
 const firstChangeCell = 1 << 40
 
 func changeCell(change int) int64 { return firstChangeCell + int64(change) }
 
-// changeTracker records when each change of the list is in force at each node.
+// changeTracker records when each change of the list is in force at each node, that is, when the node has applied it.
 type changeTracker struct {
 	nodes   int
 	servers int // changes go to the servers in turn
@@ -68,8 +69,8 @@
 	}
 }
 
-// recordInForce records that a change is in force at a node, and with it the earlier changes of the same server that it
-// supersedes.
+// recordInForce records that a change is in force at a node, and so are the earlier changes of the same server, which
+// it supersedes.
 func (c *changeTracker) recordInForce(node, change int, now time.Time) {
 	for ; change >= 0 && !c.inForce[nodeChange{node, change}]; change -= c.servers {
 		c.inForce[nodeChange{node, change}] = true
@@ -79,7 +80,7 @@
 	}
 }
 
-// awaitLists waits until all nodes have received the complete list.
+// awaitLists waits until all nodes have received the complete list, or a node has failed.
 func (c *changeTracker) awaitLists(ctx context.Context) error {
 	return testcluster.Await(ctx, "the complete list at all nodes", func() bool {
 		c.mu.Lock()
@@ -88,15 +89,16 @@
 	})
 }
 
-// missed returns the number of changes that are not in force at a node, summed over the nodes and without refused changes. A
-// refused change may still come into force, because the registry can't always tell whether it was committed.
+// missed returns the number of changes that are not in force at a node, summed over the nodes. It leaves out the given
+// number of refused changes. A refused change may still come into force, because the registry can't always tell whether
+// it was committed.
 func (c *changeTracker) missed(refused int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return max(0, (len(c.dueTimes)-refused)*c.nodes-len(c.inForce))
 }
 
-// delays returns the times from when each change was due until it was in force at each node, in nanoseconds.
+// delays returns the times from the due time of each change until it was in force at each node, in nanoseconds.
 func (c *changeTracker) delays() *hdrhistogram.Histogram {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scaletest/watchers.go
+++ b/internal/scaletest/watchers.go
@@ -22,7 +22,7 @@
 	leaseTTL           = 10 * time.Minute // lease of each server, longer than a point
 	registerTimeout    = time.Minute      // to register all servers
 	warmUpDelay        = time.Second      // between the complete list at all nodes and the first measurement
-	overheadSpan       = time.Second      // duration of changes without nodes, which measure the CPU time of the writers alone
+	overheadSpan       = time.Second      // how long writerOverhead changes the list
 	inForceTimeout     = 30 * time.Second // after the last change; changes not in force by then count as missed
 	replicaName        = "r0"
 	instancePathPrefix = "/registry/instances/"
@@ -161,12 +161,13 @@
 	return register(ctx, client, e)
 }
 
-// writeChanges changes the list for a span, at the scenario's rate. It calls onDue when a change is due, even if the writers
-// are still busy with earlier changes, so that the time a change waits for them counts.
+// writeChanges changes the list for a span, at the scenario's rate. It calls onDue when a change is due, even if the
+// writers are still busy with earlier changes. So the time that a change waits for a writer counts as part of its
+// delay.
 func (w *watchedRegistry) writeChanges(ctx context.Context, span time.Duration, onDue func(due time.Time)) error {
 	interval := time.Duration(float64(time.Minute) / w.fixed.Changes)
 	began, first := time.Now(), w.changes
-	due := make(chan int, int(max(0, span)/interval)+1) // for all of the span, so that scheduling never waits for writers
+	due := make(chan int, int(max(0, span)/interval)+1) // holds all changes of the span, so that scheduling never waits for writers
 	var wg sync.WaitGroup
 	errs := make([]error, len(w.clients))
 	for i, client := range w.clients {
@@ -212,7 +213,8 @@
 	return sleep(ctx, time.Until(began.Add(span)))
 }
 
-// writerOverhead returns the CPU time that this process needs to change the list, in seconds for each second.
+// writerOverhead returns the CPU time that this process needs to change the list, in CPU seconds per second. It measures
+// this before nodes run in the process.
 func (w *watchedRegistry) writerOverhead(ctx context.Context) (float64, error) {
 	cpu, began := ownCPU(), time.Now()
 	if err := w.writeChanges(ctx, overheadSpan, func(time.Time) {}); err != nil {
--- a/internal/testcluster/build.go
+++ b/internal/testcluster/build.go
@@ -16,7 +16,7 @@
 var built = struct {
 	sync.Mutex
 	paths map[string]string // by package
-	dirs  []string          // of the programs, removed by Clean
+	dirs  []string          // directories of the programs, removed by Clean
 }{paths: make(map[string]string)}
 
 // Build compiles a main package of this module and returns the path of the program. The working directory must be inside
--- a/internal/testcluster/client_conn.go
+++ b/internal/testcluster/client_conn.go
@@ -16,7 +16,7 @@
 // Errors of attempts that ended without a response.
 var (
 	errNoConnection     = errors.New("cannot connect to the node")
-	errClosedUnanswered = errors.New("connection closed before a response") // before its first byte
+	errClosedUnanswered = errors.New("connection closed before a response") // not even its first byte arrived
 )
 
 // clientConn is a client's connection to a node, for one request at a time.
@@ -26,9 +26,9 @@
 	used   bool // has carried a request
 }
 
-// exchange sends an attempt to the node and returns its response. It calls written after the last byte of the request is
-// written. If a reused connection is closed before the response begins, the node may have closed it while idle, so
-// exchange sends the request once more on a new connection, as HTTP clients do.
+// exchange sends an attempt to the node and returns its response. It calls written after the last byte of the request
+// is written. A node may close an idle connection at any time. So if a reused connection is closed before the response
+// begins, exchange sends the request once more on a new connection, as HTTP clients do.
 func (b *backend) exchange(attempt *emulator.ClientAttempt, written func()) (status int, retryAfter time.Duration, err error) {
 	deadline := time.Now().Add(attempt.Timeout)
 	for _, fresh := range []bool{false, true} {
@@ -66,7 +66,8 @@
 	return &clientConn{Conn: conn, reader: bufio.NewReader(conn)}, nil
 }
 
-// exchangeOn does an exchange on one connection, and returns the connection to the idle ones if it stays open.
+// exchangeOn sends an attempt on one connection and returns the response. If the connection stays open, exchangeOn adds
+// it to the idle ones.
 func (b *backend) exchangeOn(conn *clientConn, attempt *emulator.ClientAttempt, deadline time.Time, written func()) (
 	status int, retryAfter time.Duration, err error) {
 	if err := conn.SetDeadline(deadline); err != nil {
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -1,9 +1,9 @@
 // Package testcluster runs nodes and registry replicas as processes on loopback and injects faults between them, for
 // tests and commands. Nodes don't use it.
 //
-// A Cluster owns a block of loopback addresses and the processes that it starts. The processes never outlive it: each
-// leads its own process group, which Close kills, and the kernel kills the process if the cluster's process dies first.
-// Traffic between processes passes through relays, whose faults are set by SetLinkFaults or by a Schedule.
+// A Cluster owns a block of loopback addresses and the processes that it starts. Each process leads its own process
+// group, which Close kills. If the program that owns the Cluster dies without calling Close, the kernel kills the
+// processes. Traffic between processes passes through relays, whose faults are set by SetLinkFaults or by a Schedule.
 package testcluster
 
 import (
@@ -82,7 +82,7 @@
 }
 
 // startProcesses starts all processes from one locked OS thread, until Close. Pdeathsig requires this: the kernel kills a
-// child when the thread that started it exits, not when the thread's process does.
+// child as soon as the thread that started it exits, even if other threads of the parent process live on.
 func (c *Cluster) startProcesses() {
 	runtime.LockOSThread()
 	for {
@@ -106,8 +106,8 @@
 	return fmt.Sprintf("127.77.%d.%d", c.block, c.nextHost-1)
 }
 
-// anyPortAddress returns the address at which relays and emulated servers listen, with port 0. It has the block's first
-// address, which no process uses.
+// anyPortAddress returns the address on which relays and emulated servers listen: port 0 of the block's first address,
+// which no process uses.
 func (c *Cluster) anyPortAddress() string { return fmt.Sprintf("127.77.%d.1:0", c.block) }
 
 // MakeDir creates a directory for the cluster's files and returns its path.
@@ -123,7 +123,8 @@
 	c.closers = append(c.closers, closer)
 }
 
-// Close kills the processes and stops the relays. Further calls have no effect.
+// Close kills the processes, calls the functions registered by onClose and stops the relays. Further calls have no
+// effect.
 func (c *Cluster) Close() {
 	c.closeOnce.Do(func() {
 		c.mu.Lock()
--- a/internal/testcluster/demo.go
+++ b/internal/testcluster/demo.go
@@ -33,9 +33,9 @@
 	return nil
 }
 
-// Demo runs a fleet of real nodes on loopback between emulated clients and emulated servers in three zones. Meanwhile it
-// kills and restarts a node and has a server fail. It prints events and status lines during the run, and a table and the
-// rule violations at the end. It returns an error if rules were broken.
+// Demo runs a fleet of real nodes on loopback between emulated clients and emulated servers in three zones. Meanwhile
+// it kills and restarts a node, and lets a server fail requests for some time. It prints events and status lines during
+// the run, and a table and the rule violations at the end. It returns an error if rules were broken.
 func Demo(ctx context.Context, out io.Writer, spec DemoSpec) (err error) {
 	dir, err := os.MkdirTemp("", "sloerail-demo-")
 	if err != nil {
--- a/internal/testcluster/discovery_test.go
+++ b/internal/testcluster/discovery_test.go
@@ -43,9 +43,9 @@
 	return func(id string) { stops[id]() }
 }
 
-// A node that uses three registry replicas keeps serving when the replica that it watches is killed, when all are down,
-// and when the node itself restarts during the outage. It retains all servers through the outage, and notices the removal
-// of a server after it.
+// A node that uses three registry replicas keeps serving while two replicas are killed and restarted one after the
+// other, while all replicas are down, and after the node itself restarts during this outage. The node retains all
+// servers through the outage. After the outage it notices that a server is removed.
 func TestNodeSurvivesListServiceOutage(t *testing.T) {
 	t.Parallel()
 	cluster, ctx := newCluster(t)
@@ -100,7 +100,7 @@
 	awaitEntries(4)
 	_ = sleep(ctx, time.Second)
 	if after := load.Stats(); after.InTime-before.InTime < 200 {
-		t.Errorf("requests served in 4 s without the list service at 80 requests/s: got %d, want at least 200",
+		t.Errorf("requests served in at least 4 s without the list service at 80 requests/s: got %d, want at least 200",
 			after.InTime-before.InTime)
 	}
 	for _, name := range reg.Names {
--- a/internal/testcluster/environment.go
+++ b/internal/testcluster/environment.go
@@ -19,14 +19,14 @@
 	maxListCalls        = 1 << 16                // list calls whose times are retained
 )
 
-// Environment emulates everything that nodes talk to: servers, the list service and clients, and runs the checker. The
-// behavior is that of the emulator's state machines; the environment connects them to sockets and to the real clock. It
-// stops when its cluster is closed.
+// Environment emulates everything that nodes talk to (servers, the list service and clients) and runs the checker. The
+// emulator's state machines define the behavior; the environment connects them to sockets and to the real clock. The
+// environment stops when its cluster is closed.
 type Environment struct {
-	Checker *emulator.Checker // guarded by WithLock
+	Checker *emulator.Checker // may be used only within WithLock
 
 	cluster    *Cluster
-	start      time.Time // zero of its clock
+	start      time.Time // when the environment's clock read zero
 	seed       uint64
 	ctx        context.Context // canceled by close
 	cancel     context.CancelFunc
@@ -44,7 +44,7 @@
 	outcome         *simulation.Outcome // of the running scenario; nil if none runs
 }
 
-// NewEnvironment creates an environment with the given servers. All are in the list and past their slow start.
+// NewEnvironment creates an environment with the given servers. All servers are in the list and past their slow start.
 func (c *Cluster) NewEnvironment(seed uint64, specs ...emulator.ServerSpec) *Environment {
 	e := &Environment{Checker: emulator.NewChecker(emulator.DefaultRules()), cluster: c, start: time.Now().Add(-time.Hour),
 		seed: seed, list: emulator.NewList(), servers: make(map[string]*server), listChanged: make(chan struct{}),
@@ -74,8 +74,8 @@
 	do()
 }
 
-// AddNode creates a node in this environment. The node reaches each server and the list service through its own relay.
-// AddNode sets Discovery of the spec, and sets InitialList to the current list.
+// AddNode creates a node in this environment. The node reaches each server and the list service through a separate
+// relay. AddNode overrides two fields of the spec: Discovery, and InitialList with the current list.
 func (e *Environment) AddNode(spec NodeSpec) (*Node, error) {
 	addresses := make(map[string]string)
 	e.mu.Lock()
@@ -102,7 +102,7 @@
 	return e.cluster.Node(spec)
 }
 
-// listenFor serves the handler of a party to one node, and returns the address of the relay between them.
+// listenFor serves a party's handler for one node, and returns the address of the relay between the node and the party.
 func (e *Environment) listenFor(node, party string, h http.Handler) (relayAddress string, err error) {
 	ln, err := net.Listen("tcp", e.cluster.anyPortAddress())
 	if err != nil {
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -12,7 +12,7 @@
 	"sloerail/internal/node"
 )
 
-// stateOf returns the state of a member in a view; empty if the view lacks the member.
+// stateOf returns the state of a member in a view, or an empty string if the view lacks the member.
 func stateOf(v node.FleetView, name string) string {
 	for _, m := range v.Members {
 		if m.Name == name {
@@ -37,11 +37,11 @@
 	Label   string
 	KeyFile string
 	Sockets int
-	Quota   float64 // requests per second of all tenants, over the fleet
+	Quota   float64 // requests per second, of all tenants together, over the whole fleet
 	Classes []emulator.Class
 	Tenants []emulator.Tenant
 
-	Topology      map[string]any // the section "places" of the nodes' configuration files; nil for none
+	Topology      map[string]any // the section "places" of the nodes' configuration files; omitted if nil
 	RetainMissing bool
 	PollList      bool // poll the list instead of watching it
 }
@@ -172,7 +172,7 @@
 	return reports
 }
 
-// DeathReports counts the deaths of members that all nodes have logged so far.
+// DeathReports returns the number of member deaths in the logs of all nodes, summed over the nodes.
 func (f *Fleet) DeathReports() (sum int) {
 	for _, name := range f.Names {
 		for _, n := range f.StateReports(name, "dead") {
@@ -188,7 +188,7 @@
 }
 
 // Partition cuts the gossip between nodes of different sides, and restores it between nodes of the same side. Nodes that
-// are in no side belong to the first, so that a call without sides heals all partitions.
+// are on no side belong to the first side, so a call without sides heals all partitions.
 func (f *Fleet) Partition(sides ...[]string) {
 	sideOf := make(map[string]int)
 	for i, names := range sides {
--- a/internal/testcluster/fleet_test.go
+++ b/internal/testcluster/fleet_test.go
@@ -26,8 +26,8 @@
 	loads []*LoadGenerator
 }
 
-// newFleetHarness starts a fleet of n nodes in two zones, with clients that send the given rate of requests per second; 0
-// for no clients.
+// newFleetHarness starts a fleet of n nodes in two zones, with clients that send the given rate of requests per second.
+// If the rate is 0, it starts no clients.
 func newFleetHarness(t *testing.T, n int, spec FleetSpec, rate float64) *fleetHarness {
 	t.Helper()
 	spec.Nodes, spec.Zones = n, []string{"a", "b"}
@@ -64,7 +64,8 @@
 	return h
 }
 
-// awaitMembership waits until exactly the named nodes see each other as members, and returns how long that took.
+// awaitMembership waits until each named node sees exactly the named nodes as present members, and no member as
+// suspect. It returns how long that took.
 func (h *fleetHarness) awaitMembership(names ...string) time.Duration {
 	h.Helper()
 	took, err := h.AwaitMembership(withStepTimeout(h.T, h.ctx), names...)
@@ -113,7 +114,7 @@
 	others := h.Others("n03")
 	for _, step := range []struct {
 		name   string
-		deaths int // maximum number of deaths that all nodes may report
+		deaths int // maximum number of deaths that all nodes together may report
 		do     func()
 	}{
 		{"a short pause causes no death", 0, func() {
@@ -251,8 +252,8 @@
 	h.finish()
 }
 
-// A fleet under load recovers from a random schedule of faults, which may overlap. If the test fails, it prints the
-// schedule.
+// A fleet under load recovers from a random schedule of faults, which may overlap. The test prints the schedule if
+// playing it fails or a rule is broken, but not if the fleet does not recover in time.
 func TestFleetSurvivesRandomSchedule(t *testing.T) {
 	t.Parallel()
 	h := newFleetHarness(t, 5, FleetSpec{}, 60)
@@ -279,12 +280,12 @@
 		`[{"Do":"kill","Whom":["a"],"Loss":2}]`: "step 0: At, For or Loss", `{`: "schedule: ",
 	} {
 		if _, err := ParseSchedule(text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("parsing %s: got error %v, want one that names the invalid field", text, err)
+			t.Errorf("parsing %s: got error %v, want one that names what is invalid", text, err)
 		}
 	}
 }
 
-// incarnation returns a member's incarnation in the view of the observer; 0 if it is unknown.
+// incarnation returns a member's incarnation in the view of the observer, or 0 if the view is unavailable or lacks it.
 func (h *fleetHarness) incarnation(observer, member string) uint64 {
 	v, err := h.View(h.ctx, observer)
 	if err != nil {
--- a/internal/testcluster/form_test.go
+++ b/internal/testcluster/form_test.go
@@ -34,10 +34,10 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(read, goldenSchedule()) {
-		t.Errorf("parsed schedule: got %+v, want that of goldenSchedule", read)
+		t.Errorf("parsed schedule: got %+v, want goldenSchedule()", read)
 	}
 	if got := read.String() + "\n"; got != string(raw) {
-		t.Errorf("marshaled again: got %s, want the content of the golden file", got)
+		t.Errorf("golden schedule, parsed and marshaled again: got %s, want the content of the golden file", got)
 	}
 	kinds := make(map[FaultKind]bool)
 	for _, step := range read {
@@ -48,13 +48,13 @@
 	}
 }
 
-// A seed draws the same schedule in all versions.
+// RandomSchedule draws the same schedule from a seed in all versions.
 func TestRandomScheduleIsStable(t *testing.T) {
 	s := RandomSchedule(39, 12, time.Minute, []string{"n0", "n1", "n2"}, Kill, Pause, Replace, Restart, Partition, OneWayPartition, PacketLoss)
 	golden.Check(t, "drawn.json", []byte(s.String()+"\n"))
 }
 
-// Settings returns the documented keys of the settings section.
+// The section that Settings returns matches the golden file.
 func TestNodeSettingsAreStable(t *testing.T) {
 	tenants := []emulator.Tenant{{Name: "east", Share: 0.5}, {Name: "west", Share: 0.25}}
 	raw, err := json.MarshalIndent(Settings(1, 3, "a", emulator.Classes(), tenants, 240), "", " ")
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -17,7 +17,7 @@
 	Reorder   float64       // fraction of datagrams that later ones may overtake
 	Bandwidth int           // bytes per second; 0 for no limit
 	Cut       bool          // nothing passes, and neither end is notified: streams stay open without data
-	Reset     bool          // existing and new streams are reset
+	Reset     bool          // new streams are reset at once, open ones when they next carry data or end
 }
 
 // deliveryDelay returns how long n bytes take at the bandwidth of the path.
@@ -81,7 +81,7 @@
 	return l.rng.Float64() < fraction
 }
 
-// delay draws the latency of one datagram, or of one read from a stream.
+// delay returns a random latency for one datagram, or for one read from a stream.
 func (l *links) delay(f Faults) time.Duration {
 	if f.Jitter <= 0 {
 		return f.Latency
--- a/internal/testcluster/load_generator.go
+++ b/internal/testcluster/load_generator.go
@@ -34,8 +34,8 @@
 	idle []*clientConn
 }
 
-// StartClients starts clients that send the load of spec to the nodes, until spec.Until from now or until the environment
-// stops.
+// StartClients starts clients that send the load of spec to the nodes. They stop spec.Until after this call, or when the
+// environment stops.
 func (e *Environment) StartClients(name string, spec emulator.ClientSpec, nodes ...*Node) *LoadGenerator {
 	e.mu.Lock()
 	spec.Until += e.now()
@@ -84,7 +84,7 @@
 	return total
 }
 
-// run sends attempts when they are due, until none is pending or open.
+// run sends attempts when they are due, until no attempt is pending or open.
 func (l *LoadGenerator) run() {
 	defer close(l.done)
 	timer := time.NewTimer(0)
--- a/internal/testcluster/measure_test.go
+++ b/internal/testcluster/measure_test.go
@@ -32,8 +32,8 @@
 	return durations[min(len(durations)-1, int(p*float64(len(durations))))]
 }
 
-// Measures the time from the kill of a process until every other node knows of its death, with loss of datagrams and
-// streams.
+// Measures the time from the kill of a process until each other node knows of its death, and the time until a fleet
+// agrees on its members after a partition has healed, both with loss of datagrams and streams.
 func TestMeasureDeathDetection(t *testing.T) {
 	if *kills == 0 {
 		t.Skip("-kills")
@@ -72,7 +72,8 @@
 	}
 }
 
-// Measures how many live members are declared dead with packet loss and with paused processes: none may be.
+// Measures how many live members are declared dead with packet loss and with paused processes. The test
+// fails if any is.
 func TestMeasureFalseDeaths(t *testing.T) {
 	if *quietDuration == 0 {
 		t.Skip("-quiet")
@@ -117,7 +118,8 @@
 	for _, name := range h.Names {
 		nodes = append(nodes, h.Nodes[name])
 	}
-	// Without retries, because of a flood of requests the token buckets themselves admit up to 1.4 times the quota.
+	// The clients don't retry. In a flood of requests, the token buckets admit up to 1.4 times the quota even without a
+	// partition.
 	load := h.env.StartClients("c", emulator.ClientSpec{Rate: 2 * quota, Classes: shortClasses(), Tenants: tenants, Until: time.Hour}, nodes...)
 	h.loads = append(h.loads, load)
 	measureAdmitted := func(phase string, span time.Duration) float64 {
@@ -125,7 +127,7 @@
 		_ = sleep(h.ctx, span)
 		after := load.Stats()
 		admitted := float64(after.InTime+after.Late-before.InTime-before.Late) / span.Seconds() / quota
-		t.Logf("%s: admitted %.3f of the quota over %v", phase, admitted, span)
+		t.Logf("%s: admitted %.3f times the quota over %v", phase, admitted, span)
 		return admitted
 	}
 	_ = sleep(h.ctx, 5*time.Second) // until the initially full token buckets are empty
@@ -187,7 +189,7 @@
 		replicas, writeRate, writers, fsyncRate, *watcherCount, percentile(delays, 0.5), percentile(delays, 0.99), residentMemory(reg))
 }
 
-// syncsPerSecond measures how many writes of 4 KiB per second to one file are possible with an fsync after each.
+// syncsPerSecond measures how many times per second 4 KiB can be written to a file and synced.
 func syncsPerSecond(t *testing.T, dir string) float64 {
 	f, err := os.CreateTemp(dir, "sync")
 	if err != nil {
@@ -207,8 +209,8 @@
 	return n / time.Since(began).Seconds()
 }
 
-// measureNotification writes changes and returns, for each change and watcher, the time from before the write until the
-// watcher received the change.
+// measureNotification writes changes and returns, for each change and watcher, the time from the start of the write until
+// the watcher received the change.
 func measureNotification(t *testing.T, ctx context.Context, reg *Registry, leader string,
 	write func(*registry.Client, string, int) error) (delays []time.Duration) {
 	watchCtx, stop := context.WithCancel(ctx)
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -27,23 +27,24 @@
 type NodeSpec struct {
 	Name          string
 	Discovery     string         // comma-separated addresses at which the node reaches the list service
-	ListFile      string         // path of the cached list; empty for no cache
-	InitialList   any            // known at the start, in the list service's format; nil for an empty list
+	ListFile      string         // path of the cached list; if empty, the list is not cached
+	InitialList   any            // the list known at the start, in the list service's format; empty if nil
 	Settings      map[string]any // the section "settings" of the configuration file
 	Cores         float64
 	MemoryMB      int
 	Sockets       int            // limit of open descriptors
-	Fleet         map[string]any // the section "fleet"; nil for none
-	Topology      map[string]any // the section "places"; nil for none
-	Scope         map[string]any // the section "scope"; nil for none
-	RetainMissing bool           // retain servers that a list lacks for a moment: the key "ease_lists"
+	Fleet         map[string]any // the section "fleet"; omitted if nil
+	Topology      map[string]any // the section "places"; omitted if nil
+	Scope         map[string]any // the section "scope"; omitted if nil
+	RetainMissing bool           // the key "ease_lists": retain servers that a list lacks for a moment
 	Env           []string       // environment variables in addition to the caller's
 }
 
 // zone returns the zone in the node's settings.
 func (s NodeSpec) zone() string { return fmt.Sprint(s.Settings["zone"]) }
 
-// Node is a node, which is run by successive processes with the same name and addresses.
+// Node is a node of the cluster. Successive processes run it, with the same name and the same addresses for clients and
+// gossip. Each process has an administrative address of its own.
 type Node struct {
 	Spec    NodeSpec
 	Host    string
@@ -202,7 +203,8 @@
 	return err
 }
 
-// Replace starts another process of the node, waits until it is ready, and has the previous process shut down.
+// Replace starts another process of the node, waits until the new process is ready, and then tells the previous
+// one to shut down. It does not wait for the previous process to end.
 func (n *Node) Replace(ctx context.Context) (previous *Process, err error) {
 	previous = n.Process()
 	if _, err := n.Start(); err != nil {
--- a/internal/testcluster/process.go
+++ b/internal/testcluster/process.go
@@ -19,14 +19,15 @@
 type Process struct {
 	Name string
 	cmd  *exec.Cmd
-	log  string        // path of the file with its output
+	log  string        // path of the file that receives stdout and stderr
 	done chan struct{} // closed when the process has ended
 
 	mu  sync.Mutex
-	err error // of its exit; valid when done is closed
+	err error // result of cmd.Wait; valid when done is closed
 }
 
-// Start starts a program, which Close kills. Env is added to the environment variables of the calling process.
+// Start starts a program. The process lives at most until Close. Env is added to the environment variables of the
+// calling process.
 func (c *Cluster) Start(name, program string, args, env []string) (*Process, error) {
 	c.mu.Lock()
 	number := len(c.processes)
@@ -56,7 +57,7 @@
 	return p, nil
 }
 
-// wait waits for the process to exit and records its error. Kill and Close make the process exit.
+// wait waits for the process to exit and records its error. It returns after Kill or Close at the latest.
 func (p *Process) wait() {
 	err := p.cmd.Wait()
 	p.mu.Lock()
@@ -79,7 +80,7 @@
 	<-p.done
 }
 
-// Pause stops the process for the duration d, as CPU starvation would, and returns after it continues.
+// Pause stops the process for the duration d, as CPU starvation would. It returns when the process runs again.
 func (p *Process) Pause(ctx context.Context, d time.Duration) {
 	p.Signal(syscall.SIGSTOP)
 	defer p.Signal(syscall.SIGCONT)
@@ -107,7 +108,7 @@
 	}
 }
 
-// Wait waits for the process to end and returns the error of its exit.
+// Wait waits for the process to end. It returns an error if the process failed or the context ends first.
 func (p *Process) Wait(ctx context.Context) error {
 	select {
 	case <-p.done:
--- a/internal/testcluster/registry_test.go
+++ b/internal/testcluster/registry_test.go
@@ -25,14 +25,15 @@
 	match int64 // required version; 0 for an unconditional write
 }
 
-// writeOutcome is the outcome of a write: the new version, the conflicting version if mismatch is set, or unknown.
+// writeOutcome is the outcome of a write. The version is the new one, or the conflicting one if mismatch is set. If
+// unknown is set, the write may or may not have taken effect.
 type writeOutcome struct {
 	version  int64
 	mismatch bool
 	unknown  bool
 }
 
-// storedVersion is the version of an instance in the model. If it is not known, it is any greater version.
+// storedVersion is the state of an instance in the model. If known is false, the instance may have any greater version.
 type storedVersion struct {
 	version int64
 	known   bool
@@ -82,7 +83,7 @@
 	acknowledged map[string]int64 // newest acknowledged version by instance
 }
 
-// run has n clients write through all replicas until ctx ends.
+// run lets n clients write through all replicas until ctx ends.
 func (h *writeHistory) run(ctx context.Context, reg *Registry, n int, seed uint64) {
 	start := time.Now()
 	var goroutines sync.WaitGroup
@@ -243,7 +244,8 @@
 	checkHistory(t, ctx, reg, h)
 }
 
-// checkHistory fails the test if the history is not linearizable or the list lacks an acknowledged write.
+// checkHistory fails the test if the history is not linearizable, if an instance has an older version than the newest
+// acknowledged one, or if the list has another number of instances than were written.
 func checkHistory(t *testing.T, ctx context.Context, reg *Registry, h *writeHistory) {
 	t.Helper()
 	if res := porcupine.CheckOperationsTimeout(versionModel.ToModel(), h.operations, stepTimeout); res != porcupine.Ok {
--- a/internal/testcluster/relay.go
+++ b/internal/testcluster/relay.go
@@ -11,11 +11,11 @@
 
 const (
 	maxDatagramBytes   = 64 << 10
-	maxQueuedDatagrams = 4096                  // delayed at one relay; more are dropped, as by a full queue
-	maxStreams         = 4096                  // at one relay
+	maxQueuedDatagrams = 4096                  // limit of delayed datagrams at one relay; further ones are dropped
+	maxStreams         = 4096                  // limit of open streams at one relay
 	streamBufferBytes  = 16 << 10              // size of a read from a stream
 	cutPollInterval    = 20 * time.Millisecond // between checks whether a path is still cut
-	reorderDelay       = 5 * time.Millisecond  // delay of a reordered datagram, so that later ones overtake it
+	reorderDelay       = 5 * time.Millisecond  // additional delay of a reordered datagram, so that later ones overtake it
 )
 
 // RelayTCP relays TCP streams from one party to the address of another. It returns the relay's address, to which the
@@ -39,8 +39,8 @@
 	return listener.Addr().String(), nil
 }
 
-// RelayGossip relays datagrams and streams from several parties to the address that another is bound to. It identifies a
-// party by its host, so each must send from its own host.
+// RelayGossip relays datagrams and streams from several parties to the address that another party is bound to. It
+// identifies a sender by its host, so each party must send from its own host.
 func (c *Cluster) RelayGossip(to, address string, partyOfHost func(host string) string) (relayAddress string, err error) {
 	relayAddress = net.JoinHostPort(c.NewAddress(), fmt.Sprint(gossipPort))
 	target, err := net.ResolveUDPAddr("udp", address)
@@ -97,8 +97,8 @@
 	})
 }
 
-// relayStream relays one stream. If its path is cut, a new stream stays open without data until the cut ends or the
-// caller times out.
+// relayStream relays one stream. If one direction of the path is cut, a new stream stays open without data until the
+// cut ends or the cluster is closed.
 func (l *links) relayStream(in *net.TCPConn, p path, address string) {
 	if !l.track(in) {
 		return
--- a/internal/testcluster/scenario.go
+++ b/internal/testcluster/scenario.go
@@ -89,7 +89,7 @@
 	return err
 }
 
-// addClients starts clients of a zone's nodes, at rateFactor times the scenario's rate, for a duration.
+// addClients starts clients that send requests to a zone's nodes for a duration, at rateFactor times the scenario's rate.
 func (r *scenarioRun) addClients(zone string, rateFactor float64, duration time.Duration) {
 	nodes, generators := r.nodesByZone[zone], r.generators[zone]
 	spec := r.Clients(len(nodes), duration)
@@ -197,7 +197,7 @@
 	}
 }
 
-// restart restarts the emulated servers, which are then in slow start, and sets them up in the list.
+// restart restarts emulated servers and sets their phase in the list to Up. The servers begin with a slow start.
 func (r *scenarioRun) restart(servers []emulator.ServerSpec) {
 	r.env.WithLock(func() {
 		for _, spec := range servers {
--- a/internal/testcluster/schedule.go
+++ b/internal/testcluster/schedule.go
@@ -34,7 +34,7 @@
 	At       time.Duration `json:"At"` // since the start of the schedule
 	Fault    FaultKind     `json:"Do"`
 	Targets  []string      `json:"Whom"`
-	Others   []string      `json:"Among,omitempty"` // for path faults; empty for all nodes except Targets
+	Others   []string      `json:"Among,omitempty"` // for path faults; if empty: all nodes for PacketLoss, else all except Targets
 	Duration time.Duration `json:"For,omitempty"`
 	Loss     float64       `json:"Loss,omitempty"` // fraction, for PacketLoss
 }
@@ -70,8 +70,8 @@
 	return s, nil
 }
 
-// RandomSchedule returns a schedule of n random faults of the given kinds and parties that begin within span. The same
-// arguments return the same schedule.
+// RandomSchedule returns a schedule of n random faults of the given kinds, which affect the given parties and begin
+// within span. Equal arguments give equal schedules.
 func RandomSchedule(seed uint64, n int, span time.Duration, parties []string, kinds ...FaultKind) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x5c))
 	var schedule Schedule
--- a/internal/testcluster/scope_test.go
+++ b/internal/testcluster/scope_test.go
@@ -128,8 +128,9 @@
 	return servers
 }
 
-// While servers of the subset of a scoped node are drained, removed and replaced, the leader of the registry is killed, and
-// another service changes, the node serves requests, respects drains, and sends nothing to servers outside its scope.
+// Servers in the subset of a scoped node are drained, removed and replaced, the leader of the registry is killed, and
+// another service changes. Meanwhile the node serves requests, respects drains, and sends nothing to servers outside its
+// scope.
 func TestScopedNodeSurvivesFaults(t *testing.T) {
 	t.Parallel()
 	h := newScopedHarness(t, 12)
@@ -154,7 +155,7 @@
 		t.Fatal(err)
 	}
 	h.reg.Process(leader).Kill()
-	if _, err := h.reg.AwaitLeader(withStepTimeout(t, h.ctx)); err != nil { // may take longer than client retries
+	if _, err := h.reg.AwaitLeader(withStepTimeout(t, h.ctx)); err != nil { // may outlast the retries of h.client
 		t.Fatal(err)
 	}
 	h.replace(first[1], "s-11")
@@ -171,7 +172,7 @@
 	h.t.Helper()
 	h.writeInstance(http.MethodPut, old+"/phase", map[string]string{"phase": registry.PhaseDraining})
 	if during := h.awaitScopedList("during the drain of " + old); !slices.Contains(during, old) || len(during) < 4 {
-		h.t.Errorf("servers at the node while %s drains: got %v, want it and at least 3 others",
+		h.t.Errorf("servers at the node while %s drains: got %v, want that server and at least 3 others",
 			old, during)
 	}
 	h.env.WithLock(func() { h.env.Checker.ChangeNotified(h.env.now(), "n0", old, emulator.Draining) })
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -13,7 +13,7 @@
 type server struct {
 	*emulator.Server
 	wakeup      chan struct{}
-	completions map[string]chan emulator.CompletedJob // by ID of requests that wait for completion
+	completions map[string]chan emulator.CompletedJob // by ID of the request that waits for its completion
 }
 
 // addServer adds a server and lists it as up.
@@ -103,8 +103,8 @@
 	})
 }
 
-// offer records the arrival of an attempt and offers it to the server. The returned channel receives its completion if it
-// was accepted.
+// offer records the arrival of an attempt and offers it to the server. If the server accepts the attempt, the returned
+// channel receives its completion.
 func (e *Environment) offer(node, zone, class string, s *server, job emulator.Job) (emulator.Verdict, emulator.LoadReport, <-chan emulator.CompletedJob) {
 	done := make(chan emulator.CompletedJob, 1)
 	e.mu.Lock()
@@ -124,7 +124,8 @@
 	return verdict, s.LoadReport(now), done
 }
 
-// awaitCompletion sends the response when the server has completed the request.
+// awaitCompletion sends the response when the server has completed the request. It returns without one if the node closes
+// the connection first.
 func (e *Environment) awaitCompletion(rw http.ResponseWriter, r *http.Request, s *server, id string, done <-chan emulator.CompletedJob) {
 	signal(s.wakeup)
 	select {
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -27,7 +27,7 @@
 	return h
 }
 
-// zoneView returns a node's view of a zone, or the zero value if there is none.
+// zoneView returns a node's view of a zone, or the zero value if the node has none or does not respond.
 func (h *fleetHarness) zoneView(name, zone string) (v node.PlaceView) {
 	var views []node.PlaceView
 	if err := Get(h.ctx, h.Nodes[name].Control(), "/places", &views); err != nil {
@@ -66,12 +66,12 @@
 		return s
 	}
 	from := sum()
-	if err := Await(withStepTimeout(h.T, h.ctx), "requests to be served", func() bool { return sum() >= from+n }); err != nil {
+	if err := Await(withStepTimeout(h.T, h.ctx), "more requests to be served in time", func() bool { return sum() >= from+n }); err != nil {
 		h.Fatal(err)
 	}
 }
 
-// crossZoneAttempts returns the number of attempts from nodes of the first zone to servers of the others.
+// crossZoneAttempts returns the number of attempts from nodes of the first zone to servers of the other zones.
 func (h *fleetHarness) crossZoneAttempts() (n int) {
 	for _, name := range []string{h.Names[0], h.Names[3]} {
 		n += h.env.AttemptCount(name, "b") + h.env.AttemptCount(name, "c")
@@ -79,8 +79,9 @@
 	return n
 }
 
-// Nodes prefer their own zone, evacuate it when its servers fail or are unreachable, use the other zones meanwhile, return
-// after the fault, and retain the servers of a zone that the list lacks for a moment.
+// Nodes prefer their own zone. They evacuate it when its servers fail or are unreachable, use the other zones
+// meanwhile, and return after the fault. At the end the list lacks a zone for a moment: requests are still served and
+// no rule is broken, and the test logs how many attempts leave the zone.
 func TestFleetEvacuatesZoneAndReturns(t *testing.T) {
 	t.Parallel()
 	h := startZoneFleet(t)
@@ -106,7 +107,7 @@
 	for _, fault := range []struct {
 		name        string
 		begin, end  func()
-		returnState string // state awaited after the fault; the second return takes four times as long
+		returnState string // awaited after the fault; not "well" after the second, because that takes four times as long
 	}{
 		{"half of the requests fail", func() { setServerFault(emulator.ServerFault{ErrorFraction: 0.5}) }, func() { setServerFault(emulator.ServerFault{}) }, "well"},
 		{"connections are cut without a reset", func() { setCut(true) }, func() { setCut(false) }, "returning"},
