--- a/internal/node/body_streaming_test.go
+++ b/internal/node/body_streaming_test.go
@@ -89,7 +89,7 @@
 }
 
 // The first bytes of a long response reach the client while the server still sends, and the request's deadline no longer
-// applies once they have.
+// applies from then on.
 func TestLongResponseIsStreamed(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		resume := make(chan struct{})
--- a/internal/node/config/version.go
+++ b/internal/node/config/version.go
@@ -8,7 +8,7 @@
 )
 
 // Version returns the version of this build: the source revision that the Go tool recorded, with "+" if the source had
-// uncommitted changes.
+// uncommitted changes. Without a recorded revision, it is unknownVersion.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -143,7 +143,7 @@
 		return on
 	case target := <-c.retargets:
 		c.applyTarget(target)
-		return true // watching ended with a failed call to the former target
+		return true // if a failed call to the former target ended watching, the new one may respond
 	case <-ctx.Done():
 		return false
 	}
--- a/internal/node/discovery/watch.go
+++ b/internal/node/discovery/watch.go
@@ -18,8 +18,8 @@
 	maxListBytes = 8 << 20
 )
 
-// watch makes one call, which the list service holds until there is something newer than the current revision. The error
-// is a *WatchError.
+// watch makes one call. The list service holds it until there is something newer than the current revision, but at most
+// for Timeouts.Wait. A call for the full list has no wait. The error is a *WatchError.
 func (c *Client) watch(ctx context.Context) (List, error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, c.callTimeout(), ErrTimeout)
 	defer cancel()
--- a/internal/node/downstream/client_conn.go
+++ b/internal/node/downstream/client_conn.go
@@ -127,7 +127,8 @@
 	_ = c.SetReadDeadline(deadline) // fails only on a closed connection, where the next read fails too
 }
 
-// startHeadTimeout bounds the reading of a further request's head, whose first byte has arrived.
+// startHeadTimeout bounds the reading of a further request's head, whose first byte has arrived. It sets no deadline if
+// the whole head has arrived.
 func (c *clientConn) startHeadTimeout() {
 	if b, _ := c.reader.Peek(c.reader.Buffered()); !bytes.Contains(b, headEnd) { // usually the whole head has arrived
 		c.updateReadDeadline(time.Now().Add(headTimeout))
--- a/internal/node/downstream/connection_limiter.go
+++ b/internal/node/downstream/connection_limiter.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// ConnectionLimiter is a listener that limits how many of its connections are open at a time. While paused, it accepts
-// none, and leaves new connections to the other process that shares the socket.
+// ConnectionLimiter is a listener that limits how many of its connections are open at a time. During a hot restart, the
+// predecessor pauses its limiter: it then accepts none, and leaves new connections to the successor, which shares the
+// socket.
 type ConnectionLimiter struct {
 	net.Listener
 	mu      sync.Mutex
--- a/internal/node/downstream/exchange.go
+++ b/internal/node/downstream/exchange.go
@@ -24,13 +24,13 @@
 	Forwarded  upstream.Request // the request as sent to servers
 	ReceivedAt policy.Time      // when the request was read; with a streamed body, when the buffered part was
 	Timeout    time.Duration    // how long the client waits, counted from ReceivedAt
-	Terms      Terms            // the rules by which the request was read
+	Terms      Terms            // the rules in force when the request was read
 	Reply      chan Response    // takes one response without blocking
 
 	upload           *upload // equals Forwarded.Stream; nil if the body is buffered
 	tally            Tally   // counts the responses to the request's class
 	disconnected     atomic.Bool
-	isClosedByClient func() bool // polls the client's socket; nil if there is none
+	isClosedByClient func() bool // polls the client's socket; nil if there is no socket
 }
 
 // Disconnected reports whether the client is known to have disconnected.
@@ -39,9 +39,9 @@
 // BodyConsumed reports whether an attempt has read from a streamed body. The request can't be sent again after that.
 func (x *Exchange) BodyConsumed() bool { return x.upload != nil && x.upload.consumed.Load() }
 
-// CheckDisconnected polls the client's socket and reports whether the client has disconnected. The connection's reader
-// may not have noticed this: it doesn't read while the body waits for a server, it stops at the first byte of a
-// further request, and its goroutine may not have been scheduled yet.
+// CheckDisconnected polls the client's socket and reports whether the client has disconnected. The goroutine
+// that reads the connection may not have noticed the disconnect, for one of three reasons: it doesn't read while the
+// body waits for a server; it stops at the first byte of a further request; or it has not been scheduled yet.
 func (x *Exchange) CheckDisconnected() bool {
 	if x.isClosedByClient != nil && x.isClosedByClient() {
 		x.disconnected.Store(true)
@@ -49,7 +49,8 @@
 	return x.disconnected.Load()
 }
 
-// Response is a response to a client. The head omits fields that are empty or zero, except for Status and Length.
+// Response is a response to a client. If ContentType, RetryAfter or AllowedMethod is empty or zero, its header field is
+// omitted.
 type Response struct {
 	Status        int
 	Body          []byte
@@ -101,7 +102,7 @@
 	if method == http.MethodGet && len(body) > 0 {
 		return nil, &requestError{status: http.StatusBadRequest, text: "a GET has no body"}
 	}
-	hint, _ := strconv.ParseUint(r.costHint, 10, 32) // only an estimate: an invalid value counts as none
+	hint, _ := strconv.ParseUint(r.costHint, 10, 32) // only an estimate: malformed counts as 0, too large as the maximum
 	x = &Exchange{
 		Request: policy.Request{ID: id, Class: class.Name, Tenant: r.tenant, Key: r.affinityKey,
 			EstimatedWork: time.Duration(hint) * time.Microsecond, ClientRetry: r.retry == "1",
--- a/internal/node/downstream/request_head.go
+++ b/internal/node/downstream/request_head.go
@@ -106,7 +106,8 @@
 	return path == ReadyPath && (m.method == http.MethodGet || m.method == http.MethodHead)
 }
 
-// setTarget sets the path and query, which are forwarded unchanged, and reports whether the target is valid.
+// setTarget sets the path and query, and reports whether the target is valid. A target that is only a path and query is
+// forwarded unchanged. From an absolute URL, setTarget also sets the host.
 func (m *requestHead) setTarget(target string) bool {
 	for i := 0; i < len(target); i++ {
 		if target[i] <= ' ' || target[i] > '~' {
--- a/internal/node/downstream/response_writer.go
+++ b/internal/node/downstream/response_writer.go
@@ -52,8 +52,9 @@
 	}
 }
 
-// writeResponse writes a response. It reports whether it was written completely, and whether it was early, that is,
-// before the end of the request's body. After an early response, the connection lingers so that the client gets it.
+// writeResponse writes a response. It reports whether the response was written completely, and whether it was an early
+// one that is not streamed. Early means before the end of the request's body: the connection then lingers, so that the
+// client gets the response.
 func (c *clientConn) writeResponse(resp Response) (complete, early bool) {
 	x := c.exchange
 	early = x.upload != nil && !x.upload.complete.Load()
--- a/internal/node/downstream/server.go
+++ b/internal/node/downstream/server.go
@@ -48,8 +48,8 @@
 // Terms are the rules for reading requests. Two values are equal if the rules are the same.
 type Terms interface {
 	// Class returns the class with the name; ok is false if there is none. Just after a change of the configuration, it
-	// returns the former class of that name, with former set, if the request's method and its having an idempotency
-	// key match that class.
+	// returns the former class of that name, with former set, if that class matches the request's method and whether
+	// the request has an idempotency key.
 	Class(name, method string, hasKey bool) (c policy.Class, former, ok bool)
 }
 
@@ -58,12 +58,13 @@
 
 // Server reads requests from clients, passes them to a Handler, and writes the responses.
 type Server struct {
-	// Stopping is set once the node is told to stop. Connections are then no longer closed for being too many, since
-	// their clients would move to the other nodes.
+	// Stopping is set once the node is told to stop. A crowded node (crowdedDivisor) then no longer closes connections
+	// after their first response, since their clients would move to the other nodes.
 	Stopping atomic.Bool
 	// Draining is set when each response must close its connection.
 	Draining atomic.Bool
-	// AwaitingDescriptors is set while another process gradually releases descriptors to this one.
+	// AwaitingDescriptors is set during a hot restart, while the predecessor gradually releases descriptors to this
+	// process.
 	AwaitingDescriptors atomic.Bool
 
 	handler     Handler
@@ -79,6 +80,7 @@
 func (s *Server) ClientConns() *ClientConns { return s.clientConns }
 
 // Accept serves connections from l, and returns nil once l is closed. The connections then continue until Shutdown.
+// After a net.Error, such as a lack of descriptors, Accept continues with a backoff. It returns any other error.
 func (s *Server) Accept(l net.Listener) error {
 	s.conns.Add(1) // so that Shutdown, called after l is closed, waits for the connections accepted last
 	defer s.conns.Done()
@@ -128,7 +130,7 @@
 }
 
 // awaitCapacity reports whether a connection is within the limit. For a connection over the limit, it waits up to
-// capacityWaitTimeout while another process releases descriptors.
+// capacityWaitTimeout while the predecessor releases descriptors.
 func (s *Server) awaitCapacity(t *trackedConn) bool {
 	end := time.Now().Add(capacityWaitTimeout)
 	for t.overLimit && !s.clientConns.isAdmitted(t) {
--- a/internal/node/downstream/socket.go
+++ b/internal/node/downstream/socket.go
@@ -12,7 +12,7 @@
 func (c *clientConn) isClosedByClient() bool { return c.hasPollEvent(unix.POLLRDHUP) }
 
 // hasPollEvent reports whether polling the socket returns event or an error condition, or whether the socket is
-// closed. It doesn't block.
+// closed. It returns false for a connection without a TCP socket. It doesn't block.
 func (c *clientConn) hasPollEvent(event int16) (found bool) {
 	conn := tcpConn(c)
 	if conn == nil {
--- a/internal/node/drain.go
+++ b/internal/node/drain.go
@@ -8,7 +8,8 @@
 )
 
 const (
-	// minAcceptTime is the minimum time for which clients can still connect after the stop signal.
+	// minAcceptTime is the minimum time for which clients can still connect after the stop signal. A process that has a
+	// successor stops accepting sooner, once it has no clients.
 	minAcceptTime = 500 * time.Millisecond
 	// maxDrainTime bounds how long a client waits for its response once the node is stopping.
 	maxDrainTime = 3 * time.Second
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -170,7 +170,7 @@
 
 // A watch that gets no response, or part of one on a connection that stays open, is replaced soon enough that the node
 // learns of the changes it missed before their drain grace is over. For the drain grace, such a change counts as
-// delivered 6 s after the watch began, or 2 s after the time in its wait parameter, whichever is later.
+// delivered 6 s after the watch began, or 2 s after its wait parameter has run out, whichever is later.
 func TestDrainIsLearnedAfterSilentWatch(t *testing.T) {
 	for _, subscribe := range []bool{true, false} {
 		for _, partial := range []bool{false, true} {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -46,7 +46,7 @@
 	failUnanswered struct{}
 )
 
-// Events of the list, the configuration, the fleet and the node's other process.
+// Events of the list, the configuration, the fleet and hot restarts.
 type (
 	// endpointUpdate is a change of the endpoint list, or the list service's failure.
 	endpointUpdate struct{ discovery.Update }
@@ -62,7 +62,8 @@
 
 // Queries of the balancer's state. The loop sends one reply to each.
 type (
-	// snapshotRequest asks for the state to hand over. From then on, the balancer accounts for a successor.
+	// snapshotRequest asks for the state to hand over. From then until successorGone, the balancer accounts for a
+	// successor.
 	snapshotRequest struct{ reply chan<- hotrestart.State }
 	// inFlightRequest asks for the number of this process's attempts in flight by server.
 	inFlightRequest struct{ reply chan<- map[string]int }
--- a/internal/node/fleet.go
+++ b/internal/node/fleet.go
@@ -21,7 +21,8 @@
 	partitioned           bool
 }
 
-// followFleet sends the loop the fleet size of each view until ctx ends.
+// followFleet sends the loop two counts of each view until ctx ends: the nodes present, and those of them in this node's
+// zone.
 func (l *loop) followFleet(ctx context.Context, views <-chan gossip.View) {
 	for {
 		select {
@@ -40,8 +41,9 @@
 	loop *loop
 }
 
-// runAsMember waits until this process is the only one of the node that accepts clients, because until then the other
-// process is the member. It then runs the gossip agent until ctx ends. If runCtx ends first, the agent is not run.
+// runAsMember runs the gossip agent until ctx ends. During a hot restart, the predecessor is the member while it accepts
+// clients, so runAsMember first waits for soleListener: this process alone then accepts clients. If runCtx ends before
+// that, the agent is not run.
 func (m *membership) runAsMember(ctx, runCtx context.Context, soleListener <-chan struct{}) {
 	select {
 	case <-soleListener:
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -52,7 +52,7 @@
 }
 
 // Text in a request's body is never taken for another request, whatever the request states about its length (request
-// smuggling).
+// smuggling). A request whose length is ambiguous is rejected with exactly one 400, and doesn't reach a server.
 func TestBodyIsNeverARequest(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		servers := &recorder{}
@@ -75,7 +75,9 @@
 			"chunked over HTTP/1.0":       {strings.Replace(pay, "1.1", "1.0", 1) + "Connection: keep-alive\r\nTransfer-Encoding: chunked\r\n\r\n" + inner, ""},
 			"after a valid request":       {pay + "Content-Length: 3\r\n\r\nsum" + strings.Replace(pay, "outer", "o2", 1) + length + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
 			"in a body with a length":     {pay + length + "Connection: close\r\n\r\n" + chunked, "outer"},
-			"after valid chunks":          {pay + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
+			// The connection of a chunked request ends after its response, so the text after the last chunk is not served. The
+			// requests of this case and the one before are valid, so their responses are not checked.
+			"after the last chunk": {pay + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
 		} {
 			responses := sendRaw(t, node, c.request)
 			rejected := strings.Count(responses, "HTTP/1.1 400 ")
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -127,10 +127,11 @@
 	h.loop.fireTimers()
 }
 
-// Decide passes a request to the balancer and returns the server to send it to. sent is false if it is not to be sent.
+// Decide passes a request to the balancer and returns the server to send it to. sent is false if there is none.
 func (h *Hollow) Decide(r policy.Request) (server string, sent bool) { return h.handle(r) }
 
-// End reports the outcome of an attempt to the balancer. It returns the server for a retry. sent is false without one.
+// End reports the outcome of an attempt to the balancer. It returns the server for a retry; sent is false if there is
+// no retry.
 func (h *Hollow) End(o policy.Outcome) (server string, sent bool) { return h.handle(o) }
 
 // handle passes an event of a request to the balancer and executes its actions, except that it returns the server of a
--- a/internal/node/hot_restart.go
+++ b/internal/node/hot_restart.go
@@ -15,15 +15,15 @@
 
 const (
 	// maxSpareConns limits how many connections beyond its current ones a process may open, on the client side and on the
-	// server side each, while its successor serves. A second limit is the node's unreserved descriptors divided by
+	// server side each, while it has a successor. A second limit is the node's unreserved descriptors divided by
 	// spareConnsDivisor; the lower one applies, but one connection is always allowed.
 	maxSpareConns     = 8
 	spareConnsDivisor = 12
 	// maxSpareServerConns bounds the server connections that such a process keeps open even if they are idle. The number
 	// of its client connections is a second bound.
 	maxSpareServerConns = 32
-	// successorShareDivisor sets the minimum share of a successor: it gets at least the process's descriptors divided by
-	// successorShareDivisor, however many of them the process holds.
+	// successorShareDivisor sets the minimum share of a successor. It gets at least its predecessor's total of descriptors
+	// divided by successorShareDivisor, however many of them the predecessor still uses.
 	successorShareDivisor = 4
 	// sharedMemoryFraction is each process's part of the memory limit while the node has two processes.
 	sharedMemoryFraction = 0.5
@@ -43,7 +43,7 @@
 }
 
 // run waits until the loop is ready, takes over from the predecessor, if there is one, and hands over to successors
-// until ctx ends.
+// until ctx ends. A node without a path for the hand-over socket can't hand over.
 func (h *hotRestart) run(ctx context.Context, predecessor *hotrestart.Predecessor) {
 	select {
 	case <-h.server.loop.ready:
@@ -54,9 +54,9 @@
 	if predecessor != nil {
 		stop := context.AfterFunc(ctx, func() { _ = predecessor.Close() }) // which ends Follow
 		defer stop()
-		// The health check succeeds only after the predecessor has stopped accepting. Otherwise the predecessor could be
-		// told to stop too early: it would still get health checks of the load balancer in front, and fail them for the
-		// whole node.
+		// This process's health check succeeds only after the predecessor has stopped accepting. If it succeeded sooner,
+		// the predecessor could be told to stop too early: while stopping, it would still get health checks of the load
+		// balancer in front, and fail them for the whole node.
 		wg.Go(func() { predecessor.Follow(func() { close(h.server.soleListener) }, h.updateSockets) })
 	} else {
 		close(h.server.soleListener)
@@ -139,8 +139,8 @@
 func (h *hotRestart) shareSockets() {
 	// The server rejects requests on connections beyond the client side's share, so the limiter accepts a surplus of
 	// connections beyond it. The limiter bounds that surplus, so that clients that connect and send nothing don't use up
-	// the server side's descriptors. While two processes share the descriptors, the surplus is 0: clients over the limit
-	// wait to be accepted until the other process releases descriptors.
+	// the server side's descriptors. While the predecessor still holds descriptors, the surplus is 0: clients over the
+	// limit wait to be accepted until the predecessor releases some.
 	h.mu.Lock()
 	sockets, reserved, surplus := h.sockets, reservedSockets(h.config), baseSockets/2
 	if h.server.AwaitingDescriptors.Load() {
--- a/internal/node/hotrestart/serve.go
+++ b/internal/node/hotrestart/serve.go
@@ -32,7 +32,8 @@
 	Snapshot() (State, error)
 	// StopAccepting stops accepting clients: the successor accepts them now.
 	StopAccepting() error
-	// Progress releases descriptors that the process doesn't need, and returns what it still holds.
+	// Progress releases descriptors that the process doesn't need. It returns how many the successor may hold now, and the
+	// process's attempts in flight.
 	Progress() Progress
 	// Resume makes the process serve alone again after its successor has gone. successorServed reports whether the
 	// successor had started serving.
@@ -40,7 +41,7 @@
 }
 
 // Serve hands over to successors, one at a time, until ctx ends. If a successor goes away before that, the process
-// resumes.
+// resumes. Serve returns an error if it can't listen for a successor or accept one.
 func Serve(ctx context.Context, id Identity, process Process) error {
 	listener, err := listenForSuccessor(id.SocketPath())
 	if err != nil {
@@ -108,8 +109,8 @@
 	return err
 }
 
-// followSuccessor waits until the successor serves, stops accepting clients, and then sends Progress messages until the
-// successor has gone.
+// followSuccessor waits until the successor serves, makes process stop accepting clients, and then sends Progress
+// messages until the successor has gone. served reports whether the successor had started serving.
 func followSuccessor(process Process, conn *net.UnixConn) (served bool, err error) {
 	if err := conn.SetReadDeadline(time.Now().Add(startTimeout)); err != nil {
 		return false, err
--- a/internal/node/hotrestart/socket.go
+++ b/internal/node/hotrestart/socket.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, errors.Join(err, done())
 	}
-	listener.SetUnlinkOnClose(false) // by then a successor's socket may be at the path
+	listener.SetUnlinkOnClose(false) // when it closes, a successor's socket may be at the path
 	err = done()
 	if err == nil {
 		err = os.Chmod(tempPath, socketMode)
--- a/internal/node/hotrestart/takeover.go
+++ b/internal/node/hotrestart/takeover.go
@@ -24,7 +24,8 @@
 var (
 	// ErrOtherNode means that the serving process belongs to another node, or has another version of the protocol.
 	ErrOtherNode = errors.New("the serving process has another identity or protocol version")
-	// ErrListeningSocket means that a message does not contain exactly one descriptor, the clients' listening socket.
+	// ErrListeningSocket means that the predecessor's first message doesn't carry exactly one descriptor. The one expected
+	// is that of the clients' listening socket.
 	ErrListeningSocket = errors.New("receive the listening socket")
 )
 
@@ -36,8 +37,9 @@
 	messages *json.Decoder
 }
 
-// TakeOver receives the listening socket and the state from the serving process. If there is no such process, the error
-// wraps os.ErrNotExist.
+// TakeOver receives the listening socket and the state from the serving process. If there is no
+// socket file to connect to, the error wraps os.ErrNotExist. The file of a process that has ended may remain: the
+// connection is then refused.
 func TakeOver(id Identity) (*Predecessor, error) {
 	path := id.SocketPath()
 	p, err := dialPredecessor(path)
@@ -95,8 +97,8 @@
 	return nil
 }
 
-// listenerFrom returns the listening socket in a control message. If the message holds further descriptors, it closes all
-// of them and returns an error.
+// listenerFrom returns the listening socket in a control message. If the message holds several descriptors, it
+// closes all of them and returns an error.
 func listenerFrom(rights []byte) (net.Listener, error) {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	if err != nil {
@@ -125,15 +127,15 @@
 	return listener, err
 }
 
-// Close disconnects from the predecessor, which then continues to serve.
+// Close disconnects from the predecessor, which then serves alone again unless it is stopping.
 func (p *Predecessor) Close() error { return p.conn.Close() }
 
 // Follow notifies the predecessor that this process serves, and receives Progress messages until the predecessor has
-// ended or Close is called. It calls yielded once: when the predecessor has confirmed that it accepts no more clients,
-// has not confirmed it within stepTimeout, or has ended. It calls progress for each message, and once more with ended
-// set.
+// ended, Close is called, or a message is malformed. It calls yielded once: at the first message, which confirms that
+// the predecessor accepts no more clients, or after stepTimeout without a message, or when Follow ends. It calls
+// progress for each message, and once more with ended set.
 func (p *Predecessor) Follow(yielded func(), progress func(report Progress, ended bool)) {
-	defer func() { _ = p.conn.Close() }() // the predecessor has ended, or Close was called
+	defer func() { _ = p.conn.Close() }() // fails if Close was called
 	yielded = sync.OnceFunc(yielded)
 	defer yielded()
 	if _, err := p.conn.Write([]byte{readyByte}); err != nil {
@@ -146,7 +148,7 @@
 	defer confirmTimer.Stop()
 	for {
 		var message State
-		if err := p.messages.Decode(&message); err != nil {
+		if err := p.messages.Decode(&message); err != nil { // usually the predecessor has ended; see above for other causes
 			slog.Info("hot restart: the predecessor has ended")
 			progress(Progress{}, true)
 			return
--- a/internal/node/list_outage_test.go
+++ b/internal/node/list_outage_test.go
@@ -49,8 +49,8 @@
 }
 
 // checkDrain runs the outage and lets a server begin to drain at its end, which is when the node's last failing call is
-// made or refused. For the drain grace, the change counts as delivered to the node MaxNotificationDelay (6 s) after the
-// end of the outage, or the PollInterval of the settings after it if that is shorter.
+// made or refused. The drain grace begins when the change counts as delivered to the node: MaxNotificationDelay (6 s)
+// after the end of the outage, or the PollInterval of the settings after it if that is shorter.
 func (o outage) checkDrain(t *testing.T, subscribe bool) {
 	refused := make(chan time.Time, 1000)
 	reachable := make(chan struct{}) // closed when the service accepts connections
@@ -134,7 +134,8 @@
 	}
 }
 
-// The same holds after an outage of many minutes: no pause between calls grows with the length of the outage.
+// After an outage of many minutes, the node learns of a change just as soon as after a short one: no pause between calls
+// grows with the length of the outage.
 func TestChangesArriveInTimeAfterLongOutage(t *testing.T) {
 	for name, o := range map[string]outage{
 		"refused": {failedCalls: 900, rejectedCalls: 2},
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -30,11 +30,11 @@
 	Servers() (listed, unavailable int)
 	// TailLatency returns the recent latency of slow responses.
 	TailLatency() time.Duration
-	// Snapshot returns the state to hand over to another process. Restore applies such a state.
+	// Snapshot returns the state to hand over to a successor. Restore applies the state of the predecessor.
 	Snapshot(now policy.Time) policy.Snapshot
 	Restore(now policy.Time, k policy.Snapshot)
-	// InFlight returns the number of this process's attempts in flight by server. SetSiblingInFlight sets the same
-	// numbers for the node's other process.
+	// InFlight returns the number of this process's attempts in flight by server. During a hot restart,
+	// SetSiblingInFlight sets the numbers of the predecessor's attempts.
 	InFlight() map[string]int
 	SetSiblingInFlight(out map[string]int)
 	// FleetSize returns the number of nodes that quotas are divided by, the number of reachable nodes, and whether this
@@ -66,7 +66,7 @@
 	rejectAll  bool // the shutdown deadline has passed: new requests are rejected
 	timers     timers
 	endpoints  map[string]discovery.Endpoint // the list as last received
-	unsent     []policy.Outcome              // of attempts that were not sent; reported after all actions for an event
+	unsent     []policy.Outcome              // outcomes of attempts not sent; reported after all actions for an event
 	attemptsWG sync.WaitGroup                // attempts in flight
 }
 
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -13,8 +13,8 @@
 	"sloerail/internal/node/upstream"
 )
 
-// Run serves clients until ctx ends, then drains. It returns when all goroutines that it started have ended. Reloaded
-// configurations arrive on changes.
+// Run serves clients until ctx ends, then drains. If accepting clients fails, it ends without draining. It returns when
+// all goroutines that it started have ended. Reloaded configurations arrive on changes.
 func Run(ctx context.Context, c config.Config, listeners Listeners, changes <-chan Change) error {
 	ck := clock{start: time.Now()}
 	maxSockets, state := listeners.restore(&c)
--- a/internal/node/reload.go
+++ b/internal/node/reload.go
@@ -62,8 +62,8 @@
 	return method == downstream.MethodFor(c) && (c.RetrySafety == policy.IdempotencyKeyed) == hasKey
 }
 
-// longest returns waitOf(current classes) or, if that is longer and the former classes are still valid, waitOf(former
-// classes).
+// longest returns waitOf(current classes). While the former classes are still valid, it returns the longer one of that
+// and waitOf(former classes).
 func (t *classTable) longest(waitOf func([]policy.Class) time.Duration) time.Duration {
 	d := waitOf(t.list)
 	if t.former != nil && time.Now().Before(t.formerUntil) {
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// answerMargin is how long before the client's timeout a request's deadline is. A response at the deadline still
+	// answerMargin is the time from a request's deadline to its client's timeout, so that a response at the deadline still
 	// reaches the client. If the balancer hasn't answered by the deadline, the request's backstop timer does so half a
 	// margin later. The margin is at most the client's timeout divided by answerMarginDivisor.
 	answerMargin        = 20 * time.Millisecond
 	answerMarginDivisor = 5
-	// maxUploadTime bounds the time of a request whose body is streamed to the server. A body below the minimum rate ends
-	// its request far sooner. policy has the same bound under the same name.
+	// maxUploadTime bounds the time of a request whose body is streamed to the server. A request whose body
+	// arrives below the minimum rate (package downstream) fails far sooner. policy has the same bound under the same name.
 	maxUploadTime = 15 * time.Minute
 	// maxReportAge is how long after the start of a streamed response its load report is still used.
 	maxReportAge = time.Second
@@ -26,7 +26,7 @@
 // request is an open request. It is kept until it has ended and all its attempts have ended too.
 type request struct {
 	*downstream.Exchange
-	deadline policy.Time // for its attempts
+	deadline policy.Time // by which its attempts must end
 	backstop *timer      // answers if the balancer doesn't do so in time
 	ended    bool        // it was answered, or its client has disconnected
 	attempts []attempt
@@ -36,8 +36,8 @@
 // attempt is one sending of a request to a server.
 type attempt struct {
 	server     string
-	sentAt     policy.Time // or when the request body was complete, if that was later
-	answeredAt policy.Time // when its response started, if that is streamed; else 0
+	sentAt     policy.Time // when it was sent or, if that was later, when the request body was complete
+	answeredAt policy.Time // when its streamed response started; 0 if there is none
 	lifetime   *upstream.Lifetime
 }
 
@@ -131,7 +131,8 @@
 	}
 }
 
-// forwardResponse starts streaming a response to the client. No deadline applies from then on.
+// forwardResponse starts streaming a response to the client, and lifts the attempt's deadline. If the request has
+// already ended, it cancels the attempt instead.
 func (l *loop) forwardResponse(e responseStarted) {
 	a := &e.r.attempts[e.index]
 	if e.r.ended {
@@ -144,7 +145,8 @@
 	l.decide(policy.FirstByte{ID: e.r.Request.ID, Server: a.server, Attempt: e.index, Latency: a.answeredAt - a.sentAt})
 }
 
-// endAttempt reports the outcome of an attempt to the balancer, and answers its client if it succeeded.
+// endAttempt handles the end of an attempt. If the attempt succeeded and its request is still open, the client gets the
+// response. The outcome is then reported to the balancer.
 func (l *loop) endAttempt(e attemptEnded) {
 	a := &e.r.attempts[e.index]
 	e.r.pending--
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -317,7 +317,8 @@
 	})
 }
 
-// shortDeadlineConfig returns a configuration in which each class has a deadline of 1.5 s.
+// shortDeadlineConfig returns a configuration in which each class has a latency objective of 200 ms and a deadline of
+// 1.5 s.
 func shortDeadlineConfig(t *testing.T) config.Config {
 	c := testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})))
 	for i := range c.Settings.Classes {
@@ -421,8 +422,8 @@
 	})
 }
 
-// A connection accepted over the limit is served if the limit has room for it when its request arrives. This is also
-// true for a process that expects no more descriptors from a predecessor.
+// A connection accepted over the limit is served if the limit has room for it when its request arrives, even if the
+// process expects no more descriptors from a predecessor.
 func TestConnectionOverTheLimitIsServedOnceThereIsRoom(t *testing.T) {
 	server, received, release := nodetest.HoldingServer(t)
 	l, _ := startLoop(t, server, sendOnce)
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -46,7 +46,8 @@
 // AddOpenRequests adds n, which may be negative, to the number of open requests.
 func (s *server) AddOpenRequests(n int) { s.loop.metrics.open.Add(int64(n)) }
 
-// acceptsNewClients reports whether this process, and no other of the node, accepts new clients.
+// acceptsNewClients reports whether this process has become the only one of the node that accepts new clients. It stays
+// true when a successor takes over, until this process is told to stop.
 func (s *server) acceptsNewClients() bool {
 	select {
 	case <-s.soleListener: // implies that the balancer has the list
--- a/internal/node/timers.go
+++ b/internal/node/timers.go
@@ -7,7 +7,8 @@
 	"sloerail/policy"
 )
 
-// timer is a timer of the balancer, or the backstop of a request.
+// timer is a timer of the balancer, or the backstop of a request: it fails the request if the balancer has not answered
+// in time.
 type timer struct {
 	due        policy.Time
 	token      uint64
--- a/internal/node/upstream/lifetime.go
+++ b/internal/node/upstream/lifetime.go
@@ -72,7 +72,8 @@
 	}
 }
 
-// startDial sets the function that cancels the dial, and returns the deadline.
+// startDial sets the function that cancels the dial, and returns the deadline. If the Lifetime is already cancelled, it
+// calls cancel at once.
 func (l *Lifetime) startDial(cancel func()) (deadline time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/node/upstream/transport.go
+++ b/internal/node/upstream/transport.go
@@ -179,7 +179,8 @@
 	}
 }
 
-// CloseIdle closes all idle connections. Connections in use are closed when their attempts end.
+// CloseIdle removes all pools and closes the idle connections. Connections in use are closed when their attempts end.
+// New attempts fail until UpdateEndpoints adds their servers again.
 func (t *Transport) CloseIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -23,11 +23,11 @@
 	Left      int     `json:"left_lately"`           // recent evacuations
 	Ill       float64 `json:"ill"`                   // recent failures, older ones weighted less
 	Heard     float64 `json:"heard"`                 // recent responses, weighted in the same way
-	TriedInMs int64   `json:"tried_in_ms,omitempty"` // until an evacuated zone is probed
+	TriedInMs int64   `json:"tried_in_ms,omitempty"` // time until an evacuated zone is probed
 	Why       string  `json:"why,omitempty"`         // reason of the last evacuation
 }
 
-// serveZones writes the state of each zone. It responds 404 if the configuration has no zones.
+// serveZones writes the state of each zone. It responds 404 if the configuration has no zones or the loop has ended.
 func (l *loop) serveZones(w http.ResponseWriter, r *http.Request) {
 	states, _ := query(l, func(reply chan<- []policy.ZoneState) event { return zonesRequest{reply} })
 	if states == nil {
