--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	bindRetryDelay = 50 * time.Millisecond  // after a failed start: the other process of a hot restart may still be bound
+	bindRetryDelay = 50 * time.Millisecond  // until the next start: in a hot restart, the other process may still be bound
 	leaveTimeout   = 500 * time.Millisecond // for each of the two announcements by gossip
 	updateTimeout  = 500 * time.Millisecond // bounds the goroutine that announces a new incarnation
 )
@@ -59,12 +59,12 @@
 	}
 	a.log = newLimitedLog(slog.Default(), c.now)
 	a.members = newMemberTable(c.Name, c.now, a.log.memberChanged)
-	a.incarnation = uint64(max(1, c.now().UnixMilli())) // a restarted process gets a higher incarnation than its predecessor
+	a.incarnation = uint64(max(1, c.now().UnixMilli())) // above that of an earlier process, unless the clock was set back
 	return a, nil
 }
 
-// Run takes part in the gossip until ctx ends, then announces that the node leaves. Failures are logged and retried, as
-// requests are served even without membership.
+// Run takes part in the gossip until ctx ends. If this process is then the member for its node, Run announces that the
+// node leaves. A failed start is logged and retried, as a node serves requests even without membership.
 func (a *Agent) Run(ctx context.Context) {
 	current := roleMember
 	for ctx.Err() == nil {
@@ -185,6 +185,6 @@
 // View returns the current view of the fleet.
 func (a *Agent) View() View { return a.members.view() }
 
-// Subscribe returns a channel that receives the newest view after each change. A newer view replaces one that hasn't been
-// read; the gossip never waits for a reader.
+// Subscribe returns a channel that receives the current view, if there was any change yet, and the newest view after each
+// change. A newer view replaces one that hasn't been read; the gossip never waits for a reader.
 func (a *Agent) Subscribe() <-chan View { return a.members.subscribe() }
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -71,7 +71,7 @@
 		defer v.shutdown()
 		joined := v.awaitPresent(t, time.Minute, n, indexes(n)...)
 		v.network.setLoss(*lossRate)
-		time.Sleep(20*time.Second + 2*time.Duration(n)*exchangesAfterChange*exchangeIntervalPerMember) // end of exchanges
+		time.Sleep(20*time.Second + 2*time.Duration(n)*exchangesAfterChange*exchangeIntervalPerMember) // until the last exchange
 		idle := v.measureIdle()
 		for i := range v.agents {
 			if deaths := v.deaths(i); len(deaths) > 0 {
--- a/internal/membership/config.go
+++ b/internal/membership/config.go
@@ -115,8 +115,8 @@
 	return !isLetterOrDigit && !strings.ContainsRune("._-", r)
 }
 
-// parseAddress parses "IP:port". It rejects host names, because gossip must not depend on DNS, but only after
-// net.ResolveUDPAddr has looked them up.
+// parseAddress parses "IP:port". It rejects host names, because gossip must not depend on DNS. Even so,
+// net.ResolveUDPAddr looks a host name up before it is rejected.
 func parseAddress(address string) (net.IP, int, error) {
 	addr, err := net.ResolveUDPAddr("udp", address)
 	if err != nil || addr.IP == nil || addr.Port == 0 || net.ParseIP(hostOf(address)) == nil {
--- a/internal/membership/delegate.go
+++ b/internal/membership/delegate.go
@@ -44,7 +44,8 @@
 	a.members.setSuspicion(n.Name, Suspect, Alive)
 }
 
-// NotifyMsg is called for each user message. Messages of another version or an unknown kind are ignored.
+// NotifyMsg is called for each user message. Messages that are too short, of another version or of an
+// unknown kind are ignored.
 func (d delegate) NotifyMsg(raw []byte) {
 	m, ok := decodeUserMessage(raw)
 	if !ok {
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -21,7 +21,7 @@
 
 // joinAndExchange joins one absent peer, a dead member or a seed, because gossip alone can't merge two parts of a fleet
 // that were partitioned or started separately. If an exchange is due, it also exchanges full states with a present
-// member, because an update may have missed some members.
+// member, because a gossiped update may have missed some members.
 func (a *Agent) joinAndExchange(list *memberlist.Memberlist) {
 	own := list.LocalNode().FullAddress().Addr
 	present, absent := a.members.peerAddresses(own)
@@ -60,8 +60,9 @@
 }
 
 // take reports whether an exchange is due now, and if so counts it as done. While loss is high, exchanges continue after
-// those for the latest change. take has a known fault then, listed under "Open" in docs/membership.md: the first call
-// after an exchange requires the longer interval, but later calls only the usual one.
+// those for the latest change, and should be lossyExchangeMultiplier times as far apart. This has a known fault, listed
+// under "Open" in docs/membership.md: only the first call after an exchange requires the longer interval, and later calls
+// require the usual one.
 func (s *exchangeSchedule) take(now time.Time, peers int, lossIsHigh bool) bool {
 	interval := minExchangeInterval + time.Duration(peers)*exchangeIntervalPerMember
 	interval = interval/2 + rand.N(interval)
--- a/internal/membership/member_table.go
+++ b/internal/membership/member_table.go
@@ -167,7 +167,8 @@
 	return t.revision
 }
 
-// publishLocked starts a new revision and sends its view to each subscriber, in place of a view not yet read.
+// publishLocked starts a new revision, drops members by removeExpiredLocked, and sends the view to each subscriber, in
+// place of a view not yet read.
 func (t *memberTable) publishLocked() {
 	t.revision++
 	t.removeExpiredLocked()
--- a/internal/membership/memberlist_log.go
+++ b/internal/membership/memberlist_log.go
@@ -50,7 +50,7 @@
 
 const maxKindFields = 5
 
-// kindOfLine returns the first maxKindFields fields of a line, without those that contain digits or look like addresses
+// kindOfLine returns the first maxKindFields of those fields of a line that contain no digits and don't look like addresses
 // or values.
 func kindOfLine(line string) string {
 	var kind []string
--- a/internal/membership/name_conflict.go
+++ b/internal/membership/name_conflict.go
@@ -34,7 +34,8 @@
 	return nil
 }
 
-// NotifyConflict is called when a second address claims the name of a member.
+// NotifyConflict is called when a second address claims the name of a member. If the second process has the higher
+// incarnation, NotifyConflict informs the earlier one. If that is this process, this process leaves the fleet.
 func (d delegate) NotifyConflict(existing, other *memberlist.Node) {
 	a := d.agent
 	known, err := decodeMetadata(existing.Meta)
@@ -52,7 +53,7 @@
 	a.sendSuperseded(*existing, claimed.Incarnation)
 }
 
-// sendSuperseded tells the earlier of two processes about the later one, at most once per logInterval.
+// sendSuperseded tells the earlier of two processes about the later one, at most once per logInterval for each name.
 func (a *Agent) sendSuperseded(earlier memberlist.Node, laterIncarnation uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/membership/protocol.go
+++ b/internal/membership/protocol.go
@@ -17,12 +17,12 @@
 	gossipFanout       = 3                      // members that receive the updates in each round
 	gossipToDeadPeriod = time.Minute            // a dead member still receives updates for this long, so that it can refute
 
-	suspicionMultiplier           = 4 // minimum timeout: this * log10(members) probe intervals
+	suspicionMultiplier           = 4 // minimum timeout: this * max(1, log10(members)) probe intervals
 	suspicionMaxTimeoutMultiplier = 5 // maximum timeout, while no member confirms: this * the minimum
-	retransmitMultiplier          = 6 // an update is sent this * log10(members) times
+	retransmitMultiplier          = 6 // an update is sent this * log10(members+1) times, the logarithm rounded up
 
 	pushPullInterval    = 2 * time.Minute // longer in large fleets; exchangeSchedule adds exchanges after changes
-	streamTimeout       = time.Second     // for connecting, and for each read and write
+	streamTimeout       = time.Second     // for connecting, and for sending or receiving a message
 	deadNodeReclaimTime = time.Second     // after a death, before another address may use the name
 )
 
--- a/internal/membership/stats.go
+++ b/internal/membership/stats.go
@@ -8,7 +8,7 @@
 	ViewChanges              uint64
 	RefutedSuspicions        uint64 // suspicions of this node that it refuted
 	NameConflicts            uint64 // times this process was superseded by a later one with its name
-	SuppressedLogLines       uint64 // dropped by the rate limit
+	SuppressedLogLines       uint64 // log lines and repeated superseded messages dropped by the rate limit
 }
 
 // Stats returns the current counters.
--- a/internal/membership/transport.go
+++ b/internal/membership/transport.go
@@ -16,7 +16,7 @@
 	maxQueuedDatagrams = 64                    // between the socket and memberlist
 	maxInboundStreams  = 12                    // open at a time; further ones are closed, and their senders retry
 	maxOutboundStreams = 4                     // opened by memberlist at a time
-	acceptRetryDelay   = 50 * time.Millisecond // after a failed accept: if descriptors run short, they are left to clients
+	acceptRetryDelay   = 50 * time.Millisecond // after a failed accept; leaves scarce descriptors to clients
 	listenerCount      = 2                     // one for datagrams, one for streams
 )
 
@@ -135,7 +135,8 @@
 	return ip, t.advertise.Port, nil
 }
 
-// WriteTo sends a datagram. A failed write is ignored like a lost datagram: probes detect the loss.
+// WriteTo sends a datagram, and a copy of it while the probe loss is high. A failed write is ignored like a lost datagram,
+// because probes detect the loss; an invalid address is an error.
 func (t *transport) WriteTo(datagram []byte, address string) (time.Time, error) {
 	to, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
--- a/internal/registry/admin.go
+++ b/internal/registry/admin.go
@@ -7,8 +7,8 @@
 )
 
 // gauges lists the metrics of a replica. Operators use the names, so they must not change. Metrics that end in _total
-// are counters, exposed as gauges because a Status already has their values. registry_leases_held is 1 while expiry is
-// suspended.
+// are counters, exposed as gauges because a Status already has their values. registry_age_seconds is -0.001 while the age
+// is unknown. registry_leases_held is 1 while expiry is suspended.
 var gauges = []struct {
 	name  string
 	value func(Status) float64
--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -20,8 +20,9 @@
 }
 
 // Run registers the endpoint and renews its lease until ctx ends. It then sets the endpoint's phase to draining, waits
-// for the duration drain, and deregisters the endpoint. Run registers again if the lease is lost, and retries calls that
-// fail. It returns early only if the registry rejects the endpoint as invalid; the error is then a StatusError.
+// for the duration drain, deregisters the endpoint, and returns the errors of these two calls. Before that, Run registers
+// again if the lease is lost, and retries calls that fail. It returns early only if the registry rejects the endpoint as
+// invalid; the error is then a StatusError.
 func (a *Agent) Run(ctx context.Context, drain time.Duration) error {
 	registered := false
 	wait := time.Duration(0)
@@ -44,7 +45,7 @@
 		case hasStatus(err, http.StatusBadRequest):
 			return err
 		default:
-			message := "registry agent: registry unreachable"
+			message := "registry agent: no response from the registry"
 			if errors.As(err, new(StatusError)) {
 				message = "registry agent: registry rejected the call"
 			}
@@ -68,8 +69,8 @@
 	return a.Client.Do(ctx, http.MethodPut, a.path(), newRegistration(a.Endpoint, a.TTL), nil, 0)
 }
 
-// deregister sets the endpoint's phase to draining, waits for the duration drain, and removes the endpoint. It uses its
-// own context, because Run's has ended.
+// deregister sets the endpoint's phase to draining, waits for the duration drain, and removes the endpoint. If the phase
+// can't be set, it removes the endpoint without waiting. It uses its own context, because Run's has ended.
 func (a *Agent) deregister(drain time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), drain+2*callTimeout)
 	defer cancel()
--- a/internal/registry/client.go
+++ b/internal/registry/client.go
@@ -58,10 +58,10 @@
 // Do calls path. It encodes in as the body, or sends none if in is nil. It decodes the response into out, or discards
 // the response if out is nil. ifMatch is the version that the instance must have for a write; 0 allows any.
 //
-// If an attempt gets no response, status 503 or a body that can't be decoded, Do retries at the next address with
-// exponential backoff, until ctx ends or maxAttempts is reached. Any other status is final. All attempts share one
-// request ID, so that a retried write is carried out once. A response with a status other than 200 is returned as a
-// StatusError.
+// If an attempt gets no response, status 503 or a body that can't be decoded, Do retries at the next address after a
+// random, exponentially growing delay, until ctx ends or maxAttempts is reached. Any other status is final. All attempts
+// share one request ID, so that a retried write is carried out once. A response with a status other than 200 is returned
+// as a StatusError.
 func (c *Client) Do(ctx context.Context, method, path string, in, out any, ifMatch int64) error {
 	call := clientCall{method: method, path: path, requestID: rand.Text(), ifMatch: ifMatch}
 	if in != nil {
@@ -130,8 +130,8 @@
 	}
 }
 
-// Watch calls path and decodes the response into list. An attempt may take callTimeout longer than wait, the time for
-// which the registry waits for a change.
+// Watch calls path and decodes the response into list. wait is the time that path asks the registry to wait for a change;
+// an attempt may take callTimeout longer.
 func (c *Client) Watch(ctx context.Context, path string, wait time.Duration, list *EndpointList) error {
 	watchClient := *c
 	watchClient.http.Timeout = wait + callTimeout
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -23,9 +23,9 @@
 	RenewLease                                // ID
 	SetInstancePhase                          // ID, Phase
 	DeregisterInstance                        // ID
-	AdvanceClock                              // Elapsed: time that passed at the leader, to add to lease time
+	AdvanceClock                              // Elapsed: time that passed at the leader; add it to lease time, expire leases
 	RestartLeases                             // a leader was elected: renew each lease for its full TTL
-	BeginEpoch                                // the data directory was restored from an older copy
+	BeginEpoch                                // begin an epoch after a restore from an older copy, and renew each lease
 	SetReplicaAddress                         // ID, Endpoint.Address: HTTP address of a replica; empty to delete it
 )
 
--- a/internal/registry/doc.go
+++ b/internal/registry/doc.go
@@ -15,7 +15,7 @@
 //
 // These types own the state:
 //
-//	Store           instances and the next four types; no clock and no I/O, so that all replicas agree
+//	Store           instances and the next four types of this list; no clock and no I/O, so that all replicas agree
 //	lessor          lease time, and whether expiry is suspended
 //	history         the changes from which watches can be resumed
 //	responseCache   results by request ID, so that a retried write is carried out once
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -32,14 +32,15 @@
 	Service     string  `json:"service,omitempty" cbor:"9,keyasint,omitempty"` // empty for none
 }
 
-// EndpointList is the full list or, if Complete is false, the changes since the revision in a watch call.
+// EndpointList is the full list or, for a scoped call, the part in the scope. If Complete is false, it holds only the
+// changes since the revision in a watch call.
 type EndpointList struct {
 	Revision  int64      `json:"revision"`
 	Complete  bool       `json:"complete"`
 	Endpoints []Endpoint `json:"members"` // sorted by ID
 }
 
-// FieldError reports a field or parameter with an invalid value. Field is the key as the caller wrote it.
+// FieldError reports an invalid value. Field is its key in the JSON or TOML, or its query parameter or header.
 type FieldError struct {
 	Field  string
 	Reason string
--- a/internal/registry/errors.go
+++ b/internal/registry/errors.go
@@ -10,12 +10,15 @@
 	// serves. A *NotLeaderError wraps it.
 	ErrNotLeader = errors.New("registry: not the leader")
 
-	// ErrNotCommitted is returned if a quorum didn't store a command in time. The command may still be carried out
-	// later: a retry with the same RequestID gets its result in either case.
+	// ErrNotCommitted is returned if raft fails to commit a command, for example because raft doesn't accept it within
+	// commitTimeout, or because this replica loses the leadership before a quorum has stored it. The command may still
+	// be carried out later. A retry with the same RequestID is safe: it gets the result of the first command if that
+	// was carried out.
 	ErrNotCommitted = errors.New("registry: not committed by a quorum in time")
 
-	// ErrNoTick wraps ErrNotCommitted. The leader advances lease time by a command, the tick, at each tickInterval. A
-	// new leader returns ErrNoTick until its first tick is committed: until then, it can't tell how old its list is.
+	// ErrNoTick wraps ErrNotCommitted. The leader proposes a command, the tick, at each tickInterval: the first restarts
+	// the leases, the later ones advance lease time. A leader that has not committed a tick since it was started returns
+	// ErrNoTick, because it can't tell how old its list is.
 	ErrNoTick = fmt.Errorf("%w: first tick of the new leader", ErrNotCommitted)
 
 	// ErrStale is returned if the list is older than a replica may serve, or if its age is unknown.
--- a/internal/registry/follower.go
+++ b/internal/registry/follower.go
@@ -16,7 +16,7 @@
 const progressPollInterval = 250 * time.Millisecond
 
 // progress returns the index of the last command that this replica has applied, and the age of its list. The error is
-// ErrNotLeader, or ErrNoTick if this leader has not committed a tick yet.
+// ErrNotLeader, or ErrNoTick if this leader has not committed a tick since it was started.
 func (r *Replica) progress() (progressResponse, error) {
 	age, known := r.Age()
 	if !r.isLeader() {
@@ -51,7 +51,7 @@
 	}
 }
 
-// pollLeader fetches and records the leader's progress. It does nothing if no leader is known.
+// pollLeader fetches and records the leader's progress. It does nothing if no leader, or no address of it, is known.
 func (r *Replica) pollLeader(ctx context.Context, client *http.Client) error {
 	var notLeader *NotLeaderError
 	if !errors.As(r.notLeaderError(), &notLeader) || notLeader.LeaderAddress == "" {
--- a/internal/registry/freshness.go
+++ b/internal/registry/freshness.go
@@ -10,15 +10,16 @@
 
 // freshness tracks how old this replica's list may be. Its methods are safe for concurrent use and don't block.
 //
-// A leader's list is as fresh as the last tick that it committed: a leader that is cut off can't commit any. A follower
-// polls the index of the last command that the leader has applied. Its list is as fresh as that poll once it has
-// applied the same command. The time of the last contact doesn't suffice, as it doesn't tell how far the follower lags.
+// A leader's list is as fresh as the last tick (see ErrNoTick) that it committed. A leader that is cut off from the quorum
+// commits none, so its list ages. A follower polls the index of the last command that the leader has applied. Its list
+// is as fresh as that poll once it has applied the same command. The time of the last contact with the leader doesn't
+// suffice, as it doesn't tell how far the follower lags.
 type freshness struct {
 	mu           sync.Mutex
 	appliedIndex uint64
 	lastTickAt   time.Time        // start of the last tick that this replica committed as the leader; zero if none
 	caughtUpAt   time.Time        // a follower has all changes that the leader had at this time; zero if unknown
-	pending      []leaderProgress // not caught up with yet, oldest first
+	pending      []leaderProgress // progress of the leader that a follower has not reached yet, oldest first
 }
 
 // leaderProgress is the index of the last command that the leader had applied at a time.
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -11,8 +11,8 @@
 // change is one change to an endpoint.
 type change struct {
 	Revision int64      `cbor:"1,keyasint"`
-	Endpoint Endpoint   `cbor:"2,keyasint"`           // after the change; in PhaseRemoved if it was deregistered
-	Previous *Placement `cbor:"3,keyasint,omitempty"` // before the change; nil if the endpoint was not registered
+	Endpoint Endpoint   `cbor:"2,keyasint"`           // after the change; in PhaseRemoved if it was removed or expired
+	Previous *Placement `cbor:"3,keyasint,omitempty"` // placement before the change; nil if the endpoint was not registered
 }
 
 // Placement holds the properties that decide which scoped lists contain an instance.
--- a/internal/registry/http_list.go
+++ b/internal/registry/http_list.go
@@ -96,8 +96,8 @@
 	}
 }
 
-// respondList responds with the list since a revision, or with 503 if the list may be too old. If nothing changed after
-// that revision, and evenIfUnchanged is not set, it sends nothing and returns false.
+// respondList responds with the list since a revision, or with 503 if the list may be too old or too many lists are being
+// sent. If nothing changed after that revision, and evenIfUnchanged is not set, it sends nothing and returns false.
 func (s *Server) respondList(w http.ResponseWriter, since int64, evenIfUnchanged bool) (responded bool) {
 	raw, epoch := s.replica.store.encodedList(since, evenIfUnchanged)
 	if raw == nil {
@@ -131,8 +131,9 @@
 	}
 }
 
-// respondScoped responds with the scoped list since a revision. If nothing in the scope changed, and evenIfUnchanged is
-// not set, it sends nothing and returns false with the revision up to which the scope is unchanged.
+// respondScoped responds with the scoped list since a revision, with 404 if all services of the scope are unknown, or with
+// 503 like respondList. If nothing in the scope changed, and evenIfUnchanged is not set, it sends nothing and returns
+// false with the revision up to which the scope is unchanged.
 func (s *Server) respondScoped(w http.ResponseWriter, scope *Scope, since int64, evenIfUnchanged bool) (revision int64, responded bool) {
 	view, err := s.replica.store.scopedView(scope, since)
 	if err != nil {
@@ -157,7 +158,7 @@
 	return 0, true
 }
 
-// respondUnknownServices responds 404, so that a caller doesn't mistake unknown services for an empty list.
+// respondUnknownServices responds 404, so that a caller doesn't take unknown services for services without servers.
 func (s *Server) respondUnknownServices(w http.ResponseWriter, err error) {
 	if s.checkAge(w) {
 		http.Error(w, err.Error(), http.StatusNotFound)
--- a/internal/registry/http_list_test.go
+++ b/internal/registry/http_list_test.go
@@ -190,7 +190,8 @@
 	}
 }
 
-// Unknown services differ from empty ones: the status is 404 if all are unknown; otherwise a header names them.
+// A call for unknown services alone gets 404, unlike a call for services without servers. If some of the services are
+// known, a header names the others.
 func TestUnknownServicesAreReported(t *testing.T) {
 	r, url := startServer(t)
 	if got := get(t, url+"?service=a,b"); got.status != http.StatusNotFound || got.body != "service: unknown: a, b\n" {
--- a/internal/registry/http_write.go
+++ b/internal/registry/http_write.go
@@ -72,7 +72,8 @@
 	return Command{Kind: SetInstancePhase, ID: id, Phase: body.Phase}, validatePhase(body.Phase)
 }
 
-// respondWrite responds with the outcome of a write. A replica that isn't the leader redirects to the leader.
+// respondWrite responds with the outcome of a write. A replica that isn't the leader redirects to the leader or, if it
+// doesn't know the leader's address, responds 503.
 func (s *Server) respondWrite(w http.ResponseWriter, req *http.Request, id string, result Result, err error) {
 	var notLeader *NotLeaderError
 	switch {
--- a/internal/registry/lessor.go
+++ b/internal/registry/lessor.go
@@ -15,7 +15,7 @@
 	expirationWindow    = 30 * time.Second
 
 	// maxClockStep limits the lease time that one AdvanceClock adds, even if it comes late. Agents can't renew while
-	// the leader is stalled, so a stall must not make their leases expire.
+	// the leader is stalled, so a stall must not use up more than this of their leases.
 	maxClockStep = 5 * time.Second
 )
 
@@ -24,13 +24,14 @@
 type lessor struct {
 	now               time.Duration   // lease time
 	recentExpirations []time.Duration // lease times of expirations within expirationWindow, oldest first
-	suspended         bool            // too many leases are overdue, and no instance is removed
+	suspended         bool            // too many leases are overdue, so none expires
 }
 
 // grant starts or renews an instance's lease for its full TTL.
 func (l *lessor) grant(instance *Instance) { instance.Deadline = l.now + instance.TTL }
 
-// restart renews all leases, because agents could not renew them while there was no leader.
+// restart renews all leases, because agents could not renew them while there was no leader. It forgets the recent
+// expirations and ends a suspension.
 func (l *lessor) restart(instances map[string]Instance) {
 	for id, instance := range instances {
 		l.grant(&instance)
--- a/internal/registry/raft_log.go
+++ b/internal/registry/raft_log.go
@@ -35,7 +35,7 @@
 	return log, nil
 }
 
-// checksum covers all stored fields of an entry except Extensions, which holds the checksum.
+// checksum covers the index, term, type and data of an entry. The entry's Extensions hold the checksum.
 func checksum(entry *raft.Log) []byte {
 	const prefixBytes = 8 + 8 + 1 // index, term, type
 	covered := make([]byte, 0, prefixBytes+len(entry.Data))
--- a/internal/registry/raft_transport.go
+++ b/internal/registry/raft_transport.go
@@ -16,8 +16,8 @@
 	maxPooledReplicaConns = 3           // per replica
 )
 
-// streamLayer opens raft's connections. Their source is the bound IP address, so that other replicas can tell which
-// replica calls.
+// streamLayer accepts and opens raft's connections. Those that it opens have the bound IP address as their source, unless
+// that is unspecified, so that other replicas can tell which replica calls.
 type streamLayer struct {
 	net.Listener
 	localIP   net.IP
--- a/internal/registry/scoped_list.go
+++ b/internal/registry/scoped_list.go
@@ -37,8 +37,8 @@
 }
 
 // newScopedView collects the input of a scoped list since a revision. The list will be complete if the revision is
-// negative, in the future or of another epoch, or if the history may lack changes of the scope after it. If all services
-// of the scope are unknown, the error is *UnknownServicesError.
+// negative, in the future or of another epoch, or if the history may lack changes of the scope after that revision. If
+// all services of the scope are unknown, the error is *UnknownServicesError.
 func (s *Store) newScopedView(scope *Scope, since int64) (*scopedView, error) {
 	view := &scopedView{scope: scope, revision: s.revision}
 	for _, name := range scope.Services {
--- a/internal/registry/serve.go
+++ b/internal/registry/serve.go
@@ -7,8 +7,8 @@
 	"net/http"
 )
 
-// Serve runs a replica until ctx ends or serving an address fails. newEpoch means that the data directory was restored
-// from an older copy: watchers then get the full list.
+// Serve runs a replica until ctx ends or serving an address fails. Set newEpoch if the data directory was restored from an
+// older copy. The replica then begins an epoch when it next becomes the leader, so that watchers get the full list.
 func Serve(ctx context.Context, c Config, newEpoch bool) error {
 	replica, err := Open(ReplicaConfig{ID: c.ID, RaftAddress: c.RaftAddress, RaftBindAddress: c.RaftBindAddress,
 		APIAddress: c.ListenAddress, DataDir: c.DataDir, InitialReplicas: c.InitialReplicas, NewEpoch: newEpoch})
--- a/internal/registry/server.go
+++ b/internal/registry/server.go
@@ -29,7 +29,7 @@
 	MaxAge     time.Duration // of a list that is served; 0 means 2 s
 }
 
-// Server serves the HTTP calls of nodes, agents and operators.
+// Server serves the HTTP calls of nodes, agents, operators and the other replicas.
 type Server struct {
 	replica *Replica
 	config  ServerConfig
@@ -37,7 +37,7 @@
 	watches       limiter
 	listResponses limiter
 	writes        limiter
-	scopedLists   limiter // being computed, at most one per core
+	scopedLists   limiter // scoped lists being computed, at most one per core
 	counters      counters
 }
 
@@ -133,7 +133,8 @@
 	return false
 }
 
-// checkAge rejects the call and returns false if this replica's list may be too old to serve.
+// checkAge rejects the call and returns false if this replica's list may be too old to serve. Otherwise it sets the header
+// with the age of the list.
 func (s *Server) checkAge(w http.ResponseWriter) bool {
 	age, known := s.replica.Age()
 	if !s.isFresh(age, known) {
--- a/internal/registry/service_index.go
+++ b/internal/registry/service_index.go
@@ -13,7 +13,7 @@
 type serviceIndex struct {
 	slots      slotTable
 	changes    []change // those in the history that affect the service, oldest first; elements are never overwritten
-	lastChange int64    // no later revision affected the service
+	lastChange int64    // no later revision affected the service; after a restore, it may be above the last change
 	view       *serviceView
 }
 
@@ -67,7 +67,8 @@
 	return len(index.changes) == 0 && index.slots.empty()
 }
 
-// restoreServiceIndexes builds the indexes for the instances and the history read from a snapshot.
+// restoreServiceIndexes builds the indexes for the instances and the history read from a snapshot. It returns an error if
+// a slot is out of range or used twice.
 func restoreServiceIndexes(instances map[string]Instance, h history) (serviceIndexes, error) {
 	indexes := make(serviceIndexes)
 	for id, instance := range instances {
--- a/internal/registry/slots.go
+++ b/internal/registry/slots.go
@@ -3,7 +3,8 @@
 import "container/heap"
 
 // slotTable assigns a slot to each instance of a service. A slot is a number that is unique within the service. An
-// instance gets the lowest free slot, so that a replacement takes the slot of the instance that it replaces.
+// instance gets the lowest free slot, so that a replacement takes the slot of the instance that it replaces, unless a
+// lower one is free.
 type slotTable struct {
 	ids  []string // by slot; empty where the slot is free
 	free slotHeap // free slots
--- a/internal/registry/snapshot.go
+++ b/internal/registry/snapshot.go
@@ -12,7 +12,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// ErrCorrupt is returned for a snapshot or raft log entry that is truncated, changed or not written by the registry.
+// ErrCorrupt is returned for a snapshot or raft log entry that is missing, truncated, changed, of an unsupported version or
+// not written by the registry.
 var ErrCorrupt = errors.New("corrupt data")
 
 // A snapshot consists of a magic string, a version, the length and the checksum of the image, and the image in CBOR. It
@@ -45,7 +46,8 @@
 	AppliedIndex      uint64              `cbor:"10,keyasint"`
 }
 
-// imageDecoder decodes images. It raises the library's limit on the pairs of a map, which is below maxInstances.
+// imageDecoder decodes images. It raises the library's limit on the pairs of a map, because the default is below
+// maxInstances.
 var imageDecoder = func() cbor.DecMode {
 	mode, err := cbor.DecOptions{MaxMapPairs: maxInstances}.DecMode()
 	if err != nil {
@@ -114,7 +116,7 @@
 	return binary.BigEndian.AppendUint64(header, xxhash.Sum64(image))
 }
 
-// ReadSnapshot reads a store that WriteSnapshot wrote. The error is ErrCorrupt for any other data.
+// ReadSnapshot reads a store that WriteSnapshot wrote. The error is ErrCorrupt for any other data, and if r fails.
 func ReadSnapshot(r io.Reader) (*Store, error) {
 	raw, err := readImage(r)
 	if err != nil {
--- a/internal/registry/store.go
+++ b/internal/registry/store.go
@@ -175,7 +175,8 @@
 	return s.revision
 }
 
-// compact drops the oldest changes. Watches at a revision below the given one then need the full list.
+// compact drops the oldest changes. Watches at a revision below the given one then need the full list; scoped watches need
+// their whole scope only if one of its services changed since their revision, or is unknown now.
 func (s *Store) compact(count int, revision int64) {
 	dropped := s.history.compact(count, revision)
 	s.services.compact(dropped, revision)
--- a/internal/registry/watchable_store.go
+++ b/internal/registry/watchable_store.go
@@ -19,8 +19,8 @@
 	store         *Store
 	changed       chan struct{}    // closed at the next notification
 	scoped        watcherGroup     // watches of scoped lists
-	notification  *time.Timer      // pending; nil if there is none
-	encoded       map[int64][]byte // encoded lists by the revision at which they begin
+	notification  *time.Timer      // timer of the pending notification; nil if there is none
+	encoded       map[int64][]byte // encoded lists by the revision since which they hold changes; negative for the full list
 	onIndexChange func(appliedIndex uint64)
 }
 
@@ -92,7 +92,8 @@
 	w.scoped.notify()
 }
 
-// close cancels a pending notification. Raft must be shut down already, so that no further one is scheduled.
+// close cancels a pending notification. Raft must be shut down already, so that no further notification
+// is scheduled.
 func (w *watchableStore) close() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -121,8 +122,8 @@
 	}
 }
 
-// encodedList returns the list since a revision, encoded once for all callers, and the epoch. If nothing changed after
-// that revision, and evenIfUnchanged is not set, raw is nil.
+// encodedList returns the list since a revision and the epoch. The list is encoded once for all callers, unless
+// maxEncodedLists others are cached. If nothing changed after that revision, and evenIfUnchanged is not set, raw is nil.
 func (w *watchableStore) encodedList(since int64, evenIfUnchanged bool) (raw []byte, epoch int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/registry/watcher_group.go
+++ b/internal/registry/watcher_group.go
@@ -5,7 +5,7 @@
 type watcherGroup struct {
 	byService  map[string]map[*watcher]bool
 	changed    map[string]bool // services that changed since the last notify
-	allChanged bool            // all services changed
+	allChanged bool            // all services count as changed since the last notify
 }
 
 // watcher is one waiting watch.
@@ -48,7 +48,8 @@
 	}
 }
 
-// markAllChanged marks all services, after the whole state was replaced.
+// markAllChanged marks all services. It is called if the affected services aren't known: after the store was replaced, in a
+// new epoch, or after more changes than the history holds.
 func (g *watcherGroup) markAllChanged() { g.allChanged = true }
 
 // notify wakes the watches of the marked services and clears the marks. It doesn't block.
--- a/internal/registry/wire.go
+++ b/internal/registry/wire.go
@@ -79,7 +79,7 @@
 	Phase string `json:"phase"`
 }
 
-// replicaBody is the body of a PUT of a replica. It is an alias for the same reason.
+// replicaBody is the body of a PUT of a replica. It is an alias for the same reason as phaseBody.
 type replicaBody = struct {
 	RaftAddress string `json:"raft"`
 	APIAddress  string `json:"calls"`
@@ -113,7 +113,7 @@
 	Epoch              int64           `json:"epoch"`
 	Revision           int64           `json:"revision"`
 	Instances          int             `json:"instances"`
-	ExpirySuspended    bool            `json:"leases_held"` // too many leases expire at once, and no instance is removed
+	ExpirySuspended    bool            `json:"leases_held"` // too many leases are overdue at once, so none expires
 	AgeMs              int64           `json:"age_ms"`      // -1 if unknown; no list is then served
 	Watches            int64           `json:"watches"`     // waiting now
 	Lists              uint64          `json:"lists"`
--- a/internal/subset/circle.go
+++ b/internal/subset/circle.go
@@ -24,7 +24,7 @@
 	zone int
 }
 
-// cell is an arc of the circle whose servers are spaced evenly.
+// cell is an arc of the circle whose servers are spaced evenly: each has an interval of the same length.
 type cell struct {
 	start  uint64 // in units of 2^-64 of the circle
 	length uint64 // in the same units; 0 means the whole circle
--- a/internal/subset/client.go
+++ b/internal/subset/client.go
@@ -10,9 +10,9 @@
 	maxCellToLoadRatio = 4
 )
 
-// clientCellSize returns the maximum number of clients in a client cell, a power of two. Below maxClientsPerCell it is
-// proportional to the mean number of clients per server: with few clients per server, loads can't be even, so larger
-// cells aren't worth the moves.
+// clientCellSize returns the maximum number of clients in a client cell: a power of two, at least 1. Below
+// maxClientsPerCell it is roughly proportional to the mean number of clients per server, because with few clients per
+// server loads can't be even, and larger cells aren't worth the moves.
 func clientCellSize(clients, servers, size int) uint64 {
 	high, low := bits.Mul64(uint64(clients), uint64(maxCellToLoadRatio*size))
 	if high > 0 {
@@ -27,7 +27,8 @@
 
 // clientPoint returns the client's point on the circle, in units of 2^-64 of the circle. The lowest bit of the position
 // selects the half of the circle, the next bit the quarter and so on (the van der Corput sequence), down to client
-// cells of at most maxCellSize clients. Within a client cell, the clients are spaced evenly.
+// cells of at most maxCellSize clients. Within a client cell, the clients are spaced evenly. The client must be
+// normalized.
 func clientPoint(client Client, maxCellSize uint64) uint64 {
 	count, position := uint64(client.Count), uint64(client.Position)
 	var depth uint
--- a/internal/subset/compare_test.go
+++ b/internal/subset/compare_test.go
@@ -13,7 +13,7 @@
 	"github.com/jedib0t/go-pretty/v6/table"
 )
 
-// algorithm is a way to choose subsets. The other algorithms than this package's are implemented here from published
+// algorithm is a way to choose subsets. All algorithms but this package's are implemented here from published
 // descriptions, for the comparison alone.
 type algorithm struct {
 	name   string
@@ -166,7 +166,7 @@
 }
 
 // measureChanges applies each kind of change to the same fleet and returns the ratios of moved pairs. Changes of servers
-// are tried for several servers, and the ratio is that of the sums.
+// are tried for several servers; their ratio is the sum of the moved pairs divided by the sum of the minimums.
 func measureChanges(assign func(fleet) assignment, f fleet) moveRatios {
 	const trials = 3
 	random := rand.New(rand.NewPCG(1, 1))
--- a/internal/subset/ring.go
+++ b/internal/subset/ring.go
@@ -12,10 +12,11 @@
 	size int
 	all  []Server // in ID order
 
-	zoneCounts []int
+	zoneCounts []int // number of servers by number of the zone; nil if every client gets all servers or none
 
 	// If one zone dominates, so that runs over all servers would often miss the other zones, servers holds that zone and
-	// others holds the rest. Otherwise servers holds all, and others is nil.
+	// others holds the rest. Otherwise servers holds all, and others is nil. Both are nil if every client gets all servers
+	// or none.
 	servers, others *circle
 }
 
@@ -176,7 +177,8 @@
 	}
 }
 
-// minOutside returns the minimum number of servers outside of the zone in each subset.
+// minOutside returns the minimum number of servers outside of the zone in each subset, by outsideDivisor. It is at least 1
+// if there are any servers outside, but at most half of the subset.
 func (ring *Ring) minOutside(zone int) int {
 	total := len(ring.all)
 	outside := total - ring.zoneCounts[zone]
@@ -186,8 +188,8 @@
 	return min(max(1, ring.size*outside/(outsideDivisor*total)), ring.size/2)
 }
 
-// replaceSurplus replaces servers of the zone in chosen, from the end and surplus in number, with servers of other zones
-// at index next or later.
+// replaceSurplus replaces servers of the zone in chosen, the last ones first, with servers of other zones that it takes
+// from index next on. surplus is the number of servers to replace.
 func (ring *Ring) replaceSurplus(chosen []member, next, zone, surplus int) {
 	servers := ring.servers.servers
 	for i := len(chosen) - 1; surplus > 0; i-- {
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -13,7 +13,8 @@
 	Slot     int
 }
 
-// Client is a node that connects to a subset of a service's servers: number Position, from 0, of Count clients.
+// Client is a node that connects to a subset of a service's servers. It is number Position, counted from 0, of Count
+// clients.
 type Client struct {
 	Position, Count int
 	Zone            string
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -215,8 +215,8 @@
 
 // TestChangeMovesFewPairs limits the client-server pairs moved by one change while the slots in use are consecutive. The
 // minimum possible is one pair for each client of an added or removed server, and one subset for an added or removed
-// client. A cell that is split or merged adds up to a quarter of its pairs and a subset; a change of clientCellSize adds
-// up to a quarter of all pairs.
+// client. The limit is maxMoveRatio times the minimum for servers, and one subset more for clients. A cell that is split
+// or merged adds up to a quarter of its pairs and a subset; a change of clientCellSize adds up to a quarter of all pairs.
 func TestChangeMovesFewPairs(t *testing.T) {
 	const maxMoveRatio = 5
 	rapid.Check(t, func(t *rapid.T) {
