--- a/internal/membership/agent.go
+++ b/internal/membership/agent.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	bindRetryDelay = 50 * time.Millisecond  // until the next start: in a hot restart, the other process may still be bound
+	bindRetryDelay = 50 * time.Millisecond  // after a failed start: in a hot restart, the other process may hold the sockets
 	leaveTimeout   = 500 * time.Millisecond // for each of the two announcements by gossip
 	updateTimeout  = 500 * time.Millisecond // bounds the goroutine that announces a new incarnation
 )
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -63,7 +63,7 @@
 	return cost
 }
 
-// A fleet in virtual time joins, costs little while idle, detects a death in time, and heals after a partition.
+// A fleet in virtual time joins, sends little while idle, detects a death in time, and heals after a partition.
 func TestVirtualFleet(t *testing.T) {
 	n := *fleetSize
 	synctest.Test(t, func(t *testing.T) {
--- a/internal/membership/doc.go
+++ b/internal/membership/doc.go
@@ -1,4 +1,4 @@
-// Package membership tracks which nodes of a fleet are present, suspected, dead or have left. Nodes gossip with the
+// Package membership tracks which nodes of a fleet are alive, suspected or dead, or have left. Nodes gossip with the
 // SWIM protocol and Lifeguard's suspicion timeouts, as implemented by hashicorp/memberlist; no other package uses that
 // library. Package policy derives quotas from the views.
 //
--- a/internal/membership/join.go
+++ b/internal/membership/join.go
@@ -19,7 +19,7 @@
 	lossyExchangeMultiplier   = 3                     // multiplies the mean interval while loss is high: see take
 )
 
-// joinAndExchange joins one absent peer, a dead member or a seed, because gossip alone can't merge two parts of a fleet
+// joinAndExchange joins one absent peer (a dead member or a seed), because gossip alone can't merge two parts of a fleet
 // that were partitioned or started separately. If an exchange is due, it also exchanges full states with a present
 // member, because a gossiped update may have missed some members.
 func (a *Agent) joinAndExchange(list *memberlist.Memberlist) {
--- a/internal/membership/probe_loss.go
+++ b/internal/membership/probe_loss.go
@@ -12,8 +12,8 @@
 )
 
 // probeLoss estimates the fraction of this node's direct probes that go unanswered. It also sends the transport's
-// datagrams, each of them twice while the estimate is high. It then takes more lost datagrams for a probe to fail, or for
-// a refutation to arrive only after the suspicion has timed out. The methods may be called from any goroutine.
+// datagrams, each of them twice while the estimate is high. More datagrams must then be lost before a probe fails, or before
+// a refutation arrives too late, after the suspicion has timed out. The methods may be called from any goroutine.
 type probeLoss struct {
 	mu   sync.Mutex
 	rate float64 // moving average of lost (1) and answered (0) probes
--- a/internal/membership/protocol.go
+++ b/internal/membership/protocol.go
@@ -15,7 +15,7 @@
 
 	gossipInterval     = 100 * time.Millisecond // between gossip rounds while there are updates to send
 	gossipFanout       = 3                      // members that receive the updates in each round
-	gossipToDeadPeriod = time.Minute            // a dead member still receives updates for this long, so that it can refute
+	gossipToDeadPeriod = time.Minute            // how long a dead member still receives updates, to refute its death
 
 	suspicionMultiplier           = 4 // minimum timeout: this * max(1, log10(members)) probe intervals
 	suspicionMaxTimeoutMultiplier = 5 // maximum timeout, while no member confirms: this * the minimum
--- a/internal/registry/agent.go
+++ b/internal/registry/agent.go
@@ -19,10 +19,10 @@
 	TTL      time.Duration
 }
 
-// Run registers the endpoint and renews its lease until ctx ends. It then sets the endpoint's phase to draining, waits
-// for the duration drain, deregisters the endpoint, and returns the errors of these two calls. Before that, Run registers
-// again if the lease is lost, and retries calls that fail. It returns early only if the registry rejects the endpoint as
-// invalid; the error is then a StatusError.
+// Run registers the endpoint and renews its lease until ctx ends. If the lease is lost, it registers the endpoint again.
+// It retries calls that fail, and returns early only if the registry rejects a call as invalid (status 400); the error is
+// then a StatusError. When ctx ends, Run sets the endpoint's phase to draining, waits for the duration drain, deregisters
+// the endpoint, and returns the errors of the last two calls.
 func (a *Agent) Run(ctx context.Context, drain time.Duration) error {
 	registered := false
 	wait := time.Duration(0)
--- a/internal/registry/command.go
+++ b/internal/registry/command.go
@@ -17,7 +17,7 @@
 // CommandKind selects what a command does. Its values are stored in the raft log.
 type CommandKind uint8
 
-// The kinds of commands, with the fields that each uses.
+// The kinds of commands, with the fields that each uses. RequestID applies to all kinds, IfMatch to the first four.
 const (
 	RegisterInstance   CommandKind = iota + 1 // Endpoint, TTL: add or replace an instance, with a new lease
 	RenewLease                                // ID
--- a/internal/registry/config.go
+++ b/internal/registry/config.go
@@ -22,7 +22,7 @@
 	AdminAddress    string            `toml:"control"` // for health and metrics; if empty, neither is served
 	DataDir         string            `toml:"folder"`
 	MaxWatches      int               `toml:"watches"` // maximum number of concurrent watches; 0 means 4,096
-	InitialReplicas map[string]string `toml:"peers"`   // RaftAddress of the initial replicas by ID; empty if added later
+	InitialReplicas map[string]string `toml:"peers"`   // initial RaftAddresses by ID; empty if this replica is added later
 }
 
 // DefaultConfig returns the configuration of a single replica on this machine.
@@ -31,7 +31,7 @@
 		DataDir: "registry-r0", InitialReplicas: map[string]string{"r0": "127.0.0.1:8501"}}
 }
 
-// LoadConfig reads a TOML file and rejects unknown keys. Errors name the file and, if one is at fault, the key or its line.
+// LoadConfig reads a TOML file and rejects unknown keys. Errors name the file and, where known, the line and the key.
 func LoadConfig(path string) (Config, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/registry/endpoint.go
+++ b/internal/registry/endpoint.go
@@ -33,7 +33,7 @@
 }
 
 // EndpointList is the full list or, for a scoped call, the part in the scope. If Complete is false, it holds only the
-// changes since the revision in a watch call.
+// changes since the revision that the watch call named.
 type EndpointList struct {
 	Revision  int64      `json:"revision"`
 	Complete  bool       `json:"complete"`
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -103,8 +103,8 @@
 	}
 }
 
-// TestGoldenSnapshot compares a snapshot with several instances. It sorts the keys of maps, which are written in any
-// order.
+// TestGoldenSnapshot compares a snapshot of several instances with a golden file. It sorts the keys of maps, which are
+// written in any order.
 func TestGoldenSnapshot(t *testing.T) {
 	s := goldenStore()
 	var encoded bytes.Buffer
@@ -122,7 +122,8 @@
 	}
 }
 
-// TestGoldenSnapshotBytes compares a snapshot byte for byte. Its maps have one key each, so that the order is fixed.
+// TestGoldenSnapshotBytes compares a snapshot with a golden file byte for byte. The snapshot's maps have one key each, so
+// that the order is fixed.
 func TestGoldenSnapshotBytes(t *testing.T) {
 	s := goldenStore()
 	for _, id := range []string{"s0", "s1"} {
--- a/internal/registry/service_view.go
+++ b/internal/registry/service_view.go
@@ -56,8 +56,8 @@
 	return v.cachedRings(ringsKey{subsetSize: subsetSize}, func() subsetServers { return v.servers })
 }
 
-// previousRings returns the rings of the servers as they were before some changes. All watchers that lack the same changes
-// share the rings.
+// previousRings returns the rings of the servers as they were before the given changes. All watchers that lack the same
+// changes share the rings.
 func (v *serviceView) previousRings(subsetSize int, changes []change, previous func() subsetServers) *subsetRings {
 	return v.cachedRings(ringsKey{subsetSize: subsetSize, firstChange: changes[0].Revision}, previous)
 }
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -127,7 +127,7 @@
 	copied := *s
 	s.Apply(registerCommandFor("b", DefaultTTL))
 	if l, _ := s.ChangesSince(oldRevision); l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].ID != "b" {
-		t.Errorf("changes after the registration of a: got %+v, want b alone", l)
+		t.Errorf("changes after instance a was registered: got %+v, want b alone", l)
 	}
 	if l, changed := s.ChangesSince(s.revision + 5); !changed || !l.Complete {
 		t.Errorf("watch at a future revision: got %+v, want the full list", l)
--- a/internal/registry/watchable_store.go
+++ b/internal/registry/watchable_store.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// encodedList returns the list since a revision and the epoch. The list is encoded once for all callers, unless
+// encodedList returns the encoded list since a revision, and the epoch. The list is encoded once for all callers, unless
 // maxEncodedLists others are cached. If nothing changed after that revision, and evenIfUnchanged is not set, raw is nil.
 func (w *watchableStore) encodedList(since int64, evenIfUnchanged bool) (raw []byte, epoch int64) {
 	w.mu.Lock()
--- a/internal/subset/circle.go
+++ b/internal/subset/circle.go
@@ -41,8 +41,7 @@
 	// but move more clients when one of their servers changes.
 	maxSubsetsPerCell = 4
 
-	// minCellLimit is the number of servers that a cell may hold even if subsets are smaller than
-	// minCellLimit/maxSubsetsPerCell.
+	// minCellLimit is the number of servers that a cell may hold however small the subsets are.
 	minCellLimit = 64
 
 	// The halves of an arc with count servers get the same length if their counts differ by at most
@@ -53,7 +52,7 @@
 	keyBits = 64
 )
 
-// newCircle arranges the servers for subsets of runLength servers. It takes over the slice and reorders it.
+// newCircle arranges the servers for runs of runLength servers. It takes over the slice and reorders it.
 func newCircle(servers []member, runLength int) *circle {
 	slices.SortFunc(servers, func(a, b member) int {
 		return cmp.Or(cmp.Compare(a.key(), b.key()), cmp.Compare(a.Slot, b.Slot), cmp.Compare(a.ID, b.ID))
@@ -90,7 +89,7 @@
 }
 
 // lowerHalfWeight returns the length of the lower half of an arc, in units of 1/(2*count) of the arc's length. The arc
-// holds count servers, and its lower half holds the number lower of them.
+// holds count servers; lower is the number of them in its lower half.
 func lowerHalfWeight(lower, count int) uint64 {
 	tolerated := toleratedImbalance + count/imbalanceDivisor
 	switch imbalance := 2*lower - count; {
--- a/internal/subset/measure_test.go
+++ b/internal/subset/measure_test.go
@@ -20,7 +20,7 @@
 // its clients.
 type loadStats struct {
 	maxLoad, minLoad  float64 // load of the most and the least loaded server, as multiples of the mean
-	minClients        int     // the lowest number of subsets that contain a server
+	minClients        int     // number of clients of the server that has the fewest
 	minOutsideShare   float64 // the smallest fraction of a subset outside of a zone, over all clients and zones
 	singleZoneClients int     // clients whose servers are all in one zone
 }
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestMinSubsetsPerServer checks the minimum number of subsets that contain a server, for sizes of at least 10: 0.8 times
-// the mean, minus one for rounding.
+// TestMinSubsetsPerServer checks that, for sizes of at least 10, each server is in at least 0.8 times the mean number of
+// subsets, minus one for rounding.
 func TestMinSubsetsPerServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := drawFleet(t, rapid.SampledFrom([]layout{inTurn(3), atRandom(20), uneven(5), mostIn(90)}).Draw(t, "zones"))
