--- a/policy/admission.go
+++ b/policy/admission.go
@@ -119,7 +119,7 @@
 // dropRefilled examines the next few buckets, and drops those that would be full by now even if they had been
 // empty. It then shrinks the table if few buckets are left.
 func (l *rateLimiter) dropRefilled(now Time) {
-	for range bucketsPerSweep {
+	for range bucketsPerAdmission {
 		bucket := l.buckets.current()
 		if bucket == nil {
 			return
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -78,7 +78,7 @@
 // moveLimit moves a learned limit by a step, down to lowest at most. If the limit is under one, the step is
 // multiplied by it. So a limit of any size settles at the same fraction of slow responses.
 func (s *server) moveLimit(step, lowest float64) {
-	s.limitReached = s.limitReached || step < 0
+	s.limitObserved = s.limitObserved || step < 0
 	s.concurrencyLimit = max(lowest, s.concurrencyLimit+step*min(1, s.concurrencyLimit))
 }
 
@@ -91,6 +91,6 @@
 	case TimedOut: // the server likely still works on it, though this node no longer counts it as in flight
 		s.busyUntil = now + latency
 	}
-	s.limitReached = true
+	s.limitObserved = true
 	s.concurrencyLimit = max(minLimitScale, s.concurrencyLimit*(1-failureDecrease*failureWeight))
 }
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -38,10 +38,11 @@
 		{0.3, -1, 0.25},
 	} {
 		s := &server{concurrencyLimit: c.limit}
-		if s.moveLimit(c.step, 0.25); math.Abs(s.concurrencyLimit-c.want) > 1e-9 || s.limitReached != (c.step < 0) {
-			t.Errorf("limit %v moved by %v: got %v, want %v; limitReached: got %v, want true if moved down",
+		if s.moveLimit(c.step, 0.25); math.Abs(s.concurrencyLimit-c.want) > 1e-9 ||
+			s.limitObserved != (c.step < 0) {
+			t.Errorf("limit %v moved by %v: got %v, want %v; limitObserved: got %v, want true if moved down",
 				c.limit, c.step, s.concurrencyLimit,
-				c.want, s.limitReached)
+				c.want, s.limitObserved)
 		}
 	}
 }
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -106,7 +106,7 @@
 		s = b.newServer()
 		b.servers[endpoint.ID] = s
 	}
-	zone := b.zones.find(endpoint.Zone)
+	zone := b.zones.findOrCreate(endpoint.Zone)
 	if s.Endpoint != endpoint || s.zone != zone {
 		b.packing.changed = append(b.packing.changed, s)
 	}
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -59,7 +59,7 @@
 			}
 			b.Handle(ms+grace/2, Timer{Token: retainTimerToken})
 			b.Handle(time.Second+grace, EndpointList{Kind: ListReplace, Endpoints: all})
-			if got := b.zones.find("a").recovering; got != c.wantRecovering {
+			if got := b.zones.findOrCreate("a").recovering; got != c.wantRecovering {
 				t.Errorf("zone recovering after its servers are listed again: got %v, want %v", got, c.wantRecovering)
 			}
 		})
@@ -76,7 +76,7 @@
 	b.Handle(ms, changedList(all, ListUpdate, 4, Removed))
 	b.Handle(2*ms, EndpointList{Kind: ListReplace, Endpoints: all})
 	b.Handle(ms+set.Rules.DrainGrace, Timer{Token: retainTimerToken})
-	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zones.find("a").recovering {
+	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zones.findOrCreate("a").recovering {
 		t.Error("server a0, listed again in time: want it with limit 7, in a zone that isn't recovering")
 	}
 }
--- a/policy/load_reports.go
+++ b/policy/load_reports.go
@@ -100,7 +100,7 @@
 		sample := serverLoad{rate: report.rate / report.utilization, latency: report.latency}
 		l.recordServiceRate(s, sample, warmedUp)
 	}
-	s.reportedLatency, s.reportedAt, s.limitReached = report.latency, now, true
+	s.reportedLatency, s.reportedAt, s.limitObserved = report.latency, now, true
 }
 
 // recordServiceRate updates the service rate of a server. Only samples of warmed-up servers count in the
--- a/policy/overcommit_test.go
+++ b/policy/overcommit_test.go
@@ -11,7 +11,7 @@
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
 	b := startBalancer(t, set, testEndpoints(2))
 	for _, s := range b.order() {
-		s.concurrencyLimit, s.limitReached, s.inFlight = 10, true, 12
+		s.concurrencyLimit, s.limitObserved, s.inFlight = 10, true, 12
 	}
 	if sent := actionsOf(b.Handle(ms, newRequest("low", "free")), Send); len(sent) != 0 {
 		t.Errorf("a request of the lowest priority is sent beyond the limit: %+v", sent)
--- a/policy/packing_order.go
+++ b/policy/packing_order.go
@@ -138,7 +138,7 @@
 	b.packing.reset(b.classesInUse(), newWalkOffset(b.settings.NodeIndex, b.isLargeFleet()))
 	for _, id := range slices.Sorted(maps.Keys(b.servers)) {
 		s := b.servers[id]
-		if s.zone = b.zones.find(s.Zone); s.Availability == Running {
+		if s.zone = b.zones.findOrCreate(s.Zone); s.Availability == Running {
 			b.addToService(s)
 		}
 		b.countUnavailable(s)
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -30,7 +30,7 @@
 func TestQueuedRequestMovesTheRateMultiplierOnce(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(1))
 	s := b.order()[0]
-	s.concurrencyLimit, s.limitReached, s.inFlight = 1, true, 3
+	s.concurrencyLimit, s.limitObserved, s.inFlight = 1, true, 3
 	b.Handle(ms, newRequest("x", "free"))
 	before := b.rateMultiplier.value
 	for now := 2 * ms; now < 80*ms; now += queuePollInterval {
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -18,7 +18,7 @@
 // that age still does.
 type retryBudget struct {
 	limits     RetryBudget
-	acceptedAt []Time // times of the requests received within the window, oldest first
+	receivedAt []Time // times of the requests received within the window, oldest first
 	retriesAt  []Time // times of the retries within the window, oldest first
 }
 
@@ -31,7 +31,7 @@
 
 // recordRequest counts a request that the node received, whether it is rejected or not.
 func (r *retryBudget) recordRequest(now Time) {
-	r.acceptedAt = append(r.acceptedAt, now)
+	r.receivedAt = append(r.receivedAt, now)
 	r.trim(now)
 }
 
@@ -54,14 +54,14 @@
 
 // limit returns the number that the retries in the current window must stay below.
 func (r *retryBudget) limit() float64 {
-	return r.limits.MinRetries + r.limits.RetryRatio*float64(len(r.acceptedAt))
+	return r.limits.MinRetries + r.limits.RetryRatio*float64(len(r.receivedAt))
 }
 
 // trim drops the entries that have left the window.
 func (r *retryBudget) trim(now Time) {
 	start := now - r.limits.Window
-	for len(r.acceptedAt) > 0 && r.acceptedAt[0] <= start {
-		r.acceptedAt = r.acceptedAt[1:]
+	for len(r.receivedAt) > 0 && r.receivedAt[0] <= start {
+		r.receivedAt = r.receivedAt[1:]
 	}
 	for len(r.retriesAt) > 0 && r.retriesAt[0] < start {
 		r.retriesAt = r.retriesAt[1:]
--- a/policy/retry_budget_test.go
+++ b/policy/retry_budget_test.go
@@ -25,7 +25,7 @@
 	if got := retries(ms, 0, 4); got > 4 { // the minimum of 2, and half of 4 requests
 		t.Errorf("retries for 4 requests: got %d, want at most 4", got)
 	}
-	b.retryBudget.retriesAt, b.retryBudget.acceptedAt = nil, []Time{0, 1, 2, 3}
+	b.retryBudget.retriesAt, b.retryBudget.receivedAt = nil, []Time{0, 1, 2, 3}
 	b.now = 500 * ms
 	for n := range 10 {
 		if allowed := b.mayRetry(); allowed != (n < 3) { // the retries must stay below the limit of 4
@@ -41,7 +41,7 @@
 		t.Error("a retry beyond the minimum is allowed, though the requests have left the window")
 	}
 	b.now = 2 * time.Second
-	if !b.mayRetry() || len(b.retryBudget.retriesAt)+len(b.retryBudget.acceptedAt) != 0 {
+	if !b.mayRetry() || len(b.retryBudget.retriesAt)+len(b.retryBudget.receivedAt) != 0 {
 		t.Error("after the window has passed: want a retry to be allowed and no entries to be left")
 	}
 }
@@ -56,9 +56,9 @@
 		s := sentTo(t, b.Handle(now, newRequest(id, "free")))
 		b.Handle(now+ms, outcome(id, 0, s, OK, ms))
 	}
-	if limit := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.retryBudget.acceptedAt) > limit {
+	if limit := int(defaultRetryBudget.Window.Seconds())*perSecond + 1; len(b.retryBudget.receivedAt) > limit {
 		t.Errorf("requests that the budget counts: got %d, want at most the %d within its window",
-			len(b.retryBudget.acceptedAt), limit)
+			len(b.retryBudget.receivedAt), limit)
 	}
 }
 
--- a/policy/server.go
+++ b/policy/server.go
@@ -3,7 +3,7 @@
 // server holds the state of one server, listed or retained, as this node sees it. Most fields are written by
 // one mechanism, and restored by snapshot.go. But concurrencyLimit is initialized by packing_order.go,
 // adjusted by concurrency_limit.go and load_reports.go, and reset after an ejection by outlier_detection.go.
-// limitReached is set by concurrency_limit.go and load_reports.go. attempts.go updates meanLatency.
+// limitObserved is set by concurrency_limit.go and load_reports.go. attempts.go updates meanLatency.
 type server struct {
 	Endpoint
 	zone         *zoneHealth // nil if the settings name no topology
@@ -19,7 +19,7 @@
 	// concurrencyLimit is how many attempts this node may have in flight at the server before the server is
 	// overcommitted. If usesLoadReports, it is the fraction (0 to 1) of the fair limit instead.
 	concurrencyLimit float64
-	limitReached     bool    // a failure, a slow response or a load report has adjusted the initial limit
+	limitObserved    bool    // a failure, a slow response or a load report has adjusted the initial limit
 	meanLatency      float64 // moving average of the latency of OK and timed-out attempts, in seconds
 	busyUntil        Time    // when it has likely ended a timed-out attempt; set only if usesLoadReports
 
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -39,9 +39,9 @@
 	}
 	b.window.capacityWanted = true
 	if fallback != nil && max(windowOvercommit, b.serverOvercommit(fallback)) > maxOvercommit {
-		return nil, !fallback.limitReached
+		return nil, !fallback.limitObserved
 	}
-	return fallback, fallback != nil && !fallback.limitReached
+	return fallback, fallback != nil && !fallback.limitObserved
 }
 
 // isLessOvercommitted reports whether to prefer a server to an earlier one in the walk. Crossing to a zone at
@@ -53,15 +53,15 @@
 
 // isUsable reports whether a request may be sent to a server now, apart from the server's concurrency limit.
 func (b *Balancer) isUsable(r *request, s *server) bool {
-	return !s.outlier.ejected && !s.zone.isClosed() && r.mayRunOn(s, b.now) && b.answersInTime(r, s) &&
+	return !s.outlier.ejected && !s.zone.isClosed() && r.mayRunOn(s, b.now) && b.respondsInTime(r, s) &&
 		b.refillWarmupBudget(s)
 }
 
-// answersInTime reports whether a server is likely to respond to a request while the response is useful.
+// respondsInTime reports whether a server is likely to respond to a request while the response is useful.
 // Servers that are warming up or overloaded take several times as long as others. The older a load report,
 // the less its latency counts. If limits aren't based on load reports, or there are none from servers of the
-// same kind, answersInTime is true.
-func (b *Balancer) answersInTime(r *request, s *server) bool {
+// same kind, respondsInTime is true.
+func (b *Balancer) respondsInTime(r *request, s *server) bool {
 	kind := b.loads.byKind[s.Kind]
 	if kind == nil || !b.usesLoadReports() {
 		return true
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -16,22 +16,22 @@
 	reportLoad(b, s, 5, report(50, 0.5, 10))
 	short := &request{class: b.classes.ordered[0], usefulUntil: b.now + 200*ms}
 	long := &request{class: b.classes.ordered[0], usefulUntil: b.now + 2000*ms}
-	if !b.answersInTime(short, s) {
-		t.Fatal("answersInTime is false for a fast server")
+	if !b.respondsInTime(short, s) {
+		t.Fatal("respondsInTime is false for a fast server")
 	}
 	reportLoad(b, s, 1, report(400, 0.9, 10))
-	if b.answersInTime(short, s) || !b.answersInTime(long, s) {
+	if b.respondsInTime(short, s) || !b.respondsInTime(long, s) {
 		t.Errorf("slow server answers in time: got %v within 200 ms and %v within 2 s, want false and true",
-			b.answersInTime(short, s), b.answersInTime(long, s))
+			b.respondsInTime(short, s), b.respondsInTime(long, s))
 	}
 	b.now += 10 * reportDecayTime
 	short.usefulUntil = b.now + 200*ms
-	if !b.answersInTime(short, s) {
-		t.Error("answersInTime is still false long after one slow report")
+	if !b.respondsInTime(short, s) {
+		t.Error("respondsInTime is still false long after one slow report")
 	}
 	s.StartedAt = b.now
-	if b.answersInTime(short, s) {
-		t.Error("answersInTime is true for a server that has just started")
+	if b.respondsInTime(short, s) {
+		t.Error("respondsInTime is true for a server that has just started")
 	}
 }
 
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -111,7 +111,7 @@
 		Classes: make(map[string]ClassSnapshot), Servers: make(map[string]ServerSnapshot),
 		LoadByKind:       make(map[string]LoadSnapshot),
 		TypicalLoad:      b.loads.typicalLoad.snapshot(),
-		AcceptedAt:       convertTimes(b.retryBudget.acceptedAt, clock.toSnapshot),
+		AcceptedAt:       convertTimes(b.retryBudget.receivedAt, clock.toSnapshot),
 		RetriesAt:        convertTimes(b.retryBudget.retriesAt, clock.toSnapshot),
 		RateMultiplier:   b.rateMultiplier.value,
 		WindowScale:      b.window.scale,
@@ -139,7 +139,7 @@
 	b.now = max(now, b.now)
 	clock := snapshotClock{b.now}
 	b.rateLimiter.restore(clock, snapshot.Buckets)
-	b.retryBudget.acceptedAt = convertTimes(snapshot.AcceptedAt, clock.fromSnapshot)
+	b.retryBudget.receivedAt = convertTimes(snapshot.AcceptedAt, clock.fromSnapshot)
 	b.retryBudget.retriesAt = convertTimes(snapshot.RetriesAt, clock.fromSnapshot)
 	b.rateMultiplier.value, b.rateMultiplier.badRatio = snapshot.RateMultiplier, snapshot.BadRatio
 	b.loads.typicalLoad = snapshot.TypicalLoad.restore()
@@ -198,7 +198,7 @@
 		ReportedRate:     s.reportedRate,
 		FailureScore:     s.outlier.failureScore,
 		WarmupTokens:     s.warmupBudget.tokens,
-		LimitReached:     s.limitReached,
+		LimitReached:     s.limitObserved,
 		Ejected:          s.outlier.ejected,
 		Ejections:        s.outlier.ejections,
 		BusyUntil:        clock.toSnapshot(s.busyUntil),
@@ -215,7 +215,7 @@
 	if (s.StartedAt - clock.fromSnapshot(known.StartedAt)).Abs() > startTimeTolerance {
 		return
 	}
-	s.concurrencyLimit, s.limitReached = known.ConcurrencyLimit, known.LimitReached
+	s.concurrencyLimit, s.limitObserved = known.ConcurrencyLimit, known.LimitReached
 	s.meanLatency, s.busyUntil = known.MeanLatency, clock.fromSnapshot(known.BusyUntil)
 	s.reportedLatency, s.reportedRate = known.ReportedLatency, known.ReportedRate
 	s.reportedAt = clock.fromSnapshot(known.ReportedAt)
--- a/policy/token_buckets.go
+++ b/policy/token_buckets.go
@@ -10,8 +10,8 @@
 	// maxBuckets limits the memory that clients can use up by inventing tenants. Once there are this many
 	// buckets, including those of tenants with a quota, new tenants without a quota share one.
 	maxBuckets = 4096
-	// bucketsPerSweep is how many buckets each admission examines, to drop those that would be full by now.
-	bucketsPerSweep = 2
+	// bucketsPerAdmission is how many buckets each admission examines, to drop those that would be full by now.
+	bucketsPerAdmission = 2
 	// minBucketsToShrink and bucketShrinkRatio determine when the map of buckets is rebuilt. It is rebuilt once
 	// it has held at least minBucketsToShrink buckets, and fewer than 1/bucketShrinkRatio of its peak are left.
 	// Without the rebuild, the memory would stay in use, because a Go map never frees its memory.
--- a/policy/zone_failover_test.go
+++ b/policy/zone_failover_test.go
@@ -55,10 +55,10 @@
 					b.recordEvidence(&attempt{server: b.servers[fmt.Sprint("b", i)], sentAt: b.now}, noFailure)
 				}
 			}
-			if got := b.zones.find("a").isEvacuated(); got != c.evacuated {
+			if got := b.zones.findOrCreate("a").isEvacuated(); got != c.evacuated {
 				t.Errorf("failing zone evacuated: got %v, want %v", got, c.evacuated)
 			}
-			if got := b.zones.find("b").trafficShare; got != 1 {
+			if got := b.zones.findOrCreate("b").trafficShare; got != 1 {
 				t.Errorf("traffic share of the other zone: got %v, want 1", got)
 			}
 		})
@@ -70,7 +70,7 @@
 	f := &zoneFailover{servers: &serverPool{}, rng: rand.New(rand.NewPCG(1, 1)), logf: func(string, ...any) {}}
 	f.configure(twoRegions(1).Topology, zones[0])
 	for _, zone := range zones {
-		f.find(zone)
+		f.findOrCreate(zone)
 	}
 	return f
 }
@@ -79,7 +79,7 @@
 // grows to 1.
 func TestZoneRecoversAfterSuccessfulProbes(t *testing.T) {
 	f := newZoneFailover("a", "b")
-	z, now := f.find("a"), time.Hour
+	z, now := f.findOrCreate("a"), time.Hour
 	f.evacuate(z, evacuateEvidence, now)
 	if !z.isEvacuated() || z.trafficShare != 0 {
 		t.Fatalf("after evacuate: evacuated %v, traffic share %v; want true, 0", z.isEvacuated(), z.trafficShare)
@@ -113,7 +113,7 @@
 // Each evacuation soon after the previous one takes longer, up to maxEvacuationTime.
 func TestEvacuationTimeGrowsWithEachEvacuation(t *testing.T) {
 	f := newZoneFailover("a", "b")
-	z, now := f.find("a"), time.Hour
+	z, now := f.findOrCreate("a"), time.Hour
 	for i, mean := range []time.Duration{2 * time.Second, 8 * time.Second, 32 * time.Second, time.Minute, time.Minute} {
 		f.evacuate(z, evacuateEvidence, now)
 		if got := z.evacuatedUntil - now; got < mean*4/5 || got > mean*6/5 {
@@ -144,9 +144,9 @@
 	} {
 		closed := 0
 		for range 1000 {
-			b.zones.degraded, b.zones.find("a").trafficShare = true, 0.5
+			b.zones.degraded, b.zones.findOrCreate("a").trafficShare = true, 0.5
 			b.zones.chooseZones(c.class, c.isRetry, b.now)
-			if b.zones.find("a").closed {
+			if b.zones.findOrCreate("a").closed {
 				closed++
 			}
 		}
