--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -76,8 +76,9 @@
 // servers respond in place of a fleet.
 func TestJSONOfNodesAndListIsFrozen(t *testing.T) {
 	fleet := serveJSON(t, "/fleet", goldenFleetView())
-	places := serveJSON(t, "/places", []node.PlaceView{
-		{Zone: "a", Region: "r", State: "left", Cost: 1.5, Share: 0.25, Servers: 6, Left: 2, Ill: 4.5, Heard: 8, TriedInMs: 1200, Why: "ill"},
+	places := serveJSON(t, "/places", []node.ZoneView{
+		{Zone: "a", Region: "r", State: "left", Cost: 1.5, TrafficShare: 0.25, Servers: 6, Evacuations: 2,
+			Failures: 4.5, Responses: 8, ProbeInMs: 1200, EvacuationReason: "ill"},
 		{Zone: "b", Region: "r", State: "well"}})
 	list := serveJSON(t, "/registry/instances", registry.EndpointList{Revision: 41, Complete: true, Endpoints: []registry.Endpoint{
 		{ID: "s-0", Address: "10.0.0.1:9000", Zone: "a", Kind: "big-box", Cell: 3, Phase: "up", Size: 1.5, StartTimeMs: 1700000000123,
--- a/cmd/sloerail/zones.go
+++ b/cmd/sloerail/zones.go
@@ -36,9 +36,9 @@
 
 // zonesResponse is the view from one address, or the error if there is none.
 type zonesResponse struct {
-	Address string           `json:"address"`
-	Places  []node.PlaceView `json:"places,omitempty"`
-	Error   string           `json:"error,omitempty"`
+	Address string          `json:"address"`
+	Places  []node.ZoneView `json:"places,omitempty"`
+	Error   string          `json:"error,omitempty"`
 }
 
 // showZones prints the nodes' views of the zones. It returns an error if a view is missing.
@@ -77,10 +77,10 @@
 		for _, zone := range r.Places {
 			probeIn := ""
 			if zone.State == "left" {
-				probeIn = (time.Duration(zone.TriedInMs) * time.Millisecond).Round(100 * time.Millisecond).String()
+				probeIn = (time.Duration(zone.ProbeInMs) * time.Millisecond).Round(100 * time.Millisecond).String()
 			}
-			t.AppendRow(table.Row{zone.Zone, zone.Region, zone.Cost, zone.Servers, zone.State, fmt.Sprintf("%.2f", zone.Share),
-				fmt.Sprintf("%.0f/%.0f", zone.Ill, zone.Heard), zone.Left, probeIn, zone.Why})
+			t.AppendRow(table.Row{zone.Zone, zone.Region, zone.Cost, zone.Servers, zone.State, fmt.Sprintf("%.2f", zone.TrafficShare),
+				fmt.Sprintf("%.0f/%.0f", zone.Failures, zone.Responses), zone.Evacuations, probeIn, zone.EvacuationReason})
 		}
 		t.Render()
 		p.Println()
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -26,18 +26,18 @@
 
 // Traffic counts what the list client of a hollow node wrote to its connections and read from them.
 type Traffic struct {
-	Sent, Received uint64 // bytes
-	Calls, Answers uint64
+	Sent, Received   uint64 // bytes
+	Calls, Responses uint64
 }
 
-// Plus returns t + o.
-func (t Traffic) Plus(o Traffic) Traffic {
-	return Traffic{t.Sent + o.Sent, t.Received + o.Received, t.Calls + o.Calls, t.Answers + o.Answers}
+// Add returns t + o.
+func (t Traffic) Add(o Traffic) Traffic {
+	return Traffic{t.Sent + o.Sent, t.Received + o.Received, t.Calls + o.Calls, t.Responses + o.Responses}
 }
 
 // Since returns t - o, the traffic since an earlier count.
 func (t Traffic) Since(o Traffic) Traffic {
-	return Traffic{t.Sent - o.Sent, t.Received - o.Received, t.Calls - o.Calls, t.Answers - o.Answers}
+	return Traffic{t.Sent - o.Sent, t.Received - o.Received, t.Calls - o.Calls, t.Responses - o.Responses}
 }
 
 // trafficCounters are the counters of a Traffic.
@@ -104,8 +104,8 @@
 	h.loop.handle(endpointUpdate{discovery.Update{Kind: policy.ListCached, Endpoints: h.config.Known.Endpoints}})
 }
 
-// TakeList parses a response of the list service and applies it.
-func (h *Hollow) TakeList(answer []byte) error {
+// ApplyList parses a response of the list service and applies it.
+func (h *Hollow) ApplyList(answer []byte) error {
 	l, err := discovery.ParseList(answer)
 	if err != nil {
 		return err
@@ -130,9 +130,9 @@
 // Decide passes a request to the balancer and returns the server to send it to. sent is false if there is none.
 func (h *Hollow) Decide(r policy.Request) (server string, sent bool) { return h.handle(r) }
 
-// End reports the outcome of an attempt to the balancer. It returns the server for a retry; sent is false if there is
-// no retry.
-func (h *Hollow) End(o policy.Outcome) (server string, sent bool) { return h.handle(o) }
+// ReportOutcome reports the outcome of an attempt to the balancer. It returns the server for a retry; sent is false if
+// there is no retry.
+func (h *Hollow) ReportOutcome(o policy.Outcome) (server string, sent bool) { return h.handle(o) }
 
 // handle passes an event of a request to the balancer and executes its actions, except that it returns the server of a
 // Send instead of sending. A Hollow has no open requests, so actions on a request have no effect.
@@ -162,7 +162,7 @@
 // Traffic returns the traffic of the list client so far.
 func (h *Hollow) Traffic() Traffic {
 	return Traffic{Sent: h.traffic.sent.Load(), Received: h.traffic.received.Load(), Calls: h.traffic.calls.Load(),
-		Answers: h.traffic.answers.Load()}
+		Responses: h.traffic.answers.Load()}
 }
 
 // trafficConn counts a connection's bytes, calls and responses. The list client has one call in flight at a time, so the
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -54,11 +54,11 @@
 	if server, sent := decide("1"); sent {
 		t.Errorf("Decide without a list: got server %q, want none", server)
 	}
-	if err := h.TakeList(fmt.Appendf(nil, hollowList, 1, true, "a")); err != nil || h.Servers() != 1 {
-		t.Fatalf("servers after TakeList: got %d, error %v, want 1", h.Servers(), err)
+	if err := h.ApplyList(fmt.Appendf(nil, hollowList, 1, true, "a")); err != nil || h.Servers() != 1 {
+		t.Fatalf("servers after ApplyList: got %d, error %v, want 1", h.Servers(), err)
 	}
-	if err := h.TakeList([]byte(`{"members":[]}`)); err == nil {
-		t.Error("TakeList of a list without a revision: got no error")
+	if err := h.ApplyList([]byte(`{"members":[]}`)); err == nil {
+		t.Error("ApplyList of a list without a revision: got no error")
 	}
 	admitted := 0
 	for ; admitted < 100; admitted++ {
@@ -70,7 +70,7 @@
 		if server != "a" {
 			t.Fatalf("Decide with server a: got server %q, want a", server)
 		}
-		h.End(policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: time.Millisecond})
+		h.ReportOutcome(policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: time.Millisecond})
 	}
 	if admitted == 0 || admitted == 100 {
 		t.Fatalf("requests admitted with a quota of 2 per second: got %d, want 1 to 99", admitted)
@@ -122,8 +122,8 @@
 	answers <- delta
 	expect(policy.ListUpdate, 1)
 	got := h.Traffic()
-	if got.Answers != 2 || got.Calls < 2 || got.Received < uint64(len(whole)+len(delta)) || got.Sent == 0 {
-		t.Errorf("traffic: got %+v, want 2 Answers, 2 or more Calls, Received at least the bytes of both lists, Sent above 0",
+	if got.Responses != 2 || got.Calls < 2 || got.Received < uint64(len(whole)+len(delta)) || got.Sent == 0 {
+		t.Errorf("traffic: got %+v, want 2 Responses, 2 or more Calls, Received at least the bytes of both lists, Sent above 0",
 			got)
 	}
 	stop()
--- a/internal/node/zones.go
+++ b/internal/node/zones.go
@@ -12,19 +12,19 @@
 
 const zonesPath = "/places"
 
-// PlaceView is a zone in the response at /places.
-type PlaceView struct {
-	Zone      string  `json:"zone"`
-	Region    string  `json:"region"`
-	State     string  `json:"state"` // well, suspect, left, returning
-	Cost      float64 `json:"cost"`  // crossing cost of a request to it
-	Share     float64 `json:"share"` // fraction of the requests that would go there by preference and capacity
-	Servers   int     `json:"servers"`
-	Left      int     `json:"left_lately"`           // recent evacuations
-	Ill       float64 `json:"ill"`                   // recent failures, older ones weighted less
-	Heard     float64 `json:"heard"`                 // recent responses, weighted in the same way
-	TriedInMs int64   `json:"tried_in_ms,omitempty"` // time until an evacuated zone is probed
-	Why       string  `json:"why,omitempty"`         // reason of the last evacuation
+// ZoneView is a zone in the response at /places.
+type ZoneView struct {
+	Zone             string  `json:"zone"`
+	Region           string  `json:"region"`
+	State            string  `json:"state"` // well, suspect, left, returning
+	Cost             float64 `json:"cost"`  // crossing cost of a request to it
+	TrafficShare     float64 `json:"share"` // fraction of the requests that would go there by preference and capacity
+	Servers          int     `json:"servers"`
+	Evacuations      int     `json:"left_lately"`           // recent evacuations
+	Failures         float64 `json:"ill"`                   // recent failures, older ones weighted less
+	Responses        float64 `json:"heard"`                 // recent responses, weighted in the same way
+	ProbeInMs        int64   `json:"tried_in_ms,omitempty"` // time until an evacuated zone is probed
+	EvacuationReason string  `json:"why,omitempty"`         // reason of the last evacuation
 }
 
 // serveZones writes the state of each zone. It responds 404 if the configuration has no zones or the loop has ended.
@@ -34,9 +34,9 @@
 		http.NotFound(w, r)
 		return
 	}
-	zones := []PlaceView{}
+	zones := []ZoneView{}
 	for _, s := range states {
-		zones = append(zones, PlaceView{s.Zone, s.Region, s.State, s.Cost, s.TrafficShare, s.Servers, s.Evacuations,
+		zones = append(zones, ZoneView{s.Zone, s.Region, s.State, s.Cost, s.TrafficShare, s.Servers, s.Evacuations,
 			s.Failures, s.Responses, s.RetryIn.Milliseconds(), s.EvacuationReason})
 	}
 	w.Header().Set("Content-Type", "application/json")
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -162,7 +162,7 @@
 // totalTraffic returns the sum of the nodes' traffic.
 func totalTraffic(nodes []*node.Hollow) (sum node.Traffic) {
 	for _, n := range nodes {
-		sum = sum.Plus(n.Traffic())
+		sum = sum.Add(n.Traffic())
 	}
 	return sum
 }
--- a/internal/scaletest/requests.go
+++ b/internal/scaletest/requests.go
@@ -71,7 +71,7 @@
 	r.inFlight = append(r.inFlight, policy.Outcome{ID: id, Server: server, Code: policy.OK, Latency: latency,
 		LoadReport: []float64{float64(latency.Milliseconds()), reportUtil, reportRate}})
 	if len(r.inFlight) > r.maxInFlight {
-		r.node.End(r.inFlight[0])
+		r.node.ReportOutcome(r.inFlight[0])
 		r.inFlight = r.inFlight[1:]
 	}
 }
@@ -79,7 +79,7 @@
 // finish ends all attempts in flight.
 func (r *requestLoad) finish() {
 	for _, o := range r.inFlight {
-		r.node.End(o)
+		r.node.ReportOutcome(o)
 	}
 	r.inFlight = nil
 }
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -257,7 +257,7 @@
 		t.Fatal(err)
 	}
 	for i, change := range p.listChanges(n, 6) {
-		if err := n.TakeList(change); err != nil {
+		if err := n.ApplyList(change); err != nil {
 			t.Fatal(err)
 		}
 		if got, want := n.Unavailable(), (i+1)%2; got != want {
--- a/internal/scaletest/slope_test.go
+++ b/internal/scaletest/slope_test.go
@@ -53,7 +53,7 @@
 	n.requestLoad.finish()
 	changes := n.point.listChanges(n.steppedNode, minChanges)
 	recordLeast(&n.listChangeCost, len(changes), func(i int) {
-		if err := n.TakeList(changes[i]); err != nil {
+		if err := n.ApplyList(changes[i]); err != nil {
 			t.Error(err)
 		}
 	})
--- a/internal/scaletest/stepped.go
+++ b/internal/scaletest/stepped.go
@@ -55,7 +55,7 @@
 		return nil, err
 	}
 	s.Restore()
-	if err := s.TakeList(list); err != nil {
+	if err := s.ApplyList(list); err != nil {
 		return nil, err
 	}
 	p.record.Record(StartCPU, float64(ownCPU()-cpu))
@@ -116,7 +116,7 @@
 	t, err := timeSteps(ctx, minChanges, func() error {
 		change := changes[next%len(changes)]
 		next++
-		return s.TakeList(change)
+		return s.ApplyList(change)
 	})
 	if err != nil {
 		return err
--- a/internal/scaletest/watchers.go
+++ b/internal/scaletest/watchers.go
@@ -312,7 +312,7 @@
 		count   uint64
 	}{
 		{ReceivedBytes, delta.Received}, {SentBytes, delta.Sent},
-		{ReceivedMessages, delta.Answers}, {SentMessages, delta.Calls},
+		{ReceivedMessages, delta.Responses}, {SentMessages, delta.Calls},
 	} {
 		w.record.Record(v.measure, float64(v.count)/seconds)
 	}
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -107,8 +107,8 @@
 	f.topology, f.ownZone = topology, ownZone
 }
 
-// findOrCreate returns the health of a zone, and creates it for a new zone. It returns nil if the settings have
-// no topology. A zone beyond maxMonitoredZones gets a new, healthy state in each call.
+// findOrCreate returns the health of a zone, and creates it for a new zone. It returns nil if the settings
+// have no topology. A zone beyond maxMonitoredZones gets a new, healthy state in each call.
 func (f *zoneFailover) findOrCreate(name string) *zoneHealth {
 	if f.topology == nil {
 		return nil
