--- a/internal/node/body_streaming_test.go
+++ b/internal/node/body_streaming_test.go
@@ -106,7 +106,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nodetest.CloseOnce(t, resp.Body)
+		defer nodetest.CloseIgnoringClosed(t, resp.Body)
 		first := make([]byte, upstream.StreamStartBytes)
 		if _, err := io.ReadFull(resp.Body, first); err != nil || first[0] != 'a' {
 			t.Fatalf("start of the response: got %q..., error %v; want the first part of the body", first[:1], err)
@@ -156,7 +156,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			defer nodetest.CloseOnce(t, conn)
+			defer nodetest.CloseIgnoringClosed(t, conn)
 			_, _ = fmt.Fprintf(conn, "GET /api HTTP/%s\r\nHost: a\r\nX-Request-Id: %s\r\nX-Class: read\r\nX-Tenant: t\r\n"+
 				"X-Deadline-Ms: 8000\r\n\r\n", proto, name+proto)
 			resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -206,7 +206,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nodetest.CloseOnce(t, closed)
+		nodetest.CloseIgnoringClosed(t, closed)
 		alive := nodetest.HTTPServer(t, func(w http.ResponseWriter, r *http.Request) { _, _ = io.Copy(io.Discard, r.Body) })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(closed.Addr().String(), alive)))
 		resp, _ := do(t, clientRequest(t, node, "POST", "undo", "again", string(randomBytes(1<<20))))
@@ -233,7 +233,7 @@
 		if err != nil {
 			t.Fatalf("Content-Length %d: %v", length, err)
 		}
-		nodetest.CloseOnce(t, resp.Body)
+		nodetest.CloseIgnoringClosed(t, resp.Body)
 		if resp.StatusCode != http.StatusRequestEntityTooLarge {
 			t.Errorf("Content-Length %d: status %d, want 413", length, resp.StatusCode)
 		}
@@ -275,7 +275,7 @@
 						return
 					}
 				}
-				nodetest.CloseOnce(t, out)
+				nodetest.CloseIgnoringClosed(t, out)
 			}()
 			if resp, got := do(t, req); resp.StatusCode != http.StatusOK || got != fmt.Sprint(size) {
 				t.Errorf("slow body: got status %d, %q; want 200 and the length of the body", resp.StatusCode, got)
@@ -283,7 +283,7 @@
 		})
 		wg.Go(func() {
 			conn := nodetest.Dial(t, node)
-			defer nodetest.CloseOnce(t, conn)
+			defer nodetest.CloseIgnoringClosed(t, conn)
 			start := time.Now()
 			_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: silent\r\nX-Class: pay\r\nX-Tenant: t\r\n"+
 				"X-Deadline-Ms: 8000\r\nContent-Length: %d\r\n\r\n%s", size, make([]byte, downstream.UploadStartBytes+1))
@@ -321,7 +321,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer nodetest.CloseOnce(t, conn)
+		defer nodetest.CloseIgnoringClosed(t, conn)
 		_ = conn.(*net.TCPConn).SetReadBuffer(4 << 10)
 		if err := clientRequest(t, node, "GET", "read", fmt.Sprint("r", i), "").Write(conn); err != nil {
 			t.Fatal(err)
@@ -373,7 +373,7 @@
 			{"pay", "3", " 100 "}, {"pay", fmt.Sprint(downstream.MaxBodyBytes + 1), " 413 "}, {"unknown", "3", " 400 "},
 		} {
 			conn := nodetest.Dial(t, node)
-			defer nodetest.CloseOnce(t, conn)
+			defer nodetest.CloseIgnoringClosed(t, conn)
 			_, _ = fmt.Fprintf(conn, "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: e%s%s\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"+
 				"Expect: 100-continue\r\nContent-Length: %s\r\n\r\n", c.class, c.length, c.class, c.length)
 			r := bufio.NewReader(conn)
--- a/internal/node/client_connections_test.go
+++ b/internal/node/client_connections_test.go
@@ -63,14 +63,14 @@
 				t.Fatal(err)
 			}
 			_, _ = io.Copy(io.Discard, resp.Body)
-			nodetest.CloseOnce(t, resp.Body)
+			nodetest.CloseIgnoringClosed(t, resp.Body)
 			return resp
 		}
 		get("first")
 		var held []net.Conn
 		for range (config.MinSockets-baseSockets)*2/3 + 5 {
 			peer := nodetest.Dial(t, node)
-			defer nodetest.CloseOnce(t, peer)
+			defer nodetest.CloseIgnoringClosed(t, peer)
 			held = append(held, peer)
 		}
 		// Connections are accepted in order: once the last one is rejected as over the limit, all have been accepted.
@@ -96,7 +96,7 @@
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
 		c := nodetest.Dial(t, node)
-		defer nodetest.CloseOnce(t, c)
+		defer nodetest.CloseIgnoringClosed(t, c)
 		head := "POST /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r\r\nX-Class: pay\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n"
 		for _, piece := range []string{head + "Content-Length: 3\r\n\r\n", "su", "m"} {
 			_, _ = io.WriteString(c, piece)
--- a/internal/node/discovery/cache_test.go
+++ b/internal/node/discovery/cache_test.go
@@ -160,5 +160,5 @@
 	}
 	cache := newListCache(c.CacheFile, c.Known)
 	cache.apply(list)
-	nodetest.SameBytes(t, "the cached list", cache.encode(saved), nodetest.Golden(t, "list_file.txt"))
+	nodetest.AssertEqualBytes(t, "the cached list", cache.encode(saved), nodetest.ReadGolden(t, "list_file.txt"))
 }
--- a/internal/node/downstream/client_conns_test.go
+++ b/internal/node/downstream/client_conns_test.go
@@ -32,12 +32,12 @@
 		var opened []net.Conn
 		for _, tracked := range tc.open {
 			conn, client := net.Pipe()
-			nodetest.CloseAtEnd(t, conn, client)
+			nodetest.CloseOnCleanup(t, conn, client)
 			cc.conns[conn] = tracked
 			opened = append(opened, conn)
 		}
 		next, nextClient := net.Pipe()
-		nodetest.CloseAtEnd(t, next, nextClient)
+		nodetest.CloseOnCleanup(t, next, nextClient)
 		if over := cc.add(next).overLimit; over != (tc.wantEvicted < 0) {
 			t.Errorf("%s: new connection over the limit: got %v, want the opposite", name, over)
 		}
@@ -59,12 +59,12 @@
 	t.Parallel()
 	ln := nodetest.Listener(t)
 	client := nodetest.Dial(t, ln.Addr().String())
-	nodetest.CloseAtEnd(t, client)
+	nodetest.CloseOnCleanup(t, client)
 	conn, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodetest.CloseAtEnd(t, conn)
+	nodetest.CloseOnCleanup(t, conn)
 	cc := NewClientConns(func() int { return 10 }, func(int) {}, func() {})
 	tracked := cc.add(conn)
 	cc.setState(tracked, http.StateActive)
--- a/internal/node/downstream/exchange.go
+++ b/internal/node/downstream/exchange.go
@@ -20,15 +20,15 @@
 // Exchange is one request of a client and the channel for its response. Its exported fields must not change once it is
 // passed to a Handler. Its methods may be called from any goroutine.
 type Exchange struct {
-	Request    policy.Request
-	Forwarded  upstream.Request // the request as sent to servers
-	ReceivedAt policy.Time      // when the request was read; with a streamed body, when the buffered part was
-	Timeout    time.Duration    // how long the client waits, counted from ReceivedAt
-	Terms      Terms            // the rules in force when the request was read
-	Reply      chan Response    // takes one response without blocking
+	Request      policy.Request
+	Forwarded    upstream.Request // the request as sent to servers
+	ReceivedAt   policy.Time      // when the request was read; with a streamed body, when the buffered part was
+	Timeout      time.Duration    // how long the client waits, counted from ReceivedAt
+	RequestRules RequestRules     // the rules in force when the request was read
+	Reply        chan Response    // takes one response without blocking
 
-	upload           *upload // equals Forwarded.Stream; nil if the body is buffered
-	tally            Tally   // counts the responses to the request's class
+	upload           *upload         // equals Forwarded.Stream; nil if the body is buffered
+	tally            ResponseCounter // counts the responses to the request's class
 	disconnected     atomic.Bool
 	isClosedByClient func() bool // polls the client's socket; nil if there is no socket
 }
@@ -66,7 +66,7 @@
 	status        int
 	text          string
 	allowedMethod string // set with http.StatusMethodNotAllowed
-	incomplete    bool   // the request didn't arrive completely, and isn't counted by its class's Tally
+	incomplete    bool   // the request didn't arrive completely, and isn't counted by its class's ResponseCounter
 }
 
 // readRequest validates a request and reads its body, or the start of a long one. The returned Exchange is safe to
@@ -76,7 +76,7 @@
 	if !isValidRequestID(id) {
 		return nil, &requestError{status: http.StatusBadRequest, text: "X-Request-Id: missing or malformed"}
 	}
-	terms := s.handler.Terms()
+	terms := s.handler.RequestRules()
 	class, former, ok := terms.Class(r.class, r.method, r.idempotencyKey != "")
 	if !ok {
 		return nil, &requestError{status: http.StatusBadRequest, text: "X-Class: unknown"}
@@ -110,8 +110,8 @@
 		Forwarded: upstream.Request{ID: id, Method: method, Path: r.path, Host: r.host, IdempotencyKey: r.idempotencyKey,
 			ContentType: r.contentType, Body: body, Length: r.Length},
 		upload: u, ReceivedAt: s.handler.Now(),
-		Timeout: time.Duration(timeout) * time.Millisecond, Terms: terms,
-		tally: s.handler.Tally(class.Name), Reply: c.reply, isClosedByClient: c.isClosedByClient,
+		Timeout: time.Duration(timeout) * time.Millisecond, RequestRules: terms,
+		tally: s.handler.ResponseCounter(class.Name), Reply: c.reply, isClosedByClient: c.isClosedByClient,
 	}
 	if u != nil {
 		x.Forwarded.Stream = u
--- a/internal/node/downstream/server.go
+++ b/internal/node/downstream/server.go
@@ -37,24 +37,24 @@
 	NodeReady() bool
 	// Now returns the current time on the clock of Exchange.ReceivedAt.
 	Now() policy.Time
-	// Terms returns the current rules for reading requests.
-	Terms() Terms
-	// Tally returns the counter of responses to requests of a class.
-	Tally(class string) Tally
+	// RequestRules returns the current rules for reading requests.
+	RequestRules() RequestRules
+	// ResponseCounter returns the counter of responses to requests of a class.
+	ResponseCounter(class string) ResponseCounter
 	// AddOpenRequests adds n to the number of open requests; n is negative when requests end.
 	AddOpenRequests(n int)
 }
 
-// Terms are the rules for reading requests. Two values are equal if the rules are the same.
-type Terms interface {
+// RequestRules are the rules for reading requests. Two values are equal if the rules are the same.
+type RequestRules interface {
 	// Class returns the class with the name; ok is false if there is none. Just after a change of the configuration, it
 	// returns the former class of that name, with former set, if that class matches the request's method and whether
 	// the request has an idempotency key.
 	Class(name, method string, hasKey bool) (c policy.Class, former, ok bool)
 }
 
-// Tally counts responses by status.
-type Tally interface{ Count(status int) }
+// ResponseCounter counts responses by status.
+type ResponseCounter interface{ Count(status int) }
 
 // Server reads requests from clients, passes them to a Handler, and writes the responses.
 type Server struct {
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -270,7 +270,7 @@
 func newTestClient(t *testing.T, node string) *testClient {
 	t.Helper()
 	c := nodetest.Dial(t, node)
-	nodetest.CloseAtEnd(t, c)
+	nodetest.CloseOnCleanup(t, c)
 	_ = c.SetDeadline(time.Now().Add(nodetest.Timeout))
 	return &testClient{c, t, node, bufio.NewReader(c)}
 }
@@ -526,7 +526,7 @@
 			c.t.Fatal(err)
 		}
 	}
-	nodetest.CloseOnce(c.t, c)
+	nodetest.CloseIgnoringClosed(c.t, c)
 }
 
 // disconnectDetectionTime is how long after a client's disconnect the node may still start an attempt for it.
@@ -566,7 +566,7 @@
 					t.Fatal(err)
 				}
 			}
-			nodetest.CloseOnce(t, c)
+			nodetest.CloseIgnoringClosed(t, c)
 			time.Sleep(disconnectDetectionTime)
 			close(clientGone)
 			if !reset { // a reset discards the unread request
@@ -861,6 +861,6 @@
 	if _, err := io.CopyN(io.Discard, resp.Body, 4*http1.MaxBufferedBodyBytes); err != nil {
 		t.Fatal(err)
 	}
-	nodetest.CloseOnce(t, c)
+	nodetest.CloseIgnoringClosed(t, c)
 	nodetest.Await(t, "the end of the streamed response", func() bool { return conns.n.Load() == 0 && l.isIdle() })
 }
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -17,7 +17,7 @@
 func sendRaw(t *testing.T, node string, pieces ...string) string {
 	t.Helper()
 	c := nodetest.Dial(t, node)
-	defer nodetest.CloseOnce(t, c)
+	defer nodetest.CloseIgnoringClosed(t, c)
 	for _, p := range pieces {
 		_, _ = io.WriteString(c, p) // the node may close before all is written
 	}
--- a/internal/node/frozen_test.go
+++ b/internal/node/frozen_test.go
@@ -124,8 +124,8 @@
 	if left, err := io.ReadAll(decoder.Buffered()); err != nil || string(left) != "\n" {
 		t.Errorf("bytes after the last message: got %q, error %v, want a newline", left, err)
 	}
-	nodetest.SameBytes(t, "the hand-over transcript", []byte(transcript.String()),
-		nodetest.Golden(t, "handover_transcript.txt"))
+	nodetest.AssertEqualBytes(t, "the hand-over transcript", []byte(transcript.String()),
+		nodetest.ReadGolden(t, "handover_transcript.txt"))
 }
 
 // Operators' tools depend on the names and labels of the metrics at /stats and on the responses at /healthcheck. The
@@ -179,5 +179,5 @@
 	adminAddr = ln.Addr().String()
 	resp, body = get(healthPath)
 	describe(resp, body)
-	nodetest.SameBytes(t, "the admin server's responses", []byte(got.String()), nodetest.Golden(t, "operators.txt"))
+	nodetest.AssertEqualBytes(t, "the admin server's responses", []byte(got.String()), nodetest.ReadGolden(t, "operators.txt"))
 }
--- a/internal/node/hotrestart/frozen_test.go
+++ b/internal/node/hotrestart/frozen_test.go
@@ -18,7 +18,7 @@
 // The state of a hand-over and the progress messages are read without unknown keys and written back byte for byte.
 func TestHandoverMessageFormatIsUnchanged(t *testing.T) {
 	for _, name := range []string{"handover_state.json", "handover_progress.json"} {
-		want := nodetest.Golden(t, name)
+		want := nodetest.ReadGolden(t, name)
 		decoder := json.NewDecoder(bytes.NewReader(want))
 		decoder.DisallowUnknownFields()
 		var state State
@@ -40,7 +40,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		nodetest.SameBytes(t, name, got, want)
+		nodetest.AssertEqualBytes(t, name, got, want)
 	}
 }
 
@@ -97,7 +97,7 @@
 // A successor reads the golden messages of a predecessor, and writes one byte.
 func TestSuccessorReadsGoldenMessages(t *testing.T) {
 	clients, id := testNode(t)
-	state := bytes.Replace(nodetest.Golden(t, "handover_state.json"), []byte(`"Listen":"127.0.0.1:8080"`), []byte(`"Listen":"`+id.Address+`"`), 1)
+	state := bytes.Replace(nodetest.ReadGolden(t, "handover_state.json"), []byte(`"Listen":"127.0.0.1:8080"`), []byte(`"Listen":"`+id.Address+`"`), 1)
 	conns, wrote := scriptedPredecessor(t, id, clients, state)
 	predecessor, err := TakeOver(id)
 	if err != nil {
@@ -111,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	nodetest.SameBytes(t, "the state that the successor received", got, state)
+	nodetest.AssertEqualBytes(t, "the state that the successor received", got, state)
 	if predecessor.Clients.Addr().String() != id.Address {
 		t.Errorf("address of the listening socket: got %v, want the address of the node", predecessor.Clients.Addr())
 	}
@@ -129,7 +129,7 @@
 	if n, err := conn.Read(buf); err != nil || string(buf[:n]) != "S" {
 		t.Fatalf("read from the successor: got %q, error %v, want S", buf[:n], err)
 	}
-	progress := nodetest.Golden(t, "handover_progress.json")
+	progress := nodetest.ReadGolden(t, "handover_progress.json")
 	if _, err := conn.Write(progress); err != nil {
 		t.Fatal(err)
 	}
@@ -138,7 +138,7 @@
 	if err := json.NewEncoder(&out).Encode(State{Sockets: last.Sockets, InFlight: last.InFlight}); err != nil {
 		t.Fatal(err)
 	}
-	nodetest.SameBytes(t, "the progress that the successor received", out.Bytes(), progress)
+	nodetest.AssertEqualBytes(t, "the progress that the successor received", out.Bytes(), progress)
 	if err := conn.Close(); err != nil {
 		t.Error(err)
 	}
--- a/internal/node/nodetest/golden.go
+++ b/internal/node/nodetest/golden.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Golden returns the content of the golden file name in testdata.
-func Golden(t *testing.T, name string) []byte {
+// ReadGolden returns the content of the golden file name in testdata.
+func ReadGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", name))
 	if err != nil {
@@ -17,8 +17,8 @@
 	return raw
 }
 
-// SameBytes fails the test if got differs from want, and reports the offset of the first difference.
-func SameBytes(t *testing.T, what string, got, want []byte) {
+// AssertEqualBytes fails the test if got differs from want, and reports the offset of the first difference.
+func AssertEqualBytes(t *testing.T, what string, got, want []byte) {
 	t.Helper()
 	if bytes.Equal(got, want) {
 		return
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -21,7 +21,7 @@
 	ln := Listener(t)
 	s := &http.Server{Handler: h, ErrorLog: slog.NewLogLogger(slog.Default().Handler(), slog.LevelDebug)}
 	go func() { _ = s.Serve(ln) }()
-	t.Cleanup(func() { CloseOnce(t, s) })
+	t.Cleanup(func() { CloseIgnoringClosed(t, s) })
 	return ln.Addr().String()
 }
 
@@ -31,27 +31,27 @@
 	t.Helper()
 	if n, ok := memNets.Load(t); ok {
 		ln := n.(*memNet).listen()
-		t.Cleanup(func() { CloseOnce(t, ln) })
+		t.Cleanup(func() { CloseIgnoringClosed(t, ln) })
 		return ln
 	}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { CloseOnce(t, ln) })
+	t.Cleanup(func() { CloseIgnoringClosed(t, ln) })
 	return ln
 }
 
-// CloseAtEnd closes closers when the test ends. The test may close them earlier.
-func CloseAtEnd(t testing.TB, closers ...io.Closer) {
+// CloseOnCleanup closes closers when the test ends. The test may close them earlier.
+func CloseOnCleanup(t testing.TB, closers ...io.Closer) {
 	t.Helper()
 	for _, c := range closers {
-		t.Cleanup(func() { CloseOnce(t, c) })
+		t.Cleanup(func() { CloseIgnoringClosed(t, c) })
 	}
 }
 
-// CloseOnce closes c, and ignores the error if c is already closed.
-func CloseOnce(t testing.TB, c io.Closer) {
+// CloseIgnoringClosed closes c, and ignores the error if c is already closed.
+func CloseIgnoringClosed(t testing.TB, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
 		t.Error(err)
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -153,7 +153,7 @@
 			t.Fatal(err)
 		}
 		nodetest.Receive(t, "the attempt at the server", received)
-		nodetest.CloseOnce(t, c)
+		nodetest.CloseIgnoringClosed(t, c)
 		nodetest.Receive(t, "the cancelled attempt at the server", cancelled)
 		scripted.expectEvents(t, "list 2", "request r1", "cancelled r1",
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
@@ -168,7 +168,7 @@
 		addr := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) { <-release })
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(addr)))
 		c := nodetest.Dial(t, node)
-		defer nodetest.CloseOnce(t, c)
+		defer nodetest.CloseIgnoringClosed(t, c)
 		if err := clientRequest(t, node, "GET", "read", "r1", "").Write(c); err != nil {
 			t.Fatal(err)
 		}
@@ -195,7 +195,7 @@
 		var held []net.Conn
 		defer func() {
 			for _, c := range held {
-				nodetest.CloseOnce(t, c)
+				nodetest.CloseIgnoringClosed(t, c)
 			}
 		}()
 		hold := func() {
@@ -214,7 +214,7 @@
 			return false
 		})
 		for _, c := range held {
-			nodetest.CloseOnce(t, c)
+			nodetest.CloseIgnoringClosed(t, c)
 		}
 		before := reached.Load()
 		nodetest.Await(t, "a served request after the connections closed", func() bool {
@@ -250,7 +250,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			nodetest.CloseOnce(t, resp.Body)
+			nodetest.CloseIgnoringClosed(t, resp.Body)
 			if resp.StatusCode != 200 || resp.Close != draining {
 				t.Errorf("draining %v: status %d, closes its connection %v; want 200, and a close only if draining",
 					draining, resp.StatusCode, resp.Close)
@@ -259,7 +259,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			nodetest.CloseOnce(t, resp.Body)
+			nodetest.CloseIgnoringClosed(t, resp.Body)
 			if ready := resp.StatusCode == 200; ready != state.ready || s.acceptsNewClients() == draining {
 				t.Errorf("state %+v: ready %v, accepts new clients %v; want ready as in the state, and new clients unless draining",
 					state, ready, s.acceptsNewClients())
@@ -286,7 +286,7 @@
 				slowStatus <- 0
 				return
 			}
-			nodetest.CloseOnce(t, resp.Body)
+			nodetest.CloseIgnoringClosed(t, resp.Body)
 			slowStatus <- resp.StatusCode
 		}()
 		nodetest.Receive(t, "the slow request", received)
@@ -295,7 +295,7 @@
 		nodetest.Await(t, "a refused connection", func() bool {
 			c, err := nodetest.Dialer(t)(t.Context(), "tcp", node)
 			if err == nil {
-				nodetest.CloseOnce(t, c)
+				nodetest.CloseIgnoringClosed(t, c)
 			}
 			return err != nil
 		})
@@ -337,7 +337,7 @@
 			resp, err := client.Do(req)
 			if err == nil {
 				_, _ = io.Copy(io.Discard, resp.Body)
-				nodetest.CloseOnce(t, resp.Body)
+				nodetest.CloseIgnoringClosed(t, resp.Body)
 			}
 			return resp, err
 		}
@@ -383,7 +383,7 @@
 			_ = c.CloseWrite()
 			_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 			got, err := io.ReadAll(c)
-			nodetest.CloseOnce(t, c)
+			nodetest.CloseIgnoringClosed(t, c)
 			if ne, ok := err.(net.Error); ok && ne.Timeout() {
 				t.Errorf("%.40q: the node did not close the connection in time", input)
 			}
--- a/internal/node/service.go
+++ b/internal/node/service.go
@@ -37,11 +37,13 @@
 // Now returns the time by the loop's clock.
 func (s *server) Now() policy.Time { return s.loop.clock.now() }
 
-// Terms returns the classes of the current configuration.
-func (s *server) Terms() downstream.Terms { return s.loop.classes.Load() }
+// RequestRules returns the classes of the current configuration.
+func (s *server) RequestRules() downstream.RequestRules { return s.loop.classes.Load() }
 
-// Tally returns the counters of the responses to requests of a class.
-func (s *server) Tally(class string) downstream.Tally { return s.loop.metrics.class(class) }
+// ResponseCounter returns the counters of the responses to requests of a class.
+func (s *server) ResponseCounter(class string) downstream.ResponseCounter {
+	return s.loop.metrics.class(class)
+}
 
 // AddOpenRequests adds n, which may be negative, to the number of open requests.
 func (s *server) AddOpenRequests(n int) { s.loop.metrics.open.Add(int64(n)) }
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -123,7 +123,7 @@
 	acceptErr := make(chan error, 1)
 	go func() { acceptErr <- s.Accept(ln) }()
 	t.Cleanup(func() {
-		nodetest.CloseOnce(t, ln)
+		nodetest.CloseIgnoringClosed(t, ln)
 		if err := nodetest.Receive(t, "Accept to return after its listener was closed", acceptErr); err != nil {
 			t.Error(err)
 		}
@@ -165,7 +165,7 @@
 		if err != nil {
 			return false
 		}
-		nodetest.CloseOnce(t, resp.Body)
+		nodetest.CloseIgnoringClosed(t, resp.Body)
 		return resp.StatusCode == http.StatusOK
 	})
 	return addr, stop
@@ -213,7 +213,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer nodetest.CloseOnce(t, resp.Body)
+	defer nodetest.CloseIgnoringClosed(t, resp.Body)
 	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scaletest/process_servers.go
+++ b/internal/scaletest/process_servers.go
@@ -112,7 +112,7 @@
 		return 0, 0, err
 	}
 	for end := time.Now().Add(listTimeout); listed < want && time.Now().Before(end); {
-		if entries, err := readMetric(ctx, n.Control(), listedServersMetric); err == nil {
+		if entries, err := readMetric(ctx, n.ControlAddress(), listedServersMetric); err == nil {
 			listed = int(entries)
 		}
 		if err := sleep(ctx, pollInterval); err != nil {
@@ -248,7 +248,7 @@
 	if err != nil {
 		return err
 	}
-	acceptedBefore, err := readMetric(ctx, n.Control(), configAcceptedMetric)
+	acceptedBefore, err := readMetric(ctx, n.ControlAddress(), configAcceptedMetric)
 	if err != nil {
 		return err
 	}
@@ -256,7 +256,7 @@
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	err = testcluster.Await(ctx, "acceptance of the reloaded settings", func() bool {
-		now, err := readMetric(ctx, n.Control(), configAcceptedMetric)
+		now, err := readMetric(ctx, n.ControlAddress(), configAcceptedMetric)
 		return err == nil && now > acceptedBefore
 	})
 	if err != nil {
--- a/internal/testcluster/discovery_test.go
+++ b/internal/testcluster/discovery_test.go
@@ -126,7 +126,7 @@
 func metricsText(ctx context.Context, n *Node) string {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.Control()+"/stats", nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+n.ControlAddress()+"/stats", nil)
 	if err != nil {
 		return ""
 	}
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -104,7 +104,7 @@
 
 // View returns a node's view of the fleet.
 func (f *Fleet) View(ctx context.Context, name string) (v node.FleetView, err error) {
-	err = Get(ctx, f.Nodes[name].Control(), "/fleet", &v)
+	err = Get(ctx, f.Nodes[name].ControlAddress(), "/fleet", &v)
 	return v, err
 }
 
--- a/internal/testcluster/node.go
+++ b/internal/testcluster/node.go
@@ -181,8 +181,8 @@
 	return slices.Clone(n.processes)
 }
 
-// Control returns the administrative address of the node's newest process.
-func (n *Node) Control() string {
+// ControlAddress returns the administrative address of the node's newest process.
+func (n *Node) ControlAddress() string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.controlAddresses[len(n.controlAddresses)-1]
@@ -190,7 +190,7 @@
 
 // Ready waits until the newest process is ready for clients. It returns an error if the process ends first.
 func (n *Node) Ready(ctx context.Context) error {
-	p, address := n.Process(), n.Control()
+	p, address := n.Process(), n.ControlAddress()
 	err := Await(ctx, n.Spec.Name+" to be ready for clients", func() bool {
 		return p.Ended() || Get(ctx, address, "/healthcheck", nil) == nil
 	})
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -30,7 +30,7 @@
 // zoneView returns a node's view of a zone, or the zero value if the node has none or does not respond.
 func (h *fleetHarness) zoneView(name, zone string) (v node.ZoneView) {
 	var views []node.ZoneView
-	if err := Get(h.ctx, h.Nodes[name].Control(), "/places", &views); err != nil {
+	if err := Get(h.ctx, h.Nodes[name].ControlAddress(), "/places", &views); err != nil {
 		return v
 	}
 	for _, view := range views {
