--- a/cmd/sloerail/experiment.go
+++ b/cmd/sloerail/experiment.go
@@ -46,7 +46,7 @@
 			}
 			scenarios := names[1:]
 			if len(scenarios) == 0 {
-				scenarios = simulation.Shipped()
+				scenarios = simulation.BuiltinNames()
 			}
 			pairs, err := simulation.Pairs(cmd.Context(), executable, names[0], scenarios, seedList)
 			if err != nil {
@@ -131,7 +131,7 @@
 		return err
 	}
 	for _, r := range rows {
-		if !r.Reached() {
+		if !r.Passed() {
 			return errOutOfBounds
 		}
 	}
@@ -144,12 +144,12 @@
 	Places  []float64 `json:"places"`
 	Alone   []float64 `json:"servers_alone"`
 	Broken  int       `json:"rules_broken"`
-	Reached bool      `json:"reached"`
+	Passed  bool      `json:"reached"`
 }
 
 func jsonRows(rows []simulation.Row) (all []jsonRow) {
 	for _, r := range rows {
-		all = append(all, jsonRow{r.Name, finite(r.WithTopology), finite(r.WithoutTopology), r.Broken, r.Reached()})
+		all = append(all, jsonRow{r.Name, finite(r.WithTopology), finite(r.WithoutTopology), r.Broken, r.Passed()})
 	}
 	return all
 }
@@ -174,7 +174,7 @@
 		if !math.IsInf(r.Max, 0) {
 			want += fmt.Sprintf(" %.3g or less", r.Max)
 		}
-		t.AppendRow(table.Row{r.Name, want, meanAndRange(r.WithTopology), meanAndRange(r.WithoutTopology), r.Broken, r.Reached()})
+		t.AppendRow(table.Row{r.Name, want, meanAndRange(r.WithTopology), meanAndRange(r.WithoutTopology), r.Broken, r.Passed()})
 	}
 	t.Render()
 }
--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -110,7 +110,7 @@
 func TestJSONOfExperimentsIsFrozen(t *testing.T) {
 	pairs := []simulation.Pair{{Scenario: "all", Mean: 0.5, HalfInterval: 0.25, P: 0.125, OurG: 0.75, TheirG: 0.625, OurBroken: 1, TheirBroken: 2}}
 	row := simulation.Row{Measure: simulation.Measure{Name: "calm: attempts that cross", Max: 1}, WithTopology: []float64{0, 0.5}, WithoutTopology: []float64{1, 2}}
-	report := &scaletest.Report{Laws: []scaletest.Extrapolate{{Target: 5}}, Stopped: "called off"}
+	report := &scaletest.Report{Laws: []scaletest.Extrapolation{{Target: 5}}, Stopped: "called off"}
 	outcome := &simulation.Outcome{Classes: map[string]simulation.Totals{"x": {Requests: 1}}, Broken: 3, BrokenRules: []string{"a rule"}}
 	for _, c := range []struct {
 		file  string
--- a/cmd/sloerail/scale.go
+++ b/cmd/sloerail/scale.go
@@ -53,7 +53,7 @@
 
 func listScales(out io.Writer) error {
 	printer := output.NewPrinter(out)
-	for _, name := range scaletest.Shipped() {
+	for _, name := range scaletest.BuiltinNames() {
 		s, err := scaletest.Read(name)
 		if err != nil {
 			return err
--- a/cmd/sloerail/scale_report.go
+++ b/cmd/sloerail/scale_report.go
@@ -117,13 +117,14 @@
 	t := newTable(out, "measure", "unit", "of", "law", "formula", "residual rms, worst", "fitted sizes",
 		"exponent at the end", fmt.Sprintf("at %s (95%%)", formatFigure(r.Scenario.Target)), "target / largest size", "budget", "budget reached at")
 	for _, l := range r.Laws {
-		row := table.Row{l.Name, string(l.Unit), string(l.Source), string(l.Why), "", "", fmt.Sprintf("%d to %d", l.From, l.To),
+		row := table.Row{l.Name, string(l.Unit), string(l.Source), string(l.Why), "", "",
+			fmt.Sprintf("%d to %d", l.MinSize, l.MaxSize),
 			fmt.Sprintf("%.2f", l.Exponent), "", "", "", ""}
 		if l.Law != "" {
 			row[3], row[4] = string(l.Law), l.Formula()
-			row[5] = fmt.Sprintf("%.1f%%, %.1f%%", 100*l.Residual, 100*l.Worst)
+			row[5] = fmt.Sprintf("%.1f%%, %.1f%%", 100*l.Residual, 100*l.MaxDeviation)
 			row[8] = fmt.Sprintf("%s (%s to %s)", formatFigure(l.AtTarget), formatFigure(l.Low), formatFigure(l.High))
-			row[9] = fmt.Sprintf("x%.3g", l.Beyond)
+			row[9] = fmt.Sprintf("x%.3g", l.TargetFactor)
 		}
 		if l.Limit > 0 {
 			row[10] = formatFigure(l.Limit)
--- a/cmd/sloerail/simulate.go
+++ b/cmd/sloerail/simulate.go
@@ -47,7 +47,7 @@
 
 func listScenarios(out io.Writer) error {
 	p := output.NewPrinter(out)
-	for _, name := range simulation.Shipped() {
+	for _, name := range simulation.BuiltinNames() {
 		s, err := simulation.Read(name)
 		if err != nil {
 			return err
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -74,10 +74,10 @@
 	B            float64 `json:"b"`
 	P            float64 `json:"p,omitempty"` // exponent of Power
 	Points       int     `json:"points"`
-	From         int     `json:"from"` // From and To are the smallest and the largest size of the fit
-	To           int     `json:"to"`
+	MinSize      int     `json:"from"` // MinSize and MaxSize are the smallest and the largest size of the fit
+	MaxSize      int     `json:"to"`
 	Residual     float64 `json:"residual"` // root mean square, as a fraction of the value
-	Worst        float64 `json:"worst"`    // largest deviation of a mean from the law, as a fraction of the law's value
+	MaxDeviation float64 `json:"worst"`    // largest deviation of a mean from the law, as a fraction of the law's value
 	Exponent     float64 `json:"exponent"` // of the growth between the two largest sizes: 0 is constant, 1 is linear
 	SizesOmitted int     `json:"left"`     // number of smallest sizes left out because no law fits all sizes
 
@@ -121,7 +121,8 @@
 // least minSizes remain, because a constant cost may hide the law at small sizes. If no law fits, Why says so.
 func fitLaw(o observations) Fit {
 	sizes := o.distinctSizes()
-	noFit := Fit{Points: len(o.values), From: int(sizes[0]), To: int(sizes[len(sizes)-1]), Exponent: exponent(o), Why: NoLaw}
+	noFit := Fit{Points: len(o.values), MinSize: int(sizes[0]), MaxSize: int(sizes[len(sizes)-1]),
+		Exponent: exponent(o), Why: NoLaw}
 	switch {
 	case slices.ContainsFunc(o.values, func(v float64) bool { return !(v > 0) || math.IsInf(v, 0) }):
 		noFit.Why = NotAboveZero
@@ -155,7 +156,7 @@
 	bestScore := math.Inf(1)
 	for _, law := range laws {
 		f, ok := fitGivenLaw(law, o)
-		if !ok || f.Worst > maxResidual {
+		if !ok || f.MaxDeviation > maxResidual {
 			continue
 		}
 		if score := f.score(); score < bestScore-minScoreGain {
@@ -203,7 +204,7 @@
 	for i, n := range o.sizes {
 		terms[i], weights[i] = f.term(n), 1/(o.values[i]*o.values[i])
 	}
-	f.Points, f.From, f.To = len(o.sizes), int(slices.Min(o.sizes)), int(slices.Max(o.sizes))
+	f.Points, f.MinSize, f.MaxSize = len(o.sizes), int(slices.Min(o.sizes)), int(slices.Max(o.sizes))
 	f.A, f.B = stat.Mean(o.values, weights), 0
 	if f.Law != Constant {
 		f.A, f.B = stat.LinearRegression(terms, o.values, weights, false)
@@ -219,7 +220,7 @@
 	return f, f.computeResiduals(o)
 }
 
-// computeResiduals sets Residual and Worst. It returns false if the law is not above 0 at a measured size.
+// computeResiduals sets Residual and MaxDeviation. It returns false if the law is not above 0 at a measured size.
 func (f *Fit) computeResiduals(o observations) bool {
 	sum := 0.0
 	for i, n := range o.sizes {
@@ -232,7 +233,7 @@
 		if at <= 0 {
 			return false
 		}
-		f.Worst = max(f.Worst, math.Abs(o.means()[i]-at)/at)
+		f.MaxDeviation = max(f.MaxDeviation, math.Abs(o.means()[i]-at)/at)
 	}
 	return true
 }
--- a/internal/scaletest/fit_test.go
+++ b/internal/scaletest/fit_test.go
@@ -78,9 +78,9 @@
 func TestFitOmitsSmallSizesThatHideTheLaw(t *testing.T) {
 	// Constant up to size 290, and a steep line above it.
 	f := fitLaw(noisyObservations(testSizes, 1, func(n float64) float64 { return 10 + 50*max(0, n-290) }))
-	if f.Law != Linear || f.SizesOmitted != 1 && f.SizesOmitted != 2 || f.From != int(testSizes[f.SizesOmitted]) {
+	if f.Law != Linear || f.SizesOmitted != 1 && f.SizesOmitted != 2 || f.MinSize != int(testSizes[f.SizesOmitted]) {
 		t.Errorf("fitted law %q over sizes %d to %d with %d sizes omitted, want a linear law with 1 or 2 omitted",
-			f.Law, f.From, f.To, f.SizesOmitted)
+			f.Law, f.MinSize, f.MaxSize, f.SizesOmitted)
 	}
 }
 
--- a/internal/scaletest/form_test.go
+++ b/internal/scaletest/form_test.go
@@ -39,7 +39,7 @@
 
 // goldenReport returns a report with every key. Optional keys are present in one item and absent in another.
 func goldenReport() Report {
-	fit := Fit{Measure: Heap, Source: Hollow, Law: Power, A: 1.5, B: 2.5, P: 1.25, Points: 15, From: 10, To: 160, Residual: 0.125, Worst: 0.25,
+	fit := Fit{Measure: Heap, Source: Hollow, Law: Power, A: 1.5, B: 2.5, P: 1.25, Points: 15, MinSize: 10, MaxSize: 160, Residual: 0.125, MaxDeviation: 0.25,
 		Exponent: 1.0625, SizesOmitted: 1}
 	noFit := Fit{Measure: Resident, Source: Process, Why: NoLaw}
 	return Report{Scenario: goldenScenario(), Machine: Machine{Cores: 8, Memory: 1 << 35, Go: "go1.26"},
@@ -49,7 +49,7 @@
 			{Dimension: "changes", Size: 10, Run: 2, Source: Process, Value: 0, Measure: InForceP99},
 		},
 		Ratios: []Ratio{{Measure: Heap, Size: 10, Hollow: 2, Process: 3, Ratio: 1.5}},
-		Laws: []Extrapolate{{Fit: fit, Target: 20000, AtTarget: 5e6, Low: 4e6, High: 6e6, Beyond: 125, Limit: 1e8, Reaches: 3e5},
+		Laws: []Extrapolation{{Fit: fit, Target: 20000, AtTarget: 5e6, Low: 4e6, High: 6e6, TargetFactor: 125, Limit: 1e8, Reaches: 3e5},
 			{Fit: noFit}},
 		NotMeasured: NotMeasured, Stopped: "context canceled"}
 }
@@ -86,7 +86,7 @@
 		"sources": []Source{Hollow, Process}, "laws": []Law{Constant, Logarithmic, Linear, Linearithmic, Power},
 		"reasons":   []Reason{NoLaw, TooFewSizes, NotAboveZero},
 		"units":     []Unit{Nanoseconds, Milliseconds, Bytes, BytesPerSecond, PerSecond, CorePercent, Percent, Count, Times},
-		"scenarios": Shipped(),
+		"scenarios": BuiltinNames(),
 	}, "", " ")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scaletest/plot.go
+++ b/internal/scaletest/plot.go
@@ -70,7 +70,7 @@
 }
 
 // panel draws one measure. It returns nil if a value is not above 0, as the axes are logarithmic.
-func (r *Report) panel(law Extrapolate) (*plot.Plot, error) {
+func (r *Report) panel(law Extrapolation) (*plot.Plot, error) {
 	measured := observationsOf(r.Measurements, law.Measure, law.Source)
 	points := make(plotter.XYs, len(measured.values))
 	for i, v := range measured.values {
@@ -102,28 +102,28 @@
 }
 
 // maxDrawnSize returns the size up to which the law is drawn.
-func (e Extrapolate) maxDrawnSize() float64 {
-	return min(maxDrawnTarget, max(float64(e.To), e.Target))
+func (e Extrapolation) maxDrawnSize() float64 {
+	return min(maxDrawnTarget, max(float64(e.MaxSize), e.Target))
 }
 
 // addLaw draws the law, dashed beyond the largest size of the fit. If there is no law, the title says why.
-func addLaw(p *plot.Plot, law Extrapolate) error {
+func addLaw(p *plot.Plot, law Extrapolation) error {
 	if law.Law == "" {
 		p.Title.Text += ": " + string(law.Why)
 		return nil
 	}
 	p.Title.Text += ": " + string(law.Law)
-	if err := addCurve(p, law, float64(law.From), float64(law.To), nil); err != nil {
+	if err := addCurve(p, law, float64(law.MinSize), float64(law.MaxSize), nil); err != nil {
 		return err
 	}
-	if law.Target <= float64(law.To) {
+	if law.Target <= float64(law.MaxSize) {
 		return nil
 	}
-	return addCurve(p, law, float64(law.To), law.maxDrawnSize(), []vg.Length{dashLength, dashSpace})
+	return addCurve(p, law, float64(law.MaxSize), law.maxDrawnSize(), []vg.Length{dashLength, dashSpace})
 }
 
 // addCurve draws the law between two sizes.
-func addCurve(p *plot.Plot, law Extrapolate, from, to float64, dashes []vg.Length) error {
+func addCurve(p *plot.Plot, law Extrapolation, from, to float64, dashes []vg.Length) error {
 	var curve plotter.XYs
 	low, high := math.Log(from), math.Log(to)
 	for i := range curvePoints {
@@ -142,11 +142,11 @@
 }
 
 // addLimit draws the budget up to the target, and a vertical line at the target.
-func addLimit(p *plot.Plot, law Extrapolate) error {
+func addLimit(p *plot.Plot, law Extrapolation) error {
 	if law.Limit <= 0 {
 		return nil
 	}
-	budgetLine, err := plotter.NewLine(plotter.XYs{{X: float64(law.From), Y: law.Limit}, {X: law.maxDrawnSize(), Y: law.Limit}})
+	budgetLine, err := plotter.NewLine(plotter.XYs{{X: float64(law.MinSize), Y: law.Limit}, {X: law.maxDrawnSize(), Y: law.Limit}})
 	if err != nil {
 		return err
 	}
--- a/internal/scaletest/process_test.go
+++ b/internal/scaletest/process_test.go
@@ -228,7 +228,7 @@
 	if got := report.Sources(); !slices.Equal(got, []Source{Process}) {
 		t.Errorf("measured sources: got %v, want only processes", got)
 	}
-	if !slices.ContainsFunc(report.Laws, func(l Extrapolate) bool { return l.Measure == ConfigBytes && l.Law != "" }) {
+	if !slices.ContainsFunc(report.Laws, func(l Extrapolation) bool { return l.Measure == ConfigBytes && l.Law != "" }) {
 		t.Errorf("no law for measure %q, which grows with the number of tenants: laws %+v", ConfigBytes.Name, report.Laws)
 	}
 }
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -9,26 +9,26 @@
 
 // Report is the result of a run of a scenario.
 type Report struct {
-	Scenario     Scenario      `json:"scenario"` // with the seed of the run
-	Machine      Machine       `json:"machine"`
-	Began        time.Time     `json:"began"`
-	Measurements []Measurement `json:"measurements"`
-	Ratios       []Ratio       `json:"ratios,omitempty"` // of real processes to hollow nodes
-	Laws         []Extrapolate `json:"laws"`
-	NotMeasured  []Dimension   `json:"dimensions_not_measured"`
-	Stopped      string        `json:"stopped,omitempty"` // why the run ended early; empty if it is complete
+	Scenario     Scenario        `json:"scenario"` // with the seed of the run
+	Machine      Machine         `json:"machine"`
+	Began        time.Time       `json:"began"`
+	Measurements []Measurement   `json:"measurements"`
+	Ratios       []Ratio         `json:"ratios,omitempty"` // of real processes to hollow nodes
+	Laws         []Extrapolation `json:"laws"`
+	NotMeasured  []Dimension     `json:"dimensions_not_measured"`
+	Stopped      string          `json:"stopped,omitempty"` // why the run ended early; empty if it is complete
 }
 
-// Extrapolate is a law and its extrapolation to the target.
-type Extrapolate struct {
+// Extrapolation is a law and its extrapolation to the target.
+type Extrapolation struct {
 	Fit
-	Target   float64 `json:"target,omitempty"`
-	AtTarget float64 `json:"at_target,omitempty"`
-	Low      float64 `json:"low,omitempty"` // Low and High bound 95% of measurements at the target, if the law holds
-	High     float64 `json:"high,omitempty"`
-	Beyond   float64 `json:"beyond,omitempty"`  // Target as a multiple of the largest measured size
-	Limit    float64 `json:"budget,omitempty"`  // 0 if the measure has no budget
-	Reaches  float64 `json:"reaches,omitempty"` // size at which the law reaches the budget; 0 if never
+	Target       float64 `json:"target,omitempty"`
+	AtTarget     float64 `json:"at_target,omitempty"`
+	Low          float64 `json:"low,omitempty"` // Low and High bound 95% of measurements at the target, if the law holds
+	High         float64 `json:"high,omitempty"`
+	TargetFactor float64 `json:"beyond,omitempty"`  // Target as a multiple of the largest measured size
+	Limit        float64 `json:"budget,omitempty"`  // 0 if the measure has no budget
+	Reaches      float64 `json:"reaches,omitempty"` // size at which the law reaches the budget; 0 if never
 }
 
 // Ratio compares a measure of a process and of a hollow node at one size. Both values are means over the runs.
@@ -118,7 +118,7 @@
 
 // Laws fits a law to each measure of each source, and extrapolates it to the target unless that is 0. All measurements must
 // be of one dimension.
-func Laws(all []Measurement, target float64, budgets []Limit) (laws []Extrapolate) {
+func Laws(all []Measurement, target float64, budgets []Limit) (laws []Extrapolation) {
 	type series struct {
 		Measure
 		Source
@@ -135,16 +135,16 @@
 	return laws
 }
 
-func extrapolate(m Measure, source Source, o observations, target float64, budgets []Limit) Extrapolate {
+func extrapolate(m Measure, source Source, o observations, target float64, budgets []Limit) Extrapolation {
 	f := fitLaw(o)
 	f.Measure, f.Source = m, source
-	e := Extrapolate{Fit: f, Target: target, Limit: limitOf(m, budgets)}
+	e := Extrapolation{Fit: f, Target: target, Limit: limitOf(m, budgets)}
 	if f.Law == "" || e.Target == 0 {
 		return e
 	}
 	e.AtTarget = f.At(e.Target)
 	e.Low, e.High = f.PredictionInterval(e.Target)
-	e.Beyond = e.Target / float64(f.To)
+	e.TargetFactor = e.Target / float64(f.MaxSize)
 	if e.Limit > 0 {
 		e.Reaches, _ = f.Reaches(e.Limit)
 	}
--- a/internal/scaletest/scenario.go
+++ b/internal/scaletest/scenario.go
@@ -80,8 +80,8 @@
 // library holds the scenarios that are built into the program.
 var library = scenario.Library{Files: shipped}
 
-// Shipped returns the names of the scenarios that are built into the program.
-func Shipped() []string { return library.Names() }
+// BuiltinNames returns the names of the scenarios that are built into the program.
+func BuiltinNames() []string { return library.Names() }
 
 // Read reads a built-in scenario by its name, or a scenario file by its path.
 func Read(name string) (Scenario, error) {
--- a/internal/scaletest/scenario_test.go
+++ b/internal/scaletest/scenario_test.go
@@ -25,7 +25,7 @@
 `
 
 func TestShippedScenariosAreValid(t *testing.T) {
-	for _, name := range Shipped() {
+	for _, name := range BuiltinNames() {
 		s, err := Read(name)
 		if err != nil {
 			t.Error(err)
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -50,7 +50,7 @@
 	a := &attempt{request: r, number: r.attemptCount, server: target, sentAt: s.now, jobID: fmt.Sprintf("%s/%d", action.ID, r.attemptCount)}
 	r.attemptCount++
 	r.attempt = a
-	s.outcome.RecordAttempt(s.now, r.clientAttempt.Class.Name, n.zone, target.Spec.Zone)
+	s.outcome.RecordNodeAttempt(s.now, r.clientAttempt.Class.Name, n.zone, target.Spec.Zone)
 	deadline := r.clientAttempt.SendAt + r.clientAttempt.Timeout
 	if action.AttemptDeadline != 0 {
 		deadline = max(s.now, min(action.AttemptDeadline, deadline))
--- a/internal/simulation/load_balancer.go
+++ b/internal/simulation/load_balancer.go
@@ -89,7 +89,7 @@
 	stats := g.clients.Stats[attempt.Class.Name]
 	before := *stats
 	g.clients.AttemptEnded(s.now, attempt, status, retryAfter)
-	s.outcome.RecordAttemptEnded(attempt, before, *stats)
+	s.outcome.RecordClientAttemptEnded(attempt, before, *stats)
 	s.scheduleClients(g)
 }
 
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -16,9 +16,9 @@
 	Broken                        int       // total number of rule violations in the runs with topology
 }
 
-// Reached reports whether the mean with topology is within the measure's bounds and no run with topology broke a
+// Passed reports whether the mean with topology is within the measure's bounds and no run with topology broke a
 // rule.
-func (r Row) Reached() bool {
+func (r Row) Passed() bool {
 	mean, _, _ := MeanMinMax(r.WithTopology)
 	return mean >= r.Min && mean <= r.Max && r.Broken == 0
 }
@@ -58,7 +58,7 @@
 				if baseline, ok := runs[runKey{BaselineOf(m.Scenario), seed, topology}]; ok {
 					run.Baseline = baseline.Outcome
 				}
-				if value := m.Of(run); topology {
+				if value := m.Compute(run); topology {
 					row.WithTopology = append(row.WithTopology, value)
 					row.Broken += run.Broken
 				} else {
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -124,15 +124,16 @@
 	sums[outer][inner] += value
 }
 
-// RecordAttemptEnded records the end of a client attempt, given the statistics of its class before and
+// RecordClientAttemptEnded records the end of a client attempt, given the statistics of its class before and
 // after the end.
-func (o *Outcome) RecordAttemptEnded(attempt *emulator.ClientAttempt, before, after emulator.ClientStats) {
+func (o *Outcome) RecordClientAttemptEnded(attempt *emulator.ClientAttempt, before, after emulator.ClientStats) {
 	o.record(attempt, emulator.ClientStats{InTime: after.InTime - before.InTime, Late: after.Late - before.Late,
 		Failed: after.Failed - before.Failed})
 }
 
-// RecordAttempt records an attempt that a node sends to a server. The zone of the node is from, that of the server is to.
-func (o *Outcome) RecordAttempt(now time.Duration, class, from, to string) {
+// RecordNodeAttempt records an attempt that a node sends to a server. The zone of the node is from, that of the server
+// is to.
+func (o *Outcome) RecordNodeAttempt(now time.Duration, class, from, to string) {
 	s := o.second(now)
 	addNested(s.AttemptsByZone, from, to, 1)
 	addNested(o.AttemptsByZone, class, to, 1)
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -63,8 +63,8 @@
 // builtin is the library of built-in scenarios.
 var builtin = scenario.Library{Files: builtinFiles}
 
-// Shipped returns the names of the built-in scenarios.
-func Shipped() []string { return builtin.Names() }
+// BuiltinNames returns the names of the built-in scenarios.
+func BuiltinNames() []string { return builtin.Names() }
 
 // Read reads a built-in scenario by its name, or a scenario file by its path.
 func Read(name string) (Scenario, error) { return scenario.Read(builtin, name, Parse) }
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -24,7 +24,7 @@
 		t.Fatal(err)
 	}
 	for _, r := range rows {
-		if !r.Reached() {
+		if !r.Passed() {
 			t.Errorf("%s: got %v, want a mean of %v to %v; broken rules: got %d, want 0", r.Name, r.WithTopology, r.Min, r.Max, r.Broken)
 		}
 	}
--- a/internal/simulation/zone_measures.go
+++ b/internal/simulation/zone_measures.go
@@ -15,7 +15,7 @@
 	Name     string // scripts read it from the output of the zones experiment, so names must not change
 	Scenario string
 	Min, Max float64
-	Of       func(r Run) float64
+	Compute  func(r Run) float64
 }
 
 // Run is a scenario and its outcome.
--- a/internal/testcluster/load_generator.go
+++ b/internal/testcluster/load_generator.go
@@ -188,7 +188,7 @@
 	before := *stats
 	l.clients.AttemptEnded(now, attempt, status, retryAfter)
 	if env.outcome != nil {
-		env.outcome.RecordAttemptEnded(attempt, before, *stats)
+		env.outcome.RecordClientAttemptEnded(attempt, before, *stats)
 	}
 	signal(l.wakeup)
 }
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -113,7 +113,7 @@
 	e.Checker.AttemptArrived(now, node, job.ID, s.Server)
 	e.attemptCounts[[2]string{node, s.Spec.Zone}]++
 	if e.outcome != nil {
-		e.outcome.RecordAttempt(now, class, zone, s.Spec.Zone)
+		e.outcome.RecordNodeAttempt(now, class, zone, s.Spec.Zone)
 	}
 	verdict := s.Offer(now, job)
 	if verdict == emulator.Accepted {
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -152,7 +152,7 @@
 		}
 		run := runs[m.Scenario]
 		run.Baseline = runs[simulation.BaselineOf(m.Scenario)].Outcome
-		v := m.Of(run)
+		v := m.Compute(run)
 		t.Logf("| %s | %.3f | %d rules broken %q", m.Name, v, run.Broken, run.BrokenRules)
 		if v < m.Min || v > m.Max || run.Broken > 0 {
 			t.Logf("NOT REACHED: %s", m.Name)
