--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -28,9 +28,9 @@
 }
 
 // zoneView returns a node's view of a zone, or the zero value if the node has none or does not respond.
-func (h *fleetHarness) zoneView(name, zone string) (v node.PlaceView) {
-	var views []node.PlaceView
-	if err := Get(h.ctx, h.Nodes[name].Control(), "/places", &views); err != nil {
+func (h *fleetHarness) zoneView(name, zone string) (v node.ZoneView) {
+	var views []node.ZoneView
+	if err := Get(h.ctx, h.Nodes[name].ControlAddress(), "/places", &views); err != nil {
 		return v
 	}
 	for _, view := range views {
@@ -152,7 +152,7 @@
 		}
 		run := runs[m.Scenario]
 		run.Baseline = runs[simulation.BaselineOf(m.Scenario)].Outcome
-		v := m.Of(run)
+		v := m.Compute(run)
 		t.Logf("| %s | %.3f | %d rules broken %q", m.Name, v, run.Broken, run.BrokenRules)
 		if v < m.Min || v > m.Max || run.Broken > 0 {
 			t.Logf("NOT REACHED: %s", m.Name)
