--- a/policy/balancer.go
+++ b/policy/balancer.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Balancer makes the decisions of one node. It connects the mechanisms, each of which keeps its state in its
-// own file. It isn't safe for concurrent use. Create one with New.
+// Balancer makes the decisions of one node. It connects the mechanisms. Each mechanism has a type for its
+// state, in a source file of its own. A Balancer isn't safe for concurrent use. Create one with New.
 type Balancer struct {
-	settings Settings // in force, except that NodeCount is the number of nodes that share the quotas
+	settings Settings // current settings; NodeCount is replaced by the number of nodes that share the quotas
 	now      Time     // time of the current event
 	rng      *rand.Rand
 	actions  []Action // actions for the current event
@@ -20,7 +20,7 @@
 	loadShedder    loadShedder
 	retryBudget    retryBudget
 	fleetSize      fleetSize
-	handedOver     bool                // the successor in a hot restart has taken over; rateLimiter has a copy
+	handedOver     bool                // a successor has taken over (hot_restart.go); copied to rateLimiter
 	requests       map[string]*request // requests by ID that haven't ended or have an attempt without an outcome
 	queue          requestQueue        // requests that wait for a usable server
 
@@ -159,7 +159,7 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // updateRatio updates ratio, the exponential moving average of the fraction of events that are hits, with one
-// event. The event has the weight gain.
+// event. gain is the weight of that event.
 func updateRatio(ratio *float64, gain float64, hit bool) {
 	*ratio -= gain * *ratio
 	if hit {
--- a/policy/capacity_share_test.go
+++ b/policy/capacity_share_test.go
@@ -19,7 +19,7 @@
 		var share capacityShare
 		share.update(c.nodes, c.reachable, c.zones)
 		if got := share.of(own); got != c.wantOwnZone {
-			t.Errorf("%+v: got a share of %v in the own zone, want wantOwnZone", c, got)
+			t.Errorf("%+v: got a share of %v in the own zone, want the case's wantOwnZone", c, got)
 		}
 		if got := share.of(other); got != 1 {
 			t.Errorf("%+v: got a share of %v in another zone, want 1", c, got)
--- a/policy/class.go
+++ b/policy/class.go
@@ -6,10 +6,11 @@
 )
 
 const (
-	// tailQuantile is the quantile of a class's latency that is estimated. An attempt that takes much longer may
-	// be at a server that hangs (slow_attempts.go).
+	// tailQuantile is the quantile of a class's latency that is estimated. An attempt that takes longer than
+	// slowAttemptFactor times the estimate may be at a server that hangs (slow_attempts.go).
 	tailQuantile = 0.95
-	// tailStep scales how far a response moves the estimate, as a fraction of the estimate.
+	// tailStep sets how far one response moves the estimate: a slower response raises it by the fraction
+	// tailStep*tailQuantile, and a faster one lowers it by the fraction tailStep*(1-tailQuantile).
 	tailStep = 0.1
 )
 
@@ -24,7 +25,7 @@
 // classStats holds the measurements of a class. A class of new settings takes over those of the former class
 // with the same name.
 type classStats struct {
-	timerIndex      int           // of its timer for slow attempts; negative if settings never named the class
+	timerIndex      int           // index in statsByTimer; negative if settings never named the class
 	tailLatency     time.Duration // estimated tailQuantile of the latency, at most the objective
 	slowAttempts    slowAttemptWatch
 	firstTryTimeout time.Duration          // longest timeout of a client's first try
@@ -129,7 +130,7 @@
 
 // observeLatency updates the estimate of the tail latency with one response. A slower response raises the
 // estimate, up to the latency objective, and a faster one lowers it. The ratio of the two steps keeps
-// tailQuantile of the responses below the estimate.
+// the fraction tailQuantile of the responses below the estimate.
 func (c *class) observeLatency(latency time.Duration) {
 	step := -(1 - tailQuantile)
 	if latency > c.tailLatency {
--- a/policy/completion_rate.go
+++ b/policy/completion_rate.go
@@ -14,7 +14,7 @@
 )
 
 // completionRate measures the rate of OK responses from warmed-up servers, and the peak of this rate per
-// server. Without load reports, the peak is what one server is known to be able to serve.
+// server. Without load reports, the peak is this node's part of what one server is known to be able to serve.
 type completionRate struct {
 	rate   float64 // responses per second, decayed until rateAt
 	rateAt Time
@@ -33,8 +33,8 @@
 	return c.rate * math.Exp(-(now-c.rateAt).Seconds()/completionRateTime.Seconds())
 }
 
-// serverPeak returns the highest recent number of responses per second from one server. The current rate
-// wouldn't do: it falls while servers fail, and servers that return would then get too few requests.
+// serverPeak returns the highest recent number of responses per second from one server. The peak is
+// used because the current rate falls while servers fail, and servers that return would get too few requests.
 func (c *completionRate) serverPeak(now Time, servers int) float64 {
 	currentRate := c.current(now) / max(1, float64(servers))
 	c.peak = max(currentRate, c.peak*math.Exp(-(now-c.peakAt).Seconds()/peakRateDecayTime.Seconds()))
--- a/policy/concurrency_limit.go
+++ b/policy/concurrency_limit.go
@@ -75,8 +75,8 @@
 	s.moveLimit(step, minLimitFraction*b.initialLimit())
 }
 
-// moveLimit moves a learned limit by a step, down to lowest at most. If the limit is under one, the step is
-// multiplied by it. So a limit of any size settles at the same fraction of slow responses.
+// moveLimit moves a learned limit by a step, but not below lowest. If the limit is under one, the step is
+// multiplied by the limit. So a limit of any size settles at the same fraction of slow responses.
 func (s *server) moveLimit(step, lowest float64) {
 	s.limitObserved = s.limitObserved || step < 0
 	s.concurrencyLimit = max(lowest, s.concurrencyLimit+step*min(1, s.concurrencyLimit))
--- a/policy/concurrency_window.go
+++ b/policy/concurrency_window.go
@@ -8,8 +8,8 @@
 const (
 	// targetUtilization is the fraction of the servers' cores that all nodes together try to keep busy.
 	targetUtilization = 0.8
-	// windowTimeConstant is the time in which a deviation of 1 from the target changes the window e-fold.
-	// Reports are a second or two old, so a faster window would oscillate.
+	// windowTimeConstant is the time in which the window would grow e-fold if the mean utilization were 1
+	// below targetUtilization. Reports are a second or two old, so a faster window would oscillate.
 	windowTimeConstant = 3 * time.Second
 	// windowDecreaseFactor is how many times faster the window shrinks than it grows.
 	windowDecreaseFactor = 3.0
@@ -81,9 +81,9 @@
 	return float64(b.window.inFlight+b.window.siblingInFlight) / b.concurrencyWindow()
 }
 
-// fairLimit returns how many attempts this node may have in flight at a server. It is the server's part of
-// the window, at least minFairLimit, multiplied by the server's relative capacity and its concurrencyLimit,
-// which is a fraction here.
+// fairLimit returns how many attempts this node may have in flight at a server. It is fairLimitSpread
+// times the server's even share of the window, but at least minFairLimit, multiplied by the server's relative
+// capacity and by its concurrencyLimit, which is a fraction here.
 func (b *Balancer) fairLimit(s *server) float64 {
 	relativeCapacity := b.warmFraction(s)
 	if b.loads.typicalLoad.samples > 0 {
--- a/policy/concurrency_window_test.go
+++ b/policy/concurrency_window_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// The window shrinks while servers are busier than the target. It grows while they are less busy and the node
-// has found no capacity; otherwise it stays.
+// The window shrinks while servers are busier than targetUtilization. It grows while they are less busy
+// and the node has found no capacity; otherwise it stays.
 func TestWindowFollowsUtilization(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(40))
 	s, first := b.order()[0], b.concurrencyWindow()
@@ -71,8 +71,8 @@
 	}
 }
 
-// A server whose mean utilization is below the target is full at times and idle at times. The window follows
-// the mean, because single reports would move it down more than up.
+// A server whose mean utilization is below targetUtilization is full at times and idle at times. The window
+// follows the mean, because single reports would move it down more than up.
 func TestWindowFollowsMeanUtilization(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	reportLoad(b, b.order()[0], 5, report(100, 0.5, 10))
--- a/policy/doc.go
+++ b/policy/doc.go
@@ -41,9 +41,9 @@
 //
 // # Making changes
 //
-// Each mechanism has one file with its constants, state and rules. A constant may be changed on its own; its
-// comment gives its meaning and unit. If a change gives other actions for the recorded events, the test in
-// recorded_events_test.go fails. If that is intended, regenerate the file of action hashes in the same
+// Most mechanisms have one file with their constants, state and rules. A constant may be changed on its own;
+// its comment gives its meaning and unit. If a change gives other actions for the recorded events, the test
+// in recorded_events_test.go fails. If that is intended, regenerate the file of action hashes in the same
 // commit. Three constraints span the files:
 //
 //   - The order of random draws and of floating-point sums determines which actions a seed gives.
--- a/policy/endpoint_list.go
+++ b/policy/endpoint_list.go
@@ -28,7 +28,7 @@
 type endpointList struct {
 	failures    int           // failed calls for the list in a row
 	retainFor   time.Duration // how long servers are retained if most of their zone is missing
-	unavailable int           // listed servers that get no requests because they drain or are ejected
+	unavailable int           // servers, listed or retained, that are draining or ejected
 }
 
 // configure sets how long servers are retained. The time is at most half of drainGrace, because a missing
@@ -186,7 +186,7 @@
 	b.packing.changed = append(b.packing.changed, s)
 }
 
-// countUnavailable updates the count of listed servers that get no requests.
+// countUnavailable counts a server in endpointList.unavailable, or stops counting it, as its state requires.
 func (b *Balancer) countUnavailable(s *server) {
 	unavailable := b.servers[s.ID] == s && (s.outlier.ejected || s.Availability != Running)
 	switch {
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -134,7 +134,7 @@
 			first, len(seen))
 	}
 	if later < 2*meanFailed || later > resubscribeBackoffMax*3/2 {
-		t.Errorf("mean first wait %v, longest later wait %v; want 2 times the mean to resubscribeBackoffMax*3/2",
+		t.Errorf("mean first backoff %v, longest later one %v; want 2*mean <= longest <= resubscribeBackoffMax*3/2",
 			meanFailed, later)
 	}
 }
--- a/policy/events.go
+++ b/policy/events.go
@@ -73,7 +73,7 @@
 // RequestComplete reports that the last byte of an Incomplete request has arrived.
 type RequestComplete struct{ ID string }
 
-// FirstByte reports that a streamed response has begun, so that the request can no longer be retried.
+// FirstByte reports that a streamed response has begun. The request can no longer be retried.
 type FirstByte struct {
 	ID, Server string
 	Attempt    int
--- a/policy/load_reports.go
+++ b/policy/load_reports.go
@@ -5,8 +5,8 @@
 // Names of the values in load reports that the decisions use.
 const (
 	reportLatency = "latency_ms" // mean latency of the server's requests, in milliseconds
-	reportUtil    = "util"       // utilization of its cores, 1 if all are busy
-	reportRate    = "qps"        // requests per second that it served
+	reportUtil    = "util"       // utilization of the server's cores, 1 if all are busy
+	reportRate    = "qps"        // requests per second that the server served
 )
 
 const millisPerSecond = 1000
@@ -28,14 +28,15 @@
 	maxKinds = 64
 	// maxKindRateFactor bounds the service rate of a server, as a multiple of the service rate of its kind.
 	maxKindRateFactor = 1.5
-	// overloadSlope is the fraction of its limit that a server loses per unit of utilization above the target.
+	// overloadSlope is the fraction of its limit that a server loses per unit of utilization above
+	// targetUtilization.
 	overloadSlope = 4.0
-	// minLimitScale is the fraction of its limit that an overloaded or failing server keeps.
+	// minLimitScale is the least fraction of its limit that an overloaded or failing server keeps.
 	minLimitScale = 0.1
 	// slowLatencyFactor is the multiple of its kind's latency above which a server's limit is reduced.
 	slowLatencyFactor = 2.0
 	// ejectLatencyFactor is the multiple of its kind's latency above which a server is ejected if its
-	// utilization is above the target, too. Its queue drains only if it gets no requests for a while.
+	// utilization is also above targetUtilization. Its queue drains only if it gets no requests for a while.
 	ejectLatencyFactor = 4.0
 )
 
@@ -115,7 +116,7 @@
 		}
 		l.typicalLoad.add(sample)
 	}
-	if s.reportedRate == 0 { // its first report
+	if s.reportedRate == 0 { // its first informative report
 		s.reportedRate = sample.rate
 	}
 	s.reportedRate += reportGain * (sample.rate - s.reportedRate)
@@ -135,8 +136,8 @@
 	return kind.rate * warmFraction
 }
 
-// limitScale returns the fraction of its fair limit that a server gets. It is below 1 while the server is
-// busier than the target or much slower than its kind.
+// limitScale returns the fraction of its fair limit that a server gets. It is below 1 while the server's
+// utilization is above targetUtilization or its latency is above slowLatencyFactor times that of its kind.
 func (l *serverLoad) limitScale(report loadReport) float64 {
 	return max(minLimitScale, min(1, slowLatencyFactor*l.latency/report.latency,
 		1-overloadSlope*(report.utilization-targetUtilization)))
--- a/policy/load_reports_test.go
+++ b/policy/load_reports_test.go
@@ -82,7 +82,8 @@
 }
 
 // A server keeps its full limit up to the target utilization and up to twice the latency of its kind. Above
-// either, its limit falls, at most to minLimitScale. Far above both, it counts as overloaded.
+// either, its limit falls, but not below minLimitScale times the full one. Far above both, it counts as
+// overloaded.
 func TestLimitScale(t *testing.T) {
 	kind := &serverLoad{samples: 1, rate: 10, latency: 0.1}
 	for _, c := range []struct {
--- a/policy/outlier_detection.go
+++ b/policy/outlier_detection.go
@@ -221,7 +221,7 @@
 		state.addSuccess()
 	case code == Overloaded:
 		b.recordFailure(s, overloadedWeight)
-	case code != TimedOut || s.lastResponseAt < a.sentAt: // a timeout counts if no response came since
+	case code != TimedOut || s.lastResponseAt < a.sentAt: // a timeout counts only if no response came meanwhile
 		b.recordFailure(s, attemptFailureWeight*failureWeight)
 	}
 }
--- a/policy/overcommit_test.go
+++ b/policy/overcommit_test.go
@@ -17,7 +17,7 @@
 		t.Errorf("a request of the lowest priority is sent beyond the limit: %+v", sent)
 	}
 	if sent := actionsOf(b.Handle(ms, newRequest("high", "once")), Send); len(sent) != 1 {
-		t.Errorf("the highest priority is not sent, though servers are only a little beyond their limits")
+		t.Errorf("a high-priority request is not sent, though servers are only a little beyond their limits")
 	}
 	for _, s := range b.order() {
 		s.inFlight = int(maxLearnedOvercommit * 10)
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -331,8 +331,8 @@
 // order returns the servers in service in packing order.
 func (b *Balancer) order() []*server { return b.packing.pool.order() }
 
-// Servers are ordered by crossing cost; a cost stated for a pair of zones takes precedence over the usual
-// one.
+// Servers are ordered by crossing cost. A cost in Topology.ZoneCosts takes precedence over the cost within or
+// between regions.
 func TestPackingOrderFollowsCrossingCost(t *testing.T) {
 	for want, costs := range map[string]map[string]map[string]float64{
 		"abc": nil, "acb": {"a": {"c": 0.5}}, "a(bc)": {"a": {"c": 1}},
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -10,8 +10,9 @@
 )
 
 // eventSimulation hands random valid events to one node and checks the rules that a node must keep: one final
-// response in time, no forbidden retry or rejection, no late send to a draining server, placement, and the
-// retry budget. It keeps its own counts and shares no code with the balancer.
+// response in time, no forbidden retry or rejection, no late send to a draining server, no send to a server
+// that the request's class may not use, and the retry budget. It keeps its own counts and shares no code with
+// the balancer.
 type eventSimulation struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -25,9 +26,9 @@
 	tasks         []task // future outcomes, timers and probe results
 	log           []string
 
-	attemptsPerFiveFailures int // average number of attempts of which five fail
-	maxLatencyMs            int // latencies of attempts are below it
-	stepsPerArrival         int // average number of steps until requests arrive
+	attemptsPerFiveFailures int // on average, five of this many attempts fail
+	maxLatencyMs            int // all latencies of attempts are below this
+	stepsPerArrival         int // average number of steps between arrivals of requests
 
 	requestsAt []Time
 	retriesAt  []Time
--- a/policy/rate_multiplier.go
+++ b/policy/rate_multiplier.go
@@ -5,8 +5,9 @@
 	// multiplier. As they are equal, the multiplier stays about the same while buckets reject requests and every
 	// second selection finds no capacity.
 	rateIncreaseStep, rateDecreaseStep = 0.02, 0.02
-	// minRateMultiplier is the lower bound of the multiplier. If the multiplier fell further, traffic within its
-	// quota would be rejected because of faults that fewer requests don't cure.
+	// minRateMultiplier is the lower bound of the multiplier; if limits are based on load reports, the bound
+	// is 1. If the multiplier fell further, traffic within its quota would be rejected because of faults that
+	// fewer requests don't cure.
 	minRateMultiplier = 0.3
 	// cautiousRateMultiplier is the value above which the multiplier rises only while few responses are slow or
 	// failed, and falls while many are, since the other nodes may need the capacity.
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -164,7 +164,7 @@
 		before := admittedFraction(OK)
 		admittedFraction(TimedOut)
 		if got := admittedFraction(TimedOut); (got < 0.6*before) != c.wantDrop {
-			t.Errorf("%d nodes: admitted %.2f while attempts time out, %.2f before; want below 0.6 of it only for 300",
+			t.Errorf("%d nodes: admitted %.2f with timeouts, %.2f before; want under 0.6 times that only for 300",
 				c.nodes, got, before)
 		}
 		for range 5 { // the multiplier stays cautious until few of the last few hundred responses are bad
--- a/policy/recorded_events_test.go
+++ b/policy/recorded_events_test.go
@@ -30,7 +30,8 @@
 	recordedActionsFile = "testdata/recorded_actions.txt.gz"
 )
 
-// recording holds the events of one or several processes of a node, from one seed.
+// recording holds the events of one or several processes of a node. Seed is the seed of its scenario: the
+// events are drawn from it, and process i (from 0) is created with the seed Seed+i.
 type recording struct {
 	Name   string          `json:"name"`
 	Seed   uint64          `json:"seed"`
@@ -38,8 +39,8 @@
 	Events []recordedEvent `json:"-"`
 }
 
-// recordedEvent is one call of a Balancer. The field that is set tells which call it is. The
-// JSON keys are those in the recorded files.
+// recordedEvent is one call of a Balancer. Besides At and Process, the field that is set tells which call
+// it is. The JSON keys are those in the recorded files, so they stay when a field is renamed.
 type recordedEvent struct {
 	At              int64               `json:"t"`
 	Process         int                 `json:"p,omitempty"`
@@ -226,7 +227,7 @@
 			Kinds: c.Kinds, Zones: c.Zones, Regions: c.Regions})
 	}
 	for _, t := range s.Tenants {
-		var tenant Tenant // no conversion, because it needs the same field names in both types
+		var tenant Tenant // copied by field: a conversion would stop compiling if a field were renamed
 		tenant.Name, tenant.Quota, tenant.Share = t.Name, t.Quota, t.Share
 		set.Tenants = append(set.Tenants, tenant)
 	}
@@ -259,7 +260,7 @@
 	return list
 }
 
-// event returns the Event to hand to a Balancer, or nil for calls of its other methods.
+// event returns the Event to pass to Balancer.Handle, or nil if the recorded call is one of another method.
 func (e *recordedEvent) event() Event {
 	switch {
 	case e.Settings != nil:
@@ -366,11 +367,11 @@
 	return text.String()
 }
 
-// formatExact formats a float without loss, after a space.
+// formatExact returns a space followed by the float, formatted without loss.
 func formatExact(v float64) string { return " " + strconv.FormatFloat(v, 'g', -1, 64) }
 
-// digest returns one line of the file of actions: a hash of the actions, and their kinds. The texts of log
-// lines are left out.
+// digest returns one line of the file of actions: a hash of the actions and of the result (the call's other
+// results, see replayer.apply), and the kinds of the actions. The hash leaves out the texts of log lines.
 func digest(actions []Action, result string) string {
 	text, kinds := fmt.Appendf(nil, "%q\n", result), ""
 	for i := range actions {
@@ -479,8 +480,8 @@
 	writeGzip(t, recordedActionsFile, actions.Bytes())
 }
 
-// TestRecordedEventsLeadToTheRecordedActions runs only on amd64, where the files were recorded. Other
-// processors may round a product and a sum once instead of twice.
+// TestRecordedEventsLeadToTheRecordedActions runs only on amd64, where the files were recorded. On
+// other processors Go may fuse x*y + z into one instruction, which rounds once instead of twice.
 func TestRecordedEventsLeadToTheRecordedActions(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
 		t.Skip("the actions were recorded on amd64 and depend on its rounding of floating-point numbers")
--- a/policy/request.go
+++ b/policy/request.go
@@ -24,7 +24,7 @@
 	provenNotRun bool // the outcome proves that the server never ran it
 	isProbe      bool // it is a probation request or a zone probe
 	warmingUp    bool // the warm-up budget limited its server (isLimitedByWarmup) when it was sent
-	uncounted    bool // not in flight: its request is incomplete, or its response has begun or ended
+	uncounted    bool // not counted as in flight: its request is incomplete, or its response has begun or ended
 }
 
 // updateMayHaveRun finds the first attempt that may have run. An attempt without an outcome may have run.
--- a/policy/retry_budget.go
+++ b/policy/retry_budget.go
@@ -8,8 +8,8 @@
 var defaultRetryBudget = RetryBudget{MinRetries: 20, RetryRatio: 0.2, Window: 10 * time.Second}
 
 // retryLimitMargin, in retries, keeps the number of retries below the limit rather than at it. Otherwise,
-// rounding of the ratio could allow one retry too many. An observer who counts entries that are exactly as
-// old as the window differently could also find one retry too many.
+// rounding of the ratio could allow one retry too many. An observer may count entries that are exactly as old
+// as the window differently, and could then also find one retry too many.
 const retryLimitMargin = 1e-9
 
 // retryBudget bounds the retries of a node. In any window, the node makes fewer retries than MinRetries plus
--- a/policy/server.go
+++ b/policy/server.go
@@ -41,7 +41,7 @@
 	warmup      warmupContribution
 	outlier     outlierContribution
 	evidence    evidenceContribution
-	unavailable bool // it is counted among the listed servers that get no work
+	unavailable bool // it is counted in endpointList.unavailable
 }
 
 // totalInFlight returns how many attempts both processes of this node have in flight at the server.
--- a/policy/server_selection.go
+++ b/policy/server_selection.go
@@ -15,10 +15,11 @@
 )
 
 // pickServer chooses a server for a request: one that is warming up (pickWarmingUp), else the first usable
-// server in packing order that has capacity, else the least overcommitted usable server. It returns nil if no
-// server is usable, or if the overcommit of that last server or of the node's window exceeds the bound of the
-// class. hasCapacity tells whether a server with capacity was found. It is also true if the limit of the
-// least overcommitted server is still the initial guess.
+// server in packing order that has capacity while the node's window has room, else the least overcommitted
+// usable server. For the second choice, a server limited by a warm-up budget needs no room in the window.
+// pickServer returns nil if no server is usable, or if the overcommit of the least overcommitted server or of
+// the window exceeds the bound of the class. hasCapacity tells whether a server with capacity was found. It
+// is also true if the limit of the least overcommitted server is still the initial guess.
 func (b *Balancer) pickServer(r *request) (picked *server, hasCapacity bool) {
 	windowOvercommit, maxOvercommit := b.windowOvercommit(), b.maxOvercommit(r.class)
 	b.chooseZones(r)
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -21,7 +21,7 @@
 	}
 	reportLoad(b, s, 1, report(400, 0.9, 10))
 	if b.respondsInTime(short, s) || !b.respondsInTime(long, s) {
-		t.Errorf("slow server answers in time: got %v within 200 ms and %v within 2 s, want false and true",
+		t.Errorf("slow server responds in time: got %v within 200 ms and %v within 2 s, want false and true",
 			b.respondsInTime(short, s), b.respondsInTime(long, s))
 	}
 	b.now += 10 * reportDecayTime
--- a/policy/settings.go
+++ b/policy/settings.go
@@ -66,8 +66,8 @@
 	Max      float64          // maximum of PerWindow and Burst of every limit; 0 means no maximum
 }
 
-// Allowed says what a node is permitted to do. Probe, Peers, RetryAfter and MaxRetryAfter are part of the
-// wire format and affect no decision.
+// Allowed says what a node is permitted to do. Only Cancel and MaxAttempts affect decisions. The caller uses
+// IdleTimeout. Probe, Peers, RetryAfter and MaxRetryAfter are part of the wire format.
 type Allowed struct {
 	Cancel, Probe, Peers, RetryAfter bool
 	MaxAttempts                      int           // attempts per request; 0 counts as 1
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -5,8 +5,8 @@
 const (
 	// warmupTargetFraction is the fraction of the overload bound that all nodes together send to a server that
 	// is warming up. The bound is the server's current capacity, multiplied by OverloadMultiple-1 unless limits
-	// are based on load reports. The rest absorbs requests that arrive together by chance, expensive requests,
-	// and differences between servers.
+	// are based on load reports. The rest of the bound absorbs requests that arrive together by chance,
+	// expensive requests, and differences between servers.
 	warmupTargetFraction = 0.7
 	// minOverloadMargin is the minimum of the multiplier OverloadMultiple-1.
 	minOverloadMargin = 0.5
@@ -178,7 +178,8 @@
 // such a server completes requests of this node: summed over all nodes, it is what one server can serve. If
 // load reports are known for the server's kind, the service rate of the kind, divided by the number of nodes,
 // is taken instead. A server that is warming up gets its warm fraction of that rate, or more if its own
-// reports show more, multiplied by less than the overload multiple of the rules.
+// reports show more. This is multiplied by warmupTargetFraction, and by OverloadMultiple-1 (at least
+// minOverloadMargin) or, if limits are based on load reports, by the server's concurrencyLimit.
 func (b *Balancer) refillWarmupBudget(s *server) bool {
 	fraction := b.warmFraction(s)
 	if fraction >= 1 || b.handedOver {
--- a/policy/snapshot.go
+++ b/policy/snapshot.go
@@ -101,8 +101,9 @@
 
 // Snapshot returns the state that the successor of this process needs. It must be called before the
 // HandedOver event: both halve the tokens, so in the other order a quarter of them would be lost. The
-// snapshot lacks zone health, the peak of the completion rate and the shortage of the highest priority,
-// because the successor measures them again. It lacks the open requests, because this process finishes them.
+// snapshot lacks what the successor measures again, such as zone health, connection faults, the peak of the
+// completion rate and the shortage of the highest priority. It also lacks the open requests, because this
+// process finishes them.
 func (b *Balancer) Snapshot(now Time) Snapshot {
 	b.now = max(now, b.now)
 	clock := snapshotClock{b.now}
--- a/policy/zone_health.go
+++ b/policy/zone_health.go
@@ -38,7 +38,7 @@
 	responseCounts // recent responses; recorded only while zones are compared (zoneFailover.degraded)
 	name, region   string
 	monitored      bool    // whether the zone may be evacuated
-	crossingCost   float64 // cost of sending a request from this node's zone to the zone
+	crossingCost   float64 // cost of sending a request from the node's zone to this zone
 	warmedUp       int     // number of servers in service that have warmed up; maintained by slowStart
 
 	evidence       fixedPoint              // sum of its servers' evidence that the zone has failed, in nats
@@ -127,8 +127,9 @@
 	return z
 }
 
-// crossingCost returns the cost of sending a request from this node's zone to the server's zone, and stores
-// it in the latter. Without a topology, the cost is 0 in this node's zone and 1 elsewhere.
+// crossingCost returns the cost of sending a request from this node's zone to the server's zone. With a
+// topology, it also stores the cost in the server's zoneHealth. Without one, the cost is 0 in this node's
+// zone and 1 elsewhere.
 func (f *zoneFailover) crossingCost(s *server) float64 {
 	switch {
 	case s.zone != nil:
