--- a/cmd/sloerail-simadapter/main.go
+++ b/cmd/sloerail-simadapter/main.go
@@ -132,7 +132,7 @@
 	case simwire.Shutdown:
 		delete(a.balancers, line.Node)
 	case simwire.Event:
-		// Events for a node that was shut down or has failed are dropped.
+		// An event is dropped if the node has no instance: it was never configured, was shut down or has failed.
 		if balancer := a.balancers[line.Node]; balancer != nil {
 			a.deliver(line.Node, balancer, line.Event)
 		}
--- a/cmd/sloerail/experiment.go
+++ b/cmd/sloerail/experiment.go
@@ -14,7 +14,7 @@
 	"sloerail/internal/simulation"
 )
 
-var errOutOfBounds = errors.New("a measure is out of its bounds, or a rule was broken")
+var errOutOfBounds = errors.New("with nodes that evaluate zones, the mean of a measure is out of its bounds, or a rule was broken")
 
 func newExperiment() *cobra.Command {
 	cmd := &cobra.Command{Use: "experiment", Short: "Run experiments on the decision module, in virtual time and with many seeds"}
@@ -29,9 +29,9 @@
 	cmd := &cobra.Command{
 		Use:   "pair PROGRAM [SCENARIO...]",
 		Short: "Compare this program with another build of it, on the same scenarios and seeds",
-		Long: "Run scenarios with this program and another build of it, on the same seeds. Report the difference of the score G,\n" +
-			"with a 95% interval. G is the weighted mean of the fractions of the value served in time in the whole run, in the\n" +
-			"worst 10 s and in the worst-served class. Without scenarios, run all built-in ones. Exit with 1 if this program broke a rule.",
+		Long: "Run scenarios with this program and with PROGRAM, another build of it, on the same seeds. Report the score G of both,\n" +
+			"and the difference, this program's G minus PROGRAM's, with a 95% interval. G is a weighted mean of the part of the\noffered " +
+			"value that was served in time: in the whole run, in its worst 10 s and in its worst-served class.\nWithout scenarios, run all built-in ones. Exit with 1 if this program broke a rule.",
 		Example: "  sloerail experiment pair /tmp/before/sloerail --seeds 50\n" +
 			"  sloerail experiment pair ./old zone-lost zone-errors --seeds 200 --json",
 		Args: positionalArgs(cobra.MinimumNArgs(1)),
@@ -83,13 +83,13 @@
 		return err
 	}
 	if n := pairs[len(pairs)-1].OurBroken; n > 0 {
-		return fmt.Errorf("%d rules were broken", n)
+		return fmt.Errorf("this program broke rules %d times", n)
 	}
 	return nil
 }
 
 func printPairs(out io.Writer, pairs []simulation.Pair) {
-	t := newTable(out, "scenario", "G", "G of the other build", "difference (95%)", "p", "rules broken",
+	t := newTable(out, "scenario", "G", "G of the other build", "difference of G, this minus other (95%)", "p", "rules broken",
 		"rules broken by the other build")
 	for _, p := range pairs {
 		t.AppendRow(table.Row{p.Scenario, fmt.Sprintf("%.3f", p.OurG), fmt.Sprintf("%.3f", p.TheirG),
@@ -105,8 +105,8 @@
 	cmd := &cobra.Command{
 		Use:   "zones",
 		Short: "Compare nodes that evaluate zones with nodes that evaluate only servers",
-		Long: "Measure the effects of failures of zones, with nodes that evaluate zones and with nodes that evaluate only\n" +
-			"servers, on the same seeds. Exit with 1 if a measure's mean is out of its bounds, or a rule was broken.",
+		Long: "Simulate failures of zones, with nodes that evaluate zones and with nodes that evaluate only servers, on the same\n" +
+			"seeds. Exit with 1 if, with nodes that evaluate zones, the mean of a measure is out of its bounds or a rule was broken.",
 		Example: "  sloerail experiment zones --seeds 10",
 		Args:    positionalArgs(cobra.NoArgs),
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -165,7 +165,8 @@
 }
 
 func printRows(out io.Writer, rows []simulation.Row) {
-	t := newTable(out, "measure", "required mean", "places: mean (min to max)", "servers alone", "rules broken", "reached")
+	t := newTable(out, "measure", "required mean", "evaluating zones: mean (min to max)", "only servers: mean (min to max)",
+		"rules broken evaluating zones", "reached")
 	for _, r := range rows {
 		want := ""
 		if !math.IsInf(r.Min, 0) && r.Min > 0 {
--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -117,11 +117,11 @@
 		print func(out *bytes.Buffer) error
 		err   string
 	}{
-		{"pair.json", func(out *bytes.Buffer) error { return reportPairs(out, pairs, true) }, "1 rules were broken"},
+		{"pair.json", func(out *bytes.Buffer) error { return reportPairs(out, pairs, true) }, "this program broke rules 1 times"},
 		{"zones.json", func(out *bytes.Buffer) error { return reportRows(out, []simulation.Row{row}, true) }, ""},
 		{"scale.json", func(out *bytes.Buffer) error { return reportScale(out, report, scaleFlags{asJSON: true}) },
 			"stopped before all points were measured: called off"},
-		{"simulate.json", func(out *bytes.Buffer) error { return reportOutcome(out, outcome, 1, true) }, "3 rules were broken"},
+		{"simulate.json", func(out *bytes.Buffer) error { return reportOutcome(out, outcome, 1, true) }, "rules were broken 3 times"},
 	} {
 		var out bytes.Buffer
 		err := c.print(&out)
--- a/cmd/sloerail/main_test.go
+++ b/cmd/sloerail/main_test.go
@@ -36,7 +36,7 @@
 	return v
 }
 
-func TestCommands(t *testing.T) {
+func TestCommandsReturnOutputAndExitCode(t *testing.T) {
 	a, b := serveFleetView(t, newFleetView("n0", "n0", "n1")), serveFleetView(t, newFleetView("n1", "n0", "n1"))
 	partitioned := newFleetView("n2", "n2")
 	partitioned.Partitioned, partitioned.QuotaNodes = true, 3
--- a/cmd/sloerail/registry.go
+++ b/cmd/sloerail/registry.go
@@ -149,7 +149,7 @@
 
 func newAdd(client func() *registry.Client) *cobra.Command {
 	return &cobra.Command{
-		Use: "add ID RAFT CALLS", Short: "Add a running replica to those that keep the list",
+		Use: "add ID RAFT CALLS", Short: "Add a running replica, given its ID, its Raft address and its address for calls",
 		Example: "  sloerail registry add r2 10.2.0.3:8501 10.2.0.3:8500", Args: positionalArgs(cobra.ExactArgs(3)),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			body := map[string]string{"raft": args[1], "calls": args[2]}
--- a/cmd/sloerail/scale_report.go
+++ b/cmd/sloerail/scale_report.go
@@ -112,10 +112,10 @@
 	t.Render()
 }
 
-// printLaws prints the table of laws and their values at the target.
+// printLaws prints the table of laws, with their values at the scenario's target size.
 func printLaws(out io.Writer, r *scaletest.Report) {
-	t := newTable(out, "measure", "unit", "of", "law", "formula", "residual rms, worst", "fitted sizes",
-		"exponent at the end", fmt.Sprintf("at %s (95%%)", formatFigure(r.Scenario.Target)), "target / largest size", "budget", "budget reached at")
+	t := newTable(out, "measure", "unit", "of", "law", "formula", "residual: rms, worst", "fitted sizes",
+		"exponent at the end", fmt.Sprintf("at the target %s (95%%)", formatFigure(r.Scenario.Target)), "target / largest size", "budget", "budget reached at")
 	for _, l := range r.Laws {
 		row := table.Row{l.Name, string(l.Unit), string(l.Source), string(l.Why), "", "",
 			fmt.Sprintf("%d to %d", l.MinSize, l.MaxSize),
--- a/cmd/sloerail/simulate.go
+++ b/cmd/sloerail/simulate.go
@@ -41,7 +41,7 @@
 	cmd.Flags().Uint64Var(&seed, "seed", 1, "random seed")
 	cmd.Flags().IntVar(&every, "every", 1, "seconds per line of the table")
 	cmd.Flags().BoolVar(&asJSON, "json", false, "print the outcome as JSON")
-	cmd.Flags().BoolVar(&noPlaces, "no-places", false, "run the nodes without places: they evaluate servers, but not zones")
+	cmd.Flags().BoolVar(&noPlaces, "no-places", false, "run nodes that evaluate only servers, not zones")
 	return cmd
 }
 
@@ -63,7 +63,7 @@
 		return err
 	}
 	if o.Broken > 0 {
-		return fmt.Errorf("%d rules were broken", o.Broken)
+		return fmt.Errorf("rules were broken %d times", o.Broken)
 	}
 	return nil
 }
--- a/cmd/sloerail/zones.go
+++ b/cmd/sloerail/zones.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	if len(failed) > 0 {
-		return fmt.Errorf("no view of places from %s", strings.Join(failed, ", "))
+		return fmt.Errorf("no view of the zones from %s", strings.Join(failed, ", "))
 	}
 	return nil
 }
--- a/internal/emulator/checker.go
+++ b/internal/emulator/checker.go
@@ -9,7 +9,7 @@
 // Rules are the limits that nodes must keep. The checker reports violations of them.
 type Rules struct {
 	AnswerGrace      time.Duration // how long after a client attempt's timeout the final response may arrive
-	DrainGrace       time.Duration // how long a node may send to a server after it was notified that the server drains
+	DrainGrace       time.Duration // how long a node may still send to a server after the node was notified that the server drains or was removed
 	OverloadMultiple float64       // maximum work sent to a server in slow start, as a multiple of its capacity
 	OverloadDuration time.Duration // window over which OverloadMultiple is measured
 }
@@ -32,7 +32,7 @@
 
 	rules          Rules
 	requests       map[string]*requestRecord
-	drainingSince  map[[2]string]Time     // when the node was notified that the server drains, by node and server
+	drainingSince  map[[2]string]Time     // when the node was notified that the server drains or was removed, by node and server
 	slowStartWork  map[string]*workWindow // work sent to servers in slow start, by server
 	violations     []string
 	violationCount int
--- a/internal/emulator/classes.go
+++ b/internal/emulator/classes.go
@@ -17,7 +17,7 @@
 	Name             string
 	Share            float64       // of the requests, relative to the shares of the other classes
 	MinWork, MaxWork time.Duration // range of the work of a request, in time of a core of speed 1
-	LatencyObjective time.Duration // maximum time from the first attempt to the response for the request to count as served in time
+	LatencyObjective time.Duration // a request is served in time if a response with status 200 arrives within this time after its first attempt
 	Deadline         time.Duration // retries start only within this time after the first attempt
 	PriorityWeight   float64       // value of a request that is served in time
 	RetrySafety      RetrySafety
--- a/internal/output/output_test.go
+++ b/internal/output/output_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestShow(t *testing.T) {
+func TestShowWritesJSONOrText(t *testing.T) {
 	text := func(p *Printer) {
 		table := NewTable(p, "name")
 		table.AppendRow([]any{"n0"})
--- a/internal/simulation/attempts.go
+++ b/internal/simulation/attempts.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// reply sends a server's response to the node, unless a fault makes the response get lost.
+// reply sends a server's response to the node, unless a fault drops the response.
 func (s *Simulation) reply(a *attempt, code policy.Code) {
 	if a.server.responseLost || s.unreachable(a.request.node.zone, a.server) {
 		return
--- a/internal/simulation/fault.go
+++ b/internal/simulation/fault.go
@@ -30,7 +30,7 @@
 const (
 	Crash          FaultKind = "lost"   // servers refuse connections, and return with their old start times, so that they begin no new slow start
 	CrashRestart   FaultKind = "cold"   // like Crash, but the servers return as new processes, in slow start
-	ConnectTimeout FaultKind = "silent" // connection attempts to servers time out
+	ConnectTimeout FaultKind = "silent" // connection attempts to servers time out, and responses are lost
 	ResponseLost   FaultKind = "mute"   // requests reach servers, but responses are lost
 	Partition      FaultKind = "apart"  // a zone is cut off from the others, in both directions; without a zone, all zones are cut off from each other
 	Errors         FaultKind = "errors" // a fraction of the requests fails immediately
@@ -117,7 +117,7 @@
 }
 
 // Affected returns the servers that the fault affects. For Errors these are all servers of the zone, because Fraction is
-// then a fraction of the requests. For other kinds they are the first Fraction of these servers, rounded up.
+// then a fraction of the requests. For other kinds they are the first of these servers: Fraction of their number, rounded up.
 func (f Fault) Affected(servers []emulator.ServerSpec) (affected []emulator.ServerSpec) {
 	for _, server := range servers {
 		if f.Zone == "" || server.Zone == f.Zone {
--- a/internal/simulation/measure.go
+++ b/internal/simulation/measure.go
@@ -31,7 +31,7 @@
 	return mean, slices.Min(values), slices.Max(values)
 }
 
-// runKey identifies a run of MeasureZones.
+// runKey identifies one simulation run within MeasureZones.
 type runKey struct {
 	scenario string
 	seed     uint64
--- a/internal/simulation/outcome.go
+++ b/internal/simulation/outcome.go
@@ -12,7 +12,7 @@
 
 // Outcome is the result of a run. Scripts and other versions of the program read its JSON keys.
 type Outcome struct {
-	Seconds        []Second                  `json:"seconds"` // requests count in the second of their start, attempts in that of their sending
+	Seconds        []Second                  `json:"seconds"` // requests by the second of their start, attempts by the second in which they were sent
 	Classes        map[string]Totals         `json:"classes"`
 	Timeline       []TimelineEntry           `json:"marks"`  // starts and ends of faults, and log lines of nodes
 	Broken         int                       `json:"broken"` // number of violations; BrokenRules has messages for the first of them
@@ -131,8 +131,7 @@
 		Failed: after.Failed - before.Failed})
 }
 
-// RecordNodeAttempt records an attempt that a node sends to a server. The zone of the node is from, that of the server
-// is to.
+// RecordNodeAttempt records an attempt that a node in the zone from sends to a server in the zone to.
 func (o *Outcome) RecordNodeAttempt(now time.Duration, class, from, to string) {
 	s := o.second(now)
 	addNested(s.AttemptsByZone, from, to, 1)
--- a/internal/simulation/paired_comparison.go
+++ b/internal/simulation/paired_comparison.go
@@ -23,9 +23,9 @@
 	worstWindowLength = 10 * time.Second
 )
 
-// G returns the score of a run, from 0 to 1: the weighted mean of the fractions of the value that were served in time over
-// the whole run, in its worst window and in its worst-served class. Seconds without requests at the end of the run don't
-// count.
+// G returns the score of a run, from 0 to 1. It is a weighted mean of three fractions, each the part of the offered value
+// that was served in time: in the whole run, in its worst window (1 if the run is shorter than a window), and in its
+// worst-served class. Seconds without requests at the end of the run don't count.
 func (o *Outcome) G() float64 {
 	seconds := len(o.Seconds)
 	for seconds > 0 && o.Seconds[seconds-1].Requests == 0 {
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -11,7 +11,7 @@
 	"sloerail/policy"
 )
 
-// Checks some of the measures of docs/zones.md with one seed. Running all of them takes minutes.
+// Some of the measures of docs/zones.md are within their bounds with one seed. Running all of them takes minutes.
 func TestZonesAreEvacuatedAndRecovered(t *testing.T) {
 	var selected []Measure
 	for _, m := range ZoneMeasures() {
--- a/internal/simulation/zone_measures.go
+++ b/internal/simulation/zone_measures.go
@@ -106,8 +106,8 @@
 	return measures
 }
 
-// residualTraffic returns the measure of the fraction of a zone's attempts that still go to the zone itself, counted from
-// the given duration after the start of the fault until its end.
+// residualTraffic returns the measure of how many of the attempts that a zone's nodes send still go to servers of that zone:
+// a fraction, counted from the given duration after the start of the fault until its end.
 func residualTraffic(scenario, zone string, after time.Duration) Measure {
 	return Measure{fmt.Sprintf("%s: share of the zone's requests still sent there from %v on", scenario, after), scenario, 0, 0.05,
 		func(r Run) float64 {
@@ -116,8 +116,8 @@
 		}}
 }
 
-// servedRatio returns the fraction of the value served from 2 s after the start of the fault, divided by the fraction
-// before the fault.
+// servedRatio returns the fraction of the value that was served in time from 2 s after the start of the fault until its end,
+// divided by the same fraction from 5 s after the start of the run until 1 s before the fault.
 func (r Run) servedRatio() float64 {
 	return r.servedFraction(faultStart+2*time.Second, faultEnd) / r.servedFraction(5*time.Second, faultStart-time.Second)
 }
@@ -157,7 +157,7 @@
 	return n + r.Zones[0].Servers
 }
 
-// lastLogged returns the time of the last log line of a node with this prefix, in seconds, or 0 if there is none.
+// lastLogged returns the time, in seconds, of the last log line with this prefix from any node, or 0 if there is none.
 func (r Run) lastLogged(prefix string) (at float64) {
 	for _, entry := range r.Timeline {
 		if strings.HasPrefix(entry.Text, prefix) {
