--- a/internal/scaletest/check.go
+++ b/internal/scaletest/check.go
@@ -106,8 +106,8 @@
 	return nil
 }
 
-// checkFixed checks the fixed sizes that the scenario uses: all except the size of its own dimension. Scenarios of real
-// processes use none.
+// checkFixed checks the fixed sizes that the scenario uses. No scenario uses the size of its own dimension, only dimension
+// Nodes uses Changes, only Servers and Tenants use Requests, and scenarios of real processes use none.
 func (s *Scenario) checkFixed() error {
 	if s.isReal() {
 		return nil
--- a/internal/scaletest/faults.go
+++ b/internal/scaletest/faults.go
@@ -29,11 +29,11 @@
 	instanceListPath = "/registry/instances"
 )
 
-// Measures of a fault.
+// Measures of a fault. The mean that a peak is divided by is the mean before the fault.
 var (
-	PeakCallsAfterFault = Measure{"calls at the return, over the mean", Times} // of all nodes together, in the busiest second
-	PeakBytesAfterFault = Measure{"bytes at the return, over the mean", Times} // received by all nodes together, in the busiest second
-	LeaderElectionTime  = Measure{"leader again", Milliseconds}                // since the kill, or the replicas' restart
+	PeakCallsAfterFault = Measure{"calls at the return, over the mean", Times} // of all nodes, in the busiest second after the fault
+	PeakBytesAfterFault = Measure{"bytes at the return, over the mean", Times} // received by all nodes, in the busiest second after it
+	LeaderElectionTime  = Measure{"leader again", Milliseconds}                // since the kill of the leader, or the replicas' restart
 	ServersRemoved      = Measure{"servers removed", Count}                    // missing from the list after the fault
 )
 
--- a/internal/scaletest/fit.go
+++ b/internal/scaletest/fit.go
@@ -50,7 +50,7 @@
 	// the penalty for one more parameter in Akaike's information criterion.
 	minScoreGain = 2.0
 	confidence   = 0.95
-	minResidual  = 1e-9 // smaller residuals count as rounding errors
+	minResidual  = 1e-9 // smaller residuals are rounding errors, and count as this
 )
 
 // Reason says why no law was fitted to a measure.
@@ -68,7 +68,7 @@
 type Fit struct {
 	Measure
 	Source       Source  `json:"source"`
-	Law          Law     `json:"law"`           // empty if no law fits
+	Law          Law     `json:"law"`           // empty if no law was fitted
 	Why          Reason  `json:"why,omitempty"` // why there is no law
 	A            float64 `json:"a"`
 	B            float64 `json:"b"`
@@ -118,7 +118,7 @@
 }
 
 // fitLaw returns the simplest law that fits. If none fits all sizes, it leaves out the smallest sizes one by one while at
-// least minSizes remain, because a constant cost may hide the law at small sizes. If no law fits, Why says so.
+// least minSizes remain, because a constant cost may hide the law at small sizes. If it returns no law, Why says the reason.
 func fitLaw(o observations) Fit {
 	sizes := o.distinctSizes()
 	noFit := Fit{Points: len(o.values), MinSize: int(sizes[0]), MaxSize: int(sizes[len(sizes)-1]),
@@ -151,7 +151,8 @@
 	return math.Log(means[n-1]/means[n-2]) / math.Log(sizes[n-1]/sizes[n-2])
 }
 
-// simplestFit returns the law with the best score, or a simpler one whose score is within minScoreGain of it.
+// simplestFit returns the law with the best score, or a simpler one whose score is within minScoreGain of it. Laws from
+// which a mean deviates by more than maxResidual are left out.
 func simplestFit(o observations) (best Fit, found bool) {
 	bestScore := math.Inf(1)
 	for _, law := range laws {
@@ -197,8 +198,8 @@
 	return best, found
 }
 
-// fitCoefficients fits a and b of f.Law, with the exponent f.P. It returns false if the law falls with the size, or is not
-// above 0 at a measured size.
+// fitCoefficients fits a and b of f.Law, with the exponent f.P. It returns false if the law doesn't grow with the size,
+// although it isn't Constant, or is not above 0 at a measured size.
 func fitCoefficients(f Fit, o observations) (Fit, bool) {
 	terms, weights := make([]float64, len(o.sizes)), make([]float64, len(o.sizes))
 	for i, n := range o.sizes {
@@ -242,7 +243,8 @@
 func (f Fit) At(n float64) float64 { return f.A + f.B*f.term(n) }
 
 // PredictionInterval returns the interval in which a further measurement at size n lies with a probability of 95%, if the
-// law holds there. It assumes that the relative error is the same at all sizes.
+// law holds there. It assumes that the relative error is the same at all sizes. The interval is infinite if the points are
+// no more than the parameters of the law.
 func (f Fit) PredictionInterval(n float64) (low, high float64) {
 	k := f.Law.parameterCount()
 	if f.Points <= k {
--- a/internal/scaletest/plot.go
+++ b/internal/scaletest/plot.go
@@ -32,8 +32,8 @@
 	targetColor = color.Gray{Y: 120}
 )
 
-// WriteSVG draws a panel with logarithmic axes for each measure whose values are above 0. A panel shows the measured values,
-// the law up to the target, and the budget.
+// WriteSVG draws a panel with logarithmic axes for each measure whose values are all above 0. A panel shows the measured
+// values, the law up to the target size (at most maxDrawnTarget), and the budget.
 func (r *Report) WriteSVG(to io.Writer) error {
 	var panels []*plot.Plot
 	for _, law := range r.Laws {
@@ -69,7 +69,7 @@
 	return err
 }
 
-// panel draws one measure. It returns nil if a value is not above 0, as the axes are logarithmic.
+// panel draws one measure. It returns nil if a value is not above minDrawnValue, because the axes are logarithmic.
 func (r *Report) panel(law Extrapolation) (*plot.Plot, error) {
 	measured := observationsOf(r.Measurements, law.Measure, law.Source)
 	points := make(plotter.XYs, len(measured.values))
@@ -141,7 +141,7 @@
 	return nil
 }
 
-// addLimit draws the budget up to the target, and a vertical line at the target.
+// addLimit draws the budget up to the target size, and a vertical line at that size, if the measure has a budget.
 func addLimit(p *plot.Plot, law Extrapolation) error {
 	if law.Limit <= 0 {
 		return nil
--- a/internal/scaletest/process.go
+++ b/internal/scaletest/process.go
@@ -18,15 +18,16 @@
 	"sloerail/internal/testcluster"
 )
 
-// Measures that only real processes have, not hollow nodes.
+// Measures that are taken only from real processes, not from hollow nodes. A hollow node is a node's code in this process,
+// without sockets for requests.
 var (
 	PeakResident        = Measure{"peak resident memory", Bytes}            // since the process started
 	StartTime           = Measure{"start", Milliseconds}                    // until the node has its list and is ready
 	ServersListed       = Measure{"servers listed", Count}                  // entries in the node's list after its start
 	ListReceived        = Measure{"list taken from the service", Count}     // 1, or 0 if the node got its list from its configuration
-	ChangeBytes         = Measure{"list change", Bytes}                     // on the wire, for one change
+	ChangeBytes         = Measure{"list change", Bytes}                     // of response bodies, for one change
 	UnroutedChangeCPU   = Measure{"list change elsewhere CPU", Nanoseconds} // for a change of a server that no route of the node uses
-	UnroutedChangeBytes = Measure{"list change elsewhere", Bytes}           // on the wire, for one such change
+	UnroutedChangeBytes = Measure{"list change elsewhere", Bytes}           // of response bodies, for one such change
 	RequestCPU          = Measure{"request CPU", Nanoseconds}               // of the node, for one request
 	DirectP50           = Measure{"request without a node, p50", Nanoseconds}
 	DirectP99           = Measure{"request without a node, p99", Nanoseconds}
@@ -39,10 +40,10 @@
 	RegisterRate        = Measure{"registrations a second", PerSecond} // by all writers
 	RenewRate           = Measure{"renewals a second", PerSecond}      // by all writers
 	RenewCPU            = Measure{"renewal CPU", Nanoseconds}          // of all replicas, for one renewal
-	WatcherNotifiedP50  = Measure{"watcher told p50", Milliseconds}    // from a write until a watcher has read it
-	WatcherNotifiedP99  = Measure{"watcher told p99", Milliseconds}    // from a write until a watcher has read it
+	WatcherNotifiedP50  = Measure{"watcher told p50", Milliseconds}    // from the start of a write until a watcher has read it
+	WatcherNotifiedP99  = Measure{"watcher told p99", Milliseconds}    // from the start of a write until a watcher has read it
 	WatcherNotifiedLast = Measure{"watcher told, last", Milliseconds}  // the longest of these times
-	WatcherCPU          = Measure{"watcher told CPU", Nanoseconds}     // of all replicas, for one change and one watcher
+	WatcherCPU          = Measure{"watcher told CPU", Nanoseconds}     // of all replicas, divided by the changes and the watchers
 	LeaderResident      = Measure{"leader's resident memory", Bytes}
 )
 
@@ -53,12 +54,12 @@
 		RenewRate, RenewCPU, WatcherNotifiedP50, WatcherNotifiedP99, WatcherNotifiedLast, WatcherCPU, LeaderResident}
 }
 
-// ProcessSpec says how real processes are measured. Zero fields are replaced by defaults, which are derived from the target
-// fleet.
+// ProcessSpec says how real processes are measured. Zero fields except Seed are replaced by defaults. The defaults of Routes
+// and Requests are derived from the target fleet, which is the fleet size that the scenarios name as their target.
 type ProcessSpec struct {
 	Seed     uint64
 	Window   time.Duration // duration over which rates are measured
-	Routes   int           // of the node; each route has a service of its own
+	Routes   int           // of the node; each has a service of its own if there are enough services
 	Changes  float64       // changes of the list a second, while changes are measured
 	Requests float64       // requests a second on each of the two paths, through the node and direct
 	Replicas int           // replicas of the registry, 1 or 3
@@ -66,13 +67,13 @@
 
 const (
 	defaultWindow     = 10 * time.Second
-	defaultRoutes     = 10    // the target's 47,000 routes over 5,100 nodes are 9.2 a node
+	defaultRoutes     = 10    // the target fleet's 47,000 routes over 5,100 nodes are 9.2 a node
 	defaultChanges    = 1.0   // a second
-	defaultRequests   = 188.0 // a second: the target's 960,000 over 5,100 nodes
+	defaultRequests   = 188.0 // a second: the target fleet's 960,000 over 5,100 nodes
 	defaultReplicas   = 1
 	targetNodes       = 5100
 	targetServers     = 150_000
-	serversPerService = 54 // the target's 150,000 servers in 2,800 services
+	serversPerService = 54 // the target fleet's 150,000 servers in 2,800 services
 	zoneCount         = 20
 )
 
@@ -100,7 +101,7 @@
 	Name     Dimension
 	MinSize  int
 	MaxSize  int
-	replicas int // of the registry, overriding ProcessSpec.Replicas; 0 keeps that
+	replicas int // of the registry, instead of ProcessSpec.Replicas; if 0, that field applies
 	measure  func(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error
 }
 
@@ -170,7 +171,7 @@
 	return rec.Measurements(), nil
 }
 
-// usage holds the resource usage of a process: CPU time since its start, and memory.
+// usage holds the resource usage of a process: the CPU time that its living threads have used, and its memory.
 type usage struct {
 	cpu            time.Duration
 	resident, peak float64 // bytes
@@ -190,7 +191,7 @@
 		return usage{}, err
 	}
 	u := usage{resident: float64(status.VmRSS), peak: float64(status.VmHWM)}
-	for _, thread := range threads { // schedstat counts in ns, but the CPU time of a whole process in steps of 10 ms
+	for _, thread := range threads { // schedstat of a thread counts in ns, but stat of the whole process in steps of 10 ms
 		times, err := thread.Schedstat()
 		if errors.Is(err, fs.ErrNotExist) {
 			continue // the thread has just ended
@@ -203,7 +204,7 @@
 	return u, nil
 }
 
-// totalCPU returns the CPU time that the processes have used together.
+// totalCPU returns the CPU time that the living threads of all given processes have used.
 func totalCPU(pids ...int) (sum time.Duration, err error) {
 	for _, pid := range pids {
 		u, err := processUsage(pid)
--- a/internal/scaletest/process_list.go
+++ b/internal/scaletest/process_list.go
@@ -94,7 +94,7 @@
 }
 
 // ServeHTTP responds with the whole list to a call without an index. For a call with an index it waits for changes since
-// that index, at most for the time in the call, and responds with the changes.
+// that index, at most for the wait time in the call and for maxWatchWait, and responds with the changes, if any.
 func (s *listService) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	index, err := strconv.ParseInt(req.URL.Query().Get("index"), 10, 64)
 	watch := err == nil
--- a/internal/scaletest/process_registry.go
+++ b/internal/scaletest/process_registry.go
@@ -64,7 +64,7 @@
 		"flavor": serverService(i), "cell": i / 100, "lease_ms": instanceLease.Milliseconds(), "up_since_ms": startTimeMs}
 }
 
-// writeAll makes one write for each of n instances, shared among all writers, and returns the writes a second.
+// writeAll makes one write for each of n instances, shared among all writers, and returns the number of writes a second.
 func (reg *measuredRegistry) writeAll(ctx context.Context, n int, write func(c *registry.Client, i int) error) (rate float64, err error) {
 	errs := make([]error, registryWriters)
 	var wg sync.WaitGroup
@@ -170,7 +170,8 @@
 	return reg.recordIdle(ctx, spec, rec)
 }
 
-// recordIdle records CPU time and memory of replicas that only hold idle watches.
+// recordIdle records the CPU time and the memory of the replicas while nothing is written. Its callers have stopped the
+// watchers before.
 func (reg *measuredRegistry) recordIdle(ctx context.Context, spec ProcessSpec, rec *Recorder) error {
 	began := time.Now()
 	before, err := totalCPU(reg.pids()...)
@@ -197,11 +198,11 @@
 // watchers is the state of the clients that watch the registry, with the delays until they were notified of each write.
 type watchers struct {
 	mu              sync.Mutex
-	writtenAt       time.Time // time of the last write
-	wantStartTimeMs int64     // up_since_ms of the instance in the last write
-	notified        int       // watchers that were notified of the last write
-	readyCount      int       // watchers that have the whole list
-	delays          *hdrhistogram.Histogram
+	writtenAt       time.Time               // when the last write began
+	wantStartTimeMs int64                   // up_since_ms of the instance in the last write
+	notified        int                     // watchers that were notified of the last write
+	readyCount      int                     // watchers that have the whole list
+	delays          *hdrhistogram.Histogram // in microseconds
 }
 
 // measureNotification makes watchedChanges changes while n clients watch the list. It records the delays until the
--- a/internal/scaletest/process_requests.go
+++ b/internal/scaletest/process_requests.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	requestServers = 8  // listeners that the addresses of all servers share
-	requestWorkers = 32 // concurrent requests of each path
+	requestServers = 8  // listeners; the servers in the list share their addresses
+	requestWorkers = 32 // limit of concurrent requests, times the number of paths
 	warmUpRequests = 200
 	maxRequestTime = 10 * time.Second
 	latencyDigits  = 3
@@ -160,7 +160,7 @@
 	return nil
 }
 
-// recordLatencies records the percentiles of both paths, and their differences.
+// recordLatencies records the percentiles of both paths, and how much longer they are through the node.
 func recordLatencies(rec *Recorder, direct, through *requestPath) {
 	for _, m := range []struct {
 		quantile               float64
@@ -174,7 +174,7 @@
 }
 
 // sendAlternately sends count requests on each path. It alternates between the paths, and each path gets the rate of the
-// spec.
+// spec, or less while as many requests as allowed are in flight.
 func sendAlternately(ctx context.Context, spec ProcessSpec, count int, paths ...*requestPath) {
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, len(paths)*requestWorkers)
--- a/internal/scaletest/process_scoped.go
+++ b/internal/scaletest/process_scoped.go
@@ -128,7 +128,7 @@
 }
 
 // measureRealDay measures a node with a scope while servers of all services drain and come back. The rate is the
-// target's daily rate, scaled to size servers.
+// daily rate of the target fleet (the fleet size that the scenarios name as their target), scaled to size servers.
 func measureRealDay(ctx context.Context, cluster *testcluster.Cluster, spec ProcessSpec, size int, rec *Recorder) error {
 	n, err := startScopedNode(ctx, cluster, spec, size, rec)
 	if err != nil {
@@ -148,7 +148,7 @@
 	return <-failed
 }
 
-// dayChangeRate is the number of changes of the target's list per second: 9,100 restarts a day with three changes each
+// dayChangeRate is the number of changes of the target fleet's list per second: 9,100 restarts a day with three changes each
 // (drain, stop, start), and 340 failures with two (detected, repaired).
 const dayChangeRate = (9100*3 + 340*2) / 86400.0
 
--- a/internal/scaletest/process_servers.go
+++ b/internal/scaletest/process_servers.go
@@ -15,7 +15,7 @@
 const (
 	realNodeMemoryMB     = 1024             // large, so that garbage collection doesn't dominate the measurements
 	listTimeout          = 15 * time.Second // a node without its whole list by then counts as not having received it
-	startupDelay         = 3 * time.Second  // between a node's start and the first measurement
+	startupDelay         = 3 * time.Second  // from a node's start to the first measurement, but at most the window
 	pollInterval         = 20 * time.Millisecond
 	manyTenants          = 10
 	totalQuota           = 1e9 // requests a second, too high for a token bucket to refuse any
@@ -27,13 +27,14 @@
 	nodeMaxSockets       = 4096
 )
 
-// nodesPerServer returns how many nodes of the target's fleet route to the same server, if each node routes only to the
-// servers of its routes and all servers get equally many nodes: 18 for ten routes.
+// nodesPerServer returns how many nodes of the target fleet route to the same server, if each node routes only to the
+// servers of its routes and all servers get equally many nodes: 18 for ten routes. The target fleet is the fleet size that
+// the scenarios name as their target: 5,100 nodes and 150,000 servers.
 func nodesPerServer(spec ProcessSpec) int {
 	return max(1, targetNodes*spec.Routes*serversPerService/targetServers)
 }
 
-// nodeSettings returns the settings of a node of the target's fleet whose routes are spread over the given number of
+// nodeSettings returns the settings of a node of the target fleet whose routes are spread over the given number of
 // services.
 func nodeSettings(spec ProcessSpec, services, tenants int) map[string]any {
 	var classes []emulator.Class
@@ -188,8 +189,8 @@
 	first, count int // indexes of services
 }
 
-// measureChanges drains servers and brings them back one by one, at a rate that the node keeps up with, and records the mean
-// cost of a change.
+// measureChanges drains servers and brings them back one by one, at the rate of spec, which the node keeps up with. It
+// records the mean cost of a change, which includes what the idle node uses until the next change.
 func measureChanges(ctx context.Context, spec ProcessSpec, n *testcluster.Node, list listSource, set changeSet, rec *Recorder) error {
 	pid := n.Process().PID()
 	counter := list.counter()
--- a/internal/scaletest/process_test.go
+++ b/internal/scaletest/process_test.go
@@ -22,7 +22,8 @@
 	dayServers  = flag.Int("servers", 150_000, "servers in the list of TestMeasureDay")
 )
 
-// A node with a scope of ten services stays within its budgets at the target's daily rate of changes.
+// A node with a scope of ten services stays within its budgets at the daily rate of changes of the target fleet, which is
+// the fleet size that the scenarios name as their target.
 func TestMeasureDay(t *testing.T) {
 	if *dayDuration == 0 {
 		t.Skip("needs the flag -day")
--- a/internal/scaletest/report.go
+++ b/internal/scaletest/report.go
@@ -13,13 +13,13 @@
 	Machine      Machine         `json:"machine"`
 	Began        time.Time       `json:"began"`
 	Measurements []Measurement   `json:"measurements"`
-	Ratios       []Ratio         `json:"ratios,omitempty"` // of real processes to hollow nodes
+	Ratios       []Ratio         `json:"ratios,omitempty"` // of real processes to hollow nodes (see Ratio)
 	Laws         []Extrapolation `json:"laws"`
 	NotMeasured  []Dimension     `json:"dimensions_not_measured"`
 	Stopped      string          `json:"stopped,omitempty"` // why the run ended early; empty if it is complete
 }
 
-// Extrapolation is a law and its extrapolation to the target.
+// Extrapolation is a law and its extrapolation to the target, which is the size that the scenario names as its target.
 type Extrapolation struct {
 	Fit
 	Target       float64 `json:"target,omitempty"`
@@ -28,10 +28,11 @@
 	High         float64 `json:"high,omitempty"`
 	TargetFactor float64 `json:"beyond,omitempty"`  // Target as a multiple of the largest measured size
 	Limit        float64 `json:"budget,omitempty"`  // 0 if the measure has no budget
-	Reaches      float64 `json:"reaches,omitempty"` // size at which the law reaches the budget; 0 if never
+	Reaches      float64 `json:"reaches,omitempty"` // size at which the law reaches the budget; see Fit.Reaches; 0 if none
 }
 
-// Ratio compares a measure of a process and of a hollow node at one size. Both values are means over the runs.
+// Ratio compares a measure of a process and of a hollow node (a node's code in this process, without sockets for requests)
+// at one size. Both values are means over the runs.
 type Ratio struct {
 	Measure
 	Size    int     `json:"size"`
@@ -109,15 +110,16 @@
 	return all
 }
 
-// fit fits a law to each measure, and sets the fields of the report that are computed from the measurements.
+// fit fits a law to each measure except unfittedMeasures, and sets the fields of the report that are computed from the
+// measurements.
 func (r *Report) fit() {
 	r.NotMeasured = NotMeasured
 	r.Ratios = r.ratios()
 	r.Laws = Laws(r.Measurements, r.Scenario.Target, r.Scenario.Budgets)
 }
 
-// Laws fits a law to each measure of each source, and extrapolates it to the target unless that is 0. All measurements must
-// be of one dimension.
+// Laws fits a law to each measure of each source except unfittedMeasures, and extrapolates it to the target unless that
+// is 0. All measurements must be of one dimension.
 func Laws(all []Measurement, target float64, budgets []Limit) (laws []Extrapolation) {
 	type series struct {
 		Measure
--- a/internal/scaletest/requests.go
+++ b/internal/scaletest/requests.go
@@ -19,7 +19,7 @@
 	reportUtil      = 0.5                   // share of a server's cores that it reports as busy
 	reportRate      = 100.0                 // requests a second that a server reports
 
-	timingSpan    = 400 * time.Millisecond // minimum time over which steps are timed
+	timingSpan    = 400 * time.Millisecond // minimum time over which steps (decisions or list changes) are timed
 	minTimedSteps = 200                    // even if they take more than timingSpan
 	maxTimedSteps = 50_000                 // even if they take less than timingSpan
 	stepsPerCheck = 16                     // steps between checks for cancellation
@@ -33,14 +33,14 @@
 	return hdrhistogram.New(1, maxStepTime.Nanoseconds(), significantDigits)
 }
 
-// requestLoad sends requests to a hollow node at a steady rate on the node's clock. Each attempt succeeds and stays in
-// flight for about the mean service time, so about as many attempts are in flight as at a node that serves real
-// requests.
+// requestLoad sends requests to a hollow node (a node's code in this process, without sockets for requests) at a steady rate
+// on the node's clock. Each attempt succeeds and stays in flight for about the mean service time, so about as many attempts
+// are in flight as at a node that serves real requests.
 type requestLoad struct {
 	node        *node.Hollow
 	rng         *rand.Rand
 	interval    time.Duration
-	maxInFlight int // attempts in flight
+	maxInFlight int // limit of attempts in flight
 	tenants     int
 	classes     []emulator.Class
 
--- a/internal/scaletest/run.go
+++ b/internal/scaletest/run.go
@@ -10,7 +10,7 @@
 	"sloerail/internal/testcluster"
 )
 
-// ErrBeyondMachine reports a size that needs too much of the machine's memory.
+// ErrBeyondMachine reports a size that needs, or a run that uses, too much of the machine's memory.
 var ErrBeyondMachine = errors.New("more than half of this machine's memory")
 
 // Options limit a run beyond its scenario, and add progress reports and comparisons.
@@ -21,8 +21,8 @@
 	Compare     Comparison     // also measures each point; may be nil
 }
 
-// Comparison measures one point by other means than hollow nodes, such as real processes. The report compares its values
-// with those of hollow nodes for the same measure.
+// Comparison measures one point by other means than hollow nodes (a node's code in this process, without sockets for
+// requests), such as real processes. The report compares its values with those of hollow nodes for the same measure.
 type Comparison func(ctx context.Context, s Scenario, size, run int) ([]Measurement, error)
 
 // Progress reports how many points of a run are done.
@@ -42,7 +42,7 @@
 	realMemory     = 8 << 10   // for each server, tenant or watcher, in the real processes and in this process
 	tenantMemory   = 6 << 10   // for each tenant in a configuration: as text, decoded, and in the node
 	nodeMemory     = 512 << 10 // for each hollow node, without its servers and tenants
-	steppedCopies  = 1         // number of stepped nodes at a time
+	steppedCopies  = 1         // number of hollow nodes at a time for dimensions Servers and Tenants
 	baselineMemory = 64 << 20
 )
 
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -19,7 +19,8 @@
 	"sloerail/policy"
 )
 
-// smallScenario returns a scenario that runs for a few seconds.
+// smallScenario returns a scenario that runs for a few seconds and measures hollow nodes (a node's code in this process,
+// without sockets for requests).
 func smallScenario(d Dimension, sizes ...int) Scenario {
 	return Scenario{Name: "small", Dimension: d, Sizes: sizes, Runs: 1, Seed: 1, MaxDuration: simulation.Duration{Duration: time.Minute},
 		Span: simulation.Duration{Duration: 500 * time.Millisecond}, Target: 1000,
--- a/internal/scaletest/scenario.go
+++ b/internal/scaletest/scenario.go
@@ -36,8 +36,8 @@
 	maxFixedRequests = 100_000   // requests a second at one node
 	maxTenants       = 1_000_000 // if the machine's memory allows it
 	maxServers       = 1_000_000 // if the machine's memory allows it
-	maxWatchers      = 4000      // of one replica, all with sockets of this process
-	maxInstances     = 10_000    // in a registry
+	maxWatchers      = 4000      // of a registry, all with sockets of this process
+	maxInstances     = 10_000    // servers in a registry, except for dimensions whose node has a scope
 	maxChangeRate    = 60_000    // changes a minute
 )
 
@@ -50,7 +50,7 @@
 	Runs        int                 `toml:"runs" json:"runs"`
 	Seed        uint64              `toml:"seed" json:"seed"`
 	MaxDuration simulation.Duration `toml:"for" json:"for"`   // time limit of the whole scenario
-	Span        simulation.Duration `toml:"span" json:"span"` // duration of one point; unused for dimensions Servers and Tenants
+	Span        simulation.Duration `toml:"span" json:"span"` // measured time of a point; with a fault, before it and after it
 	Fixed       FixedSizes          `toml:"held" json:"held"`
 	Replicas    int                 `toml:"replicas" json:"replicas"` // of the registry; 0 means 1
 	Fault       Fault               `toml:"fault" json:"fault"`       // of the registry; empty means none
@@ -63,12 +63,12 @@
 type FixedSizes struct {
 	Servers  int     `toml:"servers" json:"servers"`
 	Tenants  int     `toml:"tenants" json:"tenants"`
-	Nodes    int     `toml:"nodes" json:"nodes"`       // nodes that share the quotas; for dimension Changes, also the nodes that run
+	Nodes    int     `toml:"nodes" json:"nodes"`       // nodes that share the tenants' quotas; for dimension Changes, also the nodes that run
 	Requests float64 `toml:"requests" json:"requests"` // requests a second at one node
 	Changes  float64 `toml:"changes" json:"changes"`   // changes of the list a minute
 }
 
-// Limit is the budget of a measure: the largest value allowed at the target.
+// Limit is the budget of a measure: the largest value allowed at the target size.
 type Limit struct {
 	Measure string  `toml:"measure" json:"measure"`
 	Max     float64 `toml:"most" json:"most"`
@@ -109,7 +109,7 @@
 	return strings.Join(all, ", ")
 }
 
-// needsSpan reports whether each point runs for the scenario's span.
+// needsSpan reports whether points are measured over the scenario's span. Those of dimensions Servers and Tenants aren't.
 func (s *Scenario) needsSpan() bool { return s.watchesRegistry() || s.isReal() }
 
 // watchesRegistry reports whether the scenario's nodes watch a registry.
@@ -121,7 +121,7 @@
 	return found
 }
 
-// At returns the scenario's fixed sizes, with its own dimension set to size.
+// At returns the scenario's fixed sizes, with its own dimension set to size unless that is a dimension of real processes.
 func (s *Scenario) At(size int) FixedSizes {
 	fixed := s.Fixed
 	switch s.Dimension {
--- a/internal/scaletest/slope_test.go
+++ b/internal/scaletest/slope_test.go
@@ -16,7 +16,8 @@
 	maxListChangeSlope     = 3.0
 )
 
-// slopeNode is a hollow node with a list of a given size, and its lowest costs so far.
+// slopeNode is a hollow node (a node's code in this process, without sockets for requests) with a list of a given size, and
+// its lowest costs so far.
 type slopeNode struct {
 	*steppedNode
 	point                        *point
--- a/internal/scaletest/stepped.go
+++ b/internal/scaletest/stepped.go
@@ -27,7 +27,8 @@
 	dir      string
 }
 
-// steppedNode is a hollow node that a single goroutine advances, with its list.
+// steppedNode is a hollow node (a node's code in this process, without sockets for requests) that a single goroutine
+// advances, with its list.
 type steppedNode struct {
 	*node.Hollow
 	path       string // of the configuration file
@@ -73,7 +74,7 @@
 	return err
 }
 
-// recordDecisions times decisions after warmUpRounds, when the node knows its servers.
+// recordDecisions times decisions after warmUpRounds rounds of untimed decisions, when the node knows its servers.
 func (p *point) recordDecisions(ctx context.Context, r *requestLoad) error {
 	step := func() error {
 		r.sendNext()
--- a/internal/scaletest/tracker.go
+++ b/internal/scaletest/tracker.go
@@ -20,11 +20,11 @@
 // changeTracker records when each change of the list is in force at each node, that is, when the node has applied it.
 type changeTracker struct {
 	nodes   int
-	servers int // changes go to the servers in turn
+	servers int // number of servers; changes go to them in turn
 
 	mu             sync.Mutex
 	haveList       map[int]bool // nodes that have received the complete list
-	first          int          // number of the first change that counts
+	first          int          // number of the first change that counts; earlier ones only measured the writers
 	dueTimes       []time.Time  // of each change that counts, from first on
 	inForce        map[nodeChange]bool
 	delayHistogram *hdrhistogram.Histogram
@@ -91,7 +91,7 @@
 
 // missed returns the number of changes that are not in force at a node, summed over the nodes. It leaves out the given
 // number of refused changes. A refused change may still come into force, because the registry can't always tell whether
-// it was committed.
+// it was committed. So the result is never below 0, but may be too low.
 func (c *changeTracker) missed(refused int) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/scaletest/watchers.go
+++ b/internal/scaletest/watchers.go
@@ -28,8 +28,8 @@
 	instancePathPrefix = "/registry/instances/"
 )
 
-// measureWatchers measures a registry, whose replicas are processes of their own, and hollow nodes in this process that
-// watch it while its list changes.
+// measureWatchers measures a registry, whose replicas are processes of their own, while its list changes, and the hollow
+// nodes that watch it. A hollow node is a node's code in this process, without sockets for requests.
 func measureWatchers(ctx context.Context, p *point) error {
 	w, err := p.newWatched(ctx)
 	if err != nil {
@@ -195,7 +195,8 @@
 	return err
 }
 
-// isOverloaded reports whether the registry refused a change and its retries with status 503.
+// isOverloaded reports whether the registry refused a change and its retries with status 503, because it is overloaded or
+// has no leader.
 func isOverloaded(err error) bool {
 	var refused registry.StatusError
 	return errors.As(err, &refused) && refused.StatusCode == http.StatusServiceUnavailable
@@ -259,8 +260,8 @@
 type resourceUsage struct {
 	at      time.Time
 	own     time.Duration // CPU time of this process
-	replica usage
-	traffic node.Traffic // of all nodes
+	replica usage         // of the replica replicaName
+	traffic node.Traffic  // of all nodes
 }
 
 func (w *watchedRegistry) usage(nodes []*node.Hollow) (u resourceUsage, err error) {
--- a/internal/testcluster/build.go
+++ b/internal/testcluster/build.go
@@ -9,7 +9,7 @@
 	"sync"
 )
 
-// errNoModule is returned by Build when the working directory is outside this module.
+// errNoModule is returned by Build when neither the working directory nor a parent contains a go.mod.
 var errNoModule = errors.New("no go.mod")
 
 // built caches the programs that Build has compiled in this process.
@@ -20,7 +20,7 @@
 }{paths: make(map[string]string)}
 
 // Build compiles a main package of this module and returns the path of the program. The working directory must be inside
-// the module. Each package is built once per process.
+// the module. Each package is built once per process, but again after Clean.
 func Build(pkg string) (string, error) {
 	built.Lock()
 	defer built.Unlock()
--- a/internal/testcluster/environment.go
+++ b/internal/testcluster/environment.go
@@ -13,7 +13,7 @@
 
 const (
 	healthCheckInterval = 100 * time.Millisecond // between a load generator's health checks of one node
-	unhealthyThreshold  = 3                      // consecutive failed health checks after which a node gets no attempts
+	unhealthyThreshold  = 3                      // consecutive failed health checks that make a node unhealthy
 	maxOpenAttempts     = 4096                   // of all clients; further attempts are skipped and counted
 	maxWatchWait        = time.Minute            // longest wait of a list watch
 	maxListCalls        = 1 << 16                // list calls whose times are retained
--- a/internal/testcluster/fleet.go
+++ b/internal/testcluster/fleet.go
@@ -158,7 +158,7 @@
 }
 
 // StateReports counts, by member, how often the processes of a node have logged that the member entered the given state.
-// A node logs identical lines at most once in ten seconds.
+// It reads the last maxLogBytes of each log. A node logs identical lines at most once in ten seconds.
 func (f *Fleet) StateReports(name, state string) map[string]int {
 	reports := make(map[string]int)
 	for _, p := range f.Nodes[name].Processes() {
--- a/internal/testcluster/link.go
+++ b/internal/testcluster/link.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Faults describes the faults of one direction of a link. The zero value has none.
+// Faults describes the faults of a path, which is one direction of a link. The zero value has none.
 type Faults struct {
 	Latency   time.Duration
 	Jitter    time.Duration // upper bound of additional latency, uniformly distributed
@@ -15,7 +15,7 @@
 	Duplicate float64       // fraction of datagrams that are delivered twice
 	Replay    time.Duration // additional delay of the duplicate
 	Reorder   float64       // fraction of datagrams that later ones may overtake
-	Bandwidth int           // bytes per second; 0 for no limit
+	Bandwidth int           // bytes per second of a stream; 0 for no limit; datagrams ignore it
 	Cut       bool          // nothing passes, and neither end is notified: streams stay open without data
 	Reset     bool          // new streams are reset at once, open ones when they next carry data or end
 }
--- a/internal/testcluster/list.go
+++ b/internal/testcluster/list.go
@@ -55,7 +55,8 @@
 	e.updateList([]emulator.ServerSpec{spec}, phase)
 }
 
-// ListCalls returns the times at which nodes called the list service since the given time, in order.
+// ListCalls returns the times at which nodes called the list service since the given time, in order. Only the newest calls
+// are retained, half of maxListCalls at least.
 func (e *Environment) ListCalls(since time.Time) []time.Time {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -107,8 +108,8 @@
 	}
 }
 
-// awaitListChange waits until the list has changed since a revision, and returns the changes. After the timeout it
-// returns an empty change.
+// awaitListChange waits until the list has changed since a revision, and returns the changes, or the whole list if the
+// changes since that revision are no longer known. After the timeout it returns an empty change.
 func (e *Environment) awaitListChange(ctx context.Context, revision int64, timeout time.Duration) (emulator.ListResponse, error) {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
--- a/internal/testcluster/load_generator.go
+++ b/internal/testcluster/load_generator.go
@@ -53,7 +53,7 @@
 	return l
 }
 
-// Wait waits until the last attempt of the last request has ended.
+// Wait waits until the last attempt of the last request has ended, or the environment stops.
 func (l *LoadGenerator) Wait(ctx context.Context) error {
 	select {
 	case <-l.done:
@@ -63,7 +63,7 @@
 	}
 }
 
-// NotReadyCount returns the number of health checks that nodes answered with an error status.
+// NotReadyCount returns the number of health checks to which nodes responded with a status other than 2xx.
 func (l *LoadGenerator) NotReadyCount() int {
 	l.env.mu.Lock()
 	defer l.env.mu.Unlock()
@@ -84,7 +84,7 @@
 	return total
 }
 
-// run sends attempts when they are due, until no attempt is pending or open.
+// run sends attempts when they are due, until no attempt is pending or open, or the environment stops.
 func (l *LoadGenerator) run() {
 	defer close(l.done)
 	timer := time.NewTimer(0)
--- a/internal/testcluster/measure_test.go
+++ b/internal/testcluster/measure_test.go
@@ -284,8 +284,9 @@
 	return all
 }
 
-// Measures an outage of the list service under load, during which servers drain and are removed: the fraction of requests
-// that six nodes serve in time, and how their calls are spread after the outage.
+// Measures an outage of the list service under load, shortly after one server was removed and another began to drain: the
+// fraction of requests that six nodes serve in time, and how the nodes' calls of the list service are spread
+// after the outage.
 func TestMeasureListOutage(t *testing.T) {
 	if *listOutage == 0 {
 		t.Skip("-away")
--- a/internal/testcluster/registry_test.go
+++ b/internal/testcluster/registry_test.go
@@ -33,7 +33,8 @@
 	unknown  bool
 }
 
-// storedVersion is the state of an instance in the model. If known is false, the instance may have any greater version.
+// storedVersion is the state of an instance in the model. If known is false, the instance's version is unknown, but
+// above the field version.
 type storedVersion struct {
 	version int64
 	known   bool
--- a/internal/testcluster/relay.go
+++ b/internal/testcluster/relay.go
@@ -97,7 +97,7 @@
 	})
 }
 
-// relayStream relays one stream. If one direction of the path is cut, a new stream stays open without data until the
+// relayStream relays one stream. If the path or its reverse is cut, a new stream stays open without data until the
 // cut ends or the cluster is closed.
 func (l *links) relayStream(in *net.TCPConn, p path, address string) {
 	if !l.track(in) {
--- a/internal/testcluster/scenario.go
+++ b/internal/testcluster/scenario.go
@@ -239,7 +239,8 @@
 // zoneLogLine matches log lines of nodes about zones, and captures their time and message.
 var zoneLogLine = regexp.MustCompile(`^time=(\S+) .*msg="(place [^"]*)"`)
 
-// result returns the outcome, with the nodes' log lines about zones and the rule violations added.
+// result returns the outcome, with the rule violations and the nodes' log lines about zones added. It reads the last
+// maxLogBytes of each log.
 func (r *scenarioRun) result(began time.Time) *simulation.Outcome {
 	r.env.mu.Lock()
 	defer r.env.mu.Unlock()
--- a/internal/testcluster/schedule.go
+++ b/internal/testcluster/schedule.go
@@ -70,8 +70,8 @@
 	return s, nil
 }
 
-// RandomSchedule returns a schedule of n random faults of the given kinds, which affect the given parties and begin
-// within span. Equal arguments give equal schedules.
+// RandomSchedule returns a schedule of n random faults of the given kinds, which affect the given parties, begin
+// within span and last less than a quarter of it. Equal arguments give equal schedules.
 func RandomSchedule(seed uint64, n int, span time.Duration, parties []string, kinds ...FaultKind) Schedule {
 	rng := rand.New(rand.NewPCG(seed, 0x5c))
 	var schedule Schedule
--- a/internal/testcluster/servers.go
+++ b/internal/testcluster/servers.go
@@ -125,7 +125,7 @@
 }
 
 // awaitCompletion sends the response when the server has completed the request. It returns without one if the node closes
-// the connection first.
+// the connection or the environment stops first.
 func (e *Environment) awaitCompletion(rw http.ResponseWriter, r *http.Request, s *server, id string, done <-chan emulator.CompletedJob) {
 	signal(s.wakeup)
 	select {
--- a/internal/testcluster/settings.go
+++ b/internal/testcluster/settings.go
@@ -3,7 +3,7 @@
 import "sloerail/internal/emulator"
 
 // Settings returns the "settings" section for the node at a position in a fleet of the given number of nodes. The quota
-// is that of all tenants together over the whole fleet, in requests per second.
+// is the sum of the quotas of all tenants over the whole fleet, in requests per second.
 func Settings(position, nodes int, zone string, classes []emulator.Class, tenants []emulator.Tenant,
 	quota float64) map[string]any {
 	var classSettings, tenantSettings []map[string]any
--- a/internal/testcluster/zones_test.go
+++ b/internal/testcluster/zones_test.go
@@ -135,7 +135,8 @@
 
 var scenarios = flag.String("scenarios", "", "scenarios of internal/simulation that TestMeasureScenarios plays in real time; \"all\" for those of zones")
 
-// Runs the measurements of docs/zones.md with real nodes. Each scenario runs once and takes about a minute.
+// Runs the measurements of docs/zones.md with real nodes, except those of scenarios whose names begin with "large". Each
+// scenario, and the baseline that it is compared with, runs once and takes about a minute.
 func TestMeasureScenarios(t *testing.T) {
 	if *scenarios == "" {
 		t.Skip("-scenarios")
