--- a/internal/node/config/keys.go
+++ b/internal/node/config/keys.go
@@ -8,12 +8,12 @@
 	"sloerail/internal/node/decode"
 )
 
-// optionalKeys are the keys that a reload may drop, or that only some entries of a list need.
+// optionalKeys are the keys that a reload may drop, at any depth of the file, or that only some entries of a list need.
 var optionalKeys = []string{"control", "aimStretch", "warmKeys", "passesDeadline", "servedOn", "localitiesOnly",
 	"group", "window", "fleet", "places", "ease_lists", "list_file", "scope", "minExtra", "budgetShare", "ratioSpan"}
 
-// parseKeys parses the JSON of a configuration, whose keys a reload must keep. It leaves out the keys of the known list,
-// because the protocol of the list service defines them.
+// parseKeys parses the JSON of a configuration file, so that a reload can check that the new file has the keys of the
+// previous one. It leaves out the keys inside the known list, because the protocol of the list service defines them.
 func parseKeys(raw []byte) (any, error) {
 	var all map[string]any
 	if err := json.Unmarshal(raw, &all); err != nil {
@@ -34,7 +34,9 @@
 	return keys != nil
 }
 
-// checkKeys returns an error for the first key found that previous has and current lacks. path is the path of both.
+// checkKeys returns an error for the first key found that previous has and current lacks, other than one of
+// optionalKeys. Each entry of a list must have the keys that all previous entries of the list have; keys nested in an
+// entry are not checked. path is the path of both.
 func checkKeys(path string, previous, current any) error {
 	switch previous := previous.(type) {
 	case map[string]any:
--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -25,7 +25,7 @@
 	watchRequests chan bool   // the latest SetWatching call that Run has not handled yet
 	retargets     chan Target // the latest Retarget call that Run has not handled yet
 
-	// The fields below are used by Run's goroutine only.
+	// The fields below are used by Run's goroutine only, and by that of a call while Run waits for the call.
 	addresses []string // host:port of the replicas
 	replica   int      // index of the replica to call
 	subscribe bool
--- a/internal/node/discovery/timeouts.go
+++ b/internal/node/discovery/timeouts.go
@@ -35,8 +35,8 @@
 // are repeated.
 //
 // Wait is short, so that more than MaxQueueTime remains between its end and the timeout if the settings allow that.
-// This avoids timeouts: a watch that the list service answers within its wait costs almost nothing, whereas a new
-// watch is work.
+// This avoids timeouts: a watch that the list service answers within its wait costs it almost nothing, whereas a new
+// watch is work for it.
 func newTimeouts(s policy.Settings) Timeouts {
 	delay := MaxNotificationDelay
 	if interval := s.Rules.PollInterval; interval > 0 {
--- a/internal/node/downstream/client_conn.go
+++ b/internal/node/downstream/client_conn.go
@@ -44,7 +44,7 @@
 	closed          chan struct{} // closed when the connection ends
 
 	// The reader's goroutine uses the fields below until it passes a request to the handler. Once the handler responds,
-	// the writer's goroutine uses them until the response is written.
+	// the writer's goroutine uses them until the response is written. Both use responsePending at any time.
 	exchange              *Exchange
 	closeAfterResponse    bool
 	http10                bool // the request is HTTP/1.0
--- a/internal/node/downstream/exchange.go
+++ b/internal/node/downstream/exchange.go
@@ -28,7 +28,7 @@
 	Reply        chan Response    // takes one response without blocking
 
 	upload           *upload         // equals Forwarded.Stream; nil if the body is buffered
-	tally            ResponseCounter // counts the responses to the request's class
+	counter          ResponseCounter // counts the responses to the request's class
 	disconnected     atomic.Bool
 	isClosedByClient func() bool // polls the client's socket; nil if there is no socket
 }
@@ -76,8 +76,8 @@
 	if !isValidRequestID(id) {
 		return nil, &requestError{status: http.StatusBadRequest, text: "X-Request-Id: missing or malformed"}
 	}
-	terms := s.handler.RequestRules()
-	class, former, ok := terms.Class(r.class, r.method, r.idempotencyKey != "")
+	rules := s.handler.RequestRules()
+	class, former, ok := rules.Class(r.class, r.method, r.idempotencyKey != "")
 	if !ok {
 		return nil, &requestError{status: http.StatusBadRequest, text: "X-Class: unknown"}
 	}
@@ -110,8 +110,8 @@
 		Forwarded: upstream.Request{ID: id, Method: method, Path: r.path, Host: r.host, IdempotencyKey: r.idempotencyKey,
 			ContentType: r.contentType, Body: body, Length: r.Length},
 		upload: u, ReceivedAt: s.handler.Now(),
-		Timeout: time.Duration(timeout) * time.Millisecond, RequestRules: terms,
-		tally: s.handler.ResponseCounter(class.Name), Reply: c.reply, isClosedByClient: c.isClosedByClient,
+		Timeout: time.Duration(timeout) * time.Millisecond, RequestRules: rules,
+		counter: s.handler.ResponseCounter(class.Name), Reply: c.reply, isClosedByClient: c.isClosedByClient,
 	}
 	if u != nil {
 		x.Forwarded.Stream = u
--- a/internal/node/downstream/response_writer.go
+++ b/internal/node/downstream/response_writer.go
@@ -66,7 +66,7 @@
 		return c.streamResponse(resp), false
 	}
 	if !early || resp.Status >= http.StatusInternalServerError {
-		x.tally.Count(resp.Status)
+		x.counter.Count(resp.Status)
 	}
 	resp.Length = int64(len(resp.Body))
 	return c.sendResponse(resp) == nil, early
@@ -97,9 +97,9 @@
 	c.writeDeadline = time.Time{}
 	switch {
 	case err == nil || errors.Is(err, upstream.ErrClientDisconnected):
-		c.exchange.tally.Count(resp.Status)
+		c.exchange.counter.Count(resp.Status)
 	default:
-		c.exchange.tally.Count(http.StatusBadGateway)
+		c.exchange.counter.Count(http.StatusBadGateway)
 		if conn != nil && resp.Length < 0 && c.http10 { // a normal close would mark the body as complete
 			_ = conn.SetLinger(0) // makes the close reset the connection; fails only on a closed one
 		}
--- a/internal/node/downstream/server.go
+++ b/internal/node/downstream/server.go
@@ -45,7 +45,8 @@
 	AddOpenRequests(n int)
 }
 
-// RequestRules are the rules for reading requests. Two values are equal if the rules are the same.
+// RequestRules are the rules for reading requests. Two values are equal if no reload of the configuration came between
+// them: each reload makes a new value.
 type RequestRules interface {
 	// Class returns the class with the name; ok is false if there is none. Just after a change of the configuration, it
 	// returns the former class of that name, with former set, if that class matches the request's method and whether
@@ -53,7 +54,7 @@
 	Class(name, method string, hasKey bool) (c policy.Class, former, ok bool)
 }
 
-// ResponseCounter counts responses by status.
+// ResponseCounter counts responses by status. A streamed response that the server didn't complete counts as 502.
 type ResponseCounter interface{ Count(status int) }
 
 // Server reads requests from clients, passes them to a Handler, and writes the responses.
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -169,8 +169,8 @@
 }
 
 // A watch that gets no response, or part of one on a connection that stays open, is replaced soon enough that the node
-// learns of the changes it missed before their drain grace is over. For the drain grace, such a change counts as
-// delivered 6 s after the watch began, or 2 s after its wait parameter has run out, whichever is later.
+// learns of a missed change before the drain grace is over. For the drain grace, such a change counts as delivered 6 s
+// after the watch began, or 2 s after its wait parameter has run out, whichever is later.
 func TestDrainIsLearnedAfterSilentWatch(t *testing.T) {
 	for _, subscribe := range []bool{true, false} {
 		for _, partial := range []bool{false, true} {
@@ -529,11 +529,11 @@
 	nodetest.CloseIgnoringClosed(c.t, c)
 }
 
-// disconnectDetectionTime is how long after a client's disconnect the node may still start an attempt for it.
+// disconnectDetectionTime is how long after a client's disconnect the node may still start an attempt for its request.
 const disconnectDetectionTime = 100 * time.Millisecond
 
-// A request is not forwarded if its client disconnected before the request was read. The goroutine that would read the
-// disconnect may be scheduled only after the loop and the attempt have run, so nothing else has noticed the disconnect.
+// A request is not forwarded if its client disconnected before the request was read. The goroutine that reads the
+// connection may be scheduled only after the loop and the attempt have run, so it can't have noticed the disconnect yet.
 // To force this order, the read of the request waits until the client has been gone for disconnectDetectionTime, and
 // the next read waits for the end of the attempt.
 func TestRequestReadAfterDisconnectIsNotForwarded(t *testing.T) {
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -25,7 +25,8 @@
 	requestReceived struct{ x *downstream.Exchange }
 	// clientDisconnected is the disconnect of a request's client.
 	clientDisconnected struct{ x *downstream.Exchange }
-	// bodyEnded is the end of a request body that was streamed to the server. err is nil if the body is complete.
+	// bodyEnded is the end of a request body that was streamed to the server. err is nil if the body is complete. With an
+	// error, it also ends a request whose client was found to have disconnected before an attempt was sent.
 	bodyEnded struct {
 		x   *downstream.Exchange
 		err error
@@ -52,7 +53,7 @@
 	endpointUpdate struct{ discovery.Update }
 	// configChanged is a reloaded configuration.
 	configChanged struct{ config.Config }
-	// fleetSizeChanged is the number of nodes that this one reaches, and how many of them are in its zone.
+	// fleetSizeChanged is the number of reachable nodes, including this one, and how many of them are in its zone.
 	fleetSizeChanged struct{ reachable, reachableInZone int }
 	// predecessorInFlight is the number of the predecessor's attempts in flight by server.
 	predecessorInFlight struct{ inFlight map[string]int }
--- a/internal/node/figures.go
+++ b/internal/node/figures.go
@@ -12,15 +12,16 @@
 )
 
 // nodeMetrics holds the node's metrics. The code that causes a change updates the fields, and reading them doesn't wait
-// for the loop. The fleet's metrics are only registered in set, and some of them query the loop.
+// for the loop. The metrics of the fleet and of the zones have no fields: they are only registered in set, and some of
+// the fleet's query the loop.
 type nodeMetrics struct {
 	set         *metrics.Set
 	relayed     *metrics.Counter // attempts completely written to servers
 	accepted    *metrics.Counter // reloaded configurations that were applied
 	invalid     *metrics.Counter // reloaded configurations that were rejected
 	open        atomic.Int64     // open requests
-	listed      atomic.Int64     // servers in the list
-	unavailable atomic.Int64     // listed servers that currently get no requests
+	listed      atomic.Int64     // servers listed, or retained though the list lacks them
+	unavailable atomic.Int64     // how many of these servers currently get no requests
 	classes     sync.Map         // *classCounters by class name
 }
 
@@ -57,7 +58,8 @@
 	return t.(*classCounters)
 }
 
-// Count counts an ended request by the status that its client got.
+// Count counts an ended request by the status of its response. A streamed response that the server didn't
+// complete counts as 502.
 func (t *classCounters) Count(status int) {
 	switch status {
 	case http.StatusOK:
--- a/internal/node/hollow.go
+++ b/internal/node/hollow.go
@@ -41,7 +41,7 @@
 }
 
 // trafficCounters are the counters of a Traffic.
-type trafficCounters struct{ sent, received, calls, answers atomic.Uint64 }
+type trafficCounters struct{ sent, received, calls, responses atomic.Uint64 }
 
 // NewHollow returns a hollow node with a configuration from config.Load. If onList is not nil, it is called with each
 // list after the balancer has applied that list, in the goroutine that calls the balancer.
@@ -99,14 +99,14 @@
 	return nil
 }
 
-// Restore applies the known list of the configuration, as a node does at its start.
+// Restore applies the known list of the configuration, as a node without a cached list does at its start.
 func (h *Hollow) Restore() {
 	h.loop.handle(endpointUpdate{discovery.Update{Kind: policy.ListCached, Endpoints: h.config.Known.Endpoints}})
 }
 
 // ApplyList parses a response of the list service and applies it.
-func (h *Hollow) ApplyList(answer []byte) error {
-	l, err := discovery.ParseList(answer)
+func (h *Hollow) ApplyList(response []byte) error {
+	l, err := discovery.ParseList(response)
 	if err != nil {
 		return err
 	}
@@ -147,13 +147,14 @@
 	return server, sent
 }
 
-// Servers returns the number of listed servers.
+// Servers returns the number of servers listed, or retained though the list lacks them.
 func (h *Hollow) Servers() int {
 	listed, _ := h.loop.balancer.Servers()
 	return listed
 }
 
-// Unavailable returns the number of listed servers that currently get no requests, because they are ejected or draining.
+// Unavailable returns how many of the servers that Servers counts currently get no requests, because they are ejected or
+// draining.
 func (h *Hollow) Unavailable() int {
 	_, unavailable := h.loop.balancer.Servers()
 	return unavailable
@@ -162,7 +163,7 @@
 // Traffic returns the traffic of the list client so far.
 func (h *Hollow) Traffic() Traffic {
 	return Traffic{Sent: h.traffic.sent.Load(), Received: h.traffic.received.Load(), Calls: h.traffic.calls.Load(),
-		Responses: h.traffic.answers.Load()}
+		Responses: h.traffic.responses.Load()}
 }
 
 // trafficConn counts a connection's bytes, calls and responses. The list client has one call in flight at a time, so the
@@ -187,7 +188,7 @@
 func (c *trafficConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if c.traffic.received.Add(uint64(n)); n > 0 && c.callPending.Swap(false) {
-		c.traffic.answers.Add(1)
+		c.traffic.responses.Add(1)
 	}
 	return n, err
 }
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -40,8 +40,8 @@
 	return c
 }
 
-// A hollow node sends requests to listed servers and enforces a tenant's quota by its own clock, also when the quota has
-// changed.
+// A hollow node chooses listed servers for requests and enforces a tenant's quota by its own clock, also when the quota
+// has changed.
 func TestHollowNodeDecides(t *testing.T) {
 	h, err := NewHollow(hollowConfig(t, "127.0.0.1:9", 2), nil)
 	if err != nil {
@@ -91,11 +91,11 @@
 
 // A running hollow node watches the list, passes it on to the balancer, and counts the traffic of the list client.
 func TestHollowNodeWatchesTheList(t *testing.T) {
-	answers := make(chan string)
+	responses := make(chan string)
 	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case answer := <-answers:
-			_, _ = fmt.Fprint(w, answer) // the client may have disconnected
+		case response := <-responses:
+			_, _ = fmt.Fprint(w, response) // the client may have disconnected
 		case <-r.Context().Done():
 		}
 	}))
@@ -109,20 +109,20 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan error, 1)
 	go func() { ended <- h.Run(ctx) }()
-	expect := func(kind policy.ListKind, members int) {
+	expect := func(kind policy.ListKind, endpoints int) {
 		t.Helper()
-		if l := <-seen; l.Kind != kind || len(l.Endpoints) != members {
-			t.Errorf("list: got kind %d with %d servers, want kind %d with %d", l.Kind, len(l.Endpoints), kind, members)
+		if l := <-seen; l.Kind != kind || len(l.Endpoints) != endpoints {
+			t.Errorf("list: got kind %d with %d servers, want kind %d with %d", l.Kind, len(l.Endpoints), kind, endpoints)
 		}
 	}
 	expect(policy.ListCached, 0)
-	whole, delta := fmt.Sprintf(hollowList, 1, true, "a"), fmt.Sprintf(hollowList, 2, false, "b")
-	answers <- whole
+	full, change := fmt.Sprintf(hollowList, 1, true, "a"), fmt.Sprintf(hollowList, 2, false, "b")
+	responses <- full
 	expect(policy.ListReplace, 1)
-	answers <- delta
+	responses <- change
 	expect(policy.ListUpdate, 1)
 	got := h.Traffic()
-	if got.Responses != 2 || got.Calls < 2 || got.Received < uint64(len(whole)+len(delta)) || got.Sent == 0 {
+	if got.Responses != 2 || got.Calls < 2 || got.Received < uint64(len(full)+len(change)) || got.Sent == 0 {
 		t.Errorf("traffic: got %+v, want 2 Responses, 2 or more Calls, Received at least the bytes of both lists, Sent above 0",
 			got)
 	}
--- a/internal/node/http1/message.go
+++ b/internal/node/http1/message.go
@@ -127,7 +127,8 @@
 }
 
 // Framing evaluates the fields Content-Length, Transfer-Encoding and Connection. It returns ErrAmbiguousFraming for an
-// invalid or repeated length, for a length together with chunks, and for a transfer coding other than chunked.
+// invalid or repeated length, for a length together with chunks, and for a transfer coding that is repeated or not
+// chunked.
 func (h *Head) Framing() (f Framing, err error) {
 	f.Length = -1
 	codings := 0
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -16,7 +16,8 @@
 const (
 	// eventBufferSize is how many events other goroutines can send without blocking while the loop is busy.
 	eventBufferSize = 1024
-	// maxEventBatch is the maximum number of queued events that the loop handles before it looks at the timers again.
+	// maxEventBatch is the maximum number of queued events that the loop handles, after the event that woke it, before it
+	// looks at the timers again.
 	maxEventBatch = 64
 	// sweepInterval is how often the loop closes expired idle server connections and updates the zone metrics.
 	sweepInterval = time.Second
@@ -26,9 +27,10 @@
 type balancer interface {
 	// Handle processes an event and returns the actions to execute, in order.
 	Handle(now policy.Time, ev policy.Event) []policy.Action
-	// Servers returns the number of listed servers, and how many of them currently get no requests.
+	// Servers returns the number of servers that are listed, or retained though the list lacks them, and how many of them
+	// currently get no requests.
 	Servers() (listed, unavailable int)
-	// TailLatency returns the recent latency of slow responses.
+	// TailLatency returns the recent latency of slow responses, of the class where it is longest.
 	TailLatency() time.Duration
 	// Snapshot returns the state to hand over to a successor. Restore applies the state of the predecessor.
 	Snapshot(now policy.Time) policy.Snapshot
@@ -49,16 +51,17 @@
 type loop struct {
 	events  chan event
 	done    chan struct{}              // closed when the loop has ended
-	ready   chan struct{}              // closed when the balancer has the known list and the predecessor's state, if any
+	ready   chan struct{}              // closed when the balancer has run's known list and any predecessor's state
 	classes atomic.Pointer[classTable] // read by the clients' goroutines
 	up      *upstream.Transport
 	metrics *nodeMetrics
 
-	// Only the loop's goroutine uses the fields below.
+	// Only the loop's goroutine uses the fields below, with three exceptions: clients' goroutines read the clock, the list
+	// client runs in a goroutine of its own, and attempts' goroutines tell attemptsWG that they have ended.
 	clock      clock
 	balancer   balancer
 	allowed    policy.Allowed
-	maxOpen    int // limit of unanswered; 0 means unlimited
+	maxOpen    int // maximum number of unanswered requests; 0 for no limit
 	listClient *discovery.Client
 	listTarget discovery.Target // the list service as last configured
 	requests   map[string]*request
@@ -66,7 +69,7 @@
 	rejectAll  bool // the shutdown deadline has passed: new requests are rejected
 	timers     timers
 	endpoints  map[string]discovery.Endpoint // the list as last received
-	unsent     []policy.Outcome              // outcomes of attempts not sent; reported after all actions for an event
+	unsent     []policy.Outcome              // of attempts that could not be sent; reported after all actions for an event
 	attemptsWG sync.WaitGroup                // attempts in flight
 }
 
@@ -93,7 +96,8 @@
 }
 
 // run handles events until ctx ends, then cancels the attempts in flight and waits for them. Before any event, it passes
-// the balancer the known list, which the balancer expects first, and then the predecessor's state, if there is one.
+// the balancer the list known at the start, which the balancer expects first, and then the predecessor's state, if there
+// is one.
 func (l *loop) run(ctx context.Context, known []discovery.Endpoint, predecessor *hotrestart.State) {
 	defer l.attemptsWG.Wait()
 	defer l.cancelAttempts()
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -343,12 +343,12 @@
 		}
 		stopErr, start := make(chan error, 1), time.Now()
 		go func() { stopErr <- stop() }()
-		probe, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+node+downstream.ReadyPath, nil)
+		readinessCheck, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+node+downstream.ReadyPath, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		nodetest.Await(t, "a failing readiness check", func() bool {
-			resp, err := get(probe)
+			resp, err := get(readinessCheck)
 			return err != nil || resp.StatusCode == http.StatusServiceUnavailable
 		})
 		for n := 0; time.Since(start) < 1200*time.Millisecond; n++ {
--- a/internal/node/testing_test.go
+++ b/internal/node/testing_test.go
@@ -99,7 +99,8 @@
 	return d
 }
 
-// reuseDelay is a wait after which a server connection is reused. For a shorter time after a response, it is not.
+// reuseDelay is longer than the 10 ms after a response during which the connection to the server is not reused
+// (minReuseDelay in package upstream).
 const reuseDelay = 20 * time.Millisecond
 
 // dialWith makes the loop dial new server connections with the given function.
--- a/internal/node/upstream/response.go
+++ b/internal/node/upstream/response.go
@@ -12,8 +12,8 @@
 	"sloerail/internal/node/http1"
 )
 
-// StreamStartBytes is how much of a response body is read before the response is passed to the client, if its
-// Content-Length is over http1.MaxBufferedBodyBytes.
+// StreamStartBytes is how much of a response body is read before the response is passed to the client, if its status is
+// 200 and its Content-Length is over http1.MaxBufferedBodyBytes.
 const StreamStartBytes = 4 << 10
 
 // Response is the part of a server's response that is passed to the client.
@@ -90,7 +90,8 @@
 	return resp, resp.readBody(body)
 }
 
-// readBody buffers a body of up to http1.MaxBufferedBodyBytes, or the start of a longer one.
+// readBody buffers a body of up to http1.MaxBufferedBodyBytes, or the start of a longer one. The rest of a longer one is
+// streamed if the status is 200. Otherwise it is discarded together with the connection.
 func (resp *response) readBody(body io.Reader) (err error) {
 	switch {
 	case resp.Length > http1.MaxBufferedBodyBytes && resp.Status == http.StatusOK:
