--- a/cmd/sloerail-node/process_test.go
+++ b/cmd/sloerail-node/process_test.go
@@ -24,7 +24,8 @@
 // The tests of this file run the node in a process of its own. The descriptor limit of the process is the one in the
 // node's configuration.
 
-// socketLimitVariable is the environment variable that makes the test program run as a node with this descriptor limit.
+// socketLimitVariable is the name of an environment variable. If it is set, the test program runs as a node whose
+// descriptor limit is the variable's value.
 const socketLimitVariable = "WAYHOLD_TEST_SOCKETS"
 
 func TestMain(m *testing.M) {
@@ -258,10 +259,10 @@
 	}
 }
 
-// A process that is restarted after a kill becomes ready within readyTimeout, whatever the list service does. One
-// restart in ten may take longer.
+// A process becomes ready within readyTimeout, whatever the list service does. It is started ten times, and killed after
+// each start. One start in ten may take longer.
 func TestRestartedProcessIsReady(t *testing.T) {
-	const restarts, readyTimeout = 10, 10 * time.Second
+	const starts, readyTimeout = 10, 10 * time.Second
 	handlers := map[string]http.HandlerFunc{
 		"silent":        func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() },
 		"returns 503":   func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
@@ -280,14 +281,14 @@
 			}
 			p := newProcess(t, discovery, "127.0.0.1:9", 64)
 			late := 0
-			for range restarts {
+			for range starts {
 				if took := p.start(); took > readyTimeout {
 					late++
 				}
 				p.kill()
 			}
-			if late > restarts/10 {
-				t.Errorf("%d of %d restarted processes were not ready within %v, want at most one in ten", late, restarts, readyTimeout)
+			if late > starts/10 {
+				t.Errorf("%d of %d starts took longer than %v until the process was ready, want at most one in ten", late, starts, readyTimeout)
 			}
 		})
 	}
--- a/internal/membership/member_table_test.go
+++ b/internal/membership/member_table_test.go
@@ -53,13 +53,14 @@
 				t.Errorf("member: got %+v, want state %s and Since changed only by a transition", m, c.wantState)
 			}
 			if reported := len(*transitions) == 2; reported != c.transitioned {
-				t.Errorf("transitions reported: got %v, want that of the first update, and a second one only if the state or incarnation changed", *transitions)
+				t.Errorf("transitions reported: got %v, want one for the first update, and another if the second update changes the state or incarnation", *transitions)
 			}
 		})
 	}
 }
 
-// An announcement applies only to its own incarnation, before and after the member is declared dead.
+// A leave announcement counts only for the incarnation it names. A dead member becomes left at once; an alive one becomes
+// left when it is declared dead.
 func TestMemberTableAnnounceLeave(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table, _ := newTestTable(&now)
@@ -124,7 +125,7 @@
 	}
 }
 
-// A full table accepts no new absent member, and a new present member displaces the one absent for longest.
+// A full table accepts no new dead member. A new alive member replaces the one that has been dead longest.
 func TestMemberTableIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table, _ := newTestTable(&now)
@@ -151,7 +152,8 @@
 	}
 }
 
-// A subscriber that reads late gets the newest view, and a new subscriber gets the current one.
+// The early subscriber subscribes before the changes and reads after them; the late one subscribes after them. Both get
+// the newest view.
 func TestMemberTableSubscribersGetTheNewestView(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table, _ := newTestTable(&now)
--- a/internal/node/downstream/request_head.go
+++ b/internal/node/downstream/request_head.go
@@ -27,7 +27,7 @@
 // requestHead is the parsed head of a client's request.
 type requestHead struct {
 	http1.Framing
-	minor           int // minor version of HTTP/1
+	minor           int // minor version of HTTP/1: 0 or 1
 	method          string
 	path            string // path and query
 	host            string // empty if absent
@@ -44,6 +44,7 @@
 		return m, problem
 	}
 	var err error
+	// HTTP/1.0 has no chunked encoding.
 	if m.Framing, err = h.Framing(); err != nil || m.Chunked && m.minor == 0 {
 		return m, &requestError{status: http.StatusBadRequest, text: http1.ErrAmbiguousFraming.Error()}
 	}
@@ -94,6 +95,7 @@
 		}
 	}
 	m.host = h.Get("Host")
+	// A request in HTTP/1.0 may omit Host.
 	if hosts > 1 || hosts == 0 && m.minor > 0 || !httpguts.ValidHostHeader(m.host) {
 		return &requestError{status: http.StatusBadRequest, text: "Host: want exactly one"}
 	}
--- a/internal/node/events.go
+++ b/internal/node/events.go
@@ -25,8 +25,9 @@
 	requestReceived struct{ x *downstream.Exchange }
 	// clientDisconnected is the disconnect of a request's client.
 	clientDisconnected struct{ x *downstream.Exchange }
-	// bodyEnded is the end of a request body that was streamed to the server. err is nil if the body is complete. With an
-	// error, it also ends a request whose client was found to have disconnected before an attempt was sent.
+	// bodyEnded is the end of a request body that was streamed to the server. err is nil if the body is complete. An
+	// attempt that is not sent because its client has disconnected also causes a bodyEnded, with an error. Any error ends
+	// the request.
 	bodyEnded struct {
 		x   *downstream.Exchange
 		err error
@@ -63,12 +64,13 @@
 
 // Queries of the balancer's state. The loop sends one reply to each.
 type (
-	// snapshotRequest asks for the state to hand over. From then until successorGone, the balancer accounts for a
+	// snapshotRequest asks for the state to hand over. From then until successorGone, the balancer leaves the refills
+	// and half of the tokens of each bucket, the retries, and the requests to servers that are warming up, to the
 	// successor.
 	snapshotRequest struct{ reply chan<- hotrestart.State }
 	// inFlightRequest asks for the number of this process's attempts in flight by server.
 	inFlightRequest struct{ reply chan<- map[string]int }
-	// tailRequest asks for the recent latency of slow responses.
+	// tailRequest asks for the longest of the classes' estimated 95th percentiles of the latency.
 	tailRequest struct{ reply chan<- time.Duration }
 	// fleetStateRequest asks for the balancer's view of the fleet.
 	fleetStateRequest struct{ reply chan<- fleetState }
--- a/internal/node/hotrestart/frozen_test.go
+++ b/internal/node/hotrestart/frozen_test.go
@@ -15,7 +15,7 @@
 // The tests in this file check formats that other versions of the program read. The golden files were written by the
 // code of commit 4650eee; they must not be regenerated.
 
-// The state of a hand-over and the progress messages are read without unknown keys and written back byte for byte.
+// The golden state and progress message contain no key unknown to this version, and encode to the same bytes again.
 func TestHandoverMessageFormatIsUnchanged(t *testing.T) {
 	for _, name := range []string{"handover_state.json", "handover_progress.json"} {
 		want := nodetest.ReadGolden(t, name)
@@ -44,7 +44,8 @@
 	}
 }
 
-// The path of the socket for successors is the one that other versions use.
+// The path of the socket for successors contains the project's former name, wayhold, because other versions use the same
+// path. It is empty if the node has no such socket, because it has no folder or no fixed port.
 func TestHandoverSocketPath(t *testing.T) {
 	for _, c := range []struct{ address, dir, want string }{
 		{"127.0.0.1:8080", "/tmp/n0", "/tmp/n0/wayhold-127.0.0.1-8080.sock"},
@@ -94,7 +95,7 @@
 	return conns, done
 }
 
-// A successor reads the golden messages of a predecessor, and writes one byte.
+// A successor reads the golden messages of a predecessor, and sends it the byte S, which tells that the successor serves.
 func TestSuccessorReadsGoldenMessages(t *testing.T) {
 	clients, id := testNode(t)
 	state := bytes.Replace(nodetest.ReadGolden(t, "handover_state.json"), []byte(`"Listen":"127.0.0.1:8080"`), []byte(`"Listen":"`+id.Address+`"`), 1)
--- a/internal/scaletest/run_test.go
+++ b/internal/scaletest/run_test.go
@@ -58,7 +58,7 @@
 	}
 	for _, size := range []int{1, 3} {
 		if missed := r.Values(ChangesMissed, Hollow, size); !slices.Equal(missed, []float64{0}) {
-			t.Errorf("%d nodes: changes missed: got %v, want one 0", size, missed)
+			t.Errorf("%d nodes: changes missed: got %v, want a single value of 0", size, missed)
 		}
 		for _, m := range []Measure{InForceP50, InForceLast, ReceivedBytes, SentBytes, SentMessages, ReceivedMessages, Heap, RegistryResident} {
 			if v := r.Values(m, Hollow, size); len(v) != 1 || v[0] <= 0 {
@@ -77,7 +77,7 @@
 	}
 	for _, m := range []Measure{ChangesMissed, ServersRemoved} {
 		if v := r.Values(m, Hollow, 2); !slices.Equal(v, []float64{0}) {
-			t.Errorf("measure %s: got values %v, want one 0", m.Name, v)
+			t.Errorf("measure %s: got values %v, want a single value of 0", m.Name, v)
 		}
 	}
 	for _, m := range []Measure{LeaderElectionTime, PeakCallsAfterFault, PeakBytesAfterFault, InForceLast} {
@@ -130,7 +130,7 @@
 		t.Fatal(err)
 	}
 	if len(r.Ratios) != 1 || r.Ratios[0].Size != 10 || r.Ratios[0].Ratio != 1e9/r.Values(ConfigBytes, Hollow, 10)[0] {
-		t.Errorf("ratios: got %+v, want one at size 10 of 1e9 to the value of the hollow node", r.Ratios)
+		t.Errorf("ratios: got %+v, want one, at size 10: 1e9 divided by the hollow node's value", r.Ratios)
 	}
 	failing := func(context.Context, Scenario, int, int) ([]Measurement, error) { return nil, errors.New("no process") }
 	if _, err := Run(t.Context(), smallScenario(Servers, 10, 20, 40, 80, 160), Options{Compare: failing}); err == nil ||
@@ -171,7 +171,7 @@
 	if got, missed := c.delays().TotalCount(), c.missed(0); got != 3 || missed != 1 {
 		t.Errorf("after deltas to both nodes: %d in force, %d missed, want 3 and 1", got, missed)
 	}
-	receive(1, policy.ListReplace, 5, 6) // a whole list has changes too; change 5 is already in force
+	receive(1, policy.ListReplace, 5, 6) // changes in a whole list count too; node 1 already has change 5
 	if missed := c.missed(0); missed != 0 {
 		t.Errorf("after a whole list with the last change: %d missed, want 0", missed)
 	}
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestRejectedChangesAreNeitherFailedNorMissed(t *testing.T) {
+func TestRefusedChangesAreNeitherFailedNorMissed(t *testing.T) {
 	overloaded := registry.StatusError{StatusCode: http.StatusServiceUnavailable}
 	if !isOverloaded(fmt.Errorf("registering: %w", overloaded)) || isOverloaded(registry.StatusError{StatusCode: http.StatusBadRequest}) ||
 		isOverloaded(nil) || isOverloaded(context.Canceled) {
--- a/internal/simulation/scenario.go
+++ b/internal/simulation/scenario.go
@@ -1,6 +1,6 @@
-// Package simulation runs scenarios of nodes, servers and clients in virtual time, measures their outcomes and compares
-// two programs by these outcomes. Servers, clients and the checker come from internal/emulator; each node is a
-// policy.Balancer. The package is not linked into the node program.
+// Package simulation runs scenarios of nodes, servers and clients in virtual time, measures their outcomes, and compares
+// two builds of the sloerail program by these outcomes. Servers, clients and the checker come from internal/emulator; each
+// node is a policy.Balancer. The package is not linked into the node program.
 package simulation
 
 import (
@@ -69,8 +69,8 @@
 // Read reads a built-in scenario by its name, or a scenario file by its path.
 func Read(name string) (Scenario, error) { return scenario.Read(builtin, name, Parse) }
 
-// Parse parses and checks a scenario. Unknown keys are errors, because ignoring a misspelt key would run a different
-// scenario than the file intends.
+// Parse parses a scenario and checks it with Check. Unknown keys are errors, because ignoring a misspelt key would
+// run a different scenario than the file intends.
 func Parse(raw []byte) (Scenario, error) {
 	s := Scenario{WorkScale: 1}
 	if err := scenario.Decode(raw, &s); err != nil {
@@ -89,7 +89,8 @@
 	serversPerCell = 4
 )
 
-// Check returns an error that names the first key that is invalid.
+// Check returns an error that names the first invalid key among zones, for, rate, work and faults. The other keys, such
+// as quota, places and bound, are not checked.
 func (s *Scenario) Check() error {
 	zones, err := checkZones(s.Zones)
 	switch {
@@ -155,7 +156,8 @@
 	return []emulator.Tenant{{Name: "east", Share: 0.6}, {Name: "west", Share: 0.4}}
 }
 
-// Clients returns the specification of the clients of the given number of nodes. No requests start after the time until.
+// Clients returns the specification of the clients of the given number of nodes. No request starts later than until, a
+// time on the clients' clock.
 func (s Scenario) Clients(nodes int, until time.Duration) emulator.ClientSpec {
 	return emulator.ClientSpec{Rate: s.Rate * float64(nodes), Classes: emulator.Classes(), WorkScale: s.WorkScale, Tenants: s.Tenants(),
 		MaxRetries: 3, RetryDelay: 100 * time.Millisecond, Until: until}
--- a/internal/testcluster/demo.go
+++ b/internal/testcluster/demo.go
@@ -168,7 +168,8 @@
 	return d.load.Wait(ctx)
 }
 
-// printStatus prints the clients' counts and how many members each node reaches.
+// printStatus prints the clients' counts and how many members each node reaches. All counts are of requests (asked is
+// their total), except that of the rejected attempts.
 func (d *demoRun) printStatus(ctx context.Context) {
 	status := ""
 	for _, name := range d.fleet.Names {
@@ -182,7 +183,8 @@
 	d.printf("asked %d, served in time %d, late %d, rejected attempts %d;%s", s.Requests, s.InTime, s.Late, s.Rejections, status)
 }
 
-// printResult prints the outcome by class and the rule violations. It returns an error if there are any.
+// printResult prints the outcome by class, with the total of the requests as asked, and the rule violations. It returns
+// an error if there are violations.
 func (d *demoRun) printResult() error {
 	t := output.NewTable(d.out, "class", "asked", "served in time", "late", "not served")
 	var violations []string
@@ -202,7 +204,7 @@
 		d.out.Println(" ", violation)
 	}
 	if count > 0 {
-		return fmt.Errorf("%d rules were broken", count)
+		return fmt.Errorf("rule violations: %d", count)
 	}
 	return d.out.Err()
 }
--- a/policy/random_events_test.go
+++ b/policy/random_events_test.go
@@ -11,8 +11,8 @@
 
 // eventSimulation hands random valid events to one node and checks the rules that a node must keep: one final
 // response in time, no forbidden retry or rejection, no late send to a draining server, no send to a server
-// that the request's class may not use, and the retry budget. It keeps its own counts and shares no code with
-// the balancer.
+// that the request's class may not use, and the retry budget. It keeps its own counts, and shares no logic
+// with the balancer except Code.ProvesNotRun.
 type eventSimulation struct {
 	t             *testing.T
 	rng           *rand.Rand
@@ -26,7 +26,7 @@
 	tasks         []task // future outcomes, timers and probe results
 	log           []string
 
-	attemptsPerFiveFailures int // on average, five of this many attempts fail
+	attemptsPerFiveFailures int // an attempt is made to fail with probability 5/attemptsPerFiveFailures
 	maxLatencyMs            int // all latencies of attempts are below this
 	stepsPerArrival         int // average number of steps between arrivals of requests
 
@@ -70,7 +70,7 @@
 	if seed%2 == 1 {
 		set.Rules.RetryBudget = &RetryBudget{MinRetries: float64(rng.IntN(3)), RetryRatio: 0.05, Window: 5 * time.Second}
 	}
-	for i := range set.Classes { // so short that some retries would come after the window
+	for i := range set.Classes { // short dedup windows, so that some retries would come too late
 		set.Classes[i].DedupWindow = time.Duration(20+rng.IntN(150)) * ms
 	}
 	set.RetainMissing = seed%4 == 1
@@ -265,7 +265,7 @@
 
 func (w *eventSimulation) answer(p *openRequest, a Action) {
 	if p == nil || p.ended {
-		w.t.Fatalf("response to an unknown request or second response: %+v", a)
+		w.t.Fatalf("response to an unknown, answered or cancelled request: %+v", a)
 	}
 	p.ended = true
 	for _, x := range p.attempts {
--- a/policy/token_buckets_test.go
+++ b/policy/token_buckets_test.go
@@ -58,7 +58,7 @@
 			class := rapid.SampledFrom([]string{"free", "once"}).Draw(t, "class")
 			want := model.admits(b, tenant, class)
 			if got, _ := b.admit(tenant, class); got != want {
-				t.Fatalf("tenant %s, class %s at %v: got admitted %v, want %v as without dropping buckets",
+				t.Fatalf("tenant %s, class %s at %v: admitted: got %v, want %v, as if no bucket were dropped",
 					tenant, class, b.now, got, want)
 			}
 		}
@@ -73,8 +73,8 @@
 	}
 }
 
-// If a bucket was dropped before the hand-over, the successor creates a full one. So the process that handed
-// over may use at most half of a bucket.
+// A tenant's bucket was dropped before the hand-over, and both processes now serve the tenant. The successor
+// starts with a full bucket, so the old process gets one with only half of the burst, rounded up.
 func TestProcessHasHalfOfDroppedBucketAfterHandOver(t *testing.T) {
 	b := startBalancer(t, testSettings(1), testEndpoints(2))
 	limit := b.rateLimiter.tenantLimits["u"]
@@ -102,8 +102,8 @@
 }
 
 // requestOncePerTenant makes one request for each of n tenants, a millisecond apart. It returns the number of
-// admitted requests, the number of buckets at the end and after some more requests, and the bytes of heap
-// that are still in use.
+// admitted requests, the number of buckets after these requests (atEnd) and after further requests of one
+// tenant (later), and the bytes of heap still in use after the further requests.
 func requestOncePerTenant(tb testing.TB, n int) (admitted, atEnd, later int, heapBytes uint64) {
 	set := testSettings(1)
 	set.Tenants, set.Limits.Default = nil, &Limit{PerWindow: 10, Window: time.Second, Burst: 5}
@@ -147,8 +147,8 @@
 	}
 }
 
-// Tenants with a quota have their own buckets, however many there are. Other tenants beyond maxBuckets share
-// one.
+// Tenants with a quota have their own buckets, even beyond maxBuckets. Their buckets count towards
+// maxBuckets. Once that is reached, new tenants without a quota share one bucket.
 func TestTenantsWithQuotasShareNoBucket(t *testing.T) {
 	const tenants = 3 * maxBuckets
 	set := testSettings(1)
@@ -180,7 +180,9 @@
 	}
 }
 
-// BenchmarkTenantsSeenOnce reports the memory held after 800,000 tenants have made one request each.
+// BenchmarkTenantsSeenOnce lets 800,000 tenants make one request each, and then one of them make further
+// requests. It reports the admitted requests of the first part, the number of buckets after each part, and
+// the memory held at the end.
 func BenchmarkTenantsSeenOnce(b *testing.B) {
 	for b.Loop() {
 		admitted, atEnd, later, heapBytes := requestOncePerTenant(b, 800000)
