--- a/policy/balancer_test.go
+++ b/policy/balancer_test.go
@@ -76,7 +76,7 @@
 
 // Every attempt of a request of a restricted class is sent to a server of the class. If none of these servers
 // is in service, a request is queued, and rejected before its timeout. The bound on ejections applies to the
-// class's few servers on their own.
+// class's few servers alone.
 func TestRestrictedClassUsesOnlyItsServers(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].Kinds = []string{"k1"} // s01, s04, s07 of nine
@@ -137,7 +137,7 @@
 	b.Handle(ms, changed)
 	if s := b.servers["s00"]; s.concurrencyLimit != 9 ||
 		s.inFlight+b.servers["s01"].inFlight+b.servers["s02"].inFlight != 1 {
-		t.Errorf("after new settings: got concurrency limit %v of s00, want 9 and one attempt in flight in total",
+		t.Errorf("after new settings: got concurrency limit %v of s00, want 9 and a total of one attempt in flight",
 			s.concurrencyLimit)
 	}
 	if got := b.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != 5 {
--- a/policy/capacity_share_test.go
+++ b/policy/capacity_share_test.go
@@ -4,16 +4,16 @@
 	"testing"
 )
 
-// The nodes near a server share all of it; each other node may use one even share.
+// The nodes near a server share its whole capacity; each other node may use an even share.
 func TestCapacityShare(t *testing.T) {
 	own, other := &server{zone: &zoneHealth{}}, &server{zone: &zoneHealth{crossingCost: 1}}
 	for _, c := range []struct {
 		nodes, reachable, zones int
 		wantOwnZone             float64
 	}{
-		{12, 3, 4, 4},  // as membership counts them
-		{12, 0, 4, 4},  // spread evenly over the zones
-		{12, 20, 4, 1}, // no more than all nodes
+		{12, 3, 4, 4},  // membership reports 3 nodes
+		{12, 0, 4, 4},  // without membership: nodes spread evenly over the zones
+		{12, 20, 4, 1}, // membership reports more nodes than there are
 		{2, 0, 4, 2},
 	} {
 		var share capacityShare
--- a/policy/class_test.go
+++ b/policy/class_test.go
@@ -30,7 +30,7 @@
 		}
 	}
 	if current.classStats != former.classStats || current.firstTryTimeout != 0 {
-		t.Errorf("measurements under new settings: got %+v, want the former ones with firstTryTimeout reset",
+		t.Errorf("measurements under new settings: got %+v, want those of the former class and firstTryTimeout 0",
 			current.classStats)
 	}
 	if current.LatencyObjective != current.Deadline {
--- a/policy/completion_rate_test.go
+++ b/policy/completion_rate_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// The rate settles at the rate of the responses. The peak per server outlives it, and decays slowly.
+// The rate settles at the rate of the responses. The peak per server decays slowly after the responses end.
 func TestCompletionRate(t *testing.T) {
 	const perSecond, servers = 50, 5
 	var c completionRate
--- a/policy/concurrency_limit_test.go
+++ b/policy/concurrency_limit_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// A learned limit moves by whole steps, or by smaller ones if it is under one; it has a minimum.
+// A learned limit moves by whole steps, or by smaller steps if it is under one; it has a minimum.
 func TestLearnedLimitMoves(t *testing.T) {
 	for _, c := range []struct{ limit, step, want float64 }{
 		{4, limitIncrease, 4 + limitIncrease},
@@ -40,15 +40,15 @@
 		s := &server{concurrencyLimit: c.limit}
 		if s.moveLimit(c.step, 0.25); math.Abs(s.concurrencyLimit-c.want) > 1e-9 ||
 			s.limitObserved != (c.step < 0) {
-			t.Errorf("limit %v moved by %v: got %v, want %v; limitObserved: got %v, want true if moved down",
+			t.Errorf("limit %v moved by %v: got %v, want %v; limitObserved: got %v, want true after a step down",
 				c.limit, c.step, s.concurrencyLimit,
 				c.want, s.limitObserved)
 		}
 	}
 }
 
-// A limit under one is spread over time: with a limit of 0.5, the pause after an attempt is as long as the
-// attempt.
+// Under a limit below one, attempts are separated by pauses: with a limit of 0.5, the pause after an attempt
+// is as long as the attempt.
 func TestLimitUnderOneIsSpreadOverTime(t *testing.T) {
 	s := &server{meanLatency: 0.1, lastSentAt: time.Hour}
 	for _, c := range []struct {
@@ -91,7 +91,7 @@
 		s.concurrencyLimit, s.inFlight = 10, 10
 		b.updateConcurrencyLimit(s, c, OK, seconds(v.objectiveFraction*c.LatencyObjective.Seconds()), 1)
 		if grew := s.concurrencyLimit > 10; grew != v.wantGrowth || s.concurrencyLimit == 10 {
-			t.Errorf("limit of 10 after a response at %v of its objective: got %v, want more at 0.3, else less",
+			t.Errorf("limit of 10 after a response at %v of its objective: got %v, want over 10 at 0.3, else under 10",
 				v.objectiveFraction, s.concurrencyLimit)
 		}
 	}
--- a/policy/concurrency_window_test.go
+++ b/policy/concurrency_window_test.go
@@ -25,7 +25,7 @@
 		reportLoad(b, s, 1, report(100, 0.3, 10))
 	}
 	if b.concurrencyWindow() <= full {
-		t.Errorf("window that was full while servers are idle: got %v, want growth", b.concurrencyWindow())
+		t.Errorf("window with idle servers: got %v, want more than with full servers", b.concurrencyWindow())
 	}
 }
 
@@ -44,7 +44,7 @@
 		return n
 	}
 	if n := send("free"); float64(n) >= b.concurrencyWindow()+1 || n < 2 {
-		t.Errorf("attempts in flight: got %d, want at least 2 and about the window of %v at most",
+		t.Errorf("attempts in flight: got %d, want at least 2, and less than the window of %v plus 1",
 			n, b.concurrencyWindow())
 	}
 	if n := send("once"); n == 0 {
@@ -67,7 +67,7 @@
 	reportLoad(b, b.order()[0], 20, report(900, 1, 3))
 	reportLoad(b, b.order()[1], 20, report(100, 1, 3))
 	if scale := b.concurrencyWindow() / b.warmedUpWeight() * 12 / before; scale < 0.99 {
-		t.Errorf("window per warmed-up server, relative to before the reports: got %v, want at least 0.99", scale)
+		t.Errorf("ratio of the windows per warmed-up server, after to before: got %v, want at least 0.99", scale)
 	}
 }
 
--- a/policy/deadlines_test.go
+++ b/policy/deadlines_test.go
@@ -25,7 +25,7 @@
 }
 
 // The latency objective counts from the client's first try. A retry after the objective is rejected at once,
-// as a response would be useless; an earlier retry has less time.
+// as a response would be useless; an earlier retry has less time than the first try.
 func TestClientRetriesCountFromTheFirstTry(t *testing.T) {
 	set := testSettings(2)
 	set.Classes[0].Deadline = 1000 * ms // and an objective of 250 ms
@@ -38,7 +38,7 @@
 	first := actionsOf(try("first", false, 600), Send)
 	retried := actionsOf(try("again", true, 600), Send)
 	if len(first) != 1 || len(retried) != 1 || retried[0].AttemptDeadline-first[0].AttemptDeadline >= ms {
-		t.Errorf("first try: got %+v, retry: got %+v; want one Send action each, with less time for the retry",
+		t.Errorf("first try: got %+v, retry: got %+v; want one Send each, the retry's deadline under 1 ms later",
 			first, retried)
 	}
 	// The retry ends with the deadline, 450 ms from now, so the first try began 550 ms ago.
--- a/policy/endpoint_list_test.go
+++ b/policy/endpoint_list_test.go
@@ -77,11 +77,11 @@
 	b.Handle(2*ms, EndpointList{Kind: ListReplace, Endpoints: all})
 	b.Handle(ms+set.Rules.DrainGrace, Timer{Token: retainTimerToken})
 	if s := b.servers["a0"]; s == nil || s.concurrencyLimit != 7 || b.zones.findOrCreate("a").recovering {
-		t.Error("server a0, listed again in time: want it with limit 7, in a zone that isn't recovering")
+		t.Error("server a0, listed again in time: want concurrency limit 7, and a zone that isn't recovering")
 	}
 }
 
-// Draining is intended: draining servers get no requests and aren't retained when they are removed.
+// Draining servers are taken out on purpose: they get no requests and aren't retained when they are removed.
 func TestDrainingServersAreNotRetained(t *testing.T) {
 	all := endpointsInZones(4, "a", "b")
 	set := twoRegions(1)
@@ -126,15 +126,15 @@
 		}
 		b.Handle(0, EndpointList{Kind: ListUpdate})
 		if w := wait(b.Handle(0, EndpointList{Kind: ListUnavailable})); w > resubscribeBackoffBase*3/2 {
-			t.Fatalf("wait after the first failure since a list: got %v, want at most resubscribeBackoffBase*3/2", w)
+			t.Fatalf("wait after the first failure after a list: got %v, want at most resubscribeBackoffBase*3/2", w)
 		}
 	}
 	if first > set.Rules.DrainGrace || len(seen) < 100 {
-		t.Errorf("waits of 200 first subscriptions: longest %v, %d different; want at most DrainGrace, 100 or more",
+		t.Errorf("waits for first subscriptions: longest %v, want at most DrainGrace; %d different, want over 99",
 			first, len(seen))
 	}
 	if later < 2*meanFailed || later > resubscribeBackoffMax*3/2 {
-		t.Errorf("mean first backoff %v, longest later one %v; want 2*mean <= longest <= resubscribeBackoffMax*3/2",
+		t.Errorf("backoffs: mean first %v, longest later %v; want 2*first <= later <= resubscribeBackoffMax*3/2",
 			meanFailed, later)
 	}
 }
@@ -177,7 +177,7 @@
 		}
 		timers := actionsOf(b.Handle(2*time.Second, EndpointList{Kind: ListUnavailable}), SetTimer)
 		if len(timers) != 1 || timers[0].Wait < resubscribeBackoffBase/2 || timers[0].Wait > resubscribeBackoffBase*3/2 {
-			t.Fatalf("timers after a failed call: got %+v, want one of resubscribeBackoffBase within 50%%", timers)
+			t.Fatalf("timers after a failed call: got %+v, want a single one of resubscribeBackoffBase +-50%%", timers)
 		}
 		waits[timers[0].Wait] = true
 		if len(actionsOf(b.Handle(3*time.Second, Timer{Token: timers[0].Token}), WatchList)) != 1 {
--- a/policy/fleet_size_test.go
+++ b/policy/fleet_size_test.go
@@ -39,7 +39,7 @@
 		{"one unreachable for a while", []int{7, 6, 6, 6}, 7, false},
 		{"one unreachable for long", []int{7, 6, 6, 6, 6, 6, 6, 6, 6}, 6, false},
 		{"one reachable again in time", []int{7, 6, 6, 6, 6, 7, 6, 6, 6}, 7, false},
-		{"fewer and fewer: the maximum counts", []int{7, 6, 6, 5, 5, 5, 5, 5, 5}, 6, false},
+		{"two drops: the largest number within the delay counts", []int{7, 6, 6, 5, 5, 5, 5, 5, 5}, 6, false},
 		{"three of seven", []int{7, 3, 3, 3, 3, 3, 3, 3, 3, 3}, 7, true},
 		{"four of seven, and then three", []int{7, 4, 4, 4, 3, 3, 3, 3, 3, 3}, 7, true},
 		{"healed", []int{7, 4, 4, 4, 4, 4, 4, 4, 4, 7}, 7, false},
@@ -81,7 +81,7 @@
 				observeFleet(b, &timers[i], now, sizes[side[i]])
 			}
 			if sum := sumOfQuotaParts(nodes); now-connectedAt < fleetShrinkDelay && sum > 1+1e-9 {
-				t.Fatalf("sum of quota parts: got %.3f at %v, want at most 1; last all connected at %v, sides %v",
+				t.Fatalf("sum of quota parts: got %.3f at %v, want at most 1; all nodes last connected at %v, sides %v",
 					sum, now, connectedAt, side)
 			}
 		}
@@ -132,7 +132,8 @@
 	return sum
 }
 
-// New settings keep the number of nodes that membership found, unless they contain another number.
+// New settings keep the number of nodes that membership found, unless the new settings contain another
+// number.
 func TestQuotaNodesAreKeptWithTheSameSettings(t *testing.T) {
 	set := testSettings(1)
 	b, err := New(set, 0, 1)
@@ -158,7 +159,7 @@
 		t.Error("observe starts a delay though all nodes are reachable")
 	}
 	if !f.observe(2, FleetSize{ReachableNodes: 3}) || f.observe(3, FleetSize{ReachableNodes: 4}) {
-		t.Error("observe doesn't start exactly one delay for two numbers below the fleet size")
+		t.Error("want observe to start a single delay for two numbers below the fleet size")
 	}
 	if f.settle(fleetShrinkDelay) || f.quotaNodes != 5 {
 		t.Errorf("settle before the end of the delay: quota nodes %d, want 5 and a result of false", f.quotaNodes)
--- a/policy/hot_restart_test.go
+++ b/policy/hot_restart_test.go
@@ -36,7 +36,7 @@
 	}
 	old.Handle(now, newRequest("c", "free"))
 	if got := old.rateLimiter.buckets.byKey[bucketKey{tenant: "t"}].tokens; got != tokens-2 {
-		t.Errorf("tokens after the hand-over and two requests: got %d, want %d without a refill", got, tokens-2)
+		t.Errorf("tokens after the hand-over and two requests: got %d, want %d (nothing refilled)", got, tokens-2)
 	}
 	if old.refillWarmupBudget(old.servers["young"]) {
 		t.Error("process that handed over may send to a server that is warming up")
--- a/policy/load_reports_test.go
+++ b/policy/load_reports_test.go
@@ -41,7 +41,7 @@
 		t.Errorf("limit of a server with 3 times the service rate: got %v times the other limit, want 3", got)
 	}
 	if got := b.effectiveLimit(b.servers["s02"]) / b.effectiveLimit(b.servers["s03"]); math.Abs(got-3) > 0.1 {
-		t.Errorf("limits of servers without reports: got a ratio of %v, want 3 as for their kinds", got)
+		t.Errorf("limits of servers without reports: got a ratio of %v, want 3, the ratio of their kinds", got)
 	}
 }
 
@@ -82,7 +82,7 @@
 }
 
 // A server keeps its full limit up to the target utilization and up to twice the latency of its kind. Above
-// either, its limit falls, but not below minLimitScale times the full one. Far above both, it counts as
+// either, its limit falls, but not below minLimitScale times the full limit. Far above both, it counts as
 // overloaded.
 func TestLimitScale(t *testing.T) {
 	kind := &serverLoad{samples: 1, rate: 10, latency: 0.1}
--- a/policy/load_shedding_test.go
+++ b/policy/load_shedding_test.go
@@ -7,7 +7,8 @@
 )
 
 // While the highest priority finds no capacity, requests of lower priorities are shed: the lower the
-// priority, the more. The highest priority is never shed. If limits are based on load reports, none is shed.
+// priority, the more. The highest priority is never shed. If limits are based on load reports, no request is
+// shed.
 func TestLowPrioritiesAreShedForTheHighest(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight, set.Classes[2].PriorityWeight = 1, 5, 3
--- a/policy/outlier_detection_test.go
+++ b/policy/outlier_detection_test.go
@@ -6,8 +6,8 @@
 )
 
 // A server that is busy and far slower than its kind recovers only while it gets no requests. Probation
-// requests from many nodes would keep it from recovering. A node therefore sends none to servers that come
-// after one with capacity in packing order.
+// requests from many nodes would keep it from recovering. A node therefore sends no probation
+// request to a server that comes after a server with capacity in packing order.
 func TestOverloadedServerIsEjectedAndProbedInPackingOrder(t *testing.T) {
 	b := startLargeFleet(t, 40, testEndpoints(12))
 	for _, s := range b.order() {
@@ -21,7 +21,7 @@
 	}
 	b.now += maxEjectionTime
 	if s := b.claimProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != first {
-		t.Errorf("first probation request: got server %+v, want the first in packing order", s)
+		t.Errorf("first probation request: got server %+v, want the first server in packing order", s)
 	}
 	if s := b.claimProbation(&request{class: b.classes.ordered[0], usefulUntil: b.now + time.Second}); s != nil {
 		t.Errorf("second probation request: got server %s, want none while earlier servers have capacity", s.ID)
--- a/policy/overcommit_test.go
+++ b/policy/overcommit_test.go
@@ -5,7 +5,7 @@
 )
 
 // If no server has capacity, the least overcommitted one still gets a few requests of the highest priority,
-// and those of the lowest are queued.
+// and requests of the lowest priority are queued.
 func TestHighestPriorityIsSentBeyondTheLimit(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -87,8 +87,8 @@
 }
 
 // step passes one random event to the node. It reports whether the order was updated for the classes that are
-// in use now: the event updated it, and no request ended afterwards. A request that ends may be the last of a
-// class of former settings, which is then no longer in use.
+// in use now: the event updated the order, and no request ended afterwards. A request that ends may be the
+// last of a class of former settings, which is then no longer in use.
 func (sim *orderSimulation) step(t *rapid.T) (aligned bool) {
 	sim.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * ms
 	event, requests := rapid.IntRange(0, 11).Draw(t, "event"), len(sim.b.requests)
@@ -170,7 +170,7 @@
 	}
 	for zone, n := range b.packing.serversByZone {
 		if n != zones[zone] {
-			t.Fatalf("got %d servers in zone %s, want %d as rebuilt", n, zone, zones[zone])
+			t.Fatalf("got %d servers in zone %s, want %d from a rebuild", n, zone, zones[zone])
 		}
 	}
 }
@@ -180,7 +180,7 @@
 	for c := range b.classesInUse() {
 		eligible := slices.DeleteFunc(slices.Clone(order), func(s *server) bool { return !c.permits(s) })
 		if !slices.Equal(c.eligible.order(), eligible) || c.eligible.length != len(eligible) {
-			t.Fatalf("pool of class %s: got %d servers, want the same %d as rebuilt",
+			t.Fatalf("pool of class %s: got %d servers, want the same %d as in a rebuilt pool",
 				c.Name, c.eligible.length, len(eligible))
 		}
 		if b.classes.byName[c.Name] != c { // a class of former settings, whose ejected servers are not counted
@@ -188,7 +188,7 @@
 		}
 		if ejected := countOf(eligible,
 			func(s *server) bool { return s.outlier.ejected }); c.eligible.ejected != ejected {
-			t.Fatalf("ejected servers in the pool of class %s: got %d, want %d as rebuilt",
+			t.Fatalf("ejected servers in the pool of class %s: got %d, want %d from a rebuild",
 				c.Name, c.eligible.ejected, ejected)
 		}
 	}
@@ -204,7 +204,7 @@
 			}
 		}
 		if s.retrySafety != retrySafety || s.concurrencyLimit == 0 {
-			t.Fatalf("%s: got retry safety %v, want %v as rebuilt; got concurrency limit %v, want a positive one",
+			t.Fatalf("%s: got retry safety %v, want %v from a rebuild; got concurrency limit %v, want a positive one",
 				s.ID, s.retrySafety, retrySafety, s.concurrencyLimit)
 		}
 	}
@@ -229,23 +229,24 @@
 		faults += toFixedPoint(s.connectionFaultRatio)
 	}
 	if got := b.warmedUpWeight(); math.Abs(got-weight) > 1e-9*weight {
-		t.Fatalf("weight of the warmed-up servers: got %v, want %v as rebuilt", got, weight)
+		t.Fatalf("weight of the warmed-up servers: got %v, want %v from a rebuild", got, weight)
 	}
 	if n := countOf(order,
 		func(s *server) bool { return b.warmFraction(s) >= 1 }); b.slowStart.warmedUpServers(b.now) != n {
-		t.Fatalf("warmed-up servers: got %d, want %d as rebuilt", b.slowStart.warmedUpServers(b.now), n)
+		t.Fatalf("warmed-up servers: got %d, want %d from a rebuild", b.slowStart.warmedUpServers(b.now), n)
 	}
 	if b.outliers.connectionFaults != faults {
-		t.Fatalf("sum of the connection faults: got %v, want %v as rebuilt", b.outliers.connectionFaults, faults)
+		t.Fatalf("sum of the connection faults: got %v, want %v from a rebuild",
+			b.outliers.connectionFaults, faults)
 	}
 	if n := countOf(order, func(s *server) bool { return s.outlier.ejected }); len(b.outliers.ejected) != n {
-		t.Fatalf("ejected servers: got %d, want %d as rebuilt", len(b.outliers.ejected), n)
+		t.Fatalf("ejected servers: got %d, want %d from a rebuild", len(b.outliers.ejected), n)
 	}
 	listed := slices.Collect(maps.Values(b.servers))
 	unavailable := countOf(listed,
 		func(s *server) bool { return s.outlier.ejected || s.Availability != Running })
 	if b.list.unavailable != unavailable {
-		t.Fatalf("unavailable servers: got %d, want %d as rebuilt", b.list.unavailable, unavailable)
+		t.Fatalf("unavailable servers: got %d, want %d from a rebuild", b.list.unavailable, unavailable)
 	}
 }
 
@@ -276,7 +277,7 @@
 		}
 	}
 	if !maps.Equal(counted, rebuilt) {
-		t.Fatalf("evidence by zone and kind: got %v, want %v as rebuilt", counted, rebuilt)
+		t.Fatalf("evidence by zone and kind: got %v, want %v from a rebuild", counted, rebuilt)
 	}
 }
 
--- a/policy/rate_multiplier_test.go
+++ b/policy/rate_multiplier_test.go
@@ -37,7 +37,7 @@
 		b.Handle(now, Timer{Token: queueTimerToken})
 	}
 	if len(b.queue.requests) != 1 || before >= 1 || b.rateMultiplier.value != before {
-		t.Errorf("got %d queued requests, want 1; multiplier %v before polls and %v after, want one value below 1",
+		t.Errorf("got %d queued requests, want 1; multiplier %v before polls, %v after; want both equal, below 1",
 			len(b.queue.requests), before, b.rateMultiplier.value)
 	}
 }
@@ -99,7 +99,7 @@
 		{"a rejection raises it", rateMultiplier{value: 1, bucketRejected: true}, rateConditions{}, true, up},
 		{"not above 1 with membership", rateMultiplier{value: 1, bucketRejected: true},
 			rateConditions{hasMembership: true}, true, 1},
-		{"bad responses lower a high one",
+		{"bad responses lower a high multiplier",
 			rateMultiplier{value: 2, badRatio: 2 * maxBadRatio, bucketRejected: true},
 			rateConditions{}, true, 2 * down},
 		{"lost attempts lower it in a large fleet", rateMultiplier{value: 1, lostRatio: 2 * maxBadRatio},
@@ -164,7 +164,7 @@
 		before := admittedFraction(OK)
 		admittedFraction(TimedOut)
 		if got := admittedFraction(TimedOut); (got < 0.6*before) != c.wantDrop {
-			t.Errorf("%d nodes: admitted %.2f with timeouts, %.2f before; want under 0.6 times that only for 300",
+			t.Errorf("%d nodes: admitted %.2f with timeouts, %.2f before; want a ratio under 0.6 for 300 nodes only",
 				c.nodes, got, before)
 		}
 		for range 5 { // the multiplier stays cautious until few of the last few hundred responses are bad
--- a/policy/recorded_events_test.go
+++ b/policy/recorded_events_test.go
@@ -260,7 +260,7 @@
 	return list
 }
 
-// event returns the Event to pass to Balancer.Handle, or nil if the recorded call is one of another method.
+// event returns the Event to pass to Balancer.Handle, or nil if the recorded call is of another method.
 func (e *recordedEvent) event() Event {
 	switch {
 	case e.Settings != nil:
--- a/policy/recorded_scenarios_test.go
+++ b/policy/recorded_scenarios_test.go
@@ -201,7 +201,7 @@
 
 func (r *recorder) outcome(process int, id string, o recordedOutcome) {
 	p := r.requests[id]
-	if p.attempts[o.Attempt] && r.rng.IntN(20) > 0 { // sometimes sends a second outcome, which must be ignored
+	if p.attempts[o.Attempt] && r.rng.IntN(20) > 0 { // some attempts get a second outcome, which must be ignored
 		return
 	}
 	p.attempts[o.Attempt] = true
@@ -253,7 +253,7 @@
 }
 
 // report draws a server's load report, with the values in the order of recordedReportFields. It may return
-// nil, a report that lacks values, or that of an idle server.
+// nil, a report that lacks values, or the report of an idle server.
 func (r *recorder) report(s *simulatedServer, latency time.Duration) []float64 {
 	if len(r.settings.ReportFields) == 0 || r.rng.IntN(10) == 0 {
 		return nil
@@ -460,7 +460,7 @@
 		r.after(max(recorderStep, time.Duration(r.rng.ExpFloat64()*wait)), next)
 	}
 	r.after(s.meanInterval, next)
-	for process := range 2 { // observes the first two processes at intervals
+	for process := range 2 { // the exported state of the first two processes is read at intervals
 		for at := time.Second; at < s.duration; at += 1300 * ms {
 			r.after(at, func() {
 				if process < len(r.replayer.processes) {
--- a/policy/request_queue_test.go
+++ b/policy/request_queue_test.go
@@ -12,7 +12,7 @@
 		t.Error("add must ask for a poll for the first request only")
 	}
 	if got := queue.takeAll(); !slices.Equal(got, []*request{first, second}) || len(queue.requests) != 0 {
-		t.Errorf("takeAll: got %d requests and %d left, want both in the order of arrival and none left",
+		t.Errorf("takeAll: got %d requests and %d left, want both requests in the order of arrival, none left",
 			len(got), len(queue.requests))
 	}
 	if queue.add(first) {
--- a/policy/server_selection_test.go
+++ b/policy/server_selection_test.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// A selection examines each server a fixed number of times. If it summed over all servers for each one, a
-// node with many servers would be too slow.
+// A selection examines each server a fixed number of times. If it summed over all servers for each
+// server, a node with many servers would be too slow.
 func TestSelectionTimeGrowsLinearlyWithServers(t *testing.T) {
 	selectionTime := func(servers int) time.Duration {
 		b := startLargeFleet(t, 300, testEndpoints(servers))
@@ -55,7 +55,7 @@
 		return best
 	}
 	if few, many := selectionTime(50), selectionTime(800); many > 64*few {
-		t.Errorf("800 servers take %d times as long as 50 servers (%v and %v), want at most 64 times",
+		t.Errorf("selection from 800 servers takes %d times as long as from 50 (%v and %v), want at most 64 times",
 			many/few, few, many)
 	}
 }
--- a/policy/slow_start_test.go
+++ b/policy/slow_start_test.go
@@ -61,8 +61,8 @@
 	heap.Push(&f.queue, fleetEvent{f.now + wait, f.sequence, do})
 }
 
-// newSlowStartFleet starts the nodes. If reachable isn't 0, they get it as the number of reachable nodes,
-// which may differ from the number in the settings.
+// newSlowStartFleet starts the nodes. If reachable isn't 0, the nodes are told that this many nodes are
+// reachable, which may differ from the number in the settings.
 func newSlowStartFleet(seed uint64, set Settings, nodes, reachable int, servers []Endpoint,
 	capacity float64) *slowStartFleet {
 	f := &slowStartFleet{rng: rand.New(rand.NewPCG(seed, 7)), set: set, now: time.Hour, reachable: reachable,
@@ -215,7 +215,7 @@
 	configured, reachable int     // nodes in the settings, and by membership (0: no membership)
 	capacity              float64 // requests per second of a server that has warmed up
 	restarting            bool    // a third of the nodes restart while servers are warming up
-	loadBefore, loadAfter float64 // load for 3 s after servers restart, and later; 1: capacity of the others
+	loadBefore, loadAfter float64 // load for 3 s after restarts, and later; 1: capacity of the other servers
 }
 
 const (
@@ -273,7 +273,7 @@
 				if sent == 0 {
 					t.Error("no requests were sent to servers that are warming up")
 				}
-				t.Logf("%d requests to servers that are warming up; worst window by seed: %.2f to %.2f of the bound",
+				t.Logf("%d requests to servers that are warming up; worst overload by seed: %.2f to %.2f of the bound",
 					sent, lowest, worst)
 			})
 		}
@@ -325,8 +325,9 @@
 }
 
 // A server that is warming up is chosen before the walk in packing order, because the walk would usually end
-// at a server with capacity before it. It gets the first attempts of requests of all classes except the
-// highest-priority class. Of that class, it gets first attempts only while the class is short of capacity.
+// at an earlier server with capacity. The server that is warming up gets the first attempts of requests of
+// all classes except the highest-priority class. It gets first attempts of that class only while the class
+// is short of capacity.
 func TestWarmingUpServersAreChosenBeforeTheWalk(t *testing.T) {
 	set := testSettings(1)
 	set.Classes[0].PriorityWeight, set.Classes[1].PriorityWeight = 1, 5
@@ -361,9 +362,9 @@
 	}
 }
 
-// While most servers are warming up, the mean rate over all servers says little about the capacity of one:
-// servers that have warmed up are full and the others are idle. A server that is warming up gets its warm
-// fraction of its kind's service rate.
+// While most servers are warming up, the mean rate over all servers says little about the capacity of a
+// server: servers that have warmed up are full and the others are idle. A server that is warming up gets its
+// warm fraction of its kind's service rate.
 func TestWarmupBudgetFollowsTheServiceRateOfTheKind(t *testing.T) {
 	list := testEndpoints(12)
 	for i := range list {
--- a/policy/snapshot_test.go
+++ b/policy/snapshot_test.go
@@ -122,7 +122,7 @@
 		t.Errorf("restored warm-up budget of young: got %+v, want 0.25 tokens", got)
 	}
 	if got := successor.servers["s02"].outlier; !got.ejected || got.ejectedUntil != 12*time.Second+ahead || got.ejections != 2 {
-		t.Errorf("restored outlier state of s02: got %+v, want 2 ejections and the end at 12 s of the old clock",
+		t.Errorf("restored outlier state of s02: got %+v, want 2 ejections, the last until 12 s on the old clock",
 			got)
 	}
 	if listed, unavailable := successor.Servers(); listed != 4 || unavailable != 1 {
