--- a/internal/node/bench_test.go
+++ b/internal/node/bench_test.go
@@ -19,7 +19,7 @@
 )
 
 // The benchmark measures the path of a request through a whole node: accept, framing, parsing, event, decision, attempt
-// and response. Clients and servers run in another process, so that cpu-ns/op and allocs/op are those of the node.
+// and response. Clients and servers run in another process, so that cpu-ns/op and allocs/op cover the node alone.
 //
 //	go test -run '^$' -bench Request ./internal/node
 
@@ -99,8 +99,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// runBenchPeers is the other process. It writes its servers' addresses, and then sends the requests that each line of in
-// asks for: node address, number of requests, and whether to keep connections alive. It answers each line with done.
+// runBenchPeers runs the other process. It writes its servers' addresses, and then sends the requests that each line of
+// in asks for: node address, number of requests, and whether to keep connections alive. It answers each line with done.
 func runBenchPeers(in io.Reader, out io.Writer) error {
 	var addrs []string
 	for range benchServers {
@@ -108,7 +108,7 @@
 		if err != nil {
 			return err
 		}
-		defer func() { _ = ln.Close() }() // the process ends then
+		defer func() { _ = ln.Close() }() // the process ends next, so an error doesn't matter
 		addrs = append(addrs, ln.Addr().String())
 		go nodetest.AcceptRaw(ln, func(c net.Conn, r *bufio.Reader) {
 			for nodetest.ReadRequest(r) {
@@ -219,7 +219,7 @@
 		}
 	}
 	if !strings.HasPrefix(status, "HTTP/1.1 200") || contentLength != 64 {
-		return fmt.Errorf("response: got %q, length %d, want 200, length 64", status, contentLength)
+		return fmt.Errorf("response: got status line %q, length %d, want status 200, length 64", status, contentLength)
 	}
 	_, err := c.r.Discard(contentLength)
 	return err
--- a/internal/node/client_connections_test.go
+++ b/internal/node/client_connections_test.go
@@ -45,7 +45,7 @@
 		head := "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r%d\r\nX-Class: %s\r\nX-Tenant: t\r\nX-Deadline-Ms: 8000\r\n\r\n"
 		sendRaw(t, node, fmt.Sprintf(head, 1, "reads")+fmt.Sprintf(head, 2, "read"))
 		if got := servers.takeIDs(); got != "" {
-			t.Errorf("requests that reached the server after a malformed one on the same connection: got %q, want none", got)
+			t.Errorf("requests that reached the server after one with an unknown class on the same connection: got %q, want none", got)
 		}
 	})
 }
@@ -73,7 +73,7 @@
 			defer nodetest.CloseIgnoringClosed(t, peer)
 			held = append(held, peer)
 		}
-		// Connections are accepted in order: once the last one is rejected as over the limit, all have been accepted.
+		// Connections are accepted in order: once the last one is rejected as over the limit, all others have been accepted.
 		last := held[len(held)-1]
 		if err := clientRequest(t, node, "GET", "read", "last", "").Write(last); err != nil {
 			t.Fatal(err)
@@ -90,8 +90,8 @@
 	})
 }
 
-// An idle connection is closed after IdleTimeout, even if the body of its last request arrived in pieces, so that other
-// read deadlines were set in between.
+// An idle connection is closed after IdleTimeout, even if the body of its last request arrived in pieces, for
+// which the node sets other read deadlines.
 func TestIdleConnectionsTimeOut(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		node, _ := startNode(t, testConfig(t, nodetest.KnownList(nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {}))))
--- a/internal/node/config/reload_test.go
+++ b/internal/node/config/reload_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// A reload of an invalid file is rejected with an error that names the field, where there is one.
+// A reload of an invalid file is rejected with an error that names the missing or invalid field, if there is one.
 func TestReloadRejectsBrokenFiles(t *testing.T) {
 	valid := nodetest.FillConfig(nodetest.KnownList("127.0.0.1:9"), nodetest.Settings)
 	_, reload := loadFile(t, valid)
--- a/internal/node/decode/decode_test.go
+++ b/internal/node/decode/decode_test.go
@@ -41,7 +41,7 @@
 		"127.0.0.1:80,": false, "127.0.0.1:80,nowhere": false,
 	} {
 		if err := CheckAddresses(addrs); (err == nil) != ok {
-			t.Errorf("addresses %q: got error %v, want valid %v", addrs, err, ok)
+			t.Errorf("addresses %q: got error %v; want the addresses accepted: %v", addrs, err, ok)
 		}
 	}
 }
--- a/internal/node/discovery/cache_test.go
+++ b/internal/node/discovery/cache_test.go
@@ -98,7 +98,7 @@
 	}
 	for _, endpoint := range got.Endpoints {
 		if endpoint.ID == "b" && endpoint.Availability != policy.Draining || endpoint.ID == "a" {
-			t.Errorf("restored endpoint: got %+v, want b draining, s0, and no a", endpoint)
+			t.Errorf("restored endpoint: got %+v, want b to be draining and a to be missing", endpoint)
 		}
 	}
 	c.Known.Revision = 43
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -132,7 +132,7 @@
 	for i := range 20 {
 		next := nextBackoff(last)
 		if next < last || next <= 0 || next > 200*time.Millisecond {
-			t.Fatalf("backoff %d: got %v after %v, want more than 0, not less than before, and at most 200ms", i, next, last)
+			t.Fatalf("backoff %d: got %v after %v, want more than 0, at least the backoff before it, and at most 200ms", i, next, last)
 		}
 		last = next
 	}
--- a/internal/node/discovery/scope_test.go
+++ b/internal/node/discovery/scope_test.go
@@ -79,8 +79,8 @@
 	return fmt.Sprintf("%s?index=%d&wait=%d%s", listPath, revision, newTimeouts(policy.Settings{}).Wait.Milliseconds(), scope)
 }
 
-// Without the section "scope", calls to the list service have no scope and no further headers, whatever the headers of
-// the responses say.
+// Without the section "scope", calls to the list service have no scope and no header but User-Agent, whatever the
+// headers of the responses say.
 func TestCallsWithoutAScope(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		_, updates, calls := startScopedWatch(t, "", scopedResponse{true, nodetest.ListChange(8, nodetest.ListEntry("s9", "up"))})
@@ -114,9 +114,9 @@
 	})
 }
 
-// The client watches a list service that ignores the scope like any other. When one that supports scopes replaces it,
-// changes within the scope are not applied to the unscoped list: the client fetches the full list of the scope. The
-// same holds the other way round.
+// The client watches a list service that ignores the scope like any other. When a list service that supports scopes
+// replaces it, changes within the scope are not applied to the unscoped list: the client fetches the full list of the
+// scope. It also fetches the full list when a list service that ignores the scope replaces one that supports it.
 func TestScopeSupportedAndUnsupported(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		_, updates, calls := startScopedWatch(t, testScope, scopedResponse{false, nodetest.FullList(30, nodetest.ListEntry("s1", "up"), nodetest.ListEntry("s2", "up"))},
--- a/internal/node/downstream/client_conns_test.go
+++ b/internal/node/downstream/client_conns_test.go
@@ -12,7 +12,7 @@
 )
 
 // At the limit, the connection that has been idle or silent for longest is evicted. A connection in use, or one that has
-// been quiet only for a moment, is not.
+// been quiet only for a moment, is not evicted.
 func TestQuietConnectionsAreEvicted(t *testing.T) {
 	now := time.Now()
 	at := func(ago time.Duration, state http.ConnState) *trackedConn {
@@ -70,7 +70,7 @@
 	cc.setState(tracked, http.StateActive)
 	cc.closeIdle()
 	_ = conn.SetReadDeadline(time.Now().Add(nodetest.Timeout))
-	cc.setState(tracked, http.StateIdle) // as after the response
+	cc.setState(tracked, http.StateIdle) // as the server does after the response
 	start := time.Now()
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) || time.Since(start) > nodetest.Timeout/2 {
 		t.Errorf("read of the idle connection: returned after %v with error %v, want a deadline error at once", time.Since(start), err)
--- a/internal/node/endings_test.go
+++ b/internal/node/endings_test.go
@@ -26,7 +26,7 @@
 )
 
 // The tests of this file use real connections, since they depend on what the kernel does when a connection ends.
-// docs/endings.md has a row for each.
+// docs/endings.md has a row for each test.
 
 // arrivalRecorder is a server that records when requests reach it.
 type arrivalRecorder struct {
@@ -249,7 +249,7 @@
 				}
 				d.checkDrain(signal.Add(4*time.Second), calls, func(c listCall) string {
 					if c.query["index"] != nil {
-						t.Errorf("call to the new address has index %v of the old one, want none", c.query["index"])
+						t.Errorf("call to the new address: got index %v of the old list, want no index", c.query["index"])
 					}
 					return fmt.Sprintf(`{"revision":3,"complete":true,"members":[%s,%s]}`, listEntry("s0", d.drainingAddr, "draining"),
 						listEntry("s1", d.Known.Endpoints[1].Address, "up"))
@@ -364,7 +364,7 @@
 // closed.
 type holdingBalancer struct {
 	waitPoint   string // what the request waits for when its client disconnects
-	cancels     bool   // whether it cancels the first attempt of a request whose client disconnects
+	cancels     bool   // whether the balancer cancels the first attempt of a request whose client disconnects
 	loopBusy    chan struct{}
 	releaseLoop chan struct{}
 	held        []string
@@ -583,7 +583,7 @@
 }
 
 // A connection that is established only after its server began to drain, was removed or was restarted is not used. Its
-// attempt ends with ConnectFailed, and the balancer can send another one.
+// attempt ends with ConnectFailed, and the balancer can send another attempt.
 func TestConnectionToChangedServerIsNotUsed(t *testing.T) {
 	for name, change := range map[string]string{
 		"draining":  `"phase":"draining","up_since_ms":0`,
--- a/internal/node/framing_test.go
+++ b/internal/node/framing_test.go
@@ -76,7 +76,7 @@
 			"after a valid request":       {pay + "Content-Length: 3\r\n\r\nsum" + strings.Replace(pay, "outer", "o2", 1) + length + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
 			"in a body with a length":     {pay + length + "Connection: close\r\n\r\n" + chunked, "outer"},
 			// The connection of a chunked request ends after its response, so the text after the last chunk is not served. The
-			// requests of this case and the one before are valid, so their responses are not checked.
+			// requests of this case and the case before it are valid, so their responses are not checked.
 			"after the last chunk": {pay + "Transfer-Encoding: chunked\r\n\r\n" + chunked, "outer"},
 		} {
 			responses := sendRaw(t, node, c.request)
--- a/internal/node/hollow_test.go
+++ b/internal/node/hollow_test.go
@@ -58,7 +58,7 @@
 		t.Fatalf("servers after ApplyList: got %d, error %v, want 1", h.Servers(), err)
 	}
 	if err := h.ApplyList([]byte(`{"members":[]}`)); err == nil {
-		t.Error("ApplyList of a list without a revision: got no error")
+		t.Error("ApplyList of a list without a revision: got no error, want one")
 	}
 	admitted := 0
 	for ; admitted < 100; admitted++ {
@@ -112,7 +112,7 @@
 	expect := func(kind policy.ListKind, endpoints int) {
 		t.Helper()
 		if l := <-seen; l.Kind != kind || len(l.Endpoints) != endpoints {
-			t.Errorf("list: got kind %d with %d servers, want kind %d with %d", l.Kind, len(l.Endpoints), kind, endpoints)
+			t.Errorf("list: got kind %d with %d servers, want kind %d with %d servers", l.Kind, len(l.Endpoints), kind, endpoints)
 		}
 	}
 	expect(policy.ListCached, 0)
--- a/internal/node/hot_restart_test.go
+++ b/internal/node/hot_restart_test.go
@@ -183,7 +183,7 @@
 	}
 	defer closeListeners(t, listeners)
 	if got := listeners.predecessor.State.Sockets; got < c.Sockets/4 || got > c.Sockets-reservedSocketsWhileShared(c) {
-		t.Errorf("descriptors for the successor: got %d of %d, want at least a quarter, at most all but the reserved ones",
+		t.Errorf("descriptors for the successor: got %d of %d, want at least a quarter, and at most all but the reserved descriptors",
 			got, c.Sockets)
 	}
 }
--- a/internal/node/hotrestart/hotrestart_test.go
+++ b/internal/node/hotrestart/hotrestart_test.go
@@ -183,6 +183,6 @@
 	}
 	// A read returns 0 bytes only once both write descriptors of the pipe are closed.
 	if n, err := unix.Read(pipe[0], make([]byte, 1)); n != 0 || err != nil {
-		t.Errorf("read of the pipe, whose write descriptors should be closed: got %d bytes, error %v, want 0 and none", n, err)
+		t.Errorf("read of the pipe, whose write descriptors should be closed: got %d bytes, error %v, want 0 bytes and no error", n, err)
 	}
 }
--- a/internal/node/http1/message_test.go
+++ b/internal/node/http1/message_test.go
@@ -39,7 +39,7 @@
 					continue
 				}
 				if body, err := io.ReadAll(&SizedBody{Reader: r, Remaining: f.Length}); err != nil || string(body) != "body" {
-					t.Errorf("%s, reads of %d bytes: got body %q and error %v, want body and no error", name, size, body, err)
+					t.Errorf("%s, reads of %d bytes: got body %q and error %v, want the text body and no error", name, size, body, err)
 				}
 			}
 		}
--- a/internal/node/list_outage_test.go
+++ b/internal/node/list_outage_test.go
@@ -44,7 +44,7 @@
 	fail          http.HandlerFunc // serves the calls; nil refuses connections
 	failedCalls   int              // number of calls that fail this way
 	rejectedCalls int              // number of calls answered with 503 after the outage
-	queueTime     time.Duration    // time for which the call after these is queued
+	queueTime     time.Duration    // time for which the call after the rejected ones is queued
 	pollInterval  time.Duration    // PollInterval of the settings; 0 if not set
 }
 
@@ -113,7 +113,8 @@
 
 // After an outage of the list service, the node learns of a change in time, however calls failed during the outage. The
 // change counts as delivered 6 s after the service has it and is reachable, or sooner if the settings have a shorter
-// PollInterval. From then on, the node has only the drain grace, here the smallest one of any site.
+// PollInterval. From then on, the node has only the drain grace to stop sending requests to the server. The test uses
+// the smallest drain grace of any site.
 func TestChangesArriveInTimeAfterAnyOutage(t *testing.T) {
 	for name, o := range map[string]outage{
 		"refused":             {failedCalls: 5, rejectedCalls: 2},
--- a/internal/node/loop_test.go
+++ b/internal/node/loop_test.go
@@ -195,12 +195,12 @@
 		})
 		x := l.sendRequest("r1", nodetest.Timeout)
 		if a := nodetest.Receive(t, "the response", x.Reply); a.Status != http.StatusBadGateway {
-			t.Errorf("status: got %d, want 502, that of the Fail action", a.Status)
+			t.Errorf("status: got %d, want 502, the status of a Fail action", a.Status)
 		}
 		s.expectEvents(t, "list 2", "request r1", "timer 1", fmt.Sprintf("outcome r1 1 code %d ended true", policy.NotAttempted),
 			fmt.Sprintf("outcome r1 0 code %d ended true", policy.Cancelled))
 		if len(arrived) != 0 || len(x.Reply) != 0 {
-			t.Errorf("after the response: got %d attempts, %d responses, want none", len(arrived), len(x.Reply))
+			t.Errorf("after the response: got %d further attempts and %d further responses, want 0 of each", len(arrived), len(x.Reply))
 		}
 	})
 }
@@ -214,7 +214,7 @@
 			t.Errorf("status: got %d, want 504", a.Status)
 		}
 		if end := x.ReceivedAt + x.Timeout; l.clock.now() > end+nodetest.Timeout/2 {
-			t.Errorf("answered %v after the client's timeout, want at most half of nodetest.Timeout", l.clock.now()-end)
+			t.Errorf("the response came %v after the client's timeout, want at most half of nodetest.Timeout", l.clock.now()-end)
 		}
 		s.expectEvents(t, "list 2", "request r1", "cancelled r1")
 	})
@@ -266,7 +266,7 @@
 			t.Errorf("request over maxOpen: got status %d, want 503", a.Status)
 		}
 		if n := len(s.events()); n != 1+l.maxOpen {
-			t.Errorf("events received by the balancer: got %d, want the list and %d requests", n, l.maxOpen)
+			t.Errorf("events received by the balancer: got %d, want one for the list and one for each of %d requests", n, l.maxOpen)
 		}
 	})
 }
@@ -281,7 +281,7 @@
 			t.Errorf("status of the open request: got %d, want 502", a.Status)
 		}
 		s.expectEvents(t, "list 2", "request r1", "cancelled r1")
-		// The ID is free again, so this is not a duplicate.
+		// The ID is free again, so this request is not a duplicate.
 		if a := nodetest.Receive(t, "the response",
 			l.sendRequest("r1", nodetest.Timeout).Reply); a.Status != http.StatusServiceUnavailable {
 			t.Errorf("status of a request after failUnanswered: got %d, want 503", a.Status)
@@ -304,7 +304,7 @@
 		l.handle(requestReceived{testExchange(http.MethodGet, fmt.Sprint(i), "")})
 	}
 	if len(l.requests) != 0 || len(l.timers) != 0 || l.unanswered != 0 {
-		t.Errorf("after all requests ended: got %d requests, %d timers, %d unanswered, want none",
+		t.Errorf("kept after all requests ended: got %d requests, %d timers and %d unanswered requests, want 0 of each",
 			len(l.requests), len(l.timers), l.unanswered)
 	}
 }
@@ -314,7 +314,7 @@
 	for ms, want := range map[int64]policy.Time{
 		0:                        0,
 		1_700_000_000_000:        timeOrigin,
-		1_700_000_000_000 - 2000: timeOrigin - 2*time.Second, // started before the node, and still cold
+		1_700_000_000_000 - 2000: timeOrigin - 2*time.Second, // a server started before the node may still be in slow start
 		1_700_000_000_000 + 500:  timeOrigin + 500*time.Millisecond,
 		1_600_000_000_000:        0,
 		1:                        0,
--- a/internal/node/nodetest/nodetest.go
+++ b/internal/node/nodetest/nodetest.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// Close closes c, and fails the test on any error, even the one that c is already closed.
+// Close closes c, and fails the test on any error, also if c is already closed.
 func Close(t testing.TB, c io.Closer) {
 	t.Helper()
 	if err := c.Close(); err != nil {
--- a/internal/node/reload_test.go
+++ b/internal/node/reload_test.go
@@ -41,8 +41,8 @@
 		"retryAfter":true,"secondCopies":true},
 	"guarantees":{"drainGrace":500,"cold":1,"coldShare":0.5,"fallMultiple":3,"overloadFor":1000}}`
 
-// Reloaded settings apply as a whole: a class is added, one is removed, another one's retry safety changes, and so does
-// the limit of attempts. A tenant's empty token bucket stays empty, and an invalid file in between changes nothing.
+// Reloaded settings apply as a whole: they add a class, remove a class, and change the retry safety of another class and
+// the limit of attempts. A tenant's empty token bucket stays empty. An invalid file before the valid one changes nothing.
 func TestReloadAppliesSettingsAsAWhole(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		var fullAttempts atomic.Int32
@@ -111,8 +111,8 @@
 	})
 }
 
-// For formerClassPeriod after a configuration change, a request in its class's former form is accepted as one of the
-// former class.
+// For formerClassPeriod after a configuration change, a request in its class's former form is accepted as a request of
+// the former class.
 func TestFormerClassFormIsAcceptedForAWhile(t *testing.T) {
 	idempotent, nonIdempotent := policy.Class{Name: "c", RetrySafety: policy.Idempotent}, policy.Class{Name: "c"}
 	removed := policy.Class{Name: "gone"}
@@ -139,7 +139,7 @@
 	}
 }
 
-// Many reloads in a row, of valid and invalid files, do no harm: the node applies the last one, serves and stops.
+// Many reloads in a row, of valid and invalid files, do no harm: the node applies the last file, serves and stops.
 func TestManyReloads(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
 		server := nodetest.HTTPServer(t, func(http.ResponseWriter, *http.Request) {})
--- a/internal/node/server_test.go
+++ b/internal/node/server_test.go
@@ -177,7 +177,7 @@
 		}
 		_ = c.SetReadDeadline(time.Now().Add(nodetest.Timeout))
 		if got, err := io.ReadAll(c); err != nil || len(got) > 0 {
-			t.Errorf("after the client closed its write side: got %q, %v; want no bytes", got, err)
+			t.Errorf("after the client closed its write side: got %q, error %v; want no bytes and no error", got, err)
 		}
 	})
 }
@@ -261,7 +261,7 @@
 			}
 			nodetest.CloseIgnoringClosed(t, resp.Body)
 			if ready := resp.StatusCode == 200; ready != state.ready || s.acceptsNewClients() == draining {
-				t.Errorf("state %+v: ready %v, accepts new clients %v; want ready as in the state, and new clients unless draining",
+				t.Errorf("state %+v: ready %v, accepts new clients %v; want the state's value of ready, and new clients accepted unless draining",
 					state, ready, s.acceptsNewClients())
 			}
 		}
@@ -300,7 +300,7 @@
 			return err != nil
 		})
 		if took := time.Since(start); took < 400*time.Millisecond {
-			t.Errorf("connections were accepted for %v after the stop, want at least 400ms: clients still connect then", took)
+			t.Errorf("connections were accepted for %v after the stop, want at least 400ms, as clients still connect in that time", took)
 		}
 		select {
 		case err := <-stopErr:
@@ -363,7 +363,7 @@
 			t.Error(err)
 		}
 		if took := time.Since(start); took > 2200*time.Millisecond {
-			t.Errorf("the node ended %v after the stop, want at most 2.2s, before it would be killed", took)
+			t.Errorf("the node ended %v after the stop, want at most 2.2s, so that it ends before it is killed", took)
 		}
 	})
 }
--- a/internal/node/upstream/descriptor_queue_test.go
+++ b/internal/node/upstream/descriptor_queue_test.go
@@ -14,7 +14,7 @@
 	server, received, release := nodetest.HoldingServer(t)
 	tr := newTestTransport(t, server)
 	tr.descriptorWait = nodetest.Timeout
-	tr.descriptors.SetTotal(minSideDivisor) // leaves one for servers
+	tr.descriptors.SetTotal(minSideDivisor) // leaves one descriptor for servers
 	tr.descriptors.SetClients(10 * minSideDivisor)
 	codes := make(chan policy.Code, 3)
 	attempt := func(id string) { codes <- doAttempt(t, tr, newTestRequest(http.MethodGet, id, "")).Code }
--- a/internal/node/upstream/transport_test.go
+++ b/internal/node/upstream/transport_test.go
@@ -293,7 +293,7 @@
 		t.Errorf("connections 1 s after the idle timeout: got %d open and %d idle, want none", open, idle)
 	}
 	if tr.idleTimeout() > 30*time.Second {
-		t.Errorf("idle timeout: got %v, want at most 30 s, half of the servers' 60 s", tr.idleTimeout())
+		t.Errorf("idle timeout: got %v, want at most 30 s, half of the servers' idle timeout of 60 s", tr.idleTimeout())
 	}
 }
 
