--- a/cmd/sloerail-node/main_test.go
+++ b/cmd/sloerail-node/main_test.go
@@ -80,7 +80,7 @@
 	}
 }
 
-// A control address that can't be bound fails the start with an error of one line.
+// If the control address can't be bound, the node doesn't start, and the error has one line.
 func TestUnusableControlAddressFailsStart(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/sloerail-node/versions_test.go
+++ b/cmd/sloerail-node/versions_test.go
@@ -31,7 +31,7 @@
 	retriedPrefix = "retried"
 )
 
-// versionsTest runs a node with clients, and replaces its process by one of another version.
+// versionsTest runs a node with clients, and replaces its process by a process of another version.
 type versionsTest struct {
 	*testing.T
 	dir, config, addr string
@@ -237,8 +237,8 @@
 	return map[string][]string{"other, this, other": {other, this, other}, "this, other, this": {this, other, this}}
 }
 
-// Under load, a process is replaced by one of another version, which is then replaced by one of the first version. Each
-// request gets a 200 response, and no POST request reaches a server twice.
+// Under load, a process is replaced by a process of another version, which is then replaced by a process of the
+// first version. Each request gets a 200 response, and no POST request reaches a server twice.
 func TestHandOverBetweenVersionsUnderLoad(t *testing.T) {
 	for name, programs := range programSequences(t) {
 		t.Run(name, func(t *testing.T) {
@@ -257,7 +257,7 @@
 			}
 			v.awaitServed(1000)
 			stop()
-			t.Logf("%d requests answered with 200, %d not", v.served.Load()-v.failed.Load(), v.failed.Load())
+			t.Logf("%d requests got a 200 response, %d requests did not", v.served.Load()-v.failed.Load(), v.failed.Load())
 		})
 	}
 }
@@ -330,14 +330,14 @@
 func (v *versionsTest) checkTimes(what string, before, after []int64) {
 	v.Helper()
 	if len(after) == 0 || len(after) > len(before) {
-		v.Errorf("%s: got %d times, want 1 to %d", what, len(after), len(before))
+		v.Errorf("times of %s in the successor's state: got %d, want 1 to %d", what, len(after), len(before))
 		return
 	}
 	before = before[len(before)-len(after):]
 	elapsed := before[0] - after[0]
 	for i := range after {
 		if before[i]-after[i] != elapsed || elapsed <= 0 {
-			v.Errorf("%s: time %d: got %d, was %d; want all times shifted by the same positive amount; the first one is shifted by %d",
+			v.Errorf("%s: time %d: got %d, was %d before; want all times shifted by the same positive amount; the first time is shifted by %d",
 				what, i, after[i], before[i], elapsed)
 			return
 		}
--- a/cmd/sloerail-simadapter/main_test.go
+++ b/cmd/sloerail-simadapter/main_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-// An instance gives the same replies whether it is alone in its process or shares it with another instance.
+// An instance gives the same replies whether it is alone in its process or shares the process with another instance.
 func TestInstancesAreIndependent(t *testing.T) {
 	run := func(nodes ...string) string {
 		l := []string{`["mark",1]`, listMessage}
@@ -71,7 +71,7 @@
 		return strings.TrimSuffix(out.String(), "[\"yield\"]\n")
 	}
 	if got, want := run("1", "2"), run("1")+run("2"); got != want {
-		t.Errorf("replies of two instances in one process:\n%sin two processes:\n%s", got, want)
+		t.Errorf("replies of two instances in one process: got\n%swant the same replies as in two processes:\n%s", got, want)
 	}
 }
 
--- a/cmd/sloerail/form_test.go
+++ b/cmd/sloerail/form_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// TestJSONOfExperimentsIsFrozen pins the --json output of the commands that measure.
+// TestJSONOfExperimentsIsFrozen pins the --json output of the commands that run experiments.
 func TestJSONOfExperimentsIsFrozen(t *testing.T) {
 	pairs := []simulation.Pair{{Scenario: "all", Mean: 0.5, HalfInterval: 0.25, P: 0.125, OurG: 0.75, TheirG: 0.625, OurBroken: 1, TheirBroken: 2}}
 	row := simulation.Row{Measure: simulation.Measure{Name: "calm: attempts that cross", Max: 1}, WithTopology: []float64{0, 0.5}, WithoutTopology: []float64{1, 2}}
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -89,7 +89,7 @@
 			c.AttemptEnded("x", "a", false)
 			c.ResponseReceived(2, "x", 503)
 		}, "but may have run"},
-		{"attempt at a draining server after the grace", func(c *Checker) {
+		{"attempt at a draining server after the drain grace period", func(c *Checker) {
 			c.ChangeNotified(0, "n", "a", Draining)
 			c.RequestAccepted(time.Second, clientAttempt("x", Idempotent))
 			c.AttemptArrived(2*time.Second, "n", "x", a)
@@ -111,7 +111,7 @@
 		c.record(checker)
 		violations, count := checker.Violations()
 		if got := strings.Join(violations, "; "); (c.want == "") != (count == 0) || !strings.Contains(got, c.want) {
-			t.Errorf("%s: got %d violations: %q; want one that contains %q, or none if that is empty", c.name, count, got, c.want)
+			t.Errorf("%s: got %d violations: %q; want one that contains %q, or no violation if the wanted text is empty", c.name, count, got, c.want)
 		}
 	}
 }
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -71,7 +71,7 @@
 		defer v.shutdown()
 		joined := v.awaitPresent(t, time.Minute, n, indexes(n)...)
 		v.network.setLoss(*lossRate)
-		time.Sleep(20*time.Second + 2*time.Duration(n)*exchangesAfterChange*exchangeIntervalPerMember) // until the last exchange
+		time.Sleep(20*time.Second + 2*time.Duration(n)*exchangesAfterChange*exchangeIntervalPerMember) // ends after the last exchange
 		idle := v.measureIdle()
 		for i := range v.agents {
 			if deaths := v.deaths(i); len(deaths) > 0 {
@@ -125,7 +125,8 @@
 	})
 }
 
-// Of two processes with the same name, all members see the later one; the earlier one learns of it and leaves.
+// If two processes have the same name, all members see the later process. The earlier process learns that it is
+// superseded, and leaves.
 func TestLaterProcessSupersedesEarlierOfSameName(t *testing.T) {
 	withFleet(t, 5, func(t *testing.T, v *virtualFleet) {
 		time.Sleep(time.Second)
@@ -143,7 +144,7 @@
 			t.Errorf("earlier process: want it superseded with one name conflict, got stats %+v", v.agents[2].Stats())
 		}
 		if later.View().Superseded {
-			t.Error("later process: superseded, want it to remain the member")
+			t.Error("later process was superseded, want it to remain the member")
 		}
 		for _, i := range []int{0, 1, 3, 4} {
 			view := v.agents[i].View()
--- a/internal/membership/fleet_test.go
+++ b/internal/membership/fleet_test.go
@@ -45,7 +45,7 @@
 
 func nodeName(i int) string { return fmt.Sprintf("n%04d", i) }
 
-// start starts a process for member i, in place of an earlier one if there is any.
+// start starts a process for member i, in place of the member's earlier process if there is one.
 func (v *virtualFleet) start(i int) *Agent {
 	c := Config{Name: nodeName(i), Zone: fmt.Sprint("z", i%3), Version: "test", Bind: memAddress(i),
 		Join: []string{memAddress(0), memAddress(1), memAddress(2)}}
@@ -122,7 +122,7 @@
 	return v.observers[i].suspicions[name]
 }
 
-// kill isolates and stops member i, without an announcement.
+// kill isolates and stops member i, without a leave announcement.
 func (v *virtualFleet) kill(i int) {
 	v.network.setPartition(-1-i, i)
 	v.agents[i].Yield()
--- a/internal/membership/memberlist_log_test.go
+++ b/internal/membership/memberlist_log_test.go
@@ -21,7 +21,7 @@
 		w := &memberlistLog{limited: newTestLog(&out, &now), onEvent: func(logEvent, string) {}}
 		w.logger().Print(c.line)
 		if got := out.String(); c.want == "" && got != "" || !strings.Contains(got, c.want) {
-			t.Errorf("log output for %q: got %q, want it to contain %q, or no output if that is empty", c.line, got, c.want)
+			t.Errorf("log output for %q: got %q, want it to contain %q, or no output if the wanted text is empty", c.line, got, c.want)
 		}
 	}
 }
--- a/internal/membership/memnet_test.go
+++ b/internal/membership/memnet_test.go
@@ -111,7 +111,7 @@
 		select {
 		case to.packets <- p:
 		case <-to.closing:
-		default: // dropped, like at a full socket buffer
+		default: // the datagram is dropped, as by a full socket buffer
 		}
 	})
 }
--- a/internal/membership/probe_loss_test.go
+++ b/internal/membership/probe_loss_test.go
@@ -12,7 +12,7 @@
 func TestProbeLossIsHighAboveItsThreshold(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		lossPeriod int // one of this many probes is lost; 0 for none
+		lossPeriod int // each lossPeriod-th probe is lost; 0 means no loss
 		want       bool
 	}{
 		{"no loss", 0, false},
@@ -50,7 +50,7 @@
 		l.send(datagram, write)
 		time.Sleep(2 * duplicateDelay)
 		if sent := sentSoFar(); len(sent) != 1 {
-			t.Fatalf("datagrams sent without loss: got %q, want one", sent)
+			t.Fatalf("datagrams sent without loss: got %q, want one datagram", sent)
 		}
 		l.recordProbe(false)
 		l.send(datagram, write)
--- a/internal/output/output_test.go
+++ b/internal/output/output_test.go
@@ -58,7 +58,7 @@
 		w := &limitedWriter{remaining: c.remaining}
 		err := Show(w, []int{1}, c.asJSON, text)
 		if !errors.Is(err, c.err) || !strings.Contains(w.String(), c.want) {
-			t.Errorf("Show with asJSON %v to a writer that takes %d writes: got error %v, output %q",
+			t.Errorf("Show with asJSON %v to a writer that takes %d writes: got error %v, output %q; want all output, or errFull if the writer takes none",
 				c.asJSON, c.remaining, err, w.String())
 		}
 	}
--- a/internal/priority/queue_test.go
+++ b/internal/priority/queue_test.go
@@ -11,7 +11,7 @@
 
 func (n number) Before(other number) bool { return n < other }
 
-// Items are taken in order, whatever is added and taken in between.
+// Take returns the first item in order, no matter which items were added and taken before.
 func TestTakesInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var q Queue[number]
--- a/internal/registry/errors_test.go
+++ b/internal/registry/errors_test.go
@@ -11,7 +11,7 @@
 	for _, test := range []struct {
 		err       error
 		sentinels []error
-		text      string // of the response
+		text      string // expected text of the response
 	}{
 		{&NotLeaderError{LeaderAddress: "10.2.0.2:8500"}, []error{ErrNotLeader}, "this replica is not the leader"},
 		{&CommitError{Reason: raft.ErrEnqueueTimeout}, []error{ErrNotCommitted, raft.ErrEnqueueTimeout},
--- a/internal/registry/freshness_test.go
+++ b/internal/registry/freshness_test.go
@@ -50,6 +50,6 @@
 	}
 	f.applied(2 * maxPendingProgress)
 	if _, known := f.age(false); !known || len(f.pending) != 0 {
-		t.Errorf("pending polls after all commands are applied: got %d, want 0 and a known age", len(f.pending))
+		t.Errorf("after all commands are applied: got %d pending polls, want none, and the age must be known", len(f.pending))
 	}
 }
--- a/internal/registry/golden_http_test.go
+++ b/internal/registry/golden_http_test.go
@@ -131,7 +131,8 @@
 	golden.Check(t, "answers.txt", []byte(maskVaryingParts(b.String())))
 }
 
-// TestGoldenRejections checks the responses of a replica without a leader, and of one without capacity.
+// TestGoldenRejections checks the responses of a replica that knows no leader, and of a replica whose
+// watches and writes are at their limits.
 func TestGoldenRejections(t *testing.T) {
 	addr, transport := raft.NewInmemTransport("r0.raft")
 	r, err := Open(ReplicaConfig{ID: "r0", RaftAddress: string(addr), DataDir: t.TempDir(), transport: transport})
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// checkSameStore fails unless the data stored in a snapshot, and the data derived from it, are the same.
+// checkSameStore fails unless both stores have the same data in their snapshots, and derive the same data from it.
 func checkSameStore(t *testing.T, want, got *Store) {
 	t.Helper()
 	if diff := cmp.Diff(want.image(), got.image(), cmp.AllowUnexported(snapshotImage{}, change{}, cachedResponse{})); diff != "" {
@@ -231,7 +231,7 @@
 		t.Errorf("retry of request q5: got %+v, error %v; want its first result, at revision 1<<32+5", result, err)
 	}
 	if result, err := r.Propose(Command{Kind: DeregisterInstance, ID: "s0"}); err != nil || result.Revision != want.Revision+1 {
-		t.Errorf("deregistering s0: got %+v, error %v; want the revision after that of the list", result, err)
+		t.Errorf("deregistering s0: got %+v, error %v; want the list's revision plus 1", result, err)
 	}
 }
 
--- a/internal/registry/http_list_test.go
+++ b/internal/registry/http_list_test.go
@@ -15,7 +15,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// startServer starts a server for a single replica, and waits until the replica is the leader. url is that of the list.
+// startServer starts a server for a single replica, and waits until the replica is the leader. url is the URL
+// of the list.
 func startServer(t *testing.T) (r *Replica, url string) {
 	t.Helper()
 	addr, transport := raft.NewInmemTransport("")
@@ -99,8 +100,8 @@
 	}
 }
 
-// A scoped watch ignores changes outside its scope, responds to those in it, and returns the latest revision at its
-// timeout.
+// A scoped watch ignores changes outside its scope, responds to changes inside it, and returns the latest revision
+// when the watch times out.
 func TestScopedWatchRespondsToChangesInItsScope(t *testing.T) {
 	r, url := startServer(t)
 	revision := mustPropose(t, r, registerInService("a0", "a"), registerInService("b0", "b"))
@@ -109,7 +110,7 @@
 		t.Errorf("list of service a: got %+v, want the complete list of a0 at the current revision", l)
 	}
 	if full.header.Get(scopedHeader) == "" || full.header.Get(unknownServicesHeader) != "" {
-		t.Errorf("headers of the list of service a: got %v, want it marked as scoped, without unknown services", full.header)
+		t.Errorf("headers of the list of service a: got %v, want a header that marks the list as scoped, and no header for unknown services", full.header)
 	}
 	watch := func(wait time.Duration) chan response {
 		received := make(chan response, 1)
@@ -129,7 +130,7 @@
 	checkChanges(t, <-watch(maxWatchWait), scopeRevision, "a0")
 	revision = scopeRevision
 	outsideRevision = mustPropose(t, r, Command{Kind: SetInstancePhase, ID: "b0", Phase: PhaseUp})
-	checkChanges(t, <-watch(0), outsideRevision) // at its timeout
+	checkChanges(t, <-watch(0), outsideRevision) // the watch times out at once
 }
 
 // checkChanges fails unless a watch got the changes of the given endpoints and the given revision.
--- a/internal/registry/lessor_test.go
+++ b/internal/registry/lessor_test.go
@@ -32,11 +32,11 @@
 	instances := grantLeases(l, 1, 4*time.Second)
 	l.advance(4*time.Second - 1)
 	if ids := expireAll(l, instances); ids != nil {
-		t.Errorf("expired before the deadline: got %v, want none", ids)
+		t.Errorf("leases expired before the deadline: got %v, want none", ids)
 	}
 	l.advance(1)
 	if ids := expireAll(l, instances); !slices.Equal(ids, []string{"s00"}) {
-		t.Errorf("expired at the deadline: got %v, want [s00]", ids)
+		t.Errorf("leases expired at the deadline: got %v, want [s00]", ids)
 	}
 }
 
@@ -66,7 +66,7 @@
 				want = 0
 			}
 			if len(expired) != want || l.suspended != test.suspended {
-				t.Errorf("got %d expired, suspended %v; want %d expired, suspended %v", len(expired), l.suspended, want, test.suspended)
+				t.Errorf("got %d leases expired, suspended %v; want %d leases expired, suspended %v", len(expired), l.suspended, want, test.suspended)
 			}
 		})
 	}
@@ -114,11 +114,11 @@
 	}
 	l.advance(2*time.Second - 1)
 	if ids := expireAll(l, instances); len(ids) != 0 {
-		t.Errorf("expired before the new deadline: got %v, want none", ids)
+		t.Errorf("leases expired before the new deadline: got %v, want none", ids)
 	}
 	l.advance(1)
 	if ids := expireAll(l, instances); !slices.Equal(ids, []string{"last"}) {
-		t.Errorf("expired at the new deadline: got %v, want [last], as earlier expirations no longer count", ids)
+		t.Errorf("leases expired at the new deadline: got %v, want [last], as earlier expirations no longer count", ids)
 	}
 }
 
--- a/internal/registry/measure_test.go
+++ b/internal/registry/measure_test.go
@@ -18,7 +18,7 @@
 var sizes = flag.String("sizes", "1000,2000,4000", "numbers of instances to measure, separated by commas")
 
 const (
-	smallService = 50 // instances of each small service; the large one has a tenth of all
+	smallService = 50 // instances of each small service; the large service has a tenth of all instances
 	measuredSeed = 7
 )
 
@@ -109,8 +109,8 @@
 	return all
 }
 
-// With subsets, the length of the list for a node doesn't grow with the number of instances, even if one of its services
-// is large. The test also logs the lengths of other lists and of changes.
+// With subsets, the length of the list for a node doesn't grow with the number of instances, even if one of the
+// node's services is large. The test also logs the lengths of other lists and of changes.
 func TestMeasureScope(t *testing.T) {
 	const replaced = 300
 	var firstBytes int
@@ -132,7 +132,7 @@
 			firstBytes = subsetsBytes
 		}
 		if ratio := float64(subsetsBytes) / float64(firstBytes); ratio > 1.1 {
-			t.Errorf("scoped list of %d bytes at %d instances: got %.2f times the length at the first size, want at most 1.1", subsetsBytes, n, ratio)
+			t.Errorf("scoped list of %d bytes at %d instances: got %.2f times the length at the first number of instances, want at most 1.1", subsetsBytes, n, ratio)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 				t.Fatal(err)
 			}
 		})
-		t.Logf("%6d instances: %3d MB, registered in %v each, renewed in %v, tick %v, new leader %v, full list %v, scoped list %v, a drain in the large service for 1,000 watchers %v, snapshot %.1f MB written in %v, read in %v",
+		t.Logf("%6d instances: %3d MB, registered in %v each, renewed in %v, tick applied in %v, leases restarted for a new leader in %v, full list %v, scoped list %v, a drain in the large service for 1,000 watchers %v, snapshot %.1f MB written in %v, read in %v",
 			n, memory>>20, (registerAll / time.Duration(n)).Round(10*time.Nanosecond), renew, tick, restart, full, view, watchers, float64(length)/1e6, write, read)
 	}
 }
--- a/internal/registry/scoped_list_test.go
+++ b/internal/registry/scoped_list_test.go
@@ -87,7 +87,7 @@
 	return l, slices.Sorted(maps.Keys(w.endpoints))
 }
 
-// checkSlots fails unless slots are unique within each service and stable, and a new instance has the lowest free one.
+// checkSlots fails unless slots are unique within each service and stable, and a new instance has the lowest free slot.
 func checkSlots(t *rapid.T, before, after map[string]Instance) {
 	usedSlots := make(map[string]map[int]string)
 	for id, instance := range after {
@@ -123,7 +123,7 @@
 }
 
 // A watcher that applies the changes of a scope has, at each revision, the same endpoints as a complete list of the
-// scope. Slots are unique, stable, and the lowest free ones. A snapshot restores all of this.
+// scope. Slots are unique and stable, and a new instance gets the lowest free slot. A snapshot restores lists and slots.
 func TestScopedWatchersMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewStore()
@@ -166,7 +166,7 @@
 	}
 }
 
-// A watcher gets no changes outside its scope, even if there were more than the history holds.
+// A watcher gets no changes outside its scope, even if there were more changes than the history holds.
 func TestChangesOutsideAScopeAreNotSent(t *testing.T) {
 	s := NewStore()
 	s.Apply(registerInService("a0", "a"))
@@ -178,7 +178,7 @@
 	}
 	before := *w
 	if l, _ := w.mustPoll(t, s); l.Complete || len(l.Endpoints) != 0 || l.Revision != s.revision || before.lastRevision >= s.history.compactedRevision {
-		t.Errorf("changes outside the scope: got %+v at revision %d, compacted revision %d; want no changes at a compacted revision", l, before.lastRevision, s.history.compactedRevision)
+		t.Errorf("changes outside the scope: got %+v for a watcher at revision %d, compacted revision %d; want no endpoints, and the watcher's revision below the compacted revision", l, before.lastRevision, s.history.compactedRevision)
 	}
 	s.Apply(Command{Kind: SetInstancePhase, ID: "a0", Phase: PhaseDraining})
 	if l, _ := before.mustPoll(t, s); !l.Complete || len(l.Endpoints) != 1 || l.Endpoints[0].Phase != PhaseDraining {
@@ -186,8 +186,8 @@
 	}
 }
 
-// A watcher gets the complete list in a new epoch, and if its revision was compacted. This holds even if the changed
-// service is now unknown, and at a replica that was restored from a snapshot.
+// A watcher gets the complete list in a new epoch, and if its revision was compacted. It gets the complete list even if
+// the changed service is now unknown, and from a replica that was restored from a snapshot.
 func TestScopedListIsCompleteWhereHistoryWasCompacted(t *testing.T) {
 	for removed, want := range map[string][]string{"a1": {"a0", "b0"}, "b0": {"a0", "a1"}, "": {"a0", "a1", "b0"}} {
 		s := NewStore()
@@ -202,13 +202,13 @@
 		s.Apply(Command{Kind: DeregisterInstance, ID: removed})
 		s.compact(len(s.history.changes), s.revision)
 		if l, got := w.mustPoll(t, snapshotRoundTrip(t, s)); !l.Complete || !slices.Equal(got, want) {
-			t.Errorf("after removing %q (if empty, after a new epoch): got %+v, the watcher has %v, want a complete list of the others", removed, l, got)
+			t.Errorf("after removing %q (if empty, after a new epoch): got %+v, and the watcher has instances %v; want a complete list of the other instances", removed, l, got)
 		}
 	}
 }
 
-// While a server of its subset drains, a watcher gets the drain together with a replacement. A new server that gets the
-// slot of the removed one is in the same subsets.
+// When a server of its subset starts to drain, a watcher gets this change together with a replacement server. A new
+// server that gets the slot of a removed server is in the same subsets as the removed server was.
 func TestSubsetIncludesTheReplacementWhileAServerDrains(t *testing.T) {
 	s := NewStore()
 	for i := range 8 {
@@ -218,14 +218,14 @@
 	_, initial := w.mustPoll(t, s)
 	s.Apply(Command{Kind: SetInstancePhase, ID: initial[0], Phase: PhaseDraining})
 	if _, during := w.mustPoll(t, s); w.endpoints[initial[0]].Phase != PhaseDraining || len(initial) != 2 || len(during) < 3 {
-		t.Errorf("subset of 2, at first %v: while one drains got %v, want the draining server and a replacement", initial, w.endpoints)
+		t.Errorf("subset of 2 servers, initially %v: got %v while the first server drains, want the 2 servers and a replacement", initial, w.endpoints)
 	}
 	s.Apply(Command{Kind: DeregisterInstance, ID: initial[0]})
 	if _, after := w.mustPoll(t, s); len(after) != 2 || slices.Contains(after, initial[0]) {
-		t.Errorf("subset of 2 after %s was removed: got %v, want 2 other servers", initial[0], after)
+		t.Errorf("subset of 2 servers after %s was removed: got %v, want 2 other servers", initial[0], after)
 	}
 	s.Apply(registerInService("s9", "a"))
 	if _, final := w.mustPoll(t, s); !slices.Equal(final, slices.Sorted(slices.Values([]string{"s9", initial[1]}))) {
-		t.Errorf("subset with s9 in the slot of %s: got %v, want s9 in its place in %v", initial[0], final, initial)
+		t.Errorf("subset after s9 got the slot of %s: got %v, want s9 in place of the removed server in %v", initial[0], final, initial)
 	}
 }
--- a/internal/registry/snapshot_test.go
+++ b/internal/registry/snapshot_test.go
@@ -82,7 +82,7 @@
 		s.instances[id] = Instance{Endpoint: registerInService(id, "a").Endpoint, Slot: i}
 	}
 	if read := snapshotRoundTrip(t, s); read.Apply(registerCommandFor("one more", DefaultTTL)).Code != ResultTooManyInstances {
-		t.Error("registering one instance over maxInstances: want ResultTooManyInstances")
+		t.Error("registering one instance more than maxInstances: got another result, want ResultTooManyInstances")
 	}
 }
 
@@ -99,7 +99,7 @@
 			t.Fatal(err)
 		}
 		if _, err := ReadSnapshot(&b); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("slots %v: got error %v, want one with %q", slots, err, want)
+			t.Errorf("slots %v: got error %v, want one that contains %q", slots, err, want)
 		}
 	}
 }
--- a/internal/registry/store_test.go
+++ b/internal/registry/store_test.go
@@ -99,7 +99,7 @@
 	for i := range 20 {
 		s.Apply(registerCommandFor(fmt.Sprint("s", i), 10*time.Second))
 	}
-	for i := range 18 { // two are not renewed
+	for i := range 18 { // two leases are not renewed
 		advanceClock(s, 3*time.Second)
 		for n := range 18 {
 			s.Apply(Command{Kind: RenewLease, ID: fmt.Sprint("s", n)})
--- a/internal/simulation/simulation_test.go
+++ b/internal/simulation/simulation_test.go
@@ -11,7 +11,8 @@
 	"sloerail/policy"
 )
 
-// Some of the measures of docs/zones.md are within their bounds with one seed. Running all of them takes minutes.
+// Some of the measures of docs/zones.md are within their bounds with one seed. The others are
+// not checked here, as running all of them takes minutes.
 func TestZonesAreEvacuatedAndRecovered(t *testing.T) {
 	var selected []Measure
 	for _, m := range ZoneMeasures() {
@@ -67,7 +68,7 @@
 		}
 	}
 	if outcome.AttemptsByZone["bill-charge"]["c"] == 0 || outcome.Broken > 0 {
-		t.Errorf("attempts by class and zone: %v, want some of bill-charge in zone c; broken rules: %q, want none",
+		t.Errorf("attempts by class and zone: got %v, want some of bill-charge in zone c; broken rules: %q, want none",
 			outcome.AttemptsByZone, outcome.BrokenRules)
 	}
 	after := outcome.Between(32*time.Second, 35*time.Second)
@@ -99,8 +100,8 @@
 	}
 }
 
-// BenchmarkDecision measures what a node computes for a request and its outcome, in a fleet of 300 nodes in 60 zones,
-// with and without topology.
+// BenchmarkDecision measures the time that a node takes to handle a request and its outcome, in a fleet of 300 nodes
+// in 60 zones, with and without topology.
 func BenchmarkDecision(b *testing.B) {
 	for name, topology := range map[string]bool{"places": true, "none": false} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/subset/compare_test.go
+++ b/internal/subset/compare_test.go
@@ -95,7 +95,7 @@
 }
 
 // aperture spaces clients and servers evenly on a ring; a client takes the servers that follow its point. The published
-// version weights the first and the last server by the part that the client's arc covers; here all servers count 1/size.
+// version weights the first and the last server by the part of it that the client's arc covers; here each counts 1/size.
 func aperture(f fleet) assignment {
 	slots := slotsOf(f)
 	slices.SortFunc(slots, func(a, b int) int { return cmp.Compare(hash(a), hash(b)) })
@@ -252,7 +252,7 @@
 	}
 	for _, each := range algorithms() {
 		if chosen := each.name == "this package"; chosen != (rowsMet[each.name] == len(checkedRows)) {
-			t.Errorf("%s meets all criteria in %d of %d rows; only this package should meet them in all",
+			t.Errorf("%s meets all criteria in %d of %d rows; only this package should meet them in all rows",
 				each.name, rowsMet[each.name], len(checkedRows))
 		}
 	}
@@ -265,8 +265,8 @@
 }
 
 // TestCompareSizes checks the maximum load over a grid of sizes where a server has at least ten clients and no zone
-// dominates: 1.1 times the even load, or 1.2 if half of the slots are missing. With -v it prints the second table of
-// docs/subsetting.md, over the whole grid.
+// dominates. The limit is 1.1 times the even load, or 1.2 times if half of the slots are missing. With -v the test
+// prints the second table of docs/subsetting.md, over the whole grid.
 func TestCompareSizes(t *testing.T) {
 	servers, clients := []int{50, 200, 1000}, []int{100, 1000}
 	if testing.Verbose() {
--- a/internal/subset/measure_test.go
+++ b/internal/subset/measure_test.go
@@ -132,7 +132,7 @@
 	}}
 }
 
-// newFleet creates servers in consecutive slots, of which the given percentage is missing.
+// newFleet creates servers in consecutive slots; the given percentage of the slots has no server.
 func newFleet(servers, clients, size, missingPercent int, zones layout, seed uint64) fleet {
 	random := rand.New(rand.NewPCG(seed, 0))
 	result := fleet{clients: clients, size: size}
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -187,7 +187,7 @@
 			for zone, count := range counts {
 				outside := len(f.servers) - count
 				if maxSpanLoad*f.size*outside < len(f.servers) {
-					continue // too few for every subset to contain one
+					continue // too few servers outside of the zone for every subset to contain one
 				}
 				want := min(max(1, f.size*outside/(outsideDivisor*len(f.servers))), f.size/2)
 				if got := f.size - inside[zone]; got < want {
@@ -215,7 +215,7 @@
 
 // TestChangeMovesFewPairs limits the client-server pairs moved by one change while the slots in use are consecutive. The
 // minimum possible is one pair for each client of an added or removed server, and one subset for an added or removed
-// client. The limit is maxMoveRatio times the minimum for servers, and one subset more for clients. A cell that is split
+// client. The limit is maxMoveRatio times the minimum for servers, and for clients one subset more. A cell that is split
 // or merged adds up to a quarter of its pairs and a subset; a change of clientCellSize adds up to a quarter of all pairs.
 func TestChangeMovesFewPairs(t *testing.T) {
 	const maxMoveRatio = 5
