--- a/cmd/sloerail-simadapter/main.go
+++ b/cmd/sloerail-simadapter/main.go
@@ -27,7 +27,7 @@
 // Errors in the sequence of lines.
 var (
 	errInputEnded = errors.New("input ended inside a batch")
-	errNesting    = errors.New("message outside of a batch, or a batch inside another")
+	errNesting    = errors.New("message outside of a batch, or start of a batch within a batch")
 )
 
 func main() {
--- a/cmd/sloerail-simadapter/main_test.go
+++ b/cmd/sloerail-simadapter/main_test.go
@@ -41,7 +41,7 @@
 		joinLines(`["mark",0]`, `["reminder",1,"x"]`):                      "line 2: reminder: token: want number",
 		joinLines(`["mark",0]`, `["completed",1,"r",0,"s","odd",1,false]`): "line 2: completed: rc: unknown outcome code",
 		joinLines(`["mark",0]`, `["peersKnown",3,"replace",1,9]`):          "line 2: peersKnown: buffer: list 9 was never sent",
-		joinLines(`["mark",0]`, `["mark",5]`):                              "line 2: message outside of a batch, or a batch inside",
+		joinLines(`["mark",0]`, `["mark",5]`):                              "line 2: message outside of a batch, or start of a batch within a batch",
 		joinLines(`["reminder",1,7]`):                                      "line 1: message outside of a batch",
 		joinLines(`["mark",0]`, `[`):                                       "line 2: not JSON",
 		joinLines(`["mark",0]`, strings.Replace(configureMessage("1"), `"limits":{`, `"guarantees":{"budgetShare":0.1},"limits":{`, 1)): "attempt budget: span",
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), `"handOff"`); n != 1 {
-		t.Errorf("handOff actions: got %d, want 1, as the new instance does not know request r1\n%s", n, out.String())
+		t.Errorf("handOff actions: got %d, want only the one from before the restart: the new instance doesn't know r1\n%s", n, out.String())
 	}
 }
 
--- a/internal/membership/agent_test.go
+++ b/internal/membership/agent_test.go
@@ -71,7 +71,8 @@
 		defer v.shutdown()
 		joined := v.awaitPresent(t, time.Minute, n, indexes(n)...)
 		v.network.setLoss(*lossRate)
-		time.Sleep(20*time.Second + 2*time.Duration(n)*exchangesAfterChange*exchangeIntervalPerMember) // ends after the last exchange
+		// waits until the exchanges that follow the joins are over
+		time.Sleep(20*time.Second + 2*time.Duration(n)*exchangesAfterChange*exchangeIntervalPerMember)
 		idle := v.measureIdle()
 		for i := range v.agents {
 			if deaths := v.deaths(i); len(deaths) > 0 {
@@ -126,7 +127,7 @@
 }
 
 // If two processes have the same name, all members see the later process. The earlier process learns that it is
-// superseded, and leaves.
+// superseded.
 func TestLaterProcessSupersedesEarlierOfSameName(t *testing.T) {
 	withFleet(t, 5, func(t *testing.T, v *virtualFleet) {
 		time.Sleep(time.Second)
@@ -194,7 +195,8 @@
 	})
 }
 
-// User messages of the next version are ignored; a member with metadata of the next version is still present.
+// User messages that are empty, truncated, of an unknown kind or of the next version are ignored. A member with metadata
+// of the next version is still present.
 func TestMessagesOfOtherVersionsAreIgnored(t *testing.T) {
 	if _, err := decodeMetadata([]byte{metadataVersion + 1, 0xa0}); err == nil {
 		t.Error("decodeMetadata of another version succeeded, want an error")
--- a/internal/node/body_streaming_test.go
+++ b/internal/node/body_streaming_test.go
@@ -119,7 +119,7 @@
 	})
 }
 
-// The node has sent the client nothing of a long response that breaks off before StreamStartBytes, so it tries another
+// If a long response breaks off before StreamStartBytes, the client has received none of it, and the node tries another
 // server.
 func TestIncompleteResponseIsNotForwarded(t *testing.T) {
 	nodetest.Bubble(t, func(t *testing.T) {
@@ -297,7 +297,7 @@
 	})
 }
 
-// Responses to clients that don't read are not buffered whole in the node, and other clients are served meanwhile.
+// The node doesn't accept all responses in full while their clients don't read, and serves other clients meanwhile.
 func TestStalledReadersHoldLittleMemory(t *testing.T) {
 	t.Parallel()
 	const responses = 40
--- a/internal/node/discovery/scope_test.go
+++ b/internal/node/discovery/scope_test.go
@@ -114,7 +114,7 @@
 	})
 }
 
-// The client watches a list service that ignores the scope like any other. When a list service that supports scopes
+// If a list service ignores the scope, the client watches it all the same. When a list service that supports scopes
 // replaces it, changes within the scope are not applied to the unscoped list: the client fetches the full list of the
 // scope. It also fetches the full list when a list service that ignores the scope replaces one that supports it.
 func TestScopeSupportedAndUnsupported(t *testing.T) {
--- a/internal/node/upstream/server_pool.go
+++ b/internal/node/upstream/server_pool.go
@@ -13,11 +13,12 @@
 )
 
 // minReuseDelay is the minimum time between a response and the reuse of its connection. A server may send a second
-// response some milliseconds after the first, and it would be taken for the response to the next request.
+// response some milliseconds after the first, and it would be taken for the response to the next request. After the delay,
+// isUsable finds it, and the connection isn't reused.
 const minReuseDelay = 10 * time.Millisecond
 
 // serverPool holds the idle connections to one process of one server, the most recently used last. It is unrelated to the
-// type of the same name in policy, which holds servers in the order of choice.
+// type of the same name in policy, which holds servers in packing order.
 type serverPool struct {
 	address         string
 	startedAtMillis int64 // Unix time
@@ -146,8 +147,8 @@
 	return dial(ctx, "tcp", address)
 }
 
-// isCurrent reports whether p is still the server's pool and not draining. It is called after a dial, which may take
-// longer than the grace period for which requests may be sent to a server that began to drain.
+// isCurrent reports whether p is still the server's pool and not draining. It is called after a dial: a draining
+// server may have stopped taking requests meanwhile, as a dial may take longer than the server's grace period.
 func (t *Transport) isCurrent(id string, p *serverPool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/registry/measure_test.go
+++ b/internal/registry/measure_test.go
@@ -18,7 +18,7 @@
 var sizes = flag.String("sizes", "1000,2000,4000", "numbers of instances to measure, separated by commas")
 
 const (
-	smallService = 50 // instances of each small service; the large service has a tenth of all instances
+	smallService = 50 // approximate number of instances of each small service; the large service has a tenth of all instances
 	measuredSeed = 7
 )
 
@@ -126,7 +126,7 @@
 			full, scoped := f.replace(t, scope, ids[i])
 			fullTotal, scopedTotal = fullTotal+full, scopedTotal+scoped
 		}
-		t.Logf("%6d instances: full list %9d bytes, five services %8d, subsets of 20 %6d; bytes of changes per replaced instance: full list %4d, subsets %7.2f",
+		t.Logf("%6d instances: full list of %9d bytes, list of five services %8d bytes, list with subsets of 20 servers %6d bytes; changes per replaced instance: %4d bytes of the full list, %7.2f bytes of the list with subsets",
 			n, fullListBytes, servicesBytes, subsetsBytes, fullTotal/replaced, float64(scopedTotal)/replaced)
 		if firstBytes == 0 {
 			firstBytes = subsetsBytes
@@ -172,7 +172,7 @@
 				t.Fatal(err)
 			}
 		})
-		t.Logf("%6d instances: %3d MB, registered in %v each, renewed in %v, tick applied in %v, leases restarted for a new leader in %v, full list %v, scoped list %v, a drain in the large service for 1,000 watchers %v, snapshot %.1f MB written in %v, read in %v",
+		t.Logf("%6d instances: heap of %3d MiB; times: registration of an instance %v, renewal of a lease %v, tick %v, restart of the leases for a new leader %v, encoding of the full list %v and of a scoped list %v, changes for 1,000 watchers after a drain in the large service %v; snapshot of %.1f MB written in %v, read in %v",
 			n, memory>>20, (registerAll / time.Duration(n)).Round(10*time.Nanosecond), renew, tick, restart, full, view, watchers, float64(length)/1e6, write, read)
 	}
 }
--- a/internal/scaletest/scenario_test.go
+++ b/internal/scaletest/scenario_test.go
@@ -101,7 +101,7 @@
 	}
 	smallMachine := Machine{Memory: uint64(2*s.memoryAt(40)) + 1}
 	if err := s.checkMemory(s.Sizes, smallMachine); err == nil || !strings.HasPrefix(err.Error(), "sizes[3]:") {
-		t.Errorf("memory for the first three sizes: got error %v, want one that names sizes[3]", err)
+		t.Errorf("machine with memory for only the first three sizes: got error %v, want one that names sizes[3]", err)
 	}
 	if err := s.checkMemory(s.Sizes[:3], smallMachine); err != nil {
 		t.Error(err)
--- a/internal/simulation/paired_comparison.go
+++ b/internal/simulation/paired_comparison.go
@@ -14,8 +14,8 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Weights of G. They are the operators' weights, except that the operators' weight of the worst-served tenant is added to
-// the weight of the whole run.
+// Weights of G. The operators also weight the worst-served tenant. G has no such part; its weight is added to that of the
+// whole run.
 const (
 	wholeRunWeight    = 0.45
 	worstWindowWeight = 0.35 // of the worst window with the length worstWindowLength
@@ -48,7 +48,7 @@
 	Scenario     string    `json:"scenario"`
 	Ours, Theirs []float64 `json:"-"`        // G by seed
 	Mean         float64   `json:"mean"`     // mean of the differences of G, ours minus theirs, over the seeds
-	HalfInterval float64   `json:"half"`     // half the width of the 95% confidence interval of Mean
+	HalfInterval float64   `json:"half"`     // half the width of the 95% confidence interval of Mean; 0 if there is only one difference
 	P            float64   `json:"p"`        // two-sided p-value of the paired t-test against a true mean of 0; 1 if all differences are equal
 	OurG         float64   `json:"g"`        // mean of Ours
 	TheirG       float64   `json:"g_theirs"` // mean of Theirs
--- a/internal/testcluster/cluster.go
+++ b/internal/testcluster/cluster.go
@@ -27,8 +27,9 @@
 	pollInterval  = 10 * time.Millisecond // between checks of a condition by Await
 )
 
-// ErrNoAddresses is returned by New when all blocks of loopback addresses of the machine are in use.
-var ErrNoAddresses = errors.New("all blocks of loopback addresses are in use")
+// ErrNoAddresses is returned by New when it can't listen in any block of loopback addresses: usually because all blocks
+// of the machine are in use.
+var ErrNoAddresses = errors.New("cannot listen in any block of loopback addresses")
 
 // errClosed is returned by Start after Close.
 var errClosed = errors.New("test cluster is closed")
--- a/policy/packing_order_test.go
+++ b/policy/packing_order_test.go
@@ -86,9 +86,9 @@
 	return changed
 }
 
-// step passes one random event to the node. It reports whether the order was updated for the classes that are
-// in use now: the event updated the order, and no request ended afterwards. A request that ends may be the
-// last of a class of former settings, which is then no longer in use.
+// step passes one random event to the node. It reports whether each server's fields match the classes in use:
+// that holds if the event updated the order and no request ended since. A request that ends may be the last
+// of a class of former settings, which is then no longer in use.
 func (sim *orderSimulation) step(t *rapid.T) (aligned bool) {
 	sim.now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "wait")) * ms
 	event, requests := rapid.IntRange(0, 11).Draw(t, "event"), len(sim.b.requests)
@@ -194,7 +194,8 @@
 	}
 }
 
-// checkAddedServers compares what a list change sets at each server of the order with a rebuild.
+// checkAddedServers checks the retry safety and the concurrency limit, which are set for each server when the
+// list changes.
 func checkAddedServers(t *rapid.T, b *Balancer, order []*server) {
 	for _, s := range order {
 		retrySafety := NonIdempotent
@@ -299,8 +300,8 @@
 	})
 }
 
-// Probation of a server uses the class in use that is safest to retry. A class of former settings is in use
-// until its last request has ended and the list has changed.
+// The retry safety that probation requests to a server need is the highest of the classes in use. A class of
+// former settings is in use until its last request has ended and the list has changed.
 func TestProbationFollowsTheClassesInUse(t *testing.T) {
 	set := testSettings(1)
 	b := startBalancer(t, set, testEndpoints(4))
@@ -308,7 +309,9 @@
 	strict := testSettings(1)
 	strict.Classes[0].RetrySafety = NonIdempotent
 	b.Handle(2*ms, strict)
-	b.Handle(3*ms, strict) // now the former settings are strict too: only the open request's class is idempotent
+	// a second change, so that the previous settings are strict too; only the class kept by the open request is
+	// still idempotent
+	b.Handle(3*ms, strict)
 	list := testEndpoints(4)
 	change := func(i int) *server {
 		list[i].Weight++
@@ -323,7 +326,7 @@
 	change(2)
 	for _, s := range b.order() {
 		if s.retrySafety != IdempotencyKeyed {
-			t.Errorf("retry safety for probation of %s after that request: got %v, want %v",
+			t.Errorf("retry safety for probation of %s after the idempotent request ended: got %v, want %v",
 				s.ID, s.retrySafety, IdempotencyKeyed)
 		}
 	}
--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -4,14 +4,14 @@
 
 const (
 	// warmupTargetFraction is the fraction of the overload bound that all nodes together send to a server that
-	// is warming up. The bound is the server's current capacity, multiplied by OverloadMultiple-1 unless limits
-	// are based on load reports. The rest of the bound absorbs requests that arrive together by chance,
-	// expensive requests, and differences between servers.
+	// is warming up. If limits are based on load reports, the bound is the server's current capacity; otherwise,
+	// it is the current capacity times OverloadMultiple-1. The rest of the bound absorbs requests that arrive
+	// together by chance, expensive requests, and differences between servers.
 	warmupTargetFraction = 0.7
 	// minOverloadMargin is the minimum of the multiplier OverloadMultiple-1.
 	minOverloadMargin = 0.5
-	// minWarmupRate is the lowest capacity of a warmed-up server, in requests per second, that warm-up budgets
-	// are based on. It applies while the capacity of other servers is unknown.
+	// Warm-up budgets assume that a warmed-up server can serve at least minWarmupRate requests per second, while
+	// the capacity of other servers is unknown and also if it is lower.
 	minWarmupRate = 1.0
 	// warmupBurstDivisor determines the maximum burst: the number of requests that the budget allows within the
 	// overload duration is divided by it. The maximum is at least one request.
@@ -32,7 +32,8 @@
 
 	warmedUp            int               // servers in service that have warmed up
 	warmedUpUnmonitored serversByDistance // servers of warmedUp whose zones aren't monitored
-	queue               serverQueue       // servers in service that are warming up, by the time when they finish
+	// servers that are warming up, by the time when they finish; servers that left service stay until then
+	queue serverQueue
 }
 
 // serversByDistance counts the servers in zones without a crossing cost (near) and the others (far). Without
@@ -65,8 +66,8 @@
 	w.minCapacity, w.duration = rules.SlowStartMinCapacity, rules.SlowStartDuration
 }
 
-// warmFraction returns the fraction of its full capacity that a server has at least, by its age. It is 1 once
-// the server has warmed up, and if its start time is unknown.
+// warmFraction returns a lower bound, computed from the server's age, for the fraction of its full capacity
+// that it has. The bound is 1 once the server has warmed up, and if its start time is unknown.
 func (w *slowStart) warmFraction(s *server, now Time) float64 {
 	age := now - s.StartedAt
 	if s.StartedAt <= 0 || age >= w.duration {
@@ -111,7 +112,8 @@
 	}
 }
 
-// addWarmedUp adds change to the counts that include a server of the zone.
+// addWarmedUp adds change to the number of warmed-up servers and to the count for the zone: its own if the
+// zone is monitored, otherwise the count of near or far servers.
 func (w *slowStart) addWarmedUp(zone *zoneHealth, change int) {
 	w.warmedUp += change
 	switch {
@@ -155,7 +157,7 @@
 	return w.warmedUp
 }
 
-// warmFraction returns the fraction of its capacity that a server has reached by now.
+// warmFraction returns the lower bound from slowStart.warmFraction for the current time.
 func (b *Balancer) warmFraction(s *server) float64 { return b.slowStart.warmFraction(s, b.now) }
 
 // serverPeakRate returns the recent peak rate, in requests per second, at which one warmed-up server
@@ -164,8 +166,8 @@
 	return b.completions.serverPeak(b.now, b.slowStart.warmedUpServers(b.now))
 }
 
-// isLimitedByWarmup reports whether the warm-up budget limits the requests to the server instead of the
-// node's concurrency window. It does for servers that are warming up, if limits are based on load reports.
+// isLimitedByWarmup reports whether the warm-up budget, and not the concurrency window, limits what is sent
+// to the server. This is so for servers that are warming up, if limits are based on load reports.
 func (b *Balancer) isLimitedByWarmup(s *server) bool {
 	return b.usesLoadReports() && b.warmFraction(s) < 1
 }
@@ -174,12 +176,13 @@
 // permits a request. A server that has warmed up has no such limit. During a hot restart, a process that has
 // handed over sends nothing to servers that are warming up.
 //
-// The budget is based on this node's part of the capacity of a warmed-up server. That is the rate at which
-// such a server completes requests of this node: summed over all nodes, it is what one server can serve. If
-// load reports are known for the server's kind, the service rate of the kind, divided by the number of nodes,
-// is taken instead. A server that is warming up gets its warm fraction of that rate, or more if its own
-// reports show more. This is multiplied by warmupTargetFraction, and by OverloadMultiple-1 (at least
-// minOverloadMargin) or, if limits are based on load reports, by the server's concurrencyLimit.
+// The budget is based on this node's part of the capacity of a warmed-up server. This part is the peak rate
+// at which one warmed-up server completes this node's requests. Over all nodes, these rates add up to about
+// what the server can serve. If load reports are known for the server's kind, the service rate of the kind,
+// divided by the number of nodes, is taken instead. A server that is warming up gets its warm fraction of
+// that rate, or more if its own reports show more. This is multiplied by warmupTargetFraction, and by
+// OverloadMultiple-1 (at least minOverloadMargin) or, if limits are based on load reports, by the server's
+// concurrencyLimit.
 func (b *Balancer) refillWarmupBudget(s *server) bool {
 	fraction := b.warmFraction(s)
 	if fraction >= 1 || b.handedOver {
@@ -202,10 +205,11 @@
 }
 
 // pickWarmingUp returns a server of the nearest segment that is warming up and may get a request now, or nil.
-// Of several it returns the one with the most tokens. Without this choice, servers with capacity that come
-// earlier in packing order would take all requests, and the server would not have warmed up by the time those
-// servers fail. The result is nil for a retry, for a request of the highest-priority class unless that class
-// is short of capacity, and if limits are based on load reports.
+// Of several it returns the one with the most tokens. A server may warm up only as it gets requests. Without
+// this choice, servers with capacity that come earlier in packing order would take all requests, and the
+// server would not have warmed up by the time those servers fail. The result is nil for a retry, for a
+// request of the highest-priority class unless that class is short of capacity, and if limits are based on
+// load reports.
 func (b *Balancer) pickWarmingUp(r *request) (best *server) {
 	avoidsWarmingUp := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
 		b.loadShedder.highPriorityShortage < maxShortageForSlowStart
