--- a/cmd/sloerail-simadapter/main_test.go
+++ b/cmd/sloerail-simadapter/main_test.go
@@ -41,7 +41,7 @@
 		joinLines(`["mark",0]`, `["reminder",1,"x"]`):                      "line 2: reminder: token: want number",
 		joinLines(`["mark",0]`, `["completed",1,"r",0,"s","odd",1,false]`): "line 2: completed: rc: unknown outcome code",
 		joinLines(`["mark",0]`, `["peersKnown",3,"replace",1,9]`):          "line 2: peersKnown: buffer: list 9 was never sent",
-		joinLines(`["mark",0]`, `["mark",5]`):                              "line 2: message outside of a batch, or a batch inside",
+		joinLines(`["mark",0]`, `["mark",5]`):                              "line 2: message outside of a batch, or start of a batch within a batch",
 		joinLines(`["reminder",1,7]`):                                      "line 1: message outside of a batch",
 		joinLines(`["mark",0]`, `[`):                                       "line 2: not JSON",
 		joinLines(`["mark",0]`, strings.Replace(configureMessage("1"), `"limits":{`, `"guarantees":{"budgetShare":0.1},"limits":{`, 1)): "attempt budget: span",
@@ -54,7 +54,7 @@
 	}
 }
 
-// An instance gives the same replies whether it is alone in its process or shares it with another instance.
+// An instance gives the same replies whether it is alone in its process or shares the process with another instance.
 func TestInstancesAreIndependent(t *testing.T) {
 	run := func(nodes ...string) string {
 		l := []string{`["mark",1]`, listMessage}
@@ -71,7 +71,7 @@
 		return strings.TrimSuffix(out.String(), "[\"yield\"]\n")
 	}
 	if got, want := run("1", "2"), run("1")+run("2"); got != want {
-		t.Errorf("replies of two instances in one process:\n%sin two processes:\n%s", got, want)
+		t.Errorf("replies of two instances in one process: got\n%swant the same replies as in two processes:\n%s", got, want)
 	}
 }
 
@@ -84,7 +84,7 @@
 		t.Fatal(err)
 	}
 	if n := strings.Count(out.String(), `"handOff"`); n != 1 {
-		t.Errorf("handOff actions: got %d, want 1, as the new instance does not know request r1\n%s", n, out.String())
+		t.Errorf("handOff actions: got %d, want only the one from before the restart: the new instance doesn't know r1\n%s", n, out.String())
 	}
 }
 
