--- a/policy/slow_start.go
+++ b/policy/slow_start.go
@@ -205,11 +205,10 @@
 }
 
 // pickWarmingUp returns a server of the nearest segment that is warming up and may get a request now, or nil.
-// Of several it returns the one with the most tokens. A server may warm up only as it gets requests. Without
-// this choice, servers with capacity that come earlier in packing order would take all requests, and the
-// server would not have warmed up by the time those servers fail. The result is nil for a retry, for a
-// request of the highest-priority class unless that class is short of capacity, and if limits are based on
-// load reports.
+// Of several it returns the one with the most tokens. Without this choice, servers with capacity that come
+// earlier in packing order would take its share of the requests, and it would be missing when they fail. The
+// result is nil for a retry, for a request of the highest-priority class unless that class is short of
+// capacity, and if limits are based on load reports.
 func (b *Balancer) pickWarmingUp(r *request) (best *server) {
 	avoidsWarmingUp := b.loadShedder.isHighestPriority(r.class.PriorityWeight) &&
 		b.loadShedder.highPriorityShortage < maxShortageForSlowStart
